--- /dev/null
+++ b/internal/control/member/compatibility_test.go
@@ -0,0 +1,281 @@
+package member_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"flag"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+	"google.golang.org/protobuf/encoding/protojson"
+	"google.golang.org/protobuf/proto"
+
+	"frosttide/internal/control/jobs"
+	"frosttide/internal/control/journal"
+	"frosttide/internal/control/member"
+	"frosttide/internal/control/replica"
+	"frosttide/internal/control/scheduler"
+	"frosttide/internal/protocol"
+)
+
+// update has the test write the files under testdata anew instead of comparing with them.
+var update = flag.Bool("update", false, "write the files under testdata anew")
+
+const (
+	tick       = 20 * time.Millisecond
+	beganMs    = 1_800_000_000_000 // time of day of the life's beginning
+	companion  = "10.0.1.1:7380"
+	journalBin = "testdata/journal.bin"
+	journalTxt = "testdata/journal.json"
+)
+
+// life is the life of a member that is alone, on a disk that syncs at once, with one companion.
+type life struct {
+	t      *testing.T
+	now    time.Duration
+	member *member.Member
+	file   []byte
+	orders *protocol.RunnerOrders // newest
+	report uint64                 // of the companion
+	asked  uint64                 // by clients
+}
+
+func newLife(t *testing.T) *life {
+	t.Helper()
+	self := &protocol.Member{Id: 7, Number: 1, Address: "10.0.0.1:7380", Control: "10.0.0.1:8144", Zone: "z1"}
+	cfg := member.Config{
+		Replica:   replica.Config{Self: self, Incarnation: 1, Contacts: []string{self.GetAddress()}, Seed: 1, Timing: replica.DefaultTiming()},
+		Scheduler: scheduler.Config{Lease: 6 * time.Second, StatusKept: time.Minute, RackPrefix: "r", FarFactor: 1.5},
+	}
+	l := &life{t: t, member: member.New(cfg, 0, replica.Founding(self, []*protocol.Member{self})), orders: &protocol.RunnerOrders{}}
+	l.pass(2 * time.Second)
+	require.NotNil(t, l.member.Scheduler(), "it does not serve")
+	return l
+}
+
+// turn carries out a turn.
+func (l *life) turn() {
+	l.t.Helper()
+	for {
+		out := l.member.Turn(l.now)
+		for _, send := range out.Sends {
+			if orders := send.Message.GetRunnerOrders(); orders != nil && send.To == companion {
+				l.orders = orders
+			}
+		}
+		if len(out.Writes) == 0 {
+			return
+		}
+		for _, write := range out.Writes {
+			if write.Image == nil {
+				l.file = append(l.file, write.Data...)
+				continue
+			}
+			whole, err := write.Image.Encode()
+			require.NoError(l.t, err)
+			l.file = whole
+		}
+		l.member.DiskDone(l.now, out.Writes[len(out.Writes)-1].Sequence, int64(len(l.file)), nil)
+	}
+}
+
+// pass lets time pass.
+func (l *life) pass(d time.Duration) {
+	l.t.Helper()
+	for until := l.now + d; l.now < until; l.now += tick {
+		l.member.Tick(l.now, beganMs+l.now.Milliseconds())
+		l.turn()
+	}
+}
+
+// request has a client ask.
+func (l *life) request(r *protocol.ClientRequest) {
+	l.t.Helper()
+	l.asked++
+	r.Id, r.Incarnation, r.Attempt = l.asked, 5, 1
+	l.member.Receive(l.now, "10.0.2.1:7380", &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: r}})
+	l.turn()
+	l.pass(tick)
+}
+
+func (l *life) configure(match uint64, patch bool, body string) {
+	l.t.Helper()
+	l.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: patch, IfMatch: match, Body: []byte(body)}}})
+}
+
+func (l *life) submit(s *protocol.Submit) {
+	l.t.Helper()
+	l.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: s}})
+}
+
+// companionReports has the companion report to the head, with runs that have ended.
+func (l *life) companionReports(ends ...*protocol.RunEnd) {
+	l.t.Helper()
+	l.report++
+	l.member.Receive(l.now, companion, &protocol.Envelope{Body: &protocol.Envelope_RunnerReport{RunnerReport: &protocol.RunnerReport{
+		Incarnation: 11, LeaseRound: l.report, Epoch: l.orders.GetEpoch(), OrdersSeen: l.orders.GetSequence(), Holding: true, Ends: ends,
+		Account: &protocol.RunnerAccount{Id: "i1", Service: "toy", Address: "10.0.1.1:9000", Zone: "z1", Version: "v1", Slots: 8,
+			Capacity: &protocol.Capacity{Cpu: 4000, MemMb: 8192, Gpus: 2}, Labels: []string{"a", "r1-1"}},
+	}}})
+	l.turn()
+	l.pass(5 * tick)
+}
+
+// live has jobs in all states come about, and returns the member's file.
+func live(t *testing.T) []byte {
+	t.Helper()
+	l := newLife(t)
+	l.configure(0, false, `{"Version":1,"Routes":[{"Name":"previews","Host":"jobs.example","PathPrefix":"/previews/","TimeoutMs":3000,"Service":"toy","Priority":1,"MaxAttempts":3},`+
+		`{"Name":"old","Host":"jobs.example","PathPrefix":"/old/","TimeoutMs":3000,"Service":"toy"}],"Services":[{"Name":"toy","HealthPath":"/health"}],"Limits":{"MaxBodyBytes":100}}`)
+	l.configure(1, true, `{"Version":4,"Upsert":{"Routes":[{"Name":"batches","Host":"jobs.example","PathPrefix":"/batches/","TimeoutMs":3000,"Service":"toy","Priority":2}]},"Remove":{"Routes":["old"]}}`)
+	for range 3 {
+		l.companionReports()
+	}
+	small := &protocol.Stage{Count: 1, Cpu: 1000, MemMb: 10, EstimateMs: 300}
+	l.submit(&protocol.Submit{Queue: "previews", Id: "00000000000000a1", Spec: "completed", Stages: []*protocol.Stage{small}})
+	l.companionReports()
+	l.companionReports(&protocol.RunEnd{Number: 1, Task: "00000000000000a1.0.0.0", Run: 1, How: "done"})
+	l.submit(&protocol.Submit{Queue: "previews", Id: "00000000000000b2", Spec: "runs", Stages: []*protocol.Stage{
+		{Count: 2, Cpu: 500, MemMb: 10, Gpus: 1, EstimateMs: 300, Checkpoints: true, Requirements: "a", Affinity: "r1-1"},
+		{Count: 2, Cpu: 500, MemMb: 10, DependsOn: []uint32{0}, Gang: true, SameRack: true, AntiAffinity: 2, Speculative: true}}})
+	l.companionReports()
+	l.companionReports(&protocol.RunEnd{Number: 2, Task: "00000000000000b2.0.0.0", Run: 1, How: "failed", Saved: "00000bb8"},
+		&protocol.RunEnd{Number: 3, Task: "00000000000000b2.0.0.1", Run: 1, How: "done"})
+	l.submit(&protocol.Submit{Queue: "batches", Id: "00000000000000c3", Spec: "too large", Stages: []*protocol.Stage{{Count: 3, Cpu: 64000, MemMb: 10}}, AgeMs: 40})
+	l.submit(&protocol.Submit{Queue: "batches", Id: "00000000000000d4", Spec: "canceled", Stages: []*protocol.Stage{{Count: 1, Cpu: 64000, LongRunning: true}}})
+	l.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "00000000000000d4", Queue: "batches"}}})
+	l.submit(&protocol.Submit{Queue: "batches", Id: "00000000000000e5", Spec: "timed", Stages: []*protocol.Stage{small}, MaxRuns: 3, StartAtMs: beganMs + 3_600_000, IntervalMs: 500})
+	l.companionReports()
+	return appendRecords(t, l.file)
+}
+
+// appendRecords adds the records that a member writes in a system of several: a promise, an accepted view that changes
+// the voters, state that was taken over, an entry, and one whose write was not finished.
+func appendRecords(t *testing.T, file []byte) []byte {
+	t.Helper()
+	voters := []*protocol.Member{{Id: 7, Number: 1, Address: "10.0.0.1:7380", Control: "10.0.0.1:8144", Zone: "z1"},
+		{Id: 8, Number: 2, Address: "10.0.0.2:7380", Control: "10.0.0.2:8144", Zone: "z2"}, {Id: 9, Number: 3, Address: "10.0.0.3:7380", Control: "10.0.0.3:8144"}}
+	add := func(kind journal.Kind, body proto.Message) {
+		longer, err := journal.Append(file, kind, int64(len(file)), body)
+		require.NoError(t, err)
+		file = longer
+	}
+	add(journal.Promise, &protocol.PromiseRecord{Ballot: 50<<16 | 2})
+	add(journal.Accept, &protocol.AcceptRecord{View: &protocol.View{Epoch: 40<<16 | 1, Voters: voters, Previous: voters[:1], Chain: []uint64{8, 7}, NextNumber: 4}})
+	add(journal.Install, &protocol.InstallRecord{Epoch: 40<<16 | 1, Index: 1000, Puts: []*protocol.Put{{Key: "installed", Value: []byte{0, 1}}, {Key: "removed", Value: []byte{2}}}, Deletes: []string{"none"}})
+	add(journal.Entry, &protocol.Entry{Index: 1001, Puts: []*protocol.Put{{Key: "entered", Value: []byte{3}}}, Deletes: []string{"removed"}})
+	whole := len(file)
+	add(journal.Entry, &protocol.Entry{Index: 1002, Puts: []*protocol.Put{{Key: "torn", Value: make([]byte, 100)}}})
+	return file[:(whole+len(file))/2]
+}
+
+// itemTypes are the messages that items hold, by the prefix of their key.
+var itemTypes = []struct {
+	prefix  string
+	message proto.Message
+}{
+	{"j/", &protocol.JobRecord{}}, {"s/", &protocol.StatusRecord{}}, {"t/", &protocol.TaskRecord{}}, {"r/", &protocol.RunnerRecord{}},
+	{"c/", &protocol.ConfigItem{}}, {"c", &protocol.ConfigRecord{}}, {"o", &protocol.ConfigRecord{}}, {"w", &protocol.ClockRecord{}},
+}
+
+// readable returns a message as JSON that does not change from run to run.
+func readable(t *testing.T, m proto.Message) any {
+	t.Helper()
+	text, err := protojson.Marshal(m)
+	require.NoError(t, err)
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	var value any
+	require.NoError(t, decoder.Decode(&value))
+	return value
+}
+
+// item is an item of the state as the golden file shows it.
+type item struct {
+	Key   string
+	Value []byte
+	Reads any `json:",omitempty"`
+}
+
+// content returns what a file holds, as text.
+func content(t *testing.T, file []byte) string {
+	t.Helper()
+	state, good, err := journal.Read(file)
+	require.NoError(t, err)
+	var items []item
+	for _, put := range state.Store.All() {
+		shown := item{Key: put.GetKey(), Value: put.GetValue()}
+		for _, kind := range itemTypes {
+			if strings.HasPrefix(put.GetKey(), kind.prefix) {
+				message := proto.Clone(kind.message)
+				require.NoError(t, proto.Unmarshal(put.GetValue(), message), put.GetKey())
+				shown.Reads = readable(t, message)
+				break
+			}
+		}
+		items = append(items, shown)
+	}
+	config, err := scheduler.LoadConfig(state.Store)
+	require.NoError(t, err)
+	text, err := json.MarshalIndent(map[string]any{
+		"length": len(file), "good": good, "id": state.ID, "founder": state.Founder, "promised": state.Promised, "accepted": readable(t, state.Accepted),
+		"installed epoch": state.InstalledEpoch, "index": state.Index, "items": items, "configuration": string(config.Document()), "jobs": jobsOf(t, &state),
+	}, "", " ")
+	require.NoError(t, err)
+	return string(text) + "\n"
+}
+
+// jobsOf returns a line for each job and task of a state.
+func jobsOf(t *testing.T, state *journal.State) (lines []string) {
+	t.Helper()
+	table, err := jobs.Load(state.Store)
+	require.NoError(t, err)
+	table.Each(func(j *jobs.Job) {
+		line := strings.Join([]string{j.ID, j.Queue, j.Service, j.State.String(), j.Spec}, " ")
+		j.EachStep(func(s *jobs.Step) {
+			for i := range s.Tasks {
+				if task := s.Tasks[i]; task.Run > 0 {
+					line += "; " + strings.Join([]string{s.TaskID(i), task.Runner, task.Saved, task.LastFailed}, " ")
+				}
+			}
+		})
+		lines = append(lines, line)
+	})
+	slices.Sort(lines)
+	return lines
+}
+
+// TestCompatibilityJournal reads a member's file that an earlier release wrote, with jobs, a configuration, views and a
+// torn end, and writes the same file anew from the same events.
+func TestCompatibilityJournal(t *testing.T) {
+	if *update {
+		file := live(t)
+		require.NoError(t, os.MkdirAll(filepath.Dir(journalBin), 0o700))
+		require.NoError(t, os.WriteFile(journalBin, file, 0o600))
+		require.NoError(t, os.WriteFile(journalTxt, []byte(content(t, file)), 0o600))
+	}
+	committed, err := os.ReadFile(journalBin)
+	require.NoError(t, err)
+	want, err := os.ReadFile(journalTxt)
+	require.NoError(t, err)
+	t.Run("read", func(t *testing.T) { require.Equal(t, string(want), content(t, committed)) })
+	t.Run("written", func(t *testing.T) {
+		require.True(t, bytes.Equal(committed, live(t)), "the same events lead to another file")
+	})
+	t.Run("opened", func(t *testing.T) {
+		dir := t.TempDir()
+		require.NoError(t, os.WriteFile(filepath.Join(dir, "state"), committed, 0o600))
+		file, state, err := journal.Open(dir)
+		require.NoError(t, err)
+		require.EqualValues(t, 1001, state.Index)
+		require.NoError(t, file.Close())
+		left, err := os.ReadFile(filepath.Join(dir, "state"))
+		require.NoError(t, err)
+		require.True(t, bytes.HasPrefix(committed, left) && len(left) < len(committed), "the torn end is cut off")
+	})
+}
