--- /dev/null
+++ b/internal/compatibility/settings_test.go
@@ -0,0 +1,171 @@
+package compatibility_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"github.com/cockroachdb/errors"
+	"github.com/stretchr/testify/require"
+
+	"frosttide/internal/nodefile"
+	"frosttide/internal/routeconfig"
+)
+
+// minimalSettings is the least that a settings file says.
+const minimalSettings = "Ip = \"10.0.0.1\"\nPortRange = [7380, 7395]\n"
+
+// writeFile writes a file into a folder of the test's own and returns its path.
+func writeFile(t *testing.T, name, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), name)
+	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	return path
+}
+
+// settingsKeys returns the keys of a settings struct with their values, as TOML names them.
+func settingsKeys(prefix string, settings reflect.Value) (lines []string) {
+	for i := range settings.NumField() {
+		field := settings.Type().Field(i)
+		name := field.Name
+		if tag := field.Tag.Get("toml"); tag != "" {
+			name = tag
+		}
+		if field.Type.Kind() == reflect.Struct {
+			lines = append(lines, settingsKeys(prefix+name+".", settings.Field(i))...)
+			continue
+		}
+		lines = append(lines, fmt.Sprintf("%s%s %v = %v", prefix, name, field.Type, settings.Field(i)))
+	}
+	return lines
+}
+
+// TestCompatibilitySettings reads a file that leaves out all that it may, for the defaults, and one that sets all keys.
+func TestCompatibilitySettings(t *testing.T) {
+	minimal, err := nodefile.Read(writeFile(t, "node.toml", minimalSettings))
+	require.NoError(t, err)
+	all, err := nodefile.Read(filepath.Join("testdata", "settings.toml"))
+	require.NoError(t, err)
+	requireGolden(t, "settings.txt", "defaults\n"+strings.Join(settingsKeys("  ", reflect.ValueOf(*minimal)), "\n")+
+		"\nall keys set\n"+strings.Join(settingsKeys("  ", reflect.ValueOf(*all)), "\n")+
+		fmt.Sprintf("\nderived\n  contacts = %v\n  internal address = %s\n", all.Contacts(), all.InternalAddress(all.IP, 2)))
+}
+
+// TestCompatibilitySettingsMistakes pins what operators read of a settings file that can't be used.
+func TestCompatibilitySettingsMistakes(t *testing.T) {
+	var text strings.Builder
+	for _, mistake := range []struct{ name, text string }{
+		{"no TOML", "Ip = \n"},
+		{"text as a number", "Ip = 5\n"},
+		{"number as a text", "PortRange = [\"a\"]\n"},
+		{"number in a table", "[Bounds]\nRecoveryS = \"x\"\n"},
+		{"no address", "PortRange = [1, 2]\n"},
+		{"bad address", "Ip = \"x\"\nPortRange = [1, 2]\n"},
+		{"no ports", "Ip = \"10.0.0.1\"\n"},
+		{"ports reversed", "Ip = \"10.0.0.1\"\nPortRange = [9, 2]\n"},
+		{"ports too high", "Ip = \"10.0.0.1\"\nPortRange = [9, 65536]\n"},
+		{"front", minimalSettings + "[ListenAddrs]\nFront = \"x\"\n"},
+		{"readiness", minimalSettings + "[ListenAddrs]\nReadiness = \"x\"\n"},
+		{"control", minimalSettings + "[ListenAddrs]\nControl = \"x\"\n"},
+		{"seed", minimalSettings + "Seeds = [\"10.0.0.1:1\", \"x\"]\n"},
+		{"tolerance", minimalSettings + "[FaultTolerance]\nMachines = -1\n"},
+		{"duplicate key", minimalSettings + "Zone = \"a\"\nZone = \"b\"\n"},
+	} {
+		path := writeFile(t, "node.toml", mistake.text)
+		_, err := nodefile.Read(path)
+		require.Error(t, err, mistake.name)
+		require.True(t, errors.Is(err, nodefile.ErrSettings), mistake.name)
+		fmt.Fprintf(&text, "%s: %s\n", mistake.name, strings.ReplaceAll(err.Error(), path, "FILE"))
+	}
+	_, err := nodefile.Read("/nonexistent/node.toml")
+	require.Error(t, err)
+	fmt.Fprintf(&text, "no file: %v\nneeded: %v\n", err, nodefile.Needs("FILE", "DataDir"))
+	requireGolden(t, "settings-mistakes.txt", text.String())
+}
+
+// TestCompatibilitySettingsVariable names the environment variable of the settings file.
+func TestCompatibilitySettingsVariable(t *testing.T) {
+	t.Setenv("FROSTTIDE_NODE_FILE", "/etc/node.toml")
+	path, err := nodefile.Path()
+	require.NoError(t, err)
+	require.Equal(t, "/etc/node.toml", path)
+	t.Setenv("FROSTTIDE_NODE_FILE", "")
+	_, err = nodefile.Path()
+	require.EqualError(t, err, "settings: FROSTTIDE_NODE_FILE is not set: it names the settings file")
+}
+
+// configuration is a configuration with all that the programs read of it, and with what they only keep.
+const configuration = `{"Version":5,"Routes":[{"Name":"b","Host":"H.example","PathPrefix":"/x/","TimeoutMs":3000,"TargetLatencyMs":800,"Priority":2,"Service":"s","MaxAttempts":2,"Stretch":1.5,"Odd":[1]},` +
+	`{"Name":"a","Host":"h.example","PathPrefix":"/x/y/","TimeoutMs":2000,"Service":"s"}],"Services":[{"Name":"s","HealthPath":"/health"},{"Name":"unused"}],` +
+	`"Limits":{"MaxHeaderBytes":9,"MaxBodyBytes":100,"HeaderTimeoutMs":7,"IdleTimeoutMs":8},"Other":{"Kept":true}}`
+
+// applied returns the table after an order on another.
+func applied(t *testing.T, base *routeconfig.Table, body string, patch bool) *routeconfig.Table {
+	t.Helper()
+	change, err := base.Apply([]byte(body), patch)
+	require.NoError(t, err)
+	return change.Table
+}
+
+// TestCompatibilityConfiguration pins the document that is read back, and the digest by which processes of different
+// releases compare configurations.
+func TestCompatibilityConfiguration(t *testing.T) {
+	whole := applied(t, routeconfig.Empty(), configuration, false)
+	patched := applied(t, whole, `{"Version":9,"Upsert":{"Routes":[{"Name":"c","Host":"h.example","PathPrefix":"/c/","TimeoutMs":1,"Service":"s"}],"Limits":{"MaxBodyBytes":50}},`+
+		`"Remove":{"Routes":["a","none"],"Services":["unused"]}}`, true)
+	var text strings.Builder
+	for _, c := range []struct {
+		name  string
+		table *routeconfig.Table
+	}{{"empty", routeconfig.Empty()}, {"whole", whole}, {"patched", patched}} {
+		fmt.Fprintf(&text, "%s\n  document %s\n  digest %016x\n  record %v %v %v\n", c.name, c.table.Document(), c.table.Digest,
+			c.table.Record().GetVersion(), c.table.Record().GetOrder(), c.table.Record().GetHorizon())
+	}
+	for _, name := range []string{"b", "a"} {
+		r := whole.Route(name)
+		fmt.Fprintf(&text, "route Name=%s Host=%s PathPrefix=%s Service=%s TimeoutMs=%d TargetLatencyMs=%d Priority=%d MaxAttempts=%d Stretch=%v\n",
+			r.Name, r.Host, r.PathPrefix, r.Service, r.TimeoutMs, r.TargetLatencyMs, r.Priority, r.MaxAttempts, r.Stretch)
+	}
+	limits := whole.Limits()
+	fmt.Fprintf(&text, "limits MaxHeaderBytes=%d MaxBodyBytes=%d HeaderTimeoutMs=%d IdleTimeoutMs=%d\n",
+		limits.MaxHeaderBytes, limits.MaxBodyBytes, limits.HeaderTimeoutMs, limits.IdleTimeoutMs)
+	requireGolden(t, "configuration.txt", text.String())
+}
+
+// TestCompatibilityConfigurationMistakes pins what operators read of an order that is refused.
+func TestCompatibilityConfigurationMistakes(t *testing.T) {
+	base := applied(t, routeconfig.Empty(), configuration, false)
+	var text strings.Builder
+	for _, mistake := range []struct {
+		name, body string
+		patch      bool
+	}{
+		{"cut short", configuration[:100], false},
+		{"no object", `[]`, false},
+		{"a number that is none", `{"Version":6,"Odd":{"a":00}}`, false},
+		{"a text that is none", `{"Version":6,"Odd":"\q"}`, false},
+		{"no version", `{"Routes":[]}`, false},
+		{"version as a text", `{"Version":"6"}`, false},
+		{"version not above", configuration, false},
+		{"fraction", strings.Replace(configuration, `"Version":5`, `"Version":5.5`, 1), false},
+		{"service of one route", `{"Version":6,"Routes":[{"Name":"r","Host":"h","PathPrefix":"/","TimeoutMs":1,"Service":"t"}]}`, false},
+		{"no time-out", `{"Version":6,"Routes":[{"Name":"r","Host":"h","PathPrefix":"/","Service":"t"}],"Services":[{"Name":"t"}]}`, false},
+		{"prefix without a slash", `{"Version":6,"Routes":[{"Name":"r","Host":"h","PathPrefix":"x","TimeoutMs":1,"Service":"t"}],"Services":[{"Name":"t"}]}`, false},
+		{"name stands twice", `{"Version":6,"Services":[{"Name":"t"},{"Name":"t"}]}`, false},
+		{"name is missing", `{"Version":6,"Services":[{}]}`, false},
+		{"routes are no list", `{"Version":6,"Routes":{}}`, false},
+		{"service in use removed", `{"Version":6,"Remove":{"Services":["s"],"Routes":["a"]}}`, true},
+		{"patch removes no list", `{"Version":6,"Remove":{"Routes":"a"}}`, true},
+		{"patch removes another member", `{"Version":6,"Remove":{"Limits":["a"]}}`, true},
+		{"patch sets no list", `{"Version":6,"Upsert":{"Routes":1}}`, true},
+	} {
+		_, err := base.Apply([]byte(mistake.body), mistake.patch)
+		require.Error(t, err, mistake.name)
+		require.True(t, errors.Is(err, routeconfig.ErrInvalid), mistake.name)
+		fmt.Fprintf(&text, "%s: %v\n", mistake.name, err)
+	}
+	requireGolden(t, "configuration-mistakes.txt", text.String())
+}
