--- /dev/null
+++ b/internal/compatibility/endpoints_test.go
@@ -0,0 +1,403 @@
+package compatibility_test
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"net"
+	"net/http"
+	"path/filepath"
+	"regexp"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"frosttide/internal/control/host"
+	"frosttide/internal/data/carrier"
+	"frosttide/internal/data/companion"
+	"frosttide/internal/nodefile"
+)
+
+const (
+	// patience bounds what is waited for; machines that run the tests may be slow.
+	patience = 30 * time.Second
+	// poll is the pause between looks at what is waited for.
+	poll = 10 * time.Millisecond
+)
+
+// freePort returns a port of loopback that nobody listens on.
+func freePort(t *testing.T) int {
+	t.Helper()
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	require.NoError(t, err)
+	defer l.Close()
+	return l.Addr().(*net.TCPAddr).Port
+}
+
+// machine is a process of a system on loopback, in this test's own process.
+type machine struct {
+	front, readiness, control string
+}
+
+// run is what each role of the programs serves by.
+type run func(ctx context.Context, path string, settings *nodefile.File) error
+
+// startMachine runs a role at an address of loopback. The returned function ends it and waits for its end.
+func startMachine(t *testing.T, role run, ip string, internalPort int, seeds ...string) (m machine, stop func()) {
+	t.Helper()
+	m = machine{front: fmt.Sprint(ip, ":", freePort(t)), readiness: fmt.Sprint(ip, ":", freePort(t)), control: fmt.Sprint(ip, ":", freePort(t))}
+	if len(seeds) == 0 {
+		seeds = []string{m.control}
+	}
+	path := writeFile(t, "node.toml", fmt.Sprintf("Ip = %q\nZone = \"z1\"\nPortRange = [%d, %d]\nSeeds = [\"%s\"]\nBootstrap = true\nDataDir = %q\n"+
+		"[ListenAddrs]\nFront = %q\nReadiness = %q\nControl = %q\n[Bounds]\nHoldMaxMs = 6000\nRecoveryS = 6\nGraceS = 0.1\n",
+		ip, internalPort, internalPort, strings.Join(seeds, `", "`), filepath.Join(t.TempDir(), "data"), m.front, m.readiness, m.control))
+	settings, err := nodefile.Read(path)
+	require.NoError(t, err)
+	ctx, cancel := context.WithCancel(context.Background())
+	ended := make(chan error, 1)
+	go func() { ended <- role(ctx, path, settings) }()
+	stopped := false
+	stop = func() {
+		if stopped {
+			return
+		}
+		stopped = true
+		cancel()
+		require.NoError(t, <-ended)
+	}
+	t.Cleanup(stop)
+	return m, stop
+}
+
+// request is a call to an endpoint.
+type request struct {
+	method, url, host, body string
+	headers                 map[string]string
+}
+
+// answer is what an endpoint says.
+type answer struct {
+	status  int
+	headers http.Header
+	body    string
+}
+
+// call makes a request; the status of the answer is 0 where there is none.
+func call(ctx context.Context, r request) answer {
+	out, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.url, bytes.NewReader([]byte(r.body)))
+	if err != nil {
+		return answer{}
+	}
+	out.Host = r.host
+	for name, value := range r.headers {
+		out.Header.Set(name, value)
+	}
+	response, err := http.DefaultClient.Do(out)
+	if err != nil {
+		return answer{}
+	}
+	defer response.Body.Close()
+	body, err := io.ReadAll(response.Body)
+	if err != nil {
+		return answer{}
+	}
+	return answer{status: response.StatusCode, headers: response.Header, body: string(body)}
+}
+
+// awaitAnswer makes a request until its answer is as wanted.
+func awaitAnswer(t *testing.T, r request, wanted func(answer) bool) (got answer) {
+	t.Helper()
+	require.Eventually(t, func() bool {
+		got = call(t.Context(), r)
+		return wanted(got)
+	}, patience, poll, "%s %s", r.method, r.url)
+	return got
+}
+
+// settled makes a request until the control plane answers it, which a busy machine may delay. All that are made so may
+// come twice.
+func settled(t *testing.T, r request) answer {
+	t.Helper()
+	return awaitAnswer(t, r, func(a answer) bool {
+		return a.status != 0 && a.status != http.StatusServiceUnavailable && a.status != http.StatusGatewayTimeout
+	})
+}
+
+// hasStatus tells whether an answer has a status.
+func hasStatus(status int) func(answer) bool {
+	return func(a answer) bool { return a.status == status }
+}
+
+// transcript is the text of calls and their answers, as far as these stay the same from run to run.
+type transcript struct{ text strings.Builder }
+
+// pinnedHeaders are the headers that clients rely on.
+var pinnedHeaders = []string{"Allow", "Content-Type", "Retry-After", "X-Content-Type-Options"}
+
+// note adds a call under a name.
+func (s *transcript) note(name string, a answer) {
+	fmt.Fprintf(&s.text, "%s: %d\n", name, a.status)
+	for _, header := range pinnedHeaders {
+		if value := a.headers.Get(header); value != "" {
+			fmt.Fprintf(&s.text, "  %s: %s\n", header, value)
+		}
+	}
+	if a.body != "" {
+		fmt.Fprintf(&s.text, "  body: %s\n", strings.TrimSpace(a.body))
+	}
+}
+
+// keysOnly returns an answer with the keys of its JSON body in place of the body.
+func keysOnly(t *testing.T, a answer) answer {
+	t.Helper()
+	var value any
+	require.NoError(t, json.Unmarshal([]byte(a.body), &value), a.body)
+	keys := make(map[string]bool)
+	collectKeys(keys, "", value)
+	a.body = strings.Join(slices.Sorted(maps.Keys(keys)), " ")
+	return a
+}
+
+// memberNumber matches keys that are numbers drawn at random.
+var memberNumber = regexp.MustCompile(`^[0-9]+$`)
+
+// changing are keys that are left out where they say nothing, which changes from moment to moment.
+var changing = map[string]bool{"heard_ms_ago": true, "silent": true, "suspect": true, "lost_in_ms": true}
+
+// collectKeys adds the paths of all values that are no objects or lists.
+func collectKeys(keys map[string]bool, path string, value any) {
+	switch value := value.(type) {
+	case map[string]any:
+		for key, inner := range value {
+			if changing[key] {
+				continue
+			}
+			collectKeys(keys, path+"."+memberNumber.ReplaceAllString(key, "N"), inner)
+		}
+	case []any:
+		for _, inner := range value {
+			collectKeys(keys, path+"[]", inner)
+		}
+	case nil:
+		keys[path+":null"] = true
+	default:
+		keys[fmt.Sprintf("%s:%T", path, value)] = true
+	}
+}
+
+// volatile matches the numbers of answers that differ from run to run.
+var volatile = regexp.MustCompile(`("(?:accepted_ms|ended_ms|for_ms|FenceToken|HoldMs)":)[0-9]+`)
+
+// steady returns an answer with the numbers that differ from run to run replaced.
+func steady(a answer) answer {
+	a.body = volatile.ReplaceAllString(a.body, "${1}N")
+	return a
+}
+
+const (
+	routes = `{"Version":1,"Routes":[{"Name":"previews","Host":"jobs.example","PathPrefix":"/previews/","TimeoutMs":3000,"Service":"toy"},` +
+		`{"Name":"batches","Host":"jobs.example","PathPrefix":"/batches/","TimeoutMs":3000,"Service":"toy"}],"Services":[{"Name":"toy"}],"Limits":{"MaxBodyBytes":2000}}`
+	jobBody   = `{"Spec":"sleep","Stages":[{"Count":1,"Cpu":1000,"MemMb":10,"EstimateMs":300}]}`
+	laterBody = `{"Spec":"sleep","Stages":[{"Count":1,"Cpu":1000,"MemMb":10}],"MaxRuns":2,"StartAtMs":4000000000000,"IntervalMs":500}`
+	largeBody = `{"Spec":"x","Stages":[{"Count":1,"Cpu":64000,"MemMb":10}]}`
+)
+
+// TestCompatibilityEndpoints runs a system of one machine of each role and pins the answers of all endpoints.
+func TestCompatibilityEndpoints(t *testing.T) {
+	t.Parallel()
+	port := freePort(t)
+	core, stopCore := startMachine(t, host.Run, "127.0.0.1", port)
+	edge, _ := startMachine(t, carrier.Run, "127.0.0.2", port, core.control)
+	side, _ := startMachine(t, companion.Run, "127.0.0.3", port, core.control)
+	edgeBefore(t, edge)
+	controlEndpoints(t, core)
+	awaitAnswer(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}, hasStatus(http.StatusOK))
+	edgeEndpoints(t, edge)
+	jobEndpoints(t, core, edge, side)
+	stopCore()
+	edgeAfter(t, edge)
+}
+
+// edgeBefore pins what an edge machine answers before any configuration.
+func edgeBefore(t *testing.T, edge machine) {
+	t.Helper()
+	var s transcript
+	s.note("readiness before a configuration", awaitAnswer(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}, hasStatus(http.StatusServiceUnavailable)))
+	s.note("readiness by another method", settled(t, request{method: http.MethodPost, url: edge.readiness + "/v1/ready"}))
+	s.note("no such path of the readiness", settled(t, request{method: http.MethodGet, url: edge.readiness + "/v1/none"}))
+	s.note("job before a configuration", awaitAnswer(t, request{method: http.MethodPost, url: edge.front + "/previews/00000000000000a1", host: "jobs.example", body: jobBody},
+		hasStatus(http.StatusServiceUnavailable)))
+	requireGolden(t, "edge-before.txt", s.text.String())
+}
+
+// controlEndpoints pins the operator's API up to the first configuration.
+func controlEndpoints(t *testing.T, core machine) {
+	t.Helper()
+	var s transcript
+	url := core.control + "/v1/config"
+	s.note("configuration before any", awaitAnswer(t, request{method: http.MethodGet, url: url}, hasStatus(http.StatusNotFound)))
+	match := func(version string) map[string]string { return map[string]string{"If-Match": version} }
+	for _, c := range []struct {
+		name string
+		call request
+	}{
+		{"put without If-Match", request{method: http.MethodPut, url: url, body: routes}},
+		{"put with a bad If-Match", request{method: http.MethodPut, url: url, body: routes, headers: match("x")}},
+		{"put of no JSON", request{method: http.MethodPut, url: url, body: "{", headers: match("0")}},
+		{"put of a mistake", request{method: http.MethodPut, url: url, body: `{"Version":1,"Routes":{}}`, headers: match("0")}},
+		{"put on another version", request{method: http.MethodPut, url: url, body: routes, headers: match("3")}},
+		{"put", request{method: http.MethodPut, url: url, body: routes, headers: match(`"0"`)}},
+		{"the same put again", request{method: http.MethodPut, url: url, body: routes, headers: match("0")}},
+		{"patch", request{method: http.MethodPatch, url: url, body: `{"Version":2,"Upsert":{"Services":[{"Name":"other"}]}}`, headers: match("1")}},
+		{"patch of a mistake", request{method: http.MethodPatch, url: url, body: `{"Version":3,"Remove":{"Services":["toy","other"],"Routes":["batches"]}}`, headers: match("2")}},
+		{"post", request{method: http.MethodPost, url: url, body: routes}},
+		{"configuration", request{method: http.MethodGet, url: url}},
+		{"history", request{method: http.MethodGet, url: url + "/history"}},
+		{"no jobs", request{method: http.MethodGet, url: core.control + "/v1/jobs"}},
+		{"no such job", request{method: http.MethodGet, url: core.control + "/v1/jobs/00000000000000ff"}},
+		{"no such job canceled", request{method: http.MethodDelete, url: core.control + "/v1/jobs/00000000000000ff"}},
+		{"no such path", request{method: http.MethodGet, url: core.control + "/v1/none"}},
+	} {
+		s.note(c.name, settled(t, c.call))
+	}
+	s.note("member", keysOnly(t, settled(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
+	requireGolden(t, "control.txt", s.text.String())
+}
+
+// edgeEndpoints pins what clients get that makes no job run.
+func edgeEndpoints(t *testing.T, edge machine) {
+	t.Helper()
+	var s transcript
+	s.note("readiness", settled(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}))
+	for _, c := range []struct{ name, method, path, host, body string }{
+		{"no such queue", http.MethodPost, "/none/00000000000000a1", "jobs.example", jobBody},
+		{"no such host", http.MethodPost, "/previews/00000000000000a1", "other.example", jobBody},
+		{"host in other letters with a port", http.MethodGet, "/previews/", "JOBS.example:80", ""},
+		{"job without an ID", http.MethodPost, "/previews/", "jobs.example", jobBody},
+		{"bad ID", http.MethodPost, "/previews/xyz", "jobs.example", jobBody},
+		{"no JSON", http.MethodPost, "/previews/00000000000000a1", "jobs.example", "{"},
+		{"no object", http.MethodPost, "/previews/00000000000000a1", "jobs.example", "[]"},
+		{"no steps", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"Stages":[]}`},
+		{"spec is no text", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"Spec":1}`},
+		{"number below 0", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"MaxRuns":-1}`},
+		{"count as a text", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"Stages":[{"Count":"x"}]}`},
+		{"gang as a number", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"Stages":[{"Count":1},{"Gang":1}]}`},
+		{"step that depends on itself", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"Stages":[{"Count":1,"DependsOn":[0]}]}`},
+		{"dependencies are no numbers", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"Stages":[{"Count":1,"DependsOn":["a"]}]}`},
+		{"too many tasks", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"Stages":[{"Count":10001}]}`},
+		{"too many times", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"MaxRuns":100001,"Stages":[{"Count":1}]}`},
+		{"body too large", http.MethodPost, "/previews/00000000000000a1", "jobs.example", `{"Spec":"` + strings.Repeat("x", 2000) + `"}`},
+		{"other method", http.MethodPut, "/previews/00000000000000a1", "jobs.example", jobBody},
+		{"delete without an ID", http.MethodDelete, "/previews/", "jobs.example", ""},
+		{"state of no job", http.MethodGet, "/previews/00000000000000a1", "jobs.example", ""},
+		{"no job canceled", http.MethodDelete, "/previews/00000000000000a1", "jobs.example", ""},
+	} {
+		s.note(c.name, settled(t, request{method: c.method, url: edge.front + c.path, host: c.host, body: c.body}))
+	}
+	requireGolden(t, "edge.txt", s.text.String())
+}
+
+// jobEndpoints pins the way of jobs by all three roles.
+func jobEndpoints(t *testing.T, core, edge, side machine) {
+	t.Helper()
+	var s transcript
+	client := func(method, queue, id, body string) answer {
+		return settled(t, request{method: method, url: edge.front + "/" + queue + "/" + id, host: "jobs.example", body: body})
+	}
+	operator := func(path string) answer {
+		return settled(t, request{method: http.MethodGet, url: core.control + path})
+	}
+	const id, later, large = "00000000000000a1", "00000000000000b2", "00000000000000c3"
+	s.note("job", client(http.MethodPost, "previews", id, jobBody))
+	s.note("the same job again", client(http.MethodPost, "previews", id, jobBody))
+	s.note("other content under its ID", client(http.MethodPost, "previews", id, laterBody))
+	s.note("its ID in another queue", client(http.MethodPost, "batches", id, jobBody))
+	s.note("state", client(http.MethodGet, "previews", id, ""))
+	s.note("state by another queue", client(http.MethodGet, "batches", id, ""))
+	s.note("waiting jobs", client(http.MethodGet, "previews", "", ""))
+	s.note("timed job", client(http.MethodPost, "batches", later, laterBody))
+	s.note("large job", client(http.MethodPost, "batches", large, largeBody))
+	s.note("jobs", steady(operator("/v1/jobs")))
+	s.note("job that waits", steady(operator("/v1/jobs/"+id)))
+	s.note("timed job canceled", client(http.MethodDelete, "batches", later, ""))
+	s.note("canceled again", client(http.MethodDelete, "batches", later, ""))
+	s.note("canceled by another queue", client(http.MethodDelete, "previews", large, ""))
+	s.note("state after that", client(http.MethodGet, "batches", later, ""))
+	runnerEndpoints(t, &s, side)
+	s.note("placement", keysOnly(t, awaitAnswer(t, request{method: http.MethodGet, url: core.control + "/v1/scheduler"}, func(a answer) bool {
+		return strings.Contains(a.body, `"tasks":[{"task"`)
+	})))
+	s.note("job that runs", steady(operator("/v1/jobs/"+id)))
+	finished := settled(t, request{method: http.MethodPut, url: side.control + "/v1/instances/i-toy", body: heartbeat(900000, "[]", `[[1,"`+id+`.0.0.0",1,"done",""]]`)})
+	require.Equal(t, http.StatusOK, finished.status, finished.body)
+	s.note("completed job", awaitAnswer(t, request{method: http.MethodGet, url: edge.front + "/previews/" + id, host: "jobs.example"}, func(a answer) bool {
+		return strings.Contains(a.body, "completed")
+	}))
+	s.note("operator cancels", settled(t, request{method: http.MethodDelete, url: core.control + "/v1/jobs/" + large}))
+	s.note("leave", settled(t, request{method: http.MethodDelete, url: side.control + "/v1/instances/i-toy"}))
+	requireGolden(t, "jobs.txt", s.text.String())
+}
+
+// heartbeat returns the body of a runner's heartbeat.
+func heartbeat(sequence int, running, finished string) string {
+	return fmt.Sprintf(`{"Service":"toy","Address":"127.0.0.3:1","Zone":"z1","Version":"v1","Slots":8,"State":"ready","Capacity":{"Cpu":4000,"MemMb":8192,"Gpus":1},`+
+		`"Labels":["a","r1-1"],"Sequence":%d,"Running":%s,"Finished":%s}`, sequence, running, finished)
+}
+
+// runnerEndpoints pins what a runner gets, up to the first run that it is to start and lists.
+func runnerEndpoints(t *testing.T, s *transcript, side machine) {
+	t.Helper()
+	url := side.control + "/v1/instances/i-toy"
+	for _, c := range []struct{ name, method, body string }{
+		{"heartbeat without JSON", http.MethodPut, "{"},
+		{"heartbeat that is no object", http.MethodPut, "[]"},
+		{"running entry that is no list", http.MethodPut, `{"Running":[1]}`},
+		{"finished entry that is too short", http.MethodPut, `{"Finished":[[1]]}`},
+		{"heartbeat by another method", http.MethodPost, "{}"},
+		{"leave of nobody", http.MethodDelete, ""},
+	} {
+		s.note(c.name, settled(t, request{method: c.method, url: url, body: c.body}))
+	}
+	s.note("no such path of the companion", settled(t, request{method: http.MethodGet, url: side.control + "/v1/none"}))
+	sequence := 0
+	beat := func(running, wanted string) (got answer) {
+		require.Eventually(t, func() bool {
+			sequence++
+			got = call(t.Context(), request{method: http.MethodPut, url: url, body: heartbeat(sequence, running, "[]")})
+			return strings.Contains(got.body, wanted)
+		}, patience, poll, "the runner is not told to %s", wanted)
+		return got
+	}
+	s.note("start", steady(beat("[]", `"Start"`)))
+	s.note("stop", steady(beat(`[["00000000000000a1.0.0.0",1,"00000bb8",41],["00000000000000ff.0.0.0",1,"",0]]`, `"Stop"`)))
+}
+
+// edgeAfter pins what an edge machine answers without a control plane.
+func edgeAfter(t *testing.T, edge machine) {
+	t.Helper()
+	var s transcript
+	soon := map[string]string{"X-Deadline-Ms": "300"}
+	s.note("state without a control plane", call(t.Context(), request{method: http.MethodGet, url: edge.front + "/previews/00000000000000a1", host: "jobs.example", headers: soon}))
+	s.note("job without a control plane", call(t.Context(), request{method: http.MethodPost, url: edge.front + "/previews/00000000000000d4", host: "jobs.example", body: jobBody, headers: soon}))
+	requireGolden(t, "edge-after.txt", s.text.String())
+}
+
+// TestCompatibilityWithoutMajority pins the operator's API of a member that hears of no majority.
+func TestCompatibilityWithoutMajority(t *testing.T) {
+	t.Parallel()
+	core, _ := startMachine(t, func(ctx context.Context, path string, settings *nodefile.File) error {
+		settings.Seeds = []string{settings.ListenAddrs.Control, "127.0.0.5:1", "127.0.0.6:1"}
+		return host.Run(ctx, path, settings)
+	}, "127.0.0.4", freePort(t))
+	var s transcript
+	s.note("configuration", awaitAnswer(t, request{method: http.MethodGet, url: core.control + "/v1/config"}, hasStatus(http.StatusServiceUnavailable)))
+	s.note("member", keysOnly(t, settled(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
+	requireGolden(t, "control-alone.txt", s.text.String())
+}
