--- /dev/null
+++ b/internal/testkit/compatibility/messages_test.go
@@ -0,0 +1,108 @@
+package compatibility_test
+
+import (
+	"encoding/json"
+	"fmt"
+	"reflect"
+	"testing"
+
+	"frosttide/decision"
+	"frosttide/internal/cluster"
+	"frosttide/internal/core"
+	"frosttide/internal/gang/board"
+	gangdesk "frosttide/internal/gang/desk"
+	"frosttide/internal/handover"
+	"frosttide/internal/members"
+	"frosttide/internal/replica"
+)
+
+// setAll gives every exported field of a value, and one item to every list and map, a value that is not zero and
+// that no other field has.
+func setAll(v reflect.Value, next *int) {
+	if v.Type() == reflect.TypeFor[json.RawMessage]() {
+		*next++
+		v.SetBytes(fmt.Appendf(nil, `{"raw":%d}`, *next))
+		return
+	}
+	switch v.Kind() {
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		setAll(v.Elem(), next)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			if v.Type().Field(i).IsExported() {
+				setAll(v.Field(i), next)
+			}
+		}
+	case reflect.Slice:
+		v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+		setAll(v.Index(0), next)
+	case reflect.Array:
+		for i := range v.Len() {
+			setAll(v.Index(i), next)
+		}
+	case reflect.Map:
+		key, value := reflect.New(v.Type().Key()).Elem(), reflect.New(v.Type().Elem()).Elem()
+		setAll(key, next)
+		setAll(value, next)
+		v.Set(reflect.MakeMap(v.Type()))
+		v.SetMapIndex(key, value)
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.String:
+		*next++
+		v.SetString(fmt.Sprint("text ", *next))
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		*next++
+		v.SetInt(int64(*next % 128))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		*next++
+		v.SetUint(uint64(*next % 256))
+	case reflect.Float32, reflect.Float64:
+		*next++
+		v.SetFloat(float64(*next) + 0.5)
+	default:
+		panic("no value for a " + v.Type().String())
+	}
+}
+
+// TestCompatibilityMessages has each message between processes of different builds, and each answer to an operator,
+// keep its JSON: written with every field set it is the same text, and that text read and written again is too.
+func TestCompatibilityMessages(t *testing.T) {
+	for _, tc := range []struct {
+		name    string // of the golden file
+		message any    // a pointer to an empty one
+	}{
+		{"handover-state", &handover.State{}},     // an older process to its successor
+		{"handover-moved", &core.Moved{}},         // an open job
+		{"handover-event", &core.JobEvent{}},      // a runner's call-back
+		{"handover-exclusion", &core.Exclusion{}}, // an operator's word
+		{"member-meta", &members.Meta{}},          // gossiped with a member
+		{"member-fact", &replica.Fact{}},          // gossiped and compared
+		{"member-health", &decision.Health{}},     // within a fact, and in the list on disk
+		{"member-gang", &board.Fact{}},            // within a fact
+		{"member-digest", &replica.Digest{}},      // compared
+		{"operator-cluster", &cluster.Report{}},   // GET /api/cluster
+		{"operator-gang", &gangdesk.Status{}},     // GET /api/gang
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			next := 0
+			setAll(reflect.ValueOf(tc.message).Elem(), &next)
+			text, err := json.MarshalIndent(tc.message, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			name := "messages/" + tc.name + ".golden.json"
+			compareGolden(t, name, append(text, '\n'))
+			again := reflect.New(reflect.TypeOf(tc.message).Elem()).Interface()
+			if err := json.Unmarshal(readFile(t, name), again); err != nil {
+				t.Fatal(err)
+			}
+			read, err := json.MarshalIndent(again, "", " ")
+			if err != nil {
+				t.Fatal(err)
+			}
+			compareGolden(t, name, append(read, '\n'))
+		})
+	}
+}
--- /dev/null
+++ b/internal/testkit/compatibility/telemetry_test.go
@@ -0,0 +1,164 @@
+package compatibility_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http/httptest"
+	"slices"
+	"testing"
+	"time"
+
+	"go.opentelemetry.io/otel/attribute"
+	"go.opentelemetry.io/otel/sdk/metric/metricdata"
+
+	"frosttide/internal/measures"
+	"frosttide/internal/otlp"
+	"frosttide/internal/telemetry"
+	"frosttide/internal/trace"
+	"frosttide/internal/traceview"
+)
+
+// TestCompatibilityConsoleFigures has the operators' figures keep their names, labels, types and help.
+func TestCompatibilityConsoleFigures(t *testing.T) {
+	counts := telemetry.New()
+	counts.Classes([]string{"render", "release"})
+	counts.Stored(func() (time.Duration, int, int) { return 90 * time.Second, 3, 2 })
+	counts.Completed(0)
+	counts.Rejected(1)
+	counts.Failed(0)
+	counts.Sent(1)
+	counts.Pending(4)
+	counts.Members(7, 5)
+	counts.Reloaded(true)
+	counts.Reloaded(false)
+	answer := httptest.NewRecorder()
+	counts.Handler().ServeHTTP(answer, httptest.NewRequest("GET", "/api/telemetry", nil))
+	head := fmt.Sprintf("%d %s\n", answer.Code, answer.Header().Get("Content-Type"))
+	compareGolden(t, "telemetry/console.golden.txt", append([]byte(head), answer.Body.Bytes()...))
+}
+
+// stories are requests with every field of a span set or left out.
+func stories() []*trace.Story {
+	const came = time.Duration(1_796_000_000_000_000_000)
+	full := &trace.Story{Trace: trace.ID{1, 2}, Span: trace.SpanID{3}, Parent: trace.SpanID{4}, State: "vendor=1", Sampled: true, Picked: true,
+		Request: "job-1", Class: "render", Method: "POST", Worth: 2.5, Slots: 2, Keyed: true, Repeat: true, Try: 9, Window: time.Minute,
+		Came: came, Deadline: came + 5*time.Second, Ended: came + 2*time.Second, Answer: trace.Served, By: trace.ByRunner, Why: "done", Status: 200,
+		Target: "s-2", Late: true, Moved: true, Links: []trace.Trial{{Trace: trace.ID{5}, Span: trace.SpanID{6}}},
+		Hops: []trace.Hop{
+			{Span: trace.SpanID{7}, Kind: trace.First, Target: "s-1", Addr: "127.0.0.1:9101", Zone: "a", Cold: true, Began: came + 1, Taken: came + 2, Started: came + 3,
+				Recalled: came + 4, Ended: came + 5, Outcome: "errored", MayHaveRun: true, Bytes: 640, Kept: true, Unnoted: 2,
+				Notes: []trace.Note{{At: came + 3, What: "started"}, {At: came + 4, What: "running", Share: 0.5}}},
+			{Span: trace.SpanID{8}, Kind: trace.Copy, Of: 0, Target: "s-2", Addr: "127.0.0.1:9102", Zone: "b", Began: came + 4, Started: came + 1e9, Ended: came + 2e9, Outcome: "served", Bytes: 640},
+		}}
+	plain := func(n byte, answer trace.Answer, by, why string) *trace.Story {
+		return &trace.Story{Trace: trace.ID{n}, Span: trace.SpanID{n}, Request: fmt.Sprint("job-", n), Class: "release", Method: "POST", Worth: 1, Slots: 1,
+			Came: came, Ended: came + time.Millisecond, Answer: answer, By: by, Why: why}
+	}
+	refusal := plain(21, trace.Expired, trace.ByCore, "deadline")
+	refusal.Refusal = true
+	return []*trace.Story{full, plain(11, trace.Refused, trace.ByModule, "no_token"), plain(12, trace.Failed, trace.ByCore, "may_have_run"),
+		plain(13, trace.Unusable, trace.ByDoor, "malformed"), plain(14, trace.Expired, trace.ByCore, "deadline"), plain(15, trace.Gone, trace.ByDoor, "gone"), refusal}
+}
+
+// TestCompatibilitySpans has spans keep their names, attributes, events, links and status.
+func TestCompatibilitySpans(t *testing.T) {
+	line, err := otlp.TracesPayload(otlp.Traces(map[string]string{"service.name": "frosttide", "service.instance.id": "n0"}, stories())).JSON()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var indented bytes.Buffer
+	if err := json.Indent(&indented, line, "", " "); err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "telemetry/spans.golden.json", append(indented.Bytes(), '\n'))
+}
+
+// TestCompatibilityTraceFile has a file of traces that an earlier build wrote shown and summed up in the same words.
+func TestCompatibilityTraceFile(t *testing.T) {
+	var file bytes.Buffer
+	if err := json.Compact(&file, readFile(t, "telemetry/spans.golden.json")); err != nil {
+		t.Fatal(err)
+	}
+	file.WriteByte('\n')
+	var out bytes.Buffer
+	for _, id := range []string{"job-1", "job-11", "0c000000000000000000000000000000", "nobody"} {
+		n, err := traceview.Show(&out, bytes.NewReader(file.Bytes()), id)
+		fmt.Fprintf(&out, "-- %s: %d requests, %v\n", id, n, err)
+	}
+	for _, by := range traceview.Groups {
+		summary := traceview.NewSummary(traceview.Query{By: by, Worst: 3})
+		unread, err := traceview.Read(bytes.NewReader(file.Bytes()), summary.Add)
+		if err == nil {
+			err = summary.Write(&out)
+		}
+		fmt.Fprintf(&out, "-- by %s: %d unread, %v\n", by, unread, err)
+	}
+	compareGolden(t, "telemetry/traceview.golden.txt", out.Bytes())
+}
+
+// TestCompatibilityFigures has the exported figures keep their names, units, descriptions, kinds and attributes.
+func TestCompatibilityFigures(t *testing.T) {
+	for _, tc := range []struct {
+		name  string
+		delta bool
+	}{{"cumulative", false}, {"delta", true}} {
+		t.Run(tc.name, func(t *testing.T) {
+			set, err := measures.New(tc.delta)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer set.Close(time.Now().Add(wait))
+			for _, s := range stories() {
+				set.Add(s, true)
+			}
+			all, err := set.Collect([]measures.Load{{Target: "s-1", Held: 2, Limit: 5}}, measures.Exporter{Queued: 1, QueuedBytes: 2,
+				Sent: map[string]int64{"traces": 3}, Retried: map[string]int64{"metrics": 4}, Dropped: map[string]int64{"queue": 5}})
+			if err != nil {
+				t.Fatal(err)
+			}
+			payload, err := otlp.Measures(map[string]string{"service.name": "frosttide"}, all)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if payload.DataPointCount() == 0 {
+				t.Error("no figure was written")
+			}
+			compareGoldenJSON(t, "telemetry/figures-"+tc.name+".golden.json", describe(t, all))
+		})
+	}
+}
+
+// describe tells of each figure what it is and the attributes and values of its points, without their times.
+func describe(t *testing.T, all *metricdata.ResourceMetrics) map[string]any {
+	t.Helper()
+	out := map[string]any{}
+	for _, scope := range all.ScopeMetrics {
+		for _, m := range scope.Metrics {
+			var points []string
+			kind := ""
+			switch data := m.Data.(type) {
+			case metricdata.Sum[int64]:
+				kind = fmt.Sprint("sum, ", data.Temporality, ", monotonic ", data.IsMonotonic)
+				for _, p := range data.DataPoints {
+					points = append(points, fmt.Sprint(p.Attributes.Encoded(attribute.DefaultEncoder()), ": ", p.Value))
+				}
+			case metricdata.Gauge[int64]:
+				kind = "gauge"
+				for _, p := range data.DataPoints {
+					points = append(points, fmt.Sprint(p.Attributes.Encoded(attribute.DefaultEncoder()), ": ", p.Value))
+				}
+			case metricdata.ExponentialHistogram[float64]:
+				kind = fmt.Sprint("histogram, ", data.Temporality)
+				for _, p := range data.DataPoints {
+					points = append(points, fmt.Sprint(p.Attributes.Encoded(attribute.DefaultEncoder()), ": ", p.Count, " of ", p.Sum, ", scale ", p.Scale, ", exemplars ", len(p.Exemplars)))
+				}
+			default:
+				t.Fatalf("%s is a %T", m.Name, m.Data)
+			}
+			slices.Sort(points)
+			out[m.Name] = map[string]any{"scope": scope.Scope.Name, "unit": m.Unit, "description": m.Description, "kind": kind, "points": points}
+		}
+	}
+	return out
+}
