--- a/internal/testkit/compatibility/messages_test.go
+++ b/internal/testkit/compatibility/messages_test.go
@@ -106,3 +106,12 @@
 		})
 	}
 }
+
+// TestCompatibilityHandoverPath has a process find its predecessor's socket by the address that both serve.
+func TestCompatibilityHandoverPath(t *testing.T) {
+	paths := map[string]string{}
+	for _, listen := range []string{"127.0.0.1:8081", "[::1]:8081", "studio.example:8081"} {
+		paths[listen] = handover.Path("/run/frosttide", listen)
+	}
+	compareGoldenJSON(t, "messages/handover-path.golden.json", paths)
+}
