--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -12,7 +12,7 @@
 	"os"
 
 	"frosttide/decision"
-	"frosttide/internal/wire"
+	"frosttide/internal/dispatcher/wire"
 )
 
 func main() {
--- a/cmd/frosttide-control/control_faults_test.go
+++ b/cmd/frosttide-control/control_faults_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"frosttide/internal/smallsystem"
+	"frosttide/internal/testkit/devcluster"
 )
 
 // patch returns a change of one time-out that makes a version.
@@ -25,7 +25,7 @@
 
 // change sends an order to a core machine and returns the answer's status, 0 for none.
 func change(address string, match int, body []byte) int {
-	status, _, err := smallsystem.Call(http.MethodPatch, "http://"+address+"/v1/config", "", fmt.Sprint(match), body)
+	status, _, err := devcluster.Call(http.MethodPatch, "http://"+address+"/v1/config", "", fmt.Sprint(match), body)
 	if err != nil {
 		return 0
 	}
@@ -34,7 +34,7 @@
 
 // version reads the configuration's version at a core machine, 0 where it does not say.
 func version(address string) int {
-	status, body, err := smallsystem.Call(http.MethodGet, "http://"+address+"/v1/config", "", "", nil)
+	status, body, err := devcluster.Call(http.MethodGet, "http://"+address+"/v1/config", "", "", nil)
 	var answer struct{ Version int }
 	if err != nil || status != http.StatusOK || json.Unmarshal(body, &answer) != nil {
 		return 0
@@ -93,7 +93,7 @@
 	require.NotNil(t, next)
 	require.NotEqual(t, old, next)
 	require.NoError(t, s.Continue(old))
-	require.True(t, smallsystem.Wait(wait, func() bool { return int64(version(old.Control())) == newest.Load() }), "it takes up what it has missed")
+	require.True(t, devcluster.Wait(wait, func() bool { return int64(version(old.Control())) == newest.Load() }), "it takes up what it has missed")
 	require.Equal(t, http.StatusOK, change(old.Control(), int(newest.Load()), patch(int(newest.Load())+1, 999)))
 	newest.Add(1)
 	close(over)
@@ -114,7 +114,7 @@
 		all.Go(func() {
 			body := patch(2, 2000+i)
 			var status int
-			smallsystem.Wait(wait, func() bool { // as long as the answer is not clear
+			devcluster.Wait(wait, func() bool { // as long as the answer is not clear
 				status = change(s.Cores[i%len(s.Cores)].Control(), 1, body)
 				return status == http.StatusOK || status == http.StatusPreconditionFailed
 			})
@@ -131,7 +131,7 @@
 	for round := range 2 {
 		for _, m := range s.Cores {
 			require.Equal(t, http.StatusOK, change(m.Control(), 1, winners[0]), "it was taken")
-			_, body, err := smallsystem.Call(http.MethodGet, "http://"+m.Control()+"/v1/config", "", "", nil)
+			_, body, err := devcluster.Call(http.MethodGet, "http://"+m.Control()+"/v1/config", "", "", nil)
 			require.NoError(t, err)
 			require.Contains(t, string(body), string(winners[0][strings.Index(string(winners[0]), `"TimeoutMs"`):strings.Index(string(winners[0]), `,"TargetLatencyMs"`)]))
 		}
@@ -142,7 +142,7 @@
 			require.NotNil(t, head)
 			s.Kill(head)
 			require.NoError(t, s.Restart(head, false))
-			require.True(t, smallsystem.Wait(wait, func() bool {
+			require.True(t, devcluster.Wait(wait, func() bool {
 				for _, m := range s.Cores {
 					if version(m.Control()) != 4 {
 						return false
@@ -196,7 +196,7 @@
 	const orders = 5
 	for next := 2; next < 2+orders; next++ {
 		require.Zero(t, change(through, next-1, patch(next, 1000+next)), "its answer is lost")
-		require.True(t, smallsystem.Wait(wait, func() bool { return version(s.Cores[1].Control()) == next }), "it was taken all the same")
+		require.True(t, devcluster.Wait(wait, func() bool { return version(s.Cores[1].Control()) == next }), "it was taken all the same")
 	}
 	for next := 2; next < 2+orders; next++ {
 		for _, m := range s.Cores {
--- a/cmd/frosttide-control/main_test.go
+++ b/cmd/frosttide-control/main_test.go
@@ -18,8 +18,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"frosttide/internal/smallsystem"
-	"frosttide/internal/toyrunner"
+	"frosttide/internal/testkit/devcluster"
+	"frosttide/internal/testkit/fakerunner"
 )
 
 // wait bounds what a system is waited for; machines that run the tests may be slow.
@@ -63,22 +63,22 @@
 	return a.String(), b.String(), cmd.ProcessState.ExitCode()
 }
 
-func runners(count int) (out []toyrunner.Config) {
+func runners(count int) (out []fakerunner.Config) {
 	for i := range count {
-		out = append(out, toyrunner.Config{ID: fmt.Sprintf("i-toy%d", i), Service: "toy", Labels: []string{"a", "r1-1"}, CPU: 4000, MemMB: 8192, Usual: 300 * time.Millisecond})
+		out = append(out, fakerunner.Config{ID: fmt.Sprintf("i-toy%d", i), Service: "toy", Labels: []string{"a", "r1-1"}, CPU: 4000, MemMB: 8192, Usual: 300 * time.Millisecond})
 	}
 	return out
 }
 
 // start starts a configured system.
-func start(t *testing.T, runnerCount int) *smallsystem.System {
+func start(t *testing.T, runnerCount int) *devcluster.System {
 	t.Helper()
-	s, err := smallsystem.Start(smallsystem.Config{Control: program("frosttide-control"), Data: program("frosttide-data"), Dir: t.TempDir(), Cores: 3, Carriers: 2, Runners: runners(runnerCount)})
+	s, err := devcluster.Start(devcluster.Config{Control: program("frosttide-control"), Data: program("frosttide-data"), Dir: t.TempDir(), Cores: 3, Carriers: 2, Runners: runners(runnerCount)})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		s.Close()
 		if t.Failed() {
-			for _, m := range append(append(append([]*smallsystem.Machine(nil), s.Cores...), s.Carriers...), s.Sides...) {
+			for _, m := range append(append(append([]*devcluster.Machine(nil), s.Cores...), s.Carriers...), s.Sides...) {
 				t.Logf("%s:\n%s", m.Name, m.Log())
 			}
 		}
@@ -89,8 +89,8 @@
 
 const job = `{"Spec":"sleep 300ms","Stages":[{"Count":3,"Cpu":1000,"MemMb":10,"EstimateMs":300},{"Count":1,"Cpu":1000,"MemMb":10,"EstimateMs":300,"DependsOn":[0]}]}`
 
-func completed(s *smallsystem.System, queue, id string) bool {
-	return smallsystem.Wait(wait, func() bool { return s.State(1, queue, id) == "completed" })
+func completed(s *devcluster.System, queue, id string) bool {
+	return devcluster.Wait(wait, func() bool { return s.State(1, queue, id) == "completed" })
 }
 
 func TestDemo(t *testing.T) {
@@ -156,7 +156,7 @@
 	t.Run("config", func(t *testing.T) {
 		require.Contains(t, ok("config", "get"), `"previews"`)
 		file := filepath.Join(t.TempDir(), "config.json")
-		changed := strings.Replace(strings.Replace(smallsystem.Configuration, `"Version":1`, `"Version":2`, 1), `"TargetLatencyMs":800`, `"TargetLatencyMs":900`, 1)
+		changed := strings.Replace(strings.Replace(devcluster.Configuration, `"Version":1`, `"Version":2`, 1), `"TargetLatencyMs":800`, `"TargetLatencyMs":900`, 1)
 		require.NoError(t, os.WriteFile(file, []byte(changed), 0o600))
 		require.Contains(t, ok("config", "diff", file), `"TargetLatencyMs":900`)
 		require.Contains(t, ok("check", "--config", file), "nothing is wrong")
@@ -173,10 +173,10 @@
 		head := s.Head()
 		require.NotNil(t, head)
 		s.Kill(head)
-		require.True(t, smallsystem.Wait(wait, func() bool { return s.Submit(0, "previews", "00000000000000c3", job) }))
+		require.True(t, devcluster.Wait(wait, func() bool { return s.Submit(0, "previews", "00000000000000c3", job) }))
 		require.True(t, completed(s, "previews", "00000000000000c3"))
 		require.NoError(t, s.Restart(head, true), "it comes back without its disk")
-		require.True(t, smallsystem.Wait(wait, func() bool {
+		require.True(t, devcluster.Wait(wait, func() bool {
 			out, _, _ := run(t, []string{"FROSTTIDE_CONTROL=" + head.Control()}, "status")
 			return strings.Contains(out, "3 voters") && strings.Contains(out, "this one") && !strings.Contains(out, "being changed")
 		}), "it is not taken in as a new member")
@@ -187,12 +187,12 @@
 		head := s.Head()
 		require.NotNil(t, head)
 		require.Zero(t, s.Terminate(head))
-		require.True(t, smallsystem.Wait(wait, func() bool { return s.Submit(0, "previews", "00000000000000d4", job) }))
+		require.True(t, devcluster.Wait(wait, func() bool { return s.Submit(0, "previews", "00000000000000d4", job) }))
 	})
 }
 
 // scrape starts the exporter beside a system and returns what it tells.
-func scrape(t *testing.T, s *smallsystem.System) string {
+func scrape(t *testing.T, s *devcluster.System) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -201,7 +201,7 @@
 	exporter := exec.Command(program("frosttide-exporter"), "-listen", address, "-at", s.Cores[0].Control()+","+s.Cores[1].Control()+","+s.Cores[2].Control())
 	require.NoError(t, exporter.Start())
 	var text string
-	require.True(t, smallsystem.Wait(wait, func() bool {
+	require.True(t, devcluster.Wait(wait, func() bool {
 		response, err := http.Get("http://" + address + "/metrics")
 		if err != nil {
 			return false
@@ -246,7 +246,7 @@
 	require.True(t, completed(s, "previews", "00000000000000a1"))
 	file := filepath.Join(t.TempDir(), "snapshot")
 	var saved string
-	require.True(t, smallsystem.Wait(wait, func() bool {
+	require.True(t, devcluster.Wait(wait, func() bool {
 		out, _, status := run(t, nil, "snapshot", "save", s.DataDir(s.Head()), file)
 		saved = out
 		return status == 0 && strings.Contains(out, "1 completed")
@@ -268,8 +268,8 @@
 	for _, m := range s.Cores {
 		require.NoError(t, s.Restart(m, m != first))
 	}
-	require.True(t, smallsystem.Wait(wait, func() bool { return s.State(0, "previews", "00000000000000a1") == "completed" }), "what the snapshot holds is not known")
-	require.True(t, smallsystem.Wait(wait, func() bool { return s.Submit(0, "previews", "00000000000000b2", job) }))
+	require.True(t, devcluster.Wait(wait, func() bool { return s.State(0, "previews", "00000000000000a1") == "completed" }), "what the snapshot holds is not known")
+	require.True(t, devcluster.Wait(wait, func() bool { return s.Submit(0, "previews", "00000000000000b2", job) }))
 	require.True(t, completed(s, "previews", "00000000000000b2"), "the runners don't take orders of the restored system")
 	bad := filepath.Join(t.TempDir(), "bad")
 	data, err := os.ReadFile(file)
@@ -319,18 +319,18 @@
 		method, path, host, body string
 		want                     int
 	}{
-		{http.MethodPost, "/none/00000000000000a1", smallsystem.Host, job, http.StatusNotFound},
+		{http.MethodPost, "/none/00000000000000a1", devcluster.Host, job, http.StatusNotFound},
 		{http.MethodPost, "/previews/00000000000000a1", "other.example", job, http.StatusNotFound},
-		{http.MethodPost, "/previews/xyz", smallsystem.Host, job, http.StatusBadRequest},
-		{http.MethodPost, "/previews/00000000000000a1", smallsystem.Host, "{", http.StatusBadRequest},
-		{http.MethodPost, "/previews/00000000000000a1", smallsystem.Host, `{"Stages":[]}`, http.StatusBadRequest},
-		{http.MethodPost, "/previews/00000000000000a1", smallsystem.Host, `{"Spec":"` + strings.Repeat("x", 300_000) + `"}`, http.StatusBadRequest},
-		{http.MethodPut, "/previews/00000000000000a1", smallsystem.Host, job, http.StatusMethodNotAllowed},
-		{http.MethodGet, "/previews/00000000000000a1", smallsystem.Host, "", http.StatusGone},
-		{http.MethodDelete, "/previews/00000000000000a1", smallsystem.Host, "", http.StatusGone},
-		{http.MethodGet, "/previews/", smallsystem.Host, "", http.StatusOK},
+		{http.MethodPost, "/previews/xyz", devcluster.Host, job, http.StatusBadRequest},
+		{http.MethodPost, "/previews/00000000000000a1", devcluster.Host, "{", http.StatusBadRequest},
+		{http.MethodPost, "/previews/00000000000000a1", devcluster.Host, `{"Stages":[]}`, http.StatusBadRequest},
+		{http.MethodPost, "/previews/00000000000000a1", devcluster.Host, `{"Spec":"` + strings.Repeat("x", 300_000) + `"}`, http.StatusBadRequest},
+		{http.MethodPut, "/previews/00000000000000a1", devcluster.Host, job, http.StatusMethodNotAllowed},
+		{http.MethodGet, "/previews/00000000000000a1", devcluster.Host, "", http.StatusGone},
+		{http.MethodDelete, "/previews/00000000000000a1", devcluster.Host, "", http.StatusGone},
+		{http.MethodGet, "/previews/", devcluster.Host, "", http.StatusOK},
 	} {
-		status, body, err := smallsystem.Call(c.method, front+c.path, c.host, "", []byte(c.body))
+		status, body, err := devcluster.Call(c.method, front+c.path, c.host, "", []byte(c.body))
 		require.NoError(t, err)
 		require.Equal(t, c.want, status, "%s %s: %s", c.method, c.path, body)
 	}
--- a/cmd/frosttide-data/main.go
+++ b/cmd/frosttide-data/main.go
@@ -12,15 +12,15 @@
 
 	"k8s.io/klog/v2"
 
-	"frosttide/internal/data/carrier"
-	"frosttide/internal/data/companion"
+	"frosttide/internal/data/agent"
+	"frosttide/internal/data/gateway"
 	"frosttide/internal/nodefile"
 )
 
 // roles are what the program can be.
 var roles = map[string]func(ctx context.Context, path string, settings *nodefile.File) error{
-	"carrier":   carrier.Run,
-	"companion": companion.Run,
+	"carrier":   gateway.Run,
+	"companion": agent.Run,
 }
 
 // usageStatus is the exit status after mistakes in arguments.
--- a/cmd/frosttide-lab/faults.go
+++ b/cmd/frosttide-lab/faults.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/lab/faults"
+	"frosttide/internal/testkit/lab/faults"
 )
 
 func faultsCommand() *cobra.Command {
@@ -19,11 +19,11 @@
 	cmd := &cobra.Command{
 		Use:   "faults SCRIPT...",
 		Short: "Start several dispatchers, break links and processes as scripts say, and check what is seen",
-		Long: `faults plays scripts of faults (internal/lab/faults/scripts; the steps are described in
+		Long: `faults plays scripts of faults (internal/testkit/lab/faults/scripts; the steps are described in
 script.go there) with a build of the program, prints a timeline of each, and ends with status
 1 if a rule or an invariant was broken.`,
 		Example: `  go build -o /tmp/frosttide ./cmd/frosttide
-  frosttide-lab faults --binary /tmp/frosttide internal/lab/faults/scripts/split-2-3.txt`,
+  frosttide-lab faults --binary /tmp/frosttide internal/testkit/lab/faults/scripts/split-2-3.txt`,
 		Args: cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, paths []string) error {
 			if times < 1 || times > 1000 {
--- a/cmd/frosttide-lab/force.go
+++ b/cmd/frosttide-lab/force.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/lab/scale"
+	"frosttide/internal/testkit/lab/scale"
 )
 
 // forceCommand measures how long operators' words take to be in force at all members.
--- a/cmd/frosttide-lab/gearman.go
+++ b/cmd/frosttide-lab/gearman.go
@@ -15,10 +15,10 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/gearman/proto"
-	"frosttide/internal/lab"
-	"frosttide/internal/standin/gearman"
-	"frosttide/internal/toyfleet"
+	"frosttide/internal/dispatcher/gearman/proto"
+	"frosttide/internal/testkit/fakefleet"
+	"frosttide/internal/testkit/lab"
+	"frosttide/internal/testkit/standin/gearman"
 )
 
 const (
@@ -135,7 +135,7 @@
 	if front == "HTTP" {
 		runners = labRunners
 	}
-	fleet, err := toyfleet.Start(labDiscovery, labDispatcher, runners, labWork, quiet)
+	fleet, err := fakefleet.Start(labDiscovery, labDispatcher, runners, labWork, quiet)
 	if err != nil {
 		return r, err
 	}
@@ -257,7 +257,7 @@
 func idleWorkers(out io.Writer, binary string, n int) error {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	fleet, err := toyfleet.Start(labDiscovery, labDispatcher, nil, labWork, quiet)
+	fleet, err := fakefleet.Start(labDiscovery, labDispatcher, nil, labWork, quiet)
 	if err != nil {
 		return err
 	}
--- a/cmd/frosttide-lab/plot.go
+++ b/cmd/frosttide-lab/plot.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
 
-	"frosttide/internal/lab/faults"
+	"frosttide/internal/testkit/lab/faults"
 )
 
 // drawCurves draws the mean service of each script's plays around its fault, each second's mean at
--- a/cmd/frosttide-lab/powercut.go
+++ b/cmd/frosttide-lab/powercut.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/lab/outage"
+	"frosttide/internal/testkit/lab/outage"
 )
 
 func powercutCommand() *cobra.Command {
--- a/cmd/frosttide-lab/publish.go
+++ b/cmd/frosttide-lab/publish.go
@@ -11,7 +11,7 @@
 	"github.com/google/renameio/v2"
 	"github.com/spf13/pflag"
 
-	"frosttide/internal/lab/scale"
+	"frosttide/internal/testkit/lab/scale"
 )
 
 // publication says where a run's figures go.
--- a/cmd/frosttide-lab/replication.go
+++ b/cmd/frosttide-lab/replication.go
@@ -15,9 +15,9 @@
 
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/lab"
-	"frosttide/internal/lab/faults"
-	"frosttide/internal/lab/spread"
+	"frosttide/internal/testkit/lab"
+	"frosttide/internal/testkit/lab/faults"
+	"frosttide/internal/testkit/lab/spread"
 )
 
 func replicationCommand() *cobra.Command {
--- a/cmd/frosttide-lab/scale.go
+++ b/cmd/frosttide-lab/scale.go
@@ -13,7 +13,7 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/vg"
 
-	"frosttide/internal/lab/scale"
+	"frosttide/internal/testkit/lab/scale"
 )
 
 // scaleCommand measures how a dispatcher's needs grow, and writes the capacity page's figures.
--- a/cmd/frosttide-lab/size.go
+++ b/cmd/frosttide-lab/size.go
@@ -13,8 +13,8 @@
 	"github.com/google/renameio/v2"
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/lab"
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab"
+	"frosttide/internal/testkit/lab/size"
 )
 
 // sizeCommand measures what a dispatcher needs by the number of workers.
--- a/cmd/frosttide-lab/telemetry.go
+++ b/cmd/frosttide-lab/telemetry.go
@@ -14,9 +14,9 @@
 	"github.com/sirupsen/logrus"
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/lab"
-	"frosttide/internal/standin/collector"
-	"frosttide/internal/toyfleet"
+	"frosttide/internal/testkit/fakefleet"
+	"frosttide/internal/testkit/lab"
+	"frosttide/internal/testkit/standin/collector"
 )
 
 // telemetry compares runs with a collector to runs without, in pairs.
@@ -138,7 +138,7 @@
 func (e *telemetry) once(ctx context.Context, mode string, seed uint64) (r run, err error) {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	fleet, err := toyfleet.Start(labDiscovery, labDispatcher, labRunners, labWork, quiet)
+	fleet, err := fakefleet.Start(labDiscovery, labDispatcher, labRunners, labWork, quiet)
 	if err != nil {
 		return r, err
 	}
--- a/cmd/frosttide-lab/urgent.go
+++ b/cmd/frosttide-lab/urgent.go
@@ -8,8 +8,8 @@
 
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/lab/scale"
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab/scale"
+	"frosttide/internal/testkit/lab/size"
 )
 
 // urgentCommand measures how long urgent work waits for its start beside other work.
--- a/cmd/frosttide-weaken/main.go
+++ b/cmd/frosttide-mutate/main.go
@@ -1,4 +1,4 @@
-// Command frosttide-weaken takes each safety check of the cluster scheduler out of the source, one at a time, and
+// Command frosttide-mutate takes each safety check of the cluster scheduler out of the source, one at a time, and
 // prints who finds it missing: the simulated network, the explorer of schedules, or nothing. It needs the
 // repository's source and the Go tools; it changes no file.
 package main
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/lab/weaken"
+	"frosttide/internal/testkit/lab/mutate"
 )
 
 func main() {
@@ -24,23 +24,23 @@
 	pairs := flag.Int("pairs", 100_003, "and each so manieth pair of departures")
 	flag.Parse()
 	if flag.NArg() > 0 {
-		fmt.Fprintln(os.Stderr, "frosttide-weaken: takes flags only")
+		fmt.Fprintln(os.Stderr, "frosttide-mutate: takes flags only")
 		os.Exit(2)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	missed, failed := 0, 0
-	for i, c := range weaken.Checks {
+	for i, c := range mutate.Checks {
 		if i < *first || !strings.Contains(c.Name, *only) || ctx.Err() != nil {
 			continue
 		}
-		f, err := weaken.Try(ctx, *root, c, weaken.Bounds{Seeds: *seeds, Singles: *singles, Pairs: *pairs})
+		f, err := mutate.Try(ctx, *root, c, mutate.Bounds{Seeds: *seeds, Singles: *singles, Pairs: *pairs})
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			failed++
 			continue
 		}
-		if f.Finder == weaken.Nobody {
+		if f.Finder == mutate.Nobody {
 			missed++
 		}
 		fmt.Printf("| %s | %s | %s | %v |\n", c.Name, f.Finder, f.Detail, f.Took.Round(time.Second))
--- a/cmd/frosttide-variants/main.go
+++ b/cmd/frosttide-scenarios/main.go
@@ -1,4 +1,4 @@
-// Command frosttide-variants writes variations of a site file of the fleet bench, each with days that
+// Command frosttide-scenarios writes variations of a site file of the fleet bench, each with days that
 // combine kinds of trouble by pairs, for hunting broken rules on deployments that nobody has seen.
 package main
 
@@ -10,7 +10,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"frosttide/internal/lab/variants"
+	"frosttide/internal/testkit/lab/scenarios"
 )
 
 func main() {
@@ -22,13 +22,13 @@
 	same := flag.Bool("same", false, "keep the deployment, draw days only")
 	flag.Parse()
 	if *site == "" || *out == "" || flag.NArg() > 0 {
-		fmt.Fprintln(os.Stderr, "frosttide-variants: want -site FILE -out FOLDER")
+		fmt.Fprintln(os.Stderr, "frosttide-scenarios: want -site FILE -out FOLDER")
 		os.Exit(2)
 	}
 	for seed := *first; seed < *first+*count; seed++ {
-		path, err := write(*site, *out, variants.Options{Seed: seed, Days: *days, Same: *same})
+		path, err := write(*site, *out, scenarios.Options{Seed: seed, Days: *days, Same: *same})
 		if err != nil {
-			fmt.Fprintf(os.Stderr, "frosttide-variants: %s: %v\n", *site, err)
+			fmt.Fprintf(os.Stderr, "frosttide-scenarios: %s: %v\n", *site, err)
 			os.Exit(1)
 		}
 		fmt.Println(path)
@@ -36,7 +36,7 @@
 }
 
 // write writes one variation and returns its path.
-func write(site, out string, o variants.Options) (string, error) {
+func write(site, out string, o scenarios.Options) (string, error) {
 	data, err := os.ReadFile(site)
 	if err != nil {
 		return "", errors.Wrap(err, "the site can't be read")
@@ -45,7 +45,7 @@
 	if err != nil {
 		return "", errors.Wrap(err, "the site's folder can't be told")
 	}
-	varied, err := variants.Generate(data, o)
+	varied, err := scenarios.Generate(data, o)
 	if err != nil {
 		return "", err
 	}
--- a/cmd/frosttide-variants/main_test.go
+++ b/cmd/frosttide-scenarios/main_test.go
@@ -8,7 +8,7 @@
 	"github.com/cockroachdb/errors"
 	"github.com/stretchr/testify/require"
 
-	"frosttide/internal/lab/variants"
+	"frosttide/internal/testkit/lab/scenarios"
 )
 
 func TestWrite(t *testing.T) {
@@ -22,13 +22,13 @@
 [[day]]
 name = "d"
 `), 0o600))
-	path, err := write(site, filepath.Join(dir, "out"), variants.Options{Seed: 4, Days: 1})
+	path, err := write(site, filepath.Join(dir, "out"), scenarios.Options{Seed: 4, Days: 1})
 	require.NoError(t, err)
 	require.Equal(t, filepath.Join(dir, "out", "variant-4.toml"), path)
 	require.FileExists(t, path)
-	_, err = write(filepath.Join(dir, "none.toml"), dir, variants.Options{})
+	_, err = write(filepath.Join(dir, "none.toml"), dir, scenarios.Options{})
 	require.True(t, errors.Is(err, os.ErrNotExist))
 	require.NoError(t, os.WriteFile(site, []byte("zones = []"), 0o600))
-	_, err = write(site, dir, variants.Options{})
-	require.True(t, errors.Is(err, variants.ErrSite))
+	_, err = write(site, dir, scenarios.Options{})
+	require.True(t, errors.Is(err, scenarios.ErrSite))
 }
--- a/cmd/frosttide-simulate/main.go
+++ b/cmd/frosttide-simulate/main.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"frosttide/internal/simnet"
+	"frosttide/internal/testkit/simnet"
 )
 
 func main() {
--- a/cmd/frosttide/clustercmd.go
+++ b/cmd/frosttide/clustercmd.go
@@ -15,9 +15,9 @@
 
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/cluster"
-	"frosttide/internal/config"
-	"frosttide/internal/quorum"
+	"frosttide/internal/dispatcher/config"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/dispatcher/fleet/quorum"
 )
 
 // consoleWait bounds a call to a console.
--- a/cmd/frosttide/commands.go
+++ b/cmd/frosttide/commands.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/config"
+	"frosttide/internal/dispatcher/config"
 )
 
 // commands returns the tree of commands. Without a sub-command the program serves as
--- a/cmd/frosttide/compatibility_test.go
+++ b/cmd/frosttide/compatibility_test.go
@@ -22,13 +22,13 @@
 
 // The tests of this file pin what clients, runners and operators of the program see and what they may say to it:
 // commands, flags, exit statuses, settings in force, endpoints. The golden files are from the build of 2 December
-// 2026. The formats of files and messages are pinned by internal/testkit/compatibility.
+// 2026. The formats of files and messages are pinned by internal/testkit/compatibility/dispatcher.
 
 // update has the tests write their golden files instead of comparing with them.
 var update = flag.Bool("update", false, "write the files under testdata")
 
 // storedFormats is the folder of the other package's files.
-const storedFormats = "../../internal/testkit/compatibility/testdata"
+const storedFormats = "../../internal/testkit/compatibility/dispatcher/testdata"
 
 // compareGolden compares a text with the golden file of that name.
 func compareGolden(t *testing.T, name, got string) {
@@ -228,7 +228,7 @@
 	return out.String()
 }
 
-// sometimes are the keys that are there or not as the moment has it; internal/testkit/compatibility pins them.
+// sometimes are the keys that are there or not as the moment has it; internal/testkit/compatibility/dispatcher pins them.
 var sometimes = map[string]bool{".back.waits": true, ".back.took": true, ".members[].trip": true, ".members[].stage": true, ".members[].log": true, ".members[].knew": true, ".members[].disk": true}
 
 // collectKeys gathers the paths of a JSON value's keys with the kinds of what they hold.
--- a/cmd/frosttide/daily_test.go
+++ b/cmd/frosttide/daily_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"frosttide/internal/handover"
+	"frosttide/internal/dispatcher/handover"
 )
 
 // TestConsole guards the operators' door: it answers each call within the second that
--- a/cmd/frosttide/demo.go
+++ b/cmd/frosttide/demo.go
@@ -14,8 +14,8 @@
 	"github.com/spf13/cobra"
 
 	"frosttide/deploy"
-	"frosttide/internal/config"
-	"frosttide/internal/toyfleet"
+	"frosttide/internal/dispatcher/config"
+	"frosttide/internal/testkit/fakefleet"
 )
 
 // The addresses of the demonstration; those of the dispatcher stand in the sample.
@@ -54,7 +54,7 @@
 	}
 	quiet := logrus.New()
 	quiet.SetLevel(logrus.WarnLevel)
-	fleet, err := toyfleet.Start(demoDiscovery, demoClients, demoRunners, 300*time.Millisecond, quiet)
+	fleet, err := fakefleet.Start(demoDiscovery, demoClients, demoRunners, 300*time.Millisecond, quiet)
 	if err != nil {
 		return err
 	}
--- a/cmd/frosttide/fates.go
+++ b/cmd/frosttide/fates.go
@@ -8,9 +8,9 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"frosttide/internal/cluster"
-	"frosttide/internal/core"
-	"frosttide/internal/replica"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/dispatcher/fleet/replica"
 )
 
 // longestKey is how long a key may be to be told as it is; a longer one is told by its digest.
--- a/cmd/frosttide/faults_test.go
+++ b/cmd/frosttide/faults_test.go
@@ -7,14 +7,14 @@
 	"strings"
 	"testing"
 
-	"frosttide/internal/lab/faults"
+	"frosttide/internal/testkit/lab/faults"
 )
 
 // TestFaults plays the scripts of faults with several processes of the program each, and holds
 // what is seen from outside against the rules and the invariants of the log and the copies.
 func TestFaults(t *testing.T) {
 	t.Parallel()
-	scripts, err := filepath.Glob(filepath.Join("..", "..", "internal", "lab", "faults", "scripts", "*.txt"))
+	scripts, err := filepath.Glob(filepath.Join("..", "..", "internal", "testkit", "lab", "faults", "scripts", "*.txt"))
 	if err != nil || len(scripts) == 0 {
 		t.Fatalf("no scripts: %v", err)
 	}
--- a/cmd/frosttide/firstword.go
+++ b/cmd/frosttide/firstword.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/freshness"
-	"frosttide/internal/routetable"
+	"frosttide/decision/freshness"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/routetable"
 )
 
 // firstWord has no job be sent by the list that a process was given before discovery was heard, or
--- a/cmd/frosttide/flows.go
+++ b/cmd/frosttide/flows.go
@@ -6,13 +6,13 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/cluster"
-	"frosttide/internal/config"
-	"frosttide/internal/workflow/desk"
+	"frosttide/internal/dispatcher/config"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/dispatcher/fleet/workflow/executor"
 )
 
 // deskNow returns who carries workflows out, nil for nobody.
-func (o *others) deskNow() *desk.Desk {
+func (o *others) deskNow() *executor.Desk {
 	if o == nil {
 		return nil
 	}
@@ -20,11 +20,11 @@
 }
 
 // flowClasses returns what workflows have to know of the classes.
-func flowClasses(cfg config.Config) *map[string]desk.Class {
-	out := map[string]desk.Class{}
+func flowClasses(cfg config.Config) *map[string]executor.Class {
+	out := map[string]executor.Class{}
 	for i, name := range cfg.Names.Classes {
 		if c := cfg.Module.Classes[i]; i >= len(cfg.Gone) || !cfg.Gone[i] {
-			out[name] = desk.Class{Number: i, GiveUp: c.GiveUp, Unsafe: c.Effect == decision.Unsafe}
+			out[name] = executor.Class{Number: i, GiveUp: c.GiveUp, Unsafe: c.Effect == decision.Unsafe}
 		}
 	}
 	return &out
@@ -35,7 +35,7 @@
 	if o.undos == 0 {
 		return
 	}
-	d := desk.New(desk.Config{Name: o.cfg.Name, AtOnce: o.undos, Class: func(name string) (desk.Class, bool) {
+	d := executor.New(executor.Config{Name: o.cfg.Name, AtOnce: o.undos, Class: func(name string) (executor.Class, bool) {
 		c, ok := (*o.flowClasses.Load())[name]
 		return c, ok
 	}}, m, o.core, o.log.WithField("part", "workflow"))
--- a/cmd/frosttide/gangs.go
+++ b/cmd/frosttide/gangs.go
@@ -8,9 +8,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/config"
-	"frosttide/internal/core"
-	gangdesk "frosttide/internal/gang/desk"
+	"frosttide/internal/dispatcher/config"
+	"frosttide/internal/dispatcher/core"
+	gangdesk "frosttide/internal/dispatcher/fleet/gang/watcher"
 )
 
 // watchGangs has the parts of gangs watched, by this dispatcher alone or with the others; nil
--- a/cmd/frosttide/gearman.go
+++ b/cmd/frosttide/gearman.go
@@ -7,12 +7,12 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/config"
-	"frosttide/internal/core"
-	"frosttide/internal/egress"
-	"frosttide/internal/export"
-	"frosttide/internal/gearman"
-	"frosttide/internal/telemetry"
+	"frosttide/internal/dispatcher/config"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/egress"
+	"frosttide/internal/dispatcher/export"
+	"frosttide/internal/dispatcher/gearman"
+	"frosttide/internal/dispatcher/telemetry"
 )
 
 // targets opens the target of each runner where it is: over the platform's protocol, or on
--- a/cmd/frosttide/gearman_test.go
+++ b/cmd/frosttide/gearman_test.go
@@ -17,8 +17,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"frosttide/internal/gearman/proto"
-	"frosttide/internal/standin/gearman"
+	"frosttide/internal/dispatcher/gearman/proto"
+	"frosttide/internal/testkit/standin/gearman"
 )
 
 // farming is a dispatcher with a Gearman front.
--- a/cmd/frosttide/harness_test.go
+++ b/cmd/frosttide/harness_test.go
@@ -21,7 +21,7 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/monotime"
+	"frosttide/internal/dispatcher/monotime"
 )
 
 // The tests start the real program as a process, this test binary under another
--- a/cmd/frosttide/hearing.go
+++ b/cmd/frosttide/hearing.go
@@ -7,10 +7,10 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/cluster"
-	"frosttide/internal/core"
-	"frosttide/internal/replica"
-	"frosttide/internal/routetable"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/dispatcher/fleet/replica"
+	"frosttide/internal/dispatcher/routetable"
 )
 
 // told returns who hears what discovery tells, nil for nobody.
--- a/cmd/frosttide/inject_test.go
+++ b/cmd/frosttide/inject_test.go
@@ -8,7 +8,7 @@
 	"syscall"
 	"time"
 
-	"frosttide/internal/egress"
+	"frosttide/internal/dispatcher/egress"
 )
 
 // Faults that no peer can cause are put into the started program here, by files and variables that
--- a/cmd/frosttide/list_test.go
+++ b/cmd/frosttide/list_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/freshness"
+	"frosttide/decision/freshness"
 )
 
 // TestRouteTable guards the list: what it says counts at once, in any layout, what can't be
--- a/cmd/frosttide/mixed_test.go
+++ b/cmd/frosttide/mixed_test.go
@@ -10,9 +10,9 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/gearman/proto"
-	"frosttide/internal/lab/rules"
-	"frosttide/internal/standin/gearman"
+	"frosttide/internal/dispatcher/gearman/proto"
+	"frosttide/internal/testkit/lab/rules"
+	"frosttide/internal/testkit/standin/gearman"
 )
 
 // mixed is a run with clients and workers of one kind or of both, and with faults.
--- a/cmd/frosttide/others.go
+++ b/cmd/frosttide/others.go
@@ -12,18 +12,18 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/cluster"
-	"frosttide/internal/comeback"
-	"frosttide/internal/config"
-	"frosttide/internal/core"
-	gangdesk "frosttide/internal/gang/desk"
-	"frosttide/internal/handover"
-	"frosttide/internal/quorum"
-	"frosttide/internal/recovery/door"
-	"frosttide/internal/recovery/stage"
-	"frosttide/internal/roster"
-	"frosttide/internal/routetable"
-	"frosttide/internal/workflow/desk"
+	"frosttide/internal/dispatcher/config"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	gangdesk "frosttide/internal/dispatcher/fleet/gang/watcher"
+	"frosttide/internal/dispatcher/fleet/quorum"
+	"frosttide/internal/dispatcher/fleet/recovery/admission"
+	"frosttide/internal/dispatcher/fleet/recovery/stage"
+	"frosttide/internal/dispatcher/fleet/rejoin"
+	"frosttide/internal/dispatcher/fleet/workflow/executor"
+	"frosttide/internal/dispatcher/handover"
+	"frosttide/internal/dispatcher/roster"
+	"frosttide/internal/dispatcher/routetable"
 )
 
 // others are the dispatchers that this one knows. All methods may be called on nil, the
@@ -40,9 +40,9 @@
 	link   *handover.Link
 	keeper *roster.Roster
 
-	gangs       *gangdesk.Desk            // nil where nobody watches gangs
-	desk        atomic.Pointer[desk.Desk] // nil where no workflows are carried out
-	flowClasses atomic.Pointer[map[string]desk.Class]
+	gangs       *gangdesk.Desk                // nil where nobody watches gangs
+	desk        atomic.Pointer[executor.Desk] // nil where no workflows are carried out
+	flowClasses atomic.Pointer[map[string]executor.Class]
 	undos       int // at once; 0 for no workflows
 
 	stages, paced bool
@@ -50,7 +50,7 @@
 	stood         atomic.Int64 // standstills of the process
 
 	mu      sync.Mutex
-	back    *comeback.Actor // nil where there are no stages, or no member yet
+	back    *rejoin.Actor // nil where there are no stages, or no member yet
 	endBack context.CancelFunc
 	member  *cluster.Cluster // nil before it has begun, and after it has ended
 	ended   bool
@@ -98,7 +98,7 @@
 		return err
 	}
 	if o.stages { // the older process stands for both meanwhile
-		c.Open(door.Wide, true, 0, 0)
+		c.Open(admission.Wide, true, 0, 0)
 	}
 	o.log.WithError(err).Warn("another process is this member; it is waited for")
 	go func() {
@@ -140,7 +140,7 @@
 		back.Woke(still)
 		return
 	}
-	o.table.Renew(func() { o.core.Open(door.Wide, true, 0, stood) })
+	o.table.Renew(func() { o.core.Open(admission.Wide, true, 0, stood) })
 }
 
 // open opens the member. Warm is set where this process has served before.
@@ -167,7 +167,7 @@
 	if o.stages {
 		var ctx context.Context
 		ctx, o.endBack = context.WithCancel(context.Background())
-		back := comeback.New(comeback.Config{Dispatchers: o.dispatchers, Paced: o.paced, Warm: warm, Stood: int(o.stood.Load()), Bounds: stage.Defaults()}, m, o.core, o.table, o.log)
+		back := rejoin.New(rejoin.Config{Dispatchers: o.dispatchers, Paced: o.paced, Warm: warm, Stood: int(o.stood.Load()), Bounds: stage.Defaults()}, m, o.core, o.table, o.log)
 		o.back = back
 		m.ToldBy(back.Status)
 		go back.Run(ctx)
--- a/cmd/frosttide/sayings.go
+++ b/cmd/frosttide/sayings.go
@@ -6,8 +6,8 @@
 	"net/http"
 	"time"
 
-	"frosttide/internal/console"
-	"frosttide/internal/core"
+	"frosttide/internal/dispatcher/console"
+	"frosttide/internal/dispatcher/core"
 )
 
 // handler answers operators about the others.
--- a/cmd/frosttide/scale_test.go
+++ b/cmd/frosttide/scale_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/lab/scale"
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab/scale"
+	"frosttide/internal/testkit/lab/size"
 )
 
 // Slopes that the capacity page rests on. A short run fails when one has doubled.
--- a/cmd/frosttide/soak_test.go
+++ b/cmd/frosttide/soak_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/lab/faults"
-	"frosttide/internal/lab/faults/soak"
+	"frosttide/internal/testkit/lab/faults"
+	"frosttide/internal/testkit/lab/faults/soak"
 )
 
 var (
--- a/cmd/frosttide/state.go
+++ b/cmd/frosttide/state.go
@@ -7,14 +7,14 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/config"
-	"frosttide/internal/core"
-	"frosttide/internal/handover"
-	"frosttide/internal/roster"
-	"frosttide/internal/rosterstore"
-	"frosttide/internal/routetable"
-	"frosttide/internal/telemetry"
-	"frosttide/internal/trust"
+	"frosttide/internal/dispatcher/config"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/handover"
+	"frosttide/internal/dispatcher/roster"
+	"frosttide/internal/dispatcher/rosterpolicy"
+	"frosttide/internal/dispatcher/rosterstore"
+	"frosttide/internal/dispatcher/routetable"
+	"frosttide/internal/dispatcher/telemetry"
 )
 
 const (
@@ -99,7 +99,7 @@
 		zone = cfg.Names.Zones[z]
 	}
 	return roster.Config{Name: cfg.Name, Every: cfg.State.Every, Answer: cfg.Module.Limits.ConnectTimeout + answerTime,
-		Trust: trust.Config{Fresh: cfg.State.Fresh, Old: cfg.State.Old, Max: cfg.State.Max, Zone: zone, Rate: askRate,
+		Trust: rosterpolicy.Config{Fresh: cfg.State.Fresh, Old: cfg.State.Old, Max: cfg.State.Max, Zone: zone, Rate: askRate,
 			Number: cfg.Module.Instance, Dispatchers: max(cfg.Module.Instances, 1), Outage: outage,
 			Lost: cfg.State.DoubtShare, Doubt: cfg.State.DoubtFor, Warm: cfg.Module.Rules.WarmUp}}
 }
--- a/cmd/frosttide/state_test.go
+++ b/cmd/frosttide/state_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/rosterstore"
+	"frosttide/internal/dispatcher/rosterstore"
 )
 
 // keeping has a dispatcher keep its list in a folder; nothing of it is fresh enough to be
--- a/cmd/frosttide/statecmd.go
+++ b/cmd/frosttide/statecmd.go
@@ -11,9 +11,9 @@
 
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/rosterstore"
-	"frosttide/internal/settings"
-	"frosttide/internal/trust"
+	"frosttide/internal/dispatcher/rosterpolicy"
+	"frosttide/internal/dispatcher/rosterstore"
+	"frosttide/internal/dispatcher/settings"
 )
 
 func stateCommand() *cobra.Command {
@@ -131,12 +131,12 @@
 func showState(out io.Writer, s *rosterstore.Snapshot, at time.Time) error {
 	now := time.Duration(at.UnixNano())
 	bounds := settings.DefaultState()
-	cfg := trust.Config{Fresh: bounds.Fresh, Old: bounds.Old, Max: bounds.Max, Rate: askRate, Dispatchers: 1}
+	cfg := rosterpolicy.Config{Fresh: bounds.Fresh, Old: bounds.Old, Max: bounds.Max, Rate: askRate, Dispatchers: 1}
 	left := map[string]bool{}
 	for _, uid := range s.Excluded {
 		left[uid] = true
 	}
-	var stored []trust.Stored
+	var stored []rosterpolicy.Stored
 	type entry struct {
 		Endpoint string `json:"endpoint"`
 		Zone     string `json:"az"`
@@ -149,10 +149,10 @@
 			return fmt.Errorf("entry of %s: %w", n.UID, err)
 		}
 		entries[n.UID] = e
-		stored = append(stored, trust.Stored{UID: n.UID, Addr: e.Endpoint, Zone: e.Zone, Confirmed: n.Confirmed,
+		stored = append(stored, rosterpolicy.Stored{UID: n.UID, Addr: e.Endpoint, Zone: e.Zone, Confirmed: n.Confirmed,
 			Barred: e.State == "DRAINING" || left[n.UID]})
 	}
-	book := trust.New(cfg, now, stored, 1)
+	book := rosterpolicy.New(cfg, now, stored, 1)
 	fmt.Fprintf(out, "dispatcher %s, list %d of %s, saved %s, discovery last spoke %s\n", s.Name, s.Rev, s.Discovery, clock(s.Saved), clock(s.Answered))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "runner\taddress\tzone\tlisted as\tconfirmed by\tage\tat a start now\twhy")
--- a/cmd/frosttide/telemetry_test.go
+++ b/cmd/frosttide/telemetry_test.go
@@ -28,7 +28,7 @@
 	"go.opentelemetry.io/collector/pdata/ptrace"
 	"google.golang.org/protobuf/proto"
 
-	"frosttide/internal/standin/collector"
+	"frosttide/internal/testkit/standin/collector"
 )
 
 // newCollector starts a stand-in collector, and at the end wants it to have seen no rule
--- a/cmd/frosttide/trace.go
+++ b/cmd/frosttide/trace.go
@@ -11,7 +11,7 @@
 
 	"github.com/spf13/cobra"
 
-	"frosttide/internal/traceview"
+	"frosttide/internal/dispatcher/traceview"
 )
 
 func traceCommand() *cobra.Command {
--- a/decision/api.go
+++ b/decision/api.go
@@ -13,7 +13,7 @@
 import (
 	"time"
 
-	"frosttide/internal/forecast"
+	"frosttide/decision/forecast"
 )
 
 // RequestID names one try of a client; the host never uses an ID twice.
--- a/decision/choice.go
+++ b/decision/choice.go
@@ -1,7 +1,7 @@
 package decision
 
 import (
-	"frosttide/internal/affinity"
+	"frosttide/decision/affinity"
 )
 
 // The choice of a worker.
--- a/decision/cold.go
+++ b/decision/cold.go
@@ -4,7 +4,7 @@
 	"cmp"
 	"slices"
 
-	"frosttide/internal/ration"
+	"frosttide/decision/warmupbudget"
 )
 
 // Workers that have started lately: what they are sent, and by which dispatcher.
@@ -40,7 +40,7 @@
 		return (d.now >= w.rationUntil || d.rules.Joins(who, w.StartedAt, d.now)) &&
 			d.rules.Light(most, w.StartedAt, d.now, r.hint.Seconds()*float64(r.slots))
 	}
-	c := ration.Cold{Rate: d.fleet.Rate(&w.load, w.Kind, most, d.now), StartedAt: w.StartedAt}
+	c := warmupbudget.Cold{Rate: d.fleet.Rate(&w.load, w.Kind, most, d.now), StartedAt: w.StartedAt}
 	return d.rules.Passes(&d.mix, who, c, uint32(w.Worker), uint64(r.id), d.weight(r), d.now)
 }
 
@@ -68,8 +68,8 @@
 }
 
 // sharer tells which part of a cold worker is this dispatcher's.
-func (d *Dispatcher) sharer(w *worker) ration.Sharer {
-	return ration.Sharer{Number: d.cfg.Instance, Count: max(cmp.Or(w.Sharers, d.cfg.Instances), 1)}
+func (d *Dispatcher) sharer(w *worker) warmupbudget.Sharer {
+	return warmupbudget.Sharer{Number: d.cfg.Instance, Count: max(cmp.Or(w.Sharers, d.cfg.Instances), 1)}
 }
 
 // early tells whether a worker is so cold that all that may go there goes. Guards against its
--- a/internal/fairshare/fairshare_test.go
+++ b/decision/fairshare/fairshare_test.go
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestInside has a tenant that keeps to its part always be inside, one that sends more be so
--- a/internal/forecast/forecast_test.go
+++ b/decision/forecast/forecast_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestSplit guards the dispatcher's own jobs from counting twice, in a report and by
--- a/internal/freshness/freshness_test.go
+++ b/decision/freshness/freshness_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestRunsFromTheLastByte guards rule 3: what a silent watch misses counts from its last byte,
--- a/decision/gate.go
+++ b/decision/gate.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/permit"
+	"frosttide/decision/permit"
 )
 
 // The send gate: what the rules let go where.
--- a/decision/health.go
+++ b/decision/health.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"frosttide/internal/forecast"
+	"frosttide/decision/forecast"
 )
 
 // What jobs show of workers.
--- a/decision/latest_test.go
+++ b/decision/latest_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/permit"
+	"frosttide/decision/permit"
 )
 
 // TestLatest has an attempt begin before what bounds it closes: the window in which repeats are dropped
--- a/decision/list.go
+++ b/decision/list.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/freshness"
+	"frosttide/decision/freshness"
 )
 
 // The list of workers: when it is asked for, and what its entries change.
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -9,13 +9,13 @@
 	"slices"
 	"time"
 
+	"frosttide/decision/fairshare"
+	"frosttide/decision/forecast"
+	"frosttide/decision/shedding"
+	"frosttide/decision/waittime"
+	"frosttide/decision/warmupbudget"
+	"frosttide/decision/zones"
 	"frosttide/internal/bucket"
-	"frosttide/internal/fairshare"
-	"frosttide/internal/forecast"
-	"frosttide/internal/ration"
-	"frosttide/internal/shedding"
-	"frosttide/internal/waits"
-	"frosttide/internal/zones"
 )
 
 // The module's state, and how events reach the files that decide. Nothing here decides: those
@@ -32,7 +32,7 @@
 	overdue      int  // its attempts whose start is overdue
 	coldUntil    time.Duration
 	rationUntil  time.Duration
-	bill         ration.Bill
+	bill         warmupbudget.Bill
 	load         forecast.Worker
 	work         float64 // seconds times slots that its attempts are taken for
 	running      int     // slots that started attempts use; Most is the most that they did
@@ -72,7 +72,7 @@
 // Dispatcher decides for one scheduler. It is not safe for concurrent use.
 type Dispatcher struct {
 	cfg      Config
-	rules    ration.Rules
+	rules    warmupbudget.Rules
 	rng      *rand.Rand
 	now      time.Duration
 	out      []Action
@@ -93,8 +93,8 @@
 
 	zones   zones.Zones
 	fleet   forecast.Fleet
-	waits   waits.Waits
-	mix     ration.Mix
+	waits   waittime.Waits
+	mix     warmupbudget.Mix
 	probed  bool // a cold worker has been asked how many slots it has
 	shares  fairshare.Shares
 	run     []float64 // mean seconds from start to answer, by class
@@ -124,7 +124,7 @@
 func (d *Dispatcher) configure(cfg Config) {
 	d.cfg = cfg
 	d.cfg.Classes = slices.Clone(cfg.Classes)
-	d.rules = ration.Rules{ColdShare: cfg.Rules.ColdShare, WarmUp: cfg.Rules.WarmUp,
+	d.rules = warmupbudget.Rules{ColdShare: cfg.Rules.ColdShare, WarmUp: cfg.Rules.WarmUp,
 		FallMultiple: cfg.Rules.FallMultiple, FallWindow: cfg.Rules.FallWindow}
 	var rates []float64
 	for _, t := range cfg.Tenants {
--- a/decision/overload.go
+++ b/decision/overload.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/ration"
+	"frosttide/decision/warmupbudget"
 )
 
 // What is refused so that the rest is in time.
@@ -45,7 +45,7 @@
 // queue's refusal still counts. Guards against refusals while other workers are free.
 func (d *Dispatcher) sample(t timer) {
 	started := slices.ContainsFunc(t.request.attempts, func(a attempt) bool { return a.Started })
-	if started || !t.request.over && !(ration.Sharer{Count: d.cfg.Instances}).ByDraws() {
+	if started || !t.request.over && !(warmupbudget.Sharer{Count: d.cfg.Instances}).ByDraws() {
 		d.shedder.Note(!started)
 	}
 }
--- a/internal/waits/waits.go
+++ b/decision/waittime/waits.go
@@ -1,8 +1,8 @@
-// Package waits keeps how long jobs wait at workers that are warm and at those that have
+// Package waittime keeps how long jobs wait at workers that are warm and at those that have
 // started lately. A dispatcher among many meets each worker too seldom to know its queue, and
 // after many were replaced at once the old ones have long queues while the new ones have
 // none: what jobs find at one tells of its like. The package is pure: no I/O, no clock.
-package waits
+package waittime
 
 import (
 	"math"
--- a/internal/waits/waits_test.go
+++ b/decision/waittime/waits_test.go
@@ -1,4 +1,4 @@
-package waits
+package waittime
 
 import (
 	"testing"
--- a/internal/ration/flow_test.go
+++ b/decision/warmupbudget/flow_test.go
@@ -1,4 +1,4 @@
-package ration
+package warmupbudget
 
 import (
 	"math"
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // met returns a mix that has taken requests of some works for a while, at a rate.
--- a/internal/ration/ration.go
+++ b/decision/warmupbudget/ration.go
@@ -1,9 +1,9 @@
-// Package ration shares out what a worker that has just started bears. A cold worker
+// Package warmupbudget shares out what a worker that has just started bears. A cold worker
 // that is sent more than a multiple of its present capacity within a window falls over,
 // and dispatchers know nothing of what the others send. So each keeps to a part of its
 // own: few dispatchers by a bill that is paid off with time, many by a draw for each request,
 // as a part of theirs would not hold a single job. The package is pure: no I/O, no clock.
-package ration
+package warmupbudget
 
 import "time"
 
--- a/internal/ration/ration_test.go
+++ b/decision/warmupbudget/ration_test.go
@@ -1,4 +1,4 @@
-package ration
+package warmupbudget
 
 import (
 	"testing"
--- a/examples/toyfleet/main.go
+++ b/examples/toyfleet/main.go
@@ -11,7 +11,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/toyfleet"
+	"frosttide/internal/testkit/fakefleet"
 )
 
 func main() {
@@ -21,7 +21,7 @@
 	flag.Parse()
 	usr := make(chan os.Signal, 1)
 	signal.Notify(usr, syscall.SIGUSR1)
-	f, err := toyfleet.Start(*discovery, *dispatcher, []string{"127.0.0.1:9101", "127.0.0.1:9102"}, *work, logrus.StandardLogger())
+	f, err := fakefleet.Start(*discovery, *dispatcher, []string{"127.0.0.1:9101", "127.0.0.1:9102"}, *work, logrus.StandardLogger())
 	if err != nil {
 		logrus.WithError(err).Fatal("toy fleet ends")
 	}
--- a/internal/control/cli/demo.go
+++ b/internal/control/cli/demo.go
@@ -13,8 +13,8 @@
 
 	"github.com/cockroachdb/errors"
 
-	"frosttide/internal/smallsystem"
-	"frosttide/internal/toyrunner"
+	"frosttide/internal/testkit/devcluster"
+	"frosttide/internal/testkit/fakerunner"
 )
 
 const (
@@ -60,19 +60,19 @@
 	if _, err := os.Stat(data); err != nil {
 		return errors.Wrap(err, "the data plane's program has to lie beside this one")
 	}
-	return show(ctx, c.out, smallsystem.Config{Control: self, Data: data, Dir: dir, Cores: 3, Carriers: 2, Runners: toyRunners()})
+	return show(ctx, c.out, devcluster.Config{Control: self, Data: data, Dir: dir, Cores: 3, Carriers: 2, Runners: toyRunners()})
 }
 
-func toyRunners() (out []toyrunner.Config) {
+func toyRunners() (out []fakerunner.Config) {
 	for i := range demoRunners {
-		out = append(out, toyrunner.Config{ID: fmt.Sprintf("i-toy%d", i), Service: "toy", Labels: []string{"a", fmt.Sprintf("r%d-1", i/2)}, CPU: 4000, MemMB: 8192, Usual: time.Second})
+		out = append(out, fakerunner.Config{ID: fmt.Sprintf("i-toy%d", i), Service: "toy", Labels: []string{"a", fmt.Sprintf("r%d-1", i/2)}, CPU: 4000, MemMB: 8192, Usual: time.Second})
 	}
 	return out
 }
 
 // show plays the demonstration.
-func show(ctx context.Context, out io.Writer, cfg smallsystem.Config) error {
-	s, err := smallsystem.Start(cfg)
+func show(ctx context.Context, out io.Writer, cfg devcluster.Config) error {
+	s, err := devcluster.Start(cfg)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	}
 	fmt.Fprintln(out, "a job of two steps and a gang of four are accepted")
 	killed := false
-	done := smallsystem.Wait(demoWait, func() bool {
+	done := devcluster.Wait(demoWait, func() bool {
 		if ctx.Err() != nil {
 			return true
 		}
@@ -113,7 +113,7 @@
 }
 
 // whatRuns tells what runs where.
-func whatRuns(s *smallsystem.System) string {
+func whatRuns(s *devcluster.System) string {
 	var parts []string
 	for i, r := range s.Runners {
 		var tasks []string
@@ -127,7 +127,7 @@
 }
 
 // ended returns how many tasks of a job have ended well.
-func ended(s *smallsystem.System, job string) (count int) {
+func ended(s *devcluster.System, job string) (count int) {
 	for _, r := range s.Runners {
 		for _, e := range r.History() {
 			if strings.HasPrefix(e.Task, job) && e.How == "done" {
@@ -139,7 +139,7 @@
 }
 
 // once checks that every task of the job has been done exactly once.
-func once(out io.Writer, s *smallsystem.System) error {
+func once(out io.Writer, s *devcluster.System) error {
 	counts := make(map[string]int)
 	for _, r := range s.Runners {
 		for _, e := range r.History() {
--- a/internal/control/cli/run.go
+++ b/internal/control/cli/run.go
@@ -8,7 +8,7 @@
 
 	"k8s.io/klog/v2"
 
-	"frosttide/internal/control/host"
+	"frosttide/internal/control/server"
 	"frosttide/internal/nodefile"
 )
 
@@ -29,7 +29,7 @@
 	if err != nil {
 		return err
 	}
-	return host.Run(ctx, path, settings)
+	return server.Run(ctx, path, settings)
 }
 
 // version tells the version that the program was built from.
--- a/internal/control/journal/journal_rapid_test.go
+++ b/internal/control/journal/journal_rapid_test.go
@@ -10,7 +10,7 @@
 
 	"frosttide/internal/control/store"
 	"frosttide/internal/protocol"
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestNoTornOrDamagedFileIsReadAsWhole tears or damages files at any place: what is read is the state after some of the
--- a/internal/control/host/api.go
+++ b/internal/control/server/api.go
@@ -1,4 +1,4 @@
-package host
+package server
 
 import (
 	"context"
--- a/internal/control/host/host.go
+++ b/internal/control/server/server.go
@@ -1,6 +1,6 @@
-// Package host runs a member of the control plane on files, sockets and clocks, and serves the operator's
+// Package server runs a member of the control plane on files, sockets and clocks, and serves the operator's
 // API.
-package host
+package server
 
 import (
 	"context"
--- a/internal/control/store/store_rapid_test.go
+++ b/internal/control/store/store_rapid_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestDigestsFollowItems changes two stores in any way: their digests are equal just where their items are, whatever
--- a/internal/data/companion/machine.go
+++ b/internal/data/agent/machine.go
@@ -1,8 +1,8 @@
-// Package companion answers the heartbeats of one runner. It holds the set of runs that the head wants
+// Package agent answers the heartbeats of one runner. It holds the set of runs that the head wants
 // there, has the runner start what is missing and stop what is not wanted, passes the ends on to the
 // head, and lets the runner's holds grow only within the lease that the head has granted. Machine is pure;
 // Server runs it on HTTP and the internal transport.
-package companion
+package agent
 
 import (
 	"maps"
--- a/internal/data/companion/server_test.go
+++ b/internal/data/agent/server_test.go
@@ -1,4 +1,4 @@
-package companion
+package agent
 
 import (
 	"encoding/json"
--- a/internal/data/carrier/carrier.go
+++ b/internal/data/gateway/gateway.go
@@ -1,7 +1,7 @@
-// Package carrier takes clients' jobs: it serves the queues of the newest configuration over HTTP, reads
+// Package gateway takes clients' jobs: it serves the queues of the newest configuration over HTTP, reads
 // and checks what clients send, has the control plane answer it, and tells clients what it knows when
 // that does not answer in time.
-package carrier
+package gateway
 
 import (
 	"context"
--- a/internal/data/carrier/node.go
+++ b/internal/data/gateway/node.go
@@ -1,4 +1,4 @@
-package carrier
+package gateway
 
 import (
 	"time"
--- a/internal/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -18,9 +18,9 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/export"
-	"frosttide/internal/settings"
-	"frosttide/internal/wire"
+	"frosttide/internal/dispatcher/export"
+	"frosttide/internal/dispatcher/settings"
+	"frosttide/internal/dispatcher/wire"
 )
 
 // Limits are the bounds of the machine that the dispatcher runs on.
--- a/internal/config/source.go
+++ b/internal/dispatcher/config/source.go
@@ -11,7 +11,7 @@
 	"slices"
 	"strings"
 
-	"frosttide/internal/settings"
+	"frosttide/internal/dispatcher/settings"
 )
 
 // Source is where a configuration comes from. Of two places that speak of one thing the
--- a/internal/console/console.go
+++ b/internal/dispatcher/console/console.go
@@ -14,7 +14,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/neterr"
+	"frosttide/internal/dispatcher/neterr"
 )
 
 const (
--- a/internal/core/core.go
+++ b/internal/dispatcher/core/core.go
@@ -15,9 +15,9 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
+	"frosttide/internal/dispatcher/monotime"
+	"frosttide/internal/dispatcher/trace"
 	"frosttide/internal/mailbox"
-	"frosttide/internal/monotime"
-	"frosttide/internal/trace"
 )
 
 // Core is the actor. Make it with New, start it with Run.
--- a/internal/core/core_test.go
+++ b/internal/dispatcher/core/core_test.go
@@ -10,7 +10,7 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // noList is a route table that names nobody.
--- a/internal/core/door.go
+++ b/internal/dispatcher/core/door.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/recovery/door"
-	"frosttide/internal/recovery/stall"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/fleet/recovery/admission"
+	"frosttide/internal/dispatcher/fleet/recovery/stall"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // Why a job is not let in, or not sent, while the dispatcher comes back.
@@ -21,7 +21,7 @@
 // guard is what watches over a dispatcher that comes back together with others. One on its own
 // has none.
 type guard struct {
-	door  door.Door
+	door  admission.Door
 	watch stall.Watch
 	stood int                       // standstills so far
 	fence fence                     // tells attempts of them
@@ -36,13 +36,13 @@
 	bound := stillAfter(c.cfg.Rules.DrainGrace)
 	c.guard = &guard{watch: stall.Watch{Bound: bound}, woke: woke, fence: fence{clock: c.clock, bound: bound}}
 	c.guard.fence.look(c.clock(time.Now()), false)
-	c.guard.door.Set(door.Closed, 0, 0)
+	c.guard.door.Set(admission.Closed, 0, 0)
 }
 
 // Open sets how far the door stands open. First is how many jobs may be under way to begin with,
 // where it is ajar; keyed lets in jobs that must not run twice too. Stood is how many standstills the caller knows of: what was decided before
 // the last one does not count.
-func (c *Core) Open(level door.Level, keyed bool, first, stood int) {
+func (c *Core) Open(level admission.Level, keyed bool, first, stood int) {
 	c.box.Put(func(c *Core) {
 		if c.guard != nil && stood == c.guard.stood {
 			c.guard.keyed = keyed
@@ -89,7 +89,7 @@
 	still, _ := g.watch.Look(now, now)
 	if still > 0 {
 		g.stood++
-		g.door.Set(door.Closed, 0, now)
+		g.door.Set(admission.Closed, 0, now)
 		g.woke(still)
 	}
 	g.fence.look(now, still > 0)
@@ -105,7 +105,7 @@
 		in, counted = c.guard.door.Admit(c.now)
 	}
 	if job.Owed { // nobody would come again for it
-		in = in || c.guard.door.Level() == door.Ajar
+		in = in || c.guard.door.Level() == admission.Ajar
 	}
 	if in {
 		job.counted = counted
@@ -127,7 +127,7 @@
 
 // fenced tells whether nothing may be sent: the process stood still, and has not heard anew
 // what there is.
-func (c *Core) fenced() bool { return c.guard != nil && c.guard.door.Level() == door.Closed }
+func (c *Core) fenced() bool { return c.guard != nil && c.guard.door.Level() == admission.Closed }
 
 // letOut takes in that a job has its answer.
 func (c *Core) letOut(job *Job, served bool) {
--- a/internal/core/door_test.go
+++ b/internal/dispatcher/core/door_test.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/recovery/door"
+	"frosttide/internal/dispatcher/fleet/recovery/admission"
 )
 
 // TestDoor guards what comes in and goes out while a dispatcher comes back: nothing at a closed
@@ -43,7 +43,7 @@
 		c.step()
 		return len(got) == 1
 	}
-	open := func(l door.Level, keyed bool, first, stood int) {
+	open := func(l admission.Level, keyed bool, first, stood int) {
 		c.Open(l, keyed, first, stood)
 		for _, message := range c.box.Drain(nil) {
 			message(c)
@@ -52,14 +52,14 @@
 	if !try(0) || sent.n != 0 {
 		t.Error("a closed door let a job in")
 	}
-	open(door.Ajar, false, 4, 0)
+	open(admission.Ajar, false, 4, 0)
 	if try(0) || sent.n != 1 {
 		t.Error("a door that is ajar let nobody in")
 	}
 	if !try(1) || sent.n != 1 {
 		t.Error("a job that must not run twice came in before it may")
 	}
-	open(door.Wide, true, 0, 0)
+	open(admission.Wide, true, 0, 0)
 	if try(1) || sent.n != 2 {
 		t.Error("a wide door let nobody in")
 	}
@@ -67,7 +67,7 @@
 	if !try(0) || sent.n != 2 || len(woke) != 1 {
 		t.Errorf("after a standstill %d were sent, and it was noticed %d times", sent.n, len(woke))
 	}
-	open(door.Wide, true, 0, 0)
+	open(admission.Wide, true, 0, 0)
 	if !try(0) || sent.n != 2 {
 		t.Error("what was decided before the standstill opened the door")
 	}
@@ -76,7 +76,7 @@
 	if sent.n != 2 {
 		t.Error("a further attempt was sent by what was known before the standstill")
 	}
-	open(door.Wide, true, 0, 1)
+	open(admission.Wide, true, 0, 1)
 	if try(0) || sent.n != 3 {
 		t.Error("the door stays closed after it was opened anew")
 	}
--- a/internal/core/early.go
+++ b/internal/dispatcher/core/early.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // whyEarly is why a job that was held back is refused: its time, or the process's, was over first.
--- a/internal/core/fates.go
+++ b/internal/dispatcher/core/fates.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // Fate is where another dispatcher has sent a job with the same key.
--- a/internal/core/handover.go
+++ b/internal/dispatcher/core/handover.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/monotime"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/monotime"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // Snapshot is what the core tells a newer process of its dispatcher. Times are of the core's
--- a/internal/core/hints.go
+++ b/internal/dispatcher/core/hints.go
@@ -2,7 +2,7 @@
 
 import (
 	"frosttide/decision"
-	"frosttide/internal/recovery"
+	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
 // maxHints bounds what is kept for runners that are not listed yet; more is passed over.
--- a/internal/core/permit.go
+++ b/internal/dispatcher/core/permit.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"frosttide/internal/permit"
+	"frosttide/decision/permit"
 )
 
 // Permit holds what may stop an attempt between its sending and its first byte. The core and the
--- a/internal/core/requests.go
+++ b/internal/dispatcher/core/requests.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // request is a request from its arrival until it is answered and none of its
--- a/internal/core/story.go
+++ b/internal/dispatcher/core/story.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // Where a request has a story, the core writes it from Submit on, and gives it away
--- a/internal/core/terms.go
+++ b/internal/dispatcher/core/terms.go
@@ -6,7 +6,7 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // Job is what a client asks for, in no protocol's terms. What a runner is to
--- a/internal/egress/attempt.go
+++ b/internal/dispatcher/egress/attempt.go
@@ -15,9 +15,9 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/loadreport"
-	"frosttide/internal/permit"
+	"frosttide/decision/permit"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/loadreport"
 )
 
 const (
--- a/internal/egress/dial.go
+++ b/internal/dispatcher/egress/dial.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"frosttide/internal/neterr"
+	"frosttide/internal/dispatcher/neterr"
 )
 
 var (
--- a/internal/egress/egress.go
+++ b/internal/dispatcher/egress/egress.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
+	"frosttide/internal/dispatcher/core"
 	"frosttide/internal/mailbox"
 )
 
--- a/internal/egress/exchange.go
+++ b/internal/dispatcher/egress/exchange.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/loadreport"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/loadreport"
 )
 
 // recall asks the runner to drop a job that it has taken. Whatever the runner answers, it knows
--- a/internal/export/collector.go
+++ b/internal/dispatcher/export/collector.go
@@ -16,7 +16,7 @@
 	"connectrpc.com/connect"
 	"google.golang.org/protobuf/encoding/protowire"
 
-	"frosttide/internal/otlp"
+	"frosttide/internal/dispatcher/otlp"
 )
 
 // The methods of OTLP's services. Source: opentelemetry/proto/collector.
--- a/internal/export/export.go
+++ b/internal/dispatcher/export/export.go
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/measures"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/measures"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // Sockets is how many descriptors the export takes at most: a connection for each of two
--- a/internal/export/export_test.go
+++ b/internal/dispatcher/export/export_test.go
@@ -13,10 +13,10 @@
 	"github.com/sirupsen/logrus"
 	"pgregory.net/rapid"
 
-	"frosttide/internal/otlp"
-	"frosttide/internal/settings"
-	_ "frosttide/internal/standin/fixeddraws"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/otlp"
+	"frosttide/internal/dispatcher/settings"
+	"frosttide/internal/dispatcher/trace"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 func getenv(pairs ...string) func(string) string {
--- a/internal/export/file.go
+++ b/internal/dispatcher/export/file.go
@@ -8,8 +8,8 @@
 	"io/fs"
 	"os"
 
-	"frosttide/internal/otlp"
-	"frosttide/internal/settings"
+	"frosttide/internal/dispatcher/otlp"
+	"frosttide/internal/dispatcher/settings"
 )
 
 // file is a sink that writes lines of OTLP's JSON. Past its size the file is renamed to
--- a/internal/export/lane.go
+++ b/internal/dispatcher/export/lane.go
@@ -10,8 +10,8 @@
 	"github.com/sirupsen/logrus"
 	"go.opentelemetry.io/otel/sdk/metric/metricdata"
 
-	"frosttide/internal/otlp"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/otlp"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // sink is where a lane's batches go.
--- a/internal/export/options.go
+++ b/internal/dispatcher/export/options.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/settings"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/settings"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // Options say what is exported and how. Make them with Resolve.
--- a/internal/cluster/agreed.go
+++ b/internal/dispatcher/fleet/cluster/agreed.go
@@ -10,8 +10,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/ledger"
-	"frosttide/internal/quorum"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/quorum"
 )
 
 // out carries out what was agreed on a runner, as it comes by the log.
--- a/internal/cluster/agreed_test.go
+++ b/internal/dispatcher/fleet/cluster/agreed_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/ledger"
-	"frosttide/internal/quorum"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/quorum"
 )
 
 // acting is a dispatcher that does as it is told.
--- a/internal/cluster/calls.go
+++ b/internal/dispatcher/fleet/cluster/calls.go
@@ -14,11 +14,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/clusterport"
-	"frosttide/internal/ledger"
-	"frosttide/internal/members"
-	"frosttide/internal/quorum"
-	"frosttide/internal/replica"
+	"frosttide/internal/dispatcher/fleet/clusterport"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/quorum"
+	"frosttide/internal/dispatcher/fleet/replica"
 )
 
 const (
--- a/internal/cluster/clock.go
+++ b/internal/dispatcher/fleet/cluster/clock.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
-	"frosttide/internal/monotime"
-	"frosttide/internal/recovery/fleetclock"
+	"frosttide/internal/dispatcher/fleet/recovery/fleetclock"
+	"frosttide/internal/dispatcher/monotime"
 )
 
 // times is the member's clock: it runs on steadily whatever the machine's is set to, and is put
--- a/internal/cluster/cluster.go
+++ b/internal/dispatcher/fleet/cluster/cluster.go
@@ -15,13 +15,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/clusterport"
-	"frosttide/internal/comeback"
+	"frosttide/internal/dispatcher/fleet/clusterport"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/quorum"
+	"frosttide/internal/dispatcher/fleet/recovery/mark"
+	"frosttide/internal/dispatcher/fleet/rejoin"
+	"frosttide/internal/dispatcher/fleet/replica"
 	"frosttide/internal/mailbox"
-	"frosttide/internal/members"
-	"frosttide/internal/quorum"
-	"frosttide/internal/recovery/mark"
-	"frosttide/internal/replica"
 )
 
 // Sockets is how many descriptors a cluster's member uses at most.
@@ -84,7 +84,7 @@
 	second   atomic.Bool      // another member had this one's name first
 	words    atomic.Int64     // that wait for the actor
 	lost     atomic.Uint64    // that were dropped
-	back     atomic.Pointer[func() comeback.Status]
+	back     atomic.Pointer[func() rejoin.Status]
 	times    *times
 	around   around
 	informed atomic.Bool   // copies were compared with who was there before, or with anybody where nobody was
--- a/internal/cluster/compare.go
+++ b/internal/dispatcher/fleet/cluster/compare.go
@@ -6,8 +6,8 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/members"
-	"frosttide/internal/recovery"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
 // compare has copies compared with a random member's until the context ends.
--- a/internal/cluster/facts.go
+++ b/internal/dispatcher/fleet/cluster/facts.go
@@ -7,8 +7,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/members"
-	"frosttide/internal/replica"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/replica"
 )
 
 // Entry is one of the list, as a dispatcher's discovery told it.
--- a/internal/cluster/fates.go
+++ b/internal/dispatcher/fleet/cluster/fates.go
@@ -8,8 +8,8 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"frosttide/internal/members"
-	"frosttide/internal/replica"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/replica"
 )
 
 const (
--- a/internal/cluster/fates_test.go
+++ b/internal/dispatcher/fleet/cluster/fates_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/members"
-	"frosttide/internal/recovery/stage"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/recovery/stage"
 )
 
 // TestGather guards keyed jobs from being sent as if others knew of them: a call that failed
--- a/internal/cluster/flows.go
+++ b/internal/dispatcher/fleet/cluster/flows.go
@@ -3,13 +3,13 @@
 import (
 	"slices"
 
-	"frosttide/internal/members"
-	"frosttide/internal/recovery/stage"
-	"frosttide/internal/workflow/book"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/recovery/stage"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 // Flows shows the workflows that members agree on; they must not be kept or changed.
-func (c *Cluster) Flows(show func(*book.Book)) { c.quorum.Flows(show) }
+func (c *Cluster) Flows(show func(*statetable.Book)) { c.quorum.Flows(show) }
 
 // Seen is how far they go, as the index of an entry.
 func (c *Cluster) Seen() uint64 { return c.quorum.Seen() }
--- a/internal/cluster/keepers.go
+++ b/internal/dispatcher/fleet/cluster/keepers.go
@@ -8,8 +8,8 @@
 	"sync"
 	"time"
 
+	"frosttide/internal/dispatcher/fleet/replica"
 	"frosttide/internal/mailbox"
-	"frosttide/internal/replica"
 )
 
 // item is what goes to a keeper: a question or a word.
--- a/internal/cluster/operators.go
+++ b/internal/dispatcher/fleet/cluster/operators.go
@@ -7,11 +7,11 @@
 	"net/http"
 	"time"
 
-	"frosttide/internal/comeback"
-	"frosttide/internal/ledger"
-	"frosttide/internal/members"
-	"frosttide/internal/quorum"
-	"frosttide/internal/replica"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/quorum"
+	"frosttide/internal/dispatcher/fleet/rejoin"
+	"frosttide/internal/dispatcher/fleet/replica"
 )
 
 // Copies is what people may know of the soft copies.
@@ -33,16 +33,16 @@
 
 // Report is all that the console tells.
 type Report struct {
-	Name    string           `json:"name"`
-	Members []members.Info   `json:"members"`
-	Copies  Copies           `json:"copies"`
-	Log     quorum.Status    `json:"log"`
-	State   ledger.State     `json:"state"`
-	Back    *comeback.Status `json:"back,omitempty"` // how far the dispatcher has come back
+	Name    string         `json:"name"`
+	Members []members.Info `json:"members"`
+	Copies  Copies         `json:"copies"`
+	Log     quorum.Status  `json:"log"`
+	State   ledger.State   `json:"state"`
+	Back    *rejoin.Status `json:"back,omitempty"` // how far the dispatcher has come back
 }
 
 // ToldBy names who tells how far the dispatcher has come back.
-func (c *Cluster) ToldBy(status func() comeback.Status) { c.back.Store(&status) }
+func (c *Cluster) ToldBy(status func() rejoin.Status) { c.back.Store(&status) }
 
 var kindNames = [replica.Kinds]string{replica.Runner: "runners", replica.Health: "health", replica.Fate: "fates", replica.Gang: "gangs"}
 
--- a/internal/cluster/outfile.go
+++ b/internal/dispatcher/fleet/cluster/outfile.go
@@ -13,9 +13,9 @@
 
 	"github.com/google/renameio/v2"
 
-	"frosttide/internal/ledger"
-	"frosttide/internal/quorum"
-	"frosttide/internal/recovery/mark"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/quorum"
+	"frosttide/internal/dispatcher/fleet/recovery/mark"
 )
 
 // outFile holds which runners the log leaves out, as far as it was applied here. Guards those
--- a/internal/cluster/standing.go
+++ b/internal/dispatcher/fleet/cluster/standing.go
@@ -10,11 +10,11 @@
 	"syscall"
 	"time"
 
-	"frosttide/internal/clusterport"
-	"frosttide/internal/comeback"
-	"frosttide/internal/members"
-	"frosttide/internal/recovery/sharers"
-	"frosttide/internal/recovery/stage"
+	"frosttide/internal/dispatcher/fleet/clusterport"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/recovery/sharers"
+	"frosttide/internal/dispatcher/fleet/recovery/stage"
+	"frosttide/internal/dispatcher/fleet/rejoin"
 )
 
 const (
@@ -110,8 +110,8 @@
 }
 
 // Standing tells what is known of the others and of the log.
-func (c *Cluster) Standing(context.Context) (comeback.Standing, bool) {
-	s := comeback.Standing{Copies: c.informed.Load(), Nobody: true}
+func (c *Cluster) Standing(context.Context) (rejoin.Standing, bool) {
+	s := rejoin.Standing{Copies: c.informed.Load(), Nobody: true}
 	by := map[string]sharers.Life{}
 	c.around.mu.Lock()
 	for addr, refused := range c.around.refused {
--- a/internal/cluster/told.go
+++ b/internal/dispatcher/fleet/cluster/told.go
@@ -5,8 +5,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/ledger"
-	"frosttide/internal/members"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/members"
 )
 
 // gossip is what the members' list tells; it comes from the list's goroutines.
--- a/internal/gang/board/board.go
+++ b/internal/dispatcher/fleet/gang/board/board.go
@@ -11,10 +11,10 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/gang/copies"
-	"frosttide/internal/gang/part"
-	"frosttide/internal/gang/peers"
-	"frosttide/internal/gang/verdict"
+	"frosttide/internal/dispatcher/fleet/gang/copies"
+	"frosttide/internal/dispatcher/fleet/gang/part"
+	"frosttide/internal/dispatcher/fleet/gang/peers"
+	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
 // The bounds of a board.
--- a/internal/gang/board/board_test.go
+++ b/internal/dispatcher/fleet/gang/board/board_test.go
@@ -7,8 +7,8 @@
 
 	"pgregory.net/rapid"
 
-	"frosttide/internal/gang/verdict"
-	_ "frosttide/internal/standin/fixeddraws"
+	"frosttide/internal/dispatcher/fleet/gang/verdict"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 const s = time.Second
--- a/internal/gang/board/judge.go
+++ b/internal/dispatcher/fleet/gang/board/judge.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/gang/copies"
-	"frosttide/internal/gang/peers"
-	"frosttide/internal/gang/verdict"
+	"frosttide/internal/dispatcher/fleet/gang/copies"
+	"frosttide/internal/dispatcher/fleet/gang/peers"
+	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
 // steps takes down that a worker does a part as fast as its peers do theirs.
--- a/internal/gang/board/tell.go
+++ b/internal/dispatcher/fleet/gang/board/tell.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/gang/verdict"
+	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
 // Fact is what a dispatcher tells the others of a part of its own. It is small and goes each time
--- a/internal/gang/board/workers.go
+++ b/internal/dispatcher/fleet/gang/board/workers.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/gang/verdict"
+	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
 // straggles takes down that a worker straggles in a gang.
--- a/internal/gang/part/part_test.go
+++ b/internal/dispatcher/fleet/gang/part/part_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 const s = time.Second
--- a/internal/gang/verdict/verdict.go
+++ b/internal/dispatcher/fleet/gang/verdict/verdict.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"frosttide/internal/gang/peers"
+	"frosttide/internal/dispatcher/fleet/gang/peers"
 )
 
 // State is how a part does.
--- a/internal/gang/verdict/verdict_test.go
+++ b/internal/dispatcher/fleet/gang/verdict/verdict_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/gang/peers"
+	"frosttide/internal/dispatcher/fleet/gang/peers"
 )
 
 // TestLook has verdicts come to by more than one look, with enough peers, and taken back slowly.
--- a/internal/gang/desk/desk.go
+++ b/internal/dispatcher/fleet/gang/watcher/watcher.go
@@ -1,7 +1,7 @@
-// Package desk watches gang jobs for a dispatcher: what the core sees of their parts comes in by
-// a bounded ring, a board (internal/gang/board) judges in a goroutine of its own, and what
+// Package watcher watches gang jobs for a dispatcher: what the core sees of their parts comes in by
+// a bounded ring, a board (internal/dispatcher/fleet/gang/board) judges in a goroutine of its own, and what
 // follows goes to the core and to other members. Nothing here blocks the core.
-package desk
+package watcher
 
 import (
 	"context"
@@ -12,8 +12,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/core"
-	"frosttide/internal/gang/board"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/gang/board"
 )
 
 // ring is how many observations may wait; past it one is dropped and counted: its part is known
--- a/internal/ledger/ledger.go
+++ b/internal/dispatcher/fleet/ledger/ledger.go
@@ -11,7 +11,7 @@
 	"maps"
 	"slices"
 
-	"frosttide/internal/workflow/book"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 // Op says what an entry does.
@@ -43,7 +43,7 @@
 	By  string `json:"by,omitempty"`  // the member at which an operator said it
 	Why string `json:"why,omitempty"` // what the operator said to it
 
-	Flow *book.Command `json:"flow,omitempty"`
+	Flow *statetable.Command `json:"flow,omitempty"`
 }
 
 // Valid returns why an entry can't be meant, nil where it can.
@@ -81,7 +81,7 @@
 	Out   map[string]Done  `json:"out"`   // runners that are left out, by uid, and by which entry
 	Last  []Done           `json:"last"`  // the last entries, the oldest first
 	Odd   uint64           `json:"odd"`   // entries that this build did not understand
-	Flows *book.Book       `json:"flows,omitempty"`
+	Flows *statetable.Book `json:"flows,omitempty"`
 	known map[string]*Done // Last by id
 }
 
@@ -128,7 +128,7 @@
 	switch d.Op {
 	case Flow:
 		if s.Flows == nil {
-			s.Flows = &book.Book{}
+			s.Flows = &statetable.Book{}
 		}
 		changed, no := s.Flows.Apply(d.Index, d.At, d.Flow)
 		if d.Changed = changed; no != nil {
--- a/internal/ledger/ledger_test.go
+++ b/internal/dispatcher/fleet/ledger/ledger_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 func entries() *rapid.Generator[Entry] {
--- a/internal/members/members.go
+++ b/internal/dispatcher/fleet/members/members.go
@@ -14,7 +14,7 @@
 	"sync"
 	"time"
 
-	"frosttide/internal/clusterport"
+	"frosttide/internal/dispatcher/fleet/clusterport"
 	"github.com/hashicorp/memberlist"
 	"github.com/sirupsen/logrus"
 )
--- a/internal/members/members_test.go
+++ b/internal/dispatcher/fleet/members/members_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/clusterport"
+	"frosttide/internal/dispatcher/fleet/clusterport"
 )
 
 const patience = 20 * time.Second
--- a/internal/members/transport.go
+++ b/internal/dispatcher/fleet/members/transport.go
@@ -7,7 +7,7 @@
 
 	"github.com/hashicorp/memberlist"
 
-	"frosttide/internal/clusterport"
+	"frosttide/internal/dispatcher/fleet/clusterport"
 )
 
 // transport lets memberlist use the port that the other uses share.
--- a/internal/quorum/disk.go
+++ b/internal/dispatcher/fleet/quorum/disk.go
@@ -17,7 +17,7 @@
 	"go.etcd.io/bbolt"
 	bolterrors "go.etcd.io/bbolt/errors"
 
-	"frosttide/internal/recovery"
+	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
 // Names in the folder of a member.
--- a/internal/quorum/form.go
+++ b/internal/dispatcher/fleet/quorum/form.go
@@ -11,8 +11,8 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/members"
-	"frosttide/internal/recovery"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
 func (q *Quorum) servers() []raft.Server {
--- a/internal/quorum/found.go
+++ b/internal/dispatcher/fleet/quorum/found.go
@@ -7,8 +7,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"frosttide/internal/ledger"
-	"frosttide/internal/recovery"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
 // judge tells how the log stands by what members that are alive say of themselves, and has
--- a/internal/quorum/machine.go
+++ b/internal/dispatcher/fleet/quorum/machine.go
@@ -9,8 +9,8 @@
 
 	"github.com/hashicorp/raft"
 
-	"frosttide/internal/ledger"
-	"frosttide/internal/workflow/book"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 // machine applies the log to the ledger. Raft calls it from one goroutine; State may be read
@@ -37,11 +37,11 @@
 }
 
 // flows shows the workflows.
-func (m *machine) flows(show func(*book.Book)) {
+func (m *machine) flows(show func(*statetable.Book)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state.Flows == nil {
-		m.state.Flows = &book.Book{}
+		m.state.Flows = &statetable.Book{}
 	}
 	show(m.state.Flows)
 }
--- a/internal/quorum/propose.go
+++ b/internal/dispatcher/fleet/quorum/propose.go
@@ -7,7 +7,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"frosttide/internal/ledger"
+	"frosttide/internal/dispatcher/fleet/ledger"
 )
 
 // Propose has an entry written by this member, which must lead. It returns once a majority
--- a/internal/quorum/quorum.go
+++ b/internal/dispatcher/fleet/quorum/quorum.go
@@ -18,10 +18,10 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/clusterport"
-	"frosttide/internal/ledger"
-	"frosttide/internal/members"
-	"frosttide/internal/workflow/book"
+	"frosttide/internal/dispatcher/fleet/clusterport"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 const (
@@ -240,7 +240,7 @@
 func (q *Quorum) State() ledger.State { return q.machine.read() }
 
 // Flows shows the workflows that the log has led to here; they must not be kept or changed.
-func (q *Quorum) Flows(show func(*book.Book)) { q.machine.flows(show) }
+func (q *Quorum) Flows(show func(*statetable.Book)) { q.machine.flows(show) }
 
 // Seen returns the last entry that State and Flows rest on.
 func (q *Quorum) Seen() uint64 {
--- a/internal/quorum/quorum_test.go
+++ b/internal/dispatcher/fleet/quorum/quorum_test.go
@@ -8,9 +8,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/clusterport"
-	"frosttide/internal/ledger"
-	"frosttide/internal/members"
+	"frosttide/internal/dispatcher/fleet/clusterport"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/members"
 )
 
 // told notes who was told to lead.
--- a/internal/quorum/recover.go
+++ b/internal/dispatcher/fleet/quorum/recover.go
@@ -8,7 +8,7 @@
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 
-	"frosttide/internal/ledger"
+	"frosttide/internal/dispatcher/fleet/ledger"
 )
 
 // Found is what a folder holds.
--- a/internal/quorum/stream.go
+++ b/internal/dispatcher/fleet/quorum/stream.go
@@ -12,7 +12,7 @@
 
 	"github.com/hashicorp/raft"
 
-	"frosttide/internal/clusterport"
+	"frosttide/internal/dispatcher/fleet/clusterport"
 )
 
 // A member's address in the log names the disk that it is meant for, too: DISK@HOST:PORT. The
--- a/internal/quorum/writes_test.go
+++ b/internal/dispatcher/fleet/quorum/writes_test.go
@@ -16,9 +16,9 @@
 	"github.com/hashicorp/raft"
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/clusterport"
-	"frosttide/internal/ledger"
-	"frosttide/internal/members"
+	"frosttide/internal/dispatcher/fleet/clusterport"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/members"
 )
 
 // errDisk stands for what a disk says that takes no write: ENOSPC, EIO, a failed sync.
--- a/internal/recovery/door/door.go
+++ b/internal/dispatcher/fleet/recovery/admission/door.go
@@ -1,8 +1,8 @@
-// Package door lets work in at a member that has just come back, as fast as what it sends out
+// Package admission lets work in at a member that has just come back, as fast as what it sends out
 // is served. It knows nothing yet of how full runners are, nor what others who came back with
 // it send; a window that grows with each job served, and halves when a runner turns one away,
 // finds out without anybody's queue running over. The package is pure: no I/O, no clock.
-package door
+package admission
 
 import "time"
 
--- a/internal/recovery/door/door_test.go
+++ b/internal/dispatcher/fleet/recovery/admission/door_test.go
@@ -1,4 +1,4 @@
-package door
+package admission
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestDoor walks a door from closed to wide.
--- a/internal/recovery/fleetclock/fleetclock_test.go
+++ b/internal/dispatcher/fleet/recovery/fleetclock/fleetclock_test.go
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestHeard has a clock put right by a majority, and never by one other alone.
--- a/internal/recovery/lost_test.go
+++ b/internal/dispatcher/fleet/recovery/lost_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestJudge has each way in which a fleet may stand at its start judged.
--- a/internal/recovery/sharers/sharers_test.go
+++ b/internal/dispatcher/fleet/recovery/sharers/sharers_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestCount shares by who may be at work.
--- a/internal/recovery/stage/stage_test.go
+++ b/internal/dispatcher/fleet/recovery/stage/stage_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestStep has each stage left by its evidence, or at its bound without, and the list never
--- a/internal/comeback/comeback_test.go
+++ b/internal/dispatcher/fleet/rejoin/comeback_test.go
@@ -1,4 +1,4 @@
-package comeback
+package rejoin
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/core"
-	"frosttide/internal/recovery/door"
-	"frosttide/internal/recovery/stage"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/recovery/admission"
+	"frosttide/internal/dispatcher/fleet/recovery/stage"
 )
 
 // member is the fleet, the core and the list of a member to which everything comes at once.
 type member struct {
 	t      *testing.T
 	mu     sync.Mutex
-	level  door.Level
+	level  admission.Level
 	keyed  bool
 	stages chan stage.Stage
 }
@@ -32,13 +32,13 @@
 	m.mu.Lock()
 	level, keyed := m.level, m.keyed
 	m.mu.Unlock()
-	if s.Rights().Keyed && !keyed || s.Rights().Admits == stage.All && level != door.Wide {
+	if s.Rights().Keyed && !keyed || s.Rights().Admits == stage.All && level != admission.Wide {
 		m.t.Errorf("it says that it is at %q, its core has a door at %v and keyed jobs %t", s, level, keyed)
 	}
 	m.stages <- s
 }
 
-func (m *member) Open(level door.Level, keyed bool, _, _ int) {
+func (m *member) Open(level admission.Level, keyed bool, _, _ int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.level, m.keyed = level, keyed
@@ -52,7 +52,7 @@
 // TestStageIsTrue guards clients of a member that has just come back: one that has heard of its
 // stage and sends it a keyed job must not be turned away because its core has not.
 func TestStageIsTrue(t *testing.T) {
-	m := &member{t: t, level: door.Closed, stages: make(chan stage.Stage, 16)}
+	m := &member{t: t, level: admission.Closed, stages: make(chan stage.Stage, 16)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	a := New(Config{Dispatchers: 3, Paced: true, Bounds: stage.Defaults()}, m, m, m, logrus.NewEntry(log))
--- a/internal/comeback/comeback.go
+++ b/internal/dispatcher/fleet/rejoin/rejoin.go
@@ -1,8 +1,8 @@
-// Package comeback is the actor that brings a dispatcher of a cluster back after its start, or
+// Package rejoin is the actor that brings a dispatcher of a cluster back after its start, or
 // after it stood still: it gathers evidence from the members, the log and the core, has the
 // stages (recovery/stage) decide, and has the core act by what the stage allows. What it
-// decides by is pure and stands in internal/recovery.
-package comeback
+// decides by is pure and stands in internal/dispatcher/fleet/recovery.
+package rejoin
 
 import (
 	"context"
@@ -11,11 +11,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/core"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/recovery/admission"
+	"frosttide/internal/dispatcher/fleet/recovery/sharers"
+	"frosttide/internal/dispatcher/fleet/recovery/stage"
 	"frosttide/internal/mailbox"
-	"frosttide/internal/recovery/door"
-	"frosttide/internal/recovery/sharers"
-	"frosttide/internal/recovery/stage"
 )
 
 // Fleet is what the member knows of the others. None of it may block for long.
@@ -40,7 +40,7 @@
 // Dispatcher is who comes back; the core does. None of it blocks.
 type Dispatcher interface {
 	// Open sets the door, by one who knows that it stood still so many times.
-	Open(level door.Level, keyed bool, first, stood int)
+	Open(level admission.Level, keyed bool, first, stood int)
 	Way(func(core.Way))
 	Share(count int)
 }
@@ -211,9 +211,9 @@
 		return
 	}
 	a.rights, a.again = r, false
-	level := map[stage.Admit]door.Level{stage.None: door.Closed, stage.Some: door.Ajar, stage.All: door.Wide}[r.Admits]
-	if level == door.Ajar && !a.cfg.Paced {
-		level = door.Wide
+	level := map[stage.Admit]admission.Level{stage.None: admission.Closed, stage.Some: admission.Ajar, stage.All: admission.Wide}[r.Admits]
+	if level == admission.Ajar && !a.cfg.Paced {
+		level = admission.Wide
 	}
 	a.to.Open(level, r.Keyed, slotsEach*a.way.Listed/max(a.cfg.Dispatchers, 1), a.stood)
 }
--- a/internal/replica/fate_test.go
+++ b/internal/dispatcher/fleet/replica/fate_test.go
@@ -5,7 +5,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestOneWriter has a copy that hears a process's words in any order, some twice, some never,
--- a/internal/workflow/duty/duty.go
+++ b/internal/dispatcher/fleet/workflow/assignment/assignment.go
@@ -1,13 +1,13 @@
-// Package duty chooses what a member does about workflows that are to be undone: which it
+// Package assignment chooses what a member does about workflows that are to be undone: which it
 // takes, which undo it runs next, and when. Members choose alike without a word, and whoever
 // is first in a workflow's order has a head start. The package is pure: no I/O, no clock.
-package duty
+package assignment
 
 import (
 	"cmp"
 	"slices"
 
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
 const (
--- a/internal/workflow/duty/duty_test.go
+++ b/internal/dispatcher/fleet/workflow/assignment/assignment_test.go
@@ -1,4 +1,4 @@
-package duty
+package assignment
 
 import (
 	"testing"
@@ -6,7 +6,7 @@
 	"github.com/google/go-cmp/cmp"
 	"github.com/google/go-cmp/cmp/cmpopts"
 
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
 // TestChoose has a member take what nobody has, oldest deadline first and later where it is not
--- a/internal/workflow/desk/desk.go
+++ b/internal/dispatcher/fleet/workflow/executor/executor.go
@@ -1,9 +1,9 @@
-// Package desk carries out what members agree on about workflows: it has their words written to
+// Package executor carries out what members agree on about workflows: it has their words written to
 // the log, takes those that are to be undone and that nobody has, and runs their undos through
 // the dispatcher as jobs. A goroutine for each duty, decide, send and store, joined by bounded
 // rings; none of them blocks the core. What is chosen is pure (workflow/duty), and what counts
 // is the log's alone (workflow/book).
-package desk
+package executor
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 	"sync/atomic"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/ledger"
-	"frosttide/internal/workflow/book"
-	"frosttide/internal/workflow/duty"
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/workflow/assignment"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 	"github.com/cespare/xxhash/v2"
 	"github.com/sirupsen/logrus"
 )
@@ -26,7 +26,7 @@
 type Log interface {
 	Propose(context.Context, ledger.Entry) (ledger.Done, error)
 	// Flows shows the book as far as it is known here; it must not be kept or changed.
-	Flows(func(*book.Book))
+	Flows(func(*statetable.Book))
 	// Seen is how far the book that is shown goes, as the index of an entry.
 	Seen() uint64
 	// Now is the members' time since 1970.
@@ -80,10 +80,10 @@
 	log   Log
 	jobs  Jobs
 	line  *logrus.Entry
-	words chan word      // to be written in batches
-	plans chan duty.Plan // what the store is to write; one, as the next look plans anew
-	ended chan ended     // undos that have ended
-	lost  atomic.Uint64  // words that found no room
+	words chan word            // to be written in batches
+	plans chan assignment.Plan // what the store is to write; one, as the next look plans anew
+	ended chan ended           // undos that have ended
+	lost  atomic.Uint64        // words that found no room
 	done  sync.WaitGroup
 	ran   atomic.Uint64
 	said  atomic.Pointer[said] // what a plan of ours came to last; nil for none
@@ -99,26 +99,26 @@
 // sayAgain is when a member whose copy does not come to what it has said plans by it all the same.
 // Guards the log against one whose copy stands still: it would say the same by its old book at each
 // look, 20 entries a second. And that one against a log that has begun anew.
-const sayAgain = duty.LeaseFor * time.Millisecond
+const sayAgain = assignment.LeaseFor * time.Millisecond
 
 // word is what became of a step, or of an undo.
 type word struct {
-	kind  book.Kind
+	kind  statetable.Kind
 	tries int // of the undo before
-	book.Word
+	statetable.Word
 }
 
 // ended is an undo that is under way no more.
 type ended struct {
 	id    string
-	after time.Duration // it was refused: not tried before
-	tries int           // failed ones, before it
-	wrote *book.Word    // what became of it is agreed on; nil where it is not
+	after time.Duration    // it was refused: not tried before
+	tries int              // failed ones, before it
+	wrote *statetable.Word // what became of it is agreed on; nil where it is not
 }
 
 // New makes a desk.
 func New(cfg Config, log Log, jobs Jobs, line *logrus.Entry) *Desk {
-	return &Desk{cfg: cfg, log: log, jobs: jobs, line: line, words: make(chan word, words), plans: make(chan duty.Plan, 1),
+	return &Desk{cfg: cfg, log: log, jobs: jobs, line: line, words: make(chan word, words), plans: make(chan assignment.Plan, 1),
 		ended: make(chan ended, cfg.AtOnce), begun: time.Now()}
 }
 
@@ -169,7 +169,7 @@
 		}
 		var live []*flow.Flow
 		now := d.log.Now().Milliseconds()
-		d.log.Flows(func(b *book.Book) {
+		d.log.Flows(func(b *statetable.Book) {
 			for _, f := range b.Live {
 				if f.Phase == flow.Undoing || f.Overdue(now) != "" {
 					live = append(live, f.Clone())
@@ -185,7 +185,7 @@
 		if len(live) == 0 {
 			continue
 		}
-		p := duty.Choose(live, d.cfg.Name, d.log.Rank, func(id string) bool { _, rests := later[id]; return under[id] || rests },
+		p := assignment.Choose(live, d.cfg.Name, d.log.Rank, func(id string) bool { _, rests := later[id]; return under[id] || rests },
 			d.cfg.AtOnce-len(under), batch, now)
 		for _, r := range p.Run {
 			if wrote[r.ID] == (mark{r.N, r.Fence, r.Tries}) {
@@ -224,7 +224,7 @@
 
 // send runs an undo as a job. Its key is the same over tries and members, so that its effect
 // comes once in its group and window whoever sends it.
-func (d *Desk) send(r duty.Run) {
+func (d *Desk) send(r assignment.Run) {
 	class, ok := d.cfg.Class(r.Undo.Class)
 	if !ok {
 		d.took(r, flow.Useless, fmt.Sprintf("there is no class %s", r.Undo.Class))
@@ -257,8 +257,8 @@
 	}))
 }
 
-func (d *Desk) took(r duty.Run, o flow.Outcome, why string) {
-	if !d.put(word{book.Took, r.Tries, book.Word{ID: r.ID, N: r.N, Fence: r.Fence, Outcome: o, Why: why}}) {
+func (d *Desk) took(r assignment.Run, o flow.Outcome, why string) {
+	if !d.put(word{statetable.Took, r.Tries, statetable.Word{ID: r.ID, N: r.N, Fence: r.Fence, Outcome: o, Why: why}}) {
 		d.ended <- ended{id: r.ID, after: rest}
 	}
 }
--- a/internal/workflow/desk/desk_test.go
+++ b/internal/dispatcher/fleet/workflow/executor/executor_test.go
@@ -1,4 +1,4 @@
-package desk
+package executor
 
 import (
 	"context"
@@ -8,15 +8,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/ledger"
-	"frosttide/internal/workflow/book"
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 // agreeing is a log that agrees to everything.
 type agreeing struct {
-	wrote chan *book.Command
-	book  *book.Book
+	wrote chan *statetable.Command
+	book  *statetable.Book
 	looks chan struct{}
 }
 
@@ -24,7 +24,7 @@
 	a.wrote <- e.Flow
 	return ledger.Done{Changed: true, Index: 9}, nil
 }
-func (a agreeing) Flows(show func(*book.Book)) {
+func (a agreeing) Flows(show func(*statetable.Book)) {
 	if a.book != nil {
 		show(a.book)
 	}
@@ -43,10 +43,10 @@
 func TestWordsOfOneFlow(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	a := agreeing{wrote: make(chan *book.Command, 2)}
+	a := agreeing{wrote: make(chan *statetable.Command, 2)}
 	d := New(Config{Name: "d1", AtOnce: 4}, a, nil, logrus.NewEntry(log))
-	took := word{book.Took, 3, book.Word{ID: "w", N: 2, Fence: 7, Outcome: flow.OK}}
-	if !d.put(took) || !d.put(word{kind: book.Settle, Word: book.Word{ID: "w", N: 1, State: flow.Never}}) {
+	took := word{statetable.Took, 3, statetable.Word{ID: "w", N: 2, Fence: 7, Outcome: flow.OK}}
+	if !d.put(took) || !d.put(word{kind: statetable.Settle, Word: statetable.Word{ID: "w", N: 1, State: flow.Never}}) {
 		t.Fatal("there is no room")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -68,13 +68,13 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	over := &flow.Flow{ID: "w", Phase: flow.Active, Deadline: 1, Lease: 1}
-	a := agreeing{make(chan *book.Command, 64), &book.Book{Live: map[string]*flow.Flow{"w": over}}, make(chan struct{})}
+	a := agreeing{make(chan *statetable.Command, 64), &statetable.Book{Live: map[string]*flow.Flow{"w": over}}, make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	d := New(Config{Name: "d1", AtOnce: 4}, a, nil, logrus.NewEntry(log))
 	go d.Run(ctx)
 	<-a.looks
-	if c := <-a.wrote; c.Kind != book.Expire {
+	if c := <-a.wrote; c.Kind != statetable.Expire {
 		t.Fatalf("it said %s", c.Kind)
 	}
 	for range 2 { // a look may be under way while the word is written
--- a/internal/workflow/desk/places.go
+++ b/internal/dispatcher/fleet/workflow/executor/places.go
@@ -1,22 +1,22 @@
-package desk
+package executor
 
 import (
 	"context"
 	"sync"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/ledger"
-	"frosttide/internal/workflow/book"
-	"frosttide/internal/workflow/duty"
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/workflow/assignment"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 // places has agreed on where one undo goes before it is sent there. It is the job's: there are no
 // more of them than undos under way.
 type places struct {
 	d   *Desk
-	run duty.Run
+	run assignment.Run
 	by  time.Time // the job's own time
 
 	mu   sync.Mutex
@@ -50,7 +50,7 @@
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), by)
 		defer cancel()
-		done, err := p.d.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: p.run.ID, Flow: &book.Command{Kind: book.Goes, ID: p.run.ID, N: p.run.N, Fence: p.run.Fence,
+		done, err := p.d.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: p.run.ID, Flow: &statetable.Command{Kind: statetable.Goes, ID: p.run.ID, N: p.run.N, Fence: p.run.Fence,
 			Place: flow.Place{Zone: group.Zone, Cell: group.Cell, Until: (p.d.log.Now() + left).Milliseconds()}}})
 		agreed := err == nil && done.Refused == ""
 		if agreed {
@@ -70,6 +70,6 @@
 	delete(p.went, group)
 	p.mu.Unlock()
 	if entry > 0 {
-		p.d.put(word{kind: book.Stays, Word: book.Word{ID: p.run.ID, N: p.run.N, Fence: p.run.Fence, Entry: entry}})
+		p.d.put(word{kind: statetable.Stays, Word: statetable.Word{ID: p.run.ID, N: p.run.N, Fence: p.run.Fence, Entry: entry}})
 	}
 }
--- a/internal/workflow/desk/store.go
+++ b/internal/dispatcher/fleet/workflow/executor/store.go
@@ -1,12 +1,12 @@
-package desk
+package executor
 
 import (
 	"context"
 	"time"
 
-	"frosttide/internal/ledger"
-	"frosttide/internal/workflow/book"
-	"frosttide/internal/workflow/duty"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/workflow/assignment"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 // storePlans has what was chosen written.
@@ -16,22 +16,22 @@
 		case <-ctx.Done():
 			return
 		case p := <-d.plans:
-			d.say(ctx, book.Expire, p.Expire)
-			d.say(ctx, book.Take, p.Take)
+			d.say(ctx, statetable.Expire, p.Expire)
+			d.say(ctx, statetable.Take, p.Take)
 		}
 	}
 }
 
-func (d *Desk) say(ctx context.Context, kind book.Kind, ids []string) {
+func (d *Desk) say(ctx context.Context, kind statetable.Kind, ids []string) {
 	if len(ids) == 0 {
 		return
 	}
-	c := &book.Command{Kind: kind}
-	if kind == book.Take {
-		c.By, c.Until = d.cfg.Name, d.log.Now().Milliseconds()+duty.LeaseFor
+	c := &statetable.Command{Kind: kind}
+	if kind == statetable.Take {
+		c.By, c.Until = d.cfg.Name, d.log.Now().Milliseconds()+assignment.LeaseFor
 	}
 	for _, id := range ids {
-		c.Words = append(c.Words, book.Word{ID: id})
+		c.Words = append(c.Words, statetable.Word{ID: id})
 	}
 	if index := d.write(ctx, c); index > 0 {
 		d.said.Store(&said{index, time.Now()})
@@ -39,7 +39,7 @@
 }
 
 // write has a command agreed on and returns the index of its entry, 0 where nobody knows.
-func (d *Desk) write(ctx context.Context, c *book.Command) (index uint64) {
+func (d *Desk) write(ctx context.Context, c *statetable.Command) (index uint64) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(writeTime))
 	defer cancel()
 	done, err := d.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, Flow: c})
@@ -59,7 +59,7 @@
 			return
 		case first = <-d.words:
 		}
-		by := map[book.Kind][]word{first.kind: {first}}
+		by := map[statetable.Kind][]word{first.kind: {first}}
 		wait := time.NewTimer(wordsWait)
 	gather:
 		for n := 1; n < batch; n++ {
@@ -72,12 +72,12 @@
 		}
 		wait.Stop()
 		for kind, list := range by {
-			c := &book.Command{Kind: kind}
+			c := &statetable.Command{Kind: kind}
 			for _, w := range list {
 				c.Words = append(c.Words, w.Word)
 			}
 			agreed := d.write(ctx, c) > 0
-			if kind != book.Took {
+			if kind != statetable.Took {
 				continue
 			}
 			for _, w := range list {
--- a/internal/workflow/front/front.go
+++ b/internal/dispatcher/fleet/workflow/front/front.go
@@ -16,10 +16,10 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/workflow/book"
-	"frosttide/internal/workflow/desk"
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/workflow/executor"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 // The headers of a job that is a step.
@@ -42,7 +42,7 @@
 )
 
 // Desk is whoever carries workflows out; nil where there are none.
-type Desk func() *desk.Desk
+type Desk func() *executor.Desk
 
 // call is what a client or an operator says.
 type call struct {
@@ -60,24 +60,24 @@
 // /api/workflow/WORD with WORD one of begin, step, commit, undo, touch, skip, again, give-up.
 func Handler(of Desk, now func() time.Duration) http.Handler {
 	mux := http.NewServeMux()
-	with := func(do func(http.ResponseWriter, *http.Request, *desk.Desk)) http.HandlerFunc {
+	with := func(do func(http.ResponseWriter, *http.Request, *executor.Desk)) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if d := of(); d != nil {
 				do(w, r, d)
 				return
 			}
-			http.Error(w, desk.ErrOff.Error(), http.StatusServiceUnavailable)
+			http.Error(w, executor.ErrOff.Error(), http.StatusServiceUnavailable)
 		}
 	}
 	mux.HandleFunc("GET /api/workflow", with(list))
 	mux.HandleFunc("GET /api/workflow/{id}", with(show))
-	for _, word := range []book.Kind{book.Begin, book.Step, book.Commit, book.Undo, book.Touch, book.Skip, book.Again, book.GiveUp} {
-		mux.HandleFunc("POST /api/workflow/"+string(word), with(func(w http.ResponseWriter, r *http.Request, d *desk.Desk) { said(w, r, d, word, now()) }))
+	for _, word := range []statetable.Kind{statetable.Begin, statetable.Step, statetable.Commit, statetable.Undo, statetable.Touch, statetable.Skip, statetable.Again, statetable.GiveUp} {
+		mux.HandleFunc("POST /api/workflow/"+string(word), with(func(w http.ResponseWriter, r *http.Request, d *executor.Desk) { said(w, r, d, word, now()) }))
 	}
 	return mux
 }
 
-func said(w http.ResponseWriter, r *http.Request, d *desk.Desk, word book.Kind, now time.Duration) {
+func said(w http.ResponseWriter, r *http.Request, d *executor.Desk, word statetable.Kind, now time.Duration) {
 	var c call
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCall))
 	var large *http.MaxBytesError
@@ -94,7 +94,7 @@
 	}
 	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(answerWithin))
 	defer cancel()
-	if word == book.Step {
+	if word == statetable.Step {
 		if c.Undo == nil {
 			answer(w, flow.No(flow.Bad, "the undo of step %d is missing", c.Step))
 			return
@@ -103,10 +103,10 @@
 		return
 	}
 	n := c.Step
-	if word == book.Commit {
+	if word == statetable.Commit {
 		n = c.Steps
 	}
-	answer(w, d.Do(ctx, &book.Command{Kind: word, ID: c.ID, N: n, Why: c.Why, LeaseFor: c.LeaseMS, Tries: c.UndoTries, Deadline: now.Milliseconds() + c.DeadlineMS}))
+	answer(w, d.Do(ctx, &statetable.Command{Kind: word, ID: c.ID, N: n, Why: c.Why, LeaseFor: c.LeaseMS, Tries: c.UndoTries, Deadline: now.Milliseconds() + c.DeadlineMS}))
 }
 
 // status is a refusal's.
@@ -131,7 +131,7 @@
 	Next int `json:"next,omitempty"` // the step whose undo is next, where it is undone
 }
 
-func show(w http.ResponseWriter, r *http.Request, d *desk.Desk) {
+func show(w http.ResponseWriter, r *http.Request, d *executor.Desk) {
 	f := d.Find(r.PathValue("id"))
 	if f == nil {
 		answer(w, flow.No(flow.Unknown, "there is no workflow %s", r.PathValue("id")))
@@ -164,7 +164,7 @@
 	Why      string     `json:"why,omitempty"`
 }
 
-func list(w http.ResponseWriter, _ *http.Request, d *desk.Desk) {
+func list(w http.ResponseWriter, _ *http.Request, d *executor.Desk) {
 	live, over, bytes := d.List()
 	out := listing{Live: len(live), Ended: over, Bytes: bytes, Lost: d.Lost(), Ran: d.Ran(), By: map[flow.Phase]int{}, Some: []row{}}
 	slices.SortFunc(live, func(a, b *flow.Flow) int {
@@ -198,12 +198,12 @@
 	if id == "" {
 		return 0, "", nil
 	}
-	var d *desk.Desk
+	var d *executor.Desk
 	if s.Of != nil {
 		d = s.Of()
 	}
 	if d == nil {
-		return http.StatusServiceUnavailable, desk.ErrOff.Error(), nil
+		return http.StatusServiceUnavailable, executor.ErrOff.Error(), nil
 	}
 	n, u, err := parse(h)
 	if err == nil {
--- a/internal/workflow/front/front_test.go
+++ b/internal/dispatcher/fleet/workflow/front/front_test.go
@@ -11,18 +11,18 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/ledger"
-	"frosttide/internal/workflow/book"
-	"frosttide/internal/workflow/desk"
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/workflow/executor"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 // log is one of a single member: what is said is agreed on at once.
 type log struct {
 	mu    sync.Mutex
 	index uint64
-	book  book.Book
+	book  statetable.Book
 }
 
 func (l *log) Propose(_ context.Context, e ledger.Entry) (ledger.Done, error) {
@@ -37,7 +37,7 @@
 	return d, nil
 }
 
-func (l *log) Flows(show func(*book.Book)) {
+func (l *log) Flows(show func(*statetable.Book)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	show(&l.book)
@@ -51,10 +51,10 @@
 // taken in.
 func TestCalls(t *testing.T) {
 	l := &log{}
-	d := desk.New(desk.Config{Name: "m", AtOnce: 1, Class: func(name string) (desk.Class, bool) {
-		return desk.Class{Unsafe: name == "once"}, name == "once" || name == "release"
+	d := executor.New(executor.Config{Name: "m", AtOnce: 1, Class: func(name string) (executor.Class, bool) {
+		return executor.Class{Unsafe: name == "once"}, name == "once" || name == "release"
 	}}, l, nil, nil)
-	h := Handler(func() *desk.Desk { return d }, l.Now)
+	h := Handler(func() *executor.Desk { return d }, l.Now)
 	call := func(method, path, body string) (int, string) {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
@@ -92,7 +92,7 @@
 	if code, text := call("GET", "/api/workflow", ""); code != 200 || !strings.Contains(text, `"ended":1`) {
 		t.Errorf("list: %d %s", code, text)
 	}
-	none := Handler(func() *desk.Desk { return nil }, l.Now)
+	none := Handler(func() *executor.Desk { return nil }, l.Now)
 	w := httptest.NewRecorder()
 	none.ServeHTTP(w, httptest.NewRequest("GET", "/api/workflow", nil))
 	if w.Code != 503 || !strings.Contains(w.Body.String(), "[cluster]") {
@@ -110,11 +110,11 @@
 // TestStep has a job's headers registered before it is sent, and its verdict settle it.
 func TestStep(t *testing.T) {
 	l := &log{}
-	d := desk.New(desk.Config{Name: "m", AtOnce: 1, Class: func(string) (desk.Class, bool) { return desk.Class{}, true }}, l, nil, nil)
+	d := executor.New(executor.Config{Name: "m", AtOnce: 1, Class: func(string) (executor.Class, bool) { return executor.Class{}, true }}, l, nil, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go d.Run(ctx)
-	l.book.Apply(1, l.Now().Milliseconds(), &book.Command{Kind: book.Begin, ID: "w", Deadline: l.Now().Milliseconds() + 60_000, LeaseFor: 60_000})
+	l.book.Apply(1, l.Now().Milliseconds(), &statetable.Command{Kind: statetable.Begin, ID: "w", Deadline: l.Now().Milliseconds() + 60_000, LeaseFor: 60_000})
 	undo := base64.StdEncoding.EncodeToString([]byte(`{"class":"release","path":"/x"}`))
 	for _, tc := range []struct {
 		step, undo string
@@ -124,7 +124,7 @@
 		h.Set(HeaderFlow, "w")
 		h.Set(HeaderStep, tc.step)
 		h.Set(HeaderUndo, tc.undo)
-		code, text, settled := Steps{Of: func() *desk.Desk { return d }}.Begin(ctx, h, time.Now().Add(time.Second))
+		code, text, settled := Steps{Of: func() *executor.Desk { return d }}.Begin(ctx, h, time.Now().Add(time.Second))
 		if code != tc.want || (settled != nil) != (code == 0) {
 			t.Errorf("step %q, undo %q: %d %s", tc.step, tc.undo, code, text)
 		}
--- a/internal/workflow/book/book.go
+++ b/internal/dispatcher/fleet/workflow/statetable/statetable.go
@@ -1,14 +1,14 @@
-// Package book is all workflows that a cluster's members agree on: each entry of the log is a
+// Package statetable is all workflows that a cluster's members agree on: each entry of the log is a
 // command, and equal commands in the same order lead to equal books. It bounds what they take.
 // It does no I/O and reads no clock.
-package book
+package statetable
 
 import (
 	"cmp"
 	"encoding/json"
 	"slices"
 
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
 // The bounds of a book.
--- a/internal/workflow/book/book_test.go
+++ b/internal/dispatcher/fleet/workflow/statetable/statetable_test.go
@@ -1,4 +1,4 @@
-package book
+package statetable
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 func undoOf(n int) *flow.Undo {
--- a/internal/gearman/clients.go
+++ b/internal/dispatcher/gearman/clients.go
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/gearman/proto"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/gearman/proto"
 )
 
 // job is a client's job from its submission until the core has answered. Clients that
--- a/internal/gearman/peer_test.go
+++ b/internal/dispatcher/gearman/peer_test.go
@@ -6,8 +6,8 @@
 
 	"pgregory.net/rapid"
 
-	"frosttide/internal/gearman/proto"
-	_ "frosttide/internal/standin/fixeddraws"
+	"frosttide/internal/dispatcher/gearman/proto"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // raw is a worker's connection.
--- a/internal/gearman/proto/packet_test.go
+++ b/internal/dispatcher/gearman/proto/packet_test.go
@@ -12,7 +12,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // read reads a stream to its end.
--- a/internal/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -19,9 +19,9 @@
 	"golang.org/x/sys/unix"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/trace"
 	"frosttide/internal/mailbox"
-	"frosttide/internal/trace"
 )
 
 // Core takes what clients and workers say. None of its methods blocks.
--- a/internal/gearman/session.go
+++ b/internal/dispatcher/gearman/session.go
@@ -9,8 +9,8 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/gearman/proto"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/gearman/proto"
 	"frosttide/internal/mailbox"
 )
 
--- a/internal/gearman/session_test.go
+++ b/internal/dispatcher/gearman/session_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/gearman/proto"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/gearman/proto"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // ledger plays the core: it notes how each hop ends.
--- a/internal/gearman/workers.go
+++ b/internal/dispatcher/gearman/workers.go
@@ -12,8 +12,8 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/gearman/proto"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/gearman/proto"
 )
 
 const (
--- a/internal/ingress/callbacks.go
+++ b/internal/dispatcher/ingress/callbacks.go
@@ -5,8 +5,8 @@
 	"net/http"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/loadreport"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/loadreport"
 )
 
 var states = map[string]core.JobState{"started": core.JobStarted, "running": core.JobRunning, "done": core.JobDone,
--- a/internal/ingress/conn.go
+++ b/internal/dispatcher/ingress/conn.go
@@ -9,7 +9,7 @@
 	"syscall"
 	"time"
 
-	"frosttide/internal/core"
+	"frosttide/internal/dispatcher/core"
 )
 
 // conn is a connection of the ingress. Its place is given back when it is closed.
--- a/internal/ingress/door.go
+++ b/internal/dispatcher/ingress/door.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 	"time"
 
-	"frosttide/internal/core"
+	"frosttide/internal/dispatcher/core"
 )
 
 // door is the listener of the ingress and the owner of its connections. It takes
--- a/internal/ingress/handle.go
+++ b/internal/dispatcher/ingress/handle.go
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // handle sends a request to its part. There is no http.ServeMux, as it would
--- a/internal/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -15,9 +15,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/core"
-	"frosttide/internal/neterr"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/neterr"
+	"frosttide/internal/dispatcher/trace"
 )
 
 const (
--- a/internal/ingress/jobs.go
+++ b/internal/dispatcher/ingress/jobs.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/monotime"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/monotime"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // exchange is the client's side of one job: a mailbox for its one answer.
--- a/internal/ingress/parse.go
+++ b/internal/dispatcher/ingress/parse.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/core"
+	"frosttide/internal/dispatcher/core"
 )
 
 // parse reads a job's headers. A size hint that is no number is passed over, as it is
--- a/internal/ingress/parse_test.go
+++ b/internal/dispatcher/ingress/parse_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/core"
-	"frosttide/internal/monotime"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/monotime"
 )
 
 // TestTenant guards the shares: a job is its tenant's by name, as the settings in force have
--- a/internal/ingress/story.go
+++ b/internal/dispatcher/ingress/story.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // story begins the story of a job; nil where nothing is recorded, and then nothing else
--- a/internal/measures/measures.go
+++ b/internal/dispatcher/measures/measures.go
@@ -17,7 +17,7 @@
 	"go.opentelemetry.io/otel/sdk/resource"
 	oteltrace "go.opentelemetry.io/otel/trace"
 
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/trace"
 )
 
 const (
--- a/internal/otlp/traces.go
+++ b/internal/dispatcher/otlp/traces.go
@@ -16,7 +16,7 @@
 	resourcepb "go.opentelemetry.io/proto/otlp/resource/v1"
 	tracepb "go.opentelemetry.io/proto/otlp/trace/v1"
 
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // scope names who made the spans and figures.
--- a/internal/roster/lists.go
+++ b/internal/dispatcher/roster/lists.go
@@ -6,9 +6,9 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/rosterstore"
-	"frosttide/internal/trust"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/rosterpolicy"
+	"frosttide/internal/dispatcher/rosterstore"
 )
 
 // ---- What discovery says ----
@@ -92,7 +92,7 @@
 	known, lacks := 0, 0
 	for uid := range r.routes {
 		if r.book != nil && r.entries[uid] != nil {
-			if s, _, _ := r.book.Standing(uid); s == trust.Rejected {
+			if s, _, _ := r.book.Standing(uid); s == rosterpolicy.Rejected {
 				continue // nothing is lost with it
 			}
 		}
@@ -102,7 +102,7 @@
 		}
 	}
 	r.answered = r.now
-	if r.lists.Whole(r.now, known, lacks) == trust.Doubted {
+	if r.lists.Whole(r.now, known, lacks) == rosterpolicy.Doubted {
 		r.log.WithFields(logrus.Fields{"listed": len(routes), "known": known, "lacks": lacks}).
 			Warn("discovery's list lacks most of what is known; it only adds until it is confirmed")
 		r.doubted, r.lookAt = named, r.now+secondLook
@@ -200,9 +200,9 @@
 
 // HopEnded takes how a hop at a runner ended.
 func (r *Roster) HopEnded(uid string, o decision.Outcome) {
-	e, says := map[decision.Outcome]trust.Evidence{decision.Served: trust.Started, decision.Errored: trust.Busy,
-		decision.Rejected: trust.Busy, decision.TimedOut: trust.Silent, decision.ConnectFailed: trust.Refused,
-		decision.ConnReset: trust.Broken}[o]
+	e, says := map[decision.Outcome]rosterpolicy.Evidence{decision.Served: rosterpolicy.Started, decision.Errored: rosterpolicy.Busy,
+		decision.Rejected: rosterpolicy.Busy, decision.TimedOut: rosterpolicy.Silent, decision.ConnectFailed: rosterpolicy.Refused,
+		decision.ConnReset: rosterpolicy.Broken}[o]
 	if says {
 		r.box.Put(func(r *Roster) { r.hear(uid, e) })
 	}
@@ -210,12 +210,12 @@
 
 // JobStarted takes that a runner has told, by its own name, that a job runs.
 func (r *Roster) JobStarted(uid string) {
-	r.box.Put(func(r *Roster) { r.hear(uid, trust.Started) })
+	r.box.Put(func(r *Roster) { r.hear(uid, rosterpolicy.Started) })
 }
 
 // Stranger takes that a job sent to a runner was reported on by another name.
 func (r *Roster) Stranger(uid string) {
-	r.box.Put(func(r *Roster) { r.hear(uid, trust.Impostor) })
+	r.box.Put(func(r *Roster) { r.hear(uid, rosterpolicy.Impostor) })
 }
 
 // Excluded takes that operators have left a runner out, or put it back.
--- a/internal/roster/prober.go
+++ b/internal/dispatcher/roster/prober.go
@@ -10,7 +10,7 @@
 	"syscall"
 	"time"
 
-	"frosttide/internal/trust"
+	"frosttide/internal/dispatcher/rosterpolicy"
 )
 
 // Sockets is how many descriptors the asking takes at most, and the state's files.
@@ -30,7 +30,7 @@
 func NewAsker(probes bool) *Asker { return &Asker{probes: probes} }
 
 // Ask asks a runner in the background.
-func (a *Asker) Ask(addr string, by time.Time, found func(trust.Evidence)) {
+func (a *Asker) Ask(addr string, by time.Time, found func(rosterpolicy.Evidence)) {
 	go func() {
 		ctx, cancel := context.WithDeadline(context.Background(), by)
 		defer cancel()
@@ -38,14 +38,14 @@
 	}()
 }
 
-func (a *Asker) ask(ctx context.Context, addr string) trust.Evidence {
+func (a *Asker) ask(ctx context.Context, addr string) rosterpolicy.Evidence {
 	if !a.probes {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		if err != nil {
 			return evidence(err)
 		}
 		c.Close()
-		return trust.Connected
+		return rosterpolicy.Connected
 	}
 	// One connection for both, so that a runner pays for one.
 	client := &http.Transport{MaxConnsPerHost: 1, MaxResponseHeaderBytes: 16 << 10, DisableCompression: true}
@@ -55,18 +55,18 @@
 	case err != nil:
 		return evidence(err)
 	case status == http.StatusServiceUnavailable:
-		return trust.Busy
+		return rosterpolicy.Busy
 	case status != http.StatusOK:
-		return trust.Impostor
+		return rosterpolicy.Impostor
 	}
 	status, err = get(ctx, client, "http://"+addr+"/jobs")
 	switch {
 	case err != nil:
 		return evidence(err)
 	case status/100 != 4:
-		return trust.Impostor
+		return rosterpolicy.Impostor
 	}
-	return trust.Answered
+	return rosterpolicy.Answered
 }
 
 func get(ctx context.Context, client *http.Transport, url string) (int, error) {
@@ -84,16 +84,16 @@
 }
 
 // evidence tells what a failed call says.
-func evidence(err error) trust.Evidence {
+func evidence(err error) rosterpolicy.Evidence {
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return trust.Refused
+		return rosterpolicy.Refused
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, os.ErrDeadlineExceeded):
-		return trust.Silent
+		return rosterpolicy.Silent
 	}
 	var late net.Error
 	if errors.As(err, &late) && late.Timeout() {
-		return trust.Silent
+		return rosterpolicy.Silent
 	}
-	return trust.Broken
+	return rosterpolicy.Broken
 }
--- a/internal/roster/roster.go
+++ b/internal/dispatcher/roster/roster.go
@@ -13,11 +13,11 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/monotime"
+	"frosttide/internal/dispatcher/rosterpolicy"
+	"frosttide/internal/dispatcher/rosterstore"
 	"frosttide/internal/mailbox"
-	"frosttide/internal/monotime"
-	"frosttide/internal/rosterstore"
-	"frosttide/internal/trust"
 )
 
 // Core takes the list as it is to be used. None of its methods blocks.
@@ -37,13 +37,13 @@
 
 // Prober asks a runner how it is, by a deadline, and tells what it found. It does not block.
 type Prober interface {
-	Ask(addr string, by time.Time, found func(trust.Evidence))
+	Ask(addr string, by time.Time, found func(rosterpolicy.Evidence))
 }
 
 // Config holds the figures.
 type Config struct {
 	Name   string
-	Trust  trust.Config
+	Trust  rosterpolicy.Config
 	Every  time.Duration // least time between two generations
 	Answer time.Duration // a runner that is asked has so long to answer
 	// Classes returns the classes' names by their numbers; any goroutine may call it.
@@ -81,8 +81,8 @@
 
 	now      time.Duration
 	began    bool // Begin is over: what the table tells is discovery's word
-	book     *trust.Book
-	lists    *trust.Lists
+	book     *rosterpolicy.Book
+	lists    *rosterpolicy.Lists
 	routes   map[string]core.Route      // as discovery, or the stored list, has them
 	entries  map[string]json.RawMessage // of the stored list, for those that are in the book
 	voiced   map[string]voice           // who last spoke for a runner
@@ -109,7 +109,7 @@
 	r := &Roster{cfg: cfg, core: c, table: t, probe: p, writer: w, parse: parse, log: log, box: mailbox.New[func(*Roster)](),
 		start: time.Now(), epoch: monotime.Wall(), routes: map[string]core.Route{}, entries: map[string]json.RawMessage{}, voiced: map[string]voice{},
 		cold: map[string]time.Duration{}}
-	r.lists = trust.NewLists(cfg.Trust, false)
+	r.lists = rosterpolicy.NewLists(cfg.Trust, false)
 	r.status.Store(&Status{})
 	return r
 }
@@ -134,7 +134,7 @@
 	for _, uid := range s.Excluded {
 		out[uid] = true
 	}
-	var stored []trust.Stored
+	var stored []rosterpolicy.Stored
 	for _, n := range s.Nodes {
 		route, err := r.parse(n.Entry)
 		if err != nil || route.UID != n.UID || r.routes[n.UID].UID != "" {
@@ -145,7 +145,7 @@
 			continue
 		}
 		r.routes[n.UID], r.entries[n.UID], r.voiced[n.UID] = route, n.Entry, voice{n.Confirmed, n.By}
-		stored = append(stored, trust.Stored{UID: n.UID, Addr: route.Addr, Zone: route.ZoneName, Confirmed: n.Confirmed,
+		stored = append(stored, rosterpolicy.Stored{UID: n.UID, Addr: route.Addr, Zone: route.ZoneName, Confirmed: n.Confirmed,
 			Barred: route.State == decision.Draining || out[n.UID], Failing: snapshot.Health[n.UID].Failed, ColdFrom: n.ColdFrom})
 	}
 	r.answered = s.Answered
@@ -153,8 +153,8 @@
 	if gap := r.now - s.Saved; s.Ended && gap > 0 { // false where the clock went back
 		of.Planned = gap
 	}
-	r.book = trust.New(of, r.now, stored, seed)
-	r.lists = trust.NewLists(r.cfg.Trust, true)
+	r.book = rosterpolicy.New(of, r.now, stored, seed)
+	r.lists = rosterpolicy.NewLists(r.cfg.Trust, true)
 	r.lists.Failed(r.now)
 	r.log.WithFields(logrus.Fields{"runners": len(stored), "age": (r.now - s.Answered).Round(time.Second).String()}).
 		Warn("serving from a stored list until discovery answers")
@@ -243,7 +243,7 @@
 // ask asks a runner of the book; its answer comes to the mailbox.
 func (r *Roster) ask(uid string) {
 	r.asking++
-	r.probe.Ask(r.routes[uid].Addr, time.Now().Add(r.cfg.Answer), func(e trust.Evidence) {
+	r.probe.Ask(r.routes[uid].Addr, time.Now().Add(r.cfg.Answer), func(e rosterpolicy.Evidence) {
 		r.box.Put(func(r *Roster) {
 			r.asking--
 			r.hear(uid, e)
@@ -252,8 +252,8 @@
 }
 
 // hear takes in what was found of a runner.
-func (r *Roster) hear(uid string, e trust.Evidence) {
-	if e.Good() && r.routes[uid].UID != "" && e == trust.Started {
+func (r *Roster) hear(uid string, e rosterpolicy.Evidence) {
+	if e.Good() && r.routes[uid].UID != "" && e == rosterpolicy.Started {
 		r.voiced[uid] = voice{r.now, rosterstore.ByRunner}
 	}
 	if r.book == nil || !r.book.Hear(r.now, uid, e) {
@@ -281,13 +281,13 @@
 	standing, from, _ := r.book.Standing(uid)
 	delete(r.cold, uid)
 	switch standing {
-	case trust.Used:
+	case rosterpolicy.Used:
 		route.StartedAt = max(route.StartedAt, from)
 		if r.book.Owned(uid) {
 			route.Returned, route.Sharers = true, r.book.Share()
 		}
 		r.cold[uid] = route.StartedAt
-	case trust.Barred, trust.Withheld, trust.Waiting:
+	case rosterpolicy.Barred, rosterpolicy.Withheld, rosterpolicy.Waiting:
 		route.State, route.Withheld = decision.Draining, true
 	default:
 		route.State = decision.Removed
--- a/internal/roster/roster_test.go
+++ b/internal/dispatcher/roster/roster_test.go
@@ -11,16 +11,16 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/rosterstore"
-	"frosttide/internal/trust"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/rosterpolicy"
+	"frosttide/internal/dispatcher/rosterstore"
 )
 
 // BenchmarkSave measures what writing the state costs at 2,000 runners: gathering, which
 // the actor does, and packing, which the writer's goroutine does.
 func BenchmarkSave(b *testing.B) {
 	r := New(Config{Name: "n0", Classes: func() []string { return []string{"cut"} }}, nil, nil, nil, nil, nil, nil)
-	r.lists = trust.NewLists(r.cfg.Trust, false)
+	r.lists = rosterpolicy.NewLists(r.cfg.Trust, false)
 	known := core.Snapshot{Health: map[string]decision.Health{}, Runs: []time.Duration{time.Second}}
 	var entries []string
 	for i := range 2000 {
@@ -73,7 +73,7 @@
 	parse := func([]byte) (core.Route, error) {
 		return core.Route{UID: "s-1", Addr: "a", Member: decision.Member{State: decision.Ready}}, nil
 	}
-	r := New(Config{Trust: trust.Config{Fresh: time.Hour, Old: time.Hour, Max: time.Hour}}, &l, nil, nil, nil, parse, logrus.NewEntry(log))
+	r := New(Config{Trust: rosterpolicy.Config{Fresh: time.Hour, Old: time.Hour, Max: time.Hour}}, &l, nil, nil, nil, parse, logrus.NewEntry(log))
 	now := r.clock()
 	r.Begin(&rosterstore.Snapshot{Saved: now, Answered: now, Nodes: []rosterstore.Node{{UID: "s-1", Entry: json.RawMessage(`{}`), Confirmed: now, By: rosterstore.ByList}}}, 1)
 	r.ListReplaced([]core.Route{{UID: "s-2", Addr: "b", Member: decision.Member{State: decision.Ready}}}) // the platform's
--- a/internal/roster/save.go
+++ b/internal/dispatcher/roster/save.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/core"
-	"frosttide/internal/rosterstore"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/rosterstore"
 )
 
 // save gathers the state from the table and the core, which answer from their mailboxes,
--- a/internal/trust/lists.go
+++ b/internal/dispatcher/rosterpolicy/lists.go
@@ -1,4 +1,4 @@
-package trust
+package rosterpolicy
 
 import "time"
 
--- a/internal/trust/trust.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy.go
@@ -1,8 +1,8 @@
-// Package trust decides what may be used of a list that nobody confirms: which runners of
+// Package rosterpolicy decides what may be used of a list that nobody confirms: which runners of
 // a stored list get work, from when on they count as cold, whom to ask first, and whether
 // a list that discovery gives after an outage is believed. It does no I/O and reads no
 // clock; equal calls lead to equal answers.
-package trust
+package rosterpolicy
 
 import (
 	"cmp"
--- a/internal/trust/trust_test.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy_test.go
@@ -1,4 +1,4 @@
-package trust
+package rosterpolicy
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 var bounds = Config{Fresh: 2 * time.Minute, Old: time.Hour, Max: 24 * time.Hour, Zone: "a", Rate: 100, Dispatchers: 1, Warm: 23 * time.Second,
--- a/internal/rosterstore/rosterstore_test.go
+++ b/internal/dispatcher/rosterstore/rosterstore_test.go
@@ -23,7 +23,7 @@
 	"github.com/sirupsen/logrus"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // sample is a snapshot all of whose parts tell its number, so that a mixture shows.
--- a/internal/routetable/calls.go
+++ b/internal/dispatcher/routetable/calls.go
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/freshness"
-	"frosttide/internal/routetable/stream"
+	"frosttide/decision/freshness"
+	"frosttide/internal/dispatcher/routetable/stream"
 )
 
 var (
--- a/internal/routetable/hearsay.go
+++ b/internal/dispatcher/routetable/hearsay.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
+	"frosttide/internal/dispatcher/core"
 )
 
 // Telling is what this dispatcher's discovery has told.
--- a/internal/routetable/list.go
+++ b/internal/dispatcher/routetable/list.go
@@ -11,8 +11,8 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/routetable/stream"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/routetable/stream"
 )
 
 // list is one object of discovery's answers.
--- a/internal/routetable/older.go
+++ b/internal/dispatcher/routetable/older.go
@@ -5,8 +5,8 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/freshness"
+	"frosttide/decision/freshness"
+	"frosttide/internal/dispatcher/core"
 )
 
 // A discovery that a reload names may lag behind the one before: its first lists are older, and
--- a/internal/routetable/routetable.go
+++ b/internal/dispatcher/routetable/routetable.go
@@ -20,8 +20,8 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/freshness"
+	"frosttide/decision/freshness"
+	"frosttide/internal/dispatcher/core"
 	"frosttide/internal/mailbox"
 )
 
--- a/internal/routetable/routetable_test.go
+++ b/internal/dispatcher/routetable/routetable_test.go
@@ -14,8 +14,8 @@
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
-	"frosttide/internal/core"
-	"frosttide/internal/freshness"
+	"frosttide/decision/freshness"
+	"frosttide/internal/dispatcher/core"
 )
 
 // sink takes down what the table tells.
--- a/internal/settings/values.go
+++ b/internal/dispatcher/settings/values.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/wire"
+	"frosttide/internal/dispatcher/wire"
 )
 
 func wrongType(want string, v any) error { return fmt.Errorf("%s is wanted, not %s", want, kindOf(v)) }
--- a/internal/trace/trace_test.go
+++ b/internal/dispatcher/trace/trace_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 const good = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
--- a/internal/traceview/read.go
+++ b/internal/dispatcher/traceview/read.go
@@ -15,7 +15,7 @@
 
 	tracepb "go.opentelemetry.io/proto/otlp/trace/v1"
 
-	"frosttide/internal/otlp"
+	"frosttide/internal/dispatcher/otlp"
 )
 
 // Request is one request as its spans tell it.
--- a/internal/traceview/traceview_test.go
+++ b/internal/dispatcher/traceview/traceview_test.go
@@ -13,8 +13,8 @@
 
 	"github.com/google/go-cmp/cmp"
 
-	"frosttide/internal/otlp"
-	"frosttide/internal/trace"
+	"frosttide/internal/dispatcher/otlp"
+	"frosttide/internal/dispatcher/trace"
 )
 
 // when returns a time of the tests' day, in ms.
--- a/internal/testkit/compatibility/agreedlog_test.go
+++ b/internal/testkit/compatibility/dispatcher/agreedlog_test.go
@@ -8,13 +8,13 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/cluster"
-	"frosttide/internal/clusterport"
-	"frosttide/internal/ledger"
-	"frosttide/internal/members"
-	"frosttide/internal/quorum"
-	"frosttide/internal/recovery/mark"
-	"frosttide/internal/workflow/book"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/dispatcher/fleet/clusterport"
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/quorum"
+	"frosttide/internal/dispatcher/fleet/recovery/mark"
+	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
 // wait bounds each wait for an event of a member.
@@ -91,7 +91,7 @@
 	if err := json.Unmarshal(readFile(t, "agreedlog/snapshot.golden.json"), &snapshot); err != nil {
 		t.Fatal(err)
 	}
-	flows, err := book.Parse(snapshot.Flows)
+	flows, err := statetable.Parse(snapshot.Flows)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -199,7 +199,7 @@
 	s.await(t, entries[len(entries)-1].ID)
 	var flows json.RawMessage
 	var err error
-	q.Flows(func(b *book.Book) { flows, err = json.Marshal(b) })
+	q.Flows(func(b *statetable.Book) { flows, err = json.Marshal(b) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/compatibility/messages_test.go
+++ b/internal/testkit/compatibility/dispatcher/messages_test.go
@@ -7,13 +7,13 @@
 	"testing"
 
 	"frosttide/decision"
-	"frosttide/internal/cluster"
-	"frosttide/internal/core"
-	"frosttide/internal/gang/board"
-	gangdesk "frosttide/internal/gang/desk"
-	"frosttide/internal/handover"
-	"frosttide/internal/members"
-	"frosttide/internal/replica"
+	"frosttide/internal/dispatcher/core"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/dispatcher/fleet/gang/board"
+	gangdesk "frosttide/internal/dispatcher/fleet/gang/watcher"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/replica"
+	"frosttide/internal/dispatcher/handover"
 )
 
 // setAll gives every exported field of a value, and one item to every list and map, a value that is not zero and
--- a/internal/testkit/compatibility/settings_test.go
+++ b/internal/testkit/compatibility/dispatcher/settings_test.go
@@ -6,8 +6,8 @@
 	"strings"
 	"testing"
 
-	"frosttide/internal/export"
-	"frosttide/internal/settings"
+	"frosttide/internal/dispatcher/export"
+	"frosttide/internal/dispatcher/settings"
 )
 
 // TestCompatibilitySettings has the settings file mean the same: what it comes to in the platform's form, each key
--- a/internal/testkit/compatibility/storedlist_test.go
+++ b/internal/testkit/compatibility/dispatcher/storedlist_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/forecast"
-	"frosttide/internal/rosterstore"
+	"frosttide/decision/forecast"
+	"frosttide/internal/dispatcher/rosterstore"
 )
 
 // storedListFolder holds what a dispatcher named n0 has kept on disk: two generations that are good, a newer one
--- a/internal/testkit/compatibility/telemetry_test.go
+++ b/internal/testkit/compatibility/dispatcher/telemetry_test.go
@@ -12,11 +12,11 @@
 	"go.opentelemetry.io/otel/attribute"
 	"go.opentelemetry.io/otel/sdk/metric/metricdata"
 
-	"frosttide/internal/measures"
-	"frosttide/internal/otlp"
-	"frosttide/internal/telemetry"
-	"frosttide/internal/trace"
-	"frosttide/internal/traceview"
+	"frosttide/internal/dispatcher/measures"
+	"frosttide/internal/dispatcher/otlp"
+	"frosttide/internal/dispatcher/telemetry"
+	"frosttide/internal/dispatcher/trace"
+	"frosttide/internal/dispatcher/traceview"
 )
 
 // TestCompatibilityConsoleFigures has the operators' figures keep their names, labels, types and help.
--- a/internal/compatibility/endpoints_test.go
+++ b/internal/testkit/compatibility/scheduler/endpoints_test.go
@@ -18,9 +18,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"frosttide/internal/control/host"
-	"frosttide/internal/data/carrier"
-	"frosttide/internal/data/companion"
+	"frosttide/internal/control/server"
+	"frosttide/internal/data/agent"
+	"frosttide/internal/data/gateway"
 	"frosttide/internal/nodefile"
 )
 
@@ -213,9 +213,9 @@
 func TestCompatibilityEndpoints(t *testing.T) {
 	t.Parallel()
 	port := freePort(t)
-	core, stopCore := startMachine(t, host.Run, "127.0.0.1", port)
-	edge, _ := startMachine(t, carrier.Run, "127.0.0.2", port, core.control)
-	side, _ := startMachine(t, companion.Run, "127.0.0.3", port, core.control)
+	core, stopCore := startMachine(t, server.Run, "127.0.0.1", port)
+	edge, _ := startMachine(t, gateway.Run, "127.0.0.2", port, core.control)
+	side, _ := startMachine(t, agent.Run, "127.0.0.3", port, core.control)
 	edgeBefore(t, edge)
 	controlEndpoints(t, core)
 	awaitAnswer(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}, hasStatus(http.StatusOK))
@@ -394,7 +394,7 @@
 	t.Parallel()
 	core, _ := startMachine(t, func(ctx context.Context, path string, settings *nodefile.File) error {
 		settings.Seeds = []string{settings.ListenAddrs.Control, "127.0.0.5:1", "127.0.0.6:1"}
-		return host.Run(ctx, path, settings)
+		return server.Run(ctx, path, settings)
 	}, "127.0.0.4", freePort(t))
 	var s transcript
 	s.note("configuration", awaitAnswer(t, request{method: http.MethodGet, url: core.control + "/v1/config"}, hasStatus(http.StatusServiceUnavailable)))
--- a/internal/smallsystem/calls.go
+++ b/internal/testkit/devcluster/calls.go
@@ -1,4 +1,4 @@
-package smallsystem
+package devcluster
 
 import (
 	"bytes"
--- a/internal/smallsystem/system.go
+++ b/internal/testkit/devcluster/system.go
@@ -1,7 +1,7 @@
-// Package smallsystem starts a whole small cluster scheduler on loopback, from the two programs, with toy
+// Package devcluster starts a whole small cluster scheduler on loopback, from the two programs, with toy
 // runners: for the demonstration and for tests. Each machine has an address of its own in a loopback
 // network that the system holds while it lives.
-package smallsystem
+package devcluster
 
 import (
 	"context"
@@ -18,7 +18,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"frosttide/internal/toyrunner"
+	"frosttide/internal/testkit/fakerunner"
 )
 
 // Config says what is started.
@@ -29,7 +29,7 @@
 	Dir      string // for folders and logs
 	Cores    int
 	Carriers int
-	Runners  []toyrunner.Config // one machine each; their companions' addresses are filled in
+	Runners  []fakerunner.Config // one machine each; their companions' addresses are filled in
 }
 
 const (
@@ -77,7 +77,7 @@
 	Cores    []*Machine
 	Carriers []*Machine
 	Sides    []*Machine
-	Runners  []*toyrunner.Runner
+	Runners  []*fakerunner.Runner
 	stop     context.CancelFunc
 	runners  sync.WaitGroup
 }
@@ -115,7 +115,7 @@
 	}
 	for i, r := range cfg.Runners {
 		r.Companion = s.Sides[i].Control()
-		runner := toyrunner.New(r)
+		runner := fakerunner.New(r)
 		s.Runners = append(s.Runners, runner)
 		s.runners.Go(func() { runner.Serve(ctx) })
 	}
--- a/internal/toyfleet/toyfleet.go
+++ b/internal/testkit/fakefleet/fakefleet.go
@@ -1,7 +1,7 @@
-// Package toyfleet plays discovery and two small runners on loopback, so that a
+// Package fakefleet plays discovery and two small runners on loopback, so that a
 // newcomer can see a dispatcher at work. The runners take any job, work on it for a
 // while and report it done.
-package toyfleet
+package fakefleet
 
 import (
 	"bytes"
--- a/internal/toyrunner/runner.go
+++ b/internal/testkit/fakerunner/runner.go
@@ -1,7 +1,7 @@
-// Package toyrunner is a runner for demonstrations and tests: it sends heartbeats to its companion and does as
+// Package fakerunner is a runner for demonstrations and tests: it sends heartbeats to its companion and does as
 // it is told, but its tasks only wait for the time that their text names. It keeps the rules of the
 // protocol: holds, fencing tokens, ends that are listed until they are noted.
-package toyrunner
+package fakerunner
 
 import (
 	"bytes"
--- a/internal/lab/faults/await.go
+++ b/internal/testkit/lab/faults/await.go
@@ -8,9 +8,9 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/cluster"
-	"frosttide/internal/members"
-	"frosttide/internal/recovery/stage"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/recovery/stage"
 )
 
 // await waits for what the words say.
--- a/internal/lab/faults/flowhistory.go
+++ b/internal/testkit/lab/faults/flowhistory.go
@@ -5,7 +5,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
 // flowWord is what a workflow's client said, or what is agreed on of it at the end.
--- a/internal/lab/faults/flowhistory_test.go
+++ b/internal/testkit/lab/faults/flowhistory_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
 // TestFlowHistories has the rig see what can't have come about from what clients were told, and
--- a/internal/lab/faults/flows.go
+++ b/internal/testkit/lab/faults/flows.go
@@ -15,8 +15,8 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"frosttide/internal/workflow/flow"
-	"frosttide/internal/workflow/front"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/front"
 )
 
 // effect is one that a runner had: a step's or an undo's.
--- a/internal/lab/faults/held.go
+++ b/internal/testkit/lab/faults/held.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"frosttide/internal/cluster"
+	"frosttide/internal/dispatcher/fleet/cluster"
 )
 
 func (r *runner) each(who []*member, ok func(*member, cluster.Report) error) error {
--- a/internal/lab/faults/many.go
+++ b/internal/testkit/lab/faults/many.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"frosttide/internal/workflow/flow"
+	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
 // manyAtOnce is how many clients begin them.
--- a/internal/lab/faults/measure.go
+++ b/internal/testkit/lab/faults/measure.go
@@ -9,7 +9,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"frosttide/internal/lab"
+	"frosttide/internal/testkit/lab"
 )
 
 // Writes is what a load of operators' calls came to.
--- a/internal/lab/faults/operators.go
+++ b/internal/testkit/lab/faults/operators.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"strings"
 
-	"frosttide/internal/cluster"
+	"frosttide/internal/dispatcher/fleet/cluster"
 )
 
 // report asks a member's console.
--- a/internal/lab/faults/soak/soak_test.go
+++ b/internal/testkit/lab/faults/soak/soak_test.go
@@ -6,9 +6,9 @@
 
 	"pgregory.net/rapid"
 
-	"frosttide/internal/lab/faults"
-	"frosttide/internal/lab/faults/soak"
-	_ "frosttide/internal/standin/fixeddraws"
+	"frosttide/internal/testkit/lab/faults"
+	"frosttide/internal/testkit/lab/faults/soak"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // TestDraw has every seed draw a script that can be read, is drawn again alike, and leaves
--- a/internal/lab/faults/watch.go
+++ b/internal/testkit/lab/faults/watch.go
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"frosttide/internal/ledger"
+	"frosttide/internal/dispatcher/fleet/ledger"
 )
 
 // watch holds what was said and seen against the invariants.
--- a/internal/lab/faults/who.go
+++ b/internal/testkit/lab/faults/who.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/cluster"
-	"frosttide/internal/members"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/dispatcher/fleet/members"
 )
 
 // who finds members.
--- a/internal/lab/gangs/sim.go
+++ b/internal/testkit/lab/gangs/sim.go
@@ -1,5 +1,5 @@
 // Package gangs plays gang jobs over a fleet in virtual time, with the real judgement of
-// stragglers (internal/gang/board) at each dispatcher, and measures what it finds and what it is
+// stragglers (internal/dispatcher/fleet/gang/board) at each dispatcher, and measures what it finds and what it is
 // worth against simpler ways.
 package gangs
 
@@ -11,8 +11,8 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/gang/board"
-	"frosttide/internal/gang/verdict"
+	"frosttide/internal/dispatcher/fleet/gang/board"
+	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
 // Way is how second copies are decided on.
--- a/internal/lab/weaken/checks.go
+++ b/internal/testkit/lab/mutate/checks.go
@@ -1,4 +1,4 @@
-package weaken
+package mutate
 
 const (
 	viewFile      = "internal/view/view.go"
@@ -13,8 +13,8 @@
 	sessionsFile  = "internal/control/scheduler/sessions.go"
 	ordersFile    = "internal/control/scheduler/orders.go"
 	requestsFile  = "internal/control/scheduler/requests.go"
-	companionFile = "internal/data/companion/machine.go"
-	headFile      = "internal/data/companion/head.go"
+	companionFile = "internal/data/agent/machine.go"
+	headFile      = "internal/data/agent/head.go"
 	memberFile    = "internal/control/member/member.go"
 )
 
--- a/internal/lab/weaken/weaken.go
+++ b/internal/testkit/lab/mutate/mutate.go
@@ -1,7 +1,7 @@
-// Package weaken takes safety checks out of the cluster scheduler, one at a time, and looks whether the simulated
+// Package mutate takes safety checks out of the cluster scheduler, one at a time, and looks whether the simulated
 // network or the explorer of schedules finds each one missing. The programs have no switches for it: a check is
 // taken out of a copy of its source file, which the compiler is given in the file's place.
-package weaken
+package mutate
 
 import (
 	"context"
--- a/internal/lab/weaken/weaken_test.go
+++ b/internal/testkit/lab/mutate/mutate_test.go
@@ -1,4 +1,4 @@
-package weaken
+package mutate
 
 import (
 	"testing"
@@ -10,7 +10,7 @@
 func TestChecksApply(t *testing.T) {
 	names := make(map[string]bool)
 	for _, c := range Checks {
-		require.NoError(t, Applies("../../..", c), c.Name)
+		require.NoError(t, Applies("../../../..", c), c.Name)
 		require.False(t, names[c.Name], c.Name)
 		names[c.Name] = true
 	}
@@ -18,5 +18,5 @@
 }
 
 func TestTextThatIsNotThere(t *testing.T) {
-	require.ErrorIs(t, Applies("../../..", Check{Name: "none", File: viewFile, Was: "no such text"}), ErrSource)
+	require.ErrorIs(t, Applies("../../../..", Check{Name: "none", File: viewFile, Was: "no such text"}), ErrSource)
 }
--- a/internal/lab/outage/host.go
+++ b/internal/testkit/lab/outage/host.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/trust"
+	"frosttide/internal/dispatcher/rosterpolicy"
 )
 
 // host is a dispatcher: the real module, and the real book where the list is weighed.
@@ -12,7 +12,7 @@
 	sim     *sim
 	number  int
 	module  *decision.Dispatcher
-	book    *trust.Book
+	book    *rosterpolicy.Book
 	running bool
 	began   time.Duration
 	lastID  decision.RequestID
@@ -59,11 +59,11 @@
 	case Blind:
 		h.step(decision.Event{Type: decision.MembersReplaced, Members: h.members(func(r *runner) bool { return true }, 0)})
 	case Trusted:
-		var stored []trust.Stored
+		var stored []rosterpolicy.Stored
 		for _, r := range s.runners {
-			stored = append(stored, trust.Stored{UID: r.uid, Addr: r.uid, Zone: zones[r.zone], Confirmed: s.now - 10*time.Minute, Barred: r.drains})
+			stored = append(stored, rosterpolicy.Stored{UID: r.uid, Addr: r.uid, Zone: zones[r.zone], Confirmed: s.now - 10*time.Minute, Barred: r.drains})
 		}
-		h.book = trust.New(trust.Config{Fresh: fresh, Old: time.Hour, Max: 24 * time.Hour, Zone: zones[h.number%3], Rate: askRate, Number: h.number,
+		h.book = rosterpolicy.New(rosterpolicy.Config{Fresh: fresh, Old: time.Hour, Max: 24 * time.Hour, Zone: zones[h.number%3], Rate: askRate, Number: h.number,
 			Dispatchers: s.set.Dispatchers, Outage: 5 * time.Second, Lost: 0.5, Doubt: 30 * time.Second, Warm: warmUp}, s.now, stored, s.rng.Uint64())
 		h.step(decision.Event{Type: decision.MembersReplaced})
 		h.look()
@@ -104,7 +104,7 @@
 	uids, next := h.book.Ask(s.now, places-h.asking)
 	for _, uid := range uids {
 		h.asking++
-		s.ask(s.byUID(uid), func(e trust.Evidence) {
+		s.ask(s.byUID(uid), func(e rosterpolicy.Evidence) {
 			h.asking--
 			h.hear(uid, e)
 			h.look()
@@ -132,7 +132,7 @@
 	return s.runners[n]
 }
 
-func (h *host) hear(uid string, e trust.Evidence) {
+func (h *host) hear(uid string, e rosterpolicy.Evidence) {
 	if h.book == nil || !h.book.Hear(h.sim.now, uid, e) {
 		return
 	}
@@ -143,7 +143,7 @@
 	r := h.sim.byUID(uid)
 	standing, from, _ := h.book.Standing(uid)
 	m := decision.Member{Worker: h.worker(r), Zone: r.zone, State: decision.Draining}
-	if standing == trust.Used {
+	if standing == rosterpolicy.Used {
 		m.State, m.StartedAt = decision.Ready, from
 		if h.book.Owned(uid) {
 			m.Returned, m.Sharers = true, h.book.Share()
@@ -171,7 +171,7 @@
 }
 
 func (h *host) started(j *work) {
-	h.witness(j.worker, trust.Started)
+	h.witness(j.worker, rosterpolicy.Started)
 	h.step(decision.Event{Type: decision.AttemptStarted, Request: j.request, Attempt: j.attempt, Worker: j.worker})
 }
 
@@ -188,17 +188,17 @@
 	}
 	switch o {
 	case decision.Served:
-		h.witness(j.worker, trust.Started)
+		h.witness(j.worker, rosterpolicy.Started)
 	case decision.ConnectFailed:
-		h.witness(j.worker, trust.Refused)
+		h.witness(j.worker, rosterpolicy.Refused)
 	default:
-		h.witness(j.worker, trust.Broken)
+		h.witness(j.worker, rosterpolicy.Broken)
 	}
 	h.step(decision.Event{Type: decision.AttemptEnded, Request: j.request, Attempt: j.attempt, Worker: j.worker, Outcome: o,
 		Closed: o == decision.Served})
 }
 
-func (h *host) witness(w decision.WorkerID, e trust.Evidence) {
+func (h *host) witness(w decision.WorkerID, e rosterpolicy.Evidence) {
 	h.hear(h.sim.runners[w-1].uid, e)
 }
 
--- a/internal/lab/outage/sim.go
+++ b/internal/testkit/lab/outage/sim.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"frosttide/decision"
-	"frosttide/internal/trust"
+	"frosttide/internal/dispatcher/rosterpolicy"
 )
 
 // Mode is what a dispatcher starts from.
@@ -230,11 +230,11 @@
 }
 
 // ask has a runner probed.
-func (s *sim) ask(r *runner, found func(trust.Evidence)) {
+func (s *sim) ask(r *runner, found func(rosterpolicy.Evidence)) {
 	r.probes++
-	e := trust.Refused
+	e := rosterpolicy.Refused
 	if r.up(s.now + network) {
-		e = trust.Answered
+		e = rosterpolicy.Answered
 		if !r.bears(s.now+network, probeWork) {
 			s.fall(r)
 		}
--- a/internal/lab/scale/fit.go
+++ b/internal/testkit/lab/scale/fit.go
@@ -5,7 +5,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab/size"
 )
 
 // Quantity is one need of a role.
--- a/internal/lab/scale/force.go
+++ b/internal/testkit/lab/scale/force.go
@@ -12,7 +12,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"frosttide/internal/lab/hollow"
+	"frosttide/internal/testkit/lab/simulatedmembers"
 )
 
 // Fault is what goes on while operators' words are brought to all members.
@@ -97,11 +97,11 @@
 		return out, err
 	}
 	defer held.Close()
-	cfg := hollow.Config{Count: p.Members, Network: held.Number, Dir: dir}
+	cfg := simulatedmembers.Config{Count: p.Members, Network: held.Number, Dir: dir}
 	for i := range forceVoters {
-		cfg.Voters = append(cfg.Voters, hollow.Name(i))
+		cfg.Voters = append(cfg.Voters, simulatedmembers.Name(i))
 	}
-	fleet, err := hollow.Open(cfg)
+	fleet, err := simulatedmembers.Open(cfg)
 	if err != nil {
 		return out, err
 	}
@@ -137,7 +137,7 @@
 }
 
 // settled waits until all voters keep the log and a word is agreed on.
-func settled(ctx context.Context, f *hollow.Fleet, uid string) error {
+func settled(ctx context.Context, f *simulatedmembers.Fleet, uid string) error {
 	for by := time.Now().Add(standTime); ; <-time.After(20 * time.Millisecond) {
 		err := keepLog(ctx, f)
 		if err == nil {
@@ -150,11 +150,11 @@
 }
 
 // keepLog tells what some voter lacks. The log begins with one, and takes the others in by turns.
-func keepLog(ctx context.Context, f *hollow.Fleet) error {
+func keepLog(ctx context.Context, f *simulatedmembers.Fleet) error {
 	for i := range forceVoters {
 		r, ok := f.Member(i).Report(ctx)
 		if !ok || len(r.Log.Voters) < forceVoters || r.Log.Applied < r.Log.Last {
-			return fmt.Errorf("%s has voters %v", hollow.Name(i), r.Log.Voters)
+			return fmt.Errorf("%s has voters %v", simulatedmembers.Name(i), r.Log.Voters)
 		}
 	}
 	return nil
@@ -162,7 +162,7 @@
 
 // words are what operators say, and how long each took.
 type words struct {
-	fleet  *hollow.Fleet
+	fleet  *simulatedmembers.Fleet
 	rng    *rand.Rand
 	times  *hdrhistogram.Histogram // microseconds
 	missed int
@@ -185,7 +185,7 @@
 		if err != nil {
 			break
 		}
-		if err = m.Await(uid, out, by); errors.Is(err, hollow.ErrClosed) {
+		if err = m.Await(uid, out, by); errors.Is(err, simulatedmembers.ErrClosed) {
 			err = nil // it hears of all when it is back
 		}
 	}
@@ -223,7 +223,7 @@
 }
 
 // restarts has a tenth of the members that keep no log go and come back, another each time.
-func restarts(ctx context.Context, f *hollow.Fleet, members int) {
+func restarts(ctx context.Context, f *simulatedmembers.Fleet, members int) {
 	tick := time.NewTicker(restartEvery)
 	defer tick.Stop()
 	for n := 0; ; n++ {
--- a/internal/lab/scale/member.go
+++ b/internal/testkit/lab/scale/member.go
@@ -9,8 +9,8 @@
 	"sync/atomic"
 	"time"
 
-	"frosttide/internal/lab/hollow"
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab/simulatedmembers"
+	"frosttide/internal/testkit/lab/size"
 )
 
 const (
@@ -64,13 +64,13 @@
 		return Point{}, err
 	}
 	defer held.Close()
-	own := &size.Member{Listen: fmt.Sprintf("127.%d.250.1:7946", held.Number), Voter: r.beside.leads, Voters: []string{hollow.Name(0)}}
+	own := &size.Member{Listen: fmt.Sprintf("127.%d.250.1:7946", held.Number), Voter: r.beside.leads, Voters: []string{simulatedmembers.Name(0)}}
 	if r.beside.leads {
 		own.Voters = []string{size.Name}
 	}
-	cfg := hollow.Config{Count: r.beside.members - 1, Network: held.Number, Voters: own.Voters, Dir: dir, Join: []string{own.Listen}}
+	cfg := simulatedmembers.Config{Count: r.beside.members - 1, Network: held.Number, Voters: own.Voters, Dir: dir, Join: []string{own.Listen}}
 	own.Join = cfg.Addrs(3)
-	fleet, err := hollow.Open(cfg)
+	fleet, err := simulatedmembers.Open(cfg)
 	if err != nil {
 		return Point{}, err
 	}
@@ -107,7 +107,7 @@
 
 // stands waits until all members know each other and all but the leader follow the log, which takes
 // them in one after the other.
-func stands(ctx context.Context, f *hollow.Fleet, own *size.Member, members int) error {
+func stands(ctx context.Context, f *simulatedmembers.Fleet, own *size.Member, members int) error {
 	by := time.Now().Add(standTime + time.Duration(members)*followTime)
 	if err := f.UntilAlive(members, by); err != nil {
 		return err
@@ -122,7 +122,7 @@
 }
 
 // follow tells what the log's leader lacks.
-func follow(ctx context.Context, f *hollow.Fleet, own *size.Member, members int) error {
+func follow(ctx context.Context, f *simulatedmembers.Fleet, own *size.Member, members int) error {
 	r, err := own.Report()
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 // writer has operators write in the log by turns at all hollow members, at their times whatever becomes
 // of the writes before.
 type writer struct {
-	fleet        *hollow.Fleet
+	fleet        *simulatedmembers.Fleet
 	every        time.Duration
 	done, failed atomic.Int64
 }
--- a/internal/lab/scale/network.go
+++ b/internal/testkit/lab/scale/network.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"net"
 
-	"frosttide/internal/lab/hollow"
+	"frosttide/internal/testkit/lab/simulatedmembers"
 )
 
 // loopbackNetwork is a loopback network (127.Number.0.0/16) that this run holds for its members.
@@ -38,7 +38,7 @@
 
 // membersListen tells whether somebody listens at the first member's address of a network.
 func membersListen(number int) bool {
-	l, err := net.Listen("tcp4", hollow.Config{Count: 1, Network: number}.Addrs(1)[0])
+	l, err := net.Listen("tcp4", simulatedmembers.Config{Count: 1, Network: number}.Addrs(1)[0])
 	if err != nil {
 		return true
 	}
--- a/internal/lab/scale/page.go
+++ b/internal/testkit/lab/scale/page.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"frosttide/internal/lab"
+	"frosttide/internal/testkit/lab"
 )
 
 // pageTo ends the page's part that a run writes.
--- a/internal/lab/scale/plan.go
+++ b/internal/testkit/lab/scale/plan.go
@@ -12,7 +12,7 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab/size"
 )
 
 // Axis is a thing that grows while all others stay.
--- a/internal/lab/scale/scale.go
+++ b/internal/testkit/lab/scale/scale.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"sync"
 
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab/size"
 )
 
 // Point is what one measurement found.
--- a/internal/lab/scale/scale_test.go
+++ b/internal/testkit/lab/scale/scale_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab/size"
 )
 
 // TestPlans has mistakes in a plan told by what is wrong.
--- a/internal/lab/scale/urgent.go
+++ b/internal/testkit/lab/scale/urgent.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab/size"
 )
 
 // UrgentRuns are the loads under which the start of urgent work is measured: calm, near capacity, over
--- a/internal/lab/scale/urgent_test.go
+++ b/internal/testkit/lab/scale/urgent_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"frosttide/internal/lab/size"
+	"frosttide/internal/testkit/lab/size"
 )
 
 // TestPutUrgent has what was found written into the page's part, and nowhere else.
--- a/internal/lab/variants/variants.go
+++ b/internal/testkit/lab/scenarios/scenarios.go
@@ -1,7 +1,7 @@
-// Package variants draws deployments and days that nobody has planned for: variations of a given site file
+// Package scenarios draws deployments and days that nobody has planned for: variations of a given site file
 // of the fleet bench in its number of zones, size of the control plane, tolerance, periods, distances and
 // sizes, each with days that combine kinds of trouble by pairs. What is drawn depends on the seed alone.
-package variants
+package scenarios
 
 import (
 	"fmt"
--- a/internal/lab/variants/variants_test.go
+++ b/internal/testkit/lab/scenarios/scenarios_test.go
@@ -1,4 +1,4 @@
-package variants
+package scenarios
 
 import (
 	"testing"
--- a/internal/lab/hollow/hollow.go
+++ b/internal/testkit/lab/simulatedmembers/simulatedmembers.go
@@ -1,7 +1,7 @@
-// Package hollow plays members of a cluster that have no dispatcher: many in one process, each the
+// Package simulatedmembers plays members of a cluster that have no dispatcher: many in one process, each the
 // program's own membership (package cluster) with sockets of its own on loopback. What a dispatcher
 // would be told they note.
-package hollow
+package simulatedmembers
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/cluster"
+	"frosttide/internal/dispatcher/fleet/cluster"
 )
 
 // Most is how many members a fleet may have.
--- a/internal/lab/size/member.go
+++ b/internal/testkit/lab/size/member.go
@@ -8,8 +8,8 @@
 	"strings"
 	"time"
 
-	"frosttide/internal/cluster"
-	"frosttide/internal/lab"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/testkit/lab"
 )
 
 // traffic is what a member has sent since it began.
--- a/internal/lab/size/size.go
+++ b/internal/testkit/lab/size/size.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"frosttide/internal/lab"
+	"frosttide/internal/testkit/lab"
 )
 
 const (
--- a/internal/lab/size/urgent.go
+++ b/internal/testkit/lab/size/urgent.go
@@ -17,7 +17,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"frosttide/internal/lab"
+	"frosttide/internal/testkit/lab"
 )
 
 const (
--- a/internal/lab/spread/cold.go
+++ b/internal/testkit/lab/spread/cold.go
@@ -6,13 +6,13 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/ration"
+	"frosttide/decision/warmupbudget"
 )
 
 // ColdDraws are drawn starts of cold runners that a fleet of dispatchers shares.
 type ColdDraws struct {
 	Dispatchers int
-	Rules       ration.Rules
+	Rules       warmupbudget.Rules
 	PerSecond   float64 // requests at a dispatcher, the mean; a tenth have five times as many
 	Rate        float64 // requests of mean work a second that a warm runner serves, as dispatchers take it
 	From, Over  time.Duration
@@ -36,13 +36,13 @@
 // half either way.
 func (d ColdDraws) Run(draws int, seed uint64) (f ColdFigures) {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	mixes := make([]ration.Mix, d.Dispatchers)
+	mixes := make([]warmupbudget.Mix, d.Dispatchers)
 	next := make([]time.Duration, d.Dispatchers)
 	now, id := time.Hour, uint64(0)
 	var came, could float64
 	for range draws {
 		start, worker := now, rng.Uint32()
-		c := ration.Cold{Rate: d.Rate, StartedAt: start - d.From}
+		c := warmupbudget.Cold{Rate: d.Rate, StartedAt: start - d.From}
 		// The runner's own figures lie above the least that settings name, by as much as they do
 		// between runners there.
 		own := d.Rules
@@ -61,7 +61,7 @@
 				id++
 				hint := lognormal(rng, 1, 2)
 				mixes[i].Arrived(hint, next[i])
-				if d.Rules.Passes(&mixes[i], ration.Sharer{Number: i, Count: d.Dispatchers}, c, worker, id, hint, next[i]) {
+				if d.Rules.Passes(&mixes[i], warmupbudget.Sharer{Number: i, Count: d.Dispatchers}, c, worker, id, hint, next[i]) {
 					all = append(all, sent{next[i], hint * lognormal(rng, 1, 0.5)})
 				}
 			}
@@ -75,7 +75,7 @@
 			for ; all[first].at < s.at-d.Rules.FallWindow; first++ {
 				sum -= all[first].work
 			}
-			bears := ration.Bound(own.FallMultiple * d.Rate * own.Share(c.StartedAt, s.at) * own.FallWindow.Seconds())
+			bears := warmupbudget.Bound(own.FallMultiple * d.Rate * own.Share(c.StartedAt, s.at) * own.FallWindow.Seconds())
 			f.Worst = max(f.Worst, sum/bears)
 			fell = fell || sum > bears
 		}
--- a/internal/lab/spread/cold_test.go
+++ b/internal/testkit/lab/spread/cold_test.go
@@ -4,18 +4,18 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/ration"
+	"frosttide/decision/warmupbudget"
 )
 
 // TestColdFleet guards rule 4 for the whole fleet at 300 dispatchers of uneven traffic: of 2,000
 // starts hardly one falls with all that may go to a cold or half warm runner going there, and it
 // is not left idle. With the bounds open 1,761 of the first and 1,897 of the second fall.
 func TestColdFleet(t *testing.T) {
-	cdmx := ration.Rules{ColdShare: 0.13, WarmUp: 23 * time.Second, FallMultiple: 2.5, FallWindow: time.Second}
-	perth := ration.Rules{ColdShare: 0.31, WarmUp: 8800 * time.Millisecond, FallMultiple: 4, FallWindow: 3 * time.Second}
+	cdmx := warmupbudget.Rules{ColdShare: 0.13, WarmUp: 23 * time.Second, FallMultiple: 2.5, FallWindow: time.Second}
+	perth := warmupbudget.Rules{ColdShare: 0.31, WarmUp: 8800 * time.Millisecond, FallMultiple: 4, FallWindow: 3 * time.Second}
 	for _, tc := range []struct {
 		name        string
-		rules       ration.Rules
+		rules       warmupbudget.Rules
 		rate, least float64
 		from, over  time.Duration
 		falls       int
--- a/internal/lab/spread/spread.go
+++ b/internal/testkit/lab/spread/spread.go
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"frosttide/internal/cluster"
-	"frosttide/internal/replica"
+	"frosttide/internal/dispatcher/fleet/cluster"
+	"frosttide/internal/dispatcher/fleet/replica"
 )
 
 // Figures are of one run.
--- a/internal/simnet/client.go
+++ b/internal/testkit/simnet/client.go
@@ -9,7 +9,7 @@
 
 	"frosttide/internal/chainclient"
 	"frosttide/internal/control/jobs"
-	"frosttide/internal/data/carrier"
+	"frosttide/internal/data/gateway"
 	"frosttide/internal/protocol"
 )
 
@@ -17,7 +17,7 @@
 type carrierHost struct {
 	*process
 	world   *world
-	node    *carrier.Node
+	node    *gateway.Node
 	answers map[uint64]func(chainclient.Outcome)
 	version uint64 // highest configuration that this life has had
 }
@@ -36,7 +36,7 @@
 	w := c.world
 	w.start(c.process)
 	c.answers, c.version = make(map[uint64]func(chainclient.Outcome)), 0
-	c.node = carrier.NewNode(c.address, w.rng.Uint64()>>1, []string{coreAddress(0), coreAddress(1), coreAddress(2)})
+	c.node = gateway.NewNode(c.address, w.rng.Uint64()>>1, []string{coreAddress(0), coreAddress(1), coreAddress(2)})
 	w.repeat(c.process, tickEvery, func() { c.node.Tick(w.clock(c.process)) })
 }
 
--- a/internal/simnet/side.go
+++ b/internal/testkit/simnet/side.go
@@ -5,7 +5,7 @@
 	"slices"
 	"time"
 
-	"frosttide/internal/data/companion"
+	"frosttide/internal/data/agent"
 	"frosttide/internal/protocol"
 )
 
@@ -37,7 +37,7 @@
 	*process
 	world  *world
 	index  int
-	node   *companion.Node
+	node   *agent.Node
 	runner *runner
 	lives  int // of the runner
 	probed time.Duration
@@ -103,7 +103,7 @@
 func (s *side) begin() {
 	w := s.world
 	w.start(s.process)
-	s.node = companion.NewNode(companion.Config{Incarnation: w.rng.Uint64() >> 1, HoldMax: holdMax, Contacts: []string{coreAddress(0), coreAddress(1), coreAddress(2)},
+	s.node = agent.NewNode(agent.Config{Incarnation: w.rng.Uint64() >> 1, HoldMax: holdMax, Contacts: []string{coreAddress(0), coreAddress(1), coreAddress(2)},
 		Seed: w.rng.Uint64()}, s.address, w.clock(s.process))
 	s.turn()
 	w.repeat(s.process, 2*tickEvery, func() {
@@ -163,7 +163,7 @@
 	r.beatNumber++
 	number := r.beatNumber
 	r.sequence++
-	b := &companion.Beat{Sequence: r.sequence, Account: r.account()}
+	b := &agent.Beat{Sequence: r.sequence, Account: r.account()}
 	for _, one := range r.sorted() {
 		b.Running = append(b.Running, &protocol.RunProgress{Task: one.task, Run: one.number, Saved: one.saved})
 	}
@@ -214,7 +214,7 @@
 }
 
 // answered takes a companion's answer.
-func (r *runner) answered(number int, sent time.Duration, a companion.Answer) {
+func (r *runner) answered(number int, sent time.Duration, a agent.Answer) {
 	w := r.side.world
 	if !r.up || !r.out || number != r.beatNumber || w.now-sent > answerTime {
 		return
--- a/internal/standin/collector/collector.go
+++ b/internal/testkit/standin/collector/collector.go
@@ -26,7 +26,7 @@
 	"google.golang.org/protobuf/proto"
 	"google.golang.org/protobuf/types/known/anypb"
 
-	"frosttide/internal/otlp"
+	"frosttide/internal/dispatcher/otlp"
 )
 
 // Fault is how a collector answers a call.
--- a/internal/standin/collector/rules.go
+++ b/internal/testkit/standin/collector/rules.go
@@ -7,7 +7,7 @@
 	"go.opentelemetry.io/collector/pdata/pmetric"
 	tracepb "go.opentelemetry.io/proto/otlp/trace/v1"
 
-	"frosttide/internal/otlp"
+	"frosttide/internal/dispatcher/otlp"
 )
 
 // CheckTraces returns the rules that spans break: ids that name nothing or are there
--- a/internal/standin/gearman/gearman.go
+++ b/internal/testkit/standin/gearman/gearman.go
@@ -10,7 +10,7 @@
 	"net"
 	"time"
 
-	"frosttide/internal/gearman/proto"
+	"frosttide/internal/dispatcher/gearman/proto"
 )
 
 // maxPacket bounds what a peer reads.
--- a/internal/transport/order_rapid_test.go
+++ b/internal/transport/order_rapid_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	_ "frosttide/internal/standin/fixeddraws"
+	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
 // resetting is a dialer whose connections can be reset.
