--- a/cmd/frosttide-control/control_faults_test.go
+++ b/cmd/frosttide-control/faults_test.go
@@ -35,11 +35,11 @@
 // version reads the configuration's version at a core machine, 0 where it does not say.
 func version(address string) int {
 	status, body, err := devcluster.Call(http.MethodGet, "http://"+address+"/v1/config", "", "", nil)
-	var answer struct{ Version int }
-	if err != nil || status != http.StatusOK || json.Unmarshal(body, &answer) != nil {
+	var response struct{ Version int }
+	if err != nil || status != http.StatusOK || json.Unmarshal(body, &response) != nil {
 		return 0
 	}
-	return answer.Version
+	return response.Version
 }
 
 // TestHeadStandsStill stops the head's process for 20 s and has it go on, while callers ask it and the others all the
@@ -62,9 +62,9 @@
 					return
 				default:
 				}
-				before := newest.Load()
-				if got := version(m.Control()); got != 0 && int64(got) < before {
-					t.Errorf("%s shows version %d after %d was acknowledged", m.Name, got, before)
+				acknowledged := newest.Load()
+				if got := version(m.Control()); got != 0 && int64(got) < acknowledged {
+					t.Errorf("%s shows version %d after %d was acknowledged", m.Name, got, acknowledged)
 					return
 				}
 				time.Sleep(10 * time.Millisecond)
@@ -93,7 +93,7 @@
 	require.NotNil(t, next)
 	require.NotEqual(t, old, next)
 	require.NoError(t, s.Continue(old))
-	require.True(t, devcluster.Wait(wait, func() bool { return int64(version(old.Control())) == newest.Load() }), "it takes up what it has missed")
+	require.True(t, devcluster.WaitFor(maxWait, func() bool { return int64(version(old.Control())) == newest.Load() }), "it takes up what it has missed")
 	require.Equal(t, http.StatusOK, change(old.Control(), int(newest.Load()), patch(int(newest.Load())+1, 999)))
 	newest.Add(1)
 	close(over)
@@ -114,7 +114,7 @@
 		all.Go(func() {
 			body := patch(2, 2000+i)
 			var status int
-			devcluster.Wait(wait, func() bool { // as long as the answer is not clear
+			devcluster.WaitFor(maxWait, func() bool { // as long as the answer is not clear
 				status = change(s.Cores[i%len(s.Cores)].Control(), 1, body)
 				return status == http.StatusOK || status == http.StatusPreconditionFailed
 			})
@@ -128,21 +128,21 @@
 	}
 	all.Wait()
 	require.Equal(t, map[int]int{http.StatusOK: 1, http.StatusPreconditionFailed: operators - 1}, statuses)
-	for round := range 2 {
+	for pass := range 2 {
 		for _, m := range s.Cores {
 			require.Equal(t, http.StatusOK, change(m.Control(), 1, winners[0]), "it was taken")
 			_, body, err := devcluster.Call(http.MethodGet, "http://"+m.Control()+"/v1/config", "", "", nil)
 			require.NoError(t, err)
 			require.Contains(t, string(body), string(winners[0][strings.Index(string(winners[0]), `"TimeoutMs"`):strings.Index(string(winners[0]), `,"TargetLatencyMs"`)]))
 		}
-		if round == 0 {
+		if pass == 0 {
 			require.Equal(t, http.StatusOK, change(s.Cores[0].Control(), 2, patch(3, 3000)))
-			require.Equal(t, http.StatusOK, change(s.Cores[1].Control(), 3, winnerAgain(winners[0], 4)))
+			require.Equal(t, http.StatusOK, change(s.Cores[1].Control(), 3, orderWithVersion(winners[0], 4)))
 			head := s.Head()
 			require.NotNil(t, head)
 			s.Kill(head)
 			require.NoError(t, s.Restart(head, false))
-			require.True(t, devcluster.Wait(wait, func() bool {
+			require.True(t, devcluster.WaitFor(maxWait, func() bool {
 				for _, m := range s.Cores {
 					if version(m.Control()) != 4 {
 						return false
@@ -154,8 +154,8 @@
 	}
 }
 
-// winnerAgain returns an order with another version, so that what it sets is in force again.
-func winnerAgain(order []byte, version int) []byte {
+// orderWithVersion returns an order with another version, so that what it sets is in force again.
+func orderWithVersion(order []byte, version int) []byte {
 	return []byte(strings.Replace(string(order), `"Version":2`, fmt.Sprintf(`"Version":%d`, version), 1))
 }
 
@@ -173,7 +173,7 @@
 			}
 			go func() {
 				defer in.Close()
-				out, err := net.DialTimeout("tcp4", to, wait)
+				out, err := net.DialTimeout("tcp4", to, maxWait)
 				if err != nil {
 					return
 				}
@@ -196,7 +196,7 @@
 	const orders = 5
 	for next := 2; next < 2+orders; next++ {
 		require.Zero(t, change(through, next-1, patch(next, 1000+next)), "its answer is lost")
-		require.True(t, devcluster.Wait(wait, func() bool { return version(s.Cores[1].Control()) == next }), "it was taken all the same")
+		require.True(t, devcluster.WaitFor(maxWait, func() bool { return version(s.Cores[1].Control()) == next }), "it was taken all the same")
 	}
 	for next := 2; next < 2+orders; next++ {
 		for _, m := range s.Cores {
--- a/cmd/frosttide-control/main_test.go
+++ b/cmd/frosttide-control/main_test.go
@@ -22,8 +22,8 @@
 	"frosttide/internal/testkit/fakerunner"
 )
 
-// wait bounds what a system is waited for; machines that run the tests may be slow.
-const wait = 60 * time.Second
+// maxWait bounds what a system is waited for; machines that run the tests may be slow.
+const maxWait = 60 * time.Second
 
 // programs are the programs as they are built for an installation.
 var programs string
@@ -50,7 +50,7 @@
 // run runs the control plane's program and returns what it printed and its exit status.
 func run(t *testing.T, env []string, args ...string) (out, errOut string, status int) {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(t.Context(), wait)
+	ctx, cancel := context.WithTimeout(t.Context(), maxWait)
 	defer cancel()
 	cmd := exec.CommandContext(ctx, program("frosttide-control"), args...)
 	cmd.Env = append(os.Environ(), env...)
@@ -65,32 +65,32 @@
 
 func runners(count int) (out []fakerunner.Config) {
 	for i := range count {
-		out = append(out, fakerunner.Config{ID: fmt.Sprintf("i-toy%d", i), Service: "toy", Labels: []string{"a", "r1-1"}, CPU: 4000, MemMB: 8192, Usual: 300 * time.Millisecond})
+		out = append(out, fakerunner.Config{ID: fmt.Sprintf("i-toy%d", i), Service: "toy", Labels: []string{"a", "r1-1"}, CPU: 4000, MemMB: 8192, DefaultDuration: 300 * time.Millisecond})
 	}
 	return out
 }
 
 // start starts a configured system.
-func start(t *testing.T, runnerCount int) *devcluster.System {
+func start(t *testing.T, runnerCount int) *devcluster.Cluster {
 	t.Helper()
-	s, err := devcluster.Start(devcluster.Config{Control: program("frosttide-control"), Data: program("frosttide-data"), Dir: t.TempDir(), Cores: 3, Carriers: 2, Runners: runners(runnerCount)})
+	s, err := devcluster.Start(devcluster.Config{Control: program("frosttide-control"), Data: program("frosttide-data"), Dir: t.TempDir(), Cores: 3, Gateways: 2, Runners: runners(runnerCount)})
 	require.NoError(t, err)
 	t.Cleanup(func() {
 		s.Close()
 		if t.Failed() {
-			for _, m := range append(append(append([]*devcluster.Machine(nil), s.Cores...), s.Carriers...), s.Sides...) {
+			for _, m := range append(append(append([]*devcluster.Machine(nil), s.Cores...), s.Gateways...), s.Agents...) {
 				t.Logf("%s:\n%s", m.Name, m.Log())
 			}
 		}
 	})
-	require.True(t, s.Configure(wait), "the configuration is not in force")
+	require.True(t, s.Configure(maxWait), "the configuration is not in force")
 	return s
 }
 
 const job = `{"Spec":"sleep 300ms","Stages":[{"Count":3,"Cpu":1000,"MemMb":10,"EstimateMs":300},{"Count":1,"Cpu":1000,"MemMb":10,"EstimateMs":300,"DependsOn":[0]}]}`
 
-func completed(s *devcluster.System, queue, id string) bool {
-	return devcluster.Wait(wait, func() bool { return s.State(1, queue, id) == "completed" })
+func completed(s *devcluster.Cluster, queue, id string) bool {
+	return devcluster.WaitFor(maxWait, func() bool { return s.State(1, queue, id) == "completed" })
 }
 
 func TestDemo(t *testing.T) {
@@ -119,13 +119,13 @@
 		require.True(t, completed(s, "previews", "00000000000000a1"))
 		require.Contains(t, ok("jobs", "list"), "00000000000000a1  previews  completed")
 		require.Contains(t, ok("jobs", "show", "00000000000000a1"), "completed")
-		var list []struct{ ID, State string }
-		require.NoError(t, json.Unmarshal([]byte(ok("jobs", "list", "--json")), &list))
-		require.Len(t, list, 1)
+		var jobs []struct{ ID, State string }
+		require.NoError(t, json.Unmarshal([]byte(ok("jobs", "list", "--json")), &jobs))
+		require.Len(t, jobs, 1)
 	})
 	t.Run("why", func(t *testing.T) {
 		require.True(t, s.Submit(0, "batches", "00000000000000b2", `{"Spec":"x","Stages":[{"Count":1,"Cpu":64000,"MemMb":10}]}`))
-		require.Eventually(t, func() bool { return strings.Contains(ok("jobs", "show", "00000000000000b2"), "2 are too small") }, wait, 50*time.Millisecond)
+		require.Eventually(t, func() bool { return strings.Contains(ok("jobs", "show", "00000000000000b2"), "2 are too small") }, maxWait, 50*time.Millisecond)
 		require.Contains(t, ok("status"), "00000000000000b2 step 0 waits")
 		require.Contains(t, ok("jobs", "cancel", "00000000000000b2"), "canceled")
 		require.Equal(t, "canceled", s.State(0, "batches", "00000000000000b2"))
@@ -173,26 +173,26 @@
 		head := s.Head()
 		require.NotNil(t, head)
 		s.Kill(head)
-		require.True(t, devcluster.Wait(wait, func() bool { return s.Submit(0, "previews", "00000000000000c3", job) }))
+		require.True(t, devcluster.WaitFor(maxWait, func() bool { return s.Submit(0, "previews", "00000000000000c3", job) }))
 		require.True(t, completed(s, "previews", "00000000000000c3"))
 		require.NoError(t, s.Restart(head, true), "it comes back without its disk")
-		require.True(t, devcluster.Wait(wait, func() bool {
+		require.True(t, devcluster.WaitFor(maxWait, func() bool {
 			out, _, _ := run(t, []string{"FROSTTIDE_CONTROL=" + head.Control()}, "status")
 			return strings.Contains(out, "3 voters") && strings.Contains(out, "this one") && !strings.Contains(out, "being changed")
 		}), "it is not taken in as a new member")
 		require.Equal(t, "completed", s.State(0, "previews", "00000000000000a1"))
 	})
 	t.Run("planned end", func(t *testing.T) {
-		require.Zero(t, s.Terminate(s.Carriers[1]))
+		require.Zero(t, s.Terminate(s.Gateways[1]))
 		head := s.Head()
 		require.NotNil(t, head)
 		require.Zero(t, s.Terminate(head))
-		require.True(t, devcluster.Wait(wait, func() bool { return s.Submit(0, "previews", "00000000000000d4", job) }))
+		require.True(t, devcluster.WaitFor(maxWait, func() bool { return s.Submit(0, "previews", "00000000000000d4", job) }))
 	})
 }
 
 // scrape starts the exporter beside a system and returns what it tells.
-func scrape(t *testing.T, s *devcluster.System) string {
+func scrape(t *testing.T, s *devcluster.Cluster) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -201,7 +201,7 @@
 	exporter := exec.Command(program("frosttide-exporter"), "-listen", address, "-at", s.Cores[0].Control()+","+s.Cores[1].Control()+","+s.Cores[2].Control())
 	require.NoError(t, exporter.Start())
 	var text string
-	require.True(t, devcluster.Wait(wait, func() bool {
+	require.True(t, devcluster.WaitFor(maxWait, func() bool {
 		response, err := http.Get("http://" + address + "/metrics")
 		if err != nil {
 			return false
@@ -246,7 +246,7 @@
 	require.True(t, completed(s, "previews", "00000000000000a1"))
 	file := filepath.Join(t.TempDir(), "snapshot")
 	var saved string
-	require.True(t, devcluster.Wait(wait, func() bool {
+	require.True(t, devcluster.WaitFor(maxWait, func() bool {
 		out, _, status := run(t, nil, "snapshot", "save", s.DataDir(s.Head()), file)
 		saved = out
 		return status == 0 && strings.Contains(out, "1 completed")
@@ -268,8 +268,8 @@
 	for _, m := range s.Cores {
 		require.NoError(t, s.Restart(m, m != first))
 	}
-	require.True(t, devcluster.Wait(wait, func() bool { return s.State(0, "previews", "00000000000000a1") == "completed" }), "what the snapshot holds is not known")
-	require.True(t, devcluster.Wait(wait, func() bool { return s.Submit(0, "previews", "00000000000000b2", job) }))
+	require.True(t, devcluster.WaitFor(maxWait, func() bool { return s.State(0, "previews", "00000000000000a1") == "completed" }), "what the snapshot holds is not known")
+	require.True(t, devcluster.WaitFor(maxWait, func() bool { return s.Submit(0, "previews", "00000000000000b2", job) }))
 	require.True(t, completed(s, "previews", "00000000000000b2"), "the runners don't take orders of the restored system")
 	bad := filepath.Join(t.TempDir(), "bad")
 	data, err := os.ReadFile(file)
@@ -314,7 +314,7 @@
 func TestRefusals(t *testing.T) {
 	t.Parallel()
 	s := start(t, 1)
-	front := "http://" + s.Carriers[0].Front()
+	front := "http://" + s.Gateways[0].Front()
 	for _, c := range []struct {
 		method, path, host, body string
 		want                     int
--- a/cmd/frosttide-data/main.go
+++ b/cmd/frosttide-data/main.go
@@ -23,8 +23,8 @@
 	"companion": agent.Run,
 }
 
-// usageStatus is the exit status after mistakes in arguments.
-const usageStatus = 2
+// exitUsage is the exit status after mistakes in arguments.
+const exitUsage = 2
 
 func main() {
 	klog.InitFlags(nil)
@@ -36,7 +36,7 @@
 	role := roles[flag.Arg(0)]
 	if role == nil || flag.NArg() != 1 {
 		flag.Usage()
-		os.Exit(usageStatus)
+		os.Exit(exitUsage)
 	}
 	if err := run(role); err != nil {
 		fmt.Fprintln(os.Stderr, "frosttide-data:", err)
--- a/cmd/frosttide-exporter/main.go
+++ b/cmd/frosttide-exporter/main.go
@@ -28,8 +28,8 @@
 	exitUsage  = 2
 )
 
-// readTime bounds how long a scrape's request may take to come in.
-const readTime = 10 * time.Second
+// readTimeout bounds how long a scrape's request may take to come in.
+const readTimeout = 10 * time.Second
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -41,7 +41,7 @@
 func run(ctx context.Context, args []string, errOut io.Writer) int {
 	flags := flag.NewFlagSet("frosttide-exporter", flag.ContinueOnError)
 	flags.SetOutput(errOut)
-	at := flags.String("at", os.Getenv("FROSTTIDE_CONTROL"), "`addresses` of the core machines' API, host:port, with commas between them")
+	addresses := flags.String("at", os.Getenv("FROSTTIDE_CONTROL"), "`addresses` of the core machines' API, host:port, with commas between them")
 	listen := flags.String("listen", "127.0.0.1:9464", "`address` that Prometheus scrapes, host:port; /metrics is served")
 	klog.InitFlags(flags)
 	switch err := flags.Parse(args); {
@@ -49,11 +49,11 @@
 		return 0
 	case err != nil:
 		return exitUsage
-	case *at == "" || flags.NArg() > 0:
+	case *addresses == "" || flags.NArg() > 0:
 		fmt.Fprintln(errOut, "frosttide-exporter: -at has to name the core machines; see -help")
 		return exitUsage
 	}
-	if err := serve(ctx, *listen, strings.Split(*at, ",")); err != nil {
+	if err := serve(ctx, *listen, strings.Split(*addresses, ",")); err != nil {
 		fmt.Fprintln(errOut, "frosttide-exporter:", err)
 		return exitFailed
 	}
@@ -62,7 +62,7 @@
 
 // serve answers scrapes until the context ends.
 func serve(ctx context.Context, address string, members []string) error {
-	l, err := net.Listen("tcp", address)
+	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return errors.Wrap(err, "-listen")
 	}
@@ -70,10 +70,10 @@
 	registry.MustRegister(metrics.NewCollector(members))
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
-	server := &http.Server{Handler: mux, ReadTimeout: readTime}
+	server := &http.Server{Handler: mux, ReadTimeout: readTimeout}
 	context.AfterFunc(ctx, func() { server.Close() })
-	klog.InfoS("Serving", "address", l.Addr(), "members", members)
-	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+	klog.InfoS("Serving", "address", listener.Addr(), "members", members)
+	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "-listen")
 	}
 	return nil
--- a/cmd/frosttide-mutate/main.go
+++ b/cmd/frosttide-mutate/main.go
@@ -30,20 +30,20 @@
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	missed, failed := 0, 0
-	for i, c := range mutate.Checks {
+	for i, c := range mutate.Mutations {
 		if i < *first || !strings.Contains(c.Name, *only) || ctx.Err() != nil {
 			continue
 		}
-		f, err := mutate.Try(ctx, *root, c, mutate.Bounds{Seeds: *seeds, Singles: *singles, Pairs: *pairs})
+		f, err := mutate.Run(ctx, *root, c, mutate.Bounds{Seeds: *seeds, Singles: *singles, Pairs: *pairs})
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			failed++
 			continue
 		}
-		if f.Finder == mutate.Nobody {
+		if f.Detector == mutate.Undetected {
 			missed++
 		}
-		fmt.Printf("| %s | %s | %s | %v |\n", c.Name, f.Finder, f.Detail, f.Took.Round(time.Second))
+		fmt.Printf("| %s | %s | %s | %v |\n", c.Name, f.Detector, f.Detail, f.Duration.Round(time.Second))
 	}
 	fmt.Printf("%d found by nothing, %d could not be tried\n", missed, failed)
 	if failed > 0 {
--- a/cmd/frosttide-scenarios/main.go
+++ b/cmd/frosttide-scenarios/main.go
@@ -26,7 +26,7 @@
 		os.Exit(2)
 	}
 	for seed := *first; seed < *first+*count; seed++ {
-		path, err := write(*site, *out, scenarios.Options{Seed: seed, Days: *days, Same: *same})
+		path, err := write(*site, *out, scenarios.Options{Seed: seed, Days: *days, KeepDeployment: *same})
 		if err != nil {
 			fmt.Fprintf(os.Stderr, "frosttide-scenarios: %s: %v\n", *site, err)
 			os.Exit(1)
--- a/cmd/frosttide-simulate/main.go
+++ b/cmd/frosttide-simulate/main.go
@@ -28,36 +28,36 @@
 		os.Exit(2)
 	}
 	options := func(seed uint64) simnet.Options {
-		o := simnet.Usual(seed)
-		o.Runners, o.Length, o.Weaken = *runners, *length, simnet.Weakness(*weaken)
+		o := simnet.DefaultOptions(seed)
+		o.Runners, o.Length, o.MissingCheck = *runners, *length, simnet.MissingCheck(*weaken)
 		return o
 	}
-	if broken := run(options, *first, *count, *trace, *stop); broken > 0 {
-		fmt.Printf("%d of %d plays break a rule\n", broken, *count)
+	if violating := run(options, *first, *count, *trace, *stop); violating > 0 {
+		fmt.Printf("%d of %d plays break a rule\n", violating, *count)
 		os.Exit(1)
 	}
 	fmt.Printf("%d plays, no rule broken\n", *count)
 }
 
 // run plays seeds side by side and returns how many broke a rule. With stop it ends at the first of them.
-func run(options func(uint64) simnet.Options, first, count uint64, whole, stop bool) (broken int) {
+func run(options func(uint64) simnet.Options, first, count uint64, fullTrace, stop bool) (violating int) {
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	seeds := make(chan uint64)
 	for range runtime.GOMAXPROCS(0) {
 		all.Go(func() {
 			for seed := range seeds {
-				r := simnet.Play(options(seed))
-				if len(r.Broken) == 0 {
+				r := simnet.Run(options(seed))
+				if len(r.Violations) == 0 {
 					continue
 				}
 				if stop {
-					fmt.Printf("seed %d: %s\n", seed, r.Broken[0])
+					fmt.Printf("seed %d: %s\n", seed, r.Violations[0])
 					os.Exit(1)
 				}
-				text := describe(options(seed), r, whole)
+				text := describe(options(seed), r, fullTrace)
 				mu.Lock()
-				broken++
+				violating++
 				fmt.Println(text)
 				mu.Unlock()
 			}
@@ -68,26 +68,26 @@
 	}
 	close(seeds)
 	all.Wait()
-	return broken
+	return violating
 }
 
 // traceLines is how much of a trace is printed.
 const traceLines = 60
 
 // describe tells of a play that broke a rule, with as few faults as still break one.
-func describe(o simnet.Options, r *simnet.Report, whole bool) string {
-	o.Skip = simnet.Shrink(o)
+func describe(o simnet.Options, r *simnet.Report, fullTrace bool) string {
+	o.SkipFaults = simnet.MinimizeFaults(o)
 	var lines []string
 	o.Trace = func(line string) { lines = append(lines, line) }
-	short := simnet.Play(o)
-	if !whole && len(lines) > traceLines {
+	short := simnet.Run(o)
+	if !fullTrace && len(lines) > traceLines {
 		lines = lines[len(lines)-traceLines:]
 	}
 	var faults []string
 	for i, f := range short.Faults {
-		if !o.Skip[i] {
+		if !o.SkipFaults[i] {
 			faults = append(faults, f)
 		}
 	}
-	return fmt.Sprintf("seed %d: %s\n  with faults:\n    %s\n  trace:\n    %s", o.Seed, r.Broken[0], strings.Join(faults, "\n    "), strings.Join(lines, "\n    "))
+	return fmt.Sprintf("seed %d: %s\n  with faults:\n    %s\n  trace:\n    %s", o.Seed, r.Violations[0], strings.Join(faults, "\n    "), strings.Join(lines, "\n    "))
 }
--- a/decision/bucket.go
+++ b/decision/bucket.go
@@ -19,12 +19,12 @@
 	total := 0
 	for _, w := range ready {
 		w.Limit = d.tokensFor(w)
-		total += max(w.Limit-w.Held, 0)
+		total += max(w.Limit-w.InUse, 0)
 	}
 	places := make([][]*worker, total)
 	for _, w := range ready {
 		offset := d.rng.Float64()
-		for j := range w.Limit - w.Held {
+		for j := range w.Limit - w.InUse {
 			at := int((float64(j) + offset) / float64(w.Limit) * float64(len(places)))
 			places[at] = append(places[at], w)
 		}
@@ -46,12 +46,12 @@
 	d.trim(w)
 	w.Limit = d.tokensFor(w)
 	var before []*bucket.Token[*worker]
-	for range w.Limit - w.Held {
+	for range w.Limit - w.InUse {
 		before = append(before, d.anchor(w))
 	}
 	slices.SortFunc(before, (*bucket.Token[*worker]).Compare)
 	for _, t := range before {
-		d.bucket.PutBefore(&w.tokens, w, 1, t)
+		d.bucket.Insert(&w.tokens, w, 1, t)
 	}
 }
 
@@ -85,14 +85,14 @@
 
 // trim drops free tokens beyond the worker's limit.
 func (d *Dispatcher) trim(w *worker) {
-	d.bucket.Take(&w.tokens, min(w.Free, w.Free+w.Held-w.Limit))
+	d.bucket.Remove(&w.tokens, min(w.Free, w.Free+w.InUse-w.Limit))
 }
 
 // release is the one owner of returning tokens: those of an ended attempt go
 // together to the back of the bucket, those beyond the limit are dropped.
 func (d *Dispatcher) release(w *worker, slots int) {
-	w.Held -= slots
-	for w.Free+w.Held < w.Limit {
+	w.InUse -= slots
+	for w.Free+w.InUse < w.Limit {
 		d.bucket.Put(&w.tokens, w, 1)
 	}
 }
--- a/decision/choice.go
+++ b/decision/choice.go
@@ -24,7 +24,7 @@
 		}
 		cost, rests := d.cost(w, r), d.now < w.RestUntil
 		if best != nil {
-			longer := cost == least && w.Order() < best.Order()
+			longer := cost == least && w.OldestPosition() < best.OldestPosition()
 			if rests && !resting || rests == resting && cost >= least && !longer {
 				continue
 			}
@@ -53,7 +53,7 @@
 		return cost * affinity.Factor(d.cfg.Instance, d.cfg.Instances, uint32(w.Worker))
 	}
 	known := max(1-float64(d.now-w.PaceAt)/float64(paceFor), 0)
-	cost := float64(w.Held+r.slots) / float64(d.tokensFor(w)) * (1 + known*(w.Pace-1))
+	cost := float64(w.InUse+r.slots) / float64(d.tokensFor(w)) * (1 + known*(w.Pace-1))
 	if w.Zone != d.cfg.Zone {
 		cost *= farCost
 	}
--- a/decision/cold.go
+++ b/decision/cold.go
@@ -13,7 +13,7 @@
 // a light one, while it has no other. Guards a machine that is wanted again from lying
 // idle, and rule 4 from one of the few jobs that take many times their class's mean.
 func (d *Dispatcher) trickles(w *worker, r *request) bool {
-	return w.Returned && w.Held == 0 && r.slots == 1 && r.hint.Seconds() <= d.run[r.class]
+	return w.Returned && w.InUse == 0 && r.slots == 1 && r.hint.Seconds() <= d.run[r.class]
 }
 
 // bears tells whether a worker can take a request on top of what it was sent. As
--- a/decision/course.go
+++ b/decision/course.go
@@ -62,8 +62,8 @@
 			continue
 		}
 		out = true
-		d.bucket.Take(&w.tokens, min(r.slots, w.Free))
-		w.Held += r.slots
+		d.bucket.Remove(&w.tokens, min(r.slots, w.Free))
+		w.InUse += r.slots
 		w.work += r.job.Slots * r.job.Work
 		if p.Started {
 			w.running += r.slots
--- a/decision/course_test.go
+++ b/decision/course_test.go
@@ -47,7 +47,7 @@
 	}
 	held := 0
 	for _, w := range h.d.listed {
-		held += w.Held
+		held += w.InUse
 	}
 	if held != 2 {
 		t.Errorf("%d tokens are held, want those of the two attempts that are out", held)
@@ -60,7 +60,7 @@
 	h := newHost(t, plain(), oneZone(2))
 	held := func() (n int) {
 		for _, w := range h.d.listed {
-			n += w.Held
+			n += w.InUse
 		}
 		return n
 	}
--- a/decision/gate.go
+++ b/decision/gate.go
@@ -83,9 +83,9 @@
 	if !d.allowed(r, w) || w.Free < r.slots {
 		return
 	}
-	d.bucket.Take(&w.tokens, r.slots)
+	d.bucket.Remove(&w.tokens, r.slots)
 	d.fleet.Sent(&w.load, w.Kind, w.own(), &r.job, d.now)
-	w.Held += r.slots
+	w.InUse += r.slots
 	w.untried = false
 	w.bill.Add(d.workOf(w, r))
 	w.work += r.job.Slots * r.job.Work
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -234,7 +234,7 @@
 
 // own tells what this dispatcher has out at a worker.
 func (w *worker) own() forecast.Own {
-	return forecast.Own{Held: float64(w.Held), Running: float64(w.running), Work: w.work}
+	return forecast.Own{Held: float64(w.InUse), Running: float64(w.running), Work: w.work}
 }
 
 // neverRan tells whether it is proved that the attempt did not run.
--- a/decision/overload.go
+++ b/decision/overload.go
@@ -15,7 +15,7 @@
 	if d.fleet.Known() && d.shares.Due(d.now) {
 		var own, all float64
 		for _, w := range d.listed {
-			own, all = own+float64(w.Held), all+float64(w.Held)+d.fleet.Others(&w.load, w.Kind, d.now)
+			own, all = own+float64(w.InUse), all+float64(w.InUse)+d.fleet.Others(&w.load, w.Kind, d.now)
 		}
 		d.shares.Look(own, all, d.now)
 	}
--- a/decision/tell.go
+++ b/decision/tell.go
@@ -57,7 +57,7 @@
 // Held returns how many tokens of a worker are out, and how many it may have out.
 func (d *Dispatcher) Held(id WorkerID) (held, limit int) {
 	w := cmp.Or(d.workers[id], &worker{})
-	return w.Held, w.Limit
+	return w.InUse, w.Limit
 }
 
 // Runs returns the mean times from a start to the answer, by class.
--- a/examples/toyfleet/main.go
+++ b/examples/toyfleet/main.go
@@ -27,6 +27,6 @@
 	}
 	logrus.WithField("discovery", *discovery).Info("toy fleet serves")
 	for range usr {
-		f.Toggle(1)
+		f.ToggleDraining(1)
 	}
 }
--- a/internal/bucket/bucket.go
+++ b/internal/bucket/bucket.go
@@ -7,29 +7,29 @@
 
 // Token is a number of tokens of one owner that came free together.
 type Token[Owner any] struct {
-	Owner      Owner
-	count      int
-	prev, next *Token[Owner] // neighbors in the ring
-	newer      *Token[Owner] // the owner's next
-	order      float64       // rises along the ring
+	Owner       Owner
+	count       int
+	prev, next  *Token[Owner] // neighbors in the ring
+	nextOfOwner *Token[Owner] // the owner's next
+	position    float64       // rises along the ring
 }
 
 // Account is an owner's tokens.
 type Account[Owner any] struct {
 	oldest, newest *Token[Owner]
 	Free           int // tokens in the ring
-	Held           int // tokens that work holds
+	InUse          int // tokens that work holds
 	Limit          int // most tokens the owner has now
 }
 
-// Order returns the place of the oldest free token in the ring; it is only to be compared, and only where
+// OldestPosition returns the place of the oldest free token in the ring; it is only to be compared, and only where
 // there are free tokens.
-func (a *Account[Owner]) Order() float64 { return a.oldest.order }
+func (a *Account[Owner]) OldestPosition() float64 { return a.oldest.position }
 
 // Nth returns the free token of a number from 0, the oldest first, and nil where there are not so many.
 // Tokens that came free together are one.
 func (a *Account[Owner]) Nth(number int) *Token[Owner] {
-	for t := a.oldest; t != nil; t = t.newer {
+	for t := a.oldest; t != nil; t = t.nextOfOwner {
 		if number < t.count {
 			return t
 		}
@@ -48,111 +48,111 @@
 	case other == nil:
 		return -1
 	default:
-		return cmp.Compare(t.order, other.order)
+		return cmp.Compare(t.position, other.position)
 	}
 }
 
 // Bucket is the ring of free tokens. Its zero value is not usable; see New.
-type Bucket[Owner any] struct{ head *Token[Owner] }
+type Bucket[Owner any] struct{ sentinel *Token[Owner] }
 
 // New returns an empty bucket.
 func New[Owner any]() *Bucket[Owner] {
-	b := &Bucket[Owner]{head: &Token[Owner]{}}
-	b.head.prev, b.head.next = b.head, b.head
+	b := &Bucket[Owner]{sentinel: &Token[Owner]{}}
+	b.sentinel.prev, b.sentinel.next = b.sentinel, b.sentinel
 	return b
 }
 
 // Empty tells whether nobody has a free token.
-func (b *Bucket[Owner]) Empty() bool { return b.head.next == b.head }
+func (b *Bucket[Owner]) Empty() bool { return b.sentinel.next == b.sentinel }
 
 // Put places free tokens of an owner together at the back of the ring.
 func (b *Bucket[Owner]) Put(a *Account[Owner], owner Owner, count int) {
-	b.PutBefore(a, owner, count, nil)
+	b.Insert(a, owner, count, nil)
 }
 
-// PutBefore places free tokens of an owner together before another token of the ring; nil is the back. They
+// Insert places free tokens of an owner together before another token of the ring; nil is the back. They
 // count as the owner's newest.
-func (b *Bucket[Owner]) PutBefore(a *Account[Owner], owner Owner, count int, before *Token[Owner]) {
+func (b *Bucket[Owner]) Insert(a *Account[Owner], owner Owner, count int, next *Token[Owner]) {
 	if count <= 0 {
 		return
 	}
-	if before == nil {
-		before = b.head
+	if next == nil {
+		next = b.sentinel
 	}
-	t := &Token[Owner]{Owner: owner, count: count, prev: before.prev, next: before}
-	t.prev.next, before.prev = t, t
-	b.number(t)
+	t := &Token[Owner]{Owner: owner, count: count, prev: next.prev, next: next}
+	t.prev.next, next.prev = t, t
+	b.assignPosition(t)
 	if a.oldest == nil {
 		a.oldest = t
 	} else {
-		a.newest.newer = t
+		a.newest.nextOfOwner = t
 	}
 	a.newest = t
 	a.Free += count
 }
 
-// number gives a token its order between its neighbors', and all of them new ones once there is no
+// assignPosition gives a token its order between its neighbors', and all of them new ones once there is no
 // number between two. So nobody has to walk the ring to compare two places in it.
-func (b *Bucket[Owner]) number(t *Token[Owner]) {
-	switch first, last := t.prev == b.head, t.next == b.head; {
+func (b *Bucket[Owner]) assignPosition(t *Token[Owner]) {
+	switch first, last := t.prev == b.sentinel, t.next == b.sentinel; {
 	case first && last:
-		t.order = 0
+		t.position = 0
 	case first:
-		t.order = t.next.order - 1
+		t.position = t.next.position - 1
 	case last:
-		t.order = t.prev.order + 1
+		t.position = t.prev.position + 1
 	default:
-		t.order = t.prev.order + (t.next.order-t.prev.order)/2
-		if t.order <= t.prev.order || t.order >= t.next.order {
-			b.renumber()
+		t.position = t.prev.position + (t.next.position-t.prev.position)/2
+		if t.position <= t.prev.position || t.position >= t.next.position {
+			b.reassignPositions()
 		}
 	}
 }
 
-func (b *Bucket[Owner]) renumber() {
+func (b *Bucket[Owner]) reassignPositions() {
 	n := 0.0
-	for t := b.head.next; t != b.head; t = t.next {
+	for t := b.sentinel.next; t != b.sentinel; t = t.next {
 		n++
-		t.order = n
+		t.position = n
 	}
 }
 
-// Take removes the tokens of an owner that have been free longest from the ring.
-func (b *Bucket[Owner]) Take(a *Account[Owner], count int) {
+// Remove removes the tokens of an owner that have been free longest from the ring.
+func (b *Bucket[Owner]) Remove(a *Account[Owner], count int) {
 	for count > 0 && a.oldest != nil {
 		t := a.oldest
-		taken := min(count, t.count)
-		t.count -= taken
-		count -= taken
-		a.Free -= taken
+		removed := min(count, t.count)
+		t.count -= removed
+		count -= removed
+		a.Free -= removed
 		if t.count > 0 {
 			return
 		}
 		t.prev.next, t.next.prev = t.next, t.prev
-		a.oldest = t.newer
+		a.oldest = t.nextOfOwner
 		if a.oldest == nil {
 			a.newest = nil
 		}
 	}
 }
 
-// Seize moves free tokens of an owner to work.
-func (b *Bucket[Owner]) Seize(a *Account[Owner], count int) {
-	b.Take(a, count)
-	a.Held += count
+// Acquire moves free tokens of an owner to work.
+func (b *Bucket[Owner]) Acquire(a *Account[Owner], count int) {
+	b.Remove(a, count)
+	a.InUse += count
 }
 
 // Release takes tokens back from work: they go together to the back of the ring, those beyond the limit
 // are dropped.
 func (b *Bucket[Owner]) Release(a *Account[Owner], owner Owner, count int) {
-	a.Held -= count
-	b.Put(a, owner, a.Limit-a.Free-a.Held)
+	a.InUse -= count
+	b.Put(a, owner, a.Limit-a.Free-a.InUse)
 }
 
 // SetLimit changes how many tokens an owner has: new ones are free and lie at the back, free ones beyond
 // the limit are dropped.
 func (b *Bucket[Owner]) SetLimit(a *Account[Owner], owner Owner, limit int) {
 	a.Limit = limit
-	b.Take(a, min(a.Free, a.Free+a.Held-limit))
-	b.Put(a, owner, limit-a.Free-a.Held)
+	b.Remove(a, min(a.Free, a.Free+a.InUse-limit))
+	b.Put(a, owner, limit-a.Free-a.InUse)
 }
--- a/internal/bucket/bucket_test.go
+++ b/internal/bucket/bucket_test.go
@@ -13,28 +13,28 @@
 	account Account[*owner]
 }
 
-// plain is the same bucket as a list of single tokens.
-type plain struct{ ring []*owner }
+// referenceBucket is the same bucket as a list of single tokens.
+type referenceBucket struct{ ring []*owner }
 
-func (p *plain) put(o *owner, count int) {
+func (p *referenceBucket) put(o *owner, count int) {
 	for range count {
 		p.ring = append(p.ring, o)
 	}
 }
 
-func (p *plain) take(o *owner, count int) {
+func (p *referenceBucket) take(o *owner, count int) {
 	for range count {
 		at := slices.Index(p.ring, o)
 		p.ring = slices.Delete(p.ring, at, at+1)
 	}
 }
 
-// TestAsSingleTokens compares the bucket with one that keeps every token by itself: the counts agree, and so
+// TestMatchesSingleTokenReference compares the bucket with one that keeps every token by itself: the counts agree, and so
 // does the order of the owners' oldest free tokens.
-func TestAsSingleTokens(t *testing.T) {
+func TestMatchesSingleTokenReference(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		b, p := New[*owner](), &plain{}
+		b, p := New[*owner](), &referenceBucket{}
 		var owners []*owner
 		for i := range 5 {
 			owners = append(owners, &owner{name: i})
@@ -45,37 +45,37 @@
 			switch rng.IntN(3) {
 			case 0:
 				limit := rng.IntN(20)
-				before := a.Free
+				previousFree := a.Free
 				b.SetLimit(a, o, limit)
-				if a.Free > before {
-					p.put(o, a.Free-before)
+				if a.Free > previousFree {
+					p.put(o, a.Free-previousFree)
 				} else {
-					p.take(o, before-a.Free)
+					p.take(o, previousFree-a.Free)
 				}
-				require.True(t, a.Free+a.Held <= max(limit, a.Held), "free tokens beyond the limit")
+				require.True(t, a.Free+a.InUse <= max(limit, a.InUse), "free tokens beyond the limit")
 			case 1:
 				if a.Free == 0 {
 					continue
 				}
 				n := 1 + rng.IntN(a.Free)
-				b.Seize(a, n)
+				b.Acquire(a, n)
 				p.take(o, n)
 			case 2:
-				if a.Held == 0 {
+				if a.InUse == 0 {
 					continue
 				}
-				n := 1 + rng.IntN(a.Held)
-				before := a.Free
+				n := 1 + rng.IntN(a.InUse)
+				previousFree := a.Free
 				b.Release(a, o, n)
-				p.put(o, a.Free-before)
-				require.LessOrEqual(t, a.Free+a.Held, max(a.Limit, a.Held))
+				p.put(o, a.Free-previousFree)
+				require.LessOrEqual(t, a.Free+a.InUse, max(a.Limit, a.InUse))
 			}
-			compare(t, owners, p)
+			requireSameOrder(t, owners, p)
 		}
 	}
 }
 
-func compare(t *testing.T, owners []*owner, p *plain) {
+func requireSameOrder(t *testing.T, owners []*owner, p *referenceBucket) {
 	t.Helper()
 	var order []*owner
 	for _, o := range owners {
@@ -91,7 +91,7 @@
 		}
 	}
 	slices.SortFunc(order, func(a, b *owner) int {
-		if a.account.Order() < b.account.Order() {
+		if a.account.OldestPosition() < b.account.OldestPosition() {
 			return -1
 		}
 		return 1
--- a/internal/chainclient/client.go
+++ b/internal/chainclient/client.go
@@ -15,10 +15,10 @@
 
 // Outcome is how a request ended.
 type Outcome struct {
-	ID      uint64
-	Reply   *protocol.ClientReply // nil where none came
-	Sent    bool                  // without a reply: the control plane may have taken it; every attempt that it did not surely refuse counts
-	Elapsed time.Duration
+	ID              uint64
+	Reply           *protocol.ClientReply // nil where none came
+	MayHaveExecuted bool                  // without a reply: the control plane may have taken it; every attempt that it did not surely refuse counts
+	Elapsed         time.Duration
 }
 
 // Send is a message to the process at an internal address.
@@ -29,42 +29,42 @@
 
 // request is a request that has no answer yet.
 type request struct {
-	message  *protocol.ClientRequest
-	read     bool
-	began    time.Duration
-	deadline time.Duration // no answer is waited for beyond it
-	unsentBy time.Duration // it is given up at that time unless it has been sent
-	sent     bool
-	attempts uint32
-	refused  map[uint32]bool // attempts that were surely not taken
-	again    time.Duration   // when it is sent again
+	message         *protocol.ClientRequest
+	read            bool
+	startedAt       time.Duration
+	deadline        time.Duration // no answer is waited for beyond it
+	unsentDeadline  time.Duration // it is given up at that time unless it has been sent
+	sent            bool
+	attempts        uint32
+	refusedAttempts map[uint32]bool // attempts that were surely not taken
+	resendAt        time.Duration   // when it is sent again
 }
 
 // Client is a process's access to the control plane. It is not safe for concurrent use.
 type Client struct {
-	incarnation uint64
-	now         time.Duration
-	contacts    []string
-	contact     int
-	view        *protocol.View
-	heard       time.Duration // when the control plane last answered anything
-	asked       time.Duration // when the view was last asked for
-	next        uint64
-	open        map[uint64]*request
-	outcomes    []Outcome
-	sends       []Send
+	incarnation   uint64
+	now           time.Duration
+	contacts      []string
+	contactIndex  int
+	view          *protocol.View
+	lastReplyAt   time.Duration // when the control plane last answered anything
+	viewQueriedAt time.Duration // when the view was last asked for
+	lastID        uint64
+	pending       map[uint64]*request
+	outcomes      []Outcome
+	sends         []Send
 }
 
 const (
 	// resendAfter is how long an answer is waited for until the request is sent again. It is well above
 	// what a slow disk takes.
 	resendAfter = 400 * time.Millisecond
-	// refusedPause is the pause after a member has said that it does not hold the role asked for.
-	refusedPause = 25 * time.Millisecond
-	// viewEvery is how often the view is asked for while requests have no answer.
-	viewEvery = 60 * time.Millisecond
-	// viewDoubt is how long a request may have no answer until the view is doubted.
-	viewDoubt = 120 * time.Millisecond
+	// refusedBackoff is the pause after a member has said that it does not hold the role asked for.
+	refusedBackoff = 25 * time.Millisecond
+	// viewQueryInterval is how often the view is asked for while requests have no answer.
+	viewQueryInterval = 60 * time.Millisecond
+	// viewSuspectAfter is how long a request may have no answer until the view is doubted.
+	viewSuspectAfter = 120 * time.Millisecond
 )
 
 // idBits is how many of a request's id count; those above are drawn with the process, so that an answer
@@ -73,7 +73,7 @@
 
 // New returns a client that asks the processes at some internal addresses for the view.
 func New(incarnation uint64, contacts []string) *Client {
-	return &Client{incarnation: incarnation, contacts: contacts, next: incarnation << idBits, open: make(map[uint64]*request)}
+	return &Client{incarnation: incarnation, contacts: contacts, lastID: incarnation << idBits, pending: make(map[uint64]*request)}
 }
 
 // SetContacts replaces the processes that are asked for the view at first.
@@ -88,105 +88,105 @@
 
 // Do begins a request and returns its id. It is given up at the deadline, or at unsentBy where nobody
 // could be found to send it to.
-func (c *Client) Do(now time.Duration, r *protocol.ClientRequest, read bool, deadline, unsentBy time.Duration) uint64 {
+func (c *Client) Do(now time.Duration, r *protocol.ClientRequest, read bool, deadline, unsentDeadline time.Duration) uint64 {
 	c.now = now
-	c.next++
-	r.Id, r.Incarnation = c.next, c.incarnation
-	o := &request{message: r, read: read, began: now, deadline: deadline, unsentBy: min(unsentBy, deadline)}
-	c.open[r.GetId()] = o
-	c.transmit(o)
+	c.lastID++
+	r.Id, r.Incarnation = c.lastID, c.incarnation
+	req := &request{message: r, read: read, startedAt: now, deadline: deadline, unsentDeadline: min(unsentDeadline, deadline)}
+	c.pending[r.GetId()] = req
+	c.send(req)
 	return r.GetId()
 }
 
 // Cancel forgets a request whose client has gone.
-func (c *Client) Cancel(id uint64) { delete(c.open, id) }
+func (c *Client) Cancel(id uint64) { delete(c.pending, id) }
 
-// transmit sends a request to whom the view names.
-func (c *Client) transmit(o *request) {
+// send sends a request to whom the view names.
+func (c *Client) send(req *request) {
 	if c.view == nil {
-		o.again = c.now + refusedPause
+		req.resendAt = c.now + refusedBackoff
 		return
 	}
 	id := view.Head(c.view)
-	if o.read {
+	if req.read {
 		id = view.Tail(c.view)
 	}
 	to := view.Find(c.view.GetVoters(), id)
-	o.again = c.now + resendAfter
-	o.sent = true
-	o.attempts++
-	message := &protocol.ClientRequest{Id: o.message.GetId(), Incarnation: o.message.GetIncarnation(), Op: o.message.GetOp(), Attempt: o.attempts}
+	req.resendAt = c.now + resendAfter
+	req.sent = true
+	req.attempts++
+	message := &protocol.ClientRequest{Id: req.message.GetId(), Incarnation: req.message.GetIncarnation(), Op: req.message.GetOp(), Attempt: req.attempts}
 	c.sends = append(c.sends, Send{To: to.GetAddress(), Message: &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: message}}})
 }
 
-// refuse notes an attempt that was surely not taken.
-func (o *request) refuse(attempt uint32) {
-	if attempt == 0 || attempt > o.attempts {
+// recordRefusal notes an attempt that was surely not taken.
+func (req *request) recordRefusal(attempt uint32) {
+	if attempt == 0 || attempt > req.attempts {
 		return
 	}
-	if o.refused == nil {
-		o.refused = make(map[uint32]bool)
+	if req.refusedAttempts == nil {
+		req.refusedAttempts = make(map[uint32]bool)
 	}
-	o.refused[attempt] = true
+	req.refusedAttempts[attempt] = true
 }
 
-// mayBeTaken tells whether an attempt may have been taken.
-func (o *request) mayBeTaken() bool { return len(o.refused) < int(o.attempts) }
+// mayHaveExecuted tells whether an attempt may have been taken.
+func (req *request) mayHaveExecuted() bool { return len(req.refusedAttempts) < int(req.attempts) }
 
-// Learn notes a view; requests without an answer are sent again where it is newer.
-func (c *Client) Learn(now time.Duration, v *protocol.View) {
+// UpdateView notes a view; requests without an answer are sent again where it is newer.
+func (c *Client) UpdateView(now time.Duration, v *protocol.View) {
 	c.now = now
 	if v.GetEpoch() <= c.view.GetEpoch() || len(v.GetChain()) == 0 {
 		return
 	}
 	c.view = v
-	for _, id := range slices.Sorted(maps.Keys(c.open)) {
-		c.transmit(c.open[id])
+	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
+		c.send(c.pending[id])
 	}
 }
 
 // Reply handles an answer.
 func (c *Client) Reply(now time.Duration, r *protocol.ClientReply) {
 	c.now = now
-	o := c.open[r.GetId()]
-	if o == nil {
+	req := c.pending[r.GetId()]
+	if req == nil {
 		return
 	}
 	if r.GetNotServing() {
-		o.refuse(r.GetAttempt())
-		o.again = now + refusedPause
+		req.recordRefusal(r.GetAttempt())
+		req.resendAt = now + refusedBackoff
 		return
 	}
-	c.heard = now
-	delete(c.open, r.GetId())
-	c.outcomes = append(c.outcomes, Outcome{ID: r.GetId(), Reply: r, Sent: true, Elapsed: now - o.began})
+	c.lastReplyAt = now
+	delete(c.pending, r.GetId())
+	c.outcomes = append(c.outcomes, Outcome{ID: r.GetId(), Reply: r, MayHaveExecuted: true, Elapsed: now - req.startedAt})
 }
 
 // Tick lets time pass.
 func (c *Client) Tick(now time.Duration) {
 	c.now = now
-	doubt := false
-	for _, id := range slices.Sorted(maps.Keys(c.open)) {
-		o := c.open[id]
+	viewSuspect := false
+	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
+		req := c.pending[id]
 		switch {
-		case now >= o.deadline, !o.sent && now >= o.unsentBy:
-			delete(c.open, id)
-			c.outcomes = append(c.outcomes, Outcome{ID: id, Sent: o.mayBeTaken(), Elapsed: now - o.began})
-		case now >= o.again:
-			c.transmit(o)
-			doubt = true
+		case now >= req.deadline, !req.sent && now >= req.unsentDeadline:
+			delete(c.pending, id)
+			c.outcomes = append(c.outcomes, Outcome{ID: id, MayHaveExecuted: req.mayHaveExecuted(), Elapsed: now - req.startedAt})
+		case now >= req.resendAt:
+			c.send(req)
+			viewSuspect = true
 		default:
-			doubt = doubt || now-o.began > viewDoubt
+			viewSuspect = viewSuspect || now-req.startedAt > viewSuspectAfter
 		}
 	}
-	if (doubt || c.view == nil) && now-c.asked >= viewEvery {
-		c.askView()
+	if (viewSuspect || c.view == nil) && now-c.viewQueriedAt >= viewQueryInterval {
+		c.queryView()
 	}
 }
 
-// askView asks another core member each time for a newer view.
-func (c *Client) askView() {
-	c.asked = c.now
+// queryView asks another core member each time for a newer view.
+func (c *Client) queryView() {
+	c.viewQueriedAt = c.now
 	addresses := append([]string(nil), c.contacts...)
 	for _, m := range c.view.GetVoters() {
 		addresses = append(addresses, m.GetAddress())
@@ -194,13 +194,13 @@
 	if len(addresses) == 0 {
 		return
 	}
-	c.contact++
-	c.sends = append(c.sends, Send{To: addresses[c.contact%len(addresses)],
+	c.contactIndex++
+	c.sends = append(c.sends, Send{To: addresses[c.contactIndex%len(addresses)],
 		Message: &protocol.Envelope{Body: &protocol.Envelope_ViewQuery{ViewQuery: &protocol.ViewQuery{Epoch: c.view.GetEpoch()}}}})
 }
 
-// Open returns how many requests have no answer.
-func (c *Client) Open() int { return len(c.open) }
+// Pending returns how many requests have no answer.
+func (c *Client) Pending() int { return len(c.pending) }
 
 // TakeOutcomes returns the requests that have ended since the last call.
 func (c *Client) TakeOutcomes() []Outcome {
--- a/internal/control/cli/cli.go
+++ b/internal/control/cli/cli.go
@@ -27,8 +27,8 @@
 // errUsage marks mistakes in arguments.
 var errUsage = errors.New("usage")
 
-// usage returns an error for a mistake in arguments.
-func usage(format string, args ...any) error {
+// usageError returns an error for a mistake in arguments.
+func usageError(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), errUsage)
 }
 
@@ -37,28 +37,28 @@
 	name    string
 	args    string
 	summary string
-	run     func(ctx context.Context, c *call) error
+	run     func(ctx context.Context, c *invocation) error
 }
 
-// call is one use of the program.
-type call struct {
-	args []string
-	out  io.Writer
-	err  io.Writer
+// invocation is one use of the program.
+type invocation struct {
+	args   []string
+	out    io.Writer
+	errOut io.Writer
 }
 
 // commands returns all sub-commands, in the order in which help tells of them.
 func commands() []command {
 	return []command{
-		{"serve", "", "serves as a member of the control plane, by the file that " + nodefile.Variable + " names (the default)", serve},
-		{"demo", "[--keep DIR]", "starts a whole small system on loopback, runs jobs, and kills the head", demo},
-		{"status", "[--at ADDRESS] [--json]", "tells the view, the chain, the members, runners and what waits and why", status},
+		{"serve", "", "serves as a member of the control plane, by the file that " + nodefile.PathVariable + " names (the default)", serveCommand},
+		{"demo", "[--keep DIR]", "starts a whole small system on loopback, runs jobs, and kills the head", demoCommand},
+		{"status", "[--at ADDRESS] [--json]", "tells the view, the chain, the members, runners and what waits and why", statusCommand},
 		{"jobs", "list|show ID|cancel ID [--at ADDRESS] [--json]", "tells of jobs, or cancels one", jobsCommand},
 		{"runners", "[--at ADDRESS] [--json]", "tells of runners", runnersCommand},
 		{"config", "get|put FILE|diff FILE|history [--at ADDRESS] [--if-match N]", "reads or changes the configuration", configCommand},
-		{"check", "[--settings FILE] [--config FILE]", "checks a settings file and a configuration", check},
-		{"snapshot", "save DIR FILE|verify FILE|restore FILE DIR", "keeps the state of a member's disk, looks at it, puts it back", snapshot},
-		{"version", "", "tells the version", version},
+		{"check", "[--settings FILE] [--config FILE]", "checks a settings file and a configuration", checkCommand},
+		{"snapshot", "save DIR FILE|verify FILE|restore FILE DIR", "keeps the state of a member's disk, looks at it, puts it back", snapshotCommand},
+		{"version", "", "tells the version", versionCommand},
 	}
 }
 
@@ -67,9 +67,9 @@
 	if len(args) == 0 {
 		args = []string{"serve"}
 	}
-	c := &call{args: args[1:], out: out, err: errOut}
+	c := &invocation{args: args[1:], out: out, errOut: errOut}
 	if args[0] == "help" || args[0] == "-h" || args[0] == "--help" {
-		help(out)
+		printHelp(out)
 		return ExitOK
 	}
 	all := commands()
@@ -93,8 +93,8 @@
 	}
 }
 
-// help answers a newcomer's first questions.
-func help(out io.Writer) {
+// printHelp answers a newcomer's first questions.
+func printHelp(out io.Writer) {
 	fmt.Fprint(out, `frosttide-control is the control plane of the cluster scheduler: it keeps the configuration and
 the jobs on the disks of a few core machines, and says which runner does what.
 
@@ -115,8 +115,8 @@
 // addressVariable is the environment variable that holds a core machine's address.
 const addressVariable = "FROSTTIDE_CONTROL"
 
-// address returns the core machine to ask.
-func address(given string) (string, error) {
+// coreAddress returns the core machine to ask.
+func coreAddress(given string) (string, error) {
 	if given != "" {
 		return given, nil
 	}
@@ -132,13 +132,13 @@
 			return settings.Seeds[0], nil
 		}
 	}
-	return "", usage("no address: give --at, or set %s", addressVariable)
+	return "", usageError("no address: give --at, or set %s", addressVariable)
 }
 
-// parse reads flags that may stand before or after the other arguments, and returns those.
-func (c *call) parse(name string, define func(*flag.FlagSet)) ([]string, error) {
+// parseFlags reads flags that may stand before or after the other arguments, and returns those.
+func (c *invocation) parseFlags(name string, define func(*flag.FlagSet)) ([]string, error) {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
-	flags.SetOutput(c.err)
+	flags.SetOutput(c.errOut)
 	define(flags)
 	var rest []string
 	args := c.args
@@ -147,7 +147,7 @@
 			if errors.Is(err, flag.ErrHelp) {
 				return nil, err
 			}
-			return nil, usage("%v", err)
+			return nil, usageError("%v", err)
 		}
 		args = flags.Args()
 		if len(args) > 0 {
--- a/internal/control/cli/configure.go
+++ b/internal/control/cli/config.go
@@ -25,51 +25,51 @@
 	if err != nil {
 		return errors.Wrap(err, "the answer can't be written")
 	}
-	return raw(out, body)
+	return printRaw(out, body)
 }
 
 // configCommand reads or changes the configuration.
-func configCommand(ctx context.Context, c *call) error {
-	var at string
-	match := int64(-1)
-	rest, err := c.parse("config", func(f *flag.FlagSet) {
-		f.StringVar(&at, "at", "", "`address` of a core machine, host:port")
-		f.Int64Var(&match, "if-match", -1, "`version` that the change builds on; without it the current one")
+func configCommand(ctx context.Context, c *invocation) error {
+	var address string
+	ifMatch := int64(-1)
+	rest, err := c.parseFlags("config", func(f *flag.FlagSet) {
+		f.StringVar(&address, "at", "", "`address` of a core machine, host:port")
+		f.Int64Var(&ifMatch, "if-match", -1, "`version` that the change builds on; without it the current one")
 	})
 	if err != nil {
 		return err
 	}
-	if at, err = address(at); err != nil {
+	if address, err = coreAddress(address); err != nil {
 		return err
 	}
 	switch {
 	case slices.Equal(rest, []string{"get"}):
-		body, _, err := currentConfig(ctx, at)
+		body, _, err := currentConfig(ctx, address)
 		if err != nil {
 			return err
 		}
-		return raw(c.out, body)
+		return printRaw(c.out, body)
 	case slices.Equal(rest, []string{"history"}):
-		var list []scheduler.Change
-		if _, err := apiclient.Get(ctx, at, "/v1/config/history", &list); err != nil {
+		var items []scheduler.ConfigUpdate
+		if _, err := apiclient.Get(ctx, address, "/v1/config/history", &items); err != nil {
 			return err
 		}
-		for _, change := range list {
-			fmt.Fprintf(c.out, "%d  %s\n", change.Version, change.Order)
+		for _, change := range items {
+			fmt.Fprintf(c.out, "%d  %s\n", change.Version, change.Digest)
 		}
 		return nil
 	case len(rest) == 2 && rest[0] == "put":
-		return putConfig(ctx, c, at, rest[1], match)
+		return putConfig(ctx, c, address, rest[1], ifMatch)
 	case len(rest) == 2 && rest[0] == "diff":
-		return diffConfig(ctx, c, at, rest[1])
+		return diffConfig(ctx, c, address, rest[1])
 	default:
-		return usage("get, put FILE, diff FILE or history is wanted")
+		return usageError("get, put FILE, diff FILE or history is wanted")
 	}
 }
 
 // currentConfig returns the configuration in force and its version, 0 before the first.
-func currentConfig(ctx context.Context, at string) ([]byte, uint64, error) {
-	a, err := apiclient.Ask(ctx, http.MethodGet, at, "/v1/config", "", nil)
+func currentConfig(ctx context.Context, address string) ([]byte, uint64, error) {
+	a, err := apiclient.Do(ctx, http.MethodGet, address, "/v1/config", "", nil)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -77,7 +77,7 @@
 		return []byte("{}"), 0, nil
 	}
 	if a.Status != http.StatusOK {
-		return nil, 0, a.Refusal()
+		return nil, 0, a.Err()
 	}
 	var head struct{ Version uint64 }
 	return a.Body, head.Version, errors.Wrap(json.Unmarshal(a.Body, &head), "the configuration can't be read")
@@ -89,7 +89,7 @@
 }
 
 // putConfig checks a file and puts it in force.
-func putConfig(ctx context.Context, c *call, at, path string, match int64) error {
+func putConfig(ctx context.Context, c *invocation, address, path string, ifMatch int64) error {
 	body, err := readFile(path)
 	if err != nil {
 		return err
@@ -97,18 +97,18 @@
 	if err := checkConfig(path, body); err != nil {
 		return err
 	}
-	version := uint64(max(match, 0))
-	if match < 0 {
-		if _, version, err = currentConfig(ctx, at); err != nil {
+	version := uint64(max(ifMatch, 0))
+	if ifMatch < 0 {
+		if _, version, err = currentConfig(ctx, address); err != nil {
 			return err
 		}
 	}
-	a, err := apiclient.Ask(ctx, http.MethodPut, at, "/v1/config", strconv.FormatUint(version, 10), body)
+	a, err := apiclient.Do(ctx, http.MethodPut, address, "/v1/config", strconv.FormatUint(version, 10), body)
 	if err != nil {
 		return err
 	}
 	if a.Status != http.StatusOK {
-		return a.Refusal()
+		return a.Err()
 	}
 	fmt.Fprintln(c.out, "the configuration is in force")
 	return nil
@@ -121,32 +121,32 @@
 }
 
 // diffConfig tells how a file differs from what is in force, item by item.
-func diffConfig(ctx context.Context, c *call, at, path string) error {
-	mine, err := readFile(path)
+func diffConfig(ctx context.Context, c *invocation, address, path string) error {
+	proposedBody, err := readFile(path)
 	if err != nil {
 		return err
 	}
-	theirs, _, err := currentConfig(ctx, at)
+	currentBody, _, err := currentConfig(ctx, address)
 	if err != nil {
 		return err
 	}
-	before, err := itemsOf(theirs)
+	current, err := itemsOf(currentBody)
 	if err != nil {
 		return errors.Wrap(err, "the configuration in force")
 	}
-	after, err := itemsOf(mine)
+	proposed, err := itemsOf(proposedBody)
 	if err != nil {
 		return errors.Wrap(err, path)
 	}
-	for _, key := range keysOf(before, after) {
-		old, new := before[key], after[key]
+	for _, key := range keysOf(current, proposed) {
+		currentItem, proposedItem := current[key], proposed[key]
 		switch {
-		case old == nil:
-			fmt.Fprintf(c.out, "+ %s %s\n", key, new)
-		case new == nil:
-			fmt.Fprintf(c.out, "- %s %s\n", key, old)
-		case !bytes.Equal(old, new):
-			fmt.Fprintf(c.out, "- %s %s\n+ %s %s\n", key, old, key, new)
+		case currentItem == nil:
+			fmt.Fprintf(c.out, "+ %s %s\n", key, proposedItem)
+		case proposedItem == nil:
+			fmt.Fprintf(c.out, "- %s %s\n", key, currentItem)
+		case !bytes.Equal(currentItem, proposedItem):
+			fmt.Fprintf(c.out, "- %s %s\n+ %s %s\n", key, currentItem, key, proposedItem)
 		}
 	}
 	return nil
@@ -167,18 +167,18 @@
 
 // itemsOf returns the items of a configuration by kind and name.
 func itemsOf(body []byte) (map[string]json.RawMessage, error) {
-	var whole map[string]json.RawMessage
-	if err := json.Unmarshal(body, &whole); err != nil {
+	var document map[string]json.RawMessage
+	if err := json.Unmarshal(body, &document); err != nil {
 		return nil, errors.Wrap(err, "it can't be read")
 	}
 	out := make(map[string]json.RawMessage)
-	for member, value := range whole {
-		var list []json.RawMessage
-		if json.Unmarshal(value, &list) != nil {
+	for member, value := range document {
+		var items []json.RawMessage
+		if json.Unmarshal(value, &items) != nil {
 			out[member] = compact(value)
 			continue
 		}
-		for _, item := range list {
+		for _, item := range items {
 			var named struct{ Name string }
 			if err := json.Unmarshal(item, &named); err != nil {
 				return nil, errors.Wrapf(err, "%s", member)
@@ -197,18 +197,18 @@
 	return out.Bytes()
 }
 
-// check checks files without a running system, and tells all mistakes at once.
-func check(_ context.Context, c *call) error {
+// checkCommand checks files without a running system, and tells all mistakes at once.
+func checkCommand(_ context.Context, c *invocation) error {
 	var settings, config string
-	rest, err := c.parse("check", func(f *flag.FlagSet) {
-		f.StringVar(&settings, "settings", os.Getenv(nodefile.Variable), "settings `file`")
+	rest, err := c.parseFlags("check", func(f *flag.FlagSet) {
+		f.StringVar(&settings, "settings", os.Getenv(nodefile.PathVariable), "settings `file`")
 		f.StringVar(&config, "config", "", "configuration `file`")
 	})
 	if err != nil {
 		return err
 	}
 	if len(rest) > 0 || settings == "" && config == "" {
-		return usage("a settings file, a configuration or both are wanted")
+		return usageError("a settings file, a configuration or both are wanted")
 	}
 	var mistakes []error
 	if settings != "" {
@@ -225,8 +225,8 @@
 	var all error
 	for _, m := range mistakes {
 		if m != nil {
-			fmt.Fprintln(c.err, m)
-			all = errChecked
+			fmt.Fprintln(c.errOut, m)
+			all = errMistakes
 		}
 	}
 	if all == nil {
@@ -235,5 +235,5 @@
 	return all
 }
 
-// errChecked is returned where files have mistakes, which have been told.
-var errChecked = errors.New("there are mistakes")
+// errMistakes is returned where files have mistakes, which have been told.
+var errMistakes = errors.New("there are mistakes")
--- a/internal/control/cli/run.go
+++ b/internal/control/cli/serve.go
@@ -12,14 +12,14 @@
 	"frosttide/internal/nodefile"
 )
 
-// serve runs a member of the control plane.
-func serve(ctx context.Context, c *call) error {
-	rest, err := c.parse("serve", func(f *flag.FlagSet) { klog.InitFlags(f) })
+// serveCommand runs a member of the control plane.
+func serveCommand(ctx context.Context, c *invocation) error {
+	rest, err := c.parseFlags("serve", func(f *flag.FlagSet) { klog.InitFlags(f) })
 	if err != nil {
 		return err
 	}
 	if len(rest) > 0 {
-		return usage("it takes flags only")
+		return usageError("it takes flags only")
 	}
 	path, err := nodefile.Path()
 	if err != nil {
@@ -32,14 +32,14 @@
 	return server.Run(ctx, path, settings)
 }
 
-// version tells the version that the program was built from.
-func version(_ context.Context, c *call) error {
-	rest, err := c.parse("version", func(*flag.FlagSet) {})
+// versionCommand tells the version that the program was built from.
+func versionCommand(_ context.Context, c *invocation) error {
+	rest, err := c.parseFlags("version", func(*flag.FlagSet) {})
 	if err != nil {
 		return err
 	}
 	if len(rest) > 0 {
-		return usage("it takes no arguments")
+		return usageError("it takes no arguments")
 	}
 	name := "unknown"
 	if info, ok := debug.ReadBuildInfo(); ok {
--- a/internal/control/cli/snapshot.go
+++ b/internal/control/cli/snapshot.go
@@ -19,44 +19,44 @@
 	"frosttide/internal/protocol"
 )
 
-// snapshot keeps the state of a member's disk, looks at it, or puts it back.
-func snapshot(_ context.Context, c *call) error {
+// snapshotCommand keeps the state of a member's disk, looks at it, or puts it back.
+func snapshotCommand(_ context.Context, c *invocation) error {
 	var settings string
-	rest, err := c.parse("snapshot", func(f *flag.FlagSet) {
-		f.StringVar(&settings, "settings", os.Getenv(nodefile.Variable), "settings `file` of the member that is restored")
+	rest, err := c.parseFlags("snapshot", func(f *flag.FlagSet) {
+		f.StringVar(&settings, "settings", os.Getenv(nodefile.PathVariable), "settings `file` of the member that is restored")
 	})
 	if err != nil {
 		return err
 	}
 	switch {
 	case len(rest) == 3 && rest[0] == "save":
-		return saveSnapshot(c.out, rest[1], rest[2])
+		return writeSnapshot(c.out, rest[1], rest[2])
 	case len(rest) == 2 && rest[0] == "verify":
 		_, err := readSnapshot(c.out, rest[1])
 		return err
 	case len(rest) == 3 && rest[0] == "restore":
 		return restoreSnapshot(c.out, rest[1], rest[2], settings)
 	default:
-		return usage("save DIR FILE, verify FILE or restore FILE DIR is wanted")
+		return usageError("save DIR FILE, verify FILE or restore FILE DIR is wanted")
 	}
 }
 
 const snapshotMode = 0o600
 
-// saveSnapshot writes the state of a member's folder, which may be in use, to a file.
-func saveSnapshot(out io.Writer, dir, path string) error {
+// writeSnapshot writes the state of a member's folder, which may be in use, to a file.
+func writeSnapshot(out io.Writer, dir, path string) error {
 	state, err := journal.Load(dir)
 	if err != nil {
 		return err
 	}
-	whole, err := journal.Snapshot(state)
+	encoded, err := journal.Snapshot(state)
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(path, whole, snapshotMode); err != nil {
+	if err := os.WriteFile(path, encoded, snapshotMode); err != nil {
 		return errors.Wrap(err, "the snapshot can't be written")
 	}
-	return describe(out, &state)
+	return printSnapshot(out, &state)
 }
 
 // readSnapshot reads a file and tells what it holds.
@@ -75,11 +75,11 @@
 	if good < len(data) {
 		fmt.Fprintf(out, "the last %d bytes are a write that was not finished; they count for nothing\n", len(data)-good)
 	}
-	return &state, describe(out, &state)
+	return &state, printSnapshot(out, &state)
 }
 
-// describe tells what a state holds.
-func describe(out io.Writer, state *journal.State) error {
+// printSnapshot tells what a state holds.
+func printSnapshot(out io.Writer, state *journal.State) error {
 	table, err := jobs.Load(state.Store)
 	if err != nil {
 		return err
@@ -98,14 +98,14 @@
 	return nil
 }
 
-// epochsAhead is how far a restored system's epochs begin above those of the snapshot: runners may have seen
+// restoredEpochGap is how far a restored system's epochs begin above those of the snapshot: runners may have seen
 // fencing tokens of views that came after it.
-const epochsAhead = 1 << 36
+const restoredEpochGap = 1 << 36
 
 // restoreSnapshot makes the folder of the first member of a system that goes on from a snapshot.
 func restoreSnapshot(out io.Writer, path, dir, settingsPath string) error {
 	if settingsPath == "" {
-		return usage("--settings or %s has to name the settings file of the member", nodefile.Variable)
+		return usageError("--settings or %s has to name the settings file of the member", nodefile.PathVariable)
 	}
 	settings, err := nodefile.Read(settingsPath)
 	if err != nil {
@@ -117,14 +117,14 @@
 	}
 	self := &protocol.Member{Id: rand.Uint64() >> 1, Number: max(state.Accepted.GetNextNumber(), 1), Address: settings.InternalAddress(settings.IP, 0),
 		Control: settings.ListenAddrs.Control, Zone: settings.Zone}
-	epoch := max(state.Promised, state.Accepted.GetEpoch(), state.InstalledEpoch) + epochsAhead
+	epoch := max(state.Promised, state.Accepted.GetEpoch(), state.InstalledEpoch) + restoredEpochGap
 	state.ID, state.Promised, state.InstalledEpoch = self.GetId(), epoch, epoch
 	state.Accepted = &protocol.View{Epoch: epoch, Voters: []*protocol.Member{self}, Chain: []uint64{self.GetId()}, NextNumber: self.GetNumber() + 1}
-	whole, err := journal.Snapshot(*state)
+	encoded, err := journal.Snapshot(*state)
 	if err != nil {
 		return err
 	}
-	if err := journal.Place(dir, whole); err != nil {
+	if err := journal.Create(dir, encoded); err != nil {
 		return err
 	}
 	fmt.Fprint(out, strings.TrimLeft(`
--- a/internal/control/jobs/jobs.go
+++ b/internal/control/jobs/jobs.go
@@ -55,59 +55,59 @@
 	DoneLive              // another member of its gang has ended well; its own run is not known to have ended
 )
 
-// How is how a run ended.
-type How string
+// EndReason is how a run ended.
+type EndReason string
 
 // The ends that runners list, and Lost, which stands for a run whose runner surely runs nothing any more.
 const (
-	EndDone    How = "done"
-	EndFailed  How = "failed"
-	EndStopped How = "stopped"
-	EndLapsed  How = "lapsed"
-	EndBroken  How = "broken"
-	EndAlone   How = "alone"
-	EndRefused How = "refused"
-	EndLost    How = "lost"
+	EndDone    EndReason = "done"
+	EndFailed  EndReason = "failed"
+	EndStopped EndReason = "stopped"
+	EndLapsed  EndReason = "lapsed"
+	EndBroken  EndReason = "broken"
+	EndAlone   EndReason = "alone"
+	EndRefused EndReason = "refused"
+	EndLost    EndReason = "lost"
 )
 
 // Job is a job that has been accepted.
 type Job struct {
-	ID         string
-	Queue      string
-	Service    string
-	Spec       string
-	Stages     []*protocol.Stage
-	Occasions  int // how many times its steps run
-	StartAtMs  int64
-	IntervalMs int64
-	Sequence   uint64 // order of acceptance
-	AcceptedMs int64  // time of day
-	State      State
-	EndedMs    int64
-	Content    []byte // digest of what its client sent
-
-	times    []*Occasion // those that have fallen due, by number
-	finished int         // times that are done
-	live     int         // runs that may be under way
+	ID              string
+	Queue           string
+	Service         string
+	Spec            string
+	Stages          []*protocol.Stage
+	OccurrenceCount int // how many times its steps run
+	StartAtMs       int64
+	IntervalMs      int64
+	Sequence        uint64 // order of acceptance
+	AcceptedMs      int64  // time of day
+	State           State
+	EndedMs         int64
+	ContentDigest   []byte // digest of what its client sent
+
+	occurrences         []*Occurrence // those that have fallen due, by number
+	finishedOccurrences int           // times that are done
+	liveRuns            int           // runs that may be under way
 }
 
 // String tells where a job and its tasks stand, for the log.
 func (j *Job) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "job %s of %s: %s, %d of %d times due, %d finished, %d runs may be under way", j.ID, j.Queue, j.State, len(j.times), j.Occasions, j.finished, j.live)
-	for _, o := range j.times {
+	fmt.Fprintf(&b, "job %s of %s: %s, %d of %d times due, %d finished, %d runs may be under way", j.ID, j.Queue, j.State, len(j.occurrences), j.OccurrenceCount, j.finishedOccurrences, j.liveRuns)
+	for _, o := range j.occurrences {
 		for _, s := range o.Steps {
-			fmt.Fprintf(&b, "; %d.%d: %d waiting, %d done of %d", o.Number, s.Number, s.Waiting, s.done, len(s.Tasks))
+			fmt.Fprintf(&b, "; %d.%d: %d waiting, %d done of %d", o.Number, s.Number, s.Waiting, s.doneTasks, len(s.Tasks))
 		}
 	}
 	return b.String()
 }
 
-// Live returns how many of the job's runs may be under way.
-func (j *Job) Live() int { return j.live }
+// LiveRuns returns how many of the job's runs may be under way.
+func (j *Job) LiveRuns() int { return j.liveRuns }
 
-// Lasting tells whether the job runs until it is canceled.
-func (j *Job) Lasting() bool {
+// LongRunning tells whether the job runs until it is canceled.
+func (j *Job) LongRunning() bool {
 	for _, s := range j.Stages {
 		if s.GetLongRunning() {
 			return true
@@ -116,34 +116,34 @@
 	return false
 }
 
-// DueMs returns when a time falls due, as a time of day in ms.
-func (j *Job) DueMs(number int) int64 {
+// ScheduledMs returns when a time falls due, as a time of day in ms.
+func (j *Job) ScheduledMs(number int) int64 {
 	if j.StartAtMs == 0 && j.IntervalMs == 0 {
 		return 0
 	}
 	return j.StartAtMs + int64(number)*j.IntervalMs
 }
 
-// Occasion is one of the times that a job's steps run.
-type Occasion struct {
-	Job    *Job
-	Number int
-	Steps  []*Step
-	done   int
+// Occurrence is one of the times that a job's steps run.
+type Occurrence struct {
+	Job       *Job
+	Number    int
+	Steps     []*Step
+	doneSteps int
 }
 
 // Step is one step of one time of a job.
 type Step struct {
-	Job      *Job
-	Occasion *Occasion
-	Number   int
-	Stage    *protocol.Stage
-	Tasks    []Task
-	Waiting  int // tasks in phase Waiting
-	done     int
-	failures int    // of a gang: runs that had a failed member
-	run      uint32 // of a gang: highest run number
-	failed   uint32 // of a gang: newest run that had a failed member
+	Job           *Job
+	Occurrence    *Occurrence
+	Number        int
+	Stage         *protocol.Stage
+	Tasks         []Task
+	Waiting       int // tasks in phase Waiting
+	doneTasks     int
+	gangFailures  int    // of a gang: runs that had a failed member
+	maxRun        uint32 // of a gang: highest run number
+	lastFailedRun uint32 // of a gang: newest run that had a failed member
 }
 
 // Task is a task of a step.
@@ -152,7 +152,7 @@
 	Run        uint32 // number of its newest run
 	Runner     string // of that run
 	Failures   int
-	Saved      string
+	Checkpoint string
 	LastFailed string // runner of its newest failure
 }
 
@@ -162,7 +162,7 @@
 		return false
 	}
 	for _, d := range s.Stage.GetDependsOn() {
-		if before := s.Occasion.Steps[d]; before.done < len(before.Tasks) {
+		if dependency := s.Occurrence.Steps[d]; dependency.doneTasks < len(dependency.Tasks) {
 			return false
 		}
 	}
@@ -171,13 +171,13 @@
 
 // TaskID returns the name of a task.
 func (s *Step) TaskID(index int) string {
-	return s.Job.ID + "." + strconv.Itoa(s.Occasion.Number) + "." + strconv.Itoa(s.Number) + "." + strconv.Itoa(index)
+	return s.Job.ID + "." + strconv.Itoa(s.Occurrence.Number) + "." + strconv.Itoa(s.Number) + "." + strconv.Itoa(index)
 }
 
 // TaskName is a task's name in its parts.
 type TaskName struct {
-	Job                   string
-	Occasion, Step, Index int
+	Job                     string
+	Occurrence, Step, Index int
 }
 
 // ParseTask reads a task's name; it returns false where it is none.
@@ -194,14 +194,14 @@
 		}
 		numbers[i] = n
 	}
-	return TaskName{Job: parts[0], Occasion: numbers[0], Step: numbers[1], Index: numbers[2]}, true
+	return TaskName{Job: parts[0], Occurrence: numbers[0], Step: numbers[1], Index: numbers[2]}, true
 }
 
 // EachStep calls f with the steps of the times that have fallen due.
-func (j *Job) EachStep(f func(*Step)) {
-	for _, o := range j.times {
+func (j *Job) EachStep(visit func(*Step)) {
+	for _, o := range j.occurrences {
 		for _, s := range o.Steps {
-			f(s)
+			visit(s)
 		}
 	}
 }
--- a/internal/control/jobs/jobs_test.go
+++ b/internal/control/jobs/jobs_test.go
@@ -11,25 +11,25 @@
 	"frosttide/internal/protocol"
 )
 
-const id = "0123456789abcdef"
+const testJobID = "0123456789abcdef"
 
 func accept(t *testing.T, table *Table, s *protocol.Submit) *Job {
 	t.Helper()
-	s.Id, s.Queue = id, "q"
-	require.Empty(t, Check(s))
+	s.Id, s.Queue = testJobID, "q"
+	require.Empty(t, Validate(s))
 	return table.Accept(s, "svc", 1000)
 }
 
 // start starts a task as the next run and returns its number.
 func start(table *Table, s *Step, index int, runner string) uint32 {
 	run := s.NextRun(index)
-	table.Start(s, index, run, runner, 1000)
+	table.RecordStart(s, index, run, runner, 1000)
 	return run
 }
 
-func end(table *Table, s *Step, index int, run uint32, runner string, how How) Outcome {
+func end(table *Table, s *Step, index int, run uint32, runner string, reason EndReason) EndResult {
 	name, _ := ParseTask(s.TaskID(index))
-	return table.End(name, run, runner, how, "", 2, 2000)
+	return table.RecordEnd(name, run, runner, reason, "", 2, 2000)
 }
 
 func TestStepsFollowEachOther(t *testing.T) {
@@ -42,7 +42,7 @@
 	a, b := start(table, first, 0, "r1"), start(table, first, 1, "r2")
 	require.Equal(t, Running, j.State)
 	require.Empty(t, table.TakeReady())
-	require.True(t, end(table, first, 0, a, "r1", EndDone).Counted)
+	require.True(t, end(table, first, 0, a, "r1", EndDone).Applied)
 	require.Empty(t, table.TakeReady(), "the second step waits for both tasks")
 	end(table, first, 1, b, "r2", EndDone)
 	ready = table.TakeReady()
@@ -60,14 +60,14 @@
 	end(table, s, 0, first, "r1", EndLost)
 	second := start(table, s, 0, "r2")
 	require.NotEqual(t, first, second)
-	require.False(t, end(table, s, 0, first, "r1", EndDone).Counted, "the first run was given up")
-	require.False(t, end(table, s, 0, second, "r1", EndDone).Counted, "another runner says so")
-	require.True(t, end(table, s, 0, second, "r2", EndDone).Counted)
-	require.False(t, end(table, s, 0, second, "r2", EndFailed).Counted, "it has ended already")
-	require.Equal(t, Completed, table.Get(id).State)
+	require.False(t, end(table, s, 0, first, "r1", EndDone).Applied, "the first run was given up")
+	require.False(t, end(table, s, 0, second, "r1", EndDone).Applied, "another runner says so")
+	require.True(t, end(table, s, 0, second, "r2", EndDone).Applied)
+	require.False(t, end(table, s, 0, second, "r2", EndFailed).Applied, "it has ended already")
+	require.Equal(t, Completed, table.Get(testJobID).State)
 }
 
-func TestFailsAfterItsAttempts(t *testing.T) {
+func TestFailsAfterMaxAttempts(t *testing.T) {
 	table := NewTable()
 	j := accept(t, table, &protocol.Submit{Stages: []*protocol.Stage{{Count: 2}}})
 	s := table.TakeReady()[0]
@@ -77,8 +77,8 @@
 	require.Equal(t, Running, j.State, "a stop is no failure")
 	end(table, s, 0, start(table, s, 0, "r1"), "r1", EndFailed)
 	require.Equal(t, Failed, j.State)
-	stopped := table.TakeStopped()
-	require.Equal(t, []Run{{Task: s.TaskID(1), Number: 1, Runner: "r2"}}, stopped)
+	stopped := table.TakeStops()
+	require.Equal(t, []RunRef{{Task: s.TaskID(1), Number: 1, Runner: "r2"}}, stopped)
 	require.False(t, s.Ready())
 }
 
@@ -87,7 +87,7 @@
 	j := accept(t, table, &protocol.Submit{Stages: []*protocol.Stage{{Count: 3, Gang: true}}})
 	s := table.TakeReady()[0]
 	for i := range 3 {
-		table.Start(s, i, 1, fmt.Sprint("r", i), 1000)
+		table.RecordStart(s, i, 1, fmt.Sprint("r", i), 1000)
 	}
 	end(table, s, 1, 1, "r1", EndFailed)
 	require.False(t, s.GangIdle(), "two members have not ended")
@@ -97,39 +97,39 @@
 	require.Equal(t, 1, s.Failures(2), "a failed run counts for the whole gang")
 	require.EqualValues(t, 2, s.NextRun(0))
 	for i := range 3 {
-		table.Start(s, i, 2, fmt.Sprint("r", i), 1000)
+		table.RecordStart(s, i, 2, fmt.Sprint("r", i), 1000)
 	}
 	end(table, s, 2, 2, "r2", EndDone)
 	require.Equal(t, Completed, j.State, "one good end stands for all")
-	require.Equal(t, 2, j.Live(), "the others' runs are not known to have ended")
+	require.Equal(t, 2, j.LiveRuns(), "the others' runs are not known to have ended")
 	end(table, s, 0, 2, "r0", EndDone)
 	end(table, s, 1, 2, "r1", EndLost)
-	require.Zero(t, j.Live())
+	require.Zero(t, j.LiveRuns())
 }
 
-func TestTimesFallDue(t *testing.T) {
+func TestOccurrencesAreReleased(t *testing.T) {
 	table := NewTable()
 	j := accept(t, table, &protocol.Submit{Stages: []*protocol.Stage{{Count: 1}}, MaxRuns: 3, StartAtMs: 5000, IntervalMs: 100})
 	require.Empty(t, table.TakeReady())
-	table.Fall(4999)
+	table.ReleaseOccurrences(4999)
 	require.Empty(t, table.TakeReady())
-	table.Fall(5100)
+	table.ReleaseOccurrences(5100)
 	ready := table.TakeReady()
 	require.Len(t, ready, 2, "times may overlap")
 	for _, s := range ready {
 		end(table, s, 0, start(table, s, 0, "r"), "r", EndDone)
 	}
 	require.Equal(t, Running, j.State)
-	next, ok := table.NextDueMs()
+	next, ok := table.NextScheduledMs()
 	require.True(t, ok)
 	require.EqualValues(t, 5200, next)
-	table.Fall(9000)
+	table.ReleaseOccurrences(9000)
 	s := table.TakeReady()[0]
 	end(table, s, 0, start(table, s, 0, "r"), "r", EndDone)
 	require.Equal(t, Completed, j.State)
 }
 
-func TestLastingWorkStartsAgain(t *testing.T) {
+func TestLongRunningTaskRestarts(t *testing.T) {
 	table := NewTable()
 	j := accept(t, table, &protocol.Submit{Stages: []*protocol.Stage{{Count: 1, LongRunning: true}}})
 	s := table.TakeReady()[0]
@@ -141,26 +141,26 @@
 	require.Len(t, table.TakeReady(), 1)
 	require.Equal(t, Running, j.State)
 	run := start(table, s, 0, "r")
-	require.True(t, table.Cancel(id, 3000))
-	require.Len(t, table.TakeStopped(), 1)
+	require.True(t, table.Cancel(testJobID, 3000))
+	require.Len(t, table.TakeStops(), 1)
 	end(table, s, 0, run, "r", EndStopped)
 	require.Empty(t, table.TakeReady())
 	require.False(t, table.Cancel("another", 3000))
 }
 
-func TestForgets(t *testing.T) {
+func TestExpire(t *testing.T) {
 	table := NewTable()
 	accept(t, table, &protocol.Submit{Stages: []*protocol.Stage{{Count: 1}}})
-	table.Cancel(id, 3000)
-	table.Forget(3000, 10)
-	require.NotNil(t, table.Get(id))
-	table.Forget(3001, 10)
-	require.Nil(t, table.Get(id))
+	table.Cancel(testJobID, 3000)
+	table.Expire(3000, 10)
+	require.NotNil(t, table.Get(testJobID))
+	table.Expire(3001, 10)
+	require.Nil(t, table.Get(testJobID))
 }
 
-func TestCheck(t *testing.T) {
-	good := func() *protocol.Submit { return &protocol.Submit{Id: id, Stages: []*protocol.Stage{{Count: 1}}} }
-	require.Empty(t, Check(good()))
+func TestValidate(t *testing.T) {
+	good := func() *protocol.Submit { return &protocol.Submit{Id: testJobID, Stages: []*protocol.Stage{{Count: 1}}} }
+	require.Empty(t, Validate(good()))
 	for name, change := range map[string]func(*protocol.Submit){
 		"id":             func(s *protocol.Submit) { s.Id = "xyz" },
 		"no stage":       func(s *protocol.Submit) { s.Stages = nil },
@@ -176,17 +176,17 @@
 	} {
 		s := good()
 		change(s)
-		require.NotEmpty(t, Check(s), name)
+		require.NotEmpty(t, Validate(s), name)
 	}
 }
 
-// TestLoadsAsItWas plays random histories and compares the account with the one that its items make.
-func TestLoadsAsItWas(t *testing.T) {
+// TestLoadRestoresTable plays random histories and compares the account with the one that its items make.
+func TestLoadRestoresTable(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		table, s := NewTable(), store.New()
 		flush := func() {
-			e := table.Take().Entry()
+			e := table.TakeWrites().Entry()
 			s.Apply(e.GetPuts(), e.GetDeletes())
 		}
 		var steps []*Step
@@ -197,7 +197,7 @@
 		}
 		for range 60 {
 			steps = append(steps, table.TakeReady()...)
-			table.TakeStopped()
+			table.TakeStops()
 			if len(steps) == 0 {
 				break
 			}
@@ -205,31 +205,31 @@
 			if step.Job.Stages == nil {
 				continue
 			}
-			randomly(rng, table, step)
+			randomTransition(rng, table, step)
 			if rng.IntN(20) == 0 {
 				table.Cancel(step.Job.ID, 5000)
 			}
 			flush()
-			again, err := Load(s)
+			restored, err := Load(s)
 			require.NoError(t, err)
-			same(t, table, again)
+			requireSameTable(t, table, restored)
 		}
 	}
 }
 
-// randomly starts or ends something of a step.
-func randomly(rng *rand.Rand, table *Table, step *Step) {
+// randomTransition starts or ends something of a step.
+func randomTransition(rng *rand.Rand, table *Table, step *Step) {
 	index := rng.IntN(len(step.Tasks))
 	task := &step.Tasks[index]
 	switch {
 	case task.Phase == Live || task.Phase == DoneLive:
-		hows := []How{EndDone, EndFailed, EndLost, EndStopped}
-		end(table, step, index, task.Run, task.Runner, hows[rng.IntN(len(hows))])
+		reasons := []EndReason{EndDone, EndFailed, EndLost, EndStopped}
+		end(table, step, index, task.Run, task.Runner, reasons[rng.IntN(len(reasons))])
 	case step.Stage.GetGang():
 		if step.GangIdle() && step.Ready() {
 			run := step.NextRun(0)
 			for i := range step.Tasks {
-				table.Start(step, i, run, "r", 1000)
+				table.RecordStart(step, i, run, "r", 1000)
 			}
 		}
 	case task.Phase == Waiting && step.Ready():
@@ -237,22 +237,22 @@
 	}
 }
 
-// same compares what matters of two accounts.
-func same(t *testing.T, a, b *Table) {
+// requireSameTable compares what matters of two accounts.
+func requireSameTable(t *testing.T, a, b *Table) {
 	t.Helper()
 	require.Equal(t, a.Len(), b.Len())
 	a.Each(func(j *Job) {
 		other := b.Get(j.ID)
 		require.NotNil(t, other)
 		require.Equal(t, j.State, other.State, j.ID)
-		require.Equal(t, j.Live(), other.Live(), j.ID)
+		require.Equal(t, j.LiveRuns(), other.LiveRuns(), j.ID)
 		require.Equal(t, j.Stages == nil, other.Stages == nil, j.ID)
-		for _, o := range other.times {
+		for _, o := range other.occurrences {
 			for n, s := range o.Steps {
-				if o.Number >= len(j.times) {
+				if o.Number >= len(j.occurrences) {
 					continue
 				}
-				mine := j.times[o.Number].Steps[n]
+				mine := j.occurrences[o.Number].Steps[n]
 				require.Equal(t, mine.Tasks, s.Tasks, s.TaskID(0))
 				require.Equal(t, mine.Ready(), s.Ready())
 				require.Equal(t, mine.Waiting, s.Waiting)
--- a/internal/control/jobs/pending.go
+++ b/internal/control/jobs/pending.go
@@ -8,30 +8,30 @@
 	byQueue map[string]int
 }
 
-// Change notes a change of an item: before is nil for a new one, after for one that is removed.
-func (p *PendingCounts) Change(key string, before, after []byte) {
+// Update notes a change of an item: before is nil for a new one, after for one that is removed.
+func (p *PendingCounts) Update(key string, oldValue, newValue []byte) {
 	if !strings.HasPrefix(key, statusPrefix) {
 		return
 	}
-	p.count(before, -1)
-	p.count(after, 1)
+	p.add(oldValue, -1)
+	p.add(newValue, 1)
 }
 
-func (p *PendingCounts) count(status []byte, by int) {
+func (p *PendingCounts) add(status []byte, delta int) {
 	if status == nil {
 		return
 	}
-	r, err := ReadStatus(status)
+	r, err := ParseStatus(status)
 	if err != nil || r.State != Pending {
 		return
 	}
 	if p.byQueue == nil {
 		p.byQueue = make(map[string]int)
 	}
-	if p.byQueue[r.Queue] += by; p.byQueue[r.Queue] == 0 {
+	if p.byQueue[r.Queue] += delta; p.byQueue[r.Queue] == 0 {
 		delete(p.byQueue, r.Queue)
 	}
 }
 
-// Of returns a queue's count.
-func (p *PendingCounts) Of(queue string) int { return p.byQueue[queue] }
+// Count returns a queue's count.
+func (p *PendingCounts) Count(queue string) int { return p.byQueue[queue] }
--- a/internal/control/jobs/pending_test.go
+++ b/internal/control/jobs/pending_test.go
@@ -16,7 +16,7 @@
 func TestPendingCounts(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s, counts := store.New(), PendingCounts{}
-	s.Watch(func(key string, before, after []byte) { counts.Change(key, before, after) })
+	s.Watch(func(key string, oldValue, newValue []byte) { counts.Update(key, oldValue, newValue) })
 	table := NewTable()
 	var all []*Job
 	for i := range 2000 {
@@ -24,34 +24,34 @@
 		if rng.IntN(2) == 0 || len(all) == 0 {
 			all = append(all, table.Accept(&protocol.Submit{Id: fmt.Sprintf("%016x", i), Queue: queue, Stages: []*protocol.Stage{{Count: 1}}}, "svc", int64(i)))
 		} else {
-			one := all[rng.IntN(len(all))]
+			job := all[rng.IntN(len(all))]
 			switch step := (*Step)(nil); {
 			case rng.IntN(3) == 0:
-				table.Cancel(one.ID, int64(i))
-			case len(one.times) > 0:
-				if step = one.times[0].Steps[0]; step.Waiting > 0 && !one.State.Final() {
-					table.Start(step, 0, 1, "r", int64(i))
+				table.Cancel(job.ID, int64(i))
+			case len(job.occurrences) > 0:
+				if step = job.occurrences[0].Steps[0]; step.Waiting > 0 && !job.State.Final() {
+					table.RecordStart(step, 0, 1, "r", int64(i))
 				}
 			}
 		}
-		table.Forget(int64(i-500), 3)
-		e := table.Take().Entry()
+		table.Expire(int64(i-500), 3)
+		e := table.TakeWrites().Entry()
 		s.Apply(e.GetPuts(), e.GetDeletes())
 		want := map[string]int{}
 		s.Each(func(key string, value []byte) {
 			if key[:len(statusPrefix)] == statusPrefix {
-				item, err := ReadStatus(value)
+				item, err := ParseStatus(value)
 				require.NoError(t, err)
 				if item.State == Pending {
 					want[item.Queue]++
 				}
 			}
 		})
-		require.Equal(t, want["a"], counts.Of("a"))
-		require.Equal(t, want["b"], counts.Of("b"))
+		require.Equal(t, want["a"], counts.Count("a"))
+		require.Equal(t, want["b"], counts.Count("b"))
 	}
-	require.Positive(t, counts.Of("a"))
-	var anew PendingCounts
-	s.Watch(func(key string, before, after []byte) { anew.Change(key, before, after) })
-	require.Equal(t, counts.Of("a"), anew.Of("a"), "a store that was there before")
+	require.Positive(t, counts.Count("a"))
+	var restarted PendingCounts
+	s.Watch(func(key string, oldValue, newValue []byte) { restarted.Update(key, oldValue, newValue) })
+	require.Equal(t, counts.Count("a"), restarted.Count("a"), "a store that was there before")
 }
--- a/internal/control/jobs/writes.go
+++ b/internal/control/jobs/records.go
@@ -60,14 +60,14 @@
 
 // putStatus writes a job's state.
 func (w *Writes) putStatus(j *Job) {
-	w.Put(statusPrefix+j.ID, &protocol.StatusRecord{State: uint32(j.State), EndedMs: j.EndedMs, Queue: j.Queue, Content: j.Content})
+	w.Put(statusPrefix+j.ID, &protocol.StatusRecord{State: uint32(j.State), EndedMs: j.EndedMs, Queue: j.Queue, Content: j.ContentDigest})
 }
 
 // putTask writes a task.
 func (w *Writes) putTask(s *Step, index int) {
 	t := &s.Tasks[index]
 	w.Put(taskPrefix+s.TaskID(index), &protocol.TaskRecord{Run: t.Run, Runner: t.Runner, State: uint32(t.Phase), Failures: uint32(t.Failures),
-		Saved: t.Saved, LastFailed: t.LastFailed, GangFailures: uint32(s.failures), GangFailed: s.failed})
+		Saved: t.Checkpoint, LastFailed: t.LastFailed, GangFailures: uint32(s.gangFailures), GangFailed: s.lastFailedRun})
 }
 
 // StatusKey returns the key of a job's state.
@@ -79,8 +79,8 @@
 	Queue string
 }
 
-// ReadStatus reads a job's state item.
-func ReadStatus(value []byte) (StatusItem, error) {
+// ParseStatus reads a job's state item.
+func ParseStatus(value []byte) (StatusItem, error) {
 	var r protocol.StatusRecord
 	if err := proto.Unmarshal(value, &r); err != nil {
 		return StatusItem{}, errors.Wrap(err, "jobs: a job's state can't be read")
--- a/internal/control/jobs/table.go
+++ b/internal/control/jobs/table.go
@@ -19,16 +19,16 @@
 type Table struct {
 	jobs     map[string]*Job
 	sequence uint64
-	due      dueHeap // jobs with times that have not fallen due
-	final    []*Job  // in the order of their ends
-	Writes   *Writes // what has been changed since it was last taken
+	schedule scheduleHeap // jobs with times that have not fallen due
+	ended    []*Job       // in the order of their ends
+	Writes   *Writes      // what has been changed since it was last taken
 
-	ready   []*Step // steps that have become ready since they were last taken
-	stopped []Run   // runs that have lost their reason since they were last taken
+	ready  []*Step  // steps that have become ready since they were last taken
+	toStop []RunRef // runs that have lost their reason since they were last taken
 }
 
-// Run names a run of a task.
-type Run struct {
+// RunRef names a run of a task.
+type RunRef struct {
 	Task   string
 	Number uint32
 	Runner string
@@ -37,8 +37,8 @@
 // NewTable returns an empty table.
 func NewTable() *Table { return &Table{jobs: make(map[string]*Job), Writes: &Writes{}} }
 
-// Take returns what has been changed since the last call.
-func (t *Table) Take() *Writes {
+// TakeWrites returns what has been changed since the last call.
+func (t *Table) TakeWrites() *Writes {
 	w := t.Writes
 	t.Writes = &Writes{}
 	return w
@@ -51,10 +51,10 @@
 	return out
 }
 
-// TakeStopped returns the runs that are to be stopped since the last call.
-func (t *Table) TakeStopped() []Run {
-	out := t.stopped
-	t.stopped = nil
+// TakeStops returns the runs that are to be stopped since the last call.
+func (t *Table) TakeStops() []RunRef {
+	out := t.toStop
+	t.toStop = nil
 	return out
 }
 
@@ -65,9 +65,9 @@
 func (t *Table) Len() int { return len(t.jobs) }
 
 // Each calls f with every job, in no order.
-func (t *Table) Each(f func(*Job)) {
+func (t *Table) Each(visit func(*Job)) {
 	for _, j := range t.jobs {
-		f(j)
+		visit(j)
 	}
 }
 
@@ -75,20 +75,20 @@
 func (t *Table) Accept(s *protocol.Submit, service string, nowMs int64) *Job {
 	t.sequence++
 	j := newJob(&protocol.JobRecord{Submit: s, Service: service, Sequence: t.sequence, AcceptedMs: nowMs})
-	j.Content = contentOf(s)
+	j.ContentDigest = contentDigest(s)
 	t.jobs[j.ID] = j
 	t.Writes.Put(jobPrefix+j.ID, &protocol.JobRecord{Submit: s, Service: service, Sequence: j.Sequence, AcceptedMs: nowMs})
 	t.setState(j, Pending, nowMs)
-	heap.Push(&t.due, j)
-	t.Fall(nowMs)
+	heap.Push(&t.schedule, j)
+	t.ReleaseOccurrences(nowMs)
 	return j
 }
 
-// contentLength is how many bytes of a digest are kept with a job.
-const contentLength = 16
+// digestLength is how many bytes of a digest are kept with a job.
+const digestLength = 16
 
-// contentOf returns a digest of what a job's client sent, whichever queue it came by.
-func contentOf(s *protocol.Submit) []byte {
+// contentDigest returns a digest of what a job's client sent, whichever queue it came by.
+func contentDigest(s *protocol.Submit) []byte {
 	body := proto.Clone(s).(*protocol.Submit)
 	body.Queue, body.AgeMs = "", 0
 	encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(body)
@@ -96,21 +96,21 @@
 		panic("jobs: a job can't be encoded: " + err.Error()) // only for invalid UTF-8, which acceptance rules out
 	}
 	sum := sha256.Sum256(encoded)
-	return sum[:contentLength]
+	return sum[:digestLength]
 }
 
 // SameContent tells whether a client has sent the very job that was accepted. Jobs that an earlier program has
 // accepted are not known well enough to tell.
 func (j *Job) SameContent(s *protocol.Submit) bool {
-	return len(j.Content) == 0 || utf8Valid(s) && bytes.Equal(j.Content, contentOf(s))
+	return len(j.ContentDigest) == 0 || encodable(s) && bytes.Equal(j.ContentDigest, contentDigest(s))
 }
 
-// utf8Valid tells whether a job's texts can be encoded; Check says so of each that is accepted.
-func utf8Valid(s *protocol.Submit) bool { return Check(s) == "" }
+// encodable tells whether a job's texts can be encoded; Check says so of each that is accepted.
+func encodable(s *protocol.Submit) bool { return Validate(s) == "" }
 
 func newJob(r *protocol.JobRecord) *Job {
 	s := r.GetSubmit()
-	return &Job{ID: s.GetId(), Queue: s.GetQueue(), Service: r.GetService(), Spec: s.GetSpec(), Stages: s.GetStages(), Occasions: max(1, int(s.GetMaxRuns())),
+	return &Job{ID: s.GetId(), Queue: s.GetQueue(), Service: r.GetService(), Spec: s.GetSpec(), Stages: s.GetStages(), OccurrenceCount: max(1, int(s.GetMaxRuns())),
 		StartAtMs: s.GetStartAtMs(), IntervalMs: s.GetIntervalMs(), Sequence: r.GetSequence(), AcceptedMs: r.GetAcceptedMs(), State: Pending}
 }
 
@@ -122,33 +122,33 @@
 	j.State = s
 	if s.Final() {
 		j.EndedMs = nowMs
-		t.final = append(t.final, j)
-		t.stopAll(j)
+		t.ended = append(t.ended, j)
+		t.stopRuns(j)
 	}
 	t.Writes.putStatus(j)
-	t.tidy(j)
+	t.pruneEnded(j)
 }
 
-// stopAll has all runs of a job that has ended stopped.
-func (t *Table) stopAll(j *Job) {
-	for _, o := range j.times {
+// stopRuns has all runs of a job that has ended stopped.
+func (t *Table) stopRuns(j *Job) {
+	for _, o := range j.occurrences {
 		for _, s := range o.Steps {
 			for i := range s.Tasks {
 				if s.Tasks[i].Phase == Live {
-					t.stopped = append(t.stopped, Run{Task: s.TaskID(i), Number: s.Tasks[i].Run, Runner: s.Tasks[i].Runner})
+					t.toStop = append(t.toStop, RunRef{Task: s.TaskID(i), Number: s.Tasks[i].Run, Runner: s.Tasks[i].Runner})
 				}
 			}
 		}
 	}
 }
 
-// tidy removes all but the state of a job that has ended and runs nothing any more.
-func (t *Table) tidy(j *Job) {
-	if !j.State.Final() || j.live > 0 || j.Stages == nil {
+// pruneEnded removes all but the state of a job that has ended and runs nothing any more.
+func (t *Table) pruneEnded(j *Job) {
+	if !j.State.Final() || j.liveRuns > 0 || j.Stages == nil {
 		return
 	}
 	t.Writes.Delete(jobPrefix + j.ID)
-	for _, o := range j.times {
+	for _, o := range j.occurrences {
 		for _, s := range o.Steps {
 			for i := range s.Tasks {
 				if s.Tasks[i].Run > 0 {
@@ -157,7 +157,7 @@
 			}
 		}
 	}
-	j.Stages, j.times, j.Spec = nil, nil, ""
+	j.Stages, j.occurrences, j.Spec = nil, nil, ""
 }
 
 // Cancel ends a job at its client's wish; it returns false where the job is not known.
@@ -170,87 +170,87 @@
 	return true
 }
 
-// Forget removes jobs that ended before a time of day, up to a number of them.
-func (t *Table) Forget(beforeMs int64, most int) {
-	for ; most > 0 && len(t.final) > 0 && t.final[0].EndedMs < beforeMs && t.final[0].live == 0; most-- {
-		j := t.final[0]
-		t.final = t.final[1:]
+// Expire removes jobs that ended before a time of day, up to a number of them.
+func (t *Table) Expire(cutoffMs int64, limit int) {
+	for ; limit > 0 && len(t.ended) > 0 && t.ended[0].EndedMs < cutoffMs && t.ended[0].liveRuns == 0; limit-- {
+		j := t.ended[0]
+		t.ended = t.ended[1:]
 		delete(t.jobs, j.ID)
 		t.Writes.Delete(statusPrefix + j.ID)
 	}
 }
 
-// Fall makes the times that have fallen due.
-func (t *Table) Fall(nowMs int64) {
-	for t.due.Len() > 0 {
-		j := t.due[0]
-		if !j.State.Final() && len(j.times) < j.Occasions && j.DueMs(len(j.times)) > nowMs {
+// ReleaseOccurrences makes the times that have fallen due.
+func (t *Table) ReleaseOccurrences(nowMs int64) {
+	for t.schedule.Len() > 0 {
+		j := t.schedule[0]
+		if !j.State.Final() && len(j.occurrences) < j.OccurrenceCount && j.ScheduledMs(len(j.occurrences)) > nowMs {
 			return
 		}
-		if j.State.Final() || len(j.times) == j.Occasions {
-			heap.Pop(&t.due)
+		if j.State.Final() || len(j.occurrences) == j.OccurrenceCount {
+			heap.Pop(&t.schedule)
 			continue
 		}
-		o := t.addOccasion(j)
-		heap.Fix(&t.due, 0)
+		o := t.addOccurrence(j)
+		heap.Fix(&t.schedule, 0)
 		for _, s := range o.Steps {
-			t.offer(s)
+			t.enqueueReady(s)
 		}
 	}
 }
 
-// NextDueMs returns when the next time falls due, as a time of day, and false where none does.
-func (t *Table) NextDueMs() (int64, bool) {
-	if t.due.Len() == 0 {
+// NextScheduledMs returns when the next time falls due, as a time of day, and false where none does.
+func (t *Table) NextScheduledMs() (int64, bool) {
+	if t.schedule.Len() == 0 {
 		return 0, false
 	}
-	j := t.due[0]
-	return j.DueMs(len(j.times)), true
+	j := t.schedule[0]
+	return j.ScheduledMs(len(j.occurrences)), true
 }
 
-func (t *Table) addOccasion(j *Job) *Occasion {
-	o := &Occasion{Job: j, Number: len(j.times)}
+func (t *Table) addOccurrence(j *Job) *Occurrence {
+	o := &Occurrence{Job: j, Number: len(j.occurrences)}
 	for i, stage := range j.Stages {
-		o.Steps = append(o.Steps, &Step{Job: j, Occasion: o, Number: i, Stage: stage, Tasks: make([]Task, stage.GetCount()), Waiting: int(stage.GetCount())})
+		o.Steps = append(o.Steps, &Step{Job: j, Occurrence: o, Number: i, Stage: stage, Tasks: make([]Task, stage.GetCount()), Waiting: int(stage.GetCount())})
 	}
-	j.times = append(j.times, o)
+	j.occurrences = append(j.occurrences, o)
 	return o
 }
 
-// offer notes a step whose tasks may be started.
-func (t *Table) offer(s *Step) {
+// enqueueReady notes a step whose tasks may be started.
+func (t *Table) enqueueReady(s *Step) {
 	if s.Waiting > 0 && s.Ready() {
 		t.ready = append(t.ready, s)
 	}
 }
 
-// Find returns the step of a task, nil where the job, time, step or task is not known.
-func (t *Table) Find(name TaskName) *Step {
+// FindStep returns the step of a task, nil where the job, time, step or task is not known.
+func (t *Table) FindStep(name TaskName) *Step {
 	j := t.jobs[name.Job]
-	if j == nil || name.Occasion >= len(j.times) || name.Step >= len(j.Stages) {
+	if j == nil || name.Occurrence >= len(j.occurrences) || name.Step >= len(j.Stages) {
 		return nil
 	}
-	s := j.times[name.Occasion].Steps[name.Step]
+	s := j.occurrences[name.Occurrence].Steps[name.Step]
 	if name.Index >= len(s.Tasks) {
 		return nil
 	}
 	return s
 }
 
-// dueHeap orders jobs by when their next time falls due.
-type dueHeap []*Job
+// scheduleHeap orders jobs by when their next time falls due.
+type scheduleHeap []*Job
 
-func (h dueHeap) Len() int { return len(h) }
-func (h dueHeap) Less(a, b int) bool {
-	return h[a].DueMs(len(h[a].times)) < h[b].DueMs(len(h[b].times))
+func (h scheduleHeap) Len() int { return len(h) }
+func (h scheduleHeap) Less(a, b int) bool {
+	return h[a].ScheduledMs(len(h[a].occurrences)) < h[b].ScheduledMs(len(h[b].occurrences))
 }
-func (h dueHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
+func (h scheduleHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
 // Push is part of heap.Interface.
-func (h *dueHeap) Push(x any) { *h = append(*h, x.(*Job)) }
+func (h *scheduleHeap) Push(x any) { *h = append(*h, x.(*Job)) }
 
 // Pop is part of heap.Interface.
-func (h *dueHeap) Pop() any {
+func (h *scheduleHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
@@ -285,7 +285,7 @@
 	}
 	t.loadStatuses(statuses)
 	t.loadTasks(tasks)
-	t.settle()
+	t.deriveState()
 	return t, nil
 }
 
@@ -296,12 +296,12 @@
 			j = &Job{ID: id, Queue: r.GetQueue()}
 			t.jobs[id] = j
 		}
-		j.State, j.EndedMs, j.Content = State(r.GetState()), r.GetEndedMs(), r.GetContent()
+		j.State, j.EndedMs, j.ContentDigest = State(r.GetState()), r.GetEndedMs(), r.GetContent()
 		if j.State.Final() {
-			t.final = append(t.final, j)
+			t.ended = append(t.ended, j)
 		}
 	}
-	slices.SortFunc(t.final, func(a, b *Job) int { return int(a.EndedMs - b.EndedMs) })
+	slices.SortFunc(t.ended, func(a, b *Job) int { return int(a.EndedMs - b.EndedMs) })
 }
 
 func (t *Table) loadTasks(tasks map[string]*protocol.TaskRecord) {
@@ -311,52 +311,52 @@
 		if !ok || j == nil || j.Stages == nil {
 			continue
 		}
-		for len(j.times) <= name.Occasion {
-			t.addOccasion(j)
+		for len(j.occurrences) <= name.Occurrence {
+			t.addOccurrence(j)
 		}
-		s := t.Find(name)
+		s := t.FindStep(name)
 		if s == nil {
 			continue
 		}
-		s.failures, s.failed = max(s.failures, int(r.GetGangFailures())), max(s.failed, r.GetGangFailed())
-		s.run = max(s.run, r.GetRun())
+		s.gangFailures, s.lastFailedRun = max(s.gangFailures, int(r.GetGangFailures())), max(s.lastFailedRun, r.GetGangFailed())
+		s.maxRun = max(s.maxRun, r.GetRun())
 		task := &s.Tasks[name.Index]
-		*task = Task{Phase: Phase(r.GetState()), Run: r.GetRun(), Runner: r.GetRunner(), Failures: int(r.GetFailures()), Saved: r.GetSaved(), LastFailed: r.GetLastFailed()}
+		*task = Task{Phase: Phase(r.GetState()), Run: r.GetRun(), Runner: r.GetRunner(), Failures: int(r.GetFailures()), Checkpoint: r.GetSaved(), LastFailed: r.GetLastFailed()}
 		if task.Phase != Waiting {
 			s.Waiting--
 		}
 		if task.Phase == Done || task.Phase == DoneLive {
-			s.done++
+			s.doneTasks++
 		}
 		if task.Phase == Live || task.Phase == DoneLive {
-			j.live++
+			j.liveRuns++
 		}
 	}
 }
 
-// settle derives what is not stored: what is finished and what is ready.
-func (t *Table) settle() {
+// deriveState derives what is not stored: what is finished and what is ready.
+func (t *Table) deriveState() {
 	for _, id := range slices.Sorted(maps.Keys(t.jobs)) {
 		j := t.jobs[id]
 		if j.Stages == nil {
 			continue
 		}
-		for _, o := range j.times {
+		for _, o := range j.occurrences {
 			for _, s := range o.Steps {
-				if s.done == len(s.Tasks) {
-					o.done++
+				if s.doneTasks == len(s.Tasks) {
+					o.doneSteps++
 				}
-				t.offer(s)
+				t.enqueueReady(s)
 			}
-			if o.done == len(o.Steps) {
-				j.finished++
+			if o.doneSteps == len(o.Steps) {
+				j.finishedOccurrences++
 			}
 		}
 		if !j.State.Final() {
-			t.due = append(t.due, j)
+			t.schedule = append(t.schedule, j)
 		} else {
-			t.stopAll(j)
+			t.stopRuns(j)
 		}
 	}
-	heap.Init(&t.due)
+	heap.Init(&t.schedule)
 }
--- a/internal/control/journal/file.go
+++ b/internal/control/journal/file.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	fileName    = "state"
-	newName     = "state.new"
-	damagedName = "state.damaged"
-	fileMode    = 0o600
+	stateFile        = "state"
+	newStateFile     = "state.new"
+	damagedStateFile = "state.damaged"
+	fileMode         = 0o600
 )
 
 // File is a member's file on a disk. Its calls block for the disk; it is not safe for concurrent use.
@@ -28,7 +28,7 @@
 
 // Load reads the file of a folder without changing anything, as of a member that may be running.
 func Load(dir string) (State, error) {
-	data, err := os.ReadFile(filepath.Join(dir, fileName))
+	data, err := os.ReadFile(filepath.Join(dir, stateFile))
 	if err != nil {
 		return State{}, errors.Wrap(err, "journal: the file can't be read")
 	}
@@ -36,17 +36,17 @@
 	return state, err
 }
 
-// Place writes a whole file into a folder that has none.
-func Place(dir string, whole []byte) error {
+// Create writes a whole file into a folder that has none.
+func Create(dir string, content []byte) error {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return errors.Wrap(err, "journal: the folder can't be made")
 	}
-	file, err := os.OpenFile(filepath.Join(dir, fileName), os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
+	file, err := os.OpenFile(filepath.Join(dir, stateFile), os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
 		return errors.Wrap(err, "journal: the folder holds a file already, or can't be written to")
 	}
 	defer file.Close()
-	return errors.Wrap(write(file, whole), "journal: the file can't be written")
+	return errors.Wrap(writeAndSync(file, content), "journal: the file can't be written")
 }
 
 // Open reads the file of a folder, which is made if it is missing, and leaves it cut after its last
@@ -57,45 +57,45 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, empty, errors.Wrap(err, "journal: the folder can't be made")
 	}
-	path := filepath.Join(dir, fileName)
+	path := filepath.Join(dir, stateFile)
 	data, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return nil, empty, errors.Wrap(err, "journal: the file can't be read")
 	}
-	state, good, damage := Read(data)
+	state, validLength, damage := Read(data)
 	if errors.Is(damage, ErrFormat) {
 		return nil, empty, errors.Wrap(damage, path)
 	}
 	if damage != nil {
-		if err := os.Rename(path, filepath.Join(dir, damagedName)); err != nil {
+		if err := os.Rename(path, filepath.Join(dir, damagedStateFile)); err != nil {
 			return nil, empty, errors.Wrap(err, "journal: the damaged file can't be put aside")
 		}
-		state, good = empty, 0
+		state, validLength = empty, 0
 	}
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
 		return nil, empty, errors.Wrap(err, "journal: the file can't be opened")
 	}
 	f := &File{dir: dir, file: file}
-	if err := f.cut(int64(good)); err != nil {
+	if err := f.truncate(int64(validLength)); err != nil {
 		return nil, empty, err
 	}
 	return f, state, damage
 }
 
-// cut shortens the file to its good records, so that later ones follow those.
-func (f *File) cut(good int64) error {
-	if err := f.file.Truncate(good); err != nil {
+// truncate shortens the file to its good records, so that later ones follow those.
+func (f *File) truncate(validLength int64) error {
+	if err := f.file.Truncate(validLength); err != nil {
 		return errors.Wrap(err, "journal: the torn end can't be cut off")
 	}
-	f.size = good
-	if _, err := f.file.Seek(good, 0); err != nil {
+	f.size = validLength
+	if _, err := f.file.Seek(validLength, 0); err != nil {
 		return errors.Wrap(err, "journal: the file has no end")
 	}
 	if err := f.file.Sync(); err != nil {
 		return errors.Wrap(err, "journal: the file can't be synced")
 	}
-	return f.syncFolder()
+	return f.syncDir()
 }
 
 // Write appends records and syncs them.
@@ -109,15 +109,15 @@
 }
 
 // Rewrite replaces the whole file: a new one is written and synced, then takes the old one's name.
-func (f *File) Rewrite(whole io.WriterTo) error {
-	path := filepath.Join(f.dir, newName)
+func (f *File) Rewrite(content io.WriterTo) error {
+	path := filepath.Join(f.dir, newStateFile)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
 		return errors.Wrap(err, "journal: the new file can't be made")
 	}
-	size, err := writeImage(file, whole)
+	size, err := writeImage(file, content)
 	if err == nil {
-		err = os.Rename(path, filepath.Join(f.dir, fileName))
+		err = os.Rename(path, filepath.Join(f.dir, stateFile))
 	}
 	if err != nil {
 		file.Close()
@@ -125,26 +125,26 @@
 	}
 	f.file.Close()
 	f.file, f.size = file, size
-	return f.syncFolder()
+	return f.syncDir()
 }
 
 // writeImage writes a whole file and syncs it.
-func writeImage(file *os.File, whole io.WriterTo) (int64, error) {
-	size, err := whole.WriteTo(file)
+func writeImage(file *os.File, content io.WriterTo) (int64, error) {
+	size, err := content.WriteTo(file)
 	if err != nil {
 		return size, err
 	}
 	return size, file.Sync()
 }
 
-func write(file *os.File, whole []byte) error {
-	if _, err := file.Write(whole); err != nil {
+func writeAndSync(file *os.File, content []byte) error {
+	if _, err := file.Write(content); err != nil {
 		return err
 	}
 	return file.Sync()
 }
 
-func (f *File) syncFolder() error {
+func (f *File) syncDir() error {
 	dir, err := os.Open(f.dir)
 	if err != nil {
 		return errors.Wrap(err, "journal: the folder can't be opened")
--- a/internal/control/journal/image.go
+++ b/internal/control/journal/image.go
@@ -22,8 +22,8 @@
 	bytes    int
 }
 
-// imageChunk is about how many bytes of items one record of an image holds.
-const imageChunk = 1 << 20
+// imageRecordBytes is about how many bytes of items one record of an image holds.
+const imageRecordBytes = 1 << 20
 
 // NewImage takes the image of a state.
 func NewImage(s State) *Image {
@@ -52,21 +52,21 @@
 		written += int64(n)
 		err = errors.Wrap(err, "journal: a write failed")
 	}
-	write(Identity, i.identity)
+	write(KindIdentity, i.identity)
 	if i.accepted != nil {
-		write(Accept, &protocol.AcceptRecord{View: i.accepted})
+		write(KindAccept, &protocol.AcceptRecord{View: i.accepted})
 	}
-	write(Promise, &protocol.PromiseRecord{Ballot: i.promised})
+	write(KindPromise, &protocol.PromiseRecord{Ballot: i.promised})
 	record := &protocol.InstallRecord{Epoch: i.epoch, Index: i.index}
 	size := 0
 	for _, item := range i.items {
 		record.Puts = append(record.Puts, item)
-		if size += len(item.GetKey()) + len(item.GetValue()); size >= imageChunk {
-			write(Install, record)
+		if size += len(item.GetKey()) + len(item.GetValue()); size >= imageRecordBytes {
+			write(KindInstall, record)
 			record, size = &protocol.InstallRecord{Epoch: i.epoch, Index: i.index}, 0
 		}
 	}
-	write(Install, record)
+	write(KindInstall, record)
 	return written, err
 }
 
--- a/internal/control/journal/journal.go
+++ b/internal/control/journal/journal.go
@@ -19,17 +19,17 @@
 
 // The kinds of records.
 const (
-	Identity Kind = iota + 1 // protocol.IdentityRecord
-	Promise                  // protocol.PromiseRecord
-	Accept                   // protocol.AcceptRecord
-	Install                  // protocol.InstallRecord
-	Entry                    // protocol.Entry without its replies
+	KindIdentity Kind = iota + 1 // protocol.IdentityRecord
+	KindPromise                  // protocol.PromiseRecord
+	KindAccept                   // protocol.AcceptRecord
+	KindInstall                  // protocol.InstallRecord
+	KindEntry                    // protocol.Entry without its replies
 )
 
 const (
 	headerLength = 4 + 4 + 8 + 1 // length of the body, checksum, synced length, kind
-	// mostBody bounds a record, so that a damaged length is not taken for one.
-	mostBody = 1 << 28
+	// maxBodyLength bounds a record, so that a damaged length is not taken for one.
+	maxBodyLength = 1 << 28
 )
 
 // Format is the version of the file's form, in its first record. A file of a newer one is not read.
@@ -66,15 +66,15 @@
 	kind   Kind
 }
 
-// next reads the record at the beginning of data.
-func next(data []byte) (h header, body []byte, ok bool) {
+// nextRecord reads the record at the beginning of data.
+func nextRecord(data []byte) (h header, body []byte, ok bool) {
 	if len(data) < headerLength {
 		return h, nil, false
 	}
 	h.length = int(binary.LittleEndian.Uint32(data))
 	h.synced = int64(binary.LittleEndian.Uint64(data[8:]))
 	h.kind = Kind(data[16])
-	if h.length > mostBody || h.length > len(data)-headerLength || h.kind < Identity || h.kind > Entry {
+	if h.length > maxBodyLength || h.length > len(data)-headerLength || h.kind < KindIdentity || h.kind > KindEntry {
 		return h, nil, false
 	}
 	record := data[:headerLength+h.length]
@@ -101,7 +101,7 @@
 	s := State{Store: store.New()}
 	at := 0
 	for at < len(data) {
-		h, body, ok := next(data[at:])
+		h, body, ok := nextRecord(data[at:])
 		if !ok {
 			break
 		}
@@ -110,19 +110,19 @@
 		}
 		at += headerLength + h.length
 	}
-	if syncedBeyond(data, at) {
+	if syncedPast(data, at) {
 		return s, at, ErrDamaged
 	}
 	return s, at, nil
 }
 
-// syncedBeyond tells whether a good record after a bad one says that the bad one had been synced.
-func syncedBeyond(data []byte, bad int) bool {
+// syncedPast tells whether a good record after a bad one says that the bad one had been synced.
+func syncedPast(data []byte, bad int) bool {
 	for at := bad + 1; at+headerLength <= len(data); at++ {
-		if data[at+16] < byte(Identity) || data[at+16] > byte(Entry) {
+		if data[at+16] < byte(KindIdentity) || data[at+16] > byte(KindEntry) {
 			continue
 		}
-		if h, _, ok := next(data[at:]); ok && h.synced > int64(bad) {
+		if h, _, ok := nextRecord(data[at:]); ok && h.synced > int64(bad) {
 			return true
 		}
 	}
@@ -132,7 +132,7 @@
 // apply carries out one record.
 func (s *State) apply(kind Kind, body []byte) error {
 	switch kind {
-	case Identity:
+	case KindIdentity:
 		var r protocol.IdentityRecord
 		if err := decode(body, &r); err != nil {
 			return err
@@ -141,27 +141,27 @@
 			return errors.Wrapf(ErrFormat, "%d", r.GetFormat())
 		}
 		s.ID, s.Founder = r.GetId(), r.GetFounder()
-	case Promise:
+	case KindPromise:
 		var r protocol.PromiseRecord
 		if err := decode(body, &r); err != nil {
 			return err
 		}
 		s.Promised = max(s.Promised, r.GetBallot())
-	case Accept:
+	case KindAccept:
 		var r protocol.AcceptRecord
 		if err := decode(body, &r); err != nil {
 			return err
 		}
 		s.Accepted = r.GetView()
 		s.Promised = max(s.Promised, r.GetView().GetEpoch())
-	case Install:
+	case KindInstall:
 		var r protocol.InstallRecord
 		if err := decode(body, &r); err != nil {
 			return err
 		}
 		s.Store.Apply(r.GetPuts(), r.GetDeletes())
 		s.InstalledEpoch, s.Index = r.GetEpoch(), r.GetIndex()
-	case Entry:
+	case KindEntry:
 		var r protocol.Entry
 		if err := decode(body, &r); err != nil {
 			return err
--- a/internal/control/journal/journal_bench_test.go
+++ b/internal/control/journal/journal_bench_test.go
@@ -10,8 +10,8 @@
 	"frosttide/internal/control/store"
 )
 
-// large returns a state of about a number of bytes, in items of 1,000.
-func large(bytes int) State {
+// largeState returns a state of about a number of bytes, in items of 1,000.
+func largeState(bytes int) State {
 	const itemBytes = 1000
 	s := State{ID: 1, Store: store.New()}
 	for i := range bytes / itemBytes {
@@ -25,12 +25,12 @@
 // BenchmarkRestart reads files of 1, 10 and 50 MB, as a member does that starts again.
 func BenchmarkRestart(b *testing.B) {
 	for _, megabytes := range []int{1, 10, 50} {
-		whole, err := Snapshot(large(megabytes << 20))
+		content, err := Snapshot(largeState(megabytes << 20))
 		require.NoError(b, err)
 		b.Run(fmt.Sprintf("%dMB", megabytes), func(b *testing.B) {
-			b.SetBytes(int64(len(whole)))
+			b.SetBytes(int64(len(content)))
 			for range b.N {
-				_, _, err := Read(whole)
+				_, _, err := Read(content)
 				require.NoError(b, err)
 			}
 		})
@@ -40,7 +40,7 @@
 // BenchmarkImage takes the image of a state, which holds up the member, and writes it, which does not.
 func BenchmarkImage(b *testing.B) {
 	for _, megabytes := range []int{1, 10, 50} {
-		s := large(megabytes << 20)
+		s := largeState(megabytes << 20)
 		b.Run(fmt.Sprintf("take/%dMB", megabytes), func(b *testing.B) {
 			for range b.N {
 				NewImage(s)
--- a/internal/control/journal/journal_rapid_test.go
+++ b/internal/control/journal/journal_rapid_test.go
@@ -13,9 +13,9 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestNoTornOrDamagedFileIsReadAsWhole tears or damages files at any place: what is read is the state after some of the
+// TestTornOrDamagedFileIsNotReadAsComplete tears or damages files at any place: what is read is the state after some of the
 // writes, all of those that were synced among them, or the file is said to be damaged.
-func TestNoTornOrDamagedFileIsReadAsWhole(t *testing.T) {
+func TestTornOrDamagedFileIsNotReadAsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data, err := Snapshot(State{ID: 7, Store: store.New()})
 		require.NoError(t, err)
@@ -24,7 +24,7 @@
 		for i := range rapid.IntRange(1, 12).Draw(t, "writes") {
 			for range rapid.IntRange(1, 3).Draw(t, "records") {
 				e := &protocol.Entry{Index: uint64(i + 1), Puts: []*protocol.Put{{Key: fmt.Sprint("k", i), Value: rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "value")}}}
-				data, err = Append(data, Entry, int64(synced), e)
+				data, err = Append(data, KindEntry, int64(synced), e)
 				require.NoError(t, err)
 			}
 			if len(ends) > 0 {
@@ -39,7 +39,7 @@
 			s, _, err := Read(torn)
 			if at < synced && err == nil {
 				// Nothing after it says that it had been synced: only the newest writes can be meant.
-				require.GreaterOrEqual(t, at, lastKnownSynced(data), "synced records are passed over in silence")
+				require.GreaterOrEqual(t, at, lastRecordedSynced(data), "synced records are passed over in silence")
 			}
 			if err == nil {
 				require.LessOrEqual(t, s.Index, uint64(len(ends)))
@@ -60,10 +60,10 @@
 	})
 }
 
-// lastKnownSynced returns how much of a file its own records say was synced.
-func lastKnownSynced(data []byte) (synced int) {
+// lastRecordedSynced returns how much of a file its own records say was synced.
+func lastRecordedSynced(data []byte) (synced int) {
 	for at := 0; at < len(data); {
-		h, _, ok := next(data[at:])
+		h, _, ok := nextRecord(data[at:])
 		if !ok {
 			break
 		}
@@ -82,26 +82,26 @@
 	require.Equal(t, int(s.Index), s.Store.Len())
 }
 
-// TestImagesAreWhole takes the image of any state, changes the state, and reads the image back as it was. No beginning
+// TestImagesAreComplete takes the image of any state, changes the state, and reads the image back as it was. No beginning
 // of its file but the whole holds all.
-func TestImagesAreWhole(t *testing.T) {
+func TestImagesAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{ID: 9, Index: 4, Store: store.New()}
 		for i := range rapid.IntRange(0, 30).Draw(t, "items") {
-			s.Store.Put(fmt.Sprint(i), make([]byte, rapid.IntRange(0, imageChunk/4).Draw(t, "length")))
+			s.Store.Put(fmt.Sprint(i), make([]byte, rapid.IntRange(0, imageRecordBytes/4).Draw(t, "length")))
 		}
-		want, items := store.Combine(s.Store.Digests()), s.Store.Len()
+		want, items := store.CombineDigests(s.Store.Digests()), s.Store.Len()
 		image := NewImage(s)
 		s.Store.Put("later", []byte("x"))
 		s.Store.Delete("0")
-		whole, err := image.Encode()
+		content, err := image.Encode()
 		require.NoError(t, err)
-		back, good, err := Read(whole)
+		back, good, err := Read(content)
 		require.NoError(t, err)
-		require.Equal(t, len(whole), good)
-		require.Equal(t, want, store.Combine(back.Store.Digests()))
-		cut, _, err := Read(whole[:rapid.IntRange(0, len(whole)).Draw(t, "cut")])
+		require.Equal(t, len(content), good)
+		require.Equal(t, want, store.CombineDigests(back.Store.Digests()))
+		partial, _, err := Read(content[:rapid.IntRange(0, len(content)).Draw(t, "cut")])
 		require.True(t, err == nil || errors.Is(err, ErrDamaged))
-		require.LessOrEqual(t, cut.Store.Len(), items)
+		require.LessOrEqual(t, partial.Store.Len(), items)
 	})
 }
--- a/internal/control/journal/journal_test.go
+++ b/internal/control/journal/journal_test.go
@@ -18,9 +18,9 @@
 	return &protocol.Entry{Index: index, Puts: []*protocol.Put{{Key: key, Value: []byte{byte(index)}}}}
 }
 
-// file returns a snapshot and some entries after it, all but the last written as synced before the next, and
+// snapshotWithEntries returns a snapshot and some entries after it, all but the last written as synced before the next, and
 // the offsets at which records end.
-func file(t *testing.T, entries int) (data []byte, ends []int) {
+func snapshotWithEntries(t *testing.T, entries int) (data []byte, ends []int) {
 	t.Helper()
 	s := store.New()
 	s.Put("first", []byte("1"))
@@ -28,15 +28,15 @@
 	require.NoError(t, err)
 	ends = append(ends, len(data))
 	for i := range entries {
-		data, err = Append(data, Entry, int64(ends[len(ends)-1]), entry(uint64(11+i), "k"))
+		data, err = Append(data, KindEntry, int64(ends[len(ends)-1]), entry(uint64(11+i), "k"))
 		require.NoError(t, err)
 		ends = append(ends, len(data))
 	}
 	return data, ends
 }
 
-func TestReadsBack(t *testing.T) {
-	data, _ := file(t, 3)
+func TestReadReturnsWrittenState(t *testing.T) {
+	data, _ := snapshotWithEntries(t, 3)
 	s, good, err := Read(data)
 	require.NoError(t, err)
 	require.Equal(t, len(data), good)
@@ -56,7 +56,7 @@
 
 // TestTornEnd cuts a file at each byte: what was whole before the cut is read, the rest is cut off.
 func TestTornEnd(t *testing.T) {
-	data, ends := file(t, 3)
+	data, ends := snapshotWithEntries(t, 3)
 	for cut := ends[0]; cut < len(data); cut++ {
 		s, good, err := Read(data[:cut])
 		require.NoError(t, err)
@@ -71,9 +71,9 @@
 	}
 }
 
-// TestDamageIsNoEnd flips each byte of records that had been synced: that is never taken for a torn end.
-func TestDamageIsNoEnd(t *testing.T) {
-	data, ends := file(t, 3)
+// TestDamageIsNotATornEnd flips each byte of records that had been synced: that is never taken for a torn end.
+func TestDamageIsNotATornEnd(t *testing.T) {
+	data, ends := snapshotWithEntries(t, 3)
 	for at := ends[0]; at < ends[1]; at++ {
 		bad := append([]byte(nil), data...)
 		bad[at] ^= 0x41
@@ -88,14 +88,14 @@
 	require.EqualValues(t, 12, s.Index)
 }
 
-func TestFileOutlivesProcesses(t *testing.T) {
+func TestFileSurvivesReopening(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	f, s, err := Open(dir)
 	require.NoError(t, err)
 	require.Zero(t, s.ID)
-	whole, ends := file(t, 2)
-	require.NoError(t, f.Rewrite(bytes.NewReader(whole[:ends[0]])))
-	require.NoError(t, f.Write(whole[ends[0]:]))
+	content, ends := snapshotWithEntries(t, 2)
+	require.NoError(t, f.Rewrite(bytes.NewReader(content[:ends[0]])))
+	require.NoError(t, f.Write(content[ends[0]:]))
 	require.NoError(t, f.Close())
 	f, s, err = Open(dir)
 	require.NoError(t, err)
@@ -106,21 +106,21 @@
 	require.NoError(t, err)
 	require.EqualValues(t, 12, s.Index)
 	require.NoError(t, f.Close())
-	info, err := os.Stat(filepath.Join(dir, fileName))
+	info, err := os.Stat(filepath.Join(dir, stateFile))
 	require.NoError(t, err)
-	require.EqualValues(t, len(whole), info.Size(), "the torn end is cut off")
+	require.EqualValues(t, len(content), info.Size(), "the torn end is cut off")
 }
 
-func TestDamagedFileIsPutAside(t *testing.T) {
+func TestDamagedFileIsRenamed(t *testing.T) {
 	dir := t.TempDir()
-	data, ends := file(t, 3)
+	data, ends := snapshotWithEntries(t, 3)
 	data[ends[0]+18] ^= 1
-	require.NoError(t, os.WriteFile(filepath.Join(dir, fileName), data, fileMode))
+	require.NoError(t, os.WriteFile(filepath.Join(dir, stateFile), data, fileMode))
 	f, s, err := Open(dir)
 	require.True(t, errors.Is(err, ErrDamaged))
 	require.Zero(t, s.ID)
 	require.NoError(t, f.Close())
-	_, err = os.Stat(filepath.Join(dir, damagedName))
+	_, err = os.Stat(filepath.Join(dir, damagedStateFile))
 	require.NoError(t, err)
 }
 
@@ -128,15 +128,15 @@
 func FuzzRead(f *testing.F) {
 	s := store.New()
 	s.Put("a", []byte("b"))
-	whole, err := Snapshot(State{ID: 1, Store: s})
+	content, err := Snapshot(State{ID: 1, Store: s})
 	if err != nil {
 		f.Fatal(err)
 	}
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
+	f.Add(content)
+	f.Add(content[:len(content)-1])
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
-		bad := append([]byte(nil), whole...)
+		bad := append([]byte(nil), content...)
 		bad[rng.IntN(len(bad))] ^= byte(1 + rng.IntN(255))
 		f.Add(bad)
 	}
--- a/internal/control/member/compatibility_test.go
+++ b/internal/control/member/compatibility_test.go
@@ -50,9 +50,9 @@
 	self := &protocol.Member{Id: 7, Number: 1, Address: "10.0.0.1:7380", Control: "10.0.0.1:8144", Zone: "z1"}
 	cfg := member.Config{
 		Replica:   replica.Config{Self: self, Incarnation: 1, Contacts: []string{self.GetAddress()}, Seed: 1, Timing: replica.DefaultTiming()},
-		Scheduler: scheduler.Config{Lease: 6 * time.Second, StatusKept: time.Minute, RackPrefix: "r", FarFactor: 1.5},
+		Scheduler: scheduler.Config{Lease: 6 * time.Second, StatusRetention: time.Minute, RackPrefix: "r", RemoteSlowdown: 1.5},
 	}
-	l := &life{t: t, member: member.New(cfg, 0, replica.Founding(self, []*protocol.Member{self})), orders: &protocol.RunnerOrders{}}
+	l := &life{t: t, member: member.New(cfg, 0, replica.FoundingState(self, []*protocol.Member{self})), orders: &protocol.RunnerOrders{}}
 	l.pass(2 * time.Second)
 	require.NotNil(t, l.member.Scheduler(), "it does not serve")
 	return l
@@ -165,12 +165,12 @@
 		require.NoError(t, err)
 		file = longer
 	}
-	add(journal.Promise, &protocol.PromiseRecord{Ballot: 50<<16 | 2})
-	add(journal.Accept, &protocol.AcceptRecord{View: &protocol.View{Epoch: 40<<16 | 1, Voters: voters, Previous: voters[:1], Chain: []uint64{8, 7}, NextNumber: 4}})
-	add(journal.Install, &protocol.InstallRecord{Epoch: 40<<16 | 1, Index: 1000, Puts: []*protocol.Put{{Key: "installed", Value: []byte{0, 1}}, {Key: "removed", Value: []byte{2}}}, Deletes: []string{"none"}})
-	add(journal.Entry, &protocol.Entry{Index: 1001, Puts: []*protocol.Put{{Key: "entered", Value: []byte{3}}}, Deletes: []string{"removed"}})
+	add(journal.KindPromise, &protocol.PromiseRecord{Ballot: 50<<16 | 2})
+	add(journal.KindAccept, &protocol.AcceptRecord{View: &protocol.View{Epoch: 40<<16 | 1, Voters: voters, Previous: voters[:1], Chain: []uint64{8, 7}, NextNumber: 4}})
+	add(journal.KindInstall, &protocol.InstallRecord{Epoch: 40<<16 | 1, Index: 1000, Puts: []*protocol.Put{{Key: "installed", Value: []byte{0, 1}}, {Key: "removed", Value: []byte{2}}}, Deletes: []string{"none"}})
+	add(journal.KindEntry, &protocol.Entry{Index: 1001, Puts: []*protocol.Put{{Key: "entered", Value: []byte{3}}}, Deletes: []string{"removed"}})
 	whole := len(file)
-	add(journal.Entry, &protocol.Entry{Index: 1002, Puts: []*protocol.Put{{Key: "torn", Value: make([]byte, 100)}}})
+	add(journal.KindEntry, &protocol.Entry{Index: 1002, Puts: []*protocol.Put{{Key: "torn", Value: make([]byte, 100)}}})
 	return file[:(whole+len(file))/2]
 }
 
@@ -240,7 +240,7 @@
 		j.EachStep(func(s *jobs.Step) {
 			for i := range s.Tasks {
 				if task := s.Tasks[i]; task.Run > 0 {
-					line += "; " + strings.Join([]string{s.TaskID(i), task.Runner, task.Saved, task.LastFailed}, " ")
+					line += "; " + strings.Join([]string{s.TaskID(i), task.Runner, task.Checkpoint, task.LastFailed}, " ")
 				}
 			}
 		})
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"frosttide/internal/chainclient"
+	"frosttide/internal/control/event"
 	"frosttide/internal/control/jobs"
 	"frosttide/internal/control/journal"
 	"frosttide/internal/control/replica"
@@ -33,42 +34,42 @@
 	Writes   []replica.Write
 	Sends    []Send
 	Outcomes []chainclient.Outcome // of requests made by Ask
-	Notes    []string              // for the log
+	Events   []event.Event         // for the log
 }
 
 // Member is the process. It is not safe for concurrent use.
 type Member struct {
-	cfg         Config
-	clock       wallclock.Clock
-	wallMs      int64         // this machine's time of day at the last tick
-	stepped     time.Duration // the clock's newest jump that the scheduler knows of
-	replica     *replica.Machine
-	scheduler   *scheduler.Scheduler // nil where this member does not serve as the head
-	gossip      *gossip.Machine
-	client      *chainclient.Client
-	recent      recent
-	views       views
-	reads       map[uint64]pendingRead
-	nextRead    uint64
-	statusReads []statusRead // of this turn
-	known       uint64       // epoch that gossip and client have been told of
-	saved       uint64       // version of the configuration that gossip has been told of
-	out         Output
+	cfg                Config
+	clock              wallclock.Clock
+	wallMs             int64         // this machine's time of day at the last tick
+	knownClockStep     time.Duration // the clock's newest jump that the scheduler knows of
+	replica            *replica.Machine
+	scheduler          *scheduler.Scheduler // nil where this member does not serve as the head
+	gossip             *gossip.Machine
+	client             *chainclient.Client
+	attempts           recentAttempts
+	derived            derivedState
+	reads              map[uint64]pendingReply
+	nextRead           uint64
+	statusReads        []statusRead // of this turn
+	knownEpoch         uint64       // epoch that gossip and client have been told of
+	knownConfigVersion uint64       // version of the configuration that gossip has been told of
+	out                Output
 }
 
-// views is what is derived of the state for its readers, kept up to date by each change of an item.
-type views struct {
+// derivedState is what is derived of the state for its readers, kept up to date by each change of an item.
+type derivedState struct {
 	pending jobs.PendingCounts
 	config  scheduler.ConfigView
 }
 
-func (v *views) change(key string, before, after []byte) {
-	v.pending.Change(key, before, after)
-	v.config.Change(key, after)
+func (v *derivedState) update(key string, previous, current []byte) {
+	v.pending.Update(key, previous, current)
+	v.config.Update(key, current)
 }
 
-// pendingRead is a read at the tail whose answer is not certain yet.
-type pendingRead struct {
+// pendingReply is a read at the tail whose answer is not certain yet.
+type pendingReply struct {
 	to    string
 	reply *protocol.ClientReply
 }
@@ -81,11 +82,11 @@
 
 // New returns a member with the state of its disk.
 func New(cfg Config, now time.Duration, state journal.State) *Member {
-	m := &Member{cfg: cfg, replica: replica.New(cfg.Replica, now, state), reads: make(map[uint64]pendingRead)}
+	m := &Member{cfg: cfg, replica: replica.New(cfg.Replica, now, state), reads: make(map[uint64]pendingReply)}
 	m.gossip = gossip.New(gossip.Config{Address: cfg.Replica.Self.GetAddress(), Role: "control", Contacts: cfg.Replica.Contacts, Seed: cfg.Replica.Seed})
 	m.client = chainclient.New(cfg.Replica.Incarnation, cfg.Replica.Contacts)
-	m.replica.Store().Watch(m.views.change)
-	m.act(now, m.replica.Begin(now))
+	m.replica.Store().Watch(m.derived.update)
+	m.perform(now, m.replica.Begin(now))
 	return m
 }
 
@@ -109,37 +110,37 @@
 func (m *Member) Receive(now time.Duration, from string, e *protocol.Envelope) {
 	switch body := e.GetBody().(type) {
 	case *protocol.Envelope_ClientRequest:
-		m.onRequest(now, from, body.ClientRequest)
+		m.handleRequest(now, from, body.ClientRequest)
 	case *protocol.Envelope_ClientReply:
 		m.client.Reply(now, body.ClientReply)
 	case *protocol.Envelope_RunnerReport:
 		if m.scheduler != nil && m.replica.Accepting(now) {
-			m.scheduler.Report(now, from, body.RunnerReport)
+			m.scheduler.HandleReport(now, from, body.RunnerReport)
 		}
 	case *protocol.Envelope_Shuffle, *protocol.Envelope_Rumor, *protocol.Envelope_RumorPull, *protocol.Envelope_ConfigDelta:
 		m.gossip.Receive(now, from, e)
 	case *protocol.Envelope_Heartbeat:
 		h := body.Heartbeat
-		m.clock.Hear(now, h.GetMember().GetId(), h.GetWallMs(), h.GetAgreedMs())
-		m.act(now, m.replica.Receive(now, from, e))
+		m.clock.Observe(now, h.GetMember().GetId(), h.GetWallMs(), h.GetAgreedMs())
+		m.perform(now, m.replica.Receive(now, from, e))
 	default:
-		m.act(now, m.replica.Receive(now, from, e))
+		m.perform(now, m.replica.Receive(now, from, e))
 	}
 }
 
 // DiskDone handles the end of a write; size is how long the file is after it.
 func (m *Member) DiskDone(now time.Duration, sequence uint64, size int64, err error) {
-	m.act(now, m.replica.DiskDone(now, sequence, size, err))
+	m.perform(now, m.replica.DiskDone(now, sequence, size, err))
 }
 
 // Tick lets time pass; wallMs is this machine's time of day in ms from 1970.
 func (m *Member) Tick(now time.Duration, wallMs int64) {
 	m.wallMs = wallMs
 	m.tickClock(now, wallMs)
-	m.act(now, m.replica.Tick(now, wallMs, m.clock.AgreedMs(now)))
+	m.perform(now, m.replica.Tick(now, wallMs, m.clock.AgreedMs(now)))
 	if m.scheduler != nil && m.replica.Accepting(now) {
-		if m.clock.Stepped() != m.stepped {
-			m.stepped = m.clock.Stepped()
+		if m.clock.SteppedAt() != m.knownClockStep {
+			m.knownClockStep = m.clock.SteppedAt()
 			m.scheduler.ClockStepped(now)
 		}
 		m.scheduler.Tick(now, m.clock.NowMs(now), m.replica.ConfirmedAt())
@@ -153,7 +154,7 @@
 	self := m.cfg.Replica.Self.GetId()
 	v := m.replica.View()
 	if v == nil {
-		m.clock.Hear(now, self, wallMs, 0) // who counts is not known yet
+		m.clock.Observe(now, self, wallMs, 0) // who counts is not known yet
 		return
 	}
 	voters := make([]uint64, 0, len(v.GetVoters()))
@@ -163,20 +164,20 @@
 	m.clock.Tick(now, self, wallMs, voters, scheduler.LoadClock(m.replica.Store()))
 }
 
-// Ask has the chain answer a request of this process's own and returns its id; the outcome comes within
+// Do has the chain answer a request of this process's own and returns its id; the outcome comes within
 // a time.
-func (m *Member) Ask(now time.Duration, r *protocol.ClientRequest, read bool, within time.Duration) uint64 {
-	return m.client.Do(now, r, read, now+within, now+within)
+func (m *Member) Do(now time.Duration, r *protocol.ClientRequest, read bool, timeout time.Duration) uint64 {
+	return m.client.Do(now, r, read, now+timeout, now+timeout)
 }
 
-// Leave has the other members go on without this one, which is about to end.
-func (m *Member) Leave(now time.Duration) { m.act(now, m.replica.Leave(now)) }
+// Drain has the other members go on without this one, which is about to end.
+func (m *Member) Drain(now time.Duration) { m.perform(now, m.replica.Drain(now)) }
 
 // Turn ends a turn: what it has led to is appended, and what is to be done is returned.
 func (m *Member) Turn(now time.Duration) Output {
-	m.append(now)
-	m.answerStatusReads(now)
-	m.learn(now)
+	m.appendEntry(now)
+	m.processStatusReads(now)
+	m.propagateView(now)
 	for _, s := range m.gossip.TakeSends() {
 		m.send(s.To, s.Message)
 	}
@@ -193,45 +194,50 @@
 	m.out.Sends = append(m.out.Sends, Send{To: to, Message: e})
 }
 
-// append has the scheduler's decisions written, and its orders sent once that is committed.
-func (m *Member) append(now time.Duration) {
+// event adds an event to this turn's output.
+func (m *Member) event(message string, keysAndValues ...any) {
+	m.out.Events = append(m.out.Events, event.New(message, keysAndValues...))
+}
+
+// appendEntry has the scheduler's decisions written, and its orders sent once that is committed.
+func (m *Member) appendEntry(now time.Duration) {
 	if m.scheduler != nil && m.replica.CanAppend() && m.replica.Accepting(now) {
 		if e := m.scheduler.Entry(now); e != nil {
 			index, actions, _ := m.replica.Append(now, e)
 			m.scheduler.Appended(index)
-			m.act(now, actions)
+			m.perform(now, actions)
 		}
 	}
 	if m.scheduler == nil {
 		return
 	}
-	m.out.Notes = append(m.out.Notes, m.scheduler.TakeNotes()...)
+	m.out.Events = append(m.out.Events, m.scheduler.TakeEvents()...)
 	m.scheduler.Committed(now, m.replica.Committed())
 	for _, s := range m.scheduler.TakeSends() {
 		m.send(s.To, s.Message)
 	}
-	if t := m.scheduler.CommittedConfig(); t.Version > m.saved {
-		m.saved = t.Version
+	if t := m.scheduler.CommittedConfig(); t.Version > m.knownConfigVersion {
+		m.knownConfigVersion = t.Version
 		m.gossip.SetConfig(now, t)
 	}
 }
 
-// learn tells gossip and the client of the newest view, from wherever it came.
-func (m *Member) learn(now time.Duration) {
+// propagateView tells gossip and the client of the newest view, from wherever it came.
+func (m *Member) propagateView(now time.Duration) {
 	v := m.replica.View()
 	if other := m.gossip.View(); other.GetEpoch() > v.GetEpoch() {
 		v = other
 	}
-	if v.GetEpoch() > m.known {
-		m.known = v.GetEpoch()
+	if v.GetEpoch() > m.knownEpoch {
+		m.knownEpoch = v.GetEpoch()
 		m.gossip.SetView(now, v)
-		m.client.Learn(now, v)
+		m.client.UpdateView(now, v)
 	}
 }
 
-// act carries out what the replica wants done.
-func (m *Member) act(now time.Duration, a replica.Actions) {
-	m.out.Notes = append(m.out.Notes, a.Notes...)
+// perform carries out what the replica wants done.
+func (m *Member) perform(now time.Duration, a replica.Actions) {
+	m.out.Events = append(m.out.Events, a.Events...)
 	m.out.Writes = append(m.out.Writes, a.Writes...)
 	for _, s := range a.Sends {
 		m.send(s.To, s.Message)
@@ -239,19 +245,19 @@
 	for _, r := range a.Replies {
 		m.send(r.GetAddress(), &protocol.Envelope{Body: &protocol.Envelope_ClientReply{ClientReply: r.GetReply()}})
 	}
-	for _, r := range a.Roles {
-		m.onRole(now, r)
+	for _, r := range a.RoleChanges {
+		m.setRole(now, r)
 	}
 	for _, token := range a.ReadsReady {
-		m.finishRead(token, true)
+		m.completeRead(token, true)
 	}
 	for _, token := range a.ReadsFailed {
-		m.finishRead(token, false)
+		m.completeRead(token, false)
 	}
 }
 
-// onRole begins or ends the scheduler.
-func (m *Member) onRole(now time.Duration, r replica.Role) {
+// setRole begins or ends the scheduler.
+func (m *Member) setRole(now time.Duration, r replica.RoleChange) {
 	if !r.Serving {
 		m.scheduler = nil
 		return
@@ -263,7 +269,7 @@
 	m.tickClock(now, m.wallMs) // the view that makes this member the head may be a moment old
 	s, err := scheduler.New(m.cfg.Scheduler, now, m.clock.NowMs(now), r.Epoch, m.replica.Committed(), m.replica.Store())
 	if err != nil {
-		m.out.Notes = append(m.out.Notes, "the state can't be read; this member can't schedule: "+err.Error())
+		m.event("State unreadable, this member can't schedule", "err", err)
 		return
 	}
 	m.scheduler = s
--- a/internal/control/member/member_fuzz_test.go
+++ b/internal/control/member/member_fuzz_test.go
@@ -10,15 +10,15 @@
 	"frosttide/internal/protocol/protocoltest"
 )
 
-// serving returns a member that is alone and serves as the head.
-func serving(t testing.TB) *Member {
+// newServingMember returns a member that is alone and serves as the head.
+func newServingMember(t testing.TB) *Member {
 	t.Helper()
 	self := &protocol.Member{Id: 7, Number: 1, Address: "self", Control: "self"}
 	m := New(Config{Replica: replica.Config{Self: self, Incarnation: 1, Contacts: []string{"self"}, Timing: replica.DefaultTiming()},
-		Scheduler: scheduler.Config{Lease: time.Second, StatusKept: time.Second, RackPrefix: "r", FarFactor: 2}}, 0, replica.Founding(self, []*protocol.Member{self}))
+		Scheduler: scheduler.Config{Lease: time.Second, StatusRetention: time.Second, RackPrefix: "r", RemoteSlowdown: 2}}, 0, replica.FoundingState(self, []*protocol.Member{self}))
 	for now := time.Duration(0); now < 2*time.Second; now += 20 * time.Millisecond {
 		m.Tick(now, now.Milliseconds())
-		turn(m, now)
+		completeTurn(m, now)
 	}
 	if m.Scheduler() == nil {
 		t.Fatal("it does not serve")
@@ -26,8 +26,8 @@
 	return m
 }
 
-// turn carries out a turn on a disk that syncs at once.
-func turn(m *Member, now time.Duration) {
+// completeTurn carries out a turn on a disk that syncs at once.
+func completeTurn(m *Member, now time.Duration) {
 	for out := m.Turn(now); len(out.Writes) > 0; out = m.Turn(now) {
 		m.DiskDone(now, out.Writes[len(out.Writes)-1].Sequence, 0, nil)
 	}
@@ -46,12 +46,12 @@
 		{Body: &protocol.Envelope_RunnerReport{RunnerReport: &protocol.RunnerReport{Account: &protocol.RunnerAccount{Id: "i"}}}},
 		{Body: &protocol.Envelope_ClientRequest{ClientRequest: &protocol.ClientRequest{Id: 1}}},
 	}, func(t *testing.T, e *protocol.Envelope) {
-		m := serving(t)
+		m := newServingMember(t)
 		for i := range 3 {
 			now := 2*time.Second + time.Duration(i)*300*time.Millisecond
 			m.Receive(now, "other", e)
 			m.Tick(now, now.Milliseconds())
-			turn(m, now)
+			completeTurn(m, now)
 		}
 		if m.Replica().Status().Self != 7 {
 			t.Error("its identity has changed")
--- a/internal/control/member/reads_bench_test.go
+++ b/internal/control/member/reads_bench_test.go
@@ -14,29 +14,29 @@
 // may cost more.
 func BenchmarkReads(b *testing.B) {
 	for _, count := range []int{100, 10_000, 100_000} {
-		m := serving(b)
+		m := newServingMember(b)
 		now := 2 * time.Second
 		configure := &protocol.ConfigOrder{Body: []byte(`{"Version":1,"Routes":[{"Name":"q","Host":"h","PathPrefix":"/q/","TimeoutMs":1,"Service":"s"}],"Services":[{"Name":"s"}]}`)}
 		m.Receive(now, "c", &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: &protocol.ClientRequest{Id: 1, Op: &protocol.ClientRequest_Config{Config: configure}}}})
-		turn(m, now)
+		completeTurn(m, now)
 		for i := range count {
 			submit := &protocol.Submit{Id: fmt.Sprintf("%016x", i), Queue: "q", Stages: []*protocol.Stage{{Count: 1, Cpu: 1}}}
 			m.Receive(now, "c", &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: &protocol.ClientRequest{Id: uint64(i + 2), Op: &protocol.ClientRequest_Submit{Submit: submit}}}})
 			if i%1000 == 999 {
-				turn(m, now)
+				completeTurn(m, now)
 			}
 		}
-		turn(m, now)
+		completeTurn(m, now)
 		pending := &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadPending{ReadPending: &protocol.ReadPending{Queue: "q"}}}
-		require.Equal(b, fmt.Sprintf(`{"Pending":%d}`, count), string(m.read(pending).GetBody()))
+		require.Equal(b, fmt.Sprintf(`{"Pending":%d}`, count), string(m.readReply(pending).GetBody()))
 		b.Run(fmt.Sprintf("pending/%d", count), func(b *testing.B) {
 			for range b.N {
-				m.read(pending)
+				m.readReply(pending)
 			}
 		})
 		b.Run(fmt.Sprintf("config/%d", count), func(b *testing.B) {
 			for range b.N {
-				m.read(&protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}})
+				m.readReply(&protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}})
 			}
 		})
 	}
--- a/internal/control/member/requests.go
+++ b/internal/control/member/requests.go
@@ -14,9 +14,9 @@
 
 // What an operator may ask of the placement role beside its whole state.
 const (
-	WhatJobs    = "jobs"
-	WhatJob     = "job"
-	WhatHistory = "history"
+	TopicJobs    = "jobs"
+	TopicJob     = "job"
+	TopicHistory = "history"
 )
 
 // isRead tells whether a request changes nothing and is the tail's.
@@ -29,9 +29,9 @@
 	}
 }
 
-// onRequest handles a client's request: writes where this member is the head, reads where it is the tail.
-func (m *Member) onRequest(now time.Duration, from string, r *protocol.ClientRequest) {
-	if r.GetAttempt() > 0 && m.recent.seen(attempt{id: r.GetId(), number: r.GetAttempt()}) {
+// handleRequest handles a client's request: writes where this member is the head, reads where it is the tail.
+func (m *Member) handleRequest(now time.Duration, from string, r *protocol.ClientRequest) {
+	if r.GetAttempt() > 0 && m.attempts.record(attempt{id: r.GetId(), number: r.GetAttempt()}) {
 		return
 	}
 	v := m.replica.View()
@@ -39,9 +39,9 @@
 	case !isRead(r) && m.scheduler != nil && m.replica.Accepting(now):
 		m.evaluate(from, r)
 	case isRead(r) && v != nil && view.Tail(v) == m.cfg.Replica.Self.GetId():
-		m.act(now, m.replica.Read(now, m.readLater(from, m.read(r))))
+		m.perform(now, m.replica.Read(now, m.deferReply(from, m.readReply(r))))
 	default:
-		m.refuse(from, r.GetId(), r.GetAttempt())
+		m.reject(from, r.GetId(), r.GetAttempt())
 		if v != nil {
 			m.send(from, &protocol.Envelope{Body: &protocol.Envelope_Decided{Decided: &protocol.Decided{View: v}}})
 		}
@@ -55,65 +55,65 @@
 		m.statusReads = append(m.statusReads, statusRead{from: from, request: r})
 		return
 	}
-	m.scheduler.Request(from, r)
+	m.scheduler.HandleRequest(from, r)
 }
 
-// answerStatusReads answers what operators have asked in this turn, once a majority has stood by the epoch and what
+// processStatusReads answers what operators have asked in this turn, once a majority has stood by the epoch and what
 // the answers show is committed.
-func (m *Member) answerStatusReads(now time.Duration) {
+func (m *Member) processStatusReads(now time.Duration) {
 	reads := m.statusReads
 	m.statusReads = nil
 	for _, r := range reads {
 		if m.scheduler == nil || !m.replica.CanAppend() {
-			m.refuse(r.from, r.request.GetId(), r.request.GetAttempt())
+			m.reject(r.from, r.request.GetId(), r.request.GetAttempt())
 			continue
 		}
-		m.act(now, m.replica.ReadAtHead(now, m.readLater(r.from, m.readStatus(r.request))))
+		m.perform(now, m.replica.ReadAtHead(now, m.deferReply(r.from, m.readStatus(r.request))))
 	}
 }
 
-// readLater keeps an answer until it is certain and returns the token that says so.
-func (m *Member) readLater(to string, reply *protocol.ClientReply) uint64 {
+// deferReply keeps an answer until it is certain and returns the token that says so.
+func (m *Member) deferReply(to string, reply *protocol.ClientReply) uint64 {
 	m.nextRead++
-	m.reads[m.nextRead] = pendingRead{to: to, reply: reply}
+	m.reads[m.nextRead] = pendingReply{to: to, reply: reply}
 	return m.nextRead
 }
 
 // readStatus answers what an operator asks of the placement role.
 func (m *Member) readStatus(r *protocol.ClientRequest) *protocol.ClientReply {
-	var answer any
+	var result any
 	switch what := r.GetReadStatus(); what.GetWhat() {
-	case WhatJobs:
-		answer = m.scheduler.JobList()
-	case WhatJob:
+	case TopicJobs:
+		result = m.scheduler.JobStatuses()
+	case TopicJob:
 		job, ok := m.scheduler.JobDetails(what.GetId())
 		if !ok {
 			return &protocol.ClientReply{Id: r.GetId(), Status: http.StatusNotFound, Body: []byte("there is no such job")}
 		}
-		answer = job
-	case WhatHistory:
-		answer = m.scheduler.History()
+		result = job
+	case TopicHistory:
+		result = m.scheduler.History()
 	default:
-		answer = m.scheduler.Status()
+		result = m.scheduler.Status()
 	}
-	body, err := json.Marshal(answer)
+	body, err := json.Marshal(result)
 	if err != nil {
 		return &protocol.ClientReply{Id: r.GetId(), Status: http.StatusInternalServerError, Body: []byte(err.Error())}
 	}
 	return &protocol.ClientReply{Id: r.GetId(), Status: http.StatusOK, Body: body}
 }
 
-// refuse tells a client that this member has not taken an attempt of its request.
-func (m *Member) refuse(to string, id uint64, attempt uint32) {
-	m.reply(to, &protocol.ClientReply{Id: id, NotServing: true, Attempt: attempt})
+// reject tells a client that this member has not taken an attempt of its request.
+func (m *Member) reject(to string, id uint64, attempt uint32) {
+	m.sendReply(to, &protocol.ClientReply{Id: id, NotServing: true, Attempt: attempt})
 }
 
-func (m *Member) reply(to string, r *protocol.ClientReply) {
+func (m *Member) sendReply(to string, r *protocol.ClientReply) {
 	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_ClientReply{ClientReply: r}})
 }
 
-// finishRead answers a read whose answer is certain, or sends its client elsewhere.
-func (m *Member) finishRead(token uint64, certain bool) {
+// completeRead answers a read whose answer is certain, or sends its client elsewhere.
+func (m *Member) completeRead(token uint64, certain bool) {
 	r, ok := m.reads[token]
 	if !ok {
 		return
@@ -122,52 +122,52 @@
 	if !certain {
 		r.reply = &protocol.ClientReply{Id: r.reply.GetId(), NotServing: true}
 	}
-	m.reply(r.to, r.reply)
+	m.sendReply(r.to, r.reply)
 }
 
-// read returns the answer to a read by the state as it is.
-func (m *Member) read(r *protocol.ClientRequest) *protocol.ClientReply {
+// readReply returns the answer to a read by the state as it is.
+func (m *Member) readReply(r *protocol.ClientRequest) *protocol.ClientReply {
 	out := &protocol.ClientReply{Id: r.GetId(), Status: http.StatusOK, ConfigVersion: m.gossip.Config().Version}
 	switch op := r.GetOp().(type) {
 	case *protocol.ClientRequest_ReadState:
-		m.readState(op.ReadState, out)
+		m.readJobState(op.ReadState, out)
 	case *protocol.ClientRequest_ReadPending:
-		out.Body = []byte(`{"Pending":` + strconv.Itoa(m.views.pending.Of(op.ReadPending.GetQueue())) + `}`)
+		out.Body = []byte(`{"Pending":` + strconv.Itoa(m.derived.pending.Count(op.ReadPending.GetQueue())) + `}`)
 	case *protocol.ClientRequest_ReadConfig:
 		m.readConfig(out)
 	}
 	return out
 }
 
-func (m *Member) readState(r *protocol.ReadState, out *protocol.ClientReply) {
+func (m *Member) readJobState(r *protocol.ReadState, out *protocol.ClientReply) {
 	value, ok := m.replica.Store().Get(jobs.StatusKey(r.GetId()))
 	if !ok {
 		out.Status = http.StatusGone
 		return
 	}
-	item, err := jobs.ReadStatus(value)
+	item, err := jobs.ParseStatus(value)
 	if err != nil {
-		m.unreadable(out, fmt.Sprintf("the state of job %s", r.GetId()), err)
+		m.failRead(out, fmt.Sprintf("the state of job %s", r.GetId()), err)
 		return
 	}
-	if r.GetQueue() != item.Queue && m.configured(item.Queue) {
+	if r.GetQueue() != item.Queue && m.isConfigured(item.Queue) {
 		out.Status = http.StatusGone // it is a job of others
 		return
 	}
 	out.Body = []byte(`{"State":"` + item.State.String() + `"}`)
 }
 
-// configured tells whether a queue is in the configuration.
-func (m *Member) configured(queue string) bool {
-	table, err := m.views.config.Table()
+// isConfigured tells whether a queue is in the configuration.
+func (m *Member) isConfigured(queue string) bool {
+	table, err := m.derived.config.Table()
 	return err == nil && table.Route(queue) != nil
 }
 
 func (m *Member) readConfig(out *protocol.ClientReply) {
-	table, err := m.views.config.Table()
+	table, err := m.derived.config.Table()
 	switch {
 	case err != nil:
-		m.unreadable(out, "the configuration", err)
+		m.failRead(out, "the configuration", err)
 	case table.Version == 0:
 		out.Status = http.StatusNotFound
 	default:
@@ -175,8 +175,8 @@
 	}
 }
 
-// unreadable answers a read of state that can't be decoded.
-func (m *Member) unreadable(out *protocol.ClientReply, what string, err error) {
+// failRead answers a read of state that can't be decoded.
+func (m *Member) failRead(out *protocol.ClientReply, what string, err error) {
 	out.Status = http.StatusInternalServerError
-	m.out.Notes = append(m.out.Notes, fmt.Sprintf("%s can't be read: %v", what, err))
+	m.event("State unreadable, a read fails", "what", what, "err", err)
 }
--- a/internal/control/metrics/metrics.go
+++ b/internal/control/metrics/metrics.go
@@ -27,43 +27,43 @@
 	kind prometheus.ValueType
 }
 
-func gauge(name, help string, labels ...string) family {
+func newGauge(name, help string, labels ...string) family {
 	return family{prometheus.NewDesc("frosttide_"+name, help, labels, nil), prometheus.GaugeValue}
 }
 
-func counter(name, help string, labels ...string) family {
+func newCounter(name, help string, labels ...string) family {
 	return family{prometheus.NewDesc("frosttide_"+name, help, labels, nil), prometheus.CounterValue}
 }
 
 // The metrics. docs/metrics.md tells what each is good for.
 var (
-	up          = gauge("up", "Whether the member answers.", "member")
-	epoch       = gauge("view_epoch", "Epoch of the view that the member knows.", "member")
-	voters      = gauge("voters", "Voters of that view.", "member")
-	chain       = gauge("chain_length", "Members of that view's chain.", "member")
-	serving     = gauge("serving", "Whether the member serves as the head.", "member")
-	entry       = gauge("entry", "Newest entry that the member holds.", "member")
-	committed   = gauge("committed_entry", "Newest entry that the member knows as committed.", "member")
-	diskLag     = gauge("disk_lag_seconds", "How long the oldest write has waited for the disk.", "member")
-	diskFailed  = gauge("disk_failed", "Whether the disk takes no writes.", "member")
-	token       = gauge("fencing_token", "Token that runners take orders of.")
-	config      = gauge("config_version", "Version of the configuration.")
-	jobCount    = gauge("jobs", "Jobs that are known.", "state")
-	runnerCount = gauge("runners", "Runners.", "service", "state")
-	runs        = gauge("runs", "Runs that hold a part of a runner.", "service")
-	cores       = gauge("cpu_cores", "Processor time of the runners, and what runs hold of it.", "service", "part")
-	memory      = gauge("memory_bytes", "Memory of the runners, and what runs hold of it.", "service", "part")
-	gpus        = gauge("gpus", "Graphics cards of the runners, and what runs hold of them.", "service", "part")
-	waiting     = gauge("waiting_tasks", "Tasks that are ready and wait for a runner.", "service")
-	oldest      = gauge("oldest_wait_seconds", "How long the step that has waited longest has waited.", "service")
-	ready       = counter("tasks_ready_total", "Tasks that were to be started, since the head began.", "service")
-	blocked     = counter("tasks_blocked_total", "Of these, tasks that found no runner at once.", "service")
-	started     = counter("runs_started_total", "Runs that were started, since the head began.", "service")
-	ended       = counter("runs_ended_total", "Runs that have ended, since the head began.", "service", "how")
+	memberUp       = newGauge("up", "Whether the member answers.", "member")
+	viewEpoch      = newGauge("view_epoch", "Epoch of the view that the member knows.", "member")
+	voterCount     = newGauge("voters", "Voters of that view.", "member")
+	chainLength    = newGauge("chain_length", "Members of that view's chain.", "member")
+	memberServing  = newGauge("serving", "Whether the member serves as the head.", "member")
+	newestEntry    = newGauge("entry", "Newest entry that the member holds.", "member")
+	committedEntry = newGauge("committed_entry", "Newest entry that the member knows as committed.", "member")
+	diskLag        = newGauge("disk_lag_seconds", "How long the oldest write has waited for the disk.", "member")
+	diskFailed     = newGauge("disk_failed", "Whether the disk takes no writes.", "member")
+	fencingToken   = newGauge("fencing_token", "Token that runners take orders of.")
+	configVersion  = newGauge("config_version", "Version of the configuration.")
+	jobCount       = newGauge("jobs", "Jobs that are known.", "state")
+	runnerCount    = newGauge("runners", "Runners.", "service", "state")
+	runCount       = newGauge("runs", "Runs that hold a part of a runner.", "service")
+	cpuCores       = newGauge("cpu_cores", "Processor time of the runners, and what runs hold of it.", "service", "part")
+	memoryBytes    = newGauge("memory_bytes", "Memory of the runners, and what runs hold of it.", "service", "part")
+	gpuCount       = newGauge("gpus", "Graphics cards of the runners, and what runs hold of them.", "service", "part")
+	waitingTasks   = newGauge("waiting_tasks", "Tasks that are ready and wait for a runner.", "service")
+	oldestWait     = newGauge("oldest_wait_seconds", "How long the step that has waited longest has waited.", "service")
+	tasksReady     = newCounter("tasks_ready_total", "Tasks that were to be started, since the head began.", "service")
+	tasksBlocked   = newCounter("tasks_blocked_total", "Of these, tasks that found no runner at once.", "service")
+	runsStarted    = newCounter("runs_started_total", "Runs that were started, since the head began.", "service")
+	runsEnded      = newCounter("runs_ended_total", "Runs that have ended, since the head began.", "service", "how")
 )
 
-var families = []family{up, epoch, voters, chain, serving, entry, committed, diskLag, diskFailed, token, config, jobCount, runnerCount, runs, cores, memory, gpus,
-	waiting, oldest, ready, blocked, started, ended}
+var families = []family{memberUp, viewEpoch, voterCount, chainLength, memberServing, newestEntry, committedEntry, diskLag, diskFailed, fencingToken, configVersion, jobCount, runnerCount, runCount, cpuCores, memoryBytes, gpuCount,
+	waitingTasks, oldestWait, tasksReady, tasksBlocked, runsStarted, runsEnded}
 
 // Collector asks the members of a control plane.
 type Collector struct {
@@ -94,68 +94,68 @@
 			klog.V(1).InfoS("The placement role's state can't be read", "member", member, "err", err)
 			continue
 		}
-		sample{out}.placement(&s)
+		scrape{out}.placement(&s)
 		return
 	}
 }
 
 func collectMember(out chan<- prometheus.Metric, member string) {
-	to := sample{out}
+	to := scrape{out}
 	var s replica.Status
 	if _, err := apiclient.Get(context.Background(), member, "/v1/status", &s); err != nil {
 		klog.V(1).InfoS("A member's state can't be read", "member", member, "err", err)
-		to.put(up, 0, member)
+		to.put(memberUp, 0, member)
 		return
 	}
-	to.put(up, 1, member)
-	to.put(epoch, float64(s.View.GetEpoch()), member)
-	to.put(voters, float64(len(s.View.GetVoters())), member)
-	to.put(chain, float64(len(s.View.GetChain())), member)
-	to.put(serving, number(s.Serving), member)
-	to.put(entry, float64(s.Index), member)
-	to.put(committed, float64(s.Committed), member)
+	to.put(memberUp, 1, member)
+	to.put(viewEpoch, float64(s.View.GetEpoch()), member)
+	to.put(voterCount, float64(len(s.View.GetVoters())), member)
+	to.put(chainLength, float64(len(s.View.GetChain())), member)
+	to.put(memberServing, boolValue(s.Serving), member)
+	to.put(newestEntry, float64(s.Index), member)
+	to.put(committedEntry, float64(s.Committed), member)
 	to.put(diskLag, float64(s.DiskLagMs)*millisecond, member)
-	to.put(diskFailed, number(s.DiskFailed), member)
+	to.put(diskFailed, boolValue(s.DiskFailed), member)
 }
 
-// sample is what is told in one scrape.
-type sample struct{ out chan<- prometheus.Metric }
+// scrape is what is told in one scrape.
+type scrape struct{ out chan<- prometheus.Metric }
 
-func (s sample) put(f family, value float64, labels ...string) {
+func (s scrape) put(f family, value float64, labels ...string) {
 	s.out <- prometheus.MustNewConstMetric(f.desc, f.kind, value, labels...)
 }
 
 // placement tells of the placement role.
-func (s sample) placement(status *scheduler.Status) {
-	s.put(token, float64(status.Epoch))
-	s.put(config, float64(status.ConfigVersion))
+func (s scrape) placement(status *scheduler.Status) {
+	s.put(fencingToken, float64(status.Epoch))
+	s.put(configVersion, float64(status.ConfigVersion))
 	for state, count := range status.Jobs {
 		s.put(jobCount, float64(count), state)
 	}
-	for service, sum := range sums(status.Runners) {
+	for service, sum := range sumByService(status.Runners) {
 		s.runners(service, sum)
 	}
 	for service, c := range status.Services {
-		s.put(waiting, float64(c.WaitingTasks), service)
-		s.put(oldest, float64(c.OldestWaitMs)*millisecond, service)
-		s.put(ready, float64(c.Ready), service)
-		s.put(blocked, float64(c.Blocked), service)
-		s.put(started, float64(c.Started), service)
+		s.put(waitingTasks, float64(c.WaitingTasks), service)
+		s.put(oldestWait, float64(c.OldestWaitMs)*millisecond, service)
+		s.put(tasksReady, float64(c.Ready), service)
+		s.put(tasksBlocked, float64(c.Blocked), service)
+		s.put(runsStarted, float64(c.Started), service)
 		for how, count := range c.Ended {
-			s.put(ended, float64(count), service, how)
+			s.put(runsEnded, float64(count), service, how)
 		}
 	}
 }
 
-func (s sample) runners(service string, sum *serviceSum) {
+func (s scrape) runners(service string, sum *serviceSum) {
 	for state, count := range sum.states {
 		s.put(runnerCount, float64(count), service, state)
 	}
-	s.put(runs, float64(sum.runs), service)
-	for part, r := range map[string]placement.Resources{"capacity": sum.capacity, "used": sum.used} {
-		s.put(cores, float64(r.CPU)*thousandth, service, part)
-		s.put(memory, float64(r.MemMB)*megabyte, service, part)
-		s.put(gpus, float64(r.GPUs), service, part)
+	s.put(runCount, float64(sum.runs), service)
+	for quantity, r := range map[string]placement.Resources{"capacity": sum.capacity, "used": sum.used} {
+		s.put(cpuCores, float64(r.CPU)*thousandth, service, quantity)
+		s.put(memoryBytes, float64(r.MemMB)*megabyte, service, quantity)
+		s.put(gpuCount, float64(r.GPUs), service, quantity)
 	}
 }
 
@@ -166,8 +166,8 @@
 	capacity, used placement.Resources
 }
 
-// sums adds up runners by service.
-func sums(runners []scheduler.RunnerStatus) map[string]*serviceSum {
+// sumByService adds up runners by service.
+func sumByService(runners []scheduler.RunnerStatus) map[string]*serviceSum {
 	out := make(map[string]*serviceSum)
 	for i := range runners {
 		r := &runners[i]
@@ -183,7 +183,7 @@
 	return out
 }
 
-func number(b bool) float64 {
+func boolValue(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/control/metrics/metrics_test.go
+++ b/internal/control/metrics/metrics_test.go
@@ -16,8 +16,8 @@
 	"frosttide/internal/protocol"
 )
 
-// member serves canned answers; a nil one is refused.
-func member(t *testing.T, status *replica.Status, placementRole *scheduler.Status) string {
+// newStubMember serves canned answers; a nil one is refused.
+func newStubMember(t *testing.T, status *replica.Status, placementRole *scheduler.Status) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(status) })
@@ -55,8 +55,8 @@
 
 func TestScrape(t *testing.T) {
 	v := &protocol.View{Epoch: 7, Voters: []*protocol.Member{{Id: 1}, {Id: 2}, {Id: 3}}, Chain: []uint64{1, 2}}
-	follower := member(t, &replica.Status{View: v, Index: 9, DiskLagMs: 250}, nil)
-	head := member(t, &replica.Status{View: v, Index: 10, Committed: 10, Serving: true}, &scheduler.Status{Epoch: 7, ConfigVersion: 3, Jobs: map[string]int{"running": 2},
+	follower := newStubMember(t, &replica.Status{View: v, Index: 9, DiskLagMs: 250}, nil)
+	head := newStubMember(t, &replica.Status{View: v, Index: 10, Committed: 10, Serving: true}, &scheduler.Status{Epoch: 7, ConfigVersion: 3, Jobs: map[string]int{"running": 2},
 		Runners: []scheduler.RunnerStatus{
 			{ID: "a", Service: "s", InSession: true, Usable: true, Runs: 2, Capacity: placement.Resources{CPU: 4000, MemMB: 10, GPUs: 8}, Used: placement.Resources{CPU: 1500, MemMB: 5, GPUs: 2}},
 			{ID: "b", Service: "s", Capacity: placement.Resources{CPU: 2000}},
@@ -64,7 +64,7 @@
 		Services: map[string]scheduler.ServiceStatus{"s": {Counters: scheduler.Counters{Ready: 20, Blocked: 5, Started: 15, Ended: map[string]uint64{"done": 11, "failed": 2}},
 			WaitingTasks: 4, OldestWaitMs: 1500}},
 	})
-	gone := member(t, &replica.Status{}, nil)
+	withoutPlacement := newStubMember(t, &replica.Status{}, nil)
 	got := gather(t, follower, head, "127.0.0.1:1")
 	for name, want := range map[string]float64{
 		"up " + follower: 1, "up " + head: 1, "up 127.0.0.1:1": 0, "view_epoch " + head: 7, "voters " + head: 3, "chain_length " + follower: 2,
@@ -77,7 +77,7 @@
 		require.Contains(t, got, name)
 		require.InDelta(t, want, got[name], 1e-9, name)
 	}
-	alone := gather(t, gone)
+	alone := gather(t, withoutPlacement)
 	require.NotContains(t, alone, "fencing_token", "nobody knows the placement role's state")
-	require.InDelta(t, 1, alone["up "+gone], 0)
+	require.InDelta(t, 1, alone["up "+withoutPlacement], 0)
 }
--- a/internal/control/placement/why.go
+++ b/internal/control/placement/explain.go
@@ -13,16 +13,16 @@
 	Label        int       `json:"label"`         // without the label that is asked for
 	TooSmall     int       `json:"too_small"`     // could not take it if they were empty
 	AntiAffinity int       `json:"anti_affinity"` // hold as many tasks of the step as they may
-	Suspect      int       `json:"suspect"`       // fail what they are given
+	Ejected      int       `json:"suspect"`       // fail what they are given
 	Full         int       `json:"full"`          // have too little room now
-	Room         int       `json:"room"`          // could take it
+	Fitting      int       `json:"room"`          // could take it
 	LargestFree  Resources `json:"largest_free"`  // the most that a usable runner has free, each by itself
 }
 
-// Why tells what keeps a task from the runners of its service.
-func (f *Fleet) Why(w *Want, now time.Duration) (o Obstacles) {
-	wary := f.suspicionCounts(w, now)
-	for _, r := range f.Service(w.Service) {
+// Explain tells what keeps a task from the runners of its service.
+func (f *Fleet) Explain(req *Request, now time.Duration) (o Obstacles) {
+	enforceEjection := f.ejectionApplies(req, now)
+	for _, r := range f.ServiceRunners(req.Service) {
 		o.Runners++
 		free := r.Free()
 		if r.Usable {
@@ -31,18 +31,18 @@
 		switch {
 		case !r.Usable:
 			o.Unusable++
-		case w.Requirement != "" && !slices.Contains(r.Labels, w.Requirement):
+		case req.Requirement != "" && !slices.Contains(r.Labels, req.Requirement):
 			o.Label++
-		case !w.Demand.Fits(r.Capacity):
+		case !req.Demand.Fits(r.Capacity):
 			o.TooSmall++
-		case w.AntiAffinity > 0 && r.groups[w.Group] >= w.AntiAffinity:
+		case req.AntiAffinity > 0 && r.groups[req.Group] >= req.AntiAffinity:
 			o.AntiAffinity++
-		case !r.compatible(w):
+		case !r.fits(req):
 			o.Full++
-		case wary && !r.trusted(w, now):
-			o.Suspect++
+		case enforceEjection && !r.healthyFor(req, now):
+			o.Ejected++
 		default:
-			o.Room++
+			o.Fitting++
 		}
 	}
 	return o
@@ -51,5 +51,5 @@
 // String tells the obstacles in a line.
 func (o Obstacles) String() string {
 	return fmt.Sprintf("of %d runners %d are unusable, %d lack the label, %d are too small, %d hold as many of the step as they may, %d are full, %d are suspect, %d have room; largest free: %d thousandths of a core, %d MB, %d GPUs",
-		o.Runners, o.Unusable, o.Label, o.TooSmall, o.AntiAffinity, o.Full, o.Suspect, o.Room, o.LargestFree.CPU, o.LargestFree.MemMB, o.LargestFree.GPUs)
+		o.Runners, o.Unusable, o.Label, o.TooSmall, o.AntiAffinity, o.Full, o.Ejected, o.Fitting, o.LargestFree.CPU, o.LargestFree.MemMB, o.LargestFree.GPUs)
 }
--- a/internal/control/placement/fleet.go
+++ b/internal/control/placement/fleet.go
@@ -20,8 +20,8 @@
 }
 
 // Fits tells whether a demand fits into free room.
-func (r Resources) Fits(room Resources) bool {
-	return r.CPU <= room.CPU && r.MemMB <= room.MemMB && r.GPUs <= room.GPUs
+func (r Resources) Fits(free Resources) bool {
+	return r.CPU <= free.CPU && r.MemMB <= free.MemMB && r.GPUs <= free.GPUs
 }
 
 // Times returns a number of times the resources.
@@ -41,12 +41,12 @@
 
 // Group names what AntiAffinity counts over: a step of one time of a job.
 type Group struct {
-	Job            string
-	Occasion, Step int
+	Job              string
+	Occurrence, Step int
 }
 
-// Hold is what a run holds of its runner until its end is known.
-type Hold struct {
+// Reservation is what a run holds of its runner until its end is known.
+type Reservation struct {
 	Demand Resources
 	Group  Group
 	tokens int
@@ -61,12 +61,12 @@
 	Capacity Resources
 	Usable   bool // it may be sent tasks now; SetUsable changes it
 
-	account bucket.Account[*Runner]
-	used    Resources
-	holds   map[string]Hold // by run: task's name
-	groups  map[Group]int
-	trust   trust
-	openAt  int // its place among the open ones of its pool, or notOpen
+	tokens         bucket.Account[*Runner]
+	used           Resources
+	reservations   map[string]Reservation // by run: task's name
+	groups         map[Group]int
+	health         health
+	availableIndex int // its place among the open ones of its pool, or notOpen
 }
 
 // Used returns what runs hold of the runner.
@@ -75,12 +75,12 @@
 // Free returns the room that is left.
 func (r *Runner) Free() Resources { return r.Capacity.Minus(r.used) }
 
-// Holds returns how many runs hold a part of the runner.
-func (r *Runner) Holds() int { return len(r.holds) }
+// ReservationCount returns how many runs hold a part of the runner.
+func (r *Runner) ReservationCount() int { return len(r.reservations) }
 
-// Holding tells whether a task's run holds a part of the runner.
-func (r *Runner) Holding(task string) bool {
-	_, ok := r.holds[task]
+// HasReservation tells whether a task's run holds a part of the runner.
+func (r *Runner) HasReservation(task string) bool {
+	_, ok := r.reservations[task]
 	return ok
 }
 
@@ -88,9 +88,9 @@
 	// tokenCPU is the processor time that a token stands for, in thousandths of a core. It is below what
 	// the smallest tasks ask for, so that rounding wastes nothing.
 	tokenCPU = 50
-	// leastTokens and mostTokens bound a runner's tokens.
-	leastTokens = 8
-	mostTokens  = 4096
+	// minTokens and mostTokens bound a runner's tokens.
+	minTokens = 8
+	maxTokens = 4096
 )
 
 // Fleet is all runners. It is not safe for concurrent use.
@@ -113,7 +113,7 @@
 // SetUsable says whether a runner may be sent tasks now.
 func (f *Fleet) SetUsable(r *Runner, usable bool) {
 	if r.Usable != usable {
-		f.change(r, func() { r.Usable = usable })
+		f.update(r, func() { r.Usable = usable })
 		f.changes++
 	}
 }
@@ -122,9 +122,9 @@
 func (f *Fleet) Runner(id string) *Runner { return f.runners[id] }
 
 // Each calls do with every runner, in no order.
-func (f *Fleet) Each(do func(*Runner)) {
+func (f *Fleet) Each(visit func(*Runner)) {
 	for _, r := range f.runners {
-		do(r)
+		visit(r)
 	}
 }
 
@@ -133,42 +133,42 @@
 	if r := f.runners[id]; r != nil {
 		return r
 	}
-	r := &Runner{ID: id, holds: make(map[string]Hold), groups: make(map[Group]int), openAt: notOpen}
+	r := &Runner{ID: id, reservations: make(map[string]Reservation), groups: make(map[Group]int), availableIndex: notAvailable}
 	f.runners[id] = r
 	return r
 }
 
-// Describe notes what a runner says of itself.
-func (f *Fleet) Describe(r *Runner, service, rack string, labels []string, capacity Resources) {
+// UpdateRunner notes what a runner says of itself.
+func (f *Fleet) UpdateRunner(r *Runner, service, rack string, labels []string, capacity Resources) {
 	if r.Service == service && r.Rack == rack && r.Capacity == capacity && slices.Equal(r.Labels, labels) {
 		return
 	}
 	f.changes++
-	f.change(r, func() {
+	f.update(r, func() {
 		if r.Service != service {
-			f.leave(r)
-			f.join(r, service)
+			f.removeFromPool(r)
+			f.addToPool(r, service)
 		}
 		r.Rack, r.Labels = rack, labels
 		if r.Capacity != capacity {
 			r.Capacity = capacity
-			f.bucket.SetLimit(&r.account, r, tokensOf(capacity))
-			f.recount(r)
+			f.bucket.SetLimit(&r.tokens, r, tokensOf(capacity))
+			f.recountTokens(r)
 		}
 	})
 }
 
 // tokensOf returns how many tokens a capacity is worth.
-func tokensOf(c Resources) int { return int(min(max(c.CPU/tokenCPU, leastTokens), mostTokens)) }
-
-// recount gives the runs that a runner has the tokens that its capacity says.
-func (f *Fleet) recount(r *Runner) {
-	for _, task := range slices.Sorted(maps.Keys(r.holds)) {
-		h := r.holds[task]
-		f.bucket.Release(&r.account, r, h.tokens)
-		h.tokens = r.tokensFor(h.Demand)
-		f.bucket.Seize(&r.account, h.tokens)
-		r.holds[task] = h
+func tokensOf(c Resources) int { return int(min(max(c.CPU/tokenCPU, minTokens), maxTokens)) }
+
+// recountTokens gives the runs that a runner has the tokens that its capacity says.
+func (f *Fleet) recountTokens(r *Runner) {
+	for _, task := range slices.Sorted(maps.Keys(r.reservations)) {
+		reservation := r.reservations[task]
+		f.bucket.Release(&r.tokens, r, reservation.tokens)
+		reservation.tokens = r.tokensFor(reservation.Demand)
+		f.bucket.Acquire(&r.tokens, reservation.tokens)
+		r.reservations[task] = reservation
 	}
 }
 
@@ -177,7 +177,7 @@
 // much of one and tasks that ask for much of another would keep each other out of a runner with room for
 // both.
 func (r *Runner) tokensFor(demand Resources) int {
-	return min(max(1, int(demand.CPU/tokenCPU)), max(1, r.account.Limit))
+	return min(max(1, int(demand.CPU/tokenCPU)), max(1, r.tokens.Limit))
 }
 
 // Remove drops a runner, with its free tokens.
@@ -187,21 +187,21 @@
 		return
 	}
 	f.changes++
-	f.withdraw(r)
-	f.bucket.Take(&r.account, r.account.Free)
-	f.leave(r)
+	f.removeFromTotals(r)
+	f.bucket.Remove(&r.tokens, r.tokens.Free)
+	f.removeFromPool(r)
 	delete(f.runners, id)
 }
 
-// Hold gives a part of a runner to a task's run.
-func (f *Fleet) Hold(r *Runner, task string, demand Resources, group Group) {
-	if r.Holding(task) {
+// Reserve gives a part of a runner to a task's run.
+func (f *Fleet) Reserve(r *Runner, task string, demand Resources, group Group) {
+	if r.HasReservation(task) {
 		return
 	}
-	h := Hold{Demand: demand, Group: group, tokens: r.tokensFor(demand)}
-	f.change(r, func() {
-		f.bucket.Seize(&r.account, h.tokens)
-		r.holds[task] = h
+	reservation := Reservation{Demand: demand, Group: group, tokens: r.tokensFor(demand)}
+	f.update(r, func() {
+		f.bucket.Acquire(&r.tokens, reservation.tokens)
+		r.reservations[task] = reservation
 		r.used = r.used.Plus(demand)
 	})
 	r.groups[group]++
@@ -209,23 +209,23 @@
 
 // Release gives back what a task's run held: its end is known.
 func (f *Fleet) Release(r *Runner, task string) {
-	h, ok := r.holds[task]
+	reservation, ok := r.reservations[task]
 	if !ok {
 		return
 	}
 	f.changes++
-	f.change(r, func() {
-		delete(r.holds, task)
-		f.bucket.Release(&r.account, r, h.tokens)
-		r.used = r.used.Minus(h.Demand)
+	f.update(r, func() {
+		delete(r.reservations, task)
+		f.bucket.Release(&r.tokens, r, reservation.tokens)
+		r.used = r.used.Minus(reservation.Demand)
 	})
-	if r.groups[h.Group]--; r.groups[h.Group] == 0 {
-		delete(r.groups, h.Group)
+	if r.groups[reservation.Group]--; r.groups[reservation.Group] == 0 {
+		delete(r.groups, reservation.Group)
 	}
 }
 
-// Trouble notes how a run on a runner ended, for the choice between runners.
-func (f *Fleet) Trouble(r *Runner, job string, failed bool, now time.Duration) {
+// RecordOutcome notes how a run on a runner ended, for the choice between runners.
+func (f *Fleet) RecordOutcome(r *Runner, job string, failed bool, now time.Duration) {
 	f.changes++
-	f.change(r, func() { r.trust.note(job, failed, now) })
+	f.update(r, func() { r.health.recordOutcome(job, failed, now) })
 }
--- a/internal/control/replica/chain.go
+++ b/internal/control/replica/chain.go
@@ -13,19 +13,19 @@
 
 // chain is the member's part in the chain of the newest view.
 type chain struct {
-	active     bool // as the head: all members hold the state; as another: the state is installed
-	following  bool // outside the chain: the state follows the tail's
-	log        deque.Deque[*protocol.Entry]
-	sent       uint64 // last entry passed on to the successor
-	behind     uint64 // durable at the successor and all after it
-	before     uint64 // durable at all members before this one
-	committed  uint64
-	movedAt    time.Duration // when committed last rose, or had nothing to rise to
-	toldBefore uint64        // last durable told to the successor
-	toldBehind uint64        // last durable told to the predecessor
-	followers  map[string]uint64
-	followedAt time.Duration // outside the chain: when the tail was last heard of
-	nextProbe  time.Duration // when what may have been lost is repeated
+	active            bool // as the head: all members hold the state; as another: the state is installed
+	following         bool // outside the chain: the state follows the tail's
+	log               deque.Deque[*protocol.Entry]
+	sentIndex         uint64 // last entry passed on to the successor
+	suffixDurable     uint64 // durable at the successor and all after it
+	prefixDurable     uint64 // durable at all members before this one
+	committed         uint64
+	commitProgressAt  time.Duration // when committed last rose, or had nothing to rise to
+	sentPrefixDurable uint64        // last durable told to the successor
+	sentSuffixDurable uint64        // last durable told to the predecessor
+	followers         map[string]uint64
+	lastTailContact   time.Duration // outside the chain: when the tail was last heard of
+	nextResendAt      time.Duration // when what may have been lost is repeated
 }
 
 // Append writes an entry as the serving head and returns its index; it fails where the member does not
@@ -33,12 +33,12 @@
 func (m *Machine) Append(now time.Duration, e *protocol.Entry) (uint64, Actions, bool) {
 	m.now = now
 	if !m.CanAppend() {
-		return 0, m.take(), false
+		return 0, m.takeActions(), false
 	}
 	e.Index = m.index + 1
-	m.hold(e)
-	m.passOn()
-	return e.GetIndex(), m.take(), true
+	m.appendEntry(e)
+	m.forwardEntries()
+	return e.GetIndex(), m.takeActions(), true
 }
 
 // CanAppend tells whether the member serves as the head and has not promised to follow another view. It
@@ -48,23 +48,23 @@
 }
 
 const (
-	// contactLost is how long the head goes on taking requests without a majority that stands by its epoch: what it
+	// contactTimeout is how long the head goes on taking requests without a majority that stands by its epoch: what it
 	// takes then waits in memory, and is answered by nobody.
-	contactLost = 2 * time.Second
-	// mostUncommitted bounds the entries that the chain has not committed.
-	mostUncommitted = 4096
+	contactTimeout = 2 * time.Second
+	// maxUncommitted bounds the entries that the chain has not committed.
+	maxUncommitted = 4096
 )
 
 // Accepting tells whether the head may take requests: a majority has lately stood by its epoch, and what it has
 // taken before gets on.
 func (m *Machine) Accepting(now time.Duration) bool {
-	return m.Serving() && now-m.confirms.at <= contactLost && m.index-m.chain.committed < mostUncommitted
+	return m.Serving() && now-m.confirmations.confirmedAt <= contactTimeout && m.index-m.chain.committed < maxUncommitted
 }
 
-// hold takes an entry into the state, the file and the log.
-func (m *Machine) hold(e *protocol.Entry) {
+// appendEntry takes an entry into the state, the file and the log.
+func (m *Machine) appendEntry(e *protocol.Entry) {
 	if m.index == m.chain.committed {
-		m.chain.movedAt = m.now
+		m.chain.commitProgressAt = m.now
 	}
 	m.index = e.GetIndex()
 	m.store.Apply(e.GetPuts(), e.GetDeletes())
@@ -74,20 +74,20 @@
 
 // successor returns the chain member behind this one, nil for the tail and outside the chain.
 func (m *Machine) successor() *protocol.Member {
-	place := m.place()
-	if place < 0 || place+1 >= len(m.view.GetChain()) {
+	position := m.chainPosition()
+	if position < 0 || position+1 >= len(m.view.GetChain()) {
 		return nil
 	}
-	return view.Find(m.view.GetVoters(), m.view.GetChain()[place+1])
+	return view.Find(m.view.GetVoters(), m.view.GetChain()[position+1])
 }
 
 // predecessor returns the chain member before this one, nil for the head and outside the chain.
 func (m *Machine) predecessor() *protocol.Member {
-	place := m.place()
-	if place < 1 {
+	position := m.chainPosition()
+	if position < 1 {
 		return nil
 	}
-	return view.Find(m.view.GetVoters(), m.view.GetChain()[place-1])
+	return view.Find(m.view.GetVoters(), m.view.GetChain()[position-1])
 }
 
 // isTail tells whether the member is the last of the chain.
@@ -95,12 +95,12 @@
 	return m.view != nil && view.Tail(m.view) == m.cfg.Self.GetId()
 }
 
-// passOn sends the successor, and as the tail the followers, what they have not been sent.
-func (m *Machine) passOn() {
-	if next := m.successor(); next != nil {
-		if m.chain.sent < m.index {
-			m.sendEntries(next.GetAddress(), m.chain.sent)
-			m.chain.sent = m.index
+// forwardEntries sends the successor, and as the tail the followers, what they have not been sent.
+func (m *Machine) forwardEntries() {
+	if successor := m.successor(); successor != nil {
+		if m.chain.sentIndex < m.index {
+			m.sendEntries(successor.GetAddress(), m.chain.sentIndex)
+			m.chain.sentIndex = m.index
 		}
 		return
 	}
@@ -114,7 +114,7 @@
 
 // sendEntries sends the entries after an index; an empty append lets the receiver see whether it lacks any.
 func (m *Machine) sendEntries(address string, after uint64) {
-	durable := m.durableBefore()
+	durable := m.prefixDurable()
 	a := &protocol.Append{Epoch: m.Epoch(), First: after, Durable: durable}
 	for i := range m.chain.log.Len() {
 		if e := m.chain.log.At(i); e.GetIndex() > after {
@@ -124,65 +124,65 @@
 	m.send(address, &protocol.Envelope{Body: &protocol.Envelope_Append{Append: a}})
 }
 
-// durableBefore returns what this member and all before it have synced.
-func (m *Machine) durableBefore() uint64 {
+// prefixDurable returns what this member and all before it have synced.
+func (m *Machine) prefixDurable() uint64 {
 	if m.isHead() {
 		return m.durable
 	}
-	return min(m.durable, m.chain.before)
+	return min(m.durable, m.chain.prefixDurable)
 }
 
-// durableBehind returns what this member and all behind it have synced.
-func (m *Machine) durableBehind() uint64 {
+// suffixDurable returns what this member and all behind it have synced.
+func (m *Machine) suffixDurable() uint64 {
 	if m.successor() == nil {
 		return m.durable
 	}
-	return min(m.durable, m.chain.behind)
+	return min(m.durable, m.chain.suffixDurable)
 }
 
 func (m *Machine) onAppend(from string, a *protocol.Append) {
 	if a.GetEpoch() != m.Epoch() || m.promised > a.GetEpoch() {
 		return // it is of an older view, or this member has promised to leave that one
 	}
-	inChain := m.place() > 0
+	inChain := m.chainPosition() > 0
 	if inChain && m.installedEpoch != a.GetEpoch() || !inChain && !m.chain.following {
 		return
 	}
-	m.chain.followedAt = m.now
+	m.chain.lastTailContact = m.now
 	if a.GetFirst() > m.index {
-		m.lacks(from, inChain)
+		m.reportGap(from, inChain)
 		return
 	}
 	for _, e := range a.GetEntries() {
 		if e.GetIndex() == m.index+1 {
-			m.hold(e)
+			m.appendEntry(e)
 		}
 	}
 	m.chain.active = inChain
-	m.chain.before = max(m.chain.before, a.GetDurable())
-	m.passOn()
+	m.chain.prefixDurable = max(m.chain.prefixDurable, a.GetDurable())
+	m.forwardEntries()
 	m.advance()
 }
 
-// lacks tells the sender of an append that entries before it are missing here.
-func (m *Machine) lacks(from string, inChain bool) {
+// reportGap tells the sender of an append that entries before it are missing here.
+func (m *Machine) reportGap(from string, inChain bool) {
 	if !inChain {
 		m.chain.following = false // it is synced anew
 		return
 	}
 	m.send(from, &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
-		Epoch: m.Epoch(), Durable: m.durableBehind(), Resend: true, Index: m.index}}})
+		Epoch: m.Epoch(), Durable: m.suffixDurable(), Resend: true, Index: m.index}}})
 }
 
 func (m *Machine) onAppendAck(from string, a *protocol.AppendAck) {
-	next := m.successor()
-	if a.GetEpoch() != m.Epoch() || next == nil || next.GetAddress() != from {
+	successor := m.successor()
+	if a.GetEpoch() != m.Epoch() || successor == nil || successor.GetAddress() != from {
 		return
 	}
-	m.chain.behind = max(m.chain.behind, a.GetDurable())
+	m.chain.suffixDurable = max(m.chain.suffixDurable, a.GetDurable())
 	if a.GetResend() {
-		m.chain.sent = min(m.chain.sent, a.GetIndex())
-		m.passOn()
+		m.chain.sentIndex = min(m.chain.sentIndex, a.GetIndex())
+		m.forwardEntries()
 	}
 	m.advance()
 }
@@ -190,23 +190,23 @@
 // advance raises what is committed, answers what the tail can answer, and tells the neighbors what is
 // synced here.
 func (m *Machine) advance() {
-	if m.place() < 0 || m.installedEpoch != m.Epoch() {
-		m.trim()
+	if m.chainPosition() < 0 || m.installedEpoch != m.Epoch() {
+		m.trimLog()
 		return
 	}
-	if committed := min(m.durableBefore(), m.durableBehind()); committed > m.chain.committed && m.chain.active {
+	if committed := min(m.prefixDurable(), m.suffixDurable()); committed > m.chain.committed && m.chain.active {
 		m.commit(committed)
 	}
-	if before := m.predecessor(); before != nil && m.durableBehind() > m.chain.toldBehind {
-		m.chain.toldBehind = m.durableBehind()
-		m.send(before.GetAddress(), &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
-			Epoch: m.Epoch(), Durable: m.chain.toldBehind, Index: m.index}}})
+	if predecessor := m.predecessor(); predecessor != nil && m.suffixDurable() > m.chain.sentSuffixDurable {
+		m.chain.sentSuffixDurable = m.suffixDurable()
+		m.send(predecessor.GetAddress(), &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
+			Epoch: m.Epoch(), Durable: m.chain.sentSuffixDurable, Index: m.index}}})
 	}
-	if next := m.successor(); next != nil && m.durableBefore() > m.chain.toldBefore && m.chain.active {
-		m.chain.toldBefore = m.durableBefore()
-		m.sendEntries(next.GetAddress(), m.chain.sent)
+	if successor := m.successor(); successor != nil && m.prefixDurable() > m.chain.sentPrefixDurable && m.chain.active {
+		m.chain.sentPrefixDurable = m.prefixDurable()
+		m.sendEntries(successor.GetAddress(), m.chain.sentIndex)
 	}
-	m.trim()
+	m.trimLog()
 	m.finishReads()
 }
 
@@ -221,17 +221,17 @@
 		}
 	}
 	m.chain.committed = upTo
-	m.chain.movedAt = m.now
+	m.chain.commitProgressAt = m.now
 }
 
-// trim drops entries from the log that nobody will ask for: those that the members behind have synced,
+// trimLog drops entries from the log that nobody will ask for: those that the members behind have synced,
 // and at the tail those that are answered. Outside the chain none is kept.
-func (m *Machine) trim() {
+func (m *Machine) trimLog() {
 	keepAfter := m.index
 	switch {
-	case m.place() < 0:
+	case m.chainPosition() < 0:
 	case m.successor() != nil:
-		keepAfter = min(m.chain.behind, m.chain.committed)
+		keepAfter = min(m.chain.suffixDurable, m.chain.committed)
 	default:
 		keepAfter = m.chain.committed
 	}
@@ -246,18 +246,18 @@
 		return
 	}
 	m.tickSync()
-	if m.now < m.chain.nextProbe || !m.chain.active {
+	if m.now < m.chain.nextResendAt || !m.chain.active {
 		return
 	}
-	m.chain.nextProbe = m.now + m.cfg.Timing.Heartbeat
-	if next := m.successor(); next != nil {
-		m.sendEntries(next.GetAddress(), m.chain.sent)
+	m.chain.nextResendAt = m.now + m.cfg.Timing.HeartbeatInterval
+	if successor := m.successor(); successor != nil {
+		m.sendEntries(successor.GetAddress(), m.chain.sentIndex)
 	}
 	for _, address := range slices.Sorted(maps.Keys(m.chain.followers)) {
 		m.sendEntries(address, m.chain.followers[address])
 	}
-	if before := m.predecessor(); before != nil {
-		m.send(before.GetAddress(), &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
-			Epoch: m.Epoch(), Durable: m.durableBehind(), Index: m.index}}})
+	if predecessor := m.predecessor(); predecessor != nil {
+		m.send(predecessor.GetAddress(), &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
+			Epoch: m.Epoch(), Durable: m.suffixDurable(), Index: m.index}}})
 	}
 }
--- a/internal/control/replica/election.go
+++ b/internal/control/replica/election.go
@@ -9,33 +9,33 @@
 	"frosttide/internal/view"
 )
 
-// heartbeat tells all members that are known how this one stands.
-func (m *Machine) heartbeat() {
-	m.beat = m.now + m.cfg.Timing.Heartbeat
+// sendHeartbeats tells all members that are known how this one stands.
+func (m *Machine) sendHeartbeats() {
+	m.nextHeartbeat = m.now + m.cfg.Timing.HeartbeatInterval
 	e := &protocol.Envelope{Body: &protocol.Envelope_Heartbeat{Heartbeat: &protocol.Heartbeat{
 		Member: m.cfg.Self, Incarnation: m.cfg.Incarnation, Epoch: m.Epoch(), Promised: m.promised, InstalledEpoch: m.disk.installedEpoch,
-		Index: m.index, Suspects: m.suspectsEpoch(), Serving: m.Serving(), Leaving: m.leaving, Voter: m.isVoter(), Following: m.chain.following,
-		DiskLagMs: uint32(m.disk.lag(m.now) / time.Millisecond), DiskBad: m.diskBad(), WallMs: m.wall,
-		AgreedMs: m.agreed, SyncProgress: m.transfer.progress,
+		Index: m.index, Suspects: m.suspectedEpoch(), Serving: m.Serving(), Leaving: m.draining, Voter: m.isVoter(), Following: m.chain.following,
+		DiskLagMs: uint32(m.disk.lag(m.now) / time.Millisecond), DiskBad: m.diskBad(), WallMs: m.wallMs,
+		AgreedMs: m.agreedMs, SyncProgress: m.transfer.progress,
 	}}}
-	told := map[string]bool{m.cfg.Self.GetAddress(): true}
-	tell := func(address string) {
-		if !told[address] {
-			told[address] = true
+	notified := map[string]bool{m.cfg.Self.GetAddress(): true}
+	notify := func(address string) {
+		if !notified[address] {
+			notified[address] = true
 			m.send(address, e)
 		}
 	}
 	for _, v := range []*protocol.View{m.accepted, m.view} {
 		for _, member := range view.Electorate(v) {
-			tell(member.GetAddress())
+			notify(member.GetAddress())
 		}
 	}
 	for _, id := range slices.Sorted(maps.Keys(m.joiners)) {
-		tell(m.joiners[id].member.GetAddress())
+		notify(m.joiners[id].member.GetAddress())
 	}
 	if !m.isVoter() || m.view == nil {
 		for _, address := range m.cfg.Contacts {
-			tell(address)
+			notify(address)
 		}
 	}
 }
@@ -47,14 +47,14 @@
 		p = &peer{}
 		m.peers[id] = p
 	}
-	if p.last != nil && p.last.GetIncarnation() != h.GetIncarnation() {
+	if p.lastHeartbeat != nil && p.lastHeartbeat.GetIncarnation() != h.GetIncarnation() {
 		p.restarted = true
 	}
-	if m.view != nil && h.GetEpoch() == m.Epoch() && slices.Contains(m.view.GetChain(), id) && installsOn(p.last, h) {
-		m.installing = m.now
+	if m.view != nil && h.GetEpoch() == m.Epoch() && slices.Contains(m.view.GetChain(), id) && installProgressing(p.lastHeartbeat, h) {
+		m.installProgressAt = m.now
 	}
-	p.last, p.heard = h, m.now
-	m.sawBallot(max(h.GetPromised(), h.GetEpoch()))
+	p.lastHeartbeat, p.lastContact = h, m.now
+	m.observeNumber(max(h.GetPromised(), h.GetEpoch()))
 	if h.GetEpoch() > m.Epoch() {
 		m.send(from, &protocol.Envelope{Body: &protocol.Envelope_ViewQuery{ViewQuery: &protocol.ViewQuery{Epoch: m.Epoch()}}})
 	}
@@ -63,91 +63,91 @@
 	}
 	if m.isHead() {
 		m.considerJoiner(h)
-		m.considerInstalled()
+		m.considerActivation()
 	}
-	m.prepareAgain(from, h)
+	m.resendPrepare(from, h)
 }
 
-// peerKept is how long a member that votes no more is remembered after it was last heard of.
-const peerKept = time.Minute
+// peerRetention is how long a member that votes no more is remembered after it was last heard of.
+const peerRetention = time.Minute
 
 // forgetPeers drops what is known of members that are gone: each lost disk brings a new identity.
 func (m *Machine) forgetPeers() {
 	for id, p := range m.peers {
-		if m.now-p.heard > peerKept && view.Find(view.Electorate(m.accepted), id) == nil && view.Find(m.view.GetVoters(), id) == nil {
+		if m.now-p.lastContact > peerRetention && view.Find(view.Electorate(m.accepted), id) == nil && view.Find(m.view.GetVoters(), id) == nil {
 			delete(m.peers, id)
 		}
 	}
 }
 
-// installsOn tells whether a member gets on with taking the state of its view: pieces arrive or writes finish, or
+// installProgressing tells whether a member gets on with taking the state of its view: pieces arrive or writes finish, or
 // its disk is busy and sound.
-func installsOn(before, now *protocol.Heartbeat) bool {
+func installProgressing(before, now *protocol.Heartbeat) bool {
 	if now.GetInstalledEpoch() == now.GetEpoch() {
 		return false
 	}
 	return before.GetSyncProgress() != now.GetSyncProgress() || now.GetDiskLagMs() > 0 && !now.GetDiskBad()
 }
 
-// prepareAgain asks a voter that has been heard of and has not promised: it may not have been there yet
+// resendPrepare asks a voter that has been heard of and has not promised: it may not have been there yet
 // when the round began.
-func (m *Machine) prepareAgain(from string, h *protocol.Heartbeat) {
-	r := m.round
-	if r == nil || r.phase != preparing || r.promises[h.GetMember().GetId()] != nil || h.GetPromised() >= r.ballot {
+func (m *Machine) resendPrepare(from string, h *protocol.Heartbeat) {
+	proposal := m.proposal
+	if proposal == nil || proposal.phase != preparing || proposal.promises[h.GetMember().GetId()] != nil || h.GetPromised() >= proposal.number {
 		return
 	}
-	m.send(from, &protocol.Envelope{Body: &protocol.Envelope_Prepare{Prepare: &protocol.Prepare{Ballot: r.ballot}}})
+	m.send(from, &protocol.Envelope{Body: &protocol.Envelope_Prepare{Prepare: &protocol.Prepare{Ballot: proposal.number}}})
 }
 
 // alive tells whether a member has been heard of lately and is not about to end.
 func (m *Machine) alive(id uint64) bool {
 	if id == m.cfg.Self.GetId() {
-		return !m.leaving
+		return !m.draining
 	}
 	p := m.peers[id]
-	return p != nil && m.now-p.heard < m.cfg.Timing.Suspect && !p.last.GetLeaving()
+	return p != nil && m.now-p.lastContact < m.cfg.Timing.SuspectTimeout && !p.lastHeartbeat.GetLeaving()
 }
 
 // headLost tells whether the head of the newest view has to be replaced, as far as this member sees.
 func (m *Machine) headLost() bool {
 	id := view.Head(m.view)
 	if id == m.cfg.Self.GetId() { // with a bad disk it would rather not be the head, and the others need its word for it
-		return m.chain.active && m.diskBad() && m.otherDiskGood(id)
+		return m.chain.active && m.diskBad() && m.otherDiskHealthy(id)
 	}
 	if !m.alive(id) {
-		return m.now-m.adopted > m.cfg.Timing.Suspect // it may never have been heard of before
+		return m.now-m.adoptedAt > m.cfg.Timing.SuspectTimeout // it may never have been heard of before
 	}
 	p := m.peers[id]
-	installing := m.now-m.installing < 2*m.cfg.Timing.Install
-	return p.restarted || p.last.GetDiskBad() && m.otherDiskGood(id) || !p.last.GetServing() && !installing
+	installing := m.now-m.installProgressAt < 2*m.cfg.Timing.InstallTimeout
+	return p.restarted || p.lastHeartbeat.GetDiskBad() && m.otherDiskHealthy(id) || !p.lastHeartbeat.GetServing() && !installing
 }
 
-// otherDiskGood tells whether a chain member but one has a sound disk, so that it could take over.
-func (m *Machine) otherDiskGood(not uint64) bool {
+// otherDiskHealthy tells whether a chain member but one has a sound disk, so that it could take over.
+func (m *Machine) otherDiskHealthy(except uint64) bool {
 	for _, id := range m.view.GetChain() {
 		switch {
-		case id == not:
+		case id == except:
 		case id == m.cfg.Self.GetId():
 			if !m.diskBad() {
 				return true
 			}
-		case m.alive(id) && !m.peers[id].last.GetDiskBad():
+		case m.alive(id) && !m.peers[id].lastHeartbeat.GetDiskBad():
 			return true
 		}
 	}
 	return false
 }
 
-// suspectsEpoch returns the epoch whose head this member takes for lost, 0 where it doesn't.
-func (m *Machine) suspectsEpoch() uint64 {
+// suspectedEpoch returns the epoch whose head this member takes for lost, 0 where it doesn't.
+func (m *Machine) suspectedEpoch() uint64 {
 	if m.view == nil || !m.headLost() {
 		return 0
 	}
 	return m.view.GetEpoch()
 }
 
-// vacancyAgreed tells whether a quorum of the voters finds the head lost, or knows no view.
-func (m *Machine) vacancyAgreed() bool {
+// headLossAgreed tells whether a quorum of the voters finds the head lost, or knows no view.
+func (m *Machine) headLossAgreed() bool {
 	return view.Quorum(m.accepted, func(id uint64) bool {
 		if id == m.cfg.Self.GetId() {
 			return true
@@ -155,37 +155,37 @@
 		if !m.alive(id) {
 			return false
 		}
-		h := m.peers[id].last
+		h := m.peers[id].lastHeartbeat
 		return h.GetEpoch() == 0 || h.GetSuspects() == h.GetEpoch()
 	})
 }
 
-// considerRound begins an election round where the head's place is vacant, or, by the head, where the
+// considerProposal begins an election round where the head's place is vacant, or, by the head, where the
 // chain or the voters are to change.
-func (m *Machine) considerRound() {
-	if m.round != nil || m.now < m.next || m.disk.failed || m.leaving || !m.isVoter() {
+func (m *Machine) considerProposal() {
+	if m.proposal != nil || m.now < m.nextProposalAt || m.disk.failed || m.draining || !m.isVoter() {
 		return
 	}
 	if m.isHead() {
-		m.considerAsHead()
+		m.considerProposalAsHead()
 		return
 	}
-	vacant := m.view == nil && m.now-m.began > m.cfg.Timing.Start || m.view != nil && m.headLost()
-	if !vacant || !m.vacancyAgreed() {
-		m.suspected = 0
+	vacant := m.view == nil && m.now-m.startedAt > m.cfg.Timing.BootstrapDelay || m.view != nil && m.headLost()
+	if !vacant || !m.headLossAgreed() {
+		m.suspectedAt = 0
 		return
 	}
-	if m.suspected == 0 {
-		m.suspected = m.now
+	if m.suspectedAt == 0 {
+		m.suspectedAt = m.now
 	}
-	if m.now-m.suspected >= time.Duration(m.rank())*rankPause {
-		m.suspected = 0
-		m.begin("the head's place is vacant", 0, view.Change{}, false)
+	if m.now-m.suspectedAt >= time.Duration(m.rank())*rankDelay {
+		m.suspectedAt = 0
+		m.startProposal("the head's place is vacant", 0, view.Change{}, false)
 	}
 }
 
-// rankPause is how long a candidate leaves the first try to each one that ranks before it.
-const rankPause = 60 * time.Millisecond
+// rankDelay is how long a candidate leaves the first try to each one that ranks before it.
+const rankDelay = 60 * time.Millisecond
 
 // rank returns how many living voters would make better heads: those of the newest state, by the
 // longest log, then by number.
@@ -196,7 +196,7 @@
 		if id == m.cfg.Self.GetId() || !m.alive(id) {
 			continue
 		}
-		h := m.peers[id].last
+		h := m.peers[id].lastHeartbeat
 		switch {
 		case m.view != nil && id == view.Head(m.view):
 		case h.GetDiskBad() != m.diskBad():
@@ -218,42 +218,42 @@
 	return before
 }
 
-// considerAsHead begins a round of the head's own: the chain without a member that is lost, or with
+// considerProposalAsHead begins a round of the head's own: the chain without a member that is lost, or with
 // other voters.
-func (m *Machine) considerAsHead() {
+func (m *Machine) considerProposalAsHead() {
 	if !m.majorityAlive() {
 		return // no view can be agreed on, and the ballots would disturb the others' when they are back
 	}
 	self := m.cfg.Self.GetId()
-	if reason := m.chainTrouble(); reason != "" {
-		m.begin(reason, self, view.Change{}, false)
+	if reason := m.chainFault(); reason != "" {
+		m.startProposal(reason, self, view.Change{}, false)
 		return
 	}
 	if !m.chain.active {
 		return
 	}
 	if len(m.accepted.GetPrevious()) > 0 {
-		m.begin("the voters have changed", self, view.Change{}, true)
+		m.startProposal("the voters have changed", self, view.Change{}, true)
 		return
 	}
-	if change := m.voterChange(); !change.Empty() {
-		m.begin("the voters are to change", self, change, false)
+	if change := m.nextVoterChange(); !change.Empty() {
+		m.startProposal("the voters are to change", self, change, false)
 	}
 }
 
-// chainTrouble says why the chain can't go on as it is, empty where it can.
-func (m *Machine) chainTrouble() string {
-	if m.chain.active && m.diskBad() && m.otherDiskGood(m.cfg.Self.GetId()) && !(m.sealed() && m.now-m.highestAt > handOverPatience) {
+// chainFault says why the chain can't go on as it is, empty where it can.
+func (m *Machine) chainFault() string {
+	if m.chain.active && m.diskBad() && m.otherDiskHealthy(m.cfg.Self.GetId()) && !(m.sealed() && m.now-m.highestNumberAt > handOverTimeout) {
 		return "" // the others choose another head
 	}
-	if m.headBefore() {
+	if m.wasHeadBeforeRestart() {
 		return "the head has restarted"
 	}
 	for _, id := range m.view.GetChain() {
 		if id == m.cfg.Self.GetId() {
 			continue
 		}
-		if !m.alive(id) && m.now-m.adopted > m.cfg.Timing.Suspect {
+		if !m.alive(id) && m.now-m.adoptedAt > m.cfg.Timing.SuspectTimeout {
 			return "a chain member is lost"
 		}
 		if p := m.peers[id]; p != nil && p.restarted {
@@ -261,17 +261,17 @@
 		}
 	}
 	switch {
-	case m.sealed() && m.now-m.highestAt > sealedPatience:
+	case m.sealed() && m.now-m.highestNumberAt > sealedTimeout:
 		return "a chain member has promised a higher ballot"
-	case !m.chain.active && m.now-m.installing > m.cfg.Timing.Install:
+	case !m.chain.active && m.now-m.installProgressAt > m.cfg.Timing.InstallTimeout:
 		return "the chain does not take the state"
-	case m.chain.active && m.now-m.chain.movedAt > m.cfg.Timing.DiskStall && m.chain.committed < m.durable && m.spareDisk():
+	case m.chain.active && m.now-m.chain.commitProgressAt > m.cfg.Timing.DiskStallTimeout && m.chain.committed < m.durable && m.spareHealthyDisk():
 		return "a chain member does not acknowledge"
-	case m.chain.active && m.now-m.confirms.at > confirmLost && m.majorityAlive():
+	case m.chain.active && m.now-m.confirmations.confirmedAt > confirmationLostAfter && m.majorityAlive():
 		return "the epoch is not confirmed"
 	}
 	for _, id := range m.view.GetChain()[1:] {
-		if p := m.peers[id]; p != nil && p.last.GetDiskBad() && m.spareDisk() && m.now-m.adopted > diskPatience {
+		if p := m.peers[id]; p != nil && p.lastHeartbeat.GetDiskBad() && m.spareHealthyDisk() && m.now-m.adoptedAt > slowDiskGrace {
 			return "a chain member's disk is slow"
 		}
 	}
@@ -284,7 +284,7 @@
 		return true
 	}
 	for _, id := range m.view.GetChain() {
-		if p := m.peers[id]; p != nil && p.last.GetPromised() > m.Epoch() {
+		if p := m.peers[id]; p != nil && p.lastHeartbeat.GetPromised() > m.Epoch() {
 			return true
 		}
 	}
@@ -292,22 +292,22 @@
 }
 
 const (
-	// sealedPatience is how long the head leaves the candidate of a higher ballot to end its round.
-	sealedPatience = 250 * time.Millisecond
-	// handOverPatience is how long a head with a bad disk, which can't go on as it is, waits for the others to choose
+	// sealedTimeout is how long the head leaves the candidate of a higher ballot to end its round.
+	sealedTimeout = 250 * time.Millisecond
+	// handOverTimeout is how long a head with a bad disk, which can't go on as it is, waits for the others to choose
 	// another one.
-	handOverPatience = 2 * time.Second
-	// confirmLost is how long the head goes on without a majority that stands by its epoch.
-	confirmLost = time.Second
-	// diskPatience is how long a chain stays as it is before a slow disk is a reason for another.
-	diskPatience = 2 * time.Second
+	handOverTimeout = 2 * time.Second
+	// confirmationLostAfter is how long the head goes on without a majority that stands by its epoch.
+	confirmationLostAfter = time.Second
+	// slowDiskGrace is how long a chain stays as it is before a slow disk is a reason for another.
+	slowDiskGrace = 2 * time.Second
 )
 
-// spareDisk tells whether a living voter outside the chain has a sound disk.
-func (m *Machine) spareDisk() bool {
+// spareHealthyDisk tells whether a living voter outside the chain has a sound disk.
+func (m *Machine) spareHealthyDisk() bool {
 	for _, v := range m.view.GetVoters() {
 		id := v.GetId()
-		if !slices.Contains(m.view.GetChain(), id) && m.alive(id) && !m.peers[id].last.GetDiskBad() {
+		if !slices.Contains(m.view.GetChain(), id) && m.alive(id) && !m.peers[id].lastHeartbeat.GetDiskBad() {
 			return true
 		}
 	}
