--- a/internal/control/replica/explore_test.go
+++ b/internal/control/replica/explore_test.go
@@ -34,15 +34,15 @@
 )
 
 const (
-	exploreTick   = 50 * time.Millisecond
-	exploreSteps  = 420 // in which departures happen
-	exploreSettle = 4 * time.Second
-	exploreBack   = 150 * time.Millisecond // until a member that crashed is back
-	exploreStall  = 900 * time.Millisecond // for which something is held up or cut off
-	// exploreRush is how many steps may follow one another in no time.
-	exploreRush = 2000
-	// exploreFold is after how many steps a departure has left nothing behind if it leaves nothing at all.
-	exploreFold = 160
+	exploreTick         = 50 * time.Millisecond
+	exploreSteps        = 420 // in which departures happen
+	exploreHealTime     = 4 * time.Second
+	exploreRestartDelay = 150 * time.Millisecond // until a member that crashed is back
+	exploreStall        = 900 * time.Millisecond // for which something is held up or cut off
+	// exploreMaxStepsPerInstant is how many steps may follow one another in no time.
+	exploreMaxStepsPerInstant = 2000
+	// exploreFoldAfter is after how many steps a departure has left nothing behind if it leaves nothing at all.
+	exploreFoldAfter = 160
 )
 
 // departureKind is how a schedule departs from the usual one at a step.
@@ -57,10 +57,10 @@
 	crashAndLose // what was not synced is gone
 	crashAndKeep // what was not synced is there all the same
 	wipeDisk
-	standStill
-	cutBoth
-	cutIn
-	cutOut
+	pauseMember
+	isolateBoth
+	isolateInbound
+	isolateOutbound
 	departureKinds
 )
 
@@ -80,43 +80,43 @@
 
 // exploredMember is a member with its disk.
 type exploredMember struct {
-	machine   *Machine
-	id        uint64
-	address   string
-	file      []byte
-	queue     []Write
-	lives     int
-	up        bool
-	heldUntil time.Duration // no event happens there before
-	diskUntil time.Duration // no write finishes before
-	next      time.Duration // tick
-	held      heldState
+	machine     *Machine
+	id          uint64
+	address     string
+	file        []byte
+	queue       []Write
+	incarnation int
+	running     bool
+	pausedUntil time.Duration // no event happens there before
+	diskUntil   time.Duration // no write finishes before
+	nextTick    time.Duration // tick
+	compared    comparedState
 }
 
-// heldState is the state that a member held when it last changed, as it is compared with the others'.
-type heldState struct {
-	life         int
+// comparedState is the state that a member held when it last changed, as it is compared with the others'.
+type comparedState struct {
+	incarnation  int
 	epoch, index uint64
 	digest       uint64
 }
 
 type exploredMessage struct {
-	from, to int
-	life     int // of the receiver when it was sent
-	at       time.Duration
-	message  *protocol.Envelope
+	from, to    int
+	incarnation int // of the receiver when it was sent
+	at          time.Duration
+	message     *protocol.Envelope
 }
 
 // explored is one play of a schedule.
 type explored struct {
-	members  []*exploredMember
-	flight   []exploredMessage
-	now      time.Duration
-	step     int
-	cuts     map[[2]int]time.Duration
-	joiner   bool
-	rush     int // steps since time last passed
-	nextWork time.Duration
+	members          []*exploredMember
+	inFlight         []exploredMessage
+	now              time.Duration
+	step             int
+	blockedUntil     map[[2]int]time.Duration
+	joiner           bool
+	stepsThisInstant int // steps since time last passed
+	nextWork         time.Duration
 
 	// What callers know.
 	writes    uint64
@@ -133,18 +133,18 @@
 const registerKey = "register"
 
 func explore(joiner bool) *explored {
-	x := &explored{cuts: make(map[[2]int]time.Duration), joiner: joiner, replied: make(map[uint64]uint64), versions: make(map[uint64]uint64),
+	x := &explored{blockedUntil: make(map[[2]int]time.Duration), joiner: joiner, replied: make(map[uint64]uint64), versions: make(map[uint64]uint64),
 		reads: make(map[uint64]uint64), readValue: make(map[uint64]uint64)}
 	var founders []*protocol.Member
 	for i := range 3 {
 		founders = append(founders, &protocol.Member{Id: uint64(i + 1), Number: uint32(i + 1), Address: fmt.Sprint("m", i+1)})
 	}
 	for i, f := range founders {
-		whole, err := journal.Snapshot(Founding(f, founders))
+		content, err := journal.Snapshot(FoundingState(f, founders))
 		if err != nil {
 			panic(err)
 		}
-		x.members = append(x.members, &exploredMember{id: f.GetId(), address: f.GetAddress(), file: whole})
+		x.members = append(x.members, &exploredMember{id: f.GetId(), address: f.GetAddress(), file: content})
 		x.start(i)
 	}
 	if joiner {
@@ -159,22 +159,22 @@
 	n := x.members[i]
 	state, good, err := journal.Read(n.file)
 	if err != nil {
-		x.breaks("m%d: its file is damaged: %v", i+1, err)
+		x.fail("m%d: its file is damaged: %v", i+1, err)
 		return
 	}
 	n.file = n.file[:good]
 	if state.ID == 0 {
-		n.id = uint64(100*(i+1) + n.lives)
+		n.id = uint64(100*(i+1) + n.incarnation)
 		state.ID = n.id
 	}
-	n.lives++
-	n.up, n.queue, n.next = true, nil, x.now
-	n.machine = New(Config{Self: &protocol.Member{Id: state.ID, Address: n.address}, Incarnation: uint64(10*i + n.lives), Faults: 1,
+	n.incarnation++
+	n.running, n.queue, n.nextTick = true, nil, x.now
+	n.machine = New(Config{Self: &protocol.Member{Id: state.ID, Address: n.address}, Incarnation: uint64(10*i + n.incarnation), ToleratedFaults: 1,
 		Contacts: []string{"m1", "m2", "m3"}, Seed: uint64(i + 1), Timing: DefaultTiming()}, x.now, state)
 	x.do(i, n.machine.Begin(x.now))
 }
 
-func (x *explored) breaks(format string, args ...any) {
+func (x *explored) fail(format string, args ...any) {
 	if x.broken == "" {
 		x.broken = fmt.Sprintf("step %d, %v: ", x.step, x.now) + fmt.Sprintf(format, args...)
 	}
@@ -184,43 +184,43 @@
 	n := x.members[i]
 	n.queue = append(n.queue, a.Writes...)
 	if x.trace != nil {
-		for _, text := range a.Notes {
-			x.trace(fmt.Sprintf("%4d %8v m%d: %s", x.step, x.now, i+1, text))
+		for _, e := range a.Events {
+			x.trace(fmt.Sprintf("%4d %8v m%d: %s", x.step, x.now, i+1, e))
 		}
 	}
 	for _, s := range a.Sends {
 		to := slices.IndexFunc(x.members, func(o *exploredMember) bool { return o.address == s.To })
-		if to < 0 || x.cuts[[2]int{i, to}] > x.now {
+		if to < 0 || x.blockedUntil[[2]int{i, to}] > x.now {
 			continue
 		}
-		x.flight = append(x.flight, exploredMessage{from: i, to: to, life: x.members[to].lives, message: s.Message})
+		x.inFlight = append(x.inFlight, exploredMessage{from: i, to: to, incarnation: x.members[to].incarnation, message: s.Message})
 	}
 	for _, r := range a.Replies {
-		x.answered(n.machine.Epoch(), r.GetReply())
+		x.recordReply(n.machine.Epoch(), r.GetReply())
 	}
 	for _, token := range a.ReadsReady {
 		if x.readValue[token] < x.reads[token] {
-			x.breaks("a read shows version %d after %d was answered", x.readValue[token], x.reads[token])
+			x.fail("a read shows version %d after %d was answered", x.readValue[token], x.reads[token])
 		}
 	}
 }
 
-// answered notes an answered write: its id is the writer, its status the version that its order builds on.
-func (x *explored) answered(epoch uint64, r *protocol.ClientReply) {
+// recordReply notes an answered write: its id is the writer, its status the version that its order builds on.
+func (x *explored) recordReply(epoch uint64, r *protocol.ClientReply) {
 	writer, version := r.GetId(), r.GetConfigVersion()
 	x.replied[writer] = epoch
 	if other, ok := x.versions[version]; ok && other != writer {
-		x.breaks("orders %d and %d on version %d are both answered", other, writer, version)
+		x.fail("orders %d and %d on version %d are both answered", other, writer, version)
 	}
 	x.versions[version] = writer
 	x.newest = max(x.newest, version+1)
 }
 
-// work has every member that takes writes get one, an order on the version that its state shows, and every tail a
+// issueRequests has every member that takes writes get one, an order on the version that its state shows, and every tail a
 // read.
-func (x *explored) work() {
+func (x *explored) issueRequests() {
 	for i, n := range x.members {
-		if !n.up || n.heldUntil > x.now || n.machine.view == nil {
+		if !n.running || n.pausedUntil > x.now || n.machine.view == nil {
 			continue
 		}
 		version := registerOf(n.machine.Store())
@@ -246,8 +246,8 @@
 	return version
 }
 
-// finish finishes the writes that wait at a member.
-func (x *explored) finish(i int, failure error) {
+// finishWrites finishes the writes that wait at a member.
+func (x *explored) finishWrites(i int, failure error) {
 	n := x.members[i]
 	queue := n.queue
 	n.queue = nil
@@ -266,33 +266,33 @@
 // writer returns a member with a write that may finish, -1 if there is none.
 func (x *explored) writer() int {
 	return slices.IndexFunc(x.members, func(n *exploredMember) bool {
-		return n.up && len(n.queue) > 0 && n.diskUntil <= x.now && n.heldUntil <= x.now
+		return n.running && len(n.queue) > 0 && n.diskUntil <= x.now && n.pausedUntil <= x.now
 	})
 }
 
 // message returns the oldest message that may arrive, -1 if there is none.
 func (x *explored) message() int {
-	return slices.IndexFunc(x.flight, func(m exploredMessage) bool { return m.at <= x.now && x.members[m.to].heldUntil <= x.now })
+	return slices.IndexFunc(x.inFlight, func(m exploredMessage) bool { return m.at <= x.now && x.members[m.to].pausedUntil <= x.now })
 }
 
 func (x *explored) deliver(at int) {
-	m := x.flight[at]
-	x.flight = slices.Delete(x.flight, at, at+1)
+	m := x.inFlight[at]
+	x.inFlight = slices.Delete(x.inFlight, at, at+1)
 	n := x.members[m.to]
-	if !n.up || n.lives != m.life || x.cuts[[2]int{m.from, m.to}] > x.now {
+	if !n.running || n.incarnation != m.incarnation || x.blockedUntil[[2]int{m.from, m.to}] > x.now {
 		return
 	}
 	x.do(m.to, n.machine.Receive(x.now, x.members[m.from].address, m.message))
 }
 
-// pass lets time pass to the next tick, and has what is due happen.
-func (x *explored) pass() {
+// advanceTime lets time pass to the next tick, and has what is due happen.
+func (x *explored) advanceTime() {
 	x.now += exploreTick
-	x.rush = 0
+	x.stepsThisInstant = 0
 	for i, n := range x.members {
 		switch {
-		case n.heldUntil > x.now:
-		case !n.up:
+		case n.pausedUntil > x.now:
+		case !n.running:
 			x.start(i)
 		default:
 			x.do(i, n.machine.Tick(x.now, 0, 0))
@@ -300,17 +300,17 @@
 	}
 	if x.now >= x.nextWork {
 		x.nextWork = x.now + 2*exploreTick
-		x.work()
+		x.issueRequests()
 	}
 }
 
-// play does one step, with a departure where one is due.
-func (x *explored) play(d *departure) {
+// playStep does one step, with a departure where one is due.
+func (x *explored) playStep(d *departure) {
 	x.step++
-	if x.rush++; x.rush > exploreRush {
-		x.breaks("messages lead to messages without end: %v", x.flight[0].message)
+	if x.stepsThisInstant++; x.stepsThisInstant > exploreMaxStepsPerInstant {
+		x.fail("messages lead to messages without end: %v", x.inFlight[0].message)
 		x.now += exploreTick
-		x.flight = nil
+		x.inFlight = nil
 	}
 	writer, message := x.writer(), x.message()
 	if d != nil && x.depart(*d, writer, message) {
@@ -319,11 +319,11 @@
 	}
 	switch {
 	case writer >= 0:
-		x.finish(writer, nil)
+		x.finishWrites(writer, nil)
 	case message >= 0:
 		x.deliver(message)
 	default:
-		x.pass()
+		x.advanceTime()
 	}
 	x.check()
 }
@@ -333,15 +333,15 @@
 	n := x.members[d.member%len(x.members)]
 	switch d.kind {
 	case loseMessage:
-		x.flight = slices.Delete(x.flight, message, message+1)
+		x.inFlight = slices.Delete(x.inFlight, message, message+1)
 		return true
 	case doubleMessage:
-		x.flight = append(x.flight, x.flight[message])
+		x.inFlight = append(x.inFlight, x.inFlight[message])
 	case delayMessage:
-		x.flight[message].at = x.now + exploreStall/2
+		x.inFlight[message].at = x.now + exploreStall/2
 		return true
 	case failWrite:
-		x.finish(writer, errors.New("no space"))
+		x.finishWrites(writer, errors.New("no space"))
 		return true
 	case delayWrite:
 		x.members[writer].diskUntil = x.now + exploreStall
@@ -357,16 +357,16 @@
 		if d.kind == wipeDisk {
 			n.file = nil
 		}
-		n.up, n.queue, n.heldUntil = false, nil, x.now+exploreBack
-	case standStill:
-		n.heldUntil = x.now + exploreStall
-	case cutBoth, cutIn, cutOut:
+		n.running, n.queue, n.pausedUntil = false, nil, x.now+exploreRestartDelay
+	case pauseMember:
+		n.pausedUntil = x.now + exploreStall
+	case isolateBoth, isolateInbound, isolateOutbound:
 		for other := range x.members {
-			if d.kind != cutOut {
-				x.cuts[[2]int{other, d.member}] = x.now + exploreStall
+			if d.kind != isolateOutbound {
+				x.blockedUntil[[2]int{other, d.member}] = x.now + exploreStall
 			}
-			if d.kind != cutIn {
-				x.cuts[[2]int{d.member, other}] = x.now + exploreStall
+			if d.kind != isolateInbound {
+				x.blockedUntil[[2]int{d.member, other}] = x.now + exploreStall
 			}
 		}
 	}
@@ -381,7 +381,7 @@
 	case failWrite, delayWrite:
 		return member == 0 && x.writer() >= 0
 	default:
-		return x.members[member].up
+		return x.members[member].running
 	}
 }
 
@@ -390,50 +390,50 @@
 	type place struct{ epoch, index uint64 }
 	heads, states := make(map[uint64]int), make(map[place]uint64)
 	for i, n := range x.members {
-		if !n.up || n.machine.view == nil {
+		if !n.running || n.machine.view == nil {
 			continue
 		}
 		m := n.machine
 		if m.Serving() {
 			if other, ok := heads[m.Epoch()]; ok {
-				x.breaks("m%d and m%d are heads of epoch %d", other+1, i+1, m.Epoch())
+				x.fail("m%d and m%d are heads of epoch %d", other+1, i+1, m.Epoch())
 			}
 			heads[m.Epoch()] = i
 		}
 		if m.installedEpoch == m.Epoch() || m.chain.following {
-			if h := n.held; h.life != n.lives || h.epoch != m.Epoch() || h.index != m.index {
-				n.held = heldState{n.lives, m.Epoch(), m.index, store.Combine(m.store.Digests())}
+			if h := n.compared; h.incarnation != n.incarnation || h.epoch != m.Epoch() || h.index != m.index {
+				n.compared = comparedState{n.incarnation, m.Epoch(), m.index, store.CombineDigests(m.store.Digests())}
 			}
 			at := place{m.Epoch(), m.index}
-			if other, ok := states[at]; ok && other != n.held.digest {
-				x.breaks("m%d holds entry %d of epoch %d with another state", i+1, m.index, m.Epoch())
+			if other, ok := states[at]; ok && other != n.compared.digest {
+				x.fail("m%d holds entry %d of epoch %d with another state", i+1, m.index, m.Epoch())
 			}
-			states[at] = n.held.digest
+			states[at] = n.compared.digest
 		}
 	}
 	for epoch, i := range heads {
 		for writer, answered := range x.replied {
 			if _, ok := x.members[i].machine.Store().Get(fmt.Sprint("k", writer)); !ok && answered <= epoch {
-				x.breaks("k%d was answered in epoch %d and is not held by m%d, head of epoch %d", writer, answered, i+1, epoch)
+				x.fail("k%d was answered in epoch %d and is not held by m%d, head of epoch %d", writer, answered, i+1, epoch)
 				return
 			}
 		}
 	}
 }
 
-// calm ends all troubles, and requires that writes are answered again.
-func (x *explored) calm() {
+// heal ends all troubles, and requires that writes are answered again.
+func (x *explored) heal() {
 	for _, n := range x.members {
-		n.heldUntil, n.diskUntil = min(n.heldUntil, x.now+exploreBack), 0
+		n.pausedUntil, n.diskUntil = min(n.pausedUntil, x.now+exploreRestartDelay), 0
 	}
-	clear(x.cuts)
+	clear(x.blockedUntil)
 	answered := len(x.replied)
-	least := x.now + exploreStall
-	for until := x.now + exploreSettle; x.now < until && x.broken == "" && (x.now < least || len(x.replied) <= answered); {
-		x.play(nil)
+	earliest := x.now + exploreStall
+	for until := x.now + exploreHealTime; x.now < until && x.broken == "" && (x.now < earliest || len(x.replied) <= answered); {
+		x.playStep(nil)
 	}
 	if x.broken == "" && len(x.replied) <= answered {
-		x.breaks("no write is answered though all is calm")
+		x.fail("no write is answered though all is calm")
 	}
 }
 
@@ -447,19 +447,19 @@
 				d = &departures[i]
 			}
 		}
-		x.play(d)
+		x.playStep(d)
 		if x.step == fold {
 			folded = x.fingerprint()
 		}
 	}
 	if x.broken == "" {
-		x.calm()
+		x.heal()
 	}
 	return x.broken, folded
 }
 
-// usual plays the usual schedule and returns all departures from it, and the state after each step.
-func usual(joiner bool) (all []departure, states []uint64) {
+// baseline plays the usual schedule and returns all departures from it, and the state after each step.
+func baseline(joiner bool) (all []departure, states []uint64) {
 	x := explore(joiner)
 	for x.step < exploreSteps {
 		states = append(states, x.fingerprint())
@@ -470,13 +470,13 @@
 				}
 			}
 		}
-		x.play(nil)
+		x.playStep(nil)
 	}
 	return all, states
 }
 
-// each calls f with every number below n, some at once.
-func each(n int, f func(i int)) {
+// inParallel calls f with every number below n, some at once.
+func inParallel(n int, f func(i int)) {
 	var next atomic.Int64
 	var all sync.WaitGroup
 	for range *exploreWorkers {
@@ -489,9 +489,9 @@
 	all.Wait()
 }
 
-// thinned returns each so manieth departure.
-func thinned(all []departure, each int) (out []departure) {
-	for i := 0; i < len(all); i += each {
+// everyNth returns each so manieth departure.
+func everyNth(all []departure, interval int) (out []departure) {
+	for i := 0; i < len(all); i += interval {
 		out = append(out, all[i])
 	}
 	return out
@@ -502,9 +502,9 @@
 	for _, joiner := range []bool{false, true} {
 		t.Run(fmt.Sprintf("joiner %v", joiner), func(t *testing.T) {
 			began := time.Now()
-			all, states := usual(joiner)
+			all, states := baseline(joiner)
 			require.NotEmpty(t, all)
-			all = thinned(all, *exploreSingles)
+			all = everyNth(all, *exploreSingles)
 			lasting := make([]bool, len(all))
 			var mu sync.Mutex
 			failed := func(broken string, departures ...departure) {
@@ -512,8 +512,8 @@
 				defer mu.Unlock()
 				t.Errorf("%s\n  with %v", broken, departures)
 			}
-			each(len(all), func(i int) {
-				fold := min(all[i].step+exploreFold, exploreSteps-1)
+			inParallel(len(all), func(i int) {
+				fold := min(all[i].step+exploreFoldAfter, exploreSteps-1)
 				broken, state := schedule(joiner, all[i:i+1], fold)
 				lasting[i] = state != states[fold]
 				if broken != "" {
@@ -528,7 +528,7 @@
 			}
 			pairs := len(firsts) * len(all)
 			var played atomic.Int64
-			each(pairs / *explorePairs, func(n int) {
+			inParallel(pairs / *explorePairs, func(n int) {
 				pair := n * *explorePairs
 				first, second := all[firsts[pair/len(all)]], all[pair%len(all)]
 				if t.Failed() || second.step <= first.step || first.kind == wipeDisk && second.kind == wipeDisk {
--- a/internal/control/replica/handover_bench_test.go
+++ b/internal/control/replica/handover_bench_test.go
@@ -16,12 +16,12 @@
 		b.Run(fmt.Sprintf("%dMB", size), func(b *testing.B) {
 			for range b.N {
 				b.StopTimer()
-				c := newClusterBearing(b, 800, 3, 1)
+				c := newClusterTolerating(b, 800, 3, 1)
 				c.quiet = true
 				c.play(time.Second)
 				c.fill(size * megabyte)
-				c.rate = 1000 * megabit
-				c.longest = make(map[string]time.Duration)
+				c.linkRate = 1000 * megabit
+				c.longestReceive = make(map[string]time.Duration)
 				began := c.now
 				n := &node{address: "m4"}
 				c.members["m4"] = n
@@ -32,7 +32,7 @@
 				}
 				b.StopTimer()
 				require.True(b, n.chain.following)
-				pause := max(c.longest["m1"], c.longest["m2"], c.longest["m3"])
+				pause := max(c.longestReceive["m1"], c.longestReceive["m2"], c.longestReceive["m3"])
 				b.ReportMetric(float64((c.now - began).Milliseconds()), "virtual-ms")
 				b.ReportMetric(float64(c.stateSentTo("m4"))/megabyte, "MB-sent")
 				b.ReportMetric(float64(pause.Microseconds())/1000, "pause-ms")
@@ -47,18 +47,18 @@
 func BenchmarkTakeOver(b *testing.B) {
 	for range b.N {
 		b.StopTimer()
-		c := newClusterBearing(b, 801, 3, 1)
+		c := newClusterTolerating(b, 801, 3, 1)
 		c.quiet = true
 		c.play(time.Second)
 		c.fill(40 * megabyte)
-		behind := c.outsider()
-		c.cutOff(behind)
+		behind := c.memberOutsideChain()
+		c.isolate(behind)
 		c.fill(10 * megabyte)
-		clear(c.cut)
-		c.rate = 1000 * megabit
+		clear(c.blocked)
+		c.linkRate = 1000 * megabit
 		b.StartTimer()
 		c.stop(c.head(), true)
-		took := c.writesAgain(1, time.Minute)
+		took := c.awaitWrite(1, time.Minute)
 		b.ReportMetric(float64(took.Milliseconds()), "virtual-ms")
 	}
 }
--- a/internal/control/replica/install.go
+++ b/internal/control/replica/install.go
@@ -1,7 +1,6 @@
 package replica
 
 import (
-	"fmt"
 	"maps"
 	"slices"
 
@@ -12,133 +11,133 @@
 	"frosttide/internal/view"
 )
 
-// installInPlace bounds the bytes of a change of state that is appended to the file; a larger one is written as
+// maxInstallRecordBytes bounds the bytes of a change of state that is appended to the file; a larger one is written as
 // a new file.
-const installInPlace = 1 << 20
+const maxInstallRecordBytes = 1 << 20
 
-// adopt takes an agreed view for the newest.
-func (m *Machine) adopt(v *protocol.View) {
+// adoptView takes an agreed view for the newest.
+func (m *Machine) adoptView(v *protocol.View) {
 	if v.GetEpoch() <= m.Epoch() {
 		return
 	}
 	if !view.Valid(v) {
-		m.drop("a view that can't be")
+		m.dropMessage("a view that can't be")
 		return
 	}
-	m.stopReads()
-	m.sawBallot(v.GetEpoch())
-	m.view, m.adopted, m.installing = v, m.now, m.now
+	m.failReads()
+	m.observeNumber(v.GetEpoch())
+	m.view, m.adoptedAt, m.installProgressAt = v, m.now, m.now
 	if m.accepted.GetEpoch() < v.GetEpoch() { // agreed without this member
 		m.promised = max(m.promised, v.GetEpoch())
 		m.accepted = v
-		m.record(journal.Accept, &protocol.AcceptRecord{View: v})
+		m.appendRecord(journal.KindAccept, &protocol.AcceptRecord{View: v})
 	}
-	if m.round != nil && m.round.ballot <= v.GetEpoch() {
-		m.round = nil
+	if m.proposal != nil && m.proposal.number <= v.GetEpoch() {
+		m.proposal = nil
 	}
 	for _, p := range m.peers {
 		p.restarted = false
 	}
-	m.chain = chain{committed: m.chain.committed, followers: make(map[string]uint64), movedAt: m.now, log: deque.Deque[*protocol.Entry]{}}
-	m.confirms = confirms{at: m.now, round: m.confirms.round}
-	m.suspected, m.givenUp, m.next, m.transfer.retry = 0, 0, 0, 0
-	if m.announced && !m.isHead() {
-		m.announced = false
-		m.actions.Roles = append(m.actions.Roles, Role{Epoch: v.GetEpoch()})
-		m.note("no longer the head")
+	m.chain = chain{committed: m.chain.committed, followers: make(map[string]uint64), commitProgressAt: m.now, log: deque.Deque[*protocol.Entry]{}}
+	m.confirmations = confirmations{confirmedAt: m.now, sequence: m.confirmations.sequence}
+	m.suspectedAt, m.failedProposals, m.nextProposalAt, m.transfer.retryAfter = 0, 0, 0, 0
+	if m.announcedHead && !m.isHead() {
+		m.announcedHead = false
+		m.actions.RoleChanges = append(m.actions.RoleChanges, RoleChange{Epoch: v.GetEpoch()})
+		m.event("No longer serving as the head", "epoch", v.GetEpoch())
 	}
 	if m.isHead() {
-		if !m.headBefore() {
+		if !m.wasHeadBeforeRestart() {
 			m.becomeSource()
-			m.answerEarlySync()
+			m.serveEarlySyncRequests()
 		}
-	} else if m.isVoterOf(v) || !m.isVoter() {
+	} else if m.votesIn(v) || !m.isVoter() {
 		m.requestSync()
 	}
-	clear(m.earlySync)
-	m.heartbeat()
+	clear(m.earlySyncRequests)
+	m.sendHeartbeats()
 }
 
-// answerEarlySync answers the chain members that knew the view before its head did.
-func (m *Machine) answerEarlySync() {
-	for _, from := range slices.Sorted(maps.Keys(m.earlySync)) {
-		m.onSyncRequest(from, m.earlySync[from])
+// serveEarlySyncRequests answers the chain members that knew the view before its head did.
+func (m *Machine) serveEarlySyncRequests() {
+	for _, from := range slices.Sorted(maps.Keys(m.earlySyncRequests)) {
+		m.onSyncRequest(from, m.earlySyncRequests[from])
 	}
 }
 
-func (m *Machine) isVoterOf(v *protocol.View) bool {
+func (m *Machine) votesIn(v *protocol.View) bool {
 	return view.Find(v.GetVoters(), m.cfg.Self.GetId()) != nil
 }
 
-// headBefore tells whether the view may be one that this member has served as the head before its process
+// wasHeadBeforeRestart tells whether the view may be one that this member has served as the head before its process
 // began. It has forgotten then which entries it has sent, so that it must not go on in that view.
-func (m *Machine) headBefore() bool { return m.isHead() && m.view.GetEpoch() <= m.bootEpoch }
+func (m *Machine) wasHeadBeforeRestart() bool { return m.isHead() && m.view.GetEpoch() <= m.bootEpoch }
 
 // becomeSource makes this member's state the one that the view begins with.
 func (m *Machine) becomeSource() {
 	m.installedEpoch = m.view.GetEpoch()
-	m.transfer.staged = nil
-	m.record(journal.Install, &protocol.InstallRecord{Epoch: m.installedEpoch, Index: m.index})
-	m.afterWrite(func() { m.considerInstalled() })
+	m.transfer.receivedRanges = nil
+	m.appendRecord(journal.KindInstall, &protocol.InstallRecord{Epoch: m.installedEpoch, Index: m.index})
+	m.afterSync(func() { m.considerActivation() })
 }
 
-// install takes over the state that has arrived. In the chain it is the state of the view.
-func (m *Machine) install(index uint64) {
-	puts, deletes := m.takeStaged()
+// installSnapshot takes over the state that has arrived. In the chain it is the state of the view.
+func (m *Machine) installSnapshot(index uint64) {
+	puts, deletes := m.takeReceivedRanges()
 	m.store.Apply(puts, deletes)
 	m.index = index
-	m.forgetDurable()
+	m.resetDurable()
 	m.chain.log.Clear()
-	inChain := m.place() >= 0
+	inChain := m.chainPosition() >= 0
 	if inChain {
 		m.installedEpoch = m.Epoch()
-		m.chain.sent, m.chain.behind = index, 0
+		m.chain.sentIndex, m.chain.suffixDurable = index, 0
 	} else {
-		m.chain.following, m.chain.followedAt = true, m.now
+		m.chain.following, m.chain.lastTailContact = true, m.now
 	}
-	m.recordInstall(puts, deletes)
+	m.recordSnapshot(puts, deletes)
 	epoch := m.Epoch()
-	m.afterWrite(func() {
+	m.afterSync(func() {
 		if m.Epoch() == epoch {
-			m.heartbeat() // tells the head that the state is installed
+			m.sendHeartbeats() // tells the head that the state is installed
 		}
 	})
-	m.note(fmt.Sprintf("state taken over: epoch=%d index=%d puts=%d deletes=%d", m.Epoch(), index, len(puts), len(deletes)))
+	m.event("Snapshot installed", "epoch", m.Epoch(), "index", index, "puts", len(puts), "deletes", len(deletes))
 }
 
-// recordInstall writes a change of state at once: in one record, or as a new file where it is large.
-func (m *Machine) recordInstall(puts []*protocol.Put, deletes []string) {
+// recordSnapshot writes a change of state at once: in one record, or as a new file where it is large.
+func (m *Machine) recordSnapshot(puts []*protocol.Put, deletes []string) {
 	size := 0
 	for _, p := range puts {
 		size += len(p.GetKey()) + len(p.GetValue())
 	}
-	if size > installInPlace {
+	if size > maxInstallRecordBytes {
 		m.rewrite()
 		return
 	}
-	m.record(journal.Install, &protocol.InstallRecord{Epoch: m.installedEpoch, Index: m.index, Puts: puts, Deletes: deletes})
+	m.appendRecord(journal.KindInstall, &protocol.InstallRecord{Epoch: m.installedEpoch, Index: m.index, Puts: puts, Deletes: deletes})
 }
 
-// considerInstalled makes the chain active once all its members hold the state.
-func (m *Machine) considerInstalled() {
-	if m.chain.active || !m.isHead() || m.headBefore() || m.disk.installedEpoch != m.Epoch() || m.promised > m.Epoch() {
+// considerActivation makes the chain active once all its members hold the state.
+func (m *Machine) considerActivation() {
+	if m.chain.active || !m.isHead() || m.wasHeadBeforeRestart() || m.disk.installedEpoch != m.Epoch() || m.promised > m.Epoch() {
 		return
 	}
 	for _, id := range m.view.GetChain()[1:] {
 		// A member that has promised a higher ballot may have told its candidate of an older state.
 		p := m.peers[id]
-		if p == nil || p.last.GetInstalledEpoch() != m.Epoch() || p.last.GetPromised() > m.Epoch() {
+		if p == nil || p.lastHeartbeat.GetInstalledEpoch() != m.Epoch() || p.lastHeartbeat.GetPromised() > m.Epoch() {
 			return
 		}
 	}
 	m.chain.active = true
-	m.chain.sent, m.chain.behind, m.chain.committed = m.index, m.index, m.index
-	m.chain.movedAt = m.now
-	m.confirms.at = m.now
-	m.note(fmt.Sprintf("serving as the head: epoch=%d index=%d", m.Epoch(), m.index))
-	m.announced = true
-	m.actions.Roles = append(m.actions.Roles, Role{Serving: true, Epoch: m.Epoch()})
-	m.heartbeat()
+	m.chain.sentIndex, m.chain.suffixDurable, m.chain.committed = m.index, m.index, m.index
+	m.chain.commitProgressAt = m.now
+	m.confirmations.confirmedAt = m.now
+	m.event("Serving as the head", "epoch", m.Epoch(), "index", m.index)
+	m.announcedHead = true
+	m.actions.RoleChanges = append(m.actions.RoleChanges, RoleChange{Serving: true, Epoch: m.Epoch()})
+	m.sendHeartbeats()
 	if next := m.successor(); next != nil {
 		m.sendEntries(next.GetAddress(), m.index)
 	}
--- a/internal/control/replica/machine.go
+++ b/internal/control/replica/machine.go
@@ -5,12 +5,12 @@
 package replica
 
 import (
-	"fmt"
 	"math/rand/v2"
 	"time"
 
 	"google.golang.org/protobuf/proto"
 
+	"frosttide/internal/control/event"
 	"frosttide/internal/control/journal"
 	"frosttide/internal/control/store"
 	"frosttide/internal/protocol"
@@ -19,51 +19,51 @@
 
 // Timing holds the machine's periods. All count on the steady clock.
 type Timing struct {
-	Heartbeat  time.Duration // between heartbeats
-	Suspect    time.Duration // of silence until a member is taken for dead
-	Start      time.Duration // after the start in which a view may still be heard of
-	Round      time.Duration // after which an election round is given up
-	Gather     time.Duration // after a quorum for further promises
-	Install    time.Duration // in which members of a new chain that take its state have to get on
-	Confirm    time.Duration // between the head's confirmations
-	DiskStall  time.Duration // age of a write from which a disk counts as stalled
-	DiskSlow   time.Duration // mean sync from which a disk counts as slow
-	DiskRetry  time.Duration // between tries to write anew after a failed write
-	Replace    time.Duration // of a voter's silence until a newcomer takes its place
-	Lost       time.Duration // of a voter's silence until it leaves where the others need a smaller majority
-	Forget     time.Duration // of a voter's silence until the others go on without it
-	RewriteMin int           // bytes of the file under which it is never rewritten
+	HeartbeatInterval time.Duration // between heartbeats
+	SuspectTimeout    time.Duration // of silence until a member is taken for dead
+	BootstrapDelay    time.Duration // after the start in which a view may still be heard of
+	ProposalTimeout   time.Duration // after which an election round is given up
+	GatherDelay       time.Duration // after a quorum for further promises
+	InstallTimeout    time.Duration // in which members of a new chain that take its state have to get on
+	ConfirmInterval   time.Duration // between the head's confirmations
+	DiskStallTimeout  time.Duration // age of a write from which a disk counts as stalled
+	DiskSlowThreshold time.Duration // mean sync from which a disk counts as slow
+	DiskRetryInterval time.Duration // between tries to write anew after a failed write
+	ReplaceAfter      time.Duration // of a voter's silence until a newcomer takes its place
+	LostAfter         time.Duration // of a voter's silence until it leaves where the others need a smaller majority
+	ForgetAfter       time.Duration // of a voter's silence until the others go on without it
+	MinRewriteBytes   int           // bytes of the file under which it is never rewritten
 }
 
 // DefaultTiming returns the periods in use: a lost member is noticed in half a second, so that writes go
 // on within 1.5 s of it, and stalls of a processor shared with others are not taken for deaths.
 func DefaultTiming() Timing {
 	return Timing{
-		Heartbeat:  100 * time.Millisecond,
-		Suspect:    500 * time.Millisecond,
-		Start:      250 * time.Millisecond,
-		Round:      700 * time.Millisecond,
-		Gather:     30 * time.Millisecond,
-		Install:    700 * time.Millisecond,
-		Confirm:    200 * time.Millisecond,
-		DiskStall:  700 * time.Millisecond,
-		DiskSlow:   80 * time.Millisecond,
-		DiskRetry:  500 * time.Millisecond,
-		Replace:    3 * time.Second,
-		Lost:       time.Second,
-		Forget:     20 * time.Second,
-		RewriteMin: 4 << 20,
+		HeartbeatInterval: 100 * time.Millisecond,
+		SuspectTimeout:    500 * time.Millisecond,
+		BootstrapDelay:    250 * time.Millisecond,
+		ProposalTimeout:   700 * time.Millisecond,
+		GatherDelay:       30 * time.Millisecond,
+		InstallTimeout:    700 * time.Millisecond,
+		ConfirmInterval:   200 * time.Millisecond,
+		DiskStallTimeout:  700 * time.Millisecond,
+		DiskSlowThreshold: 80 * time.Millisecond,
+		DiskRetryInterval: 500 * time.Millisecond,
+		ReplaceAfter:      3 * time.Second,
+		LostAfter:         time.Second,
+		ForgetAfter:       20 * time.Second,
+		MinRewriteBytes:   4 << 20,
 	}
 }
 
 // Config says who a member is. Self's ID is the identity kept on its disk.
 type Config struct {
-	Self        *protocol.Member
-	Incarnation uint64 // drawn when the process starts
-	Faults      int    // machines that may be lost at once
-	Contacts    []string
-	Seed        uint64
-	Timing      Timing
+	Self            *protocol.Member
+	Incarnation     uint64 // drawn when the process starts
+	ToleratedFaults int    // machines that may be lost at once
+	Contacts        []string
+	Seed            uint64
+	Timing          Timing
 }
 
 // Send is a message to the process at an internal address.
@@ -79,8 +79,8 @@
 	Image    *journal.Image // of a whole new file, nil where bytes are appended
 }
 
-// Role tells the application that it serves as the head, or no longer does.
-type Role struct {
+// RoleChange tells the application that it serves as the head, or no longer does.
+type RoleChange struct {
 	Serving bool
 	Epoch   uint64
 }
@@ -90,17 +90,17 @@
 	Writes      []Write
 	Sends       []Send
 	Replies     []*protocol.Reply // of committed entries, at the tail
-	Roles       []Role
+	RoleChanges []RoleChange
 	ReadsReady  []uint64 // reads whose value may be told
 	ReadsFailed []uint64
-	Notes       []string // for the log
+	Events      []event.Event // for the log
 }
 
 // peer is what is known of another member.
 type peer struct {
-	last      *protocol.Heartbeat
-	heard     time.Duration
-	restarted bool // since the current view was adopted
+	lastHeartbeat *protocol.Heartbeat
+	lastContact   time.Duration
+	restarted     bool // since the current view was adopted
 }
 
 // Machine is the member. It is not safe for concurrent use.
@@ -112,53 +112,53 @@
 	store   *store.Store
 	disk    disk
 
-	promised  uint64
-	accepted  *protocol.View
-	highest   uint64 // ballot heard of
-	highestAt time.Duration
-	givenUp   int // rounds in a row
-	round     *round
-	next      time.Duration // earliest next round
-
-	view           *protocol.View // newest agreed view, nil before any is known
-	adopted        time.Duration
-	installing     time.Duration // when a member of the newest view's chain was last seen to get on with its state
-	bootEpoch      uint64        // accepted before the process began
-	installedEpoch uint64
-	index          uint64
-	durable        uint64 // last entry that is synced here
-
-	chain     chain
-	transfer  transfer
-	confirms  confirms
-	peers     map[uint64]*peer
-	joiners   map[uint64]*joiner
-	earlySync map[string]*protocol.SyncRequest // for views that have not reached this member yet, by sender
-	began     time.Duration
-	beat      time.Duration // next heartbeat
-	suspected time.Duration // since when the head has been suspected, 0 while it is not
-	leaving   bool
-	dropped   uint64        // messages that could not be
-	nextDrop  time.Duration // when the next of them is noted in the log
-	announced bool          // the application has been told that the member serves as the head
-	wall      int64         // own time of day, ms from 1970
-	agreed    int64         // the time of day that the members agree on, 0 before there is one
+	promised        uint64
+	accepted        *protocol.View
+	highestNumber   uint64 // ballot heard of
+	highestNumberAt time.Duration
+	failedProposals int // rounds in a row
+	proposal        *proposal
+	nextProposalAt  time.Duration // earliest next round
+
+	view              *protocol.View // newest agreed view, nil before any is known
+	adoptedAt         time.Duration
+	installProgressAt time.Duration // when a member of the newest view's chain was last seen to get on with its state
+	bootEpoch         uint64        // accepted before the process began
+	installedEpoch    uint64
+	index             uint64
+	durable           uint64 // last entry that is synced here
+
+	chain             chain
+	transfer          transfer
+	confirmations     confirmations
+	peers             map[uint64]*peer
+	joiners           map[uint64]*joiner
+	earlySyncRequests map[string]*protocol.SyncRequest // for views that have not reached this member yet, by sender
+	startedAt         time.Duration
+	nextHeartbeat     time.Duration // next heartbeat
+	suspectedAt       time.Duration // since when the head has been suspected, 0 while it is not
+	draining          bool
+	droppedMessages   uint64        // messages that could not be
+	nextDropEvent     time.Duration // when the next of them is noted in the log
+	announcedHead     bool          // the application has been told that the member serves as the head
+	wallMs            int64         // own time of day, ms from 1970
+	agreedMs          int64         // the time of day that the members agree on, 0 before there is one
 }
 
 // New returns a member with the state of its disk.
 func New(cfg Config, now time.Duration, state journal.State) *Machine {
 	return &Machine{
-		cfg: cfg, now: now, began: now, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Self.GetId())), store: state.Store,
-		promised: state.Promised, accepted: state.Accepted, highest: max(state.Promised, state.Accepted.GetEpoch()),
+		cfg: cfg, now: now, startedAt: now, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Self.GetId())), store: state.Store,
+		promised: state.Promised, accepted: state.Accepted, highestNumber: max(state.Promised, state.Accepted.GetEpoch()),
 		bootEpoch: state.Accepted.GetEpoch(), installedEpoch: state.InstalledEpoch, index: state.Index, durable: state.Index,
 		disk:  disk{installedEpoch: state.InstalledEpoch},
-		peers: make(map[uint64]*peer), joiners: make(map[uint64]*joiner), earlySync: make(map[string]*protocol.SyncRequest),
+		peers: make(map[uint64]*peer), joiners: make(map[uint64]*joiner), earlySyncRequests: make(map[string]*protocol.SyncRequest),
 	}
 }
 
-// Founding returns the state of a founder that starts with an empty disk: view 0 with all founders as
+// FoundingState returns the state of a founder that starts with an empty disk: view 0 with all founders as
 // its voters. Every founder makes the same one.
-func Founding(self *protocol.Member, founders []*protocol.Member) journal.State {
+func FoundingState(self *protocol.Member, founders []*protocol.Member) journal.State {
 	return journal.State{
 		ID: self.GetId(), Founder: true, Store: store.New(),
 		Accepted: &protocol.View{Voters: founders, NextNumber: uint32(len(founders) + 1)},
@@ -169,11 +169,11 @@
 func (m *Machine) Begin(now time.Duration) Actions {
 	m.now = now
 	m.rewrite()
-	return m.take()
+	return m.takeActions()
 }
 
-// take returns the actions gathered since the last call.
-func (m *Machine) take() Actions {
+// takeActions returns the actions gathered since the last call.
+func (m *Machine) takeActions() Actions {
 	m.flush()
 	out := m.actions
 	m.actions = Actions{}
@@ -205,48 +205,48 @@
 	}
 }
 
-// Leave has the others do without the member, whose process is about to end.
-func (m *Machine) Leave(now time.Duration) Actions {
+// Drain has the others do without the member, whose process is about to end.
+func (m *Machine) Drain(now time.Duration) Actions {
 	m.now = now
-	m.leaving = true
-	m.heartbeat()
-	return m.take()
+	m.draining = true
+	m.sendHeartbeats()
+	return m.takeActions()
 }
 
-// MayLeave tells whether the others have all that this member has: a view without it in the chain is in force, whose
+// Drained tells whether the others have all that this member has: a view without it in the chain is in force, whose
 // members have all installed its state.
-func (m *Machine) MayLeave() bool {
+func (m *Machine) Drained() bool {
 	if m.view == nil {
 		return true
 	}
 	head := m.peers[view.Head(m.view)]
-	return m.place() < 0 && head != nil && head.last.GetServing() && head.last.GetEpoch() >= m.Epoch()
+	return m.chainPosition() < 0 && head != nil && head.lastHeartbeat.GetServing() && head.lastHeartbeat.GetEpoch() >= m.Epoch()
 }
 
 // Status is what an operator may want to know of a member.
 type Status struct {
-	View           *protocol.View   `json:"view"`
-	Self           uint64           `json:"self"`
-	Promised       uint64           `json:"promised"`
-	InstalledEpoch uint64           `json:"installed_epoch"`
-	Index          uint64           `json:"index"`
-	Durable        uint64           `json:"durable"`
-	Committed      uint64           `json:"committed"`
-	Serving        bool             `json:"serving"`
-	Following      bool             `json:"following"` // outside the chain: its state follows the tail's
-	DiskFailed     bool             `json:"disk_failed"`
-	DiskLagMs      int64            `json:"disk_lag_ms"`
-	Dropped        uint64           `json:"dropped"`   // messages that could not be, since the start
-	SilentMs       map[uint64]int64 `json:"silent_ms"` // for how long the other members have been silent
+	View            *protocol.View   `json:"view"`
+	Self            uint64           `json:"self"`
+	Promised        uint64           `json:"promised"`
+	InstalledEpoch  uint64           `json:"installed_epoch"`
+	Index           uint64           `json:"index"`
+	Durable         uint64           `json:"durable"`
+	Committed       uint64           `json:"committed"`
+	Serving         bool             `json:"serving"`
+	Following       bool             `json:"following"` // outside the chain: its state follows the tail's
+	DiskFailed      bool             `json:"disk_failed"`
+	DiskLagMs       int64            `json:"disk_lag_ms"`
+	DroppedMessages uint64           `json:"dropped"`   // messages that could not be, since the start
+	SinceContactMs  map[uint64]int64 `json:"silent_ms"` // for how long the other members have been silent
 }
 
 // Status returns the member's state.
 func (m *Machine) Status() Status {
 	s := Status{View: m.view, Self: m.cfg.Self.GetId(), Promised: m.promised, InstalledEpoch: m.installedEpoch, Index: m.index, Durable: m.durable,
-		Committed: m.chain.committed, Serving: m.Serving(), DiskFailed: m.disk.failed, Following: m.chain.following, Dropped: m.dropped,
-		DiskLagMs: m.disk.lag(m.now).Milliseconds(), SilentMs: make(map[uint64]int64)}
+		Committed: m.chain.committed, Serving: m.Serving(), DiskFailed: m.disk.failed, Following: m.chain.following, DroppedMessages: m.droppedMessages,
+		DiskLagMs: m.disk.lag(m.now).Milliseconds(), SinceContactMs: make(map[uint64]int64)}
 	for id, p := range m.peers {
-		s.SilentMs[id] = (m.now - p.heard).Milliseconds()
+		s.SinceContactMs[id] = (m.now - p.lastContact).Milliseconds()
 	}
 	return s
 }
@@ -266,7 +266,7 @@
 	case *protocol.Envelope_Accepted:
 		m.onAccepted(body.Accepted)
 	case *protocol.Envelope_Decided:
-		m.adopt(body.Decided.GetView())
+		m.adoptView(body.Decided.GetView())
 	case *protocol.Envelope_ViewQuery:
 		m.onViewQuery(from, body.ViewQuery)
 	case *protocol.Envelope_Append:
@@ -282,23 +282,23 @@
 	case *protocol.Envelope_Confirmed:
 		m.onConfirmed(body.Confirmed)
 	}
-	return m.take()
+	return m.takeActions()
 }
 
 // Tick lets time pass; wall is this member's time of day and agreed the one that the members agree on, 0 before
 // there is one, in ms from 1970. The machine passes both on and goes by neither.
 func (m *Machine) Tick(now time.Duration, wall, agreed int64) Actions {
-	m.now, m.wall, m.agreed = now, wall, agreed
+	m.now, m.wallMs, m.agreedMs = now, wall, agreed
 	m.tickDisk()
-	if now >= m.beat {
-		m.heartbeat()
+	if now >= m.nextHeartbeat {
+		m.sendHeartbeats()
 	}
 	m.tickChain()
 	m.tickConfirms()
-	m.tickRound()
-	m.considerRound()
+	m.expireProposal()
+	m.considerProposal()
 	m.forgetPeers()
-	return m.take()
+	return m.takeActions()
 }
 
 // send queues a message.
@@ -306,20 +306,22 @@
 	m.actions.Sends = append(m.actions.Sends, Send{To: to, Message: e})
 }
 
-// dropNoteEvery is how often messages that could not be are told of in the log.
-const dropNoteEvery = 10 * time.Second
+// dropEventInterval is how often messages that could not be are told of in the log.
+const dropEventInterval = 10 * time.Second
 
-// drop counts a message that could not be.
-func (m *Machine) drop(what string) {
-	m.dropped++
-	if m.now >= m.nextDrop {
-		m.nextDrop = m.now + dropNoteEvery
-		m.note(fmt.Sprintf("message dropped: what=%q dropped=%d", what, m.dropped))
+// dropMessage counts a message that could not be.
+func (m *Machine) dropMessage(reason string) {
+	m.droppedMessages++
+	if m.now >= m.nextDropEvent {
+		m.nextDropEvent = m.now + dropEventInterval
+		m.event("Message dropped", "reason", reason, "dropped", m.droppedMessages)
 	}
 }
 
-// note queues a line for the log.
-func (m *Machine) note(text string) { m.actions.Notes = append(m.actions.Notes, text) }
+// event queues a line for the log.
+func (m *Machine) event(message string, keysAndValues ...any) {
+	m.actions.Events = append(m.actions.Events, event.New(message, keysAndValues...))
+}
 
 // isVoter tells whether the member votes, by the newest view that it accepted.
 func (m *Machine) isVoter() bool {
@@ -329,13 +331,13 @@
 // isHead tells whether the member is the head of the newest agreed view.
 func (m *Machine) isHead() bool { return m.view != nil && view.Head(m.view) == m.cfg.Self.GetId() }
 
-// place returns the member's place in the chain, -1 outside of it.
-func (m *Machine) place() int {
+// chainPosition returns the member's place in the chain, -1 outside of it.
+func (m *Machine) chainPosition() int {
 	if m.view == nil {
 		return -1
 	}
-	return view.Place(m.view, m.cfg.Self.GetId())
+	return view.ChainPosition(m.view, m.cfg.Self.GetId())
 }
 
-// clone copies a message, as those that were sent belong to their receivers.
-func clone(v *protocol.View) *protocol.View { return proto.Clone(v).(*protocol.View) }
+// cloneView copies a message, as those that were sent belong to their receivers.
+func cloneView(v *protocol.View) *protocol.View { return proto.Clone(v).(*protocol.View) }
--- a/internal/control/replica/machine_test.go
+++ b/internal/control/replica/machine_test.go
@@ -16,42 +16,42 @@
 
 // cluster plays members on a network in virtual time.
 type cluster struct {
-	t       testing.TB
-	quiet   bool                     // members' notes are not logged
-	longest map[string]time.Duration // by member, the longest real time that a message took; nil where it is not measured
-	rng     *rand.Rand
-	now     time.Duration
-	members map[string]*node
-	events  []event
-	order   int
-	items   int // written by fill
-	faults  int // machines that are to be borne
-	cut     map[[2]string]bool
-	loss    float64
-	drop    func(from, to string, e *protocol.Envelope) bool // messages that are lost, nil for none
-	rate    int                                              // bytes a second that each way between two members carries, 0 for no bound
-	free    map[[2]string]time.Duration                      // when the way between two members is free again
-	sent    map[[2]string]int                                // bytes of state sent on it
-	replies map[uint64]int                                   // replies by the id of the request
-	reads   map[uint64]bool
+	t               testing.TB
+	quiet           bool                     // members' notes are not logged
+	longestReceive  map[string]time.Duration // by member, the longest real time that a message took; nil where it is not measured
+	rng             *rand.Rand
+	now             time.Duration
+	members         map[string]*node
+	events          []scheduledEvent
+	lastOrder       int
+	itemsWritten    int // written by fill
+	toleratedFaults int // machines that are to be borne
+	blocked         map[[2]string]bool
+	lossRate        float64
+	drop            func(from, to string, e *protocol.Envelope) bool // messages that are lost, nil for none
+	linkRate        int                                              // bytes a second that each way between two members carries, 0 for no bound
+	linkFreeAt      map[[2]string]time.Duration                      // when the way between two members is free again
+	stateBytesSent  map[[2]string]int                                // bytes of state sent on it
+	replies         map[uint64]int                                   // replies by the id of the request
+	reads           map[uint64]bool
 }
 
 type node struct {
 	*Machine
-	address string
-	id      uint64
-	up      bool
-	life    int
-	file    []byte
-	synced  int
-	disk    error
-	slow    time.Duration
-	queue   []Write
-	writing bool
-	serving bool
+	address     string
+	id          uint64
+	running     bool
+	incarnation int
+	file        []byte
+	syncedSize  int
+	diskError   error
+	diskDelay   time.Duration
+	writeQueue  []Write
+	writing     bool
+	serving     bool
 }
 
-type event struct {
+type scheduledEvent struct {
 	at    time.Duration
 	order int
 	do    func()
@@ -60,20 +60,20 @@
 const tick = 20 * time.Millisecond
 
 func newCluster(t *testing.T, seed uint64, founders int) *cluster {
-	return newClusterBearing(t, seed, founders, 1)
+	return newClusterTolerating(t, seed, founders, 1)
 }
 
-func newClusterBearing(t testing.TB, seed uint64, founders, faults int) *cluster {
-	c := &cluster{t: t, faults: faults, rng: rand.New(rand.NewPCG(seed, 1)), members: make(map[string]*node), cut: make(map[[2]string]bool), free: make(map[[2]string]time.Duration), sent: make(map[[2]string]int), replies: make(map[uint64]int), reads: make(map[uint64]bool)}
+func newClusterTolerating(t testing.TB, seed uint64, founders, faults int) *cluster {
+	c := &cluster{t: t, toleratedFaults: faults, rng: rand.New(rand.NewPCG(seed, 1)), members: make(map[string]*node), blocked: make(map[[2]string]bool), linkFreeAt: make(map[[2]string]time.Duration), stateBytesSent: make(map[[2]string]int), replies: make(map[uint64]int), reads: make(map[uint64]bool)}
 	var all []*protocol.Member
 	for i := range founders {
 		all = append(all, &protocol.Member{Id: uint64(i + 1), Number: uint32(i + 1), Address: fmt.Sprintf("m%d", i+1), Zone: fmt.Sprintf("z%d", i%3)})
 	}
 	for _, m := range all {
-		state := Founding(m, all)
-		whole, err := journal.Snapshot(state)
+		state := FoundingState(m, all)
+		content, err := journal.Snapshot(state)
 		require.NoError(t, err)
-		n := &node{address: m.GetAddress(), id: m.GetId(), file: whole, synced: len(whole)}
+		n := &node{address: m.GetAddress(), id: m.GetId(), file: content, syncedSize: len(content)}
 		c.members[n.address] = n
 		c.start(n)
 	}
@@ -81,61 +81,61 @@
 }
 
 func (c *cluster) after(d time.Duration, do func()) {
-	c.order++
-	c.events = append(c.events, event{at: c.now + d, order: c.order, do: do})
+	c.lastOrder++
+	c.events = append(c.events, scheduledEvent{at: c.now + d, order: c.lastOrder, do: do})
 }
 
 // start starts a member with what its disk holds.
 func (c *cluster) start(n *node) {
 	state, good, err := journal.Read(n.file)
 	require.NoError(c.t, err)
-	n.file, n.synced = n.file[:good], good
+	n.file, n.syncedSize = n.file[:good], good
 	if state.ID == 0 {
 		n.id = c.rng.Uint64()
 		state.ID = n.id
 	}
-	n.life++
-	n.up, n.queue, n.writing = true, nil, false
+	n.incarnation++
+	n.running, n.writeQueue, n.writing = true, nil, false
 	var contacts []string
 	for i := range 3 {
 		contacts = append(contacts, fmt.Sprintf("m%d", i+1))
 	}
-	n.Machine = New(Config{Self: &protocol.Member{Id: n.id, Address: n.address, Zone: "z" + n.address}, Incarnation: c.rng.Uint64(), Faults: c.faults, Contacts: contacts,
+	n.Machine = New(Config{Self: &protocol.Member{Id: n.id, Address: n.address, Zone: "z" + n.address}, Incarnation: c.rng.Uint64(), ToleratedFaults: c.toleratedFaults, Contacts: contacts,
 		Seed: c.rng.Uint64(), Timing: DefaultTiming()}, c.now, state)
 	c.do(n, n.Begin(c.now))
-	life := n.life
-	var again func()
-	again = func() {
-		if n.up && n.life == life {
+	incarnation := n.incarnation
+	var tickAgain func()
+	tickAgain = func() {
+		if n.running && n.incarnation == incarnation {
 			c.do(n, n.Tick(c.now, 0, 0))
-			c.after(tick, again)
+			c.after(tick, tickAgain)
 		}
 	}
-	c.after(time.Duration(c.rng.Int64N(int64(tick))), again)
+	c.after(time.Duration(c.rng.Int64N(int64(tick))), tickAgain)
 }
 
 // stop ends a member's process; with its power, writes that were not synced may be lost.
 func (c *cluster) stop(n *node, power bool) {
-	n.up = false
-	n.life++
-	if power && len(n.file) > n.synced {
-		n.file = n.file[:n.synced+c.rng.IntN(len(n.file)-n.synced+1)]
+	n.running = false
+	n.incarnation++
+	if power && len(n.file) > n.syncedSize {
+		n.file = n.file[:n.syncedSize+c.rng.IntN(len(n.file)-n.syncedSize+1)]
 	}
 }
 
 // wipe empties a member's disk.
-func (c *cluster) wipe(n *node) { n.file, n.synced = nil, 0 }
+func (c *cluster) wipe(n *node) { n.file, n.syncedSize = nil, 0 }
 
 func (c *cluster) do(n *node, a Actions) {
-	n.queue = append(n.queue, a.Writes...)
+	n.writeQueue = append(n.writeQueue, a.Writes...)
 	if !n.writing {
 		c.startWrite(n)
 	}
-	for _, text := range a.Notes {
+	for _, e := range a.Events {
 		if c.quiet {
 			break
 		}
-		c.t.Logf("%8.3f %s: %s", c.now.Seconds(), n.address, text)
+		c.t.Logf("%8.3f %s: %s", c.now.Seconds(), n.address, e)
 	}
 	for _, s := range a.Sends {
 		c.send(n, s)
@@ -143,7 +143,7 @@
 	for _, r := range a.Replies {
 		c.replies[r.GetReply().GetId()]++
 	}
-	for _, r := range a.Roles {
+	for _, r := range a.RoleChanges {
 		n.serving = r.Serving
 	}
 	for _, token := range a.ReadsReady {
@@ -153,27 +153,27 @@
 
 // startWrite writes all that is queued and syncs once.
 func (c *cluster) startWrite(n *node) {
-	if len(n.queue) == 0 {
+	if len(n.writeQueue) == 0 {
 		return
 	}
-	life, queue, failure := n.life, n.queue, n.disk
-	n.queue, n.writing = nil, true
+	incarnation, queue, failure := n.incarnation, n.writeQueue, n.diskError
+	n.writeQueue, n.writing = nil, true
 	if failure == nil {
 		for _, w := range queue {
 			if w.Image != nil {
-				n.file, n.synced = encoded(w.Image), 0
+				n.file, n.syncedSize = encoded(w.Image), 0
 			} else {
 				n.file = append(n.file, w.Data...)
 			}
 		}
 	}
-	c.after(time.Duration(4+c.rng.IntN(6))*time.Millisecond+n.slow, func() {
-		if !n.up || n.life != life {
+	c.after(time.Duration(4+c.rng.IntN(6))*time.Millisecond+n.diskDelay, func() {
+		if !n.running || n.incarnation != incarnation {
 			return
 		}
 		n.writing = false
 		if failure == nil {
-			n.synced = len(n.file)
+			n.syncedSize = len(n.file)
 		}
 		c.do(n, n.DiskDone(c.now, queue[len(queue)-1].Sequence, int64(len(n.file)), failure))
 		if !n.writing {
@@ -184,40 +184,40 @@
 
 // encoded returns the file that an image stands for.
 func encoded(i *journal.Image) []byte {
-	whole, err := i.Encode()
+	content, err := i.Encode()
 	if err != nil {
 		panic(err)
 	}
-	return whole
+	return content
 }
 
 func (c *cluster) send(n *node, s Send) {
-	if c.rng.Float64() < c.loss {
+	if c.rng.Float64() < c.lossRate {
 		return
 	}
 	to := c.members[s.To]
-	if to == nil || c.cut[[2]string{n.address, s.To}] {
+	if to == nil || c.blocked[[2]string{n.address, s.To}] {
 		return
 	}
 	way := [2]string{n.address, s.To}
 	if s.Message.GetSyncReply() != nil {
-		c.sent[way] += proto.Size(s.Message)
+		c.stateBytesSent[way] += proto.Size(s.Message)
 	}
 	if c.drop != nil && c.drop(n.address, s.To, s.Message) {
 		return
 	}
 	delay := time.Duration(1000+c.rng.IntN(1000)) * time.Microsecond
-	if c.rate > 0 { // a link with a bandwidth keeps the order
-		c.free[way] = max(c.free[way], c.now) + time.Duration(float64(proto.Size(s.Message))/float64(c.rate)*float64(time.Second))
-		delay = c.free[way] - c.now + time.Millisecond
+	if c.linkRate > 0 { // a link with a bandwidth keeps the order
+		c.linkFreeAt[way] = max(c.linkFreeAt[way], c.now) + time.Duration(float64(proto.Size(s.Message))/float64(c.linkRate)*float64(time.Second))
+		delay = c.linkFreeAt[way] - c.now + time.Millisecond
 	}
-	life := to.life
+	incarnation := to.incarnation
 	c.after(delay, func() {
-		if to.up && to.life == life && !c.cut[[2]string{n.address, s.To}] {
+		if to.running && to.incarnation == incarnation && !c.blocked[[2]string{n.address, s.To}] {
 			began := time.Now()
 			a := to.Receive(c.now, n.address, s.Message)
-			if c.longest != nil {
-				c.longest[s.To] = max(c.longest[s.To], time.Since(began))
+			if c.longestReceive != nil {
+				c.longestReceive[s.To] = max(c.longestReceive[s.To], time.Since(began))
 			}
 			c.do(to, a)
 		}
@@ -249,7 +249,7 @@
 // head returns the member that serves in the newest view, nil if there is none.
 func (c *cluster) head() (head *node) {
 	for _, n := range c.members {
-		if n.up && n.Serving() && (head == nil || n.Epoch() > head.Epoch()) {
+		if n.running && n.Serving() && (head == nil || n.Epoch() > head.Epoch()) {
 			head = n
 		}
 	}
@@ -268,8 +268,8 @@
 	return ok
 }
 
-// checkKept fails where an answered write is not in the state of the serving head.
-func (c *cluster) checkKept() {
+// requireNoWriteLost fails where an answered write is not in the state of the serving head.
+func (c *cluster) requireNoWriteLost() {
 	c.t.Helper()
 	h := c.head()
 	require.NotNil(c.t, h, "nobody serves")
@@ -279,7 +279,7 @@
 	}
 }
 
-func TestFoundsAndWrites(t *testing.T) {
+func TestFoundingClusterCommitsWrites(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	c.play(time.Second)
 	require.NotNil(t, c.head())
@@ -288,7 +288,7 @@
 	require.Equal(t, 1, c.replies[1])
 }
 
-func TestHeadLostGoesOn(t *testing.T) {
+func TestWritesContinueAfterHeadLoss(t *testing.T) {
 	c := newCluster(t, 2, 3)
 	c.play(time.Second)
 	require.True(t, c.write(1))
@@ -297,13 +297,13 @@
 	c.stop(old, true)
 	c.play(1200 * time.Millisecond)
 	require.NotNil(t, c.head())
-	c.checkKept()
+	c.requireNoWriteLost()
 	require.True(t, c.write(2))
 	c.play(100 * time.Millisecond)
 	require.Equal(t, 1, c.replies[2])
 	c.start(old)
 	c.play(2 * time.Second)
-	c.checkKept()
+	c.requireNoWriteLost()
 }
 
 func TestNewcomerJoins(t *testing.T) {
@@ -330,18 +330,18 @@
 	c.start(old)
 	require.NotEqual(t, id, old.id)
 	c.play(4 * time.Second)
-	c.checkKept()
+	c.requireNoWriteLost()
 	require.Len(t, c.head().View().GetVoters(), 3)
 	for _, v := range c.head().View().GetVoters() {
 		require.NotEqual(t, id, v.GetId())
 	}
 }
 
-func TestFailedDiskIsRoundedOut(t *testing.T) {
+func TestHeadWithFailedDiskIsReplaced(t *testing.T) {
 	c := newCluster(t, 5, 3)
 	c.play(time.Second)
 	old := c.head()
-	old.disk = errors.New("no space")
+	old.diskError = errors.New("no space")
 	c.write(1)
 	c.play(3 * time.Second)
 	require.NotNil(t, c.head())
@@ -350,18 +350,18 @@
 	require.True(t, c.write(2))
 	c.play(100 * time.Millisecond)
 	require.Equal(t, 1, c.replies[2])
-	old.disk = nil
+	old.diskError = nil
 	c.play(3 * time.Second)
-	c.checkKept()
+	c.requireNoWriteLost()
 }
 
-func TestCutOffHeadAnswersNothing(t *testing.T) {
+func TestIsolatedHeadRepliesToNothing(t *testing.T) {
 	c := newCluster(t, 6, 3)
 	c.play(time.Second)
 	old := c.head()
 	for a := range c.members {
-		c.cut[[2]string{a, old.address}] = true
-		c.cut[[2]string{old.address, a}] = true
+		c.blocked[[2]string{a, old.address}] = true
+		c.blocked[[2]string{old.address, a}] = true
 	}
 	c.write(1)
 	tail := old
@@ -372,14 +372,14 @@
 	require.Zero(t, c.replies[1])
 	require.False(t, c.reads[7])
 	require.NotEqual(t, old, c.head())
-	c.cut = make(map[[2]string]bool)
+	c.blocked = make(map[[2]string]bool)
 	c.play(2 * time.Second)
-	c.checkKept()
+	c.requireNoWriteLost()
 }
 
-// TestTroubles plays random kills, losses of power and disks, cuts and slow disks, and checks that
+// TestRandomFaults plays random kills, losses of power and disks, cuts and slow disks, and checks that
 // every answered write is kept and that service returns once all is calm.
-func TestTroubles(t *testing.T) {
+func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := newCluster(t, seed, 3)
@@ -391,22 +391,22 @@
 			c.play(3 * time.Second)
 			id := uint64(0)
 			for range 12 {
-				c.trouble()
+				c.injectFault()
 				for range 20 {
 					id++
 					c.write(id)
 					c.play(time.Duration(c.rng.IntN(100)) * time.Millisecond)
 				}
-				c.calm()
+				c.endFaults()
 				c.play(5 * time.Second)
-				c.checkKept()
+				c.requireNoWriteLost()
 			}
 		})
 	}
 }
 
-// trouble starts one random trouble.
-func (c *cluster) trouble() {
+// injectFault starts one random trouble.
+func (c *cluster) injectFault() {
 	var all []*node
 	for i := range 5 {
 		all = append(all, c.members[fmt.Sprintf("m%d", i+1)])
@@ -431,15 +431,15 @@
 		}
 	case 4:
 		for _, n := range all {
-			c.cut[[2]string{one.address, n.address}] = true
+			c.blocked[[2]string{one.address, n.address}] = true
 			if c.rng.IntN(2) == 0 {
-				c.cut[[2]string{n.address, one.address}] = true
+				c.blocked[[2]string{n.address, one.address}] = true
 			}
 		}
 	case 5:
-		one.slow = time.Duration(c.rng.IntN(2000)) * time.Millisecond
+		one.diskDelay = time.Duration(c.rng.IntN(2000)) * time.Millisecond
 	case 6:
-		one.disk = errors.New("no space")
+		one.diskError = errors.New("no space")
 	case 7: // a disk is lost and all others lose power
 		for _, n := range all {
 			c.stop(n, true)
@@ -448,25 +448,25 @@
 	}
 }
 
-// calm ends all troubles.
-func (c *cluster) calm() {
-	c.cut = make(map[[2]string]bool)
+// endFaults ends all troubles.
+func (c *cluster) endFaults() {
+	c.blocked = make(map[[2]string]bool)
 	for _, n := range c.members {
-		n.slow, n.disk = 0, nil
-		if !n.up {
+		n.diskDelay, n.diskError = 0, nil
+		if !n.running {
 			c.start(n)
 		}
 	}
 }
 
-// TestStateAskedForBeforeTheView has the head answer a chain member that knew the agreed view before the
+// TestEarlySyncRequestIsServed has the head answer a chain member that knew the agreed view before the
 // head did: the member would otherwise ask again only after syncRetry, and nothing is accepted until then.
-func TestStateAskedForBeforeTheView(t *testing.T) {
+func TestEarlySyncRequestIsServed(t *testing.T) {
 	c := newCluster(t, 7, 3)
 	c.play(time.Second)
 	head := c.head()
 	follower := c.members[head.successor().GetAddress()]
-	next := clone(head.View())
+	next := cloneView(head.View())
 	next.Epoch += 1 << 16
 	early := head.Receive(c.now, follower.address, &protocol.Envelope{Body: &protocol.Envelope_SyncRequest{SyncRequest: &protocol.SyncRequest{
 		Epoch: next.GetEpoch(), Round: 1, Install: true, Member: follower.id, Digests: follower.Store().Digests()}}})
@@ -481,36 +481,36 @@
 	require.Equal(t, []string{follower.address}, replied)
 }
 
-// TestCutOffHeadDoesNotDisturb has a head that comes back from a cut take the view that the others have
+// TestIsolatedHeadDoesNotDisturbNextView has a head that comes back from a cut take the view that the others have
 // agreed on meanwhile, in place of interrupting it with a ballot of its own.
-func TestCutOffHeadDoesNotDisturb(t *testing.T) {
+func TestIsolatedHeadDoesNotDisturbNextView(t *testing.T) {
 	for seed := range uint64(20) {
 		c := newCluster(t, 100+seed, 5)
 		c.play(2 * time.Second)
 		old := c.head()
 		for address := range c.members {
-			c.cut[[2]string{address, old.address}] = true
-			c.cut[[2]string{old.address, address}] = true
+			c.blocked[[2]string{address, old.address}] = true
+			c.blocked[[2]string{old.address, address}] = true
 		}
 		c.play(4 * time.Second)
 		next := c.head()
 		require.NotNil(t, next)
 		require.NotEqual(t, old.address, next.address)
 		epoch := next.Epoch()
-		clear(c.cut)
+		clear(c.blocked)
 		c.play(2 * time.Second)
 		require.Equal(t, next, c.head())
 		require.Equal(t, epoch, old.Epoch(), "it takes up the others' view")
-		c.checkKept()
+		c.requireNoWriteLost()
 	}
 }
 
-// TestReplacedMachineLeavesTheVoters has a machine replaced for good and then, once its successor has caught up,
+// TestReplacedMachineIsRemovedFromVoters has a machine replaced for good and then, once its successor has caught up,
 // as many disks lost as are to be borne while all others lose power. With the old machine still a voter beside
 // its successor no majority would be left.
-func TestReplacedMachineLeavesTheVoters(t *testing.T) {
+func TestReplacedMachineIsRemovedFromVoters(t *testing.T) {
 	for seed := range uint64(20) {
-		c := newClusterBearing(t, 200+seed, 5, 2)
+		c := newClusterTolerating(t, 200+seed, 5, 2)
 		c.play(2 * time.Second)
 		require.True(t, c.write(1))
 		c.play(100 * time.Millisecond)
@@ -536,21 +536,21 @@
 			c.start(c.members[address])
 		}
 		c.play(3 * time.Second)
-		c.checkKept()
+		c.requireNoWriteLost()
 	}
 }
 
-// TestLeavingMachineAfterItsSuccessor has a machine leave when its successor is a voter already: the voters
+// TestDrainingMachineIsRemovedAfterItsSuccessorJoins has a machine leave when its successor is a voter already: the voters
 // are to bear the losses as soon as it has gone.
-func TestLeavingMachineAfterItsSuccessor(t *testing.T) {
+func TestDrainingMachineIsRemovedAfterItsSuccessorJoins(t *testing.T) {
 	for seed := range uint64(20) {
-		c := newClusterBearing(t, 300+seed, 5, 2)
+		c := newClusterTolerating(t, 300+seed, 5, 2)
 		c.members["m6"] = &node{address: "m6"}
 		c.start(c.members["m6"])
 		c.play(4 * time.Second)
 		require.Len(t, c.head().View().GetVoters(), 6)
 		leaving := c.members["m2"]
-		c.do(leaving, leaving.Leave(c.now))
+		c.do(leaving, leaving.Drain(c.now))
 		c.play(300 * time.Millisecond)
 		c.stop(leaving, false)
 		delete(c.members, "m2")
@@ -559,10 +559,10 @@
 	}
 }
 
-// TestLostVoterComesBack has a voter that left as it was silent join again when it is back, and bear its part.
-func TestLostVoterComesBack(t *testing.T) {
+// TestLostVoterRejoins has a voter that left as it was silent join again when it is back, and bear its part.
+func TestLostVoterRejoins(t *testing.T) {
 	for seed := range uint64(20) {
-		c := newClusterBearing(t, 400+seed, 4, 1)
+		c := newClusterTolerating(t, 400+seed, 4, 1)
 		c.play(2 * time.Second)
 		require.True(t, c.write(1))
 		c.play(100 * time.Millisecond)
@@ -579,6 +579,6 @@
 		require.Len(t, c.head().View().GetVoters(), 4)
 		c.stop(c.head(), true)
 		c.play(2 * time.Second)
-		c.checkKept()
+		c.requireNoWriteLost()
 	}
 }
--- a/internal/control/replica/transfer_test.go
+++ b/internal/control/replica/transfer_test.go
@@ -26,10 +26,10 @@
 		h := c.awaitHead()
 		e := &protocol.Entry{}
 		for range perEntry {
-			c.items++
+			c.itemsWritten++
 			value := make([]byte, itemBytes)
-			copy(value, fmt.Sprintf("value %d", c.items))
-			e.Puts = append(e.Puts, &protocol.Put{Key: fmt.Sprintf("item%d", c.items), Value: value})
+			copy(value, fmt.Sprintf("value %d", c.itemsWritten))
+			e.Puts = append(e.Puts, &protocol.Put{Key: fmt.Sprintf("item%d", c.itemsWritten), Value: value})
 			written += itemBytes
 		}
 		_, a, ok := h.Append(c.now, e)
@@ -40,26 +40,26 @@
 	c.play(200 * time.Millisecond)
 }
 
-// cutOff cuts a member from all others.
-func (c *cluster) cutOff(n *node) {
+// isolate cuts a member from all others.
+func (c *cluster) isolate(n *node) {
 	for address := range c.members {
-		c.cut[[2]string{address, n.address}] = true
-		c.cut[[2]string{n.address, address}] = true
+		c.blocked[[2]string{address, n.address}] = true
+		c.blocked[[2]string{n.address, address}] = true
 	}
 }
 
-// outsider returns a living member outside the chain.
-func (c *cluster) outsider() *node {
+// memberOutsideChain returns a living member outside the chain.
+func (c *cluster) memberOutsideChain() *node {
 	for _, address := range []string{"m1", "m2", "m3", "m4", "m5"} {
-		if n := c.members[address]; n != nil && n.up && n.place() < 0 {
+		if n := c.members[address]; n != nil && n.running && n.chainPosition() < 0 {
 			return n
 		}
 	}
 	return nil
 }
 
-// writesAgain plays until a write is answered and returns how long that took.
-func (c *cluster) writesAgain(id uint64, within time.Duration) time.Duration {
+// awaitWrite plays until a write is answered and returns how long that took.
+func (c *cluster) awaitWrite(id uint64, within time.Duration) time.Duration {
 	c.t.Helper()
 	began := c.now
 	for c.now-began < within {
@@ -85,42 +85,42 @@
 	return c.head()
 }
 
-// sameState fails unless a member holds just what another does.
-func (c *cluster) sameState(a, b *node) {
+// requireSameState fails unless a member holds just what another does.
+func (c *cluster) requireSameState(a, b *node) {
 	c.t.Helper()
 	require.Equal(c.t, a.Store().Len(), b.Store().Len())
-	require.Equal(c.t, store.Combine(a.Store().Digests()), store.Combine(b.Store().Digests()))
+	require.Equal(c.t, store.CombineDigests(a.Store().Digests()), store.CombineDigests(b.Store().Digests()))
 }
 
-// TestLostPieceIsAskedForAgain loses pieces of the state on its way to a member that joins the chain. It used to
+// TestLostChunkIsRequestedAgain loses pieces of the state on its way to a member that joins the chain. It used to
 // say that it has installed the state with what had arrived; as the head it then lost what had been acknowledged.
-func TestLostPieceIsAskedForAgain(t *testing.T) {
+func TestLostChunkIsRequestedAgain(t *testing.T) {
 	for lost := range 8 {
 		t.Run(fmt.Sprint(lost), func(t *testing.T) {
 			c := newCluster(t, 500+uint64(lost), 3)
 			c.play(time.Second)
-			behind := c.outsider()
-			c.cutOff(behind)
+			behind := c.memberOutsideChain()
+			c.isolate(behind)
 			c.fill(2 * megabyte)
-			clear(c.cut)
-			pieces := 0
+			clear(c.blocked)
+			chunks := 0
 			c.drop = func(_, _ string, e *protocol.Envelope) bool {
 				if e.GetSyncReply() == nil {
 					return false
 				}
-				pieces++
-				return pieces%8 == lost
+				chunks++
+				return chunks%8 == lost
 			}
-			holder := c.members[c.head().successor().GetAddress()]
-			c.stop(holder, true)
-			c.writesAgain(1, 20*time.Second)
-			require.Greater(t, pieces, 8)
-			c.sameState(c.head(), behind)
+			successor := c.members[c.head().successor().GetAddress()]
+			c.stop(successor, true)
+			c.awaitWrite(1, 20*time.Second)
+			require.Greater(t, chunks, 8)
+			c.requireSameState(c.head(), behind)
 			c.stop(c.head(), true)
-			c.start(holder)
-			c.writesAgain(2, 20*time.Second)
-			require.Equal(t, c.items+2, c.head().Store().Len())
-			c.checkKept()
+			c.start(successor)
+			c.awaitWrite(2, 20*time.Second)
+			require.Equal(t, c.itemsWritten+2, c.head().Store().Len())
+			c.requireNoWriteLost()
 		})
 	}
 }
@@ -132,21 +132,21 @@
 		c := newCluster(t, 520+seed, 3)
 		c.play(time.Second)
 		c.fill(megabyte)
-		behind := c.outsider()
+		behind := c.memberOutsideChain()
 		c.stop(behind, true)
 		c.wipe(behind)
 		c.start(behind)
-		c.loss = 0.25
+		c.lossRate = 0.25
 		for range 200 {
 			c.play(50 * time.Millisecond)
 			if c.head() != nil && behind.chain.following && behind.Epoch() == c.head().Epoch() && behind.Index() == c.head().Index() {
-				c.sameState(c.head(), behind)
+				c.requireSameState(c.head(), behind)
 			}
 		}
-		c.loss = 0
+		c.lossRate = 0
 		c.play(3 * time.Second)
-		require.True(t, behind.chain.following || behind.place() >= 0)
-		c.sameState(c.head(), behind)
+		require.True(t, behind.chain.following || behind.chainPosition() >= 0)
+		c.requireSameState(c.head(), behind)
 	}
 }
 
@@ -158,27 +158,27 @@
 			c := newCluster(t, 540, 3)
 			c.play(time.Second)
 			c.fill(2 * megabyte)
-			c.rate = megabits * megabit
+			c.linkRate = megabits * megabit
 			c.members["m4"] = &node{address: "m4"}
 			c.start(c.members["m4"])
-			c.play(3*time.Second + 3*transferTime(2*megabyte, c.rate)/2)
+			c.play(3*time.Second + 3*transferTime(2*megabyte, c.linkRate)/2)
 			require.Len(t, c.head().View().GetVoters(), 4)
-			c.sameState(c.head(), c.members["m4"])
+			c.requireSameState(c.head(), c.members["m4"])
 			require.Less(t, c.stateSentTo("m4"), 3*megabyte)
 		})
 		t.Run(fmt.Sprintf("member that the chain needs at %d Mbit/s", megabits), func(t *testing.T) {
 			c := newCluster(t, 541, 3)
 			c.play(time.Second)
-			behind := c.outsider()
-			c.cutOff(behind)
+			behind := c.memberOutsideChain()
+			c.isolate(behind)
 			c.fill(4 * megabyte)
-			clear(c.cut)
-			c.rate = megabits * megabit
+			clear(c.blocked)
+			c.linkRate = megabits * megabit
 			c.stop(c.members[c.head().successor().GetAddress()], true)
-			took := c.writesAgain(1, time.Minute)
-			require.Less(t, took, 1500*time.Millisecond+3*transferTime(4*megabyte, c.rate)/2)
+			took := c.awaitWrite(1, time.Minute)
+			require.Less(t, took, 1500*time.Millisecond+3*transferTime(4*megabyte, c.linkRate)/2)
 			require.Less(t, c.stateSentTo(behind.address), 6*megabyte)
-			c.checkKept()
+			c.requireNoWriteLost()
 		})
 	}
 }
@@ -189,7 +189,7 @@
 
 // stateSentTo returns how many bytes of state were sent to a member.
 func (c *cluster) stateSentTo(address string) (bytes int) {
-	for way, sent := range c.sent {
+	for way, sent := range c.stateBytesSent {
 		if way[1] == address {
 			bytes += sent
 		}
@@ -203,8 +203,8 @@
 	c := newCluster(t, 560, 5)
 	c.play(2 * time.Second)
 	c.fill(2 * megabyte)
-	c.rate = 8 * megabit
-	behind := c.outsider()
+	c.linkRate = 8 * megabit
+	behind := c.memberOutsideChain()
 	c.stop(behind, true)
 	c.wipe(behind)
 	c.start(behind)
@@ -216,53 +216,53 @@
 		c.start(old)
 	}
 	c.play(4 * time.Second)
-	c.sameState(c.head(), behind)
+	c.requireSameState(c.head(), behind)
 	require.Less(t, c.stateSentTo(behind.address), 3*megabyte)
 }
 
-// TestStateGrowsWithWhatDiffers has a member of a large state come back with little missing, over a slow link.
-func TestStateGrowsWithWhatDiffers(t *testing.T) {
+// TestTransferGrowsWithDifference has a member of a large state come back with little missing, over a slow link.
+func TestTransferGrowsWithDifference(t *testing.T) {
 	c := newCluster(t, 561, 3)
 	c.play(time.Second)
 	c.fill(8 * megabyte)
-	behind := c.outsider()
+	behind := c.memberOutsideChain()
 	c.stop(behind, true)
 	for id := range uint64(20) {
 		c.write(id)
 		c.play(20 * time.Millisecond)
 	}
-	c.rate = 4 * megabit
+	c.linkRate = 4 * megabit
 	c.start(behind)
 	c.play(3 * time.Second)
 	require.True(t, behind.chain.following)
-	c.sameState(c.head(), behind)
+	c.requireSameState(c.head(), behind)
 	require.Less(t, c.stateSentTo(behind.address), megabyte/2, "20 of 1,024 ranges differ")
 }
 
-// TestStaleMemberDoesNotHoldWritesUp has the head's machine lost while a member is far behind: the others bear the
+// TestStaleMemberDoesNotBlockWrites has the head's machine lost while a member is far behind: the others bear the
 // losses without it, so that writes go on before it has caught up.
-func TestStaleMemberDoesNotHoldWritesUp(t *testing.T) {
+func TestStaleMemberDoesNotBlockWrites(t *testing.T) {
 	for seed := range uint64(10) {
-		c := newClusterBearing(t, 570+seed, 5, 1)
+		c := newClusterTolerating(t, 570+seed, 5, 1)
 		c.play(2 * time.Second)
-		behind := c.outsider()
-		c.cutOff(behind)
+		behind := c.memberOutsideChain()
+		c.isolate(behind)
 		c.fill(2 * megabyte)
-		for range nearForTest {
+		for range lagBeyondPreference {
 			h := c.head()
 			_, a, _ := h.Append(c.now, &protocol.Entry{Puts: []*protocol.Put{{Key: "k", Value: []byte("v")}}})
 			c.do(h, a)
 		}
 		c.play(time.Second)
-		c.rate = 4 * megabit
-		clear(c.cut)
+		c.linkRate = 4 * megabit
+		clear(c.blocked)
 		c.stop(c.head(), true)
-		require.Less(t, c.writesAgain(1, 20*time.Second), 1500*time.Millisecond)
-		require.Negative(t, view.Place(c.head().View(), behind.id), "it would have to take the state first")
+		require.Less(t, c.awaitWrite(1, 20*time.Second), 1500*time.Millisecond)
+		require.Negative(t, view.ChainPosition(c.head().View(), behind.id), "it would have to take the state first")
 		c.play(10 * time.Second)
-		c.checkKept()
+		c.requireNoWriteLost()
 	}
 }
 
-// nearForTest is more entries than a member may be behind to be preferred in the chain.
-const nearForTest = 1100
+// lagBeyondPreference is more entries than a member may be behind to be preferred in the chain.
+const lagBeyondPreference = 1100
--- a/internal/control/scheduler/configview.go
+++ b/internal/control/scheduler/configview.go
@@ -18,21 +18,21 @@
 	table  *routeconfig.Table // nil where it has to be made anew
 }
 
-// Change notes a change of an item; after is nil where it is removed.
-func (v *ConfigView) Change(key string, after []byte) {
+// Update notes a change of an item; after is nil where it is removed.
+func (v *ConfigView) Update(key string, value []byte) {
 	name, isItem := strings.CutPrefix(key, configPrefix)
 	switch {
 	case key == configKey:
-		v.record = after
+		v.record = value
 	case !isItem:
 		return
-	case after == nil:
+	case value == nil:
 		delete(v.items, name)
 	default:
 		if v.items == nil {
 			v.items = make(map[string][]byte)
 		}
-		v.items[name] = after
+		v.items[name] = value
 	}
 	v.table = nil
 }
--- a/internal/control/scheduler/counters.go
+++ b/internal/control/scheduler/counters.go
@@ -18,52 +18,52 @@
 	OldestWaitMs int64 `json:"oldest_wait_ms"` // of the step that has waited longest
 }
 
-// countersOf returns the counters of a service.
-func (d *Scheduler) countersOf(service string) *Counters {
-	c := d.counters[service]
+// countersFor returns the counters of a service.
+func (s *Scheduler) countersFor(service string) *Counters {
+	c := s.counters[service]
 	if c == nil {
 		c = &Counters{Ended: make(map[string]uint64)}
-		d.counters[service] = c
+		s.counters[service] = c
 	}
 	return c
 }
 
-// otherEnd counts ends of a kind that the protocol does not have, so that a runner can't make up kinds without end.
-const otherEnd = "other"
+// endOther counts ends of a kind that the protocol does not have, so that a runner can't make up kinds without end.
+const endOther = "other"
 
 // countEnd counts the end of a run.
-func (d *Scheduler) countEnd(s *jobs.Step, how jobs.How) {
-	kind := otherEnd
-	switch how {
+func (s *Scheduler) countEnd(step *jobs.Step, reason jobs.EndReason) {
+	kind := endOther
+	switch reason {
 	case jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndRefused, jobs.EndLost:
-		kind = string(how)
+		kind = string(reason)
 	}
-	d.countersOf(s.Job.Service).Ended[kind]++
+	s.countersFor(step.Job.Service).Ended[kind]++
 }
 
 // countBlocked counts the tasks that were to be started and found no runner in the pass that followed.
-func (d *Scheduler) countBlocked(ready []*jobs.Step, added []int) {
-	for i, s := range ready {
-		c := d.countersOf(s.Job.Service)
+func (s *Scheduler) countBlocked(ready []*jobs.Step, added []int) {
+	for i, step := range ready {
+		c := s.countersFor(step.Job.Service)
 		c.Ready += uint64(added[i])
-		if d.queue(s.Job.Service).steps[s] != nil {
-			c.Blocked += uint64(min(added[i], s.Waiting))
+		if s.queue(step.Job.Service).steps[step] != nil {
+			c.Blocked += uint64(min(added[i], step.Waiting))
 		}
 	}
 }
 
 // serviceStatuses returns the state of all services that have had tasks.
-func (d *Scheduler) serviceStatuses() map[string]ServiceStatus {
-	out := make(map[string]ServiceStatus, len(d.counters))
-	for service, c := range d.counters {
-		s := ServiceStatus{Counters: *c}
-		if q := d.queues[service]; q != nil {
-			s.WaitingTasks, s.WaitingSteps = q.tasks, len(q.steps)
+func (s *Scheduler) serviceStatuses() map[string]ServiceStatus {
+	out := make(map[string]ServiceStatus, len(s.counters))
+	for service, c := range s.counters {
+		step := ServiceStatus{Counters: *c}
+		if q := s.queues[service]; q != nil {
+			step.WaitingTasks, step.WaitingSteps = q.waitingTasks, len(q.steps)
 			if w := q.oldest(); w != nil {
-				s.OldestWaitMs = (d.now - w.since).Milliseconds()
+				step.OldestWaitMs = (s.now - w.since).Milliseconds()
 			}
 		}
-		out[service] = s
+		out[service] = step
 	}
 	return out
 }
--- a/internal/control/scheduler/gang.go
+++ b/internal/control/scheduler/gang.go
@@ -2,42 +2,42 @@
 
 import "cmp"
 
-// placeGang starts all tasks of a gang or none.
-func (p *pass) placeGang(w *waitingStep) {
-	s, want := w.step, w.want
-	if !s.GangIdle() {
+// scheduleGang starts all tasks of a gang or none.
+func (p *pass) scheduleGang(w *waitingStep) {
+	step, request := w.step, w.request
+	if !step.GangIdle() {
 		return
 	}
-	want.Avoid = ""
-	names := make([]string, len(s.Tasks))
-	for i := range s.Tasks {
-		names[i] = s.TaskID(i)
-		want.Avoid = cmp.Or(want.Avoid, s.Tasks[i].LastFailed)
+	request.Avoid = ""
+	names := make([]string, len(step.Tasks))
+	for i := range step.Tasks {
+		names[i] = step.TaskID(i)
+		request.Avoid = cmp.Or(request.Avoid, step.Tasks[i].LastFailed)
 	}
-	want.LastAttempt = s.Failures(0)+1 >= p.d.maxAttempts(s.Job.ID)
-	if p.covered(blockageOf(w)) {
+	request.LastAttempt = step.Failures(0)+1 >= p.scheduler.maxAttempts(step.Job.ID)
+	if p.covered(blockageFor(w)) {
 		return
 	}
-	picked := p.d.fleet.PickGang(want, names, s.Stage.GetSameRack(), p.d.now)
-	if picked == nil && s.Stage.GetSameRack() {
-		picked = p.d.fleet.PickGang(want, names, false, p.d.now)
+	picked := p.scheduler.fleet.PickGang(request, names, step.Stage.GetSameRack(), p.scheduler.now)
+	if picked == nil && step.Stage.GetSameRack() {
+		picked = p.scheduler.fleet.PickGang(request, names, false, p.scheduler.now)
 	}
 	if picked == nil {
 		p.blockGang(w)
 		return
 	}
-	run, saved := s.NextRun(0), s.GangSaved()
+	gangRun, checkpoint := step.NextRun(0), step.GangCheckpoint()
 	for i, r := range picked {
-		p.d.start(s, i, run, r, saved)
+		p.scheduler.start(step, i, gangRun, r, checkpoint)
 	}
 }
 
 // blockGang notes that there is no room for a gang. One that waits for other runners, as it has failed where it was,
 // or that AntiAffinity may have kept apart, says nothing of others.
 func (p *pass) blockGang(w *waitingStep) {
-	if p.doubts && w.want.Avoid != "" || w.want.AntiAffinity > 0 {
+	if p.anyDegraded && w.request.Avoid != "" || w.request.AntiAffinity > 0 {
 		return
 	}
-	w.want.LastAttempt = w.want.LastAttempt && p.doubts
-	p.note(blockageOf(w))
+	w.request.LastAttempt = w.request.LastAttempt && p.anyDegraded
+	p.recordBlockage(blockageFor(w))
 }
--- a/internal/control/scheduler/pass.go
+++ b/internal/control/scheduler/pass.go
@@ -7,22 +7,22 @@
 	"frosttide/internal/control/placement"
 )
 
-// verdict is what was found of a task.
-type verdict int
+// taskResult is what was found of a task.
+type taskResult int
 
 const (
-	placed  verdict = iota // it was started
-	passed                 // it can't be placed, others like it perhaps
-	blocked                // no runner has room for one like it
+	taskStarted taskResult = iota // it was started
+	taskSkipped                   // it can't be placed, others like it perhaps
+	taskBlocked                   // no runner has room for one like it
 )
 
 // pass goes once through the steps of a queue.
 type pass struct {
-	d       *Scheduler
-	queue   *queue
-	doubts  bool                // some runner is distrusted
-	room    placement.Resources // no runner has more of any resource free
-	blocked []blockage
+	scheduler   *Scheduler
+	queue       *queue
+	anyDegraded bool                // some runner is distrusted
+	maxFree     placement.Resources // no runner has more of any resource free
+	blockages   []blockage
 }
 
 // blockage is a demand that no runner, or no set of runners, had room for in this pass.
@@ -40,42 +40,42 @@
 		b.gang <= o.gang && (!b.lastAttempt || o.lastAttempt)
 }
 
-// alike tells whether two ask for the same of a runner.
-func (b *blockage) alike(o *blockage) bool {
+// sameDemand tells whether two ask for the same of a runner.
+func (b *blockage) sameDemand(o *blockage) bool {
 	return b.demand == o.demand && b.requirement == o.requirement && (b.gang > 0) == (o.gang > 0)
 }
 
 // covered tells whether something was blocked before. Where runners are distrusted that says nothing of a
 // greater demand: fewer runners could take it, and of fewer less are left out.
 func (p *pass) covered(o blockage) bool {
-	for i := range p.blocked {
-		if b := &p.blocked[i]; b.covers(&o) && (!p.doubts || b.alike(&o)) {
+	for i := range p.blockages {
+		if b := &p.blockages[i]; b.covers(&o) && (!p.anyDegraded || b.sameDemand(&o)) {
 			return true
 		}
 	}
 	return false
 }
 
-// note notes what was blocked, and how much is left of the room that others may find.
-func (p *pass) note(b blockage) {
-	p.blocked = append(p.blocked, b)
-	p.room = p.d.fleet.MostFree(p.queue.service)
+// recordBlockage notes what was blocked, and how much is left of the room that others may find.
+func (p *pass) recordBlockage(b blockage) {
+	p.blockages = append(p.blockages, b)
+	p.maxFree = p.scheduler.fleet.MaxFree(p.queue.service)
 }
 
 // newPass returns a pass through a queue.
-func (d *Scheduler) newPass(q *queue) *pass {
-	return &pass{d: d, queue: q, doubts: d.fleet.Doubts(q.service)}
+func (s *Scheduler) newPass(q *queue) *pass {
+	return &pass{scheduler: s, queue: q, anyDegraded: s.fleet.AnyDegraded(q.service)}
 }
 
 // run offers the service's runners to the steps in order. Steps that ask for more than any runner has free are not
 // looked into.
 func (p *pass) run() {
-	p.room = p.d.fleet.MostFree(p.queue.service)
+	p.maxFree = p.scheduler.fleet.MaxFree(p.queue.service)
 	entries, kept := p.queue.entries, 0
 	for i := range entries {
-		if e := &entries[i]; e.demand.Fits(p.room) {
-			p.placeStep(e.waitingStep)
-			if p.queue.settle(e.waitingStep) {
+		if e := &entries[i]; e.demand.Fits(p.maxFree) {
+			p.scheduleStep(e.waitingStep)
+			if p.queue.updateOrRemove(e.waitingStep) {
 				continue
 			}
 		}
@@ -88,121 +88,121 @@
 	p.queue.entries = entries[:kept]
 }
 
-// placeStep starts as many of a step's waiting tasks as there is room for.
-func (p *pass) placeStep(w *waitingStep) {
-	w.want.Rack, w.want.LastAttempt = "", false
-	if !w.due() || p.covered(blockageOf(w)) || !p.d.leavesRoom(p.queue, w) {
+// scheduleStep starts as many of a step's waiting tasks as there is room for.
+func (p *pass) scheduleStep(w *waitingStep) {
+	w.request.Rack, w.request.LastAttempt = "", false
+	if !w.startable() || p.covered(blockageFor(w)) || !p.scheduler.preservesHeadroom(p.queue, w) {
 		return
 	}
-	if w.want.Gang {
-		p.placeGang(w)
+	if w.request.Gang {
+		p.scheduleGang(w)
 		return
 	}
-	if p.d.waitsForRack(w) {
-		w.want.Rack = w.want.Affinity
+	if p.scheduler.delaysForLocality(w) {
+		w.request.Rack = w.request.Affinity
 	}
-	p.placeTasks(w)
+	p.scheduleTasks(w)
 }
 
-// blockageOf returns what it means that a step can't be placed.
-func blockageOf(w *waitingStep) blockage {
-	b := blockage{demand: w.want.Demand, requirement: w.want.Requirement, rack: w.want.Rack, lastAttempt: w.want.LastAttempt}
-	if w.want.Gang {
+// blockageFor returns what it means that a step can't be placed.
+func blockageFor(w *waitingStep) blockage {
+	b := blockage{demand: w.request.Demand, requirement: w.request.Requirement, rack: w.request.Rack, lastAttempt: w.request.LastAttempt}
+	if w.request.Gang {
 		b.gang = len(w.step.Tasks)
 	}
 	return b
 }
 
-// mostRefused is how many tasks of a step a pass looks at that wait for runners that are trusted; the step's
+// maxSkippedTasks is how many tasks of a step a pass looks at that wait for runners that are trusted; the step's
 // others wait behind them.
-const mostRefused = 8
+const maxSkippedTasks = 8
 
-// placeTasks starts a step's tasks one by one.
-func (p *pass) placeTasks(w *waitingStep) {
-	refused := 0
+// scheduleTasks starts a step's tasks one by one.
+func (p *pass) scheduleTasks(w *waitingStep) {
+	skipped := 0
 	for i := w.firstWaiting(); i < len(w.step.Tasks); i++ {
 		if w.step.Tasks[i].Phase != jobs.Waiting {
 			continue
 		}
-		switch p.placeTask(w, i) {
-		case blocked:
-			p.block(w)
+		switch p.scheduleTask(w, i) {
+		case taskBlocked:
+			p.blockStep(w)
 			return
-		case passed:
-			refused++
+		case taskSkipped:
+			skipped++
 		}
-		if refused >= mostRefused || !p.d.leavesRoom(p.queue, w) {
+		if skipped >= maxSkippedTasks || !p.scheduler.preservesHeadroom(p.queue, w) {
 			return
 		}
 	}
 }
 
 // firstWaiting returns the first of the step's tasks that may wait.
-func (a *waitingStep) firstWaiting() int {
-	for a.from < len(a.step.Tasks) && a.step.Tasks[a.from].Phase != jobs.Waiting {
-		a.from++
+func (w *waitingStep) firstWaiting() int {
+	for w.scanFrom < len(w.step.Tasks) && w.step.Tasks[w.scanFrom].Phase != jobs.Waiting {
+		w.scanFrom++
 	}
-	return a.from
+	return w.scanFrom
 }
 
-// placeTask starts a task. It is blocked where no runner has room for one like it, and passed over where
+// scheduleTask starts a task. It is blocked where no runner has room for one like it, and passed over where
 // it alone waits, for a runner that is trusted.
-func (p *pass) placeTask(w *waitingStep, index int) verdict {
-	s, want := w.step, w.want
-	want.Avoid, want.LastAttempt = s.Tasks[index].LastFailed, s.Failures(index)+1 >= p.d.maxAttempts(s.Job.ID)
-	b := blockageOf(w)
+func (p *pass) scheduleTask(w *waitingStep, index int) taskResult {
+	step, request := w.step, w.request
+	request.Avoid, request.LastAttempt = step.Tasks[index].LastFailed, step.Failures(index)+1 >= p.scheduler.maxAttempts(step.Job.ID)
+	b := blockageFor(w)
 	if p.covered(b) {
-		return passed
+		return taskSkipped
 	}
-	r := p.d.fleet.Pick(want, p.d.now)
+	r := p.scheduler.fleet.Pick(request, p.scheduler.now)
 	switch {
 	case r != nil:
-		p.d.start(s, index, s.NextRun(index), r, s.Tasks[index].Saved)
-		return placed
-	case !p.doubts:
-		want.LastAttempt = false
-		return blocked
-	case want.LastAttempt && want.Avoid == "" && want.AntiAffinity == 0:
-		p.blocked = append(p.blocked, b)
-		return passed
-	case want.LastAttempt || want.Avoid != "":
-		return passed
+		p.scheduler.start(step, index, step.NextRun(index), r, step.Tasks[index].Checkpoint)
+		return taskStarted
+	case !p.anyDegraded:
+		request.LastAttempt = false
+		return taskBlocked
+	case request.LastAttempt && request.Avoid == "" && request.AntiAffinity == 0:
+		p.blockages = append(p.blockages, b)
+		return taskSkipped
+	case request.LastAttempt || request.Avoid != "":
+		return taskSkipped
 	default:
-		return blocked
+		return taskBlocked
 	}
 }
 
-// block notes that no runner has room for a step's next task.
-func (p *pass) block(w *waitingStep) {
-	if w.want.AntiAffinity > 0 {
-		alike := *w.want
-		alike.AntiAffinity = 0
-		if p.d.fleet.Pick(&alike, p.d.now) != nil {
+// blockStep notes that no runner has room for a step's next task.
+func (p *pass) blockStep(w *waitingStep) {
+	if w.request.AntiAffinity > 0 {
+		relaxed := *w.request
+		relaxed.AntiAffinity = 0
+		if p.scheduler.fleet.Pick(&relaxed, p.scheduler.now) != nil {
 			return // only for this step, whose tasks lie there already
 		}
 	}
-	p.note(blockageOf(w))
+	p.recordBlockage(blockageFor(w))
 }
 
-// leavesRoom tells whether a task may be placed without taking what is kept for more urgent work.
-func (d *Scheduler) leavesRoom(q *queue, w *waitingStep) bool {
-	if w.step.Job.Live() == 0 && d.now-w.since > reservePatience {
+// preservesHeadroom tells whether a task may be placed without taking what is kept for more urgent work.
+func (s *Scheduler) preservesHeadroom(q *queue, w *waitingStep) bool {
+	if w.step.Job.LiveRuns() == 0 && s.now-w.since > headroomTimeout {
 		return true
 	}
-	room := q.reserve.Room(w.priority)
-	return room == (placement.Resources{}) || w.want.Demand.Plus(room).Fits(d.fleet.FreeOf(q.service))
+	headroom := q.headroom.Required(w.priority)
+	return headroom == (placement.Resources{}) || w.request.Demand.Plus(headroom).Fits(s.fleet.FreeCapacity(q.service))
 }
 
-// reservePatience is how long a job that runs nothing waits for more urgent work that has not come; the
+// headroomTimeout is how long a job that runs nothing waits for more urgent work that has not come; the
 // rules say that a job with room for it runs something after 3 s.
-const reservePatience = 1500 * time.Millisecond
+const headroomTimeout = 1500 * time.Millisecond
 
-// waitsForRack tells whether a step's tasks had better wait a little for the rack where their data lies:
+// delaysForLocality tells whether a step's tasks had better wait a little for the rack where their data lies:
 // for a part of the time that the work would take longer elsewhere.
-func (d *Scheduler) waitsForRack(w *waitingStep) bool {
-	if w.want.Affinity == "" {
+func (s *Scheduler) delaysForLocality(w *waitingStep) bool {
+	if w.request.Affinity == "" {
 		return false
 	}
-	longer := time.Duration((d.cfg.FarFactor - 1) * float64(w.step.Stage.GetEstimateMs()) * float64(time.Millisecond))
-	return d.now-w.since < longer/2 && d.fleet.HasRack(w.want, w.want.Affinity)
+	longer := time.Duration((s.cfg.RemoteSlowdown - 1) * float64(w.step.Stage.GetEstimateMs()) * float64(time.Millisecond))
+	return s.now-w.since < longer/2 && s.fleet.HasEligibleRunner(w.request, w.request.Affinity)
 }
--- a/internal/control/scheduler/scale_bench_test.go
+++ b/internal/control/scheduler/scale_bench_test.go
@@ -23,56 +23,56 @@
 // sizes are a quarter, a half and the whole of the size of two years from now, so that growth shows.
 var sizes = []fleetSize{{237, 3250, 25_000}, {475, 6500, 50_000}, {950, 13_000, 100_000}}
 
-// stepWidth is how many tasks a job of the benchmarks has.
-const stepWidth = 10
+// tasksPerStep is how many tasks a job of the benchmarks has.
+const tasksPerStep = 10
 
 func (s fleetSize) String() string {
 	return fmt.Sprintf("runners=%d/running=%d/waiting=%d", s.runners, s.running, s.waiting)
 }
 
 // busyFleet returns a scheduler whose fleet is full and has tasks waiting.
-func busyFleet(b *testing.B, size fleetSize, uneven bool) *rig {
+func busyFleet(b *testing.B, size fleetSize, uneven bool) *harness {
 	b.Helper()
-	r := &rig{t: b, store: store.New(), now: time.Hour, epoch: 1, replies: make(map[uint64]*protocol.ClientReply), ends: make(map[string]uint64)}
-	r.elect()
-	r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Body: []byte(config)}}})
+	h := &harness{t: b, store: store.New(), now: time.Hour, epoch: 1, replies: make(map[uint64]*protocol.ClientReply), ends: make(map[string]uint64)}
+	h.elect()
+	h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Body: []byte(config)}}})
 	each := int64(size.running / size.runners)
 	for i := range size.runners {
-		r.report(companionName(i), runnerName(i), func(report *protocol.RunnerReport) {
+		h.report(agentName(i), runnerName(i), func(report *protocol.RunnerReport) {
 			report.Account.Capacity = &protocol.Capacity{Cpu: 100 * each, MemMb: 1000 * each}
 		})
 	}
-	r.commit()
+	h.commit()
 	for i := range size.runners {
-		r.report(companionName(i), runnerName(i), func(report *protocol.RunnerReport) {
+		h.report(agentName(i), runnerName(i), func(report *protocol.RunnerReport) {
 			report.Account.Capacity = &protocol.Capacity{Cpu: 100 * each, MemMb: 1000 * each}
 		})
 	}
-	for i := range (size.running + size.waiting) / stepWidth {
-		stage := &protocol.Stage{Count: stepWidth, Cpu: 100, MemMb: 100, EstimateMs: 1000}
+	for i := range (size.running + size.waiting) / tasksPerStep {
+		stage := &protocol.Stage{Count: tasksPerStep, Cpu: 100, MemMb: 100, EstimateMs: 1000}
 		if uneven { // hardly two jobs ask for the same
 			stage.Cpu, stage.MemMb = 75+int64(i*7919%101), 50+int64(i*104729%997)
 		}
-		r.d.Request("client", &protocol.ClientRequest{Id: uint64(i + 100), Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: fmt.Sprintf("%016x", i+1), Queue: "slow", Spec: "s",
+		h.scheduler.HandleRequest("client", &protocol.ClientRequest{Id: uint64(i + 100), Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: fmt.Sprintf("%016x", i+1), Queue: "slow", Spec: "s",
 			Stages: []*protocol.Stage{stage}}}})
 	}
-	r.commit()
-	require.Greater(b, len(r.d.queues["svc"].steps), size.waiting/stepWidth-2*size.runners)
-	return r
+	h.commit()
+	require.Greater(b, len(h.scheduler.queues["svc"].steps), size.waiting/tasksPerStep-2*size.runners)
+	return h
 }
 
-func companionName(i int) string { return fmt.Sprintf("c%d", i) }
-func runnerName(i int) string    { return fmt.Sprintf("w%d", i) }
+func agentName(i int) string  { return fmt.Sprintf("c%d", i) }
+func runnerName(i int) string { return fmt.Sprintf("w%d", i) }
 
 // eachSize measures a step on a busy fleet of each size, where all jobs ask for the same and where hardly two do.
-func eachSize(b *testing.B, step func(r *rig, size fleetSize, i int)) {
+func eachSize(b *testing.B, step func(h *harness, size fleetSize, i int)) {
 	for _, uneven := range []bool{false, true} {
 		for _, size := range sizes {
 			b.Run(fmt.Sprintf("uneven=%v/%v", uneven, size), func(b *testing.B) {
-				r := busyFleet(b, size, uneven)
+				h := busyFleet(b, size, uneven)
 				b.ResetTimer()
 				for i := 0; b.Loop(); i++ {
-					step(r, size, i)
+					step(h, size, i)
 				}
 			})
 		}
@@ -82,71 +82,71 @@
 // BenchmarkEndAndNextStart measures the end of a task and the start of the next one in its place, from the
 // report to the order.
 func BenchmarkEndAndNextStart(b *testing.B) {
-	eachSize(b, func(r *rig, size fleetSize, i int) {
-		r.endOne(i % size.runners)
-		r.now += time.Millisecond
+	eachSize(b, func(h *harness, size fleetSize, i int) {
+		h.endOne(i % size.runners)
+		h.now += time.Millisecond
 	})
 }
 
 // endOne has a runner report the end of one of its tasks, and commits what follows.
-func (r *rig) endOne(i int) {
-	runner := r.d.runners[runnerName(i)]
+func (h *harness) endOne(i int) {
+	runner := h.scheduler.runners[runnerName(i)]
 	for task, run := range runner.live {
-		s := r.d.sessions[companionName(i)]
-		r.d.noteEnds(s, []*protocol.RunEnd{{Number: runner.noted + 1, Task: task, Run: run.number, How: "done"}})
+		s := h.scheduler.sessions[agentName(i)]
+		h.scheduler.recordEnds(s, []*protocol.RunEnd{{Number: runner.recordedEnd + 1, Task: task, Run: run.number, How: "done"}})
 		break
 	}
-	if e := r.d.Entry(r.now); e != nil {
-		r.index++
-		r.store.Apply(e.GetPuts(), e.GetDeletes())
-		r.d.Appended(r.index)
+	if e := h.scheduler.Entry(h.now); e != nil {
+		h.index++
+		h.store.Apply(e.GetPuts(), e.GetDeletes())
+		h.scheduler.Appended(h.index)
 	}
-	r.d.Committed(r.now, r.index)
-	r.d.TakeSends()
+	h.scheduler.Committed(h.now, h.index)
+	h.scheduler.TakeSends()
 }
 
 // BenchmarkTurnWithoutChange measures a turn in which nothing has happened.
 func BenchmarkTurnWithoutChange(b *testing.B) {
-	eachSize(b, func(r *rig, _ fleetSize, _ int) { r.d.Entry(r.now) })
+	eachSize(b, func(h *harness, _ fleetSize, _ int) { h.scheduler.Entry(h.now) })
 }
 
 // BenchmarkTick measures what the clock costs, with the pass over all that waits that follows it.
 func BenchmarkTick(b *testing.B) {
-	eachSize(b, func(r *rig, _ fleetSize, _ int) {
-		r.d.Tick(r.now, r.wall(), r.now)
-		r.d.Entry(r.now)
+	eachSize(b, func(h *harness, _ fleetSize, _ int) {
+		h.scheduler.Tick(h.now, h.wall(), h.now)
+		h.scheduler.Entry(h.now)
 	})
 }
 
 // BenchmarkViewChange measures what the head does when it goes on in another view.
 func BenchmarkViewChange(b *testing.B) {
-	eachSize(b, func(r *rig, _ fleetSize, _ int) {
-		r.epoch++
-		r.d.Continue(r.now, r.epoch, r.index)
-		r.d.Entry(r.now)
-		r.index++
-		r.d.Appended(r.index)
-		r.d.Committed(r.now, r.index)
-		r.d.TakeSends()
+	eachSize(b, func(h *harness, _ fleetSize, _ int) {
+		h.epoch++
+		h.scheduler.Continue(h.now, h.epoch, h.index)
+		h.scheduler.Entry(h.now)
+		h.index++
+		h.scheduler.Appended(h.index)
+		h.scheduler.Committed(h.now, h.index)
+		h.scheduler.TakeSends()
 	})
 }
 
 // BenchmarkTakeOver measures how long a new head needs to know all from the store.
 func BenchmarkTakeOver(b *testing.B) {
-	eachSize(b, func(r *rig, _ fleetSize, _ int) { r.elect() })
+	eachSize(b, func(h *harness, _ fleetSize, _ int) { h.elect() })
 }
 
 // BenchmarkChanges evaluates changes of a configuration of 1,000 routes, one route at a time.
 func BenchmarkChanges(b *testing.B) {
 	const routes = 1000
-	r := &rig{t: b, store: store.New(), now: time.Hour, epoch: 1, replies: make(map[uint64]*protocol.ClientReply), ends: make(map[string]uint64)}
-	r.elect()
+	h := &harness{t: b, store: store.New(), now: time.Hour, epoch: 1, replies: make(map[uint64]*protocol.ClientReply), ends: make(map[string]uint64)}
+	h.elect()
 	var all []string
 	for i := range routes {
 		all = append(all, fmt.Sprintf(`{"Name":"r%d","Host":"h","PathPrefix":"/%d/","TimeoutMs":3000,"Service":"svc","MaxAttempts":2,"Stretch":4}`, i, i))
 	}
-	whole := `{"Version":1,"Routes":[` + strings.Join(all, ",") + `],"Services":[{"Name":"svc"}]}`
-	require.EqualValues(b, http.StatusOK, r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Body: []byte(whole)}}}).GetStatus())
+	full := `{"Version":1,"Routes":[` + strings.Join(all, ",") + `],"Services":[{"Name":"svc"}]}`
+	require.EqualValues(b, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Body: []byte(full)}}}).GetStatus())
 	version := uint64(1)
 	b.ResetTimer()
 	for range b.N {
@@ -154,6 +154,6 @@
 		body := fmt.Sprintf(`{"Version":%d,"Upsert":{"Routes":[{"Name":"r%d","Host":"h","PathPrefix":"/%d/","TimeoutMs":%d,"Service":"svc","MaxAttempts":2,"Stretch":4}]}}`,
 			version, version%routes, version%routes, version)
 		order := &protocol.ConfigOrder{Patch: true, IfMatch: version - 1, Body: []byte(body)}
-		require.EqualValues(b, http.StatusOK, r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: order}}).GetStatus())
+		require.EqualValues(b, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: order}}).GetStatus())
 	}
 }
--- a/internal/control/scheduler/scheduler_test.go
+++ b/internal/control/scheduler/scheduler_test.go
@@ -18,101 +18,101 @@
 	`{"Name":"slow","Host":"h","PathPrefix":"/s/","TimeoutMs":3000,"TargetLatencyMs":4000,"Priority":2,"Service":"svc","MaxAttempts":2,"Stretch":4},` +
 	`{"Name":"once","Host":"h","PathPrefix":"/o/","TimeoutMs":3000,"TargetLatencyMs":4000,"Priority":2,"Service":"svc","MaxAttempts":1,"Stretch":4}],"Services":[{"Name":"svc"}]}`
 
-// rig is a scheduler whose chain commits when the test says so.
-type rig struct {
-	t       testing.TB
-	d       *Scheduler
-	store   *store.Store
-	now     time.Duration
-	index   uint64
-	epoch   uint64
-	replies map[uint64]*protocol.ClientReply
-	orders  map[string][]*protocol.RunnerOrders // by companion
-	request uint64
-	ends    map[string]uint64
-	round   uint64
-}
-
-func newRig(t *testing.T) *rig {
-	r := &rig{t: t, store: store.New(), now: time.Hour, epoch: 1, replies: make(map[uint64]*protocol.ClientReply), ends: make(map[string]uint64)}
-	r.elect()
-	require.EqualValues(t, http.StatusOK, r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Body: []byte(config)}}}).GetStatus())
-	return r
+// harness is a scheduler whose chain commits when the test says so.
+type harness struct {
+	t            testing.TB
+	scheduler    *Scheduler
+	store        *store.Store
+	now          time.Duration
+	index        uint64
+	epoch        uint64
+	replies      map[uint64]*protocol.ClientReply
+	orders       map[string][]*protocol.RunnerOrders // by companion
+	lastRequest  uint64
+	ends         map[string]uint64
+	reportNumber uint64
+}
+
+func newHarness(t *testing.T) *harness {
+	h := &harness{t: t, store: store.New(), now: time.Hour, epoch: 1, replies: make(map[uint64]*protocol.ClientReply), ends: make(map[string]uint64)}
+	h.elect()
+	require.EqualValues(t, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Body: []byte(config)}}}).GetStatus())
+	return h
 }
 
 // elect makes the scheduler of a new head from the store.
-func (r *rig) elect() {
-	r.epoch++
-	r.orders = make(map[string][]*protocol.RunnerOrders)
-	d, err := New(Config{Lease: 12 * time.Second, StatusKept: time.Minute, RackPrefix: "r", FarFactor: 1.5}, r.now, r.wall(), r.epoch, r.index, r.store)
-	require.NoError(r.t, err)
-	r.d = d
+func (h *harness) elect() {
+	h.epoch++
+	h.orders = make(map[string][]*protocol.RunnerOrders)
+	scheduler, err := New(Config{Lease: 12 * time.Second, StatusRetention: time.Minute, RackPrefix: "r", RemoteSlowdown: 1.5}, h.now, h.wall(), h.epoch, h.index, h.store)
+	require.NoError(h.t, err)
+	h.scheduler = scheduler
 }
 
-func (r *rig) wall() int64 { return 1_800_000_000_000 + r.now.Milliseconds() }
+func (h *harness) wall() int64 { return 1_800_000_000_000 + h.now.Milliseconds() }
 
 // append has what was decided appended, and returns whether there was anything.
-func (r *rig) append() bool {
-	r.d.Tick(r.now, r.wall(), r.now)
-	e := r.d.Entry(r.now)
+func (h *harness) append() bool {
+	h.scheduler.Tick(h.now, h.wall(), h.now)
+	e := h.scheduler.Entry(h.now)
 	if e == nil {
 		return false
 	}
-	r.index++
-	r.store.Apply(e.GetPuts(), e.GetDeletes())
-	r.d.Appended(r.index)
+	h.index++
+	h.store.Apply(e.GetPuts(), e.GetDeletes())
+	h.scheduler.Appended(h.index)
 	for _, reply := range e.GetReplies() {
-		r.replies[reply.GetReply().GetId()] = reply.GetReply()
+		h.replies[reply.GetReply().GetId()] = reply.GetReply()
 	}
 	return true
 }
 
 // commit has all that was appended committed, and what follows from it too.
-func (r *rig) commit() {
+func (h *harness) commit() {
 	for range 4 {
-		r.append()
-		r.d.Committed(r.now, r.index)
-		r.collect()
+		h.append()
+		h.scheduler.Committed(h.now, h.index)
+		h.collect()
 	}
 }
 
-func (r *rig) collect() {
-	for _, s := range r.d.TakeSends() {
-		r.orders[s.To] = append(r.orders[s.To], s.Message.GetRunnerOrders())
+func (h *harness) collect() {
+	for _, s := range h.scheduler.TakeSends() {
+		h.orders[s.To] = append(h.orders[s.To], s.Message.GetRunnerOrders())
 	}
 }
 
-func (r *rig) ask(request *protocol.ClientRequest) *protocol.ClientReply {
-	r.t.Helper()
-	r.request++
-	request.Id = r.request
-	r.d.Tick(r.now, r.wall(), r.now)
-	r.d.Request("client", request)
-	r.commit()
-	require.NotNil(r.t, r.replies[r.request])
-	return r.replies[r.request]
+func (h *harness) request(request *protocol.ClientRequest) *protocol.ClientReply {
+	h.t.Helper()
+	h.lastRequest++
+	request.Id = h.lastRequest
+	h.scheduler.Tick(h.now, h.wall(), h.now)
+	h.scheduler.HandleRequest("client", request)
+	h.commit()
+	require.NotNil(h.t, h.replies[h.lastRequest])
+	return h.replies[h.lastRequest]
 }
 
-func (r *rig) submit(id int, queue string, stages ...*protocol.Stage) string {
-	r.t.Helper()
+func (h *harness) submit(id int, queue string, stages ...*protocol.Stage) string {
+	h.t.Helper()
 	name := fmt.Sprintf("%016x", id)
-	reply := r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: name, Queue: queue, Spec: "s", Stages: stages}}})
-	require.EqualValues(r.t, http.StatusOK, reply.GetStatus(), "%s", reply.GetBody())
+	reply := h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: name, Queue: queue, Spec: "s", Stages: stages}}})
+	require.EqualValues(h.t, http.StatusOK, reply.GetStatus(), "%s", reply.GetBody())
 	return name
 }
 
 // report has a companion report for its runner.
-func (r *rig) report(companion, runner string, change ...func(*protocol.RunnerReport)) {
-	r.round++
-	report := &protocol.RunnerReport{Incarnation: 1, LeaseRound: r.round, Epoch: r.epoch, Holding: true,
+func (h *harness) report(agent, runner string, change ...func(*protocol.RunnerReport)) {
+	h.reportNumber++
+	report := &protocol.RunnerReport{Incarnation: 1, LeaseRound: h.reportNumber, Epoch: h.epoch, Holding: true,
 		Account: &protocol.RunnerAccount{Id: runner, Service: "svc", Labels: []string{"r1-1"}, Capacity: &protocol.Capacity{Cpu: 4000, MemMb: 8000, Gpus: 0}}}
-	for _, o := range r.orders[companion] {
+	for _, o := range h.orders[agent] {
 		report.OrdersSeen = max(report.OrdersSeen, o.GetSequence())
 	}
 	for _, c := range change {
 		c(report)
 	}
-	r.d.Report(r.now, companion, report)
+	h.scheduler.HandleReport(h.now, agent, report)
 }
 
 func ends(how string, refs ...*protocol.RunEnd) func(*protocol.RunnerReport) {
@@ -125,9 +125,9 @@
 }
 
 // started returns the runs that a companion has been told to start, by task.
-func (r *rig) started(companion string) map[string]uint32 {
+func (h *harness) started(agent string) map[string]uint32 {
 	out := make(map[string]uint32)
-	for _, o := range r.orders[companion] {
+	for _, o := range h.orders[agent] {
 		if o.GetFull() {
 			clear(out)
 		}
@@ -143,12 +143,12 @@
 	return out
 }
 
-// meet has a companion begin a session with an empty set.
-func (r *rig) meet(companion, runner string) {
-	r.report(companion, runner)
-	r.commit()
-	r.report(companion, runner)
-	r.commit()
+// register has a companion begin a session with an empty set.
+func (h *harness) register(agent, runner string) {
+	h.report(agent, runner)
+	h.commit()
+	h.report(agent, runner)
+	h.commit()
 }
 
 func stage(count uint32, cpu int64) *protocol.Stage {
@@ -156,83 +156,83 @@
 }
 
 func TestStartsOnlyWhatIsCommitted(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	r.request++
-	r.d.Request("client", &protocol.ClientRequest{Id: r.request, Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: "0000000000000001", Queue: "fast", Stages: []*protocol.Stage{stage(2, 1000)}}}})
-	require.True(t, r.append())
-	r.collect()
-	require.Empty(t, r.started("c1"), "the runs are not committed")
-	r.d.Committed(r.now, r.index)
-	r.collect()
-	require.Equal(t, map[string]uint32{"0000000000000001.0.0.0": 1, "0000000000000001.0.0.1": 1}, r.started("c1"))
+	h := newHarness(t)
+	h.register("c1", "i1")
+	h.lastRequest++
+	h.scheduler.HandleRequest("client", &protocol.ClientRequest{Id: h.lastRequest, Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: "0000000000000001", Queue: "fast", Stages: []*protocol.Stage{stage(2, 1000)}}}})
+	require.True(t, h.append())
+	h.collect()
+	require.Empty(t, h.started("c1"), "the runs are not committed")
+	h.scheduler.Committed(h.now, h.index)
+	h.collect()
+	require.Equal(t, map[string]uint32{"0000000000000001.0.0.0": 1, "0000000000000001.0.0.1": 1}, h.started("c1"))
 }
 
 func TestSameJobAndUnknownQueue(t *testing.T) {
-	r := newRig(t)
-	r.submit(1, "fast", stage(1, 100))
-	r.submit(1, "fast", stage(1, 100))
-	require.Equal(t, 1, r.d.Jobs().Len())
-	reply := r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: "0000000000000002", Queue: "none", Stages: []*protocol.Stage{stage(1, 1)}}}})
+	h := newHarness(t)
+	h.submit(1, "fast", stage(1, 100))
+	h.submit(1, "fast", stage(1, 100))
+	require.Equal(t, 1, h.scheduler.Jobs().Len())
+	reply := h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: "0000000000000002", Queue: "none", Stages: []*protocol.Stage{stage(1, 1)}}}})
 	require.EqualValues(t, http.StatusNotFound, reply.GetStatus())
-	reply = r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: "0000000000000002", Queue: "fast"}}})
+	reply = h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: "0000000000000002", Queue: "fast"}}})
 	require.EqualValues(t, http.StatusBadRequest, reply.GetStatus())
-	reply = r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "0000000000000002"}}})
+	reply = h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "0000000000000002"}}})
 	require.EqualValues(t, http.StatusGone, reply.GetStatus())
 }
 
-func (r *rig) configure(match uint64, body string) uint32 {
-	return r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: true, IfMatch: match, Body: []byte(body)}}}).GetStatus()
+func (h *harness) configure(match uint64, body string) uint32 {
+	return h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: true, IfMatch: match, Body: []byte(body)}}}).GetStatus()
 }
 
 func TestOrdersOfTheOperator(t *testing.T) {
-	r := newRig(t)
-	require.EqualValues(t, http.StatusOK, r.configure(1, `{"Version":3}`))
-	require.EqualValues(t, http.StatusPreconditionFailed, r.configure(1, `{"Version":4}`), "another was taken on the same version")
-	require.EqualValues(t, http.StatusOK, r.configure(1, `{"Version":3}`), "it was taken before")
-	require.EqualValues(t, http.StatusBadRequest, r.configure(3, `{"Version":3}`), "not above the current one")
-	require.EqualValues(t, http.StatusOK, r.configure(3, `{"Version":9}`))
-	r.elect()
-	require.EqualValues(t, http.StatusOK, r.configure(1, `{"Version":3}`), "a new head knows it too")
-	require.EqualValues(t, 9, r.d.CommittedConfig().Version)
+	h := newHarness(t)
+	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":3}`))
+	require.EqualValues(t, http.StatusPreconditionFailed, h.configure(1, `{"Version":4}`), "another was taken on the same version")
+	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":3}`), "it was taken before")
+	require.EqualValues(t, http.StatusBadRequest, h.configure(3, `{"Version":3}`), "not above the current one")
+	require.EqualValues(t, http.StatusOK, h.configure(3, `{"Version":9}`))
+	h.elect()
+	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":3}`), "a new head knows it too")
+	require.EqualValues(t, 9, h.scheduler.CommittedConfig().Version)
 }
 
 // TestSameOrderTwiceInAnEntry has an order that comes twice before anything is written be taken once.
 func TestSameOrderTwiceInAnEntry(t *testing.T) {
-	r := newRig(t)
+	h := newHarness(t)
 	for id := uint64(501); id <= 502; id++ {
-		r.d.Request("client", &protocol.ClientRequest{Id: id, Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: true, IfMatch: 1, Body: []byte(`{"Version":3}`)}}})
+		h.scheduler.HandleRequest("client", &protocol.ClientRequest{Id: id, Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: true, IfMatch: 1, Body: []byte(`{"Version":3}`)}}})
 	}
-	r.commit()
-	require.EqualValues(t, http.StatusOK, r.replies[501].GetStatus())
-	require.EqualValues(t, http.StatusOK, r.replies[502].GetStatus())
+	h.commit()
+	require.EqualValues(t, http.StatusOK, h.replies[501].GetStatus())
+	require.EqualValues(t, http.StatusOK, h.replies[502].GetStatus())
 }
 
-func TestEndsAreNotedOnceCommitted(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	id := r.submit(1, "fast", stage(1, 1000))
+func TestEndsAreAcknowledgedOnceCommitted(t *testing.T) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	id := h.submit(1, "fast", stage(1, 1000))
 	task := id + ".0.0.0"
-	r.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: task, Run: 1}))
-	require.True(t, r.append())
-	r.collect()
-	last := func() uint64 { return r.orders["c1"][len(r.orders["c1"])-1].GetLastSeen() }
+	h.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: task, Run: 1}))
+	require.True(t, h.append())
+	h.collect()
+	last := func() uint64 { return h.orders["c1"][len(h.orders["c1"])-1].GetLastSeen() }
 	require.Zero(t, last())
-	r.commit()
+	h.commit()
 	require.EqualValues(t, 1, last())
-	require.Equal(t, jobs.Completed, r.d.Jobs().Get(id).State)
-	before := r.index
-	r.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: task, Run: 1}))
-	r.commit()
-	require.Equal(t, before, r.index, "an end that is listed again changes nothing")
-}
-
-func TestPreviewsBeforeBatches(t *testing.T) {
-	r := newRig(t)
-	slow := r.submit(1, "slow", stage(8, 1000))
-	fast := r.submit(2, "fast", stage(2, 1000))
-	r.meet("c1", "i1")
-	started := r.started("c1")
+	require.Equal(t, jobs.Completed, h.scheduler.Jobs().Get(id).State)
+	previous := h.index
+	h.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: task, Run: 1}))
+	h.commit()
+	require.Equal(t, previous, h.index, "an end that is listed again changes nothing")
+}
+
+func TestUrgentQueueGoesFirst(t *testing.T) {
+	h := newHarness(t)
+	slow := h.submit(1, "slow", stage(8, 1000))
+	fast := h.submit(2, "fast", stage(2, 1000))
+	h.register("c1", "i1")
+	started := h.started("c1")
 	require.Contains(t, started, fast+".0.0.0")
 	require.Contains(t, started, fast+".0.0.1")
 	require.Len(t, started, 4)
@@ -240,341 +240,341 @@
 }
 
 func TestLostRunnersTasksStartElsewhere(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	id := r.submit(1, "fast", stage(1, 1000))
-	require.Len(t, r.started("c1"), 1)
-	r.meet("c2", "i2")
-	alive := func(d time.Duration) {
-		for until := r.now + d; r.now < until; r.now += 100 * time.Millisecond {
-			r.report("c2", "i2")
-			r.commit()
+	h := newHarness(t)
+	h.register("c1", "i1")
+	id := h.submit(1, "fast", stage(1, 1000))
+	require.Len(t, h.started("c1"), 1)
+	h.register("c2", "i2")
+	alive := func(scheduler time.Duration) {
+		for until := h.now + scheduler; h.now < until; h.now += 100 * time.Millisecond {
+			h.report("c2", "i2")
+			h.commit()
 		}
 	}
 	alive(11 * time.Second)
-	require.Empty(t, r.started("c2"), "the runner may run on for its lease")
+	require.Empty(t, h.started("c2"), "the runner may run on for its lease")
 	alive(3 * time.Second)
-	require.Equal(t, map[string]uint32{id + ".0.0.0": 2}, r.started("c2"))
+	require.Equal(t, map[string]uint32{id + ".0.0.0": 2}, h.started("c2"))
 	// It comes back and is told that nothing is wanted of it; an end of its old run changes nothing.
-	r.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: id + ".0.0.0", Run: 1}))
-	r.commit()
-	require.Empty(t, r.started("c1"))
-	require.Equal(t, jobs.Running, r.d.Jobs().Get(id).State)
-}
-
-func TestRunnerUnderAnotherIDHasLostItsRuns(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	id := r.submit(1, "fast", stage(1, 1000))
-	r.elect() // the new head has never met the runner
-	r.meet("c1", "i9")
-	require.Equal(t, map[string]uint32{id + ".0.0.0": 2}, r.started("c1"))
-}
-
-// TestNewHeadKnowsTheRuns has a new head want what runs, and start nothing twice.
-func TestNewHeadKnowsTheRuns(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	id := r.submit(1, "fast", stage(3, 1000))
-	r.elect()
-	r.meet("c1", "i1")
-	require.Equal(t, map[string]uint32{id + ".0.0.0": 1, id + ".0.0.1": 1, id + ".0.0.2": 1}, r.started("c1"))
-	r.submit(2, "fast", stage(2, 1000))
-	require.Len(t, r.started("c1"), 4, "the room that runs hold is known")
-}
-
-// TestWholeSetWaitsForItsEntry has a set that leaves out runs given up in an entry go out only once that is
+	h.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: id + ".0.0.0", Run: 1}))
+	h.commit()
+	require.Empty(t, h.started("c1"))
+	require.Equal(t, jobs.Running, h.scheduler.Jobs().Get(id).State)
+}
+
+func TestNewRunnerIDLosesOldRuns(t *testing.T) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	id := h.submit(1, "fast", stage(1, 1000))
+	h.elect() // the new head has never met the runner
+	h.register("c1", "i9")
+	require.Equal(t, map[string]uint32{id + ".0.0.0": 2}, h.started("c1"))
+}
+
+// TestNewHeadRestoresRuns has a new head want what runs, and start nothing twice.
+func TestNewHeadRestoresRuns(t *testing.T) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	id := h.submit(1, "fast", stage(3, 1000))
+	h.elect()
+	h.register("c1", "i1")
+	require.Equal(t, map[string]uint32{id + ".0.0.0": 1, id + ".0.0.1": 1, id + ".0.0.2": 1}, h.started("c1"))
+	h.submit(2, "fast", stage(2, 1000))
+	require.Len(t, h.started("c1"), 4, "the room that runs hold is known")
+}
+
+// TestFullSyncWaitsForCommit has a set that leaves out runs given up in an entry go out only once that is
 // committed.
-func TestWholeSetWaitsForItsEntry(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	r.submit(1, "fast", stage(1, 1000))
-	r.now += 14 * time.Second // the runner is given up
-	require.True(t, r.append())
-	before := len(r.orders["c1"])
-	r.report("c1", "i1")
-	r.append()
-	r.collect()
-	for _, o := range r.orders["c1"][before:] {
+func TestFullSyncWaitsForCommit(t *testing.T) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	h.submit(1, "fast", stage(1, 1000))
+	h.now += 14 * time.Second // the runner is given up
+	require.True(t, h.append())
+	previous := len(h.orders["c1"])
+	h.report("c1", "i1")
+	h.append()
+	h.collect()
+	for _, o := range h.orders["c1"][previous:] {
 		require.False(t, o.GetFull())
 	}
-	r.commit()
-	require.True(t, r.orders["c1"][len(r.orders["c1"])-1].GetFull())
+	h.commit()
+	require.True(t, h.orders["c1"][len(h.orders["c1"])-1].GetFull())
 }
 
 func TestCanceledJobIsStopped(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	id := r.submit(1, "fast", stage(2, 1000))
-	require.EqualValues(t, http.StatusOK, r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: id}}}).GetStatus())
-	require.Empty(t, r.started("c1"))
-	require.EqualValues(t, 2000, r.d.Fleet().Runner("i1").Used().CPU, "what is being stopped still counts")
-	r.report("c1", "i1", ends("stopped", &protocol.RunEnd{Number: 1, Task: id + ".0.0.0", Run: 1}, &protocol.RunEnd{Number: 2, Task: id + ".0.0.1", Run: 1}))
-	r.commit()
-	require.Zero(t, r.d.Fleet().Runner("i1").Used().CPU)
+	h := newHarness(t)
+	h.register("c1", "i1")
+	id := h.submit(1, "fast", stage(2, 1000))
+	require.EqualValues(t, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: id}}}).GetStatus())
+	require.Empty(t, h.started("c1"))
+	require.EqualValues(t, 2000, h.scheduler.Fleet().Runner("i1").Used().CPU, "what is being stopped still counts")
+	h.report("c1", "i1", ends("stopped", &protocol.RunEnd{Number: 1, Task: id + ".0.0.0", Run: 1}, &protocol.RunEnd{Number: 2, Task: id + ".0.0.1", Run: 1}))
+	h.commit()
+	require.Zero(t, h.scheduler.Fleet().Runner("i1").Used().CPU)
 }
 
 func TestGangAtOnceOrNotAtAll(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
+	h := newHarness(t)
+	h.register("c1", "i1")
 	gang := stage(2, 3000)
 	gang.Gang = true
-	r.submit(1, "fast", gang)
-	require.Empty(t, r.started("c1"))
-	require.Contains(t, r.d.Status().Waiting[0].Why, "not for all")
-	r.meet("c2", "i2")
-	require.Len(t, r.started("c1"), 1)
-	require.Len(t, r.started("c2"), 1)
+	h.submit(1, "fast", gang)
+	require.Empty(t, h.started("c1"))
+	require.Contains(t, h.scheduler.Status().Waiting[0].Reason, "not for all")
+	h.register("c2", "i2")
+	require.Len(t, h.started("c1"), 1)
+	require.Len(t, h.started("c2"), 1)
 }
 
 func TestDrainingRunnerIsEmptied(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
+	h := newHarness(t)
+	h.register("c1", "i1")
 	lasting, long, short := stage(1, 500), stage(1, 500), stage(1, 500)
 	lasting.LongRunning, long.EstimateMs, short.EstimateMs = true, 60000, 100
-	a, b, c := r.submit(1, "fast", lasting), r.submit(2, "slow", long), r.submit(3, "fast", short)
-	r.report("c1", "i1", func(report *protocol.RunnerReport) { report.Account.Draining, report.Account.RemainingMs = true, 2000 })
-	r.commit()
-	require.Equal(t, map[string]uint32{c + ".0.0.0": 1}, r.started("c1"))
+	a, b, c := h.submit(1, "fast", lasting), h.submit(2, "slow", long), h.submit(3, "fast", short)
+	h.report("c1", "i1", func(report *protocol.RunnerReport) { report.Account.Draining, report.Account.RemainingMs = true, 2000 })
+	h.commit()
+	require.Equal(t, map[string]uint32{c + ".0.0.0": 1}, h.started("c1"))
 	_, _ = a, b
-	r.submit(4, "fast", stage(1, 100))
-	require.NotContains(t, r.started("c1"), "0000000000000004.0.0.0")
+	h.submit(4, "fast", stage(1, 100))
+	require.NotContains(t, h.started("c1"), "0000000000000004.0.0.0")
 }
 
 func TestRefusedStartGoesElsewhere(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	id := r.submit(1, "fast", stage(1, 1000))
-	r.report("c1", "i1", func(report *protocol.RunnerReport) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	id := h.submit(1, "fast", stage(1, 1000))
+	h.report("c1", "i1", func(report *protocol.RunnerReport) {
 		report.Refused = []*protocol.RunRef{{Task: id + ".0.0.0", Run: 1}}
 	})
-	r.commit()
-	require.Equal(t, uint32(2), r.started("c1")[id+".0.0.0"])
+	h.commit()
+	require.Equal(t, uint32(2), h.started("c1")[id+".0.0.0"])
 }
 
 func TestUnappliedOrdersAreSentAgain(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	r.submit(1, "fast", stage(1, 1000))
-	lost := r.orders["c1"]
-	r.orders["c1"] = nil
+	h := newHarness(t)
+	h.register("c1", "i1")
+	h.submit(1, "fast", stage(1, 1000))
+	lost := h.orders["c1"]
+	h.orders["c1"] = nil
 	for range 12 {
-		r.now += 100 * time.Millisecond
-		r.report("c1", "i1", func(report *protocol.RunnerReport) { report.OrdersSeen = lost[0].GetSequence() })
-		r.commit()
+		h.now += 100 * time.Millisecond
+		h.report("c1", "i1", func(report *protocol.RunnerReport) { report.OrdersSeen = lost[0].GetSequence() })
+		h.commit()
 	}
-	require.Len(t, r.started("c1"), 1)
+	require.Len(t, h.started("c1"), 1)
 }
 
-// TestLateGoesLast has jobs that can still be in time go before those that can't.
-func TestLateGoesLast(t *testing.T) {
-	r := newRig(t)
-	late := r.submit(1, "fast", stage(4, 1000))
-	r.now += 20 * time.Second
-	soon := r.submit(2, "fast", stage(4, 1000))
-	r.meet("c1", "i1")
-	for task := range r.started("c1") {
+// TestOverdueJobsGoLast has jobs that can still be in time go before those that can't.
+func TestOverdueJobsGoLast(t *testing.T) {
+	h := newHarness(t)
+	overdue := h.submit(1, "fast", stage(4, 1000))
+	h.now += 20 * time.Second
+	soon := h.submit(2, "fast", stage(4, 1000))
+	h.register("c1", "i1")
+	for task := range h.started("c1") {
 		require.Contains(t, task, soon)
-		require.NotContains(t, task, late)
+		require.NotContains(t, task, overdue)
 	}
-	require.Len(t, r.started("c1"), 4)
+	require.Len(t, h.started("c1"), 4)
 }
 
-// TestCanceledBeforeItWasSent gives back the room of a run whose job was canceled before its companion had the whole
+// TestCancelOfUnsentRun gives back the room of a run whose job was canceled before its companion had the whole
 // set: the companion has never heard of it and can list no end.
-func TestCanceledBeforeItWasSent(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	r.report("c1", "i1", func(report *protocol.RunnerReport) { report.Incarnation = 2 }) // its set is asked for again
-	job := r.submit(1, "fast", stage(2, 1000))
-	require.EqualValues(t, http.StatusOK, r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: job}}}).GetStatus())
-	r.now += time.Second
-	r.elect()
-	r.report("c1", "i1")
-	r.commit()
-	require.Empty(t, r.started("c1"))
+func TestCancelOfUnsentRun(t *testing.T) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	h.report("c1", "i1", func(report *protocol.RunnerReport) { report.Incarnation = 2 }) // its set is asked for again
+	job := h.submit(1, "fast", stage(2, 1000))
+	require.EqualValues(t, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: job}}}).GetStatus())
+	h.now += time.Second
+	h.elect()
+	h.report("c1", "i1")
+	h.commit()
+	require.Empty(t, h.started("c1"))
 	var waited []*protocol.RunRef
-	for _, o := range r.orders["c1"] {
+	for _, o := range h.orders["c1"] {
 		if o.GetFull() {
 			waited = o.GetDrop()
 		}
 	}
 	require.Len(t, waited, 2, "their ends are asked for")
-	require.Equal(t, 2, r.d.Fleet().Runner("i1").Holds())
-	held := r.d.Status().Runners[0].Tasks
-	require.Len(t, held, 2)
-	require.Equal(t, RunStatus{Task: job + ".0.0.0", Run: 1, State: "canceled", Stopping: true}, held[0], "an operator sees what holds it")
-	r.report("c1", "i1", func(report *protocol.RunnerReport) { report.Refused = waited })
-	r.commit()
-	require.Zero(t, r.d.Fleet().Runner("i1").Holds())
-	before := len(r.orders["c1"])
-	r.report("c1", "i1", func(report *protocol.RunnerReport) { report.Refused = waited })
-	r.commit()
+	require.Equal(t, 2, h.scheduler.Fleet().Runner("i1").ReservationCount())
+	reserved := h.scheduler.Status().Runners[0].Tasks
+	require.Len(t, reserved, 2)
+	require.Equal(t, RunStatus{Task: job + ".0.0.0", Run: 1, State: "canceled", Stopping: true}, reserved[0], "an operator sees what holds it")
+	h.report("c1", "i1", func(report *protocol.RunnerReport) { report.Refused = waited })
+	h.commit()
+	require.Zero(t, h.scheduler.Fleet().Runner("i1").ReservationCount())
+	previous := len(h.orders["c1"])
+	h.report("c1", "i1", func(report *protocol.RunnerReport) { report.Refused = waited })
+	h.commit()
 	var dropped []*protocol.RunRef
-	for _, o := range r.orders["c1"][before:] {
+	for _, o := range h.orders["c1"][previous:] {
 		dropped = append(dropped, o.GetDrop()...)
 	}
 	require.Len(t, dropped, 2, "the companion may forget them")
-	r.elect()
-	require.Zero(t, r.d.Fleet().Runner("i1").Holds(), "their ends are in the store")
+	h.elect()
+	require.Zero(t, h.scheduler.Fleet().Runner("i1").ReservationCount(), "their ends are in the store")
 }
 
 // TestLostOrdersUnderNewOnes has the whole set sent again to a companion that has missed orders though newer ones
 // are sent all the time.
 func TestLostOrdersUnderNewOnes(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	r.report("c1", "i1")
-	r.commit()
-	seen := r.orders["c1"][len(r.orders["c1"])-1].GetSequence()
-	before := len(r.orders["c1"])
+	h := newHarness(t)
+	h.register("c1", "i1")
+	h.report("c1", "i1")
+	h.commit()
+	applied := h.orders["c1"][len(h.orders["c1"])-1].GetSequence()
+	previous := len(h.orders["c1"])
 	for i := range 20 {
-		r.now += 100 * time.Millisecond
-		r.submit(i+1, "fast", stage(1, 10))
-		r.report("c1", "i1", func(report *protocol.RunnerReport) { report.OrdersSeen = seen }) // the first was lost
-		r.commit()
+		h.now += 100 * time.Millisecond
+		h.submit(i+1, "fast", stage(1, 10))
+		h.report("c1", "i1", func(report *protocol.RunnerReport) { report.OrdersSeen = applied }) // the first was lost
+		h.commit()
 	}
 	again := false
-	for _, o := range r.orders["c1"][before:] {
+	for _, o := range h.orders["c1"][previous:] {
 		again = again || o.GetFull()
 	}
 	require.True(t, again)
 }
 
-// TestPlacesWithoutATick has a blocked task started in the very turn in which room comes back, not only when the
+// TestSchedulesWithoutTick has a blocked task started in the very turn in which room comes back, not only when the
 // clock has moved, and no pass made in a turn that changes nothing.
-func TestPlacesWithoutATick(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	first := r.submit(1, "fast", stage(1, 4000))
-	second := r.submit(2, "fast", stage(1, 4000))
-	r.report("c1", "i1")
-	r.commit()
-	require.Contains(t, r.started("c1"), first+".0.0.0")
-	require.NotContains(t, r.started("c1"), second+".0.0.0")
-	r.d.Entry(r.now)
-	require.Equal(t, r.d.fleet.Changes(), r.d.placedAt)
-	require.False(t, r.d.timePassed)
-	r.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: first + ".0.0.0", Run: 1}))
-	e := r.d.Entry(r.now)
-	r.index++
-	r.store.Apply(e.GetPuts(), e.GetDeletes())
-	r.d.Appended(r.index)
-	r.d.Committed(r.now, r.index)
-	r.collect()
-	require.Contains(t, r.started("c1"), second+".0.0.0")
+func TestSchedulesWithoutTick(t *testing.T) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	first := h.submit(1, "fast", stage(1, 4000))
+	second := h.submit(2, "fast", stage(1, 4000))
+	h.report("c1", "i1")
+	h.commit()
+	require.Contains(t, h.started("c1"), first+".0.0.0")
+	require.NotContains(t, h.started("c1"), second+".0.0.0")
+	h.scheduler.Entry(h.now)
+	require.Equal(t, h.scheduler.fleet.Changes(), h.scheduler.changesAtLastPass)
+	require.False(t, h.scheduler.tickedSincePass)
+	h.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: first + ".0.0.0", Run: 1}))
+	e := h.scheduler.Entry(h.now)
+	h.index++
+	h.store.Apply(e.GetPuts(), e.GetDeletes())
+	h.scheduler.Appended(h.index)
+	h.scheduler.Committed(h.now, h.index)
+	h.collect()
+	require.Contains(t, h.started("c1"), second+".0.0.0")
 }
 
 // submitted hands a job in and returns the status.
-func (r *rig) submitted(s *protocol.Submit) int {
-	r.t.Helper()
-	return int(r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: s}}).GetStatus())
+func (h *harness) submitted(s *protocol.Submit) int {
+	h.t.Helper()
+	return int(h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: s}}).GetStatus())
 }
 
 // TestOneIDInTwoQueues has a job whose ID is that of another queue's job, or whose content is another, be refused:
 // it would never run. It used to be acknowledged.
 func TestOneIDInTwoQueues(t *testing.T) {
-	r := newRig(t)
+	h := newHarness(t)
 	job := func(queue, spec string) *protocol.Submit {
 		return &protocol.Submit{Id: "00000000000000aa", Queue: queue, Spec: spec, Stages: []*protocol.Stage{stage(1, 1000)}}
 	}
-	require.Equal(t, http.StatusOK, r.submitted(job("fast", "s")))
+	require.Equal(t, http.StatusOK, h.submitted(job("fast", "s")))
 	again := job("fast", "s")
 	again.AgeMs = 700
 	check := func() {
-		require.Equal(t, http.StatusOK, r.submitted(again), "the same job came again")
-		require.Equal(t, http.StatusConflict, r.submitted(job("slow", "s")))
-		require.Equal(t, http.StatusConflict, r.submitted(job("fast", "other")))
+		require.Equal(t, http.StatusOK, h.submitted(again), "the same job came again")
+		require.Equal(t, http.StatusConflict, h.submitted(job("slow", "s")))
+		require.Equal(t, http.StatusConflict, h.submitted(job("fast", "other")))
 		cancel := &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "00000000000000aa", Queue: "slow"}}}
-		require.EqualValues(t, http.StatusGone, r.ask(cancel).GetStatus(), "it is a job of others")
+		require.EqualValues(t, http.StatusGone, h.request(cancel).GetStatus(), "it is a job of others")
 	}
 	check()
-	r.elect()
+	h.elect()
 	check()
-	require.EqualValues(t, http.StatusOK, r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "00000000000000aa", Queue: "fast"}}}).GetStatus())
+	require.EqualValues(t, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "00000000000000aa", Queue: "fast"}}}).GetStatus())
 	check() // it has ended, and its steps are forgotten
-	require.EqualValues(t, http.StatusOK, r.configure(1, `{"Version":2,"Remove":{"Routes":["fast"]}}`))
-	require.Equal(t, http.StatusOK, r.submitted(job("slow", "s")), "the queue it came by has gone")
+	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":2,"Remove":{"Routes":["fast"]}}`))
+	require.Equal(t, http.StatusOK, h.submitted(job("slow", "s")), "the queue it came by has gone")
 }
 
 // TestOrdersAreKnownWithinABound takes more orders than are known by name: the newest are acknowledged again, older
 // ones have no clear answer, and the state stays within the bound.
 func TestOrdersAreKnownWithinABound(t *testing.T) {
-	r := newRig(t)
-	const changes = mostOrders + 50
+	h := newHarness(t)
+	const changes = maxKnownUpdates + 50
 	order := func(version int) string { return fmt.Sprintf(`{"Version":%d}`, version) }
 	for version := 2; version <= changes; version++ {
-		require.EqualValues(t, http.StatusOK, r.configure(uint64(version-1), order(version)))
+		require.EqualValues(t, http.StatusOK, h.configure(uint64(version-1), order(version)))
 	}
 	check := func() {
 		for version := 2; version <= changes; version++ {
 			want := http.StatusOK
-			if version <= changes-mostOrders {
+			if version <= changes-maxKnownUpdates {
 				want = http.StatusServiceUnavailable
 			}
-			require.EqualValues(t, want, r.configure(uint64(version-1), order(version)), "version %d", version)
+			require.EqualValues(t, want, h.configure(uint64(version-1), order(version)), "version %d", version)
 		}
-		require.EqualValues(t, http.StatusPreconditionFailed, r.configure(changes-1, `{"Version":5000}`), "another order on a version that is known")
-		require.Len(t, r.d.History(), mostOrders)
+		require.EqualValues(t, http.StatusPreconditionFailed, h.configure(changes-1, `{"Version":5000}`), "another order on a version that is known")
+		require.Len(t, h.scheduler.History(), maxKnownUpdates)
 	}
 	check()
-	r.elect()
+	h.elect()
 	check()
 	kept := 0
-	r.store.Each(func(key string, _ []byte) {
-		if strings.HasPrefix(key, orderPrefix) {
+	h.store.Each(func(key string, _ []byte) {
+		if strings.HasPrefix(key, updatePrefix) {
 			kept++
 		}
 	})
-	require.Equal(t, mostOrders, kept)
+	require.Equal(t, maxKnownUpdates, kept)
 }
 
 // TestEndedJobsOutliveClockSteps has the time of day jump by an hour: jobs that ended a moment before stay known.
 func TestEndedJobsOutliveClockSteps(t *testing.T) {
-	r := newRig(t)
-	id := r.submit(1, "fast", stage(1, 1000))
-	require.EqualValues(t, http.StatusOK, r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: id}}}).GetStatus())
-	r.now += 2 * time.Minute // the head has served for longer than states are kept
-	r.append()
-	later := r.submit(2, "fast", stage(1, 1000))
-	require.EqualValues(t, http.StatusOK, r.ask(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: later}}}).GetStatus())
+	h := newHarness(t)
+	id := h.submit(1, "fast", stage(1, 1000))
+	require.EqualValues(t, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: id}}}).GetStatus())
+	h.now += 2 * time.Minute // the head has served for longer than states are kept
+	h.append()
+	later := h.submit(2, "fast", stage(1, 1000))
+	require.EqualValues(t, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: later}}}).GetStatus())
 	known := func(id string, ahead time.Duration) bool {
 		for range 3 {
-			r.now += time.Second
-			r.d.Tick(r.now, r.wall()+ahead.Milliseconds(), r.now)
-			r.d.Entry(r.now)
+			h.now += time.Second
+			h.scheduler.Tick(h.now, h.wall()+ahead.Milliseconds(), h.now)
+			h.scheduler.Entry(h.now)
 		}
-		return r.d.Jobs().Get(id) != nil
+		return h.scheduler.Jobs().Get(id) != nil
 	}
 	require.False(t, known(id, 0))
 	require.True(t, known(later, 0))
-	r.d.ClockStepped(r.now)
+	h.scheduler.ClockStepped(h.now)
 	require.True(t, known(later, time.Hour))
-	r.elect()
+	h.elect()
 	require.True(t, known(later, time.Hour), "a new head does not know how long ago it ended")
-	r.now += time.Minute
+	h.now += time.Minute
 	require.False(t, known(later, time.Hour))
 }
 
-// TestReportsThatComeLate has reports come again after later ones: what they say of a runner that was there before, or
+// TestStaleReportsAreIgnored has reports come again after later ones: what they say of a runner that was there before, or
 // of runs that have ended, must not undo what the head has learned since.
-func TestReportsThatComeLate(t *testing.T) {
-	r := newRig(t)
-	r.meet("c1", "i1")
-	old := r.round
-	r.meet("c1", "i2")
-	id := r.submit(1, "fast", stage(1, 1000))
-	require.Len(t, r.started("c1"), 1)
-	before := r.d.Fleet()
-	require.NotNil(t, before)
-	late := func(round, incarnation uint64) {
-		r.d.Report(r.now, "c1", &protocol.RunnerReport{Incarnation: incarnation, LeaseRound: round, Gone: []string{"i2"}, Account: &protocol.RunnerAccount{Id: "i1", Service: "svc"}})
-		r.commit()
-		require.Contains(t, r.d.runners, "i2", "it is there and runs a task")
-		require.Contains(t, r.d.runners["i2"].live, id+".0.0.0")
+func TestStaleReportsAreIgnored(t *testing.T) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	old := h.reportNumber
+	h.register("c1", "i2")
+	id := h.submit(1, "fast", stage(1, 1000))
+	require.Len(t, h.started("c1"), 1)
+	previous := h.scheduler.Fleet()
+	require.NotNil(t, previous)
+	overdue := func(reportNumber, incarnation uint64) {
+		h.scheduler.HandleReport(h.now, "c1", &protocol.RunnerReport{Incarnation: incarnation, LeaseRound: reportNumber, Gone: []string{"i2"}, Account: &protocol.RunnerAccount{Id: "i1", Service: "svc"}})
+		h.commit()
+		require.Contains(t, h.scheduler.runners, "i2", "it is there and runs a task")
+		require.Contains(t, h.scheduler.runners["i2"].live, id+".0.0.0")
 	}
-	late(old, 1)
-	r.report("c1", "i2", func(report *protocol.RunnerReport) { report.Incarnation = 2 })
-	r.commit()
-	late(r.round+1, 1) // of the process that was there before
+	overdue(old, 1)
+	h.report("c1", "i2", func(report *protocol.RunnerReport) { report.Incarnation = 2 })
+	h.commit()
+	overdue(h.reportNumber+1, 1) // of the process that was there before
 }
--- a/internal/control/scheduler/sessions.go
+++ b/internal/control/scheduler/sessions.go
@@ -10,279 +10,279 @@
 	"frosttide/internal/protocol"
 )
 
-// wholeState is how far the sending of the whole set of a runner's runs is.
-type wholeState int
+// fullSyncState is how far the sending of the whole set of a runner's runs is.
+type fullSyncState int
 
 // The states of the whole set.
 const (
-	wholeNeeded    wholeState = iota // it is to be sent
-	wholeRequested                   // it is sent once the entry that asks for it is committed
-	wholeDue                         // it goes with the next orders
-	wholeSent                        // changes are enough
+	fullSyncNeeded    fullSyncState = iota // it is to be sent
+	fullSyncRequested                      // it is sent once the entry that asks for it is committed
+	fullSyncReady                          // it goes with the next orders
+	fullSyncSent                           // changes are enough
 )
 
 // session is a companion that speaks for its runner.
 type session struct {
-	address     string
-	number      uint64   // rises with each session
-	incarnation uint64   // of the companion
-	runner      string   // id of its runner, empty before any is known
-	before      []uint64 // incarnations that spoke for this machine before, the newest last
-	round       uint64   // of the newest report
-	heard       time.Duration
-	leaseUntil  time.Duration // end of the newest lease
-	sequence    uint64        // of the newest orders
-	waitsSince  time.Duration // since when the oldest unapplied orders wait, or some were last applied
-	seen        uint64        // newest orders that the companion has applied
-	whole       wholeState
-	silent      bool
-	holding     bool
-	draining    bool
+	address              string
+	number               uint64   // rises with each session
+	incarnation          uint64   // of the companion
+	runner               string   // id of its runner, empty before any is known
+	previousIncarnations []uint64 // incarnations that spoke for this machine before, the newest last
+	reportNumber         uint64   // of the newest report
+	lastContact          time.Duration
+	leaseExpiry          time.Duration // end of the newest lease
+	lastSequence         uint64        // of the newest orders
+	unappliedSince       time.Duration // since when the oldest unapplied orders wait, or some were last applied
+	appliedSequence      uint64        // newest orders that the companion has applied
+	fullSync             fullSyncState
+	runnerUnresponsive   bool
+	hasLease             bool
+	draining             bool
 }
 
 const (
-	// sessionEnded is how long a companion may be silent until its session may be given up.
-	sessionEnded = 1200 * time.Millisecond
-	// silentReports is how many reports a companion may leave out until its runner gets no more tasks.
-	silentReports = 2.5
-	// leastReport and mostReport bound the pause between a companion's reports; reportsASecond is how many
+	// sessionTimeout is how long a companion may be silent until its session may be given up.
+	sessionTimeout = 1200 * time.Millisecond
+	// maxMissedReports is how many reports a companion may leave out until its runner gets no more tasks.
+	maxMissedReports = 2.5
+	// minReportInterval and mostReport bound the pause between a companion's reports; reportsASecond is how many
 	// the head takes of all companions together.
-	leastReport    = 100 * time.Millisecond
-	mostReport     = 500 * time.Millisecond
-	reportsASecond = 700
-	// resendAfter is how long orders may be unapplied until the whole set is sent again.
-	resendAfter = 700 * time.Millisecond
-	// retryMs is the pause between a runner's beats; runners make none that is shorter.
-	retryMs = 50
+	minReportInterval   = 100 * time.Millisecond
+	maxReportInterval   = 500 * time.Millisecond
+	maxReportsPerSecond = 700
+	// fullSyncRetryAfter is how long orders may be unapplied until the whole set is sent again.
+	fullSyncRetryAfter = 700 * time.Millisecond
+	// heartbeatIntervalMs is the pause between a runner's beats; runners make none that is shorter.
+	heartbeatIntervalMs = 50
 )
 
-// leaseEnd returns when holds within a lease have surely run out.
-func (d *Scheduler) leaseEnd(lease time.Duration) time.Duration {
-	return lease + time.Duration(clockSlack*float64(d.cfg.Lease)) + leaseMargin
+// leaseOverAt returns when holds within a lease have surely run out.
+func (s *Scheduler) leaseOverAt(expiry time.Duration) time.Duration {
+	return expiry + time.Duration(maxClockDrift*float64(s.cfg.Lease)) + leaseMargin
 }
 
-// Report handles what a companion says.
-func (d *Scheduler) Report(now time.Duration, from string, report *protocol.RunnerReport) {
-	d.now = now
-	s := d.sessions[from]
-	if d.outdated(s, report) {
+// HandleReport handles what a companion says.
+func (s *Scheduler) HandleReport(now time.Duration, from string, report *protocol.RunnerReport) {
+	s.now = now
+	sess := s.sessions[from]
+	if s.isStale(sess, report) {
 		return
 	}
-	if s == nil || s.incarnation != report.GetIncarnation() {
-		d.endSession(s)
-		d.lastSession++
-		s = &session{address: from, number: d.lastSession, incarnation: report.GetIncarnation(), before: s.predecessors()}
-		d.sessions[from] = s
-		d.needWhole(s)
+	if sess == nil || sess.incarnation != report.GetIncarnation() {
+		s.endSession(sess)
+		s.lastSession++
+		sess = &session{address: from, number: s.lastSession, incarnation: report.GetIncarnation(), previousIncarnations: sess.incarnationHistory()}
+		s.sessions[from] = sess
+		s.requestFullSync(sess)
 	}
-	s.heard, s.round = now, report.GetLeaseRound()
+	sess.lastContact, sess.reportNumber = now, report.GetLeaseRound()
 	for _, id := range report.GetGone() {
-		d.lose(id)
+		s.declareLost(id)
 	}
-	d.meet(s, report)
-	s.silent, s.holding = report.GetSilent(), report.GetHolding()
-	if report.GetEpoch() == d.epoch {
-		s.apply(now, report.GetOrdersSeen())
+	s.registerRunner(sess, report)
+	sess.runnerUnresponsive, sess.hasLease = report.GetSilent(), report.GetHolding()
+	if report.GetEpoch() == s.epoch {
+		sess.acknowledge(now, report.GetOrdersSeen())
 	}
-	d.noteEnds(s, report.GetEnds())
-	d.noteRefused(s, report.GetRefused())
-	d.updateUsable(s)
-	d.answer(s, report)
+	s.recordEnds(sess, report.GetEnds())
+	s.recordRefusals(sess, report.GetRefused())
+	s.updateUsable(sess)
+	s.renewLease(sess, report)
 }
 
-// mostPredecessors bounds the incarnations that are remembered of a machine.
-const mostPredecessors = 8
+// maxPreviousIncarnations bounds the incarnations that are remembered of a machine.
+const maxPreviousIncarnations = 8
 
-// predecessors returns the incarnations that spoke for a session's machine, its own included.
-func (s *session) predecessors() []uint64 {
-	if s == nil {
+// incarnationHistory returns the incarnations that spoke for a session's machine, its own included.
+func (sess *session) incarnationHistory() []uint64 {
+	if sess == nil {
 		return nil
 	}
-	all := append(slices.Clone(s.before), s.incarnation)
-	return all[max(0, len(all)-mostPredecessors):]
+	all := append(slices.Clone(sess.previousIncarnations), sess.incarnation)
+	return all[max(0, len(all)-maxPreviousIncarnations):]
 }
 
-// outdated tells whether a report comes after a later one of the same machine: what it says of the runner holds no
+// isStale tells whether a report comes after a later one of the same machine: what it says of the runner holds no
 // longer.
-func (d *Scheduler) outdated(s *session, report *protocol.RunnerReport) bool {
-	if s != nil && s.incarnation == report.GetIncarnation() {
-		return report.GetLeaseRound() <= s.round
+func (s *Scheduler) isStale(sess *session, report *protocol.RunnerReport) bool {
+	if sess != nil && sess.incarnation == report.GetIncarnation() {
+		return report.GetLeaseRound() <= sess.reportNumber
 	}
-	return s != nil && slices.Contains(s.before, report.GetIncarnation())
+	return sess != nil && slices.Contains(sess.previousIncarnations, report.GetIncarnation())
 }
 
-// apply notes how far a companion has applied its orders. Later orders don't put the patience with the oldest
+// acknowledge notes how far a companion has applied its orders. Later orders don't put the patience with the oldest
 // off: a companion that misses one applies none after it.
-func (s *session) apply(now time.Duration, seen uint64) {
-	if seen > s.seen {
-		s.seen, s.waitsSince = seen, now
+func (sess *session) acknowledge(now time.Duration, sequence uint64) {
+	if sequence > sess.appliedSequence {
+		sess.appliedSequence, sess.unappliedSince = sequence, now
 	}
 }
 
-// needWhole has a session sent the whole set of its runner's runs.
-func (d *Scheduler) needWhole(s *session) {
-	s.whole = wholeNeeded
-	d.wholeWanted = true
+// requestFullSync has a session sent the whole set of its runner's runs.
+func (s *Scheduler) requestFullSync(sess *session) {
+	sess.fullSync = fullSyncNeeded
+	s.fullSyncWanted = true
 }
 
-// meet notes which runner a companion speaks for.
-func (d *Scheduler) meet(s *session, report *protocol.RunnerReport) {
-	a := report.GetAccount()
-	if a == nil {
+// registerRunner notes which runner a companion speaks for.
+func (s *Scheduler) registerRunner(sess *session, report *protocol.RunnerReport) {
+	account := report.GetAccount()
+	if account == nil {
 		return
 	}
-	if s.runner != a.GetId() {
-		d.loseOthers(s.address, a.GetId())
-		s.runner = a.GetId()
-		d.needWhole(s)
+	if sess.runner != account.GetId() {
+		s.declareOthersLost(sess.address, account.GetId())
+		sess.runner = account.GetId()
+		s.requestFullSync(sess)
 	}
-	r := d.runner(a.GetId())
-	r.session, r.known = s, true
-	if r.companion != s.address {
-		r.companion = s.address
-		d.putRunner(r)
+	r := s.runner(account.GetId())
+	r.session, r.registered = sess, true
+	if r.agent != sess.address {
+		r.agent = sess.address
+		s.writeRunner(r)
 	}
-	s.draining = a.GetDraining()
-	if s.draining {
-		d.evacuate(r, time.Duration(a.GetRemainingMs())*time.Millisecond)
+	sess.draining = account.GetDraining()
+	if sess.draining {
+		s.evacuate(r, time.Duration(account.GetRemainingMs())*time.Millisecond)
 	}
-	c := a.GetCapacity()
-	d.fleet.Describe(r.account, a.GetService(), rackOf(d.cfg.RackPrefix, a.GetLabels()), a.GetLabels(), placement.Resources{CPU: c.GetCpu(), MemMB: c.GetMemMb(), GPUs: c.GetGpus()})
+	capacity := account.GetCapacity()
+	s.fleet.UpdateRunner(r.fleetRunner, account.GetService(), rackOf(s.cfg.RackPrefix, account.GetLabels()), account.GetLabels(), placement.Resources{CPU: capacity.GetCpu(), MemMB: capacity.GetMemMb(), GPUs: capacity.GetGpus()})
 }
 
-// reportPause returns how often companions report: the fewer there are, the sooner a silent one is noticed.
-func (d *Scheduler) reportPause() time.Duration {
-	return min(max(time.Duration(len(d.sessions))*time.Second/reportsASecond, leastReport), mostReport)
+// reportInterval returns how often companions report: the fewer there are, the sooner a silent one is noticed.
+func (s *Scheduler) reportInterval() time.Duration {
+	return min(max(time.Duration(len(s.sessions))*time.Second/maxReportsPerSecond, minReportInterval), maxReportInterval)
 }
 
-// silentAfter returns how long a companion may be silent, or orders unapplied, until its runner gets no
+// contactTimeout returns how long a companion may be silent, or orders unapplied, until its runner gets no
 // more tasks.
-func (d *Scheduler) silentAfter() time.Duration {
-	return time.Duration(silentReports * float64(d.reportPause()))
+func (s *Scheduler) contactTimeout() time.Duration {
+	return time.Duration(maxMissedReports * float64(s.reportInterval()))
 }
 
 // updateUsable decides whether a session's runner may be sent tasks.
-func (d *Scheduler) updateUsable(s *session) {
-	if r := d.runners[s.runner]; r != nil && r.session == s {
-		d.fleet.SetUsable(r.account, r.known && s.holding && !s.silent && !s.draining && d.now-s.heard < d.silentAfter() && s.leaseUntil > d.now &&
-			(s.seen >= s.sequence || d.now-s.waitsSince < d.silentAfter()))
+func (s *Scheduler) updateUsable(sess *session) {
+	if r := s.runners[sess.runner]; r != nil && r.session == sess {
+		s.fleet.SetUsable(r.fleetRunner, r.registered && sess.hasLease && !sess.runnerUnresponsive && !sess.draining && s.now-sess.lastContact < s.contactTimeout() && sess.leaseExpiry > s.now &&
+			(sess.appliedSequence >= sess.lastSequence || s.now-sess.unappliedSince < s.contactTimeout()))
 	}
 }
 
-// noteEnds notes the ends that a runner has listed, each once.
-func (d *Scheduler) noteEnds(s *session, ends []*protocol.RunEnd) {
-	r := d.runners[s.runner]
+// recordEnds notes the ends that a runner has listed, each once.
+func (s *Scheduler) recordEnds(sess *session, ends []*protocol.RunEnd) {
+	r := s.runners[sess.runner]
 	if r == nil {
 		return
 	}
-	before := r.noted
+	previous := r.recordedEnd
 	for _, end := range ends {
-		if end.GetNumber() <= r.noted {
+		if end.GetNumber() <= r.recordedEnd {
 			continue
 		}
-		r.noted = end.GetNumber()
-		d.noteEnd(r, end)
+		r.recordedEnd = end.GetNumber()
+		s.recordEnd(r, end)
 	}
-	if r.noted > before {
-		d.putRunner(r)
-		d.batch.note(r.id, r.noted)
+	if r.recordedEnd > previous {
+		s.writeRunner(r)
+		s.batch.acknowledgeEnds(r.id, r.recordedEnd)
 	}
 }
 
-// noteRefused notes runs that a runner surely never starts.
-func (d *Scheduler) noteRefused(s *session, refused []*protocol.RunRef) {
-	r := d.runners[s.runner]
-	if r == nil || r.session != s {
+// recordRefusals notes runs that a runner surely never starts.
+func (s *Scheduler) recordRefusals(sess *session, refused []*protocol.RunRef) {
+	r := s.runners[sess.runner]
+	if r == nil || r.session != sess {
 		return
 	}
 	for _, ref := range refused {
 		name, ok := jobs.ParseTask(ref.GetTask())
 		run, live := r.live[ref.GetTask()]
 		if !ok || !live || run.number != ref.GetRun() {
-			d.batch.drop(r.id, ref.GetTask(), ref.GetRun()) // it is known already
+			s.batch.addDrop(r.id, ref.GetTask(), ref.GetRun()) // it is known already
 			continue
 		}
 		if run.pending {
 			continue
 		}
-		d.jobs.End(name, run.number, r.id, jobs.EndRefused, "", d.maxAttempts(name.Job), d.wallMs)
-		d.countEnd(run.step, jobs.EndRefused)
-		d.dropRun(r, ref.GetTask())
+		s.jobs.RecordEnd(name, run.number, r.id, jobs.EndRefused, "", s.maxAttempts(name.Job), s.wallMs)
+		s.countEnd(run.step, jobs.EndRefused)
+		s.releaseRun(r, ref.GetTask())
 	}
 }
 
-func (d *Scheduler) noteEnd(r *runner, end *protocol.RunEnd) {
+func (s *Scheduler) recordEnd(r *runner, end *protocol.RunEnd) {
 	name, ok := jobs.ParseTask(end.GetTask())
 	if !ok {
 		return
 	}
-	how := jobs.How(end.GetHow())
-	first := d.firstFailure(name)
-	out := d.jobs.End(name, end.GetRun(), r.id, how, end.GetSaved(), d.maxAttempts(name.Job), d.wallMs)
+	reason := jobs.EndReason(end.GetHow())
+	first := s.firstFailure(name)
+	result := s.jobs.RecordEnd(name, end.GetRun(), r.id, reason, end.GetSaved(), s.maxAttempts(name.Job), s.wallMs)
 	if run, live := r.live[end.GetTask()]; live && run.number == end.GetRun() {
-		d.dropRun(r, end.GetTask())
+		s.releaseRun(r, end.GetTask())
 	}
-	if out.Counted {
-		d.countEnd(out.Step, how)
+	if result.Applied {
+		s.countEnd(result.Step, reason)
 	}
-	if out.Counted && (how == jobs.EndDone || how == jobs.EndFailed && first) {
-		d.fleet.Trouble(r.account, name.Job, how == jobs.EndFailed, d.now)
+	if result.Applied && (reason == jobs.EndDone || reason == jobs.EndFailed && first) {
+		s.fleet.RecordOutcome(r.fleetRunner, name.Job, reason == jobs.EndFailed, s.now)
 	}
 }
 
 // firstFailure tells whether a task has not failed before: one that fails again and again says little of its
 // runners, nor does lasting work, which may fail at any time.
-func (d *Scheduler) firstFailure(name jobs.TaskName) bool {
-	s := d.jobs.Find(name)
-	return s != nil && s.Tasks[name.Index].Failures == 0 && !s.Stage.GetLongRunning()
+func (s *Scheduler) firstFailure(name jobs.TaskName) bool {
+	sess := s.jobs.FindStep(name)
+	return sess != nil && sess.Tasks[name.Index].Failures == 0 && !sess.Stage.GetLongRunning()
 }
 
 // maxAttempts returns how many failed runs a task of a job may have.
-func (d *Scheduler) maxAttempts(id string) int {
-	j := d.jobs.Get(id)
+func (s *Scheduler) maxAttempts(id string) int {
+	j := s.jobs.Get(id)
 	if j == nil {
 		return 1
 	}
-	if route := d.config.Route(j.Queue); route != nil {
+	if route := s.config.Route(j.Queue); route != nil {
 		return route.MaxAttempts
 	}
-	return defaultAttempts
+	return defaultMaxAttempts
 }
 
-// defaultAttempts counts for jobs of a queue that is gone.
-const defaultAttempts = 2
+// defaultMaxAttempts counts for jobs of a queue that is gone.
+const defaultMaxAttempts = 2
 
 // endSession has a runner wait for its companion's next session.
-func (d *Scheduler) endSession(s *session) {
-	if s == nil {
+func (s *Scheduler) endSession(sess *session) {
+	if sess == nil {
 		return
 	}
-	if r := d.runners[s.runner]; r != nil && r.session == s {
+	if r := s.runners[sess.runner]; r != nil && r.session == sess {
 		r.session = nil
-		d.fleet.SetUsable(r.account, false)
-		r.deadline = d.leaseEnd(s.leaseUntil)
+		s.fleet.SetUsable(r.fleetRunner, false)
+		r.lostAfter = s.leaseOverAt(sess.leaseExpiry)
 	}
-	delete(d.sessions, s.address)
+	delete(s.sessions, sess.address)
 }
 
-// tickSessions gives up runners whose holds have run out, and has orders sent again that were not
+// expireSessions gives up runners whose holds have run out, and has orders sent again that were not
 // applied.
-func (d *Scheduler) tickSessions() {
-	for _, address := range slices.Sorted(maps.Keys(d.sessions)) {
-		s := d.sessions[address]
-		if d.now > d.leaseEnd(s.leaseUntil) && d.now-s.heard > sessionEnded {
-			d.endSession(s)
+func (s *Scheduler) expireSessions() {
+	for _, address := range slices.Sorted(maps.Keys(s.sessions)) {
+		sess := s.sessions[address]
+		if s.now > s.leaseOverAt(sess.leaseExpiry) && s.now-sess.lastContact > sessionTimeout {
+			s.endSession(sess)
 			continue
 		}
-		d.updateUsable(s)
-		if s.seen < s.sequence && d.now-s.waitsSince > resendAfter && d.now-s.heard < d.silentAfter() {
-			d.needWhole(s)
-			s.waitsSince = d.now
+		s.updateUsable(sess)
+		if sess.appliedSequence < sess.lastSequence && s.now-sess.unappliedSince > fullSyncRetryAfter && s.now-sess.lastContact < s.contactTimeout() {
+			s.requestFullSync(sess)
+			sess.unappliedSince = s.now
 		}
 	}
-	for _, id := range slices.Sorted(maps.Keys(d.runners)) {
-		if r := d.runners[id]; r.session == nil && d.now > r.deadline {
-			d.lose(id)
+	for _, id := range slices.Sorted(maps.Keys(s.runners)) {
+		if r := s.runners[id]; r.session == nil && s.now > r.lostAfter {
+			s.declareLost(id)
 		}
 	}
 }
--- a/internal/control/scheduler/status.go
+++ b/internal/control/scheduler/status.go
@@ -21,23 +21,23 @@
 
 // RunnerStatus is the account of a runner.
 type RunnerStatus struct {
-	ID         string              `json:"id"`
-	Service    string              `json:"service"`
-	Companion  string              `json:"companion"`
-	Rack       string              `json:"rack,omitempty"`
-	Labels     []string            `json:"labels,omitempty"`
-	Usable     bool                `json:"usable"`
-	Draining   bool                `json:"draining,omitempty"`
-	Silent     bool                `json:"silent,omitempty"`
-	InSession  bool                `json:"in_session"`
-	Suspect    bool                `json:"suspect,omitempty"` // it fails what it is given
-	Capacity   placement.Resources `json:"capacity"`
-	Used       placement.Resources `json:"used"`
-	Runs       int                 `json:"runs"`
-	Tasks      []RunStatus         `json:"tasks,omitempty"`      // that hold a part of it
-	LeaseMs    int64               `json:"lease_ms"`             // left
-	LostInMs   int64               `json:"lost_in_ms,omitempty"` // out of touch: until its runs count as lost
-	HeardMsAgo int64               `json:"heard_ms_ago,omitempty"`
+	ID               string              `json:"id"`
+	Service          string              `json:"service"`
+	Agent            string              `json:"companion"`
+	Rack             string              `json:"rack,omitempty"`
+	Labels           []string            `json:"labels,omitempty"`
+	Usable           bool                `json:"usable"`
+	Draining         bool                `json:"draining,omitempty"`
+	Unresponsive     bool                `json:"silent,omitempty"`
+	InSession        bool                `json:"in_session"`
+	Ejected          bool                `json:"suspect,omitempty"` // it fails what it is given
+	Capacity         placement.Resources `json:"capacity"`
+	Used             placement.Resources `json:"used"`
+	Runs             int                 `json:"runs"`
+	Tasks            []RunStatus         `json:"tasks,omitempty"`      // that hold a part of it
+	LeaseRemainingMs int64               `json:"lease_ms"`             // left
+	LostInMs         int64               `json:"lost_in_ms,omitempty"` // out of touch: until its runs count as lost
+	LastContactMsAgo int64               `json:"heard_ms_ago,omitempty"`
 }
 
 // State names the state of a runner in a word or two.
@@ -47,9 +47,9 @@
 		return "out of touch"
 	case r.Draining:
 		return "draining"
-	case r.Silent:
+	case r.Unresponsive:
 		return "silent"
-	case r.Suspect:
+	case r.Ejected:
 		return "suspect"
 	case !r.Usable:
 		return "not usable"
@@ -69,79 +69,79 @@
 
 // WaitStatus is a step that waits, and why.
 type WaitStatus struct {
-	Job       string              `json:"job"`
-	Queue     string              `json:"queue"`
-	Service   string              `json:"service"`
-	Occasion  int                 `json:"time"`
-	Step      int                 `json:"step"`
-	Tasks     int                 `json:"tasks"` // that wait
-	Gang      bool                `json:"gang,omitempty"`
-	Priority  int                 `json:"priority"`
-	ForMs     int64               `json:"for_ms"`
-	Demand    placement.Resources `json:"demand"`
-	Obstacles placement.Obstacles `json:"obstacles"`
-	Why       string              `json:"why"`
+	Job        string              `json:"job"`
+	Queue      string              `json:"queue"`
+	Service    string              `json:"service"`
+	Occurrence int                 `json:"time"`
+	Step       int                 `json:"step"`
+	Tasks      int                 `json:"tasks"` // that wait
+	Gang       bool                `json:"gang,omitempty"`
+	Priority   int                 `json:"priority"`
+	ForMs      int64               `json:"for_ms"`
+	Demand     placement.Resources `json:"demand"`
+	Obstacles  placement.Obstacles `json:"obstacles"`
+	Reason     string              `json:"why"`
 }
 
-// mostWaiting bounds the waiting steps that are told of.
-const mostWaiting = 200
+// maxListedWaiting bounds the waiting steps that are told of.
+const maxListedWaiting = 200
 
 // Status returns the state of the placement role.
-func (d *Scheduler) Status() Status {
-	s := Status{Epoch: d.epoch, ConfigVersion: d.config.Version, Jobs: make(map[string]int)}
-	d.jobs.Each(func(j *jobs.Job) { s.Jobs[j.State.String()]++ })
-	for _, id := range slices.Sorted(maps.Keys(d.runners)) {
-		s.Runners = append(s.Runners, d.runnerStatus(d.runners[id]))
+func (s *Scheduler) Status() Status {
+	status := Status{Epoch: s.epoch, ConfigVersion: s.config.Version, Jobs: make(map[string]int)}
+	s.jobs.Each(func(j *jobs.Job) { status.Jobs[j.State.String()]++ })
+	for _, id := range slices.Sorted(maps.Keys(s.runners)) {
+		status.Runners = append(status.Runners, s.runnerStatus(s.runners[id]))
 	}
-	s.Services = d.serviceStatuses()
-	s.Waiting = d.waiting(func(*jobs.Step) bool { return true })
-	return s
+	status.Services = s.serviceStatuses()
+	status.Waiting = s.waitingSteps(func(*jobs.Step) bool { return true })
+	return status
 }
 
-// waiting returns the steps that wait and are wanted, bounded.
-func (d *Scheduler) waiting(wanted func(*jobs.Step) bool) (out []WaitStatus) {
-	for _, service := range slices.Sorted(maps.Keys(d.queues)) {
-		q := d.queues[service]
+// waitingSteps returns the steps that wait and are wanted, bounded.
+func (s *Scheduler) waitingSteps(match func(*jobs.Step) bool) (out []WaitStatus) {
+	for _, service := range slices.Sorted(maps.Keys(s.queues)) {
+		q := s.queues[service]
 		for _, e := range q.entries {
 			w := e.waitingStep
-			if len(out) < mostWaiting && w.due() && wanted(w.step) {
-				out = append(out, d.waitStatus(q, w))
+			if len(out) < maxListedWaiting && w.startable() && match(w.step) {
+				out = append(out, s.waitStatus(q, w))
 			}
 		}
 	}
 	return out
 }
 
-func (d *Scheduler) runnerStatus(r *runner) RunnerStatus {
-	a := r.account
-	s := RunnerStatus{ID: r.id, Service: a.Service, Companion: r.companion, Rack: a.Rack, Labels: a.Labels, Usable: a.Usable, InSession: r.session != nil,
-		Suspect: a.Suspect(d.now), Capacity: a.Capacity, Used: a.Used(), Runs: a.Holds()}
+func (s *Scheduler) runnerStatus(r *runner) RunnerStatus {
+	fleetRunner := r.fleetRunner
+	status := RunnerStatus{ID: r.id, Service: fleetRunner.Service, Agent: r.agent, Rack: fleetRunner.Rack, Labels: fleetRunner.Labels, Usable: fleetRunner.Usable, InSession: r.session != nil,
+		Ejected: fleetRunner.Ejected(s.now), Capacity: fleetRunner.Capacity, Used: fleetRunner.Used(), Runs: fleetRunner.ReservationCount()}
 	for _, task := range slices.Sorted(maps.Keys(r.live)) {
 		run := r.live[task]
-		s.Tasks = append(s.Tasks, RunStatus{Task: task, Run: run.number, State: run.step.Job.State.String(), Stopping: run.stopped || run.leaving, ForMs: (d.now - run.began).Milliseconds()})
+		status.Tasks = append(status.Tasks, RunStatus{Task: task, Run: run.number, State: run.step.Job.State.String(), Stopping: run.stopSent || run.evacuating, ForMs: (s.now - run.startedAt).Milliseconds()})
 	}
 	if r.session == nil {
-		s.LostInMs = max(0, (r.deadline - d.now).Milliseconds())
-		return s
+		status.LostInMs = max(0, (r.lostAfter - s.now).Milliseconds())
+		return status
 	}
-	s.Draining, s.Silent = r.session.draining, r.session.silent
-	s.LeaseMs = max(0, (r.session.leaseUntil - d.now).Milliseconds())
-	s.HeardMsAgo = (d.now - r.session.heard).Milliseconds()
-	return s
+	status.Draining, status.Unresponsive = r.session.draining, r.session.runnerUnresponsive
+	status.LeaseRemainingMs = max(0, (r.session.leaseExpiry - s.now).Milliseconds())
+	status.LastContactMsAgo = (s.now - r.session.lastContact).Milliseconds()
+	return status
 }
 
-func (d *Scheduler) waitStatus(q *queue, w *waitingStep) WaitStatus {
-	want := wantOf(w.step)
-	o := d.fleet.Why(want, d.now)
-	why := o.String()
+func (s *Scheduler) waitStatus(q *queue, w *waitingStep) WaitStatus {
+	request := placementRequest(w.step)
+	obstacles := s.fleet.Explain(request, s.now)
+	reason := obstacles.String()
 	switch {
 	case w.step.Stage.GetGang() && !w.step.GangIdle():
-		why = "members of the gang's last run have not ended: " + why
-	case o.Room > 0 && !d.leavesRoom(q, w):
-		why = "room is kept for more urgent work: " + why
-	case o.Room > 0 && w.step.Stage.GetGang():
-		why = "there is room for some of the gang, not for all: " + why
+		reason = "members of the gang's last run have not ended: " + reason
+	case obstacles.Fitting > 0 && !s.preservesHeadroom(q, w):
+		reason = "room is kept for more urgent work: " + reason
+	case obstacles.Fitting > 0 && w.step.Stage.GetGang():
+		reason = "there is room for some of the gang, not for all: " + reason
 	}
-	return WaitStatus{Job: w.step.Job.ID, Queue: w.step.Job.Queue, Service: q.service, Occasion: w.step.Occasion.Number, Step: w.step.Number, Tasks: w.step.Waiting,
-		Gang: w.step.Stage.GetGang(), Priority: w.priority, ForMs: (d.now - w.since).Round(time.Millisecond).Milliseconds(), Demand: want.Demand, Obstacles: o, Why: why}
+	return WaitStatus{Job: w.step.Job.ID, Queue: w.step.Job.Queue, Service: q.service, Occurrence: w.step.Occurrence.Number, Step: w.step.Number, Tasks: w.step.Waiting,
+		Gang: w.step.Stage.GetGang(), Priority: w.priority, ForMs: (s.now - w.since).Round(time.Millisecond).Milliseconds(), Demand: request.Demand, Obstacles: obstacles, Reason: reason}
 }
--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -19,75 +19,75 @@
 )
 
 const (
-	// answerTime is how long a caller of the API waits at the most; callers go elsewhere after a second.
-	answerTime = 900 * time.Millisecond
-	// mostBody bounds a configuration in bytes.
-	mostBody = 16 << 20
-	// readTime bounds how long a call may take to come in.
-	readTime = 10 * time.Second
+	// responseTimeout is how long a caller of the API waits at the most; callers go elsewhere after a second.
+	responseTimeout = 900 * time.Millisecond
+	// maxBodyBytes bounds a configuration in bytes.
+	maxBodyBytes = 16 << 20
+	// readTimeout bounds how long a call may take to come in.
+	readTimeout = 10 * time.Second
 )
 
 // serveAPI serves the operator's API.
-func (h *Host) serveAPI(address string) (stop func(), err error) {
-	l, err := net.Listen("tcp4", address)
+func (s *Server) serveAPI(address string) (stop func(), err error) {
+	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "control: the operator's address can't be listened on")
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/config", h.getConfig)
-	mux.HandleFunc("PUT /v1/config", func(w http.ResponseWriter, r *http.Request) { h.changeConfig(w, r, false) })
-	mux.HandleFunc("PATCH /v1/config", func(w http.ResponseWriter, r *http.Request) { h.changeConfig(w, r, true) })
-	mux.HandleFunc("GET /v1/status", h.getStatus)
-	mux.HandleFunc("GET /v1/scheduler", h.inspect("", ""))
-	mux.HandleFunc("GET /v1/jobs", h.inspect(member.WhatJobs, ""))
-	mux.HandleFunc("GET /v1/jobs/{id}", h.inspect(member.WhatJob, "id"))
-	mux.HandleFunc("DELETE /v1/jobs/{id}", h.cancelJob)
-	mux.HandleFunc("GET /v1/config/history", h.inspect(member.WhatHistory, ""))
-	server := &http.Server{Handler: mux, ReadTimeout: readTime}
+	mux.HandleFunc("GET /v1/config", s.getConfig)
+	mux.HandleFunc("PUT /v1/config", func(w http.ResponseWriter, r *http.Request) { s.changeConfig(w, r, false) })
+	mux.HandleFunc("PATCH /v1/config", func(w http.ResponseWriter, r *http.Request) { s.changeConfig(w, r, true) })
+	mux.HandleFunc("GET /v1/status", s.getMemberStatus)
+	mux.HandleFunc("GET /v1/scheduler", s.readStatus("", ""))
+	mux.HandleFunc("GET /v1/jobs", s.readStatus(member.TopicJobs, ""))
+	mux.HandleFunc("GET /v1/jobs/{id}", s.readStatus(member.TopicJob, "id"))
+	mux.HandleFunc("DELETE /v1/jobs/{id}", s.cancelJob)
+	mux.HandleFunc("GET /v1/config/history", s.readStatus(member.TopicHistory, ""))
+	server := &http.Server{Handler: mux, ReadTimeout: readTimeout}
 	go func() {
-		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 			klog.ErrorS(err, "The operator's API ends")
 		}
 	}()
 	return func() { server.Close() }, nil
 }
 
-// ask has the control plane answer a request.
-func (h *Host) ask(ctx context.Context, r *protocol.ClientRequest, read bool) (chainclient.Outcome, bool) {
-	answer := make(chan chainclient.Outcome, 1)
-	h.process.Do(func() {
-		h.waiting[h.member.Ask(h.process.Now(), r, read, answerTime)] = answer
+// do has the control plane answer a request.
+func (s *Server) do(ctx context.Context, r *protocol.ClientRequest, read bool) (chainclient.Outcome, bool) {
+	result := make(chan chainclient.Outcome, 1)
+	s.process.Post(func() {
+		s.pending[s.member.Do(s.process.Now(), r, read, responseTimeout)] = result
 	})
 	select {
-	case o := <-answer:
+	case o := <-result:
 		return o, true
 	case <-ctx.Done():
 		return chainclient.Outcome{}, false
 	}
 }
 
-func (h *Host) getConfig(w http.ResponseWriter, r *http.Request) {
-	h.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, true)
+func (s *Server) getConfig(w http.ResponseWriter, r *http.Request) {
+	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, true)
 }
 
-func (h *Host) changeConfig(w http.ResponseWriter, r *http.Request, patch bool) {
-	match, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
+func (s *Server) changeConfig(w http.ResponseWriter, r *http.Request, patch bool) {
+	ifMatch, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
 	if err != nil {
 		http.Error(w, "If-Match: it holds no version", http.StatusBadRequest)
 		return
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		http.Error(w, "the body can't be read: "+err.Error(), http.StatusBadRequest)
 		return
 	}
-	h.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: patch, IfMatch: match, Body: body}}}, false)
+	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: patch, IfMatch: ifMatch, Body: body}}}, false)
 }
 
 // respond answers a call with what the control plane says. Without its answer the caller is told to ask
 // again; an order may or may not have been taken then.
-func (h *Host) respond(w http.ResponseWriter, r *http.Request, request *protocol.ClientRequest, read bool) {
-	o, ok := h.ask(r.Context(), request, read)
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, request *protocol.ClientRequest, read bool) {
+	o, ok := s.do(r.Context(), request, read)
 	switch {
 	case !ok:
 	case o.Reply == nil:
@@ -102,29 +102,29 @@
 	}
 }
 
-// inspect answers with a part of the state of the placement role, wherever that is. It may be of entries that
+// readStatus answers with a part of the state of the placement role, wherever that is. It may be of entries that
 // are not committed: it is for operators' eyes.
-func (h *Host) inspect(what, pathValue string) http.HandlerFunc {
+func (s *Server) readStatus(topic, pathValue string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		read := &protocol.ReadStatus{What: what}
+		read := &protocol.ReadStatus{What: topic}
 		if pathValue != "" {
 			read.Id = r.PathValue(pathValue)
 		}
-		h.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: read}}, false)
+		s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: read}}, false)
 	}
 }
 
 // cancelJob cancels a job at an operator's wish.
-func (h *Host) cancelJob(w http.ResponseWriter, r *http.Request) {
-	h.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: r.PathValue("id")}}}, false)
+func (s *Server) cancelJob(w http.ResponseWriter, r *http.Request) {
+	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: r.PathValue("id")}}}, false)
 }
 
-// getStatus answers with the state of this member.
-func (h *Host) getStatus(w http.ResponseWriter, r *http.Request) {
-	answer := make(chan any, 1)
-	h.process.Do(func() { answer <- h.member.Replica().Status() })
+// getMemberStatus answers with the state of this member.
+func (s *Server) getMemberStatus(w http.ResponseWriter, r *http.Request) {
+	result := make(chan any, 1)
+	s.process.Post(func() { result <- s.member.Replica().Status() })
 	select {
-	case status := <-answer:
+	case status := <-result:
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(status)
 	case <-r.Context().Done():
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -23,66 +23,66 @@
 )
 
 const (
-	// tickEvery is how often the member is told of the time.
-	tickEvery = 20 * time.Millisecond
-	// openPause is the pause between tries to open the file of a disk that refuses.
-	openPause = 500 * time.Millisecond
-	// leaveShare is the share of the grace time for which a process that ends waits for the others to have all that
+	// tickInterval is how often the member is told of the time.
+	tickInterval = 20 * time.Millisecond
+	// openRetryInterval is the pause between tries to open the file of a disk that refuses.
+	openRetryInterval = 500 * time.Millisecond
+	// drainFraction is the share of the grace time for which a process that ends waits for the others to have all that
 	// it has.
-	leaveShare = 0.75
-	// statusMargin is how much longer than asked for the state of a job is kept.
-	statusMargin = 10 * time.Second
+	drainFraction = 0.75
+	// statusRetentionMargin is how much longer than asked for the state of a job is kept.
+	statusRetentionMargin = 10 * time.Second
 	// rackPrefix begins the labels that name racks.
 	rackPrefix = "r"
 )
 
-// Host is the process.
-type Host struct {
+// Server is the process.
+type Server struct {
 	process *process.Process
 	member  *member.Member
-	disk    *disk
-	waiting map[uint64]chan<- chainclient.Outcome // requests of the API
+	writer  *journalWriter
+	pending map[uint64]chan<- chainclient.Outcome // requests of the API
 }
 
 // Run runs the process until the context ends.
 func Run(ctx context.Context, path string, settings *nodefile.File) error {
 	if settings.DataDir == "" {
-		return nodefile.Needs(path, "DataDir")
+		return nodefile.MissingKey(path, "DataDir")
 	}
 	if settings.ListenAddrs.Control == "" {
-		return nodefile.Needs(path, "ListenAddrs.Control")
+		return nodefile.MissingKey(path, "ListenAddrs.Control")
 	}
-	h := &Host{waiting: make(map[uint64]chan<- chainclient.Outcome)}
+	s := &Server{pending: make(map[uint64]chan<- chainclient.Outcome)}
 	p, err := process.New(path, settings, "control", func(from string, e *protocol.Envelope) {
-		h.member.Receive(h.process.Now(), from, e)
+		s.member.Receive(s.process.Now(), from, e)
 	})
 	if err != nil {
 		return err
 	}
 	defer p.Close()
-	h.process = p
+	s.process = p
 	file, state, err := openJournal(ctx, settings.DataDir)
 	if err != nil {
 		return err
 	}
 	defer file.Close()
-	h.disk = newDisk(file, func(sequence uint64, size int64, err error) {
-		p.Do(func() { h.member.DiskDone(p.Now(), sequence, size, err) })
+	s.writer = newJournalWriter(file, func(sequence uint64, size int64, err error) {
+		p.Post(func() { s.member.DiskDone(p.Now(), sequence, size, err) })
 	})
-	h.begin(state)
-	stop, err := h.serveAPI(settings.ListenAddrs.Control)
+	s.startMember(state)
+	stop, err := s.serveAPI(settings.ListenAddrs.Control)
 	if err != nil {
 		return err
 	}
 	defer stop()
-	running, end := context.WithCancel(context.Background())
-	defer end()
-	p.Follow(running, func(changed *nodefile.File) { h.member.SetContacts(changed.Contacts()) })
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	p.WatchSettings(runCtx, func(changed *nodefile.File) { s.member.SetContacts(changed.Contacts()) })
 	go func() {
 		<-ctx.Done()
-		p.Do(func() { h.leave(end) })
+		p.Post(func() { s.drain(cancel) })
 	}()
-	p.Loop(running, tickEvery, h.tick, h.after)
+	p.Run(runCtx, tickInterval, s.tick, s.afterTurn)
 	return nil
 }
 
@@ -101,37 +101,37 @@
 		select {
 		case <-ctx.Done():
 			return nil, state, err
-		case <-time.After(openPause):
+		case <-time.After(openRetryInterval):
 		}
 	}
 }
 
-// begin makes the member, with a new identity where the disk holds none.
-func (h *Host) begin(state journal.State) {
-	settings := h.process.Settings
-	self := &protocol.Member{Id: state.ID, Address: h.process.Address, Control: settings.ListenAddrs.Control, Zone: settings.Zone}
+// startMember makes the member, with a new identity where the disk holds none.
+func (s *Server) startMember(state journal.State) {
+	settings := s.process.Settings
+	self := &protocol.Member{Id: state.ID, Address: s.process.Address, Control: settings.ListenAddrs.Control, Zone: settings.Zone}
 	if state.ID == 0 {
-		self.Id = h.process.Incarnation
-		if founders := founders(settings); founders != nil {
+		self.Id = s.process.Incarnation
+		if founders := foundingMembers(settings); founders != nil {
 			self.Id = founderID(settings.ListenAddrs.Control)
-			state = replica.Founding(self, founders)
+			state = replica.FoundingState(self, founders)
 		}
 	}
 	klog.InfoS("Member begins", "id", self.GetId(), "address", self.GetAddress(), "index", state.Index, "epoch", state.Accepted.GetEpoch())
-	h.member = member.New(member.Config{
-		Replica: replica.Config{Self: self, Incarnation: h.process.Incarnation, Faults: settings.FaultTolerance.Machines,
-			Contacts: settings.Contacts(), Seed: h.process.Incarnation, Timing: replica.DefaultTiming()},
-		Scheduler: scheduler.Config{Lease: nodefile.Seconds(settings.Bounds.RecoveryS), StatusKept: nodefile.Seconds(settings.Bounds.StatusS) + statusMargin,
-			RackPrefix: rackPrefix, FarFactor: settings.Bounds.FarX},
-	}, h.process.Now(), state)
+	s.member = member.New(member.Config{
+		Replica: replica.Config{Self: self, Incarnation: s.process.Incarnation, ToleratedFaults: settings.FaultTolerance.Machines,
+			Contacts: settings.Contacts(), Seed: s.process.Incarnation, Timing: replica.DefaultTiming()},
+		Scheduler: scheduler.Config{Lease: nodefile.Seconds(settings.Bounds.RecoveryS), StatusRetention: nodefile.Seconds(settings.Bounds.StatusS) + statusRetentionMargin,
+			RackPrefix: rackPrefix, RemoteSlowdown: settings.Bounds.FarX},
+	}, s.process.Now(), state)
 }
 
 // founderID returns the identity of a founder, which is named by its operator's address.
 func founderID(control string) uint64 { return xxhash.Sum64String("founder " + control) }
 
-// founders returns the members of view 0 where this process is one of them: the seeds of a system that
+// foundingMembers returns the members of view 0 where this process is one of them: the seeds of a system that
 // starts for the first time.
-func founders(settings *nodefile.File) (founders []*protocol.Member) {
+func foundingMembers(settings *nodefile.File) (founders []*protocol.Member) {
 	if !settings.Bootstrap || !slices.Contains(settings.Seeds, settings.ListenAddrs.Control) {
 		return nil
 	}
@@ -146,40 +146,40 @@
 }
 
 // tick lets time pass.
-func (h *Host) tick() { h.member.Tick(h.process.Now(), h.process.WallMs()) }
+func (s *Server) tick() { s.member.Tick(s.process.Now(), s.process.WallMs()) }
 
-// after carries out what a turn has led to.
-func (h *Host) after() {
-	out := h.member.Turn(h.process.Now())
-	for _, text := range out.Notes {
-		klog.Info(text)
+// afterTurn carries out what a turn has led to.
+func (s *Server) afterTurn() {
+	out := s.member.Turn(s.process.Now())
+	for _, e := range out.Events {
+		klog.InfoS(e.Message, e.KeysAndValues...)
 	}
 	for _, w := range out.Writes {
-		h.disk.put(w)
+		s.writer.enqueue(w)
 	}
-	for _, s := range out.Sends {
-		h.process.Send(s.To, s.Message)
+	for _, send := range out.Sends {
+		s.process.Send(send.To, send.Message)
 	}
 	for _, o := range out.Outcomes {
-		if waiting := h.waiting[o.ID]; waiting != nil {
-			delete(h.waiting, o.ID)
+		if waiting := s.pending[o.ID]; waiting != nil {
+			delete(s.pending, o.ID)
 			waiting <- o
 		}
 	}
 }
 
-// leave ends the process once the others go on without it.
-func (h *Host) leave(end func()) {
-	began := h.process.Now()
-	most := max(time.Second, time.Duration(leaveShare*float64(nodefile.Seconds(h.process.Settings.Bounds.GraceS))))
-	h.member.Leave(began)
-	var look func()
-	look = func() {
-		if h.member.Replica().MayLeave() || h.process.Now()-began > most {
-			end()
+// drain ends the process once the others go on without it.
+func (s *Server) drain(cancel func()) {
+	startedAt := s.process.Now()
+	maxWait := max(time.Second, time.Duration(drainFraction*float64(nodefile.Seconds(s.process.Settings.Bounds.GraceS))))
+	s.member.Drain(startedAt)
+	var poll func()
+	poll = func() {
+		if s.member.Replica().Drained() || s.process.Now()-startedAt > maxWait {
+			cancel()
 			return
 		}
-		time.AfterFunc(tickEvery, func() { h.process.Do(look) })
+		time.AfterFunc(tickInterval, func() { s.process.Post(poll) })
 	}
-	look()
+	poll()
 }
--- a/internal/control/store/store.go
+++ b/internal/control/store/store.go
@@ -12,15 +12,15 @@
 	"frosttide/internal/protocol"
 )
 
-// Ranges is the number of key ranges. Keys go to ranges by hash.
-const Ranges = 1024
+// RangeCount is the number of key ranges. Keys go to ranges by hash.
+const RangeCount = 1024
 
 // Store is the table. The zero value is not usable; see New.
 type Store struct {
-	watch   func(key string, before, after []byte)
+	watch   func(key string, previous, current []byte)
 	items   map[string][]byte
-	ranges  [Ranges]map[string]struct{}
-	digests [Ranges]uint64
+	ranges  [RangeCount]map[string]struct{}
+	digests [RangeCount]uint64
 	bytes   int
 }
 
@@ -29,7 +29,7 @@
 
 // Watch has f told of every item there is, and from then on of every change: before is nil for a new item,
 // after for one that is removed. There is one watcher.
-func (s *Store) Watch(f func(key string, before, after []byte)) {
+func (s *Store) Watch(f func(key string, previous, current []byte)) {
 	for key, value := range s.items {
 		f(key, nil, value)
 	}
@@ -39,11 +39,11 @@
 // itemOverhead is about what the record of an item takes on disk besides key and value.
 const itemOverhead = 8
 
-// rangeOf returns the range that a key belongs to.
-func rangeOf(key string) int { return int(xxhash.Sum64String(key) % Ranges) }
+// rangeOfKey returns the range that a key belongs to.
+func rangeOfKey(key string) int { return int(xxhash.Sum64String(key) % RangeCount) }
 
-// digestOf is what an item adds to its range's digest. Sums of it don't depend on the order of writes.
-func digestOf(key string, value []byte) uint64 {
+// itemDigest is what an item adds to its range's digest. Sums of it don't depend on the order of writes.
+func itemDigest(key string, value []byte) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
 	_, _ = d.Write([]byte{0})
@@ -53,14 +53,14 @@
 
 // Put sets an item. The store keeps the value; the caller does not change it afterwards.
 func (s *Store) Put(key string, value []byte) {
-	r := rangeOf(key)
-	old, ok := s.items[key]
+	r := rangeOfKey(key)
+	previous, ok := s.items[key]
 	if s.watch != nil {
-		s.watch(key, old, value)
+		s.watch(key, previous, value)
 	}
 	if ok {
-		s.digests[r] -= digestOf(key, old)
-		s.bytes -= len(old)
+		s.digests[r] -= itemDigest(key, previous)
+		s.bytes -= len(previous)
 	} else {
 		if s.ranges[r] == nil {
 			s.ranges[r] = make(map[string]struct{})
@@ -70,21 +70,21 @@
 	}
 	s.items[key] = value
 	s.bytes += len(value)
-	s.digests[r] += digestOf(key, value)
+	s.digests[r] += itemDigest(key, value)
 }
 
 // Delete removes an item if it is there.
 func (s *Store) Delete(key string) {
-	old, ok := s.items[key]
+	previous, ok := s.items[key]
 	if !ok {
 		return
 	}
 	if s.watch != nil {
-		s.watch(key, old, nil)
+		s.watch(key, previous, nil)
 	}
-	r := rangeOf(key)
-	s.digests[r] -= digestOf(key, old)
-	s.bytes -= len(old) + len(key) + itemOverhead
+	r := rangeOfKey(key)
+	s.digests[r] -= itemDigest(key, previous)
+	s.bytes -= len(previous) + len(key) + itemOverhead
 	delete(s.items, key)
 	delete(s.ranges[r], key)
 }
@@ -124,16 +124,16 @@
 	for k, v := range s.items {
 		out = append(out, &protocol.Put{Key: k, Value: v})
 	}
-	slices.SortFunc(out, byKey)
+	slices.SortFunc(out, compareKeys)
 	return out
 }
 
 // Digests returns the digests of all ranges.
 func (s *Store) Digests() []uint64 { return slices.Clone(s.digests[:]) }
 
-// Differing returns the ranges whose digests differ from others'. Ranges that the others lack count as
+// DifferingRanges returns the ranges whose digests differ from others'. Ranges that the others lack count as
 // empty there.
-func (s *Store) Differing(digests []uint64) (ranges []uint32) {
+func (s *Store) DifferingRanges(digests []uint64) (ranges []uint32) {
 	for r := range s.digests {
 		other := uint64(0)
 		if r < len(digests) {
@@ -146,28 +146,28 @@
 	return ranges
 }
 
-// Range returns the items of a range, by key.
-func (s *Store) Range(r uint32) (items []*protocol.Put) {
-	if r >= Ranges {
+// ItemsInRange returns the items of a range, by key.
+func (s *Store) ItemsInRange(r uint32) (items []*protocol.Put) {
+	if r >= RangeCount {
 		return nil
 	}
 	for k := range s.ranges[r] {
 		items = append(items, &protocol.Put{Key: k, Value: s.items[k]})
 	}
-	slices.SortFunc(items, byKey)
+	slices.SortFunc(items, compareKeys)
 	return items
 }
 
-// DigestOf returns the digest of a range that holds just the given items.
-func DigestOf(items []*protocol.Put) (digest uint64) {
+// DigestItems returns the digest of a range that holds just the given items.
+func DigestItems(items []*protocol.Put) (digest uint64) {
 	for _, p := range items {
-		digest += digestOf(p.GetKey(), p.GetValue())
+		digest += itemDigest(p.GetKey(), p.GetValue())
 	}
 	return digest
 }
 
-// Combine returns one digest of a whole state from those of its ranges.
-func Combine(digests []uint64) uint64 {
+// CombineDigests returns one digest of a whole state from those of its ranges.
+func CombineDigests(digests []uint64) uint64 {
 	d := xxhash.New()
 	var number [8]byte
 	for _, one := range digests {
@@ -177,11 +177,11 @@
 	return d.Sum64()
 }
 
-// ByRange returns items by the ranges that they belong to.
-func ByRange(items []*protocol.Put) map[uint32][]*protocol.Put {
+// GroupByRange returns items by the ranges that they belong to.
+func GroupByRange(items []*protocol.Put) map[uint32][]*protocol.Put {
 	out := make(map[uint32][]*protocol.Put)
 	for _, p := range items {
-		r := uint32(rangeOf(p.GetKey()))
+		r := uint32(rangeOfKey(p.GetKey()))
 		out[r] = append(out[r], p)
 	}
 	return out
@@ -192,12 +192,12 @@
 	wanted := make(map[string]struct{}, len(items))
 	for _, p := range items {
 		wanted[p.GetKey()] = struct{}{}
-		if old, ok := s.items[p.GetKey()]; !ok || string(old) != string(p.GetValue()) {
+		if previous, ok := s.items[p.GetKey()]; !ok || string(previous) != string(p.GetValue()) {
 			puts = append(puts, p)
 		}
 	}
 	for _, r := range ranges {
-		if r >= Ranges {
+		if r >= RangeCount {
 			continue
 		}
 		for k := range s.ranges[r] {
@@ -210,7 +210,7 @@
 	return puts, deletes
 }
 
-func byKey(a, b *protocol.Put) int {
+func compareKeys(a, b *protocol.Put) int {
 	switch {
 	case a.GetKey() < b.GetKey():
 		return -1
--- a/internal/control/store/store_rapid_test.go
+++ b/internal/control/store/store_rapid_test.go
@@ -16,13 +16,13 @@
 	rapid.Check(t, func(t *rapid.T) {
 		stores := [2]*Store{New(), New()}
 		watched := make(map[string]string)
-		stores[0].Watch(func(key string, before, after []byte) {
-			require.Equal(t, watched[key], string(before))
-			if after == nil {
+		stores[0].Watch(func(key string, previous, current []byte) {
+			require.Equal(t, watched[key], string(previous))
+			if current == nil {
 				delete(watched, key)
 				return
 			}
-			watched[key] = string(after)
+			watched[key] = string(current)
 		})
 		for range rapid.IntRange(0, 60).Draw(t, "changes") {
 			s := stores[rapid.IntRange(0, 1).Draw(t, "store")]
@@ -34,19 +34,19 @@
 			}
 		}
 		equal := fmt.Sprint(stores[0].All()) == fmt.Sprint(stores[1].All())
-		require.Equal(t, equal, Combine(stores[0].Digests()) == Combine(stores[1].Digests()))
+		require.Equal(t, equal, CombineDigests(stores[0].Digests()) == CombineDigests(stores[1].Digests()))
 		require.Len(t, watched, stores[0].Len())
 		for key, value := range watched {
 			got, ok := stores[0].Get(key)
 			require.True(t, ok)
 			require.Equal(t, value, string(got))
 		}
-		ranges := stores[1].Differing(stores[0].Digests())
+		ranges := stores[1].DifferingRanges(stores[0].Digests())
 		require.Equal(t, equal, len(ranges) == 0)
 		for _, r := range ranges {
-			items := stores[1].Range(r)
-			require.Equal(t, stores[1].Digests()[r], DigestOf(items))
-			puts, deletes := stores[0].Repair([]uint32{r}, ByRange(items)[r])
+			items := stores[1].ItemsInRange(r)
+			require.Equal(t, stores[1].Digests()[r], DigestItems(items))
+			puts, deletes := stores[0].Repair([]uint32{r}, GroupByRange(items)[r])
 			stores[0].Apply(puts, deletes)
 		}
 		require.Equal(t, stores[1].Digests(), stores[0].Digests())
--- a/internal/control/store/store_test.go
+++ b/internal/control/store/store_test.go
@@ -32,14 +32,14 @@
 		}
 		fill(rng, b, rng.IntN(100))
 		var items []*protocol.Put
-		ranges := a.Differing(b.Digests())
+		ranges := a.DifferingRanges(b.Digests())
 		for _, r := range ranges {
-			items = append(items, a.Range(r)...)
+			items = append(items, a.ItemsInRange(r)...)
 		}
 		puts, deletes := b.Repair(ranges, items)
 		b.Apply(puts, deletes)
 		require.Equal(t, a.All(), b.All())
-		require.Empty(t, a.Differing(b.Digests()))
+		require.Empty(t, a.DifferingRanges(b.Digests()))
 		require.Equal(t, a.Bytes(), b.Bytes())
 	}
 }
@@ -55,9 +55,9 @@
 	require.Equal(t, b.Digests(), a.Digests())
 	require.Equal(t, 1, a.Len())
 	b.Put("x", []byte("1"))
-	require.Len(t, a.Differing(b.Digests()), 1)
-	require.Len(t, a.Differing(nil), 1, "ranges that the other lacks count as empty")
+	require.Len(t, a.DifferingRanges(b.Digests()), 1)
+	require.Len(t, a.DifferingRanges(nil), 1, "ranges that the other lacks count as empty")
 	a.Delete("none")
 	require.Equal(t, 1, a.Len())
-	require.Nil(t, a.Range(Ranges))
+	require.Nil(t, a.ItemsInRange(RangeCount))
 }
