--- a/decision/api.go
+++ b/decision/api.go
@@ -87,15 +87,15 @@
 type Metric uint8
 
 const (
-	MetricUnknown Metric = iota
-	MetricInFlight
-	MetricQueued
-	MetricUtilization
-	MetricLatency // milliseconds
-	MetricServedRate
-	MetricErrorRate
-	MetricFreeSlots
-	MetricFreeMemory
+	MetricUnknown     Metric = iota // a value that the module does not use
+	MetricInFlight                  // requests that the worker is handling
+	MetricQueued                    // requests that wait at the worker
+	MetricUtilization               // share of the worker's capacity in use, 0 to 1
+	MetricLatency                   // milliseconds
+	MetricServedRate                // requests served per second
+	MetricErrorRate                 // requests failed per second
+	MetricFreeSlots                 // slots that no request holds
+	MetricFreeMemory                // memory that no request holds
 )
 
 // MostSlots is the largest slot demand that is reckoned with.
@@ -147,15 +147,15 @@
 type Outcome uint8
 
 const (
-	Served        Outcome = iota
-	Errored               // the worker answered with an error; it may have run
-	Rejected              // turned away unseen; it never ran
-	TimedOut              // no answer in time; it may have run or still run
-	ConnectFailed         // no connection; it never ran
-	ConnReset             // the connection broke; it may have run
-	Canceled              // called off; it may have run
-	NotSent               // the host did not send it; it never ran
-	Unusable              // no worker can use the request; it never ran
+	Served        Outcome = iota // the worker answered
+	Errored                      // the worker answered with an error; it may have run
+	Rejected                     // turned away unseen; it never ran
+	TimedOut                     // no answer in time; it may have run or still run
+	ConnectFailed                // no connection; it never ran
+	ConnReset                    // the connection broke; it may have run
+	Canceled                     // called off; it may have run
+	NotSent                      // the host did not send it; it never ran
+	Unusable                     // no worker can use the request; it never ran
 )
 
 // NeverRan reports whether the outcome proves that the attempt did not run.
@@ -167,9 +167,9 @@
 type MemberState uint8
 
 const (
-	Ready MemberState = iota
-	Draining
-	Removed
+	Ready    MemberState = iota // takes new work
+	Draining                    // finishes what it has and takes no new work
+	Removed                     // no longer listed
 )
 
 // Member is one entry of the worker list.
--- a/decision/tell.go
+++ b/decision/tell.go
@@ -13,21 +13,22 @@
 type Reason uint8
 
 const (
-	NoReason    Reason = iota
-	NoToken            // no worker that fits has tokens free
-	Overload           // requests start late: some are turned away
-	Ending             // the process ends before most of its class would be done
-	RetryBudget        // attempts after a failure have used up their share
-	NoAttempts         // it has had all its attempts
-	MayHaveRun         // it must not run twice, and it may have run
-	TimeUp             // its deadline has come
-	NoUse              // no worker can use it
-	NoClass            // its class is unknown
+	NoReason    Reason = iota // the request was neither refused nor failed
+	NoToken                   // no worker that fits has tokens free
+	Overload                  // requests start late: some are turned away
+	Ending                    // the process ends before most of its class would be done
+	RetryBudget               // attempts after a failure have used up their share
+	NoAttempts                // it has had all its attempts
+	MayHaveRun                // it must not run twice, and it may have run
+	TimeUp                    // its deadline has come
+	NoUse                     // no worker can use it
+	NoClass                   // its class is unknown
 )
 
 var reasons = [...]string{"", "no_token", "overload", "ending", "retry_budget", "attempts", "may_have_run",
 	"deadline", "unusable", "unknown_class"}
 
+// String returns the reason as traces and figures name it, empty for NoReason.
 func (r Reason) String() string {
 	if int(r) < len(reasons) {
 		return reasons[r]
--- a/internal/dispatcher/fleet/gang/board/board.go
+++ b/internal/dispatcher/fleet/gang/board/board.go
@@ -177,7 +177,7 @@
 	p.Why = verdict.Verdict{}
 }
 
-// Started, Reported and Ended take in what workers tell.
+// Started records that an attempt of a part has started.
 func (b *Board) Started(id ID, attempt int, now time.Duration) {
 	if p := b.find(id); p != nil {
 		waited := p.Waits()
--- a/internal/dispatcher/fleet/gang/verdict/verdict.go
+++ b/internal/dispatcher/fleet/gang/verdict/verdict.go
@@ -23,6 +23,7 @@
 
 var names = [...]string{"unknown", "in step", "behind", "straggler", "silent"}
 
+// String returns the state in plain words, as operators see it.
 func (s State) String() string { return names[min(int(s), len(names)-1)] }
 
 const (
--- a/internal/dispatcher/fleet/members/members.go
+++ b/internal/dispatcher/fleet/members/members.go
@@ -28,9 +28,10 @@
 	suspicion   = 3
 	// streamTime bounds a whole exchange by TCP.
 	streamTime = 2 * time.Second
-	// Packet is the most bytes that go in a packet, and Word of one message in it.
+	// Packet is the most bytes that go in a packet.
 	Packet = 1400
-	Word   = 1200
+	// Word is the most bytes of one message in a packet.
+	Word = 1200
 	// rejoinEvery is how often members named in the settings that are not alive are tried
 	// anew. Guards against a cut that lasts longer than the dead are remembered.
 	rejoinEvery = 2 * time.Second
--- a/internal/dispatcher/fleet/recovery/stage/stage.go
+++ b/internal/dispatcher/fleet/recovery/stage/stage.go
@@ -21,6 +21,7 @@
 
 var names = [...]string{"empty", "listening", "joining", "catching up", "probation", "full"}
 
+// String returns the stage in plain words, as operators see it.
 func (s Stage) String() string {
 	if int(s) < len(names) {
 		return names[s]
--- a/internal/dispatcher/fleet/workflow/assignment/assignment.go
+++ b/internal/dispatcher/fleet/workflow/assignment/assignment.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// LeaseFor is how long a member has a workflow that it took, and Renew how long before the
-	// end it takes it on.
+	// LeaseFor is how long a member holds a workflow that it took, in ms.
 	LeaseFor = 3000
-	Renew    = 1500
+	// Renew is how long before its lease ends a member renews it, in ms.
+	Renew = 1500
 	// headStart is how much later, in ms, the next in a workflow's order takes it that nobody
 	// has.
 	headStart = 400
--- a/internal/dispatcher/fleet/workflow/flow/flow.go
+++ b/internal/dispatcher/fleet/workflow/flow/flow.go
@@ -111,6 +111,7 @@
 	Fenced  = "fenced"  // another member has it by now
 )
 
+// Error returns the text of the refusal.
 func (r *Refusal) Error() string { return r.Text }
 
 // No makes a refusal.
--- a/internal/dispatcher/gearman/proto/packet.go
+++ b/internal/dispatcher/gearman/proto/packet.go
@@ -96,6 +96,7 @@
 	GetStatusUnique: {"GET_STATUS_UNIQUE", request, 1}, StatusResUnique: {"STATUS_RES_UNIQUE", response, 6},
 }
 
+// String returns the packet's name in the protocol.
 func (t Type) String() string {
 	if f, ok := forms[t]; ok {
 		return f.name
--- a/internal/dispatcher/rosterpolicy/rosterpolicy.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy.go
@@ -43,6 +43,7 @@
 	Unusable
 )
 
+// String returns the age in plain words.
 func (a Age) String() string { return [...]string{"fresh", "old", "very old", "unusable"}[a] }
 
 // skew is how far ahead another machine's clock may be.
@@ -89,6 +90,7 @@
 	Impostor                  // something else answers there
 )
 
+// String returns the evidence in one word.
 func (e Evidence) String() string {
 	return [...]string{"answered", "connected", "started", "refused", "broken", "busy", "silent", "impostor"}[e]
 }
@@ -108,6 +110,7 @@
 	Rejected                 // nothing until discovery lists it: too old, or not who it was
 )
 
+// String returns the standing in one word.
 func (s Standing) String() string {
 	return [...]string{"withheld", "waiting", "used", "barred", "rejected"}[s]
 }
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -23,6 +23,7 @@
 	Reason string
 }
 
+// Error returns the mistake with its place, as FILE:LINE: KEY: REASON, as far as these are known.
 func (m Mistake) Error() string {
 	at := m.Path
 	if m.Line > 0 {
--- a/internal/dispatcher/trace/ids.go
+++ b/internal/dispatcher/trace/ids.go
@@ -37,7 +37,10 @@
 	return id
 }
 
-func (id ID) String() string     { return hex.EncodeToString(id[:]) }
+// String returns the id as lower-case hexadecimal digits.
+func (id ID) String() string { return hex.EncodeToString(id[:]) }
+
+// String returns the id as lower-case hexadecimal digits.
 func (id SpanID) String() string { return hex.EncodeToString(id[:]) }
 
 // MarshalText writes an id as lower-case hexadecimal digits.
--- a/internal/testkit/lab/faults/script.go
+++ b/internal/testkit/lab/faults/script.go
@@ -114,6 +114,7 @@
 	Words []string
 }
 
+// String returns the step as the script has it.
 func (s Step) String() string { return strings.Join(s.Words, " ") }
 
 // The bounds of a script.
--- a/internal/testkit/standin/gearman/gearman.go
+++ b/internal/testkit/standin/gearman/gearman.go
@@ -56,6 +56,7 @@
 	Args []string
 }
 
+// String returns the packet's type and arguments, for the messages of failed tests.
 func (g Got) String() string { return fmt.Sprintf("%s %q", g.Type, g.Args) }
 
 // Next reads a packet.
