--- /dev/null
+++ b/internal/gossip/shuffle.go
@@ -0,0 +1,144 @@
+package gossip
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"frosttide/internal/protocol"
+)
+
+const (
+	// partialViewSize is the number of neighbors that a process keeps at the most.
+	partialViewSize = 8
+	// shuffleSize is the number of neighbors that a shuffle exchanges, the sender itself included.
+	shuffleSize = 4
+	// minShuffleInterval and maxShuffleInterval bound the pause between shuffles. It begins short, so that the partial
+	// views of a system that starts mix fast, and grows by shuffleIntervalGrowth with each shuffle.
+	minShuffleInterval    = 200 * time.Millisecond
+	maxShuffleInterval    = 2 * time.Second
+	shuffleIntervalGrowth = 1.25
+	// shufflesPerContact is after how many shuffles a contact gets one too.
+	shufflesPerContact = 4
+	// bootstrapInterval is the pause between shuffles with a contact while no neighbor is known.
+	bootstrapInterval = 150 * time.Millisecond
+)
+
+// beginShuffle exchanges a part of the partial view with the neighbor that has been known for longest (Voulgaris,
+// Gavidia & van Steen 2005, section 3). That neighbor is removed: while it lives, it comes back through others, so that
+// dead ones vanish without being detected.
+func (m *Machine) beginShuffle() {
+	for _, n := range m.neighbors {
+		n.Age++
+	}
+	m.shuffleCount++
+	if len(m.neighbors) == 0 || m.shuffleCount%shufflesPerContact == 0 {
+		m.shuffleWithContact()
+	}
+	if len(m.neighbors) == 0 {
+		m.nextShuffle = m.now + bootstrapInterval
+		return
+	}
+	m.shuffleInterval = min(maxShuffleInterval, max(minShuffleInterval, time.Duration(float64(m.shuffleInterval)*shuffleIntervalGrowth)))
+	m.nextShuffle = m.now + m.shuffleInterval
+	oldest := slices.MaxFunc(m.neighbors, func(a, b *protocol.Neighbor) int { return cmp.Compare(a.GetAge(), b.GetAge()) })
+	m.removeNeighbor(oldest.GetAddress())
+	m.offered = m.sample(shuffleSize - 1)
+	m.offerNeighbors(oldest.GetAddress(), m.offered)
+}
+
+// shuffleWithContact keeps groups that started from different contacts, or were partitioned, from staying apart.
+func (m *Machine) shuffleWithContact() {
+	if len(m.cfg.Contacts) == 0 {
+		return
+	}
+	if to := m.cfg.Contacts[m.rng.IntN(len(m.cfg.Contacts))]; to != m.cfg.Address {
+		m.offerNeighbors(to, m.sample(shuffleSize-1))
+	}
+}
+
+// offerNeighbors begins a shuffle with a process: it gets this process's own entry and some neighbors.
+func (m *Machine) offerNeighbors(to string, neighbors []*protocol.Neighbor) {
+	self := &protocol.Neighbor{Address: m.cfg.Address, Role: m.cfg.Role}
+	m.sendShuffle(to, &protocol.Shuffle{Neighbors: cloneNeighbors(append([]*protocol.Neighbor{self}, neighbors...))})
+}
+
+func (m *Machine) sendShuffle(to string, s *protocol.Shuffle) {
+	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_Shuffle{Shuffle: s}})
+}
+
+// cloneNeighbors returns entries of their own for a message, as the ages of those in the partial view go on rising.
+func cloneNeighbors(neighbors []*protocol.Neighbor) []*protocol.Neighbor {
+	cloned := make([]*protocol.Neighbor, len(neighbors))
+	for i, n := range neighbors {
+		cloned[i] = &protocol.Neighbor{Address: n.GetAddress(), Role: n.GetRole(), Age: n.GetAge()}
+	}
+	return cloned
+}
+
+// onShuffle handles either half of a shuffle. A process that knew nobody also exchanges versions with the sender at
+// once.
+func (m *Machine) onShuffle(from string, s *protocol.Shuffle) {
+	replaceable := m.offered
+	if !s.GetReply() {
+		replaceable = m.sample(shuffleSize)
+		m.sendShuffle(from, &protocol.Shuffle{Neighbors: cloneNeighbors(replaceable), Reply: true})
+	}
+	wasIsolated := len(m.neighbors) == 0
+	m.mergeNeighbors(s.GetNeighbors(), replaceable)
+	if wasIsolated {
+		m.mergeNeighbors([]*protocol.Neighbor{{Address: from}}, nil)
+		m.sendRumor(from, m.rumor())
+	}
+}
+
+// mergeNeighbors adds received entries to the partial view. Where it is full, they replace entries that the sender has
+// been given, and random ones once those are used up.
+func (m *Machine) mergeNeighbors(received, replaceable []*protocol.Neighbor) {
+	for _, n := range received {
+		if n.GetAddress() == m.cfg.Address || m.isNeighbor(n.GetAddress()) {
+			continue
+		}
+		if len(m.neighbors) >= partialViewSize && len(replaceable) > 0 {
+			m.removeNeighbor(replaceable[0].GetAddress())
+			replaceable = replaceable[1:]
+		}
+		if len(m.neighbors) >= partialViewSize {
+			at := m.rng.IntN(len(m.neighbors))
+			m.neighbors = slices.Delete(m.neighbors, at, at+1)
+		}
+		m.neighbors = append(m.neighbors, n)
+	}
+}
+
+func (m *Machine) isNeighbor(address string) bool {
+	return slices.ContainsFunc(m.neighbors, func(n *protocol.Neighbor) bool { return n.GetAddress() == address })
+}
+
+func (m *Machine) removeNeighbor(address string) {
+	m.neighbors = slices.DeleteFunc(m.neighbors, func(n *protocol.Neighbor) bool { return n.GetAddress() == address })
+}
+
+// sample returns up to limit random neighbors.
+func (m *Machine) sample(limit int) []*protocol.Neighbor {
+	out := slices.Clone(m.neighbors)
+	m.rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
+	return out[:min(limit, len(out))]
+}
+
+// maxDraws bounds how often a random neighbor is drawn again.
+const maxDraws = 4
+
+// randomNeighbor returns the address of a random neighbor, and false where none is found. Entries without an address, as
+// only malformed messages have, are passed over.
+func (m *Machine) randomNeighbor() (address string, ok bool) {
+	for range maxDraws {
+		if len(m.neighbors) == 0 {
+			return "", false
+		}
+		if address := m.neighbors[m.rng.IntN(len(m.neighbors))].GetAddress(); address != "" {
+			return address, true
+		}
+	}
+	return "", false
+}
