--- /dev/null
+++ b/internal/transport/connect.go
@@ -0,0 +1,116 @@
+package transport
+
+import (
+	"context"
+	"net"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"storj.io/drpc/drpcconn"
+
+	"frosttide/internal/protocol"
+)
+
+// errNoHello ends a stream whose first message does not say who has opened it.
+var errNoHello = errors.New("transport: the first message is no hello")
+
+// dialLink connects a link and serves it until it breaks.
+func (t *Transport) dialLink(ctx context.Context, l *link) {
+	conn, err := t.cfg.Dial(ctx, l.address)
+	if err != nil {
+		t.removeUnreachable(l)
+		return
+	}
+	defer conn.Close()
+	if !t.attachConnection(l, conn) {
+		t.removeLink(l)
+		return
+	}
+	setUserTimeout(conn)
+	client := drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: managerOptions()})
+	s, err := protocol.NewDRPCPeerClient(client).Exchange(t.ctx)
+	if err != nil {
+		t.removeUnreachable(l)
+		return
+	}
+	t.serveLink(l, s)
+}
+
+// attachConnection gives a dialed link its connection. It returns false where the link has ended meanwhile, or the other
+// process's own link has taken its place.
+func (t *Transport) attachConnection(l *link, conn net.Conn) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.links[l.address] != l {
+		return false
+	}
+	l.dialing = false
+	return l.attach(func() { conn.Close() })
+}
+
+// peerService is the transport as the drpc service.
+type peerService Transport
+
+// Exchange serves a stream that another process has opened, until it breaks.
+func (s *peerService) Exchange(in protocol.DRPCPeer_ExchangeStream) error {
+	t := (*Transport)(s)
+	first, err := in.Recv()
+	if err != nil {
+		return err
+	}
+	hello := first.GetHello()
+	if hello == nil {
+		return errNoHello
+	}
+	l := newLink(hello.GetAddress())
+	l.incarnation.Store(hello.GetIncarnation())
+	l.closeConnection = func() { in.Close() }
+	t.adoptLink(l)
+	t.serveLink(l, in)
+	return nil
+}
+
+// adoptLink has messages to a process leave by the link that it has opened, unless there is one already to that very
+// incarnation. A link that is still being dialed gives way, and hands over its queue: the dial may have begun while the
+// other machine was off, and would then wait until dialTimeout.
+func (t *Transport) adoptLink(l *link) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if current := t.links[l.address]; current != nil {
+		switch incarnation := current.incarnation.Load(); {
+		case current.dialing:
+			l.queue = current.drain()
+		case incarnation == 0 || incarnation == l.incarnation.Load():
+			return
+		}
+		t.running.Go(current.terminate) // closing a connection may block, which the lock must not
+	}
+	t.links[l.address] = l
+}
+
+// removeLink ends a link, and has the next message to its process begin another.
+func (t *Transport) removeLink(l *link) {
+	l.terminate()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.deleteLink(l)
+}
+
+// removeUnreachable ends a link that could not be made, and has messages to its process be dropped for dialBackoff.
+func (t *Transport) removeUnreachable(l *link) {
+	l.terminate()
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.deleteLink(l) {
+		t.dialFailures[l.address] = time.Now()
+	}
+}
+
+// deleteLink forgets a link, and returns false where another has taken its place. The transport's lock is held.
+func (t *Transport) deleteLink(l *link) bool {
+	if t.links[l.address] != l {
+		return false
+	}
+	delete(t.links, l.address)
+	return true
+}
--- /dev/null
+++ b/internal/transport/doc.go
@@ -0,0 +1,19 @@
+// Package transport carries envelopes between the processes of the cluster scheduler.
+//
+// Two processes share one drpc stream, which is dialed by whichever has something to send first and serves both ways.
+// Package process is the only caller; state machines name the receiver of a message by its internal address and never see
+// a connection.
+//
+// Guarantees and limits:
+//   - delivery is at most once, and in order while a link stands; a link that breaks loses what is in flight and queued;
+//   - Send never blocks: a message to an unreachable process is dropped, and a link whose queue is full is terminated, so
+//     that the other end notices the loss;
+//   - the kernel closes a connection whose bytes stay unacknowledged for userTimeout; one that is idle for idleTimeout is
+//     closed here;
+//   - a link belongs to one incarnation of the other process: a process that has taken the place of an earlier one at the
+//     same address replaces its link.
+//
+// A Transport is safe for concurrent use. It owns a goroutine that accepts connections and two for each link, which read
+// and write it; Close waits for the end of all of them. Config.Handle is called by the reading ones, concurrently for
+// different links.
+package transport
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -8,25 +8,34 @@
 	"frosttide/internal/protocol"
 )
 
-// link is a stream to another process.
+const (
+	// idleTimeout is how long a link may be unused before it is closed.
+	idleTimeout = 20 * time.Second
+	// maxQueuedMessages bounds the messages that wait for a link.
+	maxQueuedMessages = 8192
+)
+
+// link is a stream to another process with the messages that wait for it. It ends once, by terminate.
 type link struct {
-	address         string
-	incarnation     atomic.Uint64 // of the other process, 0 before its hello
+	address     string        // internal address of the other process
+	incarnation atomic.Uint64 // of the other process, 0 before its hello
+	dialing     bool          // there is no connection yet; guarded by the transport's lock
+
+	wakeup    chan struct{} // has an element where messages may be queued
+	done      chan struct{} // closed by terminate
+	closeOnce sync.Once
+
 	mu              sync.Mutex
 	queue           []*protocol.Envelope
-	wakeup          chan struct{}
-	done            chan struct{}
-	closeOnce       sync.Once
 	lastUsed        time.Time
-	closeConnection func()
-	dialing         bool // no connection stands yet; guarded by the transport's lock
+	closeConnection func() // has what the link's goroutines wait for fail
 }
 
-func newLink(to string) *link {
-	return &link{address: to, wakeup: make(chan struct{}, 1), done: make(chan struct{}), lastUsed: time.Now(), closeConnection: func() {}}
+func newLink(address string) *link {
+	return &link{address: address, wakeup: make(chan struct{}, 1), done: make(chan struct{}), lastUsed: time.Now(), closeConnection: func() {}}
 }
 
-// enqueue queues a message. A link whose queue is full is given up, so that the other end sees the loss.
+// enqueue queues a message. A link whose queue is full is terminated, so that the other end notices the loss.
 func (l *link) enqueue(e *protocol.Envelope) {
 	l.mu.Lock()
 	l.lastUsed = time.Now()
@@ -45,7 +54,16 @@
 	}
 }
 
-// terminate closes a link.
+// drain returns the queued messages and empties the queue.
+func (l *link) drain() []*protocol.Envelope {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	queue := l.queue
+	l.queue = nil
+	return queue
+}
+
+// terminate ends the link. Calls after the first have no effect.
 func (l *link) terminate() {
 	l.closeOnce.Do(func() {
 		close(l.done)
@@ -55,15 +73,31 @@
 	})
 }
 
-// drain returns the messages that wait, which the link forgets.
-func (l *link) drain() []*protocol.Envelope {
+// attach adds what closes a new connection to what terminate does, and returns false where the link has ended before.
+func (l *link) attach(closeConnection func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	queue := l.queue
-	l.queue = nil
-	return queue
+	select {
+	case <-l.done:
+		return false
+	default:
+	}
+	previous := l.closeConnection
+	l.closeConnection = func() {
+		previous()
+		closeConnection()
+	}
+	return true
+}
+
+// touch notes that the link is in use.
+func (l *link) touch() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastUsed = time.Now()
 }
 
+// idle tells whether the link has not been used for idleTimeout.
 func (l *link) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/order_rapid_test.go
+++ b/internal/transport/order_rapid_test.go
@@ -29,7 +29,7 @@
 	return conn, err
 }
 
-// reset resets all connections, with what is on its way.
+// reset resets all connections, with what is in flight.
 func (r *resettableDialer) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,7 +40,7 @@
 	r.conns = nil
 }
 
-// TestOrderAcrossResets sends messages and resets links in between, at any moments: what arrives is in the order in which
+// TestOrderAcrossResets sends messages and resets links in between, at random moments: what arrives is in the order in which
 // it was sent, nothing comes twice, and within a link nothing is missing between two that arrive.
 func TestOrderAcrossResets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -74,7 +74,7 @@
 			case r := <-got:
 				done = r.id >= last
 				arrived = append(arrived, r.id)
-			case <-resend.C: // a link that is reset loses what is on its way
+			case <-resend.C: // a link that is reset loses what is in flight
 				id++
 				a.Send(address, message(last+id))
 			case <-end:
@@ -92,13 +92,11 @@
 	})
 }
 
-// receiver opens a transport that hands on what arrives.
+// receiver opens a transport that passes on what arrives.
 func receiver(t *rapid.T, got chan received) (b *Transport, address string, stop func()) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	require.NoError(t, err)
-	address = l.Addr().String()
-	require.NoError(t, l.Close())
-	b, err = Listen(Config{Address: address, Role: "test", Incarnation: 2, Handle: forwardTo(got)})
+	t.Helper()
+	address = freeAddress(t)
+	b, err := Listen(Config{Address: address, Role: "test", Incarnation: 2, Handle: forwardTo(got)})
 	require.NoError(t, err)
 	return b, address, b.Close
 }
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -1,6 +1,3 @@
-// Package transport carries envelopes between the processes of the cluster scheduler: one drpc stream each
-// way between two of them, dialed by whichever has something to say first. Delivery is at most once and in
-// order as long as a link stands; a link that breaks loses what was on its way.
 package transport
 
 import (
@@ -11,8 +8,6 @@
 
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sys/unix"
-	"storj.io/drpc"
-	"storj.io/drpc/drpcconn"
 	"storj.io/drpc/drpcmanager"
 	"storj.io/drpc/drpcmux"
 	"storj.io/drpc/drpcserver"
@@ -27,51 +22,41 @@
 	dialTimeout = 600 * time.Millisecond
 	// dialBackoff is how long after a failed dial messages to that process are dropped.
 	dialBackoff = 80 * time.Millisecond
-	// userTimeout is how long sent bytes may be unacknowledged until the link is given up.
+	// userTimeout is how long sent bytes may stay unacknowledged before the connection is closed.
 	userTimeout = 1200 * time.Millisecond
-	// idleTimeout is how long a link may be unused until it is closed.
-	idleTimeout = 20 * time.Second
-	// maxQueuedMessages bounds the messages that wait for a link.
-	maxQueuedMessages = 8192
-	// maxMessageBytes bounds a message in bytes.
+	// maxMessageBytes bounds a message.
 	maxMessageBytes = 64 << 20
 )
 
-// Config says who the process is and who handles messages. Handle is called by one goroutine for each
-// link, in the order of that link's messages, and must not block for long.
+// Config identifies the process and says who handles its messages.
 type Config struct {
-	Address     string // where the process listens
-	Role        string
-	Incarnation uint64
-	Handle      func(from string, e *protocol.Envelope)
-	// Dial opens a connection; nil stands for the network's own.
+	Address     string // internal address that the process listens on, host:port
+	Role        string // as in protocol.Hello
+	Incarnation uint64 // of this process; differs from those of earlier ones at the address
+	// Handle is called with each message that arrives from the process at an internal address, by one goroutine for each
+	// link, in the order of that link's messages. It must not block for long, and not call Close.
+	Handle func(from string, e *protocol.Envelope)
+	// Dial opens a connection; nil stands for TCP over IPv4.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 }
 
-// Transport is a process's links. It is safe for concurrent use.
+// Transport holds the links of a process; see the package comment.
 type Transport struct {
 	cfg      Config
 	listener net.Listener
+	ctx      context.Context // of all links; done once Close is called
 	cancel   context.CancelFunc
-	ctx      context.Context
+	running  sync.WaitGroup // goroutines; nothing but these adds to it once ctx is done
 
 	mu           sync.Mutex
-	links        map[string]*link     // by the other's address: the one that is written to
-	dialFailures map[string]time.Time // dials
+	links        map[string]*link     // that messages are sent on, by the other process's address
+	dialFailures map[string]time.Time // of the newest dials that failed, by address
 }
 
-// stream is either end of a drpc stream.
-type stream interface {
-	Send(*protocol.Envelope) error
-	Recv() (*protocol.Envelope, error)
-}
-
-// flusher is what the streams of the library have for sending many messages at once.
-type flusher interface{ RawFlush() error }
-
-// Listen opens the process's address and serves it.
+// Listen opens the process's internal address and serves it until Close. An address in use gives an error that
+// errors.Is finds to be unix.EADDRINUSE.
 func Listen(cfg Config) (*Transport, error) {
-	l, err := net.Listen("tcp4", cfg.Address)
+	listener, err := net.Listen("tcp4", cfg.Address)
 	if err != nil {
 		return nil, errors.Wrap(err, "transport: the internal address can't be listened on")
 	}
@@ -81,26 +66,26 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	t := &Transport{cfg: cfg, listener: l, ctx: ctx, cancel: cancel, links: make(map[string]*link), dialFailures: make(map[string]time.Time)}
+	t := &Transport{cfg: cfg, listener: listener, ctx: ctx, cancel: cancel, links: make(map[string]*link), dialFailures: make(map[string]time.Time)}
 	mux := drpcmux.New()
 	if err := protocol.DRPCRegisterPeer(mux, (*peerService)(t)); err != nil {
 		cancel()
-		l.Close()
-		return nil, errors.Wrap(err, "transport: the service can't be registered")
+		return nil, errors.Wrap(errors.CombineErrors(err, listener.Close()), "transport: the service can't be registered")
 	}
-	s := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: managerOptions(), Log: func(error) {}})
-	go t.acceptLoop(s)
+	server := drpcserver.NewWithOptions(mux, drpcserver.Options{Manager: managerOptions(), Log: func(error) {}})
+	t.running.Go(func() { t.acceptLoop(server) })
 	return t, nil
 }
 
 func managerOptions() drpcmanager.Options {
 	return drpcmanager.Options{
 		Reader: drpcwire.ReaderOptions{MaximumBufferSize: maxMessageBytes},
-		Stream: drpcstream.Options{ManualFlush: true}, // write flushes many messages at once
+		Stream: drpcstream.Options{ManualFlush: true}, // writeLoop flushes many messages at once
 	}
 }
 
-func (t *Transport) acceptLoop(s *drpcserver.Server) {
+// acceptLoop serves the connections that other processes open, until Close.
+func (t *Transport) acceptLoop(server *drpcserver.Server) {
 	for {
 		conn, err := t.listener.Accept()
 		if err != nil {
@@ -111,11 +96,13 @@
 			continue
 		}
 		setUserTimeout(conn)
-		go func() { _ = s.ServeOne(t.ctx, conn) }()
+		// The error is that of a link that breaks, which both ends notice by its messages.
+		t.running.Go(func() { _ = server.ServeOne(t.ctx, conn) })
 	}
 }
 
-// setUserTimeout has a connection fail soon after the other end can't be reached.
+// setUserTimeout has a connection fail soon after the other end can no longer be reached. Where the kernel refuses, the
+// connection is as good as any.
 func setUserTimeout(conn net.Conn) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -126,197 +113,46 @@
 	})
 }
 
-// Close ends all links.
+// Close ends all links and waits for the goroutines. Messages that are sent later are dropped.
 func (t *Transport) Close() {
-	t.cancel()
-	t.listener.Close()
+	t.closeLinks()
+	t.running.Wait()
+}
+
+func (t *Transport) closeLinks() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
+	t.cancel()
+	_ = t.listener.Close() // it fails only where it was closed before
 	for _, l := range t.links {
 		l.terminate()
 	}
 }
 
-// Send sends a message to the process at an address; it is dropped where that can't be reached.
+// Send sends a message to the process at an internal address, without blocking. The message is dropped where that process
+// cannot be reached; the caller does not change it any more.
 func (t *Transport) Send(to string, e *protocol.Envelope) {
-	t.mu.Lock()
-	l := t.links[to]
-	if l == nil {
-		if time.Since(t.dialFailures[to]) < dialBackoff {
-			t.mu.Unlock()
-			return
-		}
-		l = newLink(to)
-		l.dialing = true
-		t.links[to] = l
-		ctx, cancel := context.WithTimeout(t.ctx, dialTimeout)
-		l.closeConnection = cancel
-		go t.dialLink(ctx, l)
-	}
-	t.mu.Unlock()
-	l.enqueue(e)
-}
-
-// removeLink forgets a link that has ended.
-func (t *Transport) removeLink(l *link, failed bool) {
-	l.terminate()
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.links[l.address] == l {
-		delete(t.links, l.address)
-		if failed {
-			t.dialFailures[l.address] = time.Now()
-		}
-	}
-}
-
-// dialLink makes a link and keeps it until it breaks.
-func (t *Transport) dialLink(ctx context.Context, l *link) {
-	conn, err := t.cfg.Dial(ctx, l.address)
-	if err != nil {
-		t.removeLink(l, true)
-		return
-	}
-	defer conn.Close()
-	if !t.attachConnection(l, conn) {
-		t.removeLink(l, false)
-		return
-	}
-	setUserTimeout(conn)
-	d := drpcconn.NewWithOptions(conn, drpcconn.Options{Manager: managerOptions()})
-	s, err := protocol.NewDRPCPeerClient(d).Exchange(t.ctx)
-	if err != nil {
-		t.removeLink(l, true)
-		return
-	}
-	go t.writeLoop(l, s)
-	t.readLoop(l, s)
-	t.removeLink(l, false)
-}
-
-// attachConnection gives a dialed link its connection, unless it has ended meanwhile or the other process's own
-// link has taken its place.
-func (t *Transport) attachConnection(l *link, conn net.Conn) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.links[l.address] != l {
-		return false
-	}
-	l.dialing = false
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	select {
-	case <-l.done:
-		return false
-	default:
-	}
-	cancel := l.closeConnection
-	l.closeConnection = func() {
-		cancel()
-		conn.Close()
+	if l := t.linkTo(to); l != nil {
+		l.enqueue(e)
 	}
-	return true
 }
 
-// peerService is the transport as the drpc service.
-type peerService Transport
-
-// Exchange serves a stream that another process has opened.
-func (s *peerService) Exchange(in protocol.DRPCPeer_ExchangeStream) error {
-	t := (*Transport)(s)
-	first, err := in.Recv()
-	if err != nil {
-		return err
-	}
-	hello := first.GetHello()
-	if hello == nil {
-		return errors.New("transport: the first message is no hello")
-	}
-	l := newLink(hello.GetAddress())
-	l.incarnation.Store(hello.GetIncarnation())
-	l.closeConnection = func() { in.Close() }
-	t.adoptLink(l)
-	go t.writeLoop(l, in)
-	t.readLoop(l, in)
-	t.removeLink(l, false)
-	return nil
-}
-
-// adoptLink takes a link that another process has opened for writing to it, unless there is one already to
-// that very process. A link that is still being dialed gives way with all that waits for it: the dial may
-// have begun while the other machine was off, and would then stand until its timeout.
-func (t *Transport) adoptLink(l *link) {
+// linkTo returns the link to a process, which is dialed where there is none. It returns nil after Close, and for a moment
+// after a dial that failed.
+func (t *Transport) linkTo(address string) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	old := t.links[l.address]
-	switch {
-	case old == nil:
-	case old.dialing:
-		l.queue = old.drain()
-		go old.terminate()
-	case old.incarnation.Load() == 0 || old.incarnation.Load() == l.incarnation.Load():
-		return
-	default:
-		go old.terminate() // to the process that was there before
-	}
-	t.links[l.address] = l
-}
-
-// readLoop hands on what comes.
-func (t *Transport) readLoop(l *link, s stream) {
-	for {
-		e, err := s.Recv()
-		if err != nil {
-			return
-		}
-		l.mu.Lock()
-		l.lastUsed = time.Now()
-		l.mu.Unlock()
-		if h := e.GetHello(); h != nil {
-			l.incarnation.Store(h.GetIncarnation())
-			continue
-		}
-		t.cfg.Handle(l.address, e)
-	}
-}
-
-// writeLoop sends what is queued, many messages with one flush.
-func (t *Transport) writeLoop(l *link, s stream) {
-	defer l.terminate()
-	flush := flushFunc(s)
-	if err := s.Send(&protocol.Envelope{Body: &protocol.Envelope_Hello{Hello: &protocol.Hello{
-		Address: t.cfg.Address, Role: t.cfg.Role, Incarnation: t.cfg.Incarnation}}}); err != nil {
-		return
-	}
-	idle := time.NewTicker(idleTimeout)
-	defer idle.Stop()
-	for {
-		for _, e := range l.drain() {
-			if err := s.Send(e); err != nil {
-				return
-			}
-		}
-		if err := flush(); err != nil {
-			return
-		}
-		select {
-		case <-l.wakeup:
-		case <-l.done:
-			return
-		case <-idle.C:
-			if l.idle() {
-				return
-			}
-		}
-	}
-}
-
-// flushFunc returns how a stream is flushed.
-func flushFunc(s stream) func() error {
-	if holder, ok := s.(interface{ GetStream() drpc.Stream }); ok {
-		if f, ok := holder.GetStream().(flusher); ok {
-			return f.RawFlush
-		}
-	}
-	return func() error { return nil }
+	if l := t.links[address]; l != nil {
+		return l
+	}
+	if t.ctx.Err() != nil || time.Since(t.dialFailures[address]) < dialBackoff {
+		return nil
+	}
+	l := newLink(address)
+	l.dialing = true
+	t.links[address] = l
+	ctx, cancel := context.WithTimeout(t.ctx, dialTimeout)
+	l.closeConnection = cancel
+	t.running.Go(func() { t.dialLink(ctx, l) })
+	return l
 }
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"net"
+	"sync/atomic"
 	"testing"
 	"time"
 
@@ -11,12 +12,24 @@
 	"frosttide/internal/protocol"
 )
 
+// received is a message that has arrived.
 type received struct {
 	from string
 	id   uint64
 }
 
-// listen opens a transport, at a free address of loopback where none is given.
+// freeAddress returns an address of loopback that nobody listens on.
+func freeAddress(t require.TestingT) string {
+	if helper, ok := t.(interface{ Helper() }); ok {
+		helper.Helper()
+	}
+	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	require.NoError(t, err)
+	require.NoError(t, l.Close())
+	return l.Addr().String()
+}
+
+// listen opens a transport, at a free address where none is given, and returns what arrives there.
 func listen(t *testing.T, address string) (*Transport, string, chan received) {
 	t.Helper()
 	return listenWith(t, Config{Address: address})
@@ -25,10 +38,7 @@
 func listenWith(t *testing.T, cfg Config) (*Transport, string, chan received) {
 	t.Helper()
 	if cfg.Address == "" {
-		l, err := net.Listen("tcp4", "127.0.0.1:0")
-		require.NoError(t, err)
-		cfg.Address = l.Addr().String()
-		require.NoError(t, l.Close())
+		cfg.Address = freeAddress(t)
 	}
 	got := make(chan received, 10000)
 	cfg.Role = "test"
@@ -40,7 +50,7 @@
 	return tr, cfg.Address, got
 }
 
-// forwardTo hands on the rounds of what arrives.
+// forwardTo returns a handler that passes on the rounds of what arrives.
 func forwardTo(got chan received) func(from string, e *protocol.Envelope) {
 	return func(from string, e *protocol.Envelope) { got <- received{from, e.GetConfirm().GetRound()} }
 }
@@ -49,6 +59,13 @@
 	return &protocol.Envelope{Body: &protocol.Envelope_Confirm{Confirm: &protocol.Confirm{Round: id}}}
 }
 
+// largeMessage returns a message of 8 MB, which no buffer of a connection holds.
+func largeMessage() *protocol.Envelope {
+	entry := &protocol.Entry{Puts: []*protocol.Put{{Key: "k", Value: make([]byte, 8<<20)}}}
+	return &protocol.Envelope{Body: &protocol.Envelope_Append{Append: &protocol.Append{Entries: []*protocol.Entry{entry}}}}
+}
+
+// next returns what arrives next.
 func next(t *testing.T, got chan received) received {
 	t.Helper()
 	select {
@@ -80,7 +97,7 @@
 	b.mu.Unlock()
 }
 
-// TestOtherProcessAtTheSameAddress has messages reach a process that has taken an earlier one's place.
+// TestOtherProcessAtTheSameAddress has messages reach a process that has taken the place of an earlier one.
 func TestOtherProcessAtTheSameAddress(t *testing.T) {
 	a, _, _ := listen(t, "")
 	b, address, got := listen(t, "")
@@ -108,10 +125,7 @@
 
 func TestNobodyThere(t *testing.T) {
 	a, _, _ := listen(t, "")
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	require.NoError(t, err)
-	address := l.Addr().String()
-	require.NoError(t, l.Close())
+	address := freeAddress(t)
 	for i := range uint64(100) {
 		a.Send(address, message(i))
 	}
@@ -122,8 +136,8 @@
 	}, 10*time.Second, 5*time.Millisecond, "the messages are dropped")
 }
 
-// TestLinkOfTheOtherWhileDialing has messages that wait for a dial leave by the link that the other process
-// opens meanwhile: a dial that began while the other machine was off stands until its timeout.
+// TestLinkOfTheOtherWhileDialing has messages that are queued during a dial leave by the link that the other process opens
+// meanwhile: a dial that began while the other machine was off would wait until its timeout.
 func TestLinkOfTheOtherWhileDialing(t *testing.T) {
 	dialed := make(chan struct{})
 	ended := make(chan struct{})
@@ -145,7 +159,7 @@
 	require.Equal(t, received{addressA, 3}, next(t, got))
 }
 
-// TestLinkEndsWhileDialed has a link that was given up during its dial leave no dead entry behind.
+// TestLinkEndsWhileDialed has a link that is terminated during its dial, by a full queue, leave no dead entry behind.
 func TestLinkEndsWhileDialed(t *testing.T) {
 	proceed := make(chan struct{})
 	a, _, _ := listenWith(t, Config{Dial: func(ctx context.Context, address string) (net.Conn, error) {
@@ -166,9 +180,78 @@
 func TestLargeMessage(t *testing.T) {
 	a, _, _ := listen(t, "")
 	_, address, got := listen(t, "")
-	e := &protocol.Envelope{Body: &protocol.Envelope_Append{Append: &protocol.Append{Entries: []*protocol.Entry{{Puts: []*protocol.Put{{Key: "k", Value: make([]byte, 8<<20)}}}}}}}
-	a.Send(address, e)
+	a.Send(address, largeMessage())
 	a.Send(address, message(7))
 	next(t, got)
 	require.EqualValues(t, 7, next(t, got).id)
 }
+
+// TestCloseWaitsForHandlers closes a transport while a message is handled.
+func TestCloseWaitsForHandlers(t *testing.T) {
+	entered, release := make(chan struct{}), make(chan struct{})
+	var handled atomic.Bool
+	address := freeAddress(t)
+	b, err := Listen(Config{Address: address, Role: "test", Incarnation: 2, Handle: func(string, *protocol.Envelope) {
+		close(entered)
+		<-release
+		handled.Store(true)
+	}})
+	require.NoError(t, err)
+	a, _, _ := listen(t, "")
+	a.Send(address, message(1))
+	<-entered
+	closed := make(chan struct{})
+	go func() {
+		defer close(closed)
+		b.Close()
+	}()
+	close(release)
+	<-closed
+	require.True(t, handled.Load())
+	b.Send(address, message(2)) // has no effect
+	require.Empty(t, b.links)
+}
+
+// TestCloseWithAStalledPeer closes a transport whose writes wait for a process that reads nothing, on a link of either
+// direction.
+func TestCloseWithAStalledPeer(t *testing.T) {
+	for _, c := range []struct {
+		name    string
+		connect func(t *testing.T, stalled, other *Transport, arrived chan received) // opens the link between the two
+	}{
+		{"dialed", func(_ *testing.T, stalled, other *Transport, _ chan received) {
+			other.Send(stalled.cfg.Address, message(1))
+		}},
+		{"accepted", func(t *testing.T, stalled, other *Transport, arrived chan received) {
+			stalled.Send(other.cfg.Address, message(1))
+			next(t, arrived)
+		}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			release, entered := make(chan struct{}), make(chan struct{}, 100)
+			stalled, err := Listen(Config{Address: freeAddress(t), Role: "test", Incarnation: 2, Handle: func(string, *protocol.Envelope) {
+				entered <- struct{}{}
+				<-release
+			}})
+			require.NoError(t, err)
+			other, _, arrived := listen(t, "")
+			c.connect(t, stalled, other, arrived)
+			for range 10 {
+				other.Send(stalled.cfg.Address, largeMessage())
+			}
+			<-entered
+			closed := make(chan struct{})
+			go func() {
+				defer close(closed)
+				other.Close()
+			}()
+			select {
+			case <-closed:
+			case <-time.After(10 * time.Second):
+				t.Error("Close waits for the other process")
+			}
+			close(release)
+			stalled.Close()
+		})
+	}
+}
