--- a/internal/protocol/protocoltest/fuzz.go
+++ b/internal/protocol/protocoltest/fuzz.go
@@ -1,4 +1,4 @@
-// Package protocoltest helps to fuzz what processes make of each other's messages.
+// Package protocoltest helps to fuzz how processes handle each other's messages. Only tests use it; it keeps no state.
 package protocoltest
 
 import (
@@ -9,8 +9,8 @@
 	"frosttide/internal/protocol"
 )
 
-// Fuzz has a process bear any message, beginning with some that are well formed. Bear is called with each input that
-// can be decoded.
+// Fuzz calls handle with each input that can be decoded, beginning with some well-formed seeds. handle fails the test where
+// a process does not withstand the message.
 func Fuzz(f *testing.F, seeds []*protocol.Envelope, handle func(t *testing.T, e *protocol.Envelope)) {
 	f.Helper()
 	for _, e := range seeds {
