--- a/internal/nodefile/nodefile.go
+++ b/internal/nodefile/nodefile.go
@@ -1,74 +1,78 @@
-// Package nodefile reads the settings file of a process of the cluster scheduler: who it is, where it
-// listens, whom it asks first and the bounds it has to keep. Keys that are not known are skipped.
 package nodefile
 
 import (
 	"net"
 	"os"
 	"strconv"
+	"strings"
 	"time"
 
 	"github.com/cockroachdb/errors"
 	"github.com/pelletier/go-toml/v2"
 )
 
-// PathVariable is the environment variable that holds the file's path.
+// maxPort is the highest port of TCP.
+const maxPort = 65535
+
+// PathVariable is the environment variable that names the file.
 const PathVariable = "FROSTTIDE_NODE_FILE"
 
-// ErrSettings marks every error of a settings file; its text names the file, the key and the reason.
+// ErrSettings marks every error of this package. Its text is a line for operators that names the file, the key and the
+// reason.
 var ErrSettings = errors.New("settings")
 
-// File is a settings file.
+// File holds the content of a settings file. Its fields have the names of the file's keys where no tag says otherwise.
+// Keys that no program reads are there so that their type is checked.
 type File struct {
 	NodeName        string
 	Role            string
 	MachineClass    string
-	IP              string `toml:"Ip"`
-	Zone            string
-	PortRange       []int
-	Seeds           []string // operators' addresses of up to three core machines
-	Bootstrap       bool     // the whole system starts for the first time
+	IP              string   `toml:"Ip"` // of the machine
+	Zone            string   // failure domain of the machine
+	PortRange       []int    // first and last port that internal addresses may have
+	Seeds           []string // operators' addresses of up to three core machines, host:port
+	Bootstrap       bool     // the system starts for the first time, and its seeds found it
 	CountsForQuorum bool
-	DataDir         string
+	DataDir         string // folder of a control member's journal
 	HeartbeatMs     int64
 	Service         string
-	App             string `toml:"app"` // where the runner of a side machine listens
+	App             string `toml:"app"` // address of the runner on a side machine, host:port
 	ListenAddrs     struct {
-		Front     string
-		Readiness string
-		Control   string
+		Front     string // for clients
+		Readiness string // for the platform's health checks
+		Control   string // for operators or, on a side machine, its runner
 	}
 	Limits struct {
 		MemoryMB int64 `toml:"MemoryMb"`
 		MaxFds   int64
 	}
 	FaultTolerance struct {
-		Machines int
+		Machines int // whose loss at once is borne
 		Zones    int
 		Regions  int
 	}
 	Bounds Bounds
 }
 
-// Bounds are the figures of the rules. Times are in the unit that the name says.
+// Bounds are the figures that the processes have to keep, in the unit that the end of the name says.
 type Bounds struct {
 	ContactMs     float64
 	AckMs         float64
 	CatchUpS      float64
 	DrainMs       float64
-	GraceS        float64
+	GraceS        float64 // from the signal to end until the process is killed
 	ConfigApplyMs float64
-	RecoveryS     float64
-	HoldMaxMs     float64
+	RecoveryS     float64 // for which running work outlives the loss of all core machines: the lease of agents
+	HoldMaxMs     float64 // longest lease that an agent gives its runner
 	GangMs        float64 `toml:"gang_ms"`
 	StopMs        float64 `toml:"stop_ms"`
-	StatusS       float64 `toml:"status_s"`
-	FarX          float64 `toml:"far_x"`
+	StatusS       float64 `toml:"status_s"` // for which the state of an ended job can be read
+	FarX          float64 `toml:"far_x"`    // how many times as long work takes away from its data
 	SaveS         float64 `toml:"save_s"`
 	RestoreMs     float64 `toml:"restore_ms"`
 }
 
-// Bounds that are used where the file says none; they are those of the rules' own examples.
+// Defaults of the bounds.
 const (
 	defaultGraceS    = 6
 	defaultHoldMaxMs = 6000
@@ -78,7 +82,7 @@
 	defaultFarX      = 1.5
 )
 
-// Path returns the file's path by the environment.
+// Path returns the file's path, which PathVariable holds. Its error is marked with ErrSettings.
 func Path() (string, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
@@ -87,7 +91,7 @@
 	return path, nil
 }
 
-// Read reads and checks a file.
+// Read reads and checks a file, and fills in the defaults. Its errors are marked with ErrSettings.
 func Read(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -104,61 +108,63 @@
 	return f, nil
 }
 
-// describeDecodeError returns the key and the reason of a mistake.
+// describeDecodeError returns the line, the key and the reason of a mistake in one line.
 func describeDecodeError(err error) string {
 	var decode *toml.DecodeError
-	if errors.As(err, &decode) {
-		row, _ := decode.Position()
-		key := ""
-		for i, part := range decode.Key() {
-			if i > 0 {
-				key += "."
-			}
-			key += part
-		}
-		return "line " + strconv.Itoa(row) + ": " + key + ": " + decode.Error()
+	if !errors.As(err, &decode) {
+		return err.Error()
 	}
-	return err.Error()
+	row, _ := decode.Position()
+	return "line " + strconv.Itoa(row) + ": " + strings.Join(decode.Key(), ".") + ": " + decode.Error()
 }
 
+// settingsErrorf returns an error for operators.
 func settingsErrorf(format string, args ...any) error {
 	return errors.Mark(errors.Newf("settings: "+format, args...), ErrSettings)
 }
 
 // applyDefaults fills in the bounds that the file leaves out.
 func (f *File) applyDefaults() {
-	for _, d := range []struct {
-		value *float64
-		usual float64
+	for _, bound := range []struct {
+		value        *float64
+		defaultValue float64
 	}{
-		{&f.Bounds.GraceS, defaultGraceS}, {&f.Bounds.HoldMaxMs, defaultHoldMaxMs}, {&f.Bounds.RecoveryS, defaultRecoveryS},
-		{&f.Bounds.StatusS, defaultStatusS}, {&f.Bounds.SaveS, defaultSaveS}, {&f.Bounds.FarX, defaultFarX},
+		{&f.Bounds.GraceS, defaultGraceS},
+		{&f.Bounds.HoldMaxMs, defaultHoldMaxMs},
+		{&f.Bounds.RecoveryS, defaultRecoveryS},
+		{&f.Bounds.StatusS, defaultStatusS},
+		{&f.Bounds.SaveS, defaultSaveS},
+		{&f.Bounds.FarX, defaultFarX},
 	} {
-		if *d.value <= 0 {
-			*d.value = d.usual
+		if *bound.value <= 0 {
+			*bound.value = bound.defaultValue
 		}
 	}
 }
 
-// validate tells what a process can't start without.
+// validate returns what keeps a process of any role from starting, nil where nothing does.
 func (f *File) validate(path string) error {
 	if net.ParseIP(f.IP) == nil {
 		return settingsErrorf("%s: Ip: %q is no address", path, f.IP)
 	}
-	if len(f.PortRange) != 2 || f.PortRange[0] < 1 || f.PortRange[1] < f.PortRange[0] || f.PortRange[1] > 65535 {
+	if len(f.PortRange) != 2 || f.PortRange[0] < 1 || f.PortRange[1] < f.PortRange[0] || f.PortRange[1] > maxPort {
 		return settingsErrorf("%s: PortRange: %v is no range of ports", path, f.PortRange)
 	}
-	for _, a := range []struct{ key, value string }{{"ListenAddrs.Front", f.ListenAddrs.Front}, {"ListenAddrs.Readiness", f.ListenAddrs.Readiness}, {"ListenAddrs.Control", f.ListenAddrs.Control}} {
-		if a.value == "" {
+	for _, address := range []struct{ key, value string }{
+		{"ListenAddrs.Front", f.ListenAddrs.Front},
+		{"ListenAddrs.Readiness", f.ListenAddrs.Readiness},
+		{"ListenAddrs.Control", f.ListenAddrs.Control},
+	} {
+		if address.value == "" {
 			continue
 		}
-		if _, _, err := net.SplitHostPort(a.value); err != nil {
-			return settingsErrorf("%s: %s: %q is no address with a port", path, a.key, a.value)
+		if err := validateAddress(path, address.key, address.value); err != nil {
+			return err
 		}
 	}
 	for _, seed := range f.Seeds {
-		if _, _, err := net.SplitHostPort(seed); err != nil {
-			return settingsErrorf("%s: Seeds: %q is no address with a port", path, seed)
+		if err := validateAddress(path, "Seeds", seed); err != nil {
+			return err
 		}
 	}
 	if f.FaultTolerance.Machines < 0 {
@@ -167,26 +173,35 @@
 	return nil
 }
 
-// MissingKey returns an error that says that a role needs a key that the file leaves out.
+// validateAddress returns an error unless the value of a key is an address with a port.
+func validateAddress(path, key, value string) error {
+	if _, _, err := net.SplitHostPort(value); err != nil {
+		return settingsErrorf("%s: %s: %q is no address with a port", path, key, value)
+	}
+	return nil
+}
+
+// MissingKey returns the error, marked with ErrSettings, of a file that leaves out a key which a role needs.
 func MissingKey(path, key string) error { return settingsErrorf("%s: %s: it is missing", path, key) }
 
-// InternalAddress returns where the process of a number on a machine listens for others of the system.
+// InternalAddress returns the internal address, host:port, of the process with a number, from 0, on the machine of an IP
+// address.
 func (f *File) InternalAddress(ip string, number int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(f.PortRange[0]+number))
 }
 
-// Contacts returns the internal addresses of the seeds.
-func (f *File) Contacts() (out []string) {
+// Contacts returns the internal addresses of the seeds, host:port.
+func (f *File) Contacts() (addresses []string) {
 	for _, seed := range f.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil {
-			out = append(out, f.InternalAddress(host, 0))
+			addresses = append(addresses, f.InternalAddress(host, 0))
 		}
 	}
-	return out
+	return addresses
 }
 
-// Seconds and Milliseconds turn a bound into a duration.
+// Seconds returns the duration of a bound in seconds.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Milliseconds turns a bound in milliseconds into a duration.
+// Milliseconds returns the duration of a bound in milliseconds.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/nodefile/nodefile_test.go
+++ b/internal/nodefile/nodefile_test.go
@@ -28,6 +28,7 @@
 closed = false
 `
 
+// write writes a settings file and returns its path.
 func write(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.toml")
@@ -45,33 +46,40 @@
 	require.EqualValues(t, defaultGraceS, f.Bounds.GraceS, "a bound that is left out")
 }
 
-// TestMistakes has each mistake told in a line with the file, the key and the reason.
+// TestMistakes has each mistake reported in a line with the file, the key and the reason.
 func TestMistakes(t *testing.T) {
-	for name, c := range map[string]struct{ text, want string }{
-		"not TOML":   {"Ip = \n", "line 1"},
-		"wrong kind": {"Ip = 5\n", "Ip"},
-		"no address": {"Ip = \"x\"\nPortRange = [1, 2]\n", "Ip: \"x\" is no address"},
-		"no ports":   {"Ip = \"10.0.0.1\"\n", "PortRange"},
-		"ports":      {"Ip = \"10.0.0.1\"\nPortRange = [9, 2]\n", "PortRange"},
-		"seed":       {"Ip = \"10.0.0.1\"\nPortRange = [1, 2]\nSeeds = [\"x\"]\n", "Seeds"},
-		"control":    {"Ip = \"10.0.0.1\"\nPortRange = [1, 2]\n[ListenAddrs]\nControl = \"x\"\n", "ListenAddrs.Control"},
-		"tolerance":  {"Ip = \"10.0.0.1\"\nPortRange = [1, 2]\n[FaultTolerance]\nMachines = -1\n", "FaultTolerance.Machines"},
+	const minimal = "Ip = \"10.0.0.1\"\nPortRange = [1, 2]\n"
+	for _, c := range []struct{ name, text, want string }{
+		{"not TOML", "Ip = \n", "line 1"},
+		{"wrong kind", "Ip = 5\n", "Ip"},
+		{"no address", "Ip = \"x\"\nPortRange = [1, 2]\n", "Ip: \"x\" is no address"},
+		{"no ports", "Ip = \"10.0.0.1\"\n", "PortRange"},
+		{"ports", "Ip = \"10.0.0.1\"\nPortRange = [9, 2]\n", "PortRange"},
+		{"seed", minimal + "Seeds = [\"x\"]\n", "Seeds"},
+		{"control", minimal + "[ListenAddrs]\nControl = \"x\"\n", "ListenAddrs.Control"},
+		{"tolerance", minimal + "[FaultTolerance]\nMachines = -1\n", "FaultTolerance.Machines"},
 	} {
-		path := write(t, c.text)
-		_, err := Read(path)
-		require.True(t, errors.Is(err, ErrSettings), name)
-		require.ErrorContains(t, err, path, name)
-		require.ErrorContains(t, err, c.want, name)
-		require.NotContains(t, err.Error(), "\n", name)
+		t.Run(c.name, func(t *testing.T) {
+			path := write(t, c.text)
+			_, err := Read(path)
+			require.True(t, errors.Is(err, ErrSettings))
+			require.ErrorContains(t, err, path)
+			require.ErrorContains(t, err, c.want)
+			require.NotContains(t, err.Error(), "\n")
+		})
 	}
+}
+
+func TestNoFile(t *testing.T) {
 	_, err := Read(filepath.Join(t.TempDir(), "none"))
 	require.True(t, errors.Is(err, ErrSettings))
 	t.Setenv(PathVariable, "")
 	_, err = Path()
+	require.True(t, errors.Is(err, ErrSettings))
 	require.ErrorContains(t, err, PathVariable)
 }
 
-// FuzzRead has any file be read, or refused with the file's name.
+// FuzzRead has any file be read, or refused with an error that names it.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(sample))
 	f.Add([]byte("Ip = \"10.0.0.1\"\nPortRange = [1, 2]\n"))
