--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -1,18 +1,13 @@
-// Package process is what every process of the cluster scheduler has: its settings, its links to others,
-// its clocks, and one goroutine on which its state machines run.
 package process
 
 import (
 	"context"
 	"math/rand/v2"
-	"os"
-	"os/signal"
-	"syscall"
+	"sync"
 	"time"
 
 	"github.com/cockroachdb/errors"
 	"golang.org/x/sys/unix"
-	"k8s.io/klog/v2"
 
 	"frosttide/internal/mailbox"
 	"frosttide/internal/nodefile"
@@ -20,52 +15,58 @@
 	"frosttide/internal/transport"
 )
 
-// Process is a process. Its state machines are used from functions that Do runs, and from Loop's.
+// Process is a running process; see the package comment.
 type Process struct {
-	Settings     *nodefile.File
-	SettingsPath string // of the settings file
-	Role         string
-	Incarnation  uint64
-	Address      string // internal address
-	mailbox      *mailbox.Box[func()]
-	startedAt    time.Time
-	transport    *transport.Transport
-	receive      func(from string, e *protocol.Envelope)
+	Settings     *nodefile.File // the newest that could be used
+	SettingsPath string         // of their file
+	Role         string         // as in protocol.Hello
+	Incarnation  uint64         // drawn at random when the process starts
+	Address      string         // internal address, host:port
+
+	startedAt time.Time
+	mailbox   *mailbox.Box[func()] // events
+	transport *transport.Transport
+	receive   func(from string, e *protocol.Envelope)
+	watching  sync.WaitGroup // the goroutine of WatchSettings
 }
 
-// New opens a process's internal address. receive handles messages on the process's goroutine.
+// New opens a process's internal address: the first of its port range that is free. receive handles messages from the
+// processes at other internal addresses, as events. The error is that of the last port that was tried.
 func New(path string, settings *nodefile.File, role string, receive func(from string, e *protocol.Envelope)) (*Process, error) {
-	p := &Process{Settings: settings, SettingsPath: path, Role: role, Incarnation: rand.Uint64() >> 1, mailbox: mailbox.New[func()](), startedAt: time.Now(), receive: receive}
+	p := &Process{
+		Settings: settings, SettingsPath: path, Role: role, Incarnation: rand.Uint64() >> 1,
+		startedAt: time.Now(), mailbox: mailbox.New[func()](), receive: receive,
+	}
 	var lastErr error
 	for number := range settings.PortRange[1] - settings.PortRange[0] + 1 {
 		p.Address = settings.InternalAddress(settings.IP, number)
-		links, err := transport.Listen(transport.Config{Address: p.Address, Role: role, Incarnation: p.Incarnation, Handle: p.handle})
-		if err == nil {
-			p.transport = links
+		p.transport, lastErr = transport.Listen(transport.Config{Address: p.Address, Role: role, Incarnation: p.Incarnation, Handle: p.handle})
+		if lastErr == nil {
 			return p, nil
 		}
-		lastErr = err
-		if !errors.Is(err, unix.EADDRINUSE) {
+		if !errors.Is(lastErr, unix.EADDRINUSE) {
 			break
 		}
 	}
 	return nil, lastErr
 }
 
+// handle makes an event of a message.
 func (p *Process) handle(from string, e *protocol.Envelope) {
 	p.mailbox.Put(func() { p.receive(from, e) })
 }
 
-// Now returns the time since the process began, on the steady clock.
+// Now returns the time since the process started, on the steady clock.
 func (p *Process) Now() time.Duration { return time.Since(p.startedAt) }
 
-// WallMs returns the time of day in ms from 1970.
+// WallMs returns the time of day, in ms from 1970.
 func (p *Process) WallMs() int64 { return time.Now().UnixMilli() }
 
-// Post has a function run on the process's goroutine.
-func (p *Process) Post(f func()) { p.mailbox.Put(f) }
+// Post has an event run on the event loop. It does not wait for it; events that are posted once Run has ended never run.
+func (p *Process) Post(event func()) { p.mailbox.Put(event) }
 
-// Send sends a message; one to the process itself is handled in its turn.
+// Send sends a message to the process at an internal address, which may be this one. It may be lost; see package
+// transport.
 func (p *Process) Send(to string, e *protocol.Envelope) {
 	if to == p.Address {
 		p.handle(to, e)
@@ -74,83 +75,31 @@
 	p.transport.Send(to, e)
 }
 
-// Run runs functions, and tick every so often, until the context ends. after follows each turn.
+// Run is the event loop: it runs the events, and tick at each interval, until the context ends. afterTurn follows each
+// turn, which runs all events that wait at that moment.
 func (p *Process) Run(ctx context.Context, tickInterval time.Duration, tick, afterTurn func()) {
-	timer := time.NewTicker(tickInterval)
-	defer timer.Stop()
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
 	var events []func()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-timer.C:
+		case <-ticker.C:
 			tick()
 		case <-p.mailbox.Ready():
 		}
 		events = p.mailbox.Drain(events[:0])
-		for _, f := range events {
-			f()
+		for _, event := range events {
+			event()
 		}
-		clear(events)
+		clear(events) // lets go of the messages
 		afterTurn()
 	}
 }
 
-// settingsPollInterval is how often the settings file is looked at: it may change without a signal.
-const settingsPollInterval = time.Second
-
-// WatchSettings reads the settings file again where it has changed, until the context ends, and has apply take the
-// new settings on the process's goroutine. A file that can't be used changes nothing.
-func (p *Process) WatchSettings(ctx context.Context, apply func(*nodefile.File)) {
-	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP)
-	go func() {
-		defer signal.Stop(hup)
-		poll := time.NewTicker(settingsPollInterval)
-		defer poll.Stop()
-		lastStamp := stampOf(p.SettingsPath)
-		for {
-			select {
-			case <-ctx.Done():
-				return
-			case <-hup:
-			case <-poll.C:
-				if stampOf(p.SettingsPath) == lastStamp {
-					continue
-				}
-			}
-			lastStamp = stampOf(p.SettingsPath)
-			p.reloadSettings(apply)
-		}
-	}()
+// Close ends the process's links and waits for its goroutines. The context of WatchSettings has ended before.
+func (p *Process) Close() {
+	p.transport.Close()
+	p.watching.Wait()
 }
-
-// fileStamp tells one state of a file from another.
-type fileStamp struct {
-	modifiedAt time.Time
-	size       int64
-}
-
-func stampOf(path string) fileStamp {
-	info, err := os.Stat(path)
-	if err != nil {
-		return fileStamp{}
-	}
-	return fileStamp{modifiedAt: info.ModTime(), size: info.Size()}
-}
-
-func (p *Process) reloadSettings(apply func(*nodefile.File)) {
-	settings, err := nodefile.Read(p.SettingsPath)
-	if err != nil {
-		klog.ErrorS(err, "The settings are left as they are")
-		return
-	}
-	klog.InfoS("Settings read again", "seeds", settings.Seeds)
-	p.Post(func() {
-		p.Settings = settings
-		apply(settings)
-	})
-}
-
-// Close ends the process's links.
-func (p *Process) Close() { p.transport.Close() }
--- /dev/null
+++ b/internal/process/settings.go
@@ -0,0 +1,71 @@
+package process
+
+import (
+	"context"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"k8s.io/klog/v2"
+
+	"frosttide/internal/nodefile"
+)
+
+// settingsPollInterval is how often the settings file is looked at, as it may change without a signal.
+const settingsPollInterval = time.Second
+
+// WatchSettings reads the settings file again where it has changed, and on SIGHUP, until the context ends. apply gets the
+// new settings on the event loop. A file that cannot be used is logged and changes nothing.
+func (p *Process) WatchSettings(ctx context.Context, apply func(*nodefile.File)) {
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	p.watching.Go(func() {
+		defer signal.Stop(hangups)
+		poll := time.NewTicker(settingsPollInterval)
+		defer poll.Stop()
+		lastStamp := stampOf(p.SettingsPath)
+		for {
+			select {
+			case <-ctx.Done():
+				return
+			case <-hangups:
+			case <-poll.C:
+				if stampOf(p.SettingsPath) == lastStamp {
+					continue
+				}
+			}
+			lastStamp = stampOf(p.SettingsPath)
+			p.reloadSettings(apply)
+		}
+	})
+}
+
+// fileStamp tells one state of a file from another.
+type fileStamp struct {
+	modifiedAt time.Time
+	size       int64
+}
+
+// stampOf returns the stamp of a file, the zero value for one that cannot be looked at.
+func stampOf(path string) fileStamp {
+	info, err := os.Stat(path)
+	if err != nil {
+		return fileStamp{}
+	}
+	return fileStamp{modifiedAt: info.ModTime(), size: info.Size()}
+}
+
+// reloadSettings reads the settings file and posts what is to be done with it.
+func (p *Process) reloadSettings(apply func(*nodefile.File)) {
+	settings, err := nodefile.Read(p.SettingsPath)
+	if err != nil {
+		klog.ErrorS(err, "The settings are left as they are")
+		return
+	}
+	klog.InfoS("Settings read again", "seeds", settings.Seeds)
+	p.Post(func() {
+		p.Settings = settings
+		apply(settings)
+	})
+}
