--- a/internal/testkit/compatibility/scheduler/endpoints_test.go
+++ b/internal/testkit/compatibility/scheduler/endpoints_test.go
@@ -25,8 +25,8 @@
 )
 
 const (
-	// patience bounds what is waited for; machines that run the tests may be slow.
-	patience = 30 * time.Second
+	// waitTimeout bounds what is waited for; machines that run the tests may be slow.
+	waitTimeout = 30 * time.Second
 	// poll is the pause between looks at what is waited for.
 	poll = 10 * time.Millisecond
 )
@@ -82,69 +82,69 @@
 	headers                 map[string]string
 }
 
-// answer is what an endpoint says.
-type answer struct {
+// response is what an endpoint answers.
+type response struct {
 	status  int
 	headers http.Header
 	body    string
 }
 
-// call makes a request; the status of the answer is 0 where there is none.
-func call(ctx context.Context, r request) answer {
+// call makes a request; the status of the response is 0 where there is none.
+func call(ctx context.Context, r request) response {
 	out, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.url, bytes.NewReader([]byte(r.body)))
 	if err != nil {
-		return answer{}
+		return response{}
 	}
 	out.Host = r.host
 	for name, value := range r.headers {
 		out.Header.Set(name, value)
 	}
-	response, err := http.DefaultClient.Do(out)
+	got, err := http.DefaultClient.Do(out)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
-	defer response.Body.Close()
-	body, err := io.ReadAll(response.Body)
+	defer got.Body.Close()
+	body, err := io.ReadAll(got.Body)
 	if err != nil {
-		return answer{}
+		return response{}
 	}
-	return answer{status: response.StatusCode, headers: response.Header, body: string(body)}
+	return response{status: got.StatusCode, headers: got.Header, body: string(body)}
 }
 
-// awaitAnswer makes a request until its answer is as wanted.
-func awaitAnswer(t *testing.T, r request, wanted func(answer) bool) (got answer) {
+// awaitResponse makes a request until its response is as wanted.
+func awaitResponse(t *testing.T, r request, wanted func(response) bool) (got response) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		got = call(t.Context(), r)
 		return wanted(got)
-	}, patience, poll, "%s %s", r.method, r.url)
+	}, waitTimeout, poll, "%s %s", r.method, r.url)
 	return got
 }
 
-// settled makes a request until the control plane answers it, which a busy machine may delay. All that are made so may
+// settled makes a request until the control plane answers it, which a busy machine may delay. Requests that are made so may
 // come twice.
-func settled(t *testing.T, r request) answer {
+func settled(t *testing.T, r request) response {
 	t.Helper()
-	return awaitAnswer(t, r, func(a answer) bool {
+	return awaitResponse(t, r, func(a response) bool {
 		return a.status != 0 && a.status != http.StatusServiceUnavailable && a.status != http.StatusGatewayTimeout
 	})
 }
 
-// hasStatus tells whether an answer has a status.
-func hasStatus(status int) func(answer) bool {
-	return func(a answer) bool { return a.status == status }
+// hasStatus tells whether a response has a status.
+func hasStatus(status int) func(response) bool {
+	return func(a response) bool { return a.status == status }
 }
 
-// transcript is the text of calls and their answers, as far as these stay the same from run to run.
+// transcript is the text of calls and their responses, as far as these stay the same from run to run.
 type transcript struct{ text strings.Builder }
 
-// pinnedHeaders are the headers that clients rely on.
-var pinnedHeaders = []string{"Allow", "Content-Type", "Retry-After", "X-Content-Type-Options"}
+// comparedHeaders are the headers that clients rely on.
+var comparedHeaders = []string{"Allow", "Content-Type", "Retry-After", "X-Content-Type-Options"}
 
-// note adds a call under a name.
-func (s *transcript) note(name string, a answer) {
+// record adds a call under a name.
+func (s *transcript) record(name string, a response) {
 	fmt.Fprintf(&s.text, "%s: %d\n", name, a.status)
-	for _, header := range pinnedHeaders {
+	for _, header := range comparedHeaders {
 		if value := a.headers.Get(header); value != "" {
 			fmt.Fprintf(&s.text, "  %s: %s\n", header, value)
 		}
@@ -154,8 +154,8 @@
 	}
 }
 
-// keysOnly returns an answer with the keys of its JSON body in place of the body.
-func keysOnly(t *testing.T, a answer) answer {
+// keysOnly returns a response with the keys of its JSON body in place of the body.
+func keysOnly(t *testing.T, a response) response {
 	t.Helper()
 	var value any
 	require.NoError(t, json.Unmarshal([]byte(a.body), &value), a.body)
@@ -192,11 +192,11 @@
 	}
 }
 
-// volatile matches the numbers of answers that differ from run to run.
+// volatile matches the numbers of responses that differ from run to run.
 var volatile = regexp.MustCompile(`("(?:accepted_ms|ended_ms|for_ms|FenceToken|HoldMs)":)[0-9]+`)
 
-// steady returns an answer with the numbers that differ from run to run replaced.
-func steady(a answer) answer {
+// steady returns a response with the numbers that differ from run to run replaced.
+func steady(a response) response {
 	a.body = volatile.ReplaceAllString(a.body, "${1}N")
 	return a
 }
@@ -216,23 +216,23 @@
 	core, stopCore := startMachine(t, server.Run, "127.0.0.1", port)
 	edge, _ := startMachine(t, gateway.Run, "127.0.0.2", port, core.control)
 	side, _ := startMachine(t, agent.Run, "127.0.0.3", port, core.control)
-	edgeBefore(t, edge)
+	edgeWithoutConfig(t, edge)
 	controlEndpoints(t, core)
-	awaitAnswer(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}, hasStatus(http.StatusOK))
+	awaitResponse(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}, hasStatus(http.StatusOK))
 	edgeEndpoints(t, edge)
 	jobEndpoints(t, core, edge, side)
 	stopCore()
-	edgeAfter(t, edge)
+	edgeWithoutControl(t, edge)
 }
 
-// edgeBefore pins what an edge machine answers before any configuration.
-func edgeBefore(t *testing.T, edge machine) {
+// edgeWithoutConfig pins what an edge machine answers before any configuration.
+func edgeWithoutConfig(t *testing.T, edge machine) {
 	t.Helper()
 	var s transcript
-	s.note("readiness before a configuration", awaitAnswer(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}, hasStatus(http.StatusServiceUnavailable)))
-	s.note("readiness by another method", settled(t, request{method: http.MethodPost, url: edge.readiness + "/v1/ready"}))
-	s.note("no such path of the readiness", settled(t, request{method: http.MethodGet, url: edge.readiness + "/v1/none"}))
-	s.note("job before a configuration", awaitAnswer(t, request{method: http.MethodPost, url: edge.front + "/previews/00000000000000a1", host: "jobs.example", body: jobBody},
+	s.record("readiness before a configuration", awaitResponse(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}, hasStatus(http.StatusServiceUnavailable)))
+	s.record("readiness by another method", settled(t, request{method: http.MethodPost, url: edge.readiness + "/v1/ready"}))
+	s.record("no such path of the readiness", settled(t, request{method: http.MethodGet, url: edge.readiness + "/v1/none"}))
+	s.record("job before a configuration", awaitResponse(t, request{method: http.MethodPost, url: edge.front + "/previews/00000000000000a1", host: "jobs.example", body: jobBody},
 		hasStatus(http.StatusServiceUnavailable)))
 	requireGolden(t, "edge-before.txt", s.text.String())
 }
@@ -242,7 +242,7 @@
 	t.Helper()
 	var s transcript
 	url := core.control + "/v1/config"
-	s.note("configuration before any", awaitAnswer(t, request{method: http.MethodGet, url: url}, hasStatus(http.StatusNotFound)))
+	s.record("configuration before any", awaitResponse(t, request{method: http.MethodGet, url: url}, hasStatus(http.StatusNotFound)))
 	match := func(version string) map[string]string { return map[string]string{"If-Match": version} }
 	for _, c := range []struct {
 		name string
@@ -265,9 +265,9 @@
 		{"no such job canceled", request{method: http.MethodDelete, url: core.control + "/v1/jobs/00000000000000ff"}},
 		{"no such path", request{method: http.MethodGet, url: core.control + "/v1/none"}},
 	} {
-		s.note(c.name, settled(t, c.call))
+		s.record(c.name, settled(t, c.call))
 	}
-	s.note("member", keysOnly(t, settled(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
+	s.record("member", keysOnly(t, settled(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
 	requireGolden(t, "control.txt", s.text.String())
 }
 
@@ -275,7 +275,7 @@
 func edgeEndpoints(t *testing.T, edge machine) {
 	t.Helper()
 	var s transcript
-	s.note("readiness", settled(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}))
+	s.record("readiness", settled(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}))
 	for _, c := range []struct{ name, method, path, host, body string }{
 		{"no such queue", http.MethodPost, "/none/00000000000000a1", "jobs.example", jobBody},
 		{"no such host", http.MethodPost, "/previews/00000000000000a1", "other.example", jobBody},
@@ -299,7 +299,7 @@
 		{"state of no job", http.MethodGet, "/previews/00000000000000a1", "jobs.example", ""},
 		{"no job canceled", http.MethodDelete, "/previews/00000000000000a1", "jobs.example", ""},
 	} {
-		s.note(c.name, settled(t, request{method: c.method, url: edge.front + c.path, host: c.host, body: c.body}))
+		s.record(c.name, settled(t, request{method: c.method, url: edge.front + c.path, host: c.host, body: c.body}))
 	}
 	requireGolden(t, "edge.txt", s.text.String())
 }
@@ -308,40 +308,40 @@
 func jobEndpoints(t *testing.T, core, edge, side machine) {
 	t.Helper()
 	var s transcript
-	client := func(method, queue, id, body string) answer {
+	client := func(method, queue, id, body string) response {
 		return settled(t, request{method: method, url: edge.front + "/" + queue + "/" + id, host: "jobs.example", body: body})
 	}
-	operator := func(path string) answer {
+	operator := func(path string) response {
 		return settled(t, request{method: http.MethodGet, url: core.control + path})
 	}
 	const id, later, large = "00000000000000a1", "00000000000000b2", "00000000000000c3"
-	s.note("job", client(http.MethodPost, "previews", id, jobBody))
-	s.note("the same job again", client(http.MethodPost, "previews", id, jobBody))
-	s.note("other content under its ID", client(http.MethodPost, "previews", id, laterBody))
-	s.note("its ID in another queue", client(http.MethodPost, "batches", id, jobBody))
-	s.note("state", client(http.MethodGet, "previews", id, ""))
-	s.note("state by another queue", client(http.MethodGet, "batches", id, ""))
-	s.note("waiting jobs", client(http.MethodGet, "previews", "", ""))
-	s.note("timed job", client(http.MethodPost, "batches", later, laterBody))
-	s.note("large job", client(http.MethodPost, "batches", large, largeBody))
-	s.note("jobs", steady(operator("/v1/jobs")))
-	s.note("job that waits", steady(operator("/v1/jobs/"+id)))
-	s.note("timed job canceled", client(http.MethodDelete, "batches", later, ""))
-	s.note("canceled again", client(http.MethodDelete, "batches", later, ""))
-	s.note("canceled by another queue", client(http.MethodDelete, "previews", large, ""))
-	s.note("state after that", client(http.MethodGet, "batches", later, ""))
+	s.record("job", client(http.MethodPost, "previews", id, jobBody))
+	s.record("the same job again", client(http.MethodPost, "previews", id, jobBody))
+	s.record("other content under its ID", client(http.MethodPost, "previews", id, laterBody))
+	s.record("its ID in another queue", client(http.MethodPost, "batches", id, jobBody))
+	s.record("state", client(http.MethodGet, "previews", id, ""))
+	s.record("state by another queue", client(http.MethodGet, "batches", id, ""))
+	s.record("waiting jobs", client(http.MethodGet, "previews", "", ""))
+	s.record("timed job", client(http.MethodPost, "batches", later, laterBody))
+	s.record("large job", client(http.MethodPost, "batches", large, largeBody))
+	s.record("jobs", steady(operator("/v1/jobs")))
+	s.record("job that waits", steady(operator("/v1/jobs/"+id)))
+	s.record("timed job canceled", client(http.MethodDelete, "batches", later, ""))
+	s.record("canceled again", client(http.MethodDelete, "batches", later, ""))
+	s.record("canceled by another queue", client(http.MethodDelete, "previews", large, ""))
+	s.record("state after that", client(http.MethodGet, "batches", later, ""))
 	runnerEndpoints(t, &s, side)
-	s.note("placement", keysOnly(t, awaitAnswer(t, request{method: http.MethodGet, url: core.control + "/v1/scheduler"}, func(a answer) bool {
+	s.record("placement", keysOnly(t, awaitResponse(t, request{method: http.MethodGet, url: core.control + "/v1/scheduler"}, func(a response) bool {
 		return strings.Contains(a.body, `"tasks":[{"task"`)
 	})))
-	s.note("job that runs", steady(operator("/v1/jobs/"+id)))
+	s.record("job that runs", steady(operator("/v1/jobs/"+id)))
 	finished := settled(t, request{method: http.MethodPut, url: side.control + "/v1/instances/i-toy", body: heartbeat(900000, "[]", `[[1,"`+id+`.0.0.0",1,"done",""]]`)})
 	require.Equal(t, http.StatusOK, finished.status, finished.body)
-	s.note("completed job", awaitAnswer(t, request{method: http.MethodGet, url: edge.front + "/previews/" + id, host: "jobs.example"}, func(a answer) bool {
+	s.record("completed job", awaitResponse(t, request{method: http.MethodGet, url: edge.front + "/previews/" + id, host: "jobs.example"}, func(a response) bool {
 		return strings.Contains(a.body, "completed")
 	}))
-	s.note("operator cancels", settled(t, request{method: http.MethodDelete, url: core.control + "/v1/jobs/" + large}))
-	s.note("leave", settled(t, request{method: http.MethodDelete, url: side.control + "/v1/instances/i-toy"}))
+	s.record("operator cancels", settled(t, request{method: http.MethodDelete, url: core.control + "/v1/jobs/" + large}))
+	s.record("leave", settled(t, request{method: http.MethodDelete, url: side.control + "/v1/instances/i-toy"}))
 	requireGolden(t, "jobs.txt", s.text.String())
 }
 
@@ -363,29 +363,29 @@
 		{"heartbeat by another method", http.MethodPost, "{}"},
 		{"leave of nobody", http.MethodDelete, ""},
 	} {
-		s.note(c.name, settled(t, request{method: c.method, url: url, body: c.body}))
+		s.record(c.name, settled(t, request{method: c.method, url: url, body: c.body}))
 	}
-	s.note("no such path of the companion", settled(t, request{method: http.MethodGet, url: side.control + "/v1/none"}))
+	s.record("no such path of the companion", settled(t, request{method: http.MethodGet, url: side.control + "/v1/none"}))
 	sequence := 0
-	beat := func(running, wanted string) (got answer) {
+	beat := func(running, wanted string) (got response) {
 		require.Eventually(t, func() bool {
 			sequence++
 			got = call(t.Context(), request{method: http.MethodPut, url: url, body: heartbeat(sequence, running, "[]")})
 			return strings.Contains(got.body, wanted)
-		}, patience, poll, "the runner is not told to %s", wanted)
+		}, waitTimeout, poll, "the runner is not told to %s", wanted)
 		return got
 	}
-	s.note("start", steady(beat("[]", `"Start"`)))
-	s.note("stop", steady(beat(`[["00000000000000a1.0.0.0",1,"00000bb8",41],["00000000000000ff.0.0.0",1,"",0]]`, `"Stop"`)))
+	s.record("start", steady(beat("[]", `"Start"`)))
+	s.record("stop", steady(beat(`[["00000000000000a1.0.0.0",1,"00000bb8",41],["00000000000000ff.0.0.0",1,"",0]]`, `"Stop"`)))
 }
 
-// edgeAfter pins what an edge machine answers without a control plane.
-func edgeAfter(t *testing.T, edge machine) {
+// edgeWithoutControl pins what an edge machine answers without a control plane.
+func edgeWithoutControl(t *testing.T, edge machine) {
 	t.Helper()
 	var s transcript
 	soon := map[string]string{"X-Deadline-Ms": "300"}
-	s.note("state without a control plane", call(t.Context(), request{method: http.MethodGet, url: edge.front + "/previews/00000000000000a1", host: "jobs.example", headers: soon}))
-	s.note("job without a control plane", call(t.Context(), request{method: http.MethodPost, url: edge.front + "/previews/00000000000000d4", host: "jobs.example", body: jobBody, headers: soon}))
+	s.record("state without a control plane", call(t.Context(), request{method: http.MethodGet, url: edge.front + "/previews/00000000000000a1", host: "jobs.example", headers: soon}))
+	s.record("job without a control plane", call(t.Context(), request{method: http.MethodPost, url: edge.front + "/previews/00000000000000d4", host: "jobs.example", body: jobBody, headers: soon}))
 	requireGolden(t, "edge-after.txt", s.text.String())
 }
 
@@ -397,7 +397,7 @@
 		return server.Run(ctx, path, settings)
 	}, "127.0.0.4", freePort(t))
 	var s transcript
-	s.note("configuration", awaitAnswer(t, request{method: http.MethodGet, url: core.control + "/v1/config"}, hasStatus(http.StatusServiceUnavailable)))
-	s.note("member", keysOnly(t, settled(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
+	s.record("configuration", awaitResponse(t, request{method: http.MethodGet, url: core.control + "/v1/config"}, hasStatus(http.StatusServiceUnavailable)))
+	s.record("member", keysOnly(t, settled(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
 	requireGolden(t, "control-alone.txt", s.text.String())
 }
