--- a/internal/control/member/attempts.go
+++ b/internal/control/member/attempts.go
@@ -1,24 +1,24 @@
 package member
 
-// maxRecentAttempts bounds the attempts of requests that are remembered: some seconds' worth.
+// maxRecentAttempts bounds the attempts that are remembered, which is those of some seconds.
 const maxRecentAttempts = 4096
 
-// attempt is one sending of a client's request.
+// attempt names one sending of a client's request.
 type attempt struct {
-	id     uint64
-	number uint32
+	id     uint64 // of the request
+	number uint32 // from 1
 }
 
-// recentAttempts remembers the newest attempts that came, so that one that comes twice is not both refused and taken. The
-// zero value remembers none.
+// recentAttempts remembers the newest attempts, so that one that arrives twice is not both rejected and accepted. The
+// zero value is ready for use.
 type recentAttempts struct {
 	entries map[attempt]struct{}
-	ring    []attempt // a ring once it is full
-	next    int
+	ring    []attempt // in the order of arrival; a ring once it is full
+	next    int       // index in the full ring of the oldest attempt, which is replaced next
 }
 
-// record notes an attempt and tells whether it came before.
-func (r *recentAttempts) record(a attempt) bool {
+// record adds an attempt and reports whether it was there already.
+func (r *recentAttempts) record(a attempt) (duplicate bool) {
 	if _, ok := r.entries[a]; ok {
 		return true
 	}
--- a/internal/control/member/attempts_test.go
+++ b/internal/control/member/attempts_test.go
@@ -17,47 +17,46 @@
 		require.False(t, r.record(attempt{id: i, number: 2}))
 		require.LessOrEqual(t, len(r.entries), maxRecentAttempts)
 	}
-	require.False(t, r.record(attempt{id: 0, number: 1}), "it came long ago")
+	require.False(t, r.record(attempt{id: 0, number: 1}), "an attempt of long ago is still known")
 }
 
-// TestAttemptThatComesTwice has an attempt that was refused come again once the member serves: its client has been told
-// that it was surely not taken.
+// TestAttemptThatComesTwice delivers a rejected attempt again once the member serves. It must not be accepted, because
+// its client has been told that it was surely not taken.
 func TestAttemptThatComesTwice(t *testing.T) {
 	m := newServingMember(t)
-	request := func(number uint32) *protocol.Envelope {
-		return &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: &protocol.ClientRequest{Id: 9, Attempt: number,
-			Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "x"}}}}}
+	receive := func(now time.Duration, number uint32) (rejected, others int) {
+		m.Receive(now, "client", clientRequest(&protocol.ClientRequest{
+			Id: 9, Attempt: number, Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "x"}},
+		}))
+		return countReplies(completeTurn(m, now))
 	}
-	countReplies := func(now time.Duration) (refused, others int) {
-		for out := m.Turn(now); ; out = m.Turn(now) {
-			for _, s := range out.Sends {
-				if r := s.Message.GetClientReply(); r != nil && r.GetNotServing() {
-					refused++
-				} else if r != nil {
-					others++
-				}
-			}
-			if len(out.Writes) == 0 {
-				return refused, others
-			}
-			m.DiskDone(now, out.Writes[len(out.Writes)-1].Sequence, 0, nil)
-		}
-	}
-	const outOfContact = time.Hour // no majority has stood by the epoch for long
-	m.Receive(outOfContact, "client", request(1))
-	refused, others := countReplies(outOfContact)
-	require.Equal(t, 1, refused)
+	const outOfContact = time.Hour // no majority has confirmed the epoch for long
+	rejected, others := receive(outOfContact, 1)
+	require.Equal(t, 1, rejected)
 	require.Zero(t, others)
-	for i := range 20 { // it is in contact again
-		m.Tick(outOfContact+time.Duration(i)*20*time.Millisecond, outOfContact.Milliseconds())
-		completeTurn(m, outOfContact+time.Duration(i)*20*time.Millisecond)
+	for i := range 20 { // the member is in contact again
+		now := outOfContact + time.Duration(i)*tickInterval
+		m.Tick(now, outOfContact.Milliseconds())
+		completeTurn(m, now)
 	}
 	now := outOfContact + time.Second/2
-	m.Receive(now, "client", request(1))
-	refused, others = countReplies(now)
-	require.Zero(t, refused+others)
-	m.Receive(now, "client", request(2))
-	refused, others = countReplies(now)
-	require.Zero(t, refused)
+	rejected, others = receive(now, 1)
+	require.Zero(t, rejected+others)
+	rejected, others = receive(now, 2)
+	require.Zero(t, rejected)
 	require.Equal(t, 1, others)
 }
+
+// countReplies returns how many of the sends are replies to clients that reject an attempt, and how many are others.
+func countReplies(sends []Send) (rejected, others int) {
+	for _, s := range sends {
+		switch r := s.Message.GetClientReply(); {
+		case r == nil:
+		case r.GetNotServing():
+			rejected++
+		default:
+			others++
+		}
+	}
+	return rejected, others
+}
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -1,6 +1,3 @@
-// Package member is a process of the control plane as a pure state machine: the replica, the scheduler while
-// the replica serves as the head, the gossip, and the client through which the operator's API asks the
-// chain. Whatever runs it tells it of messages, time and finished writes, and carries out its output.
 package member
 
 import (
@@ -17,7 +14,7 @@
 	"frosttide/internal/protocol"
 )
 
-// Config says who a member is.
+// Config holds the configuration of the parts of a member.
 type Config struct {
 	Replica   replica.Config
 	Scheduler scheduler.Config
@@ -29,84 +26,92 @@
 	Message *protocol.Envelope
 }
 
-// Output is what is to be done after a turn. Writes are handed to the disk before anything is sent.
+// Output is what a turn has led to. The writes have to be handed to the disk before anything is sent.
 type Output struct {
 	Writes   []replica.Write
 	Sends    []Send
-	Outcomes []chainclient.Outcome // of requests made by Ask
+	Outcomes []chainclient.Outcome // of requests made by Do
 	Events   []event.Event         // for the log
 }
 
-// Member is the process. It is not safe for concurrent use.
+// Member is one process of the control plane. It is not safe for concurrent use.
 type Member struct {
-	cfg                Config
-	clock              wallclock.Clock
-	wallMs             int64         // this machine's time of day at the last tick
-	knownClockStep     time.Duration // the clock's newest jump that the scheduler knows of
-	replica            *replica.Machine
+	cfg    Config
+	client *chainclient.Client
+	gossip *gossip.Machine
+
+	// The chain and what is derived from its state.
+	replica *replica.Machine
+	derived derivedState
+
+	// The placement role.
 	scheduler          *scheduler.Scheduler // nil where this member does not serve as the head
-	gossip             *gossip.Machine
-	client             *chainclient.Client
-	attempts           recentAttempts
-	derived            derivedState
-	reads              map[uint64]pendingReply
-	nextRead           uint64
-	statusReads        []statusRead // of this turn
-	knownEpoch         uint64       // epoch that gossip and client have been told of
-	knownConfigVersion uint64       // version of the configuration that gossip has been told of
-	out                Output
+	knownClockStep     time.Duration        // when the clock last jumped, as far as the scheduler knows
+	knownConfigVersion uint64               // newest version of the configuration that gossip has
+
+	// Time of day.
+	clock  wallclock.Clock
+	wallMs int64 // this machine's time of day at the last tick, in ms since 1970
+
+	// Requests of clients.
+	attempts    recentAttempts
+	reads       map[uint64]pendingReply // by the token that the replica was given
+	lastRead    uint64                  // newest token
+	statusReads []statusRead            // of this turn
+
+	knownEpoch uint64 // epoch of the newest view that gossip and client have
+	out        Output // of this turn
 }
 
-// derivedState is what is derived of the state for its readers, kept up to date by each change of an item.
+// derivedState is computed from the replicated items and kept up to date with each change of one, so that reads
+// of it cost the same however many items there are.
 type derivedState struct {
 	pending jobs.PendingCounts
 	config  scheduler.ConfigView
 }
 
-func (v *derivedState) update(key string, previous, current []byte) {
-	v.pending.Update(key, previous, current)
-	v.config.Update(key, current)
+// update takes a change of an item; nil stands for no item.
+func (d *derivedState) update(key string, previous, current []byte) {
+	d.pending.Update(key, previous, current)
+	d.config.Update(key, current)
 }
 
-// pendingReply is a read at the tail whose answer is not certain yet.
-type pendingReply struct {
-	to    string
-	reply *protocol.ClientReply
-}
-
-// statusRead is a question of an operator about the placement role.
-type statusRead struct {
-	from    string
-	request *protocol.ClientRequest
-}
-
-// New returns a member with the state of its disk.
+// New returns a member that goes on from the state that its disk holds.
 func New(cfg Config, now time.Duration, state journal.State) *Member {
-	m := &Member{cfg: cfg, replica: replica.New(cfg.Replica, now, state), reads: make(map[uint64]pendingReply)}
-	m.gossip = gossip.New(gossip.Config{Address: cfg.Replica.Self.GetAddress(), Role: "control", Contacts: cfg.Replica.Contacts, Seed: cfg.Replica.Seed})
-	m.client = chainclient.New(cfg.Replica.Incarnation, cfg.Replica.Contacts)
+	m := &Member{
+		cfg:     cfg,
+		replica: replica.New(cfg.Replica, now, state),
+		client:  chainclient.New(cfg.Replica.Incarnation, cfg.Replica.Contacts),
+		gossip: gossip.New(gossip.Config{
+			Address:  cfg.Replica.Self.GetAddress(),
+			Role:     "control",
+			Contacts: cfg.Replica.Contacts,
+			Seed:     cfg.Replica.Seed,
+		}),
+		reads: make(map[uint64]pendingReply),
+	}
 	m.replica.Store().Watch(m.derived.update)
 	m.perform(now, m.replica.Begin(now))
 	return m
 }
 
-// Replica returns the replica; it is only read.
+// Replica returns the replica, which callers may only read.
 func (m *Member) Replica() *replica.Machine { return m.replica }
 
-// Scheduler returns the scheduler, nil where the member does not serve as the head; it is only read.
+// Scheduler returns the scheduler, which callers may only read. It is nil unless the member serves as the head.
 func (m *Member) Scheduler() *scheduler.Scheduler { return m.scheduler }
 
-// Gossip returns the gossip; it is only read.
+// Gossip returns the gossip, which callers may only read.
 func (m *Member) Gossip() *gossip.Machine { return m.gossip }
 
-// SetContacts replaces the processes that are asked at first.
+// SetContacts replaces the addresses that are tried while no view is known.
 func (m *Member) SetContacts(contacts []string) {
 	m.gossip.SetContacts(contacts)
 	m.client.SetContacts(contacts)
 	m.replica.SetContacts(contacts)
 }
 
-// Receive handles a message of another process.
+// Receive handles a message that another process has sent from an internal address.
 func (m *Member) Receive(now time.Duration, from string, e *protocol.Envelope) {
 	switch body := e.GetBody().(type) {
 	case *protocol.Envelope_ClientRequest:
@@ -128,12 +133,13 @@
 	}
 }
 
-// DiskDone handles the end of a write; size is how long the file is after it.
+// DiskDone handles the end of a write to the disk and of all writes before it. size is the length of the file in
+// bytes after it; err is nil where all of them are synced.
 func (m *Member) DiskDone(now time.Duration, sequence uint64, size int64, err error) {
 	m.perform(now, m.replica.DiskDone(now, sequence, size, err))
 }
 
-// Tick lets time pass; wallMs is this machine's time of day in ms from 1970.
+// Tick handles the passing of time. wallMs is this machine's time of day in ms since 1970.
 func (m *Member) Tick(now time.Duration, wallMs int64) {
 	m.wallMs = wallMs
 	m.tickClock(now, wallMs)
@@ -149,31 +155,32 @@
 	m.client.Tick(now)
 }
 
-// tickClock keeps the time of day that the voters agree on.
+// tickClock updates the time of day that the voters agree on.
 func (m *Member) tickClock(now time.Duration, wallMs int64) {
 	self := m.cfg.Replica.Self.GetId()
 	v := m.replica.View()
 	if v == nil {
-		m.clock.Observe(now, self, wallMs, 0) // who counts is not known yet
+		m.clock.Observe(now, self, wallMs, 0) // the voters are not known yet
 		return
 	}
 	voters := make([]uint64, 0, len(v.GetVoters()))
-	for _, one := range v.GetVoters() {
-		voters = append(voters, one.GetId())
+	for _, voter := range v.GetVoters() {
+		voters = append(voters, voter.GetId())
 	}
 	m.clock.Tick(now, self, wallMs, voters, scheduler.LoadClock(m.replica.Store()))
 }
 
-// Do has the chain answer a request of this process's own and returns its id; the outcome comes within
-// a time.
+// Do sends a request of this process's own to the chain and returns the request's ID. read says that the tail can
+// answer it. An Output within the timeout holds its outcome.
 func (m *Member) Do(now time.Duration, r *protocol.ClientRequest, read bool, timeout time.Duration) uint64 {
 	return m.client.Do(now, r, read, now+timeout, now+timeout)
 }
 
-// Drain has the other members go on without this one, which is about to end.
+// Drain asks the other members to go on without this one, which is about to end. Replica().Drained reports when
+// they do.
 func (m *Member) Drain(now time.Duration) { m.perform(now, m.replica.Drain(now)) }
 
-// Turn ends a turn: what it has led to is appended, and what is to be done is returned.
+// Turn ends a turn: it appends the scheduler's decisions and returns everything that has to be carried out.
 func (m *Member) Turn(now time.Duration) Output {
 	m.appendEntry(now)
 	m.processStatusReads(now)
@@ -199,7 +206,8 @@
 	m.out.Events = append(m.out.Events, event.New(message, keysAndValues...))
 }
 
-// appendEntry has the scheduler's decisions written, and its orders sent once that is committed.
+// appendEntry appends the scheduler's decisions as one entry. It then sends the orders whose entries are committed, and
+// passes on a configuration once it is committed.
 func (m *Member) appendEntry(now time.Duration) {
 	if m.scheduler != nil && m.replica.CanAppend() && m.replica.Accepting(now) {
 		if e := m.scheduler.Entry(now); e != nil {
@@ -216,13 +224,13 @@
 	for _, s := range m.scheduler.TakeSends() {
 		m.send(s.To, s.Message)
 	}
-	if t := m.scheduler.CommittedConfig(); t.Version > m.knownConfigVersion {
-		m.knownConfigVersion = t.Version
-		m.gossip.SetConfig(now, t)
+	if table := m.scheduler.CommittedConfig(); table.Version > m.knownConfigVersion {
+		m.knownConfigVersion = table.Version
+		m.gossip.SetConfig(now, table)
 	}
 }
 
-// propagateView tells gossip and the client of the newest view, from wherever it came.
+// propagateView gives gossip and the client the newest view that the replica or gossip knows.
 func (m *Member) propagateView(now time.Duration) {
 	v := m.replica.View()
 	if other := m.gossip.View(); other.GetEpoch() > v.GetEpoch() {
@@ -235,7 +243,7 @@
 	}
 }
 
-// perform carries out what the replica wants done.
+// perform carries out the replica's actions.
 func (m *Member) perform(now time.Duration, a replica.Actions) {
 	m.out.Events = append(m.out.Events, a.Events...)
 	m.out.Writes = append(m.out.Writes, a.Writes...)
@@ -249,14 +257,14 @@
 		m.setRole(now, r)
 	}
 	for _, token := range a.ReadsReady {
-		m.completeRead(token, true)
+		m.completeRead(token)
 	}
 	for _, token := range a.ReadsFailed {
-		m.completeRead(token, false)
+		m.abandonRead(token)
 	}
 }
 
-// setRole begins or ends the scheduler.
+// setRole starts the scheduler when this member becomes the head and drops it when it no longer is.
 func (m *Member) setRole(now time.Duration, r replica.RoleChange) {
 	if !r.Serving {
 		m.scheduler = nil
@@ -266,7 +274,7 @@
 		m.scheduler.Continue(now, r.Epoch, m.replica.Committed())
 		return
 	}
-	m.tickClock(now, m.wallMs) // the view that makes this member the head may be a moment old
+	m.tickClock(now, m.wallMs) // the view that made this member the head is newer than the last tick
 	s, err := scheduler.New(m.cfg.Scheduler, now, m.clock.NowMs(now), r.Epoch, m.replica.Committed(), m.replica.Store())
 	if err != nil {
 		m.event("State unreadable, this member can't schedule", "err", err)
--- a/internal/control/member/member_fuzz_test.go
+++ b/internal/control/member/member_fuzz_test.go
@@ -4,36 +4,11 @@
 	"testing"
 	"time"
 
-	"frosttide/internal/control/replica"
-	"frosttide/internal/control/scheduler"
 	"frosttide/internal/protocol"
 	"frosttide/internal/protocol/protocoltest"
 )
 
-// newServingMember returns a member that is alone and serves as the head.
-func newServingMember(t testing.TB) *Member {
-	t.Helper()
-	self := &protocol.Member{Id: 7, Number: 1, Address: "self", Control: "self"}
-	m := New(Config{Replica: replica.Config{Self: self, Incarnation: 1, Contacts: []string{"self"}, Timing: replica.DefaultTiming()},
-		Scheduler: scheduler.Config{Lease: time.Second, StatusRetention: time.Second, RackPrefix: "r", RemoteSlowdown: 2}}, 0, replica.FoundingState(self, []*protocol.Member{self}))
-	for now := time.Duration(0); now < 2*time.Second; now += 20 * time.Millisecond {
-		m.Tick(now, now.Milliseconds())
-		completeTurn(m, now)
-	}
-	if m.Scheduler() == nil {
-		t.Fatal("it does not serve")
-	}
-	return m
-}
-
-// completeTurn carries out a turn on a disk that syncs at once.
-func completeTurn(m *Member, now time.Duration) {
-	for out := m.Turn(now); len(out.Writes) > 0; out = m.Turn(now) {
-		m.DiskDone(now, out.Writes[len(out.Writes)-1].Sequence, 0, nil)
-	}
-}
-
-// FuzzReceive has a serving member bear any message of another process.
+// FuzzReceive checks that no message of another process brings a serving member down or changes its identity.
 func FuzzReceive(f *testing.F) {
 	protocoltest.Fuzz(f, []*protocol.Envelope{
 		{Body: &protocol.Envelope_Heartbeat{Heartbeat: &protocol.Heartbeat{Member: &protocol.Member{Id: 9, Address: "other"}, Epoch: 1}}},
@@ -48,13 +23,13 @@
 	}, func(t *testing.T, e *protocol.Envelope) {
 		m := newServingMember(t)
 		for i := range 3 {
-			now := 2*time.Second + time.Duration(i)*300*time.Millisecond
+			now := servingAt + time.Duration(i)*300*time.Millisecond
 			m.Receive(now, "other", e)
 			m.Tick(now, now.Milliseconds())
 			completeTurn(m, now)
 		}
 		if m.Replica().Status().Self != 7 {
-			t.Error("its identity has changed")
+			t.Error("the member's identity has changed")
 		}
 	})
 }
--- a/internal/control/member/reads_bench_test.go
+++ b/internal/control/member/reads_bench_test.go
@@ -10,23 +10,12 @@
 	"frosttide/internal/protocol"
 )
 
-// BenchmarkReads asks for a queue's count and for the configuration with more and more jobs in the store: neither
-// may cost more.
+// BenchmarkReads reads a queue's count and the configuration with more and more jobs in the store: neither may
+// cost more.
 func BenchmarkReads(b *testing.B) {
 	for _, count := range []int{100, 10_000, 100_000} {
 		m := newServingMember(b)
-		now := 2 * time.Second
-		configure := &protocol.ConfigOrder{Body: []byte(`{"Version":1,"Routes":[{"Name":"q","Host":"h","PathPrefix":"/q/","TimeoutMs":1,"Service":"s"}],"Services":[{"Name":"s"}]}`)}
-		m.Receive(now, "c", &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: &protocol.ClientRequest{Id: 1, Op: &protocol.ClientRequest_Config{Config: configure}}}})
-		completeTurn(m, now)
-		for i := range count {
-			submit := &protocol.Submit{Id: fmt.Sprintf("%016x", i), Queue: "q", Stages: []*protocol.Stage{{Count: 1, Cpu: 1}}}
-			m.Receive(now, "c", &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: &protocol.ClientRequest{Id: uint64(i + 2), Op: &protocol.ClientRequest_Submit{Submit: submit}}}})
-			if i%1000 == 999 {
-				completeTurn(m, now)
-			}
-		}
-		completeTurn(m, now)
+		submitJobs(m, servingAt, count)
 		pending := &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadPending{ReadPending: &protocol.ReadPending{Queue: "q"}}}
 		require.Equal(b, fmt.Sprintf(`{"Pending":%d}`, count), string(m.readReply(pending).GetBody()))
 		b.Run(fmt.Sprintf("pending/%d", count), func(b *testing.B) {
@@ -41,3 +30,20 @@
 		})
 	}
 }
+
+// submitJobs configures the queue q and submits jobs to it, a thousand a turn.
+func submitJobs(m *Member, now time.Duration, count int) {
+	const config = `{"Version":1,"Routes":[{"Name":"q","Host":"h","PathPrefix":"/q/","TimeoutMs":1,"Service":"s"}],"Services":[{"Name":"s"}]}`
+	m.Receive(now, "c", clientRequest(&protocol.ClientRequest{
+		Id: 1, Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Body: []byte(config)}},
+	}))
+	completeTurn(m, now)
+	for i := range count {
+		submit := &protocol.Submit{Id: fmt.Sprintf("%016x", i), Queue: "q", Stages: []*protocol.Stage{{Count: 1, Cpu: 1}}}
+		m.Receive(now, "c", clientRequest(&protocol.ClientRequest{Id: uint64(i + 2), Op: &protocol.ClientRequest_Submit{Submit: submit}}))
+		if i%1000 == 999 {
+			completeTurn(m, now)
+		}
+	}
+	completeTurn(m, now)
+}
