--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -19,114 +19,141 @@
 )
 
 const (
-	// responseTimeout is how long a caller of the API waits at the most; callers go elsewhere after a second.
+	// responseTimeout bounds how long a call waits for the control plane; callers go elsewhere after a second.
 	responseTimeout = 900 * time.Millisecond
-	// maxBodyBytes bounds a configuration in bytes.
+	// maxBodyBytes bounds the body of a call, which is a configuration.
 	maxBodyBytes = 16 << 20
-	// readTimeout bounds how long a call may take to come in.
+	// readTimeout bounds how long a call may take to arrive.
 	readTimeout = 10 * time.Second
+	// retryAfterSeconds is the Retry-After of calls that the control plane has not answered.
+	retryAfterSeconds = "1"
 )
 
-// serveAPI serves the operator's API.
+// Which member of the chain answers a request.
+const (
+	atHead = false
+	atTail = true
+)
+
+// How a call changes the configuration.
+const (
+	replaceConfig = false
+	patchConfig   = true
+)
+
+// serveAPI serves the operator's API until the returned function is called.
 func (s *Server) serveAPI(address string) (stop func(), err error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "control: the operator's address can't be listened on")
 	}
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /v1/config", s.getConfig)
-	mux.HandleFunc("PUT /v1/config", func(w http.ResponseWriter, r *http.Request) { s.changeConfig(w, r, false) })
-	mux.HandleFunc("PATCH /v1/config", func(w http.ResponseWriter, r *http.Request) { s.changeConfig(w, r, true) })
-	mux.HandleFunc("GET /v1/status", s.getMemberStatus)
-	mux.HandleFunc("GET /v1/scheduler", s.readStatus("", ""))
-	mux.HandleFunc("GET /v1/jobs", s.readStatus(member.TopicJobs, ""))
-	mux.HandleFunc("GET /v1/jobs/{id}", s.readStatus(member.TopicJob, "id"))
-	mux.HandleFunc("DELETE /v1/jobs/{id}", s.cancelJob)
-	mux.HandleFunc("GET /v1/config/history", s.readStatus(member.TopicHistory, ""))
-	server := &http.Server{Handler: mux, ReadTimeout: readTimeout}
+	server := &http.Server{Handler: s.apiHandler(), ReadTimeout: readTimeout}
+	ended := make(chan struct{})
 	go func() {
+		defer close(ended)
 		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			klog.ErrorS(err, "The operator's API ends")
+			klog.ErrorS(err, "Operator's API has ended")
 		}
 	}()
-	return func() { server.Close() }, nil
+	return func() {
+		_ = server.Close() // the process is about to end
+		<-ended
+	}, nil
 }
 
-// do has the control plane answer a request.
-func (s *Server) do(ctx context.Context, r *protocol.ClientRequest, read bool) (chainclient.Outcome, bool) {
-	result := make(chan chainclient.Outcome, 1)
-	s.process.Post(func() {
-		s.pending[s.member.Do(s.process.Now(), r, read, responseTimeout)] = result
-	})
-	select {
-	case o := <-result:
-		return o, true
-	case <-ctx.Done():
-		return chainclient.Outcome{}, false
-	}
+func (s *Server) apiHandler() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /v1/config", s.getConfig)
+	mux.HandleFunc("PUT /v1/config", s.changeConfig(replaceConfig))
+	mux.HandleFunc("PATCH /v1/config", s.changeConfig(patchConfig))
+	mux.HandleFunc("GET /v1/config/history", s.getPlacement(member.TopicHistory))
+	mux.HandleFunc("GET /v1/status", s.getMemberStatus)
+	mux.HandleFunc("GET /v1/scheduler", s.getPlacement(""))
+	mux.HandleFunc("GET /v1/jobs", s.getPlacement(member.TopicJobs))
+	mux.HandleFunc("GET /v1/jobs/{id}", s.getPlacement(member.TopicJob))
+	mux.HandleFunc("DELETE /v1/jobs/{id}", s.cancelJob)
+	return mux
 }
 
+// getConfig answers with the newest configuration.
 func (s *Server) getConfig(w http.ResponseWriter, r *http.Request) {
-	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, true)
-}
-
-func (s *Server) changeConfig(w http.ResponseWriter, r *http.Request, patch bool) {
-	ifMatch, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
-	if err != nil {
-		http.Error(w, "If-Match: it holds no version", http.StatusBadRequest)
-		return
-	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
-	if err != nil {
-		http.Error(w, "the body can't be read: "+err.Error(), http.StatusBadRequest)
-		return
-	}
-	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: patch, IfMatch: ifMatch, Body: body}}}, false)
+	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, atTail)
 }
 
-// respond answers a call with what the control plane says. Without its answer the caller is told to ask
-// again; an order may or may not have been taken then.
-func (s *Server) respond(w http.ResponseWriter, r *http.Request, request *protocol.ClientRequest, read bool) {
-	o, ok := s.do(r.Context(), request, read)
-	switch {
-	case !ok:
-	case o.Reply == nil:
-		w.Header().Set("Retry-After", "1")
-		http.Error(w, "the control plane does not answer", http.StatusServiceUnavailable)
-	default:
-		if len(o.Reply.GetBody()) > 0 && o.Reply.GetStatus() == http.StatusOK {
-			w.Header().Set("Content-Type", "application/json")
+// changeConfig returns the handler of calls that replace or patch the configuration. Their If-Match names the version
+// that the change builds on.
+func (s *Server) changeConfig(patch bool) http.HandlerFunc {
+	return func(w http.ResponseWriter, r *http.Request) {
+		ifMatch, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
+		if err != nil {
+			http.Error(w, "If-Match: it holds no version", http.StatusBadRequest)
+			return
+		}
+		body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+		if err != nil {
+			http.Error(w, "the body can't be read: "+err.Error(), http.StatusBadRequest)
+			return
 		}
-		w.WriteHeader(int(o.Reply.GetStatus()))
-		_, _ = w.Write(o.Reply.GetBody())
+		order := &protocol.ConfigOrder{Patch: patch, IfMatch: ifMatch, Body: body}
+		s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: order}}, atHead)
 	}
 }
 
-// readStatus answers with a part of the state of the placement role, wherever that is. It may be of entries that
-// are not committed: it is for operators' eyes.
-func (s *Server) readStatus(topic, pathValue string) http.HandlerFunc {
+// getPlacement returns the handler of calls that read a topic of the placement role's state, be the role at this member
+// or at another one.
+func (s *Server) getPlacement(topic string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
-		read := &protocol.ReadStatus{What: topic}
-		if pathValue != "" {
-			read.Id = r.PathValue(pathValue)
-		}
-		s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: read}}, false)
+		read := &protocol.ReadStatus{What: topic, Id: r.PathValue("id")}
+		s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: read}}, atHead)
 	}
 }
 
-// cancelJob cancels a job at an operator's wish.
+// cancelJob cancels a job of any queue.
 func (s *Server) cancelJob(w http.ResponseWriter, r *http.Request) {
-	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: r.PathValue("id")}}}, false)
+	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: r.PathValue("id")}}}, atHead)
 }
 
-// getMemberStatus answers with the state of this member.
+// getMemberStatus answers with the state of this member, which it knows by itself.
 func (s *Server) getMemberStatus(w http.ResponseWriter, r *http.Request) {
 	result := make(chan any, 1)
 	s.process.Post(func() { result <- s.member.Replica().Status() })
 	select {
 	case status := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status)
+		_ = json.NewEncoder(w).Encode(status) // fails only where the caller has gone
 	case <-r.Context().Done():
 	}
 }
+
+// respond sends a request to the control plane and answers the call with the reply. If there is none the caller is asked
+// to try again: a change may or may not have been made then.
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, request *protocol.ClientRequest, read bool) {
+	outcome, ok := s.do(r.Context(), request, read)
+	switch {
+	case !ok: // the caller has gone
+	case outcome.Reply == nil:
+		w.Header().Set("Retry-After", retryAfterSeconds)
+		http.Error(w, "the control plane does not answer", http.StatusServiceUnavailable)
+	default:
+		reply := outcome.Reply
+		if len(reply.GetBody()) > 0 && reply.GetStatus() == http.StatusOK {
+			w.Header().Set("Content-Type", "application/json")
+		}
+		w.WriteHeader(int(reply.GetStatus()))
+		_, _ = w.Write(reply.GetBody()) // fails only where the caller has gone
+	}
+}
+
+// do sends a request to the control plane and returns its outcome. It returns false if the context ends first.
+func (s *Server) do(ctx context.Context, r *protocol.ClientRequest, read bool) (chainclient.Outcome, bool) {
+	result := make(chan chainclient.Outcome, 1)
+	s.process.Post(func() {
+		s.pending[s.member.Do(s.process.Now(), r, read, responseTimeout)] = result
+	})
+	select {
+	case outcome := <-result:
+		return outcome, true
+	case <-ctx.Done():
+		return chainclient.Outcome{}, false
+	}
+}
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -1,14 +1,10 @@
-// Package server runs a member of the control plane on files, sockets and clocks, and serves the operator's
-// API.
 package server
 
 import (
 	"context"
-	"net"
-	"slices"
+	"sync"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
 	"github.com/cockroachdb/errors"
 	"k8s.io/klog/v2"
 
@@ -23,28 +19,32 @@
 )
 
 const (
-	// tickInterval is how often the member is told of the time.
+	// tickInterval is the interval between the member's ticks.
 	tickInterval = 20 * time.Millisecond
-	// openRetryInterval is the pause between tries to open the file of a disk that refuses.
+	// openRetryInterval is the pause between attempts to open the journal on a disk that refuses.
 	openRetryInterval = 500 * time.Millisecond
-	// drainFraction is the share of the grace time for which a process that ends waits for the others to have all that
-	// it has.
+	// drainFraction is the part of GraceS for which a process that ends waits until the other members have all
+	// that it has.
 	drainFraction = 0.75
-	// statusRetentionMargin is how much longer than asked for the state of a job is kept.
+	// minDrainTimeout is the least that it waits.
+	minDrainTimeout = time.Second
+	// statusRetentionMargin is added to StatusS, the time for which the state of an ended job has to be known.
 	statusRetentionMargin = 10 * time.Second
-	// rackPrefix begins the labels that name racks.
+	// rackPrefix begins the labels of runners that name racks.
 	rackPrefix = "r"
 )
 
-// Server is the process.
+// Server is a running member of the control plane. Its fields are used on the process's goroutine only, except for
+// process itself.
 type Server struct {
 	process *process.Process
 	member  *member.Member
-	writer  *journalWriter
-	pending map[uint64]chan<- chainclient.Outcome // requests of the API
+	journal *journalWriter
+	pending map[uint64]chan<- chainclient.Outcome // calls of the operator's API that wait, by request ID
 }
 
-// Run runs the process until the context ends.
+// Run runs a member by the settings that were read from the file at path, until the context ends and the member is
+// drained. It returns an error if the settings lack a key, or if an address can't be listened on.
 func Run(ctx context.Context, path string, settings *nodefile.File) error {
 	if settings.DataDir == "" {
 		return nodefile.MissingKey(path, "DataDir")
@@ -65,39 +65,47 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close()
-	s.writer = newJournalWriter(file, func(sequence uint64, size int64, err error) {
+	defer file.Close() // every acknowledged write is synced: an error says nothing more
+	s.journal = startJournalWriter(file, func(sequence uint64, size int64, err error) {
 		p.Post(func() { s.member.DiskDone(p.Now(), sequence, size, err) })
 	})
+	defer s.journal.stop()
 	s.startMember(state)
-	stop, err := s.serveAPI(settings.ListenAddrs.Control)
+	stopAPI, err := s.serveAPI(settings.ListenAddrs.Control)
 	if err != nil {
 		return err
 	}
-	defer stop()
+	defer stopAPI()
+	s.runUntilDrained(ctx)
+	return nil
+}
+
+// runUntilDrained runs the member until the context has ended and the member is drained.
+func (s *Server) runUntilDrained(ctx context.Context) {
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	p.WatchSettings(runCtx, func(changed *nodefile.File) { s.member.SetContacts(changed.Contacts()) })
-	go func() {
+	s.process.WatchSettings(runCtx, func(changed *nodefile.File) { s.member.SetContacts(changed.Contacts()) })
+	var draining sync.WaitGroup
+	draining.Go(func() {
 		<-ctx.Done()
-		p.Post(func() { s.drain(cancel) })
-	}()
-	p.Run(runCtx, tickInterval, s.tick, s.afterTurn)
-	return nil
+		s.process.Post(func() { s.drain(cancel) })
+	})
+	s.process.Run(runCtx, tickInterval, s.tick, s.afterTurn)
+	draining.Wait()
 }
 
-// openJournal opens the file, however long the disk refuses.
+// openJournal opens the journal, trying again until the disk lets it or the context ends.
 func openJournal(ctx context.Context, dir string) (*journal.File, journal.State, error) {
 	for {
 		file, state, err := journal.Open(dir)
 		if errors.Is(err, journal.ErrDamaged) {
-			klog.ErrorS(err, "The file on disk is damaged and put aside; this member joins as a new one", "dir", dir)
+			klog.ErrorS(err, "Journal is damaged and put aside; the member joins under a new identity", "dir", dir)
 			err = nil
 		}
 		if err == nil {
 			return file, state, nil
 		}
-		klog.ErrorS(err, "The disk can't be used; this member waits for it", "dir", dir)
+		klog.ErrorS(err, "Journal can't be opened; trying again", "dir", dir)
 		select {
 		case <-ctx.Done():
 			return nil, state, err
@@ -106,7 +114,7 @@
 	}
 }
 
-// startMember makes the member, with a new identity where the disk holds none.
+// startMember creates the member, under a new identity where the journal holds none.
 func (s *Server) startMember(state journal.State) {
 	settings := s.process.Settings
 	self := &protocol.Member{Id: state.ID, Address: s.process.Address, Control: settings.ListenAddrs.Control, Zone: settings.Zone}
@@ -118,65 +126,61 @@
 		}
 	}
 	klog.InfoS("Member begins", "id", self.GetId(), "address", self.GetAddress(), "index", state.Index, "epoch", state.Accepted.GetEpoch())
-	s.member = member.New(member.Config{
-		Replica: replica.Config{Self: self, Incarnation: s.process.Incarnation, ToleratedFaults: settings.FaultTolerance.Machines,
-			Contacts: settings.Contacts(), Seed: s.process.Incarnation, Timing: replica.DefaultTiming()},
-		Scheduler: scheduler.Config{Lease: nodefile.Seconds(settings.Bounds.RecoveryS), StatusRetention: nodefile.Seconds(settings.Bounds.StatusS) + statusRetentionMargin,
-			RackPrefix: rackPrefix, RemoteSlowdown: settings.Bounds.FarX},
-	}, s.process.Now(), state)
+	s.member = member.New(s.memberConfig(self), s.process.Now(), state)
 }
 
-// founderID returns the identity of a founder, which is named by its operator's address.
-func founderID(control string) uint64 { return xxhash.Sum64String("founder " + control) }
-
-// foundingMembers returns the members of view 0 where this process is one of them: the seeds of a system that
-// starts for the first time.
-func foundingMembers(settings *nodefile.File) (founders []*protocol.Member) {
-	if !settings.Bootstrap || !slices.Contains(settings.Seeds, settings.ListenAddrs.Control) {
-		return nil
-	}
-	for i, seed := range slices.Sorted(slices.Values(settings.Seeds)) {
-		host, _, err := net.SplitHostPort(seed)
-		if err != nil {
-			return nil
-		}
-		founders = append(founders, &protocol.Member{Id: founderID(seed), Number: uint32(i + 1), Address: settings.InternalAddress(host, 0), Control: seed})
+// memberConfig returns what the settings say of the member.
+func (s *Server) memberConfig(self *protocol.Member) member.Config {
+	settings := s.process.Settings
+	return member.Config{
+		Replica: replica.Config{
+			Self:            self,
+			Incarnation:     s.process.Incarnation,
+			ToleratedFaults: settings.FaultTolerance.Machines,
+			Contacts:        settings.Contacts(),
+			Seed:            s.process.Incarnation,
+			Timing:          replica.DefaultTiming(),
+		},
+		Scheduler: scheduler.Config{
+			Lease:           nodefile.Seconds(settings.Bounds.RecoveryS),
+			StatusRetention: nodefile.Seconds(settings.Bounds.StatusS) + statusRetentionMargin,
+			RackPrefix:      rackPrefix,
+			RemoteSlowdown:  settings.Bounds.FarX,
+		},
 	}
-	return founders
 }
 
-// tick lets time pass.
 func (s *Server) tick() { s.member.Tick(s.process.Now(), s.process.WallMs()) }
 
-// afterTurn carries out what a turn has led to.
+// afterTurn carries out what a turn of the member has led to.
 func (s *Server) afterTurn() {
 	out := s.member.Turn(s.process.Now())
 	for _, e := range out.Events {
 		klog.InfoS(e.Message, e.KeysAndValues...)
 	}
-	for _, w := range out.Writes {
-		s.writer.enqueue(w)
+	for _, write := range out.Writes {
+		s.journal.enqueue(write)
 	}
 	for _, send := range out.Sends {
 		s.process.Send(send.To, send.Message)
 	}
-	for _, o := range out.Outcomes {
-		if waiting := s.pending[o.ID]; waiting != nil {
-			delete(s.pending, o.ID)
-			waiting <- o
+	for _, outcome := range out.Outcomes {
+		if caller := s.pending[outcome.ID]; caller != nil {
+			delete(s.pending, outcome.ID)
+			caller <- outcome // buffered
 		}
 	}
 }
 
-// drain ends the process once the others go on without it.
-func (s *Server) drain(cancel func()) {
+// drain calls finished once the other members go on without this one, or after the time that GraceS leaves for it.
+func (s *Server) drain(finished func()) {
 	startedAt := s.process.Now()
-	maxWait := max(time.Second, time.Duration(drainFraction*float64(nodefile.Seconds(s.process.Settings.Bounds.GraceS))))
+	timeout := max(minDrainTimeout, time.Duration(drainFraction*float64(nodefile.Seconds(s.process.Settings.Bounds.GraceS))))
 	s.member.Drain(startedAt)
 	var poll func()
 	poll = func() {
-		if s.member.Replica().Drained() || s.process.Now()-startedAt > maxWait {
-			cancel()
+		if s.member.Replica().Drained() || s.process.Now()-startedAt > timeout {
+			finished()
 			return
 		}
 		time.AfterFunc(tickInterval, func() { s.process.Post(poll) })
