--- a/internal/data/gateway/gateway.go
+++ b/internal/data/gateway/gateway.go
@@ -1,10 +1,8 @@
-// Package gateway takes clients' jobs: it serves the queues of the newest configuration over HTTP, reads
-// and checks what clients send, has the control plane answer it, and tells clients what it knows when
-// that does not answer in time.
 package gateway
 
 import (
 	"context"
+	"sync"
 	"time"
 
 	"k8s.io/klog/v2"
@@ -15,22 +13,26 @@
 	"frosttide/internal/protocol"
 )
 
-const (
-	// tickInterval is how often the state machines are told of the time.
-	tickInterval = 20 * time.Millisecond
-	// unsentTimeout is how long a request is kept while nobody can be found to pass it on to.
-	unsentTimeout = 250 * time.Millisecond
-)
+// tickInterval is the interval between the state machines' ticks.
+const tickInterval = 20 * time.Millisecond
 
-// Gateway is the process.
+// Gateway is a running gateway.
 type Gateway struct {
 	process  *process.Process
-	node     *Node
-	pending  map[uint64]chan<- chainclient.Outcome
+	node     *Node                                 // used on the process's goroutine only
+	pending  map[uint64]chan<- chainclient.Outcome // handlers that wait, by request ID; likewise
 	frontend *frontend
 }
 
-// Run runs the process until the context ends.
+// call is a request to the control plane on behalf of a client.
+type call struct {
+	request *protocol.ClientRequest
+	read    bool // it changes nothing, so that the tail can answer it
+	timeout time.Duration
+}
+
+// Run runs a gateway by the settings that were read from the file at path, until the context ends and the open
+// requests are answered. It returns an error if the settings lack a key, or if an address can't be listened on.
 func Run(ctx context.Context, path string, settings *nodefile.File) error {
 	if settings.ListenAddrs.Front == "" {
 		return nodefile.MissingKey(path, "ListenAddrs.Front")
@@ -48,47 +50,57 @@
 	defer p.Close()
 	g.process = p
 	g.node = NewNode(p.Address, p.Incarnation, settings.Contacts())
-	if g.frontend, err = newFrontend(g, settings); err != nil {
+	g.frontend = newFrontend(g, nodefile.Seconds(settings.Bounds.GraceS))
+	defer g.frontend.close()
+	if err := g.frontend.listen(settings.ListenAddrs.Front, settings.ListenAddrs.Readiness); err != nil {
 		return err
 	}
-	running, end := context.WithCancel(context.Background())
-	defer end()
-	p.WatchSettings(running, func(changed *nodefile.File) { g.node.SetContacts(changed.Contacts()) })
-	go func() {
+	g.runUntilDrained(ctx)
+	return nil
+}
+
+// runUntilDrained runs the node until the context has ended and the frontend is drained.
+func (g *Gateway) runUntilDrained(ctx context.Context) {
+	runCtx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	g.process.WatchSettings(runCtx, func(changed *nodefile.File) { g.node.SetContacts(changed.Contacts()) })
+	var draining sync.WaitGroup
+	draining.Go(func() {
 		<-ctx.Done()
-		klog.InfoS("Carrier drains")
+		klog.InfoS("Gateway is draining")
 		g.frontend.drain()
-		end()
-	}()
-	p.Run(running, tickInterval, g.tick, g.afterTurn)
-	return nil
+		cancel()
+	})
+	g.process.Run(runCtx, tickInterval, g.tick, g.afterTurn)
+	draining.Wait()
 }
 
 func (g *Gateway) tick() { g.node.Tick(g.process.Now()) }
 
+// afterTurn carries out what a turn of the node has led to.
 func (g *Gateway) afterTurn() {
 	sends, outcomes := g.node.Turn(g.process.Now())
 	g.frontend.table.Store(g.node.Table())
-	for _, s := range sends {
-		g.process.Send(s.To, s.Message)
+	for _, send := range sends {
+		g.process.Send(send.To, send.Message)
 	}
-	for _, o := range outcomes {
-		if waiting := g.pending[o.ID]; waiting != nil {
-			delete(g.pending, o.ID)
-			waiting <- o
+	for _, outcome := range outcomes {
+		if caller := g.pending[outcome.ID]; caller != nil {
+			delete(g.pending, outcome.ID)
+			caller <- outcome // buffered
 		}
 	}
 }
 
-// do has the control plane answer a request within a time.
-func (g *Gateway) do(ctx context.Context, r *protocol.ClientRequest, read bool, timeout time.Duration) (chainclient.Outcome, bool) {
-	outcome := make(chan chainclient.Outcome, 1)
+// do sends a request to the control plane and returns its outcome. It returns false if the context ends first.
+func (g *Gateway) do(ctx context.Context, c call) (chainclient.Outcome, bool) {
+	result := make(chan chainclient.Outcome, 1)
 	g.process.Post(func() {
-		g.pending[g.node.Do(g.process.Now(), r, read, timeout)] = outcome
+		g.pending[g.node.Do(g.process.Now(), c.request, c.read, c.timeout)] = result
 	})
 	select {
-	case o := <-outcome:
-		return o, true
+	case outcome := <-result:
+		return outcome, true
 	case <-ctx.Done():
 		return chainclient.Outcome{}, false
 	}
--- /dev/null
+++ b/internal/data/gateway/handler.go
@@ -0,0 +1,140 @@
+package gateway
+
+import (
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"frosttide/internal/protocol"
+	"frosttide/internal/routeconfig"
+)
+
+const (
+	// defaultTimeout is how long an answer may take where neither the client nor the route bounds it.
+	defaultTimeout = 3 * time.Second
+	// responseMargin is the part of a client's time that is left for the way of the answer.
+	responseMargin = 60 * time.Millisecond
+	// defaultMaxBodyBytes bounds a body where the configuration does not.
+	defaultMaxBodyBytes = 256 << 10
+	// retryAfterSeconds is the Retry-After of requests that were surely not taken.
+	retryAfterSeconds = "1"
+)
+
+// serveClient answers a client's request to a queue.
+func (f *frontend) serveClient(w http.ResponseWriter, r *http.Request) {
+	table := f.table.Load()
+	if table.Version == 0 {
+		reject(w, "there is no configuration yet")
+		return
+	}
+	route := table.Match(r.Host, r.URL.Path)
+	if route == nil {
+		http.Error(w, "there is no such queue", http.StatusNotFound)
+		return
+	}
+	id := strings.TrimPrefix(r.URL.Path, route.PathPrefix)
+	timeout := requestTimeout(r, route)
+	switch {
+	case r.Method == http.MethodGet && id == "":
+		f.respond(w, r, call{request: readPending(route.Name), read: true, timeout: timeout})
+	case r.Method == http.MethodGet:
+		f.respond(w, r, call{request: readState(route.Name, id), read: true, timeout: timeout})
+	case r.Method == http.MethodDelete && id != "":
+		f.respond(w, r, call{request: cancelJob(route.Name, id), timeout: timeout})
+	case r.Method == http.MethodPost && id != "":
+		submit, ok := readSubmit(w, r, maxBodyBytes(table))
+		if !ok {
+			return
+		}
+		submit.Id, submit.Queue = id, route.Name
+		f.respond(w, r, call{request: submitJob(submit), timeout: timeout})
+	default:
+		http.Error(w, "the method is not served here", http.StatusMethodNotAllowed)
+	}
+}
+
+func readPending(queue string) *protocol.ClientRequest {
+	return &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadPending{ReadPending: &protocol.ReadPending{Queue: queue}}}
+}
+
+func readState(queue, id string) *protocol.ClientRequest {
+	return &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadState{ReadState: &protocol.ReadState{Id: id, Queue: queue}}}
+}
+
+func cancelJob(queue, id string) *protocol.ClientRequest {
+	return &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: id, Queue: queue}}}
+}
+
+func submitJob(submit *protocol.Submit) *protocol.ClientRequest {
+	return &protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: submit}}
+}
+
+// maxBodyBytes returns the bound of a job's body.
+func maxBodyBytes(table *routeconfig.Table) int64 {
+	if limit := table.Limits().MaxBodyBytes; limit > 0 {
+		return limit
+	}
+	return defaultMaxBodyBytes
+}
+
+// readSubmit reads and parses a job's body. It answers the client itself and returns false where that fails.
+func readSubmit(w http.ResponseWriter, r *http.Request, maxBytes int64) (*protocol.Submit, bool) {
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
+	if err != nil {
+		http.Error(w, "the body can't be read: "+err.Error(), http.StatusBadRequest)
+		return nil, false
+	}
+	submit, err := parseJob(body)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return nil, false
+	}
+	return submit, true
+}
+
+// requestTimeout returns how long the control plane may take: what the client waits, by its X-Deadline-Ms header and
+// by the route, without the time for the way of the answer.
+func requestTimeout(r *http.Request, route *routeconfig.Route) time.Duration {
+	timeout := defaultTimeout
+	if route.TimeoutMs > 0 {
+		timeout = time.Duration(route.TimeoutMs) * time.Millisecond
+	}
+	if ms, err := strconv.ParseInt(r.Header.Get("X-Deadline-Ms"), 10, 64); err == nil && ms > 0 {
+		timeout = min(timeout, time.Duration(ms)*time.Millisecond)
+	}
+	return max(timeout-responseMargin, responseMargin)
+}
+
+// respond sends a request to the control plane and answers the client with the reply, or with what is known without one.
+func (f *frontend) respond(w http.ResponseWriter, r *http.Request, c call) {
+	outcome, ok := f.gateway.do(r.Context(), c)
+	switch {
+	case !ok: // the client has gone
+	case outcome.Reply != nil:
+		writeReply(w, outcome.Reply)
+	case outcome.MayHaveExecuted && !c.read:
+		http.Error(w, "the control plane does not answer; the request may have been taken", http.StatusGatewayTimeout)
+	default:
+		reject(w, "the control plane can't be reached")
+	}
+}
+
+// writeReply passes the control plane's reply on.
+func writeReply(w http.ResponseWriter, reply *protocol.ClientReply) {
+	if reply.GetRetryAfterMs() > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(int(reply.GetRetryAfterMs()+999)/1000))
+	}
+	if reply.GetStatus() == http.StatusOK {
+		w.Header().Set("Content-Type", "application/json")
+	}
+	w.WriteHeader(int(reply.GetStatus()))
+	_, _ = w.Write(reply.GetBody()) // fails only where the client has gone
+}
+
+// reject answers that a request was surely not taken, and when to try again.
+func reject(w http.ResponseWriter, reason string) {
+	w.Header().Set("Retry-After", retryAfterSeconds)
+	http.Error(w, reason, http.StatusServiceUnavailable)
+}
--- /dev/null
+++ b/internal/data/gateway/handler_test.go
@@ -0,0 +1,72 @@
+package gateway
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"frosttide/internal/protocol"
+	"frosttide/internal/routeconfig"
+)
+
+func TestRequestTimeout(t *testing.T) {
+	tests := []struct {
+		name      string
+		routeMs   int64
+		deadline  string // X-Deadline-Ms
+		wantTotal time.Duration
+	}{
+		{"neither", 0, "", defaultTimeout},
+		{"route", 1000, "", time.Second},
+		{"client waits for less", 1000, "400", 400 * time.Millisecond},
+		{"client waits for longer", 1000, "5000", time.Second},
+		{"client's header is no number", 1000, "soon", time.Second},
+		{"client's header is negative", 1000, "-1", time.Second},
+		{"hardly any time", 1000, "1", 2 * responseMargin},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			r := httptest.NewRequest(http.MethodGet, "/", nil)
+			if test.deadline != "" {
+				r.Header.Set("X-Deadline-Ms", test.deadline)
+			}
+			require.Equal(t, test.wantTotal-responseMargin, requestTimeout(r, &routeconfig.Route{TimeoutMs: test.routeMs}))
+		})
+	}
+}
+
+func TestWriteReply(t *testing.T) {
+	tests := []struct {
+		name       string
+		reply      *protocol.ClientReply
+		wantStatus int
+		wantHeader http.Header
+	}{
+		{"success", &protocol.ClientReply{Status: 200, Body: []byte("{}")}, 200, http.Header{"Content-Type": {"application/json"}}},
+		{"gone", &protocol.ClientReply{Status: 410}, 410, http.Header{}},
+		{"to be repeated after part of a second", &protocol.ClientReply{Status: 503, RetryAfterMs: 1200}, 503, http.Header{"Retry-After": {"2"}}},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			w := httptest.NewRecorder()
+			writeReply(w, test.reply)
+			require.Equal(t, test.wantStatus, w.Code)
+			require.Equal(t, test.wantHeader, w.Header())
+			require.Equal(t, string(test.reply.GetBody()), w.Body.String())
+		})
+	}
+}
+
+func TestWithoutConfiguration(t *testing.T) {
+	f := newFrontend(nil, time.Second)
+	w := httptest.NewRecorder()
+	f.clientServer.Handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/q/", nil))
+	require.Equal(t, http.StatusServiceUnavailable, w.Code)
+	require.Equal(t, "1", w.Header().Get("Retry-After"))
+	w = httptest.NewRecorder()
+	f.readinessServer.Handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/v1/ready", nil))
+	require.Equal(t, http.StatusServiceUnavailable, w.Code)
+}
--- a/internal/data/gateway/job_test.go
+++ b/internal/data/gateway/job_test.go
@@ -29,25 +29,28 @@
 }
 
 func TestParseJobErrors(t *testing.T) {
-	for body, want := range map[string]string{
-		``:                                 "can't be read",
-		`[1]`:                              "no object",
-		`{"Spec":1}`:                       "Spec",
-		`{"MaxRuns":-1}`:                   "MaxRuns",
-		`{"MaxRuns":1.5}`:                  "MaxRuns",
-		`{"Stages":[{"Count":"x"}]}`:       "Stages[0].",
-		`{"Stages":[{},{"Gang":1}]}`:       "Stages[1].",
-		`{"Stages":[{"Cpu":1e300}]}`:       "Cpu",
-		`{"Stages":[{"DependsOn":["a"]}]}`: "DependsOn",
-		`{"Spec":"x"`:                      "can't be read",
-	} {
-		_, err := parseJob([]byte(body))
-		require.ErrorContains(t, err, want, body)
-		require.True(t, errors.Is(err, ErrJob), body)
+	tests := []struct{ name, body, want string }{
+		{"empty body", ``, "can't be read"},
+		{"body cut short", `{"Spec":"x"`, "can't be read"},
+		{"list as body", `[1]`, "no object"},
+		{"number as text", `{"Spec":1}`, "Spec"},
+		{"negative number", `{"MaxRuns":-1}`, "MaxRuns"},
+		{"fraction", `{"MaxRuns":1.5}`, "MaxRuns"},
+		{"text as number", `{"Stages":[{"Count":"x"}]}`, "Stages[0]."},
+		{"number as flag in the second stage", `{"Stages":[{},{"Gang":1}]}`, "Stages[1]."},
+		{"number out of range", `{"Stages":[{"Cpu":1e300}]}`, "Cpu"},
+		{"text as step", `{"Stages":[{"DependsOn":["a"]}]}`, "DependsOn"},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			_, err := parseJob([]byte(test.body))
+			require.ErrorContains(t, err, test.want)
+			require.True(t, errors.Is(err, ErrJob), "%v", err)
+		})
 	}
 }
 
-// FuzzParseJob has no body bring the reader or the check down.
+// FuzzParseJob checks that no body brings the parser or the validation down.
 func FuzzParseJob(f *testing.F) {
 	f.Add([]byte(sampleJob))
 	f.Add([]byte(`{"Stages":[null,1,{"DependsOn":[-1]}]}`))
--- a/internal/data/gateway/node.go
+++ b/internal/data/gateway/node.go
@@ -15,15 +15,18 @@
 	Message *protocol.Envelope
 }
 
-// Node is a carrier process as a pure state machine: the gossip by which it learns of configurations and
-// views, and the client that asks the control plane.
+// unsentTimeout bounds how long a request waits while no member of the control plane is known to send it to.
+const unsentTimeout = 250 * time.Millisecond
+
+// Node is a gateway process as a pure state machine: the gossip by which configurations and views arrive, and the
+// client that sends requests to the control plane. It is not safe for concurrent use.
 type Node struct {
 	gossip     *gossip.Machine
 	client     *chainclient.Client
-	knownEpoch uint64 // epoch that the client has been told of
+	knownEpoch uint64 // epoch of the newest view that the client has
 }
 
-// NewNode returns a carrier process at an internal address.
+// NewNode returns a gateway at an internal address. contacts are the core machines that it asks for the first view.
 func NewNode(address string, incarnation uint64, contacts []string) *Node {
 	return &Node{
 		gossip: gossip.New(gossip.Config{Address: address, Role: "carrier", Contacts: contacts, Seed: incarnation}),
@@ -31,21 +34,22 @@
 	}
 }
 
-// SetContacts replaces the processes that are asked at first.
+// SetContacts replaces the addresses that are tried while no view is known.
 func (n *Node) SetContacts(contacts []string) {
 	n.gossip.SetContacts(contacts)
 	n.client.SetContacts(contacts)
 }
 
-// Table returns the newest configuration that has arrived.
+// Table returns the newest configuration that has arrived. It is never nil and is not changed any more.
 func (n *Node) Table() *routeconfig.Table { return n.gossip.Config() }
 
-// Do has the control plane answer a request within a time and returns its id.
+// Do sends a request to the control plane and returns its ID. read says that the tail can answer it. Turn returns its
+// outcome within the timeout.
 func (n *Node) Do(now time.Duration, r *protocol.ClientRequest, read bool, timeout time.Duration) uint64 {
 	return n.client.Do(now, r, read, now+timeout, now+unsentTimeout)
 }
 
-// Receive handles a message of another process.
+// Receive handles a message that another process has sent from an internal address.
 func (n *Node) Receive(now time.Duration, from string, e *protocol.Envelope) {
 	switch body := e.GetBody().(type) {
 	case *protocol.Envelope_ClientReply:
@@ -59,13 +63,13 @@
 	}
 }
 
-// Tick lets time pass.
+// Tick handles the passing of time.
 func (n *Node) Tick(now time.Duration) {
 	n.gossip.Tick(now)
 	n.client.Tick(now)
 }
 
-// Turn ends a turn and returns what is to be sent and the requests that have ended.
+// Turn ends a turn and returns the messages to send and the requests that have ended.
 func (n *Node) Turn(now time.Duration) ([]Send, []chainclient.Outcome) {
 	if v := n.gossip.View(); v.GetEpoch() > n.knownEpoch {
 		n.knownEpoch = v.GetEpoch()
--- a/internal/data/gateway/node_fuzz_test.go
+++ b/internal/data/gateway/node_fuzz_test.go
@@ -8,7 +8,7 @@
 	"frosttide/internal/protocol/protocoltest"
 )
 
-// FuzzReceive has a carrier that waits for an answer bear any message of another process.
+// FuzzReceive checks that a gateway with a pending request ends it exactly once, whatever message another process sends.
 func FuzzReceive(f *testing.F) {
 	protocoltest.Fuzz(f, []*protocol.Envelope{
 		{Body: &protocol.Envelope_ClientReply{ClientReply: &protocol.ClientReply{Id: 1, Status: 200, ConfigVersion: 3}}},
