--- a/internal/data/agent/head.go
+++ b/internal/data/agent/head.go
@@ -8,7 +8,8 @@
 	"frosttide/internal/protocol"
 )
 
-// SetView notes a newer view of the control plane: its head is whom to report to.
+// SetView takes over a newer view of the control plane by its epoch and the internal address of its head. The agent
+// reports to that head from now on, and waits for a full sync from it.
 func (m *Machine) SetView(now time.Duration, epoch uint64, head string) {
 	m.now = now
 	if epoch <= m.epoch {
@@ -18,12 +19,16 @@
 	m.session, m.appliedSequence, m.fullSyncDone = 0, 0, false
 	m.lastHeadContact = now
 	m.nextReport = 0
-	if m.runner != nil {
-		m.runner.known, m.runner.sentEnds = false, 0
+}
+
+// SetContacts replaces the core machines to ask for a view. An empty list changes nothing.
+func (m *Machine) SetContacts(contacts []string) {
+	if len(contacts) > 0 {
+		m.cfg.Contacts = contacts
 	}
 }
 
-// Tick lets time pass.
+// Tick handles the passing of time: it sends the reports that are due and removes what has expired.
 func (m *Machine) Tick(now time.Duration) {
 	m.now = now
 	m.expire()
@@ -44,35 +49,29 @@
 	}
 }
 
-// Due returns when Tick has something to do.
-func (m *Machine) Due() time.Duration { return m.nextReport }
-
-// queryView asks core machines for the newest view, another one each time.
+// queryView asks the next core machine for a newer view.
 func (m *Machine) queryView() {
 	if len(m.cfg.Contacts) == 0 {
 		return
 	}
 	m.nextContact++
-	m.sends = append(m.sends, Send{To: m.cfg.Contacts[m.nextContact%len(m.cfg.Contacts)],
-		Message: &protocol.Envelope{Body: &protocol.Envelope_ViewQuery{ViewQuery: &protocol.ViewQuery{Epoch: m.epoch}}}})
+	m.send(m.cfg.Contacts[m.nextContact%len(m.cfg.Contacts)],
+		&protocol.Envelope{Body: &protocol.Envelope_ViewQuery{ViewQuery: &protocol.ViewQuery{Epoch: m.epoch}}})
 }
 
-// SetContacts replaces the core machines to be asked for the view.
-func (m *Machine) SetContacts(contacts []string) {
-	if len(contacts) > 0 {
-		m.cfg.Contacts = contacts
-	}
+func (m *Machine) send(to string, e *protocol.Envelope) {
+	m.sends = append(m.sends, Send{To: to, Message: e})
 }
 
-// expire drops what nobody has to be told any more, and gives up a runner whose holds have run out.
+// expire drops what the head need not be told any more, and removes a timed-out runner whose run leases have ended.
 func (m *Machine) expire() {
-	for id, at := range m.removed {
-		if m.now-at > removedRetention {
+	for id, removedAt := range m.removed {
+		if m.now-removedAt > removedRetention {
 			delete(m.removed, id)
 		}
 	}
-	for request, at := range m.leaseRequestedAt {
-		if m.now-at > removedRetention {
+	for request, requestedAt := range m.leaseRequestedAt {
+		if m.now-requestedAt > removedRetention {
 			delete(m.leaseRequestedAt, request)
 		}
 	}
@@ -85,22 +84,18 @@
 	}
 }
 
-// removeRunner tells the head that a runner surely runs nothing any more. What the head ordered before it knows
-// that is void, should the runner beat again.
-func (m *Machine) removeRunner(r *runner) {
-	m.removed[r.account.GetId()] = m.now
-	m.runner = nil
-	m.incarnation++
-	m.session, m.appliedSequence, m.fullSyncDone = 0, 0, false
-	m.nextReport = 0
-}
-
-// report tells the head how the runner stands and asks for the lease to be renewed.
+// report sends the head the runner's state and asks it to renew the lease.
 func (m *Machine) report() {
 	m.lastLeaseRequest++
 	m.leaseRequestedAt[m.lastLeaseRequest] = m.now
-	report := &protocol.RunnerReport{Incarnation: m.incarnation, LeaseRound: m.lastLeaseRequest, OrdersSeen: m.appliedSequence, Epoch: m.epoch, NoRunner: m.runner == nil,
-		Gone: slices.Sorted(maps.Keys(m.removed))}
+	report := &protocol.RunnerReport{
+		Incarnation: m.incarnation,
+		LeaseRound:  m.lastLeaseRequest,
+		OrdersSeen:  m.appliedSequence,
+		Epoch:       m.epoch,
+		NoRunner:    m.runner == nil,
+		Gone:        slices.Sorted(maps.Keys(m.removed)),
+	}
 	if r := m.runner; r != nil {
 		report.Account = r.account
 		report.Silent = m.timedOut(r) || r.deregistered
@@ -112,14 +107,14 @@
 			report.Refused = append(report.Refused, &protocol.RunRef{Task: task, Run: r.refused[task]})
 		}
 	}
-	m.sends = append(m.sends, Send{To: m.headAddress, Message: &protocol.Envelope{Body: &protocol.Envelope_RunnerReport{RunnerReport: report}}})
+	m.send(m.headAddress, &protocol.Envelope{Body: &protocol.Envelope_RunnerReport{RunnerReport: report}})
 }
 
-// HandleOrders handles orders of the head.
+// HandleOrders handles orders that the head has sent from an internal address.
 func (m *Machine) HandleOrders(now time.Duration, from string, o *protocol.RunnerOrders) {
 	m.now = now
 	if o.GetEpoch() < m.epoch || o.GetCompanion() != m.incarnation {
-		return // of a head that is none any more, or for the process that was here before
+		return // of a deposed head, or for an earlier process of this agent
 	}
 	if o.GetEpoch() > m.epoch {
 		m.SetView(now, o.GetEpoch(), from)
@@ -130,33 +125,15 @@
 	if r == nil || o.GetRunner() != r.account.GetId() {
 		return
 	}
-	if o.GetRetryMs() > 0 {
-		m.heartbeatInterval = time.Duration(o.GetRetryMs()) * time.Millisecond
-	}
-	if o.GetReportMs() > 0 {
-		m.reportInterval = time.Duration(o.GetReportMs()) * time.Millisecond
-	}
+	m.updateIntervals(o)
 	m.acknowledge(r, o.GetLastSeen())
-	if o.GetSession() < m.session {
-		return // of a session that the head has ended
-	}
-	if o.GetSession() > m.session {
-		m.session, m.appliedSequence, m.fullSyncDone = o.GetSession(), 0, false
-	}
-	if !o.GetFull() && len(o.GetRuns()) == 0 && len(o.GetDrop()) == 0 {
-		return // it bears the newest sequence, of orders that may have been lost
-	}
-	if !o.GetFull() && (!m.fullSyncDone || o.GetSequence() > m.appliedSequence+1) {
-		return // the whole set is sent again, as these are reported as not applied
-	}
-	if o.GetSequence() <= m.appliedSequence {
-		return // they came before, and later ones have been applied since
+	if m.accept(o) {
+		m.appliedSequence = o.GetSequence()
+		m.updateDesired(r, o)
 	}
-	m.appliedSequence = o.GetSequence()
-	m.updateDesired(r, o)
 }
 
-// renewLease counts a lease from the sending of the request that it answers.
+// renewLease extends the lease, counted from the sending of the request that the orders answer.
 func (m *Machine) renewLease(o *protocol.RunnerOrders) {
 	at, ok := m.leaseRequestedAt[o.GetLeaseRound()]
 	if !ok {
@@ -170,7 +147,17 @@
 	}
 }
 
-// acknowledge drops the ends that the head has noted.
+// updateIntervals takes over how often the runner sends heartbeats and the agent reports.
+func (m *Machine) updateIntervals(o *protocol.RunnerOrders) {
+	if o.GetRetryMs() > 0 {
+		m.heartbeatInterval = time.Duration(o.GetRetryMs()) * time.Millisecond
+	}
+	if o.GetReportMs() > 0 {
+		m.reportInterval = time.Duration(o.GetReportMs()) * time.Millisecond
+	}
+}
+
+// acknowledge drops the ends up to a number, which the head has recorded.
 func (m *Machine) acknowledge(r *runner, upTo uint64) {
 	if upTo <= r.acknowledged {
 		return
@@ -183,42 +170,75 @@
 	}
 }
 
-// updateDesired changes the set of wanted runs.
+// accept reports whether orders are the next ones to apply. Newer sessions begin without a full sync.
+func (m *Machine) accept(o *protocol.RunnerOrders) bool {
+	if o.GetSession() < m.session {
+		return false // the head has ended that session
+	}
+	if o.GetSession() > m.session {
+		m.session, m.appliedSequence, m.fullSyncDone = o.GetSession(), 0, false
+	}
+	if !o.GetFull() && len(o.GetRuns()) == 0 && len(o.GetDrop()) == 0 {
+		return false // only the lease is renewed; the sequence is that of the newest orders, which may have been lost
+	}
+	if !o.GetFull() && (!m.fullSyncDone || o.GetSequence() > m.appliedSequence+1) {
+		return false // the head sends a full sync, as the next report does not acknowledge these
+	}
+	if o.GetSequence() <= m.appliedSequence {
+		return false // a repetition: these or later ones are applied
+	}
+	return true
+}
+
+// updateDesired applies a change of the desired runs, or all of them in a full sync.
 func (m *Machine) updateDesired(r *runner, o *protocol.RunnerOrders) {
 	if o.GetFull() {
-		previous := r.desired
-		r.desired = make(map[string]*protocol.RunOrder, len(o.GetRuns()))
-		m.fullSyncDone = true
-		clear(r.refused)
-		for task, w := range previous { // a start of it may be under way to the runner
-			r.blockedRuns[task] = &blockedRun{run: w.GetRun()}
-		}
+		m.beginFullSync(r, len(o.GetRuns()))
 	}
 	for _, ref := range o.GetDrop() {
-		if r.refused[ref.GetTask()] <= ref.GetRun() {
-			delete(r.refused, ref.GetTask())
-		}
-		w := r.desired[ref.GetTask()]
-		if w != nil && w.GetRun() <= ref.GetRun() {
-			r.blockedRuns[ref.GetTask()] = &blockedRun{run: w.GetRun()}
-			delete(r.desired, ref.GetTask())
-		}
-		if o.GetFull() && !m.ended(r, ref.GetTask(), ref.GetRun()) { // the head waits for its end
-			r.blockedRuns[ref.GetTask()] = &blockedRun{run: ref.GetRun()}
-		}
+		m.drop(r, ref, o.GetFull())
 	}
-	for _, run := range o.GetRuns() {
-		if !m.ended(r, run.GetTask(), run.GetRun()) {
-			r.desired[run.GetTask()] = run
-			delete(r.blockedRuns, run.GetTask())
+	for _, order := range o.GetRuns() {
+		if !m.ended(r, order.GetTask(), order.GetRun()) {
+			r.desired[order.GetTask()] = order
+			delete(r.blockedRuns, order.GetTask())
 		}
 	}
 }
 
-// ended tells whether the runner has listed the end of a run that is not noted yet.
+// beginFullSync empties the set of desired runs. Starts of them may be on their way to the runner, so that those which
+// are not desired again are blocked.
+func (m *Machine) beginFullSync(r *runner, runs int) {
+	previous := r.desired
+	r.desired = make(map[string]*protocol.RunOrder, runs)
+	m.fullSyncDone = true
+	clear(r.refused)
+	for task, order := range previous {
+		r.blockedRuns[task] = &blockedRun{run: order.GetRun()}
+	}
+}
+
+// drop takes a run, and earlier ones of its task, out of the desired set. A full sync also drops runs that this
+// agent has never known and whose end the head waits for.
+func (m *Machine) drop(r *runner, ref *protocol.RunRef, fullSync bool) {
+	task, run := ref.GetTask(), ref.GetRun()
+	if r.refused[task] <= run {
+		delete(r.refused, task)
+	}
+	if order := r.desired[task]; order != nil && order.GetRun() <= run {
+		r.blockedRuns[task] = &blockedRun{run: order.GetRun()}
+		delete(r.desired, task)
+	}
+	if fullSync && !m.ended(r, task, run) {
+		r.blockedRuns[task] = &blockedRun{run: run}
+	}
+}
+
+// ended reports whether the runner has listed the end of a run, or of a later one of its task, that the head has not
+// acknowledged yet.
 func (m *Machine) ended(r *runner, task string, run uint32) bool {
-	for _, e := range r.pendingEnds {
-		if e.GetTask() == task && e.GetRun() >= run {
+	for _, end := range r.pendingEnds {
+		if end.GetTask() == task && end.GetRun() >= run {
 			return true
 		}
 	}
--- /dev/null
+++ b/internal/data/agent/heartbeat.go
@@ -0,0 +1,167 @@
+package agent
+
+import (
+	"strconv"
+	"strings"
+
+	"github.com/cockroachdb/errors"
+	"github.com/valyala/fastjson"
+
+	"frosttide/internal/protocol"
+)
+
+// ErrHeartbeat marks every error of a heartbeat's body that can't be parsed.
+var ErrHeartbeat = errors.New("heartbeat")
+
+func heartbeatError(format string, args ...any) error {
+	return errors.Mark(errors.Newf("heartbeat: "+format, args...), ErrHeartbeat)
+}
+
+// parseHeartbeat parses the body of a heartbeat of the runner with an ID. Members that it does not know are passed
+// over, and those that are missing or of another type read as zero.
+func parseHeartbeat(id string, body []byte) (*Heartbeat, error) {
+	v, err := fastjson.ParseBytes(body)
+	if err != nil {
+		return nil, errors.Mark(errors.Wrap(err, "heartbeat: the body can't be read"), ErrHeartbeat)
+	}
+	if v.Type() != fastjson.TypeObject {
+		return nil, heartbeatError("the body is no object")
+	}
+	heartbeat := &Heartbeat{Sequence: v.GetUint64("Sequence"), Account: parseAccount(id, v)}
+	for _, entry := range v.GetArray("Running") {
+		progress, err := parseProgress(entry)
+		if err != nil {
+			return nil, err
+		}
+		heartbeat.Running = append(heartbeat.Running, progress)
+	}
+	for _, entry := range v.GetArray("Finished") {
+		end, err := parseEnd(entry)
+		if err != nil {
+			return nil, err
+		}
+		heartbeat.Finished = append(heartbeat.Finished, end)
+	}
+	return heartbeat, nil
+}
+
+func parseAccount(id string, v *fastjson.Value) *protocol.RunnerAccount {
+	capacity := v.Get("Capacity")
+	account := &protocol.RunnerAccount{
+		Id:          id,
+		Service:     stringField(v, "Service"),
+		Address:     stringField(v, "Address"),
+		Zone:        stringField(v, "Zone"),
+		Version:     stringField(v, "Version"),
+		Slots:       v.GetInt64("Slots"),
+		Draining:    stringField(v, "State") == "draining",
+		RemainingMs: v.GetInt64("RemainingMs"),
+		ColdMs:      v.GetInt64("ColdRemainingMs"),
+		Capacity: &protocol.Capacity{
+			Cpu:   capacity.GetInt64("Cpu"),
+			MemMb: capacity.GetInt64("MemMb"),
+			Gpus:  capacity.GetInt64("Gpus"),
+		},
+	}
+	for _, label := range v.GetArray("Labels") {
+		account.Labels = append(account.Labels, string(label.GetStringBytes()))
+	}
+	return account
+}
+
+// stringField returns a member as valid UTF-8, which the protocol's strings have to be.
+func stringField(v *fastjson.Value, name string) string {
+	return strings.ToValidUTF8(string(v.GetStringBytes(name)), "?")
+}
+
+// parseProgress parses an entry [task, run, checkpoint, percent] of Running, whose last two may be missing.
+func parseProgress(entry *fastjson.Value) (*protocol.RunProgress, error) {
+	fields, err := entry.Array()
+	if err != nil || len(fields) < 2 {
+		return nil, heartbeatError("Running: an entry is no list")
+	}
+	progress := &protocol.RunProgress{Task: string(fields[0].GetStringBytes()), Run: uint32(fields[1].GetUint())}
+	if len(fields) > 3 {
+		progress.Saved, progress.Percent = string(fields[2].GetStringBytes()), uint32(fields[3].GetUint())
+	}
+	return progress, nil
+}
+
+// parseEnd parses an entry [number, task, run, how, checkpoint] of Finished, whose last may be missing.
+func parseEnd(entry *fastjson.Value) (*protocol.RunEnd, error) {
+	fields, err := entry.Array()
+	if err != nil || len(fields) < 4 {
+		return nil, heartbeatError("Finished: an entry is no list")
+	}
+	end := &protocol.RunEnd{
+		Number: fields[0].GetUint64(),
+		Task:   string(fields[1].GetStringBytes()),
+		Run:    uint32(fields[2].GetUint()),
+		How:    string(fields[3].GetStringBytes()),
+	}
+	if len(fields) > 4 {
+		end.Saved = string(fields[4].GetStringBytes())
+	}
+	return end, nil
+}
+
+// encode returns the response's body.
+func (r *HeartbeatResponse) encode() []byte {
+	out := make([]byte, 0, 256)
+	out = append(out, `{"LastSeen":`...)
+	out = strconv.AppendUint(out, r.Acknowledged, 10)
+	out = append(out, `,"FenceToken":`...)
+	out = strconv.AppendUint(out, r.FencingToken, 10)
+	out = append(out, `,"RetryMs":`...)
+	out = strconv.AppendInt(out, r.HeartbeatInterval.Milliseconds(), 10)
+	if r.RunLease > 0 {
+		out = append(out, `,"HoldMs":`...)
+		out = strconv.AppendInt(out, r.RunLease.Milliseconds(), 10)
+	}
+	var arena fastjson.Arena
+	if len(r.Start) > 0 {
+		out = append(out, `,"Start":[`...)
+		out = appendStarts(out, &arena, r.Start)
+		out = append(out, ']')
+	}
+	if len(r.Stop) > 0 {
+		out = append(out, `,"Stop":[`...)
+		out = appendStops(out, &arena, r.Stop)
+		out = append(out, ']')
+	}
+	return append(out, '}')
+}
+
+// appendStarts appends an entry [task, run, spec, checkpoint] for each run to start.
+func appendStarts(out []byte, arena *fastjson.Arena, starts []*protocol.RunOrder) []byte {
+	for i, start := range starts {
+		if i > 0 {
+			out = append(out, ',')
+		}
+		out = append(out, '[')
+		out = arena.NewString(start.GetTask()).MarshalTo(out)
+		out = append(out, ',')
+		out = strconv.AppendUint(out, uint64(start.GetRun()), 10)
+		out = append(out, ',')
+		out = arena.NewString(start.GetSpec()).MarshalTo(out)
+		out = append(out, ',')
+		out = arena.NewString(start.GetSaved()).MarshalTo(out)
+		out = append(out, ']')
+	}
+	return out
+}
+
+// appendStops appends an entry [task, run] for each run to stop.
+func appendStops(out []byte, arena *fastjson.Arena, stops []*protocol.RunRef) []byte {
+	for i, stop := range stops {
+		if i > 0 {
+			out = append(out, ',')
+		}
+		out = append(out, '[')
+		out = arena.NewString(stop.GetTask()).MarshalTo(out)
+		out = append(out, ',')
+		out = strconv.AppendUint(out, uint64(stop.GetRun()), 10)
+		out = append(out, ']')
+	}
+	return out
+}
--- a/internal/data/agent/machine.go
+++ b/internal/data/agent/machine.go
@@ -1,7 +1,3 @@
-// Package agent answers the heartbeats of one runner. It holds the set of runs that the head wants
-// there, has the runner start what is missing and stop what is not wanted, passes the ends on to the
-// head, and lets the runner's holds grow only within the lease that the head has granted. Machine is pure;
-// Server runs it on HTTP and the internal transport.
 package agent
 
 import (
@@ -12,30 +8,30 @@
 	"frosttide/internal/protocol"
 )
 
-// Config holds what the settings say.
+// Config holds what the settings say of an agent.
 type Config struct {
-	Incarnation uint64
-	MaxRunLease time.Duration // longest hold that runners take
-	Contacts    []string      // core machines to ask for the view at first
-	Seed        uint64
+	Incarnation uint64        // of the process
+	MaxRunLease time.Duration // longest run lease that runners take
+	Contacts    []string      // core machines to ask for the first view
+	Seed        uint64        // of the gossip's random numbers
 }
 
-// Heartbeat is a heartbeat of the runner.
+// Heartbeat is what the runner reports.
 type Heartbeat struct {
 	Account  *protocol.RunnerAccount
-	Sequence uint64
+	Sequence uint64 // rises with each heartbeat of a runner
 	Running  []*protocol.RunProgress
-	Finished []*protocol.RunEnd
+	Finished []*protocol.RunEnd // ends that were not acknowledged
 }
 
 // HeartbeatResponse is what the runner is told.
 type HeartbeatResponse struct {
 	RunLease          time.Duration // 0 gives none
-	Acknowledged      uint64
-	FencingToken      uint64
+	Acknowledged      uint64        // ends up to this number need not be listed again
+	FencingToken      uint64        // the runner passes over responses with a lower one
 	Start             []*protocol.RunOrder
 	Stop              []*protocol.RunRef
-	HeartbeatInterval time.Duration
+	HeartbeatInterval time.Duration // until the next heartbeat
 }
 
 // Send is a message to the process at an internal address.
@@ -44,101 +40,81 @@
 	Message *protocol.Envelope
 }
 
-// Machine is the companion. It is not safe for concurrent use.
+// Machine is an agent as a pure state machine. It is not safe for concurrent use.
 type Machine struct {
 	cfg   Config
 	now   time.Duration
-	began time.Duration
 	sends []Send
 
-	incarnation       uint64 // rises where a runner was given up, so that orders from before are void
-	session           uint64 // of the head's orders
-	runner            *runner
-	removed           map[string]time.Duration // runners that run nothing any more, until the head surely knows
-	headAddress       string                   // internal address of the head, empty where none is known
-	epoch             uint64                   // of the head
-	appliedSequence   uint64                   // newest orders applied of this epoch
-	fullSyncDone      bool                     // the whole set of this epoch has come
-	leaseExpiry       time.Duration            // end of the lease
-	lastLeaseRequest  uint64                   // of the newest request for a lease
-	leaseRequestedAt  map[uint64]time.Duration // when rounds were asked
-	nextReport        time.Duration
+	// The runner.
+	runner            *runner                  // nil where there is none
+	removed           map[string]time.Duration // since when, by ID: runners that run nothing any more
 	heartbeatInterval time.Duration
-	reportInterval    time.Duration // between reports
-	lastHeadContact   time.Duration
-	nextContact       int
+
+	// The head and the view that names it.
+	headAddress     string // empty where no head is known
+	epoch           uint64
+	lastHeadContact time.Duration
+	nextContact     int // index of the contact that was asked last
+
+	// Orders of the head.
+	incarnation     uint64 // rises with each removed runner, which voids the orders given until then
+	session         uint64
+	appliedSequence uint64 // of the newest orders applied in the session
+	fullSyncDone    bool   // a full sync has been applied in the session
+
+	// Reports and the lease that their answers renew.
+	nextReport       time.Duration
+	reportInterval   time.Duration
+	leaseExpiry      time.Duration
+	lastLeaseRequest uint64
+	leaseRequestedAt map[uint64]time.Duration // by number: requests without an answer
 }
 
-// runner is the runner as its beats show it.
+// runner is what the agent knows of its runner.
 type runner struct {
-	account        *protocol.RunnerAccount
-	known          bool // the head knows the account as it is
-	sequence       uint64
-	lastContact    time.Duration
-	desired        map[string]*protocol.RunOrder
-	startAttempts  map[string]*startAttempt // starts that the runner has been told of and does not list
-	refused        map[string]uint32        // runs that it surely never starts, until the head has dropped them
-	blockedRuns    map[string]*blockedRun   // runs that are wanted no longer and not listed, until they surely never begin
-	running        map[string]uint32
-	acknowledged   uint64
-	pendingEnds    map[uint64]*protocol.RunEnd // listed and not noted by the head, by number
-	sentEnds       uint64                      // highest end sent to this head
-	runLeaseExpiry time.Duration               // when the newest hold surely has run out
-	deregistered   bool                        // it has taken its leave and ends, now or many seconds later
-	healthChecks   int                         // looks in this silence
-	refusedChecks  int                         // of these, that found nobody listening
-}
+	account      *protocol.RunnerAccount
+	sequence     uint64 // of the newest heartbeat
+	lastContact  time.Duration
+	deregistered bool // it ends, now or many seconds later
 
-// timedOut tells whether a runner has missed its beats.
-func (m *Machine) timedOut(r *runner) bool {
-	return m.now-r.lastContact > min(maxRunnerTimeout, runnerTimeout+time.Duration(len(r.running))*runnerTimeoutPerRun)
-}
+	// Runs, by task. Each map holds the number of the task's run.
+	desired       map[string]*protocol.RunOrder
+	running       map[string]uint32        // as listed in the newest heartbeat
+	startAttempts map[string]*startAttempt // starts that were sent and have not been listed
+	blockedRuns   map[string]*blockedRun   // no longer desired, not listed, and not yet sure never to start
+	refused       map[string]uint32        // sure never to start, until the head acknowledges it
 
-const (
-	// defaultReportInterval is how often the lease is renewed until the head says how often.
-	defaultReportInterval = 200 * time.Millisecond
-	// viewQueryInterval is how often the head is looked for while there is none.
-	viewQueryInterval = 100 * time.Millisecond
-	// headTimeout is how long the head may be silent until it is looked for.
-	headTimeout = 900 * time.Millisecond
-	// runnerTimeout is how long a runner that runs nothing may be silent until it gets no more tasks, silentRun
-	// what each of its runs adds to that and silentMost the bound: a runner puts its beat off until 50 ms after
-	// its newest end, so that one with many short runs is silent for longer.
-	runnerTimeout       = 300 * time.Millisecond
-	runnerTimeoutPerRun = 10 * time.Millisecond
-	maxRunnerTimeout    = 900 * time.Millisecond
-	// minRefusedChecks is how many looks at a silent runner have to find that nobody listens there until it
-	// counts as ended.
-	minRefusedChecks = 2
-	// maxHealthChecks bounds the looks in one silence, mostProbesLeft those at a runner that has taken its leave and is
-	// about to end.
-	maxHealthChecks             = 4
-	maxHealthChecksDeregistered = 12
-	// maxClockDrift is how much slower than ours a runner's clock may be; the rules say 2%.
-	maxClockDrift = 0.03
-	// runLeaseMargin is added to a hold's end.
-	runLeaseMargin = 200 * time.Millisecond
-	// defaultHeartbeatInterval is the pause between beats until the head says another.
-	defaultHeartbeatInterval = 50 * time.Millisecond
-	// removedRetention is how long the head is told of a runner that is gone.
-	removedRetention = 30 * time.Second
-	// draining and departing runners get short holds.
-	minRunLease = 100 * time.Millisecond
-)
+	// Ends of runs, by their number.
+	pendingEnds  map[uint64]*protocol.RunEnd // listed by the runner and not acknowledged by the head
+	acknowledged uint64                      // highest number that the head has acknowledged
+
+	runLeaseExpiry time.Duration // when the newest run lease has ended on the slowest clock
+	healthChecks   int           // in this time-out
+	refusedChecks  int           // of these, the newest in a row
+}
 
-// New returns a companion that knows nothing yet.
+// New returns an agent that knows neither a runner nor a view.
 func New(cfg Config, now time.Duration) *Machine {
-	return &Machine{cfg: cfg, incarnation: cfg.Incarnation, now: now, began: now, removed: make(map[string]time.Duration), leaseRequestedAt: make(map[uint64]time.Duration), heartbeatInterval: defaultHeartbeatInterval, reportInterval: defaultReportInterval}
+	return &Machine{
+		cfg:               cfg,
+		now:               now,
+		incarnation:       cfg.Incarnation,
+		removed:           make(map[string]time.Duration),
+		heartbeatInterval: defaultHeartbeatInterval,
+		reportInterval:    defaultReportInterval,
+		leaseRequestedAt:  make(map[uint64]time.Duration),
+	}
 }
 
-// TakeSends returns the messages to be sent since the last call.
+// TakeSends returns the messages to send since the last call.
 func (m *Machine) TakeSends() []Send {
 	out := m.sends
 	m.sends = nil
 	return out
 }
 
-// HandleHeartbeat handles a heartbeat and returns the answer.
+// HandleHeartbeat handles a heartbeat of the runner and returns the response.
 func (m *Machine) HandleHeartbeat(now time.Duration, b *Heartbeat) HeartbeatResponse {
 	m.now = now
 	r := m.runner
@@ -148,8 +124,8 @@
 		}
 		r = m.register(b)
 	}
-	if b.Sequence < r.sequence {
-		return HeartbeatResponse{Acknowledged: r.acknowledged, HeartbeatInterval: m.heartbeatInterval} // it comes late; what it lists is old
+	if b.Sequence < r.sequence { // delayed: its lists are out of date
+		return HeartbeatResponse{Acknowledged: r.acknowledged, HeartbeatInterval: m.heartbeatInterval}
 	}
 	r.sequence, r.lastContact, r.healthChecks, r.refusedChecks = b.Sequence, now, 0, 0
 	m.updateAccount(r, b.Account)
@@ -157,69 +133,73 @@
 	return m.respond(r)
 }
 
-// isReplaced tells whether a beat is of a runner that was replaced here.
+// isReplaced reports whether a heartbeat is of a runner that another one has replaced here.
 func (m *Machine) isReplaced(b *Heartbeat) bool {
 	_, removed := m.removed[b.Account.GetId()]
 	return removed
 }
 
-// register begins with a runner: one that was here under another id runs nothing any more.
+// register takes the sender of a heartbeat for the runner. One that was here under another ID runs nothing any more.
 func (m *Machine) register(b *Heartbeat) *runner {
 	if m.runner != nil {
 		m.removed[m.runner.account.GetId()] = m.now
 	}
-	// A companion that has started anew knows no holds of the time before; they may last for the longest time.
-	m.runner = &runner{desired: make(map[string]*protocol.RunOrder), startAttempts: make(map[string]*startAttempt), refused: make(map[string]uint32), blockedRuns: make(map[string]*blockedRun), running: make(map[string]uint32), pendingEnds: make(map[uint64]*protocol.RunEnd),
-		runLeaseExpiry: m.now + m.allowForDrift(m.cfg.MaxRunLease)}
+	m.runner = &runner{
+		account:       b.Account,
+		desired:       make(map[string]*protocol.RunOrder),
+		running:       make(map[string]uint32),
+		startAttempts: make(map[string]*startAttempt),
+		blockedRuns:   make(map[string]*blockedRun),
+		refused:       make(map[string]uint32),
+		pendingEnds:   make(map[uint64]*protocol.RunEnd),
+		// An earlier process of this agent may just have given the longest run lease.
+		runLeaseExpiry: m.now + m.allowForDrift(m.cfg.MaxRunLease),
+	}
 	m.fullSyncDone = false
 	delete(m.removed, b.Account.GetId())
-	m.runner.account = b.Account
 	m.nextReport = 0
 	return m.runner
 }
 
-// allowForDrift returns when a hold has run out on the slowest clock.
+// allowForDrift returns how long a run lease lasts at the most, on the slowest clock.
 func (m *Machine) allowForDrift(runLease time.Duration) time.Duration {
 	return runLease + time.Duration(maxClockDrift*float64(runLease)) + runLeaseMargin
 }
 
-// updateAccount has the head told where the account has changed.
-func (m *Machine) updateAccount(r *runner, response *protocol.RunnerAccount) {
-	previous, now := r.account.GetCapacity(), response.GetCapacity()
-	if r.account.GetDraining() != response.GetDraining() || r.account.GetService() != response.GetService() ||
-		previous.GetCpu() != now.GetCpu() || previous.GetMemMb() != now.GetMemMb() || previous.GetGpus() != now.GetGpus() {
-		r.known = false
+// updateAccount replaces the runner's account and reports a change of what the head places runs by at once.
+func (m *Machine) updateAccount(r *runner, account *protocol.RunnerAccount) {
+	previous, current := r.account.GetCapacity(), account.GetCapacity()
+	if r.account.GetDraining() != account.GetDraining() || r.account.GetService() != account.GetService() ||
+		previous.GetCpu() != current.GetCpu() || previous.GetMemMb() != current.GetMemMb() || previous.GetGpus() != current.GetGpus() {
 		m.nextReport = 0
 	}
-	r.account = response
+	r.account = account
 }
 
-// updateRuns takes in what the runner runs and what has ended.
+// updateRuns takes over which runs the runner lists as running and as ended. New ends are reported at once.
 func (m *Machine) updateRuns(r *runner, b *Heartbeat) {
 	clear(r.running)
-	for _, p := range b.Running {
-		r.running[p.GetTask()] = p.GetRun()
+	for _, progress := range b.Running {
+		r.running[progress.GetTask()] = progress.GetRun()
 	}
-	changed := false
-	for _, e := range b.Finished {
-		if e.GetNumber() <= r.acknowledged || r.pendingEnds[e.GetNumber()] != nil {
+	for _, end := range b.Finished {
+		if end.GetNumber() <= r.acknowledged || r.pendingEnds[end.GetNumber()] != nil {
 			continue
 		}
-		r.pendingEnds[e.GetNumber()] = e
-		changed = true
-		if f := r.blockedRuns[e.GetTask()]; f != nil && f.run <= e.GetRun() {
-			delete(r.blockedRuns, e.GetTask())
+		r.pendingEnds[end.GetNumber()] = end
+		m.nextReport = 0
+		task, run := end.GetTask(), end.GetRun()
+		if blocked := r.blockedRuns[task]; blocked != nil && blocked.run <= run {
+			delete(r.blockedRuns, task)
 		}
-		if w := r.desired[e.GetTask()]; w != nil && w.GetRun() <= e.GetRun() {
-			delete(r.desired, e.GetTask())
+		if order := r.desired[task]; order != nil && order.GetRun() <= run {
+			delete(r.desired, task)
 		}
 	}
-	if changed {
-		m.nextReport = 0
-	}
 }
 
-// respond tells the runner what is wanted of it.
+// respond returns what the runner has to start and stop, and its run lease. Without a lease of the head, or before
+// the first full sync, it gets neither: what it runs may be desired.
 func (m *Machine) respond(r *runner) HeartbeatResponse {
 	response := HeartbeatResponse{Acknowledged: r.acknowledged, FencingToken: m.epoch, HeartbeatInterval: m.heartbeatInterval}
 	remaining := m.leaseExpiry - m.now
@@ -235,7 +215,7 @@
 	}
 	for _, task := range slices.Sorted(maps.Keys(r.running)) {
 		run := r.running[task]
-		if w := r.desired[task]; w == nil || w.GetRun() != run {
+		if order := r.desired[task]; order == nil || order.GetRun() != run {
 			response.Stop = append(response.Stop, &protocol.RunRef{Task: task, Run: run})
 		}
 	}
@@ -243,8 +223,9 @@
 	return response
 }
 
-// Deregister handles that the runner takes its leave. It may run on for many seconds and beat late meanwhile, so that the
-// leave alone says nothing of what it runs: it gets nothing more to start, and counts as ended as any other does.
+// Deregister handles that the runner says it is about to end. It may go on for many seconds and send delayed heartbeats
+// meanwhile, so that this says nothing of what it runs: it gets nothing more to start, and is removed as any
+// other runner is.
 func (m *Machine) Deregister(now time.Duration, id string) {
 	m.now = now
 	if m.runner == nil || m.runner.account.GetId() != id {
@@ -254,19 +235,32 @@
 	m.nextReport = 0
 }
 
-// NextHealthCheck returns the id of a runner that has fallen silent and is to be looked at now.
+// timedOut reports whether a runner's heartbeats are overdue.
+func (m *Machine) timedOut(r *runner) bool {
+	return m.now-r.lastContact > min(maxRunnerTimeout, runnerTimeout+time.Duration(len(r.running))*runnerTimeoutPerRun)
+}
+
+// NextHealthCheck returns the ID of the runner if it is timed out and its address is to be checked now. The caller
+// passes the result to HealthCheckDone.
 func (m *Machine) NextHealthCheck(now time.Duration) (id string, ok bool) {
 	m.now = now
 	r := m.runner
-	if r == nil || !m.timedOut(r) || r.healthChecks >= maxHealthChecks && !r.deregistered || r.healthChecks >= maxHealthChecksDeregistered {
+	if r == nil || !m.timedOut(r) {
+		return "", false
+	}
+	limit := maxHealthChecks
+	if r.deregistered {
+		limit = maxHealthChecksDeregistered
+	}
+	if r.healthChecks >= limit {
 		return "", false
 	}
-	m.runner.healthChecks++
-	return m.runner.account.GetId(), true
+	r.healthChecks++
+	return r.account.GetId(), true
 }
 
-// HealthCheckDone notes what a look at a silent runner has found. A machine on which nobody listens at the runner's
-// address, again and again, while it is silent, has no runner any more.
+// HealthCheckDone handles the result of a health check: whether a connection to the runner's address was refused. A
+// machine on which nothing listens there, several times in a row while the runner is timed out, has no runner any more.
 func (m *Machine) HealthCheckDone(now time.Duration, id string, refused bool) {
 	m.now = now
 	r := m.runner
@@ -282,5 +276,12 @@
 	}
 }
 
-// Draining tells whether the runner's wish to leave is known here; it is from then on sent nothing.
-func (m *Machine) Draining() bool { return m.runner != nil && m.runner.account.GetDraining() }
+// removeRunner handles that the runner surely runs nothing any more. What the head has ordered before it knows that is
+// void, should the runner send a heartbeat again.
+func (m *Machine) removeRunner(r *runner) {
+	m.removed[r.account.GetId()] = m.now
+	m.runner = nil
+	m.incarnation++
+	m.session, m.appliedSequence, m.fullSyncDone = 0, 0, false
+	m.nextReport = 0
+}
--- a/internal/data/agent/machine_test.go
+++ b/internal/data/agent/machine_test.go
@@ -11,28 +11,46 @@
 
 const head = "head"
 
-// rig is a companion with the head played by the test.
+const (
+	testEpoch = 5
+	testLease = 12 * time.Second
+)
+
+// rig is an agent whose head and runner are the test.
 type rig struct {
 	t        *testing.T
 	machine  *Machine
 	now      time.Duration
-	sequence uint64
-	orders   uint64
+	sequence uint64 // of the newest heartbeat
+	orders   uint64 // sequence of the newest orders
 }
 
+// newRig returns a rig whose agent knows the head and no runner.
 func newRig(t *testing.T) *rig {
-	r := &rig{t: t, machine: New(Config{Incarnation: 100, MaxRunLease: 6 * time.Second, Contacts: []string{"seed"}}, 0), now: time.Second}
-	r.machine.SetView(r.now, 5, head)
+	t.Helper()
+	cfg := Config{Incarnation: 100, MaxRunLease: 6 * time.Second, Contacts: []string{"seed"}}
+	r := &rig{t: t, machine: New(cfg, 0), now: time.Second}
+	r.machine.SetView(r.now, testEpoch, head)
 	return r
 }
 
+// newSyncedRig returns a rig whose agent has a lease, the runner i1, and an empty set of desired runs.
+func newSyncedRig(t *testing.T) *rig {
+	t.Helper()
+	r := newRig(t)
+	require.Zero(t, r.heartbeat("i1", nil).RunLease, "a run lease without a lease")
+	r.fullSync(r.report(), nil)
+	return r
+}
+
+// heartbeat sends a heartbeat of a runner and returns the response.
 func (r *rig) heartbeat(id string, running []*protocol.RunProgress, finished ...*protocol.RunEnd) HeartbeatResponse {
 	r.sequence++
 	r.now += 10 * time.Millisecond
 	return r.machine.HandleHeartbeat(r.now, &Heartbeat{Account: &protocol.RunnerAccount{Id: id}, Sequence: r.sequence, Running: running, Finished: finished})
 }
 
-// report has time pass until the next report and returns it.
+// report lets time pass until the next report and returns it.
 func (r *rig) report() *protocol.RunnerReport {
 	r.t.Helper()
 	for range 100 {
@@ -48,19 +66,36 @@
 	return nil
 }
 
-// sendOrders answers a report with a lease, as the whole set where told.
-func (r *rig) sendOrders(report *protocol.RunnerReport, full bool, runs []*protocol.RunOrder, drop ...*protocol.RunRef) {
-	r.orders++
-	r.machine.HandleOrders(r.now, head, &protocol.RunnerOrders{Epoch: 5, Sequence: r.orders, Session: 1, Runner: report.GetAccount().GetId(), Companion: report.GetIncarnation(),
-		Full: full, Runs: runs, Drop: drop, LeaseRound: report.GetLeaseRound(), LeaseMs: 12000})
+// nextOrders returns empty orders that answer a report.
+func (r *rig) nextOrders(report *protocol.RunnerReport) *protocol.RunnerOrders {
+	return &protocol.RunnerOrders{
+		Epoch:      testEpoch,
+		Session:    1,
+		Sequence:   r.orders + 1,
+		Runner:     report.GetAccount().GetId(),
+		Companion:  report.GetIncarnation(),
+		LeaseRound: report.GetLeaseRound(),
+		LeaseMs:    uint32(testLease.Milliseconds()),
+	}
+}
+
+func (r *rig) send(o *protocol.RunnerOrders) {
+	r.orders = o.GetSequence()
+	r.machine.HandleOrders(r.now, head, o)
 }
 
-// ready returns a rig whose runner i1 has a lease and an empty set.
-func ready(t *testing.T) *rig {
-	r := newRig(t)
-	require.Zero(t, r.heartbeat("i1", nil).RunLease, "without a lease nothing is held")
-	r.sendOrders(r.report(), true, nil)
-	return r
+// fullSync answers a report with a lease and all desired runs.
+func (r *rig) fullSync(report *protocol.RunnerReport, runs []*protocol.RunOrder, drop ...*protocol.RunRef) {
+	o := r.nextOrders(report)
+	o.Full, o.Runs, o.Drop = true, runs, drop
+	r.send(o)
+}
+
+// change answers a report with a lease and a change of the desired runs.
+func (r *rig) change(report *protocol.RunnerReport, runs []*protocol.RunOrder, drop ...*protocol.RunRef) {
+	o := r.nextOrders(report)
+	o.Runs, o.Drop = runs, drop
+	r.send(o)
 }
 
 func order(task string, number uint32) *protocol.RunOrder {
@@ -72,45 +107,47 @@
 }
 
 func TestStartsUntilListed(t *testing.T) {
-	r := ready(t)
-	r.sendOrders(r.report(), false, []*protocol.RunOrder{order("t", 1)})
+	r := newSyncedRig(t)
+	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
 	for range 3 {
 		a := r.heartbeat("i1", nil)
-		require.Len(t, a.Start, 1, "an answer may be lost")
+		require.Len(t, a.Start, 1, "a response may be lost")
 		require.EqualValues(t, 5, a.FencingToken)
 		require.Positive(t, a.RunLease)
 	}
 	require.Empty(t, r.heartbeat("i1", running("t", 1)).Start)
-	require.Empty(t, r.heartbeat("i1", nil, &protocol.RunEnd{Number: 1, Task: "t", Run: 1, How: "done"}).Start, "it has ended")
+	require.Empty(t, r.heartbeat("i1", nil, &protocol.RunEnd{Number: 1, Task: "t", Run: 1, How: "done"}).Start, "the run has ended")
 	report := r.report()
 	require.Len(t, report.GetEnds(), 1)
-	require.Zero(t, r.heartbeat("i1", nil, report.GetEnds()...).Acknowledged, "the head has not noted it")
-	r.machine.HandleOrders(r.now, head, &protocol.RunnerOrders{Epoch: 5, Session: 1, Sequence: r.orders, Runner: "i1", Companion: report.GetIncarnation(), LastSeen: 1})
+	require.Zero(t, r.heartbeat("i1", nil, report.GetEnds()...).Acknowledged, "the head has not acknowledged it")
+	acknowledge := r.nextOrders(report)
+	acknowledge.Sequence, acknowledge.LastSeen = r.orders, 1
+	r.machine.HandleOrders(r.now, head, acknowledge)
 	require.EqualValues(t, 1, r.heartbeat("i1", nil).Acknowledged)
 	require.Empty(t, r.report().GetEnds())
 }
 
-func TestStopsWhatIsNotWanted(t *testing.T) {
-	r := ready(t)
+func TestStopsUndesiredRuns(t *testing.T) {
+	r := newSyncedRig(t)
 	require.Len(t, r.heartbeat("i1", running("old", 3)).Stop, 1)
-	r.sendOrders(r.report(), false, []*protocol.RunOrder{order("t", 1)})
-	r.sendOrders(r.report(), false, nil, &protocol.RunRef{Task: "t", Run: 1})
+	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
+	r.change(r.report(), nil, &protocol.RunRef{Task: "t", Run: 1})
 	a := r.heartbeat("i1", nil)
 	require.Empty(t, a.Start)
-	require.Equal(t, "t", a.Stop[0].GetTask(), "its start may be under way")
+	require.Equal(t, "t", a.Stop[0].GetTask(), "its start may be on the way")
 }
 
-// TestRunLeasesEndWithinTheLease has holds end within the lease, which counts from the sending of its request.
+// TestRunLeasesEndWithinTheLease checks that run leases end within the lease, which counts from the sending of its request.
 func TestRunLeasesEndWithinTheLease(t *testing.T) {
 	r := newRig(t)
 	r.heartbeat("i1", nil)
 	report := r.report()
 	requested := r.now
-	r.now += 3 * time.Second // the answer is slow
-	r.sendOrders(report, true, nil)
-	for r.now < requested+12*time.Second {
+	r.now += 3 * time.Second // the answer is delayed
+	r.fullSync(report, nil)
+	for r.now < requested+testLease {
 		a := r.heartbeat("i1", nil)
-		require.LessOrEqual(t, r.now+a.RunLease, requested+12*time.Second)
+		require.LessOrEqual(t, r.now+a.RunLease, requested+testLease)
 		r.now += 200 * time.Millisecond
 	}
 	require.Zero(t, r.heartbeat("i1", nil).RunLease)
@@ -120,26 +157,26 @@
 func TestNewProcessGrantsNoRunLease(t *testing.T) {
 	r := newRig(t)
 	require.Zero(t, r.heartbeat("i1", running("t", 1)).RunLease)
-	require.Empty(t, r.heartbeat("i1", running("t", 1)).Stop, "it does not know yet what is wanted")
+	require.Empty(t, r.heartbeat("i1", running("t", 1)).Stop, "the desired runs are not known yet")
 }
 
 func TestRunnerThatComesBack(t *testing.T) {
-	r := ready(t)
-	r.sendOrders(r.report(), false, []*protocol.RunOrder{order("t", 1)})
+	r := newSyncedRig(t)
+	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
 	r.heartbeat("i1", running("t", 1))
 	r.sequence = 0
-	require.Empty(t, r.heartbeat("i2", nil).Start, "the new one has no orders")
+	require.Empty(t, r.heartbeat("i2", nil).Start, "the new runner has no orders")
 	require.Contains(t, r.report().GetGone(), "i1")
 	stale := r.machine.HandleHeartbeat(r.now, &Heartbeat{Account: &protocol.RunnerAccount{Id: "i1"}, Sequence: 99})
-	require.Zero(t, stale.RunLease, "a late beat of the old one")
+	require.Zero(t, stale.RunLease, "a delayed heartbeat of the old runner")
 	require.Equal(t, "i2", r.report().GetAccount().GetId())
 }
 
-// TestTimedOutRunnerIsRemoved has a runner count as gone only once its longest hold has surely run out, and
-// orders from before that be void.
+// TestTimedOutRunnerIsRemoved checks that a runner is removed only after its longest run lease on the slowest clock, and
+// that orders given before that are void.
 func TestTimedOutRunnerIsRemoved(t *testing.T) {
-	r := ready(t)
-	r.sendOrders(r.report(), false, []*protocol.RunOrder{order("t", 1)})
+	r := newSyncedRig(t)
+	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
 	runLease := r.heartbeat("i1", running("t", 1)).RunLease
 	last := r.now
 	for r.now < last+runLease {
@@ -152,13 +189,15 @@
 	}
 	require.Greater(t, r.now, last+runLease+time.Duration(0.02*float64(runLease)), "a runner's clock may be slow")
 	require.NotEqual(t, previous, report.GetIncarnation())
-	r.heartbeat("i1", nil) // it was only silent
-	r.machine.HandleOrders(r.now, head, &protocol.RunnerOrders{Epoch: 5, Session: 1, Sequence: 9, Runner: "i1", Companion: previous, Full: true, Runs: []*protocol.RunOrder{order("t", 1)}})
-	require.Empty(t, r.heartbeat("i1", nil).Start, "the head did not know yet")
+	r.heartbeat("i1", nil) // it was only out of contact
+	r.machine.HandleOrders(r.now, head, &protocol.RunnerOrders{
+		Epoch: testEpoch, Session: 1, Sequence: 9, Runner: "i1", Companion: previous, Full: true, Runs: []*protocol.RunOrder{order("t", 1)},
+	})
+	require.Empty(t, r.heartbeat("i1", nil).Start, "orders given before the removal")
 }
 
 func TestHealthChecksRemoveRunner(t *testing.T) {
-	r := ready(t)
+	r := newSyncedRig(t)
 	r.heartbeat("i1", nil)
 	_, due := r.machine.NextHealthCheck(r.now + 100*time.Millisecond)
 	require.False(t, due)
@@ -166,16 +205,16 @@
 	id, due := r.machine.NextHealthCheck(r.now)
 	require.True(t, due)
 	r.machine.HealthCheckDone(r.now, id, true)
-	require.Empty(t, r.report().GetGone(), "one look is not enough")
+	require.Empty(t, r.report().GetGone(), "one refused check is not enough")
 	r.machine.HealthCheckDone(r.now, id, false)
 	r.machine.HealthCheckDone(r.now, id, true)
-	require.Empty(t, r.report().GetGone(), "somebody listened in between")
+	require.Empty(t, r.report().GetGone(), "a connection was accepted in between")
 	r.machine.HealthCheckDone(r.now, id, true)
 	require.Contains(t, r.report().GetGone(), "i1")
 }
 
 func TestBusyRunnerTimesOutLater(t *testing.T) {
-	r := ready(t)
+	r := newSyncedRig(t)
 	var many []*protocol.RunProgress
 	for i := range 40 {
 		many = append(many, &protocol.RunProgress{Task: string(rune('a' + i)), Run: 1})
@@ -188,8 +227,8 @@
 }
 
 func TestStartWithoutEffect(t *testing.T) {
-	r := ready(t)
-	r.sendOrders(r.report(), false, []*protocol.RunOrder{order("t", 2)})
+	r := newSyncedRig(t)
+	r.change(r.report(), []*protocol.RunOrder{order("t", 2)})
 	blocked := false
 	for range 200 {
 		a := r.heartbeat("i1", nil)
@@ -199,36 +238,44 @@
 		}
 		r.now += 40 * time.Millisecond
 	}
-	require.True(t, blocked, "it must never begin after all")
+	require.True(t, blocked, "the run may still start")
 	report := r.report()
 	require.Equal(t, "t", report.GetRefused()[0].GetTask())
-	r.sendOrders(report, false, nil, &protocol.RunRef{Task: "t", Run: 2})
+	r.change(report, nil, &protocol.RunRef{Task: "t", Run: 2})
 	require.Empty(t, r.report().GetRefused())
 }
 
 func TestOrdersOfOthersAreVoid(t *testing.T) {
-	r := ready(t)
+	r := newSyncedRig(t)
 	report := r.report()
-	apply := func(change func(*protocol.RunnerOrders)) {
-		o := &protocol.RunnerOrders{Epoch: 5, Session: 1, Sequence: r.orders + 1, Runner: "i1", Companion: report.GetIncarnation(), Runs: []*protocol.RunOrder{order("t", 1)}}
-		change(o)
-		r.machine.HandleOrders(r.now, head, o)
-		require.Empty(t, r.heartbeat("i1", nil).Start)
+	tests := []struct {
+		name   string
+		change func(*protocol.RunnerOrders)
+	}{
+		{"older epoch", func(o *protocol.RunnerOrders) { o.Epoch = testEpoch - 1 }},
+		{"another agent process", func(o *protocol.RunnerOrders) { o.Companion++ }},
+		{"another runner", func(o *protocol.RunnerOrders) { o.Runner = "i0" }},
+		{"older session", func(o *protocol.RunnerOrders) { o.Session = 0 }},
+		{"gap in the sequence", func(o *protocol.RunnerOrders) { o.Sequence++ }},
+	}
+	for _, test := range tests {
+		t.Run(test.name, func(t *testing.T) {
+			o := r.nextOrders(report)
+			o.Runs = []*protocol.RunOrder{order("t", 1)}
+			test.change(o)
+			r.machine.HandleOrders(r.now, head, o)
+			require.Empty(t, r.heartbeat("i1", nil).Start)
+		})
 	}
-	apply(func(o *protocol.RunnerOrders) { o.Epoch = 4 })
-	apply(func(o *protocol.RunnerOrders) { o.Companion++ })
-	apply(func(o *protocol.RunnerOrders) { o.Runner = "i0" })
-	apply(func(o *protocol.RunnerOrders) { o.Session = 0 })
-	apply(func(o *protocol.RunnerOrders) { o.Sequence++ })
-	require.EqualValues(t, r.orders, r.report().GetOrdersSeen(), "what is missing is told")
-	// Orders that only renew the lease bear the newest sequence and don't count for those that were lost.
-	r.machine.HandleOrders(r.now, head, &protocol.RunnerOrders{Epoch: 5, Session: 1, Sequence: r.orders + 1, Runner: "i1", Companion: report.GetIncarnation()})
+	require.EqualValues(t, r.orders, r.report().GetOrdersSeen(), "the gap is reported")
+	// Orders that only renew the lease carry the newest sequence. They don't stand for those that were lost.
+	r.machine.HandleOrders(r.now, head, r.nextOrders(report))
 	require.EqualValues(t, r.orders, r.report().GetOrdersSeen())
 }
 
 func TestDrainingRunnerStartsNothing(t *testing.T) {
-	r := ready(t)
-	r.sendOrders(r.report(), false, []*protocol.RunOrder{order("t", 1)})
+	r := newSyncedRig(t)
+	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
 	r.sequence++
 	a := r.machine.HandleHeartbeat(r.now, &Heartbeat{Account: &protocol.RunnerAccount{Id: "i1", Draining: true}, Sequence: r.sequence})
 	require.Empty(t, a.Start)
@@ -236,38 +283,39 @@
 	r.machine.Deregister(r.now, "i1")
 	require.True(t, r.report().GetSilent())
 	r.now += time.Second
-	require.Empty(t, r.report().GetGone(), "it may run on")
+	require.Empty(t, r.report().GetGone(), "the runner may go on")
 	r.machine.HealthCheckDone(r.now, "i1", true)
 	r.machine.HealthCheckDone(r.now, "i1", true)
-	require.Contains(t, r.report().GetGone(), "i1", "nobody listens there any more")
+	require.Contains(t, r.report().GetGone(), "i1", "nothing listens there any more")
 }
 
-// TestDeregistrationIsNoEnd has a runner take its leave first and run on, with beats that come seconds late: what it runs
-// must not start elsewhere. It used to count as ended 400 ms after its leave.
+// TestDeregistrationIsNoEnd has a runner deregister and go on, with heartbeats that arrive seconds late: what it runs
+// must not start elsewhere.
 func TestDeregistrationIsNoEnd(t *testing.T) {
-	r := ready(t)
-	r.sendOrders(r.report(), false, []*protocol.RunOrder{order("t", 1), order("u", 1)})
+	r := newSyncedRig(t)
+	r.change(r.report(), []*protocol.RunOrder{order("t", 1), order("u", 1)})
 	r.heartbeat("i1", running("t", 1))
 	r.machine.Deregister(r.now, "i1")
 	for range 4 {
-		for range 8 { // 1.6 s and more without a beat
+		for range 8 { // 1.6 s and more without a heartbeat
 			report := r.report()
 			require.Empty(t, report.GetGone())
-			require.True(t, report.GetSilent(), "it gets no more tasks")
-			r.sendOrders(report, false, nil)
+			require.True(t, report.GetSilent(), "it has to get no more runs")
+			r.change(report, nil)
 		}
-		require.Empty(t, r.heartbeat("i1", running("t", 1)).Start, "it is about to end")
+		require.Empty(t, r.heartbeat("i1", running("t", 1)).Start, "the runner is about to end")
 	}
 	id, due := r.machine.NextHealthCheck(r.now + time.Second)
-	require.True(t, due, "it is looked at until it has ended")
+	require.True(t, due, "it is checked until it has ended")
 	r.machine.HealthCheckDone(r.now+time.Second, id, true)
 	r.machine.HealthCheckDone(r.now+time.Second, id, true)
 	require.Contains(t, r.report().GetGone(), "i1")
 }
 
-// TestDeregisteredRunnerWithoutHealthChecks counts as ended once its longest hold has surely run out.
+// TestDeregisteredRunnerWithoutHealthChecks checks that a deregistered runner is removed after its longest run lease on
+// the slowest clock.
 func TestDeregisteredRunnerWithoutHealthChecks(t *testing.T) {
-	r := ready(t)
+	r := newSyncedRig(t)
 	runLease := r.heartbeat("i1", running("t", 1)).RunLease
 	last := r.now
 	r.machine.Deregister(r.now, "i1")
@@ -291,30 +339,30 @@
 	require.Len(t, requested, 2)
 }
 
-// TestDroppedRunIsBlocked has the companion bar a run that was dropped before the runner has listed it, and
-// then tell the head that it never begins: the head keeps its room until then.
+// TestDroppedRunIsBlocked drops a run that the runner has not listed: the agent blocks it and then reports that it
+// never starts, until which the head keeps its capacity.
 func TestDroppedRunIsBlocked(t *testing.T) {
-	r := ready(t)
-	r.sendOrders(r.report(), false, []*protocol.RunOrder{order("t", 1)})
-	r.sendOrders(r.report(), false, nil, &protocol.RunRef{Task: "t", Run: 1})
+	r := newSyncedRig(t)
+	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
+	r.change(r.report(), nil, &protocol.RunRef{Task: "t", Run: 1})
 	for range stopsToBlock + 1 {
 		a := r.heartbeat("i1", nil)
 		require.Len(t, a.Stop, 1)
 		require.Empty(t, a.Start)
 	}
-	require.Empty(t, r.heartbeat("i1", nil).Stop, "it is barred for good")
+	require.Empty(t, r.heartbeat("i1", nil).Stop, "the run is blocked for good")
 	report := r.report()
 	require.Len(t, report.GetRefused(), 1)
-	r.sendOrders(report, false, nil, &protocol.RunRef{Task: "t", Run: 1})
-	require.Empty(t, r.report().GetRefused(), "the head knows")
+	r.change(report, nil, &protocol.RunRef{Task: "t", Run: 1})
+	require.Empty(t, r.report().GetRefused(), "the head has acknowledged it")
 }
 
-// TestUnknownRunOfFullSyncIsBlocked has a companion that never heard of a run, whose end the head waits for,
-// bar it and say so.
+// TestUnknownRunOfFullSyncIsBlocked drops a run that the agent has never known, and whose end the head waits for, in a
+// full sync: the agent blocks it and reports that it never starts.
 func TestUnknownRunOfFullSyncIsBlocked(t *testing.T) {
 	r := newRig(t)
 	r.heartbeat("i1", nil)
-	r.sendOrders(r.report(), true, nil, &protocol.RunRef{Task: "t", Run: 2}, &protocol.RunRef{Task: "u", Run: 1})
+	r.fullSync(r.report(), nil, &protocol.RunRef{Task: "t", Run: 2}, &protocol.RunRef{Task: "u", Run: 1})
 	require.Len(t, r.heartbeat("i1", running("u", 1)).Stop, 2)
 	for range stopsToBlock + 2 {
 		r.heartbeat("i1", nil, &protocol.RunEnd{Number: 1, Task: "u", Run: 1, How: "stopped"})
@@ -325,18 +373,18 @@
 	require.Len(t, report.GetEnds(), 1)
 }
 
-// TestOrdersThatComeAgain has an older whole set come once more after a newer one.
+// TestOrdersThatComeAgain delivers an older full sync again after a newer one.
 func TestOrdersThatComeAgain(t *testing.T) {
-	r := ready(t)
+	r := newSyncedRig(t)
 	report := r.report()
-	r.sendOrders(report, true, []*protocol.RunOrder{order("old", 1)})
-	first := r.orders
-	r.sendOrders(report, true, []*protocol.RunOrder{order("new", 1)})
-	r.machine.HandleOrders(r.now, head, &protocol.RunnerOrders{Epoch: 5, Sequence: first, Session: 1, Runner: "i1", Companion: report.GetIncarnation(), Full: true,
-		Runs: []*protocol.RunOrder{order("old", 1)}})
+	older := r.nextOrders(report)
+	older.Full, older.Runs = true, []*protocol.RunOrder{order("old", 1)}
+	r.send(older)
+	r.fullSync(report, []*protocol.RunOrder{order("new", 1)})
+	r.machine.HandleOrders(r.now, head, older)
 	a := r.heartbeat("i1", running("new", 1))
 	require.Empty(t, a.Start)
 	for _, stop := range a.Stop {
-		require.NotEqual(t, "new", stop.GetTask(), "it is wanted")
+		require.NotEqual(t, "new", stop.GetTask(), "the run is desired")
 	}
 }
--- a/internal/data/agent/node.go
+++ b/internal/data/agent/node.go
@@ -8,26 +8,29 @@
 	"frosttide/internal/view"
 )
 
-// Node is a companion process as a pure state machine: the machine that answers the runner, and the gossip
-// by which it learns of views.
+// Node is an agent process as a pure state machine: the machine that answers the runner, and the gossip by which
+// views arrive. It is not safe for concurrent use.
 type Node struct {
 	Machine    *Machine
 	gossip     *gossip.Machine
-	knownEpoch uint64 // epoch that the machine has been told of
+	knownEpoch uint64 // epoch of the newest view that the machine has
 }
 
-// NewNode returns a companion process at an internal address.
+// NewNode returns an agent process at an internal address.
 func NewNode(cfg Config, address string, now time.Duration) *Node {
-	return &Node{Machine: New(cfg, now), gossip: gossip.New(gossip.Config{Address: address, Role: "companion", Contacts: cfg.Contacts, Seed: cfg.Seed})}
+	return &Node{
+		Machine: New(cfg, now),
+		gossip:  gossip.New(gossip.Config{Address: address, Role: "companion", Contacts: cfg.Contacts, Seed: cfg.Seed}),
+	}
 }
 
-// SetContacts replaces the processes that are asked at first.
+// SetContacts replaces the addresses that are tried while no view is known.
 func (n *Node) SetContacts(contacts []string) {
 	n.Machine.SetContacts(contacts)
 	n.gossip.SetContacts(contacts)
 }
 
-// Receive handles a message of another process.
+// Receive handles a message that another process has sent from an internal address.
 func (n *Node) Receive(now time.Duration, from string, e *protocol.Envelope) {
 	switch body := e.GetBody().(type) {
 	case *protocol.Envelope_RunnerOrders:
@@ -39,10 +42,10 @@
 	}
 }
 
-// Tick lets time pass.
+// Tick handles the passing of time.
 func (n *Node) Tick(now time.Duration) { n.gossip.Tick(now) }
 
-// Turn ends a turn and returns the messages to be sent.
+// Turn ends a turn and returns the messages to send.
 func (n *Node) Turn(now time.Duration) []Send {
 	if v := n.gossip.View(); v.GetEpoch() > n.knownEpoch && len(v.GetChain()) > 0 {
 		n.knownEpoch = v.GetEpoch()
--- a/internal/data/agent/node_fuzz_test.go
+++ b/internal/data/agent/node_fuzz_test.go
@@ -8,7 +8,8 @@
 	"frosttide/internal/protocol/protocoltest"
 )
 
-// FuzzReceive has a companion with a runner that beats bear any message of another process.
+// FuzzReceive checks that an agent goes on answering its runner within its bounds, whatever message another process
+// sends.
 func FuzzReceive(f *testing.F) {
 	v := &protocol.View{Epoch: 5, Voters: []*protocol.Member{{Id: 1, Address: head}}, Chain: []uint64{1}}
 	protocoltest.Fuzz(f, []*protocol.Envelope{
@@ -29,10 +30,10 @@
 			now := time.Duration(i) * 100 * time.Millisecond
 			response := n.Machine.HandleHeartbeat(now, &Heartbeat{Account: &protocol.RunnerAccount{Id: "i1"}, Sequence: i + 1})
 			if response.RunLease > maxRunLease {
-				t.Errorf("a hold of %v", response.RunLease)
+				t.Errorf("a run lease of %v", response.RunLease)
 			}
 			if response.HeartbeatInterval <= 0 {
-				t.Error("no time of the next beat")
+				t.Error("no interval until the next heartbeat")
 			}
 			n.Receive(now, head, e)
 			n.Tick(now)
--- a/internal/data/agent/server_test.go
+++ b/internal/data/agent/server_test.go
@@ -1,63 +1,16 @@
 package agent
 
 import (
-	"encoding/json"
 	"net"
 	"testing"
-	"time"
 
-	"github.com/cockroachdb/errors"
 	"github.com/stretchr/testify/require"
-
-	"frosttide/internal/protocol"
 )
 
-const sampleHeartbeat = `{"Service":"s","Address":"10.0.0.9:8080","Zone":"z","Version":"v1","Slots":8,"State":"draining","RemainingMs":1500,"Capacity":{"Cpu":16000,"MemMb":32768,"Gpus":2},` +
-	`"Labels":["a","r1-3"],"Sequence":4,"Running":[["5c0e7a21d94b36f8.0.1.17",2,"00000bb8",41]],"Finished":[[58,"5c0e7a21d94b36f8.0.1.9",1,"done",""]],"New":{"x":1}}`
-
-func TestParseHeartbeat(t *testing.T) {
-	b, err := parseHeartbeat("i1", []byte(sampleHeartbeat))
+func TestRefusesConnections(t *testing.T) {
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
-	require.EqualValues(t, 4, b.Sequence)
-	require.True(t, b.Account.GetDraining())
-	require.EqualValues(t, 1500, b.Account.GetRemainingMs())
-	require.EqualValues(t, 2, b.Account.GetCapacity().GetGpus())
-	require.Equal(t, []string{"a", "r1-3"}, b.Account.GetLabels())
-	require.Equal(t, "00000bb8", b.Running[0].GetSaved())
-	require.EqualValues(t, 41, b.Running[0].GetPercent())
-	require.EqualValues(t, 58, b.Finished[0].GetNumber())
-	for _, bad := range []string{``, `[]`, `{`, `{"Running":[1]}`, `{"Finished":[[1]]}`} {
-		_, err := parseHeartbeat("i1", []byte(bad))
-		require.True(t, errors.Is(err, ErrHeartbeat), bad)
-	}
-}
-
-func TestEncodeHeartbeatResponse(t *testing.T) {
-	a := HeartbeatResponse{RunLease: 4 * time.Second, Acknowledged: 58, FencingToken: 7, HeartbeatInterval: 50 * time.Millisecond,
-		Start: []*protocol.RunOrder{{Task: "t.0.1.18", Run: 1, Spec: "a \"text\"\n"}, {Task: "u", Run: 2, Saved: "s"}}, Stop: []*protocol.RunRef{{Task: "t.0.1.17", Run: 2}}}
-	var got map[string]any
-	require.NoError(t, json.Unmarshal(a.encode(), &got))
-	require.Equal(t, map[string]any{"HoldMs": 4000.0, "LastSeen": 58.0, "FenceToken": 7.0, "RetryMs": 50.0,
-		"Start": []any{[]any{"t.0.1.18", 1.0, "a \"text\"\n", ""}, []any{"u", 2.0, "", "s"}}, "Stop": []any{[]any{"t.0.1.17", 2.0}}}, got)
-	require.NoError(t, json.Unmarshal((&HeartbeatResponse{}).encode(), &got))
-}
-
-func TestRefuses(t *testing.T) {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
-	require.NoError(t, err)
-	require.False(t, refusesConnections(l.Addr().String()))
-	require.NoError(t, l.Close())
-	require.True(t, refusesConnections(l.Addr().String()))
-}
-
-// FuzzParseHeartbeat has no body bring the reader down.
-func FuzzParseHeartbeat(f *testing.F) {
-	f.Add([]byte(sampleHeartbeat))
-	f.Add([]byte(`{"Running":[[]],"Finished":[["x",1,2,3]]}`))
-	f.Fuzz(func(t *testing.T, body []byte) {
-		b, err := parseHeartbeat("i1", body)
-		if err == nil && b.Account == nil {
-			t.Fatal("a beat without an account")
-		}
-	})
+	require.False(t, refusesConnections(t.Context(), listener.Addr().String()))
+	require.NoError(t, listener.Close())
+	require.True(t, refusesConnections(t.Context(), listener.Addr().String()))
 }
--- a/internal/data/agent/starts.go
+++ b/internal/data/agent/starts.go
@@ -8,76 +8,71 @@
 	"frosttide/internal/protocol"
 )
 
-// startAttempt is the telling of a start that the runner does not list.
+// startAttempt is the start of a run that the runner does not list. Responses may be lost, so that the start is sent
+// again with each.
 type startAttempt struct {
 	run        uint32
 	since      time.Duration
-	startsSent int // that were answered with the start since
-	stopsSent  int // that were answered with a stop since
+	startsSent int // in responses
+	stopsSent  int // in responses, after the starts had no effect
 }
 
-const (
-	// startTimeout and refusedBeats are how long, and for how many beats, a start may stay without effect.
-	startTimeout  = 1500 * time.Millisecond
-	minStartsSent = 5
-	// stopsToBlock is how many beats are answered with a stop until the run surely never begins: the answer to
-	// the first may have been dropped for coming late.
-	stopsToBlock = 3
-)
-
-// blockedRun is a run that is wanted no longer though the runner has not listed it: its start may be under way to the
-// runner, or may never have been told.
+// blockedRun is a run that is no longer desired and that the runner has not listed: its start may be on the way, or may
+// never have been sent. Runners pass over a start whose run number is not above that of a stop, so that enough stops
+// make sure that the run never starts. Until then the head keeps the run's capacity.
 type blockedRun struct {
 	run       uint32
-	stopsSent int // beats that were answered with a stop
+	stopsSent int // in responses
+}
+
+// startOrBlock adds the start of a desired run that the runner does not list to a response. A run that does not start
+// after many of them gets stops instead, and is reported as refused once it surely never starts.
+func (m *Machine) startOrBlock(r *runner, order *protocol.RunOrder, response *HeartbeatResponse) {
+	task, run := order.GetTask(), order.GetRun()
+	if r.running[task] == run {
+		delete(r.startAttempts, task)
+		return
+	}
+	attempt := r.startAttempts[task]
+	if attempt == nil || attempt.run != run {
+		attempt = &startAttempt{run: run, since: m.now}
+		r.startAttempts[task] = attempt
+	}
+	if attempt.startsSent < minStartsSent || m.now-attempt.since < startTimeout {
+		attempt.startsSent++
+		response.Start = append(response.Start, order)
+		return
+	}
+	attempt.stopsSent++
+	response.Stop = append(response.Stop, &protocol.RunRef{Task: task, Run: run})
+	if attempt.stopsSent > stopsToBlock {
+		delete(r.startAttempts, task)
+		delete(r.desired, task)
+		m.refuse(r, task, run)
+	}
 }
 
-// stopBlockedRuns bars the runs that are wanted no longer and not listed. One that the runner has still not listed after
-// enough stops never begins, which the head waits to hear: until then it keeps their room.
+// stopBlockedRuns adds the stops of the blocked runs to a response.
 func (m *Machine) stopBlockedRuns(r *runner, response *HeartbeatResponse) {
 	for _, task := range slices.Sorted(maps.Keys(r.blockedRuns)) {
-		b := r.blockedRuns[task]
-		if r.running[task] != 0 {
-			if r.running[task] >= b.run {
-				delete(r.blockedRuns, task) // it is stopped as any that is not wanted, and its end is listed
+		blocked := r.blockedRuns[task]
+		if running := r.running[task]; running != 0 {
+			if running >= blocked.run {
+				delete(r.blockedRuns, task) // it is stopped as any run that is not desired, and its end is listed
 			}
 			continue
 		}
-		b.stopsSent++
-		response.Stop = append(response.Stop, &protocol.RunRef{Task: task, Run: b.run})
-		if b.stopsSent > stopsToBlock {
+		blocked.stopsSent++
+		response.Stop = append(response.Stop, &protocol.RunRef{Task: task, Run: blocked.run})
+		if blocked.stopsSent > stopsToBlock {
 			delete(r.blockedRuns, task)
-			r.refused[task] = b.run
-			m.nextReport = 0
+			m.refuse(r, task, blocked.run)
 		}
 	}
 }
 
-// startOrBlock has the runner start a wanted run that it does not list. One that it does not start though it was
-// told again and again is barred by a stop and reported as refused: runners silently pass over a run that
-// is not above one stopped there.
-func (m *Machine) startOrBlock(r *runner, w *protocol.RunOrder, response *HeartbeatResponse) {
-	task := w.GetTask()
-	if r.running[task] == w.GetRun() {
-		delete(r.startAttempts, task)
-		return
-	}
-	t := r.startAttempts[task]
-	if t == nil || t.run != w.GetRun() {
-		t = &startAttempt{run: w.GetRun(), since: m.now}
-		r.startAttempts[task] = t
-	}
-	if t.startsSent < minStartsSent || m.now-t.since < startTimeout {
-		t.startsSent++
-		response.Start = append(response.Start, w)
-		return
-	}
-	t.stopsSent++
-	response.Stop = append(response.Stop, &protocol.RunRef{Task: task, Run: w.GetRun()})
-	if t.stopsSent > stopsToBlock {
-		delete(r.startAttempts, task)
-		delete(r.desired, task)
-		r.refused[task] = w.GetRun()
-		m.nextReport = 0
-	}
+// refuse has the next report, which is due at once, say that a run surely never starts.
+func (m *Machine) refuse(r *runner, task string, run uint32) {
+	r.refused[task] = run
+	m.nextReport = 0
 }
