--- a/internal/control/metrics/metrics_test.go
+++ b/internal/control/metrics/metrics_test.go
@@ -16,7 +16,7 @@
 	"frosttide/internal/protocol"
 )
 
-// newStubMember serves canned answers; a nil one is refused.
+// newStubMember returns the address of an API that answers with given states. Without a placement role's state it refuses.
 func newStubMember(t *testing.T, status *replica.Status, placementRole *scheduler.Status) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -33,7 +33,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// gather returns what a scrape tells, by name and labels' values.
+// gather scrapes members and returns the values by the name and the label values of each metric.
 func gather(t *testing.T, members ...string) map[string]float64 {
 	t.Helper()
 	registry := prometheus.NewPedanticRegistry()
@@ -53,31 +53,73 @@
 	return out
 }
 
-func TestScrape(t *testing.T) {
-	v := &protocol.View{Epoch: 7, Voters: []*protocol.Member{{Id: 1}, {Id: 2}, {Id: 3}}, Chain: []uint64{1, 2}}
-	follower := newStubMember(t, &replica.Status{View: v, Index: 9, DiskLagMs: 250}, nil)
-	head := newStubMember(t, &replica.Status{View: v, Index: 10, Committed: 10, Serving: true}, &scheduler.Status{Epoch: 7, ConfigVersion: 3, Jobs: map[string]int{"running": 2},
-		Runners: []scheduler.RunnerStatus{
-			{ID: "a", Service: "s", InSession: true, Usable: true, Runs: 2, Capacity: placement.Resources{CPU: 4000, MemMB: 10, GPUs: 8}, Used: placement.Resources{CPU: 1500, MemMB: 5, GPUs: 2}},
-			{ID: "b", Service: "s", Capacity: placement.Resources{CPU: 2000}},
+var testView = &protocol.View{Epoch: 7, Voters: []*protocol.Member{{Id: 1}, {Id: 2}, {Id: 3}}, Chain: []uint64{1, 2}}
+
+var testPlacement = &scheduler.Status{
+	Epoch:         7,
+	ConfigVersion: 3,
+	Jobs:          map[string]int{"running": 2},
+	Runners: []scheduler.RunnerStatus{
+		{
+			ID: "a", Service: "s", InSession: true, Usable: true, Runs: 2,
+			Capacity: placement.Resources{CPU: 4000, MemMB: 10, GPUs: 8},
+			Used:     placement.Resources{CPU: 1500, MemMB: 5, GPUs: 2},
 		},
-		Services: map[string]scheduler.ServiceStatus{"s": {Counters: scheduler.Counters{Ready: 20, Blocked: 5, Started: 15, Ended: map[string]uint64{"done": 11, "failed": 2}},
-			WaitingTasks: 4, OldestWaitMs: 1500}},
-	})
-	withoutPlacement := newStubMember(t, &replica.Status{}, nil)
-	got := gather(t, follower, head, "127.0.0.1:1")
+		{ID: "b", Service: "s", Capacity: placement.Resources{CPU: 2000}},
+	},
+	Services: map[string]scheduler.ServiceStatus{"s": {
+		Counters:     scheduler.Counters{Ready: 20, Blocked: 5, Started: 15, Ended: map[string]uint64{"done": 11, "failed": 2}},
+		WaitingTasks: 4,
+		OldestWaitMs: 1500,
+	}},
+}
+
+func TestScrape(t *testing.T) {
+	follower := newStubMember(t, &replica.Status{View: testView, Index: 9, DiskLagMs: 250}, nil)
+	head := newStubMember(t, &replica.Status{View: testView, Index: 10, Committed: 10, Serving: true}, testPlacement)
+	const unreachable = "127.0.0.1:1"
+	got := gather(t, follower, head, unreachable)
 	for name, want := range map[string]float64{
-		"up " + follower: 1, "up " + head: 1, "up 127.0.0.1:1": 0, "view_epoch " + head: 7, "voters " + head: 3, "chain_length " + follower: 2,
-		"serving " + head: 1, "serving " + follower: 0, "entry " + follower: 9, "committed_entry " + head: 10, "disk_lag_seconds " + follower: 0.25,
-		"fencing_token": 7, "config_version": 3, "jobs running": 2, "runners s ready": 1, "runners s out of touch": 1, "runs s": 2,
-		"cpu_cores capacity s": 6, "cpu_cores used s": 1.5, "memory_bytes used s": 5 << 20, "gpus capacity s": 8, "gpus used s": 2,
-		"waiting_tasks s": 4, "oldest_wait_seconds s": 1.5, "tasks_ready_total s": 20, "tasks_blocked_total s": 5, "runs_started_total s": 15,
-		"runs_ended_total done s": 11, "runs_ended_total failed s": 2,
+		"up " + follower:               1,
+		"up " + head:                   1,
+		"up " + unreachable:            0,
+		"view_epoch " + head:           7,
+		"voters " + head:               3,
+		"chain_length " + follower:     2,
+		"serving " + head:              1,
+		"serving " + follower:          0,
+		"entry " + follower:            9,
+		"committed_entry " + head:      10,
+		"disk_lag_seconds " + follower: 0.25,
+		"fencing_token":                7,
+		"config_version":               3,
+		"jobs running":                 2,
+		"runners s ready":              1,
+		"runners s out of touch":       1,
+		"runs s":                       2,
+		"cpu_cores capacity s":         6,
+		"cpu_cores used s":             1.5,
+		"memory_bytes used s":          5 << 20,
+		"gpus capacity s":              8,
+		"gpus used s":                  2,
+		"waiting_tasks s":              4,
+		"oldest_wait_seconds s":        1.5,
+		"tasks_ready_total s":          20,
+		"tasks_blocked_total s":        5,
+		"runs_started_total s":         15,
+		"runs_ended_total done s":      11,
+		"runs_ended_total failed s":    2,
 	} {
-		require.Contains(t, got, name)
-		require.InDelta(t, want, got[name], 1e-9, name)
+		t.Run(name, func(t *testing.T) {
+			require.Contains(t, got, name)
+			require.InDelta(t, want, got[name], 1e-9)
+		})
 	}
-	alone := gather(t, withoutPlacement)
-	require.NotContains(t, alone, "fencing_token", "nobody knows the placement role's state")
-	require.InDelta(t, 1, alone["up "+withoutPlacement], 0)
+}
+
+func TestScrapeWithoutPlacementRole(t *testing.T) {
+	member := newStubMember(t, &replica.Status{}, nil)
+	got := gather(t, member)
+	require.NotContains(t, got, "fencing_token", "nobody knows the placement role's state")
+	require.InDelta(t, 1, got["up "+member], 0)
 }
