--- a/internal/control/apiclient/apiclient.go
+++ b/internal/control/apiclient/apiclient.go
@@ -1,10 +1,12 @@
-// Package apiclient asks the operator's API of a core machine.
+// Package apiclient calls the operator's API of a core machine, which internal/control/server serves. The command line
+// (package cli) and the exporter (package metrics) use it. Its functions are safe for concurrent use.
 package apiclient
 
 import (
 	"bytes"
 	"context"
 	"encoding/json"
+	"fmt"
 	"io"
 	"net/http"
 	"strings"
@@ -13,54 +15,58 @@
 	"github.com/cockroachdb/errors"
 )
 
-// callTimeout bounds a call to a running system.
+// callTimeout bounds a call, connecting included.
 const callTimeout = 5 * time.Second
 
-// ErrRefused marks answers that say no.
-var ErrRefused = errors.New("refused")
+// Call is a call of the operator's API.
+type Call struct {
+	Method  string
+	Address string // of the core machine's API, host:port
+	Path    string
+	IfMatch string // version that a change builds on; empty sends none
+	Body    []byte
+}
 
-// Response is an answer of a running system.
-type Response struct {
+// RefusedError is the error of a call that is answered with another status than 200.
+type RefusedError struct {
 	Status int // of HTTP
-	Body   []byte
+	Reason string
 }
 
-// Do makes a call to a core machine. Match is the version that a change is based on, empty where the call is none.
-func Do(ctx context.Context, method, address, path, ifMatch string, body []byte) (*Response, error) {
+// Error is part of the error interface.
+func (e *RefusedError) Error() string { return fmt.Sprintf("refused with %d: %s", e.Status, e.Reason) }
+
+// Do makes a call and returns the body of the answer. Its error is a *RefusedError if the answer's status is not 200.
+func Do(ctx context.Context, c Call) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, c.Method, "http://"+c.Address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
 		return nil, errors.Wrap(err, "the call can't be made")
 	}
-	if ifMatch != "" {
-		request.Header.Set("If-Match", ifMatch)
+	if c.IfMatch != "" {
+		request.Header.Set("If-Match", c.IfMatch)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return nil, errors.Wrapf(err, "%s does not answer", address)
+		return nil, errors.Wrapf(err, "%s does not answer", c.Address)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(response.Body)
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		return nil, errors.Wrapf(err, "the answer of %s is cut short", address)
+		return nil, errors.Wrapf(err, "the answer of %s is cut short", c.Address)
+	}
+	if response.StatusCode != http.StatusOK {
+		return nil, &RefusedError{Status: response.StatusCode, Reason: strings.TrimSpace(string(body))}
 	}
-	return &Response{Status: response.StatusCode, Body: data}, nil
+	return body, nil
 }
 
-// Get reads a part of the state into a value, and returns what was read.
+// Get reads a part of a core machine's state, which is JSON, into target. It also returns the JSON.
 func Get(ctx context.Context, address, path string, target any) ([]byte, error) {
-	r, err := Do(ctx, http.MethodGet, address, path, "", nil)
+	body, err := Do(ctx, Call{Method: http.MethodGet, Address: address, Path: path})
 	if err != nil {
 		return nil, err
 	}
-	if r.Status != http.StatusOK {
-		return nil, r.Err()
-	}
-	return r.Body, errors.Wrap(json.Unmarshal(r.Body, target), "the answer can't be read")
-}
-
-// Err returns an answer other than success as an error.
-func (r *Response) Err() error {
-	return errors.Mark(errors.Newf("refused with %d: %s", r.Status, strings.TrimSpace(string(r.Body))), ErrRefused)
+	return body, errors.Wrap(json.Unmarshal(body, target), "the answer can't be read")
 }
--- a/internal/control/cli/snapshot.go
+++ b/internal/control/cli/snapshot.go
@@ -2,14 +2,13 @@
 
 import (
 	"context"
+	"flag"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"os"
 	"strings"
 
-	"flag"
-
 	"github.com/cockroachdb/errors"
 
 	"frosttide/internal/control/jobs"
@@ -19,7 +18,15 @@
 	"frosttide/internal/protocol"
 )
 
-// snapshotCommand keeps the state of a member's disk, looks at it, or puts it back.
+const (
+	// snapshotMode is the mode of snapshot files: jobs may contain what is not for everybody.
+	snapshotMode = 0o600
+	// restoredEpochGap is how far the epochs of a restored system begin above those of its snapshot. Views that came
+	// after the snapshot have had higher epochs, which runners know as fencing tokens; they must stay below.
+	restoredEpochGap = 1 << 36
+)
+
+// snapshotCommand writes the state of a member's disk to a file, verifies such a file, or restores a disk from it.
 func snapshotCommand(_ context.Context, c *invocation) error {
 	var settings string
 	rest, err := c.parseFlags("snapshot", func(f *flag.FlagSet) {
@@ -41,9 +48,7 @@
 	}
 }
 
-const snapshotMode = 0o600
-
-// writeSnapshot writes the state of a member's folder, which may be in use, to a file.
+// writeSnapshot writes the state in a member's folder, which may be in use, to a file.
 func writeSnapshot(out io.Writer, dir, path string) error {
 	state, err := journal.Load(dir)
 	if err != nil {
@@ -59,7 +64,7 @@
 	return printSnapshot(out, &state)
 }
 
-// readSnapshot reads a file and tells what it holds.
+// readSnapshot reads a snapshot file and prints what it holds. A torn write at its end is left out.
 func readSnapshot(out io.Writer, path string) (*journal.State, error) {
 	data, err := readFile(path)
 	if err != nil {
@@ -78,7 +83,7 @@
 	return &state, printSnapshot(out, &state)
 }
 
-// printSnapshot tells what a state holds.
+// printSnapshot prints what a state holds.
 func printSnapshot(out io.Writer, state *journal.State) error {
 	table, err := jobs.Load(state.Store)
 	if err != nil {
@@ -91,18 +96,11 @@
 	counts := make(map[string]int)
 	table.Each(func(j *jobs.Job) { counts[j.State.String()]++ })
 	fmt.Fprintf(out, "form %d, entry %d of epoch %d, %d items, configuration %d, jobs:", journal.Format, state.Index, state.InstalledEpoch, state.Store.Len(), config.Version)
-	for _, name := range []string{"pending", "running", "completed", "failed", "canceled"} {
-		fmt.Fprintf(out, " %d %s", counts[name], name)
-	}
-	fmt.Fprintln(out)
+	printJobCounts(out, counts)
 	return nil
 }
 
-// restoredEpochGap is how far a restored system's epochs begin above those of the snapshot: runners may have seen
-// fencing tokens of views that came after it.
-const restoredEpochGap = 1 << 36
-
-// restoreSnapshot makes the folder of the first member of a system that goes on from a snapshot.
+// restoreSnapshot creates the folder of the first member of a system that goes on from a snapshot.
 func restoreSnapshot(out io.Writer, path, dir, settingsPath string) error {
 	if settingsPath == "" {
 		return usageError("--settings or %s has to name the settings file of the member", nodefile.PathVariable)
@@ -115,11 +113,7 @@
 	if err != nil {
 		return err
 	}
-	self := &protocol.Member{Id: rand.Uint64() >> 1, Number: max(state.Accepted.GetNextNumber(), 1), Address: settings.InternalAddress(settings.IP, 0),
-		Control: settings.ListenAddrs.Control, Zone: settings.Zone}
-	epoch := max(state.Promised, state.Accepted.GetEpoch(), state.InstalledEpoch) + restoredEpochGap
-	state.ID, state.Promised, state.InstalledEpoch = self.GetId(), epoch, epoch
-	state.Accepted = &protocol.View{Epoch: epoch, Voters: []*protocol.Member{self}, Chain: []uint64{self.GetId()}, NextNumber: self.GetNumber() + 1}
+	makeOnlyVoter(state, settings)
 	encoded, err := journal.Snapshot(*state)
 	if err != nil {
 		return err
@@ -135,3 +129,22 @@
 `, "\n"))
 	return nil
 }
+
+// makeOnlyVoter gives a state a new identity on the machine of the settings, and a view with that member alone.
+func makeOnlyVoter(state *journal.State, settings *nodefile.File) {
+	self := &protocol.Member{
+		Id:      rand.Uint64() >> 1,
+		Number:  max(state.Accepted.GetNextNumber(), 1),
+		Address: settings.InternalAddress(settings.IP, 0),
+		Control: settings.ListenAddrs.Control,
+		Zone:    settings.Zone,
+	}
+	epoch := max(state.Promised, state.Accepted.GetEpoch(), state.InstalledEpoch) + restoredEpochGap
+	state.ID, state.Promised, state.InstalledEpoch = self.GetId(), epoch, epoch
+	state.Accepted = &protocol.View{
+		Epoch:      epoch,
+		Voters:     []*protocol.Member{self},
+		Chain:      []uint64{self.GetId()},
+		NextNumber: self.GetNumber() + 1,
+	}
+}
