--- a/cmd/frosttide-control/main.go
+++ b/cmd/frosttide-control/main.go
@@ -1,5 +1,5 @@
-// Command frosttide-control is the control plane of the cluster scheduler: it runs on the core machines, and
-// it tells operators of a running system.
+// Command frosttide-control is the control plane of the cluster scheduler. It runs on the core machines, and shows
+// operators the state of a running system (package cli).
 package main
 
 import (
--- /dev/null
+++ b/cmd/frosttide-control/snapshot_test.go
@@ -0,0 +1,66 @@
+package main
+
+import (
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"frosttide/internal/testkit/devcluster"
+)
+
+// TestAllCoreMachinesLost restores a system of which only a snapshot is left.
+func TestAllCoreMachinesLost(t *testing.T) {
+	t.Parallel()
+	c := startCluster(t, 1)
+	require.True(t, c.Submit(0, "previews", "00000000000000a1", job))
+	c.requireCompleted("00000000000000a1")
+	file := takeSnapshot(t, c)
+	out, _, status := run(t, nil, "snapshot", "verify", file)
+	require.Zero(t, status)
+	require.Contains(t, out, "configuration 1")
+	requireTruncatedRefused(t, file)
+	for _, m := range c.Cores {
+		c.Kill(m)
+		require.NoError(t, os.RemoveAll(c.DataDir(m)))
+	}
+	first := c.Cores[0]
+	restore := []string{"snapshot", "restore", file, c.DataDir(first), "--settings", filepath.Join(filepath.Dir(c.DataDir(first)), first.Name+".toml")}
+	out, errOut, status := run(t, nil, restore...)
+	require.Zero(t, status, errOut)
+	require.Contains(t, out, "Lost is what was acknowledged after the snapshot")
+	_, _, status = run(t, nil, restore...)
+	require.Equal(t, 1, status, "a folder with a journal is not left alone")
+	for _, m := range c.Cores {
+		require.NoError(t, c.Restart(m, m != first))
+	}
+	require.True(t, devcluster.WaitFor(maxWait, func() bool { return c.State(0, "previews", "00000000000000a1") == "completed" }), "the snapshot's job is not known")
+	c.requireSubmitted("00000000000000b2")
+	c.requireCompleted("00000000000000b2") // only if the runners take orders of the restored system
+}
+
+// takeSnapshot saves the head's state once it contains a completed job, and returns the path of the snapshot.
+func takeSnapshot(t *testing.T, c *cluster) string {
+	t.Helper()
+	file := filepath.Join(t.TempDir(), "snapshot")
+	var out string
+	require.True(t, devcluster.WaitFor(maxWait, func() bool {
+		var status int
+		out, _, status = run(t, nil, "snapshot", "save", c.DataDir(c.Head()), file)
+		return status == 0 && strings.Contains(out, "1 completed")
+	}), "%s", out)
+	return file
+}
+
+// requireTruncatedRefused verifies the beginning of a snapshot, which has to fail.
+func requireTruncatedRefused(t *testing.T, file string) {
+	t.Helper()
+	data, err := os.ReadFile(file)
+	require.NoError(t, err)
+	bad := filepath.Join(t.TempDir(), "bad")
+	require.NoError(t, os.WriteFile(bad, data[:20], 0o600))
+	_, _, status := run(t, nil, "snapshot", "verify", bad)
+	require.Equal(t, 1, status)
+}
--- a/cmd/frosttide-data/main.go
+++ b/cmd/frosttide-data/main.go
@@ -1,5 +1,6 @@
-// Command frosttide-data is the data plane of the cluster scheduler: "carrier" takes clients' jobs on
-// edge machines, "companion" answers the heartbeats of the runner on its machine.
+// Command frosttide-data is the data plane of the cluster scheduler. As "carrier" it takes clients' jobs on edge machines
+// (package gateway); as "companion" it answers the heartbeats of the runner beside it (package agent). The settings file
+// that the environment names says the rest.
 package main
 
 import (
@@ -17,15 +18,21 @@
 	"frosttide/internal/nodefile"
 )
 
-// roles are what the program can be.
-var roles = map[string]func(ctx context.Context, path string, settings *nodefile.File) error{
+// Exit statuses of the program.
+const (
+	exitFailed = 1
+	exitUsage  = 2
+)
+
+// role runs a process by the settings that were read from the file at path, until the context ends.
+type role func(ctx context.Context, path string, settings *nodefile.File) error
+
+// roles are the roles by their names in the arguments.
+var roles = map[string]role{
 	"carrier":   gateway.Run,
 	"companion": agent.Run,
 }
 
-// exitUsage is the exit status after mistakes in arguments.
-const exitUsage = 2
-
 func main() {
 	klog.InitFlags(nil)
 	flag.Usage = func() {
@@ -33,18 +40,19 @@
 		flag.PrintDefaults()
 	}
 	flag.Parse()
-	role := roles[flag.Arg(0)]
-	if role == nil || flag.NArg() != 1 {
+	runRole := roles[flag.Arg(0)]
+	if runRole == nil || flag.NArg() != 1 {
 		flag.Usage()
 		os.Exit(exitUsage)
 	}
-	if err := run(role); err != nil {
+	if err := run(runRole); err != nil {
 		fmt.Fprintln(os.Stderr, "frosttide-data:", err)
-		os.Exit(1)
+		os.Exit(exitFailed)
 	}
 }
 
-func run(role func(ctx context.Context, path string, settings *nodefile.File) error) error {
+// run reads the settings and runs a role until SIGTERM or SIGINT.
+func run(runRole role) error {
 	path, err := nodefile.Path()
 	if err != nil {
 		return err
@@ -55,5 +63,5 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	return role(ctx, path, settings)
+	return runRole(ctx, path, settings)
 }
--- a/cmd/frosttide-exporter/main.go
+++ b/cmd/frosttide-exporter/main.go
@@ -1,4 +1,5 @@
-// Command frosttide-exporter tells Prometheus of a control plane: it asks the core machines when it is scraped.
+// Command frosttide-exporter shows the state of a control plane to Prometheus: at each scrape it asks the core machines
+// (package metrics).
 package main
 
 import (
@@ -24,11 +25,12 @@
 
 // Exit statuses of the program.
 const (
+	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// readTimeout bounds how long a scrape's request may take to come in.
+// readTimeout bounds how long the request of a scrape may take to arrive.
 const readTimeout = 10 * time.Second
 
 func main() {
@@ -37,7 +39,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stderr))
 }
 
-// run serves until the context ends and returns the exit status.
+// run serves scrapes by the arguments until the context ends, and returns the exit status.
 func run(ctx context.Context, args []string, errOut io.Writer) int {
 	flags := flag.NewFlagSet("frosttide-exporter", flag.ContinueOnError)
 	flags.SetOutput(errOut)
@@ -46,7 +48,7 @@
 	klog.InitFlags(flags)
 	switch err := flags.Parse(args); {
 	case errors.Is(err, flag.ErrHelp):
-		return 0
+		return exitOK
 	case err != nil:
 		return exitUsage
 	case *addresses == "" || flags.NArg() > 0:
@@ -57,7 +59,7 @@
 		fmt.Fprintln(errOut, "frosttide-exporter:", err)
 		return exitFailed
 	}
-	return 0
+	return exitOK
 }
 
 // serve answers scrapes until the context ends.
@@ -71,7 +73,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	server := &http.Server{Handler: mux, ReadTimeout: readTimeout}
-	context.AfterFunc(ctx, func() { server.Close() })
+	context.AfterFunc(ctx, func() { _ = server.Close() }) // ends Serve; the process is about to end
 	klog.InfoS("Serving", "address", listener.Addr(), "members", members)
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "-listen")
