--- a/internal/control/member/compatibility_test.go
+++ b/internal/control/member/compatibility_test.go
@@ -28,44 +28,44 @@
 
 const (
 	tick       = 20 * time.Millisecond
-	beganMs    = 1_800_000_000_000 // time of day of the life's beginning
-	companion  = "10.0.1.1:7380"
+	startMs    = 1_800_000_000_000 // time of day at the start
+	agent      = "10.0.1.1:7380"
 	journalBin = "testdata/journal.bin"
 	journalTxt = "testdata/journal.json"
 )
 
-// life is the life of a member that is alone, on a disk that syncs at once, with one companion.
-type life struct {
-	t      *testing.T
-	now    time.Duration
-	member *member.Member
-	file   []byte
-	orders *protocol.RunnerOrders // newest
-	report uint64                 // of the companion
-	asked  uint64                 // by clients
+// lonelyMember is the only member of a control plane, on a disk that syncs at once, with one agent.
+type lonelyMember struct {
+	t           *testing.T
+	now         time.Duration
+	member      *member.Member
+	file        []byte
+	orders      *protocol.RunnerOrders // newest
+	lastReport  uint64                 // of the agent
+	lastRequest uint64                 // of a client
 }
 
-func newLife(t *testing.T) *life {
+func newLonelyMember(t *testing.T) *lonelyMember {
 	t.Helper()
 	self := &protocol.Member{Id: 7, Number: 1, Address: "10.0.0.1:7380", Control: "10.0.0.1:8144", Zone: "z1"}
 	cfg := member.Config{
 		Replica:   replica.Config{Self: self, Incarnation: 1, Contacts: []string{self.GetAddress()}, Seed: 1, Timing: replica.DefaultTiming()},
 		Scheduler: scheduler.Config{Lease: 6 * time.Second, StatusRetention: time.Minute, RackPrefix: "r", RemoteSlowdown: 1.5},
 	}
-	l := &life{t: t, member: member.New(cfg, 0, replica.FoundingState(self, []*protocol.Member{self})), orders: &protocol.RunnerOrders{}}
-	l.pass(2 * time.Second)
-	require.NotNil(t, l.member.Scheduler(), "it does not serve")
-	return l
+	m := &lonelyMember{t: t, member: member.New(cfg, 0, replica.FoundingState(self, []*protocol.Member{self})), orders: &protocol.RunnerOrders{}}
+	m.pass(2 * time.Second)
+	require.NotNil(t, m.member.Scheduler(), "the member does not serve")
+	return m
 }
 
-// turn carries out a turn.
-func (l *life) turn() {
-	l.t.Helper()
+// turn carries out a turn and keeps the newest orders to the agent.
+func (m *lonelyMember) turn() {
+	m.t.Helper()
 	for {
-		out := l.member.Turn(l.now)
+		out := m.member.Turn(m.now)
 		for _, send := range out.Sends {
-			if orders := send.Message.GetRunnerOrders(); orders != nil && send.To == companion {
-				l.orders = orders
+			if orders := send.Message.GetRunnerOrders(); orders != nil && send.To == agent {
+				m.orders = orders
 			}
 		}
 		if len(out.Writes) == 0 {
@@ -73,85 +73,85 @@
 		}
 		for _, write := range out.Writes {
 			if write.Image == nil {
-				l.file = append(l.file, write.Data...)
+				m.file = append(m.file, write.Data...)
 				continue
 			}
-			whole, err := write.Image.Encode()
-			require.NoError(l.t, err)
-			l.file = whole
+			image, err := write.Image.Encode()
+			require.NoError(m.t, err)
+			m.file = image
 		}
-		l.member.DiskDone(l.now, out.Writes[len(out.Writes)-1].Sequence, int64(len(l.file)), nil)
+		m.member.DiskDone(m.now, out.Writes[len(out.Writes)-1].Sequence, int64(len(m.file)), nil)
 	}
 }
 
-// pass lets time pass.
-func (l *life) pass(d time.Duration) {
-	l.t.Helper()
-	for until := l.now + d; l.now < until; l.now += tick {
-		l.member.Tick(l.now, beganMs+l.now.Milliseconds())
-		l.turn()
+// pass has the member tick for a time.
+func (m *lonelyMember) pass(d time.Duration) {
+	m.t.Helper()
+	for until := m.now + d; m.now < until; m.now += tick {
+		m.member.Tick(m.now, startMs+m.now.Milliseconds())
+		m.turn()
 	}
 }
 
-// request has a client ask.
-func (l *life) request(r *protocol.ClientRequest) {
-	l.t.Helper()
-	l.asked++
-	r.Id, r.Incarnation, r.Attempt = l.asked, 5, 1
-	l.member.Receive(l.now, "10.0.2.1:7380", &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: r}})
-	l.turn()
-	l.pass(tick)
+// request sends a request of a client.
+func (m *lonelyMember) request(r *protocol.ClientRequest) {
+	m.t.Helper()
+	m.lastRequest++
+	r.Id, r.Incarnation, r.Attempt = m.lastRequest, 5, 1
+	m.member.Receive(m.now, "10.0.2.1:7380", &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: r}})
+	m.turn()
+	m.pass(tick)
 }
 
-func (l *life) configure(match uint64, patch bool, body string) {
-	l.t.Helper()
-	l.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: patch, IfMatch: match, Body: []byte(body)}}})
+func (m *lonelyMember) configure(match uint64, patch bool, body string) {
+	m.t.Helper()
+	m.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: patch, IfMatch: match, Body: []byte(body)}}})
 }
 
-func (l *life) submit(s *protocol.Submit) {
-	l.t.Helper()
-	l.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: s}})
+func (m *lonelyMember) submit(s *protocol.Submit) {
+	m.t.Helper()
+	m.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: s}})
 }
 
-// companionReports has the companion report to the head, with runs that have ended.
-func (l *life) companionReports(ends ...*protocol.RunEnd) {
-	l.t.Helper()
-	l.report++
-	l.member.Receive(l.now, companion, &protocol.Envelope{Body: &protocol.Envelope_RunnerReport{RunnerReport: &protocol.RunnerReport{
-		Incarnation: 11, LeaseRound: l.report, Epoch: l.orders.GetEpoch(), OrdersSeen: l.orders.GetSequence(), Holding: true, Ends: ends,
+// agentReports has the agent report to the head, with runs that have ended.
+func (m *lonelyMember) agentReports(ends ...*protocol.RunEnd) {
+	m.t.Helper()
+	m.lastReport++
+	m.member.Receive(m.now, agent, &protocol.Envelope{Body: &protocol.Envelope_RunnerReport{RunnerReport: &protocol.RunnerReport{
+		Incarnation: 11, LeaseRound: m.lastReport, Epoch: m.orders.GetEpoch(), OrdersSeen: m.orders.GetSequence(), Holding: true, Ends: ends,
 		Account: &protocol.RunnerAccount{Id: "i1", Service: "toy", Address: "10.0.1.1:9000", Zone: "z1", Version: "v1", Slots: 8,
 			Capacity: &protocol.Capacity{Cpu: 4000, MemMb: 8192, Gpus: 2}, Labels: []string{"a", "r1-1"}},
 	}}})
-	l.turn()
-	l.pass(5 * tick)
+	m.turn()
+	m.pass(5 * tick)
 }
 
-// live has jobs in all states come about, and returns the member's file.
-func live(t *testing.T) []byte {
+// runScenario brings about jobs in all states, and returns the member's file.
+func runScenario(t *testing.T) []byte {
 	t.Helper()
-	l := newLife(t)
-	l.configure(0, false, `{"Version":1,"Routes":[{"Name":"previews","Host":"jobs.example","PathPrefix":"/previews/","TimeoutMs":3000,"Service":"toy","Priority":1,"MaxAttempts":3},`+
+	m := newLonelyMember(t)
+	m.configure(0, false, `{"Version":1,"Routes":[{"Name":"previews","Host":"jobs.example","PathPrefix":"/previews/","TimeoutMs":3000,"Service":"toy","Priority":1,"MaxAttempts":3},`+
 		`{"Name":"old","Host":"jobs.example","PathPrefix":"/old/","TimeoutMs":3000,"Service":"toy"}],"Services":[{"Name":"toy","HealthPath":"/health"}],"Limits":{"MaxBodyBytes":100}}`)
-	l.configure(1, true, `{"Version":4,"Upsert":{"Routes":[{"Name":"batches","Host":"jobs.example","PathPrefix":"/batches/","TimeoutMs":3000,"Service":"toy","Priority":2}]},"Remove":{"Routes":["old"]}}`)
+	m.configure(1, true, `{"Version":4,"Upsert":{"Routes":[{"Name":"batches","Host":"jobs.example","PathPrefix":"/batches/","TimeoutMs":3000,"Service":"toy","Priority":2}]},"Remove":{"Routes":["old"]}}`)
 	for range 3 {
-		l.companionReports()
+		m.agentReports()
 	}
 	small := &protocol.Stage{Count: 1, Cpu: 1000, MemMb: 10, EstimateMs: 300}
-	l.submit(&protocol.Submit{Queue: "previews", Id: "00000000000000a1", Spec: "completed", Stages: []*protocol.Stage{small}})
-	l.companionReports()
-	l.companionReports(&protocol.RunEnd{Number: 1, Task: "00000000000000a1.0.0.0", Run: 1, How: "done"})
-	l.submit(&protocol.Submit{Queue: "previews", Id: "00000000000000b2", Spec: "runs", Stages: []*protocol.Stage{
+	m.submit(&protocol.Submit{Queue: "previews", Id: "00000000000000a1", Spec: "completed", Stages: []*protocol.Stage{small}})
+	m.agentReports()
+	m.agentReports(&protocol.RunEnd{Number: 1, Task: "00000000000000a1.0.0.0", Run: 1, How: "done"})
+	m.submit(&protocol.Submit{Queue: "previews", Id: "00000000000000b2", Spec: "runs", Stages: []*protocol.Stage{
 		{Count: 2, Cpu: 500, MemMb: 10, Gpus: 1, EstimateMs: 300, Checkpoints: true, Requirements: "a", Affinity: "r1-1"},
 		{Count: 2, Cpu: 500, MemMb: 10, DependsOn: []uint32{0}, Gang: true, SameRack: true, AntiAffinity: 2, Speculative: true}}})
-	l.companionReports()
-	l.companionReports(&protocol.RunEnd{Number: 2, Task: "00000000000000b2.0.0.0", Run: 1, How: "failed", Saved: "00000bb8"},
+	m.agentReports()
+	m.agentReports(&protocol.RunEnd{Number: 2, Task: "00000000000000b2.0.0.0", Run: 1, How: "failed", Saved: "00000bb8"},
 		&protocol.RunEnd{Number: 3, Task: "00000000000000b2.0.0.1", Run: 1, How: "done"})
-	l.submit(&protocol.Submit{Queue: "batches", Id: "00000000000000c3", Spec: "too large", Stages: []*protocol.Stage{{Count: 3, Cpu: 64000, MemMb: 10}}, AgeMs: 40})
-	l.submit(&protocol.Submit{Queue: "batches", Id: "00000000000000d4", Spec: "canceled", Stages: []*protocol.Stage{{Count: 1, Cpu: 64000, LongRunning: true}}})
-	l.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "00000000000000d4", Queue: "batches"}}})
-	l.submit(&protocol.Submit{Queue: "batches", Id: "00000000000000e5", Spec: "timed", Stages: []*protocol.Stage{small}, MaxRuns: 3, StartAtMs: beganMs + 3_600_000, IntervalMs: 500})
-	l.companionReports()
-	return appendRecords(t, l.file)
+	m.submit(&protocol.Submit{Queue: "batches", Id: "00000000000000c3", Spec: "too large", Stages: []*protocol.Stage{{Count: 3, Cpu: 64000, MemMb: 10}}, AgeMs: 40})
+	m.submit(&protocol.Submit{Queue: "batches", Id: "00000000000000d4", Spec: "canceled", Stages: []*protocol.Stage{{Count: 1, Cpu: 64000, LongRunning: true}}})
+	m.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "00000000000000d4", Queue: "batches"}}})
+	m.submit(&protocol.Submit{Queue: "batches", Id: "00000000000000e5", Spec: "timed", Stages: []*protocol.Stage{small}, MaxRuns: 3, StartAtMs: startMs + 3_600_000, IntervalMs: 500})
+	m.agentReports()
+	return appendRecords(t, m.file)
 }
 
 // appendRecords adds the records that a member writes in a system of several: a promise, an accepted view that changes
@@ -169,9 +169,9 @@
 	add(journal.KindAccept, &protocol.AcceptRecord{View: &protocol.View{Epoch: 40<<16 | 1, Voters: voters, Previous: voters[:1], Chain: []uint64{8, 7}, NextNumber: 4}})
 	add(journal.KindInstall, &protocol.InstallRecord{Epoch: 40<<16 | 1, Index: 1000, Puts: []*protocol.Put{{Key: "installed", Value: []byte{0, 1}}, {Key: "removed", Value: []byte{2}}}, Deletes: []string{"none"}})
 	add(journal.KindEntry, &protocol.Entry{Index: 1001, Puts: []*protocol.Put{{Key: "entered", Value: []byte{3}}}, Deletes: []string{"removed"}})
-	whole := len(file)
+	complete := len(file)
 	add(journal.KindEntry, &protocol.Entry{Index: 1002, Puts: []*protocol.Put{{Key: "torn", Value: make([]byte, 100)}}})
-	return file[:(whole+len(file))/2]
+	return file[:(complete+len(file))/2]
 }
 
 // itemTypes are the messages that items hold, by the prefix of their key.
@@ -205,7 +205,7 @@
 // content returns what a file holds, as text.
 func content(t *testing.T, file []byte) string {
 	t.Helper()
-	state, good, err := journal.Read(file)
+	state, validLength, err := journal.Read(file)
 	require.NoError(t, err)
 	var items []item
 	for _, put := range state.Store.All() {
@@ -223,7 +223,7 @@
 	config, err := scheduler.LoadConfig(state.Store)
 	require.NoError(t, err)
 	text, err := json.MarshalIndent(map[string]any{
-		"length": len(file), "good": good, "id": state.ID, "founder": state.Founder, "promised": state.Promised, "accepted": readable(t, state.Accepted),
+		"length": len(file), "good": validLength, "id": state.ID, "founder": state.Founder, "promised": state.Promised, "accepted": readable(t, state.Accepted),
 		"installed epoch": state.InstalledEpoch, "index": state.Index, "items": items, "configuration": string(config.Document()), "jobs": jobsOf(t, &state),
 	}, "", " ")
 	require.NoError(t, err)
@@ -254,7 +254,7 @@
 // torn end, and writes the same file anew from the same events.
 func TestCompatibilityJournal(t *testing.T) {
 	if *update {
-		file := live(t)
+		file := runScenario(t)
 		require.NoError(t, os.MkdirAll(filepath.Dir(journalBin), 0o700))
 		require.NoError(t, os.WriteFile(journalBin, file, 0o600))
 		require.NoError(t, os.WriteFile(journalTxt, []byte(content(t, file)), 0o600))
@@ -265,7 +265,7 @@
 	require.NoError(t, err)
 	t.Run("read", func(t *testing.T) { require.Equal(t, string(want), content(t, committed)) })
 	t.Run("written", func(t *testing.T) {
-		require.True(t, bytes.Equal(committed, live(t)), "the same events lead to another file")
+		require.True(t, bytes.Equal(committed, runScenario(t)), "the same events lead to another file")
 	})
 	t.Run("opened", func(t *testing.T) {
 		dir := t.TempDir()
--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -4,17 +4,16 @@
 	"context"
 	"encoding/json"
 	"io"
-	"net"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
 
 	"github.com/cockroachdb/errors"
-	"k8s.io/klog/v2"
 
 	"frosttide/internal/chainclient"
 	"frosttide/internal/control/member"
+	"frosttide/internal/httpserver"
 	"frosttide/internal/protocol"
 )
 
@@ -41,24 +40,10 @@
 	patchConfig   = true
 )
 
-// serveAPI serves the operator's API until the returned function is called.
-func (s *Server) serveAPI(address string) (stop func(), err error) {
-	listener, err := net.Listen("tcp4", address)
-	if err != nil {
-		return nil, errors.Wrap(err, "control: the operator's address can't be listened on")
-	}
-	server := &http.Server{Handler: s.apiHandler(), ReadTimeout: readTimeout}
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			klog.ErrorS(err, "Operator's API has ended")
-		}
-	}()
-	return func() {
-		_ = server.Close() // the process is about to end
-		<-ended
-	}, nil
+// serveAPI serves the operator's API until the caller closes the listener.
+func (s *Server) serveAPI(address string) (*httpserver.Listener, error) {
+	listener, err := httpserver.Listen(address, &http.Server{Handler: s.apiHandler(), ReadTimeout: readTimeout})
+	return listener, errors.Wrap(err, "control: the operator's address can't be listened on")
 }
 
 func (s *Server) apiHandler() http.Handler {
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -71,11 +71,11 @@
 	})
 	defer s.journal.stop()
 	s.startMember(state)
-	stopAPI, err := s.serveAPI(settings.ListenAddrs.Control)
+	api, err := s.serveAPI(settings.ListenAddrs.Control)
 	if err != nil {
 		return err
 	}
-	defer stopAPI()
+	defer api.Close()
 	s.runUntilDrained(ctx)
 	return nil
 }
--- a/internal/data/agent/server.go
+++ b/internal/data/agent/server.go
@@ -12,6 +12,7 @@
 	"golang.org/x/sys/unix"
 	"k8s.io/klog/v2"
 
+	"frosttide/internal/httpserver"
 	"frosttide/internal/nodefile"
 	"frosttide/internal/process"
 	"frosttide/internal/protocol"
@@ -62,38 +63,24 @@
 		Contacts:    settings.Contacts(),
 		Seed:        p.Incarnation,
 	}, p.Address, p.Now())
-	stop, err := s.serveRunner(settings.ListenAddrs.Control)
+	listener, err := s.serveRunner(settings.ListenAddrs.Control)
 	if err != nil {
 		return err
 	}
-	defer stop()
+	defer listener.Close()
 	p.WatchSettings(ctx, func(changed *nodefile.File) { s.node.SetContacts(changed.Contacts()) })
 	p.Run(ctx, tickInterval, s.tick, func() { s.afterTurn(ctx) })
 	s.checks.Wait() // the end of the context has broken them off
 	return nil
 }
 
-// serveRunner serves the runner's heartbeats until the returned function is called.
-func (s *Server) serveRunner(address string) (stop func(), err error) {
-	listener, err := net.Listen("tcp4", address)
-	if err != nil {
-		return nil, errors.Wrap(err, "companion: the runner's address can't be listened on")
-	}
+// serveRunner serves the runner's heartbeats until the caller closes the listener.
+func (s *Server) serveRunner(address string) (*httpserver.Listener, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/instances/{id}", s.handleHeartbeat)
 	mux.HandleFunc("DELETE /v1/instances/{id}", s.handleDeregister)
-	server := &http.Server{Handler: mux, ReadTimeout: readTimeout}
-	ended := make(chan struct{})
-	go func() {
-		defer close(ended)
-		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			klog.ErrorS(err, "Listener for the runner has ended")
-		}
-	}()
-	return func() {
-		_ = server.Close() // the process is about to end
-		<-ended
-	}, nil
+	listener, err := httpserver.Listen(address, &http.Server{Handler: mux, ReadTimeout: readTimeout})
+	return listener, errors.Wrap(err, "companion: the runner's address can't be listened on")
 }
 
 func (s *Server) tick() { s.node.Tick(s.process.Now()) }
--- a/internal/data/gateway/frontend.go
+++ b/internal/data/gateway/frontend.go
@@ -2,15 +2,14 @@
 
 import (
 	"context"
-	"net"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
 	"github.com/cockroachdb/errors"
 	"k8s.io/klog/v2"
 
+	"frosttide/internal/httpserver"
 	"frosttide/internal/routeconfig"
 )
 
@@ -32,7 +31,7 @@
 	grace           time.Duration
 	clientServer    *http.Server
 	readinessServer *http.Server
-	serving         sync.WaitGroup // the goroutines of both servers
+	listeners       []*httpserver.Listener // of both servers
 }
 
 // newFrontend returns a frontend that does not listen yet. grace is the time that a drain may take.
@@ -55,23 +54,19 @@
 }
 
 func (f *frontend) serve(server *http.Server, address string) error {
-	listener, err := net.Listen("tcp4", address)
+	listener, err := httpserver.Listen(address, server)
 	if err != nil {
 		return errors.Wrap(err, "carrier: an address can't be listened on")
 	}
-	f.serving.Go(func() {
-		if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
-			klog.ErrorS(err, "Listener has ended", "address", address)
-		}
-	})
+	f.listeners = append(f.listeners, listener)
 	return nil
 }
 
 // close ends both servers with all connections that are left.
 func (f *frontend) close() {
-	_ = f.clientServer.Close() // the process is about to end
-	_ = f.readinessServer.Close()
-	f.serving.Wait()
+	for _, listener := range f.listeners {
+		listener.Close()
+	}
 }
 
 // handleReadiness answers the platform, which sends clients here only after 200.
