--- a/internal/control/member/attempts_test.go
+++ b/internal/control/member/attempts_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestAttemptThatComesTwice delivers a rejected attempt again once the member serves. It must not be accepted, because
-// its client has been told that it was surely not taken.
+// its client may already rely on its not having been executed.
 func TestAttemptThatComesTwice(t *testing.T) {
 	m := newServingMember(t)
 	receive := func(now time.Duration, number uint32) (rejected, others int) {
--- a/internal/control/member/compatibility_test.go
+++ b/internal/control/member/compatibility_test.go
@@ -23,7 +23,7 @@
 	"frosttide/internal/protocol"
 )
 
-// update has the test write the files under testdata anew instead of comparing with them.
+// update makes the test write the files under testdata instead of comparing with them.
 var update = flag.Bool("update", false, "write the files under testdata anew")
 
 const (
@@ -84,7 +84,7 @@
 	}
 }
 
-// pass has the member tick for a time.
+// pass lets a time pass in ticks.
 func (m *lonelyMember) pass(d time.Duration) {
 	m.t.Helper()
 	for until := m.now + d; m.now < until; m.now += tick {
@@ -113,7 +113,7 @@
 	m.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: s}})
 }
 
-// agentReports has the agent report to the head, with runs that have ended.
+// agentReports sends a report of the agent to the head, with runs that have ended.
 func (m *lonelyMember) agentReports(ends ...*protocol.RunEnd) {
 	m.t.Helper()
 	m.lastReport++
--- a/internal/control/member/requests.go
+++ b/internal/control/member/requests.go
@@ -47,7 +47,7 @@
 	m.scheduler.HandleRequest(from, r)
 }
 
-// reject answers that this member has not taken an attempt of a request.
+// reject answers that this member has not executed an attempt of a request and never will.
 func (m *Member) reject(to string, id uint64, attempt uint32) {
 	m.sendReply(to, &protocol.ClientReply{Id: id, NotServing: true, Attempt: attempt})
 }
--- a/internal/control/metrics/metrics.go
+++ b/internal/control/metrics/metrics.go
@@ -2,7 +2,7 @@
 // which asks the members' API (package apiclient) at each scrape, so that the members themselves need no metrics library.
 //
 // A scrape reports for every member whether it answers, what it knows of the view, and its disk. What concerns the
-// placement role is reported once, from the first member that can tell, and is missing while none can: a gap in these
+// placement role is reported once, from the first member that knows it, and is missing while none does: a gap in these
 // series means that no member had an answer from a head. A Collector is safe for concurrent use.
 package metrics
 
--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// responseTimeout bounds how long a call waits for the control plane; callers go elsewhere after a second.
+	// responseTimeout bounds how long a call waits for the control plane; callers try another core machine after a second.
 	responseTimeout = 900 * time.Millisecond
 	// maxBodyBytes bounds the body of a call, which is a configuration.
 	maxBodyBytes = 16 << 20
@@ -110,8 +110,8 @@
 	}
 }
 
-// respond sends a request to the control plane and answers the call with the reply. If there is none the caller is asked
-// to try again: a change may or may not have been made then.
+// respond sends a request to the control plane and answers the call with the reply. Without one the answer is 503 with
+// Retry-After: a change may or may not have been made then.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, request *protocol.ClientRequest, read bool) {
 	outcome, ok := s.do(r.Context(), request, read)
 	switch {
--- a/internal/data/agent/doc.go
+++ b/internal/data/agent/doc.go
@@ -13,13 +13,13 @@
 // # Invariants
 //
 //   - A run lease never outlasts the lease that the head has given the agent. That lease counts from the sending
-//     of the request, as the head counts it from an earlier moment than the arrival of its answer.
-//   - A runner is reported as removed only if it surely runs nothing any more: its newest run lease has ended on the
+//     of the request for it, which is before the head decides how long it lasts.
+//   - A runner is reported as removed only if it certainly runs nothing any more: its newest run lease has ended on the
 //     slowest clock allowed, or nothing listens at its address on several health checks while it is timed out, or it
 //     has come back under a new ID. A deregistration proves nothing, since a runner may go on for many seconds.
 //   - Orders apply once, in sequence, and only if they are for this agent process, this runner and the newest
 //     session of the newest epoch. After a gap nothing applies until a full sync, which lists every desired run.
 //   - A run that is no longer desired before the runner has listed it is blocked: the runner is sent stops until
-//     it surely never starts the run. Only then is the run reported as refused, so that the head can free its capacity.
-//   - The end of a run is reported until the head acknowledges it, and the runner is asked for it until then.
+//     it certainly never starts the run. Only then is the run reported as refused, and the head frees its capacity.
+//   - The end of a run is reported until the head acknowledges it, and the runner lists it in its heartbeats until then.
 package agent
--- a/internal/data/agent/head.go
+++ b/internal/data/agent/head.go
@@ -63,7 +63,7 @@
 	m.sends = append(m.sends, Send{To: to, Message: e})
 }
 
-// expire drops what the head need not be told any more, and removes a timed-out runner whose run leases have ended.
+// expire drops what the head need not know any more, and removes a timed-out runner whose run leases have ended.
 func (m *Machine) expire() {
 	for id, removedAt := range m.removed {
 		if m.now-removedAt > removedRetention {
--- a/internal/data/agent/machine.go
+++ b/internal/data/agent/machine.go
@@ -24,7 +24,7 @@
 	Finished []*protocol.RunEnd // ends that were not acknowledged
 }
 
-// HeartbeatResponse is what the runner is told.
+// HeartbeatResponse is the answer to a heartbeat.
 type HeartbeatResponse struct {
 	RunLease          time.Duration // 0 gives none
 	Acknowledged      uint64        // ends up to this number need not be listed again
@@ -55,7 +55,7 @@
 	headAddress     string // empty where no head is known
 	epoch           uint64
 	lastHeadContact time.Duration
-	nextContact     int // index of the contact that was asked last
+	nextContact     int // index of the contact that was queried last
 
 	// Orders of the head.
 	incarnation     uint64 // rises with each removed runner, which voids the orders given until then
@@ -276,7 +276,7 @@
 	}
 }
 
-// removeRunner handles that the runner surely runs nothing any more. What the head has ordered before it knows that is
+// removeRunner handles that the runner certainly runs nothing any more. What the head has ordered before it knows that is
 // void, should the runner send a heartbeat again.
 func (m *Machine) removeRunner(r *runner) {
 	m.removed[r.account.GetId()] = m.now
--- a/internal/data/agent/starts.go
+++ b/internal/data/agent/starts.go
@@ -26,7 +26,7 @@
 }
 
 // startOrBlock adds the start of a desired run that the runner does not list to a response. A run that does not start
-// after many of them gets stops instead, and is reported as refused once it surely never starts.
+// after many of them gets stops instead, and is reported as refused once it certainly never starts.
 func (m *Machine) startOrBlock(r *runner, order *protocol.RunOrder, response *HeartbeatResponse) {
 	task, run := order.GetTask(), order.GetRun()
 	if r.running[task] == run {
@@ -71,7 +71,7 @@
 	}
 }
 
-// refuse has the next report, which is due at once, say that a run surely never starts.
+// refuse reports, at once, that a run certainly never starts.
 func (m *Machine) refuse(r *runner, task string, run uint32) {
 	r.refused[task] = run
 	m.nextReport = 0
--- a/internal/data/agent/timing.go
+++ b/internal/data/agent/timing.go
@@ -6,12 +6,12 @@
 const (
 	// defaultReportInterval is the interval between reports until the head names another.
 	defaultReportInterval = 200 * time.Millisecond
-	// headTimeout is how long the head may be out of contact until core machines are asked for a newer view.
+	// headTimeout is how long the head may be out of contact until the agent queries core machines for a newer view.
 	headTimeout = 900 * time.Millisecond
 	// viewQueryInterval is the interval between these queries.
 	viewQueryInterval = 100 * time.Millisecond
-	// removedRetention is how long the head is told of a removed runner, and how long an unanswered request for a
-	// lease is kept.
+	// removedRetention is how long a removed runner is reported, and how long an unanswered request for a lease is
+	// kept.
 	removedRetention = 30 * time.Second
 )
 
@@ -47,7 +47,7 @@
 	// A run that the runner does not list after minStartsSent starts and after startTimeout is blocked.
 	startTimeout  = 1500 * time.Millisecond
 	minStartsSent = 5
-	// stopsToBlock is how many responses with a stop the runner may have missed; after one more the run surely never
-	// starts. The runner drops a response that arrives too late.
+	// stopsToBlock is how many responses with a stop the runner may have missed; after one more the run certainly
+	// never starts. The runner drops a response that arrives too late.
 	stopsToBlock = 3
 )
--- a/internal/data/gateway/doc.go
+++ b/internal/data/gateway/doc.go
@@ -2,13 +2,13 @@
 // settings and the deploy file call carrier.
 //
 // It serves the queues of the newest configuration over HTTP: POST submits a job, GET returns its state or how many
-// jobs of a queue are pending, DELETE cancels one. It parses what clients send, has the control plane answer it
-// (package chainclient) and passes the reply on. Whether a job makes sense is checked by the control plane.
+// jobs of a queue are pending, DELETE cancels one. It parses what clients send, sends it to the control
+// plane (package chainclient) and passes the reply on. Whether a job makes sense is checked by the control plane.
 //
 // # Answers without a reply
 //
 // If no reply arrives in time, the answer says what the gateway knows. 503 with Retry-After means that the request was
-// surely not taken, or that it changes nothing; 504 means that it may have been taken. A client may repeat
+// certainly not executed, or that it changes nothing; 504 means that it may have been executed. A client may repeat
 // either: the ID of a job makes its submission idempotent.
 //
 // # Goroutines
--- a/internal/data/gateway/frontend.go
+++ b/internal/data/gateway/frontend.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// drain has clients go elsewhere and returns once all open requests are answered, or at the end of the grace time.
+// drain makes the gateway not ready, so that clients use another one, and returns once all open requests are answered, or
+// at the end of the grace time.
 func (f *frontend) drain() {
 	f.draining.Store(true)
 	f.clientServer.SetKeepAlivesEnabled(false)
--- a/internal/data/gateway/handler.go
+++ b/internal/data/gateway/handler.go
@@ -18,7 +18,7 @@
 	responseMargin = 60 * time.Millisecond
 	// defaultMaxBodyBytes bounds a body where the configuration does not.
 	defaultMaxBodyBytes = 256 << 10
-	// retryAfterSeconds is the Retry-After of requests that were surely not taken.
+	// retryAfterSeconds is the Retry-After of requests that were certainly not executed.
 	retryAfterSeconds = "1"
 )
 
@@ -133,7 +133,7 @@
 	_, _ = w.Write(reply.GetBody()) // fails only where the client has gone
 }
 
-// reject answers that a request was surely not taken, and when to try again.
+// reject answers that a request was certainly not executed, and when to try again.
 func reject(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", retryAfterSeconds)
 	http.Error(w, reason, http.StatusServiceUnavailable)
