--- a/internal/control/replica/chain.go
+++ b/internal/control/replica/chain.go
@@ -11,25 +11,35 @@
 	"frosttide/internal/view"
 )
 
-// chain is the member's part in the chain of the newest view.
+const (
+	// contactTimeout is how long the head accepts requests without a majority that confirms its epoch. What it accepts in
+	// that time may be lost with the epoch; no client gets a reply to it.
+	contactTimeout = 2 * time.Second
+	// maxUncommitted bounds the entries that are appended and not committed.
+	maxUncommitted = 4096
+)
+
+// chain is this member's part in replicating the entries of the newest view.
 type chain struct {
-	active            bool // as the head: all members hold the state; as another: the state is installed
-	following         bool // outside the chain: the state follows the tail's
-	log               deque.Deque[*protocol.Entry]
-	sentIndex         uint64 // last entry passed on to the successor
-	suffixDurable     uint64 // durable at the successor and all after it
-	prefixDurable     uint64 // durable at all members before this one
-	committed         uint64
-	commitProgressAt  time.Duration // when committed last rose, or had nothing to rise to
-	sentPrefixDurable uint64        // last durable told to the successor
-	sentSuffixDurable uint64        // last durable told to the predecessor
-	followers         map[string]uint64
-	lastTailContact   time.Duration // outside the chain: when the tail was last heard of
-	nextResendAt      time.Duration // when what may have been lost is repeated
+	active    bool                         // at the head: all chain members have installed the state; at the others: an append of the epoch has arrived
+	following bool                         // outside the chain: this member has the tail's state and takes its entries
+	committed uint64                       // index of the last entry that every chain member is known to have synced
+	log       deque.Deque[*protocol.Entry] // entries that the successor, a follower or a client may still need
+
+	sentIndex         uint64 // last entry sent to the successor
+	suffixDurable     uint64 // index up to which the successor and all members after it have synced
+	prefixDurable     uint64 // index up to which all members before this one have synced
+	sentPrefixDurable uint64 // last prefixDurable sent to the successor
+	sentSuffixDurable uint64 // last suffixDurable sent to the predecessor
+
+	followers        map[string]uint64 // at the tail: last entry sent to each member outside the chain, by address
+	commitProgressAt time.Duration     // when committed last rose, or when the first uncommitted entry was appended
+	lastTailContact  time.Duration     // outside the chain: when the tail last sent anything
+	nextResendAt     time.Duration     // when messages that may have been lost are repeated
 }
 
-// Append writes an entry as the serving head and returns its index; it fails where the member does not
-// serve. The entry belongs to the machine from then on.
+// Append appends an entry at the serving head and returns its index, and false where CanAppend is false. The entry
+// belongs to the machine from then on.
 func (m *Machine) Append(now time.Duration, e *protocol.Entry) (uint64, Actions, bool) {
 	m.now = now
 	if !m.CanAppend() {
@@ -41,27 +51,19 @@
 	return e.GetIndex(), m.takeActions(), true
 }
 
-// CanAppend tells whether the member serves as the head and has not promised to follow another view. It
-// may serve and not be able to append for the length of an election round.
+// CanAppend reports whether the member serves as the head, its disk takes writes and it has not promised a higher number.
+// While another member's proposal is under way, it may serve and be unable to append.
 func (m *Machine) CanAppend() bool {
 	return m.Serving() && !m.disk.failed && m.promised <= m.Epoch()
 }
 
-const (
-	// contactTimeout is how long the head goes on taking requests without a majority that stands by its epoch: what it
-	// takes then waits in memory, and is answered by nobody.
-	contactTimeout = 2 * time.Second
-	// maxUncommitted bounds the entries that the chain has not committed.
-	maxUncommitted = 4096
-)
-
-// Accepting tells whether the head may take requests: a majority has lately stood by its epoch, and what it has
-// taken before gets on.
+// Accepting reports whether the head may accept requests: a majority has confirmed its epoch lately, and the entries
+// appended before are being committed.
 func (m *Machine) Accepting(now time.Duration) bool {
 	return m.Serving() && now-m.confirmations.confirmedAt <= contactTimeout && m.index-m.chain.committed < maxUncommitted
 }
 
-// appendEntry takes an entry into the state, the file and the log.
+// appendEntry applies an entry to the store and adds it to the next write and to the log.
 func (m *Machine) appendEntry(e *protocol.Entry) {
 	if m.index == m.chain.committed {
 		m.chain.commitProgressAt = m.now
@@ -72,7 +74,7 @@
 	m.chain.log.PushBack(e)
 }
 
-// successor returns the chain member behind this one, nil for the tail and outside the chain.
+// successor returns the next chain member towards the tail, nil at the tail and outside the chain.
 func (m *Machine) successor() *protocol.Member {
 	position := m.chainPosition()
 	if position < 0 || position+1 >= len(m.view.GetChain()) {
@@ -81,7 +83,7 @@
 	return view.Find(m.view.GetVoters(), m.view.GetChain()[position+1])
 }
 
-// predecessor returns the chain member before this one, nil for the head and outside the chain.
+// predecessor returns the next chain member towards the head, nil at the head and outside the chain.
 func (m *Machine) predecessor() *protocol.Member {
 	position := m.chainPosition()
 	if position < 1 {
@@ -90,12 +92,7 @@
 	return view.Find(m.view.GetVoters(), m.view.GetChain()[position-1])
 }
 
-// isTail tells whether the member is the last of the chain.
-func (m *Machine) isTail() bool {
-	return m.view != nil && view.Tail(m.view) == m.cfg.Self.GetId()
-}
-
-// forwardEntries sends the successor, and as the tail the followers, what they have not been sent.
+// forwardEntries sends the entries not sent yet to the successor, or at the tail to the followers.
 func (m *Machine) forwardEntries() {
 	if successor := m.successor(); successor != nil {
 		if m.chain.sentIndex < m.index {
@@ -112,10 +109,9 @@
 	}
 }
 
-// sendEntries sends the entries after an index; an empty append lets the receiver see whether it lacks any.
+// sendEntries sends the entries after an index. A message without entries still shows the receiver whether it lacks any.
 func (m *Machine) sendEntries(address string, after uint64) {
-	durable := m.prefixDurable()
-	a := &protocol.Append{Epoch: m.Epoch(), First: after, Durable: durable}
+	a := &protocol.Append{Epoch: m.Epoch(), First: after, Durable: m.prefixDurable()}
 	for i := range m.chain.log.Len() {
 		if e := m.chain.log.At(i); e.GetIndex() > after {
 			a.Entries = append(a.Entries, e)
@@ -124,7 +120,7 @@
 	m.send(address, &protocol.Envelope{Body: &protocol.Envelope_Append{Append: a}})
 }
 
-// prefixDurable returns what this member and all before it have synced.
+// prefixDurable returns the index up to which the head and all members down to this one have synced.
 func (m *Machine) prefixDurable() uint64 {
 	if m.isHead() {
 		return m.durable
@@ -132,7 +128,7 @@
 	return min(m.durable, m.chain.prefixDurable)
 }
 
-// suffixDurable returns what this member and all behind it have synced.
+// suffixDurable returns the index up to which this member and all members down to the tail have synced.
 func (m *Machine) suffixDurable() uint64 {
 	if m.successor() == nil {
 		return m.durable
@@ -140,9 +136,11 @@
 	return min(m.durable, m.chain.suffixDurable)
 }
 
+// onAppend takes the entries that follow this member's last one and passes them on. A chain member takes them only with
+// the state of the view installed, a member outside the chain only while it follows the tail.
 func (m *Machine) onAppend(from string, a *protocol.Append) {
 	if a.GetEpoch() != m.Epoch() || m.promised > a.GetEpoch() {
-		return // it is of an older view, or this member has promised to leave that one
+		return // of another epoch, or this member has promised a higher number: the epoch is sealed here
 	}
 	inChain := m.chainPosition() > 0
 	if inChain && m.installedEpoch != a.GetEpoch() || !inChain && !m.chain.following {
@@ -150,7 +148,11 @@
 	}
 	m.chain.lastTailContact = m.now
 	if a.GetFirst() > m.index {
-		m.reportGap(from, inChain)
+		if inChain {
+			m.requestResend(from)
+		} else {
+			m.chain.following = false // the state is transferred anew
+		}
 		return
 	}
 	for _, e := range a.GetEntries() {
@@ -164,16 +166,19 @@
 	m.advance()
 }
 
-// reportGap tells the sender of an append that entries before it are missing here.
-func (m *Machine) reportGap(from string, inChain bool) {
-	if !inChain {
-		m.chain.following = false // it is synced anew
-		return
-	}
-	m.send(from, &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
+// requestResend asks the predecessor for the entries after this member's last one.
+func (m *Machine) requestResend(to string) {
+	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
 		Epoch: m.Epoch(), Durable: m.suffixDurable(), Resend: true, Index: m.index}}})
 }
 
+// sendAck sends the predecessor the index up to which the chain from this member to the tail has synced.
+func (m *Machine) sendAck(to string) {
+	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
+		Epoch: m.Epoch(), Durable: m.suffixDurable(), Index: m.index}}})
+}
+
+// onAppendAck records what the successor and all after it have synced, and resends entries that it lacks.
 func (m *Machine) onAppendAck(from string, a *protocol.AppendAck) {
 	successor := m.successor()
 	if a.GetEpoch() != m.Epoch() || successor == nil || successor.GetAddress() != from {
@@ -187,8 +192,8 @@
 	m.advance()
 }
 
-// advance raises what is committed, answers what the tail can answer, and tells the neighbors what is
-// synced here.
+// advance commits what the whole chain has synced, informs the neighbors of what has been synced here, and completes the
+// reads that have waited for it.
 func (m *Machine) advance() {
 	if m.chainPosition() < 0 || m.installedEpoch != m.Epoch() {
 		m.trimLog()
@@ -199,8 +204,7 @@
 	}
 	if predecessor := m.predecessor(); predecessor != nil && m.suffixDurable() > m.chain.sentSuffixDurable {
 		m.chain.sentSuffixDurable = m.suffixDurable()
-		m.send(predecessor.GetAddress(), &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
-			Epoch: m.Epoch(), Durable: m.chain.sentSuffixDurable, Index: m.index}}})
+		m.sendAck(predecessor.GetAddress())
 	}
 	if successor := m.successor(); successor != nil && m.prefixDurable() > m.chain.sentPrefixDurable && m.chain.active {
 		m.chain.sentPrefixDurable = m.prefixDurable()
@@ -210,7 +214,7 @@
 	m.finishReads()
 }
 
-// commit takes entries for committed; the tail answers them.
+// commit marks entries as committed; the tail replies to their clients.
 func (m *Machine) commit(upTo uint64) {
 	if m.isTail() {
 		for i := range m.chain.log.Len() {
@@ -224,8 +228,8 @@
 	m.chain.commitProgressAt = m.now
 }
 
-// trimLog drops entries from the log that nobody will ask for: those that the members behind have synced,
-// and at the tail those that are answered. Outside the chain none is kept.
+// trimLog removes entries from the log that nobody will ask for: those that the successor and all after it have synced and
+// that are committed, and at the tail those that have been replied to. A member outside the chain keeps none.
 func (m *Machine) trimLog() {
 	keepAfter := m.index
 	switch {
@@ -240,7 +244,7 @@
 	}
 }
 
-// tickChain repeats what may have been lost on the way.
+// tickChain repeats messages that may have been lost.
 func (m *Machine) tickChain() {
 	if m.view == nil {
 		return
@@ -257,7 +261,6 @@
 		m.sendEntries(address, m.chain.followers[address])
 	}
 	if predecessor := m.predecessor(); predecessor != nil {
-		m.send(predecessor.GetAddress(), &protocol.Envelope{Body: &protocol.Envelope_AppendAck{AppendAck: &protocol.AppendAck{
-			Epoch: m.Epoch(), Durable: m.suffixDurable(), Index: m.index}}})
+		m.sendAck(predecessor.GetAddress())
 	}
 }
--- a/internal/control/replica/confirm.go
+++ b/internal/control/replica/confirm.go
@@ -7,82 +7,97 @@
 	"frosttide/internal/view"
 )
 
-// confirmations is how the member makes sure that its view is still the newest: a majority of the voters
-// says after a moment that it has promised nothing above.
+const (
+	// confirmTimeout is how long a confirmation may take until it is requested again.
+	confirmTimeout = 150 * time.Millisecond
+	// readTimeout is how long a read may be pending; its client has turned to another member by then.
+	readTimeout = 1500 * time.Millisecond
+	// maxPendingReads bounds the reads that are pending.
+	maxPendingReads = 4096
+)
+
+// confirmations is how a member makes sure that its view is still the newest: a majority of the voters confirms that it
+// has promised no higher number. One confirmation serves all reads that arrived before it was requested.
 type confirmations struct {
-	sequence     uint64        // of the newest question
-	requestedAt  time.Duration // when it was asked
-	inFlight     bool
-	confirmedBy  map[uint64]bool
-	confirmedAt  time.Duration // when the newest question that a majority answered well had been asked
-	pendingReads []pendingRead
+	sequence     uint64          // of the newest request
+	requestedAt  time.Duration   // when it was sent
+	inFlight     bool            // it has no majority yet
+	confirmedBy  map[uint64]bool // members that have confirmed it
+	confirmedAt  time.Duration   // when the newest request that a majority has confirmed was sent
+	pendingReads []pendingRead   // in the order of their arrival
 }
 
-// pendingRead is a question of a client that waits for its answer to be certain.
+// pendingRead is a read whose value is not certain yet.
 type pendingRead struct {
 	arrivedAt time.Duration
 	token     uint64
-	index     uint64 // entries up to it have to be committed
-	sequence  uint64 // the first round of confirmation that was asked after the read came
+	index     uint64 // last entry that the value may show; it has to be committed
+	sequence  uint64 // first request for confirmation that is sent after the read arrived
 	confirmed bool
 }
 
-// confirmTimeout is how long a round of confirmation may take until it is asked again.
-const confirmTimeout = 150 * time.Millisecond
-
-const (
-	// readTimeout is how long a read waits to be certain; its client has gone elsewhere by then.
-	readTimeout = 1500 * time.Millisecond
-	// maxPendingReads bounds the reads that wait.
-	maxPendingReads = 4096
-)
-
-// Read has a client's question answered by the store as it is now: the token comes back in ReadsReady
-// once the answer is certain, in ReadsFailed where it can't be. The member has to be the tail.
+// Read starts to confirm a read of the store as it is now. The token is returned in ReadsReady once the value is certain
+// and in ReadsFailed where this member cannot make it so. Only the tail confirms such reads.
 func (m *Machine) Read(now time.Duration, token uint64) Actions {
 	m.now = now
-	m.confirmRead(token, m.isTail() && m.installedEpoch == m.Epoch(), m.index)
+	if m.isTail() && m.installedEpoch == m.Epoch() {
+		m.addRead(token)
+	} else {
+		m.failRead(token)
+	}
 	return m.takeActions()
 }
 
-// ReadAtHead has a question answered by the state that the head has evaluated and appended. The member has to serve
-// as the head.
+// ReadAtHead starts to confirm a read of the state that the head has evaluated and appended, committed or not: it is ready
+// once all of that is committed. Only the serving head confirms such reads.
 func (m *Machine) ReadAtHead(now time.Duration, token uint64) Actions {
 	m.now = now
-	m.confirmRead(token, m.Serving(), m.index)
+	if m.Serving() {
+		m.addRead(token)
+	} else {
+		m.failRead(token)
+	}
 	return m.takeActions()
 }
 
-// confirmRead has a read wait until a majority has stood by the epoch after it came, and entries up to an index are
-// committed.
-func (m *Machine) confirmRead(token uint64, serves bool, index uint64) {
-	if !serves || len(m.confirmations.pendingReads) >= maxPendingReads {
-		m.actions.ReadsFailed = append(m.actions.ReadsFailed, token)
+// ConfirmedAt returns when the newest request that a majority has confirmed was sent. No later view can have been agreed
+// before that time, so that leases granted by this member may count from it.
+func (m *Machine) ConfirmedAt() time.Duration { return m.confirmations.confirmedAt }
+
+// addRead adds a pending read, or fails it where too many are pending.
+func (m *Machine) addRead(token uint64) {
+	c := &m.confirmations
+	if len(c.pendingReads) >= maxPendingReads {
+		m.failRead(token)
 		return
 	}
-	m.confirmations.pendingReads = append(m.confirmations.pendingReads, pendingRead{arrivedAt: m.now, token: token, index: index, sequence: m.confirmations.sequence + 1})
-	if !m.confirmations.inFlight {
+	c.pendingReads = append(c.pendingReads, pendingRead{arrivedAt: m.now, token: token, index: m.index, sequence: c.sequence + 1})
+	if !c.inFlight {
 		m.requestConfirmation()
 	}
 }
 
-// ConfirmedAt returns when the newest question that a majority answered well had been asked: until
-// then no other view can have been agreed.
-func (m *Machine) ConfirmedAt() time.Duration { return m.confirmations.confirmedAt }
+// failRead fails one read.
+func (m *Machine) failRead(token uint64) {
+	m.actions.ReadsFailed = append(m.actions.ReadsFailed, token)
+}
 
+// requestConfirmation asks the voters to confirm the epoch.
 func (m *Machine) requestConfirmation() {
 	c := &m.confirmations
 	c.sequence++
 	c.requestedAt, c.inFlight, c.confirmedBy = m.now, true, make(map[uint64]bool)
 	m.broadcast(view.Electorate(m.view), &protocol.Envelope{Body: &protocol.Envelope_Confirm{Confirm: &protocol.Confirm{Epoch: m.Epoch(), Round: c.sequence}}})
-	m.onConfirmed(&protocol.Confirmed{Epoch: m.Epoch(), Round: c.sequence, Member: m.cfg.Self.GetId(), Ok: m.promised <= m.Epoch()})
+	m.onConfirmed(&protocol.Confirmed{Epoch: m.Epoch(), Round: c.sequence, Member: m.selfID(), Ok: m.promised <= m.Epoch()})
 }
 
+// onConfirm confirms another member's epoch unless this member has promised a higher number.
 func (m *Machine) onConfirm(from string, c *protocol.Confirm) {
 	m.send(from, &protocol.Envelope{Body: &protocol.Envelope_Confirmed{Confirmed: &protocol.Confirmed{
-		Epoch: c.GetEpoch(), Round: c.GetRound(), Member: m.cfg.Self.GetId(), Ok: m.promised <= c.GetEpoch() && !m.disk.failed}}})
+		Epoch: c.GetEpoch(), Round: c.GetRound(), Member: m.selfID(), Ok: m.promised <= c.GetEpoch() && !m.disk.failed}}})
 }
 
+// onConfirmed counts a confirmation of the newest request; those of earlier ones are ignored.
 func (m *Machine) onConfirmed(r *protocol.Confirmed) {
 	c := &m.confirmations
 	if !c.inFlight || r.GetEpoch() != m.Epoch() || r.GetRound() != c.sequence || !r.GetOk() {
@@ -105,7 +120,7 @@
 	}
 }
 
-// finishReads tells the reads that are certain.
+// finishReads completes the reads that are confirmed and show only committed entries, in the order of their arrival.
 func (m *Machine) finishReads() {
 	c := &m.confirmations
 	for len(c.pendingReads) > 0 && c.pendingReads[0].confirmed && c.pendingReads[0].index <= m.chain.committed {
@@ -114,25 +129,26 @@
 	}
 }
 
-// failReads fails the reads that wait; a newer view answers them.
+// failReads fails all pending reads: the members of a newer view serve them.
 func (m *Machine) failReads() {
 	for _, r := range m.confirmations.pendingReads {
-		m.actions.ReadsFailed = append(m.actions.ReadsFailed, r.token)
+		m.failRead(r.token)
 	}
 	m.confirmations.pendingReads = nil
 }
 
-// expireReads fails the reads that have waited for too long.
+// expireReads fails the reads that have been pending for longer than readTimeout.
 func (m *Machine) expireReads() {
 	c := &m.confirmations
 	for len(c.pendingReads) > 0 && m.now-c.pendingReads[0].arrivedAt > readTimeout {
-		m.actions.ReadsFailed = append(m.actions.ReadsFailed, c.pendingReads[0].token)
+		m.failRead(c.pendingReads[0].token)
 		c.pendingReads = c.pendingReads[1:]
 	}
 }
 
-// tickConfirms asks again where answers were lost, and for the head from time to time.
-func (m *Machine) tickConfirms() {
+// tickConfirmations requests a confirmation again whose replies were lost, and, at the serving head, one in each
+// ConfirmInterval.
+func (m *Machine) tickConfirmations() {
 	c := &m.confirmations
 	if m.view == nil {
 		return
@@ -140,11 +156,7 @@
 	m.expireReads()
 	switch {
 	case c.inFlight && m.now-c.requestedAt > confirmTimeout:
-		for i := range c.pendingReads { // the reads wait for the next round
-			if c.pendingReads[i].sequence <= c.sequence && !c.pendingReads[i].confirmed {
-				c.pendingReads[i].sequence = c.sequence + 1
-			}
-		}
+		c.postponeReads()
 		if len(c.pendingReads) > 0 || m.Serving() {
 			m.requestConfirmation()
 		} else {
@@ -154,3 +166,12 @@
 		m.requestConfirmation()
 	}
 }
+
+// postponeReads has the reads that the newest request would have confirmed wait for the next one.
+func (c *confirmations) postponeReads() {
+	for i := range c.pendingReads {
+		if c.pendingReads[i].sequence <= c.sequence && !c.pendingReads[i].confirmed {
+			c.pendingReads[i].sequence = c.sequence + 1
+		}
+	}
+}
--- a/internal/control/replica/disk.go
+++ b/internal/control/replica/disk.go
@@ -10,54 +10,61 @@
 	"frosttide/internal/protocol"
 )
 
-// disk is the member's view of its disk: what was handed over and what has come back.
+const (
+	// syncMeanWeight is the weight of a new sync in the exponentially weighted mean.
+	syncMeanWeight = 0.2
+	// syncMeanHalfLife is the time without a write after which the mean of earlier syncs is halved. Without it a disk that
+	// was slow once would count as slow for as long as nothing is written.
+	syncMeanHalfLife = time.Second
+	// minDiskRate is the rate, in bytes a second, that a healthy disk writes at least.
+	minDiskRate = 16 << 20
+	// rewriteFactor is how many times the size of its live content the file may reach before it is rewritten.
+	rewriteFactor = 4
+)
+
+// disk tracks the writes to this member's file: which have been submitted and which are synced.
 type disk struct {
-	buffer       []byte // records not yet handed over
-	lastSequence uint64 // of the last write handed over
-	pending      []pendingWrite
-	fileSize     int64 // of the file with all that was handed over, about
-	syncedSize   int64 // of the file up to the last finished write
-	failed       bool
-	retryAt      time.Duration
-	meanSync     time.Duration
-	decayAt      time.Duration  // when the mean counts for less, as nothing is written
-	callbacks    []syncCallback // what waits for a write
+	buffer         []byte         // records not submitted yet
+	lastSequence   uint64         // of the last write submitted
+	pending        []pendingWrite // submitted and not finished, in order
+	callbacks      []syncCallback // run once their writes are synced, in order
+	fileSize       int64          // approximate size of the file after all submitted writes, in bytes
+	syncedSize     int64          // size of the file after the last finished write; 0 while it is being replaced
+	installedEpoch uint64         // newest installed epoch that is synced
 
-	installedEpoch uint64 // on disk
+	failed   bool // after a failed write, until the whole file is written anew
+	retryAt  time.Duration
+	meanSync time.Duration // mean time of a sync, without the time for the bytes written
+	decayAt  time.Duration // when meanSync is halved, as nothing is written
 }
 
+// pendingWrite is a write that has been submitted and not finished.
 type pendingWrite struct {
 	sequence       uint64
 	startedAt      time.Duration
-	index          uint64 // last entry it covers
-	installedEpoch uint64 // installed epoch it covers
+	index          uint64 // last entry that is synced with it
+	installedEpoch uint64 // installed epoch that is synced with it
 	bytes          int64
-	image          bool
+	image          bool // it replaces the file
 }
 
-// syncCallback is done once a write has finished.
+// syncCallback runs once a write is synced.
 type syncCallback struct {
 	sequence uint64
 	run      func()
 }
 
-// syncMeanWeight is how much a new sync counts in the mean.
-const syncMeanWeight = 0.2
-
-// minDiskRate is how many bytes a second a sound disk writes at least.
-const minDiskRate = 16 << 20
-
-// writeTime returns what a sound disk may take for the bytes of a write, beside its sync.
+// writeTime returns how long a healthy disk may take for the bytes of a write, not counting the sync.
 func writeTime(bytes int64) time.Duration {
 	return time.Duration(float64(bytes) / minDiskRate * float64(time.Second))
 }
 
-// stalled tells whether the oldest write that is not finished takes longer than it should.
-func (d *disk) stalled(now, stall time.Duration) bool {
-	return len(d.pending) > 0 && now-d.pending[0].startedAt > stall+writeTime(d.pending[0].bytes)
+// stalled reports whether the oldest unfinished write takes longer than a time-out and the time for its bytes.
+func (d *disk) stalled(now, timeout time.Duration) bool {
+	return len(d.pending) > 0 && now-d.pending[0].startedAt > timeout+writeTime(d.pending[0].bytes)
 }
 
-// lag returns the age of the oldest write that is not finished.
+// lag returns the age of the oldest unfinished write, 0 where there is none.
 func (d *disk) lag(now time.Duration) time.Duration {
 	if len(d.pending) == 0 {
 		return 0
@@ -65,10 +72,11 @@
 	return now - d.pending[0].startedAt
 }
 
-// appendRecord adds a record to the next write.
+// appendRecord adds a record to the next write. While the disk is failed it does nothing: the complete state is written once
+// the disk accepts writes again.
 func (m *Machine) appendRecord(kind journal.Kind, body proto.Message) {
 	if m.disk.failed {
-		return // the whole state is written once the disk takes writes again
+		return
 	}
 	buffer, err := journal.Append(m.disk.buffer, kind, m.disk.syncedSize, body)
 	if err != nil {
@@ -78,20 +86,20 @@
 	m.disk.buffer = buffer
 }
 
-// afterSync has something done once all that has been recorded so far is synced. It never is where the
-// disk failed before that.
+// afterSync runs a function once everything recorded so far is synced, at once where it already is. Where the disk fails
+// before that, the function is never run.
 func (m *Machine) afterSync(callback func()) {
 	if m.disk.failed {
 		return
 	}
 	m.disk.callbacks = append(m.disk.callbacks, syncCallback{sequence: m.disk.lastSequence + 1, run: callback})
-	if len(m.disk.buffer) == 0 { // nothing to wait for but what is under way
+	if len(m.disk.buffer) == 0 { // everything recorded has been submitted
 		m.disk.callbacks[len(m.disk.callbacks)-1].sequence = m.disk.lastSequence
 		m.runCallbacks()
 	}
 }
 
-// flush hands over what has been recorded.
+// flush submits the records gathered, as one write, or rewrites the file where it has grown too large.
 func (m *Machine) flush() {
 	if len(m.disk.buffer) == 0 || m.disk.failed {
 		return
@@ -105,33 +113,45 @@
 	m.disk.buffer = nil
 }
 
-// rewriteFactor is how many times its live content the file may grow to.
-const rewriteFactor = 4
-
-// rewrite hands over the whole state as a new file; it covers what was recorded but not handed over.
+// rewrite submits the complete state as a new file. It covers the records that were not submitted yet.
 func (m *Machine) rewrite() {
 	m.disk.buffer = nil
-	image := journal.NewImage(journal.State{ID: m.cfg.Self.GetId(), Promised: m.promised, Accepted: m.accepted,
-		InstalledEpoch: m.installedEpoch, Index: m.index, Store: m.store})
+	image := journal.NewImage(journal.State{
+		ID:             m.selfID(),
+		Promised:       m.promised,
+		Accepted:       m.accepted,
+		InstalledEpoch: m.installedEpoch,
+		Index:          m.index,
+		Store:          m.store,
+	})
 	m.disk.fileSize = int64(image.Bytes())
 	m.disk.syncedSize = 0
 	m.submitWrite(Write{Image: image}, m.disk.fileSize)
 }
 
+// submitWrite numbers a write and submits it.
 func (m *Machine) submitWrite(w Write, bytes int64) {
 	m.disk.lastSequence++
 	w.Sequence = m.disk.lastSequence
-	m.disk.pending = append(m.disk.pending, pendingWrite{sequence: w.Sequence, startedAt: m.now, index: m.index, installedEpoch: m.installedEpoch, bytes: bytes, image: w.Image != nil})
+	m.disk.pending = append(m.disk.pending, pendingWrite{
+		sequence:       w.Sequence,
+		startedAt:      m.now,
+		index:          m.index,
+		installedEpoch: m.installedEpoch,
+		bytes:          bytes,
+		image:          w.Image != nil,
+	})
 	m.actions.Writes = append(m.actions.Writes, w)
 }
 
-// DiskDone handles the end of a write. After a failed one nothing in the file is trusted: the member
-// acknowledges nothing until it has written its whole state anew. size is how long the file is after the write.
+// DiskDone handles the end of the write with a sequence and of all before it. size is the size of the file afterwards, in
+// bytes. After a failed write nothing in the file is trusted: the member acknowledges nothing until it has written its
+// complete state to a new file.
 func (m *Machine) DiskDone(now time.Duration, sequence uint64, size int64, err error) Actions {
 	m.now = now
 	if err != nil {
-		if len(m.disk.pending) > 0 && sequence >= m.disk.pending[0].sequence {
-			m.failDisk(err) // an older write belongs to the file that was given up
+		if len(m.disk.pending) > 0 && sequence >= m.disk.pending[0].sequence { // else it belongs to a file given up already
+			m.failDisk(err)
 		}
 		return m.takeActions()
 	}
@@ -145,15 +165,15 @@
 	}
 	m.disk.syncedSize = size
 	if slices.ContainsFunc(m.disk.pending, func(w pendingWrite) bool { return w.image }) {
-		m.disk.syncedSize = 0 // what finished is in the file that is being replaced
+		m.disk.syncedSize = 0 // the size is that of the file that is being replaced
 	}
 	m.runCallbacks()
 	m.advance()
 	return m.takeActions()
 }
 
-// resetDurable has writes that are under way no longer count for what is synced, as the entries they
-// cover are not part of the state any more.
+// resetDurable discards what is synced and what unfinished writes will sync: those entries are no longer part of the
+// state, as a snapshot has replaced it.
 func (m *Machine) resetDurable() {
 	m.durable = 0
 	for i := range m.disk.pending {
@@ -161,7 +181,7 @@
 	}
 }
 
-// runCallbacks does what waited for finished writes.
+// runCallbacks runs the callbacks of finished writes.
 func (m *Machine) runCallbacks() {
 	finished := m.disk.lastSequence
 	if len(m.disk.pending) > 0 {
@@ -174,7 +194,7 @@
 	}
 }
 
-// failDisk takes the disk for failed.
+// failDisk marks the disk as failed and gives up everything that was to be written.
 func (m *Machine) failDisk(err error) {
 	if !m.disk.failed {
 		m.event("Disk failed, nothing is acknowledged until a write succeeds", "err", err)
@@ -184,11 +204,7 @@
 	m.disk.buffer, m.disk.pending, m.disk.callbacks = nil, nil, nil
 }
 
-// syncMeanHalfLife is after how long without a write the mean of earlier ones counts for half: a disk that was slow once
-// would stay so for ever where nothing is written.
-const syncMeanHalfLife = time.Second
-
-// tickDisk tries to write the whole state anew after a failure.
+// tickDisk lets the mean sync time decay, and writes the complete state to a new file some time after a failure.
 func (m *Machine) tickDisk() {
 	if len(m.disk.pending) > 0 {
 		m.disk.decayAt = m.now + syncMeanHalfLife
@@ -203,12 +219,12 @@
 	m.rewrite()
 }
 
-// diskBad tells whether others should keep the state in the member's place.
+// diskBad reports whether the disk is unhealthy, so that others should hold the state instead of this member.
 func (m *Machine) diskBad() bool {
 	return m.disk.failed || m.disk.stalled(m.now, m.cfg.Timing.DiskStallTimeout) || m.disk.meanSync > m.cfg.Timing.DiskSlowThreshold
 }
 
-// recordEntry records an entry without its replies.
+// recordEntry adds an entry to the next write, without its replies: they are of use only while their clients wait.
 func (m *Machine) recordEntry(e *protocol.Entry) {
 	m.appendRecord(journal.KindEntry, &protocol.Entry{Index: e.GetIndex(), Puts: e.GetPuts(), Deletes: e.GetDeletes()})
 }
--- a/internal/control/replica/install.go
+++ b/internal/control/replica/install.go
@@ -11,36 +11,24 @@
 	"frosttide/internal/view"
 )
 
-// maxInstallRecordBytes bounds the bytes of a change of state that is appended to the file; a larger one is written as
-// a new file.
+// maxInstallRecordBytes bounds a snapshot's changes that are appended to the file as one record. For larger ones the file
+// is rewritten.
 const maxInstallRecordBytes = 1 << 20
 
-// adoptView takes an agreed view for the newest.
+// adoptView adopts an agreed view where it is newer than the one known, and starts to install its state.
 func (m *Machine) adoptView(v *protocol.View) {
 	if v.GetEpoch() <= m.Epoch() {
 		return
 	}
 	if !view.Valid(v) {
-		m.dropMessage("a view that can't be")
+		m.dropMessage("invalid view in a Decided message")
 		return
 	}
 	m.failReads()
 	m.observeNumber(v.GetEpoch())
 	m.view, m.adoptedAt, m.installProgressAt = v, m.now, m.now
-	if m.accepted.GetEpoch() < v.GetEpoch() { // agreed without this member
-		m.promised = max(m.promised, v.GetEpoch())
-		m.accepted = v
-		m.appendRecord(journal.KindAccept, &protocol.AcceptRecord{View: v})
-	}
-	if m.proposal != nil && m.proposal.number <= v.GetEpoch() {
-		m.proposal = nil
-	}
-	for _, p := range m.peers {
-		p.restarted = false
-	}
-	m.chain = chain{committed: m.chain.committed, followers: make(map[string]uint64), commitProgressAt: m.now, log: deque.Deque[*protocol.Entry]{}}
-	m.confirmations = confirmations{confirmedAt: m.now, sequence: m.confirmations.sequence}
-	m.suspectedAt, m.failedProposals, m.nextProposalAt, m.transfer.retryAfter = 0, 0, 0, 0
+	m.acceptAgreed(v)
+	m.resetForView()
 	if m.announcedHead && !m.isHead() {
 		m.announcedHead = false
 		m.actions.RoleChanges = append(m.actions.RoleChanges, RoleChange{Epoch: v.GetEpoch()})
@@ -58,22 +46,42 @@
 	m.sendHeartbeats()
 }
 
-// serveEarlySyncRequests answers the chain members that knew the view before its head did.
+// acceptAgreed accepts a view that was agreed without this member, and ends this member's proposal where it is older.
+func (m *Machine) acceptAgreed(v *protocol.View) {
+	if m.accepted.GetEpoch() < v.GetEpoch() {
+		m.promised = max(m.promised, v.GetEpoch())
+		m.accepted = v
+		m.appendRecord(journal.KindAccept, &protocol.AcceptRecord{View: v})
+	}
+	if m.proposal != nil && m.proposal.number <= v.GetEpoch() {
+		m.proposal = nil
+	}
+}
+
+// resetForView resets what holds for one view only.
+func (m *Machine) resetForView() {
+	for _, p := range m.peers {
+		p.restarted = false
+	}
+	m.chain = chain{committed: m.chain.committed, followers: make(map[string]uint64), commitProgressAt: m.now, log: deque.Deque[*protocol.Entry]{}}
+	m.confirmations = confirmations{confirmedAt: m.now, sequence: m.confirmations.sequence}
+	m.suspectedAt, m.failedProposals, m.nextProposalAt, m.transfer.retryAfter = 0, 0, 0, 0
+}
+
+// serveEarlySyncRequests serves the chain members that adopted the view before its head did. They would otherwise ask
+// again only after minSyncRetry, and nothing is committed until they have the state.
 func (m *Machine) serveEarlySyncRequests() {
 	for _, from := range slices.Sorted(maps.Keys(m.earlySyncRequests)) {
 		m.onSyncRequest(from, m.earlySyncRequests[from])
 	}
 }
 
-func (m *Machine) votesIn(v *protocol.View) bool {
-	return view.Find(v.GetVoters(), m.cfg.Self.GetId()) != nil
-}
-
-// wasHeadBeforeRestart tells whether the view may be one that this member has served as the head before its process
-// began. It has forgotten then which entries it has sent, so that it must not go on in that view.
+// wasHeadBeforeRestart reports whether this member may have served as the head of its view before the process started.
+// It no longer knows which entries it has sent, and could send others under the same indexes, so that it must not go on
+// in that view.
 func (m *Machine) wasHeadBeforeRestart() bool { return m.isHead() && m.view.GetEpoch() <= m.bootEpoch }
 
-// becomeSource makes this member's state the one that the view begins with.
+// becomeSource makes this member's state the one that the view starts with.
 func (m *Machine) becomeSource() {
 	m.installedEpoch = m.view.GetEpoch()
 	m.transfer.receivedRanges = nil
@@ -81,7 +89,8 @@
 	m.afterSync(func() { m.considerActivation() })
 }
 
-// installSnapshot takes over the state that has arrived. In the chain it is the state of the view.
+// installSnapshot replaces this member's state by the one received. For a chain member that is the state of the view;
+// a member outside the chain follows the tail from then on.
 func (m *Machine) installSnapshot(index uint64) {
 	puts, deletes := m.takeReceivedRanges()
 	m.store.Apply(puts, deletes)
@@ -99,17 +108,18 @@
 	epoch := m.Epoch()
 	m.afterSync(func() {
 		if m.Epoch() == epoch {
-			m.sendHeartbeats() // tells the head that the state is installed
+			m.sendHeartbeats() // shows the head at once that the state is installed
 		}
 	})
 	m.event("Snapshot installed", "epoch", m.Epoch(), "index", index, "puts", len(puts), "deletes", len(deletes))
 }
 
-// recordSnapshot writes a change of state at once: in one record, or as a new file where it is large.
+// recordSnapshot writes a snapshot's changes so that a crash leaves all of them or none: in one record, or as a new file
+// where they are large.
 func (m *Machine) recordSnapshot(puts []*protocol.Put, deletes []string) {
 	size := 0
 	for _, p := range puts {
-		size += len(p.GetKey()) + len(p.GetValue())
+		size += itemSize(p)
 	}
 	if size > maxInstallRecordBytes {
 		m.rewrite()
@@ -118,13 +128,17 @@
 	m.appendRecord(journal.KindInstall, &protocol.InstallRecord{Epoch: m.installedEpoch, Index: m.index, Puts: puts, Deletes: deletes})
 }
 
-// considerActivation makes the chain active once all its members hold the state.
+// itemSize returns the bytes of an item's key and value.
+func itemSize(p *protocol.Put) int { return len(p.GetKey()) + len(p.GetValue()) }
+
+// considerActivation starts to serve as the head once all members of the chain have installed the state and none of
+// them, this one included, has promised a higher number.
 func (m *Machine) considerActivation() {
 	if m.chain.active || !m.isHead() || m.wasHeadBeforeRestart() || m.disk.installedEpoch != m.Epoch() || m.promised > m.Epoch() {
 		return
 	}
 	for _, id := range m.view.GetChain()[1:] {
-		// A member that has promised a higher ballot may have told its candidate of an older state.
+		// A member that has promised a higher number may have reported an older state to its proposer.
 		p := m.peers[id]
 		if p == nil || p.lastHeartbeat.GetInstalledEpoch() != m.Epoch() || p.lastHeartbeat.GetPromised() > m.Epoch() {
 			return
@@ -138,7 +152,7 @@
 	m.announcedHead = true
 	m.actions.RoleChanges = append(m.actions.RoleChanges, RoleChange{Serving: true, Epoch: m.Epoch()})
 	m.sendHeartbeats()
-	if next := m.successor(); next != nil {
-		m.sendEntries(next.GetAddress(), m.index)
+	if successor := m.successor(); successor != nil {
+		m.sendEntries(successor.GetAddress(), m.index)
 	}
 }
--- a/internal/control/replica/machine.go
+++ b/internal/control/replica/machine.go
@@ -1,7 +1,3 @@
-// Package replica is a member of the control plane as a pure state machine: it agrees on views with
-// the other voters, replicates the store along the chain of the view, repairs members that come
-// back, and confirms its epoch for reads and leases. It holds no socket, clock or file: it is told of
-// messages, of the time and of finished disk writes, and returns what is to be done.
 package replica
 
 import (
@@ -17,147 +13,78 @@
 	"frosttide/internal/view"
 )
 
-// Timing holds the machine's periods. All count on the steady clock.
-type Timing struct {
-	HeartbeatInterval time.Duration // between heartbeats
-	SuspectTimeout    time.Duration // of silence until a member is taken for dead
-	BootstrapDelay    time.Duration // after the start in which a view may still be heard of
-	ProposalTimeout   time.Duration // after which an election round is given up
-	GatherDelay       time.Duration // after a quorum for further promises
-	InstallTimeout    time.Duration // in which members of a new chain that take its state have to get on
-	ConfirmInterval   time.Duration // between the head's confirmations
-	DiskStallTimeout  time.Duration // age of a write from which a disk counts as stalled
-	DiskSlowThreshold time.Duration // mean sync from which a disk counts as slow
-	DiskRetryInterval time.Duration // between tries to write anew after a failed write
-	ReplaceAfter      time.Duration // of a voter's silence until a newcomer takes its place
-	LostAfter         time.Duration // of a voter's silence until it leaves where the others need a smaller majority
-	ForgetAfter       time.Duration // of a voter's silence until the others go on without it
-	MinRewriteBytes   int           // bytes of the file under which it is never rewritten
-}
-
-// DefaultTiming returns the periods in use: a lost member is noticed in half a second, so that writes go
-// on within 1.5 s of it, and stalls of a processor shared with others are not taken for deaths.
-func DefaultTiming() Timing {
-	return Timing{
-		HeartbeatInterval: 100 * time.Millisecond,
-		SuspectTimeout:    500 * time.Millisecond,
-		BootstrapDelay:    250 * time.Millisecond,
-		ProposalTimeout:   700 * time.Millisecond,
-		GatherDelay:       30 * time.Millisecond,
-		InstallTimeout:    700 * time.Millisecond,
-		ConfirmInterval:   200 * time.Millisecond,
-		DiskStallTimeout:  700 * time.Millisecond,
-		DiskSlowThreshold: 80 * time.Millisecond,
-		DiskRetryInterval: 500 * time.Millisecond,
-		ReplaceAfter:      3 * time.Second,
-		LostAfter:         time.Second,
-		ForgetAfter:       20 * time.Second,
-		MinRewriteBytes:   4 << 20,
-	}
-}
-
-// Config says who a member is. Self's ID is the identity kept on its disk.
-type Config struct {
-	Self            *protocol.Member
-	Incarnation     uint64 // drawn when the process starts
-	ToleratedFaults int    // machines that may be lost at once
-	Contacts        []string
-	Seed            uint64
-	Timing          Timing
-}
-
-// Send is a message to the process at an internal address.
-type Send struct {
-	To      string
-	Message *protocol.Envelope
-}
-
-// Write is a task of the disk: bytes to append and sync, or a whole new file. Writes finish in order.
-type Write struct {
-	Sequence uint64
-	Data     []byte
-	Image    *journal.Image // of a whole new file, nil where bytes are appended
-}
-
-// RoleChange tells the application that it serves as the head, or no longer does.
-type RoleChange struct {
-	Serving bool
-	Epoch   uint64
-}
-
-// Actions is what is to be done after an event, in this order.
-type Actions struct {
-	Writes      []Write
-	Sends       []Send
-	Replies     []*protocol.Reply // of committed entries, at the tail
-	RoleChanges []RoleChange
-	ReadsReady  []uint64 // reads whose value may be told
-	ReadsFailed []uint64
-	Events      []event.Event // for the log
-}
-
-// peer is what is known of another member.
-type peer struct {
-	lastHeartbeat *protocol.Heartbeat
-	lastContact   time.Duration
-	restarted     bool // since the current view was adopted
-}
-
-// Machine is the member. It is not safe for concurrent use.
+// Machine is the state machine of one member. New makes one; it is not safe for concurrent use.
 type Machine struct {
-	cfg     Config
-	now     time.Duration
-	rng     *rand.Rand
-	actions Actions
-	store   *store.Store
-	disk    disk
-
-	promised        uint64
-	accepted        *protocol.View
-	highestNumber   uint64 // ballot heard of
+	cfg       Config
+	now       time.Duration // time of the current call, on the steady clock
+	startedAt time.Duration
+	wallMs    int64 // own time of day, in ms since 1970
+	agreedMs  int64 // time of day that the members agree on, in ms since 1970; 0 before there is one
+	rng       *rand.Rand
+	actions   Actions // gathered during the current call
+
+	// Replicated state and its copy on disk.
+	store          *store.Store
+	index          uint64 // of the last entry applied
+	durable        uint64 // index of the last entry synced to this member's disk
+	installedEpoch uint64 // newest epoch whose initial state this member holds, perhaps not yet synced
+	disk           disk
+
+	// Agreement on views (consensus.go). promised and accepted are on disk before they are announced.
+	promised        uint64         // highest proposal number promised
+	accepted        *protocol.View // newest view accepted; its epoch is never above promised
+	highestNumber   uint64         // highest proposal number observed
 	highestNumberAt time.Duration
-	failedProposals int // rounds in a row
-	proposal        *proposal
-	nextProposalAt  time.Duration // earliest next round
+	proposal        *proposal     // this member's own proposal, nil while it has none
+	failedProposals int           // abandoned in a row since the last agreed view
+	nextProposalAt  time.Duration // earliest start of the next proposal
+	suspectedAt     time.Duration // since when a quorum has agreed on the head's loss, 0 while none does
 
-	view              *protocol.View // newest agreed view, nil before any is known
+	// The newest agreed view and this member's part in it.
+	view              *protocol.View // nil before any is known
 	adoptedAt         time.Duration
-	installProgressAt time.Duration // when a member of the newest view's chain was last seen to get on with its state
-	bootEpoch         uint64        // accepted before the process began
-	installedEpoch    uint64
-	index             uint64
-	durable           uint64 // last entry that is synced here
-
+	bootEpoch         uint64        // epoch of the view accepted before the process started
+	installProgressAt time.Duration // when a chain member last made progress in installing the state of the view
+	announcedHead     bool          // the application has been told that this member serves as the head
 	chain             chain
 	transfer          transfer
 	confirmations     confirmations
-	peers             map[uint64]*peer
-	joiners           map[uint64]*joiner
-	earlySyncRequests map[string]*protocol.SyncRequest // for views that have not reached this member yet, by sender
-	startedAt         time.Duration
-	nextHeartbeat     time.Duration // next heartbeat
-	suspectedAt       time.Duration // since when the head has been suspected, 0 while it is not
-	draining          bool
-	droppedMessages   uint64        // messages that could not be
-	nextDropEvent     time.Duration // when the next of them is noted in the log
-	announcedHead     bool          // the application has been told that the member serves as the head
-	wallMs            int64         // own time of day, ms from 1970
-	agreedMs          int64         // the time of day that the members agree on, 0 before there is one
+	earlySyncRequests map[string]*protocol.SyncRequest // for epochs that this member has not adopted yet, by sender
+
+	// Other members, and this member's own announcements to them.
+	peers         map[uint64]*peer
+	joiners       map[uint64]*joiner
+	nextHeartbeat time.Duration
+	draining      bool // the process is about to end
+
+	droppedMessages uint64        // invalid messages since the start
+	nextDropEvent   time.Duration // earliest time of the next log event about them
 }
 
-// New returns a member with the state of its disk.
+// New returns a member with the state that its disk holds. Begin has to be called first.
 func New(cfg Config, now time.Duration, state journal.State) *Machine {
 	return &Machine{
-		cfg: cfg, now: now, startedAt: now, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Self.GetId())), store: state.Store,
-		promised: state.Promised, accepted: state.Accepted, highestNumber: max(state.Promised, state.Accepted.GetEpoch()),
-		bootEpoch: state.Accepted.GetEpoch(), installedEpoch: state.InstalledEpoch, index: state.Index, durable: state.Index,
-		disk:  disk{installedEpoch: state.InstalledEpoch},
-		peers: make(map[uint64]*peer), joiners: make(map[uint64]*joiner), earlySyncRequests: make(map[string]*protocol.SyncRequest),
+		cfg:               cfg,
+		now:               now,
+		startedAt:         now,
+		rng:               rand.New(rand.NewPCG(cfg.Seed, cfg.Self.GetId())),
+		store:             state.Store,
+		index:             state.Index,
+		durable:           state.Index,
+		installedEpoch:    state.InstalledEpoch,
+		disk:              disk{installedEpoch: state.InstalledEpoch},
+		promised:          state.Promised,
+		accepted:          state.Accepted,
+		highestNumber:     max(state.Promised, state.Accepted.GetEpoch()),
+		bootEpoch:         state.Accepted.GetEpoch(),
+		earlySyncRequests: make(map[string]*protocol.SyncRequest),
+		peers:             make(map[uint64]*peer),
+		joiners:           make(map[uint64]*joiner),
 	}
 }
 
-// FoundingState returns the state of a founder that starts with an empty disk: view 0 with all founders as
-// its voters. Every founder makes the same one.
+// FoundingState returns the state of a founder that starts with an empty disk: epoch 0 with all founders as voters and
+// no chain. All founders have to be given the same list.
 func FoundingState(self *protocol.Member, founders []*protocol.Member) journal.State {
 	return journal.State{
 		ID: self.GetId(), Founder: true, Store: store.New(),
@@ -165,93 +92,15 @@
 	}
 }
 
-// Begin writes the state a member begins with, so that its identity is on disk before it says anything.
+// Begin writes the initial state to a new file, so that the member's identity is on disk before it sends anything.
 func (m *Machine) Begin(now time.Duration) Actions {
 	m.now = now
 	m.rewrite()
 	return m.takeActions()
 }
 
-// takeActions returns the actions gathered since the last call.
-func (m *Machine) takeActions() Actions {
-	m.flush()
-	out := m.actions
-	m.actions = Actions{}
-	return out
-}
-
-// Epoch returns the epoch of the newest agreed view that the member knows, 0 before any.
-func (m *Machine) Epoch() uint64 { return m.view.GetEpoch() }
-
-// View returns the newest agreed view, nil before any is known. It is not changed by the caller.
-func (m *Machine) View() *protocol.View { return m.view }
-
-// Index returns the number of the last entry that the member holds.
-func (m *Machine) Index() uint64 { return m.index }
-
-// Committed returns the number of the last entry that every chain member is known to have synced.
-func (m *Machine) Committed() uint64 { return m.chain.committed }
-
-// Store returns the member's state. Only entries change it.
-func (m *Machine) Store() *store.Store { return m.store }
-
-// Serving tells whether the member is the head of an active chain.
-func (m *Machine) Serving() bool { return m.chain.active && m.isHead() }
-
-// SetContacts replaces the processes that are asked while no view is known.
-func (m *Machine) SetContacts(contacts []string) {
-	if len(contacts) > 0 {
-		m.cfg.Contacts = contacts
-	}
-}
-
-// Drain has the others do without the member, whose process is about to end.
-func (m *Machine) Drain(now time.Duration) Actions {
-	m.now = now
-	m.draining = true
-	m.sendHeartbeats()
-	return m.takeActions()
-}
-
-// Drained tells whether the others have all that this member has: a view without it in the chain is in force, whose
-// members have all installed its state.
-func (m *Machine) Drained() bool {
-	if m.view == nil {
-		return true
-	}
-	head := m.peers[view.Head(m.view)]
-	return m.chainPosition() < 0 && head != nil && head.lastHeartbeat.GetServing() && head.lastHeartbeat.GetEpoch() >= m.Epoch()
-}
-
-// Status is what an operator may want to know of a member.
-type Status struct {
-	View            *protocol.View   `json:"view"`
-	Self            uint64           `json:"self"`
-	Promised        uint64           `json:"promised"`
-	InstalledEpoch  uint64           `json:"installed_epoch"`
-	Index           uint64           `json:"index"`
-	Durable         uint64           `json:"durable"`
-	Committed       uint64           `json:"committed"`
-	Serving         bool             `json:"serving"`
-	Following       bool             `json:"following"` // outside the chain: its state follows the tail's
-	DiskFailed      bool             `json:"disk_failed"`
-	DiskLagMs       int64            `json:"disk_lag_ms"`
-	DroppedMessages uint64           `json:"dropped"`   // messages that could not be, since the start
-	SinceContactMs  map[uint64]int64 `json:"silent_ms"` // for how long the other members have been silent
-}
-
-// Status returns the member's state.
-func (m *Machine) Status() Status {
-	s := Status{View: m.view, Self: m.cfg.Self.GetId(), Promised: m.promised, InstalledEpoch: m.installedEpoch, Index: m.index, Durable: m.durable,
-		Committed: m.chain.committed, Serving: m.Serving(), DiskFailed: m.disk.failed, Following: m.chain.following, DroppedMessages: m.droppedMessages,
-		DiskLagMs: m.disk.lag(m.now).Milliseconds(), SinceContactMs: make(map[uint64]int64)}
-	for id, p := range m.peers {
-		s.SinceContactMs[id] = (m.now - p.lastContact).Milliseconds()
-	}
-	return s
-}
-
-// Receive handles a message from the process at an address.
+// Receive handles a message from the process at an internal address. Messages may be lost, delayed, duplicated and
+// reordered; what is outdated or invalid has no effect.
 func (m *Machine) Receive(now time.Duration, from string, envelope *protocol.Envelope) Actions {
 	m.now = now
 	switch body := envelope.GetBody().(type) {
@@ -285,31 +134,101 @@
 	return m.takeActions()
 }
 
-// Tick lets time pass; wall is this member's time of day and agreed the one that the members agree on, 0 before
-// there is one, in ms from 1970. The machine passes both on and goes by neither.
-func (m *Machine) Tick(now time.Duration, wall, agreed int64) Actions {
-	m.now, m.wallMs, m.agreedMs = now, wall, agreed
+// Tick advances the time. wallMs is this member's time of day and agreedMs the one that the members agree on, 0 before
+// there is one, both in ms since 1970. The machine puts both into its heartbeats and bases nothing else on them.
+func (m *Machine) Tick(now time.Duration, wallMs, agreedMs int64) Actions {
+	m.now, m.wallMs, m.agreedMs = now, wallMs, agreedMs
 	m.tickDisk()
 	if now >= m.nextHeartbeat {
 		m.sendHeartbeats()
 	}
 	m.tickChain()
-	m.tickConfirms()
-	m.expireProposal()
+	m.tickConfirmations()
+	m.tickProposal()
 	m.considerProposal()
 	m.forgetPeers()
 	return m.takeActions()
 }
 
+// Drain announces that the process is about to end, so that the others move its duties elsewhere. The owner keeps the
+// member running until Drained or its own time-out.
+func (m *Machine) Drain(now time.Duration) Actions {
+	m.now = now
+	m.draining = true
+	m.sendHeartbeats()
+	return m.takeActions()
+}
+
+// Drained reports whether the others hold everything that this member holds: a head serves a view without this member in
+// the chain, which it does only once all members of that chain have installed the state.
+func (m *Machine) Drained() bool {
+	if m.view == nil {
+		return true
+	}
+	head := m.peers[view.Head(m.view)]
+	return m.chainPosition() < 0 && head != nil && head.lastHeartbeat.GetServing() && head.lastHeartbeat.GetEpoch() >= m.Epoch()
+}
+
+// SetContacts replaces the addresses that get heartbeats while no view is known. An empty list is ignored.
+func (m *Machine) SetContacts(contacts []string) {
+	if len(contacts) > 0 {
+		m.cfg.Contacts = contacts
+	}
+}
+
+// Epoch returns the epoch of the newest agreed view that the member knows, 0 before any.
+func (m *Machine) Epoch() uint64 { return m.view.GetEpoch() }
+
+// View returns the newest agreed view, nil before any is known. The caller must not modify it.
+func (m *Machine) View() *protocol.View { return m.view }
+
+// Index returns the index of the last entry that the member holds.
+func (m *Machine) Index() uint64 { return m.index }
+
+// Committed returns the index of the last entry that every chain member is known to have synced.
+func (m *Machine) Committed() uint64 { return m.chain.committed }
+
+// Store returns the member's replicated state. The caller must not modify it: only entries do.
+func (m *Machine) Store() *store.Store { return m.store }
+
+// Serving reports whether the member is the head of an active chain.
+func (m *Machine) Serving() bool { return m.chain.active && m.isHead() }
+
+// takeActions returns the actions gathered during the current call. The records gathered become one write, so that a
+// call causes at most one sync beside a rewrite.
+func (m *Machine) takeActions() Actions {
+	m.flush()
+	out := m.actions
+	m.actions = Actions{}
+	return out
+}
+
 // send queues a message.
 func (m *Machine) send(to string, e *protocol.Envelope) {
 	m.actions.Sends = append(m.actions.Sends, Send{To: to, Message: e})
 }
 
-// dropEventInterval is how often messages that could not be are told of in the log.
+// broadcast sends a message to members other than this one, once to each address: a machine that has lost its disk may
+// be listed twice, with its old identity and its new one.
+func (m *Machine) broadcast(members []*protocol.Member, e *protocol.Envelope) {
+	sent := map[string]bool{m.cfg.Self.GetAddress(): true}
+	for _, other := range members {
+		if !sent[other.GetAddress()] {
+			sent[other.GetAddress()] = true
+			m.send(other.GetAddress(), e)
+		}
+	}
+}
+
+// event queues an event for the log.
+func (m *Machine) event(message string, keysAndValues ...any) {
+	m.actions.Events = append(m.actions.Events, event.New(message, keysAndValues...))
+}
+
+// dropEventInterval is the minimum time between log events about invalid messages.
 const dropEventInterval = 10 * time.Second
 
-// dropMessage counts a message that could not be.
+// dropMessage counts an invalid message.
 func (m *Machine) dropMessage(reason string) {
 	m.droppedMessages++
 	if m.now >= m.nextDropEvent {
@@ -318,26 +237,32 @@
 	}
 }
 
-// event queues a line for the log.
-func (m *Machine) event(message string, keysAndValues ...any) {
-	m.actions.Events = append(m.actions.Events, event.New(message, keysAndValues...))
-}
+// selfID returns the member's identity.
+func (m *Machine) selfID() uint64 { return m.cfg.Self.GetId() }
 
-// isVoter tells whether the member votes, by the newest view that it accepted.
+// isVoter reports whether the member votes, by the newest view that it has accepted.
 func (m *Machine) isVoter() bool {
-	return m.accepted != nil && view.Find(view.Electorate(m.accepted), m.cfg.Self.GetId()) != nil
+	return m.accepted != nil && view.Find(view.Electorate(m.accepted), m.selfID()) != nil
 }
 
-// isHead tells whether the member is the head of the newest agreed view.
-func (m *Machine) isHead() bool { return m.view != nil && view.Head(m.view) == m.cfg.Self.GetId() }
+// votesIn reports whether the member is a voter of a view, not counting the voters before a change.
+func (m *Machine) votesIn(v *protocol.View) bool {
+	return view.Find(v.GetVoters(), m.selfID()) != nil
+}
+
+// isHead reports whether the member is the head of the newest agreed view, serving or not.
+func (m *Machine) isHead() bool { return m.view != nil && view.Head(m.view) == m.selfID() }
+
+// isTail reports whether the member is the tail of the newest agreed view.
+func (m *Machine) isTail() bool { return m.view != nil && view.Tail(m.view) == m.selfID() }
 
-// chainPosition returns the member's place in the chain, -1 outside of it.
+// chainPosition returns the member's position in the chain, from 0 at the head, and -1 outside the chain.
 func (m *Machine) chainPosition() int {
 	if m.view == nil {
 		return -1
 	}
-	return view.ChainPosition(m.view, m.cfg.Self.GetId())
+	return view.ChainPosition(m.view, m.selfID())
 }
 
-// cloneView copies a message, as those that were sent belong to their receivers.
+// cloneView copies a view before it is changed: messages already sent refer to the original.
 func cloneView(v *protocol.View) *protocol.View { return proto.Clone(v).(*protocol.View) }
--- a/internal/control/replica/membership.go
+++ b/internal/control/replica/membership.go
@@ -9,32 +9,54 @@
 	"frosttide/internal/view"
 )
 
-// joiner is a member that asks to become a voter.
+// joiner is a member that asks to become a voter by its heartbeats.
 type joiner struct {
 	member      *protocol.Member
 	lastContact time.Duration
-	ready       bool // its state follows the tail's
+	ready       bool // its state follows the tail's, so that it counts as soon as it votes
 }
 
-// considerJoiner notes a member that is no voter yet.
+// considerJoiner records at the head a member that is no voter yet.
 func (m *Machine) considerJoiner(h *protocol.Heartbeat) {
 	id := h.GetMember().GetId()
-	if view.Find(view.Electorate(m.accepted), id) != nil {
-		delete(m.joiners, id)
-		return
-	}
-	if h.GetLeaving() {
+	if view.Find(view.Electorate(m.accepted), id) != nil || h.GetLeaving() {
 		delete(m.joiners, id)
 		return
 	}
 	m.joiners[id] = &joiner{member: h.GetMember(), lastContact: m.now, ready: h.GetFollowing() && h.GetEpoch() == m.Epoch()}
 }
 
-// nextVoterChange returns the change of the voters that is due, if any: members that have taken the state
-// join, in place of the one whose address they have, or of one that has long been silent; and voters that are
-// lost leave where the others would not bear the losses that are to be borne.
+// minVoters returns how many voters are needed to tolerate the faults configured.
+func (m *Machine) minVoters() int { return 2*m.cfg.ToleratedFaults + 1 }
+
+// nextVoterChange returns the change of the voters that the head should propose, empty where there is none. Joiners
+// that are ready are added, each in the place of the voter at its address or else of one that has long been out of
+// contact. Lost voters are removed where the living ones could not tolerate the faults configured, and one that has been
+// out of contact for ForgetAfter is removed in any case while enough are left.
 func (m *Machine) nextVoterChange() view.Change {
-	e := &electorateChange{machine: m, removed: make(map[uint64]bool)}
+	c := &voterChange{machine: m, removed: make(map[uint64]bool)}
+	c.addJoiners()
+	c.removeLostVoters()
+	if !c.change.Empty() {
+		return c.change
+	}
+	if absent := m.longestAbsent(nil, m.cfg.Timing.ForgetAfter); absent != 0 && c.size() > m.minVoters() {
+		c.remove(absent)
+	}
+	return c.change
+}
+
+// voterChange assembles a change of the voters.
+type voterChange struct {
+	machine *Machine
+	change  view.Change
+	removed map[uint64]bool
+}
+
+// addJoiners adds the joiners that are ready and removes the voters that they replace. Joiners out of contact are
+// forgotten.
+func (c *voterChange) addJoiners() {
+	m := c.machine
 	for _, id := range slices.Sorted(maps.Keys(m.joiners)) {
 		j := m.joiners[id]
 		if m.now-j.lastContact > m.cfg.Timing.SuspectTimeout {
@@ -44,82 +66,65 @@
 		if !j.ready {
 			continue
 		}
-		e.change.Add = append(e.change.Add, j.member)
-		if old := m.voterByAddress(j.member.GetAddress()); old != 0 {
-			e.remove(old)
-		} else if absent := m.longestAbsent(e.removed, m.cfg.Timing.ReplaceAfter); absent != 0 {
-			e.remove(absent)
+		c.change.Add = append(c.change.Add, j.member)
+		if replaced := m.voterByAddress(j.member.GetAddress()); replaced != 0 {
+			c.remove(replaced)
+		} else if absent := m.longestAbsent(c.removed, m.cfg.Timing.ReplaceAfter); absent != 0 {
+			c.remove(absent)
 		}
 	}
-	e.removeLostVoters()
-	if !e.change.Empty() {
-		return e.change
-	}
-	if absent := m.longestAbsent(nil, m.cfg.Timing.ForgetAfter); absent != 0 && e.size() > m.minVoters() {
-		e.remove(absent)
-	}
-	return e.change
-}
-
-// minVoters returns how many voters bear the losses that are to be borne.
-func (m *Machine) minVoters() int { return 2*m.cfg.ToleratedFaults + 1 }
-
-// electorateChange is a change of the voters that is being put together.
-type electorateChange struct {
-	machine *Machine
-	change  view.Change
-	removed map[uint64]bool
 }
 
-func (e *electorateChange) remove(id uint64) {
-	if !e.removed[id] && id != e.machine.cfg.Self.GetId() {
-		e.removed[id] = true
-		e.change.Remove = append(e.change.Remove, id)
+// remove removes a voter, unless it is this member or removed already.
+func (c *voterChange) remove(id uint64) {
+	if !c.removed[id] && id != c.machine.selfID() {
+		c.removed[id] = true
+		c.change.Remove = append(c.change.Remove, id)
 	}
 }
 
-// size returns how many voters there are after the change.
-func (e *electorateChange) size() int {
-	return len(e.machine.view.GetVoters()) + len(e.change.Add) - len(e.change.Remove)
+// size returns the number of voters after the change.
+func (c *voterChange) size() int {
+	return len(c.machine.view.GetVoters()) + len(c.change.Add) - len(c.change.Remove)
 }
 
-// aliveCount returns how many voters are heard of after the change.
-func (e *electorateChange) aliveCount() int {
-	count := len(e.change.Add)
-	for _, v := range e.machine.view.GetVoters() {
-		if !e.removed[v.GetId()] && e.machine.alive(v.GetId()) {
+// aliveCount returns the number of living voters after the change.
+func (c *voterChange) aliveCount() int {
+	count := len(c.change.Add)
+	for _, v := range c.machine.view.GetVoters() {
+		if !c.removed[v.GetId()] && c.machine.alive(v.GetId()) {
 			count++
 		}
 	}
 	return count
 }
 
-// removeLostVoters removes voters that are lost as long as the living ones would have no majority after the losses
-// that are to be borne. A machine that was replaced for good is one of them: its successor's vote alone makes the
-// majority larger.
-func (e *electorateChange) removeLostVoters() {
-	m := e.machine
-	for e.aliveCount()-m.cfg.ToleratedFaults < view.Majority(e.size()) && e.size() > m.minVoters() {
-		lost := e.lostVoter()
+// removeLostVoters removes lost voters while the living ones would have no majority after the tolerated number of
+// further faults. A machine that was replaced for good is one of them: its successor's vote alone only makes the majority
+// larger.
+func (c *voterChange) removeLostVoters() {
+	m := c.machine
+	for c.aliveCount()-m.cfg.ToleratedFaults < view.Majority(c.size()) && c.size() > m.minVoters() {
+		lost := c.lostVoter()
 		if lost == 0 {
 			return
 		}
-		e.remove(lost)
+		c.remove(lost)
 	}
 }
 
-// lostVoter returns a voter that is about to end or has been silent for a time, 0 if there is none.
-func (e *electorateChange) lostVoter() uint64 {
-	m := e.machine
+// lostVoter returns a voter that is about to end or has been out of contact for LostAfter, 0 where there is none.
+func (c *voterChange) lostVoter() uint64 {
+	m := c.machine
 	for _, v := range m.view.GetVoters() {
-		if p := m.peers[v.GetId()]; p != nil && p.lastHeartbeat.GetLeaving() && !e.removed[v.GetId()] {
+		if p := m.peers[v.GetId()]; p != nil && p.lastHeartbeat.GetLeaving() && !c.removed[v.GetId()] {
 			return v.GetId()
 		}
 	}
-	return m.longestAbsent(e.removed, m.cfg.Timing.LostAfter)
+	return m.longestAbsent(c.removed, m.cfg.Timing.LostAfter)
 }
 
-// voterByAddress returns the voter with an address, 0 if there is none.
+// voterByAddress returns the voter with an address, 0 where there is none.
 func (m *Machine) voterByAddress(address string) uint64 {
 	for _, v := range m.view.GetVoters() {
 		if v.GetAddress() == address {
@@ -129,11 +134,11 @@
 	return 0
 }
 
-// longestAbsent returns the voter that has been silent for longest and at least for a time, 0 if there
-// is none.
+// longestAbsent returns the voter that has been out of contact for longest, and for at least a minimum time, 0 where
+// there is none. A voter that was never in contact counts from this member's start.
 func (m *Machine) longestAbsent(excluded map[uint64]bool, minAbsence time.Duration) (id uint64) {
 	for _, v := range m.view.GetVoters() {
-		if v.GetId() == m.cfg.Self.GetId() || excluded[v.GetId()] {
+		if v.GetId() == m.selfID() || excluded[v.GetId()] {
 			continue
 		}
 		lastContact := m.startedAt
--- a/internal/control/replica/transfer.go
+++ b/internal/control/replica/transfer.go
@@ -8,60 +8,51 @@
 	"frosttide/internal/view"
 )
 
-// transfer is how a member takes the state of another. It tells the digests of what it holds, gets a window of
-// the ranges that differ in numbered pieces, keeps each piece that arrives, and asks again for what still
-// differs. The state is installed at once, when the digest of what is held equals that of the source's whole
-// state. What has arrived outlives views and sources: digests alone decide whether it still fits.
-type transfer struct {
-	sequence       uint64        // of the newest request
-	requestedAt    time.Duration // when it was sent
-	lastActivity   time.Duration // when it was sent, or the newest piece arrived
-	retryAfter     time.Duration // without a piece until it is sent again
-	window         int           // bytes asked for at once
-	arrivedChunks  map[uint32]bool
-	receivedRanges map[uint32]receivedRange
-	progress       uint64 // rises with each piece that brings something and each finished write
-}
-
-// receivedRange is a range as a source has it.
-type receivedRange struct {
-	epoch  uint64
-	index  uint64 // of the source's state
-	digest uint64
-	items  []*protocol.Put
-}
-
 const (
-	// minSyncRetry is how long a member waits for a piece of the state until it asks again, at first; the wait
-	// doubles up to syncRetryMost with each request that brings nothing.
+	// minSyncRetry and maxSyncRetry bound how long a member waits for a chunk until it sends its request again; the time
+	// doubles with each request that brings nothing.
 	minSyncRetry = 250 * time.Millisecond
 	maxSyncRetry = 500 * time.Millisecond
-	// maxChunkBytes bounds the bytes of one piece, unless one range is larger.
+	// maxChunkBytes bounds the items of one chunk, unless a single key range is larger.
 	maxChunkBytes = 32 << 10
-	// The window is doubled where it arrives within windowFast and halved where it takes longer than
-	// windowSlow, so that what else uses the link, heartbeats above all, waits no longer than that.
+	// The window, in bytes, is doubled where all of it arrives within growWindowBelow and halved where it takes longer than
+	// shrinkWindowAbove, so that other messages on the link, heartbeats above all, are not delayed by more than that.
 	minWindow         = 32 << 10
 	initialWindow     = 64 << 10
 	maxWindow         = 1 << 20
 	growWindowBelow   = 60 * time.Millisecond
 	shrinkWindowAbove = 160 * time.Millisecond
-	// followTimeout is how long the tail may send nothing until a member outside the chain asks it anew.
+	// followTimeout is the time without a message from the tail after which a follower requests the state again.
 	followTimeout = time.Second
 )
 
-// requestSync asks the head, or outside the chain the tail, for what differs from what is held.
-func (m *Machine) requestSync() {
-	t := &m.transfer
-	t.sequence++
-	t.requestedAt, t.lastActivity, t.arrivedChunks = m.now, m.now, make(map[uint32]bool)
-	if t.window == 0 {
-		t.window = initialWindow
-	}
-	m.send(m.source().GetAddress(), &protocol.Envelope{Body: &protocol.Envelope_SyncRequest{SyncRequest: &protocol.SyncRequest{
-		Epoch: m.Epoch(), Digests: m.digestsWithReceived(), Round: t.sequence, Install: m.chainPosition() >= 0, Member: m.cfg.Self.GetId(), Window: uint32(t.window)}}})
+// transfer is how a member fetches the state of another, its source.
+//
+// A request carries the digests of the key ranges that the member holds; the source replies with a window of the ranges
+// that differ, in numbered chunks. The member keeps the ranges of each chunk and requests what still differs. It installs
+// them all at once as a snapshot when the digest of what it holds equals that of the source's complete state. Received
+// ranges outlive views and sources, as digests alone decide whether they still fit: a transfer over a slow link goes on
+// where it was when the head changes.
+type transfer struct {
+	sequence       uint64                   // of the newest request
+	requestedAt    time.Duration            // when it was sent
+	lastActivity   time.Duration            // when it was sent, or the newest chunk arrived
+	retryAfter     time.Duration            // time without a chunk until it is sent again, at least minSyncRetry
+	window         int                      // bytes requested at once
+	arrivedChunks  map[uint32]bool          // chunks of the newest reply, by number
+	receivedRanges map[uint32]receivedRange // ranges to be installed, by number
+	progress       uint64                   // rises with each chunk that brings something new and each finished write
 }
 
-// source returns the member whose state this one takes.
+// receivedRange is the content of a key range at a source.
+type receivedRange struct {
+	epoch  uint64
+	index  uint64 // of the source's state
+	digest uint64
+	items  []*protocol.Put
+}
+
+// source returns the member whose state this one fetches: the head for a chain member, the tail for others.
 func (m *Machine) source() *protocol.Member {
 	id := view.Head(m.view)
 	if m.chainPosition() < 0 {
@@ -70,7 +61,34 @@
 	return view.Find(m.view.GetVoters(), id)
 }
 
-// digestsWithReceived returns the digests of the member's state with all that has arrived.
+// needsState reports whether the member has to fetch a state: a chain member that of the view, a member outside the chain
+// that of the tail.
+func (m *Machine) needsState() bool {
+	if m.chainPosition() >= 0 {
+		return m.chainPosition() > 0 && m.installedEpoch != m.Epoch()
+	}
+	return !m.chain.following && (m.votesIn(m.view) || !m.isVoter())
+}
+
+// requestSync requests the key ranges that differ from those held or received.
+func (m *Machine) requestSync() {
+	t := &m.transfer
+	t.sequence++
+	t.requestedAt, t.lastActivity, t.arrivedChunks = m.now, m.now, make(map[uint32]bool)
+	if t.window == 0 {
+		t.window = initialWindow
+	}
+	m.send(m.source().GetAddress(), &protocol.Envelope{Body: &protocol.Envelope_SyncRequest{SyncRequest: &protocol.SyncRequest{
+		Epoch:   m.Epoch(),
+		Digests: m.digestsWithReceived(),
+		Round:   t.sequence,
+		Install: m.chainPosition() >= 0,
+		Member:  m.selfID(),
+		Window:  uint32(t.window),
+	}}})
+}
+
+// digestsWithReceived returns the digests that the member's state would have with the received ranges installed.
 func (m *Machine) digestsWithReceived() []uint64 {
 	digests := m.store.Digests()
 	for keyRange, r := range m.transfer.receivedRanges {
@@ -79,19 +97,10 @@
 	return digests
 }
 
-// needsState tells whether the member has to take a state: as a chain member that of the view, outside the
-// chain that of the tail.
-func (m *Machine) needsState() bool {
-	if m.chainPosition() >= 0 {
-		return m.chainPosition() > 0 && m.installedEpoch != m.Epoch()
-	}
-	return !m.chain.following && (m.votesIn(m.view) || !m.isVoter())
-}
-
-// tickSync asks again where no piece has come for a while.
+// tickSync sends the request again where no chunk has arrived for a while, with a smaller window.
 func (m *Machine) tickSync() {
 	if m.chain.following && m.now-m.chain.lastTailContact > followTimeout {
-		m.chain.following = false // the tail does not know that this member follows it
+		m.chain.following = false // the tail no longer counts this member among its followers
 	}
 	t := &m.transfer
 	if !m.needsState() || m.now-t.lastActivity <= max(t.retryAfter, minSyncRetry) {
@@ -102,6 +111,8 @@
 	m.requestSync()
 }
 
+// onSyncRequest serves a request for state: as the head those of chain members, until all have installed the state of the
+// view, and as the tail of an active chain those of members outside. One who then holds the tail's state follows it.
 func (m *Machine) onSyncRequest(from string, r *protocol.SyncRequest) {
 	if r.GetEpoch() > m.Epoch() {
 		m.earlySyncRequests[from] = r // the agreed view is still on its way to this member
@@ -111,45 +122,52 @@
 		return
 	}
 	if r.GetInstall() != (m.isHead() && !m.chain.active) || !r.GetInstall() && (!m.isTail() || !m.chain.active) {
-		return // a chain member that lost its state again needs another view
+		return // a chain member that has lost its state since it installed it needs another view
 	}
-	if complete := m.sendState(from, r); complete && !r.GetInstall() {
+	chunks, complete := m.chunksFor(r)
+	m.sendChunks(from, r, chunks)
+	if complete && !r.GetInstall() {
 		m.chain.followers[from] = m.index
 	}
 }
 
-// sendState sends the items of the ranges that differ, up to the window that was asked for, in pieces. It
-// returns whether those are all that differ.
-func (m *Machine) sendState(to string, r *protocol.SyncRequest) (complete bool) {
+// chunksFor returns the key ranges that a requester lacks, in chunks and up to the window requested, and whether those are
+// all that it lacks. There is at least one chunk, which may be empty.
+func (m *Machine) chunksFor(r *protocol.SyncRequest) (chunks []*protocol.SyncReply, complete bool) {
 	window := min(max(int(r.GetWindow()), minWindow), maxWindow)
-	chunks := []*protocol.SyncReply{{}}
+	chunk := &protocol.SyncReply{}
+	chunks = append(chunks, chunk)
 	size, total := 0, 0
-	complete = true
 	for _, keyRange := range m.store.DifferingRanges(r.GetDigests()) {
 		if total >= window {
-			complete = false
-			break
+			return chunks, false
 		}
 		if size >= maxChunkBytes {
-			chunks, size = append(chunks, &protocol.SyncReply{}), 0
+			chunk, size = &protocol.SyncReply{}, 0
+			chunks = append(chunks, chunk)
 		}
-		chunk := chunks[len(chunks)-1]
 		chunk.Ranges = append(chunk.Ranges, keyRange)
 		for _, item := range m.store.ItemsInRange(keyRange) {
 			chunk.Items = append(chunk.Items, item)
-			size += len(item.GetKey()) + len(item.GetValue())
-			total += len(item.GetKey()) + len(item.GetValue())
+			size += itemSize(item)
+			total += itemSize(item)
 		}
 	}
+	return chunks, true
+}
+
+// sendChunks sends the chunks of a reply. Each carries the digest of the complete state.
+func (m *Machine) sendChunks(to string, r *protocol.SyncRequest, chunks []*protocol.SyncReply) {
 	digest := store.CombineDigests(m.store.Digests())
 	for i, chunk := range chunks {
 		chunk.Epoch, chunk.Round, chunk.Index = r.GetEpoch(), r.GetRound(), m.index
 		chunk.Number, chunk.Count, chunk.Digest = uint32(i), uint32(len(chunks)), digest
 		m.send(to, &protocol.Envelope{Body: &protocol.Envelope_SyncReply{SyncReply: chunk}})
 	}
-	return complete
 }
 
+// onSyncReply keeps the key ranges of a chunk. It installs the snapshot once it is complete, and requests more once all
+// chunks of the newest reply have arrived.
 func (m *Machine) onSyncReply(from string, r *protocol.SyncReply) {
 	if m.view == nil || r.GetEpoch() != m.Epoch() || !m.needsState() || m.source().GetAddress() != from {
 		return
@@ -174,18 +192,24 @@
 	if len(t.arrivedChunks) < int(r.GetCount()) {
 		return
 	}
-	switch elapsed := m.now - t.requestedAt; {
+	t.adjustWindow(m.now - t.requestedAt)
+	if m.promised <= m.Epoch() || len(r.GetRanges()) > 0 {
+		m.requestSync()
+	}
+}
+
+// adjustWindow adapts the window to the time that the last one took to arrive.
+func (t *transfer) adjustWindow(elapsed time.Duration) {
+	switch {
 	case elapsed < growWindowBelow:
 		t.window = min(2*t.window, maxWindow)
 	case elapsed > shrinkWindowAbove:
 		t.window = max(t.window/2, minWindow)
 	}
-	if m.promised <= m.Epoch() || len(r.GetRanges()) > 0 {
-		m.requestSync()
-	}
 }
 
-// receiveChunk keeps the ranges of a piece and tells whether they bring anything new.
+// receiveChunk keeps the key ranges of a chunk, unless a newer state of the same epoch has them, and reports whether any
+// of them is new.
 func (m *Machine) receiveChunk(r *protocol.SyncReply) (progressed bool) {
 	if m.transfer.receivedRanges == nil {
 		m.transfer.receivedRanges = make(map[uint32]receivedRange)
@@ -206,7 +230,7 @@
 	return progressed
 }
 
-// takeReceivedRanges returns the writes that make the store what has arrived, and forgets that.
+// takeReceivedRanges returns the writes that install the received ranges in the store, and removes the ranges.
 func (m *Machine) takeReceivedRanges() (puts []*protocol.Put, deletes []string) {
 	var ranges []uint32
 	var items []*protocol.Put
@@ -216,6 +240,6 @@
 		}
 	}
 	m.transfer.receivedRanges = nil
-	m.transfer.sequence++ // what is still on its way is of no use
+	m.transfer.sequence++ // chunks still on their way belong to a request that is done
 	return m.store.Repair(ranges, items)
 }
