--- a/internal/control/placement/headroom.go
+++ b/internal/control/placement/headroom.go
@@ -5,27 +5,29 @@
 	"time"
 )
 
-// Headroom keeps room for work that goes before other work. For each priority it remembers how much was
-// wanted at once, the more faintly the longer ago; work of a lower priority leaves that much free of what
-// is not in use already. So urgent tasks, which are short, seldom find every runner filled for seconds.
+// headroomDecay is the time in which a remembered peak falls to 1/e: a few waves of interactive users long, as their
+// demand in the near past predicts that of the near future.
+const headroomDecay = 12 * time.Second
+
+// Headroom tells how much capacity of a service is to stay free for more urgent work. For each priority it remembers
+// the peak of what was running and waiting at once, which decays with time; work of lower priority leaves free what is
+// missing to that peak. So urgent tasks, which are short, seldom find all runners busy for seconds. It is not safe for
+// concurrent use.
 type Headroom struct {
-	peaks map[int]*peak // by priority
+	peaks map[int]*peak // by priority; lower numbers are more urgent
 }
 
+// peak is the remembered demand of a priority.
 type peak struct {
-	cpu, mem, gpus float64
+	cpu, mem, gpus float64 // as of observedAt
 	observedAt     time.Duration
-	running        Resources
+	running        Resources // at observedAt
 }
 
-// headroomDecay is the time in which a remembered peak falls to 1/e: some waves of users long, as the
-// demand of the near past says most of the near future.
-const headroomDecay = 12 * time.Second
-
-// NewHeadroom returns a reserve that remembers nothing.
+// NewHeadroom returns a headroom that remembers no demand.
 func NewHeadroom() *Headroom { return &Headroom{peaks: make(map[int]*peak)} }
 
-// Observe notes what a priority's tasks hold and wait for.
+// Observe records what the tasks of a priority use and wait for now.
 func (h *Headroom) Observe(priority int, running, waiting Resources, now time.Duration) {
 	p := h.peaks[priority]
 	if p == nil {
@@ -40,13 +42,13 @@
 	p.running = running
 }
 
-// Required returns how much has to stay free of a service when work of a priority is placed.
+// Required returns how much of a service has to stay free when work of a priority is placed.
 func (h *Headroom) Required(priority int) (required Resources) {
-	for p, peak := range h.peaks {
-		if p < priority {
-			required.CPU += max(0, int64(peak.cpu)-peak.running.CPU)
-			required.MemMB += max(0, int64(peak.mem)-peak.running.MemMB)
-			required.GPUs += max(0, int64(peak.gpus)-peak.running.GPUs)
+	for urgent, p := range h.peaks {
+		if urgent < priority {
+			required.CPU += max(0, int64(p.cpu)-p.running.CPU)
+			required.MemMB += max(0, int64(p.mem)-p.running.MemMB)
+			required.GPUs += max(0, int64(p.gpus)-p.running.GPUs)
 		}
 	}
 	return required
--- a/internal/control/placement/health.go
+++ b/internal/control/placement/health.go
@@ -2,35 +2,38 @@
 
 import "time"
 
-// health is what the ends of its runs say of a runner.
-type health struct {
-	failureRate           float64 // share of failed ends, newer ones counting more
-	outcomes              int
-	consecutiveFailedJobs int           // jobs with failures since the last end that was none
-	lastFailedJob         string        // of the newest failure
-	lastFailure           time.Duration // of the newest failure
-	probation             bool          // it was suspect, and has ended nothing well since
-}
-
 const (
-	// outcomeWeight is how much a new end counts.
+	// outcomeWeight is the weight of a new outcome in the moving average of failures.
 	outcomeWeight = 0.2
-	// ejectFailureRate is the share of failures from which a runner is suspect, once it has some ends. Tasks that
-	// fail through their own fault are far fewer.
+	// ejectFailureRate is the failure rate from which a runner is ejected, once it has ejectMinOutcomes outcomes. Tasks
+	// that fail through their own fault are far fewer.
 	ejectFailureRate = 0.35
 	ejectMinOutcomes = 5
-	// ejectConsecutiveJobs is how many jobs have to fail one after the other to make a runner suspect. Failures of one
-	// job count once, as they may be its own fault; where one task in twenty fails through its own fault, two jobs in
-	// a row are more likely the runner's.
+	// ejectConsecutiveJobs is how many jobs have to fail one after the other to eject a runner. Failures of one job
+	// count once, as they may be its own fault; where one task in twenty fails through its own fault, two jobs in a row
+	// are more likely the runner's.
 	ejectConsecutiveJobs = 2
-	// ejectionTime is how long after its last failure a suspect is tried again, by one task at a time.
+	// ejectionTime is how long after its last failure an ejected runner is tried again, by one task at a time.
 	ejectionTime = 4 * time.Second
-	// maxEjectedFraction is the share of a service's runners that may be out on suspicion. Where more are suspect, the
-	// fault is not theirs, and none is.
+	// maxEjectedFraction bounds the runners of a service that may be ejected. Where more fail, the fault is hardly
+	// theirs, and none is ejected.
 	maxEjectedFraction = 1.0 / 3
 )
 
-// recordOutcome takes an end into account.
+// health is what the outcomes of its runs say of a runner: outlier detection with ejection and probation. Within
+// ejectionTime of its last failure a runner on probation is ejected; afterwards it takes one task at a time until one
+// succeeds.
+type health struct {
+	failureRate           float64 // moving average, newer outcomes counting more
+	outcomes              int
+	consecutiveFailedJobs int // since the last success
+	lastFailedJob         string
+	lastFailure           time.Duration
+	probation             bool // it has been ejected, and has had no success since
+}
+
+// recordOutcome takes an outcome into account. Further failures of the job that failed last count only for the time of
+// the last failure.
 func (h *health) recordOutcome(job string, failed bool, now time.Duration) {
 	value := 0.0
 	switch {
@@ -50,29 +53,26 @@
 	}
 }
 
-// unhealthy tells whether the ends say that a runner fails what it is given.
+// unhealthy reports whether the outcomes are reason to eject the runner.
 func (h *health) unhealthy() bool {
 	return h.consecutiveFailedJobs >= ejectConsecutiveJobs || h.outcomes >= ejectMinOutcomes && h.failureRate >= ejectFailureRate
 }
 
-// degraded tells whether the newest ends speak against a runner; of one that is not, no task is kept.
+// degraded reports whether the newest outcomes speak against the runner. One that is not degraded takes any task.
 func (h *health) degraded() bool { return h.probation || h.consecutiveFailedJobs > 0 }
 
-// ejected tells whether a runner is to be left alone for now.
+// ejected reports whether the runner takes no tasks for now.
 func (h *health) ejected(now time.Duration) bool {
 	return h.probation && now-h.lastFailure < ejectionTime
 }
 
-// recentlyFailed tells whether a runner's newest end was a failure: it may be the first of many.
+// recentlyFailed reports whether the newest outcome was a failure not long ago: it may be the first of many.
 func (h *health) recentlyFailed(now time.Duration) bool {
 	return h.consecutiveFailedJobs > 0 && now-h.lastFailure < ejectionTime
 }
 
-// Ejected tells whether a runner fails what it is given.
-func (r *Runner) Ejected(now time.Duration) bool { return r.health.ejected(now) }
-
-// healthyFor tells whether a runner may take a task as far as its trust goes. A task that has one attempt left,
-// or that the runner has failed, waits for one whose newest end was none that failed.
+// healthyFor reports whether the runner's health allows it a task. A task that has one attempt left, or that this
+// runner has failed, waits for a runner whose newest outcome was no failure.
 func (r *Runner) healthyFor(req *Request, now time.Duration) bool {
 	switch {
 	case r.health.ejected(now):
@@ -86,8 +86,8 @@
 	}
 }
 
-// ejectionApplies tells whether suspicion keeps runners from a task: not where too many of those that could
-// take it are suspect, so that the fault is hardly theirs, nor where there is but one.
+// ejectionApplies reports whether health keeps runners from a task. It does not where only one runner is eligible, nor
+// where so many of the eligible ones are ejected that the fault is hardly theirs.
 func (f *Fleet) ejectionApplies(req *Request, now time.Duration) bool {
 	p := f.pools[req.Service]
 	if p == nil || p.degraded == 0 {
--- a/internal/control/placement/placement_test.go
+++ b/internal/control/placement/placement_test.go
@@ -95,13 +95,13 @@
 	f := newTestFleet(4, bigRunner)
 	req := taskRequest(10000)
 	req.Gang = true
-	require.Len(t, f.PickGang(req, []string{"a", "b", "c", "d"}, false, 0), 4)
-	require.Nil(t, f.PickGang(req, []string{"a", "b", "c", "d", "e"}, false, 0))
+	require.Len(t, f.PickGang(req, []string{"a", "b", "c", "d"}, 0), 4)
+	require.Nil(t, f.PickGang(req, []string{"a", "b", "c", "d", "e"}, 0))
 	for i := range 4 {
 		require.Zero(t, f.Runner(fmt.Sprint("r", i)).ReservationCount(), "a trial leaves nothing behind")
 	}
-	require.Nil(t, f.PickGang(req, []string{"a", "b", "c"}, true, 0), "a rack has two")
-	picked := f.PickGang(req, []string{"a", "b"}, true, 0)
+	require.Nil(t, f.PickGangInRack(req, []string{"a", "b", "c"}, 0), "a rack has two")
+	picked := f.PickGangInRack(req, []string{"a", "b"}, 0)
 	require.Len(t, picked, 2)
 	require.Equal(t, picked[0].Rack, picked[1].Rack)
 }
--- a/internal/control/placement/pool.go
+++ b/internal/control/placement/pool.go
@@ -2,24 +2,27 @@
 
 import "slices"
 
-// pool is the runners of a service. Beside the list it keeps what is asked of all of them at every choice,
-// so that a choice costs by the runners that have room, not by all.
+// pool is the runners of a service. Beside them it keeps what every choice asks for, so that the cost of a choice
+// depends on the runners that have capacity free, not on all.
 type pool struct {
 	all       []*Runner
 	available []*Runner // usable, with free tokens; in no order
 	free      Resources // of the usable ones together
-	degraded  int       // runners whose newest ends speak against them
+	degraded  int       // runners whose newest outcomes speak against them
 }
 
-// update makes a change to a runner and keeps the pools' sums true. It is the one way in which anything
-// changes that the sums are made of.
+// notAvailable is the availableIndex of a runner that is not among the available ones of its pool.
+const notAvailable = -1
+
+// update applies a change to a runner and keeps the totals of its pool. Whatever the totals are made of changes only
+// here.
 func (f *Fleet) update(r *Runner, mutate func()) {
 	f.removeFromTotals(r)
 	mutate()
 	f.addToTotals(r)
 }
 
-// removeFromTotals takes a runner out of its pool's sums.
+// removeFromTotals takes a runner out of the totals of its pool.
 func (f *Fleet) removeFromTotals(r *Runner) {
 	p := f.pools[r.Service]
 	if p == nil {
@@ -40,7 +43,7 @@
 	r.availableIndex = notAvailable
 }
 
-// addToTotals adds a runner to its pool's sums.
+// addToTotals adds a runner to the totals of its pool.
 func (f *Fleet) addToTotals(r *Runner) {
 	p := f.pools[r.Service]
 	if p == nil {
@@ -58,10 +61,7 @@
 	}
 }
 
-// notAvailable is the place of a runner that is not among the open ones of its pool.
-const notAvailable = -1
-
-// addToPool puts a runner among those of a service.
+// addToPool adds a runner to the pool of a service, and sets its service.
 func (f *Fleet) addToPool(r *Runner, service string) {
 	p := f.pools[service]
 	if p == nil {
@@ -72,7 +72,7 @@
 	r.Service = service
 }
 
-// removeFromPool takes a runner from those of its service.
+// removeFromPool removes a runner from the pool of its service, and the pool with its last runner.
 func (f *Fleet) removeFromPool(r *Runner) {
 	p := f.pools[r.Service]
 	if p == nil {
@@ -84,15 +84,15 @@
 	}
 }
 
-// ServiceRunners returns the runners of a service.
-func (f *Fleet) ServiceRunners(name string) []*Runner {
-	if p := f.pools[name]; p != nil {
+// ServiceRunners returns the runners of a service; callers only read the slice.
+func (f *Fleet) ServiceRunners(service string) []*Runner {
+	if p := f.pools[service]; p != nil {
 		return p.all
 	}
 	return nil
 }
 
-// FreeCapacity returns the room that the usable runners of a service have together.
+// FreeCapacity returns what the usable runners of a service have free together.
 func (f *Fleet) FreeCapacity(service string) Resources {
 	if p := f.pools[service]; p != nil {
 		return p.free
@@ -100,25 +100,24 @@
 	return Resources{}
 }
 
-// MaxFree returns, of each resource by itself, the most that a runner of a service that takes work has free.
+// MaxFree returns, of each resource by itself, the most that one available runner of a service has free.
 func (f *Fleet) MaxFree(service string) (largest Resources) {
 	p := f.pools[service]
 	if p == nil {
 		return Resources{}
 	}
 	for _, r := range p.available {
-		free := r.Free()
-		largest = Resources{CPU: max(largest.CPU, free.CPU), MemMB: max(largest.MemMB, free.MemMB), GPUs: max(largest.GPUs, free.GPUs)}
+		largest = largest.Max(r.Free())
 	}
 	return largest
 }
 
-// HasEligibleRunner tells whether a usable runner of a rack could take a task if it were empty.
+// HasEligibleRunner reports whether a usable runner of a rack could take a task if nothing else ran on it.
 func (f *Fleet) HasEligibleRunner(req *Request, rack string) bool {
 	return slices.ContainsFunc(f.ServiceRunners(req.Service), func(r *Runner) bool { return r.Usable && r.Rack == rack && r.eligible(req) })
 }
 
-// AnyDegraded tells whether the newest ends speak against some runner of a service.
+// AnyDegraded reports whether the newest outcomes speak against some runner of a service.
 func (f *Fleet) AnyDegraded(service string) bool {
 	p := f.pools[service]
 	return p != nil && p.degraded > 0
--- a/internal/control/placement/pool_test.go
+++ b/internal/control/placement/pool_test.go
@@ -77,7 +77,7 @@
 	req := &Request{Service: "svc", Demand: Resources{CPU: 9000}, Gang: true}
 	next := f.Pick(taskRequest(100), 0)
 	changes := f.Changes()
-	require.Nil(t, f.PickGang(req, []string{"a", "b", "c", "d", "e"}, false, 0))
+	require.Nil(t, f.PickGang(req, []string{"a", "b", "c", "d", "e"}, 0))
 	require.Equal(t, changes, f.Changes())
 	require.Same(t, next, f.Pick(taskRequest(100), 0))
 }
@@ -99,7 +99,7 @@
 		for i := range tasks {
 			tasks[i] = fmt.Sprint("g", i)
 		}
-		picked := f.PickGang(req, tasks, false, 0)
+		picked := f.PickGang(req, tasks, 0)
 		fits := !slices.ContainsFunc(tasks, func(task string) bool {
 			r := f.Pick(req, 0)
 			if r != nil {
--- a/internal/control/scheduler/gang.go
+++ b/internal/control/scheduler/gang.go
@@ -1,8 +1,12 @@
 package scheduler
 
-import "cmp"
+import (
+	"cmp"
 
-// scheduleGang starts all tasks of a gang or none.
+	"frosttide/internal/control/placement"
+)
+
+// scheduleGang starts all tasks of a gang or none. A gang whose last run has not ended on every member waits for that.
 func (p *pass) scheduleGang(w *waitingStep) {
 	step, request := w.step, w.request
 	if !step.GangIdle() {
@@ -18,10 +22,7 @@
 	if p.covered(blockageFor(w)) {
 		return
 	}
-	picked := p.scheduler.fleet.PickGang(request, names, step.Stage.GetSameRack(), p.scheduler.now)
-	if picked == nil && step.Stage.GetSameRack() {
-		picked = p.scheduler.fleet.PickGang(request, names, false, p.scheduler.now)
-	}
+	picked := p.pickGang(w, names)
 	if picked == nil {
 		p.blockGang(w)
 		return
@@ -32,8 +33,20 @@
 	}
 }
 
-// blockGang notes that there is no room for a gang. One that waits for other runners, as it has failed where it was,
-// or that AntiAffinity may have kept apart, says nothing of others.
+// pickGang returns a runner for each member of a gang, nil where they do not all fit. A gang that asks for one rack is
+// spread over several where no rack has the capacity.
+func (p *pass) pickGang(w *waitingStep, names []string) []*placement.Runner {
+	fleet, now := p.scheduler.fleet, p.scheduler.now
+	if w.step.Stage.GetSameRack() {
+		if picked := fleet.PickGangInRack(w.request, names, now); picked != nil {
+			return picked
+		}
+	}
+	return fleet.PickGang(w.request, names, now)
+}
+
+// blockGang records that there is no capacity for a gang. Nothing is recorded where that says little of others: where
+// the gang avoids a runner that failed it, or is kept apart by its anti-affinity.
 func (p *pass) blockGang(w *waitingStep) {
 	if p.anyDegraded && w.request.Avoid != "" || w.request.AntiAffinity > 0 {
 		return
