--- a/internal/control/scheduler/cycle.go
+++ b/internal/control/scheduler/cycle.go
@@ -8,16 +8,14 @@
 	"frosttide/internal/control/placement"
 )
 
-// schedule places what can be placed of all services. A queue is gone through when a step has come to it, or
-// when something has changed by which a blocked task may be placed; what turns on time alone waits for the
-// next tick.
+// schedule runs one scheduling cycle: it queues the steps that have become ready and starts what can be started of all
+// services. It looks at a queue only where a step has been added, where time has passed, or where the fleet has changed
+// so that a blocked task may fit now. What depends on time alone waits for the next tick.
 func (s *Scheduler) schedule() {
 	ready := s.jobs.TakeReady()
 	added := make([]int, len(ready))
 	for i, step := range ready {
-		w := &waitingStep{step: step, request: placementRequest(step), priority: s.priority(step.Job), since: s.now, objective: s.objectiveFor(step)}
-		w.class = w.objective.class(s.wallMs)
-		added[i] = s.queue(step.Job.Service).add(w)
+		added[i] = s.queue(step.Job.Service).add(s.newWaitingStep(step))
 	}
 	all := s.tickedSincePass || s.fleet.Changes() != s.changesAtLastPass
 	for _, service := range slices.Sorted(maps.Keys(s.queues)) {
@@ -31,6 +29,13 @@
 	s.countBlocked(ready, added)
 }
 
+// newWaitingStep returns a step that has become ready now, with what the queue orders it by.
+func (s *Scheduler) newWaitingStep(step *jobs.Step) *waitingStep {
+	w := &waitingStep{step: step, request: placementRequest(step), priority: s.priority(step.Job), since: s.now, objective: s.objectiveFor(step)}
+	w.class = w.objective.class(s.wallMs)
+	return w
+}
+
 // queue returns the queue of a service.
 func (s *Scheduler) queue(service string) *queue {
 	q := s.queues[service]
@@ -41,7 +46,7 @@
 	return q
 }
 
-// scheduleQueue offers the service's runners to its steps in order.
+// scheduleQueue offers the runners of a service to its steps in order.
 func (s *Scheduler) scheduleQueue(q *queue) {
 	q.hasNewSteps = false
 	if s.tickedSincePass {
@@ -54,23 +59,7 @@
 	s.newPass(q).run()
 }
 
-// priority returns the priority of a job's queue; a queue that is gone comes last.
-func (s *Scheduler) priority(j *jobs.Job) int {
-	if r := s.config.Route(j.Queue); r != nil {
-		return r.Priority
-	}
-	return lastPriority
-}
-
-const lastPriority = 1 << 20
-
-// placementRequest returns what a step's tasks ask of a runner.
-func placementRequest(step *jobs.Step) *placement.Request {
-	return &placement.Request{Service: step.Job.Service, Demand: demandOf(step.Stage), Requirement: step.Stage.GetRequirements(), Affinity: step.Stage.GetAffinity(),
-		AntiAffinity: int(step.Stage.GetAntiAffinity()), Group: groupOf(step), Gang: step.Stage.GetGang()}
-}
-
-// start notes a run; its order goes out once that is committed.
+// start records a run of a task and reserves its resources. The order to start it is sent once that is committed.
 func (s *Scheduler) start(step *jobs.Step, index int, run uint32, target *placement.Runner, checkpoint string) {
 	task := step.TaskID(index)
 	s.fleet.Reserve(target, task, demandOf(step.Stage), groupOf(step))
@@ -82,13 +71,13 @@
 	s.batch.addStart(target.ID, task)
 }
 
-// countRunning counts what a step's task holds, or holds no longer.
+// countRunning adds a number of runs, negative where they end, to what the priority of a step's job uses.
 func (s *Scheduler) countRunning(step *jobs.Step, delta int) {
 	q, priority := s.queue(step.Job.Service), s.priority(step.Job)
 	q.runningDemand[priority] = q.runningDemand[priority].Plus(demandOf(step.Stage).Times(delta))
 }
 
-// stopRuns has the runs stopped whose jobs have ended.
+// stopRuns orders the runs to be stopped whose jobs have ended.
 func (s *Scheduler) stopRuns() {
 	for _, run := range s.jobs.TakeStops() {
 		s.batch.addDrop(run.Runner, run.Task, run.Number)
--- /dev/null
+++ b/internal/control/scheduler/demand.go
@@ -0,0 +1,30 @@
+package scheduler
+
+import (
+	"frosttide/internal/control/jobs"
+	"frosttide/internal/control/placement"
+	"frosttide/internal/protocol"
+)
+
+// placementRequest returns what a runner must satisfy to take a task of a step.
+func placementRequest(step *jobs.Step) *placement.Request {
+	return &placement.Request{
+		Service:      step.Job.Service,
+		Demand:       demandOf(step.Stage),
+		Requirement:  step.Stage.GetRequirements(),
+		Affinity:     step.Stage.GetAffinity(),
+		AntiAffinity: int(step.Stage.GetAntiAffinity()),
+		Group:        groupOf(step),
+		Gang:         step.Stage.GetGang(),
+	}
+}
+
+// demandOf returns the resources that a task of a stage asks for.
+func demandOf(stage *protocol.Stage) placement.Resources {
+	return placement.Resources{CPU: stage.GetCpu(), MemMB: stage.GetMemMb(), GPUs: stage.GetGpus()}
+}
+
+// groupOf returns the group within which a step's tasks avoid each other.
+func groupOf(step *jobs.Step) placement.Group {
+	return placement.Group{Job: step.Job.ID, Occurrence: step.Occurrence.Number, Step: step.Number}
+}
--- a/internal/control/scheduler/evacuate.go
+++ b/internal/control/scheduler/evacuate.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// evacuationMargin is left between the time that a draining runner has and the time that a run on it needs.
+// evacuationMargin is added to the time that a run still needs before it is compared with the time that its draining
+// runner has left.
 const evacuationMargin = 500 * time.Millisecond
 
-// evacuate has the runs of a draining runner stopped that would die with it: those that last, and those that
-// by their estimate need longer than is left. A stop saves the work of those that checkpoint, and all start
-// elsewhere the sooner. What ends in time is left alone.
+// evacuate stops the runs of a draining runner that would not end before it shuts down. They start elsewhere the
+// sooner for it, from their checkpoints where they have saved one. Runs that end in time go on.
 func (s *Scheduler) evacuate(r *runner, remaining time.Duration) {
 	for _, task := range slices.Sorted(maps.Keys(r.live)) {
 		run := r.live[task]
@@ -24,7 +24,7 @@
 	}
 }
 
-// outlasts tells whether a run goes on for longer than a time.
+// outlasts reports whether a run is long-running, or by its estimate goes on for longer than a given time.
 func (s *Scheduler) outlasts(run liveRun, remaining time.Duration) bool {
 	if run.step.Stage.GetLongRunning() {
 		return true
--- a/internal/control/scheduler/orders.go
+++ b/internal/control/scheduler/orders.go
@@ -3,29 +3,33 @@
 import (
 	"maps"
 	"slices"
-	"strings"
 	"time"
 
 	"frosttide/internal/protocol"
 	"frosttide/internal/routeconfig"
 )
 
-// batch is the orders of one entry; they go out once it is committed.
+// heartbeatIntervalMs is the time between two heartbeats of a runner to its agent; runners accept none that is shorter.
+const heartbeatIntervalMs = 50
+
+// batch is what one entry leads to once it is committed. Nothing of it is sent earlier.
 type batch struct {
-	index     uint64
+	index     uint64                  // of the entry
 	byRunner  map[string]*runnerBatch // by the runner's id
-	config    *routeconfig.Table      // where the entry changes it
-	fullSyncs []*session              // that are sent the whole set once the entry is committed
+	config    *routeconfig.Table      // the configuration that the entry puts in force, nil where it changes none
+	fullSyncs []*session              // that a full sync is sent to
 }
 
+// runnerBatch is the orders of one entry to one runner.
 type runnerBatch struct {
-	started         []string
+	started         []string // tasks
 	dropped         []*protocol.RunRef
-	acknowledgedEnd uint64 // ends, 0 where none were
+	acknowledgedEnd uint64 // highest end that the entry records, 0 where it records none
 }
 
 func (b *batch) empty() bool { return len(b.byRunner) == 0 && b.config == nil && len(b.fullSyncs) == 0 }
 
+// forRunner returns the orders to a runner, and adds empty ones where there are none.
 func (b *batch) forRunner(runner string) *runnerBatch {
 	if b.byRunner == nil {
 		b.byRunner = make(map[string]*runnerBatch)
@@ -36,21 +40,21 @@
 	return b.byRunner[runner]
 }
 
-// addStart orders the run of a task that has been started.
+// addStart orders the newest run of a task to be started.
 func (b *batch) addStart(runner, task string) {
 	rb := b.forRunner(runner)
 	rb.started = append(rb.started, task)
 }
 
-// addDrop orders that a run is wanted no longer.
+// addDrop orders a run to be stopped, or forgotten where it has ended.
 func (b *batch) addDrop(runner, task string, run uint32) {
 	rb := b.forRunner(runner)
 	rb.dropped = append(rb.dropped, &protocol.RunRef{Task: task, Run: run})
 }
 
-// acknowledgeEnds orders that ends up to a number are acknowledged.
-func (b *batch) acknowledgeEnds(runner string, noted uint64) {
-	b.forRunner(runner).acknowledgedEnd = noted
+// acknowledgeEnds acknowledges a runner's ends up to a number.
+func (b *batch) acknowledgeEnds(runner string, number uint64) {
+	b.forRunner(runner).acknowledgedEnd = number
 }
 
 // sendBatch sends the orders of an entry that is committed.
@@ -59,76 +63,45 @@
 		s.committedConfig = b.config
 	}
 	for _, id := range slices.Sorted(maps.Keys(b.byRunner)) {
-		rb, r := b.byRunner[id], s.runners[id]
-		if r == nil {
-			continue
-		}
-		r.acknowledgedEnd = max(r.acknowledgedEnd, rb.acknowledgedEnd)
-		orders := &protocol.RunnerOrders{Drop: rb.dropped}
-		for _, task := range rb.started {
-			run, ok := r.live[task]
-			if !ok || run.stopSent {
-				continue
-			}
-			run.pending = false
-			r.live[task] = run
-			orders.Runs = append(orders.Runs, s.runOrder(task, run))
-		}
-		for _, ref := range rb.dropped {
-			if run, ok := r.live[ref.GetTask()]; ok && ref.GetRun() == run.number {
-				run.stopSent = true
-				r.live[ref.GetTask()] = run
-			}
-		}
-		if r.session != nil {
-			s.sendOrders(r.session, orders)
-		}
-	}
-	for _, sess := range b.fullSyncs {
-		if s.sessions[sess.address] == sess && sess.fullSync == fullSyncRequested {
-			sess.fullSync = fullSyncReady
-			s.sendOrders(sess, &protocol.RunnerOrders{})
+		if r := s.runners[id]; r != nil {
+			s.sendRunnerBatch(r, b.byRunner[id])
 		}
 	}
+	s.sendFullSyncs(b)
 }
 
-// enqueueFullSyncs has the sessions that need the whole set sent it once all that has been decided so far is
-// committed: a set that left out runs whose end is not would have the companion stop what is wanted.
-func (s *Scheduler) enqueueFullSyncs() {
-	if !s.fullSyncWanted {
-		return
+// sendRunnerBatch sends a runner its orders of an entry that is committed. A run that was ordered to stop in the
+// meantime is not started any more.
+func (s *Scheduler) sendRunnerBatch(r *runner, rb *runnerBatch) {
+	r.acknowledgedEnd = max(r.acknowledgedEnd, rb.acknowledgedEnd)
+	orders := &protocol.RunnerOrders{Drop: rb.dropped}
+	for _, task := range rb.started {
+		run, ok := r.live[task]
+		if !ok || run.stopSent {
+			continue
+		}
+		run.pending = false
+		r.live[task] = run
+		orders.Runs = append(orders.Runs, runOrder(task, run))
 	}
-	s.fullSyncWanted = false
-	for _, address := range slices.Sorted(maps.Keys(s.sessions)) {
-		if sess := s.sessions[address]; sess.fullSync == fullSyncNeeded {
-			sess.fullSync = fullSyncRequested
-			s.batch.fullSyncs = append(s.batch.fullSyncs, sess)
+	for _, ref := range rb.dropped {
+		if run, ok := r.live[ref.GetTask()]; ok && ref.GetRun() == run.number {
+			run.stopSent = true
+			r.live[ref.GetTask()] = run
 		}
 	}
+	if r.session != nil {
+		s.sendOrders(r.session, orders)
+	}
 }
 
-func (s *Scheduler) runOrder(task string, run liveRun) *protocol.RunOrder {
+// runOrder returns the order to start a run.
+func runOrder(task string, run liveRun) *protocol.RunOrder {
 	return &protocol.RunOrder{Task: task, Run: run.number, Spec: run.step.Job.Spec, Saved: run.checkpoint}
 }
 
-// renewLease answers a report: it renews the lease.
-func (s *Scheduler) renewLease(sess *session, report *protocol.RunnerReport) {
-	if report.GetLeaseRound() == 0 {
-		return
-	}
-	orders := &protocol.RunnerOrders{}
-	until := s.confirmedAt + s.cfg.Lease
-	if until > s.now {
-		orders.LeaseRound = report.GetLeaseRound()
-		orders.LeaseMs = uint32((until - s.now) / time.Millisecond)
-		sess.leaseExpiry = max(sess.leaseExpiry, until)
-		s.updateUsable(sess)
-	}
-	s.sendOrders(sess, orders)
-}
-
-// sendOrders sends orders to a session: as the whole set where that is due, and without runs where the
-// whole set is still to come.
+// sendOrders sends orders to a session's agent: with the complete set of runs where a full sync is ready, and without
+// runs while one is still to be committed. Orders that change what the agent runs take the next sequence number.
 func (s *Scheduler) sendOrders(sess *session, orders *protocol.RunnerOrders) {
 	orders.Epoch, orders.Runner, orders.Companion, orders.Session = s.epoch, sess.runner, sess.incarnation, sess.number
 	orders.RetryMs, orders.ReportMs = heartbeatIntervalMs, uint32(s.reportInterval()/time.Millisecond)
@@ -152,22 +125,3 @@
 	orders.Sequence = sess.lastSequence
 	s.sends = append(s.sends, Send{To: sess.address, Message: &protocol.Envelope{Body: &protocol.Envelope_RunnerOrders{RunnerOrders: orders}}})
 }
-
-// fillFullSync makes orders the whole set of the runs that a runner is to have.
-func (s *Scheduler) fillFullSync(r *runner, orders *protocol.RunnerOrders) {
-	orders.Full, orders.Runs, orders.Drop = true, nil, nil
-	if r == nil {
-		return
-	}
-	for task, run := range r.live {
-		switch {
-		case run.pending:
-		case run.stopSent || run.step.Job.State.Final(): // its end, or that it never began, is still to be told
-			orders.Drop = append(orders.Drop, &protocol.RunRef{Task: task, Run: run.number})
-		default:
-			orders.Runs = append(orders.Runs, s.runOrder(task, run))
-		}
-	}
-	slices.SortFunc(orders.Drop, func(a, b *protocol.RunRef) int { return strings.Compare(a.GetTask(), b.GetTask()) })
-	slices.SortFunc(orders.Runs, func(a, b *protocol.RunOrder) int { return strings.Compare(a.GetTask(), b.GetTask()) })
-}
--- a/internal/control/scheduler/overdue.go
+++ b/internal/control/scheduler/overdue.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// overdueAfter is how long a step may wait until the log tells why.
+	// overdueAfter is how long a step may wait until it is logged why.
 	overdueAfter = 5 * time.Second
-	// overdueInterval is how often the log tells of a service's waiting steps at most.
+	// overdueInterval is how often the oldest waiting step of each service is logged at most.
 	overdueInterval = 5 * time.Second
-	// overdueRounding is the precision of the waits that are reported.
+	// overdueRounding is the precision of the waits that are logged.
 	overdueRounding = 100 * time.Millisecond
 )
 
-// reportOverdue has the log told, for each service, which step has waited longest and why.
+// reportOverdue reports, for each service, the step that has waited longest and why it waits.
 func (s *Scheduler) reportOverdue() {
 	if s.now < s.nextOverdueReport {
 		return
@@ -33,21 +33,3 @@
 		}
 	}
 }
-
-// oldest returns the step that has waited longest, nil where none waits.
-func (q *queue) oldest() *waitingStep {
-	var oldest *waitingStep
-	for _, w := range q.steps {
-		if w.startable() && (oldest == nil || w.since < oldest.since || w.since == oldest.since && w.compare(oldest) < 0) {
-			oldest = w
-		}
-	}
-	return oldest
-}
-
-// TakeEvents returns what the log is to be told since the last call.
-func (s *Scheduler) TakeEvents() []event.Event {
-	events := s.events
-	s.events = nil
-	return events
-}
--- a/internal/control/scheduler/requests.go
+++ b/internal/control/scheduler/requests.go
@@ -5,29 +5,13 @@
 	"net/http"
 
 	"frosttide/internal/control/jobs"
-	"frosttide/internal/control/store"
 	"frosttide/internal/protocol"
 	"frosttide/internal/routeconfig"
 )
 
-// The keys of the configuration's items.
-const (
-	configKey    = "c"  // protocol.ConfigRecord
-	configPrefix = "c/" // protocol.ConfigItem
-)
-
-// loadConfig returns the configuration of a store.
-func loadConfig(submission *store.Store) (*routeconfig.Table, error) {
-	var v ConfigView
-	submission.Each(func(key string, value []byte) { v.Update(key, value) })
-	return v.Table()
-}
-
-// LoadConfig returns the configuration of a store, for its readers.
-func LoadConfig(submission *store.Store) (*routeconfig.Table, error) { return loadConfig(submission) }
-
-// HandleRequest evaluates a client's request. Its answer comes from the tail once the entry that holds it is
-// committed, even where nothing is written: so a head that is no longer one answers nothing.
+// HandleRequest evaluates a client's request. The reply goes into the next entry, and the tail of the chain sends it
+// once that entry is committed. This holds for requests that change nothing too: a head that has been replaced
+// without knowing it answers nothing.
 func (s *Scheduler) HandleRequest(from string, r *protocol.ClientRequest) {
 	var status int
 	var body string
@@ -41,10 +25,11 @@
 	default:
 		status, body = http.StatusBadRequest, "unknown request"
 	}
-	s.replies = append(s.replies, &protocol.Reply{Address: from, Incarnation: r.GetIncarnation(), Reply: &protocol.ClientReply{
-		Id: r.GetId(), Status: uint32(status), Body: []byte(body), ConfigVersion: s.config.Version}})
+	reply := &protocol.ClientReply{Id: r.GetId(), Status: uint32(status), Body: []byte(body), ConfigVersion: s.config.Version}
+	s.replies = append(s.replies, &protocol.Reply{Address: from, Incarnation: r.GetIncarnation(), Reply: reply})
 }
 
+// submit accepts a job and returns the HTTP status and body of the reply.
 func (s *Scheduler) submit(submission *protocol.Submit) (int, string) {
 	if j := s.jobs.Get(submission.GetId()); j != nil {
 		return s.resubmit(j, submission)
@@ -60,7 +45,8 @@
 	return http.StatusOK, ""
 }
 
-// resubmit answers a job whose ID is known: it is the same job come again, or another one, which would never run.
+// resubmit answers a submission whose ID is known. The same job again is acknowledged again; another job under that ID
+// would never run and is rejected.
 func (s *Scheduler) resubmit(j *jobs.Job, submission *protocol.Submit) (int, string) {
 	switch {
 	case !s.accessibleFrom(j, submission.GetQueue()):
@@ -72,12 +58,13 @@
 	}
 }
 
-// accessibleFrom tells whether a job may be asked for by way of a queue: its own one or, where that is no longer
-// configured, the one that has its place now. An operator names none.
+// accessibleFrom reports whether clients of a queue may refer to a job: those of the job's own queue or, where that is
+// no longer configured, of any. An operator names no queue.
 func (s *Scheduler) accessibleFrom(j *jobs.Job, queue string) bool {
 	return queue == "" || queue == j.Queue || s.config.Route(j.Queue) == nil
 }
 
+// cancel ends a job and returns the HTTP status of the reply. A job of another queue is answered like an unknown one.
 func (s *Scheduler) cancel(c *protocol.Cancel) int {
 	if j := s.jobs.Get(c.GetId()); j != nil && !s.accessibleFrom(j, c.GetQueue()) {
 		return http.StatusGone
@@ -88,11 +75,12 @@
 	return http.StatusOK
 }
 
-// updateConfig evaluates an operator's order. One that was taken before is acknowledged again; one so old that this
-// is not known any more gets no clear answer.
+// updateConfig evaluates an operator's update of the configuration and returns the HTTP status and body of the reply.
+// An update that was accepted earlier is acknowledged again. One on a version so old that its digest may have been
+// forgotten gets no definite answer, so that none that was accepted is ever rejected.
 func (s *Scheduler) updateConfig(c *protocol.ConfigOrder) (int, string) {
-	name := updateDigest(c)
-	if s.updates.contains(name) {
+	digest := updateDigest(c)
+	if s.updates.contains(digest) {
 		return http.StatusOK, ""
 	}
 	if s.updates.mayHaveForgotten(c.GetIfMatch()) {
@@ -105,6 +93,14 @@
 	if err != nil {
 		return http.StatusBadRequest, err.Error()
 	}
+	s.writeConfig(change)
+	s.updates.record(digest, change.Table.Record(), s.writes)
+	s.config = change.Table
+	return http.StatusOK, ""
+}
+
+// writeConfig writes the items that a change of the configuration affects.
+func (s *Scheduler) writeConfig(change *routeconfig.Change) {
 	for name, item := range change.Items {
 		if item == nil {
 			s.writes.Delete(configPrefix + name)
@@ -113,7 +109,4 @@
 		s.put(configPrefix+name, item)
 	}
 	s.put(configKey, change.Table.Record())
-	s.updates.record(name, change.Table.Record(), s.writes)
-	s.config = change.Table
-	return http.StatusOK, ""
 }
--- a/internal/control/scheduler/runners.go
+++ b/internal/control/scheduler/runners.go
@@ -18,34 +18,38 @@
 // runnerPrefix is the prefix of the keys of protocol.RunnerRecord.
 const runnerPrefix = "r/"
 
-// runner is what is known of a runner beside its account.
+// runner is what the head knows of a runner, beside its capacity and reservations, which the fleet keeps.
 type runner struct {
-	id              string
-	fleetRunner     *placement.Runner
-	live            map[string]liveRun // by task
-	recordedEnd     uint64             // highest end in the store, or in the entry that is being made
-	acknowledgedEnd uint64             // highest end whose noting is committed
-	persisted       bool               // there is an item of it
-	agent           string             // internal address of the companion on its machine
-	session         *session           // nil while no companion speaks for it
-	lostAfter       time.Duration      // when its holds have surely run out, without a session
-	registered      bool               // it has given an account of itself to this head
+	id          string
+	fleetRunner *placement.Runner
+	live        map[string]liveRun // by task: runs that may be under way
+
+	// What the store holds of it.
+	persisted       bool   // the store, or the next entry, has an item of it
+	agent           string // internal address of the agent on its machine
+	recordedEnd     uint64 // highest end in the store or the next entry
+	acknowledgedEnd uint64 // highest end whose entry is committed; only those are acknowledged
+
+	// Its contact with this head.
+	session    *session      // nil while no agent reports for it
+	registered bool          // its agent has registered it with this head
+	lostAfter  time.Duration // without a session: when its leases are over
 }
 
-// liveRun is a run that may be under way.
+// liveRun is a run that may be under way: its end is not recorded.
 type liveRun struct {
 	number     uint32
 	step       *jobs.Step
-	index      int
-	checkpoint string        // checkpoint it starts from
-	startedAt  time.Duration // when it was started, or taken over from the head before
-	pending    bool          // its start is not committed yet
-	stopSent   bool          // it is to be stopped
-	evacuating bool          // its stop has been asked for, as its runner drains
+	index      int           // of the task in its step
+	checkpoint string        // that it starts from
+	startedAt  time.Duration // or when this head took it over
+	pending    bool          // the entry of its start is not committed
+	stopSent   bool          // the order to stop it has been sent
+	evacuating bool          // it is to be stopped as its runner drains
 }
 
-// runner returns what is known of a runner and makes it where nothing is: its holds may last for a
-// lease from now on.
+// runner returns what is known of a runner. For one that is new to this head it assumes that an earlier head may just
+// have granted a lease.
 func (s *Scheduler) runner(id string) *runner {
 	r := s.runners[id]
 	if r == nil {
@@ -55,37 +59,29 @@
 	return r
 }
 
+// loadRunners takes over the runners that a store holds; the error is that of items that can't be decoded.
 func (s *Scheduler) loadRunners(state *store.Store) error {
-	var problem error
+	var err error
 	state.Each(func(key string, value []byte) {
-		if !strings.HasPrefix(key, runnerPrefix) {
+		id, isRunner := strings.CutPrefix(key, runnerPrefix)
+		if !isRunner {
 			return
 		}
 		var record protocol.RunnerRecord
-		problem = errors.CombineErrors(problem, proto.Unmarshal(value, &record))
-		r := s.runner(strings.TrimPrefix(key, runnerPrefix))
+		err = errors.CombineErrors(err, proto.Unmarshal(value, &record))
+		r := s.runner(id)
 		r.recordedEnd, r.acknowledgedEnd, r.persisted, r.agent = record.GetLastSeen(), record.GetLastSeen(), true, record.GetCompanion()
 	})
-	return errors.Wrap(problem, "scheduler: the stored runners can't be read")
-}
-
-// declareOthersLost gives up the runners that a machine had before the one it has now: a machine has one, which
-// comes back under another id after a crash and runs nothing then. Their companion's address is stored, so
-// that a head that has never met them knows it too.
-func (s *Scheduler) declareOthersLost(agent, keep string) {
-	for _, id := range slices.Sorted(maps.Keys(s.runners)) {
-		if s.runners[id].agent == agent && id != keep {
-			s.declareLost(id)
-		}
-	}
+	return errors.Wrap(err, "scheduler: the stored runners can't be read")
 }
 
+// writeRunner writes the item of a runner.
 func (s *Scheduler) writeRunner(r *runner) {
 	r.persisted = true
 	s.put(runnerPrefix+r.id, &protocol.RunnerRecord{LastSeen: r.recordedEnd, Companion: r.agent})
 }
 
-// releaseRun gives back what a run held.
+// releaseRun removes a run whose end is recorded, and what it had reserved.
 func (s *Scheduler) releaseRun(r *runner, task string) {
 	s.batch.addDrop(r.id, task, r.live[task].number)
 	s.countRunning(r.live[task].step, -1)
@@ -93,7 +89,19 @@
 	s.fleet.Release(r.fleetRunner, task)
 }
 
-// declareLost notes that a runner surely runs nothing any more.
+// declareOthersLost declares lost the runners that an agent's machine had earlier. A machine has one runner, which
+// comes back under another id after a crash and then runs nothing. As the store holds the agent's address, this covers
+// runners that have never registered with this head.
+func (s *Scheduler) declareOthersLost(agent, keep string) {
+	for _, id := range slices.Sorted(maps.Keys(s.runners)) {
+		if s.runners[id].agent == agent && id != keep {
+			s.declareLost(id)
+		}
+	}
+}
+
+// declareLost removes a runner that surely runs nothing any more: its leases are over, or its agent has reported it
+// gone. Its runs end as lost, so that their tasks may start elsewhere.
 func (s *Scheduler) declareLost(id string) {
 	r := s.runners[id]
 	if r == nil {
@@ -118,3 +126,13 @@
 	s.fleet.Remove(id)
 	delete(s.runners, id)
 }
+
+// rackOf returns the label that names a runner's rack, empty where it has none.
+func rackOf(prefix string, labels []string) string {
+	for _, l := range labels {
+		if strings.HasPrefix(l, prefix) && strings.Contains(l, "-") {
+			return l
+		}
+	}
+	return ""
+}
--- a/internal/control/scheduler/scheduler.go
+++ b/internal/control/scheduler/scheduler.go
@@ -1,11 +1,6 @@
-// Package scheduler is what the head of the chain does with the control state: it evaluates clients'
-// requests, keeps the sessions of the companions, places ready tasks on runners, and says what is to be
-// written and, once that is committed, what is to be sent. It is a pure state machine; it is made of
-// the store when a member becomes the head and dropped when it no longer is.
 package scheduler
 
 import (
-	"strings"
 	"time"
 
 	"google.golang.org/protobuf/proto"
@@ -18,12 +13,12 @@
 	"frosttide/internal/routeconfig"
 )
 
-// Config holds what the settings say.
+// Config holds the settings of the placement role.
 type Config struct {
-	Lease           time.Duration // how long companions may extend holds without hearing of the head
+	Lease           time.Duration // how long an agent may let its runner go on without contact to the head
 	StatusRetention time.Duration // how long the state of a job that has ended is kept
-	RackPrefix      string        // label prefix that names racks
-	RemoteSlowdown  float64       // how many times as long work takes away from its data
+	RackPrefix      string        // prefix of the labels that name racks
+	RemoteSlowdown  float64       // factor by which work takes longer in another rack than its data
 }
 
 // Send is a message to the process at an internal address.
@@ -32,55 +27,71 @@
 	Message *protocol.Envelope
 }
 
-// maxClockDrift is how much slower than ours a runner's clock may be; the rules say 2%.
-const maxClockDrift = 0.03
-
-// leaseMargin is added to a lease's end for the time that messages and stops take.
-const leaseMargin = 300 * time.Millisecond
-
-// Scheduler is the head's state. It is not safe for concurrent use.
+// Scheduler is the state of the head. The package comment says how it is used and which invariants it keeps. It is not
+// safe for concurrent use.
 type Scheduler struct {
-	cfg         Config
-	now         time.Duration
-	wallMs      int64
-	epoch       uint64
-	committed   uint64
-	confirmedAt time.Duration // when the newest confirmation of the epoch had been asked for
-
-	config            *routeconfig.Table
-	committedConfig   *routeconfig.Table
-	updates           *updateLog
-	jobs              *jobs.Table
-	fleet             *placement.Fleet
-	queues            map[string]*queue // by service
-	runners           map[string]*runner
-	sessions          map[string]*session // by the companion's address
-	lastSession       uint64
-	fullSyncWanted    bool         // by some session
-	writes            *jobs.Writes // beside the jobs' own
-	replies           []*protocol.Reply
-	sends             []Send
-	batches           []batch              // orders that wait for their entry to be committed
-	batch             batch                // orders of the entry that is being made
-	counters          map[string]*Counters // by service
-	events            []event.Event        // for the log
+	cfg Config
+
+	// Time and the log, as of the last call.
+	now         time.Duration // steady clock
+	wallMs      int64         // agreed time of day
+	epoch       uint64        // that the head serves under; also the runners' fencing token
+	committed   uint64        // index of the newest committed entry
+	confirmedAt time.Duration // when the newest confirmation of the epoch was asked for
+
+	// What the store holds, with the decisions that are not committed yet.
+	config          *routeconfig.Table
+	committedConfig *routeconfig.Table // the newest that is committed
+	updates         *updateLog
+	jobs            *jobs.Table
+	fleet           *placement.Fleet
+
+	// What only this head knows.
+	queues         map[string]*queue // by service
+	runners        map[string]*runner
+	sessions       map[string]*session // by the agent's address
+	lastSession    uint64              // number of the newest session
+	fullSyncWanted bool                // by some session
+	counters       map[string]*Counters
+
+	// Output that waits to be taken, or to be committed.
+	writes  *jobs.Writes // of the next entry, beside those of jobs
+	replies []*protocol.Reply
+	batch   batch   // orders of the next entry
+	batches []batch // orders of appended entries, by index, until these are committed
+	sends   []Send
+	events  []event.Event
+
+	// When something is to be done next.
 	nextCleanup       time.Duration
-	retainUntil       time.Duration // no job that has ended is forgotten before
-	nextClockWrite    time.Duration // when the time of day is written again, with an entry that is written anyway
+	retainUntil       time.Duration // no job that has ended is forgotten earlier
+	nextClockWrite    time.Duration // the time of day goes into the first entry from then on
 	nextOverdueReport time.Duration
-	changesAtLastPass uint64 // the fleet's changes at the last pass over all queues
-	tickedSincePass   bool   // since that pass
+
+	// What decides whether a scheduling cycle looks at all queues.
+	changesAtLastPass uint64 // the fleet's change counter at the last cycle over all queues
+	tickedSincePass   bool   // time has passed since that cycle
 }
 
-// New returns the scheduler of a member that begins to serve as the head with a store.
+// New returns the scheduler of a member that begins to serve as the head under an epoch. The store is the member's
+// replicated state up to index; all of it counts as committed. The error says which part of the state can't be
+// decoded; the member must not serve then.
 func New(cfg Config, now time.Duration, wallMs int64, epoch, index uint64, state *store.Store) (*Scheduler, error) {
-	table, err := jobs.Load(state)
-	if err != nil {
+	s := &Scheduler{
+		cfg: cfg, now: now, wallMs: wallMs, epoch: epoch, committed: index, confirmedAt: now,
+		retainUntil: now + cfg.StatusRetention,
+		fleet:       placement.NewFleet(),
+		queues:      make(map[string]*queue),
+		runners:     make(map[string]*runner),
+		sessions:    make(map[string]*session),
+		counters:    make(map[string]*Counters),
+		writes:      &jobs.Writes{},
+	}
+	var err error
+	if s.jobs, err = jobs.Load(state); err != nil {
 		return nil, err
 	}
-	s := &Scheduler{cfg: cfg, now: now, wallMs: wallMs, retainUntil: now + cfg.StatusRetention, epoch: epoch, committed: index, confirmedAt: now, jobs: table, fleet: placement.NewFleet(),
-		queues: make(map[string]*queue), runners: make(map[string]*runner), counters: make(map[string]*Counters), sessions: make(map[string]*session), writes: &jobs.Writes{}}
-	if s.config, err = loadConfig(state); err != nil {
+	if s.config, err = LoadConfig(state); err != nil {
 		return nil, err
 	}
 	s.committedConfig = s.config
@@ -90,22 +101,25 @@
 	if err := s.loadRunners(state); err != nil {
 		return nil, err
 	}
-	s.jobs.EachLiveRun(func(state *jobs.Step, index int) {
-		task := &state.Tasks[index]
-		r := s.runner(task.Runner)
-		s.fleet.Reserve(r.fleetRunner, state.TaskID(index), demandOf(state.Stage), groupOf(state))
-		r.live[state.TaskID(index)] = liveRun{number: task.Run, step: state, index: index, startedAt: now}
-		s.countRunning(state, 1)
-	})
+	s.jobs.EachLiveRun(s.adoptRun)
 	return s, nil
 }
 
-// Continue has the scheduler go on under a newer epoch of the same head. All that it has had appended
-// is committed by then.
+// adoptRun takes over a run that an earlier head started and whose end is not recorded.
+func (s *Scheduler) adoptRun(step *jobs.Step, index int) {
+	task, name := &step.Tasks[index], step.TaskID(index)
+	r := s.runner(task.Runner)
+	s.fleet.Reserve(r.fleetRunner, name, demandOf(step.Stage), groupOf(step))
+	r.live[name] = liveRun{number: task.Run, step: step, index: index, startedAt: s.now}
+	s.countRunning(step, 1)
+}
+
+// Continue has the scheduler go on under a newer epoch of the same head. All entries that it had appended are
+// committed by then: index is that of the newest.
 func (s *Scheduler) Continue(now time.Duration, epoch, index uint64) {
 	s.now, s.epoch = now, epoch
-	for _, state := range s.sessions {
-		s.requestFullSync(state)
+	for _, sess := range s.sessions {
+		s.requestFullSync(sess)
 	}
 	s.Committed(now, index)
 }
@@ -116,41 +130,46 @@
 // CommittedConfig returns the newest configuration that is committed.
 func (s *Scheduler) CommittedConfig() *routeconfig.Table { return s.committedConfig }
 
-// Jobs returns the account of jobs; it is only read.
+// Jobs returns the table of jobs; callers only read it.
 func (s *Scheduler) Jobs() *jobs.Table { return s.jobs }
 
-// Fleet returns the runners' accounts; they are only read.
+// Fleet returns the runners with what they have reserved; callers only read it.
 func (s *Scheduler) Fleet() *placement.Fleet { return s.fleet }
 
-// ClockStepped notes that the time of day has jumped: how long ago jobs have ended is not known by it for a while.
+// ClockStepped reports that the time of day has jumped. How long ago a job ended can't be told by it for a while, so
+// that none is forgotten for as long as states are kept.
 func (s *Scheduler) ClockStepped(now time.Duration) { s.retainUntil = now + s.cfg.StatusRetention }
 
-// Tick lets time pass. wallMs is the agreed time of day; confirmed is when the newest confirmation that the
-// epoch stands had been asked for.
+const (
+	// cleanupInterval is how often jobs that have ended are looked through.
+	cleanupInterval = time.Second
+	// maxExpiredPerEntry bounds how many jobs are forgotten in one entry.
+	maxExpiredPerEntry = 200
+)
+
+// Tick lets time pass. wallMs is the agreed time of day in ms since 1970; confirmed is when the newest confirmation
+// that the epoch stands was asked for.
 func (s *Scheduler) Tick(now time.Duration, wallMs int64, confirmed time.Duration) {
 	s.now, s.wallMs, s.confirmedAt, s.tickedSincePass = now, wallMs, max(s.confirmedAt, confirmed), true
 	s.jobs.ReleaseOccurrences(wallMs)
 	s.expireSessions()
 	s.reportOverdue()
 	if now >= s.nextCleanup {
-		s.nextCleanup = now + time.Second
+		s.nextCleanup = now + cleanupInterval
 		if now >= s.retainUntil {
 			s.jobs.Expire(wallMs-s.cfg.StatusRetention.Milliseconds(), maxExpiredPerEntry)
 		}
 	}
 }
 
-// maxExpiredPerEntry bounds how many jobs are forgotten in an entry.
-const maxExpiredPerEntry = 200
-
-// Entry places what can be placed and returns what is to be appended, nil where there is nothing.
+// Entry assigns what can be assigned and returns the entry that is to be appended to the log, nil where nothing has
+// changed. The caller appends it and calls Appended before it calls Entry again.
 func (s *Scheduler) Entry(now time.Duration) *protocol.Entry {
 	s.now = now
 	s.schedule()
 	s.stopRuns()
 	s.enqueueFullSyncs()
-	writes := s.jobs.TakeWrites()
-	e := writes.Entry()
+	e := s.jobs.TakeWrites().Entry()
 	ownWrites := s.writes.Entry()
 	s.writes = &jobs.Writes{}
 	e.Puts, e.Deletes = append(e.Puts, ownWrites.GetPuts()...), append(e.Deletes, ownWrites.GetDeletes()...)
@@ -166,7 +185,7 @@
 	return e
 }
 
-// Appended notes the index of the entry that was returned last.
+// Appended reports the index of the entry that Entry returned last. Its orders wait until that index is committed.
 func (s *Scheduler) Appended(index uint64) {
 	if s.batch.config == nil && s.config.Version > s.appendedConfigVersion() {
 		s.batch.config = s.config
@@ -178,7 +197,7 @@
 	}
 }
 
-// appendedConfigVersion returns the newest version whose entry has been appended.
+// appendedConfigVersion returns the newest version of the configuration whose entry has been appended.
 func (s *Scheduler) appendedConfigVersion() uint64 {
 	for i := len(s.batches) - 1; i >= 0; i-- {
 		if c := s.batches[i].config; c != nil {
@@ -188,7 +207,7 @@
 	return s.committedConfig.Version
 }
 
-// Committed sends the orders whose entries are committed.
+// Committed reports the index of the newest committed entry, and sends the orders of the entries up to it.
 func (s *Scheduler) Committed(now time.Duration, index uint64) {
 	s.now = now
 	s.committed = max(s.committed, index)
@@ -198,56 +217,19 @@
 	}
 }
 
-// TakeSends returns the messages to be sent since the last call.
+// TakeSends returns the messages that are to be sent since the last call.
 func (s *Scheduler) TakeSends() []Send {
-	out := s.sends
+	sends := s.sends
 	s.sends = nil
-	return out
+	return sends
 }
 
-// clockKey is the key of protocol.ClockRecord; clockEvery is how often it is written at the most.
-const (
-	clockKey           = "w"
-	clockWriteInterval = time.Second
-)
-
-// clockItem returns the item that holds the time of day that the state goes by.
-func (s *Scheduler) clockItem() *protocol.Put {
-	value, err := proto.Marshal(&protocol.ClockRecord{TimeMs: s.wallMs})
-	if err != nil {
-		panic("scheduler: a record can't be encoded: " + err.Error())
-	}
-	return &protocol.Put{Key: clockKey, Value: value}
-}
-
-// LoadClock returns the newest time of day that a store is known to have gone by, in ms from 1970, 0 where it holds
-// none.
-func LoadClock(state *store.Store) int64 {
-	var record protocol.ClockRecord
-	if value, ok := state.Get(clockKey); !ok || proto.Unmarshal(value, &record) != nil {
-		return 0
-	}
-	return record.GetTimeMs()
+// TakeEvents returns what is to be logged since the last call.
+func (s *Scheduler) TakeEvents() []event.Event {
+	events := s.events
+	s.events = nil
+	return events
 }
 
 // put adds an item to the next entry.
 func (s *Scheduler) put(key string, body proto.Message) { s.writes.Put(key, body) }
-
-// demandOf returns what a task of a step asks for.
-func demandOf(state *protocol.Stage) placement.Resources {
-	return placement.Resources{CPU: state.GetCpu(), MemMB: state.GetMemMb(), GPUs: state.GetGpus()}
-}
-
-func groupOf(state *jobs.Step) placement.Group {
-	return placement.Group{Job: state.Job.ID, Occurrence: state.Occurrence.Number, Step: state.Number}
-}
-
-// rackOf returns the label that names a runner's rack.
-func rackOf(prefix string, labels []string) string {
-	for _, l := range labels {
-		if strings.HasPrefix(l, prefix) && strings.Contains(l, "-") {
-			return l
-		}
-	}
-	return ""
-}
--- a/internal/control/scheduler/sessions.go
+++ b/internal/control/scheduler/sessions.go
@@ -1,79 +1,72 @@
 package scheduler
 
 import (
-	"maps"
 	"slices"
 	"time"
 
-	"frosttide/internal/control/jobs"
 	"frosttide/internal/control/placement"
 	"frosttide/internal/protocol"
 )
 
-// fullSyncState is how far the sending of the whole set of a runner's runs is.
-type fullSyncState int
-
-// The states of the whole set.
-const (
-	fullSyncNeeded    fullSyncState = iota // it is to be sent
-	fullSyncRequested                      // it is sent once the entry that asks for it is committed
-	fullSyncReady                          // it goes with the next orders
-	fullSyncSent                           // changes are enough
-)
-
-// session is a companion that speaks for its runner.
+// session is what the head knows of the agent at an address, from its first report until it restarts, another head
+// takes over or the session expires.
 type session struct {
+	// Identity.
 	address              string
-	number               uint64   // rises with each session
-	incarnation          uint64   // of the companion
-	runner               string   // id of its runner, empty before any is known
-	previousIncarnations []uint64 // incarnations that spoke for this machine before, the newest last
-	reportNumber         uint64   // of the newest report
-	lastContact          time.Duration
-	leaseExpiry          time.Duration // end of the newest lease
-	lastSequence         uint64        // of the newest orders
-	unappliedSince       time.Duration // since when the oldest unapplied orders wait, or some were last applied
-	appliedSequence      uint64        // newest orders that the companion has applied
-	fullSync             fullSyncState
-	runnerUnresponsive   bool
-	hasLease             bool
-	draining             bool
+	number               uint64   // rises with each session of a head
+	incarnation          uint64   // of the agent
+	previousIncarnations []uint64 // of earlier agents at this address, the newest last
+	runner               string   // id of the agent's runner, empty before the agent has registered one
+
+	// The newest report.
+	reportNumber       uint64 // rises with each report of an incarnation
+	lastContact        time.Duration
+	runnerUnresponsive bool // the runner has missed its heartbeats to the agent
+	hasLease           bool // the runner acts within a lease that this agent has passed on
+	draining           bool // the runner accepts no further runs
+
+	// The lease.
+	leaseExpiry time.Duration // of the newest lease that was granted
+
+	// Orders: the agent applies them in the order of their sequence numbers, without a gap.
+	lastSequence    uint64        // of the newest orders sent
+	appliedSequence uint64        // of the newest orders that the agent has applied
+	unappliedSince  time.Duration // since when the oldest unapplied orders wait, or when some were last applied
+	fullSync        fullSyncState
 }
 
-const (
-	// sessionTimeout is how long a companion may be silent until its session may be given up.
-	sessionTimeout = 1200 * time.Millisecond
-	// maxMissedReports is how many reports a companion may leave out until its runner gets no more tasks.
-	maxMissedReports = 2.5
-	// minReportInterval and mostReport bound the pause between a companion's reports; reportsASecond is how many
-	// the head takes of all companions together.
-	minReportInterval   = 100 * time.Millisecond
-	maxReportInterval   = 500 * time.Millisecond
-	maxReportsPerSecond = 700
-	// fullSyncRetryAfter is how long orders may be unapplied until the whole set is sent again.
-	fullSyncRetryAfter = 700 * time.Millisecond
-	// heartbeatIntervalMs is the pause between a runner's beats; runners make none that is shorter.
-	heartbeatIntervalMs = 50
-)
+// maxPreviousIncarnations bounds how many earlier incarnations of an agent are known.
+const maxPreviousIncarnations = 8
+
+// incarnationHistory returns the incarnations that a successor of a session must not accept reports of: the earlier
+// ones and the session's own. A nil session has none.
+func (sess *session) incarnationHistory() []uint64 {
+	if sess == nil {
+		return nil
+	}
+	all := append(slices.Clone(sess.previousIncarnations), sess.incarnation)
+	return all[max(0, len(all)-maxPreviousIncarnations):]
+}
 
-// leaseOverAt returns when holds within a lease have surely run out.
-func (s *Scheduler) leaseOverAt(expiry time.Duration) time.Duration {
-	return expiry + time.Duration(maxClockDrift*float64(s.cfg.Lease)) + leaseMargin
+// acknowledge records up to which sequence number an agent has applied its orders. Newer orders do not extend the time
+// that the oldest ones may stay unapplied, as an agent that misses one applies none after it.
+func (sess *session) acknowledge(now time.Duration, sequence uint64) {
+	if sequence > sess.appliedSequence {
+		sess.appliedSequence, sess.unappliedSince = sequence, now
+	}
 }
 
-// HandleReport handles what a companion says.
+// HandleReport takes over an agent's report and replies with a renewed lease. A report that arrives after a later one
+// is dropped. What the report says is applied in a fixed order: runners that are gone, the agent's own runner, orders
+// applied, ends, refusals, and only then whether the runner may be assigned tasks.
 func (s *Scheduler) HandleReport(now time.Duration, from string, report *protocol.RunnerReport) {
 	s.now = now
 	sess := s.sessions[from]
-	if s.isStale(sess, report) {
+	if sess.isStale(report) {
 		return
 	}
 	if sess == nil || sess.incarnation != report.GetIncarnation() {
-		s.endSession(sess)
-		s.lastSession++
-		sess = &session{address: from, number: s.lastSession, incarnation: report.GetIncarnation(), previousIncarnations: sess.incarnationHistory()}
-		s.sessions[from] = sess
-		s.requestFullSync(sess)
+		sess = s.beginSession(from, sess, report.GetIncarnation())
 	}
 	sess.lastContact, sess.reportNumber = now, report.GetLeaseRound()
 	for _, id := range report.GetGone() {
@@ -90,42 +83,46 @@
 	s.renewLease(sess, report)
 }
 
-// maxPreviousIncarnations bounds the incarnations that are remembered of a machine.
-const maxPreviousIncarnations = 8
-
-// incarnationHistory returns the incarnations that spoke for a session's machine, its own included.
-func (sess *session) incarnationHistory() []uint64 {
-	if sess == nil {
-		return nil
-	}
-	all := append(slices.Clone(sess.previousIncarnations), sess.incarnation)
-	return all[max(0, len(all)-maxPreviousIncarnations):]
-}
-
-// isStale tells whether a report comes after a later one of the same machine: what it says of the runner holds no
-// longer.
-func (s *Scheduler) isStale(sess *session, report *protocol.RunnerReport) bool {
-	if sess != nil && sess.incarnation == report.GetIncarnation() {
+// isStale reports whether a report is older than what is known of its sender: a report of the session's incarnation
+// that is not newer than its newest, or any of an earlier incarnation. The network may delay and repeat reports.
+func (sess *session) isStale(report *protocol.RunnerReport) bool {
+	switch {
+	case sess == nil:
+		return false
+	case sess.incarnation == report.GetIncarnation():
 		return report.GetLeaseRound() <= sess.reportNumber
+	default:
+		return slices.Contains(sess.previousIncarnations, report.GetIncarnation())
 	}
-	return sess != nil && slices.Contains(sess.previousIncarnations, report.GetIncarnation())
 }
 
-// acknowledge notes how far a companion has applied its orders. Later orders don't put the patience with the oldest
-// off: a companion that misses one applies none after it.
-func (sess *session) acknowledge(now time.Duration, sequence uint64) {
-	if sequence > sess.appliedSequence {
-		sess.appliedSequence, sess.unappliedSince = sequence, now
-	}
+// beginSession replaces the session of an address, nil where there was none, by one with a new incarnation of the
+// agent. It starts with a full sync.
+func (s *Scheduler) beginSession(address string, previous *session, incarnation uint64) *session {
+	s.endSession(previous)
+	s.lastSession++
+	sess := &session{address: address, number: s.lastSession, incarnation: incarnation, previousIncarnations: previous.incarnationHistory()}
+	s.sessions[address] = sess
+	s.requestFullSync(sess)
+	return sess
 }
 
-// requestFullSync has a session sent the whole set of its runner's runs.
-func (s *Scheduler) requestFullSync(sess *session) {
-	sess.fullSync = fullSyncNeeded
-	s.fullSyncWanted = true
+// endSession removes a session. Its runner is assigned nothing until an agent registers it again, and is lost unless
+// that happens before its leases have run out.
+func (s *Scheduler) endSession(sess *session) {
+	if sess == nil {
+		return
+	}
+	if r := s.runners[sess.runner]; r != nil && r.session == sess {
+		r.session = nil
+		s.fleet.SetUsable(r.fleetRunner, false)
+		r.lostAfter = s.leaseOverAt(sess.leaseExpiry)
+	}
+	delete(s.sessions, sess.address)
 }
 
-// registerRunner notes which runner a companion speaks for.
+// registerRunner takes over which runner an agent reports for, with its capacity and labels. Reports leave them out
+// while they have not changed.
 func (s *Scheduler) registerRunner(sess *session, report *protocol.RunnerReport) {
 	account := report.GetAccount()
 	if account == nil {
@@ -146,143 +143,7 @@
 	if sess.draining {
 		s.evacuate(r, time.Duration(account.GetRemainingMs())*time.Millisecond)
 	}
-	capacity := account.GetCapacity()
-	s.fleet.UpdateRunner(r.fleetRunner, account.GetService(), rackOf(s.cfg.RackPrefix, account.GetLabels()), account.GetLabels(), placement.Resources{CPU: capacity.GetCpu(), MemMB: capacity.GetMemMb(), GPUs: capacity.GetGpus()})
-}
-
-// reportInterval returns how often companions report: the fewer there are, the sooner a silent one is noticed.
-func (s *Scheduler) reportInterval() time.Duration {
-	return min(max(time.Duration(len(s.sessions))*time.Second/maxReportsPerSecond, minReportInterval), maxReportInterval)
-}
-
-// contactTimeout returns how long a companion may be silent, or orders unapplied, until its runner gets no
-// more tasks.
-func (s *Scheduler) contactTimeout() time.Duration {
-	return time.Duration(maxMissedReports * float64(s.reportInterval()))
-}
-
-// updateUsable decides whether a session's runner may be sent tasks.
-func (s *Scheduler) updateUsable(sess *session) {
-	if r := s.runners[sess.runner]; r != nil && r.session == sess {
-		s.fleet.SetUsable(r.fleetRunner, r.registered && sess.hasLease && !sess.runnerUnresponsive && !sess.draining && s.now-sess.lastContact < s.contactTimeout() && sess.leaseExpiry > s.now &&
-			(sess.appliedSequence >= sess.lastSequence || s.now-sess.unappliedSince < s.contactTimeout()))
-	}
-}
-
-// recordEnds notes the ends that a runner has listed, each once.
-func (s *Scheduler) recordEnds(sess *session, ends []*protocol.RunEnd) {
-	r := s.runners[sess.runner]
-	if r == nil {
-		return
-	}
-	previous := r.recordedEnd
-	for _, end := range ends {
-		if end.GetNumber() <= r.recordedEnd {
-			continue
-		}
-		r.recordedEnd = end.GetNumber()
-		s.recordEnd(r, end)
-	}
-	if r.recordedEnd > previous {
-		s.writeRunner(r)
-		s.batch.acknowledgeEnds(r.id, r.recordedEnd)
-	}
-}
-
-// recordRefusals notes runs that a runner surely never starts.
-func (s *Scheduler) recordRefusals(sess *session, refused []*protocol.RunRef) {
-	r := s.runners[sess.runner]
-	if r == nil || r.session != sess {
-		return
-	}
-	for _, ref := range refused {
-		name, ok := jobs.ParseTask(ref.GetTask())
-		run, live := r.live[ref.GetTask()]
-		if !ok || !live || run.number != ref.GetRun() {
-			s.batch.addDrop(r.id, ref.GetTask(), ref.GetRun()) // it is known already
-			continue
-		}
-		if run.pending {
-			continue
-		}
-		s.jobs.RecordEnd(name, run.number, r.id, jobs.EndRefused, "", s.maxAttempts(name.Job), s.wallMs)
-		s.countEnd(run.step, jobs.EndRefused)
-		s.releaseRun(r, ref.GetTask())
-	}
-}
-
-func (s *Scheduler) recordEnd(r *runner, end *protocol.RunEnd) {
-	name, ok := jobs.ParseTask(end.GetTask())
-	if !ok {
-		return
-	}
-	reason := jobs.EndReason(end.GetHow())
-	first := s.firstFailure(name)
-	result := s.jobs.RecordEnd(name, end.GetRun(), r.id, reason, end.GetSaved(), s.maxAttempts(name.Job), s.wallMs)
-	if run, live := r.live[end.GetTask()]; live && run.number == end.GetRun() {
-		s.releaseRun(r, end.GetTask())
-	}
-	if result.Applied {
-		s.countEnd(result.Step, reason)
-	}
-	if result.Applied && (reason == jobs.EndDone || reason == jobs.EndFailed && first) {
-		s.fleet.RecordOutcome(r.fleetRunner, name.Job, reason == jobs.EndFailed, s.now)
-	}
-}
-
-// firstFailure tells whether a task has not failed before: one that fails again and again says little of its
-// runners, nor does lasting work, which may fail at any time.
-func (s *Scheduler) firstFailure(name jobs.TaskName) bool {
-	sess := s.jobs.FindStep(name)
-	return sess != nil && sess.Tasks[name.Index].Failures == 0 && !sess.Stage.GetLongRunning()
-}
-
-// maxAttempts returns how many failed runs a task of a job may have.
-func (s *Scheduler) maxAttempts(id string) int {
-	j := s.jobs.Get(id)
-	if j == nil {
-		return 1
-	}
-	if route := s.config.Route(j.Queue); route != nil {
-		return route.MaxAttempts
-	}
-	return defaultMaxAttempts
-}
-
-// defaultMaxAttempts counts for jobs of a queue that is gone.
-const defaultMaxAttempts = 2
-
-// endSession has a runner wait for its companion's next session.
-func (s *Scheduler) endSession(sess *session) {
-	if sess == nil {
-		return
-	}
-	if r := s.runners[sess.runner]; r != nil && r.session == sess {
-		r.session = nil
-		s.fleet.SetUsable(r.fleetRunner, false)
-		r.lostAfter = s.leaseOverAt(sess.leaseExpiry)
-	}
-	delete(s.sessions, sess.address)
-}
-
-// expireSessions gives up runners whose holds have run out, and has orders sent again that were not
-// applied.
-func (s *Scheduler) expireSessions() {
-	for _, address := range slices.Sorted(maps.Keys(s.sessions)) {
-		sess := s.sessions[address]
-		if s.now > s.leaseOverAt(sess.leaseExpiry) && s.now-sess.lastContact > sessionTimeout {
-			s.endSession(sess)
-			continue
-		}
-		s.updateUsable(sess)
-		if sess.appliedSequence < sess.lastSequence && s.now-sess.unappliedSince > fullSyncRetryAfter && s.now-sess.lastContact < s.contactTimeout() {
-			s.requestFullSync(sess)
-			sess.unappliedSince = s.now
-		}
-	}
-	for _, id := range slices.Sorted(maps.Keys(s.runners)) {
-		if r := s.runners[id]; r.session == nil && s.now > r.lostAfter {
-			s.declareLost(id)
-		}
-	}
+	c := account.GetCapacity()
+	capacity := placement.Resources{CPU: c.GetCpu(), MemMB: c.GetMemMb(), GPUs: c.GetGpus()}
+	s.fleet.UpdateRunner(r.fleetRunner, account.GetService(), rackOf(s.cfg.RackPrefix, account.GetLabels()), account.GetLabels(), capacity)
 }
--- a/internal/testkit/lab/mutate/checks.go
+++ b/internal/testkit/lab/mutate/checks.go
@@ -10,8 +10,7 @@
 	electionFile  = "internal/control/replica/election.go"
 	diskFile      = "internal/control/replica/disk.go"
 	schedulerFile = "internal/control/scheduler/scheduler.go"
-	sessionsFile  = "internal/control/scheduler/sessions.go"
-	ordersFile    = "internal/control/scheduler/orders.go"
+	leaseFile     = "internal/control/scheduler/lease.go"
 	requestsFile  = "internal/control/scheduler/requests.go"
 	companionFile = "internal/data/agent/machine.go"
 	headFile      = "internal/data/agent/head.go"
@@ -63,9 +62,9 @@
 	{"a head without contact takes nothing", chainFile, "m.Serving() && now-m.confirmations.confirmedAt <= contactTimeout && m.index", "m.Serving() && m.index"},
 
 	{"orders go out once they are committed", schedulerFile, "len(s.batches) > 0 && s.batches[0].index <= s.committed", "len(s.batches) > 0"},
-	{"a lease counts from the newest confirmation", ordersFile, "until := s.confirmedAt + s.cfg.Lease", "until := s.now + s.cfg.Lease"},
-	{"a lost runner's leases have run out", sessionsFile, "return expiry + time.Duration(maxClockDrift*float64(s.cfg.Lease)) + leaseMargin", "return expiry - s.cfg.Lease/2"},
-	{"an order that was taken is known again", requestsFile, "if s.updates.contains(name) {", "if false {"},
+	{"a lease counts from the newest confirmation", leaseFile, "until := s.confirmedAt + s.cfg.Lease", "until := s.now + s.cfg.Lease"},
+	{"a lost runner's leases have run out", leaseFile, "return expiry + time.Duration(maxClockDrift*float64(s.cfg.Lease)) + leaseMargin", "return expiry - s.cfg.Lease/2"},
+	{"an order that was taken is known again", requestsFile, "if s.updates.contains(digest) {", "if false {"},
 	{"a job's ID is of one queue and content", requestsFile, "if j := s.jobs.Get(submission.GetId()); j != nil {\n		return s.resubmit(j, submission)", "if j := s.jobs.Get(submission.GetId()); j != nil {\n		return http.StatusOK, \"\""},
 	{"the time of day is agreed on", memberFile, "m.scheduler.Tick(now, m.clock.NowMs(now), m.replica.ConfirmedAt())", "m.scheduler.Tick(now, wallMs, m.replica.ConfirmedAt())"},
 
