--- a/internal/control/store/store_rapid_test.go
+++ b/internal/control/store/store_rapid_test.go
@@ -10,8 +10,8 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestDigestsFollowItems changes two stores in any way: their digests are equal just where their items are, whatever
-// order they were written in, a watcher's account of them is right, and the ranges that differ make them equal.
+// TestDigestsFollowItems changes two stores at random. Their digests are equal just where their items are, a watcher has
+// seen every change, and the items of the differing ranges make the stores equal.
 func TestDigestsFollowItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stores := [2]*Store{New(), New()}
--- a/internal/control/store/store_test.go
+++ b/internal/control/store/store_test.go
@@ -10,7 +10,8 @@
 	"frosttide/internal/protocol"
 )
 
-func fill(rng *rand.Rand, s *Store, count int) {
+// changeRandomly sets and deletes random items.
+func changeRandomly(rng *rand.Rand, s *Store, count int) {
 	for range count {
 		key := fmt.Sprintf("k%d", rng.IntN(3*count))
 		if rng.IntN(4) == 0 {
@@ -21,30 +22,32 @@
 	}
 }
 
-// TestRepair has a store that differs in any way become equal by what the ranges that differ hold.
+// TestRepair makes a store that differs at random equal to another by the items of the differing ranges.
 func TestRepair(t *testing.T) {
 	for seed := range uint64(50) {
-		rng := rand.New(rand.NewPCG(seed, 1))
-		a, b := New(), New()
-		fill(rng, a, 500)
-		for _, p := range a.All() {
-			b.Put(p.GetKey(), p.GetValue())
-		}
-		fill(rng, b, rng.IntN(100))
-		var items []*protocol.Put
-		ranges := a.DifferingRanges(b.Digests())
-		for _, r := range ranges {
-			items = append(items, a.ItemsInRange(r)...)
-		}
-		puts, deletes := b.Repair(ranges, items)
-		b.Apply(puts, deletes)
-		require.Equal(t, a.All(), b.All())
-		require.Empty(t, a.DifferingRanges(b.Digests()))
-		require.Equal(t, a.Bytes(), b.Bytes())
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			rng := rand.New(rand.NewPCG(seed, 1))
+			source, target := New(), New()
+			changeRandomly(rng, source, 500)
+			for _, p := range source.All() {
+				target.Put(p.GetKey(), p.GetValue())
+			}
+			changeRandomly(rng, target, rng.IntN(100))
+			var items []*protocol.Put
+			ranges := source.DifferingRanges(target.Digests())
+			for _, r := range ranges {
+				items = append(items, source.ItemsInRange(r)...)
+			}
+			puts, deletes := target.Repair(ranges, items)
+			target.Apply(puts, deletes)
+			require.Equal(t, source.All(), target.All())
+			require.Empty(t, source.DifferingRanges(target.Digests()))
+			require.Equal(t, source.Bytes(), target.Bytes())
+		})
 	}
 }
 
-// TestDigestsFollowContent has equal content give equal digests, whatever led to it.
+// TestDigestsFollowContent requires equal content to have equal digests, whatever the writes that led to it.
 func TestDigestsFollowContent(t *testing.T) {
 	a, b := New(), New()
 	a.Put("x", []byte("1"))
@@ -56,8 +59,14 @@
 	require.Equal(t, 1, a.Len())
 	b.Put("x", []byte("1"))
 	require.Len(t, a.DifferingRanges(b.Digests()), 1)
-	require.Len(t, a.DifferingRanges(nil), 1, "ranges that the other lacks count as empty")
-	a.Delete("none")
-	require.Equal(t, 1, a.Len())
-	require.Nil(t, a.ItemsInRange(RangeCount))
+	require.Len(t, a.DifferingRanges(nil), 1, "missing digests count as those of empty ranges")
+}
+
+// TestMissingItemsAndRanges deletes an item that does not exist and asks for a range that does not.
+func TestMissingItemsAndRanges(t *testing.T) {
+	s := New()
+	s.Put("x", []byte("1"))
+	s.Delete("none")
+	require.Equal(t, 1, s.Len())
+	require.Nil(t, s.ItemsInRange(RangeCount))
 }
