--- a/internal/control/journal/file.go
+++ b/internal/control/journal/file.go
@@ -1,6 +1,7 @@
 package journal
 
 import (
+	"bytes"
 	"io"
 	"io/fs"
 	"os"
@@ -11,56 +12,57 @@
 
 const (
 	stateFile        = "state"
-	newStateFile     = "state.new"
-	damagedStateFile = "state.damaged"
+	newStateFile     = "state.new"     // a rewritten file before it takes the place of the old one
+	damagedStateFile = "state.damaged" // a damaged file, kept for whoever looks into the damage
 	fileMode         = 0o600
+	dirMode          = 0o700
 )
 
-// File is a member's file on a disk. Its calls block for the disk; it is not safe for concurrent use.
+// File is an open file of a member. Its methods block for the disk.
 type File struct {
 	dir  string
 	file *os.File
 	size int64
 }
 
-// Size returns the file's length in bytes.
-func (f *File) Size() int64 { return f.size }
-
-// Load reads the file of a folder without changing anything, as of a member that may be running.
+// Load reads the file in a folder without changing anything, as of a member that may be running. It returns the errors
+// of Read.
 func Load(dir string) (State, error) {
 	data, err := os.ReadFile(filepath.Join(dir, stateFile))
 	if err != nil {
-		return State{}, errors.Wrap(err, "journal: the file can't be read")
+		return State{}, errors.Wrap(err, "journal: reading the state file")
 	}
 	state, _, err := Read(data)
 	return state, err
 }
 
-// Create writes a whole file into a folder that has none.
+// Create writes and syncs the file of a member that does not run yet. The folder is created where it is missing; it must
+// not hold a file already.
 func Create(dir string, content []byte) error {
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return errors.Wrap(err, "journal: the folder can't be made")
+	if err := os.MkdirAll(dir, dirMode); err != nil {
+		return errors.Wrap(err, "journal: creating the folder")
 	}
 	file, err := os.OpenFile(filepath.Join(dir, stateFile), os.O_WRONLY|os.O_CREATE|os.O_EXCL, fileMode)
 	if err != nil {
-		return errors.Wrap(err, "journal: the folder holds a file already, or can't be written to")
+		return errors.Wrap(err, "journal: creating the state file in a folder without one")
 	}
 	defer file.Close()
-	return errors.Wrap(writeAndSync(file, content), "journal: the file can't be written")
+	_, err = writeAndSync(file, bytes.NewReader(content))
+	return errors.Wrap(err, "journal: writing the state file")
 }
 
-// Open reads the file of a folder, which is made if it is missing, and leaves it cut after its last
-// good record. A file that is damaged is put aside, and the state returned is empty together with
-// ErrDamaged: the member comes back as one that has lost its disk.
+// Open reads the file in a folder, creates it where it is missing, and cuts off what follows its valid records. A damaged
+// file is renamed; the File and the state returned are then empty, and the error is ErrDamaged: the member continues as one
+// that has lost its disk. With any other error the File is nil.
 func Open(dir string) (*File, State, error) {
 	empty, _, _ := Read(nil)
-	if err := os.MkdirAll(dir, 0o700); err != nil {
-		return nil, empty, errors.Wrap(err, "journal: the folder can't be made")
+	if err := os.MkdirAll(dir, dirMode); err != nil {
+		return nil, empty, errors.Wrap(err, "journal: creating the folder")
 	}
 	path := filepath.Join(dir, stateFile)
 	data, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return nil, empty, errors.Wrap(err, "journal: the file can't be read")
+		return nil, empty, errors.Wrap(err, "journal: reading the state file")
 	}
 	state, validLength, damage := Read(data)
 	if errors.Is(damage, ErrFormat) {
@@ -68,13 +70,13 @@
 	}
 	if damage != nil {
 		if err := os.Rename(path, filepath.Join(dir, damagedStateFile)); err != nil {
-			return nil, empty, errors.Wrap(err, "journal: the damaged file can't be put aside")
+			return nil, empty, errors.Wrap(err, "journal: renaming the damaged state file")
 		}
 		state, validLength = empty, 0
 	}
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, fileMode)
 	if err != nil {
-		return nil, empty, errors.Wrap(err, "journal: the file can't be opened")
+		return nil, empty, errors.Wrap(err, "journal: opening the state file")
 	}
 	f := &File{dir: dir, file: file}
 	if err := f.truncate(int64(validLength)); err != nil {
@@ -83,75 +85,73 @@
 	return f, state, damage
 }
 
-// truncate shortens the file to its good records, so that later ones follow those.
-func (f *File) truncate(validLength int64) error {
-	if err := f.file.Truncate(validLength); err != nil {
-		return errors.Wrap(err, "journal: the torn end can't be cut off")
-	}
-	f.size = validLength
-	if _, err := f.file.Seek(validLength, 0); err != nil {
-		return errors.Wrap(err, "journal: the file has no end")
-	}
-	if err := f.file.Sync(); err != nil {
-		return errors.Wrap(err, "journal: the file can't be synced")
-	}
-	return f.syncDir()
-}
+// Size returns the length of the file, in bytes.
+func (f *File) Size() int64 { return f.size }
 
-// Write appends records and syncs them.
+// Write appends records and syncs them. After an error it is unknown how much of them is on disk.
 func (f *File) Write(records []byte) error {
 	n, err := f.file.Write(records)
 	f.size += int64(n)
 	if err != nil {
-		return errors.Wrap(err, "journal: a write failed")
+		return errors.Wrap(err, "journal: appending records")
 	}
-	return errors.Wrap(f.file.Sync(), "journal: a sync failed")
+	return errors.Wrap(f.file.Sync(), "journal: syncing the state file")
 }
 
-// Rewrite replaces the whole file: a new one is written and synced, then takes the old one's name.
+// Rewrite replaces the content of the file. The new content is written to another file and synced before that takes the
+// old one's name, so that a crash leaves one of the two.
 func (f *File) Rewrite(content io.WriterTo) error {
 	path := filepath.Join(f.dir, newStateFile)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, fileMode)
 	if err != nil {
-		return errors.Wrap(err, "journal: the new file can't be made")
+		return errors.Wrap(err, "journal: creating the new state file")
 	}
-	size, err := writeImage(file, content)
+	size, err := writeAndSync(file, content)
 	if err == nil {
 		err = os.Rename(path, filepath.Join(f.dir, stateFile))
 	}
 	if err != nil {
-		file.Close()
-		return errors.Wrap(err, "journal: the new file can't be put in place")
+		file.Close() // nobody relies on its content
+		return errors.Wrap(err, "journal: replacing the state file")
 	}
-	f.file.Close()
+	f.file.Close() // all of it that counts was synced
 	f.file, f.size = file, size
 	return f.syncDir()
 }
 
-// writeImage writes a whole file and syncs it.
-func writeImage(file *os.File, content io.WriterTo) (int64, error) {
-	size, err := content.WriteTo(file)
-	if err != nil {
-		return size, err
-	}
-	return size, file.Sync()
-}
+// Close closes the file. What was written is synced already.
+func (f *File) Close() error { return f.file.Close() }
 
-func writeAndSync(file *os.File, content []byte) error {
-	if _, err := file.Write(content); err != nil {
-		return err
+// truncate shortens the file to its valid records, so that new ones follow them.
+func (f *File) truncate(validLength int64) error {
+	if err := f.file.Truncate(validLength); err != nil {
+		return errors.Wrap(err, "journal: cutting off the torn end of the state file")
+	}
+	f.size = validLength
+	if _, err := f.file.Seek(validLength, io.SeekStart); err != nil {
+		return errors.Wrap(err, "journal: seeking the end of the state file")
+	}
+	if err := f.file.Sync(); err != nil {
+		return errors.Wrap(err, "journal: syncing the state file")
 	}
-	return file.Sync()
+	return f.syncDir()
 }
 
+// syncDir syncs the folder, so that a new or renamed file is found under its name after a crash.
 func (f *File) syncDir() error {
 	dir, err := os.Open(f.dir)
 	if err != nil {
-		return errors.Wrap(err, "journal: the folder can't be opened")
+		return errors.Wrap(err, "journal: opening the folder")
 	}
 	defer dir.Close()
-	return errors.Wrap(dir.Sync(), "journal: the folder can't be synced")
+	return errors.Wrap(dir.Sync(), "journal: syncing the folder")
 }
 
-// Close closes the file.
-func (f *File) Close() error { return f.file.Close() }
+// writeAndSync writes content to a file, syncs it and returns how many bytes it has written.
+func writeAndSync(file *os.File, content io.WriterTo) (int64, error) {
+	size, err := content.WriteTo(file)
+	if err != nil {
+		return size, err
+	}
+	return size, file.Sync()
+}
--- a/internal/control/journal/image.go
+++ b/internal/control/journal/image.go
@@ -10,72 +10,93 @@
 	"frosttide/internal/protocol"
 )
 
-// Image is a state as it was at one moment, for a whole file. Taking one copies no values, so that it is quick
-// for a large state; writing it may go on elsewhere while the state changes.
+// imageRecordBytes is approximately how many bytes of items one record of an image holds.
+const imageRecordBytes = 1 << 20
+
+// Image is a state at one moment, as the content of a new file. Taking it copies no values, which is quick for a large
+// state too; it may be written by another goroutine while the state changes, because values in a store are never modified.
 type Image struct {
-	identity *protocol.IdentityRecord
-	accepted *protocol.View
-	promised uint64
-	epoch    uint64
-	index    uint64
-	items    []*protocol.Put
-	bytes    int
+	identity       *protocol.IdentityRecord
+	accepted       *protocol.View
+	promised       uint64
+	installedEpoch uint64
+	index          uint64
+	items          []*protocol.Put
+	bytes          int
 }
 
-// imageRecordBytes is about how many bytes of items one record of an image holds.
-const imageRecordBytes = 1 << 20
-
 // NewImage takes the image of a state.
 func NewImage(s State) *Image {
-	i := &Image{identity: &protocol.IdentityRecord{Id: s.ID, Founder: s.Founder, Format: Format}, accepted: s.Accepted, promised: s.Promised,
-		epoch: s.InstalledEpoch, index: s.Index, items: make([]*protocol.Put, 0, s.Store.Len()), bytes: s.Store.Bytes()}
+	i := &Image{
+		identity:       &protocol.IdentityRecord{Id: s.ID, Founder: s.Founder, Format: Format},
+		accepted:       s.Accepted,
+		promised:       s.Promised,
+		installedEpoch: s.InstalledEpoch,
+		index:          s.Index,
+		items:          make([]*protocol.Put, 0, s.Store.Len()),
+		bytes:          s.Store.Bytes(),
+	}
 	s.Store.Each(func(key string, value []byte) { i.items = append(i.items, &protocol.Put{Key: key, Value: value}) })
 	return i
 }
 
-// Bytes returns about how long the file becomes.
+// Snapshot returns the content of a file that holds a state.
+func Snapshot(s State) ([]byte, error) { return NewImage(s).Encode() }
+
+// Bytes returns the approximate length of the file, in bytes.
 func (i *Image) Bytes() int { return i.bytes }
 
-// WriteTo writes the whole file. The state stands in several records; they count together, as the file takes its
-// place only once all of it is synced.
-func (i *Image) WriteTo(w io.Writer) (written int64, err error) {
-	write := func(kind Kind, body proto.Message) {
-		if err != nil {
-			return
-		}
-		var record []byte
-		if record, err = Append(nil, kind, 0, body); err != nil {
-			return
-		}
-		var n int
-		n, err = w.Write(record)
-		written += int64(n)
-		err = errors.Wrap(err, "journal: a write failed")
-	}
-	write(KindIdentity, i.identity)
+// Encode returns the content of the file.
+func (i *Image) Encode() ([]byte, error) {
+	var out bytes.Buffer
+	_, err := i.WriteTo(&out)
+	return out.Bytes(), err
+}
+
+// WriteTo writes the content of the file and returns how many bytes it has written. It implements io.WriterTo.
+func (i *Image) WriteTo(w io.Writer) (int64, error) {
+	out := recordWriter{w: w}
+	out.write(KindIdentity, i.identity)
 	if i.accepted != nil {
-		write(KindAccept, &protocol.AcceptRecord{View: i.accepted})
+		out.write(KindAccept, &protocol.AcceptRecord{View: i.accepted})
 	}
-	write(KindPromise, &protocol.PromiseRecord{Ballot: i.promised})
-	record := &protocol.InstallRecord{Epoch: i.epoch, Index: i.index}
+	out.write(KindPromise, &protocol.PromiseRecord{Ballot: i.promised})
+	i.writeItems(&out)
+	return out.written, out.err
+}
+
+// writeItems writes the items in records of imageRecordBytes. The last record may have none: it sets the epoch and the
+// index in any case.
+func (i *Image) writeItems(out *recordWriter) {
+	record := &protocol.InstallRecord{Epoch: i.installedEpoch, Index: i.index}
 	size := 0
 	for _, item := range i.items {
 		record.Puts = append(record.Puts, item)
 		if size += len(item.GetKey()) + len(item.GetValue()); size >= imageRecordBytes {
-			write(KindInstall, record)
-			record, size = &protocol.InstallRecord{Epoch: i.epoch, Index: i.index}, 0
+			out.write(KindInstall, record)
+			record, size = &protocol.InstallRecord{Epoch: i.installedEpoch, Index: i.index}, 0
 		}
 	}
-	write(KindInstall, record)
-	return written, err
+	out.write(KindInstall, record)
 }
 
-// Encode returns the whole file.
-func (i *Image) Encode() ([]byte, error) {
-	var out bytes.Buffer
-	_, err := i.WriteTo(&out)
-	return out.Bytes(), err
+// recordWriter writes records until the first error.
+type recordWriter struct {
+	w       io.Writer
+	written int64
+	err     error
 }
 
-// Snapshot returns a whole file that holds a state.
-func Snapshot(s State) ([]byte, error) { return NewImage(s).Encode() }
+// write writes one record, and nothing after an error.
+func (r *recordWriter) write(kind Kind, body proto.Message) {
+	if r.err != nil {
+		return
+	}
+	var record []byte
+	if record, r.err = Append(nil, kind, 0, body); r.err != nil {
+		return
+	}
+	n, err := r.w.Write(record)
+	r.written += int64(n)
+	r.err = errors.Wrap(err, "journal: writing a record")
+}
--- a/internal/control/journal/journal_bench_test.go
+++ b/internal/control/journal/journal_bench_test.go
@@ -10,7 +10,7 @@
 	"frosttide/internal/control/store"
 )
 
-// largeState returns a state of about a number of bytes, in items of 1,000.
+// largeState returns a state of approximately a number of bytes, in items of 1,000 bytes.
 func largeState(bytes int) State {
 	const itemBytes = 1000
 	s := State{ID: 1, Store: store.New()}
@@ -22,7 +22,7 @@
 	return s
 }
 
-// BenchmarkRestart reads files of 1, 10 and 50 MB, as a member does that starts again.
+// BenchmarkRestart reads files of 1, 10 and 50 MB, as a restarted member does.
 func BenchmarkRestart(b *testing.B) {
 	for _, megabytes := range []int{1, 10, 50} {
 		content, err := Snapshot(largeState(megabytes << 20))
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkImage takes the image of a state, which holds up the member, and writes it, which does not.
+// BenchmarkImage takes the image of a state, for which the member stops, and writes it, which another goroutine does.
 func BenchmarkImage(b *testing.B) {
 	for _, megabytes := range []int{1, 10, 50} {
 		s := largeState(megabytes << 20)
--- a/internal/control/journal/journal_rapid_test.go
+++ b/internal/control/journal/journal_rapid_test.go
@@ -13,8 +13,8 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestTornOrDamagedFileIsNotReadAsComplete tears or damages files at any place: what is read is the state after some of the
-// writes, all of those that were synced among them, or the file is said to be damaged.
+// TestTornOrDamagedFileIsNotReadAsComplete tears or damages a file at any offset. What is read is the state after some of
+// the writes, among them all that were synced, or the file is reported as damaged.
 func TestTornOrDamagedFileIsNotReadAsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		data, err := Snapshot(State{ID: 7, Store: store.New()})
@@ -39,7 +39,7 @@
 			s, _, err := Read(torn)
 			if at < synced && err == nil {
 				// Nothing after it says that it had been synced: only the newest writes can be meant.
-				require.GreaterOrEqual(t, at, lastRecordedSynced(data), "synced records are passed over in silence")
+				require.GreaterOrEqual(t, at, lastRecordedSynced(data), "synced records are ignored")
 			}
 			if err == nil {
 				require.LessOrEqual(t, s.Index, uint64(len(ends)))
@@ -48,9 +48,9 @@
 			return
 		}
 		torn = torn[:rapid.IntRange(synced, len(torn)).Draw(t, "length")]
-		s, good, err := Read(torn)
-		require.NoError(t, err, "what was not synced may be torn")
-		require.LessOrEqual(t, good, len(torn))
+		s, validLength, err := Read(torn)
+		require.NoError(t, err, "writes that were not synced may be torn")
+		require.LessOrEqual(t, validLength, len(torn))
 		requireState(t, s)
 		for i, end := range ends {
 			if end <= synced {
@@ -60,7 +60,7 @@
 	})
 }
 
-// lastRecordedSynced returns how much of a file its own records say was synced.
+// lastRecordedSynced returns the length of a file that its own records report as synced.
 func lastRecordedSynced(data []byte) (synced int) {
 	for at := 0; at < len(data); {
 		h, _, ok := nextRecord(data[at:])
@@ -73,8 +73,9 @@
 	return synced
 }
 
-// requireState requires a state to be that after the first writes, however many.
-func requireState(t require.TestingT, s State) {
+// requireState requires a state to be that after the first writes, however many, without gaps.
+func requireState(t *rapid.T, s State) {
+	t.Helper()
 	for i := range s.Index {
 		_, ok := s.Store.Get(fmt.Sprint("k", i))
 		require.True(t, ok, "write %d of %d is missing", i+1, s.Index)
@@ -82,8 +83,8 @@
 	require.Equal(t, int(s.Index), s.Store.Len())
 }
 
-// TestImagesAreComplete takes the image of any state, changes the state, and reads the image back as it was. No beginning
-// of its file but the whole holds all.
+// TestImagesAreComplete takes the image of a random state, changes the state, and reads the image back unchanged. A
+// truncated image never yields more items than the state had.
 func TestImagesAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{ID: 9, Index: 4, Store: store.New()}
@@ -96,9 +97,9 @@
 		s.Store.Delete("0")
 		content, err := image.Encode()
 		require.NoError(t, err)
-		back, good, err := Read(content)
+		back, validLength, err := Read(content)
 		require.NoError(t, err)
-		require.Equal(t, len(content), good)
+		require.Equal(t, len(content), validLength)
 		require.Equal(t, want, store.CombineDigests(back.Store.Digests()))
 		partial, _, err := Read(content[:rapid.IntRange(0, len(content)).Draw(t, "cut")])
 		require.True(t, err == nil || errors.Is(err, ErrDamaged))
--- a/internal/control/journal/journal_test.go
+++ b/internal/control/journal/journal_test.go
@@ -7,19 +7,19 @@
 	"path/filepath"
 	"testing"
 
-	"github.com/cockroachdb/errors"
 	"github.com/stretchr/testify/require"
 
 	"frosttide/internal/control/store"
 	"frosttide/internal/protocol"
 )
 
+// entry returns an entry that sets one item.
 func entry(index uint64, key string) *protocol.Entry {
 	return &protocol.Entry{Index: index, Puts: []*protocol.Put{{Key: key, Value: []byte{byte(index)}}}}
 }
 
-// snapshotWithEntries returns a snapshot and some entries after it, all but the last written as synced before the next, and
-// the offsets at which records end.
+// snapshotWithEntries returns a snapshot followed by entries, each of which says that everything before it was synced, and
+// the offsets at which the snapshot and each entry end.
 func snapshotWithEntries(t *testing.T, entries int) (data []byte, ends []int) {
 	t.Helper()
 	s := store.New()
@@ -35,11 +35,12 @@
 	return data, ends
 }
 
+// TestReadReturnsWrittenState reads a file back, and a snapshot of what was read.
 func TestReadReturnsWrittenState(t *testing.T) {
 	data, _ := snapshotWithEntries(t, 3)
-	s, good, err := Read(data)
+	s, validLength, err := Read(data)
 	require.NoError(t, err)
-	require.Equal(t, len(data), good)
+	require.Equal(t, len(data), validLength)
 	require.EqualValues(t, 7, s.ID)
 	require.EqualValues(t, 3, s.Promised)
 	require.EqualValues(t, 2, s.Accepted.GetEpoch())
@@ -48,46 +49,65 @@
 	require.Equal(t, 2, s.Store.Len())
 	again, err := Snapshot(s)
 	require.NoError(t, err)
-	t2, _, err := Read(again)
+	reread, _, err := Read(again)
 	require.NoError(t, err)
-	require.Equal(t, s.Store.All(), t2.Store.All())
-	require.Equal(t, s.Index, t2.Index)
+	require.Equal(t, s.Store.All(), reread.Store.All())
+	require.Equal(t, s.Index, reread.Index)
 }
 
-// TestTornEnd cuts a file at each byte: what was whole before the cut is read, the rest is cut off.
+// TestTornEnd truncates a file at each byte: the records that are complete are read, the rest is ignored.
 func TestTornEnd(t *testing.T) {
 	data, ends := snapshotWithEntries(t, 3)
-	for cut := ends[0]; cut < len(data); cut++ {
-		s, good, err := Read(data[:cut])
+	for length := ends[0]; length < len(data); length++ {
+		s, validLength, err := Read(data[:length])
 		require.NoError(t, err)
 		want, index := ends[0], uint64(10)
 		for i, end := range ends {
-			if end <= cut {
+			if end <= length {
 				want, index = end, uint64(10+i)
 			}
 		}
-		require.Equal(t, want, good, "cut at %d", cut)
+		require.Equal(t, want, validLength, "truncated to %d bytes", length)
 		require.Equal(t, index, s.Index)
 	}
 }
 
-// TestDamageIsNotATornEnd flips each byte of records that had been synced: that is never taken for a torn end.
+// TestDamageIsNotATornEnd flips bits of each byte of a record that had been synced: that is never taken for a torn end.
 func TestDamageIsNotATornEnd(t *testing.T) {
 	data, ends := snapshotWithEntries(t, 3)
-	for at := ends[0]; at < ends[1]; at++ {
-		bad := append([]byte(nil), data...)
-		bad[at] ^= 0x41
-		_, _, err := Read(bad)
-		require.True(t, errors.Is(err, ErrDamaged), "byte %d", at)
+	for offset := ends[0]; offset < ends[1]; offset++ {
+		damaged := bytes.Clone(data)
+		damaged[offset] ^= 0x41
+		_, _, err := Read(damaged)
+		require.ErrorIs(t, err, ErrDamaged, "byte %d", offset)
 	}
-	last := append([]byte(nil), data...)
-	last[ends[2]+20] ^= 1
-	s, good, err := Read(last)
-	require.NoError(t, err, "the last record may not have been synced")
-	require.Equal(t, ends[2], good)
+}
+
+// TestLastRecordMayBeTorn damages the last record, of which nothing says that it was synced.
+func TestLastRecordMayBeTorn(t *testing.T) {
+	data, ends := snapshotWithEntries(t, 3)
+	data[ends[2]+20] ^= 1
+	s, validLength, err := Read(data)
+	require.NoError(t, err)
+	require.Equal(t, ends[2], validLength)
 	require.EqualValues(t, 12, s.Index)
 }
 
+// TestNewerFormatIsRefused opens a file of a newer format: it is left unchanged.
+func TestNewerFormatIsRefused(t *testing.T) {
+	content, err := Append(nil, KindIdentity, 0, &protocol.IdentityRecord{Id: 7, Format: Format + 1})
+	require.NoError(t, err)
+	dir := t.TempDir()
+	path := filepath.Join(dir, stateFile)
+	require.NoError(t, os.WriteFile(path, content, fileMode))
+	_, _, err = Open(dir)
+	require.ErrorIs(t, err, ErrFormat)
+	kept, err := os.ReadFile(path)
+	require.NoError(t, err)
+	require.Equal(t, content, kept)
+}
+
+// TestFileSurvivesReopening writes a file, reopens it, leaves a torn end and reopens it again.
 func TestFileSurvivesReopening(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	f, s, err := Open(dir)
@@ -111,20 +131,21 @@
 	require.EqualValues(t, len(content), info.Size(), "the torn end is cut off")
 }
 
+// TestDamagedFileIsRenamed opens a damaged file: the member starts with an empty one and the damaged one is kept.
 func TestDamagedFileIsRenamed(t *testing.T) {
 	dir := t.TempDir()
 	data, ends := snapshotWithEntries(t, 3)
 	data[ends[0]+18] ^= 1
 	require.NoError(t, os.WriteFile(filepath.Join(dir, stateFile), data, fileMode))
 	f, s, err := Open(dir)
-	require.True(t, errors.Is(err, ErrDamaged))
+	require.ErrorIs(t, err, ErrDamaged)
 	require.Zero(t, s.ID)
 	require.NoError(t, f.Close())
 	_, err = os.Stat(filepath.Join(dir, damagedStateFile))
 	require.NoError(t, err)
 }
 
-// FuzzRead has no bytes bring the reader down, and what it calls good be read again alike.
+// FuzzRead requires that no bytes make Read panic, and that the valid part of any bytes is read again with the same result.
 func FuzzRead(f *testing.F) {
 	s := store.New()
 	s.Put("a", []byte("b"))
@@ -136,18 +157,18 @@
 	f.Add(content[:len(content)-1])
 	rng := rand.New(rand.NewPCG(1, 1))
 	for range 20 {
-		bad := append([]byte(nil), content...)
-		bad[rng.IntN(len(bad))] ^= byte(1 + rng.IntN(255))
-		f.Add(bad)
+		damaged := bytes.Clone(content)
+		damaged[rng.IntN(len(damaged))] ^= byte(1 + rng.IntN(255))
+		f.Add(damaged)
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		a, good, err := Read(data)
+		a, validLength, err := Read(data)
 		if err != nil {
 			return
 		}
-		b, again, err := Read(data[:good])
-		if err != nil || again != good || a.Index != b.Index || a.ID != b.ID {
-			t.Fatalf("%d good bytes are read as %d: %v", good, again, err)
+		b, again, err := Read(data[:validLength])
+		if err != nil || again != validLength || a.Index != b.Index || a.ID != b.ID {
+			t.Fatalf("%d valid bytes are read as %d: %v", validLength, again, err)
 		}
 	})
 }
