--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,5 +1,3 @@
-// Package view holds the arithmetic of views: quorums of voters, the length of the chain, ballots, and
-// the choice of the next view. It keeps no state.
 package view
 
 import (
@@ -9,25 +7,30 @@
 	"frosttide/internal/protocol"
 )
 
-// proposerBits is how much of a ballot names its proposer.
-const proposerBits = 16
+const (
+	// proposerBits is how many of the low bits of a proposal number are the proposer's number. It is part of the protocol.
+	proposerBits = 16
+	// maxLagEntries is how many entries a member's state may lack of the head's to count as close to it. A chain member has
+	// to fetch what it lacks before the head can serve.
+	maxLagEntries = 1024
+)
 
-// NextProposalNumber returns the lowest ballot of a proposer that is above another ballot.
+// NextProposalNumber returns the lowest number of a proposer that is above another proposal number.
 func NextProposalNumber(above uint64, proposer uint32) uint64 {
 	return (above>>proposerBits+1)<<proposerBits | uint64(proposer)
 }
 
-// Majority returns how many of n voters are a majority.
+// Majority returns the smallest number of voters that is a majority of n.
 func Majority(n int) int { return n/2 + 1 }
 
-// ChainLength returns how many members keep every write: enough to bear the loss of the disks of
-// faults machines while all others lose power, and enough that every majority of the voters
+// ChainLength returns how many members keep every write: enough for the writes to survive the loss of the disks of as many
+// machines as there may be faults, while all other machines lose power, and enough that every majority of the voters
 // contains one of them.
 func ChainLength(voters, faults int) int {
 	return min(voters, max(faults+1, voters-Majority(voters)+1))
 }
 
-// Find returns the member with an id, nil if there is none.
+// Find returns the member with an identity, nil where there is none.
 func Find(members []*protocol.Member, id uint64) *protocol.Member {
 	for _, m := range members {
 		if m.GetId() == id {
@@ -37,7 +40,7 @@
 	return nil
 }
 
-// Electorate returns the voters of a view and those before a change that may still count, each once.
+// Electorate returns the voters of a view and those before a change that still count, each once.
 func Electorate(v *protocol.View) []*protocol.Member {
 	out := slices.Clone(v.GetVoters())
 	for _, m := range v.GetPrevious() {
@@ -48,12 +51,13 @@
 	return out
 }
 
-// Quorum tells whether members are a majority of a view's voters, and of those before the change
+// Quorum reports whether the members for which has is true are a majority of a view's voters, and of those before a change
 // where there are any.
 func Quorum(v *protocol.View, has func(id uint64) bool) bool {
 	return hasMajority(v.GetVoters(), has) && (len(v.GetPrevious()) == 0 || hasMajority(v.GetPrevious(), has))
 }
 
+// hasMajority reports whether a majority of voters has what is asked for.
 func hasMajority(voters []*protocol.Member, has func(id uint64) bool) bool {
 	count := 0
 	for _, m := range voters {
@@ -64,8 +68,8 @@
 	return count >= Majority(len(voters))
 }
 
-// Valid tells whether a view that was agreed can be what it says: its voters and the members of its chain have
-// identities of their own, and all of the chain vote. Messages that say otherwise are dropped.
+// Valid reports whether a view is well formed, as an agreed one always is: it has an epoch and a chain, its voters have
+// distinct identities and an address, and its chain consists of distinct voters. Messages with other views are dropped.
 func Valid(v *protocol.View) bool {
 	if v.GetEpoch() == 0 || len(v.GetChain()) == 0 {
 		return false
@@ -83,7 +87,7 @@
 	return true
 }
 
-// Head returns the id of the chain's head, 0 where there is no chain.
+// Head returns the identity of the chain's head, 0 where there is no chain.
 func Head(v *protocol.View) uint64 {
 	if len(v.GetChain()) == 0 {
 		return 0
@@ -91,7 +95,7 @@
 	return v.GetChain()[0]
 }
 
-// Tail returns the id of the chain's tail, 0 where there is no chain.
+// Tail returns the identity of the chain's tail, 0 where there is no chain.
 func Tail(v *protocol.View) uint64 {
 	if len(v.GetChain()) == 0 {
 		return 0
@@ -99,34 +103,34 @@
 	return v.GetChain()[len(v.GetChain())-1]
 }
 
-// ChainPosition returns a member's place in the chain from 0 at the head, -1 if it is not in it.
+// ChainPosition returns a member's position in the chain, from 0 at the head, and -1 outside the chain.
 func ChainPosition(v *protocol.View, id uint64) int { return slices.Index(v.GetChain(), id) }
 
-// MemberState is what a voter that promised says of itself.
+// MemberState is what a voter reports of its state with its promise.
 type MemberState struct {
-	Member         uint64
-	InstalledEpoch uint64
-	Index          uint64
-	DiskBad        bool // slow, stalled or failed
+	Member         uint64 // identity
+	InstalledEpoch uint64 // newest epoch whose state is on its disk
+	Index          uint64 // last entry it holds
+	DiskBad        bool   // slow, stalled or failed
 	Zone           string
 }
 
-// Change is a wish to change the voters; the zero value wishes none.
+// Change is a change of the voters; the zero value changes nothing.
 type Change struct {
-	Add    []*protocol.Member // their numbers are given by Next
-	Remove []uint64
+	Add    []*protocol.Member // Next assigns their numbers
+	Remove []uint64           // identities
 }
 
-// Empty tells whether nothing is wished.
+// Empty reports whether the change changes nothing.
 func (c Change) Empty() bool { return len(c.Add) == 0 && len(c.Remove) == 0 }
 
-// Next returns the view that follows base under a ballot, from what the promisers said, and false
-// where too few of them could keep the state. keep is preferred as the head where its state is as new
-// as any, 0 prefers none. The caller holds a quorum of promises for base.
-func Next(base *protocol.View, proposalNumber uint64, promisers []MemberState, faults int, preferredHead uint64, change Change) (*protocol.View, bool) {
+// Next returns the view that follows base under a proposal number, given the states of the members that have promised, and
+// false where too few of them could keep the state. The preferred head becomes the head where its state is as new as any;
+// 0 prefers nobody. The caller must hold promises of a quorum of base.
+func Next(base *protocol.View, proposalNumber uint64, states []MemberState, faults int, preferredHead uint64, change Change) (*protocol.View, bool) {
 	next := &protocol.View{Epoch: proposalNumber, NextNumber: base.GetNextNumber()}
 	next.Voters, next.Previous = nextVoters(base, next, change)
-	ranked := rankForHead(next, promisers, preferredHead)
+	ranked := rankForHead(next, states, preferredHead)
 	length := ChainLength(len(next.GetVoters()), faults)
 	if len(ranked) < length || ranked[0].DiskBad && preferredHead != ranked[0].Member {
 		return nil, false
@@ -136,8 +140,9 @@
 	return next, true
 }
 
-// nextVoters applies a change. Without one the voters stay; previous ones are dropped, as the base
-// has been agreed by a quorum of both sets before anybody is asked for another change.
+// nextVoters returns the voters after a change and those before it, and takes the numbers of new voters from next. Without
+// a change both stay. A change replaces the earlier previous voters: it is proposed only once a quorum of both sets has
+// agreed on base.
 func nextVoters(base, next *protocol.View, change Change) (voters, previous []*protocol.Member) {
 	if change.Empty() {
 		return base.GetVoters(), base.GetPrevious()
@@ -148,19 +153,26 @@
 		}
 	}
 	for _, m := range change.Add {
-		voters = append(voters, &protocol.Member{Id: m.GetId(), Number: next.NextNumber, Address: m.GetAddress(), Control: m.GetControl(), Zone: m.GetZone()})
+		voters = append(voters, &protocol.Member{
+			Id:      m.GetId(),
+			Number:  next.NextNumber,
+			Address: m.GetAddress(),
+			Control: m.GetControl(),
+			Zone:    m.GetZone(),
+		})
 		next.NextNumber++
 	}
 	return voters, base.GetVoters()
 }
 
-// rankForHead orders the promisers that will be voters: the source of the state first.
-func rankForHead(next *protocol.View, promisers []MemberState, preferredHead uint64) []MemberState {
+// rankForHead orders the members that will be voters, the source of the state first. It returns nil where no member with
+// the newest state will be a voter.
+func rankForHead(next *protocol.View, states []MemberState, preferredHead uint64) []MemberState {
 	newest := uint64(0)
-	for _, s := range promisers {
+	for _, s := range states {
 		newest = max(newest, s.InstalledEpoch)
 	}
-	ranked := slices.DeleteFunc(slices.Clone(promisers), func(s MemberState) bool { return Find(next.GetVoters(), s.Member) == nil })
+	ranked := slices.DeleteFunc(slices.Clone(states), func(s MemberState) bool { return Find(next.GetVoters(), s.Member) == nil })
 	class := func(s MemberState) int {
 		switch {
 		case s.InstalledEpoch == newest && s.Member == preferredHead:
@@ -177,17 +189,13 @@
 		return cmp.Or(cmp.Compare(class(a), class(b)), cmp.Compare(b.Index, a.Index), cmp.Compare(a.Member, b.Member))
 	})
 	if len(ranked) == 0 || ranked[0].InstalledEpoch != newest {
-		return nil // the only ones with the newest state are no voters any more
+		return nil
 	}
 	return ranked
 }
 
-// maxLagEntries is by how many entries a member may be behind the head's state to be taken for near: it has to take
-// the rest before anything is written.
-const maxLagEntries = 1024
-
-// pickSuccessors picks the members behind the head: sound disks before others, members whose state is near before others,
-// zones that are not in the chain yet before others, then by rank.
+// pickSuccessors picks the chain members after the head: those with healthy disks first, then those whose state is close to
+// the head's, then those in zones that the chain does not have yet, then by rank.
 func pickSuccessors(head MemberState, candidates []MemberState, length int) (chain []uint64) {
 	candidates = slices.Clone(candidates)
 	zones := map[string]bool{head.Zone: true}
@@ -195,7 +203,11 @@
 	for len(chain) < length {
 		best := 0
 		for i, s := range candidates {
-			better := cmp.Or(compareBools(candidates[best].DiskBad, s.DiskBad), compareBools(lagging(candidates[best]), lagging(s)), compareBools(zones[candidates[best].Zone], zones[s.Zone]))
+			better := cmp.Or(
+				compareBools(candidates[best].DiskBad, s.DiskBad),
+				compareBools(lagging(candidates[best]), lagging(s)),
+				compareBools(zones[candidates[best].Zone], zones[s.Zone]),
+			)
 			if better > 0 {
 				best = i
 			}
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/bits"
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -9,8 +10,8 @@
 	"frosttide/internal/protocol"
 )
 
-// TestChainMeetsEveryMajority holds the two promises of a chain's length: each majority of the voters has a
-// member of each chain in it, and a chain outlives the disks that may be lost.
+// TestChainMeetsEveryMajority tries all chains and majorities of up to nine voters: each majority contains a member of
+// each chain, and a chain has more members than there are faults to tolerate.
 func TestChainMeetsEveryMajority(t *testing.T) {
 	for n := 1; n <= 9; n++ {
 		for faults := range (n + 1) / 2 {
@@ -33,6 +34,7 @@
 	}
 }
 
+// members returns members with the given identities, which are their numbers too.
 func members(ids ...uint64) (out []*protocol.Member) {
 	for _, id := range ids {
 		out = append(out, &protocol.Member{Id: id, Number: uint32(id)})
@@ -40,6 +42,7 @@
 	return out
 }
 
+// TestProposalNumbersAreDistinct compares the numbers of two proposers.
 func TestProposalNumbersAreDistinct(t *testing.T) {
 	a, b := NextProposalNumber(0, 1), NextProposalNumber(0, 2)
 	require.NotEqual(t, a, b)
@@ -47,75 +50,101 @@
 	require.Greater(t, NextProposalNumber(a, 1), a)
 }
 
+// TestQuorumOfBothSets requires majorities of the voters before and after a change.
 func TestQuorumOfBothSets(t *testing.T) {
 	v := &protocol.View{Voters: members(1, 2, 3), Previous: members(3, 4, 5)}
-	has := func(ids ...uint64) func(uint64) bool {
-		return func(id uint64) bool {
-			for _, x := range ids {
-				if x == id {
-					return true
-				}
-			}
-			return false
-		}
+	for _, tc := range []struct {
+		name string
+		ids  []uint64
+		want bool
+	}{
+		{name: "majority of the voters only", ids: []uint64{1, 2}},
+		{name: "majority of the previous voters only", ids: []uint64{4, 5}},
+		{name: "majorities of both with a common voter", ids: []uint64{2, 3, 4}, want: true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			require.Equal(t, tc.want, Quorum(v, func(id uint64) bool { return slices.Contains(tc.ids, id) }))
+		})
 	}
-	require.False(t, Quorum(v, has(1, 2)))
-	require.False(t, Quorum(v, has(4, 5)))
-	require.True(t, Quorum(v, has(2, 3, 4)))
-}
-
-func TestNextTakesTheNewestState(t *testing.T) {
-	base := &protocol.View{Epoch: 1, Voters: members(1, 2, 3), NextNumber: 4}
-	next, ok := Next(base, 9, []MemberState{{Member: 1, InstalledEpoch: 5, Index: 80}, {Member: 2, InstalledEpoch: 7, Index: 10}, {Member: 3, InstalledEpoch: 7, Index: 12}}, 1, 0, Change{})
-	require.True(t, ok)
-	require.Equal(t, []uint64{3, 2}, next.GetChain())
-	require.EqualValues(t, 9, next.GetEpoch())
-}
-
-func TestNextPrefersTheHeadAndAvoidsBadDisks(t *testing.T) {
-	base := &protocol.View{Epoch: 1, Voters: members(1, 2, 3), NextNumber: 4}
-	states := []MemberState{{Member: 1, InstalledEpoch: 7, Index: 10}, {Member: 2, InstalledEpoch: 7, Index: 12, DiskBad: true}, {Member: 3, InstalledEpoch: 6, Index: 10}}
-	next, ok := Next(base, 9, states, 1, 1, Change{})
-	require.True(t, ok)
-	require.Equal(t, []uint64{1, 3}, next.GetChain(), "the bad disk stays outside though its state is newer")
-	next, ok = Next(base, 9, states, 1, 0, Change{})
-	require.True(t, ok)
-	require.EqualValues(t, 1, Head(next))
 }
 
-func TestNextRefusesTooFewAndLostState(t *testing.T) {
-	base := &protocol.View{Epoch: 1, Voters: members(1, 2, 3), NextNumber: 4}
-	_, ok := Next(base, 9, []MemberState{{Member: 1, InstalledEpoch: 7}}, 1, 0, Change{})
-	require.False(t, ok, "one member is too few for a chain")
-	_, ok = Next(base, 9, []MemberState{{Member: 1, InstalledEpoch: 7}, {Member: 2, InstalledEpoch: 3}, {Member: 3}}, 1, 0, Change{Remove: []uint64{1}})
-	require.False(t, ok, "the only member with the newest state is no voter any more")
+// TestNextChain requires the chain that follows from the states of the members that have promised.
+func TestNextChain(t *testing.T) {
+	slowNewest := []MemberState{
+		{Member: 1, InstalledEpoch: 7, Index: 10},
+		{Member: 2, InstalledEpoch: 7, Index: 12, DiskBad: true},
+		{Member: 3, InstalledEpoch: 6, Index: 10},
+	}
+	for _, tc := range []struct {
+		name          string
+		states        []MemberState
+		preferredHead uint64
+		change        Change
+		want          []uint64 // nil where there is no next view
+	}{
+		{
+			name: "the newest epoch, then the longest log",
+			states: []MemberState{
+				{Member: 1, InstalledEpoch: 5, Index: 80},
+				{Member: 2, InstalledEpoch: 7, Index: 10},
+				{Member: 3, InstalledEpoch: 7, Index: 12},
+			},
+			want: []uint64{3, 2},
+		},
+		{name: "the preferred head, and no unhealthy disk though its log is longer", states: slowNewest, preferredHead: 1, want: []uint64{1, 3}},
+		{name: "an unhealthy disk does not become the head", states: slowNewest, want: []uint64{1, 3}},
+		{name: "too few members for a chain", states: []MemberState{{Member: 1, InstalledEpoch: 7}}},
+		{
+			name:   "the only member with the newest state is no longer a voter",
+			states: []MemberState{{Member: 1, InstalledEpoch: 7}, {Member: 2, InstalledEpoch: 3}, {Member: 3}},
+			change: Change{Remove: []uint64{1}},
+		},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			base := &protocol.View{Epoch: 1, Voters: members(1, 2, 3), NextNumber: 4}
+			next, ok := Next(base, 9, tc.states, 1, tc.preferredHead, tc.change)
+			require.Equal(t, tc.want != nil, ok)
+			require.Equal(t, tc.want, next.GetChain())
+			if ok {
+				require.EqualValues(t, 9, next.GetEpoch())
+			}
+		})
+	}
 }
 
+// TestChangeOfVotersIsJoint replaces a voter: the previous voters still count, and the new one gets a new number.
 func TestChangeOfVotersIsJoint(t *testing.T) {
 	base := &protocol.View{Epoch: 1, Voters: members(1, 2, 3), NextNumber: 4}
-	all := []MemberState{{Member: 1, InstalledEpoch: 7}, {Member: 2, InstalledEpoch: 7}, {Member: 9}}
-	next, ok := Next(base, 9, all, 1, 1, Change{Add: []*protocol.Member{{Id: 9, Address: "a"}}, Remove: []uint64{3}})
+	states := []MemberState{{Member: 1, InstalledEpoch: 7}, {Member: 2, InstalledEpoch: 7}, {Member: 9}}
+	next, ok := Next(base, 9, states, 1, 1, Change{Add: []*protocol.Member{{Id: 9, Address: "a"}}, Remove: []uint64{3}})
 	require.True(t, ok)
 	require.Len(t, next.GetVoters(), 3)
-	require.EqualValues(t, 4, Find(next.GetVoters(), 9).GetNumber(), "a newcomer gets a number of its own")
+	require.EqualValues(t, 4, Find(next.GetVoters(), 9).GetNumber())
 	require.EqualValues(t, 5, next.GetNextNumber())
 	require.Len(t, next.GetPrevious(), 3)
 	require.Len(t, Electorate(next), 4)
 }
 
+// TestValid requires an agreed view to be valid, and everything else that a message might claim to be invalid.
 func TestValid(t *testing.T) {
 	voters := []*protocol.Member{{Id: 1, Address: "a"}, {Id: 2, Address: "b"}}
-	require.True(t, Valid(&protocol.View{Epoch: 1, Voters: voters, Chain: []uint64{2, 1}}))
-	for name, v := range map[string]*protocol.View{
-		"none":                 nil,
-		"no epoch":             {Voters: voters, Chain: []uint64{1}},
-		"no chain":             {Epoch: 1, Voters: voters},
-		"a chain of others":    {Epoch: 1, Voters: voters, Chain: []uint64{3}},
-		"one twice":            {Epoch: 1, Voters: voters, Chain: []uint64{1, 1}},
-		"a voter twice":        {Epoch: 1, Voters: append(voters[:2:2], voters[0]), Chain: []uint64{1}},
-		"a voter without name": {Epoch: 1, Voters: []*protocol.Member{{Address: "a"}}, Chain: []uint64{0}},
-		"nowhere":              {Epoch: 1, Voters: []*protocol.Member{{Id: 1}}, Chain: []uint64{1}},
+	for _, tc := range []struct {
+		name string
+		view *protocol.View
+		want bool
+	}{
+		{name: "agreed", view: &protocol.View{Epoch: 1, Voters: voters, Chain: []uint64{2, 1}}, want: true},
+		{name: "no view"},
+		{name: "no epoch", view: &protocol.View{Voters: voters, Chain: []uint64{1}}},
+		{name: "no chain", view: &protocol.View{Epoch: 1, Voters: voters}},
+		{name: "a chain member that is no voter", view: &protocol.View{Epoch: 1, Voters: voters, Chain: []uint64{3}}},
+		{name: "a chain member twice", view: &protocol.View{Epoch: 1, Voters: voters, Chain: []uint64{1, 1}}},
+		{name: "a voter twice", view: &protocol.View{Epoch: 1, Voters: append(voters[:2:2], voters[0]), Chain: []uint64{1}}},
+		{name: "a voter without an identity", view: &protocol.View{Epoch: 1, Voters: []*protocol.Member{{Address: "a"}}, Chain: []uint64{0}}},
+		{name: "a voter without an address", view: &protocol.View{Epoch: 1, Voters: []*protocol.Member{{Id: 1}}, Chain: []uint64{1}}},
 	} {
-		require.False(t, Valid(v), name)
+		t.Run(tc.name, func(t *testing.T) {
+			require.Equal(t, tc.want, Valid(tc.view))
+		})
 	}
 }
