--- a/internal/control/wallclock/wallclock.go
+++ b/internal/control/wallclock/wallclock.go
@@ -1,7 +1,21 @@
-// Package wallclock is the time of day that the members of the control plane agree on. Each member counts it on
-// its own steady clock, beside the offset that the median of the voters' clocks gives. A clock that is set moves a
-// median only where a majority is set, and even then the time follows slowly, until the majority has held
-// the new time for long. It is a pure state machine.
+// Package wallclock is the time of day that the members of the control plane agree on.
+//
+// Each member (internal/control/member) owns one Clock, passes it the clock readings in the other members' heartbeats and
+// gives the agreed time to its scheduler, which starts timed work by it. Time is counted on a member's own steady clock;
+// what is agreed on is the offset between that and the time of day, as the lower median of the voters' clocks. It is a pure
+// state machine with neither a clock nor a goroutine, and not safe for concurrent use.
+//
+// # Invariants
+//
+//   - A minority's clocks do not move the agreed time, however far they are set.
+//   - The agreed time never jumps where a majority's clocks are set for a short while: it follows a small difference at
+//     driftSlewRate and a step at stepSlewRate, and adopts a step at once only after the majority has held it for
+//     stepAfter. The terms are those of the Network Time Protocol (RFC 5905, section 11), the rates are this system's.
+//   - A member that restarts adopts the time that others have agreed on, so that restarts do not move it.
+//   - Where all members restart at once, times before the newest one in the replicated state are ruled out. Nothing else
+//     tells which clocks are right: a majority of wrong ones wins.
+//
+// All offsets and times are durations on the steady clock of the member that holds them; times of day are in ms since 1970.
 package wallclock
 
 import (
@@ -10,48 +24,50 @@
 )
 
 const (
-	// readingTTL is for how long a member's reading counts after it was last heard of.
+	// readingTTL is how long a member's readings count after its last one.
 	readingTTL = 30 * time.Second
-	// maxSamples is how many of a member's newest readings are looked at: the one that was on its way for the shortest
-	// time is taken.
+	// maxSamples is how many of a member's newest readings are kept. The one with the largest offset counts, as it was on
+	// its way for the shortest time.
 	maxSamples = 8
-	// initialAgreementWindow is how long after a first time was agreed on it is taken anew when further members are heard of: the
-	// first two of five may be those whose clocks are wrong.
+	// initialAgreementWindow is how long after the first agreement the time is chosen anew when more members have been
+	// read: the first two of five may be those whose clocks are wrong.
 	initialAgreementWindow = 5 * time.Second
-	// stepThreshold is up to which difference clocks are taken to differ as clocks do; what is larger is a step.
+	// stepThreshold is the difference above which a clock counts as set rather than as drifting.
 	stepThreshold = time.Second
-	// driftSlewRate and slewLarge are the shares of the time that passes by which a difference is made up for: a step that
-	// is taken back within a minute has moved the time by less than the 250 ms that timed work may be early.
+	// driftSlewRate and stepSlewRate are the parts of the elapsed time by which a difference is reduced. A step that is
+	// taken back within a minute moves the time by less than the 250 ms that timed work may be early.
 	driftSlewRate = 0.005
 	stepSlewRate  = 0.001
-	// candidateTolerance is by how much a median may move and still count as held.
+	// candidateTolerance is how far the median may move and still count as the same step.
 	candidateTolerance = 500 * time.Millisecond
-	// stepAfter is how long a majority has to hold a time until it is taken at once.
+	// stepAfter is how long a majority has to hold a step until it is adopted at once.
 	stepAfter = 10 * time.Minute
 )
 
-// Clock is a member's account of the time of day. The zero value knows none.
+// Clock is one member's account of the time of day. The zero value is ready to use and knows none.
 type Clock struct {
-	readings        map[uint64]*reading
+	readings  map[uint64]*reading // by member, this one included
+	updatedAt time.Duration
+
 	hasAgreed       bool
-	agreedAt        time.Duration
-	initialReadings int           // members whose clocks were looked at for the first time, 0 where it was taken from others
-	offset          time.Duration // agreed time of day, from 1970, less the steady clock
-	updatedAt       time.Duration
-	candidateOffset time.Duration // offset that the median shows in place of the agreed one
-	candidateSince  time.Duration
-	steppedAt       time.Duration // when the time last jumped, 0 for never
+	agreedAt        time.Duration // when the first agreement was made, where this member took part in it
+	initialReadings int           // members whose clocks counted in the first agreement, 0 where it was adopted from others
+	offset          time.Duration // agreed time of day less the steady clock
+	steppedAt       time.Duration // when the agreed time last jumped, 0 for never
+
+	candidateOffset time.Duration // of a step that the median shows
+	candidateSince  time.Duration // since when it has shown it, 0 where it shows none
 }
 
-// reading is what is known of a member's clocks. Offsets are against this member's steady clock.
+// reading is what is known of a member's clocks.
 type reading struct {
 	lastContact   time.Duration
-	firstOffset   time.Duration   // the first offset of its own time of day
+	firstOffset   time.Duration   // of its own time of day, at the first reading
 	offsets       []time.Duration // of its own time of day, the newest last
-	agreedOffsets []time.Duration // of the time that it takes for agreed on; empty where it knows none
+	agreedOffsets []time.Duration // of the time that it reports as agreed, the newest last; empty where it knows none
 }
 
-// Observe notes what a member says: its own time of day and the agreed one, in ms from 1970, 0 for none.
+// Observe records a member's own time of day and the one that it reports as agreed, in ms since 1970; 0 stands for none.
 func (c *Clock) Observe(now time.Duration, member uint64, wallMs, agreedMs int64) {
 	if wallMs <= 0 {
 		return
@@ -73,17 +89,19 @@
 	}
 }
 
+// offsetOf returns the offset of a time of day to the steady clock.
 func offsetOf(now time.Duration, ms int64) time.Duration {
 	return time.Duration(ms)*time.Millisecond - now
 }
 
+// appendSample appends an offset and drops those beyond maxSamples.
 func appendSample(offsets []time.Duration, offset time.Duration) []time.Duration {
 	offsets = append(offsets, offset)
 	return offsets[max(0, len(offsets)-maxSamples):]
 }
 
-// Tick lets time pass. self is this member and wallMs its own time of day, voters are those whose clocks count,
-// floorMs is the newest time that the state is known to have gone by.
+// Tick advances the time. self is this member and wallMs its own time of day; voters are the members whose clocks count;
+// floorMs is the newest time of day in the replicated state, 0 for none. Nothing changes without readings of a majority.
 func (c *Clock) Tick(now time.Duration, self uint64, wallMs int64, voters []uint64, floorMs int64) {
 	c.Observe(now, self, wallMs, c.AgreedMs(now))
 	for id, r := range c.readings {
@@ -105,7 +123,7 @@
 	}
 }
 
-// adoptInitialTime takes up the time that others have agreed on, or the median of what is heard.
+// adoptInitialTime adopts the time that others report as agreed, or else the median of the members' clocks.
 func (c *Clock) adoptInitialTime(now time.Duration, self uint64, floorMs int64) {
 	var others []time.Duration
 	for id, r := range c.readings {
@@ -121,8 +139,8 @@
 	c.offset = c.initialMedian(now, floorMs)
 }
 
-// initialMedian returns the lower median of the members' first offsets, so that clocks which are set meanwhile count
-// as they were. Those that lie before a floor are left out, as time does not go back.
+// initialMedian returns the lower median of the members' first offsets, so that clocks that have been set since count as
+// they were. Clocks before the floor are left out, as time does not go back.
 func (c *Clock) initialMedian(now time.Duration, floorMs int64) time.Duration {
 	floor := offsetOf(now, floorMs)
 	var offsets []time.Duration
@@ -137,7 +155,7 @@
 	return lowerMedian(offsets)
 }
 
-// median returns the lower median of the members' offsets.
+// median returns the lower median of the members' current offsets.
 func (c *Clock) median() time.Duration {
 	var offsets []time.Duration
 	for _, r := range c.readings {
@@ -146,12 +164,14 @@
 	return lowerMedian(offsets)
 }
 
+// lowerMedian returns the median, and of two middle offsets the lower one: timed work should rather be late than early. It
+// sorts the offsets in place.
 func lowerMedian(offsets []time.Duration) time.Duration {
 	slices.Sort(offsets)
 	return offsets[(len(offsets)-1)/2]
 }
 
-// followMedian moves the agreed time towards the median.
+// followMedian moves the agreed time towards the median: slowly, or at once for a step held for stepAfter.
 func (c *Clock) followMedian(now, elapsed time.Duration) {
 	median := c.median()
 	difference := median - c.offset
@@ -170,12 +190,14 @@
 	c.slew(difference, elapsed, stepSlewRate)
 }
 
+// slew reduces a difference by at most a rate times the elapsed time.
 func (c *Clock) slew(difference, elapsed time.Duration, rate float64) {
 	maxChange := time.Duration(rate * float64(elapsed))
 	c.offset += max(-maxChange, min(maxChange, difference))
 }
 
-// NowMs returns the time of day in ms from 1970: the agreed one, and before there is one the best guess.
+// NowMs returns the time of day in ms since 1970: the agreed one, before there is one the median of the members' clocks,
+// and 0 where nothing is known.
 func (c *Clock) NowMs(now time.Duration) int64 {
 	if c.hasAgreed {
 		return (now + c.offset).Milliseconds()
@@ -186,7 +208,8 @@
 	return (now + c.initialMedian(now, 0)).Milliseconds()
 }
 
-// AgreedMs returns the agreed time of day in ms from 1970 as others may take it up, 0 before it is settled.
+// AgreedMs returns the agreed time of day in ms since 1970, 0 before others may adopt it: within the initial window it may
+// still be chosen anew.
 func (c *Clock) AgreedMs(now time.Duration) int64 {
 	if !c.hasAgreed || c.initialReadings > 0 && now-c.agreedAt < initialAgreementWindow {
 		return 0
@@ -194,5 +217,5 @@
 	return (now + c.offset).Milliseconds()
 }
 
-// SteppedAt returns when the agreed time last jumped, on the steady clock, 0 for never.
+// SteppedAt returns when, on the steady clock, the agreed time last jumped, 0 for never.
 func (c *Clock) SteppedAt() time.Duration { return c.steppedAt }
--- a/internal/control/wallclock/wallclock_test.go
+++ b/internal/control/wallclock/wallclock_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 
@@ -9,21 +10,21 @@
 )
 
 const (
-	startMs   = 1_800_000_000_000 // true time of day at the beginning, ms
+	startMs   = 1_800_000_000_000 // true time of day at the start of a test
 	tick      = 100 * time.Millisecond
 	tolerance = 150 * time.Millisecond // by which the agreed time may differ from the true one
 )
 
-// rig is a core of members with clocks that the test sets.
+// rig runs the clocks of some members in virtual time; tests set the members' clocks of the day.
 type rig struct {
 	t        *testing.T
 	rng      *rand.Rand
 	now      time.Duration
 	clocks   []*Clock
-	bootedAt []time.Duration // true time at which the steady clocks were 0
-	skew     []time.Duration // by which the clocks of the day are wrong
+	bootedAt []time.Duration // when each steady clock was 0
+	skew     []time.Duration // by how much each clock of the day is wrong
 	running  []bool
-	floor    int64
+	floorMs  int64 // newest time of day in the replicated state
 }
 
 func newRig(t *testing.T, members int) *rig {
@@ -48,7 +49,7 @@
 	return out
 }
 
-// run lets time pass; every member hears every other, with a delay of up to 20 ms.
+// run advances the time; every member reads the clocks of all others, with a delay of up to 20 ms.
 func (r *rig) run(d time.Duration) {
 	for until := r.now + d; r.now < until; r.now += tick {
 		for i, c := range r.clocks {
@@ -61,12 +62,12 @@
 					c.Observe(r.steady(i)+delay, uint64(k+1), r.wallMs(k), other.AgreedMs(r.steady(k)))
 				}
 			}
-			c.Tick(r.steady(i)+20*time.Millisecond, uint64(i+1), r.wallMs(i)+20, r.voters(), r.floor)
+			c.Tick(r.steady(i)+20*time.Millisecond, uint64(i+1), r.wallMs(i)+20, r.voters(), r.floorMs)
 		}
 	}
 }
 
-// requireAccurate requires all members' time to be about the true one.
+// requireAccurate requires the time of all running members to be within tolerance of the true one.
 func (r *rig) requireAccurate() {
 	r.t.Helper()
 	for i, c := range r.clocks {
@@ -76,6 +77,7 @@
 	}
 }
 
+// TestAgreesOnTheMedian starts members of which a minority's clocks are wrong.
 func TestAgreesOnTheMedian(t *testing.T) {
 	r := newRig(t, 5)
 	r.skew[2], r.skew[4] = time.Hour, -time.Hour
@@ -83,36 +85,40 @@
 	r.requireAccurate()
 }
 
-// TestStepsOfSomeClocks sets the clocks of less than a majority, by seconds and by an hour.
+// TestStepsOfSomeClocks sets the clocks of a minority.
 func TestStepsOfSomeClocks(t *testing.T) {
 	for _, step := range []time.Duration{8 * time.Second, 30 * time.Second, time.Hour, -30 * time.Second, -time.Hour} {
-		r := newRig(t, 7)
-		r.run(3 * time.Second)
-		r.skew[0], r.skew[3], r.skew[6] = step, step, step
-		r.run(2 * time.Minute)
-		r.requireAccurate()
+		t.Run(step.String(), func(t *testing.T) {
+			r := newRig(t, 7)
+			r.run(3 * time.Second)
+			r.skew[0], r.skew[3], r.skew[6] = step, step, step
+			r.run(2 * time.Minute)
+			r.requireAccurate()
+		})
 	}
 }
 
-// TestStepOfAllClocks sets the clocks of all members for some seconds: the time hardly moves.
+// TestStepOfAllClocks sets the clocks of all members and sets them back after 20 s: the time hardly moves.
 func TestStepOfAllClocks(t *testing.T) {
 	for _, step := range []time.Duration{900 * time.Millisecond, 8 * time.Second, 30 * time.Second, time.Hour, -time.Hour} {
-		r := newRig(t, 5)
-		r.run(3 * time.Second)
-		original := append([]time.Duration(nil), r.skew...)
-		for i := range r.skew {
-			r.skew[i] += step
-		}
-		r.run(20 * time.Second)
-		r.requireAccurate()
-		copy(r.skew, original)
-		r.run(20 * time.Second)
-		r.requireAccurate()
-		require.Zero(t, r.clocks[0].SteppedAt())
+		t.Run(step.String(), func(t *testing.T) {
+			r := newRig(t, 5)
+			r.run(3 * time.Second)
+			original := slices.Clone(r.skew)
+			for i := range r.skew {
+				r.skew[i] += step
+			}
+			r.run(20 * time.Second)
+			r.requireAccurate()
+			copy(r.skew, original)
+			r.run(20 * time.Second)
+			r.requireAccurate()
+			require.Zero(t, r.clocks[0].SteppedAt())
+		})
 	}
 }
 
-// TestSustainedMajorityTimeIsAdopted has a majority hold another time for long: it is taken, and said to be a step.
+// TestSustainedMajorityTimeIsAdopted sets a majority's clocks for good: after stepAfter their time is adopted as a step.
 func TestSustainedMajorityTimeIsAdopted(t *testing.T) {
 	r := newRig(t, 3)
 	r.run(3 * time.Second)
@@ -124,7 +130,7 @@
 	require.NotZero(t, r.clocks[2].SteppedAt())
 }
 
-// TestRestartedMemberTakesTheAgreedTime restarts a member while the clocks of all are wrong.
+// TestRestartedMemberTakesTheAgreedTime restarts a member while all clocks are wrong.
 func TestRestartedMemberTakesTheAgreedTime(t *testing.T) {
 	r := newRig(t, 3)
 	r.run(initialAgreementWindow + 2*time.Second)
@@ -138,20 +144,28 @@
 	r.requireAccurate()
 }
 
-// TestAllRestartWithOneClockWrong has all members begin anew, two of them back at first, one of which is an hour
-// ahead or behind: the state's own time rules the earlier one out, and of the others the earlier counts.
+// TestAllRestartWithOneClockWrong restarts all members, two of them first, of which one clock is wrong by an hour. If it
+// is slow, the newest time in the replicated state rules it out; if it is fast, the lower of the two counts.
 func TestAllRestartWithOneClockWrong(t *testing.T) {
-	for _, step := range []time.Duration{time.Hour, -time.Hour} {
-		r := newRig(t, 3)
-		r.running[2] = false
-		r.skew[1] = step
-		r.floor = startMs - 5000
-		r.run(3 * time.Second)
-		r.requireAccurate()
+	for _, tc := range []struct {
+		name string
+		skew time.Duration
+	}{
+		{name: "fast", skew: time.Hour},
+		{name: "slow", skew: -time.Hour},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			r := newRig(t, 3)
+			r.running[2] = false
+			r.skew[1] = tc.skew
+			r.floorMs = startMs - 5000
+			r.run(3 * time.Second)
+			r.requireAccurate()
+		})
 	}
 }
 
-// TestStepRightAfterTheStart sets all clocks just after all members have begun anew and before any has run for long.
+// TestStepRightAfterTheStart sets all clocks within the initial agreement window.
 func TestStepRightAfterTheStart(t *testing.T) {
 	r := newRig(t, 5)
 	r.run(300 * time.Millisecond)
@@ -162,7 +176,7 @@
 	r.requireAccurate()
 }
 
-// TestFirstReadingsAreWrong hears a wrong clock first and the others a moment later.
+// TestFirstReadingsAreWrong reads mostly wrong clocks first, and the others half a second later.
 func TestFirstReadingsAreWrong(t *testing.T) {
 	r := newRig(t, 5)
 	r.skew[0], r.skew[1] = -3*time.Second, -4*time.Second
@@ -173,7 +187,7 @@
 	r.requireAccurate()
 }
 
-// TestIsolatedMemberRunsOn has a member that hears nobody go by its steady clock, whatever its clock of the day says.
+// TestIsolatedMemberRunsOn isolates a member: it goes by its steady clock, whatever its clock of the day says.
 func TestIsolatedMemberRunsOn(t *testing.T) {
 	r := newRig(t, 3)
 	r.run(3 * time.Second)
