--- a/internal/chainclient/client_test.go
+++ b/internal/chainclient/client_test.go
@@ -9,6 +9,7 @@
 	"frosttide/internal/protocol"
 )
 
+// chain returns a view of some members, from the head to the tail; member 1 has the address b, member 2 c, and so on.
 func chain(epoch uint64, ids ...uint64) *protocol.View {
 	v := &protocol.View{Epoch: epoch, Chain: ids}
 	for _, id := range ids {
@@ -17,11 +18,12 @@
 	return v
 }
 
+// write returns a request that changes something.
 func write() *protocol.ClientRequest {
 	return &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "x"}}}
 }
 
-// sentTo returns where requests were sent since the last call.
+// sentTo returns the addresses to which requests were sent since the last call.
 func sentTo(c *Client) (out []string) {
 	for _, s := range c.TakeSends() {
 		if s.Message.GetClientRequest() != nil {
@@ -31,29 +33,45 @@
 	return out
 }
 
+// TestWritesToTheHeadReadsFromTheTail starts a write and a read.
 func TestWritesToTheHeadReadsFromTheTail(t *testing.T) {
-	c := New(1, []string{"seed"})
-	c.UpdateView(0, chain(1, 1, 2, 3))
-	c.Do(0, write(), false, time.Second, time.Second)
-	require.Equal(t, []string{"b"}, sentTo(c))
-	c.Do(0, write(), true, time.Second, time.Second)
-	require.Equal(t, []string{"d"}, sentTo(c))
+	for _, tc := range []struct {
+		name string
+		read bool
+		want string
+	}{
+		{name: "write", want: "b"},
+		{name: "read", read: true, want: "d"},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			c := New(1, []string{"contact"})
+			c.UpdateView(0, chain(1, 1, 2, 3))
+			c.Do(0, write(), tc.read, time.Second, time.Second)
+			require.Equal(t, []string{tc.want}, sentTo(c))
+		})
+	}
 }
 
+// TestRepliesOnce has a reply come twice: the request has one outcome.
 func TestRepliesOnce(t *testing.T) {
 	c := New(1, nil)
 	c.UpdateView(0, chain(1, 1))
 	id := c.Do(0, write(), false, time.Second, time.Second)
 	c.Reply(0, &protocol.ClientReply{Id: id, Status: 200})
 	c.Reply(0, &protocol.ClientReply{Id: id, Status: 200})
-	out := c.TakeOutcomes()
-	require.Len(t, out, 1)
-	require.EqualValues(t, 200, out[0].Reply.GetStatus())
+	outcomes := c.TakeOutcomes()
+	require.Len(t, outcomes, 1)
+	require.EqualValues(t, 200, outcomes[0].Reply.GetStatus())
 	require.Zero(t, c.Pending())
-	other := New(2, nil)
-	require.NotEqual(t, id, other.Do(0, write(), false, time.Second, time.Second), "another process has other ids")
 }
 
+// TestIDsDifferBetweenIncarnations starts a request each of two incarnations of a process.
+func TestIDsDifferBetweenIncarnations(t *testing.T) {
+	earlier, later := New(1, nil), New(2, nil)
+	require.NotEqual(t, earlier.Do(0, write(), false, time.Second, time.Second), later.Do(0, write(), false, time.Second, time.Second))
+}
+
+// TestResendsToNewHead sends a pending request to the head of a newer view at once, and again after resendAfter.
 func TestResendsToNewHead(t *testing.T) {
 	c := New(1, nil)
 	c.UpdateView(0, chain(1, 1))
@@ -67,28 +85,35 @@
 	require.Equal(t, []string{"c"}, sentTo(c))
 }
 
+// TestExpires ends a request that could not be sent and one without a reply.
 func TestExpires(t *testing.T) {
-	c := New(1, []string{"seed"})
-	c.Do(0, write(), false, time.Second, 100*time.Millisecond)
-	queried := false
-	for now := time.Duration(0); now <= 120*time.Millisecond; now += 20 * time.Millisecond {
-		c.Tick(now)
-		for _, s := range c.TakeSends() {
-			queried = queried || s.To == "seed" && s.Message.GetViewQuery() != nil
+	t.Run("not sent", func(t *testing.T) {
+		c := New(1, []string{"contact"})
+		c.Do(0, write(), false, time.Second, 100*time.Millisecond)
+		queried := false
+		for now := time.Duration(0); now <= 120*time.Millisecond; now += 20 * time.Millisecond {
+			c.Tick(now)
+			for _, s := range c.TakeSends() {
+				queried = queried || s.To == "contact" && s.Message.GetViewQuery() != nil
+			}
 		}
-	}
-	out := c.TakeOutcomes()
-	require.Len(t, out, 1)
-	require.False(t, out[0].MayHaveExecuted, "nobody can have taken it")
-	require.True(t, queried)
-	c.UpdateView(0, chain(1, 1))
-	c.Do(time.Second, write(), false, 2*time.Second, time.Second)
-	c.Tick(2 * time.Second)
-	out = c.TakeOutcomes()
-	require.Len(t, out, 1)
-	require.True(t, out[0].MayHaveExecuted, "it may have been taken")
+		outcomes := c.TakeOutcomes()
+		require.Len(t, outcomes, 1)
+		require.False(t, outcomes[0].MayHaveExecuted, "nobody can have executed it")
+		require.True(t, queried)
+	})
+	t.Run("without a reply", func(t *testing.T) {
+		c := New(1, []string{"contact"})
+		c.UpdateView(0, chain(1, 1))
+		c.Do(time.Second, write(), false, 2*time.Second, time.Second)
+		c.Tick(2 * time.Second)
+		outcomes := c.TakeOutcomes()
+		require.Len(t, outcomes, 1)
+		require.True(t, outcomes[0].MayHaveExecuted)
+	})
 }
 
+// TestNotServingReplyIsRetried has a member refuse a request: it is sent again after refusedBackoff.
 func TestNotServingReplyIsRetried(t *testing.T) {
 	c := New(1, nil)
 	c.UpdateView(0, chain(1, 1))
@@ -100,25 +125,29 @@
 	require.Equal(t, []string{"b"}, sentTo(c))
 }
 
-// TestRefusedAttemptsAreNotExecuted has a request count as not taken where each attempt was refused, and as perhaps taken where one
-// had no answer.
+// TestRefusedAttemptsAreNotExecuted reports a request as not executed just where each of its two attempts was refused.
 func TestRefusedAttemptsAreNotExecuted(t *testing.T) {
-	c := New(1, nil)
-	c.UpdateView(0, chain(1, 1))
-	refused := c.Do(0, write(), false, 100*time.Millisecond, 100*time.Millisecond)
-	unclear := c.Do(0, write(), false, 100*time.Millisecond, 100*time.Millisecond)
-	c.TakeSends()
-	for _, id := range []uint64{refused, unclear} {
-		c.Reply(0, &protocol.ClientReply{Id: id, NotServing: true, Attempt: 1})
-	}
-	c.Tick(refusedBackoff)
-	require.Len(t, sentTo(c), 2)
-	c.Reply(refusedBackoff, &protocol.ClientReply{Id: refused, NotServing: true, Attempt: 2})
-	c.Reply(refusedBackoff, &protocol.ClientReply{Id: unclear, NotServing: true, Attempt: 1}) // the first refusal comes twice
-	c.Tick(100 * time.Millisecond)
-	out := c.TakeOutcomes()
-	require.Len(t, out, 2)
-	for _, o := range out {
-		require.Equal(t, o.ID == unclear, o.MayHaveExecuted)
+	for _, tc := range []struct {
+		name            string
+		secondRefusal   uint32 // the attempt that the second refusal names
+		mayHaveExecuted bool
+	}{
+		{name: "both attempts refused", secondRefusal: 2},
+		{name: "the first refusal comes twice", secondRefusal: 1, mayHaveExecuted: true},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			c := New(1, nil)
+			c.UpdateView(0, chain(1, 1))
+			id := c.Do(0, write(), false, 100*time.Millisecond, 100*time.Millisecond)
+			c.TakeSends()
+			c.Reply(0, &protocol.ClientReply{Id: id, NotServing: true, Attempt: 1})
+			c.Tick(refusedBackoff)
+			require.Len(t, sentTo(c), 1)
+			c.Reply(refusedBackoff, &protocol.ClientReply{Id: id, NotServing: true, Attempt: tc.secondRefusal})
+			c.Tick(100 * time.Millisecond)
+			outcomes := c.TakeOutcomes()
+			require.Len(t, outcomes, 1)
+			require.Equal(t, tc.mayHaveExecuted, outcomes[0].MayHaveExecuted)
+		})
 	}
 }
