--- a/internal/control/scheduler/counters.go
+++ b/internal/control/scheduler/counters.go
@@ -2,15 +2,15 @@
 
 import "frosttide/internal/control/jobs"
 
-// Counters count what has become of a service's tasks since this head began; they begin anew with each head.
+// Counters count what has become of a service's tasks since this head began to serve; each head counts from 0.
 type Counters struct {
-	Ready   uint64            `json:"ready"`   // tasks that were to be started
-	Blocked uint64            `json:"blocked"` // of these, that found no runner at once
+	Ready   uint64            `json:"ready"`   // tasks that became ready to start
+	Blocked uint64            `json:"blocked"` // of these, that found no runner in the next cycle
 	Started uint64            `json:"started"` // runs
-	Ended   map[string]uint64 `json:"ended"`   // runs, by how they ended
+	Ended   map[string]uint64 `json:"ended"`   // runs, by the reason of their end
 }
 
-// ServiceStatus is what a service's tasks do and have done.
+// ServiceStatus is the state of a service's tasks.
 type ServiceStatus struct {
 	Counters
 	WaitingTasks int   `json:"waiting_tasks"`
@@ -28,7 +28,8 @@
 	return c
 }
 
-// endOther counts ends of a kind that the protocol does not have, so that a runner can't make up kinds without end.
+// endOther stands for all reasons that the protocol does not have, so that a runner can't fill the counters with
+// reasons of its own.
 const endOther = "other"
 
 // countEnd counts the end of a run.
@@ -41,7 +42,8 @@
 	s.countersFor(step.Job.Service).Ended[kind]++
 }
 
-// countBlocked counts the tasks that were to be started and found no runner in the pass that followed.
+// countBlocked counts the tasks of steps that became ready, and of these the ones that the cycle has not started.
+// added holds, for each step, how many tasks it added to its queue.
 func (s *Scheduler) countBlocked(ready []*jobs.Step, added []int) {
 	for i, step := range ready {
 		c := s.countersFor(step.Job.Service)
@@ -56,14 +58,14 @@
 func (s *Scheduler) serviceStatuses() map[string]ServiceStatus {
 	out := make(map[string]ServiceStatus, len(s.counters))
 	for service, c := range s.counters {
-		step := ServiceStatus{Counters: *c}
+		status := ServiceStatus{Counters: *c}
 		if q := s.queues[service]; q != nil {
-			step.WaitingTasks, step.WaitingSteps = q.waitingTasks, len(q.steps)
+			status.WaitingTasks, status.WaitingSteps = q.waitingTasks, len(q.steps)
 			if w := q.oldest(); w != nil {
-				step.OldestWaitMs = (s.now - w.since).Milliseconds()
+				status.OldestWaitMs = (s.now - w.since).Milliseconds()
 			}
 		}
-		out[service] = step
+		out[service] = status
 	}
 	return out
 }
--- a/internal/control/scheduler/jobstatus.go
+++ b/internal/control/scheduler/jobstatus.go
@@ -7,24 +7,24 @@
 	"frosttide/internal/control/jobs"
 )
 
-// JobStatus is a job as an operator sees it.
+// JobStatus is a job as an operator sees it. Times are times of day in ms since 1970.
 type JobStatus struct {
 	ID              string       `json:"id"`
 	Queue           string       `json:"queue"`
 	State           string       `json:"state"`
-	AcceptedMs      int64        `json:"accepted_ms,omitempty"` // time of day
+	AcceptedMs      int64        `json:"accepted_ms,omitempty"`
 	EndedMs         int64        `json:"ended_ms,omitempty"`
 	OccurrenceCount int          `json:"times,omitempty"`
-	Steps           []StepStatus `json:"steps,omitempty"` // of the times that have fallen due
+	Steps           []StepStatus `json:"steps,omitempty"` // of the occurrences that have been released
 	Waiting         []WaitStatus `json:"waiting,omitempty"`
 }
 
-// StepStatus is a step of a job.
+// StepStatus is a step of one occurrence of a job.
 type StepStatus struct {
 	Occurrence int          `json:"time"`
 	Step       int          `json:"step"`
 	Ready      bool         `json:"ready"`
-	Waiting    int          `json:"waiting"`
+	Waiting    int          `json:"waiting"` // tasks
 	Tasks      []TaskStatus `json:"tasks,omitempty"`
 }
 
@@ -37,52 +37,59 @@
 	Failures int    `json:"failures,omitempty"`
 }
 
-// phases names the phases of tasks.
+// phases names the phases of tasks for operators.
 var phases = map[jobs.Phase]string{jobs.Waiting: "waiting", jobs.Live: "running", jobs.Done: "done", jobs.DoneLive: "done, its own end is not known"}
 
-// maxListedJobs bounds a list of jobs.
+// maxListedJobs bounds the jobs that JobStatuses returns.
 const maxListedJobs = 2000
 
-// JobStatuses returns the jobs that are known, those that have not ended first, each group by acceptance.
+// JobStatuses returns the jobs without their steps, at most maxListedJobs: those that have not ended first, each group
+// in the order of acceptance.
 func (s *Scheduler) JobStatuses() []JobStatus {
 	var all []*jobs.Job
 	s.jobs.Each(func(j *jobs.Job) { all = append(all, j) })
-	slices.SortFunc(all, func(a, b *jobs.Job) int {
-		final := func(j *jobs.Job) int {
-			if j.State.Final() {
-				return 1
-			}
-			return 0
-		}
-		return cmp.Or(cmp.Compare(final(a), final(b)), cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.ID, b.ID))
-	})
-	out := make([]JobStatus, 0, min(len(all), maxListedJobs))
-	for _, j := range all[:min(len(all), maxListedJobs)] {
+	slices.SortFunc(all, compareForOperators)
+	listed := all[:min(len(all), maxListedJobs)]
+	out := make([]JobStatus, 0, len(listed))
+	for _, j := range listed {
 		out = append(out, jobStatus(j))
 	}
 	return out
 }
 
+// compareForOperators orders jobs that have ended after all others.
+func compareForOperators(a, b *jobs.Job) int {
+	if a.State.Final() != b.State.Final() {
+		if a.State.Final() {
+			return 1
+		}
+		return -1
+	}
+	return cmp.Or(cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.ID, b.ID))
+}
+
 func jobStatus(j *jobs.Job) JobStatus {
 	return JobStatus{ID: j.ID, Queue: j.Queue, State: j.State.String(), AcceptedMs: j.AcceptedMs, EndedMs: j.EndedMs, OccurrenceCount: j.OccurrenceCount}
 }
 
-// JobDetails returns a job with its steps and why they wait, and false where it is not known.
+// JobDetails returns a job with its steps and why they wait, and false where the ID is not known.
 func (s *Scheduler) JobDetails(id string) (JobStatus, bool) {
 	j := s.jobs.Get(id)
 	if j == nil {
 		return JobStatus{}, false
 	}
 	out := jobStatus(j)
-	j.EachStep(func(step *jobs.Step) {
-		stepStatus := StepStatus{Occurrence: step.Occurrence.Number, Step: step.Number, Ready: step.Ready(), Waiting: step.Waiting}
-		for i := range step.Tasks {
-			if t := &step.Tasks[i]; t.Run > 0 {
-				stepStatus.Tasks = append(stepStatus.Tasks, TaskStatus{Task: step.TaskID(i), Run: t.Run, Runner: t.Runner, Phase: phases[t.Phase], Failures: t.Failures})
-			}
-		}
-		out.Steps = append(out.Steps, stepStatus)
-	})
+	j.EachStep(func(step *jobs.Step) { out.Steps = append(out.Steps, stepStatus(step)) })
 	out.Waiting = s.waitingSteps(func(step *jobs.Step) bool { return step.Job == j })
 	return out, true
 }
+
+func stepStatus(step *jobs.Step) StepStatus {
+	status := StepStatus{Occurrence: step.Occurrence.Number, Step: step.Number, Ready: step.Ready(), Waiting: step.Waiting}
+	for i := range step.Tasks {
+		if t := &step.Tasks[i]; t.Run > 0 {
+			status.Tasks = append(status.Tasks, TaskStatus{Task: step.TaskID(i), Run: t.Run, Runner: t.Runner, Phase: phases[t.Phase], Failures: t.Failures})
+		}
+	}
+	return status
+}
--- a/internal/control/scheduler/status.go
+++ b/internal/control/scheduler/status.go
@@ -9,17 +9,17 @@
 	"frosttide/internal/control/placement"
 )
 
-// Status is what an operator may want to know of the placement role, as it is answered in JSON.
+// Status is the state of the placement role, as the operators' API returns it in JSON. Durations are in ms.
 type Status struct {
 	Epoch         uint64                   `json:"epoch"` // also the runners' fencing token
 	ConfigVersion uint64                   `json:"config_version"`
 	Jobs          map[string]int           `json:"jobs"`     // by state
-	Services      map[string]ServiceStatus `json:"services"` // that have had tasks
+	Services      map[string]ServiceStatus `json:"services"` // that have had tasks, by name
 	Runners       []RunnerStatus           `json:"runners"`
 	Waiting       []WaitStatus             `json:"waiting"` // steps with tasks that wait, in the order in which they are served
 }
 
-// RunnerStatus is the account of a runner.
+// RunnerStatus is the state of a runner.
 type RunnerStatus struct {
 	ID               string              `json:"id"`
 	Service          string              `json:"service"`
@@ -34,13 +34,13 @@
 	Capacity         placement.Resources `json:"capacity"`
 	Used             placement.Resources `json:"used"`
 	Runs             int                 `json:"runs"`
-	Tasks            []RunStatus         `json:"tasks,omitempty"`      // that hold a part of it
-	LeaseRemainingMs int64               `json:"lease_ms"`             // left
-	LostInMs         int64               `json:"lost_in_ms,omitempty"` // out of touch: until its runs count as lost
+	Tasks            []RunStatus         `json:"tasks,omitempty"`      // that have a reservation
+	LeaseRemainingMs int64               `json:"lease_ms"`             // until its lease expires
+	LostInMs         int64               `json:"lost_in_ms,omitempty"` // out of contact: until its runs count as lost
 	LastContactMsAgo int64               `json:"heard_ms_ago,omitempty"`
 }
 
-// State names the state of a runner in a word or two.
+// State returns the state of a runner in a word or two, for operators.
 func (r *RunnerStatus) State() string {
 	switch {
 	case !r.InSession:
@@ -67,7 +67,7 @@
 	ForMs    int64  `json:"for_ms"` // since it was started, or taken over by this head
 }
 
-// WaitStatus is a step that waits, and why.
+// WaitStatus is a step with tasks that wait, and why.
 type WaitStatus struct {
 	Job        string              `json:"job"`
 	Queue      string              `json:"queue"`
@@ -83,7 +83,7 @@
 	Reason     string              `json:"why"`
 }
 
-// maxListedWaiting bounds the waiting steps that are told of.
+// maxListedWaiting bounds the waiting steps that a status holds.
 const maxListedWaiting = 200
 
 // Status returns the state of the placement role.
@@ -98,7 +98,7 @@
 	return status
 }
 
-// waitingSteps returns the steps that wait and are wanted, bounded.
+// waitingSteps returns the waiting steps that match, in the order in which they are served, at most maxListedWaiting.
 func (s *Scheduler) waitingSteps(match func(*jobs.Step) bool) (out []WaitStatus) {
 	for _, service := range slices.Sorted(maps.Keys(s.queues)) {
 		q := s.queues[service]
@@ -112,13 +112,16 @@
 	return out
 }
 
+// runnerStatus returns the state of a runner.
 func (s *Scheduler) runnerStatus(r *runner) RunnerStatus {
-	fleetRunner := r.fleetRunner
-	status := RunnerStatus{ID: r.id, Service: fleetRunner.Service, Agent: r.agent, Rack: fleetRunner.Rack, Labels: fleetRunner.Labels, Usable: fleetRunner.Usable, InSession: r.session != nil,
-		Ejected: fleetRunner.Ejected(s.now), Capacity: fleetRunner.Capacity, Used: fleetRunner.Used(), Runs: fleetRunner.ReservationCount()}
+	placed := r.fleetRunner
+	status := RunnerStatus{
+		ID: r.id, Service: placed.Service, Agent: r.agent, Rack: placed.Rack, Labels: placed.Labels,
+		Usable: placed.Usable, InSession: r.session != nil, Ejected: placed.Ejected(s.now),
+		Capacity: placed.Capacity, Used: placed.Used(), Runs: placed.ReservationCount(),
+	}
 	for _, task := range slices.Sorted(maps.Keys(r.live)) {
-		run := r.live[task]
-		status.Tasks = append(status.Tasks, RunStatus{Task: task, Run: run.number, State: run.step.Job.State.String(), Stopping: run.stopSent || run.evacuating, ForMs: (s.now - run.startedAt).Milliseconds()})
+		status.Tasks = append(status.Tasks, s.runStatus(task, r.live[task]))
 	}
 	if r.session == nil {
 		status.LostInMs = max(0, (r.lostAfter - s.now).Milliseconds())
@@ -130,18 +133,36 @@
 	return status
 }
 
+func (s *Scheduler) runStatus(task string, run liveRun) RunStatus {
+	return RunStatus{
+		Task: task, Run: run.number, State: run.step.Job.State.String(),
+		Stopping: run.stopSent || run.evacuating, ForMs: (s.now - run.startedAt).Milliseconds(),
+	}
+}
+
+// waitStatus returns a waiting step with the reason why it waits.
 func (s *Scheduler) waitStatus(q *queue, w *waitingStep) WaitStatus {
-	request := placementRequest(w.step)
+	step, request := w.step, placementRequest(w.step)
 	obstacles := s.fleet.Explain(request, s.now)
+	return WaitStatus{
+		Job: step.Job.ID, Queue: step.Job.Queue, Service: q.service,
+		Occurrence: step.Occurrence.Number, Step: step.Number, Tasks: step.Waiting,
+		Gang: step.Stage.GetGang(), Priority: w.priority, ForMs: (s.now - w.since).Round(time.Millisecond).Milliseconds(),
+		Demand: request.Demand, Obstacles: obstacles, Reason: s.waitReason(q, w, obstacles),
+	}
+}
+
+// waitReason returns in one line why a step waits.
+func (s *Scheduler) waitReason(q *queue, w *waitingStep, obstacles placement.Obstacles) string {
 	reason := obstacles.String()
 	switch {
 	case w.step.Stage.GetGang() && !w.step.GangIdle():
-		reason = "members of the gang's last run have not ended: " + reason
+		return "members of the gang's last run have not ended: " + reason
 	case obstacles.Fitting > 0 && !s.preservesHeadroom(q, w):
-		reason = "room is kept for more urgent work: " + reason
+		return "room is kept for more urgent work: " + reason
 	case obstacles.Fitting > 0 && w.step.Stage.GetGang():
-		reason = "there is room for some of the gang, not for all: " + reason
+		return "there is room for some of the gang, not for all: " + reason
+	default:
+		return reason
 	}
-	return WaitStatus{Job: w.step.Job.ID, Queue: w.step.Job.Queue, Service: q.service, Occurrence: w.step.Occurrence.Number, Step: w.step.Number, Tasks: w.step.Waiting,
-		Gang: w.step.Stage.GetGang(), Priority: w.priority, ForMs: (s.now - w.since).Round(time.Millisecond).Milliseconds(), Demand: request.Demand, Obstacles: obstacles, Reason: reason}
 }
