--- a/internal/control/scheduler/pass_test.go
+++ b/internal/control/scheduler/pass_test.go
@@ -14,13 +14,11 @@
 	"frosttide/internal/protocol"
 )
 
-// scheduleOneByOne does what a pass does, without a shortcut: it looks at each step and has its tasks tried each by
-// itself.
+// scheduleOneByOne is the reference for a scheduling cycle: it does the same without any shortcut, looking at each step
+// and trying each of its tasks by itself.
 func scheduleOneByOne(s *Scheduler) {
 	for _, step := range s.jobs.TakeReady() {
-		w := &waitingStep{step: step, request: placementRequest(step), priority: s.priority(step.Job), since: s.now, objective: s.objectiveFor(step)}
-		w.class = w.objective.class(s.wallMs)
-		s.queue(step.Job.Service).add(w)
+		s.queue(step.Job.Service).add(s.newWaitingStep(step))
 	}
 	for _, service := range slices.Sorted(maps.Keys(s.queues)) {
 		q := s.queues[service]
@@ -30,7 +28,7 @@
 		}
 		q.updateHeadroom(s.now)
 		for _, e := range q.entries {
-			w, p := e.waitingStep, s.newPass(q) // a pass of its own knows of nothing that was blocked
+			w, p := e.waitingStep, s.newPass(q) // a pass of its own has no blockages
 			if w.startable() && w.request.Gang {
 				p.scheduleStep(w)
 				continue
@@ -50,34 +48,23 @@
 	}
 }
 
-// runnersByTask returns the runner of each task that runs.
-func (h *harness) runnersByTask() map[string]string {
-	runs := make(map[string]string)
-	for id, runner := range h.scheduler.runners {
-		for task := range runner.live {
-			runs[task] = id
-		}
-	}
-	return runs
-}
-
-// randomStage returns a stage of one of a few kinds.
+// randomStage returns a random stage: a gang, one with an affinity, an anti-affinity or a requirement, or none of these.
 func randomStage(rng *rand.Rand) *protocol.Stage {
-	step := &protocol.Stage{Count: 1 + uint32(rng.IntN(6)), Cpu: int64(500 * (1 + rng.IntN(4))), MemMb: int64(500 * rng.IntN(4)), EstimateMs: 3000}
+	s := &protocol.Stage{Count: 1 + uint32(rng.IntN(6)), Cpu: int64(500 * (1 + rng.IntN(4))), MemMb: int64(500 * rng.IntN(4)), EstimateMs: 3000}
 	switch rng.IntN(6) {
 	case 0:
-		step.Gang, step.SameRack = true, rng.IntN(2) == 0
+		s.Gang, s.SameRack = true, rng.IntN(2) == 0
 	case 1:
-		step.Affinity = fmt.Sprintf("r%d-1", rng.IntN(3))
+		s.Affinity = fmt.Sprintf("r%d-1", rng.IntN(3))
 	case 2:
-		step.AntiAffinity = 1 + uint32(rng.IntN(2))
+		s.AntiAffinity = 1 + uint32(rng.IntN(2))
 	case 3:
-		step.Requirements = "big"
+		s.Requirements = "big"
 	}
-	return step
+	return s
 }
 
-// TestPassMatchesOneByOne compares a pass with placing without any shortcut, over random work.
+// TestPassMatchesOneByOne compares a pass with the reference over random work.
 func TestPassMatchesOneByOne(t *testing.T) {
 	started := 0
 	for seed := range uint64(60) {
@@ -100,8 +87,9 @@
 				h.scheduler.Tick(h.now, h.wall(), h.now)
 				h.reportAll()
 				for i, stage := range stages {
-					h.scheduler.HandleRequest("client", &protocol.ClientRequest{Id: uint64(1000 + i), Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{
-						Id: fmt.Sprintf("%016x", 100*step+i+1), Queue: queue, Spec: "s", Stages: []*protocol.Stage{stage}}}})
+					request := submitRequest(&protocol.Submit{Id: fmt.Sprintf("%016x", 100*step+i+1), Queue: queue, Spec: "s", Stages: []*protocol.Stage{stage}})
+					request.Id = uint64(1000 + i)
+					h.scheduler.HandleRequest("client", request)
 				}
 				h.endFirst(runner, reason)
 			}
@@ -116,10 +104,10 @@
 	require.Greater(t, started, 5000)
 }
 
-// passRunnerCount is how many runners the plays of a pass have, in three racks.
+// passRunnerCount is how many runners TestPassMatchesOneByOne has, in three racks.
 const passRunnerCount = 6
 
-// reportAll has all companions report.
+// reportAll has all agents report.
 func (h *harness) reportAll() {
 	for i := range passRunnerCount {
 		labels := []string{fmt.Sprintf("r%d-1", i%3)}
@@ -130,73 +118,8 @@
 	}
 }
 
-// endFirst has a runner report the end of the first of its runs, by name.
-func (h *harness) endFirst(id, reason string) {
-	runner := h.scheduler.runners[id]
-	for _, task := range slices.Sorted(maps.Keys(runner.live)) {
-		if run := runner.live[task]; !run.pending {
-			h.scheduler.recordEnds(runner.session, []*protocol.RunEnd{{Number: runner.recordedEnd + 1, Task: task, Run: run.number, How: reason}})
-			return
-		}
-	}
-}
-
-// TestReportsLongestWaitingStep checks that the log is told of the step that has waited longest, now and then.
-func TestReportsLongestWaitingStep(t *testing.T) {
-	h := newHarness(t)
-	h.register("c0", "w0")
-	h.submit(1, "slow", &protocol.Stage{Count: 1, Cpu: 4000, MemMb: 1, EstimateMs: 60_000})
-	h.submit(2, "slow", &protocol.Stage{Count: 3, Cpu: 3000, MemMb: 1, EstimateMs: 60_000})
-	require.Empty(t, h.scheduler.TakeEvents())
-	reported := 0
-	for range 100 {
-		h.now += 100 * time.Millisecond
-		h.report("c0", "w0")
-		h.commit()
-		for _, event := range h.scheduler.TakeEvents() {
-			require.Equal(t, "Step waits for runners", event.Message)
-			require.Equal(t, 3, event.Value("waitingTasks"))
-			require.Equal(t, 0, event.Value("step"))
-			require.Equal(t, "0000000000000002", event.Value("job"))
-			require.Contains(t, event.Value("reason"), "1 are full")
-			reported++
-		}
-	}
-	require.Equal(t, 2, reported, "after 5 s and after 10 s")
-}
-
-// TestCounters checks what is counted of a service's tasks.
-func TestCounters(t *testing.T) {
-	h := newHarness(t)
-	h.register("c0", "w0")
-	h.submit(1, "slow", &protocol.Stage{Count: 6, Cpu: 1000, MemMb: 1, EstimateMs: 60_000})
-	step := h.scheduler.Status().Services["svc"]
-	require.EqualValues(t, 6, step.Ready)
-	require.EqualValues(t, 2, step.Blocked, "four have room")
-	require.EqualValues(t, 4, step.Started)
-	require.Equal(t, 2, step.WaitingTasks)
-	require.Equal(t, 1, step.WaitingSteps)
-	h.endFirst("w0", "failed")
-	h.endFirst("w0", "done")
-	h.commit()
-	step = h.scheduler.Status().Services["svc"]
-	require.EqualValues(t, 7, step.Ready, "the one that failed is to be started again")
-	require.EqualValues(t, 6, step.Started)
-	require.Equal(t, map[string]uint64{"failed": 1, "done": 1}, step.Ended)
-	require.Equal(t, 1, step.WaitingTasks)
-	h.endFirst("w0", "in a way of its own")
-	h.commit()
-	step = h.scheduler.Status().Services["svc"]
-	require.EqualValues(t, 1, step.Ended[endOther])
-	h.scheduler.declareLost("w0")
-	h.commit()
-	step = h.scheduler.Status().Services["svc"]
-	require.EqualValues(t, 4, step.Ended["lost"])
-	require.Equal(t, 5, step.WaitingTasks)
-}
-
-// TestPassBetweenTicksLooksAtAll checks that a pass between two ticks places the last of many steps once there is a
-// reason to go through the queue, though all before it wait for a rack that is full.
+// TestPassBetweenTicksLooksAtAll checks that a pass between two ticks starts the last of many steps once the fleet has
+// changed, though all steps ahead of it wait for a rack that is full.
 func TestPassBetweenTicksLooksAtAll(t *testing.T) {
 	const waiting = 200
 	h := newHarness(t)
@@ -217,3 +140,63 @@
 	require.Equal(t, "w1", h.runnersByTask()[last.step.TaskID(0)])
 	require.Len(t, q.entries, waiting-1)
 }
+
+func TestUrgentQueueGoesFirst(t *testing.T) {
+	h := newHarness(t)
+	slow := h.submit(1, "slow", stage(8, 1000))
+	fast := h.submit(2, "fast", stage(2, 1000))
+	h.register("c1", "i1")
+	started := h.started("c1")
+	require.Contains(t, started, fast+".0.0.0")
+	require.Contains(t, started, fast+".0.0.1")
+	require.Len(t, started, 4)
+	require.Contains(t, started, slow+".0.0.0")
+}
+
+// TestOverdueJobsGoLast checks that jobs that can still meet their deadline go ahead of those that can't.
+func TestOverdueJobsGoLast(t *testing.T) {
+	h := newHarness(t)
+	overdue := h.submit(1, "fast", stage(4, 1000))
+	h.now += 20 * time.Second
+	soon := h.submit(2, "fast", stage(4, 1000))
+	h.register("c1", "i1")
+	for task := range h.started("c1") {
+		require.Contains(t, task, soon)
+		require.NotContains(t, task, overdue)
+	}
+	require.Len(t, h.started("c1"), 4)
+}
+
+func TestGangAtOnceOrNotAtAll(t *testing.T) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	gang := stage(2, 3000)
+	gang.Gang = true
+	h.submit(1, "fast", gang)
+	require.Empty(t, h.started("c1"))
+	require.Contains(t, h.scheduler.Status().Waiting[0].Reason, "not for all")
+	h.register("c2", "i2")
+	require.Len(t, h.started("c1"), 1)
+	require.Len(t, h.started("c2"), 1)
+}
+
+// TestSchedulesWithoutTick checks that a blocked task is started in the very turn in which capacity is released, not
+// only once time has passed, and that a turn that changes nothing goes through no queue.
+func TestSchedulesWithoutTick(t *testing.T) {
+	h := newHarness(t)
+	h.register("c1", "i1")
+	first := h.submit(1, "fast", stage(1, 4000))
+	second := h.submit(2, "fast", stage(1, 4000))
+	h.report("c1", "i1")
+	h.commit()
+	require.Contains(t, h.started("c1"), first+".0.0.0")
+	require.NotContains(t, h.started("c1"), second+".0.0.0")
+	h.scheduler.Entry(h.now)
+	require.Equal(t, h.scheduler.fleet.Changes(), h.scheduler.changesAtLastPass)
+	require.False(t, h.scheduler.tickedSincePass)
+	h.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: first + ".0.0.0", Run: 1}))
+	require.True(t, h.appendEntry())
+	h.scheduler.Committed(h.now, h.index)
+	h.collect()
+	require.Contains(t, h.started("c1"), second+".0.0.0")
+}
--- a/internal/control/scheduler/scale_bench_test.go
+++ b/internal/control/scheduler/scale_bench_test.go
@@ -9,62 +9,57 @@
 
 	"github.com/stretchr/testify/require"
 
-	"frosttide/internal/control/store"
 	"frosttide/internal/protocol"
 )
 
-// fleetSize is the size of a fleet that a benchmark plays.
+// fleetSize is the size of a fleet in a benchmark.
 type fleetSize struct {
 	runners int
 	running int // tasks
-	waiting int // tasks, in steps of stepWidth
+	waiting int // tasks, in steps of tasksPerStep
 }
 
-// sizes are a quarter, a half and the whole of the size of two years from now, so that growth shows.
+// sizes are a quarter, a half and all of the size expected in two years, so that growth shows.
 var sizes = []fleetSize{{237, 3250, 25_000}, {475, 6500, 50_000}, {950, 13_000, 100_000}}
 
-// tasksPerStep is how many tasks a job of the benchmarks has.
+// tasksPerStep is how many tasks a job of the benchmarks has, in its one step.
 const tasksPerStep = 10
 
 func (s fleetSize) String() string {
 	return fmt.Sprintf("runners=%d/running=%d/waiting=%d", s.runners, s.running, s.waiting)
 }
 
-// busyFleet returns a scheduler whose fleet is full and has tasks waiting.
+// busyFleet returns a scheduler whose runners are full while tasks wait. Where demands are uneven, hardly two jobs ask for
+// the same.
 func busyFleet(b *testing.B, size fleetSize, uneven bool) *harness {
 	b.Helper()
-	h := &harness{t: b, store: store.New(), now: time.Hour, epoch: 1, replies: make(map[uint64]*protocol.ClientReply), ends: make(map[string]uint64)}
-	h.elect()
-	h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Body: []byte(config)}}})
+	h := newHarness(b)
 	each := int64(size.running / size.runners)
-	for i := range size.runners {
-		h.report(agentName(i), runnerName(i), func(report *protocol.RunnerReport) {
-			report.Account.Capacity = &protocol.Capacity{Cpu: 100 * each, MemMb: 1000 * each}
-		})
+	reportAll := func() {
+		for i := range size.runners {
+			h.report(agentName(i), runnerName(i), func(report *protocol.RunnerReport) {
+				report.Account.Capacity = &protocol.Capacity{Cpu: 100 * each, MemMb: 1000 * each}
+			})
+		}
 	}
+	reportAll()
 	h.commit()
-	for i := range size.runners {
-		h.report(agentName(i), runnerName(i), func(report *protocol.RunnerReport) {
-			report.Account.Capacity = &protocol.Capacity{Cpu: 100 * each, MemMb: 1000 * each}
-		})
-	}
+	reportAll()
 	for i := range (size.running + size.waiting) / tasksPerStep {
 		stage := &protocol.Stage{Count: tasksPerStep, Cpu: 100, MemMb: 100, EstimateMs: 1000}
-		if uneven { // hardly two jobs ask for the same
+		if uneven {
 			stage.Cpu, stage.MemMb = 75+int64(i*7919%101), 50+int64(i*104729%997)
 		}
-		h.scheduler.HandleRequest("client", &protocol.ClientRequest{Id: uint64(i + 100), Op: &protocol.ClientRequest_Submit{Submit: &protocol.Submit{Id: fmt.Sprintf("%016x", i+1), Queue: "slow", Spec: "s",
-			Stages: []*protocol.Stage{stage}}}})
+		request := submitRequest(&protocol.Submit{Id: fmt.Sprintf("%016x", i+1), Queue: "slow", Spec: "s", Stages: []*protocol.Stage{stage}})
+		request.Id = uint64(i + 100)
+		h.scheduler.HandleRequest("client", request)
 	}
 	h.commit()
 	require.Greater(b, len(h.scheduler.queues["svc"].steps), size.waiting/tasksPerStep-2*size.runners)
 	return h
 }
 
-func agentName(i int) string  { return fmt.Sprintf("c%d", i) }
-func runnerName(i int) string { return fmt.Sprintf("w%d", i) }
-
-// eachSize measures a step on a busy fleet of each size, where all jobs ask for the same and where hardly two do.
+// eachSize measures a step on a busy fleet of each size, with even and with uneven demands.
 func eachSize(b *testing.B, step func(h *harness, size fleetSize, i int)) {
 	for _, uneven := range []bool{false, true} {
 		for _, size := range sizes {
@@ -88,29 +83,25 @@
 	})
 }
 
-// endOne has a runner report the end of one of its tasks, and commits what follows.
+// endOne has a runner report the end of one of its runs, and commits what follows.
 func (h *harness) endOne(i int) {
 	runner := h.scheduler.runners[runnerName(i)]
 	for task, run := range runner.live {
-		s := h.scheduler.sessions[agentName(i)]
-		h.scheduler.recordEnds(s, []*protocol.RunEnd{{Number: runner.recordedEnd + 1, Task: task, Run: run.number, How: "done"}})
+		sess := h.scheduler.sessions[agentName(i)]
+		h.scheduler.recordEnds(sess, []*protocol.RunEnd{{Number: runner.recordedEnd + 1, Task: task, Run: run.number, How: "done"}})
 		break
 	}
-	if e := h.scheduler.Entry(h.now); e != nil {
-		h.index++
-		h.store.Apply(e.GetPuts(), e.GetDeletes())
-		h.scheduler.Appended(h.index)
-	}
+	h.appendEntry()
 	h.scheduler.Committed(h.now, h.index)
 	h.scheduler.TakeSends()
 }
 
-// BenchmarkTurnWithoutChange measures a turn in which nothing has happened.
+// BenchmarkTurnWithoutChange measures a turn in which nothing has changed.
 func BenchmarkTurnWithoutChange(b *testing.B) {
 	eachSize(b, func(h *harness, _ fleetSize, _ int) { h.scheduler.Entry(h.now) })
 }
 
-// BenchmarkTick measures what the clock costs, with the pass over all that waits that follows it.
+// BenchmarkTick measures a tick with the cycle over all queues that follows it.
 func BenchmarkTick(b *testing.B) {
 	eachSize(b, func(h *harness, _ fleetSize, _ int) {
 		h.scheduler.Tick(h.now, h.wall(), h.now)
@@ -118,7 +109,7 @@
 	})
 }
 
-// BenchmarkViewChange measures what the head does when it goes on in another view.
+// BenchmarkViewChange measures what the head does when it goes on under a newer epoch.
 func BenchmarkViewChange(b *testing.B) {
 	eachSize(b, func(h *harness, _ fleetSize, _ int) {
 		h.epoch++
@@ -131,7 +122,7 @@
 	})
 }
 
-// BenchmarkTakeOver measures how long a new head needs to know all from the store.
+// BenchmarkTakeOver measures how long a new head needs to load the store.
 func BenchmarkTakeOver(b *testing.B) {
 	eachSize(b, func(h *harness, _ fleetSize, _ int) { h.elect() })
 }
@@ -139,14 +130,13 @@
 // BenchmarkChanges evaluates changes of a configuration of 1,000 routes, one route at a time.
 func BenchmarkChanges(b *testing.B) {
 	const routes = 1000
-	h := &harness{t: b, store: store.New(), now: time.Hour, epoch: 1, replies: make(map[uint64]*protocol.ClientReply), ends: make(map[string]uint64)}
-	h.elect()
+	h := newEmptyHarness(b)
 	var all []string
 	for i := range routes {
 		all = append(all, fmt.Sprintf(`{"Name":"r%d","Host":"h","PathPrefix":"/%d/","TimeoutMs":3000,"Service":"svc","MaxAttempts":2,"Stretch":4}`, i, i))
 	}
 	full := `{"Version":1,"Routes":[` + strings.Join(all, ",") + `],"Services":[{"Name":"svc"}]}`
-	require.EqualValues(b, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Body: []byte(full)}}}).GetStatus())
+	require.EqualValues(b, http.StatusOK, h.request(configRequest(&protocol.ConfigOrder{Body: []byte(full)})).GetStatus())
 	version := uint64(1)
 	b.ResetTimer()
 	for range b.N {
@@ -154,6 +144,6 @@
 		body := fmt.Sprintf(`{"Version":%d,"Upsert":{"Routes":[{"Name":"r%d","Host":"h","PathPrefix":"/%d/","TimeoutMs":%d,"Service":"svc","MaxAttempts":2,"Stretch":4}]}}`,
 			version, version%routes, version%routes, version)
 		order := &protocol.ConfigOrder{Patch: true, IfMatch: version - 1, Body: []byte(body)}
-		require.EqualValues(b, http.StatusOK, h.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: order}}).GetStatus())
+		require.EqualValues(b, http.StatusOK, h.request(configRequest(order)).GetStatus())
 	}
 }
