--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -26,9 +26,9 @@
 	Message *protocol.Envelope
 }
 
-// Output is what a turn has led to. The writes have to be handed to the disk before anything is sent.
+// Output is what a turn has led to.
 type Output struct {
-	Writes   []replica.Write
+	Writes   []replica.Write // to be handed to the disk before anything is sent
 	Sends    []Send
 	Outcomes []chainclient.Outcome // of requests made by Do
 	Events   []event.Event         // for the log
@@ -170,8 +170,8 @@
 	m.clock.Tick(now, self, wallMs, voters, scheduler.LoadClock(m.replica.Store()))
 }
 
-// Do sends a request of this process's own to the chain and returns the request's ID. read says that the tail can
-// answer it. An Output within the timeout holds its outcome.
+// Do sends a request of this process's own to the chain and returns the request's ID. read says that the tail can answer
+// it. An Output holds its outcome at the latest when the timeout has passed.
 func (m *Member) Do(now time.Duration, r *protocol.ClientRequest, read bool, timeout time.Duration) uint64 {
 	return m.client.Do(now, r, read, now+timeout, now+timeout)
 }
@@ -183,6 +183,7 @@
 // Turn ends a turn: it appends the scheduler's decisions and returns everything that has to be carried out.
 func (m *Member) Turn(now time.Duration) Output {
 	m.appendEntry(now)
+	m.publishCommitted(now)
 	m.processStatusReads(now)
 	m.propagateView(now)
 	for _, s := range m.gossip.TakeSends() {
@@ -206,16 +207,22 @@
 	m.out.Events = append(m.out.Events, event.New(message, keysAndValues...))
 }
 
-// appendEntry appends the scheduler's decisions as one entry. It then sends the orders whose entries are committed, and
-// passes on a configuration once it is committed.
+// appendEntry appends the scheduler's decisions of this turn as one entry.
 func (m *Member) appendEntry(now time.Duration) {
-	if m.scheduler != nil && m.replica.CanAppend() && m.replica.Accepting(now) {
-		if e := m.scheduler.Entry(now); e != nil {
-			index, actions, _ := m.replica.Append(now, e)
-			m.scheduler.Appended(index)
-			m.perform(now, actions)
-		}
+	if m.scheduler == nil || !m.replica.CanAppend() || !m.replica.Accepting(now) {
+		return
+	}
+	e := m.scheduler.Entry(now)
+	if e == nil {
+		return
 	}
+	index, actions, _ := m.replica.Append(now, e) // it succeeds where CanAppend holds
+	m.scheduler.Appended(index)
+	m.perform(now, actions)
+}
+
+// publishCommitted sends the scheduler's orders whose entries are committed, and passes a committed configuration on.
+func (m *Member) publishCommitted(now time.Duration) {
 	if m.scheduler == nil {
 		return
 	}
--- a/internal/data/gateway/node.go
+++ b/internal/data/gateway/node.go
@@ -44,7 +44,7 @@
 func (n *Node) Table() *routeconfig.Table { return n.gossip.Config() }
 
 // Do sends a request to the control plane and returns its ID. read says that the tail can answer it. Turn returns its
-// outcome within the timeout.
+// outcome at the latest when the timeout has passed.
 func (n *Node) Do(now time.Duration, r *protocol.ClientRequest, read bool, timeout time.Duration) uint64 {
 	return n.client.Do(now, r, read, now+timeout, now+unsentTimeout)
 }
