--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -23,7 +23,7 @@
 	Message *protocol.Envelope
 }
 
-// rngStream tells the random choices of this package from those that others draw from the same seed.
+// rngStream separates the random choices of this package from those that others draw from the same seed.
 const rngStream = 7
 
 // Machine is the state machine of one process; see the package comment.
@@ -89,7 +89,7 @@
 	m.adoptView(v, "")
 }
 
-// Tick lets time pass, and sends what has become due.
+// Tick advances the time and sends the messages that have become due.
 func (m *Machine) Tick(now time.Duration) {
 	m.now = now
 	if now >= m.nextShuffle {
@@ -100,7 +100,7 @@
 	}
 }
 
-// Receive handles a message of this package's from the process at an internal address. Others are ignored.
+// Receive handles a gossip message from the process at an internal address. Messages of other kinds are ignored.
 func (m *Machine) Receive(now time.Duration, from string, e *protocol.Envelope) {
 	m.now = now
 	switch body := e.GetBody().(type) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// ObserveVersion notes that another process has a version of the configuration, which is requested of it where it is newer.
+// ObserveVersion records that another process has a version of the configuration, and requests a delta if it is newer.
 func (m *Machine) ObserveVersion(now time.Duration, from string, version uint64) {
 	m.now = now
 	if version <= m.config.Version || now < m.pullDeadline {
@@ -124,7 +124,7 @@
 	m.requestDelta(from)
 }
 
-// adoptConfig takes over a configuration if it is newer, and spreads it to others than the process it came from.
+// adoptConfig installs a configuration if it is newer, and disseminates it to processes other than its sender.
 func (m *Machine) adoptConfig(t *routeconfig.Table, from string) {
 	if t.Version > m.config.Version {
 		m.config = t
@@ -132,7 +132,7 @@
 	}
 }
 
-// adoptView takes over a view if it is newer and valid, and spreads it to others than the process it came from.
+// adoptView installs a view if it is newer and valid, and disseminates it to processes other than its sender.
 func (m *Machine) adoptView(v *protocol.View, from string) {
 	if v.GetEpoch() > m.view.GetEpoch() && view.Valid(v) {
 		m.view = v
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -47,7 +47,7 @@
 	return n
 }
 
-// run lets time pass.
+// run advances the simulated clock, step by step.
 func (n *network) run(d time.Duration) {
 	for until := n.now + d; n.now < until; n.now += networkStep {
 		arrived := n.inFlight
@@ -78,7 +78,7 @@
 	}
 }
 
-// TestSpreads has configurations and views reach every process, though one message in thirty is lost.
+// TestSpreads checks that configurations and views reach every process although one message in thirty is lost.
 func TestSpreads(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -118,7 +118,7 @@
 	return change.Table
 }
 
-// TestReplies has a process with the configuration of version 5 and a view of epoch 5 reply to messages.
+// TestReplies checks the replies of a process that has version 5 of the configuration and a view of epoch 5.
 func TestReplies(t *testing.T) {
 	view := func(epoch uint64) *protocol.View {
 		return &protocol.View{Epoch: epoch, Voters: []*protocol.Member{{Id: 1, Address: "p0"}}, Chain: []uint64{1}}
--- a/internal/gossip/rumor.go
+++ b/internal/gossip/rumor.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	// rumorInterval is the pause between exchanges of versions with a random neighbor, so that what was lost on the way
-	// arrives all the same.
+	// rumorInterval is the interval between exchanges of versions with a random neighbor, which repair the loss of
+	// messages (anti-entropy).
 	rumorInterval = 300 * time.Millisecond
-	// hotRumorInterval takes its place for hotRumorRounds exchanges after something new.
+	// hotRumorInterval takes its place for hotRumorRounds exchanges after a new version (rumor mongering).
 	hotRumorInterval = 60 * time.Millisecond
 	hotRumorRounds   = 3
-	// fanout is the number of neighbors that get something new at once.
+	// fanout is the number of neighbors that a new version is sent to at once.
 	fanout = 3
-	// pullTimeout is after how long without a delta another may be requested.
+	// pullTimeout is how long a requested delta is awaited before another may be requested.
 	pullTimeout = 250 * time.Millisecond
 )
 
-// disseminate sends the versions to some neighbors at once, but not to the one that they came from, and has the next
-// periodic rumors follow soon.
+// disseminate sends the versions to some neighbors at once, except to the process that they came from, and makes the next
+// periodic rumors hot.
 func (m *Machine) disseminate(from string) {
 	m.hotRounds, m.nextRumor = hotRumorRounds, min(m.nextRumor, m.now+hotRumorInterval)
 	for _, n := range m.sample(fanout) {
@@ -51,7 +51,8 @@
 	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_Rumor{Rumor: r}})
 }
 
-// onRumor takes over what is newer there, and answers with what is newer here. An answer is not answered.
+// onRumor installs or requests what is newer at the sender, and replies if this process has anything newer. A reply gets no
+// reply.
 func (m *Machine) onRumor(from string, r *protocol.Rumor) {
 	senderIsBehind := r.GetConfigVersion() < m.config.Version || r.GetView().GetEpoch() < m.view.GetEpoch()
 	m.adoptView(r.GetView(), from)
@@ -63,7 +64,7 @@
 	}
 }
 
-// requestDelta asks a process for what its configuration has beyond the one here.
+// requestDelta asks a process for the items that its configuration has beyond the one here.
 func (m *Machine) requestDelta(from string) { m.sendPull(from, &protocol.RumorPull{}) }
 
 // requestFull asks a process for its configuration in full.
@@ -75,7 +76,7 @@
 	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_RumorPull{RumorPull: p}})
 }
 
-// onPull sends a process what it lacks.
+// onPull sends a process the items that it lacks.
 func (m *Machine) onPull(from string, p *protocol.RumorPull) {
 	if p.GetHaveVersion() >= m.config.Version {
 		return
@@ -87,9 +88,8 @@
 	m.send(from, &protocol.Envelope{Body: &protocol.Envelope_ConfigDelta{ConfigDelta: m.config.DeltaSince(fromVersion)}})
 }
 
-// onDelta takes over a newer configuration. A delta that does not lead to the digest that it names is dropped, and the
-// configuration requested in full; where it was a full one already, the sender has changed meanwhile, and a delta is
-// requested again.
+// onDelta installs a newer configuration. A delta that does not lead to the digest that it names is dropped: the
+// configuration is requested in full then, or as a delta where it was a full one that failed.
 func (m *Machine) onDelta(from string, d *protocol.ConfigDelta) {
 	m.pullDeadline = 0
 	next, ok := m.config.ApplyDelta(d)
--- a/internal/gossip/shuffle.go
+++ b/internal/gossip/shuffle.go
@@ -13,14 +13,14 @@
 	partialViewSize = 8
 	// shuffleSize is the number of neighbors that a shuffle exchanges, the sender itself included.
 	shuffleSize = 4
-	// minShuffleInterval and maxShuffleInterval bound the pause between shuffles. It begins short, so that the partial
+	// minShuffleInterval and maxShuffleInterval bound the interval between shuffles. It starts short, so that the partial
 	// views of a system that starts mix fast, and grows by shuffleIntervalGrowth with each shuffle.
 	minShuffleInterval    = 200 * time.Millisecond
 	maxShuffleInterval    = 2 * time.Second
 	shuffleIntervalGrowth = 1.25
-	// shufflesPerContact is after how many shuffles a contact gets one too.
+	// shufflesPerContact is the number of shuffles per one that goes to a contact as well.
 	shufflesPerContact = 4
-	// bootstrapInterval is the pause between shuffles with a contact while no neighbor is known.
+	// bootstrapInterval is the interval between shuffles with a contact while no neighbor is known.
 	bootstrapInterval = 150 * time.Millisecond
 )
 
@@ -47,7 +47,7 @@
 	m.offerNeighbors(oldest.GetAddress(), m.offered)
 }
 
-// shuffleWithContact keeps groups that started from different contacts, or were partitioned, from staying apart.
+// shuffleWithContact joins groups of processes that started from different contacts or were partitioned.
 func (m *Machine) shuffleWithContact() {
 	if len(m.cfg.Contacts) == 0 {
 		return
@@ -57,7 +57,7 @@
 	}
 }
 
-// offerNeighbors begins a shuffle with a process: it gets this process's own entry and some neighbors.
+// offerNeighbors begins a shuffle: it sends this process's own entry and some neighbors.
 func (m *Machine) offerNeighbors(to string, neighbors []*protocol.Neighbor) {
 	self := &protocol.Neighbor{Address: m.cfg.Address, Role: m.cfg.Role}
 	m.sendShuffle(to, &protocol.Shuffle{Neighbors: cloneNeighbors(append([]*protocol.Neighbor{self}, neighbors...))})
@@ -67,7 +67,7 @@
 	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_Shuffle{Shuffle: s}})
 }
 
-// cloneNeighbors returns entries of their own for a message, as the ages of those in the partial view go on rising.
+// cloneNeighbors returns copies of entries for a message, because the ages of those in the partial view go on rising.
 func cloneNeighbors(neighbors []*protocol.Neighbor) []*protocol.Neighbor {
 	cloned := make([]*protocol.Neighbor, len(neighbors))
 	for i, n := range neighbors {
--- a/internal/nodefile/nodefile.go
+++ b/internal/nodefile/nodefile.go
@@ -31,7 +31,7 @@
 	Zone            string   // failure domain of the machine
 	PortRange       []int    // first and last port that internal addresses may have
 	Seeds           []string // operators' addresses of up to three core machines, host:port
-	Bootstrap       bool     // the system starts for the first time, and its seeds found it
+	Bootstrap       bool     // the system starts for the first time; its seeds are the founders
 	CountsForQuorum bool
 	DataDir         string // folder of a control member's journal
 	HeartbeatMs     int64
@@ -47,7 +47,7 @@
 		MaxFds   int64
 	}
 	FaultTolerance struct {
-		Machines int // whose loss at once is borne
+		Machines int // number of machines whose simultaneous loss is tolerated
 		Zones    int
 		Regions  int
 	}
@@ -60,7 +60,7 @@
 	AckMs         float64
 	CatchUpS      float64
 	DrainMs       float64
-	GraceS        float64 // from the signal to end until the process is killed
+	GraceS        float64 // from the signal to terminate until the process is killed
 	ConfigApplyMs float64
 	RecoveryS     float64 // for which running work outlives the loss of all core machines: the lease of agents
 	HoldMaxMs     float64 // longest lease that an agent gives its runner
@@ -142,7 +142,7 @@
 	}
 }
 
-// validate returns what keeps a process of any role from starting, nil where nothing does.
+// validate returns the first mistake that keeps a process of any role from starting, nil if there is none.
 func (f *File) validate(path string) error {
 	if net.ParseIP(f.IP) == nil {
 		return settingsErrorf("%s: Ip: %q is no address", path, f.IP)
--- a/internal/nodefile/nodefile_test.go
+++ b/internal/nodefile/nodefile_test.go
@@ -46,7 +46,7 @@
 	require.EqualValues(t, defaultGraceS, f.Bounds.GraceS, "a bound that is left out")
 }
 
-// TestMistakes has each mistake reported in a line with the file, the key and the reason.
+// TestMistakes checks that each mistake is reported in one line with the file, the key and the reason.
 func TestMistakes(t *testing.T) {
 	const minimal = "Ip = \"10.0.0.1\"\nPortRange = [1, 2]\n"
 	for _, c := range []struct{ name, text, want string }{
@@ -79,7 +79,7 @@
 	require.ErrorContains(t, err, PathVariable)
 }
 
-// FuzzRead has any file be read, or refused with an error that names it.
+// FuzzRead checks that any file is read, or refused with an error that names it.
 func FuzzRead(f *testing.F) {
 	f.Add([]byte(sample))
 	f.Add([]byte("Ip = \"10.0.0.1\"\nPortRange = [1, 2]\n"))
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -17,8 +17,8 @@
 
 // Process is a running process; see the package comment.
 type Process struct {
-	Settings     *nodefile.File // the newest that could be used
-	SettingsPath string         // of their file
+	Settings     *nodefile.File // the newest valid ones
+	SettingsPath string         // path of their file
 	Role         string         // as in protocol.Hello
 	Incarnation  uint64         // drawn at random when the process starts
 	Address      string         // internal address, host:port
@@ -51,7 +51,7 @@
 	return nil, lastErr
 }
 
-// handle makes an event of a message.
+// handle posts the handling of a message.
 func (p *Process) handle(from string, e *protocol.Envelope) {
 	p.mailbox.Put(func() { p.receive(from, e) })
 }
@@ -62,7 +62,7 @@
 // WallMs returns the time of day, in ms from 1970.
 func (p *Process) WallMs() int64 { return time.Now().UnixMilli() }
 
-// Post has an event run on the event loop. It does not wait for it; events that are posted once Run has ended never run.
+// Post schedules an event on the event loop and returns at once. Events that are posted after Run has ended never run.
 func (p *Process) Post(event func()) { p.mailbox.Put(event) }
 
 // Send sends a message to the process at an internal address, which may be this one. It may be lost; see package
@@ -76,7 +76,7 @@
 }
 
 // Run is the event loop: it runs the events, and tick at each interval, until the context ends. afterTurn follows each
-// turn, which runs all events that wait at that moment.
+// turn, in which all queued events run.
 func (p *Process) Run(ctx context.Context, tickInterval time.Duration, tick, afterTurn func()) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -93,12 +93,12 @@
 		for _, event := range events {
 			event()
 		}
-		clear(events) // lets go of the messages
+		clear(events) // releases the messages
 		afterTurn()
 	}
 }
 
-// Close ends the process's links and waits for its goroutines. The context of WatchSettings has ended before.
+// Close closes the transport and waits for the process's goroutines. The context of WatchSettings must have ended before.
 func (p *Process) Close() {
 	p.transport.Close()
 	p.watching.Wait()
--- a/internal/process/settings.go
+++ b/internal/process/settings.go
@@ -12,11 +12,11 @@
 	"frosttide/internal/nodefile"
 )
 
-// settingsPollInterval is how often the settings file is looked at, as it may change without a signal.
+// settingsPollInterval is the interval between checks of the settings file, which may change without a signal.
 const settingsPollInterval = time.Second
 
-// WatchSettings reads the settings file again where it has changed, and on SIGHUP, until the context ends. apply gets the
-// new settings on the event loop. A file that cannot be used is logged and changes nothing.
+// WatchSettings reads the settings file again when it has changed and on SIGHUP, until the context ends. apply is called
+// with the new settings on the event loop. A file that cannot be used is logged and changes nothing.
 func (p *Process) WatchSettings(ctx context.Context, apply func(*nodefile.File)) {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
@@ -41,13 +41,13 @@
 	})
 }
 
-// fileStamp tells one state of a file from another.
+// fileStamp identifies one state of a file.
 type fileStamp struct {
 	modifiedAt time.Time
 	size       int64
 }
 
-// stampOf returns the stamp of a file, the zero value for one that cannot be looked at.
+// stampOf returns the stamp of a file, the zero value if the file cannot be examined.
 func stampOf(path string) fileStamp {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return fileStamp{modifiedAt: info.ModTime(), size: info.Size()}
 }
 
-// reloadSettings reads the settings file and posts what is to be done with it.
+// reloadSettings reads the settings file and, if it is valid, posts the change of the settings.
 func (p *Process) reloadSettings(apply func(*nodefile.File)) {
 	settings, err := nodefile.Read(p.SettingsPath)
 	if err != nil {
--- a/internal/routeconfig/change.go
+++ b/internal/routeconfig/change.go
@@ -7,7 +7,7 @@
 	"frosttide/internal/protocol"
 )
 
-// maxTombstones bounds the removed items that are remembered for followers of older versions. Who follows from a version
+// maxTombstones bounds the removed items that are remembered for followers of older versions. A follower of a version
 // before the horizon gets the full configuration.
 const maxTombstones = 1024
 
@@ -20,7 +20,7 @@
 
 // Apply evaluates an operator's order: a document, which replaces the whole configuration, or a patch. It returns an
 // error marked with ErrInvalid where the order cannot be read, its version is not above the table's, or the table after it
-// could not be in force.
+// would not be valid.
 func (t *Table) Apply(body []byte, patch bool) (*Change, error) {
 	d, err := parse(body, patch)
 	if err != nil {
@@ -72,8 +72,8 @@
 	return keys
 }
 
-// pruneTombstones has a change drop the tombstones that exceed the bound, the oldest first, and returns the highest
-// version of those that were ever dropped.
+// pruneTombstones makes a change drop the tombstones that exceed maxTombstones, the oldest first, and returns the horizon
+// after it.
 func (t *Table) pruneTombstones(changed map[string]*protocol.ConfigItem) (horizon uint64) {
 	horizon = t.tombstoneHorizon
 	tombstones := t.tombstonesAfter(changed)
--- a/internal/routeconfig/route.go
+++ b/internal/routeconfig/route.go
@@ -22,8 +22,8 @@
 	MaxHeaderBytes, MaxBodyBytes, HeaderTimeoutMs, IdleTimeoutMs int64
 }
 
-// parseRoute returns the route of an item. Items are valid JSON, as parse checks; what else a message may hold stands for
-// a route that no request matches.
+// parseRoute returns the route of an item. Items that were applied here are valid JSON; for others, which only a malformed
+// message holds, the route is empty.
 func parseRoute(json []byte) *Route {
 	v, err := fastjson.ParseBytes(json)
 	if err != nil {
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -54,14 +54,14 @@
 	return t
 }
 
-// addRoute is called by build only.
+// addRoute adds a route to the derived tables. Only build calls it, as a Table does not change later.
 func (t *Table) addRoute(r *Route) {
 	t.routes[r.Name] = r
 	host := strings.ToLower(r.Host)
 	t.hosts[host] = append(t.hosts[host], r)
 }
 
-// isTombstone tells whether an item, which may be nil, stands for one that was removed or never set.
+// isTombstone reports whether an item, which may be nil, stands for one that was removed or never set.
 func isTombstone(item *protocol.ConfigItem) bool { return len(item.GetJson()) == 0 }
 
 // itemDigest returns what an item adds to the digest. Sums of it do not depend on the order of the items.
@@ -105,7 +105,7 @@
 // Limits returns the bounds on what clients may send.
 func (t *Table) Limits() Limits { return t.limits }
 
-// validate returns why the table cannot be in force, nil where it can.
+// validate returns the reason why the table is not a valid configuration, nil if it is one.
 func (t *Table) validate() error {
 	routesByLocation := make(map[string]string, len(t.routes))
 	for name, r := range t.routes {
--- a/internal/routeconfig/table_test.go
+++ b/internal/routeconfig/table_test.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// FuzzApply has any body be applied as a document and as a patch of one: it is refused, or what it leads to is read back
-// as the same.
+// FuzzApply applies any body as a document and as a patch of one: it is refused, or the document of the resulting table
+// leads to the same table.
 func FuzzApply(f *testing.F) {
 	f.Add([]byte(strings.Replace(sample, `"Version":5`, `"Version":6`, 1)), false)
 	f.Add([]byte(`{"Version":9,"Upsert":{"Routes":[{"Name":"c","Host":"h.example","PathPrefix":"/c/","TimeoutMs":1,"Service":"s"}]},"Remove":{"Routes":["a","none"]}}`), true)
--- a/internal/transport/connect.go
+++ b/internal/transport/connect.go
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// adoptLink has messages to a process leave by the link that it has opened, unless there is one already to that very
-// incarnation. A link that is still being dialed gives way, and hands over its queue: the dial may have begun while the
+// adoptLink makes a link that another process has opened the one that messages to it are sent on, unless there is one
+// already to that incarnation. A link that is still being dialed is replaced, and its queue moves to the new one: the dial may have begun while the
 // other machine was off, and would then wait until dialTimeout.
 func (t *Transport) adoptLink(l *link) {
 	t.mu.Lock()
@@ -88,7 +88,7 @@
 	t.links[l.address] = l
 }
 
-// removeLink ends a link, and has the next message to its process begin another.
+// removeLink terminates and forgets a link, so that the next message to its process starts another.
 func (t *Transport) removeLink(l *link) {
 	l.terminate()
 	t.mu.Lock()
@@ -96,7 +96,7 @@
 	t.deleteLink(l)
 }
 
-// removeUnreachable ends a link that could not be made, and has messages to its process be dropped for dialBackoff.
+// removeUnreachable terminates and forgets a link that could not be made. Messages to its process are dropped for dialBackoff.
 func (t *Transport) removeUnreachable(l *link) {
 	l.terminate()
 	t.mu.Lock()
@@ -106,7 +106,7 @@
 	}
 }
 
-// deleteLink forgets a link, and returns false where another has taken its place. The transport's lock is held.
+// deleteLink forgets a link, and returns false if another has taken its place. The caller holds the transport's lock.
 func (t *Transport) deleteLink(l *link) bool {
 	if t.links[l.address] != l {
 		return false
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -28,7 +28,7 @@
 	mu              sync.Mutex
 	queue           []*protocol.Envelope
 	lastUsed        time.Time
-	closeConnection func() // has what the link's goroutines wait for fail
+	closeConnection func() // unblocks the link's goroutines with errors
 }
 
 func newLink(address string) *link {
@@ -73,7 +73,7 @@
 	})
 }
 
-// attach adds what closes a new connection to what terminate does, and returns false where the link has ended before.
+// attach registers the function that closes a new connection, for terminate. It returns false if the link has ended before.
 func (l *link) attach(closeConnection func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -90,14 +90,14 @@
 	return true
 }
 
-// touch notes that the link is in use.
+// touch records that the link is in use.
 func (l *link) touch() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastUsed = time.Now()
 }
 
-// idle tells whether the link has not been used for idleTimeout.
+// idle reports whether the link has been unused for longer than idleTimeout.
 func (l *link) idle() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -24,7 +24,7 @@
 	t.removeLink(l)
 }
 
-// readLoop has the messages of a stream handled, until it breaks.
+// readLoop passes the messages of a stream to the handler, until it breaks.
 func (t *Transport) readLoop(l *link, s stream) {
 	for {
 		e, err := s.Recv()
@@ -72,7 +72,7 @@
 	}
 }
 
-// flushFunc returns what flushes a stream; streams that send each message by itself need nothing.
+// flushFunc returns the function that flushes a stream; it does nothing for streams that send each message at once.
 func flushFunc(s stream) func() error {
 	if holder, ok := s.(interface{ GetStream() drpc.Stream }); ok {
 		if f, ok := holder.GetStream().(flusher); ok {
--- a/internal/transport/transport.go
+++ b/internal/transport/transport.go
@@ -18,7 +18,7 @@
 )
 
 const (
-	// dialTimeout bounds the making of a link: a machine without power answers nothing.
+	// dialTimeout bounds a dial: a machine without power does not refuse connections.
 	dialTimeout = 600 * time.Millisecond
 	// dialBackoff is how long after a failed dial messages to that process are dropped.
 	dialBackoff = 80 * time.Millisecond
@@ -46,15 +46,15 @@
 	listener net.Listener
 	ctx      context.Context // of all links; done once Close is called
 	cancel   context.CancelFunc
-	running  sync.WaitGroup // goroutines; nothing but these adds to it once ctx is done
+	running  sync.WaitGroup // all goroutines; only running ones start others once ctx is done
 
 	mu           sync.Mutex
 	links        map[string]*link     // that messages are sent on, by the other process's address
 	dialFailures map[string]time.Time // of the newest dials that failed, by address
 }
 
-// Listen opens the process's internal address and serves it until Close. An address in use gives an error that
-// errors.Is finds to be unix.EADDRINUSE.
+// Listen opens the process's internal address and serves it until Close. The error for an address in use wraps
+// unix.EADDRINUSE.
 func Listen(cfg Config) (*Transport, error) {
 	listener, err := net.Listen("tcp4", cfg.Address)
 	if err != nil {
@@ -96,13 +96,13 @@
 			continue
 		}
 		setUserTimeout(conn)
-		// The error is that of a link that breaks, which both ends notice by its messages.
+		// The error is that of a broken link, which both ends notice by themselves.
 		t.running.Go(func() { _ = server.ServeOne(t.ctx, conn) })
 	}
 }
 
-// setUserTimeout has a connection fail soon after the other end can no longer be reached. Where the kernel refuses, the
-// connection is as good as any.
+// setUserTimeout makes a connection fail soon after the other end has become unreachable. A connection for which the kernel
+// refuses the option is used without.
 func setUserTimeout(conn net.Conn) {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -113,7 +113,7 @@
 	})
 }
 
-// Close ends all links and waits for the goroutines. Messages that are sent later are dropped.
+// Close terminates all links and waits for all goroutines. Messages that are sent later are dropped.
 func (t *Transport) Close() {
 	t.closeLinks()
 	t.running.Wait()
@@ -137,8 +137,8 @@
 	}
 }
 
-// linkTo returns the link to a process, which is dialed where there is none. It returns nil after Close, and for a moment
-// after a dial that failed.
+// linkTo returns the link to a process, and dials one if there is none. It returns nil after Close, and for dialBackoff
+// after a failed dial.
 func (t *Transport) linkTo(address string) *link {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -97,7 +97,7 @@
 	b.mu.Unlock()
 }
 
-// TestOtherProcessAtTheSameAddress has messages reach a process that has taken the place of an earlier one.
+// TestOtherProcessAtTheSameAddress checks that messages reach a process that has replaced an earlier one.
 func TestOtherProcessAtTheSameAddress(t *testing.T) {
 	a, _, _ := listen(t, "")
 	b, address, got := listen(t, "")
@@ -136,8 +136,8 @@
 	}, 10*time.Second, 5*time.Millisecond, "the messages are dropped")
 }
 
-// TestLinkOfTheOtherWhileDialing has messages that are queued during a dial leave by the link that the other process opens
-// meanwhile: a dial that began while the other machine was off would wait until its timeout.
+// TestLinkOfTheOtherWhileDialing checks that messages that are queued during a dial are sent on the link that the other
+// process opens meanwhile: a dial that began while the other machine was off would wait until its timeout.
 func TestLinkOfTheOtherWhileDialing(t *testing.T) {
 	dialed := make(chan struct{})
 	ended := make(chan struct{})
@@ -159,7 +159,7 @@
 	require.Equal(t, received{addressA, 3}, next(t, got))
 }
 
-// TestLinkEndsWhileDialed has a link that is terminated during its dial, by a full queue, leave no dead entry behind.
+// TestLinkEndsWhileDialed checks that a link that is terminated during its dial, by a full queue, leaves no dead entry.
 func TestLinkEndsWhileDialed(t *testing.T) {
 	proceed := make(chan struct{})
 	a, _, _ := listenWith(t, Config{Dial: func(ctx context.Context, address string) (net.Conn, error) {
