--- a/internal/transport/doc.go
+++ b/internal/transport/doc.go
@@ -5,7 +5,9 @@
 // a connection.
 //
 // Guarantees and limits:
-//   - delivery is at most once, and in order while a link stands; a link that breaks loses what is in flight and queued;
+//   - delivery is at most once, and in order while a link stands; a link that breaks loses what is in flight and queued, and
+//     its last messages may be handled interleaved with the first ones of the link that replaces it, as each link has
+//     a reader of its own;
 //   - Send never blocks: a message to an unreachable process is dropped, and a link whose queue is full is terminated, so
 //     that the other end notices the loss;
 //   - the kernel closes a connection whose bytes stay unacknowledged for userTimeout; one that is idle for idleTimeout is
