--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -2,7 +2,7 @@
 //
 // Each process keeps a small random sample of the others, its partial view, and exchanges a part of it with the
 // neighbor that it has known for longest: peer sampling by shuffling, as in Cyclon (Voulgaris, Gavidia & van Steen
-// 2005, section 3) and, in its general form, Jelasity et al. 2007, "Gossip-based Peer Sampling", section 2. Over
+// 2005, "enhanced shuffling") and, in its general form, Jelasity et al. 2007, "Gossip-based Peer Sampling", section 2. Over
 // that sample it runs epidemic dissemination (Demers et al. 1987, "Epidemic Algorithms for Replicated Database
 // Maintenance"): rumor mongering spreads something new at once (section 1.4 there), and a periodic exchange of
 // versions with a random neighbor, anti-entropy (section 1.3), repairs whatever was lost on the way. A rumor carries
--- a/internal/gossip/shuffle.go
+++ b/internal/gossip/shuffle.go
@@ -25,7 +25,7 @@
 )
 
 // beginShuffle exchanges a part of the partial view with the neighbor that has been known for longest (Voulgaris,
-// Gavidia & van Steen 2005, section 3). That neighbor is removed: while it lives, it comes back through others, so that
+// Gavidia & van Steen 2005, enhanced shuffling). That neighbor is removed: while it lives, it comes back through others, so that
 // dead ones vanish without being detected.
 func (m *Machine) beginShuffle() {
 	for _, n := range m.neighbors {
