--- a/internal/gossip/doc.go
+++ b/internal/gossip/doc.go
@@ -14,10 +14,10 @@
 // Invariants:
 //   - the configuration's version and the view's epoch never decrease;
 //   - a view that is not valid by package view is never taken over or passed on;
-//   - a configuration is taken over only if its digest is the one that its source computed;
+//   - a configuration from another process is taken over only if its digest is the one that its source computed;
 //   - the partial view holds at most partialViewSize neighbors, never the process itself, and none twice.
 //
 // Machine is a pure state machine: it has no goroutines, clocks or sockets. It is not safe for concurrent use; its host
-// calls it from one goroutine, passes it the time on a steady clock, and sends what TakeSends returns. Equal seeds and
-// equal calls lead to equal messages.
+// calls it from one goroutine, passes it the time on a steady clock, and sends what TakeSends returns. Equal seeds and equal
+// calls lead to the same messages, but for the order of the items in a delta.
 package gossip
