--- a/internal/testkit/lab/size/size.go
+++ b/internal/testkit/lab/size/size.go
@@ -6,7 +6,6 @@
 	"context"
 	"errors"
 	"fmt"
-	"net"
 	"os"
 	"path/filepath"
 	"sync"
@@ -107,12 +106,10 @@
 	if err := p.Check(); err != nil {
 		return n, err
 	}
-	free, err := net.Listen("tcp4", "127.0.0.1:0")
+	addr, err := dispatcherAddress()
 	if err != nil {
 		return n, err
 	}
-	addr := free.Addr().String()
-	free.Close()
 	f, err := openFleet(p, addr)
 	if err != nil {
 		return n, err
@@ -136,7 +133,11 @@
 			return n, fmt.Errorf("%w: %s", err, d.Kill())
 		}
 	}
-	return measure(ctx, p, d, f, addr)
+	n, err = measure(ctx, p, d, f, addr)
+	if err != nil {
+		return n, fmt.Errorf("%w: %s", err, d.Kill())
+	}
+	return n, nil
 }
 
 // begin starts the dispatcher.
--- a/internal/testkit/lab/size/urgent.go
+++ b/internal/testkit/lab/size/urgent.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"net"
 	"net/http"
 	"os"
 	"path/filepath"
@@ -78,12 +77,10 @@
 	if err := p.Check(); err != nil {
 		return u, err
 	}
-	free, err := net.Listen("tcp4", "127.0.0.1:0")
+	addr, err := dispatcherAddress()
 	if err != nil {
 		return u, err
 	}
-	addr := free.Addr().String()
-	free.Close()
 	f, err := openFleet(Plan{Workers: p.Workers, Work: bulkWork}, addr)
 	if err != nil {
 		return u, err
