--- /dev/null
+++ b/internal/testkit/fakerunner/heartbeat.go
@@ -0,0 +1,133 @@
+package fakerunner
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"time"
+
+	"github.com/cockroachdb/errors"
+)
+
+// ErrHeartbeat is returned for a heartbeat that has no valid response in time.
+var ErrHeartbeat = errors.New("fake runner: the heartbeat is not acknowledged")
+
+// slots is how many tasks a fake runner says that it runs at once.
+const slots = 8
+
+// heartbeat is the body of a heartbeat. The names of the fields are the protocol's JSON keys.
+type heartbeat struct {
+	Service  string
+	Address  string
+	Zone     string
+	Version  string
+	Slots    int
+	State    string
+	Capacity capacity
+	Labels   []string
+	Sequence uint64
+	Running  [][]any // task, run, checkpoint, progress
+	Finished [][]any // number of the end, task, run, outcome, checkpoint
+}
+
+// capacity is the capacity that a heartbeat declares.
+type capacity struct {
+	CPU   int64 `json:"Cpu"`
+	MemMB int64 `json:"MemMb"`
+	GPUs  int64 `json:"Gpus"`
+}
+
+// heartbeatResponse is an agent's response. The names of the fields are the protocol's JSON keys.
+type heartbeatResponse struct {
+	HoldMs     int64  // how long all runs may go on from the heartbeat's sending; 0 for no orders
+	LastSeen   uint64 // the highest number of an end that is acknowledged
+	FenceToken uint64
+	RetryMs    int64   // the interval until the next heartbeat
+	Start      [][]any // task, run, spec
+	Stop       [][]any // task, run
+}
+
+// sendHeartbeat sends one heartbeat and applies the response. It returns the interval until the next one, or
+// ErrHeartbeat.
+func (r *Runner) sendHeartbeat(ctx context.Context) (time.Duration, error) {
+	body, err := json.Marshal(r.heartbeat())
+	if err != nil {
+		return 0, errors.Wrap(err, "fake runner: encode the heartbeat")
+	}
+	request, err := http.NewRequestWithContext(ctx, http.MethodPut, fmt.Sprintf("http://%s/v1/instances/%s", r.cfg.Agent, r.cfg.ID), bytes.NewReader(body))
+	if err != nil {
+		return 0, errors.Wrap(err, "fake runner: make the heartbeat's request")
+	}
+	sent := time.Now()
+	response, err := r.client.Do(request)
+	if err != nil {
+		return 0, errors.CombineErrors(ErrHeartbeat, err)
+	}
+	defer response.Body.Close()
+	var orders heartbeatResponse
+	if err := json.NewDecoder(response.Body).Decode(&orders); err != nil || response.StatusCode/100 != 2 || time.Since(sent) > responseTimeout {
+		return 0, errors.CombineErrors(ErrHeartbeat, err)
+	}
+	r.apply(sent, &orders)
+	return max(time.Duration(orders.RetryMs)*time.Millisecond, endDelay), nil
+}
+
+// heartbeat returns the next heartbeat.
+func (r *Runner) heartbeat() *heartbeat {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.sequence++
+	h := &heartbeat{Service: r.cfg.Service, Zone: r.cfg.Zone, Version: "v1", Slots: slots, State: "ready", Labels: r.cfg.Labels, Sequence: r.sequence,
+		Capacity: capacity{CPU: r.cfg.CPU, MemMB: r.cfg.MemMB, GPUs: r.cfg.GPUs}}
+	for _, run := range r.running {
+		h.Running = append(h.Running, []any{run.Task, run.Number, "", 0})
+	}
+	for _, e := range r.unacknowledgedEnds {
+		h.Finished = append(h.Finished, []any{e.Number, e.Task, e.Run, e.Outcome, ""})
+	}
+	return h
+}
+
+// apply obeys a response to a heartbeat that was sent at a time. One with an older fencing token is ignored: it is
+// of an agent's earlier head.
+func (r *Runner) apply(sent time.Time, orders *heartbeatResponse) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if orders.FenceToken < r.fencingToken {
+		return
+	}
+	r.fencingToken = orders.FenceToken
+	for len(r.unacknowledgedEnds) > 0 && r.unacknowledgedEnds[0].Number <= orders.LastSeen {
+		r.unacknowledgedEnds = r.unacknowledgedEnds[1:]
+	}
+	if orders.HoldMs == 0 {
+		return
+	}
+	r.extendHold(sent.Add(time.Duration(orders.HoldMs) * time.Millisecond))
+	for _, s := range orders.Stop {
+		r.stop(stringAt(s, 0), numberAt(s, 1))
+	}
+	for _, s := range orders.Start {
+		r.start(stringAt(s, 0), numberAt(s, 1), stringAt(s, 2))
+	}
+}
+
+// stringAt returns the text at a position of a list, empty where there is none.
+func stringAt(list []any, at int) string {
+	if at < len(list) {
+		s, _ := list[at].(string)
+		return s
+	}
+	return ""
+}
+
+// numberAt returns the number at a position of a list, 0 where there is none.
+func numberAt(list []any, at int) uint32 {
+	if at < len(list) {
+		n, _ := list[at].(float64)
+		return uint32(n)
+	}
+	return 0
+}
--- /dev/null
+++ b/internal/testkit/fakerunner/runs.go
@@ -0,0 +1,74 @@
+package fakerunner
+
+import (
+	"strings"
+	"time"
+)
+
+// extendHold has all runs end as lapsed at a time, unless the hold is extended again before. The lock is held.
+func (r *Runner) extendHold(until time.Time) {
+	if r.holdTimer != nil {
+		r.holdTimer.Stop()
+	}
+	r.holdTimer = time.AfterFunc(time.Until(until), func() {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		for _, run := range r.running {
+			r.end(run, "lapsed")
+		}
+	})
+}
+
+// start begins a run, unless the task is running or the run is blocked. The spec may name a duration, as in "sleep
+// 300ms", and the word "fail" has the run fail at its end. The lock is held.
+func (r *Runner) start(task string, number uint32, spec string) {
+	if r.running[task] != nil || number <= r.blockedRuns[task] {
+		return
+	}
+	run := &Run{Task: task, Number: number, StartedAt: time.Now()}
+	r.running[task] = run
+	outcome, duration := "done", r.cfg.DefaultDuration
+	for _, word := range strings.Fields(spec) {
+		if d, err := time.ParseDuration(word); err == nil {
+			duration = d
+		}
+		if word == "fail" {
+			outcome = "failed"
+		}
+	}
+	run.timer = time.AfterFunc(duration, func() {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.end(run, outcome)
+	})
+}
+
+// stop ends the run of a task up to a number. Where the task is not running, runs up to that number are blocked: the
+// order to start one may be late. The lock is held.
+func (r *Runner) stop(task string, number uint32) {
+	run := r.running[task]
+	if run == nil {
+		r.blockedRuns[task] = max(r.blockedRuns[task], number)
+		return
+	}
+	if run.Number <= number {
+		r.end(run, "stopped")
+	}
+}
+
+// end ends a run, unless it has ended, and wakes the heartbeats. The lock is held.
+func (r *Runner) end(run *Run, outcome string) {
+	if r.running[run.Task] != run {
+		return
+	}
+	run.timer.Stop()
+	delete(r.running, run.Task)
+	r.blockedRuns[run.Task] = max(r.blockedRuns[run.Task], run.Number)
+	e := End{Number: uint64(len(r.history)) + 1, Task: run.Task, Run: run.Number, Outcome: outcome}
+	r.unacknowledgedEnds = append(r.unacknowledgedEnds, e)
+	r.history = append(r.history, e)
+	select {
+	case r.wake <- struct{}{}:
+	default:
+	}
+}
