--- a/internal/testkit/devcluster/calls.go
+++ b/internal/testkit/devcluster/calls.go
@@ -15,22 +15,23 @@
 // callTimeout bounds a call.
 const callTimeout = 3 * time.Second
 
-// Host is the host that the system's queues are reached at.
+// Host is the host name that the cluster's queues are served under.
 const Host = "jobs.example"
 
-// Configuration is the configuration that the system is given: two queues of one service.
+// Configuration is the configuration that Configure gives the cluster: two queues of one service.
 const Configuration = `{"Version":1,"Routes":[` +
 	`{"Name":"previews","Host":"jobs.example","PathPrefix":"/previews/","TimeoutMs":3000,"TargetLatencyMs":800,"Priority":0,"Service":"toy","MaxAttempts":3,"Stretch":1.5},` +
 	`{"Name":"batches","Host":"jobs.example","PathPrefix":"/batches/","TimeoutMs":3000,"TargetLatencyMs":4000,"Priority":2,"Service":"toy","MaxAttempts":2,"Stretch":4}],` +
 	`"Services":[{"Name":"toy","HealthPath":"/health"}]}`
 
-// Call makes a call and returns the answer's status and body.
+// Call makes a call and returns the response's status and body. An empty host is the address's own, and match is the
+// value of If-Match, empty for none.
 func Call(method, url, host, match string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "small system: a call can't be made")
+		return 0, nil, errors.Wrapf(err, "dev cluster: make the request %s %s", method, url)
 	}
 	request.Host = host
 	if match != "" {
@@ -38,27 +39,26 @@
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return 0, nil, errors.Wrap(err, "small system: a call has no answer")
+		return 0, nil, errors.Wrap(err, "dev cluster: call")
 	}
 	defer response.Body.Close()
 	answer, err := io.ReadAll(response.Body)
-	return response.StatusCode, answer, errors.Wrap(err, "small system: an answer is cut short")
+	return response.StatusCode, answer, errors.Wrapf(err, "dev cluster: read the response of %s %s", method, url)
 }
 
-// Configure gives the system its configuration, and waits until the carriers have it.
+// Configure gives the cluster its configuration and waits until all gateways have it. It tells whether each step was
+// done in time.
 func (c *Cluster) Configure(within time.Duration) bool {
 	for _, m := range c.Cores {
 		if !WaitFor(within, func() bool {
-			status, _, err := Call(http.MethodPut, "http://"+m.Control()+"/v1/config", "", "0", []byte(Configuration))
-			return err == nil && status == http.StatusOK
+			return succeeds(http.MethodPut, "http://"+m.Control()+"/v1/config", "", "0", []byte(Configuration))
 		}) {
 			return false
 		}
 	}
 	for _, m := range c.Gateways {
 		if !WaitFor(within, func() bool {
-			status, _, err := Call(http.MethodGet, "http://"+m.Front()+"/previews/", Host, "", nil)
-			return err == nil && status == http.StatusOK
+			return succeeds(http.MethodGet, "http://"+m.Front()+"/previews/", Host, "", nil)
 		}) {
 			return false
 		}
@@ -66,15 +66,14 @@
 	return true
 }
 
-// Submit hands a job in at a carrier and tells whether it was accepted.
+// Submit submits a job at a gateway and tells whether it was accepted.
 func (c *Cluster) Submit(gateway int, queue, id, job string) bool {
-	status, _, err := Call(http.MethodPost, fmt.Sprintf("http://%s/%s/%s", c.Gateways[gateway].Front(), queue, id), Host, "", []byte(job))
-	return err == nil && status == http.StatusOK
+	return succeeds(http.MethodPost, c.jobURL(gateway, queue, id), Host, "", []byte(job))
 }
 
-// State returns a job's state, empty where it can't be had.
+// State returns a job's state, empty where the gateway does not know it.
 func (c *Cluster) State(gateway int, queue, id string) string {
-	status, body, err := Call(http.MethodGet, fmt.Sprintf("http://%s/%s/%s", c.Gateways[gateway].Front(), queue, id), Host, "", nil)
+	status, body, err := Call(http.MethodGet, c.jobURL(gateway, queue, id), Host, "", nil)
 	if err != nil || status != http.StatusOK {
 		return ""
 	}
@@ -101,3 +100,14 @@
 	}
 	return nil
 }
+
+// jobURL returns the address of a job at a gateway.
+func (c *Cluster) jobURL(gateway int, queue, id string) string {
+	return fmt.Sprintf("http://%s/%s/%s", c.Gateways[gateway].Front(), queue, id)
+}
+
+// succeeds tells whether a call is answered with 200.
+func succeeds(method, url, host, match string, body []byte) bool {
+	status, _, err := Call(method, url, host, match, body)
+	return err == nil && status == http.StatusOK
+}
