--- a/cmd/frosttide-mutate/main.go
+++ b/cmd/frosttide-mutate/main.go
@@ -1,6 +1,7 @@
-// Command frosttide-mutate takes each safety check of the cluster scheduler out of the source, one at a time, and
-// prints who finds it missing: the simulated network, the explorer of schedules, or nothing. It needs the
-// repository's source and the Go tools; it changes no file.
+// Command frosttide-mutate takes each safety check of the cluster scheduler out of the source, one at a time, and prints
+// who detects that it is missing: the simulated network, the explorer of schedules, or nothing. It needs the repository's
+// source and the Go tools; it changes no file. It exits with status 1 if any check could not be tried, 2 for mistakes in
+// the arguments.
 package main
 
 import (
@@ -19,9 +20,10 @@
 	root := flag.String("root", ".", "the repository's root")
 	only := flag.String("only", "", "only the checks whose name holds this")
 	first := flag.Int("first", 0, "the first check, by its place in the list")
-	seeds := flag.Int("seeds", 500, "seeds of the simulated network")
-	singles := flag.Int("singles", 1, "the explorer plays each so manieth departure")
-	pairs := flag.Int("pairs", 100_003, "and each so manieth pair of departures")
+	var bounds mutate.Bounds
+	flag.IntVar(&bounds.Seeds, "seeds", 500, "seeds of the simulated network")
+	flag.IntVar(&bounds.Singles, "singles", 1, "the explorer tries every so manieth single departure")
+	flag.IntVar(&bounds.Pairs, "pairs", 100_003, "and every so manieth pair of departures")
 	flag.Parse()
 	if flag.NArg() > 0 {
 		fmt.Fprintln(os.Stderr, "frosttide-mutate: takes flags only")
@@ -29,24 +31,36 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
-	missed, failed := 0, 0
-	for i, c := range mutate.Mutations {
-		if i < *first || !strings.Contains(c.Name, *only) || ctx.Err() != nil {
-			continue
+	var chosen []mutate.Mutation
+	for i, m := range mutate.Mutations {
+		if i >= *first && strings.Contains(m.Name, *only) {
+			chosen = append(chosen, m)
 		}
-		f, err := mutate.Run(ctx, *root, c, mutate.Bounds{Seeds: *seeds, Singles: *singles, Pairs: *pairs})
+	}
+	if failed := run(ctx, *root, chosen, bounds); failed > 0 {
+		os.Exit(1)
+	}
+}
+
+// run tries mutations, prints a table row for each, and returns how many could not be tried. It stops early if the context
+// ends.
+func run(ctx context.Context, root string, mutations []mutate.Mutation, bounds mutate.Bounds) (failed int) {
+	undetected := 0
+	for _, m := range mutations {
+		if ctx.Err() != nil {
+			break
+		}
+		result, err := mutate.Run(ctx, root, m, bounds)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			failed++
 			continue
 		}
-		if f.Detector == mutate.Undetected {
-			missed++
+		if result.Detector == mutate.Undetected {
+			undetected++
 		}
-		fmt.Printf("| %s | %s | %s | %v |\n", c.Name, f.Detector, f.Detail, f.Duration.Round(time.Second))
-	}
-	fmt.Printf("%d found by nothing, %d could not be tried\n", missed, failed)
-	if failed > 0 {
-		os.Exit(1)
+		fmt.Printf("| %s | %s | %s | %v |\n", m.Name, result.Detector, result.Detail, result.Duration.Round(time.Second))
 	}
+	fmt.Printf("%d found by nothing, %d could not be tried\n", undetected, failed)
+	return failed
 }
