--- a/cmd/frosttide-scenarios/main.go
+++ b/cmd/frosttide-scenarios/main.go
@@ -1,5 +1,6 @@
 // Command frosttide-scenarios writes variations of a site file of the fleet bench, each with days that
-// combine kinds of trouble by pairs, for hunting broken rules on deployments that nobody has seen.
+// combine kinds of faults by pairs, for finding violated rules on deployments that nobody has seen. It exits with status 2 for
+// mistakes in the arguments, 1 for other errors.
 package main
 
 import (
@@ -18,7 +19,7 @@
 	out := flag.String("out", "", "the folder that the variations are written to")
 	first := flag.Uint64("first", 1, "the first seed")
 	count := flag.Uint64("count", 1, "how many variations")
-	days := flag.Int("days", 4, "days of troubles in each")
+	days := flag.Int("days", 4, "days with faults in each")
 	same := flag.Bool("same", false, "keep the deployment, draw days only")
 	flag.Parse()
 	if *site == "" || *out == "" || flag.NArg() > 0 {
@@ -35,23 +36,23 @@
 	}
 }
 
-// write writes one variation and returns its path.
+// write writes one variation of a site file to a folder and returns its path.
 func write(site, out string, o scenarios.Options) (string, error) {
 	data, err := os.ReadFile(site)
 	if err != nil {
-		return "", errors.Wrap(err, "the site can't be read")
+		return "", errors.Wrap(err, "read the site")
 	}
 	o.Folder, err = filepath.Abs(filepath.Dir(site))
 	if err != nil {
-		return "", errors.Wrap(err, "the site's folder can't be told")
+		return "", errors.Wrap(err, "find the folder of the site")
 	}
 	varied, err := scenarios.Generate(data, o)
 	if err != nil {
 		return "", err
 	}
 	if err := os.MkdirAll(out, 0o755); err != nil {
-		return "", errors.Wrap(err, "the folder can't be made")
+		return "", errors.Wrap(err, "make the folder")
 	}
 	path := filepath.Join(out, fmt.Sprintf("variant-%d.toml", o.Seed))
-	return path, errors.Wrap(os.WriteFile(path, varied, 0o644), "the variation can't be written")
+	return path, errors.Wrap(os.WriteFile(path, varied, 0o644), "write the variation")
 }
