--- a/internal/control/replica/bounds_test.go
+++ b/internal/control/replica/bounds_test.go
@@ -17,29 +17,26 @@
 		c.play(2 * time.Second)
 		old := c.head()
 		c.isolate(old)
-		index, taken, failed, asked := old.Index(), 0, 0, 0
+		index, appended, reads := old.Index(), 0, 0
 		for range 400 {
 			if old.Accepting(c.now) {
 				_, a, ok := old.Append(c.now, &protocol.Entry{Puts: []*protocol.Put{{Key: "late", Value: []byte("v")}}})
 				c.do(old, a)
 				if ok {
-					taken++
+					appended++
 				}
 			}
 			if old.Serving() {
-				asked++
-				a := old.ReadAtHead(c.now, uint64(1000+asked))
-				failed += len(a.ReadsFailed)
-				c.do(old, a)
+				reads++
+				c.do(old, old.ReadAtHead(c.now, uint64(1000+reads)))
 			}
-			a := old.Tick(c.now, 0, 0)
-			failed += len(a.ReadsFailed)
-			c.do(old, a)
+			c.do(old, old.Tick(c.now, 0, 0))
 			require.LessOrEqual(t, len(old.confirmations.pendingReads), int(readTimeout/(50*time.Millisecond))+2)
 			c.play(50 * time.Millisecond)
 		}
-		require.LessOrEqual(t, taken, int(contactTimeout/(50*time.Millisecond))+2)
-		require.EqualValues(t, taken, old.Index()-index)
+		require.LessOrEqual(t, appended, int(contactTimeout/(50*time.Millisecond))+2)
+		require.EqualValues(t, appended, old.Index()-index)
+		require.Equal(t, reads, c.failedReads+len(old.confirmations.pendingReads), "a read neither failed nor is pending")
 		for token := range c.reads {
 			require.Less(t, token, uint64(1000), "a read is ready without a majority")
 		}
--- a/internal/control/replica/cluster_test.go
+++ b/internal/control/replica/cluster_test.go
@@ -40,9 +40,10 @@
 	stateBytesSent map[link]int
 
 	// What clients know.
-	itemsWritten int            // by fill
-	replies      map[uint64]int // number of replies, by the ID of the write
-	reads        map[uint64]bool
+	itemsWritten int             // by fill
+	replies      map[uint64]int  // number of replies, by the ID of the write
+	reads        map[uint64]bool // reads that are ready, by token
+	failedReads  int
 
 	quiet          bool                     // members' events are not logged
 	longestReceive map[string]time.Duration // longest real time for one message, by member; nil where it is not measured
@@ -190,6 +191,7 @@
 	for _, r := range a.RoleChanges {
 		n.serving = r.Serving
 	}
+	c.failedReads += len(a.ReadsFailed)
 	for _, token := range a.ReadsReady {
 		c.reads[token] = true
 	}
--- a/internal/control/replica/election.go
+++ b/internal/control/replica/election.go
@@ -13,9 +13,9 @@
 	rankDelay = 60 * time.Millisecond
 	// sealedTimeout is how long the head leaves the proposer of a higher number to complete its proposal.
 	sealedTimeout = 250 * time.Millisecond
-	// handOverTimeout is how long a head with an unhealthy disk in a sealed epoch waits for the others to choose another
+	// handoverTimeout is how long a head with an unhealthy disk in a sealed epoch waits for the others to choose another
 	// head before it proposes a view itself.
-	handOverTimeout = 2 * time.Second
+	handoverTimeout = 2 * time.Second
 	// confirmationLostAfter is how long the head goes on without a majority that confirms its epoch.
 	confirmationLostAfter = time.Second
 	// slowDiskGrace is the minimum age of a view that is replaced because of a slow disk.
@@ -113,16 +113,16 @@
 		if id == m.selfID() || !m.alive(id) || m.view != nil && id == view.Head(m.view) {
 			continue
 		}
-		if m.ranksBefore(m.peers[id].lastHeartbeat) {
+		if m.outranks(m.peers[id].lastHeartbeat) {
 			better++
 		}
 	}
 	return better
 }
 
-// ranksBefore reports whether another member would make a better head than this one: by a healthy disk, then by the
+// outranks reports whether another member would make a better head than this one: by a healthy disk, then by the
 // newest installed epoch, then by the longest log, then by the lower identity.
-func (m *Machine) ranksBefore(h *protocol.Heartbeat) bool {
+func (m *Machine) outranks(h *protocol.Heartbeat) bool {
 	switch {
 	case h.GetDiskBad() != m.diskBad():
 		return m.diskBad()
@@ -137,10 +137,10 @@
 
 // chainFault returns why the head has to propose another chain, empty where the chain can go on.
 func (m *Machine) chainFault() string {
-	if m.awaitsHandOver() {
+	if m.awaitsHandover() {
 		return ""
 	}
-	if m.wasHeadBeforeRestart() {
+	if m.wasHeadInEarlierIncarnation() {
 		return "the head has restarted"
 	}
 	if reason := m.lostChainMember(); reason != "" {
@@ -159,10 +159,10 @@
 	return m.slowChainMember()
 }
 
-// awaitsHandOver reports whether the head leaves it to the others to choose another head, as its own disk is unhealthy.
-// In a sealed epoch it waits for handOverTimeout only: the others may be unable to complete a proposal without it.
-func (m *Machine) awaitsHandOver() bool {
-	return m.chain.active && m.diskBad() && m.otherDiskHealthy(m.selfID()) && !(m.sealed() && m.now-m.highestNumberAt > handOverTimeout)
+// awaitsHandover reports whether the head leaves it to the others to choose another head, as its own disk is unhealthy.
+// In a sealed epoch it waits for handoverTimeout only: the others may be unable to complete a proposal without it.
+func (m *Machine) awaitsHandover() bool {
+	return m.chain.active && m.diskBad() && m.otherDiskHealthy(m.selfID()) && !(m.sealed() && m.now-m.highestNumberAt > handoverTimeout)
 }
 
 // lostChainMember returns why the chain has lost a member, empty where all are alive. A member that has restarted has
--- a/internal/control/replica/fingerprint_test.go
+++ b/internal/control/replica/fingerprint_test.go
@@ -7,9 +7,10 @@
 	"reflect"
 )
 
-// fingerprint returns a digest of the whole state of a play: all members' state machines with their unexported fields,
-// disks and messages on their way. Functions that wait for a write are told apart by that write only.
-func (x *explored) fingerprint() uint64 {
+// fingerprint returns a digest of the complete state of a play: all members' state machines with their unexported fields,
+// their disks, and the messages on their way. Functions do not count, so that callbacks count by the sequence of their write
+// only.
+func (x *exploration) fingerprint() uint64 {
 	h := fnv.New64a()
 	visited := make(map[uintptr]bool)
 	for _, n := range x.members {
@@ -19,13 +20,14 @@
 	return h.Sum64()
 }
 
+// hashNumber adds a number.
 func hashNumber(h hash.Hash, n uint64) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], n)
 	h.Write(b[:])
 }
 
-// hashValue adds a value with all that it refers to.
+// hashValue adds a value and everything that it refers to.
 func hashValue(h hash.Hash, v reflect.Value, visited map[uintptr]bool) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -67,9 +69,10 @@
 	}
 }
 
-// skippedFields are fields that say nothing of the state: bookkeeping of messages' encoding.
+// skippedFields are the names of fields that are not part of the state: bookkeeping of messages' encoding, and a function.
 var skippedFields = map[string]bool{"state": true, "sizeCache": true, "unknownFields": true, "watch": true}
 
+// hashSequence adds the elements of a slice or an array.
 func hashSequence(h hash.Hash, v reflect.Value, visited map[uintptr]bool) {
 	hashNumber(h, uint64(v.Len()))
 	if v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Uint8 {
@@ -81,7 +84,7 @@
 	}
 }
 
-// hashMap adds a map's entries in no order.
+// hashMap adds the entries of a map, whatever their order.
 func hashMap(h hash.Hash, v reflect.Value, visited map[uintptr]bool) {
 	sum := uint64(v.Len())
 	for _, key := range v.MapKeys() {
--- a/internal/control/replica/install.go
+++ b/internal/control/replica/install.go
@@ -35,7 +35,7 @@
 		m.event("No longer serving as the head", "epoch", v.GetEpoch())
 	}
 	if m.isHead() {
-		if !m.wasHeadBeforeRestart() {
+		if !m.wasHeadInEarlierIncarnation() {
 			m.becomeSource()
 			m.serveEarlySyncRequests()
 		}
@@ -76,10 +76,12 @@
 	}
 }
 
-// wasHeadBeforeRestart reports whether this member may have served as the head of its view before the process started.
+// wasHeadInEarlierIncarnation reports whether this member may have served as the head of its view before the process started.
 // It no longer knows which entries it has sent, and could send others under the same indexes, so that it must not go on
 // in that view.
-func (m *Machine) wasHeadBeforeRestart() bool { return m.isHead() && m.view.GetEpoch() <= m.bootEpoch }
+func (m *Machine) wasHeadInEarlierIncarnation() bool {
+	return m.isHead() && m.view.GetEpoch() <= m.bootEpoch
+}
 
 // becomeSource makes this member's state the one that the view starts with.
 func (m *Machine) becomeSource() {
@@ -134,7 +136,7 @@
 // considerActivation starts to serve as the head once all members of the chain have installed the state and none of
 // them, this one included, has promised a higher number.
 func (m *Machine) considerActivation() {
-	if m.chain.active || !m.isHead() || m.wasHeadBeforeRestart() || m.disk.installedEpoch != m.Epoch() || m.promised > m.Epoch() {
+	if m.chain.active || !m.isHead() || m.wasHeadInEarlierIncarnation() || m.disk.installedEpoch != m.Epoch() || m.promised > m.Epoch() {
 		return
 	}
 	for _, id := range m.view.GetChain()[1:] {
--- a/internal/control/replica/norace_test.go
+++ b/internal/control/replica/norace_test.go
@@ -2,7 +2,7 @@
 
 package replica
 
-// How many of the schedules the tests play.
+// Every n-th single departure and pair of departures is played by default.
 const (
 	usualSingles = 7
 	usualPairs   = 20_011
--- a/internal/control/replica/race_test.go
+++ b/internal/control/replica/race_test.go
@@ -2,7 +2,8 @@
 
 package replica
 
-// The race detector makes each schedule take ten times as long.
+// Every n-th single departure and pair of departures is played by default. With the race detector a schedule takes ten
+// times as long.
 const (
 	usualSingles = 97
 	usualPairs   = 1_000_003
