--- a/internal/bucket/bucket.go
+++ b/internal/bucket/bucket.go
@@ -1,33 +1,47 @@
-// Package bucket is the order of free tokens that both programs place work by: owners (workers, runners)
-// hold accounts of tokens, free tokens lie in one ring in the order in which they came free, and whoever
-// seizes tokens asks for the owner whose oldest free token lies first. It decides nothing.
+// Package bucket keeps the order of free tokens by which both programs choose where work goes.
+//
+// Owners (the dispatcher's workers, the scheduler's runners) have accounts of tokens, in proportion to the work that
+// they take at a time. Work acquires tokens of an owner and releases them when it ends. Free tokens lie in one ring in
+// the order in which they became free; whoever places work compares owners by their oldest free tokens, so that equal
+// owners take turns without a random choice. The package only keeps that order: package decision and package
+// control/placement decide which owners come into question.
+//
+// Invariants after each call:
+//
+//   - Free is the number of an account's tokens in the ring.
+//   - Positions rise along the ring, so that two places in it are compared without walking it.
+//   - After Acquire, Release and SetLimit either Free + InUse is Limit, or more than Limit are in use and Free is 0. A
+//     caller that puts and removes tokens itself, as package decision does, keeps InUse and Limit itself.
+//
+// Tokens that became free together are one element of the ring, so that an operation costs by the number of such
+// elements, not by the number of tokens. Nothing here is safe for concurrent use.
 package bucket
 
 import "cmp"
 
-// Token is a number of tokens of one owner that came free together.
+// Token is an element of the ring: a number of tokens of one owner that became free together.
 type Token[Owner any] struct {
 	Owner       Owner
 	count       int
-	prev, next  *Token[Owner] // neighbors in the ring
-	nextOfOwner *Token[Owner] // the owner's next
-	position    float64       // rises along the ring
+	prev, next  *Token[Owner] // in the ring
+	nextOfOwner *Token[Owner] // the element that became free next, in the order of the account
+	position    float64       // rises along the ring; only to be compared
 }
 
-// Account is an owner's tokens.
+// Account is the tokens of an owner. The zero value is an owner without tokens. Free is changed by Bucket only.
 type Account[Owner any] struct {
 	oldest, newest *Token[Owner]
 	Free           int // tokens in the ring
-	InUse          int // tokens that work holds
-	Limit          int // most tokens the owner has now
+	InUse          int // tokens that work has acquired
+	Limit          int // how many tokens the owner has
 }
 
-// OldestPosition returns the place of the oldest free token in the ring; it is only to be compared, and only where
-// there are free tokens.
+// OldestPosition returns the position of the oldest free token in the ring. It is only to be compared with that of other
+// accounts, and only where there are free tokens.
 func (a *Account[Owner]) OldestPosition() float64 { return a.oldest.position }
 
-// Nth returns the free token of a number from 0, the oldest first, and nil where there are not so many.
-// Tokens that came free together are one.
+// Nth returns the element of the ring with the free token of a number, counted from 0 for the oldest, and nil where
+// there are not so many.
 func (a *Account[Owner]) Nth(number int) *Token[Owner] {
 	for t := a.oldest; t != nil; t = t.nextOfOwner {
 		if number < t.count {
@@ -38,7 +52,7 @@
 	return nil
 }
 
-// Compare orders tokens by their places in the ring; nil stands for its back.
+// Compare orders tokens by their places in the ring; nil stands for its end.
 func (t *Token[Owner]) Compare(other *Token[Owner]) int {
 	switch {
 	case t == other:
@@ -52,8 +66,10 @@
 	}
 }
 
-// Bucket is the ring of free tokens. Its zero value is not usable; see New.
-type Bucket[Owner any] struct{ sentinel *Token[Owner] }
+// Bucket is the ring of the free tokens of all owners. New returns one; the zero value is not usable.
+type Bucket[Owner any] struct {
+	sentinel *Token[Owner] // its next is the head of the ring, its prev the end
+}
 
 // New returns an empty bucket.
 func New[Owner any]() *Bucket[Owner] {
@@ -62,16 +78,16 @@
 	return b
 }
 
-// Empty tells whether nobody has a free token.
+// Empty reports whether no owner has a free token.
 func (b *Bucket[Owner]) Empty() bool { return b.sentinel.next == b.sentinel }
 
-// Put places free tokens of an owner together at the back of the ring.
+// Put adds free tokens of an owner at the end of the ring. It does nothing where count is not positive.
 func (b *Bucket[Owner]) Put(a *Account[Owner], owner Owner, count int) {
 	b.Insert(a, owner, count, nil)
 }
 
-// Insert places free tokens of an owner together before another token of the ring; nil is the back. They
-// count as the owner's newest.
+// Insert adds free tokens of an owner to the ring in front of next, or at its end where next is nil. They count as the
+// owner's newest. It does nothing where count is not positive.
 func (b *Bucket[Owner]) Insert(a *Account[Owner], owner Owner, count int, next *Token[Owner]) {
 	if count <= 0 {
 		return
@@ -91,8 +107,8 @@
 	a.Free += count
 }
 
-// assignPosition gives a token its order between its neighbors', and all of them new ones once there is no
-// number between two. So nobody has to walk the ring to compare two places in it.
+// assignPosition gives a new token a position between those of its neighbors. Once there is no number between these it
+// gives all tokens new positions, which insertions in one place make necessary after some fifty.
 func (b *Bucket[Owner]) assignPosition(t *Token[Owner]) {
 	switch first, last := t.prev == b.sentinel, t.next == b.sentinel; {
 	case first && last:
@@ -109,6 +125,7 @@
 	}
 }
 
+// reassignPositions numbers the tokens from the head of the ring on.
 func (b *Bucket[Owner]) reassignPositions() {
 	n := 0.0
 	for t := b.sentinel.next; t != b.sentinel; t = t.next {
@@ -117,7 +134,8 @@
 	}
 }
 
-// Remove removes the tokens of an owner that have been free longest from the ring.
+// Remove removes tokens of an owner from the ring, those first that have been free longest, and fewer than count where
+// it has no more.
 func (b *Bucket[Owner]) Remove(a *Account[Owner], count int) {
 	for count > 0 && a.oldest != nil {
 		t := a.oldest
@@ -136,21 +154,20 @@
 	}
 }
 
-// Acquire moves free tokens of an owner to work.
+// Acquire takes free tokens of an owner for work. Where it has fewer, more than its limit are in use afterwards.
 func (b *Bucket[Owner]) Acquire(a *Account[Owner], count int) {
 	b.Remove(a, count)
 	a.InUse += count
 }
 
-// Release takes tokens back from work: they go together to the back of the ring, those beyond the limit
-// are dropped.
+// Release takes tokens back from work. They go to the end of the ring, but those beyond the limit are dropped.
 func (b *Bucket[Owner]) Release(a *Account[Owner], owner Owner, count int) {
 	a.InUse -= count
 	b.Put(a, owner, a.Limit-a.Free-a.InUse)
 }
 
-// SetLimit changes how many tokens an owner has: new ones are free and lie at the back, free ones beyond
-// the limit are dropped.
+// SetLimit changes how many tokens an owner has. New ones are added at the end of the ring; free ones beyond the limit
+// are dropped, those first that have been free longest.
 func (b *Bucket[Owner]) SetLimit(a *Account[Owner], owner Owner, limit int) {
 	a.Limit = limit
 	b.Remove(a, min(a.Free, a.Free+a.InUse-limit))
--- a/internal/bucket/bucket_test.go
+++ b/internal/bucket/bucket_test.go
@@ -13,28 +13,28 @@
 	account Account[*owner]
 }
 
-// referenceBucket is the same bucket as a list of single tokens.
+// referenceBucket is the reference for a bucket: a list of single tokens.
 type referenceBucket struct{ ring []*owner }
 
-func (p *referenceBucket) put(o *owner, count int) {
+func (ref *referenceBucket) put(o *owner, count int) {
 	for range count {
-		p.ring = append(p.ring, o)
+		ref.ring = append(ref.ring, o)
 	}
 }
 
-func (p *referenceBucket) take(o *owner, count int) {
+func (ref *referenceBucket) take(o *owner, count int) {
 	for range count {
-		at := slices.Index(p.ring, o)
-		p.ring = slices.Delete(p.ring, at, at+1)
+		at := slices.Index(ref.ring, o)
+		ref.ring = slices.Delete(ref.ring, at, at+1)
 	}
 }
 
-// TestMatchesSingleTokenReference compares the bucket with one that keeps every token by itself: the counts agree, and so
-// does the order of the owners' oldest free tokens.
+// TestMatchesSingleTokenReference compares a bucket with the reference over random calls: the numbers of free tokens agree,
+// and so does the order of the owners' oldest free tokens.
 func TestMatchesSingleTokenReference(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		b, p := New[*owner](), &referenceBucket{}
+		b, ref := New[*owner](), &referenceBucket{}
 		var owners []*owner
 		for i := range 5 {
 			owners = append(owners, &owner{name: i})
@@ -48,9 +48,9 @@
 				previousFree := a.Free
 				b.SetLimit(a, o, limit)
 				if a.Free > previousFree {
-					p.put(o, a.Free-previousFree)
+					ref.put(o, a.Free-previousFree)
 				} else {
-					p.take(o, previousFree-a.Free)
+					ref.take(o, previousFree-a.Free)
 				}
 				require.True(t, a.Free+a.InUse <= max(limit, a.InUse), "free tokens beyond the limit")
 			case 1:
@@ -59,7 +59,7 @@
 				}
 				n := 1 + rng.IntN(a.Free)
 				b.Acquire(a, n)
-				p.take(o, n)
+				ref.take(o, n)
 			case 2:
 				if a.InUse == 0 {
 					continue
@@ -67,20 +67,21 @@
 				n := 1 + rng.IntN(a.InUse)
 				previousFree := a.Free
 				b.Release(a, o, n)
-				p.put(o, a.Free-previousFree)
+				ref.put(o, a.Free-previousFree)
 				require.LessOrEqual(t, a.Free+a.InUse, max(a.Limit, a.InUse))
 			}
-			requireSameOrder(t, owners, p)
+			requireSameOrder(t, owners, ref)
 		}
 	}
 }
 
-func requireSameOrder(t *testing.T, owners []*owner, p *referenceBucket) {
+// requireSameOrder compares the free tokens of owners with the reference.
+func requireSameOrder(t *testing.T, owners []*owner, ref *referenceBucket) {
 	t.Helper()
 	var order []*owner
 	for _, o := range owners {
 		count := 0
-		for _, x := range p.ring {
+		for _, x := range ref.ring {
 			if x == o {
 				count++
 			}
@@ -97,7 +98,7 @@
 		return 1
 	})
 	var want []*owner
-	for _, x := range p.ring {
+	for _, x := range ref.ring {
 		if !slices.Contains(want, x) {
 			want = append(want, x)
 		}
