--- a/internal/bucket/bucket.go
+++ b/internal/bucket/bucket.go
@@ -108,7 +108,7 @@
 }
 
 // assignPosition gives a new token a position between those of its neighbors. Once there is no number between these it
-// gives all tokens new positions, which insertions in one place make necessary after some fifty.
+// gives all tokens new positions.
 func (b *Bucket[Owner]) assignPosition(t *Token[Owner]) {
 	switch first, last := t.prev == b.sentinel, t.next == b.sentinel; {
 	case first && last:
--- a/internal/control/jobs/jobs_test.go
+++ b/internal/control/jobs/jobs_test.go
@@ -13,10 +13,11 @@
 
 const testJobID = "0123456789abcdef"
 
+// accept accepts the one job of a test.
 func accept(t *testing.T, table *Table, s *protocol.Submit) *Job {
 	t.Helper()
 	s.Id, s.Queue = testJobID, "q"
-	require.Empty(t, Validate(s))
+	require.NoError(t, Validate(s))
 	return table.Accept(s, "svc", 1000)
 }
 
@@ -27,6 +28,7 @@
 	return run
 }
 
+// end records the end of a task's run; a task may have two failed runs.
 func end(table *Table, s *Step, index int, run uint32, runner string, reason EndReason) EndResult {
 	name, _ := ParseTask(s.TaskID(index))
 	return table.RecordEnd(name, run, runner, reason, "", 2, 2000)
@@ -100,7 +102,7 @@
 		table.RecordStart(s, i, 2, fmt.Sprint("r", i), 1000)
 	}
 	end(table, s, 2, 2, "r2", EndDone)
-	require.Equal(t, Completed, j.State, "one good end stands for all")
+	require.Equal(t, Completed, j.State, "one member that is done stands for all")
 	require.Equal(t, 2, j.LiveRuns(), "the others' runs are not known to have ended")
 	end(table, s, 0, 2, "r0", EndDone)
 	end(table, s, 1, 2, "r1", EndLost)
@@ -115,16 +117,17 @@
 	require.Empty(t, table.TakeReady())
 	table.ReleaseOccurrences(5100)
 	ready := table.TakeReady()
-	require.Len(t, ready, 2, "times may overlap")
+	require.Len(t, ready, 2, "occurrences may overlap")
 	for _, s := range ready {
 		end(table, s, 0, start(table, s, 0, "r"), "r", EndDone)
 	}
 	require.Equal(t, Running, j.State)
-	next, ok := table.NextScheduledMs()
-	require.True(t, ok)
-	require.EqualValues(t, 5200, next)
-	table.ReleaseOccurrences(9000)
-	s := table.TakeReady()[0]
+	table.ReleaseOccurrences(5199)
+	require.Empty(t, table.TakeReady())
+	table.ReleaseOccurrences(5200)
+	ready = table.TakeReady()
+	require.Len(t, ready, 1, "the last occurrence, at its scheduled time")
+	s := ready[0]
 	end(table, s, 0, start(table, s, 0, "r"), "r", EndDone)
 	require.Equal(t, Completed, j.State)
 }
@@ -158,29 +161,7 @@
 	require.Nil(t, table.Get(testJobID))
 }
 
-func TestValidate(t *testing.T) {
-	good := func() *protocol.Submit { return &protocol.Submit{Id: testJobID, Stages: []*protocol.Stage{{Count: 1}}} }
-	require.Empty(t, Validate(good()))
-	for name, change := range map[string]func(*protocol.Submit){
-		"id":             func(s *protocol.Submit) { s.Id = "xyz" },
-		"no stage":       func(s *protocol.Submit) { s.Stages = nil },
-		"no task":        func(s *protocol.Submit) { s.Stages[0].Count = 0 },
-		"too many":       func(s *protocol.Submit) { s.Stages[0].Count = 1 << 30 },
-		"depends on":     func(s *protocol.Submit) { s.Stages[0].DependsOn = []uint32{0} },
-		"negative":       func(s *protocol.Submit) { s.Stages[0].Cpu = -1 },
-		"long text":      func(s *protocol.Submit) { s.Spec = string(make([]byte, 4001)) },
-		"not a text":     func(s *protocol.Submit) { s.Spec = "\xff" },
-		"requirement":    func(s *protocol.Submit) { s.Stages[0].Requirements = "\xff" },
-		"interval":       func(s *protocol.Submit) { s.IntervalMs = -1 },
-		"too many times": func(s *protocol.Submit) { s.MaxRuns = 1 << 30 },
-	} {
-		s := good()
-		change(s)
-		require.NotEmpty(t, Validate(s), name)
-	}
-}
-
-// TestLoadRestoresTable plays random histories and compares the account with the one that its items make.
+// TestLoadRestoresTable compares tables after random histories with those that Load makes of what they have written.
 func TestLoadRestoresTable(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -217,7 +198,7 @@
 	}
 }
 
-// randomTransition starts or ends something of a step.
+// randomTransition starts or ends a random task of a step, or its gang.
 func randomTransition(rng *rand.Rand, table *Table, step *Step) {
 	index := rng.IntN(len(step.Tasks))
 	task := &step.Tasks[index]
@@ -237,7 +218,7 @@
 	}
 }
 
-// requireSameTable compares what matters of two accounts.
+// requireSameTable compares two tables as far as they show.
 func requireSameTable(t *testing.T, a, b *Table) {
 	t.Helper()
 	require.Equal(t, a.Len(), b.Len())
--- a/internal/control/jobs/records.go
+++ b/internal/control/jobs/records.go
@@ -10,14 +10,15 @@
 	"frosttide/internal/protocol"
 )
 
-// The prefixes of the items' keys.
+// The prefixes of the keys of a job's items in the store.
 const (
-	jobPrefix    = "j/"
-	statusPrefix = "s/"
-	taskPrefix   = "t/"
+	jobPrefix    = "j/" // then the ID; protocol.JobRecord
+	statusPrefix = "s/" // then the ID; protocol.StatusRecord
+	taskPrefix   = "t/" // then the task's name; protocol.TaskRecord, for tasks that have been started
 )
 
-// Writes gathers what is to be written to the store. The newest write of a key counts.
+// Writes gathers what is to be written to the store. The newest write of a key counts. The zero value is empty. It is
+// not safe for concurrent use.
 type Writes struct {
 	puts    map[string][]byte
 	deletes map[string]struct{}
@@ -27,7 +28,7 @@
 func (w *Writes) Put(key string, body proto.Message) {
 	value, err := proto.Marshal(body)
 	if err != nil {
-		panic("jobs: a record can't be encoded: " + err.Error()) // only for invalid UTF-8, which acceptance rules out
+		panic("jobs: a record can't be encoded: " + err.Error()) // only for invalid UTF-8, which Validate rules out
 	}
 	if w.puts == nil {
 		w.puts = make(map[string][]byte)
@@ -45,10 +46,7 @@
 	w.deletes[key] = struct{}{}
 }
 
-// Empty tells whether there is nothing to write.
-func (w *Writes) Empty() bool { return len(w.puts) == 0 && len(w.deletes) == 0 }
-
-// Entry returns the writes as an entry of the chain, by key, so that equal states write equal entries.
+// Entry returns the writes as an entry of the log, by key, so that equal writes lead to equal entries.
 func (w *Writes) Entry() *protocol.Entry {
 	e := &protocol.Entry{}
 	for _, key := range slices.Sorted(maps.Keys(w.puts)) {
@@ -58,7 +56,7 @@
 	return e
 }
 
-// putStatus writes a job's state.
+// putStatus writes the state of a job.
 func (w *Writes) putStatus(j *Job) {
 	w.Put(statusPrefix+j.ID, &protocol.StatusRecord{State: uint32(j.State), EndedMs: j.EndedMs, Queue: j.Queue, Content: j.ContentDigest})
 }
@@ -66,20 +64,22 @@
 // putTask writes a task.
 func (w *Writes) putTask(s *Step, index int) {
 	t := &s.Tasks[index]
-	w.Put(taskPrefix+s.TaskID(index), &protocol.TaskRecord{Run: t.Run, Runner: t.Runner, State: uint32(t.Phase), Failures: uint32(t.Failures),
-		Saved: t.Checkpoint, LastFailed: t.LastFailed, GangFailures: uint32(s.gangFailures), GangFailed: s.lastFailedRun})
+	w.Put(taskPrefix+s.TaskID(index), &protocol.TaskRecord{
+		Run: t.Run, Runner: t.Runner, State: uint32(t.Phase), Failures: uint32(t.Failures),
+		Saved: t.Checkpoint, LastFailed: t.LastFailed, GangFailures: uint32(s.gangFailures), GangFailed: s.lastFailedRun,
+	})
 }
 
-// StatusKey returns the key of a job's state.
+// StatusKey returns the key of the item that holds a job's state.
 func StatusKey(id string) string { return statusPrefix + id }
 
-// StatusItem is what a job's state item says.
+// StatusItem is what the item of a job's state says.
 type StatusItem struct {
 	State State
 	Queue string
 }
 
-// ParseStatus reads a job's state item.
+// ParseStatus returns what the item of a job's state says, and an error where it can't be decoded.
 func ParseStatus(value []byte) (StatusItem, error) {
 	var r protocol.StatusRecord
 	if err := proto.Unmarshal(value, &r); err != nil {
--- a/internal/control/jobs/transitions.go
+++ b/internal/control/jobs/transitions.go
@@ -1,18 +1,13 @@
 package jobs
 
-import (
-	"maps"
-	"slices"
-)
-
-// EndResult is what an end meant for its task.
+// EndResult is what the end of a run meant for its task.
 type EndResult struct {
-	Step    *Step
-	Index   int
-	Applied bool // the end was that of the run that is in the account
+	Step    *Step // nil where the task is not known
+	Index   int   // of the task in its step
+	Applied bool  // the end counted: it was that of the task's newest run
 }
 
-// RecordStart notes a run of a task before it is sent anywhere. The task is waiting.
+// RecordStart records the start of a run of a waiting task. The run may be ordered only once that is committed.
 func (t *Table) RecordStart(s *Step, index int, run uint32, runner string, nowMs int64) {
 	t.setPhase(s, index, Live)
 	task := &s.Tasks[index]
@@ -24,55 +19,9 @@
 	}
 }
 
-// NextRun returns the number of a task's next run; the members of a gang share it.
-func (s *Step) NextRun(index int) uint32 {
-	if s.Stage.GetGang() {
-		return s.maxRun + 1
-	}
-	return s.Tasks[index].Run + 1
-}
-
-// GangIdle tells whether a gang may be started: no run of a member may be under way.
-func (s *Step) GangIdle() bool { return s.Waiting == len(s.Tasks) }
-
-// GangCheckpoint returns the newest checkpoint of a gang's members; it is good for all.
-func (s *Step) GangCheckpoint() string {
-	checkpoint, run := "", uint32(0)
-	for i := range s.Tasks {
-		if task := &s.Tasks[i]; task.Checkpoint != "" && task.Run >= run {
-			checkpoint, run = task.Checkpoint, task.Run
-		}
-	}
-	return checkpoint
-}
-
-// setPhase is the one place where a task's phase changes.
-func (t *Table) setPhase(s *Step, index int, to Phase) {
-	task := &s.Tasks[index]
-	from := task.Phase
-	if from == to {
-		return
-	}
-	count := func(p Phase, delta int) {
-		switch p {
-		case Waiting:
-			s.Waiting += delta
-		case Live:
-			s.Job.liveRuns += delta
-		case Done:
-			s.doneTasks += delta
-		case DoneLive:
-			s.doneTasks += delta
-			s.Job.liveRuns += delta
-		}
-	}
-	count(from, -1)
-	count(to, 1)
-	task.Phase = to
-}
-
-// RecordEnd notes how a run ended. An end of a run that is not the task's newest, or whose end is known
-// already, changes nothing. maxAttempts is how many failed runs a task may have.
+// RecordEnd records the end of a run on a runner, with the checkpoint that the run has left, empty for none. An end of
+// a run that is not the task's newest, or whose end is recorded already, changes nothing. maxAttempts is how many
+// failed runs a task may have until the job fails.
 func (t *Table) RecordEnd(name TaskName, run uint32, runner string, reason EndReason, checkpoint string, maxAttempts int, nowMs int64) EndResult {
 	s := t.FindStep(name)
 	if s == nil {
@@ -92,11 +41,11 @@
 		t.setPhase(s, name.Index, Done)
 	case reason == EndDone && !s.Stage.GetLongRunning():
 		t.setPhase(s, name.Index, Done)
-		t.completeGang(s, run)
+		t.completeGang(s)
 	default:
 		t.setPhase(s, name.Index, Waiting)
 		if reason == EndFailed {
-			t.countFailure(s, name.Index, run, runner)
+			s.countFailure(name.Index, run, runner)
 		}
 	}
 	t.Writes.putTask(s, name.Index)
@@ -104,8 +53,34 @@
 	return result
 }
 
-// completeGang has all members of a gang done with the first.
-func (t *Table) completeGang(s *Step, run uint32) {
+// setPhase is the one place where a task's phase changes.
+func (t *Table) setPhase(s *Step, index int, to Phase) {
+	task := &s.Tasks[index]
+	if task.Phase == to {
+		return
+	}
+	s.countPhase(task.Phase, -1)
+	s.countPhase(to, 1)
+	task.Phase = to
+}
+
+// countPhase adds to the counts of the step and its job that a task in a phase belongs to.
+func (s *Step) countPhase(p Phase, delta int) {
+	switch p {
+	case Waiting:
+		s.Waiting += delta
+	case Live:
+		s.Job.liveRuns += delta
+	case Done:
+		s.doneTasks += delta
+	case DoneLive:
+		s.doneTasks += delta
+		s.Job.liveRuns += delta
+	}
+}
+
+// completeGang has all members of a gang done with the first that is.
+func (t *Table) completeGang(s *Step) {
 	if !s.Stage.GetGang() {
 		return
 	}
@@ -122,8 +97,8 @@
 	}
 }
 
-// countFailure counts a failed run. A gang's run counts once for all its members.
-func (t *Table) countFailure(s *Step, index int, run uint32, runner string) {
+// countFailure counts a failed run of a task. A run of a gang counts once for all members.
+func (s *Step) countFailure(index int, run uint32, runner string) {
 	s.Tasks[index].Failures++
 	s.Tasks[index].LastFailed = runner
 	if s.Stage.GetGang() && s.lastFailedRun < run {
@@ -132,22 +107,15 @@
 	}
 }
 
-// Failures returns how many runs of a task have failed; of a gang's member, how many of the gang.
-func (s *Step) Failures(index int) int {
-	if s.Stage.GetGang() {
-		return max(s.gangFailures, s.Tasks[index].Failures)
-	}
-	return s.Tasks[index].Failures
-}
-
-// advance draws the consequences of an end for the step, the time and the job.
+// advance does what follows from the end of a task's run: the job fails, or the step is done, or the task is to be
+// started again.
 func (t *Table) advance(s *Step, index, maxAttempts int, nowMs int64) {
 	j := s.Job
 	switch {
 	case j.State.Final():
 	case s.Tasks[index].Phase == Waiting && !s.Stage.GetLongRunning() && s.Failures(index) >= maxAttempts:
 		t.setState(j, Failed, nowMs)
-	case s.doneTasks == len(s.Tasks) && (s.Tasks[index].Phase == Done):
+	case s.done() && s.Tasks[index].Phase == Done:
 		t.completeStep(s, nowMs)
 	default:
 		t.enqueueReady(s)
@@ -155,44 +123,43 @@
 	t.pruneEnded(j)
 }
 
-// completeStep offers what depended on a step that is done, or ends the time and the job.
+// completeStep makes ready what depends on a step that is done, or with the last step of the last occurrence completes
+// the job.
 func (t *Table) completeStep(s *Step, nowMs int64) {
 	o := s.Occurrence
-	o.doneSteps = 0
-	for _, step := range o.Steps {
-		if step.doneTasks == len(step.Tasks) {
-			o.doneSteps++
-		}
-	}
-	if o.doneSteps < len(o.Steps) {
+	o.countDone()
+	if !o.finished() {
 		for _, step := range o.Steps {
 			t.enqueueReady(step)
 		}
 		return
 	}
 	j := s.Job
-	j.finishedOccurrences = 0
-	for _, other := range j.occurrences {
-		if other.doneSteps == len(other.Steps) {
-			j.finishedOccurrences++
-		}
-	}
+	j.countFinished()
 	if j.finishedOccurrences == j.OccurrenceCount {
 		t.setState(j, Completed, nowMs)
 	}
 }
 
-// EachLiveRun calls f with every run in the account that may be under way, with its runner.
-func (t *Table) EachLiveRun(visit func(s *Step, index int)) {
-	for _, id := range slices.Sorted(maps.Keys(t.jobs)) {
-		for _, o := range t.jobs[id].occurrences {
-			for _, s := range o.Steps {
-				for i := range s.Tasks {
-					if p := s.Tasks[i].Phase; p == Live || p == DoneLive {
-						visit(s, i)
-					}
-				}
-			}
+// countDone counts the steps of the occurrence that are done.
+func (o *Occurrence) countDone() {
+	o.doneSteps = 0
+	for _, s := range o.Steps {
+		if s.done() {
+			o.doneSteps++
+		}
+	}
+}
+
+// finished reports whether all steps of the occurrence were done when they were counted.
+func (o *Occurrence) finished() bool { return o.doneSteps == len(o.Steps) }
+
+// countFinished counts the occurrences of the job that are finished.
+func (j *Job) countFinished() {
+	j.finishedOccurrences = 0
+	for _, o := range j.occurrences {
+		if o.finished() {
+			j.finishedOccurrences++
 		}
 	}
 }
--- a/internal/control/jobs/validate.go
+++ b/internal/control/jobs/validate.go
@@ -11,53 +11,76 @@
 const (
 	maxSpecLength  = 4000 // characters
 	maxStages      = 100
-	maxTasks       = 10_000 // of a step
+	maxTasks       = 10_000 // of a stage
 	maxOccurrences = 100_000
 )
 
-// Validate says in a line what is wrong with a job, empty where nothing is.
-func Validate(s *protocol.Submit) string {
+// idLength is the length of a job's ID in hex digits.
+const idLength = 16
+
+// ValidationError is why a submission is not valid. Its text is for the client that submitted it.
+type ValidationError struct {
+	Fields  string // of the submission, empty for its ID
+	Problem string
+}
+
+// Error returns the fields and the problem in one line.
+func (e *ValidationError) Error() string {
+	if e.Fields == "" {
+		return e.Problem
+	}
+	return e.Fields + ": " + e.Problem
+}
+
+func invalid(fields, format string, args ...any) error {
+	return &ValidationError{Fields: fields, Problem: fmt.Sprintf(format, args...)}
+}
+
+// Validate returns a *ValidationError where a submission can't be accepted, nil otherwise. What is valid can be encoded
+// and its stages have no cycle, as each depends on earlier ones only.
+func Validate(s *protocol.Submit) error {
 	switch {
 	case !validID(s.GetId()):
-		return "the job's ID is not 16 hex digits"
+		return invalid("", "the job's ID is not %d hex digits", idLength)
 	case !utf8.ValidString(s.GetSpec()) || utf8.RuneCountInString(s.GetSpec()) > maxSpecLength:
-		return fmt.Sprintf("Spec: it is longer than %d characters or no text", maxSpecLength)
+		return invalid("Spec", "it is longer than %d characters or no text", maxSpecLength)
 	case len(s.GetStages()) == 0 || len(s.GetStages()) > maxStages:
-		return fmt.Sprintf("Stages: there are %d, 1 to %d are taken", len(s.GetStages()), maxStages)
+		return invalid("Stages", "there are %d, 1 to %d are taken", len(s.GetStages()), maxStages)
 	case s.GetMaxRuns() > maxOccurrences:
-		return fmt.Sprintf("MaxRuns: %d is more than %d", s.GetMaxRuns(), maxOccurrences)
+		return invalid("MaxRuns", "%d is more than %d", s.GetMaxRuns(), maxOccurrences)
 	case s.GetIntervalMs() < 0 || s.GetStartAtMs() < 0:
-		return "StartAtMs, IntervalMs: they are below 0"
+		return invalid("StartAtMs, IntervalMs", "they are below 0")
 	}
 	for i, stage := range s.GetStages() {
-		if reason := validateStage(i, stage); reason != "" {
-			return reason
+		if err := validateStage(i, stage); err != nil {
+			return err
 		}
 	}
-	return ""
+	return nil
 }
 
-func validateStage(number int, s *protocol.Stage) string {
-	field := fmt.Sprintf("Stages[%d].", number)
+// validateStage validates the stage of a number.
+func validateStage(number int, s *protocol.Stage) error {
+	in := func(fields string) string { return fmt.Sprintf("Stages[%d].%s", number, fields) }
 	switch {
 	case s.GetCount() == 0 || s.GetCount() > maxTasks:
-		return fmt.Sprintf("%sCount: %d is not 1 to %d", field, s.GetCount(), maxTasks)
+		return invalid(in("Count"), "%d is not 1 to %d", s.GetCount(), maxTasks)
 	case s.GetCpu() < 0 || s.GetMemMb() < 0 || s.GetGpus() < 0 || s.GetEstimateMs() < 0:
-		return field + "Cpu, MemMb, Gpus, EstimateMs: one is below 0"
+		return invalid(in("Cpu, MemMb, Gpus, EstimateMs"), "one is below 0")
 	case !utf8.ValidString(s.GetRequirements()) || !utf8.ValidString(s.GetAffinity()):
-		return field + "Requirements, Affinity: one is no text"
+		return invalid(in("Requirements, Affinity"), "one is no text")
 	}
 	for _, d := range s.GetDependsOn() {
 		if int(d) >= number {
-			return fmt.Sprintf("%sDependsOn: step %d is not an earlier one", field, d)
+			return invalid(in("DependsOn"), "step %d is not an earlier one", d)
 		}
 	}
-	return ""
+	return nil
 }
 
-// validID tells whether a text is 16 hex digits.
+// validID reports whether a text is a job's ID.
 func validID(id string) bool {
-	if len(id) != 16 {
+	if len(id) != idLength {
 		return false
 	}
 	for _, c := range id {
--- a/internal/control/scheduler/requests.go
+++ b/internal/control/scheduler/requests.go
@@ -38,8 +38,8 @@
 	if route == nil {
 		return http.StatusNotFound, ""
 	}
-	if reason := jobs.Validate(submission); reason != "" {
-		return http.StatusBadRequest, reason
+	if err := jobs.Validate(submission); err != nil {
+		return http.StatusBadRequest, err.Error()
 	}
 	s.jobs.Accept(submission, route.Service, s.wallMs)
 	return http.StatusOK, ""
--- a/internal/control/scheduler/scheduler.go
+++ b/internal/control/scheduler/scheduler.go
@@ -124,18 +124,12 @@
 	s.Committed(now, index)
 }
 
-// Epoch returns the epoch that the scheduler serves under.
-func (s *Scheduler) Epoch() uint64 { return s.epoch }
-
 // CommittedConfig returns the newest configuration that is committed.
 func (s *Scheduler) CommittedConfig() *routeconfig.Table { return s.committedConfig }
 
 // Jobs returns the table of jobs; callers only read it.
 func (s *Scheduler) Jobs() *jobs.Table { return s.jobs }
 
-// Fleet returns the runners with what they have reserved; callers only read it.
-func (s *Scheduler) Fleet() *placement.Fleet { return s.fleet }
-
 // ClockStepped reports that the time of day has jumped. How long ago a job ended can't be told by it for a while, so
 // that none is forgotten for as long as states are kept.
 func (s *Scheduler) ClockStepped(now time.Duration) { s.retainUntil = now + s.cfg.StatusRetention }
