--- a/cmd/frosttide-control/snapshot_test.go
+++ b/cmd/frosttide-control/snapshot_test.go
@@ -47,8 +47,12 @@
 	file := filepath.Join(t.TempDir(), "snapshot")
 	var out string
 	require.True(t, devcluster.WaitFor(maxWait, func() bool {
+		head := c.Head()
+		if head == nil {
+			return false
+		}
 		var status int
-		out, _, status = run(t, nil, "snapshot", "save", c.DataDir(c.Head()), file)
+		out, _, status = run(t, nil, "snapshot", "save", c.DataDir(head), file)
 		return status == 0 && strings.Contains(out, "1 completed")
 	}), "%s", out)
 	return file
--- a/internal/control/member/doc.go
+++ b/internal/control/member/doc.go
@@ -16,8 +16,8 @@
 //
 //   - The writes of an Output go to the disk before its sends leave: the replica relies on that order for the
 //     promises that it makes (see package replica).
-//   - A request is evaluated only by a head that a majority of the voters has confirmed within the last two
-//     seconds. Any other member rejects the attempt, so that the client may try the next one.
+//   - A request is evaluated only by a head that a majority of the voters has confirmed of late (see Accepting in
+//     package replica). Any other member rejects the attempt, so that the client may try the next one.
 //   - An attempt of a request is handled once. One that was rejected is not accepted when it arrives again,
 //     because its client may already rely on its not having been executed.
 //   - A read is answered once a majority has confirmed the epoch since it arrived and once all that the answer
