--- a/internal/data/agent/machine.go
+++ b/internal/data/agent/machine.go
@@ -78,7 +78,7 @@
 	lastContact  time.Duration
 	deregistered bool // it ends, now or many seconds later
 
-	// Runs, by task. Each map holds the number of the task's run.
+	// Runs, by task: the number of the task's run, or what is kept of it.
 	desired       map[string]*protocol.RunOrder
 	running       map[string]uint32        // as listed in the newest heartbeat
 	startAttempts map[string]*startAttempt // starts that were sent and have not been listed
--- a/internal/data/agent/timing.go
+++ b/internal/data/agent/timing.go
@@ -47,7 +47,7 @@
 	// A run that the runner does not list after minStartsSent starts and after startTimeout is blocked.
 	startTimeout  = 1500 * time.Millisecond
 	minStartsSent = 5
-	// stopsToBlock is how many responses with a stop the runner may have missed; after one more the run certainly
-	// never starts. The runner drops a response that arrives too late.
+	// stopsToBlock is how many stops are sent before the one with which the run certainly never starts. One is not
+	// enough: the runner drops a response that arrives too late.
 	stopsToBlock = 3
 )
