--- /dev/null
+++ b/internal/testkit/simnet/disk.go
@@ -0,0 +1,104 @@
+package simnet
+
+import (
+	"time"
+
+	"github.com/cockroachdb/errors"
+
+	"frosttide/internal/control/journal"
+	"frosttide/internal/control/replica"
+)
+
+// errNoSpace is the error of a write that fails.
+var errNoSpace = errors.New("simulated disk: no space")
+
+// disk is the disk of a machine of the control plane, with one file and one batch of writes in progress at a time.
+type disk struct {
+	file          []byte
+	synced        int    // bytes of the file that survive a loss of power
+	replacedFile  []byte // the file that a rewrite has not replaced yet; nil for none
+	pendingWrites []replica.Write
+	writing       bool
+	writesFail    bool          // the fault that writes fail
+	syncDelay     time.Duration // the fault that syncs are slow: added to each
+}
+
+// writeBatch is writes that are synced together.
+type writeBatch struct {
+	writes      []replica.Write
+	incarnation int  // of the process that made them
+	failed      bool // nothing of them was written
+	synced      bool // they survive a loss of power once the sync is done; false where the sync is missing
+}
+
+// A sync takes from minSyncTime to maxSyncTime on a disk without faults.
+const (
+	minSyncTime = 3 * time.Millisecond
+	maxSyncTime = 9 * time.Millisecond
+)
+
+// flush writes all pending writes and then syncs once. A rewrite of the file leaves the old one in force until the
+// sync is done.
+func (c *core) flush() {
+	if len(c.pendingWrites) == 0 {
+		return
+	}
+	sim := c.sim
+	b := writeBatch{writes: c.pendingWrites, incarnation: c.incarnation, failed: c.writesFail, synced: sim.options.MissingCheck != NoSync}
+	c.pendingWrites, c.writing = nil, true
+	if !b.failed {
+		c.write(b.writes)
+	}
+	if !b.synced {
+		sim.after(0, func() { c.syncDone(b) })
+		return
+	}
+	sim.after(sim.randomDuration(minSyncTime, maxSyncTime)+c.syncDelay, func() { c.syncDone(b) })
+}
+
+// write writes to the file, without a sync.
+func (d *disk) write(writes []replica.Write) {
+	for _, w := range writes {
+		if w.Image == nil {
+			d.file = append(d.file, w.Data...)
+			continue
+		}
+		if d.replacedFile == nil {
+			d.replacedFile = d.file[:d.synced]
+		}
+		d.file, d.synced = encodeImage(w.Image), 0
+	}
+}
+
+// encodeImage returns the file that an image stands for.
+func encodeImage(i *journal.Image) []byte {
+	encoded, err := i.Encode()
+	if err != nil {
+		panic(err)
+	}
+	return encoded
+}
+
+// syncDone handles the end of a sync, unless the process has ended meanwhile.
+func (c *core) syncDone(b writeBatch) {
+	if !c.up || c.incarnation != b.incarnation {
+		return
+	}
+	if b.synced && !b.failed {
+		c.synced, c.replacedFile = len(c.file), nil
+	}
+	c.sim.execute(c.process, func() {
+		var err error
+		if b.failed {
+			err = errNoSpace
+		}
+		c.writing = false
+		c.member.DiskDone(c.sim.clock(c.process), b.writes[len(b.writes)-1].Sequence, int64(len(c.file)), err)
+		if !c.writing {
+			c.flush()
+		}
+	})
+}
+
+// loseDisk empties the disk of a machine whose process has ended.
+func (c *core) loseDisk() { c.file, c.synced, c.replacedFile = nil, 0, nil }
--- /dev/null
+++ b/internal/testkit/simnet/job.go
@@ -0,0 +1,144 @@
+package simnet
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"strings"
+	"time"
+
+	"frosttide/internal/control/jobs"
+	"frosttide/internal/protocol"
+)
+
+// taskName is a task's name in its parts.
+type taskName struct{ occurrence, step, index int }
+
+// stage is a step of a job as its client knows it.
+type stage struct {
+	*protocol.Stage
+	duration    time.Duration // of work
+	seed        uint64
+	failureRate float64 // share of runs that fail by themselves
+}
+
+// fails tells whether a run fails by itself; for the same run the answer is always the same.
+func (s *stage) fails(name taskName, number uint32) bool {
+	if s.failureRate == 0 {
+		return false
+	}
+	index := name.index
+	if s.Gang {
+		index = 0
+	}
+	return rand.New(rand.NewPCG(s.seed, uint64(number)<<32|uint64(name.occurrence)<<24|uint64(name.step)<<16|uint64(index))).Float64() < s.failureRate
+}
+
+// outcome returns how a run ends by itself.
+func (s *stage) outcome(one *run) string {
+	if s.fails(one.name, one.number) {
+		return "failed"
+	}
+	return "done"
+}
+
+// job is a job as its client knows it.
+type job struct {
+	id          string
+	queue       string
+	service     string
+	spec        string
+	stages      []*stage
+	occurrences int
+	startAtMs   int64 // 0 for at once; milliseconds since 1970
+	intervalMs  int64
+
+	// Attempts to submit it.
+	attempts        int
+	pendingAttempts int           // without an answer so far
+	rejected        int           // that clearly had no effect
+	indeterminate   int           // that may have had one
+	acceptedAt      time.Duration // 0 before
+
+	cancelRequestedAt    time.Duration // 0 before
+	cancelAcknowledgedAt time.Duration // 0 before
+	lastState            string        // that a client was shown; empty before
+}
+
+// stage returns the step of a task.
+func (j *job) stage(name taskName) *stage { return j.stages[name.step] }
+
+// longRunning tells whether the job has no end of its own.
+func (j *job) longRunning() bool { return j.stages[0].LongRunning }
+
+// submission returns the job as it is sent.
+func (j *job) submission() *protocol.Submit {
+	s := &protocol.Submit{Queue: j.queue, Id: j.id, Spec: j.spec, MaxRuns: uint32(j.occurrences), StartAtMs: j.startAtMs, IntervalMs: j.intervalMs}
+	if j.occurrences == 1 && j.startAtMs == 0 {
+		s.MaxRuns = 0
+	}
+	for _, st := range j.stages {
+		s.Stages = append(s.Stages, st.Stage)
+	}
+	return s
+}
+
+// newJob draws a job: its queue, one or two steps, and what is special about it.
+func (sim *simulation) newJob() *job {
+	j := &job{id: fmt.Sprintf("%016x", sim.rng.Uint64()), occurrences: 1}
+	j.spec = "spec of " + j.id
+	if sim.options.LargeSpecs {
+		j.spec += strings.Repeat(".", largeSpecBytes)
+	}
+	j.queue = []string{"quick", "batch"}[sim.rng.IntN(2)]
+	j.service = map[string]string{"quick": "cut", "batch": "render"}[j.queue]
+	kind := sim.rng.IntN(10)
+	steps := 1 + sim.rng.IntN(2)
+	for i := range steps {
+		j.stages = append(j.stages, sim.newStage(i))
+	}
+	sim.specialize(j, kind)
+	return j
+}
+
+// newStage draws a step of a job, by its number, which depends on the one before it.
+func (sim *simulation) newStage(number int) *stage {
+	st := &stage{Stage: &protocol.Stage{Count: uint32(1 + sim.rng.IntN(4)), Cpu: int64(500 + 500*sim.rng.IntN(4)), MemMb: 100, EstimateMs: 500}, seed: sim.rng.Uint64()}
+	st.duration = sim.randomDuration(200*time.Millisecond, 2500*time.Millisecond)
+	st.Checkpoints = sim.rng.IntN(2) == 0
+	if number > 0 {
+		st.DependsOn = []uint32{uint32(number - 1)}
+	}
+	if sim.rng.IntN(4) == 0 {
+		st.failureRate = 0.2
+	}
+	return st
+}
+
+// specialize makes a job of a kind from 0 to 9, of which 8 and 9 have nothing special.
+func (sim *simulation) specialize(j *job, kind int) {
+	first := j.stages[0]
+	switch kind {
+	case 0:
+		first.Gang, first.Count = true, uint32(1+sim.rng.IntN(3))
+	case 1:
+		first.Gang, first.Count, first.SameRack = true, 2, true
+	case 2:
+		first.AntiAffinity = 1
+	case 3:
+		first.Requirements = []string{"a", "b"}[sim.rng.IntN(2)]
+	case 4:
+		first.Affinity = "r0-1"
+	case 5:
+		j.stages = j.stages[:1]
+		first.LongRunning, first.Count, first.Cpu = true, 1, 500
+	case 6:
+		j.occurrences = 2 + sim.rng.IntN(3)
+		j.startAtMs = sim.now.Milliseconds() + dayBeginsMs + int64(sim.rng.IntN(3000))
+		j.intervalMs = int64(500 + sim.rng.IntN(2000))
+	case 7:
+		first.failureRate = 1
+	}
+}
+
+// finalStates are the states after which nothing of a job runs.
+var finalStates = map[string]bool{jobs.Completed.String(): true, jobs.Failed.String(): true, jobs.Canceled.String(): true}
--- a/internal/testkit/simnet/network.go
+++ b/internal/testkit/simnet/network.go
@@ -8,32 +8,43 @@
 	"frosttide/internal/protocol"
 )
 
-// network is what ails the network at a moment. Links carry messages in order; a link that is reset loses what is on
-// its way, and what is sent afterwards arrives by the next one.
+// link is one direction between two processes.
+type link struct{ from, to string }
+
+// network is the state of the network. Links carry messages in order. A link that is reset loses what is in flight,
+// and what is sent afterwards goes by the next connection.
 type network struct {
-	resets         map[link]time.Duration // when a link was last reset
-	freeAt         map[link]time.Duration // when a link with a bandwidth is free again
-	bytesPerSecond int                    // bytes a second that each way between two machines of the core carries, 0 for no bound
-	duplicateUntil time.Duration          // until when messages arrive twice
-	delayUntil     time.Duration          // until when messages arrive up to lateDelay late
+	partitions  map[link]time.Duration // until when a link is partitioned
+	lastArrival map[link]time.Duration // when the newest message of a link arrives: links keep the order
+	resets      map[link]time.Duration // when a link was last reset
+
+	// Bandwidth of each link between two machines of the control plane.
+	bytesPerSecond int                    // 0 for no bound
+	freeAt         map[link]time.Duration // when a link has carried what was sent so far
+
+	duplicateUntil time.Duration // until when messages are duplicated
+	delayUntil     time.Duration // until when messages are delayed by up to maxExtraDelay
 }
 
 const (
+	// Each message takes from minDelay to maxDelay.
 	minDelay = 300 * time.Microsecond
 	maxDelay = 2500 * time.Microsecond
-	// maxPartitionBuffering is how long a cut may hold messages up until their link is given up and they are lost.
+	// maxPartitionBuffering is how much longer a partition may last for a message to be retransmitted and arrive after it.
+	// Where it lasts longer the connection is given up and the message lost.
 	maxPartitionBuffering = 1200 * time.Millisecond
-	// maxExtraDelay is how late messages are at most while they come late.
+	// maxExtraDelay bounds the extra delay of messages while they are delayed.
 	maxExtraDelay = 400 * time.Millisecond
-	// maxDuplicateDelay is within how long the second of doubled messages comes.
+	// maxDuplicateDelay is within how long the duplicate of a message arrives.
 	maxDuplicateDelay = 300 * time.Millisecond
 )
 
+// newNetwork returns a network without faults.
 func newNetwork() network {
-	return network{resets: make(map[link]time.Duration), freeAt: make(map[link]time.Duration)}
+	return network{partitions: make(map[link]time.Duration), lastArrival: make(map[link]time.Duration), resets: make(map[link]time.Duration), freeAt: make(map[link]time.Duration)}
 }
 
-// send carries a message to another process.
+// send sends a message to another process, with the faults of the network that are in force.
 func (sim *simulation) send(from *process, to string, e *protocol.Envelope) {
 	target := sim.processes[to]
 	if target == nil {
@@ -41,7 +52,7 @@
 	}
 	l := link{from.address, to}
 	delay := sim.randomDuration(minDelay, maxDelay)
-	if until, cut := sim.partitions[l]; cut && until > sim.now {
+	if until, partitioned := sim.network.partitions[l]; partitioned && until > sim.now {
 		if until-sim.now > maxPartitionBuffering || sim.rng.IntN(2) == 0 {
 			return
 		}
@@ -51,19 +62,19 @@
 		delay += sim.randomDuration(0, maxExtraDelay)
 	}
 	if sim.network.bytesPerSecond > 0 && sim.isCore(from.address) && sim.isCore(to) {
-		took := time.Duration(float64(proto.Size(e)) / float64(sim.network.bytesPerSecond) * float64(time.Second))
-		sim.network.freeAt[l] = max(sim.network.freeAt[l], sim.now) + took
+		transmission := time.Duration(float64(proto.Size(e)) / float64(sim.network.bytesPerSecond) * float64(time.Second))
+		sim.network.freeAt[l] = max(sim.network.freeAt[l], sim.now) + transmission
 		delay += sim.network.freeAt[l] - sim.now
 	}
-	at := max(sim.now+delay, sim.lastArrival[l]+1)
-	sim.lastArrival[l] = at
+	at := max(sim.now+delay, sim.network.lastArrival[l]+1)
+	sim.network.lastArrival[l] = at
 	sim.deliver(l, target, at, e)
 	if sim.now < sim.network.duplicateUntil {
 		sim.deliver(l, target, at+sim.randomDuration(0, maxDuplicateDelay), e)
 	}
 }
 
-// deliver has a message arrive, unless its link is reset or the other process ends before.
+// deliver has a message arrive at a time, unless its link is reset or the receiver ends before.
 func (sim *simulation) deliver(l link, target *process, at time.Duration, e *protocol.Envelope) {
 	incarnation, sent := target.incarnation, sim.now
 	sim.after(at-sim.now, func() {
@@ -75,6 +86,7 @@
 	})
 }
 
+// isCore tells whether an address is that of a machine of the control plane.
 func (sim *simulation) isCore(address string) bool {
 	for _, c := range sim.cores {
 		if c.address == address {
@@ -84,12 +96,12 @@
 	return false
 }
 
-// reset breaks the links between two processes.
+// reset resets the connections between two processes: what is in flight is lost.
 func (sim *simulation) reset(a, b string) {
 	sim.network.resets[link{a, b}], sim.network.resets[link{b, a}] = sim.now, sim.now
 }
 
-// partition cuts one way between two processes for a time.
+// partition cuts the link from one process to another for a time.
 func (sim *simulation) partition(from, to string, d time.Duration) {
-	sim.partitions[link{from, to}] = max(sim.partitions[link{from, to}], sim.now+d)
+	sim.network.partitions[link{from, to}] = max(sim.network.partitions[link{from, to}], sim.now+d)
 }
--- a/internal/testkit/simnet/operator.go
+++ b/internal/testkit/simnet/operator.go
@@ -6,23 +6,20 @@
 	"slices"
 	"time"
 
-	"github.com/valyala/fastjson"
-
-	"frosttide/internal/chainclient"
 	"frosttide/internal/protocol"
 	"frosttide/internal/routeconfig"
 )
 
-// operator changes the configuration: it sends orders until they have a clear answer, some of them invalid,
-// some two at once, and loses some answers.
+// operator changes the configuration. It sends orders until they have a clear answer, some of them invalid and some
+// several at once, and loses some answers.
 type operator struct {
 	sim                *simulation
-	candidates         map[uint64][]candidate // what may be in force, by version
-	acknowledgedByBase map[uint64]*order      // acknowledged orders, by the version they build on
-	newestAcknowledged uint64                 // highest version acknowledged
+	candidates         map[uint64][]candidate // configurations that may be in force, by version
+	acknowledgedByBase map[uint64]*order      // acknowledged orders, by the version that they build on
+	newestAcknowledged uint64                 // highest version that was acknowledged
 	base               uint64                 // version that the next order builds on
-	nextVersion        uint64                 // version it takes
-	changes            int
+	nextVersion        uint64                 // version that the next order makes
+	changes            int                    // orders drawn so far
 }
 
 // candidate is a configuration that may be in force.
@@ -33,45 +30,46 @@
 
 // order is a change of the configuration.
 type order struct {
-	patch         bool
-	match         uint64
-	version       uint64
+	number        int    // 0 for the first configuration
+	match         uint64 // version that it builds on
+	version       uint64 // version that it makes
 	body          []byte
-	invalid       bool
-	number        int // of the order
-	acknowledged  bool
+	patch         bool // the body holds changes, not the whole configuration
+	invalid       bool // the body is cut short
 	attempts      int
-	indeterminate bool // a try has had no answer
+	acknowledged  bool
+	indeterminate bool // an attempt had no answer
 }
 
 const (
-	// maxConcurrentOrders is how many other orders are under way at once at the most.
+	// maxConcurrentOrders is how many other orders are sent at the same time at most.
 	maxConcurrentOrders = 7
-	// maxResendDelay is how late an order that was acknowledged comes again.
+	// maxResendDelay is how late an acknowledged order is sent once more at most.
 	maxResendDelay = 25 * time.Second
 	orderTimeout   = 900 * time.Millisecond
 	maxSends       = 8
 )
 
-// firstConfig is what the operator begins with.
+// firstConfig is the configuration that the operator begins with, by its version.
 const firstConfig = `{"Version":%d,"Routes":[{"Name":"quick","Host":"h","PathPrefix":"/q/","TimeoutMs":3000,"TargetLatencyMs":800,"Priority":0,"Service":"cut","MaxAttempts":3,"Stretch":1.5},` +
 	`{"Name":"batch","Host":"h","PathPrefix":"/b/","TimeoutMs":3000,"TargetLatencyMs":4000,"Priority":2,"Service":"render","MaxAttempts":2,"Stretch":4}],` +
 	`"Services":[{"Name":"cut"},{"Name":"render"}]}`
 
-// maxAttempts are those of the queues in firstConfig.
+// maxAttempts are how often a task may fail, by queue, as firstConfig has it.
 var maxAttempts = map[string]int{"quick": 3, "batch": 2}
 
+// newOperator returns an operator who knows that the configuration is empty.
 func (sim *simulation) newOperator() *operator {
 	return &operator{sim: sim, candidates: map[uint64][]candidate{0: {{table: routeconfig.Empty()}}}, acknowledgedByBase: make(map[uint64]*order), nextVersion: 1}
 }
 
-// start sends the first configuration until it is taken, and then changes.
+// start sends the first configuration until it is acknowledged, and changes after that.
 func (o *operator) start() {
 	first := &order{version: 1, body: fmt.Appendf(nil, firstConfig, 1)}
 	o.send(first, func(bool) { o.sim.after(o.sim.randomDuration(time.Second, 3*time.Second), o.change) })
 }
 
-// change sends the next change, and one after it later.
+// change sends the next change and schedules the one after it.
 func (o *operator) change() {
 	sim := o.sim
 	if sim.now > sim.options.Length {
@@ -84,7 +82,7 @@
 	again := func(bool) { sim.after(sim.randomDuration(lower, upper), o.change) }
 	one := o.draw()
 	switch sim.rng.IntN(6) {
-	case 0: // a race: others change the same version
+	case 0: // concurrent orders on the same version
 		for range 1 + sim.rng.IntN(maxConcurrentOrders) {
 			o.send(o.draw(), func(bool) {})
 		}
@@ -104,41 +102,38 @@
 	return &order{patch: true, number: o.changes, match: o.base, version: o.nextVersion, body: body}
 }
 
-// send sends an order to some member, and again to another where the answer is not clear.
-func (o *operator) send(one *order, done func(taken bool)) {
+// send sends an order to any member, and again where the answer is not clear. Done is told once it has a clear
+// answer, or the operator gives it up.
+func (o *operator) send(one *order, done func(acknowledged bool)) {
 	sim := o.sim
 	one.attempts++
 	if !one.invalid {
 		o.addCandidates(one)
 	}
-	over := false
+	answered := false
 	call := Call{Kind: OrderCall, Began: sim.now, Order: one.number, Match: one.match, Version: one.version}
 	finish := func(status int) {
-		if over {
+		if answered {
 			return
 		}
-		over = true
+		answered = true
 		o.recordOrder(call, one, status)
 		o.handleStatus(one, status, done)
 	}
-	c := sim.cores[sim.rng.IntN(len(sim.cores))]
-	if c.up {
-		r := &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: one.patch, IfMatch: one.match, Body: one.body}}}
+	if c := sim.anyCore(); c.up {
+		config := &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: one.patch, IfMatch: one.match, Body: one.body}}}
 		lost := sim.rng.IntN(6) == 0
-		sim.execute(c.process, func() {
-			id := c.member.Do(sim.clock(c.process), r, false, orderTimeout)
-			c.pendingReplies[id] = func(reply *protocol.ClientReply) {
-				if !lost {
-					finish(int(reply.GetStatus()))
-				}
+		c.request(config, update, func(reply *protocol.ClientReply) {
+			if !lost {
+				finish(int(reply.GetStatus()))
 			}
 		})
 	}
 	sim.after(orderTimeout+100*time.Millisecond, func() { finish(0) })
 }
 
-// recordOrder keeps an order with its answer. Invalid ones, and answers that are not clear where nothing was sent, say
-// nothing.
+// recordOrder adds an order with its answer to the history. One whose answer is not clear stays open, and invalid
+// ones say nothing of the configuration.
 func (o *operator) recordOrder(call Call, one *order, status int) {
 	if one.invalid {
 		return
@@ -152,25 +147,13 @@
 	o.sim.record(call)
 }
 
-// recordRead keeps what a read has shown.
-func (o *operator) recordRead(began time.Duration, version uint64) {
-	o.sim.record(Call{Kind: ReadCall, Began: began, Ended: o.sim.now, Version: version})
-}
-
-// handleStatus weighs the answer to an order.
-func (o *operator) handleStatus(one *order, status int, done func(taken bool)) {
+// handleStatus takes in the answer to an order; status 0 stands for none.
+func (o *operator) handleStatus(one *order, status int, done func(acknowledged bool)) {
 	sim := o.sim
 	switch status {
 	case http.StatusOK:
 		o.acknowledge(one)
-		if sim.rng.IntN(5) == 0 && one.attempts < maxSends { // it comes again though it was taken
-			o.send(one, done)
-			return
-		}
-		if sim.rng.IntN(4) == 0 && one.attempts < maxSends { // and after others were taken
-			sim.after(sim.randomDuration(0, maxResendDelay), func() { o.send(one, func(bool) {}) })
-		}
-		done(true)
+		o.sendAgain(one, done)
 	case http.StatusPreconditionFailed, http.StatusBadRequest:
 		if one.acknowledged {
 			sim.violation("CONFIG", "order %d, which was acknowledged, is refused with %d", one.version, status)
@@ -189,7 +172,20 @@
 	}
 }
 
-// acknowledge notes an order that was taken.
+// sendAgain sends an acknowledged order once more now and then: at once, or after others were acknowledged.
+func (o *operator) sendAgain(one *order, done func(acknowledged bool)) {
+	sim := o.sim
+	if sim.rng.IntN(5) == 0 && one.attempts < maxSends {
+		o.send(one, done)
+		return
+	}
+	if sim.rng.IntN(4) == 0 && one.attempts < maxSends {
+		sim.after(sim.randomDuration(0, maxResendDelay), func() { o.send(one, func(bool) {}) })
+	}
+	done(true)
+}
+
+// acknowledge takes in that an order is acknowledged. No invalid one may be, nor two on the same version.
 func (o *operator) acknowledge(one *order) {
 	sim := o.sim
 	if one.invalid {
@@ -209,7 +205,7 @@
 	o.base = max(o.base, one.version)
 }
 
-// addCandidates notes what an order makes of each configuration that it may be taken on.
+// addCandidates adds what an order makes of each configuration that it may be applied to.
 func (o *operator) addCandidates(one *order) {
 	for _, base := range o.candidates[one.match] {
 		c, err := base.table.Apply(one.body, one.patch)
@@ -220,89 +216,7 @@
 	}
 }
 
-// removeCandidates notes that an order was clearly not taken.
+// removeCandidates takes in that an order was clearly not applied.
 func (o *operator) removeCandidates(one *order) {
 	o.candidates[one.version] = slices.DeleteFunc(o.candidates[one.version], func(t candidate) bool { return t.order == one })
 }
-
-// learnVersion reads the configuration, and goes on once it is known.
-func (o *operator) learnVersion(then func()) {
-	o.read(func(version uint64, ok bool) {
-		if !ok {
-			o.sim.after(300*time.Millisecond, func() { o.learnVersion(then) })
-			return
-		}
-		o.base = version
-		then()
-	})
-}
-
-// read reads the configuration back and checks it.
-func (o *operator) read(then func(version uint64, ok bool)) {
-	sim := o.sim
-	atLeast := o.newestAcknowledged
-	over := false
-	finish := func(version uint64, ok bool) {
-		if !over {
-			over = true
-			then(version, ok)
-		}
-	}
-	at, began := sim.gateways[sim.rng.IntN(len(sim.gateways))], sim.now
-	at.request(&protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, true, orderTimeout, func(out chainclient.Outcome) {
-		if out.Reply.GetStatus() != http.StatusOK {
-			finish(0, false)
-			return
-		}
-		version := o.checkRead(out.Reply.GetBody(), atLeast)
-		o.recordRead(began, version)
-		finish(version, true)
-	})
-	sim.after(orderTimeout+100*time.Millisecond, func() { finish(0, false) })
-}
-
-// readAt reads the configuration at a member and checks it.
-func (o *operator) readAt(c *core) {
-	atLeast, began := o.newestAcknowledged, o.sim.now
-	request := &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}
-	c.request(request, true, func(reply *protocol.ClientReply) {
-		if reply.GetStatus() == http.StatusOK {
-			o.recordRead(began, o.checkRead(reply.GetBody(), atLeast))
-		}
-	})
-}
-
-// statusAt asks a member for the state of the placement role and checks that it is not an old one.
-func (o *operator) statusAt(c *core) {
-	atLeast := o.newestAcknowledged
-	request := &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: &protocol.ReadStatus{}}}
-	c.request(request, false, func(reply *protocol.ClientReply) {
-		if reply.GetStatus() != http.StatusOK {
-			return
-		}
-		if version := uint64(fastjson.GetInt(reply.GetBody(), "config_version")); version < atLeast {
-			o.sim.violation("CONFIG", "%s shows the state of version %d after %d was acknowledged", c.address, version, atLeast)
-		}
-	})
-}
-
-// checkRead checks a configuration that was read back.
-func (o *operator) checkRead(body []byte, atLeast uint64) uint64 {
-	sim := o.sim
-	v, err := fastjson.ParseBytes(body)
-	if err != nil {
-		sim.violation("CONFIG", "what is read back can't be read: %v", err)
-		return 0
-	}
-	version := v.GetUint64("Version")
-	if version < atLeast {
-		sim.violation("CONFIG", "version %d is read back after %d was acknowledged", version, atLeast)
-	}
-	for _, t := range o.candidates[version] {
-		if string(t.table.Document()) == string(body) {
-			return version
-		}
-	}
-	sim.violation("CONFIG", "version %d is read back as nobody has sent it: %s", version, body)
-	return version
-}
