--- /dev/null
+++ b/internal/control/placement/headroom_test.go
@@ -0,0 +1,19 @@
+package placement
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+func TestHeadroom(t *testing.T) {
+	h := NewHeadroom()
+	h.Observe(0, Resources{CPU: 4000}, Resources{CPU: 6000}, 0)
+	h.Observe(2, Resources{CPU: 9000}, Resources{}, 0)
+	require.EqualValues(t, 6000, h.Required(2).CPU)
+	require.Zero(t, h.Required(0).CPU)
+	h.Observe(0, Resources{}, Resources{}, headroomDecay)
+	remaining := h.Required(1).CPU
+	require.Greater(t, remaining, int64(3000))
+	require.Less(t, remaining, int64(4000))
+}
