--- a/internal/bucket/bucket.go
+++ b/internal/bucket/bucket.go
@@ -36,8 +36,8 @@
 	Limit          int // how many tokens the owner has
 }
 
-// OldestPosition returns the position of the oldest free token in the ring. It is only to be compared with that of other
-// accounts, and only where there are free tokens.
+// OldestPosition returns the position of the oldest free token in the ring. It is only to be compared with that of
+// other accounts, and only where there are free tokens.
 func (a *Account[Owner]) OldestPosition() float64 { return a.oldest.position }
 
 // Nth returns the element of the ring with the free token of a number, counted from 0 for the oldest, and nil where
--- a/internal/control/jobs/load.go
+++ b/internal/control/jobs/load.go
@@ -92,7 +92,8 @@
 	task.Checkpoint = r.GetSaved()
 }
 
-// deriveState sets what is not stored as it follows from the rest: what is finished, ready, scheduled and to be stopped.
+// deriveState sets what is not stored, as it follows from the rest: what is finished, ready, scheduled and to be
+// stopped.
 func (t *Table) deriveState() {
 	for _, j := range t.sorted() {
 		if j.Stages == nil {
--- a/internal/control/jobs/schedule.go
+++ b/internal/control/jobs/schedule.go
@@ -29,7 +29,8 @@
 func (j *Job) addOccurrence() *Occurrence {
 	o := &Occurrence{Job: j, Number: len(j.occurrences)}
 	for i, stage := range j.Stages {
-		o.Steps = append(o.Steps, &Step{Job: j, Occurrence: o, Number: i, Stage: stage, Tasks: make([]Task, stage.GetCount()), Waiting: int(stage.GetCount())})
+		tasks := make([]Task, stage.GetCount())
+		o.Steps = append(o.Steps, &Step{Job: j, Occurrence: o, Number: i, Stage: stage, Tasks: tasks, Waiting: len(tasks)})
 	}
 	j.occurrences = append(j.occurrences, o)
 	return o
--- a/internal/control/jobs/table.go
+++ b/internal/control/jobs/table.go
@@ -36,7 +36,8 @@
 	return w
 }
 
-// TakeReady returns the steps that have got tasks to start since the last call. A step may be among them more than once.
+// TakeReady returns the steps that have got tasks to start since the last call. A step may be among them more than
+// once.
 func (t *Table) TakeReady() []*Step {
 	ready := t.ready
 	t.ready = nil
--- a/internal/control/jobs/validate.go
+++ b/internal/control/jobs/validate.go
@@ -32,6 +32,7 @@
 	return e.Fields + ": " + e.Problem
 }
 
+// invalid returns a *ValidationError.
 func invalid(fields, format string, args ...any) error {
 	return &ValidationError{Fields: fields, Problem: fmt.Sprintf(format, args...)}
 }
--- a/internal/control/placement/feasible.go
+++ b/internal/control/placement/feasible.go
@@ -36,12 +36,7 @@
 
 // slotsFor returns how many tasks of a request a runner that fits one can take.
 func (r *Runner) slotsFor(req *Request) int {
-	slots, free := r.tokens.Free/r.tokensFor(req.Demand), r.Free()
-	for _, resource := range [...]struct{ free, demand int64 }{{free.CPU, req.Demand.CPU}, {free.MemMB, req.Demand.MemMB}, {free.GPUs, req.Demand.GPUs}} {
-		if resource.demand > 0 {
-			slots = min(slots, int(resource.free/resource.demand))
-		}
-	}
+	slots := min(r.tokens.Free/r.tokensFor(req.Demand), req.Demand.timesIn(r.Free()))
 	if req.AntiAffinity > 0 {
 		slots = min(slots, req.AntiAffinity-r.groups[req.Group])
 	}
--- a/internal/control/placement/fleet.go
+++ b/internal/control/placement/fleet.go
@@ -44,7 +44,7 @@
 }
 
 // Add returns the runner with an id, and adds it without capacity where it is not known. Runs may be reserved on it
-// before UpdateRunner tells its capacity.
+// before UpdateRunner sets its capacity.
 func (f *Fleet) Add(id string) *Runner {
 	if r := f.runners[id]; r != nil {
 		return r
--- a/internal/control/placement/headroom.go
+++ b/internal/control/placement/headroom.go
@@ -9,7 +9,7 @@
 // demand in the near past predicts that of the near future.
 const headroomDecay = 12 * time.Second
 
-// Headroom tells how much capacity of a service is to stay free for more urgent work. For each priority it remembers
+// Headroom estimates how much capacity of a service should stay free for more urgent work. For each priority it remembers
 // the peak of what was running and waiting at once, which decays with time; work of lower priority leaves free what is
 // missing to that peak. So urgent tasks, which are short, seldom find all runners busy for seconds. It is not safe for
 // concurrent use.
--- a/internal/control/placement/rank.go
+++ b/internal/control/placement/rank.go
@@ -38,9 +38,16 @@
 	return 1
 }
 
+// compare is negative where c is the better rank.
 func (c candidateRank) compare(o candidateRank) int {
-	return cmp.Or(compareBool(c.avoided, o.avoided), compareBool(c.ejected, o.ejected), compareBool(c.risky, o.risky), compareBool(c.remote, o.remote),
-		compareBool(c.recentlyFailed, o.recentlyFailed), cmp.Compare(c.fragmentation, o.fragmentation))
+	return cmp.Or(
+		compareBool(c.avoided, o.avoided),
+		compareBool(c.ejected, o.ejected),
+		compareBool(c.risky, o.risky),
+		compareBool(c.remote, o.remote),
+		compareBool(c.recentlyFailed, o.recentlyFailed),
+		cmp.Compare(c.fragmentation, o.fragmentation),
+	)
 }
 
 // compareBool orders false before true.
--- a/internal/control/placement/resources.go
+++ b/internal/control/placement/resources.go
@@ -1,5 +1,7 @@
 package placement
 
+import "math"
+
 // Resources is what a task asks for, or what a runner has.
 type Resources struct {
 	CPU   int64 `json:"cpu"` // thousandths of a core
@@ -12,6 +14,22 @@
 	return r.CPU <= free.CPU && r.MemMB <= free.MemMB && r.GPUs <= free.GPUs
 }
 
+// timesIn returns how many times a demand fits into free resources that it fits into at least once, math.MaxInt for a
+// demand of nothing.
+func (r Resources) timesIn(free Resources) int {
+	times := math.MaxInt
+	if r.CPU > 0 {
+		times = min(times, int(free.CPU/r.CPU))
+	}
+	if r.MemMB > 0 {
+		times = min(times, int(free.MemMB/r.MemMB))
+	}
+	if r.GPUs > 0 {
+		times = min(times, int(free.GPUs/r.GPUs))
+	}
+	return times
+}
+
 // Times returns the resources n times; n may be negative.
 func (r Resources) Times(n int) Resources {
 	return Resources{CPU: r.CPU * int64(n), MemMB: r.MemMB * int64(n), GPUs: r.GPUs * int64(n)}
--- a/internal/control/scheduler/doc.go
+++ b/internal/control/scheduler/doc.go
@@ -1,7 +1,7 @@
 // Package scheduler is the state machine of the placement role: what the head of the replication chain does with the
 // control state. It evaluates clients' requests, keeps one session for the agent of each runner's machine, assigns
-// ready tasks to runners, and tells its caller what to append to the replicated log and, once that is committed, what
-// to send.
+// ready tasks to runners, and returns to its caller what to append to the replicated log and, once that is committed,
+// what to send.
 //
 // # Use
 //
--- a/internal/control/scheduler/jobstatus.go
+++ b/internal/control/scheduler/jobstatus.go
@@ -68,8 +68,12 @@
 	return cmp.Or(cmp.Compare(a.Sequence, b.Sequence), cmp.Compare(a.ID, b.ID))
 }
 
+// jobStatus returns the state of a job without its steps.
 func jobStatus(j *jobs.Job) JobStatus {
-	return JobStatus{ID: j.ID, Queue: j.Queue, State: j.State.String(), AcceptedMs: j.AcceptedMs, EndedMs: j.EndedMs, OccurrenceCount: j.OccurrenceCount}
+	return JobStatus{
+		ID: j.ID, Queue: j.Queue, State: j.State.String(),
+		AcceptedMs: j.AcceptedMs, EndedMs: j.EndedMs, OccurrenceCount: j.OccurrenceCount,
+	}
 }
 
 // JobDetails returns a job with its steps and why they wait, and false where the ID is not known.
@@ -84,6 +88,7 @@
 	return out, true
 }
 
+// stepStatus returns the state of a step, with the tasks that have been started.
 func stepStatus(step *jobs.Step) StepStatus {
 	status := StepStatus{Occurrence: step.Occurrence.Number, Step: step.Number, Ready: step.Ready(), Waiting: step.Waiting}
 	for i := range step.Tasks {
--- a/internal/control/scheduler/orders.go
+++ b/internal/control/scheduler/orders.go
@@ -9,7 +9,7 @@
 	"frosttide/internal/routeconfig"
 )
 
-// heartbeatIntervalMs is the time between two heartbeats of a runner to its agent; runners accept none that is shorter.
+// heartbeatIntervalMs is the time between two heartbeats of a runner to its agent, the shortest that runners use.
 const heartbeatIntervalMs = 50
 
 // batch is what one entry leads to once it is committed. Nothing of it is sent earlier.
@@ -27,6 +27,7 @@
 	acknowledgedEnd uint64 // highest end that the entry records, 0 where it records none
 }
 
+// empty reports whether the entry leads to nothing.
 func (b *batch) empty() bool { return len(b.byRunner) == 0 && b.config == nil && len(b.fullSyncs) == 0 }
 
 // forRunner returns the orders to a runner, and adds empty ones where there are none.
--- a/internal/control/scheduler/queue.go
+++ b/internal/control/scheduler/queue.go
@@ -48,10 +48,17 @@
 // compare orders steps by priority, then by deadline class, then by deadline. Steps of equal urgency go by the
 // acceptance of their jobs.
 func (w *waitingStep) compare(other *waitingStep) int {
-	return cmp.Or(cmp.Compare(w.priority, other.priority), cmp.Compare(w.class, other.class), cmp.Compare(w.objective.softDeadlineMs, other.objective.softDeadlineMs),
-		cmp.Compare(w.step.Job.Sequence, other.step.Job.Sequence), cmp.Compare(w.step.Occurrence.Number, other.step.Occurrence.Number), cmp.Compare(w.step.Number, other.step.Number))
+	return cmp.Or(
+		cmp.Compare(w.priority, other.priority),
+		cmp.Compare(w.class, other.class),
+		cmp.Compare(w.objective.softDeadlineMs, other.objective.softDeadlineMs),
+		cmp.Compare(w.step.Job.Sequence, other.step.Job.Sequence),
+		cmp.Compare(w.step.Occurrence.Number, other.step.Occurrence.Number),
+		cmp.Compare(w.step.Number, other.step.Number),
+	)
 }
 
+// compareEntries orders entries as their steps.
 func compareEntries(a, b entry) int { return a.compare(b.waitingStep) }
 
 // startable reports whether a step has tasks that may be started. The steps that it depends on stay done, so that only
@@ -66,6 +73,7 @@
 	return w.scanFrom
 }
 
+// newQueue returns the empty queue of a service.
 func newQueue(service string) *queue {
 	return &queue{
 		service:       service,
--- a/internal/control/scheduler/requests.go
+++ b/internal/control/scheduler/requests.go
@@ -84,7 +84,8 @@
 		return http.StatusOK, ""
 	}
 	if s.updates.mayHaveForgotten(c.GetIfMatch()) {
-		return http.StatusServiceUnavailable, fmt.Sprintf("If-Match: an order on version %d may have been taken long ago; the current version is %d", c.GetIfMatch(), s.config.Version)
+		return http.StatusServiceUnavailable, fmt.Sprintf("If-Match: an order on version %d may have been taken long ago; the current version is %d",
+			c.GetIfMatch(), s.config.Version)
 	}
 	if c.GetIfMatch() != s.config.Version {
 		return http.StatusPreconditionFailed, fmt.Sprintf("the current version is %d", s.config.Version)
--- a/internal/control/scheduler/status.go
+++ b/internal/control/scheduler/status.go
@@ -133,6 +133,7 @@
 	return status
 }
 
+// runStatus returns the state of a run that may be under way.
 func (s *Scheduler) runStatus(task string, run liveRun) RunStatus {
 	return RunStatus{
 		Task: task, Run: run.number, State: run.step.Job.State.String(),
