--- a/internal/control/jobs/jobs_test.go
+++ b/internal/control/jobs/jobs_test.go
@@ -31,7 +31,7 @@
 // end records the end of a task's run; a task may have two failed runs.
 func end(table *Table, s *Step, index int, run uint32, runner string, reason EndReason) EndResult {
 	name, _ := ParseTask(s.TaskID(index))
-	return table.RecordEnd(name, run, runner, reason, "", 2, 2000)
+	return table.RecordEnd(End{Task: name, Run: run, Runner: runner, Reason: reason}, 2, 2000)
 }
 
 func TestStepsFollowEachOther(t *testing.T) {
--- a/internal/control/jobs/transitions.go
+++ b/internal/control/jobs/transitions.go
@@ -1,9 +1,17 @@
 package jobs
 
+// End is the end of a run, as its runner reports it or the head infers it.
+type End struct {
+	Task       TaskName
+	Run        uint32
+	Runner     string
+	Reason     EndReason
+	Checkpoint string // that the run has left, empty for none
+}
+
 // EndResult is what the end of a run meant for its task.
 type EndResult struct {
 	Step    *Step // nil where the task is not known
-	Index   int   // of the task in its step
 	Applied bool  // the end counted: it was that of the task's newest run
 }
 
@@ -19,38 +27,35 @@
 	}
 }
 
-// RecordEnd records the end of a run on a runner, with the checkpoint that the run has left, empty for none. An end of
-// a run that is not the task's newest, or whose end is recorded already, changes nothing. maxAttempts is how many
-// failed runs a task may have until the job fails.
-func (t *Table) RecordEnd(name TaskName, run uint32, runner string, reason EndReason, checkpoint string, maxAttempts int, nowMs int64) EndResult {
-	s := t.FindStep(name)
+// RecordEnd records the end of a run. An end of a run that is not the task's newest, or whose end is recorded already,
+// changes nothing. maxAttempts is how many failed runs a task may have until the job fails.
+func (t *Table) RecordEnd(end End, maxAttempts int, nowMs int64) EndResult {
+	s, index := t.FindStep(end.Task), end.Task.Index
 	if s == nil {
 		return EndResult{}
 	}
-	task := &s.Tasks[name.Index]
-	result := EndResult{Step: s, Index: name.Index}
-	if task.Run != run || task.Runner != runner || task.Phase != Live && task.Phase != DoneLive {
-		return result
+	task := &s.Tasks[index]
+	if task.Run != end.Run || task.Runner != end.Runner || task.Phase != Live && task.Phase != DoneLive {
+		return EndResult{Step: s}
 	}
-	result.Applied = true
-	if checkpoint != "" {
-		task.Checkpoint = checkpoint
+	if end.Checkpoint != "" {
+		task.Checkpoint = end.Checkpoint
 	}
 	switch {
 	case task.Phase == DoneLive:
-		t.setPhase(s, name.Index, Done)
-	case reason == EndDone && !s.Stage.GetLongRunning():
-		t.setPhase(s, name.Index, Done)
+		t.setPhase(s, index, Done)
+	case end.Reason == EndDone && !s.Stage.GetLongRunning():
+		t.setPhase(s, index, Done)
 		t.completeGang(s)
 	default:
-		t.setPhase(s, name.Index, Waiting)
-		if reason == EndFailed {
-			s.countFailure(name.Index, run, runner)
+		t.setPhase(s, index, Waiting)
+		if end.Reason == EndFailed {
+			s.countFailure(index, end.Run, end.Runner)
 		}
 	}
-	t.Writes.putTask(s, name.Index)
-	t.advance(s, name.Index, maxAttempts, nowMs)
-	return result
+	t.Writes.putTask(s, index)
+	t.advance(s, index, maxAttempts, nowMs)
+	return EndResult{Step: s, Applied: true}
 }
 
 // setPhase is the one place where a task's phase changes.
--- a/internal/control/placement/fleet.go
+++ b/internal/control/placement/fleet.go
@@ -130,7 +130,7 @@
 }
 
 // RecordOutcome records for a runner's health how a run of a job's task ended there.
-func (f *Fleet) RecordOutcome(r *Runner, job string, failed bool, now time.Duration) {
+func (f *Fleet) RecordOutcome(r *Runner, job string, outcome Outcome, now time.Duration) {
 	f.changes++
-	f.update(r, func() { r.health.recordOutcome(job, failed, now) })
+	f.update(r, func() { r.health.recordOutcome(job, outcome, now) })
 }
--- a/internal/control/placement/health.go
+++ b/internal/control/placement/health.go
@@ -20,6 +20,15 @@
 	maxEjectedFraction = 1.0 / 3
 )
 
+// Outcome is how a run ended, as far as that says something of its runner.
+type Outcome int
+
+// The outcomes of a run.
+const (
+	Success Outcome = iota
+	Failure
+)
+
 // health is what the outcomes of its runs say of a runner: outlier detection with ejection and probation. Within
 // ejectionTime of its last failure a runner on probation is ejected; afterwards it takes one task at a time until one
 // succeeds.
@@ -34,10 +43,10 @@
 
 // recordOutcome takes an outcome into account. Further failures of the job that failed last count only for the time of
 // the last failure.
-func (h *health) recordOutcome(job string, failed bool, now time.Duration) {
+func (h *health) recordOutcome(job string, outcome Outcome, now time.Duration) {
 	value := 0.0
 	switch {
-	case !failed:
+	case outcome == Success:
 		h.consecutiveFailedJobs, h.probation, h.lastFailedJob = 0, false, ""
 	case job == h.lastFailedJob:
 		h.lastFailure = now
--- a/internal/control/placement/health_test.go
+++ b/internal/control/placement/health_test.go
@@ -11,14 +11,14 @@
 func TestEjection(t *testing.T) {
 	f := newTestFleet(t, 4, bigRunner)
 	bad := f.Runner("r0")
-	f.RecordOutcome(bad, "j1", true, 0)
-	f.RecordOutcome(bad, "j1", true, 0)
+	f.RecordOutcome(bad, "j1", Failure, 0)
+	f.RecordOutcome(bad, "j1", Failure, 0)
 	require.False(t, bad.Ejected(0), "one job may be at fault itself")
 	again := taskRequest(100, func(r *Request) { r.Avoid = "r0" })
 	require.NotEqual(t, "r0", f.Pick(again, 0).ID)
 	last := taskRequest(100, func(r *Request) { r.LastAttempt = true })
 	require.NotEqual(t, "r0", f.Pick(last, 0).ID)
-	f.RecordOutcome(bad, "j2", true, time.Second)
+	f.RecordOutcome(bad, "j2", Failure, time.Second)
 	require.True(t, bad.Ejected(time.Second))
 	for range 20 {
 		require.NotEqual(t, "r0", f.Pick(taskRequest(100), time.Second).ID)
@@ -28,7 +28,7 @@
 	f.Reserve(bad, "trial", taskRequest(100).Demand, Group{})
 	require.NotEqual(t, "r0", f.Pick(taskRequest(100), later).ID, "by one task")
 	f.Release(bad, "trial")
-	f.RecordOutcome(bad, "j3", false, later)
+	f.RecordOutcome(bad, "j3", Success, later)
 	f.Reserve(bad, "more", taskRequest(100).Demand, Group{})
 	require.Equal(t, "r0", f.Pick(taskRequest(100), later).ID, "a success ends the probation")
 }
@@ -36,7 +36,7 @@
 // eject records failures of two jobs, which eject a runner.
 func eject(f *Fleet, r *Runner) {
 	for i := range 2 {
-		f.RecordOutcome(r, fmt.Sprint("j", i), true, 0)
+		f.RecordOutcome(r, fmt.Sprint("j", i), Failure, 0)
 	}
 }
 
--- a/internal/control/placement/pool_test.go
+++ b/internal/control/placement/pool_test.go
@@ -59,7 +59,7 @@
 			case 2:
 				f.SetUsable(r, rng.IntN(3) > 0)
 			case 3:
-				f.RecordOutcome(r, fmt.Sprint("j", rng.IntN(3)), rng.IntN(2) == 0, time.Duration(i)*time.Second)
+				f.RecordOutcome(r, fmt.Sprint("j", rng.IntN(3)), []Outcome{Failure, Success}[rng.IntN(2)], time.Duration(i)*time.Second)
 			case 4, 5:
 				f.Release(r, task)
 			default:
--- a/internal/control/scheduler/ends.go
+++ b/internal/control/scheduler/ends.go
@@ -2,6 +2,7 @@
 
 import (
 	"frosttide/internal/control/jobs"
+	"frosttide/internal/control/placement"
 	"frosttide/internal/protocol"
 )
 
@@ -34,7 +35,7 @@
 	}
 	reason := jobs.EndReason(end.GetHow())
 	first := s.firstFailure(name)
-	result := s.jobs.RecordEnd(name, end.GetRun(), r.id, reason, end.GetSaved(), s.maxAttempts(name.Job), s.wallMs)
+	result := s.jobs.RecordEnd(jobs.End{Task: name, Run: end.GetRun(), Runner: r.id, Reason: reason, Checkpoint: end.GetSaved()}, s.maxAttempts(name.Job), s.wallMs)
 	if run, live := r.live[end.GetTask()]; live && run.number == end.GetRun() {
 		s.releaseRun(r, end.GetTask())
 	}
@@ -42,8 +43,11 @@
 		return
 	}
 	s.countEnd(result.Step, reason)
-	if reason == jobs.EndDone || reason == jobs.EndFailed && first {
-		s.fleet.RecordOutcome(r.fleetRunner, name.Job, reason == jobs.EndFailed, s.now)
+	switch {
+	case reason == jobs.EndDone:
+		s.fleet.RecordOutcome(r.fleetRunner, name.Job, placement.Success, s.now)
+	case reason == jobs.EndFailed && first:
+		s.fleet.RecordOutcome(r.fleetRunner, name.Job, placement.Failure, s.now)
 	}
 }
 
@@ -63,7 +67,7 @@
 		if run.pending {
 			continue
 		}
-		s.jobs.RecordEnd(name, run.number, r.id, jobs.EndRefused, "", s.maxAttempts(name.Job), s.wallMs)
+		s.jobs.RecordEnd(jobs.End{Task: name, Run: run.number, Runner: r.id, Reason: jobs.EndRefused}, s.maxAttempts(name.Job), s.wallMs)
 		s.countEnd(run.step, jobs.EndRefused)
 		s.releaseRun(r, ref.GetTask())
 	}
--- a/internal/control/scheduler/runners.go
+++ b/internal/control/scheduler/runners.go
@@ -110,7 +110,7 @@
 	for _, task := range slices.Sorted(maps.Keys(r.live)) {
 		run := r.live[task]
 		if name, ok := jobs.ParseTask(task); ok {
-			s.jobs.RecordEnd(name, run.number, id, jobs.EndLost, "", s.maxAttempts(name.Job), s.wallMs)
+			s.jobs.RecordEnd(jobs.End{Task: name, Run: run.number, Runner: id, Reason: jobs.EndLost}, s.maxAttempts(name.Job), s.wallMs)
 		}
 		s.countRunning(run.step, -1)
 		s.countEnd(run.step, jobs.EndLost)
