--- a/internal/control/placement/fleet.go
+++ b/internal/control/placement/fleet.go
@@ -44,7 +44,7 @@
 }
 
 // Add returns the runner with an id, and adds it without capacity where it is not known. Runs may be reserved on it
-// before UpdateRunner tells its capacity.
+// before UpdateRunner sets its capacity.
 func (f *Fleet) Add(id string) *Runner {
 	if r := f.runners[id]; r != nil {
 		return r
@@ -130,7 +130,7 @@
 }
 
 // RecordOutcome records for a runner's health how a run of a job's task ended there.
-func (f *Fleet) RecordOutcome(r *Runner, job string, failed bool, now time.Duration) {
+func (f *Fleet) RecordOutcome(r *Runner, job string, outcome Outcome, now time.Duration) {
 	f.changes++
-	f.update(r, func() { r.health.recordOutcome(job, failed, now) })
+	f.update(r, func() { r.health.recordOutcome(job, outcome, now) })
 }
