--- a/internal/testkit/devcluster/calls.go
+++ b/internal/testkit/devcluster/calls.go
@@ -42,8 +42,8 @@
 		return 0, nil, errors.Wrap(err, "dev cluster: call")
 	}
 	defer response.Body.Close()
-	answer, err := io.ReadAll(response.Body)
-	return response.StatusCode, answer, errors.Wrapf(err, "dev cluster: read the response of %s %s", method, url)
+	content, err := io.ReadAll(response.Body)
+	return response.StatusCode, content, errors.Wrapf(err, "dev cluster: read the response of %s %s", method, url)
 }
 
 // Configure gives the cluster its configuration and waits until all gateways have it. It tells whether each step was
@@ -77,11 +77,11 @@
 	if err != nil || status != http.StatusOK {
 		return ""
 	}
-	var answer struct{ State string }
-	if json.Unmarshal(body, &answer) != nil {
+	var job struct{ State string }
+	if json.Unmarshal(body, &job) != nil {
 		return ""
 	}
-	return answer.State
+	return job.State
 }
 
 // Head returns the machine whose process serves as the head, nil where none says so.
@@ -91,10 +91,10 @@
 		if err != nil || status != http.StatusOK {
 			continue
 		}
-		var answer struct {
+		var head struct {
 			Serving bool `json:"serving"`
 		}
-		if json.Unmarshal(body, &answer) == nil && answer.Serving {
+		if json.Unmarshal(body, &head) == nil && head.Serving {
 			return m
 		}
 	}
--- a/internal/testkit/fakerunner/heartbeat.go
+++ b/internal/testkit/fakerunner/heartbeat.go
@@ -41,7 +41,7 @@
 
 // heartbeatResponse is an agent's response. The names of the fields are the protocol's JSON keys.
 type heartbeatResponse struct {
-	HoldMs     int64  // how long all runs may go on from the heartbeat's sending; 0 for no orders
+	HoldMs     int64  // the run lease: how long all runs may go on from the sending of the heartbeat; 0 for no orders
 	LastSeen   uint64 // the highest number of an end that is acknowledged
 	FenceToken uint64
 	RetryMs    int64   // the interval until the next heartbeat
@@ -105,7 +105,7 @@
 	if orders.HoldMs == 0 {
 		return
 	}
-	r.extendHold(sent.Add(time.Duration(orders.HoldMs) * time.Millisecond))
+	r.extendRunLease(sent.Add(time.Duration(orders.HoldMs) * time.Millisecond))
 	for _, s := range orders.Stop {
 		r.stop(stringAt(s, 0), numberAt(s, 1))
 	}
@@ -115,18 +115,18 @@
 }
 
 // stringAt returns the text at a position of a list, empty where there is none.
-func stringAt(list []any, at int) string {
-	if at < len(list) {
-		s, _ := list[at].(string)
+func stringAt(items []any, at int) string {
+	if at < len(items) {
+		s, _ := items[at].(string)
 		return s
 	}
 	return ""
 }
 
 // numberAt returns the number at a position of a list, 0 where there is none.
-func numberAt(list []any, at int) uint32 {
-	if at < len(list) {
-		n, _ := list[at].(float64)
+func numberAt(items []any, at int) uint32 {
+	if at < len(items) {
+		n, _ := items[at].(float64)
 		return uint32(n)
 	}
 	return 0
--- a/internal/testkit/fakerunner/runner.go
+++ b/internal/testkit/fakerunner/runner.go
@@ -1,8 +1,8 @@
 // Package fakerunner is a runner for demonstrations and tests. It sends heartbeats to its agent and obeys the
 // responses, but its tasks only wait for the time that their spec names.
 //
-// It keeps the runner's side of the protocol: a fencing token never goes back, runs end as lapsed when their hold
-// expires, and the end of a run is reported in each heartbeat until it is acknowledged.
+// It keeps the runner's side of the protocol: a fencing token never goes back, runs end as lapsed when their lease
+// (the "hold" of the protocol) expires, and the end of a run is reported in each heartbeat until it is acknowledged.
 //
 // The development cluster (devcluster) starts one for each agent. A Runner is safe for concurrent use.
 package fakerunner
@@ -57,9 +57,9 @@
 	unacknowledgedEnds []End           // in the order of their numbers
 
 	// What earlier responses have said.
-	fencingToken uint64            // the highest so far; responses with a lower one are ignored
-	blockedRuns  map[string]uint32 // by task, the highest run that must not start any more
-	holdTimer    *time.Timer       // ends all runs when the hold expires; nil before the first hold
+	fencingToken  uint64            // the highest so far; responses with a lower one are ignored
+	blockedRuns   map[string]uint32 // by task, the highest run that must not start any more
+	runLeaseTimer *time.Timer       // ends all runs when the run lease expires; nil before the first one
 
 	history []End // all ends, for tests
 }
--- a/internal/testkit/fakerunner/runs.go
+++ b/internal/testkit/fakerunner/runs.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// extendHold has all runs end as lapsed at a time, unless the hold is extended again before. The lock is held.
-func (r *Runner) extendHold(until time.Time) {
-	if r.holdTimer != nil {
-		r.holdTimer.Stop()
+// extendRunLease has all runs end as lapsed at a time, unless the lease is extended again before. The lock is held.
+func (r *Runner) extendRunLease(until time.Time) {
+	if r.runLeaseTimer != nil {
+		r.runLeaseTimer.Stop()
 	}
-	r.holdTimer = time.AfterFunc(time.Until(until), func() {
+	r.runLeaseTimer = time.AfterFunc(time.Until(until), func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, run := range r.running {
--- a/internal/testkit/lab/scenarios/deployment.go
+++ b/internal/testkit/lab/scenarios/deployment.go
@@ -18,8 +18,8 @@
 	maxCrossZoneMs  = 8.0
 	minSyncMs       = 2.0
 	maxSyncMs       = 15.0
-	minHoldMs       = 6000
-	maxHoldMs       = 16000
+	minRunLeaseMs   = 6000
+	maxRunLeaseMs   = 16000
 	maxCPUs         = 4
 	minCPUScale     = 0.8
 	maxCPUScale     = 1.5
@@ -128,11 +128,11 @@
 	return m
 }
 
-// varyPeriods draws the heartbeat interval, the distance between zones and the longest hold.
+// varyPeriods draws the heartbeat interval, the distance between zones and the longest run lease.
 func (g *generator) varyPeriods() {
 	set(g.root, "discovery", "beat_ms", int64(g.between(minHeartbeatMs, maxHeartbeatMs)))
 	set(g.root, "net", "cross_zone_ms", g.between(minCrossZoneMs, maxCrossZoneMs))
-	set(g.root, "timing", "hold_max_ms", math.Round(g.between(minHoldMs, maxHoldMs)))
+	set(g.root, "timing", "hold_max_ms", math.Round(g.between(minRunLeaseMs, maxRunLeaseMs)))
 }
 
 // varySizes draws how fast the machines are.
--- a/internal/testkit/lab/scenarios/faults.go
+++ b/internal/testkit/lab/scenarios/faults.go
@@ -19,14 +19,14 @@
 	"clock_step":     {draw: clockStep},
 	"config_change":  {planned: true, draw: repeated("route", "timeout", "idle")},
 	"config_race":    {planned: true, draw: repeated("")},
-	"core_cut":       {draw: coreCut},
+	"core_cut":       {draw: corePartition},
 	"disk_full":      {draw: onDisks(0)},
 	"disk_slow":      {draw: onDisks(30)},
 	"disk_stall":     {draw: onDisks(0)},
 	"give_up":        {draw: sharing(3, 6, 0.1, 0.35)},
 	"herd_kill":      {draw: herdKill},
 	"hup":            {planned: true, draw: func(g *generator) table { return table{"share": g.between(0.2, 1), "gap_s": 1.0} }},
-	"node_cut":       {draw: nodeCut},
+	"node_cut":       {draw: nodePartition},
 	"node_freeze":    {draw: onMachines("leader", "")},
 	"node_kill":      {draw: onMachines("power", "leader", "seed", "")},
 	"node_slow":      {draw: sharing(2, 6, 0.05, 0.2)},
@@ -54,9 +54,9 @@
 }
 
 // sharing draws how long a fault lasts, in seconds, and the share of the machines that it strikes.
-func sharing(lower, upper, minShare, maxShare float64) func(*generator) table {
+func sharing(lower, upper, minFraction, maxFraction float64) func(*generator) table {
 	return func(g *generator) table {
-		return table{"for_s": g.between(lower, upper), "share": g.between(minShare, maxShare)}
+		return table{"for_s": g.between(lower, upper), "share": g.between(minFraction, maxFraction)}
 	}
 }
 
@@ -103,7 +103,7 @@
 	return table{"share": g.between(0.2, 0.6), "x": g.between(500, 5000), "for_s": g.between(3, 8), "how": g.pick([]string{"back", "ahead"})}
 }
 
-func coreCut(g *generator) table {
+func corePartition(g *generator) table {
 	return table{"count": int64(1 + g.rng.IntN(g.tolerated)), "for_s": g.between(2, 7), "how": g.pick([]string{"", "leader", "behind", "leader race"})}
 }
 
@@ -115,7 +115,7 @@
 	return out
 }
 
-func nodeCut(g *generator) table {
+func nodePartition(g *generator) table {
 	out := table{"share": g.between(0.1, 0.25), "for_s": g.between(2, 6)}
 	if g.rng.IntN(2) == 0 {
 		out["on"] = "side"
--- a/internal/testkit/simnet/checker.go
+++ b/internal/testkit/simnet/checker.go
@@ -18,14 +18,14 @@
 
 // runRecord is a run as the checker knows it, whatever became of its runner.
 type runRecord struct {
-	runner       *runner
-	run          *run
-	startedAt    time.Duration
-	endedAt      time.Duration
-	outcome      string // empty while it runs
-	endNumber    uint64 // of its end at its runner
-	acknowledged bool   // the runner was told that its end is known
-	holdExpired  bool   // the runner's hold expired after the end and before it was acknowledged
+	runner          *runner
+	run             *run
+	startedAt       time.Duration
+	endedAt         time.Duration
+	outcome         string // empty while it runs
+	endNumber       uint64 // of its end at its runner
+	acknowledged    bool   // the runner was told that its end is known
+	runLeaseExpired bool   // the run lease expired after the end and before it was acknowledged
 }
 
 // checker checks the rules at each start, end and answer, by what really happened.
@@ -103,12 +103,12 @@
 	}
 }
 
-// expireHolds records that a runner's hold has expired.
-func (c *checker) expireHolds(r *runner) {
+// expireRunLease records that a runner's run lease has expired.
+func (c *checker) expireRunLease(r *runner) {
 	for _, records := range c.runs {
 		for _, record := range records {
 			if record.runner == r && record.outcome != "" && !record.acknowledged {
-				record.holdExpired = true
+				record.runLeaseExpired = true
 			}
 		}
 	}
--- a/internal/testkit/simnet/client.go
+++ b/internal/testkit/simnet/client.go
@@ -61,9 +61,9 @@
 			result()
 		}
 	}
-	retry := func(count *int, pause time.Duration) {
+	retry := func(count *int, delay time.Duration) {
 		*count++
-		sim.after(pause, func() { c.attemptSubmit(j) })
+		sim.after(delay, func() { c.attemptSubmit(j) })
 	}
 	submit := &protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: j.submission()}}
 	sim.anyGateway().request(submit, update, clientTimeout, func(o chainclient.Outcome) {
--- a/internal/testkit/simnet/configreads.go
+++ b/internal/testkit/simnet/configreads.go
@@ -26,7 +26,7 @@
 // read reads the configuration at any gateway and checks it. Then is told the version, and whether it was answered.
 func (o *operator) read(then func(version uint64, ok bool)) {
 	sim := o.sim
-	atLeast := o.newestAcknowledged
+	minVersion := o.newestAcknowledged
 	answered := false
 	finish := func(version uint64, ok bool) {
 		if !answered {
@@ -40,7 +40,7 @@
 			finish(0, false)
 			return
 		}
-		version := o.checkRead(out.Reply.GetBody(), atLeast)
+		version := o.checkRead(out.Reply.GetBody(), minVersion)
 		o.recordRead(began, version)
 		finish(version, true)
 	})
@@ -54,10 +54,10 @@
 
 // readAt reads the configuration at a member and checks it.
 func (o *operator) readAt(c *core) {
-	atLeast, began := o.newestAcknowledged, o.sim.now
+	minVersion, began := o.newestAcknowledged, o.sim.now
 	c.request(readConfig(), readOnly, func(reply *protocol.ClientReply) {
 		if reply.GetStatus() == http.StatusOK {
-			o.recordRead(began, o.checkRead(reply.GetBody(), atLeast))
+			o.recordRead(began, o.checkRead(reply.GetBody(), minVersion))
 		}
 	})
 }
@@ -65,21 +65,21 @@
 // statusAt reads the status of the placement role at a member and checks that it is not older than what was
 // acknowledged.
 func (o *operator) statusAt(c *core) {
-	atLeast := o.newestAcknowledged
+	minVersion := o.newestAcknowledged
 	status := &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: &protocol.ReadStatus{}}}
 	c.request(status, update, func(reply *protocol.ClientReply) {
 		if reply.GetStatus() != http.StatusOK {
 			return
 		}
-		if version := uint64(fastjson.GetInt(reply.GetBody(), "config_version")); version < atLeast {
-			o.sim.violation("CONFIG", "%s shows the state of version %d after %d was acknowledged", c.address, version, atLeast)
+		if version := uint64(fastjson.GetInt(reply.GetBody(), "config_version")); version < minVersion {
+			o.sim.violation("CONFIG", "%s shows the state of version %d after %d was acknowledged", c.address, version, minVersion)
 		}
 	})
 }
 
 // checkRead checks a configuration that was read: it is at least as new as what was acknowledged before the read, and
 // one that the operator has made. It returns the version.
-func (o *operator) checkRead(body []byte, atLeast uint64) uint64 {
+func (o *operator) checkRead(body []byte, minVersion uint64) uint64 {
 	sim := o.sim
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
@@ -87,8 +87,8 @@
 		return 0
 	}
 	version := v.GetUint64("Version")
-	if version < atLeast {
-		sim.violation("CONFIG", "version %d is read back after %d was acknowledged", version, atLeast)
+	if version < minVersion {
+		sim.violation("CONFIG", "version %d is read back after %d was acknowledged", version, minVersion)
 	}
 	for _, t := range o.candidates[version] {
 		if string(t.table.Document()) == string(body) {
--- a/internal/testkit/simnet/faults.go
+++ b/internal/testkit/simnet/faults.go
@@ -39,7 +39,7 @@
 		return core
 	}
 	return append(core, sim.crashAgent, sim.pauseAgent, sim.partitionAgent, sim.partitionAgentOneWay, sim.crashGateway,
-		sim.crashRunner, sim.restartRunner, sim.drainRunner, sim.leaveWithoutDraining, sim.delayHeartbeats)
+		sim.crashRunner, sim.restartRunner, sim.drainRunner, sim.deregisterWithoutDraining, sim.delayHeartbeats)
 }
 
 // drawFaults draws the faults of the simulation, in the order of their times.
--- a/internal/testkit/simnet/heartbeat.go
+++ b/internal/testkit/simnet/heartbeat.go
@@ -15,7 +15,7 @@
 	}
 	sim, h := r.host.sim, r.host
 	r.heartbeatPending = true
-	beat := r.heartbeat()
+	message := r.heartbeat()
 	sent, incarnation := sim.now, h.incarnation
 	delay := r.localDelay()
 	if sim.now < r.delayHeartbeatsUntil {
@@ -24,12 +24,12 @@
 	if h.up {
 		sim.after(delay, func() {
 			if h.up && h.incarnation == incarnation {
-				sim.execute(h.process, func() { r.deliverHeartbeat(beat, sent) })
+				sim.execute(h.process, func() { r.deliverHeartbeat(message, sent) })
 			}
 		})
 	}
 	sim.after(responseTimeout, func() {
-		if r.heartbeatPending && r.heartbeatSequence == beat.Sequence {
+		if r.heartbeatPending && r.heartbeatSequence == message.Sequence {
 			r.heartbeatPending = false
 			sim.after(r.heartbeatInterval, r.sendHeartbeat)
 		}
@@ -39,22 +39,22 @@
 // heartbeat returns the next heartbeat.
 func (r *runner) heartbeat() *agent.Heartbeat {
 	r.heartbeatSequence++
-	beat := &agent.Heartbeat{Sequence: r.heartbeatSequence, Account: r.account()}
+	message := &agent.Heartbeat{Sequence: r.heartbeatSequence, Account: r.account()}
 	for _, one := range r.sortedRuns() {
-		beat.Running = append(beat.Running, &protocol.RunProgress{Task: one.task, Run: one.number, Saved: one.checkpoint})
+		message.Running = append(message.Running, &protocol.RunProgress{Task: one.task, Run: one.number, Saved: one.checkpoint})
 	}
-	beat.Finished = append(beat.Finished, r.unacknowledgedEnds...)
-	return beat
+	message.Finished = append(message.Finished, r.unacknowledgedEnds...)
+	return message
 }
 
 // deliverHeartbeat has the agent handle a heartbeat and sends the response back.
-func (r *runner) deliverHeartbeat(beat *agent.Heartbeat, sent time.Duration) {
+func (r *runner) deliverHeartbeat(message *agent.Heartbeat, sent time.Duration) {
 	sim, h := r.host.sim, r.host
-	response := h.node.Machine.HandleHeartbeat(sim.clock(h.process), beat)
-	if beat.Account.GetDraining() && r.drainAcknowledgedAt == 0 {
+	response := h.node.Machine.HandleHeartbeat(sim.clock(h.process), message)
+	if message.Account.GetDraining() && r.drainAcknowledgedAt == 0 {
 		r.drainAcknowledgedAt = sim.now
 	}
-	sim.after(r.localDelay(), func() { r.handleResponse(beat.Sequence, sent, response) })
+	sim.after(r.localDelay(), func() { r.handleResponse(message.Sequence, sent, response) })
 }
 
 // localDelay draws how long a message takes between the runner and its agent.
@@ -79,7 +79,7 @@
 	if response.RunLease <= 0 {
 		return
 	}
-	r.extendHold(sent, response.RunLease)
+	r.extendRunLease(sent, response.RunLease)
 	for _, ref := range response.Stop {
 		r.stop(ref.GetTask(), ref.GetRun())
 	}
@@ -96,33 +96,33 @@
 	}
 }
 
-// extendHold lets the runs go on until the end of a hold, which counts from the sending of a heartbeat by the
+// extendRunLease lets the runs go on until the end of a run lease, which counts from the sending of a heartbeat by the
 // runner's clock. Then all of them lapse, unless it is extended before.
-func (r *runner) extendHold(sent, hold time.Duration) {
-	until := sent + time.Duration(float64(min(hold, maxHold))*r.clockRate)
-	if until <= r.holdUntil {
+func (r *runner) extendRunLease(sent, runLease time.Duration) {
+	until := sent + time.Duration(float64(min(runLease, maxRunLease))*r.clockRate)
+	if until <= r.runLeaseExpiry {
 		return
 	}
-	r.holdUntil = until
-	if r.holdTimerSet {
+	r.runLeaseExpiry = until
+	if r.runLeaseTimerSet {
 		return
 	}
-	r.holdTimerSet = true
-	r.host.sim.after(r.holdUntil-r.host.sim.now, r.checkHold)
+	r.runLeaseTimerSet = true
+	r.host.sim.after(r.runLeaseExpiry-r.host.sim.now, r.checkRunLease)
 }
 
-// checkHold has all runs lapse if the hold has expired, and looks again at its end otherwise.
-func (r *runner) checkHold() {
+// checkRunLease has all runs lapse if the run lease has expired, and looks again at its end otherwise.
+func (r *runner) checkRunLease() {
 	sim := r.host.sim
 	if !r.up {
 		return
 	}
-	if sim.now < r.holdUntil {
-		sim.after(r.holdUntil-sim.now, r.checkHold)
+	if sim.now < r.runLeaseExpiry {
+		sim.after(r.runLeaseExpiry-sim.now, r.checkRunLease)
 		return
 	}
-	r.holdTimerSet = false
-	sim.checker.expireHolds(r)
+	r.runLeaseTimerSet = false
+	sim.checker.expireRunLease(r)
 	for _, one := range r.sortedRuns() {
 		r.end(one, "lapsed")
 	}
--- a/internal/testkit/simnet/history_test.go
+++ b/internal/testkit/simnet/history_test.go
@@ -71,7 +71,7 @@
 	},
 }
 
-// operations returns a play's calls of some kinds as porcupine takes them.
+// operations returns a simulation's calls of some kinds as porcupine takes them.
 func operations(r *Report, kinds ...CallKind) (out []porcupine.Operation) {
 	const end = int64(time.Hour)
 	for i, c := range r.Calls {
@@ -89,7 +89,8 @@
 	return out
 }
 
-// TestHistories holds what operators and clients saw in plays of many seeds against one register, and one state a job.
+// TestHistories checks what operators and clients saw in simulations of many seeds against one register for the
+// configuration, and one state for each job.
 func TestHistories(t *testing.T) {
 	seeds := uint64(16)
 	if raceDetectorOn {
@@ -116,16 +117,25 @@
 func TestHistoriesThatCannotBe(t *testing.T) {
 	first := Call{Kind: OrderCall, Began: 1, Ended: 2, Order: 1, Match: 0, Version: 1, Acknowledged: true}
 	second := Call{Kind: OrderCall, Began: 3, Ended: 4, Order: 2, Match: 0, Version: 2, Acknowledged: true}
-	bad := func(m porcupine.Model, calls ...Call) {
-		t.Helper()
-		require.False(t, porcupine.CheckOperations(m, operations(&Report{Calls: calls}, OrderCall, ReadCall, StateCall)))
+	completed := Call{Kind: StateCall, Began: 1, Ended: 2, State: "completed"}
+	indeterminate := second
+	indeterminate.Ended = 0
+	for _, tc := range []struct {
+		name    string
+		model   porcupine.Model
+		calls   []Call
+		allowed bool
+	}{
+		{"two orders on one version are acknowledged", configuration, []Call{first, second}, false},
+		{"the second of them without an answer", configuration, []Call{first, indeterminate}, true},
+		{"a read shows the version before an acknowledged order", configuration, []Call{first, {Kind: ReadCall, Began: 3, Ended: 4, Version: 0}}, false},
+		{"an acknowledged order is refused when it comes again", configuration, []Call{first, {Kind: OrderCall, Began: 5, Ended: 6, Order: 1, Match: 0, Version: 1}}, false},
+		{"a completed job runs", jobState, []Call{completed, {Kind: StateCall, Began: 3, Ended: 4, State: "running"}}, false},
+		{"a completed job has failed", jobState, []Call{completed, {Kind: StateCall, Began: 3, Ended: 4, State: "failed"}}, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			history := operations(&Report{Calls: tc.calls}, OrderCall, ReadCall, StateCall)
+			require.Equal(t, tc.allowed, porcupine.CheckOperations(tc.model, history))
+		})
 	}
-	bad(configuration, first, second)
-	bad(configuration, first, Call{Kind: ReadCall, Began: 3, Ended: 4, Version: 0})
-	bad(configuration, first, Call{Kind: OrderCall, Began: 5, Ended: 6, Order: 1, Match: 0, Version: 1})
-	bad(jobState, Call{Kind: StateCall, Began: 1, Ended: 2, State: "completed"}, Call{Kind: StateCall, Began: 3, Ended: 4, State: "running"})
-	bad(jobState, Call{Kind: StateCall, Began: 1, Ended: 2, State: "completed"}, Call{Kind: StateCall, Began: 3, Ended: 4, State: "failed"})
-	unclear := second
-	unclear.Ended = 0
-	require.True(t, porcupine.CheckOperations(configuration, operations(&Report{Calls: []Call{first, unclear}}, OrderCall)))
 }
--- a/internal/testkit/simnet/losses_test.go
+++ b/internal/testkit/simnet/losses_test.go
@@ -1,16 +1,18 @@
 package simnet
 
 import (
+	"fmt"
 	"testing"
 
 	"github.com/stretchr/testify/require"
 )
 
-// TestLossesStayWithinTheTolerance plays the seeds in which the plays lost more than the deployment has to bear: two
+// TestLossesStayWithinTheTolerance simulates the seeds in which faults once lost more than the fault tolerance covers: two
 // disks in place of one, as a machine had come since they were drawn, and a disk while a machine was being replaced.
 func TestLossesStayWithinTheTolerance(t *testing.T) {
 	for _, seed := range []uint64{72450, 74125, 74281} {
-		report := Run(DefaultOptions(seed))
-		require.Empty(t, report.Violations, "seed %d", seed)
+		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
+			require.Empty(t, Run(DefaultOptions(seed)).Violations)
+		})
 	}
 }
--- a/internal/testkit/simnet/race_test.go
+++ b/internal/testkit/simnet/racedetectoron_test.go
@@ -2,4 +2,4 @@
 
 package simnet
 
-const raced = true
+const raceDetectorOn = true
--- a/internal/testkit/simnet/runner.go
+++ b/internal/testkit/simnet/runner.go
@@ -26,8 +26,8 @@
 	blockedRuns        map[string]uint32 // by task, the highest run that must not start any more
 	unacknowledgedEnds []*protocol.RunEnd
 	lastEndNumber      uint64
-	holdUntil          time.Duration // true time at which all runs lapse
-	holdTimerSet       bool
+	runLeaseExpiry     time.Duration // true time at which all runs lapse
+	runLeaseTimerSet   bool
 
 	fencingToken         uint64 // the highest so far
 	heartbeatSequence    uint64
--- a/internal/testkit/simnet/runnerfaults.go
+++ b/internal/testkit/simnet/runnerfaults.go
@@ -47,8 +47,8 @@
 	}}
 }
 
-// leaveWithoutDraining draws a runner that deregisters without having drained, runs on for a time and ends.
-func (sim *simulation) leaveWithoutDraining() fault {
+// deregisterWithoutDraining draws a runner that deregisters without having drained, runs on for a time and ends.
+func (sim *simulation) deregisterWithoutDraining() fault {
 	h, d := sim.anyRunnerHost(), sim.randomDuration(100*time.Millisecond, 9*time.Second)
 	delayed := sim.rng.IntN(2) == 0
 	return fault{fmt.Sprintf("the runner at %s deregisters without draining, runs on for %v (delayed heartbeats: %v) and ends", h.address, d, delayed), func() {
--- a/internal/testkit/simnet/runnerhost.go
+++ b/internal/testkit/simnet/runnerhost.go
@@ -11,7 +11,7 @@
 // The bounds that the simulation keeps. They are those of the examples of the rules.
 const (
 	lease              = 12 * time.Second
-	maxHold            = 6 * time.Second
+	maxRunLease        = 6 * time.Second
 	stopTime           = 400 * time.Millisecond // how long a run takes at most to stop
 	gangTimeout        = 3 * time.Second        // how long a gang's first member waits for the others
 	responseTimeout    = time.Second            // of a heartbeat
@@ -62,7 +62,7 @@
 func (h *runnerHost) boot() {
 	sim := h.sim
 	sim.start(h.process)
-	h.node = agent.NewNode(agent.Config{Incarnation: sim.rng.Uint64() >> 1, MaxRunLease: maxHold, Contacts: contacts(),
+	h.node = agent.NewNode(agent.Config{Incarnation: sim.rng.Uint64() >> 1, MaxRunLease: maxRunLease, Contacts: contacts(),
 		Seed: sim.rng.Uint64()}, h.address, sim.clock(h.process))
 	h.turn()
 	sim.repeat(h.process, 2*tickInterval, func() {
--- a/internal/testkit/simnet/simnet.go
+++ b/internal/testkit/simnet/simnet.go
@@ -70,10 +70,10 @@
 }
 
 const (
-	// maxSettleTime is how long a simulation goes on at most without faults and new jobs until all has to be in order,
-	// minSettleTime at least.
-	maxSettleTime = 45 * time.Second
-	minSettleTime = 8 * time.Second
+	// maxQuiesceTime is how long a simulation goes on at most without faults and new jobs until all has to be in order,
+	// minQuiesceTime at least.
+	maxQuiesceTime = 45 * time.Second
+	minQuiesceTime = 8 * time.Second
 	// commitTime is how long the head's newest entries may take to be committed: until then readers see the state before.
 	commitTime = time.Second
 	// maxMinimizeRuns bounds the simulations of MinimizeFaults.
@@ -104,8 +104,8 @@
 	sim.after(compareInterval, sim.compareStates)
 	sim.after(2*time.Second, sim.readEverywhere)
 	sim.startClients()
-	sim.advance(o.Length + minSettleTime)
-	for sim.now < o.Length+maxSettleTime && !sim.idle() && len(sim.report.Violations) == 0 {
+	sim.advance(o.Length + minQuiesceTime)
+	for sim.now < o.Length+maxQuiesceTime && !sim.idle() && len(sim.report.Violations) == 0 {
 		sim.advance(sim.now + time.Second)
 	}
 	sim.advance(sim.now + commitTime)
--- a/internal/testkit/simnet/play_test.go
+++ b/internal/testkit/simnet/simnet_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// TestPlays holds the rules on plays of many seeds.
+// TestPlays checks the rules on simulations of many seeds.
 func TestPlays(t *testing.T) {
-	plays := uint64(100)
+	seeds := uint64(100)
 	if raceDetectorOn {
-		plays = 15 // the detector makes each one many times as long
+		seeds = 15 // the detector makes each one many times as long
 	}
-	atOnce := make(chan struct{}, 2) // other packages' tests have clocks to keep
-	for seed := range plays {
+	atOnce := make(chan struct{}, 2) // the tests of other packages need processors too
+	for seed := range seeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			atOnce <- struct{}{}
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestRepeats has a play of the same seed be the same play.
+// TestRepeats has a simulation of the same seed be the same simulation.
 func TestRepeats(t *testing.T) {
 	a, b := Run(DefaultOptions(7)), Run(DefaultOptions(7))
 	if a.Starts != b.Starts || a.Done != b.Done || a.Accepted != b.Accepted {
--- a/internal/testkit/simnet/startchecks.go
+++ b/internal/testkit/simnet/startchecks.go
@@ -108,7 +108,7 @@
 func (c *checker) checkAcknowledged(task string) {
 	sim, records := c.sim, c.runs[task]
 	for _, end := range records {
-		if !end.acknowledged || end.holdExpired || end.run.job.longRunning() {
+		if !end.acknowledged || end.runLeaseExpired || end.run.job.longRunning() {
 			continue
 		}
 		failed := acknowledgedFailures(records, end.endedAt)
@@ -129,7 +129,7 @@
 // acknowledgedFailures returns how many runs had failed by a time, by ends that were acknowledged in time.
 func acknowledgedFailures(records []*runRecord, by time.Duration) (count int) {
 	for _, r := range records {
-		if r.acknowledged && !r.holdExpired && r.outcome == string(jobs.EndFailed) && r.endedAt <= by {
+		if r.acknowledged && !r.runLeaseExpired && r.outcome == string(jobs.EndFailed) && r.endedAt <= by {
 			count++
 		}
 	}
