--- a/internal/testkit/lab/mutate/checks.go
+++ b/internal/testkit/lab/mutate/checks.go
@@ -17,7 +17,8 @@
 	memberFile    = "internal/control/member/member.go"
 )
 
-// Mutations are the checks that the control plane's safety rests on.
+// Mutations take out the checks that the control plane's safety rests on, one each. They quote lines of the source:
+// whoever changes such a line changes its quotation too, as TestChecksApply asks.
 var Mutations = []Mutation{
 	{"a majority of the voters", viewFile, "return n/2 + 1", "return max(1, n/2)"},
 	{"the majority of the voters before a change", viewFile, "return hasMajority(v.GetVoters(), has) && (len(v.GetPrevious()) == 0 || hasMajority(v.GetPrevious(), has))",
@@ -27,9 +28,9 @@
 		"cmp.Or(0*cmp.Compare(class(a), class(b)), cmp.Compare(b.Index, a.Index),"},
 	{"the longest log becomes the head", viewFile, "cmp.Compare(b.Index, a.Index), ", ""},
 
-	{"a promise is on disk before it is told", agreementFile, "	m.afterSync(func() {\n		if m.promised != proposalNumber {", "	func(do func()) { do() }(func() {\n		if m.promised != proposalNumber {"},
-	{"a view is on disk before it is said to be accepted", agreementFile, "	m.afterSync(func() {\n		reply(&protocol.Accepted{", "	func(do func()) { do() }(func() {\n		reply(&protocol.Accepted{"},
-	{"no promise below one that was given", agreementFile, "if p.GetBallot() < m.promised {", "if false {"},
+	{"a promise is synced before it is sent", agreementFile, "	m.afterSync(func() {\n		if m.promised != proposalNumber {", "	func(do func()) { do() }(func() {\n		if m.promised != proposalNumber {"},
+	{"a view is synced before its acceptance is sent", agreementFile, "	m.afterSync(func() {\n		reply(&protocol.Accepted{", "	func(do func()) { do() }(func() {\n		reply(&protocol.Accepted{"},
+	{"no promise below an earlier one", agreementFile, "if p.GetBallot() < m.promised {", "if false {"},
 	{"no view below a promise", agreementFile, "if proposalNumber < m.promised {", "if false {"},
 	{"a view that others may have accepted is built on", agreementFile, "a.GetEpoch() > proposal.base.GetEpoch()", "a.GetEpoch() > proposal.base.GetEpoch() && false"},
 	{"both majorities accept a view", agreementFile, "if !view.Quorum(proposal.base, has) || !view.Quorum(proposal.view, has) {", "if !view.Quorum(proposal.view, has) {"},
@@ -37,10 +38,10 @@
 	{"entries of another epoch are dropped", chainFile, "if a.GetEpoch() != m.Epoch() || m.promised > a.GetEpoch() {", "if m.promised > a.GetEpoch() {"},
 	{"no entries of an epoch that a member has promised to leave", chainFile, "if a.GetEpoch() != m.Epoch() || m.promised > a.GetEpoch() {", "if a.GetEpoch() != m.Epoch() {"},
 	{"no entries before the state of the view is installed", chainFile, "if inChain && m.installedEpoch != a.GetEpoch() || !inChain && !m.chain.following {", "if !inChain && !m.chain.following {"},
-	{"an entry is taken only behind the one before it", chainFile, "if e.GetIndex() == m.index+1 {", "if e.GetIndex() > m.index {"},
-	{"missing entries are asked for", chainFile, "if a.GetFirst() > m.index {", "if false {"},
-	{"an entry is synced at the head and before before it is committed", chainFile, "committed := min(m.prefixDurable(), m.suffixDurable())", "committed := m.suffixDurable()"},
-	{"an entry is synced by all behind before it is committed", chainFile, "committed := min(m.prefixDurable(), m.suffixDurable())", "committed := m.prefixDurable()"},
+	{"entries are appended without a gap", chainFile, "if e.GetIndex() == m.index+1 {", "if e.GetIndex() > m.index {"},
+	{"missing entries are requested", chainFile, "if a.GetFirst() > m.index {", "if false {"},
+	{"an entry is synced by the head and all predecessors before it is committed", chainFile, "committed := min(m.prefixDurable(), m.suffixDurable())", "committed := m.suffixDurable()"},
+	{"an entry is synced by all successors before it is committed", chainFile, "committed := min(m.prefixDurable(), m.suffixDurable())", "committed := m.prefixDurable()"},
 	{"own writes count once they are synced", chainFile, "		return m.durable\n	}\n	return min(m.durable, m.chain.prefixDurable)", "		return m.index\n	}\n	return min(m.index, m.chain.prefixDurable)"},
 	{"a head that has promised to follow another view appends nothing", chainFile, "return m.Serving() && !m.disk.failed && m.promised <= m.Epoch()", "return m.Serving() && !m.disk.failed"},
 	{"an acknowledgement comes from the successor", chainFile, "if a.GetEpoch() != m.Epoch() || successor == nil || successor.GetAddress() != from {", "if successor == nil {"},
@@ -57,25 +58,25 @@
 	{"a read is confirmed by a majority", confirmFile, "for len(c.pendingReads) > 0 && c.pendingReads[0].confirmed && c.pendingReads[0].index", "for len(c.pendingReads) > 0 && c.pendingReads[0].index"},
 	{"a read waits for what it shows to be committed", confirmFile, "c.pendingReads[0].confirmed && c.pendingReads[0].index <= m.chain.committed", "c.pendingReads[0].confirmed"},
 	{"who has promised another view confirms nothing", confirmFile, "Ok: m.promised <= c.GetEpoch() && !m.disk.failed", "Ok: true"},
-	{"a confirmation answers the newest question", confirmFile, "r.GetEpoch() != m.Epoch() || r.GetRound() != c.sequence || !r.GetOk()", "r.GetEpoch() != m.Epoch() || !r.GetOk()"},
+	{"a confirmation answers the newest request", confirmFile, "r.GetEpoch() != m.Epoch() || r.GetRound() != c.sequence || !r.GetOk()", "r.GetEpoch() != m.Epoch() || !r.GetOk()"},
 	{"a chain member that has restarted ends the view", electionFile, "if p := m.peers[id]; p != nil && p.restarted {", "if p := m.peers[id]; p != nil && false {"},
-	{"a head without contact takes nothing", chainFile, "m.Serving() && now-m.confirmations.confirmedAt <= contactTimeout && m.index", "m.Serving() && m.index"},
+	{"a head without contact accepts nothing", chainFile, "m.Serving() && now-m.confirmations.confirmedAt <= contactTimeout && m.index", "m.Serving() && m.index"},
 
 	{"orders go out once they are committed", schedulerFile, "len(s.batches) > 0 && s.batches[0].index <= s.committed", "len(s.batches) > 0"},
 	{"a lease counts from the newest confirmation", leaseFile, "until := s.confirmedAt + s.cfg.Lease", "until := s.now + s.cfg.Lease"},
 	{"a lost runner's leases have run out", leaseFile, "return expiry + time.Duration(maxClockDrift*float64(s.cfg.Lease)) + leaseMargin", "return expiry - s.cfg.Lease/2"},
-	{"an order that was taken is known again", requestsFile, "if s.updates.contains(digest) {", "if false {"},
+	{"an update that was applied is recognised when it is repeated", requestsFile, "if s.updates.contains(digest) {", "if false {"},
 	{"a job's ID is of one queue and content", requestsFile, "if j := s.jobs.Get(submission.GetId()); j != nil {\n		return s.resubmit(j, submission)", "if j := s.jobs.Get(submission.GetId()); j != nil {\n		return http.StatusOK, \"\""},
 	{"the time of day is agreed on", memberFile, "m.scheduler.Tick(now, m.clock.NowMs(now), m.replica.ConfirmedAt())", "m.scheduler.Tick(now, wallMs, m.replica.ConfirmedAt())"},
 
 	{"orders of an older head are void", headFile, "if o.GetEpoch() < m.epoch || o.GetCompanion() != m.incarnation {", "if o.GetCompanion() != m.incarnation {"},
-	{"orders for an earlier companion are void", headFile, "if o.GetEpoch() < m.epoch || o.GetCompanion() != m.incarnation {", "if o.GetEpoch() < m.epoch {"},
+	{"orders for an earlier incarnation of the agent are void", headFile, "if o.GetEpoch() < m.epoch || o.GetCompanion() != m.incarnation {", "if o.GetEpoch() < m.epoch {"},
 	{"orders of an earlier session are void", headFile, "if o.GetSession() < m.session {", "if false {"},
 	{"orders after a gap are not applied", headFile, "if !o.GetFull() && (!m.fullSyncDone || o.GetSequence() > m.appliedSequence+1) {", "if false {"},
 	{"a lease counts from the sending of its request", headFile, "at, ok := m.leaseRequestedAt[o.GetLeaseRound()]", "_, ok := m.leaseRequestedAt[o.GetLeaseRound()]\n	at := m.now"},
-	{"a hold ends within the lease", companionFile, "response.RunLease = min(m.cfg.MaxRunLease, remaining)", "response.RunLease = m.cfg.MaxRunLease"},
-	{"a runner's leave is no end", companionFile, "	m.runner.deregistered = true\n", "	m.removeRunner(m.runner)\n	return\n"},
-	{"a silent runner's holds have run out", headFile, "if m.now > r.runLeaseExpiry {", "if m.now > r.lastContact+time.Second {"},
-	{"a late beat of a runner is old", companionFile, "if b.Sequence < r.sequence {", "if false {"},
-	{"one look that finds nobody is not enough", companionFile, "if r.refusedChecks++; r.refusedChecks >= minRefusedChecks {", "if r.refusedChecks++; r.refusedChecks >= 1 {"},
+	{"a run lease ends within the lease of its agent", companionFile, "response.RunLease = min(m.cfg.MaxRunLease, remaining)", "response.RunLease = m.cfg.MaxRunLease"},
+	{"a runner that deregisters has not ended", companionFile, "	m.runner.deregistered = true\n", "	m.removeRunner(m.runner)\n	return\n"},
+	{"a silent runner's run leases have expired", headFile, "if m.now > r.runLeaseExpiry {", "if m.now > r.lastContact+time.Second {"},
+	{"a delayed heartbeat of a runner is ignored", companionFile, "if b.Sequence < r.sequence {", "if false {"},
+	{"one refused health check is not enough", companionFile, "if r.refusedChecks++; r.refusedChecks >= minRefusedChecks {", "if r.refusedChecks++; r.refusedChecks >= 1 {"},
 }
