--- a/cmd/frosttide-mutate/main.go
+++ b/cmd/frosttide-mutate/main.go
@@ -22,8 +22,8 @@
 	first := flag.Int("first", 0, "the first check, by its place in the list")
 	var bounds mutate.Bounds
 	flag.IntVar(&bounds.Seeds, "seeds", 500, "seeds of the simulated network")
-	flag.IntVar(&bounds.Singles, "singles", 1, "the explorer tries every so manieth single departure")
-	flag.IntVar(&bounds.Pairs, "pairs", 100_003, "and every so manieth pair of departures")
+	flag.IntVar(&bounds.Singles, "singles", 1, "the explorer tries one of so many single departures")
+	flag.IntVar(&bounds.Pairs, "pairs", 100_003, "and one of so many pairs of departures")
 	flag.Parse()
 	if flag.NArg() > 0 {
 		fmt.Fprintln(os.Stderr, "frosttide-mutate: takes flags only")
