--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -29,7 +29,7 @@
 	var buf bytes.Buffer
 	var reply wire.Reply
 	var dec wire.Decoder
-	h := host{log: log}
+	h := server{log: log}
 	for {
 		batch, err := wire.ReadBatch(r, &buf)
 		if errors.Is(err, io.EOF) {
@@ -57,15 +57,15 @@
 	touched    bool
 }
 
-// host keeps the instances by number and the order in which a batch names them.
-type host struct {
+// server keeps the instances by number and the order in which a batch names them.
+type server struct {
 	instances []*instance
 	touched   []int
 	actions   []decision.Action
 	log       io.Writer
 }
 
-func (h *host) at(n int) *instance {
+func (h *server) instance(n int) *instance {
 	for len(h.instances) <= n {
 		h.instances = append(h.instances, nil)
 	}
@@ -81,8 +81,8 @@
 }
 
 // Provision starts an instance anew; what came before it is void.
-func (h *host) Provision(n int, seed uint64, settings []byte) {
-	in := h.at(n)
+func (h *server) Provision(n int, seed uint64, settings []byte) {
+	in := h.instance(n)
 	in.dispatcher, in.events, in.fault = nil, in.events[:0], ""
 	cfg, err := wire.ParseSettings(settings)
 	if err == nil {
@@ -95,14 +95,14 @@
 }
 
 // Detach drops an instance and all it knew.
-func (h *host) Detach(n int) {
-	in := h.at(n)
+func (h *server) Detach(n int) {
+	in := h.instance(n)
 	in.dispatcher, in.events, in.fault = nil, in.events[:0], ""
 }
 
 // Event queues an event for its instance.
-func (h *host) Event(n int, ev *decision.Event) {
-	in := h.at(n)
+func (h *server) Event(n int, ev *decision.Event) {
+	in := h.instance(n)
 	if in.dispatcher == nil {
 		fmt.Fprintf(h.log, "adapter: event for instance %d, which is not provisioned, is passed over\n", n)
 		return
@@ -111,17 +111,17 @@
 }
 
 // step lets every instance that the batch named act once.
-func (h *host) step(batch wire.Batch, reply *wire.Reply) {
+func (h *server) step(batch wire.Batch, reply *wire.Reply) {
 	for _, n := range h.touched {
 		in := h.instances[n]
-		h.act(n, in, batch, reply)
+		h.stepInstance(n, in, batch, reply)
 		clear(in.events) // lets go of worker lists
 		in.events, in.touched = in.events[:0], false
 	}
 	h.touched = h.touched[:0]
 }
 
-func (h *host) act(n int, in *instance, batch wire.Batch, reply *wire.Reply) {
+func (h *server) stepInstance(n int, in *instance, batch wire.Batch, reply *wire.Reply) {
 	if in.fault != "" {
 		reply.Fault(n, in.fault)
 		in.fault = ""
--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -80,7 +80,7 @@
 	return out
 }
 
-func play(t *testing.T, frames ...[]byte) (replies []string, log string, err error) {
+func runFrames(t *testing.T, frames ...[]byte) (replies []string, log string, err error) {
 	t.Helper()
 	var out, errs bytes.Buffer
 	err = serve(bytes.NewReader(bytes.Join(frames, nil)), &out, &errs)
@@ -88,7 +88,7 @@
 }
 
 func TestServeAnswersEveryBatch(t *testing.T) {
-	replies, log, err := play(t,
+	replies, log, err := runFrames(t,
 		batch(1, time.Second),
 		batch(2, 2*time.Second, provision(3, 7), census(0, 50, 51), fleet(3, 0)),
 		batch(3, 3*time.Second, arrival(3, 9, 8*time.Second)),
@@ -102,10 +102,10 @@
 	}
 }
 
-// TestInstanceLives covers a kill and a new start in one batch: the new
+// TestInstanceIncarnations covers a kill and a new start in one batch: the new
 // instance knows nothing of the old one's workers.
-func TestInstanceLives(t *testing.T) {
-	replies, log, err := play(t,
+func TestInstanceIncarnations(t *testing.T) {
+	replies, log, err := runFrames(t,
 		batch(1, time.Second, provision(0, 7), census(0, 50), fleet(0, 0)),
 		batch(2, 2*time.Second, arrival(0, 1, 8*time.Second), record(256, uint16(0)), provision(0, 8)),
 		batch(3, 3*time.Second, arrival(0, 2, 8*time.Second)),
@@ -126,7 +126,7 @@
 
 func TestBadSettingsAreAFault(t *testing.T) {
 	bad := append(record(265, uint16(4), uint64(1), uint32(2)), "{}"...)
-	replies, log, err := play(t, batch(1, time.Second, bad))
+	replies, log, err := runFrames(t, batch(1, time.Second, bad))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +136,7 @@
 }
 
 func TestMalformedBatchEndsWithoutReply(t *testing.T) {
-	replies, _, err := play(t, batch(1, time.Second, provision(0, 1)), batch(2, 2*time.Second, record(999, uint16(0))))
+	replies, _, err := runFrames(t, batch(1, time.Second, provision(0, 1)), batch(2, 2*time.Second, record(999, uint16(0))))
 	if err == nil || !strings.Contains(err.Error(), "batch 2") || !strings.Contains(err.Error(), "999") {
 		t.Errorf("got %v, want an error that names the batch and the code", err)
 	}
--- a/cmd/frosttide/begin_test.go
+++ b/cmd/frosttide/begin_test.go
@@ -17,17 +17,17 @@
 	"time"
 )
 
-// heldDials has the program's dials to runners wait until the test lets them go.
-type heldDials struct {
+// blockedDials has the program's dials to runners wait until the test lets them go.
+type blockedDials struct {
 	t    *testing.T
 	path string
 }
 
-// holdDials returns it, and the edit that a dispatcher is started with. Dials may take long there.
-func holdDials(t *testing.T) (*heldDials, func(*dispatcher)) {
-	h := &heldDials{t: t, path: filepath.Join(t.TempDir(), "dials")}
+// blockDials returns it, and the edit that a dispatcher is started with. Dials may take long there.
+func blockDials(t *testing.T) (*blockedDials, func(*dispatcher)) {
+	h := &blockedDials{t: t, path: filepath.Join(t.TempDir(), "dials")}
 	return h, func(d *dispatcher) {
-		d.cmd.Env = append(d.cmd.Env, envHeldDials+"="+h.path)
+		d.cmd.Env = append(d.cmd.Env, envBlockedDials+"="+h.path)
 		d.cfg = strings.Replace(d.cfg, `"connect-timeout":250000`, `"connect-timeout":10000000`, 1)
 		text, err := os.ReadFile(d.path)
 		if err == nil {
@@ -40,7 +40,7 @@
 	}
 }
 
-func (h *heldDials) hold() {
+func (h *blockedDials) block() {
 	h.t.Helper()
 	if err := os.WriteFile(h.path, nil, 0o600); err != nil {
 		h.t.Fatal(err)
@@ -48,9 +48,9 @@
 }
 
 // awaitDial waits until a dial waits.
-func (h *heldDials) awaitDial() {
+func (h *blockedDials) awaitDial() {
 	h.t.Helper()
-	for over := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for over := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		if _, err := os.Stat(h.path + waiting); err == nil {
 			return
 		}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (h *heldDials) release() {
+func (h *blockedDials) release() {
 	h.t.Helper()
 	os.Remove(h.path + waiting)
 	if err := os.Remove(h.path); err != nil {
@@ -122,12 +122,12 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			dials, held := holdDials(t)
+			dials, held := blockDials(t)
 			first, second := newRunner(t, "s-1"), newRunner(t, "s-2")
 			disc := newDiscovery(t)
 			d := startWith(t, disc.URL, 1024, []string{first.entry()}, held)
 			w := await(t, disc.watches, "watch")
-			dials.hold()
+			dials.block()
 			client := d.raw("")
 			if err := d.job(tc.class, "crossing").Write(client); err != nil {
 				t.Fatal(err)
@@ -142,8 +142,8 @@
 			dials.release()
 			if tc.elsewhere {
 				// An attempt that has begun would not be followed by another: the first is out yet.
-				if h := await(t, second.hops, "attempt at the other runner"); h.id() != "crossing" || len(first.hops) > 0 {
-					t.Errorf("the other runner got %q, the first %d attempts", h.id(), len(first.hops))
+				if h := await(t, second.requests, "attempt at the other runner"); h.id() != "crossing" || len(first.requests) > 0 {
+					t.Errorf("the other runner got %q, the first %d attempts", h.id(), len(first.requests))
 				}
 				return
 			}
@@ -151,7 +151,7 @@
 			w.lines <- list(44, false, entry(second.uid, second.addr, "DELETED"))
 			d.awaitLog("egress target gone")
 			submit(d.job("render", "later"))
-			if h := await(t, first.hops, "attempt"); h.id() != "later" {
+			if h := await(t, first.requests, "attempt"); h.id() != "later" {
 				t.Errorf("the runner got %q", h.id())
 			}
 		})
@@ -163,7 +163,7 @@
 func awaitEnd(t *testing.T, peer, local string) {
 	t.Helper()
 	line := procAddr(t, local) + " " + procAddr(t, peer) + " 01 "
-	for over := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for over := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
 			t.Fatal(err)
@@ -192,10 +192,10 @@
 // once there is a connection, not what was left when the attempt was decided on.
 func TestToldTime(t *testing.T) {
 	t.Parallel()
-	dials, held := holdDials(t)
+	dials, held := blockDials(t)
 	r := newRunner(t, "s-1")
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, held)
-	dials.hold()
+	dials.block()
 	sent := time.Now()
 	submit(d.job("render", "late"))
 	dials.awaitDial()
@@ -204,7 +204,7 @@
 	}
 	released := time.Since(sent)
 	dials.release()
-	h := await(t, r.hops, "attempt")
+	h := await(t, r.requests, "attempt")
 	told, err := strconv.Atoi(h.Header.Get("X-Expires-In-Ms"))
 	if err != nil {
 		t.Fatal(err)
@@ -220,10 +220,10 @@
 func TestSpoiltConnection(t *testing.T) {
 	t.Parallel()
 	d, r := one(t)
-	serve := func(id string) *hop {
+	serve := func(id string) *runnerRequest {
 		t.Helper()
 		got := submit(d.job("once", id))
-		h := await(t, r.hops, "attempt")
+		h := await(t, r.requests, "attempt")
 		h.reply(202, "")
 		d.report(event(id, r.uid, "started"))
 		d.report(event(id, r.uid, "done"))
@@ -241,14 +241,14 @@
 	if err := d.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
-	o := await(t, r.hops, "attempt")
+	o := await(t, r.requests, "attempt")
 	o.reply(202, "")
 	d.report(event("next", r.uid, "done"))
 	if a := await(t, next, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
 	select {
-	case o = <-r.hops:
+	case o = <-r.requests:
 		t.Errorf("the runner got %s %q again", o.Method, o.id())
 	default:
 	}
@@ -261,11 +261,11 @@
 	d, r := one(t)
 	for i := range 200 { // until one goes out right behind an answer on its connection
 		before := submit(d.job("render", fmt.Sprintf("before-%d", i)))
-		b := await(t, r.hops, "attempt")
+		b := await(t, r.requests, "attempt")
 		b.reply(202, "")
 		replied := time.Now()
 		next := submit(d.job("once", fmt.Sprintf("next-%d", i)))
-		n := await(t, r.hops, "attempt")
+		n := await(t, r.requests, "attempt")
 		if behind := n.conn == b.conn && time.Since(replied) < 40*time.Millisecond; !behind {
 			n.reply(202, "")
 			d.report(event(n.id(), r.uid, "done"))
@@ -276,7 +276,7 @@
 		}
 		n.reply(503, "X-Never-Ran: 1\r\n") // the job before's
 		n.reply(202, "")                   // its own
-		if h := await(t, r.hops, "recall"); h.Method != "DELETE" || h.RequestURI != "/jobs/"+n.id() {
+		if h := await(t, r.requests, "recall"); h.Method != "DELETE" || h.RequestURI != "/jobs/"+n.id() {
 			t.Errorf("the runner got %s %s, want the recall of the job that it has", h.Method, h.RequestURI)
 		} else {
 			h.reply(204, "")
@@ -302,7 +302,7 @@
 		d.cmd.Env = append(d.cmd.Env, envAccept+"="+strings.Join(numbers, ","))
 	})
 	got := submit(d.job("render", "x"))
-	await(t, r.hops, "attempt").reply(202, "")
+	await(t, r.requests, "attempt").reply(202, "")
 	d.report(event("x", r.uid, "done"))
 	if a := await(t, got, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v", a)
@@ -322,7 +322,7 @@
 				d.cmd.Env = append(d.cmd.Env, fmt.Sprintf("%s=%d,%d", envDialErrors, errno, errno))
 			})
 			got := submit(d.job("once", "x"))
-			await(t, r.hops, "attempt").reply(202, "")
+			await(t, r.requests, "attempt").reply(202, "")
 			d.report(event("x", r.uid, "done"))
 			if a := await(t, got, "answer"); a.Status != 200 {
 				t.Errorf("answer %+v", a)
@@ -343,7 +343,7 @@
 			if err := d.job("render", "kept-"+part).Write(c); err != nil {
 				t.Fatal(err)
 			}
-			h := await(t, r.hops, "attempt")
+			h := await(t, r.requests, "attempt")
 			h.reply(202, "")
 			d.report(event(h.id(), r.uid, "done"))
 			var first [12]byte
@@ -374,13 +374,13 @@
 	if err := d.job("render", "x").Write(client); err != nil {
 		t.Fatal(err)
 	}
-	await(t, r.hops, "attempt").reply(202, "")
+	await(t, r.requests, "attempt").reply(202, "")
 	d.report(event("x", r.uid, "started"))
 	w.lines <- list(42, false, entry(r.uid, r.addr, "DELETED"))
 	d.awaitLog("egress target gone")
 	d.report(event("x", r.uid, "running")) // its target has ended by the time that this is answered, or soon
 	client.Close()
-	if h := await(t, r.hops, "recall"); h.Method != "DELETE" || h.RequestURI != "/jobs/x" {
+	if h := await(t, r.requests, "recall"); h.Method != "DELETE" || h.RequestURI != "/jobs/x" {
 		t.Errorf("the runner got %s %s, want the recall", h.Method, h.RequestURI)
 	}
 }
@@ -393,11 +393,11 @@
 	d := start(t, disc.URL, 1024, first.entry())
 	w := await(t, disc.watches, "watch")
 	got := submit(d.job("once", "x"))
-	h := await(t, first.hops, "attempt")
+	h := await(t, first.requests, "attempt")
 	w.lines <- list(42, false, second.entry())
 	d.awaitLog("target=s-2")
 	fmt.Fprint(h.conn, "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
-	await(t, second.hops, "attempt at the other runner").reply(202, "")
+	await(t, second.requests, "attempt at the other runner").reply(202, "")
 	d.report(event("x", second.uid, "done"))
 	if a := await(t, got, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v", a)
@@ -436,7 +436,7 @@
 	}
 	got := read(c)
 	select {
-	case h := <-r.hops:
+	case h := <-r.requests:
 		h.reply(202, "")
 		d.report(event("half", r.uid, "done"))
 		if a := await(t, got, "answer"); a.Err != nil {
@@ -446,7 +446,7 @@
 		if (a.Err != nil || a.Status != 503) && !slow {
 			t.Errorf("answer %+v, want the job served or refused", a)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("no answer")
 	}
 	if err := await(t, d.ended, "end"); err != nil {
@@ -460,7 +460,7 @@
 	t.Parallel()
 	d, r := one(t)
 	open := submit(d.job("render", "open"))
-	await(t, r.hops, "attempt").reply(202, "")
+	await(t, r.requests, "attempt").reply(202, "")
 	var job bytes.Buffer
 	if err := d.job("render", "cut").Write(&job); err != nil {
 		t.Fatal(err)
@@ -473,7 +473,7 @@
 		}
 	}
 	later := submit(d.job("render", "later"))
-	if h := await(t, r.hops, "attempt"); h.id() != "later" {
+	if h := await(t, r.requests, "attempt"); h.id() != "later" {
 		t.Errorf("the runner got %q", h.id())
 	} else {
 		h.reply(202, "")
@@ -486,7 +486,7 @@
 	for _, id := range []string{"open", "later"} {
 		d.report(event(id, r.uid, "done"))
 	}
-	for _, got := range []<-chan answer{open, later} {
+	for _, got := range []<-chan response{open, later} {
 		if a := await(t, got, "answer"); a.Status != 200 {
 			t.Errorf("answer %+v", a)
 		}
--- a/cmd/frosttide/cli_test.go
+++ b/cmd/frosttide/cli_test.go
@@ -77,7 +77,7 @@
 	}
 	const class = "[[class]]\nname = \"cut\"\nwanted_within = \"1s\"\ngive_up = \"2s\"\n"
 	good := write("good.toml", "name = \"alone\"\n[limits]\nsockets = 500\n[discovery]\naddress = \"127.0.0.1:2\"\n"+class)
-	json := write("config.json", `{"name":"platform","listen":"127.0.0.1:1","discovery":"127.0.0.1:3","settings":`+theSettings+`}`)
+	json := write("config.json", `{"name":"platform","listen":"127.0.0.1:1","discovery":"127.0.0.1:3","settings":`+testSettings+`}`)
 
 	out, errs, status := command(t, nil, "check", "--config", good)
 	for _, want := range []string{"name = 'alone'", good + ":1", "limits.sockets = 500", "attempts.most = 4", "# default", "class[0].give_up = '2s'"} {
@@ -142,15 +142,15 @@
 		d.cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", underRace}
 		d.cmd.Args = append(d.cmd.Args, "serve", "--config", path)
 	})
-	d.works(one)
-	d.works(two)
-	d.serves("first", 1)
+	d.serveRunner(one)
+	d.serveRunner(two)
+	d.serveJobs("first", 1)
 	write(d, two)
 	if err := d.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
 	d.awaitLog(`"msg":"egress target gone from the list"`)
-	d.serves("second", 1)
+	d.serveJobs("second", 1)
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/frosttide/clients_test.go
+++ b/cmd/frosttide/clients_test.go
@@ -90,7 +90,7 @@
 			req := d.job("render", "x-"+strings.ReplaceAll(tc.name, " ", "-"), tc.edit)
 			got := submit(req)
 			if tc.status == 200 {
-				h := await(t, r.hops, "hop")
+				h := await(t, r.requests, "hop")
 				h.reply(202, "")
 				if left, err := strconv.Atoi(h.Header.Get("X-Expires-In-Ms")); err != nil || left > 20000 {
 					t.Errorf("the runner is told to take %d ms, more than the class gives", left)
@@ -103,8 +103,8 @@
 			if a := await(t, got, "answer"); a.Status != tc.status {
 				t.Errorf("answer %+v, want status %d", a, tc.status)
 			}
-			if len(r.hops) > 0 {
-				t.Errorf("a runner got %s", (<-r.hops).RequestURI)
+			if len(r.requests) > 0 {
+				t.Errorf("a runner got %s", (<-r.requests).RequestURI)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 			if err := d.job("render", id).Write(c); err != nil {
 				t.Fatal(err)
 			}
-			h := await(t, r.hops, "hop")
+			h := await(t, r.requests, "hop")
 			if !taken {
 				c.Close()
 				await(t, h.ended, "end of the hop's connection")
@@ -137,10 +137,10 @@
 			}
 			h.reply(202, "")
 			other := submit(d.job("render", "other-"+id)) // takes the same connection: the 202 has been read
-			o := await(t, r.hops, "other hop")
+			o := await(t, r.requests, "other hop")
 			o.reply(202, "")
 			c.Close()
-			del := await(t, r.hops, "recall")
+			del := await(t, r.requests, "recall")
 			if diff := cmp.Diff([]string{"DELETE", "/jobs/" + id}, []string{del.Method, del.RequestURI}); diff != "" {
 				t.Errorf("recall (-want +got):\n%s", diff)
 			}
@@ -164,9 +164,9 @@
 		id := fmt.Sprintf("%s-%t", tc.class, tc.taken)
 		sent := time.Now()
 		got := submit(d.job(tc.class, id, func(req *http.Request) { req.Header.Set("X-Expires-In-Ms", "400") }))
-		h := await(t, r.hops, "hop")
+		h := await(t, r.requests, "hop")
 		for h.id() != id {
-			h = await(t, r.hops, "hop") // recalls of the one before
+			h = await(t, r.requests, "hop") // recalls of the one before
 		}
 		if tc.taken {
 			h.reply(202, "")
@@ -192,21 +192,21 @@
 		t.Fatalf("health check %+v", a)
 	}
 	const jobs = 20 // half of what is not reserved
-	var got []<-chan answer
-	var hops []*hop
+	var got []<-chan response
+	var hops []*runnerRequest
 	var uids []string
 	for i := range jobs {
 		got = append(got, submit(d.job("render", fmt.Sprintf("x%d", i))))
-		var h *hop
+		var h *runnerRequest
 		uid := ""
 		select {
-		case h = <-a.hops:
+		case h = <-a.requests:
 			uid = a.uid
-		case h = <-b.hops:
+		case h = <-b.requests:
 			uid = b.uid
-		case h = <-c.hops:
+		case h = <-c.requests:
 			uid = c.uid
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("no hop for job %d", i)
 		}
 		h.reply(202, "")
@@ -215,7 +215,7 @@
 	if a := await(t, submit(d.job("render", "one-more")), "answer"); a.Status != 503 || !a.Close {
 		t.Errorf("answer %+v past the share of jobs, want a refusal and a close", a)
 	}
-	var ends []<-chan answer
+	var ends []<-chan response
 	for i := range 200 {
 		c := d.raw([]string{"", "POST /render HTTP/1.1\r\nHost: x\r\nX-Never", "POST /render HTTP/1.1\r\nHost: x\r\nX-Qos: render\r\n" +
 			"X-Trace-Id: y\r\nX-Expires-In-Ms: 900\r\nContent-Length: 9\r\n\r\nhalf"}[i%3])
@@ -240,7 +240,7 @@
 	if took := time.Since(*d.lastRaw.Load()); took > 3*time.Second {
 		t.Errorf("a connection that never finishes lasted %v", took)
 	}
-	if len(a.hops)+len(b.hops)+len(c.hops) > 0 {
+	if len(a.requests)+len(b.requests)+len(c.requests) > 0 {
 		t.Errorf("half a request was dispatched")
 	}
 }
@@ -298,7 +298,7 @@
 				want = append(want, "next")
 			}
 			for _, id := range want {
-				h := await(t, r.hops, "hop")
+				h := await(t, r.requests, "hop")
 				if h.id() != id {
 					t.Fatalf("the runner got %q, want %q", h.id(), id)
 				}
@@ -310,8 +310,8 @@
 					io.Copy(io.Discard, resp.Body)
 				}
 			}
-			if len(r.hops) > 0 {
-				t.Errorf("%s: a runner got %q", id, (<-r.hops).id())
+			if len(r.requests) > 0 {
+				t.Errorf("%s: a runner got %q", id, (<-r.requests).id())
 			}
 		}
 	})
@@ -330,7 +330,7 @@
 		for n := range 10 {
 			id := fmt.Sprintf("bad-%d-%d", status, n)
 			got := submit(d.job([]string{"render", "once"}[n%2], id))
-			h := await(t, first.hops, "hop")
+			h := await(t, first.requests, "hop")
 			if n == 0 && status == 400 { // somebody else could be tried from here on
 				w.lines <- list(42, false, entry("s-2", second.addr, "SERVING"))
 				d.awaitLog("target=s-2")
@@ -344,25 +344,25 @@
 		}
 	}
 	good := submit(d.job("render", "good"))
-	await(t, first.hops, "hop of a good job").reply(202, "")
+	await(t, first.requests, "hop of a good job").reply(202, "")
 	d.report(event("good", "s-1", "done"))
 	if a := await(t, good, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v to a good job", a)
 	}
-	if len(first.hops)+len(second.hops) > 0 {
+	if len(first.requests)+len(second.requests) > 0 {
 		t.Error("a runner got more than its jobs")
 	}
 }
 
-func read(c net.Conn) <-chan answer {
-	got := make(chan answer, 1)
+func read(c net.Conn) <-chan response {
+	got := make(chan response, 1)
 	go func() {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
 		if err != nil {
-			got <- answer{Err: err}
+			got <- response{Err: err}
 			return
 		}
-		got <- answer{Status: resp.StatusCode, Header: resp.Header}
+		got <- response{Status: resp.StatusCode, Header: resp.Header}
 	}()
 	return got
 }
--- a/cmd/frosttide/clock_test.go
+++ b/cmd/frosttide/clock_test.go
@@ -24,12 +24,12 @@
 			old := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, upgradable,
 				func(d *dispatcher) { d.cmd.Env = append(d.cmd.Env, "FROSTTIDE_TEST_CLOCK="+clock) })
 			served := submit(old.job("render", "long"))
-			await(t, r.hops, "attempt").reply(202, "")
+			await(t, r.requests, "attempt").reply(202, "")
 			began := time.Now()
 			ends := submit(old.job("render", "short", func(q *http.Request) {
 				q.Header.Set("X-Expires-In-Ms", strconv.FormatInt(shortTime.Milliseconds(), 10))
 			}))
-			await(t, r.hops, "attempt").reply(202, "")
+			await(t, r.requests, "attempt").reply(202, "")
 			if err := os.WriteFile(clock, []byte(strconv.Itoa(int(by/time.Second))), 0o600); err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/frosttide/clustercmd.go
+++ b/cmd/frosttide/clustercmd.go
@@ -191,7 +191,7 @@
 		return fmt.Errorf("cluster: %w", err)
 	}
 	kept, err := cluster.BeginAnew(cluster.Config{Name: cfg.Name, Listen: cfg.Cluster.Listen, Advertise: cfg.Cluster.Advertise,
-		Dir: cfg.Cluster.Dir, Keep: cfg.Cluster.Keep}, sure)
+		Dir: cfg.Cluster.Dir, Keep: cfg.Cluster.WatermarkDir}, sure)
 	if err != nil {
 		return err
 	}
@@ -226,7 +226,7 @@
 		cfg, err := config.Load(*src)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return errSaid
+			return errReported
 		}
 		if cfg.Cluster.Listen == "" || cfg.Cluster.Dir == "" {
 			return fmt.Errorf("[cluster] names no folder of a log")
--- a/cmd/frosttide/hearing.go
+++ b/cmd/frosttide/clusterevents.go
@@ -13,34 +13,34 @@
 	"frosttide/internal/dispatcher/routetable"
 )
 
-// told returns who hears what discovery tells, nil for nobody.
-func (o *others) told() func(routetable.Telling) {
+// updateHook returns who hears what discovery tells, nil for nobody.
+func (o *peers) updateHook() func(routetable.Update) {
 	if o == nil {
 		return nil
 	}
-	return func(t routetable.Telling) {
+	return func(update routetable.Update) {
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		if o.member != nil {
-			o.tellMember(o.member, t)
+			o.forwardUpdate(o.member, update)
 			return
 		}
-		if t.Whole { // what came before counts no more
-			o.tellers = nil
+		if update.Full { // what came before counts no more
+			o.pendingUpdates = nil
 		}
-		if len(o.tellers) < mostTellings {
-			o.tellers = append(o.tellers, t)
+		if len(o.pendingUpdates) < maxPendingUpdates {
+			o.pendingUpdates = append(o.pendingUpdates, update)
 		}
 	}
 }
 
-// mostTellings bounds what is kept for a member that has not begun; what is past it comes
+// maxPendingUpdates bounds what is kept for a member that has not begun; what is past it comes
 // with the next whole list.
-const mostTellings = 1000
+const maxPendingUpdates = 1000
 
-func (o *others) tellMember(m *cluster.Cluster, t routetable.Telling) {
-	entries := make([]cluster.Entry, len(t.Entries))
-	for i, e := range t.Entries {
+func (o *peers) forwardUpdate(m *cluster.Cluster, update routetable.Update) {
+	entries := make([]cluster.Entry, len(update.Entries))
+	for i, e := range update.Entries {
 		state := replica.Serving
 		switch e.State {
 		case decision.Draining:
@@ -48,23 +48,23 @@
 		case decision.Removed:
 			state = replica.Deleted
 		}
-		entries[i] = cluster.Entry{UID: e.UID, State: state, Boot: e.Boot.Milliseconds(), Text: e.Text}
+		entries[i] = cluster.Entry{UID: e.UID, State: state, Boot: e.StartedAt.Milliseconds(), Text: e.JSON}
 	}
-	m.Told(cmp.Or(o.alias, t.From), t.Rev, t.Whole, t.Back, entries)
+	m.Told(cmp.Or(o.alias, update.Source), update.Version, update.Full, update.VersionReset, entries)
 }
 
 // Exclude carries out what operators have said at any member.
-func (o *others) Exclude(uid string, out bool, at time.Time) {
+func (o *peers) Exclude(uid string, out bool, at time.Time) {
 	e := core.Exclusion{UID: uid, Out: out, At: time.Duration(at.UnixNano())}
-	o.core.Heed(e)
+	o.core.ApplyExclusion(e)
 	o.link.Exclude(e)
-	if o.keeper != nil {
-		o.keeper.Excluded(uid, out)
+	if o.roster != nil {
+		o.roster.Excluded(uid, out)
 	}
 }
 
 // Hint brings what another dispatcher has found of a runner.
-func (o *others) Hint(uid string, found []byte) {
+func (o *peers) Hint(uid string, found []byte) {
 	var h decision.Health
 	if err := json.Unmarshal(found, &h); err != nil { // of another build
 		o.log.WithError(err).WithField("target", uid).Debug("what another member found of a runner can't be read")
@@ -73,12 +73,12 @@
 	o.core.Hint(uid, h)
 }
 
-// foundEvery is how often what jobs have found of runners is told to the others.
-const foundEvery = 2 * time.Second
+// findingsInterval is how often what jobs have found of runners is told to the others.
+const findingsInterval = 2 * time.Second
 
-// run tells it until the context ends.
-func (o *others) run(ctx context.Context) {
-	tick := time.NewTicker(foundEvery)
+// shareFindings tells it until the context ends.
+func (o *peers) shareFindings(ctx context.Context) {
+	tick := time.NewTicker(findingsInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -86,8 +86,8 @@
 			return
 		case <-tick.C:
 		}
-		o.core.Found(func(all map[string]decision.Health) {
-			m := o.now()
+		o.core.OwnFindings(func(all map[string]decision.Health) {
+			m := o.currentMember()
 			if m == nil {
 				return
 			}
@@ -103,9 +103,9 @@
 }
 
 // Hear brings what another's discovery has told.
-func (o *others) Hear(source string, rev uint64, entries [][]byte) {
+func (o *peers) Hear(source string, rev uint64, entries [][]byte) {
 	if o.alias != "" { // by the operators' word all of that name count alike
 		source = ""
 	}
-	o.table.Hear(source, rev, entries)
+	o.table.ApplyGossip(source, rev, entries)
 }
--- a/cmd/frosttide/commands.go
+++ b/cmd/frosttide/commands.go
@@ -60,8 +60,8 @@
 	src := &config.Source{Getenv: os.Getenv}
 	f := cmd.Flags()
 	f.StringVarP(&src.Path, "config", "c", "", "settings file, TOML (see deploy/frosttide.toml)")
-	f.StringVar(&src.Level, "log-level", "", "error, warn, info or debug; goes before all other places")
-	f.StringVar(&src.Format, "log-format", "", "text or json; goes before all other places")
+	f.StringVar(&src.LogLevel, "log-level", "", "error, warn, info or debug; goes before all other places")
+	f.StringVar(&src.LogFormat, "log-format", "", "text or json; goes before all other places")
 	return src
 }
 
@@ -94,7 +94,7 @@
 		_, values, err := config.Explain(*src)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
-			return errSaid
+			return errReported
 		}
 		widest := 0
 		for _, v := range values {
--- a/cmd/frosttide/compatibility_test.go
+++ b/cmd/frosttide/compatibility_test.go
@@ -69,7 +69,7 @@
 
 // platformFile is the platform's JSON file with every key outside of "settings" set.
 const platformFile = `{"name":"platform","listen":"127.0.0.1:1001","discovery":"127.0.0.1:1002","console":"127.0.0.1:1003","seed":"1f",
-"limits":{"cores":1.5,"memory_mb":200,"sockets":700},"known":{"rev":1,"all":true,"targets":[]},"settings":` + theSettings + `}`
+"limits":{"cores":1.5,"memory_mb":200,"sockets":700},"known":{"rev":1,"all":true,"targets":[]},"settings":` + testSettings + `}`
 
 // TestCompatibilityCheck has the check of a configuration tell the same of each key, whoever said it, and the same
 // mistakes.
@@ -176,9 +176,9 @@
 	compareGolden(t, "state.golden.txt", out.String())
 }
 
-// exchanged makes a call and returns what was said and answered: the status, the headers, and of JSON the keys with
+// exchangeText makes a call and returns what was said and answered: the status, the headers, and of JSON the keys with
 // the kinds of their values, of all else the text.
-func exchanged(t *testing.T, method, url, path, body string, headers map[string]string) string {
+func exchangeText(t *testing.T, method, url, path, body string, headers map[string]string) string {
 	t.Helper()
 	req, err := http.NewRequest(method, url+path, strings.NewReader(body))
 	if err != nil {
@@ -189,11 +189,11 @@
 		req.Header.Set(name, headers[name])
 		said += fmt.Sprintf(" %s=%.60s", name, headers[name])
 	}
-	return said + fmt.Sprintf(" %.100s\n", body) + shownAnswer(t, do(&http.Client{Transport: &http.Transport{}, Timeout: patience}, req))
+	return said + fmt.Sprintf(" %.100s\n", body) + formatResponse(t, do(&http.Client{Transport: &http.Transport{}, Timeout: testTimeout}, req))
 }
 
-// shownAnswer writes an answer down, without what differs from run to run.
-func shownAnswer(t *testing.T, a answer) string {
+// formatResponse writes an answer down, without what differs from run to run.
+func formatResponse(t *testing.T, a response) string {
 	t.Helper()
 	if a.Err != nil {
 		t.Fatal(a.Err)
@@ -263,18 +263,18 @@
 		{"served", "render", "done"}, {"failed", "once", "failed"}, {"returned", "once", "returned"}, {"lost", "once", "lost"},
 	} {
 		got := submit(d.job(tc.class, tc.name))
-		await(t, r.hops, "job at the runner").reply(202, "")
+		await(t, r.requests, "job at the runner").reply(202, "")
 		d.report(event(tc.name, r.uid, "started"))
 		d.report(event(tc.name, r.uid, tc.state))
-		fmt.Fprintf(&out, "a job of class %s whose run ends as %s\n%s", tc.class, tc.state, shownAnswer(t, await(t, got, "answer")))
+		fmt.Fprintf(&out, "a job of class %s whose run ends as %s\n%s", tc.class, tc.state, formatResponse(t, await(t, got, "answer")))
 	}
 	unusable := submit(d.job("render", "unusable"))
-	await(t, r.hops, "job at the runner").reply(400, "")
-	fmt.Fprintf(&out, "a job that the runner can't use\n%s", shownAnswer(t, await(t, unusable, "answer")))
+	await(t, r.requests, "job at the runner").reply(400, "")
+	fmt.Fprintf(&out, "a job that the runner can't use\n%s", formatResponse(t, await(t, unusable, "answer")))
 
 	first := submit(d.job("render", "twice"))
-	await(t, r.hops, "job at the runner").reply(202, "")
-	fmt.Fprintf(&out, "a second request under the id of an open one\n%s", shownAnswer(t, await(t, submit(d.job("render", "twice")), "answer")))
+	await(t, r.requests, "job at the runner").reply(202, "")
+	fmt.Fprintf(&out, "a second request under the id of an open one\n%s", formatResponse(t, await(t, submit(d.job("render", "twice")), "answer")))
 	d.report(event("twice", r.uid, "done"))
 	await(t, first, "answer")
 
@@ -304,10 +304,10 @@
 		{"POST", "/v1/job-events", `{"ID":"a","FROM":"s-1","State":"done","RESULT":"r"}`, nil},
 		{"POST", "/v1/job-events", `{"id":"a","from":"s-1","state":"dancing"}`, nil}, {"POST", "/v1/job-events", "", nil},
 	} {
-		out.WriteString(exchanged(t, tc.method, url, tc.path, tc.body, tc.headers))
+		out.WriteString(exchangeText(t, tc.method, url, tc.path, tc.body, tc.headers))
 	}
 	d.call("PUT", "/api/exclude", `{"host":"s-1"}`)
-	fmt.Fprintf(&out, "a job for which there is no runner\n%s", shownAnswer(t, await(t, submit(d.job("render", "none")), "answer")))
+	fmt.Fprintf(&out, "a job for which there is no runner\n%s", formatResponse(t, await(t, submit(d.job("render", "none")), "answer")))
 	compareGolden(t, "clients.golden.txt", out.String())
 }
 
@@ -322,7 +322,7 @@
 		{"PUT", "/api/exclude", `{"host":`}, {"PUT", "/api/exclude", `{}`}, {"PUT", "/api/exclude", `{"HOST":"s-1"}`}, {"PUT", "/api/include", `{"host":"s-1"}`},
 		{"GET", "/api/cluster", ""}, {"GET", "/api/workflow", ""}, {"POST", "/api/workflow/begin", "{}"}, {"GET", "/api/gang", ""}, {"POST", "/api/gang", ""},
 	} {
-		out.WriteString(exchanged(t, tc.method, "http://"+d.ops, tc.path, tc.body, nil))
+		out.WriteString(exchangeText(t, tc.method, "http://"+d.consoleAddr, tc.path, tc.body, nil))
 	}
 	compareGolden(t, "console.golden.txt", out.String())
 }
@@ -343,10 +343,10 @@
 		d.cmd.Env = append(d.cmd.Env, "FROSTTIDE_STATE_DIR="+filepath.Join(dir, "state"))
 		d.cmd.Args = append(d.cmd.Args, "serve", "--config", path)
 	})
-	d.agrees("exclude", "s-1")
+	d.callAgreed("exclude", "s-1")
 	const undo = `"undo":{"class":"release","path":"/undo","key":"k","body":"YmFjaw=="}`
 	begin := `{"id":"w1","deadline_ms":60000,"lease_ms":30000,"undo_tries":3}`
-	for by := time.Now().Add(patience); ; { // until workflows are carried out here
+	for by := time.Now().Add(testTimeout); ; { // until workflows are carried out here
 		status, text := d.call("POST", "/api/workflow/begin", begin)
 		if status == 200 {
 			break
@@ -369,7 +369,7 @@
 		{"POST", "/api/workflow/commit", `{"id":"w1","steps":1}`}, {"POST", "/api/workflow/undo", `{"id":"w1"}`},
 		{"GET", "/api/gang", ""}, {"GET", "/api/ready", ""},
 	} {
-		out.WriteString(exchanged(t, tc.method, "http://"+d.ops, tc.path, tc.body, nil))
+		out.WriteString(exchangeText(t, tc.method, "http://"+d.consoleAddr, tc.path, tc.body, nil))
 	}
 	status, figures := d.call("GET", "/api/telemetry", "")
 	fmt.Fprintf(&out, "GET /api/telemetry\n    %d\n", status)
--- a/cmd/frosttide/connerrors_test.go
+++ b/cmd/frosttide/connerrors_test.go
@@ -54,29 +54,29 @@
 
 // awaitGivenUp waits until an attempt is given up at its runner: its connection ends or, where the
 // dispatcher has seen the 202 by then, its job is recalled.
-func awaitGivenUp(t *testing.T, r *runner, h *hop) {
+func awaitGivenUp(t *testing.T, r *runner, h *runnerRequest) {
 	t.Helper()
 	select {
 	case <-h.ended:
-	case recall := <-r.hops:
+	case recall := <-r.requests:
 		if recall.Method != "DELETE" || recall.RequestURI != "/jobs/"+h.id() {
 			t.Errorf("the runner got %s %s, want the recall of %s", recall.Method, recall.RequestURI, h.id())
 		}
 		recall.reply(204, "")
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Errorf("%s is not given up", h.id())
 	}
 }
 
 // either returns the next request at one of two runners, and which.
-func either(t *testing.T, a, b *runner) (*hop, *runner) {
+func either(t *testing.T, a, b *runner) (*runnerRequest, *runner) {
 	t.Helper()
 	select {
-	case h := <-a.hops:
+	case h := <-a.requests:
 		return h, a
-	case h := <-b.hops:
+	case h := <-b.requests:
 		return h, b
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("no attempt")
 		panic("unreachable")
 	}
@@ -98,7 +98,7 @@
 			if a := await(t, got, "answer"); a.Status != 502 {
 				t.Errorf("answer %+v, want a failure, as the job may have run", a)
 			}
-			if len(first.hops)+len(second.hops) > 0 {
+			if len(first.requests)+len(second.requests) > 0 {
 				t.Error("a job that may have run and must not run twice was sent again")
 			}
 
@@ -132,7 +132,7 @@
 			if err := d.job("render", "read").Write(leaving); err != nil {
 				t.Fatal(err)
 			}
-			h := await(t, r.hops, "attempt")
+			h := await(t, r.requests, "attempt")
 			h.reply(202, "")
 			connFault{errno: errno}.lay(t, path)
 			if _, err := io.WriteString(leaving, "G"); err != nil { // the read that looks for its end fails
@@ -141,7 +141,7 @@
 			awaitGivenUp(t, r, h)
 
 			got := submit(d.job("render", "write"))
-			await(t, r.hops, "attempt").reply(202, "")
+			await(t, r.requests, "attempt").reply(202, "")
 			connFault{write: true, after: 9, errno: errno}.lay(t, path)
 			// The call-back's own answer may be what the fault strikes: it is made again.
 			d.report(event("write", r.uid, "done"))
@@ -153,7 +153,7 @@
 				t.Errorf("answer %+v", a)
 			}
 			later := submit(d.job("render", "later"))
-			if h = await(t, r.hops, "attempt"); h.id() != "later" {
+			if h = await(t, r.requests, "attempt"); h.id() != "later" {
 				t.Fatalf("the runner got %s %q, want the next job", h.Method, h.id())
 			}
 			h.reply(202, "")
@@ -174,7 +174,7 @@
 	if err := d.job("render", "half").Write(c); err != nil {
 		t.Fatal(err)
 	}
-	h := await(t, r.hops, "attempt")
+	h := await(t, r.requests, "attempt")
 	h.reply(202, "")
 	if err := c.(*net.TCPConn).CloseWrite(); err != nil {
 		t.Fatal(err)
--- a/cmd/frosttide/connfault_test.go
+++ b/cmd/frosttide/connfault_test.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// struck takes a fault of a read, or of a write, out of a file, if there is one there.
-func struck(path string, write bool) (f connFault, ok bool) {
+// takeFault takes a fault of a read, or of a write, out of a file, if there is one there.
+func takeFault(path string, write bool) (f connFault, ok bool) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return f, false
@@ -72,14 +72,14 @@
 	if n == 0 || err != nil {
 		return n, err
 	}
-	if f, ok := struck(c.path, false); ok {
+	if f, ok := takeFault(c.path, false); ok {
 		return 0, &net.OpError{Op: readFault, Net: "tcp", Err: os.NewSyscallError(readFault, f.errno)}
 	}
 	return n, err
 }
 
 func (c *faultyConn) Write(p []byte) (int, error) {
-	f, ok := struck(c.path, true)
+	f, ok := takeFault(c.path, true)
 	if !ok {
 		return c.TCPConn.Write(p)
 	}
--- a/cmd/frosttide/daily_test.go
+++ b/cmd/frosttide/daily_test.go
@@ -27,9 +27,9 @@
 	t.Parallel()
 	d, r := one(t)
 	open := submit(d.job("render", "x1"))
-	await(t, r.hops, "hop").reply(202, "")
+	await(t, r.requests, "hop").reply(202, "")
 	for range 100 {
-		silent, err := net.Dial("tcp", d.ops)
+		silent, err := net.Dial("tcp", d.consoleAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -86,7 +86,7 @@
 		t.Errorf("the old process ended with %v", err)
 	}
 	got := submit(next.job("render", "x1"))
-	await(t, r.hops, "hop").reply(202, "")
+	await(t, r.requests, "hop").reply(202, "")
 	next.report(event("x1", r.uid, "done"))
 	if a := await(t, got, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v after the old process's end", a)
@@ -106,13 +106,13 @@
 		jobs++
 		id := fmt.Sprintf("x%d", jobs)
 		got := submit(d.job("render", id))
-		var h *hop
+		var h *runnerRequest
 		select {
-		case h = <-a.hops:
+		case h = <-a.requests:
 			at = a
-		case h = <-b.hops:
+		case h = <-b.requests:
 			at = b
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 			t.Fatalf("no hop for job %d", jobs)
 		}
 		h.reply(202, "")
@@ -193,15 +193,15 @@
 				}
 			}
 			kept := &http.Client{Transport: &http.Transport{}}
-			send := func(d *dispatcher, id string) <-chan answer {
-				got := make(chan answer, 1)
+			send := func(d *dispatcher, id string) <-chan response {
+				got := make(chan response, 1)
 				go func() { got <- do(kept, d.job("render", id)) }()
 				return got
 			}
 			first := send(old, "x0") // before there is another process, so it holds this connection
-			await(t, x.hops, "hop").reply(202, "")
+			await(t, x.requests, "hop").reply(202, "")
 			stays := send(old, "x9") // no runner has taken it, so it can't be handed over
-			untaken := await(t, x.hops, "hop")
+			untaken := await(t, x.requests, "hop")
 			next := old.successor()
 			if q := await(t, disc.watches, "the newer process's watch").query; q != "watch=1&from=57" {
 				t.Errorf("the newer process asks discovery for %q", q)
@@ -237,7 +237,7 @@
 				t.Errorf("answer %+v to the job that stayed", a)
 			}
 			fresh := submit(next.job("render", "x1"))
-			await(t, x.hops, "hop").reply(202, "")
+			await(t, x.requests, "hop").reply(202, "")
 			next.report(event("x1", x.uid, "started"))
 			for next.report(event("x0", x.uid, "done")) != 204 {
 			}
@@ -309,7 +309,7 @@
 			defer c.Close()
 			go io.WriteString(c, tc.says)
 			got := submit(d.job("render", "x1"))
-			await(t, r.hops, "hop").reply(202, "")
+			await(t, r.requests, "hop").reply(202, "")
 			for d.report(event("x1", r.uid, "done")) != 204 {
 			}
 			if a := await(t, got, "answer"); a.Status != 200 {
@@ -321,7 +321,7 @@
 
 // ready asks whether a dispatcher's process serves.
 func ready(d *dispatcher) *http.Request {
-	req, err := http.NewRequest("GET", "http://"+d.ops+"/api/ready", nil)
+	req, err := http.NewRequest("GET", "http://"+d.consoleAddr+"/api/ready", nil)
 	if err != nil {
 		panic(err) // the address is ours
 	}
@@ -363,7 +363,7 @@
 	compare := func(when string) {
 		t.Helper()
 		var diff string
-		for over := time.Now().Add(patience); time.Now().Before(over); {
+		for over := time.Now().Add(testTimeout); time.Now().Before(over); {
 			if diff = cmp.Diff(want, d.figures()); diff == "" {
 				return
 			}
@@ -372,7 +372,7 @@
 	}
 	compare("at the start")
 	got := submit(d.job("render", "x1"))
-	h := await(t, r.hops, "hop")
+	h := await(t, r.requests, "hop")
 	want["pending"], want[`upstream_requests{lane="render"}`] = 1, 1
 	compare("with a job open")
 	h.reply(202, "")
@@ -380,7 +380,7 @@
 	await(t, got, "answer")
 	want["pending"], want[`completed{lane="render"}`] = 0, 1
 	got = submit(d.job("once", "x2"))
-	await(t, r.hops, "hop").reply(500, "")
+	await(t, r.requests, "hop").reply(500, "")
 	await(t, got, "answer")
 	want[`failed{lane="once"}`], want[`upstream_requests{lane="once"}`] = 1, 1
 	got = submit(d.job("release", "x3", func(r *http.Request) { r.Header.Del("Idempotency-Key") }))
@@ -430,7 +430,7 @@
 	d := start(t, disc.URL, 1024, a.entry())
 	w := await(t, disc.watches, "watch")
 	open := submit(d.job("render", "x1"))
-	h := await(t, a.hops, "hop")
+	h := await(t, a.requests, "hop")
 	w.lines <- list(42, false, b.entry())
 	d.awaitLog("target=s-2")
 	file := fmt.Sprintf(d.cfg, strings.TrimPrefix(disc.URL, "http://"))
@@ -440,7 +440,7 @@
 	reload := func(cfg string) { // and await that it has been heeded
 		t.Helper()
 		d.reload(cfg)
-		for over := time.Now().Add(patience); time.Now().Before(over); {
+		for over := time.Now().Add(testTimeout); time.Now().Before(over); {
 			if f := d.figures(); f["config_reloads"] == reloads && f["config_reload_errors"] == errors {
 				return
 			}
@@ -463,7 +463,7 @@
 		reload(strings.Replace(cfg, disc.URL[len("http://"):], "127.0.0.1:1", 1))
 	}
 	select {
-	case <-w.gone:
+	case <-w.done:
 		t.Errorf("a bad file has moved discovery")
 	default:
 	}
@@ -476,7 +476,7 @@
 		t.Errorf("a job of a class that is gone got %+v", got)
 	}
 	h.reply(500, "")
-	h = await(t, b.hops, "second hop of the job that was open, of a class that may be repeated")
+	h = await(t, b.requests, "second hop of the job that was open, of a class that may be repeated")
 	h.reply(202, "")
 	d.report(event("x1", b.uid, "done"))
 	if got := await(t, open, "answer"); got.Status != 200 {
@@ -488,7 +488,7 @@
 	reload(strings.Replace(strings.Replace(file, first, `{"name":"render","effect":"unsafe",`, 1), `"send-cap":4`, `"send-cap":1`, 1))
 	for class, status := range map[string]int{"render": 502, "release": 502} {
 		got := submit(d.job(class, "y-"+class))
-		await(t, a.hops, "hop").reply(500, "")
+		await(t, a.requests, "hop").reply(500, "")
 		if got := await(t, got, "answer"); got.Status != status {
 			t.Errorf("%s: answer %+v, want %d", class, got, status)
 		}
@@ -508,7 +508,7 @@
 // slowJob writes a good job in pieces over more than 2 s on a new connection, while others fill the door: some ask
 // once and stay, some never finish. It returns the connection's answer, the ends of those that never finish, and whether
 // the machine was too busy for the job to be written within hearTime: the front may end it then, rightly.
-func slowJob(t *testing.T, d *dispatcher) (got <-chan answer, ends []<-chan answer, late bool) {
+func slowJob(t *testing.T, d *dispatcher) (got <-chan response, ends []<-chan response, late bool) {
 	t.Helper()
 	const (
 		pieces = 12
@@ -561,7 +561,7 @@
 		got, ends, late := slowJob(t, d)
 		done := false
 		select {
-		case h := <-r.hops:
+		case h := <-r.requests:
 			h.reply(202, "")
 			d.report(event("x1", r.uid, "done"))
 			if a := await(t, got, "answer"); a.Status != 200 {
@@ -600,7 +600,7 @@
 			r := newRunner(t, "s-1")
 			old := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, upgradable)
 			open := submit(old.job("release", "x1"))
-			await(t, r.hops, "hop").reply(202, "")
+			await(t, r.requests, "hop").reply(202, "")
 			next := old.successor()
 			if err := next.cmd.Process.Signal(tc.signal); err != nil {
 				t.Fatal(err)
@@ -608,13 +608,13 @@
 			if tc.signal == syscall.SIGKILL {
 				old.awaitLog("the other process has ended")
 				got := submit(old.job("render", "x2"))
-				await(t, r.hops, "hop").reply(202, "")
+				await(t, r.requests, "hop").reply(202, "")
 				old.report(event("x2", r.uid, "done"))
 				if a := await(t, got, "answer"); a.Status != 200 {
 					t.Errorf("answer %+v after the newer process's death", a)
 				}
 			}
-			for over := time.Now().Add(patience); tc.signal == syscall.SIGSTOP; { // it takes effect a little later
+			for over := time.Now().Add(testTimeout); tc.signal == syscall.SIGSTOP; { // it takes effect a little later
 				stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", next.cmd.Process.Pid))
 				if err != nil || time.Now().After(over) {
 					t.Fatalf("the newer process does not stop: %s, %v", stat, err)
@@ -653,14 +653,14 @@
 	w := await(t, disc.watches, "watch")
 	line := list(42, false, r.entry())
 	for len(line) > 20 { // the pace of discovery is the matter here
-		w.lines <- line[:20] + piece
+		w.lines <- line[:20] + unfinished
 		line = line[20:]
 		time.Sleep(700 * time.Millisecond)
 	}
 	w.lines <- line
 	d.awaitLog("target=s-1")
 	select {
-	case <-w.gone:
+	case <-w.done:
 		t.Error("the watch was broken off")
 	default:
 	}
--- a/cmd/frosttide/demo.go
+++ b/cmd/frosttide/demo.go
@@ -60,7 +60,7 @@
 	}
 	defer fleet.Close()
 	// The program is as it would be without an environment.
-	src := config.Source{Path: "deploy/frosttide.toml", Text: deploy.Sample, Level: "warn",
+	src := config.Source{Path: "deploy/frosttide.toml", SettingsText: deploy.Sample, LogLevel: "warn",
 		Getenv: func(name string) string {
 			return map[string]string{"FROSTTIDE_LOG_FORMAT": os.Getenv("FROSTTIDE_LOG_FORMAT")}[name]
 		}}
@@ -73,7 +73,7 @@
 		}
 	}
 	if !keep {
-		s.ends <- syscall.SIGTERM
+		s.stop <- syscall.SIGTERM
 	} else {
 		fmt.Fprintf(out, "serving clients at %s until SIGINT\n", demoClients)
 	}
--- a/cmd/frosttide/deployments_test.go
+++ b/cmd/frosttide/deployments_test.go
@@ -67,7 +67,7 @@
 	platform := maps.Clone(dep.platform) // several dispatchers may start on it at once
 	settings := maps.Clone(platform["settings"].(map[string]any))
 	settings["balancers"], settings["me"] = 1, 0
-	platform["settings"], platform["listen"], platform["console"], platform["discovery"] = settings, d.addr, d.ops, "%s"
+	platform["settings"], platform["listen"], platform["console"], platform["discovery"] = settings, d.addr, d.consoleAddr, "%s"
 	var known struct {
 		Known json.RawMessage `json:"known"`
 	}
@@ -104,16 +104,16 @@
 
 // hopAt takes the next job at any of the runners, and fails the test for a probe where the
 // settings forbid them.
-func (dep *deployment) hopAt(t *testing.T, runners ...*runner) (*runner, *hop) {
+func (dep *deployment) hopAt(t *testing.T, runners ...*runner) (*runner, *runnerRequest) {
 	t.Helper()
-	over := time.After(patience)
+	over := time.After(testTimeout)
 	for {
-		var h *hop
+		var h *runnerRequest
 		var at *runner
 		select {
-		case h = <-runners[0].hops:
+		case h = <-runners[0].requests:
 			at = runners[0]
-		case h = <-runners[len(runners)-1].hops:
+		case h = <-runners[len(runners)-1].requests:
 			at = runners[len(runners)-1]
 		case <-over:
 			t.Fatal("no hop")
@@ -154,7 +154,7 @@
 			if ans := await(t, got, "answer"); ans.Status != want {
 				t.Errorf("%s: answer %+v, want %d", class.Name, ans, want)
 			}
-			if len(a.hops)+len(b.hops) > 0 {
+			if len(a.requests)+len(b.requests) > 0 {
 				t.Errorf("%s: there was another hop", class.Name)
 			}
 		}
@@ -232,7 +232,7 @@
 		d := startWith(t, newDiscovery(t).URL, 1024, []string{dep.entry(a, "SERVING"), dep.entry(b, "SERVING")}, dep.settled)
 		class := slices.IndexFunc(dep.Settings.Classes, func(c deployedClass) bool { return c.Effect == "keyed" })
 		jobs := 0
-		next := func() (string, <-chan answer, *runner, *hop) {
+		next := func() (string, <-chan response, *runner, *runnerRequest) {
 			jobs++
 			id := fmt.Sprintf("r%d", jobs)
 			got := submit(d.job(dep.Settings.Classes[class].Name, id, dep.keyed(class), func(req *http.Request) {
@@ -282,7 +282,7 @@
 		h.reply(202, "")
 		d.report(event("gone", a.uid, "started"))
 		c.Close()
-		recall := await(t, a.hops, "recall")
+		recall := await(t, a.requests, "recall")
 		if recall.Method != http.MethodDelete || recall.RequestURI != "/jobs/gone" {
 			t.Errorf("the runner got %s %s", recall.Method, recall.RequestURI)
 		}
@@ -299,7 +299,7 @@
 		d := startWith(t, disc.URL, 1024, []string{dep.entry(a, "SERVING")}, dep.settled, upgradable)
 		await(t, disc.watches, "watch")
 		class := dep.Settings.Classes[0].Name
-		begin := func(d *dispatcher, id string) <-chan answer {
+		begin := func(d *dispatcher, id string) <-chan response {
 			got := submit(d.job(class, id, dep.keyed(0)))
 			_, h := dep.hopAt(t, a)
 			if h.id() != id {
@@ -309,7 +309,7 @@
 			d.report(event(id, a.uid, "started"))
 			return got
 		}
-		over := func(what string, d *dispatcher, id string, got <-chan answer) {
+		over := func(what string, d *dispatcher, id string, got <-chan response) {
 			for d.report(event(id, a.uid, "done")) != 204 { // repeated while the job is on its way
 			}
 			if ans := await(t, got, "answer "+what); ans.Status != 200 {
@@ -342,7 +342,7 @@
 		if err := await(t, next.ended, "end"); err != nil {
 			t.Errorf("the program ended with %v", err)
 		}
-		if len(a.hops) > 0 {
+		if len(a.requests) > 0 {
 			t.Error("a job was sent twice")
 		}
 	})
--- a/cmd/frosttide/gangs.go
+++ b/cmd/frosttide/gangs.go
@@ -15,18 +15,18 @@
 
 // watchGangs has the parts of gangs watched, by this dispatcher alone or with the others; nil
 // where the settings don't say so. It is called before the core runs.
-func watchGangs(cfg config.Config, c *core.Core, o *others, log *logrus.Entry) *gangdesk.Desk {
+func watchGangs(cfg config.Config, c *core.Core, o *peers, log *logrus.Entry) *gangdesk.Desk {
 	if !cfg.Gang.Enabled {
 		return nil
 	}
-	look := cfg.Gang.Every / 2
+	look := cfg.Gang.ReportInterval / 2
 	if look <= 0 {
 		look = time.Second
 	}
-	d := gangdesk.New(gangdesk.Config{Every: cfg.Gang.Every, Look: look, Copies: cfg.Gang.Copies, Now: o.membersNow, Tell: o.tellGang}, c, log)
-	c.Watch(d)
+	d := gangdesk.New(gangdesk.Config{Every: cfg.Gang.ReportInterval, Look: look, Copies: cfg.Gang.Speculative, Now: o.clusterTime, Tell: o.shareGangFact}, c, log)
+	c.SetGangObserver(d)
 	if o != nil {
-		o.gangs = d
+		o.gangWatcher = d
 	}
 	return d
 }
@@ -38,7 +38,7 @@
 			http.Error(w, "gangs are watched where [gang] has enabled = true", http.StatusServiceUnavailable)
 			return
 		}
-		ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(statusWithin))
+		ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(gangStatusTimeout))
 		defer cancel()
 		s, ok := d.Status(ctx)
 		if !ok {
@@ -50,28 +50,28 @@
 	})
 }
 
-// statusWithin bounds a question to the watcher: whoever makes a call waits for a second.
-const statusWithin = 800 * time.Millisecond
+// gangStatusTimeout bounds a question to the watcher: whoever makes a call waits for a second.
+const gangStatusTimeout = 800 * time.Millisecond
 
-// tellGang makes known to the other members how a part does.
-func (o *others) tellGang(name string, fact []byte) {
+// shareGangFact makes known to the other members how a part does.
+func (o *peers) shareGangFact(name string, fact []byte) {
 	if o == nil {
 		return
 	}
-	if m := o.now(); m != nil {
+	if m := o.currentMember(); m != nil {
 		m.TellGang(name, fact)
 	}
 }
 
 // HearGang brings what another member tells of a part.
-func (o *others) HearGang(told []byte) {
-	if o.gangs != nil {
-		o.gangs.Hear(told)
+func (o *peers) HearGang(told []byte) {
+	if o.gangWatcher != nil {
+		o.gangWatcher.Hear(told)
 	}
 }
 
-// runGangs has them watched until the context ends.
-func runGangs(ctx context.Context, d *gangdesk.Desk) {
+// runGangWatcher has them watched until the context ends.
+func runGangWatcher(ctx context.Context, d *gangdesk.Desk) {
 	if d != nil {
 		go d.Run(ctx)
 	}
--- a/cmd/frosttide/gearman.go
+++ b/cmd/frosttide/gearman.go
@@ -15,31 +15,31 @@
 	"frosttide/internal/dispatcher/telemetry"
 )
 
-// targets opens the target of each runner where it is: over the platform's protocol, or on
+// backends opens the target of each runner where it is: over the platform's protocol, or on
 // the connection by which a Gearman worker has come.
-type targets struct {
+type backends struct {
 	*egress.Fleet
 	gearman *gearman.Server // nil where there is none; set before the first Open
 }
 
-func (t *targets) Open(worker decision.WorkerID, uid, addr string) core.Target {
+func (t *backends) Open(worker decision.WorkerID, uid, addr string) core.Backend {
 	if t.gearman != nil && gearman.Has(addr) {
 		return t.gearman.Open(addr)
 	}
 	return t.Fleet.Open(worker, uid, addr)
 }
 
-// farm is the Gearman front with what a reload may change of it.
-type farm struct {
+// gearmanFront is the Gearman front with what a reload may change of it.
+type gearmanFront struct {
 	*gearman.Server
 	tls *gearman.TLS // nil for none
 	log *logrus.Entry
 }
 
-func openFarm(cfg config.Config, c *core.Core, counts *telemetry.Counts, stories *export.Exporter, log *logrus.Entry) (*farm, error) {
-	f := &farm{log: log}
+func openGearman(cfg config.Config, c *core.Core, counts *telemetry.Counts, stories *export.Exporter, log *logrus.Entry) (*gearmanFront, error) {
+	f := &gearmanFront{log: log}
 	g := cfg.Gearman
-	of := gearman.Config{Listen: g.Listen, Functions: functions(cfg), Zone: max(slices.Index(cfg.Names.Zones, g.Zone), 0),
+	of := gearman.Config{Listen: g.Listen, Functions: gearmanFunctions(cfg), Zone: max(slices.Index(cfg.Names.Zones, g.Zone), 0),
 		Kind: max(slices.Index(cfg.Names.Kinds, g.Kind), 0), ZoneName: g.Zone, Connections: int(g.Connections), Jobs: int(g.Jobs), Packet: int(g.Packet)}
 	if g.Certificate != "" {
 		f.tls = &gearman.TLS{}
@@ -53,27 +53,27 @@
 	return f, err
 }
 
-// functions returns what the functions of the settings are.
-func functions(cfg config.Config) map[string]gearman.Function {
+// gearmanFunctions returns what the functions of the settings are.
+func gearmanFunctions(cfg config.Config) map[string]gearman.Function {
 	out := map[string]gearman.Function{}
 	for name, class := range cfg.Gearman.Functions {
 		i := slices.Index(cfg.Names.Classes, class)
-		if i < 0 || cfg.Gone[i] {
+		if i < 0 || cfg.RemovedClasses[i] {
 			continue // it was checked; a class that is gone takes no new jobs
 		}
 		c := &cfg.Module.Classes[i]
-		f := gearman.Function{Class: i, Name: class, Keyed: c.Effect == decision.Keyed, GiveUp: c.GiveUp, Worth: c.Worth, Repeats: c.GiveUp}
+		f := gearman.Function{Class: i, Name: class, Keyed: c.Effect == decision.Keyed, GiveUp: c.ClientTimeout, Worth: c.Value, Repeats: c.ClientTimeout}
 		if f.Keyed {
-			f.Repeats = c.Window
+			f.Repeats = c.DedupWindow
 		}
 		out[name] = f
 	}
 	return out
 }
 
-// take puts new settings in force.
-func (f *farm) take(cfg config.Config) {
-	f.Functions(functions(cfg))
+// applySettings puts new settings in force.
+func (f *gearmanFront) applySettings(cfg config.Config) {
+	f.Functions(gearmanFunctions(cfg))
 	if f.tls == nil {
 		return
 	}
@@ -84,7 +84,7 @@
 }
 
 // drain waits until no client's job is open, at most until the deadline.
-func (f *farm) drain(by time.Time) {
+func (f *gearmanFront) drain(by time.Time) {
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	for time.Now().Before(by) && !f.Idle(by) {
--- a/cmd/frosttide/gearman_test.go
+++ b/cmd/frosttide/gearman_test.go
@@ -21,22 +21,22 @@
 	"frosttide/internal/testkit/standin/gearman"
 )
 
-// farming is a dispatcher with a Gearman front.
-type farming struct {
+// gearmanFixture is a dispatcher with a Gearman front.
+type gearmanFixture struct {
 	*dispatcher
 	jobs string // the front's address
 }
 
-// newFarm starts one with a fixed list of HTTP runners; more goes into its settings.
-func newFarm(t *testing.T, more string, runners ...*runner) *farming {
+// newGearman starts one with a fixed list of HTTP runners; more goes into its settings.
+func newGearman(t *testing.T, more string, runners ...*runner) *gearmanFixture {
 	t.Helper()
-	return newFarmWith(t, more, runners, func(*dispatcher) {})
+	return newGearmanWith(t, more, runners, func(*dispatcher) {})
 }
 
-// newFarmWith does so after a last edit.
-func newFarmWith(t *testing.T, more string, runners []*runner, edit func(*dispatcher)) *farming {
+// newGearmanWith does so after a last edit.
+func newGearmanWith(t *testing.T, more string, runners []*runner, edit func(*dispatcher)) *gearmanFixture {
 	t.Helper()
-	f := &farming{}
+	f := &gearmanFixture{}
 	f.dispatcher = startWith(t, "", 1024, nil, func(d *dispatcher) {
 		l, err := net.Listen("tcp", strings.Split(d.addr, ":")[0]+":0")
 		if err != nil {
@@ -74,7 +74,7 @@
 effect = "unsafe"
 wanted_within = "2s"
 give_up = "2s"
-`, d.addr, d.ops, f.jobs, more)
+`, d.addr, d.consoleAddr, f.jobs, more)
 		for _, r := range append(runners, &runner{uid: "s-none", addr: "127.0.0.1:1"}) {
 			text += fmt.Sprintf("[[runner]]\nid = %q\naddress = %q\nzone = \"a\"\n", r.uid, r.addr)
 		}
@@ -94,9 +94,9 @@
 }
 
 // peer connects as a client or a worker.
-func (f *farming) peer() *gearman.Peer {
+func (f *gearmanFixture) peer() *gearman.Peer {
 	f.t.Helper()
-	p, err := gearman.Dial(f.jobs, time.Now().Add(patience), nil)
+	p, err := gearman.Dial(f.jobs, time.Now().Add(testTimeout), nil)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -105,7 +105,7 @@
 }
 
 // worker connects one that can do functions and is listed.
-func (f *farming) worker(id string, functions ...string) *gearman.Peer {
+func (f *gearmanFixture) worker(id string, functions ...string) *gearman.Peer {
 	f.t.Helper()
 	p := f.peer()
 	if err := p.Announce(id, functions...); err != nil {
@@ -123,15 +123,15 @@
 	return v
 }
 
-// grabs has a worker grab a job.
-func (f *farming) grabs(w *gearman.Peer) gearman.Job {
+// grabJob has a worker grab a job.
+func (f *gearmanFixture) grabJob(w *gearman.Peer) gearman.Job {
 	f.t.Helper()
 	job, err := w.Grab()
 	return must(f.t, job, err)
 }
 
-// submits has a client submit, and returns the handle.
-func (f *farming) submits(c *gearman.Peer, kind proto.Type, function, unique, workload string) string {
+// submitJob has a client submit, and returns the handle.
+func (f *gearmanFixture) submitJob(c *gearman.Peer, kind proto.Type, function, unique, workload string) string {
 	f.t.Helper()
 	if err := c.Send(kind, function, unique, workload); err != nil {
 		f.t.Fatal(err)
@@ -156,10 +156,10 @@
 // told meanwhile, and that there is one end.
 func TestGearmanJob(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, "")
+	f := newGearman(t, "")
 	w, c := f.worker("w1", "cut", "unknown"), f.peer()
-	handle := f.submits(c, proto.SubmitJob, "cut", "u1", "frames\x00of u1")
-	job := f.grabs(w)
+	handle := f.submitJob(c, proto.SubmitJob, "cut", "u1", "frames\x00of u1")
+	job := f.grabJob(w)
 	if diff := cmp.Diff(gearman.Job{Handle: job.Handle, Function: "cut", Unique: "u1", Workload: "frames\x00of u1"}, job); diff != "" {
 		t.Errorf("the job (-want +got):\n%s", diff)
 	}
@@ -200,10 +200,10 @@
 func TestMixedFronts(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "s-http")
-	f := newFarm(t, "", r)
+	f := newGearman(t, "", r)
 	c := f.peer()
-	handle := f.submits(c, proto.SubmitJobHigh, "cut", "u1", "frames")
-	h := await(t, r.hops, "hop at the HTTP runner")
+	handle := f.submitJob(c, proto.SubmitJobHigh, "cut", "u1", "frames")
+	h := await(t, r.requests, "hop at the HTTP runner")
 	if h.RequestURI != "/render/cut" || h.id() != "u1" || h.body != "frames" {
 		t.Errorf("the hop is %s of %s with %q", h.RequestURI, h.id(), h.body)
 	}
@@ -216,12 +216,12 @@
 	}
 	w := f.worker("w1", "cut", "out")
 	got := submit(f.job("render", "h1"))
-	job := f.grabs(w)
+	job := f.grabJob(w)
 	if job.Function != "cut" || job.Workload != "frames of h1" {
 		t.Errorf("the worker got %+v", job)
 	}
 	// The same id over the other front, while it is open:
-	twin := f.submits(c, proto.SubmitJob, "cut", "h1", "frames")
+	twin := f.submitJob(c, proto.SubmitJob, "cut", "h1", "frames")
 	wants(t, c, proto.WorkWarning, twin, "a job of this id is open over another front")
 	wants(t, c, proto.WorkFail, twin)
 	if err := errors.Join(w.Send(proto.WorkData, job.Handle, "a"), w.Send(proto.WorkComplete, job.Handle, "b")); err != nil {
@@ -230,8 +230,8 @@
 	if a := await(t, got, "answer"); a.Status != 200 || a.Body != "ab" {
 		t.Errorf("the HTTP client got %d %q", a.Status, a.Body)
 	}
-	handle = f.submits(c, proto.SubmitJob, "out", "k1", "x")
-	job = f.grabs(w)
+	handle = f.submitJob(c, proto.SubmitJob, "out", "k1", "x")
+	job = f.grabJob(w)
 	if a := await(t, submit(f.job("release", "k1", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k1") })), "answer"); a.Status != 409 {
 		t.Errorf("the same id and key over HTTP got %d", a.Status)
 	}
@@ -269,11 +269,11 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			f := newFarm(t, "")
+			f := newGearman(t, "")
 			first := f.worker("w1", tc.function)
 			c := f.peer()
-			handle := f.submits(c, proto.SubmitJob, tc.function, "u1", "x")
-			job := f.grabs(first)
+			handle := f.submitJob(c, proto.SubmitJob, tc.function, "u1", "x")
+			job := f.grabJob(first)
 			second := f.worker("w2", tc.function)
 			tc.lose(first, job)
 			if !tc.again {
@@ -286,7 +286,7 @@
 				}
 				return
 			}
-			next := f.grabs(second)
+			next := f.grabJob(second)
 			if err := second.Send(proto.WorkComplete, next.Handle, "done by the second"); err != nil {
 				t.Fatal(err)
 			}
@@ -299,17 +299,17 @@
 // not run there.
 func TestWorkerOffers(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, "")
+	f := newGearman(t, "")
 	deaf, c := f.worker("deaf", "post"), f.peer()
 	if err := deaf.Send(proto.PreSleep); err != nil {
 		t.Fatal(err)
 	}
-	handle := f.submits(c, proto.SubmitJob, "post", "u1", "x")
+	handle := f.submitJob(c, proto.SubmitJob, "post", "u1", "x")
 	if _, err := deaf.Want(proto.Noop); err != nil {
 		t.Fatal(err)
 	}
 	good := f.worker("good", "post")
-	job := f.grabs(good)
+	job := f.grabJob(good)
 	if err := good.Send(proto.WorkComplete, job.Handle, "done"); err != nil {
 		t.Fatal(err)
 	}
@@ -320,8 +320,8 @@
 	wants(t, deaf, proto.NoJob) // the offer is not there any more
 
 	// One that grabs and never answers: the client hears at its deadline, once.
-	handle = f.submits(c, proto.SubmitJob, "post", "u2", "x")
-	f.grabs(good)
+	handle = f.submitJob(c, proto.SubmitJob, "post", "u2", "x")
+	f.grabJob(good)
 	if g, err := c.Want(proto.WorkFail); err != nil || g.Args[0] != handle {
 		t.Errorf("the client got %s, %v", g, err)
 	}
@@ -331,11 +331,11 @@
 // comes.
 func TestWorkerDrains(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, "")
+	f := newGearman(t, "")
 	w, c := f.worker("w1", "cut"), f.peer()
 	refused := func(id string) {
 		t.Helper()
-		handle := f.submits(c, proto.SubmitJob, "cut", id, "x")
+		handle := f.submitJob(c, proto.SubmitJob, "cut", id, "x")
 		g, err := c.Next()
 		if err != nil || g.Type != proto.WorkWarning || !strings.Contains(g.Args[1], "Retry-After: 0.") {
 			t.Errorf("a job that nobody can do got %s, %v", g, err)
@@ -351,8 +351,8 @@
 		t.Fatal(err)
 	}
 	wants(t, w, proto.EchoRes, "heard")
-	handle := f.submits(c, proto.SubmitJob, "cut", "u2", "x")
-	job := f.grabs(w)
+	handle := f.submitJob(c, proto.SubmitJob, "cut", "u2", "x")
+	job := f.grabJob(w)
 	if code, text := f.call("PUT", "/api/exclude", `{"host":"g-w1"}`); code != 200 {
 		t.Fatal(code, text)
 	}
@@ -367,13 +367,13 @@
 // TestUniqueJobs guards what the protocol says of unique ids, and background jobs.
 func TestUniqueJobs(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, "")
+	f := newGearman(t, "")
 	w, a, b := f.worker("w1", "cut"), f.peer(), f.peer()
-	handle := f.submits(a, proto.SubmitJob, "cut", "same", "x")
-	if other := f.submits(b, proto.SubmitJobLow, "cut", "same", "y"); other != handle {
+	handle := f.submitJob(a, proto.SubmitJob, "cut", "same", "x")
+	if other := f.submitJob(b, proto.SubmitJobLow, "cut", "same", "y"); other != handle {
 		t.Errorf("the same unique id has the handles %s and %s", handle, other)
 	}
-	job := f.grabs(w)
+	job := f.grabJob(w)
 	if err := b.Send(proto.GetStatusUnique, "same"); err != nil {
 		t.Fatal(err)
 	}
@@ -384,10 +384,10 @@
 	wants(t, a, proto.WorkComplete, handle, "one")
 	wants(t, b, proto.WorkComplete, handle, "one")
 
-	f.submits(a, proto.SubmitJob, "cut", "later", "x")
-	f.submits(b, proto.SubmitJobBg, "cut", "later", "x")
+	f.submitJob(a, proto.SubmitJob, "cut", "later", "x")
+	f.submitJob(b, proto.SubmitJobBg, "cut", "later", "x")
 	a.Close() // what somebody wants done in the background goes on without its clients
-	job = f.grabs(w)
+	job = f.grabJob(w)
 	if job.Unique != "later" {
 		t.Errorf("the worker got %+v", job)
 	}
@@ -395,7 +395,7 @@
 		t.Fatal(err)
 	}
 	text := ""
-	for over := time.Now().Add(patience); !strings.Contains(text, `completed{lane="render"} 2`); _, text = f.call("GET", "/api/telemetry", "") {
+	for over := time.Now().Add(testTimeout); !strings.Contains(text, `completed{lane="render"} 2`); _, text = f.call("GET", "/api/telemetry", "") {
 		if time.Now().After(over) {
 			t.Fatalf("the background job did not end:\n%s", text)
 		}
@@ -413,7 +413,7 @@
 // TestOddPeers guards the front against what a peer may send, and others against it.
 func TestOddPeers(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, "")
+	f := newGearman(t, "")
 	w, c := f.worker("w1", "cut"), f.peer()
 	var stream []byte
 	for i := range 1000 {
@@ -462,8 +462,8 @@
 			t.Errorf("%q got %q, %v", line, answer[:n], err)
 		}
 	}
-	handle := f.submits(c, proto.SubmitJob, "cut", "after", "x")
-	job := f.grabs(w)
+	handle := f.submitJob(c, proto.SubmitJob, "cut", "after", "x")
+	job := f.grabJob(w)
 	if err := w.Send(proto.WorkComplete, job.Handle, "fine"); err != nil {
 		t.Fatal(err)
 	}
@@ -474,10 +474,10 @@
 // refused, and the process ends.
 func TestGearmanEnd(t *testing.T) {
 	t.Parallel()
-	f := newFarm(t, "")
+	f := newGearman(t, "")
 	w, c := f.worker("w1", "cut"), f.peer()
-	handle := f.submits(c, proto.SubmitJob, "cut", "u1", "x")
-	job := f.grabs(w)
+	handle := f.submitJob(c, proto.SubmitJob, "cut", "u1", "x")
+	job := f.grabJob(w)
 	if err := f.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -495,10 +495,10 @@
 // the worker tells the older process alone, so that keeps it.
 func TestGearmanUpgrade(t *testing.T) {
 	t.Parallel()
-	f := newFarmWith(t, "", nil, upgradable)
+	f := newGearmanWith(t, "", nil, upgradable)
 	w := f.worker("w1", "cut")
 	got := submit(f.job("render", "h1"))
-	job := f.grabs(w)
+	job := f.grabJob(w)
 	s := f.successor()
 	if err := f.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -529,8 +529,8 @@
 	if err := os.WriteFile(key, keyPEM(t, pair), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f := newFarm(t, fmt.Sprintf("certificate = %q\nkey = %q\n", ca, key))
-	by := time.Now().Add(patience)
+	f := newGearman(t, fmt.Sprintf("certificate = %q\nkey = %q\n", ca, key))
+	by := time.Now().Add(testTimeout)
 	p, err := gearman.Dial(f.jobs, by, &tls.Config{InsecureSkipVerify: true}) // its address is the test's own
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/frosttide/harness_test.go
+++ b/cmd/frosttide/harness_test.go
@@ -46,12 +46,12 @@
 	}
 }
 
-// patience bounds each wait for an event; no test waits for it to pass.
-const patience = 20 * time.Second
+// testTimeout bounds each wait for an event; no test waits for it to pass.
+const testTimeout = 20 * time.Second
 
-// theSettings has a class for each effect. The connect timeout is short of nothing
+// testSettings has a class for each effect. The connect timeout is short of nothing
 // that happens on loopback.
-const theSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"kinds":["m"],"discovery":"on_request",
+const testSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"kinds":["m"],"discovery":"on_request",
 "request-classes":[
  {"name":"render","effect":"safe","aim":2000000,"give-up":20000000,"worth":1},
  {"name":"release","effect":"keyed","group":"zone","window":40000000,"aim":2000000,"give-up":20000000,"worth":5},
@@ -63,15 +63,15 @@
 
 // dispatcher is a running frosttide.
 type dispatcher struct {
-	t     *testing.T
-	addr  string
-	ops   string // the console's address
-	cmd   *exec.Cmd
-	lines chan string
-	ended chan error
-	seen  []string
-	cfg   string // the file, with the address of discovery as %s
-	path  string // of the file
+	t           *testing.T
+	addr        string
+	consoleAddr string // the console's address
+	cmd         *exec.Cmd
+	lines       chan string
+	ended       chan error
+	logLines    []string
+	cfg         string // the file, with the address of discovery as %s
+	path        string // of the file
 
 	lastRaw atomic.Pointer[time.Time] // when raw opened its last connection; several may open at once
 }
@@ -82,25 +82,25 @@
 	watches chan *watch
 	given   atomic.Pointer[string] // the whole list that its dispatcher was started with
 	silent  atomic.Bool            // watches say nothing while nothing changes, as when the machine has vanished
-	over    chan struct{}
+	closed  chan struct{}
 	once    sync.Once
 }
 
 // discoveries are the stand-ins by URL.
 var discoveries sync.Map
 
-// piece ends what is not a whole line yet.
-const piece = "..."
+// unfinished ends what is not a whole line yet.
+const unfinished = "..."
 
 type watch struct {
 	query string
 	lines chan string // closed to end the watch
-	gone  <-chan struct{}
+	done  <-chan struct{}
 }
 
 func newDiscovery(t *testing.T) *discovery {
-	d := &discovery{watches: make(chan *watch, 64), over: make(chan struct{})}
-	return d.serveAt(t, own()+":0")
+	d := &discovery{watches: make(chan *watch, 64), closed: make(chan struct{})}
+	return d.serveAt(t, uniqueIP()+":0")
 }
 
 // serveAt opens it until the test ends.
@@ -121,7 +121,7 @@
 // the others were ended, or that nobody looks at: the server's own Close waits for each.
 func (d *discovery) Close() {
 	d.once.Do(func() {
-		close(d.over)
+		close(d.closed)
 		d.CloseClientConnections()
 		d.Server.Close()
 	})
@@ -134,7 +134,7 @@
 			fmt.Fprintln(w, *given) // what a process asks that begins with that list
 			return
 		}
-		x := &watch{query: r.URL.RawQuery, lines: make(chan string, 16), gone: r.Context().Done()}
+		x := &watch{query: r.URL.RawQuery, lines: make(chan string, 16), done: r.Context().Done()}
 		w.WriteHeader(http.StatusOK)
 		if r.URL.Query().Get("watch") == "1" && !d.silent.Load() {
 			fmt.Fprint(w, "\n") // nothing has changed: a process that begins need not wait for more
@@ -142,7 +142,7 @@
 		w.(http.Flusher).Flush()
 		select {
 		case d.watches <- x:
-		case <-d.over:
+		case <-d.closed:
 			return
 		}
 		beat := time.NewTicker(time.Second) // discovery's own; within an object it would say nothing
@@ -160,12 +160,12 @@
 				if !ok {
 					return
 				}
-				whole, wrote = !strings.HasSuffix(line, piece), true
-				fmt.Fprint(w, strings.TrimSuffix(line+"\n", piece+"\n"))
+				whole, wrote = !strings.HasSuffix(line, unfinished), true
+				fmt.Fprint(w, strings.TrimSuffix(line+"\n", unfinished+"\n"))
 				w.(http.Flusher).Flush()
 			case <-r.Context().Done():
 				return
-			case <-d.over:
+			case <-d.closed:
 				return
 			}
 		}
@@ -192,7 +192,7 @@
 	syscall.ForkLock.Lock()
 	defer syscall.ForkLock.Unlock()
 	for _, addr := range addrs {
-		for over := time.Now().Add(patience); ; runtime.Gosched() {
+		for over := time.Now().Add(testTimeout); ; runtime.Gosched() {
 			l, err := net.Listen("tcp", addr)
 			if err == nil {
 				l.Close()
@@ -205,10 +205,10 @@
 	}
 }
 
-// own is an IP address that nothing else in the tests has, neither a listener nor a connection
+// uniqueIP is an IP address that nothing else in the tests has, neither a listener nor a connection
 // that leaves: those have 127.0.0.1. Guards a port between its choice and its use, and one that
 // is to be opened again.
-func own() string {
+func uniqueIP() string {
 	n := started.Add(1)
 	return fmt.Sprintf("127.77.%d.%d", n/200, n%200+1)
 }
@@ -224,7 +224,7 @@
 // startWith does so after the edits.
 func startWith(t *testing.T, discoveryURL string, sockets int, known []string, edit ...func(*dispatcher)) *dispatcher {
 	t.Helper()
-	ip := own()
+	ip := uniqueIP()
 	free, err := net.Listen("tcp", ip+":0")
 	if err != nil {
 		t.Fatal(err)
@@ -233,13 +233,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &dispatcher{t: t, addr: free.Addr().String(), ops: other.Addr().String()}
+	d := &dispatcher{t: t, addr: free.Addr().String(), consoleAddr: other.Addr().String()}
 	free.Close()
 	other.Close()
-	closed(t, d.addr, d.ops)
+	closed(t, d.addr, d.consoleAddr)
 	d.cfg = fmt.Sprintf(`{"name":"n0","listen":%q,"console":%q,"discovery":"%%s","seed":"8c1f30d27a5be964","unheard":1,
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
-		d.addr, d.ops, sockets, list(41, true, known...), theSettings)
+		d.addr, d.consoleAddr, sockets, list(41, true, known...), testSettings)
 	if disc, ok := discoveries.Load(discoveryURL); ok {
 		given := list(41, true, known...)
 		disc.(*discovery).given.Store(&given)
@@ -318,9 +318,9 @@
 	}
 	other.Close()
 	closed(d.t, other.Addr().String())
-	s := &dispatcher{t: d.t, addr: d.addr, ops: other.Addr().String(), cfg: d.cfg, path: d.path, cmd: exec.Command(os.Args[0], d.cmd.Args[1:]...)}
+	s := &dispatcher{t: d.t, addr: d.addr, consoleAddr: other.Addr().String(), cfg: d.cfg, path: d.path, cmd: exec.Command(os.Args[0], d.cmd.Args[1:]...)}
 	s.cmd.ExtraFiles = d.cmd.ExtraFiles
-	s.cmd.Env = append(slices.Clone(d.cmd.Env), "BALANCER_CONSOLE="+s.ops)
+	s.cmd.Env = append(slices.Clone(d.cmd.Env), "BALANCER_CONSOLE="+s.consoleAddr)
 	s.run()
 	s.awaitLog("frosttide serves")
 	return s
@@ -329,7 +329,7 @@
 // call makes an operator's call and returns its status and text.
 func (d *dispatcher) call(method, path, body string) (int, string) {
 	d.t.Helper()
-	req, err := http.NewRequest(method, "http://"+d.ops+path, strings.NewReader(body))
+	req, err := http.NewRequest(method, "http://"+d.consoleAddr+path, strings.NewReader(body))
 	if err != nil {
 		d.t.Fatal(err)
 	}
@@ -369,22 +369,22 @@
 
 func (d *dispatcher) awaitLog(text string) {
 	d.t.Helper()
-	over := time.After(patience)
+	over := time.After(testTimeout)
 	for {
 		select {
 		case line := <-d.lines:
-			d.seen = append(d.seen, line)
+			d.logLines = append(d.logLines, line)
 			if strings.Contains(line, text) {
 				return
 			}
 		case <-over:
-			d.t.Fatalf("no log line %q; log:\n%s", text, strings.Join(d.seen, "\n"))
+			d.t.Fatalf("no log line %q; log:\n%s", text, strings.Join(d.logLines, "\n"))
 		}
 	}
 }
 
-// answer is what a client got, or why it got nothing.
-type answer struct {
+// response is what a client got, or why it got nothing.
+type response struct {
 	Status int
 	Body   string
 	Header http.Header
@@ -428,21 +428,21 @@
 }
 
 // submit sends a job in the background.
-func submit(req *http.Request) <-chan answer {
-	got := make(chan answer, 1)
+func submit(req *http.Request) <-chan response {
+	got := make(chan response, 1)
 	go func() { got <- do(&http.Client{Transport: &http.Transport{}}, req) }()
 	return got
 }
 
-func do(c *http.Client, req *http.Request) answer {
+func do(c *http.Client, req *http.Request) response {
 	resp, err := c.Do(req)
 	if err != nil {
-		return answer{Err: err}
+		return response{Err: err}
 	}
 	defer c.CloseIdleConnections()
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
-	return answer{Status: resp.StatusCode, Body: string(text), Header: resp.Header, Err: err, Close: resp.Close}
+	return response{Status: resp.StatusCode, Body: string(text), Header: resp.Header, Err: err, Close: resp.Close}
 }
 
 // report makes a runner's call-back, again until it is answered as runners do,
@@ -473,7 +473,7 @@
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
@@ -484,12 +484,12 @@
 type runner struct {
 	uid, addr string
 	listener  net.Listener
-	hops      chan *hop // jobs, recalls and probes as they arrive whole
+	requests  chan *runnerRequest // jobs, recalls and probes as they arrive whole
 	conns     sync.Map
 }
 
-// hop is a request at a runner; the test answers it.
-type hop struct {
+// runnerRequest is a request at a runner; the test answers it.
+type runnerRequest struct {
 	*http.Request
 	body  string
 	conn  net.Conn
@@ -498,11 +498,11 @@
 
 func newRunner(t *testing.T, uid string) *runner {
 	t.Helper()
-	l, err := net.Listen("tcp", own()+":0")
+	l, err := net.Listen("tcp", uniqueIP()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &runner{uid: uid, addr: l.Addr().String(), listener: l, hops: make(chan *hop, 256)}
+	r := &runner{uid: uid, addr: l.Addr().String(), listener: l, requests: make(chan *runnerRequest, 256)}
 	t.Cleanup(func() {
 		l.Close()
 		r.conns.Range(func(c, _ any) bool { c.(net.Conn).Close(); return true })
@@ -532,14 +532,14 @@
 		if err != nil {
 			return
 		}
-		r.hops <- &hop{Request: req, body: string(body), conn: c, ended: ended}
+		r.requests <- &runnerRequest{Request: req, body: string(body), conn: c, ended: ended}
 	}
 }
 
-func (h *hop) id() string { return h.Header.Get("X-Trace-Id") }
+func (h *runnerRequest) id() string { return h.Header.Get("X-Trace-Id") }
 
 // reply answers a hop; headers end with \r\n each.
-func (h *hop) reply(status int, headers string) {
+func (h *runnerRequest) reply(status int, headers string) {
 	fmt.Fprintf(h.conn, "HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), headers)
 }
 
--- a/cmd/frosttide/inject_test.go
+++ b/cmd/frosttide/inject_test.go
@@ -14,9 +14,9 @@
 // Faults that no peer can cause are put into the started program here, by files and variables that
 // the test names in its environment. The rest of the program is real.
 const (
-	envHeldDials  = "FROSTTIDE_TEST_HELD_DIALS"  // a file: dials to runners wait while it is there
-	envDialErrors = "FROSTTIDE_TEST_DIAL_ERRORS" // errors of the first dials, by number
-	envAccept     = "FROSTTIDE_TEST_ACCEPT"      // errors of the first accepts, by number
+	envBlockedDials = "FROSTTIDE_TEST_HELD_DIALS"  // a file: dials to runners wait while it is there
+	envDialErrors   = "FROSTTIDE_TEST_DIAL_ERRORS" // errors of the first dials, by number
+	envAccept       = "FROSTTIDE_TEST_ACCEPT"      // errors of the first accepts, by number
 
 	envBackendFault = "FROSTTIDE_TEST_BACKEND_FAULT" // a file: what the next read or write of a connection to a runner meets
 	envClientFault  = "FROSTTIDE_TEST_CLIENT_FAULT"  // a file: the same of a connection that was accepted
@@ -27,8 +27,8 @@
 
 // inject puts in the faults that the environment names.
 func inject() {
-	if path := os.Getenv(envHeldDials); path != "" {
-		dialRunner = heldDial(path)
+	if path := os.Getenv(envBlockedDials); path != "" {
+		dialRunner = blockingDial(path)
 	}
 	if numbers := os.Getenv(envDialErrors); numbers != "" {
 		dialRunner = failingDial(numbers)
@@ -53,8 +53,8 @@
 	}
 }
 
-// heldDial dials once a file is gone, and says by another that it waits.
-func heldDial(path string) egress.Dial {
+// blockingDial dials once a file is gone, and says by another that it waits.
+func blockingDial(path string) egress.Dial {
 	return func(network, addr string, deadline time.Time) (net.Conn, error) {
 		for {
 			if _, err := os.Stat(path); err != nil {
--- a/cmd/frosttide/jobs_test.go
+++ b/cmd/frosttide/jobs_test.go
@@ -35,7 +35,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			id := strings.ReplaceAll(tc.name, " ", "-")
 			got := submit(d.job("release", id))
-			h := await(t, r.hops, "hop")
+			h := await(t, r.requests, "hop")
 			left, err := strconv.Atoi(h.Header.Get("X-Expires-In-Ms"))
 			if err != nil || left > 15000 || left < 10000 {
 				t.Errorf("X-Expires-In-Ms is %q", h.Header.Get("X-Expires-In-Ms"))
@@ -61,7 +61,7 @@
 				}
 			}
 			a := await(t, got, "answer")
-			if diff := cmp.Diff(answer{Status: 200, Body: "clip of " + id + " by s-1"}, answer{a.Status, a.Body, nil, a.Err, false}); diff != "" {
+			if diff := cmp.Diff(response{Status: 200, Body: "clip of " + id + " by s-1"}, response{a.Status, a.Body, nil, a.Err, false}); diff != "" {
 				t.Errorf("the answer differs (-want +got):\n%s", diff)
 			}
 		})
@@ -73,18 +73,18 @@
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
 	const unrun = "X-Never-Ran: 1\r\n"
-	reply := func(status int, headers string) func(*dispatcher, *hop) {
-		return func(_ *dispatcher, h *hop) { h.reply(status, headers) }
+	reply := func(status int, headers string) func(*dispatcher, *runnerRequest) {
+		return func(_ *dispatcher, h *runnerRequest) { h.reply(status, headers) }
 	}
-	report := func(state string) func(*dispatcher, *hop) {
-		return func(d *dispatcher, h *hop) {
+	report := func(state string) func(*dispatcher, *runnerRequest) {
+		return func(d *dispatcher, h *runnerRequest) {
 			h.reply(202, "")
 			d.report(event(h.id(), "s-1", state))
 		}
 	}
 	for _, tc := range []struct {
 		name, class string
-		end         func(*dispatcher, *hop)
+		end         func(*dispatcher, *runnerRequest)
 		again       bool // the second runner gets it
 		status      int  // otherwise
 	}{
@@ -93,8 +93,8 @@
 		{"503 unrun, unsafe", "once", reply(503, unrun), true, 0},
 		{"504 unrun, keyed", "release", reply(504, unrun), true, 0},
 		{"503 that may have run", "once", reply(503, ""), false, 502},
-		{"reset, unsafe", "once", func(_ *dispatcher, h *hop) { h.conn.Close() }, false, 502},
-		{"reset, safe", "render", func(_ *dispatcher, h *hop) { h.conn.Close() }, true, 0},
+		{"reset, unsafe", "once", func(_ *dispatcher, h *runnerRequest) { h.conn.Close() }, false, 502},
+		{"reset, safe", "render", func(_ *dispatcher, h *runnerRequest) { h.conn.Close() }, true, 0},
 		{"failed, unsafe", "once", report("failed"), false, 502},
 		{"returned, unsafe", "once", report("returned"), true, 0},
 		{"lost, unsafe", "once", report("lost"), false, 502},
@@ -107,12 +107,12 @@
 			d := start(t, disc.URL, 1024, first.entry())
 			w := await(t, disc.watches, "watch")
 			got := submit(d.job(tc.class, "x1"))
-			h := await(t, first.hops, "hop")
+			h := await(t, first.requests, "hop")
 			w.lines <- list(42, false, second.entry())
 			d.awaitLog("target=s-2")
 			tc.end(d, h)
 			if tc.again {
-				if h := await(t, second.hops, "second hop"); h.id() != "x1" {
+				if h := await(t, second.requests, "second hop"); h.id() != "x1" {
 					t.Errorf("the second hop is of %q", h.id())
 				}
 				d.report(event("x1", "s-2", "done"))
@@ -121,7 +121,7 @@
 			if a := await(t, got, "answer"); a.Status != tc.status {
 				t.Errorf("answer %+v, want status %d", a, tc.status)
 			}
-			if len(second.hops) > 0 {
+			if len(second.requests) > 0 {
 				t.Errorf("the second runner got another hop")
 			}
 		})
@@ -138,7 +138,7 @@
 			t.Parallel()
 			d, r := one(t)
 			warm := submit(d.job("release", "warm"))
-			h := await(t, r.hops, "hop")
+			h := await(t, r.requests, "hop")
 			h.reply(202, "")
 			d.report(event("warm", r.uid, "done"))
 			await(t, warm, "answer")
@@ -149,7 +149,7 @@
 					req.ContentLength = int64(len("frames of -"))
 				}
 			}))
-			again := await(t, r.hops, "hop on the kept connection")
+			again := await(t, r.requests, "hop on the kept connection")
 			if again.conn != h.conn {
 				t.Fatal("the connection was not used again")
 			}
@@ -157,8 +157,8 @@
 			if a := await(t, got, "answer"); a.Status != 502 {
 				t.Errorf("answer %+v, want a failure: it may have run", a)
 			}
-			if len(r.hops) > 0 {
-				t.Errorf("the hop was sent again: %q", (<-r.hops).id())
+			if len(r.requests) > 0 {
+				t.Errorf("the hop was sent again: %q", (<-r.requests).id())
 			}
 		})
 	}
--- a/cmd/frosttide/lifecycle_test.go
+++ b/cmd/frosttide/lifecycle_test.go
@@ -16,23 +16,23 @@
 	t.Parallel()
 	d, r := one(t)
 	got := submit(d.job("render", "x1"))
-	await(t, r.hops, "hop").reply(202, "")
+	await(t, r.requests, "hop").reply(202, "")
 	long := submit(d.job("once", "long"))
-	await(t, r.hops, "hop").reply(202, "")
+	await(t, r.requests, "hop").reply(202, "")
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	told := time.Now()
 	d.awaitLog("frosttide drains")
 	stuck := submit(d.job("render", "stuck"))
-	await(t, r.hops, "hop").reply(202, "")
+	await(t, r.requests, "hop").reply(202, "")
 	d.report(event("stuck", r.uid, "started")) // late starts would have arrivals shed
 	for n := 0; ; n++ {                        // the others are served, until clients are told to leave
 		id := fmt.Sprintf("late-%d", n)
 		late := submit(d.job("render", id))
-		var h *hop
+		var h *runnerRequest
 		select {
-		case h = <-r.hops:
+		case h = <-r.requests:
 		case a := <-late:
 			if a.Status != 503 || !a.Close || n == 0 {
 				t.Fatalf("late answer %+v", a)
@@ -60,7 +60,7 @@
 	}
 	d.raw("") // says nothing, and is not waited for
 	for what, got := range map[string]struct {
-		from   <-chan answer
+		from   <-chan response
 		status int
 	}{"before": {long, 502}, "after": {stuck, 503}} {
 		if a := await(t, got.from, "answer"); a.Status != got.status || time.Since(told) > 3600*time.Millisecond {
@@ -87,7 +87,7 @@
 	d := start(t, first.URL, 1024, r.entry())
 	old := await(t, first.watches, "watch")
 	got := submit(d.job("render", "x1"))
-	await(t, r.hops, "hop").reply(202, "")
+	await(t, r.requests, "hop").reply(202, "")
 
 	for _, bad := range []string{`{"name":`, fmt.Sprintf(d.cfg, "nowhere")} {
 		d.reload(bad)
@@ -95,7 +95,7 @@
 	}
 	d.reload(fmt.Sprintf(d.cfg, strings.TrimPrefix(second.URL, "http://")))
 	asked := await(t, second.watches, "call to the new discovery")
-	await(t, old.gone, "end of the old watch")
+	await(t, old.done, "end of the old watch")
 	if asked.query != "watch=1&from=41" {
 		t.Errorf("the new discovery was first asked for %q", asked.query)
 	}
@@ -109,7 +109,7 @@
 		t.Errorf("answer %+v to the request that was open", a)
 	}
 	kept := submit(d.job("render", "x2")) // the list is kept meanwhile
-	await(t, r.hops, "hop").reply(202, "")
+	await(t, r.requests, "hop").reply(202, "")
 	d.report(event("x2", r.uid, "done"))
 	await(t, kept, "answer")
 
@@ -123,7 +123,7 @@
 	d.reload(fmt.Sprintf(d.cfg, strings.TrimPrefix(second.URL, "http://"))) // the same once more
 	d.awaitLog("configuration reread")
 	last := submit(d.job("render", "x3"))
-	await(t, other.hops, "hop at the new runner").reply(202, "")
+	await(t, other.requests, "hop at the new runner").reply(202, "")
 
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -145,15 +145,15 @@
 	t.Parallel()
 	for _, tc := range []struct{ cfg, says string }{
 		{`{"name":`, "unexpected end of JSON"},
-		{`{"discovery":"127.0.0.1:1","settings":` + theSettings + `}`, "listen: the address is missing"},
-		{`{"listen":"127.0.0.1","discovery":"127.0.0.1:1","settings":` + theSettings + `}`, "missing port"},
-		{`{"listen":"127.0.0.1:99999","discovery":"127.0.0.1:1","settings":` + theSettings + `}`, "not a port"},
+		{`{"discovery":"127.0.0.1:1","settings":` + testSettings + `}`, "listen: the address is missing"},
+		{`{"listen":"127.0.0.1","discovery":"127.0.0.1:1","settings":` + testSettings + `}`, "missing port"},
+		{`{"listen":"127.0.0.1:99999","discovery":"127.0.0.1:1","settings":` + testSettings + `}`, "not a port"},
 		{`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1"}`, "settings are missing"},
 		{`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{}}`, "request-classes: there are none"},
 		{`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","settings":{"request-classes":[{"name":"a"}]}}`, "settings: discovery is missing"},
-		{`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"xyz","settings":` + theSettings + `}`, "seed"},
-		{`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","limits":{"sockets":3},"settings":` + theSettings + `}`, "limits.sockets"},
-		{`{"listen":"192.0.2.1:9","discovery":"127.0.0.1:1","settings":` + theSettings + `}`, "listen"},
+		{`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"xyz","settings":` + testSettings + `}`, "seed"},
+		{`{"listen":"127.0.0.1:1","discovery":"127.0.0.1:1","limits":{"sockets":3},"settings":` + testSettings + `}`, "limits.sockets"},
+		{`{"listen":"192.0.2.1:9","discovery":"127.0.0.1:1","settings":` + testSettings + `}`, "listen"},
 	} {
 		cmd, _ := program(t, tc.cfg)
 		out, err := cmd.CombinedOutput()
--- a/cmd/frosttide/list_test.go
+++ b/cmd/frosttide/list_test.go
@@ -30,7 +30,7 @@
 	serve := func(id string, r *runner) {
 		t.Helper()
 		got := submit(d.job("render", id))
-		await(t, r.hops, "hop").reply(202, "")
+		await(t, r.requests, "hop").reply(202, "")
 		d.report(event(id, "s-1", "done"))
 		if a := await(t, got, "answer"); a.Status != 200 {
 			t.Errorf("%s: answer %+v", id, a)
@@ -44,7 +44,7 @@
 	}
 	for _, garbage := range []string{`{"rev":42,"all":true,"targets":[]} nonsense`, `{"rev":"42","all":true}`, `{"all":true}`, `{"rev":42,"all":tr!`} {
 		w.lines <- garbage
-		await(t, w.gone, "end of the call whose answer can't be read")
+		await(t, w.done, "end of the call whose answer can't be read")
 		if w = await(t, disc.watches, "another watch"); strings.HasPrefix(garbage, `{"rev":42,"all":true`) {
 			d.awaitLog("egress target gone") // the object before the garbage counts
 			w.lines <- list(41, true, r.entry())
@@ -77,7 +77,7 @@
 	disc.silent.Store(true)
 	last := time.Now()
 	d.awaitLog("discovery has fallen silent")
-	await(t, w.gone, "end of the silent watch")
+	await(t, w.done, "end of the silent watch")
 	w = await(t, disc.watches, "third watch")
 	if took := time.Since(last); took < time.Second || took > 5*time.Second {
 		t.Errorf("asked again %v after the last byte", took)
@@ -108,7 +108,7 @@
 		{"discovery answers", 20, false, true},
 		{"discovery's line is long", 20, true, true},
 		{"discovery is mute", 20, false, false},
-		{"few, discovery answers", freshness.Callers, false, true},
+		{"few, discovery answers", freshness.MaxUnspreadCallers, false, true},
 		{"few, discovery is mute", 3, false, false},
 	} {
 		answers := tc.answers
@@ -118,7 +118,7 @@
 			disc := newDiscovery(t)
 			disc.silent.Store(true)
 			sent := make(chan struct{}) // closed once a job waits at the open address
-			got := make(chan answer, 1)
+			got := make(chan response, 1)
 			if answers {
 				go func() {
 					w := <-disc.watches
@@ -130,25 +130,25 @@
 					<-sent
 					if tc.crowded { // a process that goes by the old list sends the job at once
 						select {
-						case <-gone.hops:
+						case <-gone.requests:
 							t.Error("the runner that is gone was sent the job")
 						case <-time.After(500 * time.Millisecond):
 						}
 					}
 					w.lines <- list(42, true, there.entry())
-					if tc.dispatchers <= freshness.Callers && w.query != "" {
+					if tc.dispatchers <= freshness.MaxUnspreadCallers && w.query != "" {
 						t.Errorf("one of few first asks for %q: it is answered only once something changes", w.query)
 					}
 				}()
 			}
 			d := startWith(t, disc.URL, 1024, []string{gone.entry()}, func(d *dispatcher) {
-				many := strings.Replace(theSettings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, tc.dispatchers), 1)
-				if tc.dispatchers == freshness.Callers { // calls spread over seconds: as long it waits
+				many := strings.Replace(testSettings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, tc.dispatchers), 1)
+				if tc.dispatchers == freshness.MaxUnspreadCallers { // calls spread over seconds: as long it waits
 					many = strings.Replace(many, `"ask-within":1000000`, `"ask-within":60000000`, 1)
 				}
 				text, err := os.ReadFile(d.path)
 				if err == nil {
-					err = os.WriteFile(d.path, []byte(strings.Replace(string(text), theSettings, many, 1)), 0o600)
+					err = os.WriteFile(d.path, []byte(strings.Replace(string(text), testSettings, many, 1)), 0o600)
 				}
 				if err != nil {
 					t.Fatal(err)
@@ -157,7 +157,7 @@
 				go func() {
 					var c net.Conn
 					var err error
-					for over := time.Now().Add(patience); c == nil && time.Now().Before(over); runtime.Gosched() {
+					for over := time.Now().Add(testTimeout); c == nil && time.Now().Before(over); runtime.Gosched() {
 						c, err = net.Dial("tcp", d.addr)
 					}
 					if err == nil {
@@ -165,30 +165,30 @@
 					}
 					close(sent)
 					if err != nil {
-						got <- answer{Err: err}
+						got <- response{Err: err}
 						return
 					}
 					defer c.Close()
 					resp, err := http.ReadResponse(bufio.NewReader(c), req)
 					if err != nil {
-						got <- answer{Err: err}
+						got <- response{Err: err}
 						return
 					}
 					resp.Body.Close()
-					got <- answer{Status: resp.StatusCode}
+					got <- response{Status: resp.StatusCode}
 				}()
 			})
 			from := gone
 			if answers {
 				from = there
 			}
-			h := await(t, from.hops, "job at the runner that is listed")
+			h := await(t, from.requests, "job at the runner that is listed")
 			h.reply(202, "")
 			d.report(event(h.id(), from.uid, "done"))
 			if a := await(t, got, "answer"); a.Status != 200 {
 				t.Errorf("answered %+v", a)
 			}
-			if answers && len(gone.hops) > 0 {
+			if answers && len(gone.requests) > 0 {
 				t.Error("the runner that is gone was sent the job")
 			}
 		})
@@ -216,7 +216,7 @@
 		for n := range 6 {
 			id := fmt.Sprintf("lagging-%d-%d", i, n)
 			got := submit(d.job("render", id))
-			h := await(t, kept.hops, "attempt at the runner that serves")
+			h := await(t, kept.requests, "attempt at the runner that serves")
 			h.reply(202, "")
 			d.report(event(id, kept.uid, "started"))
 			d.report(event(id, kept.uid, "done"))
@@ -229,15 +229,15 @@
 	d.awaitLog("egress target gone")
 	submit(d.job("render", "caught-up"))
 	select {
-	case h := <-drained.hops:
+	case h := <-drained.requests:
 		if h.id() != "caught-up" {
 			t.Errorf("the runner got %q", h.id())
 		}
-	case h := <-gone.hops: // it serves by the new discovery's own word
+	case h := <-gone.requests: // it serves by the new discovery's own word
 		if h.id() != "caught-up" {
 			t.Errorf("the runner got %q", h.id())
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("no attempt once the new discovery had come as far")
 	}
 }
--- a/cmd/frosttide/locked_test.go
+++ b/cmd/frosttide/locked_test.go
@@ -23,12 +23,12 @@
 		d.cmd.Env = append(d.cmd.Env, "TMPDIR="+notADir) // the last of a name counts
 	})
 	refused := func(line string) bool { return strings.Contains(line, "no newer process will take over the state") }
-	if n := len(slices.DeleteFunc(slices.Clone(d.seen), func(l string) bool { return !refused(l) })); n != 1 {
-		t.Fatalf("%d lines on the refused link, want 1; log:\n%s", n, strings.Join(d.seen, "\n"))
+	if n := len(slices.DeleteFunc(slices.Clone(d.logLines), func(l string) bool { return !refused(l) })); n != 1 {
+		t.Fatalf("%d lines on the refused link, want 1; log:\n%s", n, strings.Join(d.logLines, "\n"))
 	}
 	for _, id := range []string{"before-the-end", "during-the-end"} {
 		got := submit(d.job("render", id))
-		h := await(t, r.hops, "hop")
+		h := await(t, r.requests, "hop")
 		h.reply(202, "")
 		if id == "during-the-end" {
 			if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
--- a/cmd/frosttide/main.go
+++ b/cmd/frosttide/main.go
@@ -14,17 +14,17 @@
 
 func main() {
 	// Notified before all else: a signal that nobody heeds ends the process.
-	s := signals{ends: make(chan os.Signal, 1), reloads: make(chan os.Signal, 1)}
-	signal.Notify(s.ends, syscall.SIGTERM, syscall.SIGINT)
+	s := signals{stop: make(chan os.Signal, 1), reloads: make(chan os.Signal, 1)}
+	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reloads, syscall.SIGHUP)
 	os.Exit(execute(s, os.Args[1:]))
 }
 
 // signals are what the process is told from outside.
-type signals struct{ ends, reloads chan os.Signal }
+type signals struct{ stop, reloads chan os.Signal }
 
-// errSaid is the error of a command that has said itself what is wrong.
-var errSaid = errors.New("")
+// errReported is the error of a command that has said itself what is wrong.
+var errReported = errors.New("")
 
 // execute runs a command and returns the exit status: 0 for done, 1 for what went
 // wrong, 2 for arguments that can't be meant.
@@ -36,7 +36,7 @@
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errSaid):
+	case errors.Is(err, errReported):
 		return 1
 	case errors.As(err, &wrong) || !cmd.HasParent() && isUsage(err):
 		fmt.Fprintf(os.Stderr, "%s: %s (see %s --help)\n", cmd.CommandPath(), firstLine(err), cmd.CommandPath())
--- a/cmd/frosttide/mixed_test.go
+++ b/cmd/frosttide/mixed_test.go
@@ -15,9 +15,9 @@
 	"frosttide/internal/testkit/standin/gearman"
 )
 
-// mixed is a run with clients and workers of one kind or of both, and with faults.
-type mixed struct {
-	*farming
+// mixedLoad is a run with clients and workers of one kind or of both, and with faults.
+type mixedLoad struct {
+	*gearmanFixture
 	check *rules.Checker
 	over  chan struct{}
 	jobs  sync.WaitGroup
@@ -46,11 +46,11 @@
 }
 
 // httpRunner serves as a runner over HTTP until the run is over.
-func (m *mixed) httpRunner(r *runner, seed uint64) {
+func (m *mixedLoad) httpRunner(r *runner, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for {
 		select {
-		case h := <-r.hops:
+		case h := <-r.requests:
 			if h.service() {
 				continue
 			}
@@ -71,7 +71,7 @@
 					if end == "fail" {
 						state = "failed"
 					}
-					m.tell(event(h.id(), r.uid, state))
+					m.reportEvent(event(h.id(), r.uid, state))
 				})
 			}
 		case <-m.over:
@@ -82,7 +82,7 @@
 
 // gearmanWorker serves as a worker of Gearman, and connects again when its connection has
 // ended, until the run is over.
-func (m *mixed) gearmanWorker(name string, seed uint64) {
+func (m *mixedLoad) gearmanWorker(name string, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
 	for life := 0; ; life++ {
 		select {
@@ -90,7 +90,7 @@
 			return
 		default:
 		}
-		p, err := gearman.Dial(m.farming.jobs, time.Now().Add(patience), nil)
+		p, err := gearman.Dial(m.gearmanFixture.jobs, time.Now().Add(testTimeout), nil)
 		if err != nil {
 			return
 		}
@@ -109,7 +109,7 @@
 }
 
 // serve works on one connection until it ends.
-func (m *mixed) serve(p *gearman.Peer, name string, rng *rand.Rand) {
+func (m *mixedLoad) serve(p *gearman.Peer, name string, rng *rand.Rand) {
 	if p.Announce(name, "cut", "out", "post") != nil {
 		return
 	}
@@ -145,7 +145,7 @@
 }
 
 // httpClient sends jobs over HTTP, one after the other.
-func (m *mixed) httpClient(number, jobs int) {
+func (m *mixedLoad) httpClient(number, jobs int) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for i := range jobs {
@@ -174,8 +174,8 @@
 }
 
 // gearmanClient sends jobs over Gearman, one after the other.
-func (m *mixed) gearmanClient(number, jobs int) {
-	p, err := gearman.Dial(m.farming.jobs, time.Now().Add(patience), nil)
+func (m *mixedLoad) gearmanClient(number, jobs int) {
+	p, err := gearman.Dial(m.gearmanFixture.jobs, time.Now().Add(testTimeout), nil)
 	if err != nil {
 		m.t.Error(err)
 		return
@@ -215,7 +215,7 @@
 }
 
 // operator leaves a runner out and puts it back, again and again.
-func (m *mixed) operator(uid string) {
+func (m *mixedLoad) operator(uid string) {
 	for range 8 {
 		code, _ := m.call("PUT", "/api/exclude", fmt.Sprintf(`{"host":%q}`, uid))
 		if code == 200 {
@@ -237,7 +237,7 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			runners := []*runner{newRunner(t, "s-1"), newRunner(t, "s-2"), newRunner(t, "s-3")}
-			m := &mixed{farming: newFarm(t, "", runners...), over: make(chan struct{}),
+			m := &mixedLoad{gearmanFixture: newGearman(t, "", runners...), over: make(chan struct{}),
 				check: rules.New(rules.Config{Classes: mixedClasses, Slack: 250 * time.Millisecond, Grace: 500 * time.Millisecond, Multiple: 2.5, Window: time.Second})}
 			for i, r := range runners {
 				m.work.Go(func() { m.httpRunner(r, uint64(i)) })
--- a/cmd/frosttide/sayings.go
+++ b/cmd/frosttide/operators.go
@@ -10,13 +10,13 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// handler answers operators about the others.
-func (o *others) handler() http.Handler {
+// clusterHandler answers operators about the others.
+func (o *peers) clusterHandler() http.Handler {
 	if o == nil {
 		return nil
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		m := o.now()
+		m := o.currentMember()
 		if m == nil {
 			http.Error(w, errNoMember.Error(), http.StatusServiceUnavailable)
 			return
@@ -30,20 +30,20 @@
 // operators carries out what operators say at this console: at this dispatcher alone, or by
 // the log at all.
 type operators struct {
-	core   *core.Core
-	others *others
+	core  *core.Core
+	peers *peers
 }
 
-func (o *others) operators(c *core.Core) console.Core { return operators{c, o} }
+func (o *peers) operators(c *core.Core) console.Core { return operators{c, o} }
 
 // Exclude leaves a runner out, or puts it back.
 func (p operators) Exclude(uid string, out bool, by time.Time, done func(error)) {
-	if p.others == nil {
+	if p.peers == nil {
 		p.core.Exclude(uid, out, by, func(known bool) { done(unknown(known)) })
 		return
 	}
-	p.core.Lists(uid, func(known bool) {
-		m := p.others.now()
+	p.core.IsKnown(uid, func(known bool) {
+		m := p.peers.currentMember()
 		switch {
 		case m == nil:
 			done(errNoMember)
--- a/cmd/frosttide/others_test.go
+++ b/cmd/frosttide/others_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// knowing has a dispatcher be the only member of a cluster, whose log is in a folder.
-func knowing(dir string) func(*dispatcher) {
+// withCluster has a dispatcher be the only member of a cluster, whose log is in a folder.
+func withCluster(dir string) func(*dispatcher) {
 	return func(d *dispatcher) {
 		path := filepath.Join(d.t.TempDir(), "frosttide.toml")
 		host := strings.Split(d.addr, ":")[0]
@@ -23,10 +23,10 @@
 	}
 }
 
-// agrees makes an operator's call until the log takes it.
-func (d *dispatcher) agrees(call, uid string) {
+// callAgreed makes an operator's call until the log takes it.
+func (d *dispatcher) callAgreed(call, uid string) {
 	d.t.Helper()
-	for by := time.Now().Add(patience); ; {
+	for by := time.Now().Add(testTimeout); ; {
 		status, text := d.call("PUT", "/api/"+call, fmt.Sprintf(`{"host":%q}`, uid))
 		if status == 200 {
 			return
@@ -44,12 +44,12 @@
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
 	disc := newDiscovery(t)
-	old := startWith(t, disc.URL, 1024, []string{a.entry(), b.entry()}, knowing(t.TempDir()), upgradable)
-	old.agrees("exclude", "s-1")
+	old := startWith(t, disc.URL, 1024, []string{a.entry(), b.entry()}, withCluster(t.TempDir()), upgradable)
+	old.callAgreed("exclude", "s-1")
 	old.awaitLog("operators have moved a runner")
-	old.only(b, a)
+	old.awaitOnlyWorker(b, a)
 	next := old.successor()
-	next.only(b, a)
+	next.awaitOnlyWorker(b, a)
 	if status, text := next.call("PUT", "/api/include", `{"host":"s-1"}`); status != 503 || !strings.Contains(text, "no member") {
 		t.Errorf("include at a process that is no member got %d %q", status, text)
 	}
@@ -61,9 +61,9 @@
 		t.Errorf("the older process ended with %v", err)
 	}
 	next.awaitLog("the log has a leader")
-	next.only(b, a)
-	next.agrees("include", "s-1")
-	next.agrees("exclude", "s-2")
+	next.awaitOnlyWorker(b, a)
+	next.callAgreed("include", "s-1")
+	next.callAgreed("exclude", "s-2")
 	next.awaitLog("target=s-2")
 	if status, text := next.call("GET", "/api/cluster", ""); status != 200 || !strings.Contains(text, `"s-2"`) {
 		t.Errorf("the console says %d %q", status, text)
@@ -75,7 +75,7 @@
 func TestClusterUnknown(t *testing.T) {
 	t.Parallel()
 	a := newRunner(t, "s-1")
-	d := startWith(t, newDiscovery(t).URL, 1024, []string{a.entry()}, knowing(t.TempDir()))
+	d := startWith(t, newDiscovery(t).URL, 1024, []string{a.entry()}, withCluster(t.TempDir()))
 	if status, text := d.call("PUT", "/api/exclude", `{"host":"s-9"}`); status != 404 {
 		t.Errorf("exclude of nobody got %d %q", status, text)
 	}
--- a/cmd/frosttide/pushed_test.go
+++ b/cmd/frosttide/pushed_test.go
@@ -10,28 +10,28 @@
 	"time"
 )
 
-// pushes has lists come from an agent on the dispatcher's machine, with another grace.
-func pushes(d *dispatcher) {
+// withPushedList has lists come from an agent on the dispatcher's machine, with another grace.
+func withPushedList(d *dispatcher) {
 	d.cfg = strings.NewReplacer(`"on_request"`, `"pushed"`, `"drain-grace":500000`, `"drain-grace":400000`).Replace(d.cfg)
 	if err := os.WriteFile(d.path, fmt.Appendf(nil, d.cfg, "127.0.0.1:1"), 0o600); err != nil {
 		d.t.Fatal(err)
 	}
 }
 
-// only has some jobs served, and fails the test for each that goes to another runner.
-func (d *dispatcher) only(want *runner, others ...*runner) {
+// awaitOnlyWorker has some jobs served, and fails the test for each that goes to another runner.
+func (d *dispatcher) awaitOnlyWorker(want *runner, others ...*runner) {
 	d.t.Helper()
 	for i := range 6 {
 		id := fmt.Sprintf("only%d-%s", i, want.uid)
 		got := submit(d.job("render", id))
-		await(d.t, want.hops, "hop at "+want.uid).reply(202, "")
+		await(d.t, want.requests, "hop at "+want.uid).reply(202, "")
 		d.report(event(id, want.uid, "done"))
 		if a := await(d.t, got, "answer"); a.Status != 200 {
 			d.t.Errorf("answer %+v", a)
 		}
 	}
 	for _, r := range others {
-		if len(r.hops) > 0 {
+		if len(r.requests) > 0 {
 			d.t.Errorf("%s got work", r.uid)
 		}
 	}
@@ -44,16 +44,16 @@
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
 	agent := newDiscovery(t)
-	d := startWith(t, agent.URL, 1024, []string{a.entry(), b.entry()}, pushes)
+	d := startWith(t, agent.URL, 1024, []string{a.entry(), b.entry()}, withPushedList)
 	w := await(t, agent.watches, "watch")
 	if w.query != "watch=1&from=41" {
 		t.Errorf("the agent was asked for %q", w.query)
 	}
 	w.lines <- list(42, false, entry("s-1", a.addr, "DRAINING"))
 	d.awaitLog("egress target drains")
-	d.only(b, a)
+	d.awaitOnlyWorker(b, a)
 
-	w.lines <- `{"rev":43,"all":true,"targets":[` + a.entry() + piece // cut off: b would be gone
+	w.lines <- `{"rev":43,"all":true,"targets":[` + a.entry() + unfinished // cut off: b would be gone
 	close(w.lines)
 	begun, ended := time.Now(), 10
 	for range ended {
@@ -66,12 +66,12 @@
 	if took := time.Since(begun); took > time.Duration(ended)*400*time.Millisecond {
 		t.Errorf("%d watches that ended at once took %v, more than the grace each", ended, took)
 	}
-	d.only(b, a)
+	d.awaitOnlyWorker(b, a)
 	w = await(t, agent.watches, "watch")
 
 	moved := newDiscovery(t) // its versions may count otherwise, and its first words make no list
 	d.reload(fmt.Sprintf(d.cfg, strings.TrimPrefix(moved.URL, "http://")))
-	await(t, w.gone, "end of the watch at the old address")
+	await(t, w.done, "end of the watch at the old address")
 	for _, step := range []struct{ query, text string }{
 		{"", `{"rev":"x"`},
 		{"", list(7, true, a.entry(), entry("s-2", b.addr, "DRAINING"))},
@@ -87,28 +87,28 @@
 		t.Errorf("the new agent was asked for %q", w.query)
 	}
 	d.awaitLog("egress target drains")
-	d.only(a, b)
+	d.awaitOnlyWorker(a, b)
 }
 
 // TestPushedListLate guards the start beside an agent that is not there yet.
 func TestPushedListLate(t *testing.T) {
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
-	free, err := net.Listen("tcp", own()+":0")
+	free, err := net.Listen("tcp", uniqueIP()+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	free.Close()
 	closed(t, free.Addr().String())
-	d := startWith(t, free.Addr().String(), 1024, []string{a.entry()}, pushes)
-	if !strings.Contains(strings.Join(d.seen, "\n"), "discovery call ended") {
+	d := startWith(t, free.Addr().String(), 1024, []string{a.entry()}, withPushedList)
+	if !strings.Contains(strings.Join(d.logLines, "\n"), "discovery call ended") {
 		t.Error("it serves before it has asked the agent")
 	}
-	d.only(a)
+	d.awaitOnlyWorker(a)
 	agent := newDiscoveryAt(t, free.Addr().String())
 	await(t, agent.watches, "watch").lines <- list(42, true, entry("s-1", a.addr, "DRAINING"), b.entry())
 	d.awaitLog("egress target drains")
-	d.only(b, a)
+	d.awaitOnlyWorker(b, a)
 }
 
 // TestPushedListFirst guards the first moment of a process: what the agent has counts as told
@@ -128,7 +128,7 @@
 		healthy <- err
 		w.lines <- list(42, false, entry("s-1", a.addr, "DRAINING"))
 	}()
-	d := startWith(t, agent.URL, 1024, []string{a.entry(), b.entry()}, pushes, func(d *dispatcher) {
+	d := startWith(t, agent.URL, 1024, []string{a.entry(), b.entry()}, withPushedList, func(d *dispatcher) {
 		d.cfg = strings.Replace(d.cfg, `"drain-grace":400000`, `"drain-grace":5000000`, 1)
 		if err := os.WriteFile(d.path, fmt.Appendf(nil, d.cfg, "127.0.0.1:1"), 0o600); err != nil {
 			t.Fatal(err)
@@ -138,7 +138,7 @@
 	if err := await(t, healthy, "health check"); err == nil {
 		t.Error("it is healthy before the agent has answered")
 	}
-	d.only(b, a)
+	d.awaitOnlyWorker(b, a)
 }
 
 // TestPushedListUpgrade has both processes of an upgrade follow the agent.
@@ -146,7 +146,7 @@
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
 	agent := newDiscovery(t)
-	old := startWith(t, agent.URL, 1024, []string{a.entry(), b.entry()}, pushes, upgradable)
+	old := startWith(t, agent.URL, 1024, []string{a.entry(), b.entry()}, withPushedList, upgradable)
 	first := await(t, agent.watches, "watch")
 	next := old.successor()
 	second := await(t, agent.watches, "watch of the newer process")
@@ -155,7 +155,7 @@
 	}
 	old.awaitLog("egress target drains")
 	next.awaitLog("egress target drains")
-	next.only(b, a)
+	next.awaitOnlyWorker(b, a)
 }
 
 // TestListUnread guards a dispatcher that has to ask from waiting for ever once the answer
--- a/cmd/frosttide/restart_test.go
+++ b/cmd/frosttide/restart_test.go
@@ -21,12 +21,12 @@
 func (r *runner) serveAll(t *testing.T, addr string) {
 	over := make(chan struct{})
 	t.Cleanup(func() { close(over) })
-	call := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}, Timeout: patience}
+	call := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}, Timeout: testTimeout}
 	go func() {
 		for {
-			var h *hop
+			var h *runnerRequest
 			select {
-			case h = <-r.hops:
+			case h = <-r.requests:
 			case <-over:
 				return
 			}
@@ -53,14 +53,14 @@
 	}()
 }
 
-// keepers count what became of the requests of clients that keep their connections.
-type keepers struct {
+// keepAliveClients count what became of the requests of clients that keep their connections.
+type keepAliveClients struct {
 	answered, closed, crossed, unreachable atomic.Int64
 	mu                                     sync.Mutex
 	lost                                   []string
 }
 
-func (e *keepers) lose(format string, args ...any) {
+func (e *keepAliveClients) recordLoss(format string, args ...any) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lost = append(e.lost, fmt.Sprintf(format, args...))
@@ -69,10 +69,10 @@
 // keep is one client: it sends on its connection at random moments for as long as that is
 // open, and once more on a new one where a close has crossed its request. Gone tells that its
 // connection has to be closed when it is over.
-func (e *keepers) keep(d *dispatcher, rng *rand.Rand, name string, job func(id string) *http.Request, over <-chan struct{}, gone bool) {
+func (e *keepAliveClients) keep(d *dispatcher, rng *rand.Rand, name string, job func(id string) *http.Request, over <-chan struct{}, gone bool) {
 	c, err := net.Dial("tcp", d.addr)
 	if err != nil {
-		e.lose("%s: %v", name, err)
+		e.recordLoss("%s: %v", name, err)
 		return
 	}
 	defer c.Close()
@@ -83,9 +83,9 @@
 		case <-over:
 			wait.Stop()
 			if gone { // nobody owns it any more
-				_ = c.SetReadDeadline(time.Now().Add(patience))
+				_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 				if _, err := in.Peek(1); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-					e.lose("%s: the connection lives on", name)
+					e.recordLoss("%s: the connection lives on", name)
 				}
 				e.closed.Add(1)
 			}
@@ -103,10 +103,10 @@
 			}
 			continue
 		case err == nil:
-			e.lose("%s: status %d", req.Header.Get("X-Trace-Id"), status)
+			e.recordLoss("%s: status %d", req.Header.Get("X-Trace-Id"), status)
 			return
 		case !errors.Is(err, errUnread):
-			e.lose("%s: %v", req.Header.Get("X-Trace-Id"), err)
+			e.recordLoss("%s: %v", req.Header.Get("X-Trace-Id"), err)
 			return
 		}
 		e.crossed.Add(1)
@@ -117,7 +117,7 @@
 		}
 		defer again.Close()
 		if status, _, err = exchange(again, bufio.NewReader(again), job(fmt.Sprintf("%s-%d-again", name, n))); err != nil && !errors.Is(err, syscall.ECONNRESET) {
-			e.lose("%s: sent once more: status %d, %v", req.Header.Get("X-Trace-Id"), status, err)
+			e.recordLoss("%s: sent once more: status %d, %v", req.Header.Get("X-Trace-Id"), status, err)
 		}
 		return
 	}
@@ -174,7 +174,7 @@
 				}
 				class := dep.Settings.Classes[0].Name
 				job := func(id string) *http.Request { return d.job(class, id, dep.keyed(0)) }
-				var e keepers
+				var e keepAliveClients
 				var all sync.WaitGroup
 				over := make(chan struct{})
 				for i := range 200 {
--- a/cmd/frosttide/runners_test.go
+++ b/cmd/frosttide/runners_test.go
@@ -79,7 +79,7 @@
 		if err := d.job("render", id).Write(c); err != nil {
 			t.Fatal(err)
 		}
-		await(t, r.hops, "hop").reply(202, "")
+		await(t, r.requests, "hop").reply(202, "")
 		d.report(event(id, r.uid, "done"))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
@@ -102,7 +102,7 @@
 	serve := func(id string) {
 		t.Helper()
 		got := submit(d.job("render", id))
-		h := await(t, r.hops, "hop")
+		h := await(t, r.requests, "hop")
 		conns = append(conns, h.conn)
 		h.reply(202, "")
 		d.report(event(id, r.uid, "started"))
@@ -113,7 +113,7 @@
 	}
 	serve("x0")
 	got := submit(d.job("once", "x1"))
-	h := await(t, r.hops, "hop")
+	h := await(t, r.requests, "hop")
 	if h.conn != conns[0] {
 		t.Fatal("the connection was not kept")
 	}
@@ -141,13 +141,13 @@
 	d := start(t, disc.URL, 1024, first.entry())
 	w := await(t, disc.watches, "watch")
 	began := submit(d.job("render", "began"))
-	await(t, first.hops, "hop")
+	await(t, first.requests, "hop")
 	d.report(event("began", "s-1", "started"))
 	lost := submit(d.job("render", "lost"))
-	await(t, first.hops, "hop")
-	recalled := func(id string) *hop {
+	await(t, first.requests, "hop")
+	recalled := func(id string) *runnerRequest {
 		t.Helper()
-		h := await(t, first.hops, "recall")
+		h := await(t, first.requests, "recall")
 		if h.Method != "DELETE" || h.RequestURI != "/jobs/"+id {
 			t.Fatalf("the silent runner got %s %s, want the recall of %s", h.Method, h.RequestURI, id)
 		}
@@ -156,16 +156,16 @@
 	w.lines <- list(42, false, second.entry())
 	d.awaitLog("target=s-2")
 	recall := recalled("lost")
-	if len(second.hops) > 0 {
-		t.Errorf("the other runner got %q before the first had heard that it is given up", (<-second.hops).id())
+	if len(second.requests) > 0 {
+		t.Errorf("the other runner got %q before the first had heard that it is given up", (<-second.requests).id())
 	}
 	recall.reply(204, "")
-	if h := await(t, second.hops, "hop at the other runner"); h.id() != "lost" {
+	if h := await(t, second.requests, "hop at the other runner"); h.id() != "lost" {
 		t.Fatalf("the other runner got %q", h.id())
 	}
 	d.report(event("lost", "s-2", "done"))
 	d.report(event("began", "s-1", "done"))
-	for what, got := range map[string]<-chan answer{"lost by s-2": lost, "began by s-1": began} {
+	for what, got := range map[string]<-chan response{"lost by s-2": lost, "began by s-1": began} {
 		if a := await(t, got, "answer"); a.Status != 200 || a.Body != "clip of "+what {
 			t.Errorf("answer %+v, want the clip of %s", a, what)
 		}
@@ -173,14 +173,14 @@
 	w.lines <- list(43, false, entry(second.uid, second.addr, "DRAINING"))
 	d.awaitLog("egress target drains")
 	mute := submit(d.job("render", "mute"))
-	await(t, first.hops, "hop")
+	await(t, first.requests, "hop")
 	w.lines <- list(44, false, second.entry(), entry("s-9", "127.0.0.1:1", "DRAINING"))
 	d.awaitLog("target=s-9")
 	recalled("mute").conn.Close()
 	if a := await(t, mute, "answer"); a.Status != 503 {
 		t.Errorf("answer %+v, want a refusal", a)
 	}
-	if len(second.hops) > 0 {
-		t.Errorf("the other runner got %q as well", (<-second.hops).id())
+	if len(second.requests) > 0 {
+		t.Errorf("the other runner got %q as well", (<-second.requests).id())
 	}
 }
--- a/cmd/frosttide/serve.go
+++ b/cmd/frosttide/serve.go
@@ -31,21 +31,21 @@
 )
 
 const (
-	// lingering is how long after SIGTERM clients may keep their connections: the
+	// lingerTime is how long after SIGTERM clients may keep their connections: the
 	// front goes on sending new ones for a while, and the next dispatcher's restart
 	// may begin before the last one is back, so that there is nowhere else to go.
-	lingering = 2 * time.Second
+	lingerTime = 2 * time.Second
 	// The platform ends the process no earlier than the longest deadline, or graceMost
 	// if that is shorter, and graceMore after SIGTERM. All that is here has its answer
 	// lead before that.
-	graceMost = 3 * time.Second
-	graceMore = 700 * time.Millisecond
-	lead      = 300 * time.Millisecond
-	// closing is how long before that the connections are closed that clients have not
+	maxGrace     = 3 * time.Second
+	graceMargin  = 700 * time.Millisecond
+	answerMargin = 300 * time.Millisecond
+	// closeMargin is how long before that the connections are closed that clients have not
 	// used since a newer process took over.
-	closing = 600 * time.Millisecond
-	// reserved descriptors are those of discovery, the log and the runtime.
-	reserved = 24
+	closeMargin = 600 * time.Millisecond
+	// reservedSockets descriptors are those of discovery, the log and the runtime.
+	reservedSockets = 24
 )
 
 // dialRunner opens connections to runners; nil for the net package's. Tests have it fail or wait.
@@ -57,10 +57,10 @@
 // serve runs a dispatcher until a signal ends it. It logs what ends it otherwise.
 func serve(s signals, src config.Source) error {
 	log := logrus.New()
-	format(log, settings.Log{Level: "info", Format: "text"})
+	configureLog(log, settings.Log{Level: "info", Format: "text"})
 	cfg, err := config.Load(src)
 	if err == nil {
-		format(log, cfg.Log)
+		configureLog(log, cfg.Log)
 		err = run(log, cfg, src, s)
 	} else {
 		err = fmt.Errorf("configuration: %w", err)
@@ -71,11 +71,11 @@
 	for line := range strings.SplitSeq(err.Error(), "\n") { // mistakes in the settings come all at once
 		log.WithField("error", line).Error("frosttide ends")
 	}
-	return errSaid
+	return errReported
 }
 
-// format sets how the program logs.
-func format(log *logrus.Logger, l settings.Log) {
+// configureLog sets how the program logs.
+func configureLog(log *logrus.Logger, l settings.Log) {
 	if level, err := logrus.ParseLevel(l.Level); err == nil { // it was checked
 		log.SetLevel(level)
 	}
@@ -86,7 +86,7 @@
 }
 
 func run(log *logrus.Logger, cfg config.Config, src config.Source, s signals) error {
-	limit(cfg.Limits, 1)
+	limitResources(cfg.Limits, 1)
 	entry := log.WithField("name", cfg.Name)
 	for _, w := range cfg.Warnings {
 		entry.Warn(w)
@@ -100,84 +100,84 @@
 		defer operators.Close()
 	}
 
-	whole := sockets(cfg, 1)
+	whole := socketBudget(cfg, 1)
 	counts := telemetry.New()
 	counts.Classes(cfg.Names.Classes)
-	others := openOthers(cfg, entry.WithField("part", "cluster")) // nil for a dispatcher on its own
+	others := openPeers(cfg, entry.WithField("part", "cluster")) // nil for a dispatcher on its own
 	table := routetable.New(routetable.Config{Addr: cfg.Discovery, Zones: cfg.Names.Zones, Kinds: cfg.Names.Kinds,
-		Whole: cfg.State.Dir != "", Pushed: cfg.Names.Pushed, Number: cfg.Module.Instance, Count: cfg.Module.Instances,
-		AskWithin: cfg.Module.Rules.AskWithin, Grace: cfg.Module.Rules.DrainGrace, Told: others.told()},
+		AlwaysFull: cfg.State.Dir != "", Pushed: cfg.Names.Pushed, Number: cfg.Module.Instance, Count: cfg.Module.Instances,
+		MaxRefreshInterval: cfg.Module.Rules.MaxRefreshInterval, DrainGrace: cfg.Module.Rules.DrainGrace, OnUpdate: others.updateHook()},
 		entry.WithField("part", "routetable"))
 	fleet := egress.NewFleet(egress.Config{ConnectTimeout: cfg.Module.Limits.ConnectTimeout,
-		Keepalive: cfg.Names.Keepalive, Sockets: whole.runners, Columns: cfg.Names.Columns,
-		Reports: len(cfg.Names.Columns) > 0, Sent: counts.Sent, Dial: dialRunner}, entry.WithField("part", "egress"))
-	var held *state // nil where nothing is kept
+		IdleTimeout: cfg.Names.Keepalive, MaxSockets: whole.runners, Columns: cfg.Names.Columns,
+		LoadReports: len(cfg.Names.Columns) > 0, OnSent: counts.Sent, Dial: dialRunner}, entry.WithField("part", "egress"))
+	var held *storedState // nil where nothing is kept
 	if cfg.State.Dir != "" {
 		if held, err = openState(cfg, entry.WithField("part", "state")); err != nil {
 			return err
 		}
-		held.learned(&cfg)
+		held.applyMeanRunTimes(&cfg)
 	}
-	open := &targets{Fleet: fleet}
+	open := &backends{Fleet: fleet}
 	c, err := core.New(cfg.Module, cfg.Seed, open, table, counts.Members, entry.WithField("part", "core"))
 	if err != nil {
 		return err
 	}
-	fleet.ReportTo(c)
+	fleet.SetReporter(c)
 	stories := export.New(entry.WithField("part", "export"))
-	if err := stories.Take(cfg.Telemetry); err != nil {
+	if err := stories.Configure(cfg.Telemetry); err != nil {
 		return err
 	}
 	defer stories.Close()
-	c.Record(stories.Ended)
-	c.TellHeld(stories.On, func(held []core.Holding) { stories.Loads(loads(held)) })
+	c.SetRecordHook(stories.Ended)
+	c.SetHoldingsHook(stories.Enabled, func(held []core.Holding) { stories.SetLoads(exportLoads(held)) })
 	if others != nil {
-		c.Remember(fates{others})
-		others.guard(c, table)
+		c.SetOutcomeStore(outcomeRecords{others})
+		others.guardCore(c, table)
 	}
 	gangs := watchGangs(cfg, c, others, entry.WithField("part", "gang")) // nil for nobody
 	var keeper *roster.Roster                                            // nil where nothing is kept
 	if held != nil {
-		keeper = held.roster(cfg, c, table, counts)
+		keeper = held.newRoster(cfg, c, table, counts)
 	}
-	var farmers *farm // nil without Gearman
+	var farmers *gearmanFront // nil without Gearman
 	if cfg.Gearman.Listen != "" {
-		if farmers, err = openFarm(cfg, c, counts, stories, entry.WithField("part", "gearman")); err != nil {
+		if farmers, err = openGearman(cfg, c, counts, stories, entry.WithField("part", "gearman")); err != nil {
 			return err
 		}
 		open.gearman = farmers.Server
 	}
 	var ready atomic.Bool
 	if operators != nil {
-		note := func() (bool, string) { return ready.Load(), storedNote(keeper) }
-		go console.New(others.operators(c), note, counts.Handler(), others.handler(), fleetHandler(flowfront.Handler(others.deskNow, others.membersNow), gangHandler(gangs)), entry.WithField("part", "console")).Serve(operators)
+		note := func() (bool, string) { return ready.Load(), storedListNote(keeper) }
+		go console.New(others.operators(c), note, counts.Handler(), others.clusterHandler(), fleetHandler(flowfront.Handler(others.currentExecutor, others.clusterTime), gangHandler(gangs)), entry.WithField("part", "console")).Serve(operators)
 	}
 	var front *ingress.Front
 	share := func(processes int) {
-		c.Processes(processes)
-		part := sockets(cfg, processes)
-		fleet.Budget(part.runners)
-		front.Budget(part.jobs, part.ingress)
-		limit(cfg.Limits, processes)
+		c.SetProcessCount(processes)
+		part := socketBudget(cfg, processes)
+		fleet.SetMaxSockets(part.runners)
+		front.SetLimits(part.jobs, part.ingress)
+		limitResources(cfg.Limits, processes)
 	}
 	link := handover.New(handover.Path(os.TempDir(), cfg.Listen), c, table, share,
-		func(x net.Conn, read []byte, m *core.Moved) bool { return front.Adopt(x, read, m) }, entry.WithField("part", "handover"))
+		func(x net.Conn, read []byte, m *core.MovedRequest) bool { return front.Adopt(x, read, m) }, entry.WithField("part", "handover"))
 	defer link.Close()
-	c.Inform(func(e core.Exclusion) {
+	c.SetExclusionHook(func(e core.Exclusion) {
 		link.Exclude(e)
 		if keeper != nil {
 			keeper.Excluded(e.UID, e.Out)
 		}
 	})
-	front = ingress.New(ingress.Config{Classes: classes(cfg), Tenants: cfg.Names.Tenants, Columns: cfg.Names.Columns,
-		Slots: decision.MostSlots, Clients: whole.jobs, Sockets: whole.ingress,
-		Stories: stories, Steps: flowfront.Steps{Of: others.deskNow}}, c, link, counts, entry.WithField("part", "ingress"))
+	front = ingress.New(ingress.Config{Classes: ingressClasses(cfg), Tenants: cfg.Names.Tenants, Columns: cfg.Names.Columns,
+		MaxSlots: decision.MaxSlots, MaxJobs: whole.jobs, MaxConnections: whole.ingress,
+		Recorder: stories, Steps: flowfront.Steps{Of: others.currentExecutor}}, c, link, counts, entry.WithField("part", "ingress"))
 	listener, err := listen(cfg)
 	if err != nil {
 		return fmt.Errorf("listen: %w", err)
 	}
 	var state handover.State
-	if cfg.Inherited > 0 {
+	if cfg.ListenFD > 0 {
 		if told := link.Dial(); told != nil {
 			state = *told
 		}
@@ -186,27 +186,27 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if keeper == nil {
-		table.Resume(state.Discovery, state.List, cfg.Known, c)
+		table.Resume(state.Discovery, state.List, cfg.KnownMembers, c)
 	} else {
-		held.begin(keeper, state, cfg.Seed)
-		table.Resume(state.Discovery, state.List, cfg.Known, keeper)
+		held.start(keeper, state, cfg.Seed)
+		table.Resume(state.Discovery, state.List, cfg.KnownMembers, keeper)
 		keeper.Start()
 		go keeper.Run(ctx)
 	}
 	if farmers != nil {
 		go farmers.Run(ctx)
 	}
-	first := firstWord{table: table, core: c, rules: table.Rules(), old: cfg.Discovery != "" && keeper == nil && len(state.List) == 0}
+	first := discoveryGate{table: table, core: c, rules: table.Rules(), stale: cfg.Discovery != "" && keeper == nil && len(state.List) == 0}
 	first.prepare()
 	go table.Run(ctx)
-	runGangs(ctx, gangs)
+	runGangWatcher(ctx, gangs)
 	go c.Run(ctx)
 	if others != nil {
-		if err := others.begin(c, table, link, keeper, held); err != nil {
+		if err := others.start(c, table, link, keeper, held); err != nil {
 			return err
 		}
-		defer others.end()
-		go others.run(ctx)
+		defer others.leave()
+		go others.shareFindings(ctx)
 	}
 	first.await(ctx)
 	served := make(chan error, 1)
@@ -218,33 +218,33 @@
 			held.classes.Store(&cfg.Names.Classes)
 		} // the core first: what the ingress lets in it must know
 		if others != nil {
-			others.take(cfg)
+			others.applySettings(cfg)
 		}
-		c.Settings(cfg.Module)
+		c.ApplySettings(cfg.Module)
 		counts.Classes(cfg.Names.Classes)
-		front.Classes(classes(cfg))
-		front.Tenants(cfg.Names.Tenants)
+		front.SetClasses(ingressClasses(cfg))
+		front.SetTenants(cfg.Names.Tenants)
 		if farmers != nil {
-			farmers.take(cfg)
+			farmers.applySettings(cfg)
 		}
-		grace.Store(int64(graceOf(cfg)))
-		table.Within(cfg.Module.Rules.AskWithin, cfg.Module.Rules.DrainGrace, cfg.Module.Instances)
-		table.Move(cfg.Discovery)
+		grace.Store(int64(shutdownGrace(cfg)))
+		table.SetRules(cfg.Module.Rules.MaxRefreshInterval, cfg.Module.Rules.DrainGrace, cfg.Module.Instances)
+		table.SetAddress(cfg.Discovery)
 		if cfg.Discovery == "" {
-			table.Fix(cfg.Known)
+			table.LoadFixed(cfg.KnownMembers)
 		}
-		format(log, cfg.Log)
-		if !cfg.Telemetry.Same(told) {
-			if err := stories.Take(cfg.Telemetry); err != nil {
+		configureLog(log, cfg.Log)
+		if !cfg.Telemetry.Equivalent(told) {
+			if err := stories.Configure(cfg.Telemetry); err != nil {
 				entry.WithError(err).Error("telemetry is not taken; the old one goes on")
 			} else {
 				told = cfg.Telemetry
 			}
 		}
 	}
-	grace.Store(int64(graceOf(cfg)))
+	grace.Store(int64(shutdownGrace(cfg)))
 	go reload(cfg, src, s.reloads, take, counts, entry)
-	if cfg.Inherited > 0 {
+	if cfg.ListenFD > 0 {
 		if err := link.Serve(); err != nil {
 			entry.WithError(err).Warn("no newer process will take over the state")
 		}
@@ -256,25 +256,25 @@
 	select {
 	case err := <-served:
 		return err
-	case sig := <-s.ends:
+	case sig := <-s.stop:
 		ready.Store(false)
 		entry.WithField("signal", sig.String()).Info("frosttide drains")
-		stories.Hurry()
+		stories.FlushNow()
 	}
-	by := time.Now().Add(time.Duration(grace.Load()) - lead)
+	by := time.Now().Add(time.Duration(grace.Load()) - answerMargin)
 	if others != nil {
-		others.drains(link.Succeeded())
+		others.announceDrain(link.Succeeded())
 	}
 	if farmers != nil {
 		farmers.Leave(by)
 	}
 	if link.Succeeded() {
 		listener.Close()
-		front.GiveWay(by.Add(-closing))
-		front.Leave(by)
+		front.HandOver(by.Add(-closeMargin))
+		front.StopBy(by)
 	} else {
-		front.Leave(by)
-		time.Sleep(lingering)
+		front.StopBy(by)
+		time.Sleep(lingerTime)
 	}
 	if err := front.Drain(ctx); err != nil {
 		return err
@@ -283,7 +283,7 @@
 		farmers.drain(by)
 	}
 	if keeper != nil {
-		keeper.Close(time.Now().Add(lastSave))
+		keeper.Close(time.Now().Add(finalSaveTimeout))
 	}
 	entry.Info("frosttide has answered everything and ends")
 	return nil
@@ -292,11 +292,11 @@
 // budget is how many descriptors a process has for what.
 type budget struct{ runners, ingress, jobs int }
 
-// sockets returns the budget of one of so many processes: each needs its own reserve.
+// socketBudget returns the budget of one of so many processes: each needs its own reserve.
 // Where that leaves too little it has to do with less.
-func sockets(cfg config.Config, processes int) budget {
+func socketBudget(cfg config.Config, processes int) budget {
 	part := cfg.Limits.Sockets / processes
-	n := max(part-reserved, part/4)
+	n := max(part-reservedSockets, part/4)
 	if cfg.Console != "" {
 		n = max(n-console.Sockets, part/4)
 	}
@@ -306,8 +306,8 @@
 	if cfg.State.Dir != "" {
 		n = max(n-roster.Sockets, part/4)
 	}
-	if cfg.Telemetry.On() {
-		n = max(n-export.Sockets, part/4)
+	if cfg.Telemetry.Enabled() {
+		n = max(n-export.MaxSockets, part/4)
 	}
 	if cfg.Cluster.Listen != "" {
 		n = max(n-cluster.Sockets, part/4)
@@ -318,35 +318,35 @@
 // listen opens the clients' address, or takes the socket that the platform holds
 // for all processes of this dispatcher.
 func listen(cfg config.Config) (net.Listener, error) {
-	if cfg.Inherited > 0 {
-		return handover.Listen(cfg.Inherited)
+	if cfg.ListenFD > 0 {
+		return handover.Listen(cfg.ListenFD)
 	}
 	return openListener("tcp", cfg.Listen)
 }
 
-// classes returns what the ingress has to know of the classes.
-func classes(cfg config.Config) []ingress.Class {
+// ingressClasses returns what the ingress has to know of the classes.
+func ingressClasses(cfg config.Config) []ingress.Class {
 	var out []ingress.Class
 	for i, class := range cfg.Module.Classes {
-		repeats := class.GiveUp + cfg.Module.Limits.MaxRetryAfter
+		repeats := class.ClientTimeout + cfg.Module.Limits.MaxRetryAfter
 		if class.Effect == decision.Keyed {
-			repeats = class.Window
+			repeats = class.DedupWindow
 		}
-		out = append(out, ingress.Class{Name: cfg.Names.Classes[i], Keyed: class.Effect == decision.Keyed, Gone: cfg.Gone[i],
-			Worth: class.Worth, Repeats: repeats})
+		out = append(out, ingress.Class{Name: cfg.Names.Classes[i], Keyed: class.Effect == decision.Keyed, Removed: cfg.RemovedClasses[i],
+			Value: class.Value, DedupWindow: repeats})
 	}
 	return out
 }
 
-// graceOf returns how long the process has to itself after SIGTERM.
-func graceOf(cfg config.Config) time.Duration {
+// shutdownGrace returns how long the process has to itself after SIGTERM.
+func shutdownGrace(cfg config.Config) time.Duration {
 	var longest time.Duration
 	for i, class := range cfg.Module.Classes {
-		if !cfg.Gone[i] {
-			longest = max(longest, class.GiveUp)
+		if !cfg.RemovedClasses[i] {
+			longest = max(longest, class.ClientTimeout)
 		}
 	}
-	return min(longest, graceMost) + graceMore
+	return min(longest, maxGrace) + graceMargin
 }
 
 // reload rereads the configuration at each signal, also while the program
@@ -361,7 +361,7 @@
 			continue
 		}
 		log.WithField("discovery", next.Discovery).Info("configuration reread")
-		next, waits := cfg.Keep(next)
+		next, waits := cfg.KeepStartOnly(next)
 		if len(waits) > 0 {
 			log.WithField("changed", waits).Warn("these changes wait for the next start")
 		}
@@ -371,15 +371,15 @@
 	}
 }
 
-// limit keeps the processes of the dispatcher within their machine. The memory limit
+// limitResources keeps the processes of the dispatcher within their machine. The memory limit
 // leaves room for stacks and what the kernel counts.
-func limit(l config.Limits, processes int) {
+func limitResources(l config.Limits, processes int) {
 	runtime.GOMAXPROCS(max(int(l.Cores), 1))
 	debug.SetMemoryLimit(int64(l.MemoryMB) << 20 * 3 / 4 / int64(processes))
 }
 
-// loads turns what the core tells into the export's terms.
-func loads(held []core.Holding) []measures.Load {
+// exportLoads turns what the core tells into the export's terms.
+func exportLoads(held []core.Holding) []measures.Load {
 	out := make([]measures.Load, len(held))
 	for i, h := range held {
 		out[i] = measures.Load(h)
--- a/cmd/frosttide/soak_test.go
+++ b/cmd/frosttide/soak_test.go
@@ -23,16 +23,16 @@
 func TestSoak(t *testing.T) {
 	if *soakFor == 0 {
 		t.Parallel()
-		soaked(t, 1, 1)
+		runSoak(t, 1, 1)
 		return
 	}
 	by := time.Now().Add(*soakFor)
 	for seed := *soakSeed; time.Now().Before(by); seed++ {
-		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { soaked(t, seed, *soakRound) })
+		t.Run(fmt.Sprint("seed", seed), func(t *testing.T) { runSoak(t, seed, *soakRound) })
 	}
 }
 
-func soaked(t *testing.T, seed uint64, rounds int) {
+func runSoak(t *testing.T, seed uint64, rounds int) {
 	text := soak.Draw(seed, rounds)
 	s, err := faults.Parse(fmt.Sprintf("soak-%d", seed), text)
 	if err != nil {
--- a/cmd/frosttide/state_test.go
+++ b/cmd/frosttide/state_test.go
@@ -16,9 +16,9 @@
 	"frosttide/internal/dispatcher/rosterstore"
 )
 
-// keeping has a dispatcher keep its list in a folder; nothing of it is fresh enough to be
+// withStoredState has a dispatcher keep its list in a folder; nothing of it is fresh enough to be
 // used unasked.
-func keeping(dir string) func(*dispatcher) {
+func withStoredState(dir string) func(*dispatcher) {
 	return func(d *dispatcher) {
 		path := filepath.Join(d.t.TempDir(), "frosttide.toml")
 		text := fmt.Sprintf("[state]\ndir = %q\nevery = \"10ms\"\nfresh = \"0s\"\ndoubt_for = \"1h\"\n", dir)
@@ -29,15 +29,15 @@
 	}
 }
 
-// kept waits until a state is on disk that fits.
-func kept(t *testing.T, dir string, fits func(*rosterstore.Snapshot) bool) *rosterstore.Snapshot {
+// awaitSnapshot waits until a state is on disk that fits.
+func awaitSnapshot(t *testing.T, dir string, fits func(*rosterstore.Snapshot) bool) *rosterstore.Snapshot {
 	t.Helper()
 	d, err := rosterstore.Open(dir, "n0", 3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for by := time.Now().Add(patience); time.Now().Before(by); time.Sleep(5 * time.Millisecond) { // a folder tells no events here
-		all, err := d.All()
+	for by := time.Now().Add(testTimeout); time.Now().Before(by); time.Sleep(5 * time.Millisecond) { // a folder tells no events here
+		all, err := d.ReadAll()
 		if err == nil && len(all) > 0 && all[0].Err == nil && fits(all[0].Snapshot) {
 			return all[0].Snapshot
 		}
@@ -46,8 +46,8 @@
 	return nil
 }
 
-// lists tells whether a state has a runner in a state of discovery's.
-func lists(s *rosterstore.Snapshot, uid, state string) bool {
+// snapshotNames tells whether a state has a runner in a state of discovery's.
+func snapshotNames(s *rosterstore.Snapshot, uid, state string) bool {
 	for _, n := range s.Nodes {
 		if n.UID == uid && strings.Contains(string(n.Entry), state) {
 			return true
@@ -56,13 +56,13 @@
 	return false
 }
 
-// knows has a dispatcher learn how short its jobs are, and waits until that and what fits
+// awaitStored has a dispatcher learn how short its jobs are, and waits until that and what fits
 // are on disk.
-func (d *dispatcher) knows(dir string, fits func(*rosterstore.Snapshot) bool) {
+func (d *dispatcher) awaitStored(dir string, fits func(*rosterstore.Snapshot) bool) {
 	d.t.Helper()
 	d.awaitLog("egress target listed")
-	d.serves("learn", 80)
-	kept(d.t, dir, func(s *rosterstore.Snapshot) bool { return s.Runs["render"] < 100*time.Millisecond && fits(s) })
+	d.serveJobs("learn", 80)
+	awaitSnapshot(d.t, dir, func(s *rosterstore.Snapshot) bool { return s.Runs["render"] < 100*time.Millisecond && fits(s) })
 }
 
 // TestStartWithoutDiscovery guards clients after a power cut: discovery is silent, and of
@@ -75,14 +75,16 @@
 	drains, silent := newRunner(t, "s-drains"), newRunner(t, "s-silent")
 	retired, swapped := newRunner(t, "s-retired"), newRunner(t, "s-swapped")
 	disc := newDiscovery(t)
-	d := startWith(t, disc.URL, 1024, nil, keeping(dir))
+	d := startWith(t, disc.URL, 1024, nil, withStoredState(dir))
 	w := await(t, disc.watches, "watch")
 	w.lines <- list(42, true, good.entry(), cold.entry(), silent.entry(), retired.entry(), swapped.entry(), entry("s-drains", drains.addr, "DRAINING"))
 	var idle []func()
 	for _, r := range []*runner{good, cold, silent, retired, swapped} {
-		idle = append(idle, d.works(r))
+		idle = append(idle, d.serveRunner(r))
 	}
-	d.knows(dir, func(s *rosterstore.Snapshot) bool { return len(s.Nodes) == 6 && lists(s, "s-drains", "DRAINING") })
+	d.awaitStored(dir, func(s *rosterstore.Snapshot) bool {
+		return len(s.Nodes) == 6 && snapshotNames(s, "s-drains", "DRAINING")
+	})
 	for _, off := range idle {
 		off()
 	}
@@ -106,12 +108,12 @@
 	t.Cleanup(func() { impostor.Close() })
 
 	began := time.Now()
-	d = startWith(t, disc.URL, 1024, nil, keeping(dir))
-	if log := strings.Join(d.seen, "\n"); !strings.Contains(log, "serving from a stored list") {
+	d = startWith(t, disc.URL, 1024, nil, withStoredState(dir))
+	if log := strings.Join(d.logLines, "\n"); !strings.Contains(log, "serving from a stored list") {
 		t.Errorf("nobody says that the list is a stored one:\n%s", log)
 	}
-	d.works(good)
-	d.works(cold)
+	d.serveRunner(good)
+	d.serveRunner(cold)
 	for served := false; !served; {
 		if time.Since(began) > 5*time.Second {
 			t.Fatal("no job was served within 5 s")
@@ -129,7 +131,7 @@
 		t.Error("the figures don't tell the list's age")
 	}
 	// A burst: cold runners get what they bear and no more, everybody an answer.
-	var burst []<-chan answer
+	var burst []<-chan response
 	for i := range 60 {
 		burst = append(burst, submit(d.job("render", fmt.Sprint("burst-", i))))
 	}
@@ -142,13 +144,13 @@
 		t.Errorf("job %v went to another service", id)
 		return true
 	})
-	for len(drains.hops) > 0 {
-		if h := <-drains.hops; h.Method == http.MethodPost {
+	for len(drains.requests) > 0 {
+		if h := <-drains.requests; h.Method == http.MethodPost {
 			t.Error("a draining runner got a job")
 		}
 	}
-	for len(silent.hops) > 0 {
-		if h := <-silent.hops; h.Method == http.MethodPost {
+	for len(silent.requests) > 0 {
+		if h := <-silent.requests; h.Method == http.MethodPost {
 			t.Error("a silent runner got a job")
 		}
 	}
@@ -162,15 +164,15 @@
 	dir := t.TempDir()
 	r := newRunner(t, "s-1")
 	disc := newDiscovery(t)
-	d := startWith(t, disc.URL, 1024, nil, keeping(dir))
+	d := startWith(t, disc.URL, 1024, nil, withStoredState(dir))
 	await(t, disc.watches, "watch").lines <- list(42, true, r.entry())
-	idle := d.works(r)
-	d.knows(dir, func(s *rosterstore.Snapshot) bool { return len(s.Nodes) == 1 })
+	idle := d.serveRunner(r)
+	d.awaitStored(dir, func(s *rosterstore.Snapshot) bool { return len(s.Nodes) == 1 })
 	idle()
 	d.cmd.Process.Kill()
 	await(t, d.ended, "end")
 	disc.Close()
-	d = startWith(t, disc.URL, 1024, nil, keeping(dir))
+	d = startWith(t, disc.URL, 1024, nil, withStoredState(dir))
 	const run = 50 * time.Millisecond // of a job, on one of four cores
 	var mu sync.Mutex
 	var came []time.Time
@@ -179,7 +181,7 @@
 	go func() {
 		for {
 			select {
-			case h := <-r.hops:
+			case h := <-r.requests:
 				if h.service() {
 					continue
 				}
@@ -188,8 +190,8 @@
 				mu.Unlock()
 				h.reply(202, "")
 				go func() {
-					d.tell(event(h.id(), r.uid, "started"))
-					time.AfterFunc(run, func() { d.tell(event(h.id(), r.uid, "done")) }) // it works
+					d.reportEvent(event(h.id(), r.uid, "started"))
+					time.AfterFunc(run, func() { d.reportEvent(event(h.id(), r.uid, "done")) }) // it works
 				}()
 			case <-stop:
 				return
@@ -223,19 +225,19 @@
 	dir := t.TempDir()
 	one, two := newRunner(t, "s-1"), newRunner(t, "s-2")
 	disc := newDiscovery(t)
-	d := startWith(t, disc.URL, 1024, nil, keeping(dir))
+	d := startWith(t, disc.URL, 1024, nil, withStoredState(dir))
 	await(t, disc.watches, "watch").lines <- list(42, true, one.entry(), two.entry())
-	idle, idler := d.works(one), d.works(two)
-	d.knows(dir, func(s *rosterstore.Snapshot) bool { return len(s.Nodes) == 2 })
+	idle, idler := d.serveRunner(one), d.serveRunner(two)
+	d.awaitStored(dir, func(s *rosterstore.Snapshot) bool { return len(s.Nodes) == 2 })
 	idle()
 	idler()
 	d.cmd.Process.Kill()
 	await(t, d.ended, "end")
 	disc.Close()
 
-	d = startWith(t, disc.URL, 1024, nil, keeping(dir))
-	d.works(one)
-	d.works(two)
+	d = startWith(t, disc.URL, 1024, nil, withStoredState(dir))
+	d.serveRunner(one)
+	d.serveRunner(two)
 	d.awaitLog("a stored runner is judged")
 	d.awaitLog("a stored runner is judged")
 	back := newDiscoveryAt(t, strings.TrimPrefix(disc.URL, "http://"))
@@ -247,16 +249,16 @@
 	w.lines <- list(1, true) // nothing, and a lower version
 	d.awaitLog("discovery's list lacks most of what is known")
 	close(w.lines)
-	d.comesBack("doubted", 3) // they may be cold, and bear so much work a second
-	w = next()                // the watch, or the second look
+	d.awaitRejoin("doubted", 3) // they may be cold, and bear so much work a second
+	w = next()                  // the watch, or the second look
 	for w.query == "" {
 		w = next()
 	}
 	w.lines <- list(2, false, entry("s-1", one.addr, "DRAINING"))
 	d.awaitLog("egress target drains")
-	d.comesBack("drained", 5)
-	for len(one.hops) > 0 {
-		<-one.hops
+	d.awaitRejoin("drained", 5)
+	for len(one.requests) > 0 {
+		<-one.requests
 	}
 	w.lines <- list(3, true) // the second answer that has nobody
 	d.awaitLog("discovery has confirmed the list")
@@ -275,10 +277,10 @@
 	dir := t.TempDir()
 	r := newRunner(t, "s-1")
 	disc := newDiscovery(t)
-	d := startWith(t, disc.URL, 1024, nil, keeping(dir))
+	d := startWith(t, disc.URL, 1024, nil, withStoredState(dir))
 	await(t, disc.watches, "watch").lines <- list(42, true, r.entry())
-	idle := d.works(r)
-	d.knows(dir, func(*rosterstore.Snapshot) bool { return true })
+	idle := d.serveRunner(r)
+	d.awaitStored(dir, func(*rosterstore.Snapshot) bool { return true })
 	idle()
 	if code, text := d.call("PUT", "/api/exclude", `{"host":"s-1"}`); code != 200 {
 		t.Fatal(code, text)
@@ -287,9 +289,9 @@
 		t.Fatal(err)
 	}
 	await(t, d.ended, "end")
-	kept(t, dir, func(s *rosterstore.Snapshot) bool { return len(s.Excluded) == 1 })
-	d = startWith(t, disc.URL, 1024, nil, keeping(dir))
-	d.works(r)
+	awaitSnapshot(t, dir, func(s *rosterstore.Snapshot) bool { return len(s.Excluded) == 1 })
+	d = startWith(t, disc.URL, 1024, nil, withStoredState(dir))
+	d.serveRunner(r)
 	await(t, disc.watches, "watch").lines <- list(43, true, r.entry())
 	d.awaitLog("discovery has confirmed the list")
 	if a := await(t, submit(d.job("render", "x")), "answer"); a.Status != 503 {
@@ -298,7 +300,7 @@
 	if code, text := d.call("PUT", "/api/include", `{"host":"s-1"}`); code != 200 {
 		t.Fatal(code, text)
 	}
-	d.serves("back", 1)
+	d.serveJobs("back", 1)
 }
 
 // TestStateCommands guards what an operator sees of the state.
@@ -312,7 +314,7 @@
 	}
 	s := &rosterstore.Snapshot{Name: "n0", Saved: now, Answered: now, Rev: 7, Excluded: []string{"s-out"}}
 	for uid, age := range map[string]time.Duration{"s-new": 0, "s-old": 30 * time.Minute, "s-out": 0, "s-ancient": 1000 * time.Hour} {
-		s.Nodes = append(s.Nodes, rosterstore.Node{UID: uid, Entry: json.RawMessage(entry(uid, "127.0.0.1:1", "SERVING")), Confirmed: now - age, By: rosterstore.ByList})
+		s.Nodes = append(s.Nodes, rosterstore.Node{UID: uid, Entry: json.RawMessage(entry(uid, "127.0.0.1:1", "SERVING")), Confirmed: now - age, By: rosterstore.ByDiscovery})
 	}
 	if err := d.Save(s); err != nil {
 		t.Fatal(err)
@@ -364,7 +366,7 @@
 func newDiscoveryAt(t *testing.T, addr string) *discovery {
 	t.Helper()
 	closed(t, addr)
-	return (&discovery{watches: make(chan *watch, 64), over: make(chan struct{})}).serveAt(t, addr)
+	return (&discovery{watches: make(chan *watch, 64), closed: make(chan struct{})}).serveAt(t, addr)
 }
 
 // TestPlannedRestart guards clients while discovery is down and the dispatcher is restarted
@@ -375,7 +377,7 @@
 	dir := t.TempDir()
 	disc := newDiscovery(t)
 	fresh := func(d *dispatcher) {
-		keeping(dir)(d)
+		withStoredState(dir)(d)
 		path := d.cmd.Args[len(d.cmd.Args)-1]
 		text, err := os.ReadFile(path)
 		if err == nil {
@@ -395,9 +397,9 @@
 	await(t, disc.watches, "watch").lines <- list(42, true, entries...)
 	var idle []func()
 	for _, r := range runners {
-		idle = append(idle, d.works(r))
+		idle = append(idle, d.serveRunner(r))
 	}
-	d.knows(dir, func(s *rosterstore.Snapshot) bool { return len(s.Nodes) == 5 })
+	d.awaitStored(dir, func(s *rosterstore.Snapshot) bool { return len(s.Nodes) == 5 })
 	disc.Close()
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
@@ -408,11 +410,11 @@
 	}
 	d = startWith(t, disc.URL, 1024, nil, fresh)
 	for _, r := range runners {
-		d.works(r)
+		d.serveRunner(r)
 	}
 	served := 0
 	for round := range 10 { // ten at a time, half of what the runners do at once
-		var all []<-chan answer
+		var all []<-chan response
 		for i := range 10 {
 			class := "render"
 			if i%5 == 4 {
--- a/cmd/frosttide/statecmd.go
+++ b/cmd/frosttide/statecmd.go
@@ -54,7 +54,7 @@
 		})
 	sub("verify DIR", "Read every generation; exit status 1 if none can be used", "  frosttide state verify /var/lib/frosttide",
 		func(cmd *cobra.Command, dir *rosterstore.Dir) error {
-			all, err := dir.All()
+			all, err := dir.ReadAll()
 			if err != nil {
 				return err
 			}
@@ -84,7 +84,7 @@
 		})
 	sub("import DIR", "Read JSON from standard input and add it as the newest generation", "  frosttide state import /var/lib/frosttide < state.json",
 		func(cmd *cobra.Command, dir *rosterstore.Dir) error {
-			in := json.NewDecoder(io.LimitReader(cmd.InOrStdin(), rosterstore.MostPlain))
+			in := json.NewDecoder(io.LimitReader(cmd.InOrStdin(), rosterstore.MaxPlainBytes))
 			in.DisallowUnknownFields()
 			var s rosterstore.Snapshot
 			if err := in.Decode(&s); err != nil {
@@ -104,7 +104,7 @@
 
 // newest returns the newest generation that can be read.
 func newest(dir *rosterstore.Dir) (*rosterstore.Snapshot, error) {
-	all, err := dir.All()
+	all, err := dir.ReadAll()
 	if err != nil {
 		return nil, err
 	}
@@ -131,7 +131,7 @@
 func showState(out io.Writer, s *rosterstore.Snapshot, at time.Time) error {
 	now := time.Duration(at.UnixNano())
 	bounds := settings.DefaultState()
-	cfg := rosterpolicy.Config{Fresh: bounds.Fresh, Old: bounds.Old, Max: bounds.Max, Rate: askRate, Dispatchers: 1}
+	cfg := rosterpolicy.Config{Fresh: bounds.Fresh, Old: bounds.Old, Max: bounds.Max, ProbeRate: probeRate, Dispatchers: 1}
 	left := map[string]bool{}
 	for _, uid := range s.Excluded {
 		left[uid] = true
--- a/cmd/frosttide/state.go
+++ b/cmd/frosttide/storedstate.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// lastSave is how long the last state may take at the process's end; with what
+	// finalSaveTimeout is how long the last state may take at the process's end; with what
 	// telemetry may take it stays within lead.
-	lastSave = 200 * time.Millisecond
-	// outage is how long discovery has to be away for its next list to be doubted, and
+	finalSaveTimeout = 200 * time.Millisecond
+	// outageTime is how long discovery has to be away for its next list to be doubted, and
 	// askRate how many runners a dispatcher asks in a second.
-	outage  = 5 * time.Second
-	askRate = 100
-	// answerTime is how long a runner that is asked may take beside its connect timeout.
-	answerTime = 500 * time.Millisecond
+	outageTime = 5 * time.Second
+	probeRate  = 100
+	// probeTimeout is how long a runner that is asked may take beside its connect timeout.
+	probeTimeout = 500 * time.Millisecond
 )
 
-// state is what is kept on disk of the runners.
-type state struct {
+// storedState is what is kept on disk of the runners.
+type storedState struct {
 	log    *logrus.Entry
 	dir    *rosterstore.Dir
 	loaded *rosterstore.Snapshot
@@ -41,12 +41,12 @@
 
 // openState reads what is kept. What can't be read is said and passed over; only a folder
 // that can't be one ends the start.
-func openState(cfg config.Config, log *logrus.Entry) (*state, error) {
+func openState(cfg config.Config, log *logrus.Entry) (*storedState, error) {
 	dir, err := rosterstore.Open(cfg.State.Dir, cfg.Name, int(cfg.State.Generations))
 	if err != nil {
 		return nil, fmt.Errorf("configuration: state.dir: %w", err)
 	}
-	s := &state{log: log, dir: dir}
+	s := &storedState{log: log, dir: dir}
 	s.classes.Store(&cfg.Names.Classes)
 	s.loaded, err = dir.Load(func(file string, why error) {
 		log.WithError(why).WithField("file", file).Warn("a stored list is passed over")
@@ -54,29 +54,29 @@
 	if err != nil {
 		log.WithError(err).Warn("no stored list can be read")
 	}
-	s.writer = rosterstore.NewWriter(dir, cfg.State.Every, log)
+	s.writer = rosterstore.NewWriter(dir, cfg.State.WriteInterval, log)
 	return s, nil
 }
 
-// learned tells the module how long jobs of each class ran before. Without it a class
+// applyMeanRunTimes tells the module how long jobs of each class ran before. Without it a class
 // counts as long as its objective, and cold runners get none of it until they are warm.
-func (s *state) learned(cfg *config.Config) {
+func (s *storedState) applyMeanRunTimes(cfg *config.Config) {
 	if s.loaded == nil {
 		return
 	}
 	for i, name := range cfg.Names.Classes {
 		if run := s.loaded.Runs[name]; run > 0 {
-			cfg.Module.Classes[i].Run = run
+			cfg.Module.Classes[i].MeanRunTime = run
 		}
 	}
 }
 
-// roster makes the actor and ties it to the core and the figures.
-func (s *state) roster(cfg config.Config, c *core.Core, table *routetable.Table, counts *telemetry.Counts) *roster.Roster {
+// newRoster makes the actor and ties it to the core and the figures.
+func (s *storedState) newRoster(cfg config.Config, c *core.Core, table *routetable.Table, counts *telemetry.Counts) *roster.Roster {
 	of := rosterConfig(cfg)
 	of.Classes = func() []string { return *s.classes.Load() }
-	k := roster.New(of, c, table, roster.NewAsker(cfg.Module.Limits.ProbeAllowed), s.writer, table.Parse, s.log)
-	c.Testify(k)
+	k := roster.New(of, c, table, roster.NewHTTPProber(cfg.Module.Limits.ProbeAllowed), s.writer, table.Parse, s.log)
+	c.SetWorkerObserver(k)
 	counts.Stored(func() (time.Duration, int, int) {
 		now := k.Status()
 		return now.Age, now.Used, now.Withheld
@@ -84,13 +84,13 @@
 	return k
 }
 
-// begin hands over what was kept, unless an older process has told what it knows itself.
-func (s *state) begin(k *roster.Roster, older handover.State, seed uint64) {
-	if len(older.List) > 0 && older.Listed() {
-		k.Begin(nil, seed)
+// start hands over what was kept, unless an older process has told what it knows itself.
+func (s *storedState) start(k *roster.Roster, older handover.State, seed uint64) {
+	if len(older.List) > 0 && older.HasMembers() {
+		k.LoadStored(nil, seed)
 		return
 	}
-	k.Begin(s.loaded, seed)
+	k.LoadStored(s.loaded, seed)
 }
 
 func rosterConfig(cfg config.Config) roster.Config {
@@ -98,15 +98,15 @@
 	if z := cfg.Module.Zone; z < len(cfg.Names.Zones) {
 		zone = cfg.Names.Zones[z]
 	}
-	return roster.Config{Name: cfg.Name, Every: cfg.State.Every, Answer: cfg.Module.Limits.ConnectTimeout + answerTime,
-		Trust: rosterpolicy.Config{Fresh: cfg.State.Fresh, Old: cfg.State.Old, Max: cfg.State.Max, Zone: zone, Rate: askRate,
-			Number: cfg.Module.Instance, Dispatchers: max(cfg.Module.Instances, 1), Outage: outage,
-			Lost: cfg.State.DoubtShare, Doubt: cfg.State.DoubtFor, Warm: cfg.Module.Rules.WarmUp}}
+	return roster.Config{Name: cfg.Name, WriteInterval: cfg.State.WriteInterval, ProbeTimeout: cfg.Module.Limits.ConnectTimeout + probeTimeout,
+		Policy: rosterpolicy.Config{Fresh: cfg.State.Fresh, Old: cfg.State.Old, Max: cfg.State.Max, Zone: zone, ProbeRate: probeRate,
+			Number: cfg.Module.Instance, Dispatchers: max(cfg.Module.Instances, 1), Outage: outageTime,
+			MaxMissing: cfg.State.MaxMissing, DoubtTimeout: cfg.State.DoubtTimeout, WarmUp: cfg.Module.Rules.WarmUp}}
 }
 
-// storedNote tells operators what the process serves from; nothing while that is
+// storedListNote tells operators what the process serves from; nothing while that is
 // discovery's list.
-func storedNote(k *roster.Roster) string {
+func storedListNote(k *roster.Roster) string {
 	if k == nil {
 		return ""
 	}
--- a/cmd/frosttide/telemetry_test.go
+++ b/cmd/frosttide/telemetry_test.go
@@ -54,8 +54,8 @@
 	return c
 }
 
-// telling has a dispatcher tell a collector, soon; the edits come after.
-func telling(addr string, env ...string) func(*dispatcher) {
+// withTelemetry has a dispatcher tell a collector, soon; the edits come after.
+func withTelemetry(addr string, env ...string) func(*dispatcher) {
 	return func(d *dispatcher) {
 		d.cmd.Env = append(d.cmd.Env, "OTEL_EXPORTER_OTLP_ENDPOINT=http://"+addr, "OTEL_BSP_SCHEDULE_DELAY=20",
 			"OTEL_METRIC_EXPORT_INTERVAL=100", "OTEL_METRICS_EXPORTER=none")
@@ -63,19 +63,19 @@
 	}
 }
 
-// works has a runner serve all that it gets until the test ends, or until it is called off.
-func (d *dispatcher) works(r *runner) (callOff func()) {
+// serveRunner has a runner serve all that it gets until the test ends, or until it is called off.
+func (d *dispatcher) serveRunner(r *runner) (callOff func()) {
 	stop := make(chan struct{})
 	callOff = sync.OnceFunc(func() { close(stop) })
 	d.t.Cleanup(callOff)
 	go func() {
 		for {
 			select {
-			case h := <-r.hops:
+			case h := <-r.requests:
 				if !h.service() {
 					h.reply(202, "")
-					d.tell(event(h.id(), r.uid, "started"))
-					d.tell(event(h.id(), r.uid, "done"))
+					d.reportEvent(event(h.id(), r.uid, "started"))
+					d.reportEvent(event(h.id(), r.uid, "done"))
 				}
 			case <-stop:
 				return
@@ -86,7 +86,7 @@
 }
 
 // service answers what is no job: probes as a runner that is well, recalls.
-func (h *hop) service() bool {
+func (h *runnerRequest) service() bool {
 	switch {
 	case h.Method == http.MethodPost:
 		return false
@@ -98,16 +98,16 @@
 	return true
 }
 
-// tell makes a call-back; nobody may be there to take it.
-func (d *dispatcher) tell(body string) {
+// reportEvent makes a call-back; nobody may be there to take it.
+func (d *dispatcher) reportEvent(body string) {
 	resp, err := http.Post("http://"+d.addr+"/v1/job-events", "application/json", strings.NewReader(body))
 	if err == nil {
 		resp.Body.Close()
 	}
 }
 
-// serves wants so many jobs served.
-func (d *dispatcher) serves(name string, n int) {
+// serveJobs wants so many jobs served.
+func (d *dispatcher) serveJobs(name string, n int) {
 	d.t.Helper()
 	for i := range n {
 		id := fmt.Sprintf("%s-%d", name, i)
@@ -117,12 +117,12 @@
 	}
 }
 
-// comesBack has jobs served one after the other by a client that comes back when it is told
+// awaitRejoin has jobs served one after the other by a client that comes back when it is told
 // to: a runner that counts as cold bears so much work a second, and on a slow machine a job
 // is more of it.
-func (d *dispatcher) comesBack(name string, n int) {
+func (d *dispatcher) awaitRejoin(name string, n int) {
 	d.t.Helper()
-	over := time.Now().Add(patience)
+	over := time.Now().Add(testTimeout)
 	for i, try := 0, 0; i < n; try++ {
 		id := fmt.Sprintf("%s-%d-%d", name, i, try)
 		a := await(d.t, submit(d.job("render", id)), "answer")
@@ -142,7 +142,7 @@
 // returns all spans that it has taken.
 func spans(t *testing.T, c *collector.Collector, ids ...string) []ptrace.Span {
 	t.Helper()
-	over := time.After(patience)
+	over := time.After(testTimeout)
 	for {
 		var all []ptrace.Span
 		missing := slices.Clone(ids)
@@ -220,11 +220,11 @@
 	c := newCollector(t, nil)
 	first, second := newRunner(t, "s-1"), newRunner(t, "s-2")
 	disc := newDiscovery(t)
-	d := startWith(t, disc.URL, 1024, []string{first.entry()}, telling(c.Addr))
+	d := startWith(t, disc.URL, 1024, []string{first.entry()}, withTelemetry(c.Addr))
 	w := await(t, disc.watches, "watch")
 
 	got := submit(d.job("render", "plain"))
-	h := await(t, first.hops, "hop")
+	h := await(t, first.requests, "hop")
 	if p := h.Header.Get("Traceparent"); len(p) != 55 {
 		t.Errorf("the runner's traceparent is %q", p)
 	}
@@ -239,11 +239,11 @@
 		r.Header.Set("Traceparent", parent)
 		r.Header.Set("Tracestate", "studio=1")
 	}))
-	h = await(t, first.hops, "hop")
+	h = await(t, first.requests, "hop")
 	w.lines <- list(42, false, second.entry())
 	d.awaitLog("target=s-2")
 	h.reply(500, "")
-	h = await(t, second.hops, "second hop")
+	h = await(t, second.requests, "second hop")
 	if p := h.Header.Get("Traceparent"); !strings.HasPrefix(p, parent[:36]) || p[36:52] == parent[36:52] || h.Header.Get("Tracestate") != "studio=1" {
 		t.Errorf("the runner's trace is %q %q", p, h.Header.Get("Tracestate"))
 	}
@@ -252,12 +252,12 @@
 	await(t, got, "answer")
 
 	got = submit(d.job("once", "lost"))
-	h = await(t, merge(first.hops, second.hops), "hop")
+	h = await(t, merge(first.requests, second.requests), "hop")
 	h.conn.Close()
 	await(t, got, "answer")
 	await(t, submit(d.job("render", "bad", func(r *http.Request) { r.Header.Set("X-Expires-In-Ms", "soon") })), "answer")
 	ctxGone := d.raw("POST /render/x HTTP/1.1\r\nHost: x\r\nX-Qos: render\r\nX-Trace-Id: left\r\nX-Expires-In-Ms: 15000\r\nContent-Length: 0\r\n\r\n")
-	h = await(t, merge(first.hops, second.hops), "hop")
+	h = await(t, merge(first.requests, second.requests), "hop")
 	h.reply(202, "")
 	ctxGone.Close()
 
@@ -291,15 +291,15 @@
 }
 
 // merge yields what either runner gets next.
-func merge(a, b <-chan *hop) <-chan *hop {
-	out := make(chan *hop, 1)
+func merge(a, b <-chan *runnerRequest) <-chan *runnerRequest {
+	out := make(chan *runnerRequest, 1)
 	go func() {
 		select {
 		case h := <-a:
 			out <- h
 		case h := <-b:
 			out <- h
-		case <-time.After(patience):
+		case <-time.After(testTimeout):
 		}
 	}()
 	return out
@@ -310,7 +310,7 @@
 func TestRepeats(t *testing.T) {
 	t.Parallel()
 	c := newCollector(t, nil)
-	d := startWith(t, newDiscovery(t).URL, 1024, nil, telling(c.Addr)) // nobody is listed: all is refused
+	d := startWith(t, newDiscovery(t).URL, 1024, nil, withTelemetry(c.Addr)) // nobody is listed: all is refused
 	key := func(r *http.Request) { r.Header.Set("Idempotency-Key", "one-release") }
 	again := func(r *http.Request) { r.Header.Set("X-Second-Try", "1") }
 	for _, job := range []*http.Request{d.job("release", "r1", key), d.job("release", "r2", key),
@@ -371,14 +371,14 @@
 				env = append(env, "OTEL_EXPORTER_OTLP_PROTOCOL=grpc", "OTEL_EXPORTER_OTLP_COMPRESSION=gzip")
 			}
 			r := newRunner(t, "s-1")
-			d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, telling(c.Addr, env...))
-			d.works(r)
-			d.serves("first", 1)
+			d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withTelemetry(c.Addr, env...))
+			d.serveRunner(r)
+			d.serveJobs("first", 1)
 			call := await(t, c.Calls(), "call")
 			if call.GRPC != tc.grpc {
 				t.Errorf("the call came by %q", call.Path)
 			}
-			d.serves("then", 3)
+			d.serveJobs("then", 3)
 			ids := []string{"then-0", "then-1", "then-2"}
 			if tc.comes {
 				ids = append(ids, "first-0")
@@ -389,9 +389,9 @@
 			}
 			if taken := len(tc.fault) == 0 || tc.fault[0].Status == 0 && tc.comes && !tc.fault[0].Hang; taken {
 				for len(d.lines) > 0 { // the first batch was long ago
-					d.seen = append(d.seen, <-d.lines)
+					d.logLines = append(d.logLines, <-d.lines)
 				}
-				if log := strings.Join(d.seen, "\n"); strings.Contains(log, "export fails") {
+				if log := strings.Join(d.logLines, "\n"); strings.Contains(log, "export fails") {
 					t.Errorf("a batch that was taken counts as failed:\n%s", log)
 				}
 			}
@@ -406,17 +406,17 @@
 // the collector is back.
 func TestAbsentCollector(t *testing.T) {
 	t.Parallel()
-	c := newCollectorAt(t, own()+":0", nil)
+	c := newCollectorAt(t, uniqueIP()+":0", nil)
 	addr := c.Addr
 	c.Kill() // absent from the start
 	r := newRunner(t, "s-1")
-	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, telling(addr, "OTEL_EXPORTER_OTLP_TIMEOUT=300"))
-	d.works(r)
-	d.serves("without", 20)
+	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withTelemetry(addr, "OTEL_EXPORTER_OTLP_TIMEOUT=300"))
+	d.serveRunner(r)
+	d.serveJobs("without", 20)
 	back := newCollectorAt(t, addr, nil)
 	spans(t, back, "without-0", "without-19") // they waited
 	back.Kill()                               // gone halfway
-	d.serves("later", 20)
+	d.serveJobs("later", 20)
 	spans(t, newCollectorAt(t, addr, nil), "later-19")
 }
 
@@ -426,7 +426,7 @@
 	t.Parallel()
 	c := newCollector(t, nil)
 	c.Script(collector.Fault{Hang: true})
-	d := startWith(t, newDiscovery(t).URL, 1024, nil, telling(c.Addr)) // nobody is listed
+	d := startWith(t, newDiscovery(t).URL, 1024, nil, withTelemetry(c.Addr)) // nobody is listed
 	var clients sync.WaitGroup
 	var refused atomic.Int64
 	began := time.Now()
@@ -468,13 +468,13 @@
 		t.Fatal(err)
 	}
 	r := newRunner(t, "s-1")
-	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, telling(c.Addr, "OTEL_EXPORTER_OTLP_TIMEOUT=500"),
+	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withTelemetry(c.Addr, "OTEL_EXPORTER_OTLP_TIMEOUT=500"),
 		func(d *dispatcher) { d.cmd.Args = append(d.cmd.Args, "serve", "--config", path) })
-	d.works(r)
-	d.serves("hold", 1)
+	d.serveRunner(r)
+	d.serveJobs("hold", 1)
 	await(t, c.Calls(), "call") // from here on the queue fills
 	await(t, submit(d.job("render", "notable", func(r *http.Request) { r.Header.Set("X-Second-Try", "1") })), "answer")
-	d.serves("plain", 300)
+	d.serveJobs("plain", 300)
 	c.Script(collector.Fault{})
 	got := tree(spans(t, c, "notable", "plain-299"))
 	if got["plain-0"] != nil || len(got) > 200 {
@@ -500,9 +500,9 @@
 				env = append(env, "OTEL_EXPORTER_OTLP_PROTOCOL=grpc")
 			}
 			r := newRunner(t, "s-1")
-			d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, telling(c.Addr, env...))
-			d.works(r)
-			d.serves("job", 3)
+			d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withTelemetry(c.Addr, env...))
+			d.serveRunner(r)
+			d.serveJobs("job", 3)
 			if tc.comes {
 				spans(t, c, "job-2")
 				return
@@ -548,11 +548,11 @@
 		r := newRunner(t, "s-1")
 		edit := func(*dispatcher) {}
 		if name == "hangs" {
-			edit = telling(c.Addr)
+			edit = withTelemetry(c.Addr)
 		}
 		d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, edit)
-		d.works(r)
-		d.serves("job", 3)
+		d.serveRunner(r)
+		d.serveJobs("job", 3)
 		if name == "hangs" {
 			await(t, c.Calls(), "call")
 		}
@@ -575,14 +575,14 @@
 	t.Parallel()
 	c := newCollector(t, nil)
 	r := newRunner(t, "s-1")
-	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, telling(c.Addr, "OTEL_BSP_SCHEDULE_DELAY=3600000"))
-	d.works(r)
-	d.serves("early", 1)
+	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withTelemetry(c.Addr, "OTEL_BSP_SCHEDULE_DELAY=3600000"))
+	d.serveRunner(r)
+	d.serveJobs("early", 1)
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	d.awaitLog("frosttide drains")
-	d.serves("late", 1)
+	d.serveJobs("late", 1)
 	await(t, d.ended, "end")
 	spans(t, c, "early-0", "late-0")
 }
@@ -602,8 +602,8 @@
 	r := newRunner(t, "s-1")
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()},
 		func(d *dispatcher) { d.cmd.Args = append(d.cmd.Args, "serve", "--config", path) })
-	d.works(r)
-	d.serves("before", 2)
+	d.serveRunner(r)
+	d.serveJobs("before", 2)
 	spans(t, one, "before-1")
 	write(two.Addr)
 	if err := d.cmd.Process.Signal(syscall.SIGHUP); err != nil {
@@ -611,7 +611,7 @@
 	}
 	d.awaitLog("configuration reread")
 	for i := 0; len(two.Taken()) == 0; i++ { // the core takes new settings a moment after the line
-		d.serves(fmt.Sprintf("after%d", i), 1)
+		d.serveJobs(fmt.Sprintf("after%d", i), 1)
 		if i > 1000 {
 			t.Fatal("the new collector gets nothing")
 		}
@@ -623,7 +623,7 @@
 		t.Fatal(err)
 	}
 	d.awaitLog("configuration not taken")
-	d.serves("still", 1)
+	d.serveJobs("still", 1)
 	spans(t, two, "still-0")
 }
 
@@ -633,9 +633,9 @@
 	t.Parallel()
 	c := newCollector(t, nil)
 	r := newRunner(t, "s-1")
-	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, upgradable, telling(c.Addr))
+	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, upgradable, withTelemetry(c.Addr))
 	got := submit(d.job("render", "long"))
-	h := await(t, r.hops, "hop")
+	h := await(t, r.requests, "hop")
 	h.reply(202, "")
 	d.report(event("long", "s-1", "started"))
 	s := d.successor()
@@ -663,11 +663,11 @@
 	c := newCollector(t, nil)
 	r := newRunner(t, "s-1")
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()},
-		telling(c.Addr, "OTEL_METRICS_EXPORTER=otlp", "OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0"))
-	d.works(r)
-	d.serves("job", 10)
+		withTelemetry(c.Addr, "OTEL_METRICS_EXPORTER=otlp", "OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0"))
+	d.serveRunner(r)
+	d.serveJobs("job", 10)
 	await(t, submit(d.job("bogus", "b")), "answer")
-	over := time.After(patience)
+	over := time.After(testTimeout)
 	for {
 		var call collector.Call
 		select {
--- a/cmd/frosttide/trace.go
+++ b/cmd/frosttide/trace.go
@@ -49,7 +49,7 @@
   frosttide trace summary traces.jsonl --by target --from 2026-11-29T20:45:00Z --to 2026-11-29T21:00:00Z`,
 		Args: exactly("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			if !slices.Contains(traceview.Groups, query.By) {
+			if !slices.Contains(traceview.Groups, query.GroupBy) {
 				return usageError{fmt.Errorf("--by is none of %s", strings.Join(traceview.Groups, ", "))}
 			}
 			for flag, text := range map[string]string{"from": from, "to": to} {
@@ -77,10 +77,10 @@
 		},
 	}
 	f := summary.Flags()
-	f.StringVar(&query.By, "by", "class", "rows of the first table: class, target or answer")
+	f.StringVar(&query.GroupBy, "by", "class", "rows of the first table: class, target or answer")
 	f.StringVar(&from, "from", "", "requests that came at this time or later (RFC 3339)")
 	f.StringVar(&to, "to", "", "requests that came before this time")
-	f.IntVar(&query.Worst, "worst", 10, "how many of the worst requests are named")
+	f.IntVar(&query.MaxWorst, "worst", 10, "how many of the worst requests are named")
 	cmd.AddCommand(show, summary)
 	return cmd
 }
--- a/decision/affinity/affinity_test.go
+++ b/decision/affinity/affinity_test.go
@@ -12,13 +12,13 @@
 		best, least := uint32(0), 9.0
 		for w := range uint32(workers) {
 			f := Factor(i, dispatchers, w)
-			if f < 1 || f >= 1+spread || f != Factor(i, dispatchers, w) {
+			if f < 1 || f >= 1+maxPremium || f != Factor(i, dispatchers, w) {
 				t.Fatalf("factor %v of worker %d at %d", f, w, i)
 			}
 			if f < least {
 				best, least = w, f
 			}
-			if f < 1+spread/6 {
+			if f < 1+maxPremium/6 {
 				among[w]++
 			}
 		}
@@ -29,7 +29,7 @@
 			t.Errorf("worker %d is the first choice of %d dispatchers, among the best sixth of %d", w, first[w], among[w])
 		}
 	}
-	if Factor(3, Many, 7) != 1 {
+	if Factor(3, MinDispatchers, 7) != 1 {
 		t.Error("few dispatchers have a preference")
 	}
 }
--- a/decision/need_test.go
+++ b/decision/allocations_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// TestNeedAtSize has a request, and a change of the list, allocate no more with 16 times the workers.
-func TestNeedAtSize(t *testing.T) {
+// TestAllocationsDoNotGrowWithWorkers has a request, and a change of the list, allocate no more with 16 times the workers.
+func TestAllocationsDoNotGrowWithWorkers(t *testing.T) {
 	need := func(workers int) (request, change float64) {
-		d, err := New(Config{Instances: 300, Instance: 1, Zones: 1, Classes: []Class{{Objective: time.Second, GiveUp: time.Minute, WorkerKind: -1}},
+		d, err := New(Config{Instances: 300, Instance: 1, Zones: 1, Classes: []Class{{Objective: time.Second, ClientTimeout: time.Minute, WorkerKind: -1}},
 			Limits: Limits{MaxAttempts: 3}}, 1)
 		if err != nil {
 			t.Fatal(err)
--- a/decision/api.go
+++ b/decision/api.go
@@ -32,29 +32,29 @@
 	Unsafe               // must never run twice
 )
 
-// Scope is the group of workers that drops the repeats of a keyed request.
-type Scope uint8
+// DedupScope is the group of workers that drops the repeats of a keyed request.
+type DedupScope uint8
 
 const (
-	ScopeAll  Scope = iota // any worker
-	ScopeZone              // workers of the same zone
-	ScopeCell              // workers of the same cell
+	ScopeAll  DedupScope = iota // any worker
+	ScopeZone                   // workers of the same zone
+	ScopeCell                   // workers of the same cell
 )
 
 // Class describes one kind of request.
 type Class struct {
-	Effect     Effect
-	Group      Scope         // for Keyed
-	Window     time.Duration // for Keyed: how long repeats are dropped, from the first send
-	Objective  time.Duration // an answer within this (and Stretch times the run time) earns full worth
-	Stretch    float64
-	GiveUp     time.Duration // how long a client waits in all
-	Run        time.Duration // mean time from start to answer that an earlier process has found; 0 for none
-	Worth      float64
-	LateWorth  float64 // share of Worth for an answer after the objective
-	Streamed   bool    // answers are streams: AttemptAccepted may come
-	WorkerKind int     // the kind of worker it needs, -1 for any
-	Priority   int
+	Effect        Effect
+	DedupScope    DedupScope    // for Keyed
+	DedupWindow   time.Duration // for Keyed: how long repeats are dropped, from the first send
+	Objective     time.Duration // an answer within this (and Stretch times the run time) earns full worth
+	Stretch       float64
+	ClientTimeout time.Duration // how long a client waits in all
+	MeanRunTime   time.Duration // mean time from start to answer, of an earlier process; 0 for none
+	Value         float64
+	LateValue     float64 // share of Worth for an answer after the objective
+	Streamed      bool    // answers are streams: AttemptAccepted may come
+	WorkerKind    int     // the kind of worker it needs, -1 for any
+	Priority      int
 }
 
 // Tenant is one of several customers that share the fleet.
@@ -75,12 +75,12 @@
 
 // Rules are the figures of the guarantees a dispatcher keeps on its own.
 type Rules struct {
-	DrainGrace   time.Duration // sends to a draining or gone worker end within this
-	ColdShare    float64       // a worker starts at this share of its capacity or more
-	WarmUp       time.Duration // and is warm after this at the latest
-	FallMultiple float64       // a cold worker sent more than this many times its capacity
-	FallWindow   time.Duration // for this long falls over
-	AskWithin    time.Duration // a dispatcher that pulls its list must ask at least this often
+	DrainGrace         time.Duration // sends to a draining or gone worker end within this
+	InitialCapacity    float64       // a worker starts at this share of its capacity or more
+	WarmUp             time.Duration // and is warm after this at the latest
+	OverloadMultiple   float64       // a cold worker sent more than this many times its capacity
+	OverloadWindow     time.Duration // for this long falls over
+	MaxRefreshInterval time.Duration // a dispatcher that pulls its list must ask at least this often
 }
 
 // Metric names a value of a load report.
@@ -98,8 +98,8 @@
 	MetricFreeMemory                // memory that no request holds
 )
 
-// MostSlots is the largest slot demand that is reckoned with.
-const MostSlots = 8
+// MaxSlots is the largest slot demand that is reckoned with.
+const MaxSlots = 8
 
 // MaxMetrics is the most values that a load report holds.
 const MaxMetrics = 4
@@ -107,20 +107,20 @@
 // Config is what a Dispatcher is told when it starts. The zero value of a
 // field means that the deployment has or allows nothing of the kind.
 type Config struct {
-	Instance    int // this dispatcher's number, from 0
-	Instances   int // how many dispatchers share the fleet
-	Zone        int // where this dispatcher runs
-	Zones       int
-	Classes     []Class
-	Tenants     []Tenant
-	Limits      Limits
-	Rules       Rules
-	Metrics     []Metric // meaning of Load values, in order
-	PullList    bool     // the worker list comes only when asked for
-	StartNotes  bool     // workers tell when a job starts
-	WeightKnown bool     // Member.Weight says something about capacity
-	Quantum     time.Duration
-	ZonePrice   float64 // points lost for an attempt that crosses zones, as a share of worth
+	Instance         int // this dispatcher's number, from 0
+	Instances        int // how many dispatchers share the fleet
+	Zone             int // where this dispatcher runs
+	Zones            int
+	Classes          []Class
+	Tenants          []Tenant
+	Limits           Limits
+	Rules            Rules
+	Metrics          []Metric // meaning of Load values, in order
+	PullMembers      bool     // the worker list comes only when asked for
+	StartEvents      bool     // workers tell when a job starts
+	WeightKnown      bool     // Member.Weight says something about capacity
+	Quantum          time.Duration
+	CrossZonePenalty float64 // points lost for an attempt that crosses zones, as a share of worth
 }
 
 // EventType says what an Event reports.
@@ -131,16 +131,16 @@
 	MembersChanged                         // Members holds the changed entries
 	MembersFailed                          // a Subscribe or Fetch failed
 	RequestArrived                         // Request, Class, Tenant, Deadline, Slots, Memory, Key
-	RequestGone                            // the client left: nothing more is owed
+	RequestCanceled                        // the client left: nothing more is owed
 	AttemptStarted                         // the worker began to run the attempt
 	AttemptProgressed                      // Progress is the share done
 	AttemptAccepted                        // a streamed answer has begun
 	AttemptEnded                           // Outcome, Closed, Load
 	ProbeEnded                             // Worker, Outcome, Load
 	TimerFired                             // Token
-	HealthKnown                            // Worker, Health: from an earlier process of this dispatcher
+	HealthRestored                         // Worker, Health: from an earlier process of this dispatcher
 	SettingsChanged                        // Settings
-	RequestLags                            // its attempt is far behind its like: a copy would help
+	RequestStraggling                      // its attempt is far behind its like: a copy would help
 )
 
 // Outcome says how an attempt ended.
@@ -174,52 +174,52 @@
 
 // Member is one entry of the worker list.
 type Member struct {
-	Worker    WorkerID
-	Zone      int
-	Kind      int
-	Cell      int
-	State     MemberState
-	Weight    float64
-	StartedAt time.Duration // clock time of its last start; 0 for long ago
-	Returned  bool          // it gets a little work while it is cold, as one that an operator put back
-	Sharers   int           // how many dispatchers use it while it is cold; 0 for all
-	Tokens    int           // all that it has; 0 for the usual number
-	Only      uint64        // classes that it can do, a bit for each number below 64; 0 for all
+	Worker      WorkerID
+	Zone        int
+	Kind        int
+	Cell        int
+	State       MemberState
+	Weight      float64
+	StartedAt   time.Duration // clock time of its last start; 0 for long ago
+	Reinstated  bool          // it gets a little work while it is cold, as one that an operator put back
+	WarmUpPeers int           // how many dispatchers use it while it is cold; 0 for all
+	TokenLimit  int           // all that it has; 0 for the usual number
+	ClassMask   uint64        // classes that it can do, a bit for each number below 64; 0 for all
 }
 
 // Event is one thing that happened. Type tells which fields are set.
 type Event struct {
-	Type     EventType
-	Outcome  Outcome
-	Closed   bool // AttemptEnded: the request is over
-	Unsure   bool // AttemptEnded: its worker may not know that it was given up; no other may follow
-	Retry    bool // RequestArrived: a client's repeat, where clients mark it
-	Ending   bool // RequestArrived: the deadline is the end of this process
-	Owed     bool // RequestArrived: it takes back what was done, and is not shed as new work is
-	Loads    uint8
-	Attempt  int
-	Request  RequestID
-	Worker   WorkerID
-	Class    int
-	Tenant   int
-	Token    uint32
-	Deadline time.Duration
-	Slots    float64
-	Memory   float64
-	Hint     time.Duration // RequestArrived: a rough estimate of the work; 0 for none
-	Key      uint64
-	Progress float64
-	Load     [MaxMetrics]float32 // the first Loads values, as named by Config.Metrics
-	Members  []Member
-
-	Past      []Past // RequestArrived: the attempts so far, of an earlier process of this dispatcher
-	Health    Health
-	Settings  *Config // classes keep their numbers, and new ones come after them
-	Processes int     // of this dispatcher, which share its part of what cold workers bear
+	Type              EventType
+	Outcome           Outcome
+	RequestClosed     bool // AttemptEnded: the request is over
+	CancelUnconfirmed bool // AttemptEnded: its worker may not know that it was given up; no other may follow
+	Retry             bool // RequestArrived: a client's repeat, where clients mark it
+	ProcessStopping   bool // RequestArrived: the deadline is the end of this process
+	Compensating      bool // RequestArrived: it takes back what was done, and is not shed as new work is
+	LoadCount         uint8
+	Attempt           int
+	Request           RequestID
+	Worker            WorkerID
+	Class             int
+	Tenant            int
+	Token             uint32
+	Deadline          time.Duration
+	Slots             float64
+	Memory            float64
+	Hint              time.Duration // RequestArrived: a rough estimate of the work; 0 for none
+	Key               uint64
+	Progress          float64
+	Load              [MaxMetrics]float32 // the first Loads values, as named by Config.Metrics
+	Members           []Member
+
+	PriorAttempts []AttemptRecord // RequestArrived: the attempts of an earlier process
+	Health        Health
+	Settings      *Config // classes keep their numbers, and new ones come after them
+	Processes     int     // of this dispatcher, which share its part of what cold workers bear
 }
 
-// Past is what a dispatcher knows of an attempt of a request.
-type Past struct {
+// AttemptRecord is what a dispatcher knows of an attempt of a request.
+type AttemptRecord struct {
 	Worker    WorkerID
 	SentAt    time.Duration
 	StartedAt time.Duration
@@ -245,7 +245,7 @@
 const (
 	Send      ActionType = iota + 1 // start an attempt: Request, Worker, After (time-out; 0: the deadline)
 	Cancel                          // stop waiting for an attempt: Request, Attempt
-	Refuse                          // final answer: trying again is harmless; After is the retry-after
+	Reject                          // final answer: trying again is harmless; After is the retry-after
 	Fail                            // final answer: no promise about the effect
 	SetTimer                        // At, Token
 	Probe                           // Worker
@@ -255,13 +255,13 @@
 
 // Action is one thing the host is to do, in the order given.
 type Action struct {
-	Type    ActionType
-	Attempt int
-	Request RequestID
-	Worker  WorkerID
-	Token   uint32
-	After   time.Duration
-	Begin   time.Duration // Send: the latest moment at which it may begin; 0 for its deadline
-	At      time.Duration
-	Why     Reason // Refuse and Fail: for those who look into it later
+	Type        ActionType
+	Attempt     int
+	Request     RequestID
+	Worker      WorkerID
+	Token       uint32
+	After       time.Duration
+	LatestStart time.Duration // Send: the latest moment at which it may begin; 0 for its deadline
+	At          time.Duration
+	Reason      Reason // Refuse and Fail: for those who look into it later
 }
--- a/decision/bucket.go
+++ b/decision/bucket.go
@@ -73,14 +73,14 @@
 // tokensFor returns how many tokens a worker has when it is well: by weight,
 // and enough for the widest request.
 func (d *Dispatcher) tokensFor(w *worker) int {
-	if w.Tokens > 0 {
-		return min(w.Tokens, maxTokens)
+	if w.TokenLimit > 0 {
+		return min(w.TokenLimit, maxTokens)
 	}
 	n := defaultTokens
 	if d.cfg.WeightKnown && d.meanWeight > 0 {
-		n = int(math.Round(defaultTokens * min(w.weight()/d.meanWeight, maxTokens/defaultTokens)))
+		n = int(math.Round(defaultTokens * min(w.effectiveWeight()/d.meanWeight, maxTokens/defaultTokens)))
 	}
-	return max(n, d.widest)
+	return max(n, d.maxRequestSlots)
 }
 
 // trim drops free tokens beyond the worker's limit.
--- a/decision/bucket_test.go
+++ b/decision/bucket_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestFirstTokensBeforeSecond(t *testing.T) {
-	h := newHost(t, plain(), oneZone(10))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(10))
 	for round := range 2 {
 		seen := map[WorkerID]bool{}
 		for range 10 {
@@ -22,11 +22,11 @@
 func TestSeedsShuffleTheBucket(t *testing.T) {
 	orders := map[WorkerID]bool{}
 	for seed := range uint64(20) {
-		d, err := New(plain(), seed)
+		d, err := New(bucketOnlyConfig(), seed)
 		if err != nil {
 			t.Fatal(err)
 		}
-		out := d.Step(time.Hour, []Event{{Type: MembersReplaced, Members: oneZone(10)},
+		out := d.Step(time.Hour, []Event{{Type: MembersReplaced, Members: membersInOneZone(10)},
 			{Type: RequestArrived, Request: 1, Deadline: 2 * time.Hour}}, nil)
 		orders[out[0].Worker] = true
 	}
@@ -36,7 +36,7 @@
 }
 
 func TestLongestFreeTokenGoesFirst(t *testing.T) {
-	h := newHost(t, plain(), oneZone(3))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
 	var sent []Action
 	for range 3 * defaultTokens {
 		sent = append(sent, h.arrive(0, 1))
@@ -52,26 +52,26 @@
 }
 
 func TestNoTokenMeansPromptRefusal(t *testing.T) {
-	h := newHost(t, plain(), oneZone(1))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(1))
 	for range defaultTokens {
 		if a := h.arrive(4, 1); a.Type != Send {
 			t.Fatalf("got %v with tokens left", a)
 		}
 	}
 	a := h.arrive(4, 1)
-	if a.Type != Refuse || a.After <= 0 || a.After > h.d.cfg.Limits.MaxRetryAfter {
+	if a.Type != Reject || a.After <= 0 || a.After > h.d.cfg.Limits.MaxRetryAfter {
 		t.Errorf("got %+v, want a refusal with a retry-after", a)
 	}
 }
 
 func TestSlotsTakeTokensOfOneWorker(t *testing.T) {
-	h := newHost(t, plain(), oneZone(2))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	first := h.arrive(0, 5)
 	second := h.arrive(0, 5)
 	if first.Worker == second.Worker {
 		t.Fatal("10 tokens of a worker that has 8 were used")
 	}
-	if a := h.arrive(0, 5); a.Type != Refuse {
+	if a := h.arrive(0, 5); a.Type != Reject {
 		t.Errorf("got %v, want a refusal: 3 tokens are left at each worker", a)
 	}
 	h.end(first, Served)
@@ -83,25 +83,25 @@
 // TestWideRequestAfterFailures guards against locking wide requests out: a
 // failure leaves a worker tokens for one job, however many slots that takes.
 func TestWideRequestAfterFailures(t *testing.T) {
-	h := newHost(t, plain(), oneZone(1))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(1))
 	h.end(h.arrive(4, 4), Errored)
-	h.pass(3 * time.Second)
+	h.advance(3 * time.Second)
 	if a := h.arrive(4, 4); a.Type != Send {
 		t.Errorf("got %v, want a send", a)
 	}
-	if a := h.arrive(4, 1); a.Type != Refuse {
+	if a := h.arrive(4, 1); a.Type != Reject {
 		t.Errorf("got %v, want a refusal: one job at a time after a failure", a)
 	}
 }
 
-func TestWeightsShareTheBucket(t *testing.T) {
-	cfg := plain()
+func TestTokensFollowWeights(t *testing.T) {
+	cfg := bucketOnlyConfig()
 	cfg.WeightKnown = true
-	list := oneZone(20)
+	list := membersInOneZone(20)
 	for i := range list {
 		list[i].Weight = float64(1 + 2*(i%2))
 	}
-	h := newHost(t, cfg, list)
+	h := newDriver(t, cfg, list)
 	heavy := 0
 	for range 40 {
 		if a := h.arrive(0, 1); list[a.Worker-100].Weight == 3 {
@@ -113,12 +113,12 @@
 	}
 }
 
-// TestJoinIsNoHerd guards rule 4 after incident ie2a5c7: the bucket's front holds
+// TestJoiningWorkerIsNotOverrun guards rule 4 after incident ie2a5c7: the bucket's front holds
 // unused tokens of a far zone, and a joining worker placed among them would be
 // next at every dispatcher.
-func TestJoinIsNoHerd(t *testing.T) {
+func TestJoiningWorkerIsNotOverrun(t *testing.T) {
 	cfg := testConfig()
-	cfg.PullList = false
+	cfg.PullMembers = false
 	got := 0
 	for seed := range uint64(30) {
 		list := members(40)
@@ -126,15 +126,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := &host{t: t, d: d, now: time.Hour, timers: map[uint32]time.Duration{}}
+		h := &driver{t: t, d: d, now: time.Hour, timers: map[uint32]time.Duration{}}
 		h.step(Event{Type: MembersReplaced, Members: list})
-		d.zones.Started(0, time.Millisecond)
-		d.zones.Started(1, 100*time.Millisecond) // starts in zone 1 take long
+		d.zones.RecordStart(0, time.Millisecond)
+		d.zones.RecordStart(1, 100*time.Millisecond) // starts in zone 1 take long
 		for range 100 {
 			h.end(h.arrive(4, 1), Served)
 		}
 		h.step(Event{Type: MembersChanged, Members: []Member{{Worker: 100, StartedAt: h.now}}})
-		h.pass(8 * time.Second)
+		h.advance(8 * time.Second)
 		for range 4 {
 			a := h.arrive(4, 1)
 			if a.Worker == 100 {
