--- a/decision/checker_test.go
+++ b/decision/checker_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// answerSlack is how long past a deadline a final answer still counts here.
-const answerSlack = 16 * time.Millisecond
+// deadlineSlack is how long past a deadline a final answer still counts here.
+const deadlineSlack = 16 * time.Millisecond
 
 // sentAttempt is a send as seen from outside.
 type sentAttempt struct {
@@ -22,192 +22,192 @@
 
 func (a *sentAttempt) mayHaveRun() bool { return !a.ended || !a.outcome.NeverRan() }
 
-// takenRequest is a request as seen from outside.
-type takenRequest struct {
+// observedRequest is a request as seen from outside.
+type observedRequest struct {
 	class    int
 	deadline time.Duration
 	attempts []sentAttempt
-	over     bool
-	toldAt   time.Duration // when the dispatcher was told of the end, if it was
+	closed   bool
+	closedAt time.Duration // when the dispatcher was told of the end, if it was
 }
 
-// tell notes that the dispatcher hears of the request's end.
-func (r *takenRequest) tell(now time.Duration) {
-	if !r.over {
-		r.over, r.toldAt = true, now
+// recordEnd notes that the dispatcher hears of the request's end.
+func (r *observedRequest) recordEnd(now time.Duration) {
+	if !r.closed {
+		r.closed, r.closedAt = true, now
 	}
 }
 
 // checker verifies the four rules from the events that a dispatcher was given
 // and the actions that it returned, with no view of its inside.
 type checker struct {
-	cfg     Config
-	taken   map[RequestID]*takenRequest
-	listed  map[WorkerID]Member
-	toldAt  map[WorkerID]time.Duration // since when a worker drains or is gone
-	timers  map[uint32]time.Duration
-	broken  []string
-	sends   int
-	answers int
+	cfg              Config
+	requests         map[RequestID]*observedRequest
+	listed           map[WorkerID]Member
+	unavailableSince map[WorkerID]time.Duration // since when a worker drains or is gone
+	timers           map[uint32]time.Duration
+	violations       []string
+	sends            int
+	responses        int
 }
 
 func newChecker(cfg Config) *checker {
-	return &checker{cfg: cfg, taken: map[RequestID]*takenRequest{}, listed: map[WorkerID]Member{},
-		toldAt: map[WorkerID]time.Duration{}, timers: map[uint32]time.Duration{}}
+	return &checker{cfg: cfg, requests: map[RequestID]*observedRequest{}, listed: map[WorkerID]Member{},
+		unavailableSince: map[WorkerID]time.Duration{}, timers: map[uint32]time.Duration{}}
 }
 
-func (c *checker) fault(format string, args ...any) {
-	c.broken = append(c.broken, fmt.Sprintf(format, args...))
+func (c *checker) violate(format string, args ...any) {
+	c.violations = append(c.violations, fmt.Sprintf(format, args...))
 }
 
-// saw takes in the events of a moment.
-func (c *checker) saw(now time.Duration, events []Event) {
+// observeEvents takes in the events of a moment.
+func (c *checker) observeEvents(now time.Duration, events []Event) {
 	for _, ev := range events {
-		r := c.taken[ev.Request]
+		r := c.requests[ev.Request]
 		switch ev.Type {
 		case RequestArrived:
 			if r == nil {
-				c.taken[ev.Request] = &takenRequest{class: ev.Class, deadline: ev.Deadline}
+				c.requests[ev.Request] = &observedRequest{class: ev.Class, deadline: ev.Deadline}
 			}
-		case RequestGone:
+		case RequestCanceled:
 			if r != nil {
-				r.tell(now)
+				r.recordEnd(now)
 			}
 		case AttemptEnded:
 			if r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) && !r.attempts[ev.Attempt].ended &&
 				r.attempts[ev.Attempt].worker.Worker == ev.Worker {
 				r.attempts[ev.Attempt].ended, r.attempts[ev.Attempt].outcome = true, ev.Outcome
-				if ev.Closed {
-					r.tell(now)
+				if ev.RequestClosed {
+					r.recordEnd(now)
 				}
 			}
 		case MembersReplaced, MembersChanged:
-			c.sawMembers(now, ev)
+			c.observeMembers(now, ev)
 		}
 	}
 }
 
-func (c *checker) sawMembers(now time.Duration, ev Event) {
+func (c *checker) observeMembers(now time.Duration, ev Event) {
 	named := map[WorkerID]bool{}
 	for _, m := range ev.Members {
 		named[m.Worker] = true
-		_, told := c.toldAt[m.Worker]
+		_, told := c.unavailableSince[m.Worker]
 		if m.State == Ready {
-			delete(c.toldAt, m.Worker)
+			delete(c.unavailableSince, m.Worker)
 		} else if !told {
-			c.toldAt[m.Worker] = now
+			c.unavailableSince[m.Worker] = now
 		}
 		c.listed[m.Worker] = m
 	}
 	if ev.Type == MembersReplaced {
 		for id := range c.listed {
-			if _, told := c.toldAt[id]; !told && !named[id] {
-				c.toldAt[id] = now
+			if _, told := c.unavailableSince[id]; !told && !named[id] {
+				c.unavailableSince[id] = now
 			}
 		}
 	}
 }
 
-// did takes in the actions that answer a moment's events.
-func (c *checker) did(now time.Duration, actions []Action) {
+// observeActions takes in the actions that answer a moment's events.
+func (c *checker) observeActions(now time.Duration, actions []Action) {
 	for _, a := range actions {
-		r := c.taken[a.Request]
+		r := c.requests[a.Request]
 		switch a.Type {
 		case SetTimer:
 			c.timers[a.Token] = a.At
 		case Send:
 			c.sends++
 			if r == nil {
-				c.fault("send for request %d, which was never taken", a.Request)
+				c.violate("send for request %d, which was never taken", a.Request)
 				continue
 			}
 			c.checkSend(now, r, a)
 			r.attempts = append(r.attempts, sentAttempt{worker: c.listed[a.Worker], at: now})
-		case Refuse, Fail:
-			c.answers++
-			if r == nil || (r.over && r.toldAt != now) {
-				c.fault("rule 1: a second answer for request %d", a.Request)
+		case Reject, Fail:
+			c.responses++
+			if r == nil || (r.closed && r.closedAt != now) {
+				c.violate("rule 1: a second answer for request %d", a.Request)
 				continue
 			}
-			r.over, r.toldAt = true, 0
-			if now > r.deadline+answerSlack {
-				c.fault("rule 1: request %d answered %v late", a.Request, now-r.deadline)
+			r.closed, r.closedAt = true, 0
+			if now > r.deadline+deadlineSlack {
+				c.violate("rule 1: request %d answered %v late", a.Request, now-r.deadline)
 			}
-			if a.Type == Refuse {
+			if a.Type == Reject {
 				c.checkRefusal(r, a)
 			}
 		}
 	}
 }
 
-func (c *checker) checkSend(now time.Duration, r *takenRequest, a Action) {
+func (c *checker) checkSend(now time.Duration, r *observedRequest, a Action) {
 	w, known := c.listed[a.Worker]
 	if !known {
-		c.fault("send to worker %d, which was never listed", a.Worker)
+		c.violate("send to worker %d, which was never listed", a.Worker)
 	}
-	if r.over && r.toldAt != now { // an end that this batch tells of may come after the send in it
-		c.fault("rule 1: send for request %d, which is over", a.Request)
+	if r.closed && r.closedAt != now { // an end that this batch tells of may come after the send in it
+		c.violate("rule 1: send for request %d, which is over", a.Request)
 	}
 	class := c.cfg.Classes[r.class]
 	for i := range r.attempts {
 		prior := &r.attempts[i]
 		if !prior.ended && !c.cfg.Limits.HedgingAllowed {
-			c.fault("two attempts of request %d are out at once", a.Request)
+			c.violate("two attempts of request %d are out at once", a.Request)
 		}
 		if !prior.mayHaveRun() || class.Effect == Safe {
 			continue
 		}
-		same := class.Group == ScopeAll || (prior.worker.Zone == w.Zone &&
-			(class.Group == ScopeZone || prior.worker.Cell == w.Cell))
-		if class.Effect == Unsafe || !same || now > prior.at+class.Window {
-			c.fault("rule 2: request %d sent again to worker %d though it may have run", a.Request, a.Worker)
+		same := class.DedupScope == ScopeAll || (prior.worker.Zone == w.Zone &&
+			(class.DedupScope == ScopeZone || prior.worker.Cell == w.Cell))
+		if class.Effect == Unsafe || !same || now > prior.at+class.DedupWindow {
+			c.violate("rule 2: request %d sent again to worker %d though it may have run", a.Request, a.Worker)
 		}
 	}
-	if told, ok := c.toldAt[a.Worker]; ok && now > told+c.cfg.Rules.DrainGrace {
-		c.fault("rule 3: send to worker %d, told %v ago", a.Worker, now-told)
+	if told, ok := c.unavailableSince[a.Worker]; ok && now > told+c.cfg.Rules.DrainGrace {
+		c.violate("rule 3: send to worker %d, told %v ago", a.Worker, now-told)
 	}
 	if w.StartedAt > 0 {
 		age := float64(now-w.StartedAt) / float64(c.cfg.Rules.WarmUp)
-		capacity := c.cfg.Rules.ColdShare + (1-c.cfg.Rules.ColdShare)*min(age, 1)
-		if capacity*c.cfg.Rules.FallMultiple < 1 {
-			c.fault("rule 4: send to worker %d at %.2f of its capacity", a.Worker, capacity)
+		capacity := c.cfg.Rules.InitialCapacity + (1-c.cfg.Rules.InitialCapacity)*min(age, 1)
+		if capacity*c.cfg.Rules.OverloadMultiple < 1 {
+			c.violate("rule 4: send to worker %d at %.2f of its capacity", a.Worker, capacity)
 		}
 	}
 }
 
-func (c *checker) checkRefusal(r *takenRequest, a Action) {
+func (c *checker) checkRefusal(r *observedRequest, a Action) {
 	class := c.cfg.Classes[r.class]
 	for i := range r.attempts {
-		harmless := class.Effect == Safe || (class.Effect == Keyed && class.Group == ScopeAll)
+		harmless := class.Effect == Safe || (class.Effect == Keyed && class.DedupScope == ScopeAll)
 		if r.attempts[i].mayHaveRun() && !harmless {
-			c.fault("rule 2: request %d refused though it may have run", a.Request)
+			c.violate("rule 2: request %d refused though it may have run", a.Request)
 		}
 	}
 }
 
-// end reports requests that were never answered.
-func (c *checker) end(now time.Duration) {
-	for id, r := range c.taken {
-		if !r.over && now > r.deadline+answerSlack {
-			c.fault("rule 1: request %d was never answered", id)
+// checkUnanswered reports requests that were never answered.
+func (c *checker) checkUnanswered(now time.Duration) {
+	for id, r := range c.requests {
+		if !r.closed && now > r.deadline+deadlineSlack {
+			c.violate("rule 1: request %d was never answered", id)
 		}
 	}
 }
 
 // testConfig is a deployment with every class effect and group.
 func testConfig() Config {
-	class := func(e Effect, g Scope) Class {
-		return Class{Effect: e, Group: g, Window: 3 * time.Second, Objective: 200 * time.Millisecond, Stretch: 2,
-			GiveUp: 4 * time.Second, Worth: 1, LateWorth: 0.3, WorkerKind: -1}
+	class := func(e Effect, g DedupScope) Class {
+		return Class{Effect: e, DedupScope: g, DedupWindow: 3 * time.Second, Objective: 200 * time.Millisecond, Stretch: 2,
+			ClientTimeout: 4 * time.Second, Value: 1, LateValue: 0.3, WorkerKind: -1}
 	}
 	return Config{
-		Instance: 3, Instances: 10, Zones: 2, PullList: true, StartNotes: true, Quantum: time.Millisecond,
+		Instance: 3, Instances: 10, Zones: 2, PullMembers: true, StartEvents: true, Quantum: time.Millisecond,
 		Classes: []Class{class(Safe, ScopeAll), class(Keyed, ScopeAll), class(Keyed, ScopeZone),
 			class(Keyed, ScopeCell), class(Unsafe, ScopeAll)},
 		Limits: Limits{MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, RetryAfter: true,
 			MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond},
-		Rules: Rules{DrainGrace: 0, ColdShare: 0.2, WarmUp: 10 * time.Second, FallMultiple: 3,
-			FallWindow: time.Second, AskWithin: 10 * time.Second},
+		Rules: Rules{DrainGrace: 0, InitialCapacity: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3,
+			OverloadWindow: time.Second, MaxRefreshInterval: 10 * time.Second},
 	}
 }
 
@@ -222,17 +222,17 @@
 
 // sequence draws random events, legal ones and odd ones, for one dispatcher.
 type sequence struct {
-	rng    *rand.Rand
-	check  *checker
-	now    time.Duration
-	nextID RequestID
-	list   []Member
+	rng     *rand.Rand
+	checker *checker
+	now     time.Duration
+	nextID  RequestID
+	members []Member
 }
 
 // outstanding returns the attempts that are out, in order.
 func (s *sequence) outstanding() (out []Event) {
 	for id := RequestID(1); id <= s.nextID; id++ {
-		r := s.check.taken[id]
+		r := s.checker.requests[id]
 		if r == nil {
 			continue
 		}
@@ -247,21 +247,21 @@
 
 func (s *sequence) arrival() Event {
 	s.nextID++
-	ev := Event{Type: RequestArrived, Request: s.nextID, Class: s.rng.IntN(len(s.check.cfg.Classes)),
+	ev := Event{Type: RequestArrived, Request: s.nextID, Class: s.rng.IntN(len(s.checker.cfg.Classes)),
 		Deadline: s.now + time.Duration(s.rng.IntN(4000))*time.Millisecond, Slots: float64(1 + s.rng.IntN(3))}
 	if s.rng.IntN(20) == 0 {
 		ev.Slots = []float64{math.NaN(), math.Inf(1), -1, 1e30}[s.rng.IntN(4)]
 	}
-	if n := len(s.check.cfg.Tenants); n > 0 {
+	if n := len(s.checker.cfg.Tenants); n > 0 {
 		ev.Tenant, ev.Hint = s.rng.IntN(n+2)-1, time.Duration(s.rng.IntN(300))*time.Millisecond
 	}
 	return ev
 }
 
-// reports puts a load report on an event, where the settings have any: mostly one that can
+// addLoadReport puts a load report on an event, where the settings have any: mostly one that can
 // be, sometimes one that no worker means.
-func (s *sequence) reports(ev *Event) {
-	for _, m := range s.check.cfg.Metrics {
+func (s *sequence) addLoadReport(ev *Event) {
+	for _, m := range s.checker.cfg.Metrics {
 		v := float32(s.rng.IntN(5))
 		if m == MetricQueued {
 			v = max(v-3, 0)
@@ -271,21 +271,21 @@
 		if s.rng.IntN(10) == 0 {
 			v = []float32{float32(math.NaN()), float32(math.Inf(1)), -3, 1e30}[s.rng.IntN(4)]
 		}
-		ev.Load[ev.Loads] = v
-		ev.Loads++
+		ev.Load[ev.LoadCount] = v
+		ev.LoadCount++
 	}
 }
 
-// odd returns an event that names what the dispatcher doesn't know or is stale.
-func (s *sequence) odd() Event {
+// unknownEvent returns an event that names what the dispatcher doesn't know or is stale.
+func (s *sequence) unknownEvent() Event {
 	return Event{Type: EventType(s.rng.IntN(int(TimerFired) + 3)), Request: RequestID(s.rng.IntN(int(s.nextID) + 50)),
 		Attempt: s.rng.IntN(9) - 2, Worker: WorkerID(s.rng.IntN(150)), Outcome: Outcome(s.rng.IntN(12)),
-		Class: s.rng.IntN(3) + 90, Tenant: 1 << 20, Token: s.rng.Uint32(), Progress: math.NaN(), Loads: 4}
+		Class: s.rng.IntN(3) + 90, Tenant: 1 << 20, Token: s.rng.Uint32(), Progress: math.NaN(), LoadCount: 4}
 }
 
-// change alters the list: workers drain, go, come back cold or stay.
-func (s *sequence) change() Event {
-	m := &s.list[s.rng.IntN(len(s.list))]
+// memberChange alters the list: workers drain, go, come back cold or stay.
+func (s *sequence) memberChange() Event {
+	m := &s.members[s.rng.IntN(len(s.members))]
 	switch s.rng.IntN(4) {
 	case 0:
 		m.State = Draining
@@ -299,7 +299,7 @@
 	if s.rng.IntN(3) > 0 {
 		return Event{Type: MembersChanged, Members: []Member{*m}}
 	}
-	whole := slices.DeleteFunc(slices.Clone(s.list), func(m Member) bool { return m.State == Removed })
+	whole := slices.DeleteFunc(slices.Clone(s.members), func(m Member) bool { return m.State == Removed })
 	return Event{Type: MembersReplaced, Members: whole}
 }
 
@@ -307,28 +307,28 @@
 func (s *sequence) next() (events []Event) {
 	s.now += time.Duration(1+s.rng.IntN(14)) * time.Millisecond
 	if s.rng.IntN(15) == 0 {
-		events = append(events, s.change())
+		events = append(events, s.memberChange())
 	}
 	var due []Event
-	for token, at := range s.check.timers {
+	for token, at := range s.checker.timers {
 		if at <= s.now {
 			due = append(due, Event{Type: TimerFired, Token: token})
-			delete(s.check.timers, token)
+			delete(s.checker.timers, token)
 		}
 	}
 	slices.SortFunc(due, func(a, b Event) int { return int(a.Token) - int(b.Token) })
 	events = append(events, due...)
 	for _, ev := range s.outstanding() {
-		r := s.check.taken[ev.Request]
+		r := s.checker.requests[ev.Request]
 		switch n := s.rng.IntN(30); {
 		case s.now >= r.deadline:
-			ev.Type, ev.Outcome, ev.Closed = AttemptEnded, TimedOut, r.over
+			ev.Type, ev.Outcome, ev.RequestClosed = AttemptEnded, TimedOut, r.closed
 		case n < 2:
 			ev.Type, ev.Outcome = AttemptEnded, Outcome(1+s.rng.IntN(7))
-			ev.Closed = r.over
+			ev.RequestClosed = r.closed
 		case n < 4:
-			ev.Type, ev.Outcome, ev.Closed = AttemptEnded, Served, true
-			s.reports(&ev)
+			ev.Type, ev.Outcome, ev.RequestClosed = AttemptEnded, Served, true
+			s.addLoadReport(&ev)
 		case n < 7:
 			ev.Type = AttemptStarted
 		default:
@@ -343,7 +343,7 @@
 		events = append(events, Event{Type: MembersFailed})
 	}
 	for range s.rng.IntN(3) {
-		if ev := s.odd(); ev.Type != RequestArrived && ev.Type != MembersReplaced && s.harmless(ev) {
+		if ev := s.unknownEvent(); ev.Type != RequestArrived && ev.Type != MembersReplaced && s.changesNothing(ev) {
 			events = append(events, ev)
 		}
 	}
@@ -355,29 +355,29 @@
 	return events
 }
 
-// harmless tells whether an odd event is one that must change nothing.
-func (s *sequence) harmless(ev Event) bool {
-	r := s.check.taken[ev.Request]
+// changesNothing tells whether an odd event is one that must change nothing.
+func (s *sequence) changesNothing(ev Event) bool {
+	r := s.checker.requests[ev.Request]
 	switch ev.Type {
-	case RequestGone, AttemptEnded, AttemptStarted, AttemptProgressed, AttemptAccepted:
-		return r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) && ev.Type != RequestGone
+	case RequestCanceled, AttemptEnded, AttemptStarted, AttemptProgressed, AttemptAccepted:
+		return r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) && ev.Type != RequestCanceled
 	}
 	return true
 }
 
-// run plays a random sequence against a step function and returns the checker.
-func run(cfg Config, seed uint64, moments int, step func(time.Duration, []Event) []Action) *checker {
-	s := &sequence{rng: rand.New(rand.NewPCG(seed, 1)), check: newChecker(cfg), now: time.Hour, list: members(20)}
-	first := []Event{{Type: MembersReplaced, Members: slices.Clone(s.list)}}
-	s.check.saw(s.now, first)
-	s.check.did(s.now, step(s.now, first))
+// runSequence plays a random sequence against a step function and returns the checker.
+func runSequence(cfg Config, seed uint64, moments int, step func(time.Duration, []Event) []Action) *checker {
+	s := &sequence{rng: rand.New(rand.NewPCG(seed, 1)), checker: newChecker(cfg), now: time.Hour, members: members(20)}
+	first := []Event{{Type: MembersReplaced, Members: slices.Clone(s.members)}}
+	s.checker.observeEvents(s.now, first)
+	s.checker.observeActions(s.now, step(s.now, first))
 	for range moments {
 		events := s.next()
-		s.check.saw(s.now, events)
-		s.check.did(s.now, step(s.now, events))
+		s.checker.observeEvents(s.now, events)
+		s.checker.observeActions(s.now, step(s.now, events))
 	}
-	s.check.end(s.now)
-	return s.check
+	s.checker.checkUnanswered(s.now)
+	return s.checker
 }
 
 // TestRulesHoldOnRandomSequences checks all four rules from outside, under
@@ -386,15 +386,15 @@
 	variants := map[string]func(*Config){
 		"as given":       func(*Config) {},
 		"no hedging":     func(c *Config) { c.Limits.HedgingAllowed = false },
-		"no start notes": func(c *Config) { c.StartNotes = false },
+		"no start notes": func(c *Config) { c.StartEvents = false },
 		"no cancel":      func(c *Config) { c.Limits.CancelAllowed = false },
-		"pushed list":    func(c *Config) { c.PullList = false },
+		"pushed list":    func(c *Config) { c.PullMembers = false },
 		"one attempt":    func(c *Config) { c.Limits.MaxAttempts = 1 },
 		"no limits":      func(c *Config) { c.Limits.MaxAttempts = 0; c.WeightKnown = true },
 		"load reports": func(c *Config) {
 			c.Metrics, c.Tenants = []Metric{MetricQueued, MetricFreeSlots}, []Tenant{{RatePerSecond: 5}, {}}
 			for i := range c.Classes {
-				c.Classes[i].LateWorth, c.Classes[i].Objective = 0, 2*time.Second
+				c.Classes[i].LateValue, c.Classes[i].Objective = 0, 2*time.Second
 			}
 		},
 	}
@@ -407,14 +407,14 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				c := run(cfg, seed, 1500, func(now time.Duration, events []Event) []Action {
+				c := runSequence(cfg, seed, 1500, func(now time.Duration, events []Event) []Action {
 					return d.Step(now, events, nil)
 				})
-				for _, b := range c.broken {
+				for _, b := range c.violations {
 					t.Errorf("seed %d: %s", seed, b)
 				}
-				if c.sends < 500 || c.answers < 50 {
-					t.Errorf("seed %d: only %d sends and %d answers: the sequence shows little", seed, c.sends, c.answers)
+				if c.sends < 500 || c.responses < 50 {
+					t.Errorf("seed %d: only %d sends and %d answers: the sequence shows little", seed, c.sends, c.responses)
 				}
 			}
 		})
@@ -427,7 +427,7 @@
 	saboteurs := map[string]func(time.Duration, []Event, []Action) []Action{
 		"answers twice": func(_ time.Duration, _ []Event, out []Action) []Action {
 			for _, a := range out {
-				if a.Type == Refuse {
+				if a.Type == Reject {
 					return append(out, a)
 				}
 			}
@@ -439,7 +439,7 @@
 		"refuses for fails": func(_ time.Duration, _ []Event, out []Action) []Action {
 			for i := range out {
 				if out[i].Type == Fail {
-					out[i].Type = Refuse
+					out[i].Type = Reject
 				}
 			}
 			return out
@@ -468,10 +468,10 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			c := run(cfg, 1, 1500, func(now time.Duration, events []Event) []Action {
+			c := runSequence(cfg, 1, 1500, func(now time.Duration, events []Event) []Action {
 				return spoil(now, events, d.Step(now, events, nil))
 			})
-			if len(c.broken) == 0 {
+			if len(c.violations) == 0 {
 				t.Error("the checker saw nothing wrong")
 			}
 		})
@@ -485,7 +485,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		run(testConfig(), 7, 1500, func(now time.Duration, events []Event) []Action {
+		runSequence(testConfig(), 7, 1500, func(now time.Duration, events []Event) []Action {
 			actions := d.Step(now, events, nil)
 			out = append(out, actions...)
 			return actions
--- a/decision/host_test.go
+++ b/decision/driver_test.go
@@ -5,42 +5,42 @@
 	"time"
 )
 
-// host drives a dispatcher by hand and keeps what it asked for.
-type host struct {
-	t      *testing.T
-	d      *Dispatcher
-	now    time.Duration
-	next   RequestID
-	timers map[uint32]time.Duration
-	last   []Action
+// driver drives a dispatcher by hand and keeps what it asked for.
+type driver struct {
+	t           *testing.T
+	d           *Dispatcher
+	now         time.Duration
+	lastRequest RequestID
+	timers      map[uint32]time.Duration
+	lastActions []Action
 }
 
-func newHost(t *testing.T, cfg Config, list []Member) *host {
+func newDriver(t *testing.T, cfg Config, list []Member) *driver {
 	t.Helper()
 	d, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &host{t: t, d: d, now: time.Hour, timers: map[uint32]time.Duration{}}
+	h := &driver{t: t, d: d, now: time.Hour, timers: map[uint32]time.Duration{}}
 	h.step(Event{Type: MembersReplaced, Members: list})
 	return h
 }
 
 // step hands over events and returns the actions other than timers.
-func (h *host) step(events ...Event) []Action {
-	h.last = h.last[:0]
+func (h *driver) step(events ...Event) []Action {
+	h.lastActions = h.lastActions[:0]
 	for _, a := range h.d.Step(h.now, events, nil) {
 		if a.Type == SetTimer {
 			h.timers[a.Token] = a.At
 		} else {
-			h.last = append(h.last, a)
+			h.lastActions = append(h.lastActions, a)
 		}
 	}
-	return h.last
+	return h.lastActions
 }
 
-// pass lets time go by and fires the timers that come due, in order.
-func (h *host) pass(span time.Duration) (out []Action) {
+// advance lets time go by and fires the timers that come due, in order.
+func (h *driver) advance(span time.Duration) (out []Action) {
 	end := h.now + span
 	for {
 		token, at := uint32(0), end+1
@@ -61,10 +61,10 @@
 }
 
 // arrive brings a request and returns what is done with it.
-func (h *host) arrive(class int, slots float64) Action {
+func (h *driver) arrive(class int, slots float64) Action {
 	h.t.Helper()
-	h.next++
-	out := h.step(Event{Type: RequestArrived, Request: h.next, Class: class, Slots: slots,
+	h.lastRequest++
+	out := h.step(Event{Type: RequestArrived, Request: h.lastRequest, Class: class, Slots: slots,
 		Deadline: h.now + 5*time.Second})
 	if len(out) != 1 {
 		h.t.Fatalf("an arrival led to %v, want one action", out)
@@ -73,27 +73,27 @@
 }
 
 // end reports how an attempt ended.
-func (h *host) end(a Action, o Outcome) []Action {
+func (h *driver) end(a Action, o Outcome) []Action {
 	return h.step(Event{Type: AttemptEnded, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt, Outcome: o,
-		Closed: o == Served})
+		RequestClosed: o == Served})
 }
 
 // serve starts a job at once and has it served after a while.
-func (h *host) serve(a Action) {
+func (h *driver) serve(a Action) {
 	h.step(Event{Type: AttemptStarted, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt})
-	h.pass(50 * time.Millisecond)
+	h.advance(50 * time.Millisecond)
 	h.end(a, Served)
 }
 
-// plain is a config in which nothing but the bucket decides.
-func plain() Config {
+// bucketOnlyConfig is a config in which nothing but the bucket decides.
+func bucketOnlyConfig() Config {
 	cfg := testConfig()
-	cfg.StartNotes, cfg.PullList, cfg.Zones = false, false, 1
+	cfg.StartEvents, cfg.PullMembers, cfg.Zones = false, false, 1
 	return cfg
 }
 
-// mostWithin returns how many of the times, in order, lie within a window at most.
-func mostWithin(at []time.Duration, window time.Duration) (most int) {
+// maxWithin returns how many of the times, in order, lie within a window at most.
+func maxWithin(at []time.Duration, window time.Duration) (most int) {
 	first := 0
 	for i := range at {
 		for at[i]-at[first] > window {
@@ -104,7 +104,7 @@
 	return most
 }
 
-func oneZone(n int) []Member {
+func membersInOneZone(n int) []Member {
 	list := members(n)
 	for i := range list {
 		list[i].Zone = 0
--- a/decision/latest_test.go
+++ b/decision/eligibility_test.go
@@ -7,13 +7,13 @@
 	"frosttide/decision/permit"
 )
 
-// TestLatest has an attempt begin before what bounds it closes: the window in which repeats are dropped
+// TestLatestStart has an attempt begin before what bounds it closes: the window in which repeats are dropped
 // and, at a worker that warms up, the share of the budget that it was reckoned with.
-func TestLatest(t *testing.T) {
+func TestLatestStart(t *testing.T) {
 	start := 1000 * time.Hour
-	cfg := Config{Instances: 1, Classes: []Class{{Effect: Keyed, Window: 10 * time.Second, Objective: time.Second, WorkerKind: -1},
+	cfg := Config{Instances: 1, Classes: []Class{{Effect: Keyed, DedupWindow: 10 * time.Second, Objective: time.Second, WorkerKind: -1},
 		{Objective: time.Second, WorkerKind: -1}}, Limits: Limits{MaxAttempts: 3, ConnectTimeout: 250 * time.Millisecond},
-		Rules: Rules{ColdShare: 0.5, WarmUp: 20 * time.Second, FallMultiple: 2.5, FallWindow: time.Second}}
+		Rules: Rules{InitialCapacity: 0.5, WarmUp: 20 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second}}
 	d, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -28,23 +28,23 @@
 	}
 	warm := Event{Type: MembersReplaced, Members: []Member{{Worker: 1}, {Worker: 2}}}
 	first := sends(start, warm, Event{Type: RequestArrived, Request: 1, Deadline: start + time.Minute})
-	if len(first) != 1 || first[0].Begin != 0 {
+	if len(first) != 1 || first[0].LatestStart != 0 {
 		t.Fatalf("a first attempt at a warm worker: %+v", first)
 	}
 	again := sends(start+2*time.Second, Event{Type: AttemptEnded, Request: 1, Worker: first[0].Worker, Outcome: ConnReset})
-	if want := start + 10*time.Second - permit.Standstill; len(again) != 1 || again[0].Begin != want {
+	if want := start + 10*time.Second - permit.MaxStall; len(again) != 1 || again[0].LatestStart != want {
 		t.Errorf("a repeat of a keyed request: %+v, want it to begin by %v", again, want)
 	}
 	now := start + 5*time.Second
 	young := Event{Type: MembersReplaced, Members: []Member{{Worker: 3, StartedAt: now - 18*time.Second}}}
 	cold := sends(now, young, Event{Type: RequestArrived, Request: 2, Class: 1, Deadline: now + time.Minute})
-	if len(cold) != 1 || cold[0].Begin != now+beginWithin {
-		t.Errorf("an attempt at a worker that warms up: %+v, want it to begin within %v", cold, beginWithin)
+	if len(cold) != 1 || cold[0].LatestStart != now+warmUpStartWithin {
+		t.Errorf("an attempt at a worker that warms up: %+v, want it to begin within %v", cold, warmUpStartWithin)
 	}
 }
 
-// TestUnsure has no attempt follow one whose worker may not know that it was given up.
-func TestUnsure(t *testing.T) {
+// TestCancelUnconfirmed has no attempt follow one whose worker may not know that it was given up.
+func TestCancelUnconfirmed(t *testing.T) {
 	for _, unsure := range []bool{false, true} {
 		d, err := New(Config{Instances: 1, Classes: []Class{{Objective: time.Second, WorkerKind: -1}}, Limits: Limits{MaxAttempts: 3}}, 1)
 		if err != nil {
@@ -58,11 +58,11 @@
 			}
 		}
 		sent, refused := 0, 0
-		for _, a := range d.Step(time.Hour+time.Second, []Event{{Type: AttemptEnded, Request: 1, Worker: at, Outcome: TimedOut, Unsure: unsure}}, nil) {
+		for _, a := range d.Step(time.Hour+time.Second, []Event{{Type: AttemptEnded, Request: 1, Worker: at, Outcome: TimedOut, CancelUnconfirmed: unsure}}, nil) {
 			switch a.Type {
 			case Send:
 				sent++
-			case Refuse:
+			case Reject:
 				refused++
 			}
 		}
@@ -72,11 +72,11 @@
 	}
 }
 
-// TestNoHope has no attempt go out that would be called off at once, as its job can't be in time any
+// TestNoAttemptPastTarget has no attempt go out that would be called off at once, as its job can't be in time any
 // more and is worth nothing later.
-func TestNoHope(t *testing.T) {
-	cfg := Config{Instances: 1, StartNotes: true, Metrics: []Metric{MetricFreeSlots},
-		Classes: []Class{{Objective: time.Second, GiveUp: time.Minute, WorkerKind: -1}},
+func TestNoAttemptPastTarget(t *testing.T) {
+	cfg := Config{Instances: 1, StartEvents: true, Metrics: []Metric{MetricFreeSlots},
+		Classes: []Class{{Objective: time.Second, ClientTimeout: time.Minute, WorkerKind: -1}},
 		Limits:  Limits{MaxAttempts: 3, CancelAllowed: true, HedgingAllowed: true}}
 	d, err := New(cfg, 1)
 	if err != nil {
@@ -88,7 +88,7 @@
 			switch a.Type {
 			case Send:
 				sent++
-			case Refuse, Fail:
+			case Reject, Fail:
 				ended++
 			}
 		}
@@ -97,7 +97,7 @@
 	report := [MaxMetrics]float32{4}
 	step(Event{Type: MembersReplaced, Members: []Member{{Worker: 1}}},
 		Event{Type: RequestArrived, Request: 1, Deadline: now + time.Minute},
-		Event{Type: AttemptEnded, Request: 1, Worker: 1, Outcome: Served, Loads: 1, Load: report})
+		Event{Type: AttemptEnded, Request: 1, Worker: 1, Outcome: Served, LoadCount: 1, Load: report})
 	step(Event{Type: MembersReplaced, Members: []Member{{Worker: 1}, {Worker: 2}}})
 	if sent, _ := step(Event{Type: RequestArrived, Request: 2, Deadline: now + time.Minute}); sent != 1 {
 		t.Fatalf("%d attempts of a job in time", sent)
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -11,7 +11,7 @@
 // send that comes back, and reports how it ended.
 func Example() {
 	cfg := decision.Config{
-		Classes: []decision.Class{{Effect: decision.Safe, Objective: 200 * time.Millisecond, Worth: 1,
+		Classes: []decision.Class{{Effect: decision.Safe, Objective: 200 * time.Millisecond, Value: 1,
 			WorkerKind: -1}},
 		Limits: decision.Limits{MaxAttempts: 3},
 	}
@@ -32,7 +32,7 @@
 	}
 	now += 30 * time.Millisecond
 	actions = d.Step(now, []decision.Event{
-		{Type: decision.AttemptEnded, Request: 1, Worker: 7, Outcome: decision.Served, Closed: true},
+		{Type: decision.AttemptEnded, Request: 1, Worker: 7, Outcome: decision.Served, RequestClosed: true},
 	}, nil)
 	fmt.Println("actions after the answer:", len(actions))
 	// Output:
--- a/decision/fairshare/fairshare.go
+++ b/decision/fairshare/fairshare.go
@@ -9,67 +9,69 @@
 const (
 	// burst is for how long a share may be saved up: a share is a rate, not a spacing.
 	burst = 2 * time.Second
-	// least is how many requests can be saved up of the smallest share.
-	least = 2
-	// partGain is the weight of a new look in the part of the fleet's work.
-	partGain = 1.0 / 32
-	// lookEvery is the least time between two looks.
-	lookEvery = 50 * time.Millisecond
+	// minSavedRequests is how many requests can be saved up of the smallest share.
+	minSavedRequests = 2
+	// fractionGain is the weight of a new look in the part of the fleet's work.
+	fractionGain = 1.0 / 32
+	// sampleInterval is the least time between two looks.
+	sampleInterval = 50 * time.Millisecond
 )
 
-// Shares is what is left of all tenants' shares at this dispatcher. Make it with Set.
-type Shares struct {
-	rates  []float64 // requests a second over all dispatchers; 0 for no limit
-	used   []used
-	part   float64
-	lookAt time.Duration
+// Quotas is what is left of all tenants' shares at this dispatcher. Make it with Set.
+type Quotas struct {
+	rates         []float64 // requests a second over all dispatchers; 0 for no limit
+	usage         []usage
+	localFraction float64
+	nextSampleAt  time.Duration
 }
 
-type used struct {
+type usage struct {
 	requests float64 // that have not yet been made up for
 	at       time.Duration
 }
 
-// Set takes the tenants' rates, in requests a second over all dispatchers, 0 for no limit,
+// SetRates takes the tenants' rates, in requests a second over all dispatchers, 0 for no limit,
 // and how many dispatchers there are. What is used up stays.
-func (s *Shares) Set(rates []float64, dispatchers int) {
-	s.rates = rates
-	s.used = append(s.used, make([]used, max(len(rates)-len(s.used), 0))...)
-	if s.part == 0 {
-		s.part = 1 / float64(max(dispatchers, 1))
+func (q *Quotas) SetRates(rates []float64, dispatchers int) {
+	q.rates = rates
+	q.usage = append(q.usage, make([]usage, max(len(rates)-len(q.usage), 0))...)
+	if q.localFraction == 0 {
+		q.localFraction = 1 / float64(max(dispatchers, 1))
 	}
 }
 
-// Due tells whether it is time for another look at who holds the fleet's work.
-func (s *Shares) Due(now time.Duration) bool { return len(s.rates) > 0 && now >= s.lookAt }
+// NeedsSample tells whether it is time for another look at who holds the fleet's work.
+func (q *Quotas) NeedsSample(now time.Duration) bool {
+	return len(q.rates) > 0 && now >= q.nextSampleAt
+}
 
-// Look takes in how many slots this dispatcher's jobs hold, and all dispatchers'.
-func (s *Shares) Look(own, all float64, now time.Duration) {
-	s.lookAt = now + lookEvery
+// Sample takes in how many slots this dispatcher's jobs hold, and all dispatchers'.
+func (q *Quotas) Sample(own, all float64, now time.Duration) {
+	q.nextSampleAt = now + sampleInterval
 	if all > 0 {
-		s.part += (min(own/all, 1) - s.part) * partGain
+		q.localFraction += (min(own/all, 1) - q.localFraction) * fractionGain
 	}
 }
 
-// Inside tells whether another request of a tenant stays inside its share. Who is no tenant
+// Within tells whether another request of a tenant stays inside its share. Who is no tenant
 // has none to go past.
-func (s *Shares) Inside(tenant int, now time.Duration) bool {
-	if tenant < 0 || tenant >= len(s.rates) || s.rates[tenant] <= 0 {
+func (q *Quotas) Within(tenant int, now time.Duration) bool {
+	if tenant < 0 || tenant >= len(q.rates) || q.rates[tenant] <= 0 {
 		return true
 	}
-	rate, u := s.rates[tenant]*s.part, &s.used[tenant]
+	rate, u := q.rates[tenant]*q.localFraction, &q.usage[tenant]
 	u.requests, u.at = max(u.requests-rate*(now-u.at).Seconds(), 0), now
-	return u.requests+1 <= s.most(tenant)
+	return u.requests+1 <= q.maxRequests(tenant)
 }
 
-// Use takes in that a request of a tenant has been let in. Guards the share of the next
+// Charge takes in that a request of a tenant has been let in. Guards the share of the next
 // minute from a time in which there was room for all: no more than can be saved is owed.
-func (s *Shares) Use(tenant int) {
-	if tenant >= 0 && tenant < len(s.rates) {
-		s.used[tenant].requests = min(s.used[tenant].requests+1, 2*s.most(tenant))
+func (q *Quotas) Charge(tenant int) {
+	if tenant >= 0 && tenant < len(q.rates) {
+		q.usage[tenant].requests = min(q.usage[tenant].requests+1, 2*q.maxRequests(tenant))
 	}
 }
 
-func (s *Shares) most(tenant int) float64 {
-	return max(s.rates[tenant]*s.part*burst.Seconds(), least)
+func (q *Quotas) maxRequests(tenant int) float64 {
+	return max(q.rates[tenant]*q.localFraction*burst.Seconds(), minSavedRequests)
 }
--- a/decision/fairshare/fairshare_test.go
+++ b/decision/fairshare/fairshare_test.go
@@ -9,22 +9,22 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestInside has a tenant that keeps to its part always be inside, one that sends more be so
+// TestWithin has a tenant that keeps to its part always be inside, one that sends more be so
 // for its part, and nobody be outside where there is no limit.
-func TestInside(t *testing.T) {
-	var s Shares
-	s.Set([]float64{40, 40, 0}, 4)
+func TestWithin(t *testing.T) {
+	var s Quotas
+	s.SetRates([]float64{40, 40, 0}, 4)
 	let := map[int]int{}
 	for i := range 1000 { // ten seconds
 		now := time.Hour + time.Duration(i)*10*time.Millisecond
 		for _, tenant := range []int{0, 2, -1, 7} { // a hundred a second
-			if s.Inside(tenant, now) {
-				s.Use(tenant)
+			if s.Within(tenant, now) {
+				s.Charge(tenant)
 				let[tenant]++
 			}
 		}
-		if i%10 == 0 && s.Inside(1, now) { // ten a second: its part of 40
-			s.Use(1)
+		if i%10 == 0 && s.Within(1, now) { // ten a second: its part of 40
+			s.Charge(1)
 			let[1]++
 		}
 	}
@@ -33,47 +33,47 @@
 	}
 }
 
-// TestPart has the part of a dispatcher follow the work that it holds.
-func TestPart(t *testing.T) {
-	var s Shares
-	s.Set([]float64{40}, 4)
+// TestLocalFractionFollowsWork has the part of a dispatcher follow the work that it holds.
+func TestLocalFractionFollowsWork(t *testing.T) {
+	var s Quotas
+	s.SetRates([]float64{40}, 4)
 	for i := range 200 {
-		now := time.Duration(i) * lookEvery
-		if !s.Due(now) {
+		now := time.Duration(i) * sampleInterval
+		if !s.NeedsSample(now) {
 			t.Fatalf("no look is due at %v", now)
 		}
-		s.Look(8, 10, now)
-		if s.Due(now + lookEvery/2) {
+		s.Sample(8, 10, now)
+		if s.NeedsSample(now + sampleInterval/2) {
 			t.Fatal("another look is due at once")
 		}
 	}
-	if s.part < 0.75 || s.part > 0.85 {
-		t.Errorf("its part is %g, want 0.8", s.part)
+	if s.localFraction < 0.75 || s.localFraction > 0.85 {
+		t.Errorf("its part is %g, want 0.8", s.localFraction)
 	}
 }
 
-// TestBound has no tenant get more than what its rate allows and could be saved up, and owe
+// TestChargeIsBounded has no tenant get more than what its rate allows and could be saved up, and owe
 // no more than twice that after it was let in past it.
-func TestBound(t *testing.T) {
+func TestChargeIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s Shares
+		var s Quotas
 		rate := rapid.Float64Range(0.1, 100).Draw(t, "rate")
-		s.Set([]float64{rate}, 1)
+		s.SetRates([]float64{rate}, 1)
 		begin, now, let := time.Hour, time.Hour, 0.0
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			now += time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond
-			if s.Inside(0, now) {
-				s.Use(0)
+			if s.Within(0, now) {
+				s.Charge(0)
 				let++
 			}
 		}
-		if most := rate*(now-begin).Seconds() + max(rate*burst.Seconds(), least) + 1e-6; let > most {
+		if most := rate*(now-begin).Seconds() + max(rate*burst.Seconds(), minSavedRequests) + 1e-6; let > most {
 			t.Fatalf("%g let in, %g allowed", let, most)
 		}
 		for range 1000 {
-			s.Use(0)
+			s.Charge(0)
 		}
-		if wait := burst + time.Duration(least/rate*float64(time.Second))*2; !s.Inside(0, now+2*wait) {
+		if wait := burst + time.Duration(minSavedRequests/rate*float64(time.Second))*2; !s.Within(0, now+2*wait) {
 			t.Fatalf("still outside %v after a time in which all were let in", 2*wait)
 		}
 	})
--- a/decision/forecast/forecast.go
+++ b/decision/forecast/forecast.go
@@ -13,204 +13,206 @@
 )
 
 const (
-	// fades is how fast what others hold at a worker is forgotten: by then most of the
+	// decayTime is how fast what others hold at a worker is forgotten: by then most of the
 	// jobs that the report told of are done.
-	fades = 4 * time.Second
+	decayTime = 4 * time.Second
 	// sizeGain is how fast the slots that a worker has follow the most that are reported
 	// free: reports are a little noisy, so the highest one alone says too much.
 	sizeGain = 0.1
-	// mostSlots bounds the slots that a worker is taken to have.
-	mostSlots = 1 << 12
-	// unsure is how many slots what is held may be off: a worker that is nearly full is
+	// maxSlots bounds the slots that a worker is taken to have.
+	maxSlots = 1 << 12
+	// inUseUncertainty is how many slots what is held may be off: a worker that is nearly full is
 	// likelier to make a job wait than one that is empty.
-	unsure = 0.4
+	inUseUncertainty = 0.4
 	// meanGain is the weight of a new sample in the fleet's means.
 	meanGain = 1.0 / 16
-	// waitMore is how much longer than the mean a wait is taken for: a job of many slots
+	// waitFactor is how much longer than the mean a wait is taken for: a job of many slots
 	// at a queue's head keeps slots empty until enough of them are free.
-	waitMore = 1.5
-	// unproved is how many seconds of mean wait prove nothing of the reports, and saidMost
+	waitFactor = 1.5
+	// unprovenWait is how many seconds of mean wait prove nothing of the reports, and saidMost
 	// bounds what one job says of them.
-	unproved = 0.1
-	saidMost = 10.0
-	// proofEvery is how long nothing may be sent before one job is, for each dispatcher.
-	proofEvery = 250 * time.Millisecond
-	// lateFrom is the part of its time that a job may be taken to need at most.
-	lateFrom = 1.0
+	unprovenWait    = 0.1
+	maxRecordedWait = 10.0
+	// proofInterval is how long nothing may be sent before one job is, for each dispatcher.
+	proofInterval = 250 * time.Millisecond
+	// maxTargetFraction is the part of its time that a job may be taken to need at most.
+	maxTargetFraction = 1.0
 	// Past its tenant's share a job may wait for pastWait of its time at most.
-	pastWait = 0.3
-	// queueFrom is the part of its time from which a job waits in a queue: below it what
+	overQuotaWaitFraction = 0.3
+	// minQueueFraction is the part of its time from which a job waits in a queue: below it what
 	// makes it late is its own run, and a refusal would spare nobody anything.
-	queueFrom = 0.2
+	minQueueFraction = 0.2
 	// A job that has not started is given up when less than hopeRun of its run is left of
 	// its time, and after hopeLeast of its time at the soonest.
-	hopeRun   = 0.5
-	hopeLeast = 0.6
+	minRunFraction  = 0.5
+	minWaitFraction = 0.6
 )
 
 // Own is what the dispatcher itself has out at a worker.
 type Own struct {
-	Held    float64 // slots of all its jobs there
+	InUse   float64 // slots of all its jobs there
 	Running float64 // slots of those that have started
 	Work    float64 // slots times seconds of them at a usual worker
 }
 
 // Worker is what is known of a worker's load and pace. The zero value knows nothing.
 type Worker struct {
-	free   size    // by its own reports
-	most   float64 // the most that the dispatcher's own jobs have used
-	others float64 // slots that others' jobs hold, waiting ones too
-	queue  float64 // of those, what is reckoned to wait by what is handled
-	at     time.Duration
-	known  bool
-	pace   pace
+	reportedSize size    // by its own reports
+	maxUsed      float64 // the most that the dispatcher's own jobs have used
+	others       float64 // slots that others' jobs hold, waiting ones too
+	othersQueued float64 // of those, what is reckoned to wait by what is handled
+	updatedAt    time.Duration
+	known        bool
+	pace         pace
 }
 
 // Job is a request as it is reckoned with.
 type Job struct {
-	Slots float64
-	Work  float64       // seconds that it is taken to run at a usual worker
-	Aim   float64       // seconds in which it has to be done, from its arrival
-	Until time.Duration // when they are over
-	Past  bool          // it is past its tenant's share
+	Slots     float64
+	Work      float64       // seconds that it is taken to run at a usual worker
+	Target    float64       // seconds in which it has to be done, from its arrival
+	TargetAt  time.Duration // when they are over
+	OverQuota bool          // it is past its tenant's share
 
-	sent time.Duration // to a worker, the last time
-	said float64       // seconds that it was to wait there, by the reports alone
+	sentAt       time.Duration // to a worker, the last time
+	reportedWait float64       // seconds that it was to wait there, by the reports alone
 }
 
 // Fleet is what is known of all workers together. The zero value knows nothing.
 type Fleet struct {
-	known   bool
-	at      time.Duration // when a worker has last reported
-	fill    float64       // others' slots against a worker's own, the mean
-	slots   float64       // of a worker, the mean
-	wide    float64       // slots of a job, the mean
-	work    float64       // seconds that a slot's job takes at a usual worker, the mean
-	said    float64       // seconds that jobs were to wait, by the reports alone, the mean
-	was     float64       // seconds that they have waited, the mean
-	sentAt  time.Duration // when the dispatcher has last sent anything
-	kinds   [kinds]pace
-	sizes   [kinds]size
-	guesses []guess // by class
+	known            bool
+	updatedAt        time.Duration // when a worker has last reported
+	othersFill       float64       // others' slots against a worker's own, the mean
+	meanSlots        float64       // of a worker, the mean
+	meanJobSlots     float64       // slots of a job, the mean
+	meanWork         float64       // seconds that a slot's job takes at a usual worker, the mean
+	meanReportedWait float64       // seconds that jobs were to wait, by the reports alone, the mean
+	meanActualWait   float64       // seconds that they have waited, the mean
+	sentAt           time.Duration // when the dispatcher has last sent anything
+	kindPaces        [maxKinds]pace
+	kindSizes        [maxKinds]size
+	estimates        []runEstimate // by class
 }
 
 // Known tells whether reports have come that say what workers hold.
 func (f *Fleet) Known() bool { return f.known }
 
-// Arrived returns a request of a class as it is reckoned with; usual is how long its like
+// NewJob returns a request of a class as it is reckoned with; usual is how long its like
 // run, in seconds, where nothing else is known.
-func (f *Fleet) Arrived(class int, slots float64, hint time.Duration, usual float64) Job {
-	j := Job{Slots: slots, Work: f.guess(class).work(hint, usual)}
-	if f.wide == 0 {
-		f.wide, f.work = slots, j.Work
+func (f *Fleet) NewJob(class int, slots float64, hint time.Duration, usual float64) Job {
+	job := Job{Slots: slots, Work: f.estimate(class).work(hint, usual)}
+	if f.meanJobSlots == 0 {
+		f.meanJobSlots, f.meanWork = slots, job.Work
 	}
-	f.wide += (slots - f.wide) * meanGain
-	f.work += (j.Work - f.work) * min(meanGain*slots/f.wide, 1)
-	return j
+	f.meanJobSlots += (slots - f.meanJobSlots) * meanGain
+	f.meanWork += (job.Work - f.meanWork) * min(meanGain*slots/f.meanJobSlots, 1)
+	return job
 }
 
 // Rate returns how many requests of the mean slots and work a worker of a kind serves in a
 // second when it is warm, by the slots that it is taken to have.
 func (f *Fleet) Rate(w *Worker, kind int, slots float64, now time.Duration) float64 {
-	return slots / max(f.Mean()*f.Pace(w, kind, now), shortest)
+	return slots / max(f.MeanSlotSeconds()*f.Pace(w, kind, now), minWork)
 }
 
-// Mean returns the slots times seconds that a request takes at a usual worker, the mean.
-func (f *Fleet) Mean() float64 { return max(f.wide, 1) * max(f.work, shortest) }
+// MeanSlotSeconds returns the slots times seconds that a request takes at a usual worker, the mean.
+func (f *Fleet) MeanSlotSeconds() float64 { return max(f.meanJobSlots, 1) * max(f.meanWork, minWork) }
 
-// Sent takes in that a job goes to a worker, not yet counted in own.
-func (f *Fleet) Sent(w *Worker, kind int, own Own, j *Job, now time.Duration) {
-	j.sent, j.said, f.sentAt = now, f.queue(w, kind, own, j.Slots, now), now
+// RecordSent takes in that a job goes to a worker, not yet counted in own.
+func (f *Fleet) RecordSent(w *Worker, kind int, own Own, job *Job, now time.Duration) {
+	job.sentAt, job.reportedWait, f.sentAt = now, f.reportedWait(w, kind, own, job.Slots, now), now
 }
 
-// belief returns how much of the waits that reports lead to is believed: less than all where
+// reportConfidence returns how much of the waits that reports lead to is believed: less than all where
 // jobs start far sooner than these said. Guards a deployment whose reports say that all is
 // full, for whatever reason, from being refused what its workers would do at once.
-func (f *Fleet) belief() float64 { return min((f.was+unproved)/(f.said+unproved), 1) }
+func (f *Fleet) reportConfidence() float64 {
+	return min((f.meanActualWait+unprovenWait)/(f.meanReportedWait+unprovenWait), 1)
+}
 
-// Started takes in that a job of the dispatcher's has started, counted in own, and whether
+// RecordStart takes in that a job of the dispatcher's has started, counted in own, and whether
 // it had to wait: what is at the worker beside it is known for a moment.
-func (f *Fleet) Started(w *Worker, kind int, j *Job, waited bool, own Own, now time.Duration) {
-	f.said += (min(j.said, saidMost) - f.said) * meanGain
-	f.was += (min((now-j.sent).Seconds(), saidMost) - f.was) * meanGain
-	w.most = min(max(w.most, own.Running), mostSlots)
+func (f *Fleet) RecordStart(w *Worker, kind int, job *Job, waited bool, own Own, now time.Duration) {
+	f.meanReportedWait += (min(job.reportedWait, maxRecordedWait) - f.meanReportedWait) * meanGain
+	f.meanActualWait += (min((now-job.sentAt).Seconds(), maxRecordedWait) - f.meanActualWait) * meanGain
+	w.maxUsed = min(max(w.maxUsed, own.Running), maxSlots)
 	if !f.known {
 		return
 	}
-	others, room := f.Others(w, kind, now), max(f.size(w, kind)-own.Running, 0)
+	others, free := f.Others(w, kind, now), max(f.size(w, kind)-own.Running, 0)
 	if waited {
-		others = max(others, room)
+		others = max(others, free)
 	} else {
-		others = min(others, room)
+		others = min(others, free)
 	}
-	w.others, w.at, w.known, w.queue = others, now, true, 0
+	w.others, w.updatedAt, w.known, w.othersQueued = others, now, true, 0
 }
 
-// Waits takes in that a job of the dispatcher's has not started at a worker since it was sent: what was
+// RecordNoStart takes in that a job of the dispatcher's has not started at a worker since it was sent: what was
 // ahead of it was at least as long, and what still is may be taken for as much. Guards against a
 // worker whose jobs are called off before they end: nothing else tells of its queue, and the next
 // jobs would go there as well.
-func (f *Fleet) Waits(w *Worker, kind int, j *Job, own Own, now time.Duration) {
+func (f *Fleet) RecordNoStart(w *Worker, kind int, job *Job, own Own, now time.Duration) {
 	if !f.known {
 		return
 	}
-	room := max(f.size(w, kind)-own.Running, 0)
-	ahead := (now - j.sent).Seconds() * f.size(w, kind) / max(f.work*f.Pace(w, kind, now), shortest)
-	waiting := max(own.Held-own.Running, 0)
-	w.others = min(max(f.Others(w, kind, now), room+ahead-waiting), mostSlots)
-	w.at, w.known, w.queue = now, true, 0
+	free := max(f.size(w, kind)-own.Running, 0)
+	ahead := (now - job.sentAt).Seconds() * f.size(w, kind) / max(f.meanWork*f.Pace(w, kind, now), minWork)
+	waiting := max(own.InUse-own.Running, 0)
+	w.others = min(max(f.Others(w, kind, now), free+ahead-waiting), maxSlots)
+	w.updatedAt, w.known, w.othersQueued = now, true, 0
 }
 
-func faded(age time.Duration) float64 { return math.Exp(-float64(age) / float64(fades)) }
+func decay(age time.Duration) float64 { return math.Exp(-float64(age) / float64(decayTime)) }
 
 // wait returns how many seconds a job is likely to wait at a worker.
 func (f *Fleet) wait(w *Worker, kind int, own Own, slots float64, now time.Duration) float64 {
-	return f.queue(w, kind, own, slots, now) * f.belief()
+	return f.reportedWait(w, kind, own, slots, now) * f.reportConfidence()
 }
 
-// queue returns the same by the reports alone. The worker's queue is served in
+// reportedWait returns the same by the reports alone. The worker's queue is served in
 // order, so where a job of the dispatcher's own waits nothing is free.
-func (f *Fleet) queue(w *Worker, kind int, own Own, slots float64, now time.Duration) float64 {
+func (f *Fleet) reportedWait(w *Worker, kind int, own Own, slots float64, now time.Duration) float64 {
 	size := f.size(w, kind)
-	held := own.Held + f.Others(w, kind, now)
-	if own.Held > own.Running {
-		held = max(held, size+own.Held-own.Running)
+	held := own.InUse + f.Others(w, kind, now)
+	if own.InUse > own.Running {
+		held = max(held, size+own.InUse-own.Running)
 	}
 	over := held + slots - size
-	if x := over / unsure; x < 30 { // the mean of what is over, where held is off by chance
-		over = unsure * math.Log1p(math.Exp(x))
+	if x := over / inUseUncertainty; x < 30 { // the mean of what is over, where held is off by chance
+		over = inUseUncertainty * math.Log1p(math.Exp(x))
 	}
 	held = max(held, over)
-	work := max(own.Work, 0) + max(held-own.Held, 0)*f.work
-	return waitMore * over / held * work / size * f.Pace(w, kind, now)
+	work := max(own.Work, 0) + max(held-own.InUse, 0)*f.meanWork
+	return waitFactor * over / held * work / size * f.Pace(w, kind, now)
 }
 
-// Needs returns in how many seconds a worker of a kind is likely to have done a job.
-func (f *Fleet) Needs(w *Worker, kind int, own Own, j *Job, now time.Duration) float64 {
-	return f.wait(w, kind, own, j.Slots, now) + j.Work*f.Pace(w, kind, now)
+// TimeToFinish returns in how many seconds a worker of a kind is likely to have done a job.
+func (f *Fleet) TimeToFinish(w *Worker, kind int, own Own, job *Job, now time.Duration) float64 {
+	return f.wait(w, kind, own, job.Slots, now) + job.Work*f.Pace(w, kind, now)
 }
 
-// Late tells whether a job is to be refused rather than sent to a worker, the best there is:
+// ShouldReject tells whether a job is to be refused rather than sent to a worker, the best there is:
 // it would wait there and be done too late, or wait for long past its tenant's share.
 //
 // Guards clients from reports that keep all away for good: where nothing has been sent for a
 // while, the longer the more dispatchers share the workers, one job goes out and shows.
-func (f *Fleet) Late(w *Worker, kind int, own Own, j *Job, dispatchers int, now time.Duration) bool {
-	if now-f.sentAt > proofEvery*time.Duration(max(dispatchers, 1)) {
+func (f *Fleet) ShouldReject(w *Worker, kind int, own Own, job *Job, dispatchers int, now time.Duration) bool {
+	if now-f.sentAt > proofInterval*time.Duration(max(dispatchers, 1)) {
 		return false
 	}
-	wait, left := f.wait(w, kind, own, j.Slots, now), (j.Until - now).Seconds()
-	if j.Past && wait > pastWait*j.Aim {
+	wait, left := f.wait(w, kind, own, job.Slots, now), (job.TargetAt - now).Seconds()
+	if job.OverQuota && wait > overQuotaWaitFraction*job.Target {
 		return true
 	}
-	return wait >= queueFrom*j.Aim && wait+j.Work*f.Pace(w, kind, now) > lateFrom*left
+	return wait >= minQueueFraction*job.Target && wait+job.Work*f.Pace(w, kind, now) > maxTargetFraction*left
 }
 
-// Hope returns until when a job that is sent to a worker now may wait there: after that it
+// WaitUntil returns until when a job that is sent to a worker now may wait there: after that it
 // would be done too late.
-func (f *Fleet) Hope(w *Worker, kind int, j *Job, now time.Duration) time.Duration {
-	left := (j.Until - now).Seconds()
-	wait := max(left-hopeRun*j.Work*f.Pace(w, kind, now), hopeLeast*left, 0)
+func (f *Fleet) WaitUntil(w *Worker, kind int, job *Job, now time.Duration) time.Duration {
+	left := (job.TargetAt - now).Seconds()
+	wait := max(left-minRunFraction*job.Work*f.Pace(w, kind, now), minWaitFraction*left, 0)
 	return now + time.Duration(wait*float64(time.Second))
 }
 
@@ -223,15 +225,15 @@
 
 // Learned returns what is known of a worker that another process can use.
 func (w *Worker) Learned() Learned {
-	return Learned{Slots: max(float64(w.free), w.most), Pace: w.pace.log, Jobs: w.pace.n}
+	return Learned{Slots: max(float64(w.reportedSize), w.maxUsed), Pace: w.pace.logarithm, Jobs: w.pace.jobs}
 }
 
-// Learn takes over what an earlier process has learned, as far as it can be.
-func (w *Worker) Learn(l Learned, now time.Duration) {
-	if l.Slots > 0 && l.Slots <= mostSlots {
-		w.free = size(l.Slots)
+// Restore takes over what an earlier process has learned, as far as it can be.
+func (w *Worker) Restore(l Learned, now time.Duration) {
+	if l.Slots > 0 && l.Slots <= maxSlots {
+		w.reportedSize = size(l.Slots)
 	}
-	if math.Abs(l.Pace) <= paceSpread && l.Jobs > 0 {
-		w.pace = pace{log: l.Pace, n: min(l.Jobs, paceMost), at: now}
+	if math.Abs(l.Pace) <= maxPaceDeviation && l.Jobs > 0 {
+		w.pace = pace{logarithm: l.Pace, jobs: min(l.Jobs, maxPaceJobs), at: now}
 	}
 }
--- a/decision/forecast/forecast_test.go
+++ b/decision/forecast/forecast_test.go
@@ -10,30 +10,30 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestSplit guards the dispatcher's own jobs from counting twice, in a report and by
+// TestOwnJobsAreNotCountedTwice guards the dispatcher's own jobs from counting twice, in a report and by
 // themselves, and others' from counting for ever.
-func TestSplit(t *testing.T) {
+func TestOwnJobsAreNotCountedTwice(t *testing.T) {
 	var f Fleet
 	var w, other Worker
 	now := time.Hour
-	f.Arrived(0, 1, time.Second, 1)
-	f.Reported(&other, 0, Report{Free: 4}, Own{}, now)
-	f.Reported(&w, 0, Report{Free: 4}, Own{}, now)
-	f.Reported(&w, 0, Report{Free: 0, Queued: 2, Handled: math.NaN()}, Own{Held: 3, Running: 3}, now)
+	f.NewJob(0, 1, time.Second, 1)
+	f.RecordReport(&other, 0, Report{Free: 4}, Own{}, now)
+	f.RecordReport(&w, 0, Report{Free: 4}, Own{}, now)
+	f.RecordReport(&w, 0, Report{Free: 0, Queued: 2, InFlight: math.NaN()}, Own{InUse: 3, Running: 3}, now)
 	if got := f.Others(&w, 0, now); math.Abs(got-3) > 1e-9 {
 		t.Errorf("others hold %g slots, want the 3 of 6 that are not our own", got)
 	}
 	if got := f.Others(&w, 0, now+time.Minute); got > 0.1 {
 		t.Errorf("others hold %g slots a minute later, want next to none", got)
 	}
-	busy := f.Needs(&w, 0, Own{Held: 3, Running: 3, Work: 3}, &Job{Slots: 1, Work: 1}, now)
-	idle := f.Needs(&other, 0, Own{}, &Job{Slots: 1, Work: 1}, now)
+	busy := f.TimeToFinish(&w, 0, Own{InUse: 3, Running: 3, Work: 3}, &Job{Slots: 1, Work: 1}, now)
+	idle := f.TimeToFinish(&other, 0, Own{}, &Job{Slots: 1, Work: 1}, now)
 	if busy < idle+0.3 {
 		t.Errorf("a full worker needs %g s and an idle one %g s", busy, idle)
 	}
 	before := f.Others(&w, 0, now)
 	for _, bad := range []float64{math.NaN(), math.Inf(1), -1, 1e30} {
-		f.Reported(&w, 0, Report{Free: bad, Queued: 1, Handled: math.NaN()}, Own{}, now)
+		f.RecordReport(&w, 0, Report{Free: bad, Queued: 1, InFlight: math.NaN()}, Own{}, now)
 	}
 	if got := f.Others(&w, 0, now); got != before {
 		t.Errorf("reports that mean nothing moved the others from %g to %g slots", before, got)
@@ -47,12 +47,12 @@
 	var w Worker
 	for i := range 200 {
 		noise := 1 + 0.068*math.Sin(float64(i)*1.7)
-		f.Reported(&w, 0, Report{Free: 4 * noise}, Own{}, time.Duration(i)*time.Second)
+		f.RecordReport(&w, 0, Report{Free: 4 * noise}, Own{}, time.Duration(i)*time.Second)
 	}
 	if got := f.size(&w, 0); got != 4 {
 		t.Errorf("it has %g slots, want 4", got)
 	}
-	f.Started(&w, 0, &Job{}, false, Own{Held: 6, Running: 6}, time.Hour)
+	f.RecordStart(&w, 0, &Job{}, false, Own{InUse: 6, Running: 6}, time.Hour)
 	if got := f.size(&w, 0); got != 6 {
 		t.Errorf("it has %g slots, want the 6 that we have had in use at once", got)
 	}
@@ -63,23 +63,23 @@
 func TestSizeOfKind(t *testing.T) {
 	var f Fleet
 	var empty, busy, full, next Worker
-	f.Reported(&empty, 3, Report{Free: 4}, Own{}, time.Hour)
-	f.Reported(&busy, 3, Report{Free: 2}, Own{Held: 1, Running: 1}, time.Hour)
-	f.Reported(&full, 3, Report{Free: 0, Queued: 3, Handled: math.NaN()}, Own{}, time.Hour)
-	f.Reported(&next, 4, Report{Free: 2}, Own{}, time.Hour)
+	f.RecordReport(&empty, 3, Report{Free: 4}, Own{}, time.Hour)
+	f.RecordReport(&busy, 3, Report{Free: 2}, Own{InUse: 1, Running: 1}, time.Hour)
+	f.RecordReport(&full, 3, Report{Free: 0, Queued: 3, InFlight: math.NaN()}, Own{}, time.Hour)
+	f.RecordReport(&next, 4, Report{Free: 2}, Own{}, time.Hour)
 	for _, tc := range []struct {
 		w    *Worker
 		kind int
 		want float64
-	}{{&empty, 3, 4}, {&busy, 3, 4}, {&full, 3, f.slots}, {&next, 4, 2}} {
+	}{{&empty, 3, 4}, {&busy, 3, 4}, {&full, 3, f.meanSlots}, {&next, 4, 2}} {
 		if got := f.size(tc.w, tc.kind); got != tc.want {
 			t.Errorf("it has %g slots, want %g", got, tc.want)
 		}
 	}
-	f.Ran(&empty, 3, 0, 0, 1, 2, time.Hour)
+	f.RecordRun(&empty, 3, 0, 0, 1, 2, time.Hour)
 	var later Fleet
 	var w Worker
-	w.Learn(empty.Learned(), 2*time.Hour)
+	w.Restore(empty.Learned(), 2*time.Hour)
 	if got := later.size(&w, 3); got != 4 {
 		t.Errorf("after a start it has %g slots, want 4", got)
 	}
@@ -88,8 +88,8 @@
 	}
 	for _, odd := range []Learned{{Slots: math.NaN(), Pace: math.NaN(), Jobs: 1}, {Slots: -1, Pace: 9, Jobs: 1}, {Slots: math.Inf(1), Jobs: math.Inf(1)}} {
 		var w Worker
-		w.Learn(odd, time.Hour)
-		if got := later.Needs(&w, 3, Own{}, &Job{Slots: 1, Work: 1}, time.Hour); !(got >= 0) || math.IsInf(got, 0) {
+		w.Restore(odd, time.Hour)
+		if got := later.TimeToFinish(&w, 3, Own{}, &Job{Slots: 1, Work: 1}, time.Hour); !(got >= 0) || math.IsInf(got, 0) {
 			t.Errorf("%+v leads to %g s", odd, got)
 		}
 	}
@@ -98,19 +98,19 @@
 // TestHints guards forecasts from hints that say less than the class's mean, and believes
 // those that say more, whatever they are a multiple of.
 func TestHints(t *testing.T) {
-	var good, bad guess
+	var good, bad runEstimate
 	for i := range 64 {
 		took := 0.1 * float64(1+i%10)
-		good.ran(time.Duration(3*took*float64(time.Second)), took)
-		bad.ran(time.Duration(float64(1+(i*7)%13)*float64(time.Second)), took)
+		good.record(time.Duration(3*took*float64(time.Second)), took)
+		bad.record(time.Duration(float64(1+(i*7)%13)*float64(time.Second)), took)
 	}
 	if got := good.work(3*time.Second, 9); math.Abs(got-1) > 0.05 {
 		t.Errorf("a hint of three times the work leads to %g s, want 1", got)
 	}
-	if got := bad.work(13*time.Second, 9); got != bad.mean {
-		t.Errorf("a hint that says nothing leads to %g s, want the mean of %g", got, bad.mean)
+	if got := bad.work(13*time.Second, 9); got != bad.meanRun {
+		t.Errorf("a hint that says nothing leads to %g s, want the mean of %g", got, bad.meanRun)
 	}
-	if got := new(guess).work(0, 9); got != 9 {
+	if got := new(runEstimate).work(0, 9); got != 9 {
 		t.Errorf("without anything known a job takes %g s, want what is usual", got)
 	}
 }
@@ -122,15 +122,15 @@
 	var w, like Worker
 	now := time.Hour
 	for range 20 {
-		f.Ran(&w, 2, 0, 0, 1, 2, now)
+		f.RecordRun(&w, 2, 0, 0, 1, 2, now)
 	}
 	if got := f.Pace(&like, 2, now); got < 1.8 || got > 2.1 {
 		t.Errorf("one of its kind has a pace of %g, want about 2", got)
 	}
 	var slow Worker
 	for range 20 {
-		f.Ran(&slow, 2, 0, 0, 1, 6, now)
-		f.Ran(&w, 2, 0, 0, 1, 2, now)
+		f.RecordRun(&slow, 2, 0, 0, 1, 6, now)
+		f.RecordRun(&w, 2, 0, 0, 1, 2, now)
 	}
 	if a, b := f.Pace(&slow, 2, now), f.Pace(&w, 2, now); a < 1.5*b {
 		t.Errorf("the slow one has a pace of %g, the other of %g", a, b)
@@ -140,24 +140,24 @@
 	}
 }
 
-// TestBelief guards service from reports that always say that all is full while jobs start at
+// TestReportConfidence guards service from reports that always say that all is full while jobs start at
 // once: less of them is believed with each, and all again once what they say comes true.
-func TestBelief(t *testing.T) {
+func TestReportConfidence(t *testing.T) {
 	var f Fleet
 	var w Worker
 	now := time.Hour
-	f.Arrived(0, 1, time.Second, 1)
+	f.NewJob(0, 1, time.Second, 1)
 	send := func(wait time.Duration) {
-		f.Reported(&w, 0, Report{Free: 1, Queued: 30, Handled: math.NaN()}, Own{}, now)
-		j := Job{Slots: 1, Work: 1, Aim: 3, Until: now + 3*time.Second}
-		f.Sent(&w, 0, Own{}, &j, now)
+		f.RecordReport(&w, 0, Report{Free: 1, Queued: 30, InFlight: math.NaN()}, Own{}, now)
+		j := Job{Slots: 1, Work: 1, Target: 3, TargetAt: now + 3*time.Second}
+		f.RecordSent(&w, 0, Own{}, &j, now)
 		now += wait
-		f.Started(&w, 0, &j, wait > 0, Own{Held: 1, Running: 1}, now)
+		f.RecordStart(&w, 0, &j, wait > 0, Own{InUse: 1, Running: 1}, now)
 	}
 	late := func() bool {
 		f.sentAt = now
-		f.Reported(&w, 0, Report{Free: 1, Queued: 30, Handled: math.NaN()}, Own{}, now)
-		return f.Late(&w, 0, Own{}, &Job{Slots: 1, Work: 1, Aim: 3, Until: now + 3*time.Second}, 4, now)
+		f.RecordReport(&w, 0, Report{Free: 1, Queued: 30, InFlight: math.NaN()}, Own{}, now)
+		return f.ShouldReject(&w, 0, Own{}, &Job{Slots: 1, Work: 1, Target: 3, TargetAt: now + 3*time.Second}, 4, now)
 	}
 	if !late() {
 		t.Fatal("a queue of 30 jobs of a second is no reason to refuse one that has three")
@@ -179,11 +179,11 @@
 // rounding is how far two forecasts may be apart that are equal but for the arithmetic.
 const rounding = 1e-9
 
-// TestSound has any history lead to forecasts that can be: finite, not negative, no sooner with
+// TestForecastsAreFinite has any history lead to forecasts that can be: finite, not negative, no sooner with
 // another of our own jobs of the mean work there, and a hope that lies between now and the job's
 // end. A lighter job may take the place of one that is only guessed at, and so have less work be
 // expected there: by less than a job of the mean work is worth.
-func TestSound(t *testing.T) {
+func TestForecastsAreFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f Fleet
 		workers := make([]Worker, 3)
@@ -193,58 +193,58 @@
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			w := &workers[rapid.IntRange(0, 2).Draw(t, "worker")]
 			held := float64(rapid.IntRange(0, 9).Draw(t, "held"))
-			own := Own{Held: held, Running: math.Floor(held / 2), Work: held}
+			own := Own{InUse: held, Running: math.Floor(held / 2), Work: held}
 			kind, class := rapid.IntRange(-1, 70).Draw(t, "kind"), rapid.IntRange(-1, 3).Draw(t, "class")
 			hint := time.Duration(rapid.IntRange(0, 5000).Draw(t, "hint")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				f.Reported(w, kind, Report{Free: odd.Draw(t, "free"), Queued: odd.Draw(t, "queued")}, own, now)
+				f.RecordReport(w, kind, Report{Free: odd.Draw(t, "free"), Queued: odd.Draw(t, "queued")}, own, now)
 			case 1:
 				j := Job{Slots: 1}
-				f.Sent(w, kind, own, &j, now)
-				f.Started(w, kind, &j, rapid.Bool().Draw(t, "waited"), own, now)
+				f.RecordSent(w, kind, own, &j, now)
+				f.RecordStart(w, kind, &j, rapid.Bool().Draw(t, "waited"), own, now)
 			case 2:
-				f.Ran(w, kind, class, hint, rapid.Float64Range(0, 9).Draw(t, "work"), rapid.Float64Range(0, 9).Draw(t, "took"), now)
+				f.RecordRun(w, kind, class, hint, rapid.Float64Range(0, 9).Draw(t, "work"), rapid.Float64Range(0, 9).Draw(t, "took"), now)
 			}
-			j := f.Arrived(class, float64(rapid.IntRange(1, 8).Draw(t, "slots")), hint, 1)
-			j.Aim, j.Until = 2, now+2*time.Second
-			needs := f.Needs(w, kind, own, &j, now)
+			j := f.NewJob(class, float64(rapid.IntRange(1, 8).Draw(t, "slots")), hint, 1)
+			j.Target, j.TargetAt = 2, now+2*time.Second
+			needs := f.TimeToFinish(w, kind, own, &j, now)
 			if !(needs >= 0) || math.IsInf(needs, 0) {
 				t.Fatalf("needs %g s", needs)
 			}
 			mean, light := own, own // with another job of ours: a usual one, or one of a second
-			mean.Held, mean.Work = own.Held+1, own.Work+f.work
-			light.Held, light.Work = own.Held+1, own.Work+1
-			if more := f.Needs(w, kind, mean, &j, now); more < needs-rounding {
+			mean.InUse, mean.Work = own.InUse+1, own.Work+f.meanWork
+			light.InUse, light.Work = own.InUse+1, own.Work+1
+			if more := f.TimeToFinish(w, kind, mean, &j, now); more < needs-rounding {
 				t.Fatalf("needs %g s, and %g behind one more job of the mean work", needs, more)
 			}
-			usual := waitMore * f.work / f.size(w, kind) * f.Pace(w, kind, now)
-			if more := f.Needs(w, kind, light, &j, now); more < needs-usual-rounding {
+			usual := waitFactor * f.meanWork / f.size(w, kind) * f.Pace(w, kind, now)
+			if more := f.TimeToFinish(w, kind, light, &j, now); more < needs-usual-rounding {
 				t.Fatalf("needs %g s, and %g behind one more job of a second: a job of the mean work is worth %g", needs, more, usual)
 			}
-			if hope := f.Hope(w, kind, &j, now); hope < now || hope > j.Until {
-				t.Fatalf("hope until %v, it is %v and over at %v", hope, now, j.Until)
+			if hope := f.WaitUntil(w, kind, &j, now); hope < now || hope > j.TargetAt {
+				t.Fatalf("hope until %v, it is %v and over at %v", hope, now, j.TargetAt)
 			}
-			f.Late(w, kind, own, &j, 4, now)
+			f.ShouldReject(w, kind, own, &j, 4, now)
 		}
 	})
 }
 
-// TestHandled has a queue known by the jobs that are handled, where no column tells of it, and that
+// TestQueueFromInFlight has a queue known by the jobs that are handled, where no column tells of it, and that
 // column passed over where one does.
-func TestHandled(t *testing.T) {
+func TestQueueFromInFlight(t *testing.T) {
 	now := time.Hour
 	waits := func(r Report) float64 {
 		var f Fleet
 		var w Worker
-		f.Arrived(0, 1, time.Second, 1)
-		f.Reported(&w, 0, Report{Free: 4, Queued: math.NaN(), Handled: math.NaN()}, Own{}, now)
-		f.Reported(&w, 0, r, Own{}, now)
-		return f.Needs(&w, 0, Own{}, &Job{Slots: 1, Work: 1}, now)
+		f.NewJob(0, 1, time.Second, 1)
+		f.RecordReport(&w, 0, Report{Free: 4, Queued: math.NaN(), InFlight: math.NaN()}, Own{}, now)
+		f.RecordReport(&w, 0, r, Own{}, now)
+		return f.TimeToFinish(&w, 0, Own{}, &Job{Slots: 1, Work: 1}, now)
 	}
-	full := Report{Free: 0, Queued: math.NaN(), Handled: 4}
+	full := Report{Free: 0, Queued: math.NaN(), InFlight: 4}
 	queue := full
-	queue.Handled = 12
+	queue.InFlight = 12
 	if a, b := waits(full), waits(queue); b < a+1.5 {
 		t.Errorf("a job needs %.2f s behind 4 jobs in 4 slots and %.2f s behind 12, want 2 s more", a, b)
 	}
@@ -255,41 +255,41 @@
 	}
 }
 
-// TestHandledRunsOff has a queue that is reckoned from what is handled be over once it has run, however
+// TestQueueFromInFlightDecays has a queue that is reckoned from what is handled be over once it has run, however
 // seldom reports come, and a worker's size known by what it handles where nothing waits.
-func TestHandledRunsOff(t *testing.T) {
+func TestQueueFromInFlightDecays(t *testing.T) {
 	now := time.Hour
 	var f Fleet
 	var w Worker
-	f.Arrived(0, 1, time.Second, 1)
-	f.Reported(&w, 0, Report{Free: 1, Queued: math.NaN(), Handled: 3}, Own{}, now)
+	f.NewJob(0, 1, time.Second, 1)
+	f.RecordReport(&w, 0, Report{Free: 1, Queued: math.NaN(), InFlight: 3}, Own{}, now)
 	if size := f.size(&w, 0); size != 4 {
 		t.Errorf("one free slot beside 3 jobs: taken for %g slots, want 4", size)
 	}
-	f.Reported(&w, 0, Report{Free: 0, Queued: math.NaN(), Handled: 8}, Own{}, now)
+	f.RecordReport(&w, 0, Report{Free: 0, Queued: math.NaN(), InFlight: 8}, Own{}, now)
 	at, later := f.Others(&w, 0, now), f.Others(&w, 0, now+2*time.Second)
 	if at != 8 || later > 5 {
 		t.Errorf("others hold %g slots and 2 s later %g, want 8 and hardly more than the 4 that there are", at, later)
 	}
 }
 
-// TestWaits has a job that is called off unstarted tell of the queue that it met: the next would wait
+// TestRecordNoStart has a job that is called off unstarted tell of the queue that it met: the next would wait
 // there as long at the least, and the word fades like a report.
-func TestWaits(t *testing.T) {
+func TestRecordNoStart(t *testing.T) {
 	now := time.Hour
 	var f Fleet
 	var w Worker
-	j := f.Arrived(0, 1, time.Second, 1)
-	f.Reported(&w, 0, Report{Free: 4, Queued: 0}, Own{}, now)
-	f.Sent(&w, 0, Own{}, &j, now)
+	j := f.NewJob(0, 1, time.Second, 1)
+	f.RecordReport(&w, 0, Report{Free: 4, Queued: 0}, Own{}, now)
+	f.RecordSent(&w, 0, Own{}, &j, now)
 	next := Job{Slots: 1, Work: 1}
-	before := f.Needs(&w, 0, Own{}, &next, now)
+	before := f.TimeToFinish(&w, 0, Own{}, &next, now)
 	now += 2 * time.Second
-	f.Waits(&w, 0, &j, Own{Held: 1}, now)
-	if after := f.Needs(&w, 0, Own{}, &next, now); after < before+1 {
+	f.RecordNoStart(&w, 0, &j, Own{InUse: 1}, now)
+	if after := f.TimeToFinish(&w, 0, Own{}, &next, now); after < before+1 {
 		t.Errorf("a job needs %.2f s after one has waited for 2 s in vain, %.2f s before", after, before)
 	}
-	if later := f.Needs(&w, 0, Own{}, &next, now+10*fades); later > before+0.1 {
+	if later := f.TimeToFinish(&w, 0, Own{}, &next, now+10*decayTime); later > before+0.1 {
 		t.Errorf("long after it needs %.2f s, want %.2f", later, before)
 	}
 }
--- a/decision/forecast_test.go
+++ b/decision/forecast_test.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// told is a config of a deployment whose workers tell of their load in answers.
-func told() Config {
-	cfg := plain()
-	cfg.Instances, cfg.StartNotes = 4, true
+// loadReportConfig is a config of a deployment whose workers tell of their load in answers.
+func loadReportConfig() Config {
+	cfg := bucketOnlyConfig()
+	cfg.Instances, cfg.StartEvents = 4, true
 	cfg.Metrics = []Metric{MetricUtilization, MetricQueued, MetricFreeSlots}
 	cfg.Tenants = []Tenant{{RatePerSecond: 40}, {RatePerSecond: 40}}
 	for i := range cfg.Classes {
-		cfg.Classes[i].LateWorth, cfg.Classes[i].GiveUp = 0, 5*time.Second
+		cfg.Classes[i].LateValue, cfg.Classes[i].ClientTimeout = 0, 5*time.Second
 	}
 	return cfg
 }
 
-// ask brings a request with a hint of a tenant's and returns what is done with it.
-func (h *host) ask(class, tenant int, hint time.Duration) Action {
+// arriveFor brings a request with a hint of a tenant's and returns what is done with it.
+func (h *driver) arriveFor(class, tenant int, hint time.Duration) Action {
 	h.t.Helper()
-	h.next++
-	out := h.step(Event{Type: RequestArrived, Request: h.next, Class: class, Tenant: tenant, Slots: 1, Hint: hint,
+	h.lastRequest++
+	out := h.step(Event{Type: RequestArrived, Request: h.lastRequest, Class: class, Tenant: tenant, Slots: 1, Hint: hint,
 		Deadline: h.now + 5*time.Second})
 	if len(out) != 1 {
 		h.t.Fatalf("an arrival led to %v, want one action", out)
@@ -29,39 +29,39 @@
 	return out[0]
 }
 
-func (h *host) start(a Action) {
+func (h *driver) start(a Action) {
 	h.step(Event{Type: AttemptStarted, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt})
 }
 
-// done has a job served and its worker report how many jobs wait and how many slots are free.
-func (h *host) done(a Action, load [2]float32) {
+// serveWithLoad has a job served and its worker report how many jobs wait and how many slots are free.
+func (h *driver) serveWithLoad(a Action, load [2]float32) {
 	h.step(Event{Type: AttemptEnded, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt, Outcome: Served,
-		Closed: true, Loads: 3, Load: [MaxMetrics]float32{1, load[0], load[1]}})
+		RequestClosed: true, LoadCount: 3, Load: [MaxMetrics]float32{1, load[0], load[1]}})
 }
 
-// tell has every worker serve a job and report on its load.
-func (h *host) tell(load map[WorkerID][2]float32) {
+// reportLoads has every worker serve a job and report on its load.
+func (h *driver) reportLoads(load map[WorkerID][2]float32) {
 	h.t.Helper()
 	out := map[WorkerID]Action{}
 	for n := 0; len(out) < len(load); n++ {
-		a := h.ask(0, 0, 100*time.Millisecond)
+		a := h.arriveFor(0, 0, 100*time.Millisecond)
 		if a.Type != Send || n > 20 {
 			h.t.Fatalf("%+v, want a job at each of %d workers", a, len(load))
 		}
 		h.start(a)
 		out[a.Worker] = a
 	}
-	h.pass(100 * time.Millisecond)
+	h.advance(100 * time.Millisecond)
 	for w, a := range out {
-		h.done(a, load[w])
+		h.serveWithLoad(a, load[w])
 	}
 }
 
-// calm lets four workers tell that they have four slots and nothing to do.
-func calm(t *testing.T, cfg Config) *host {
-	h := newHost(t, cfg, oneZone(4))
+// newIdleDriver lets four workers tell that they have four slots and nothing to do.
+func newIdleDriver(t *testing.T, cfg Config) *driver {
+	h := newDriver(t, cfg, membersInOneZone(4))
 	for range 3 {
-		h.tell(map[WorkerID][2]float32{100: {0, 4}, 101: {0, 4}, 102: {0, 4}, 103: {0, 4}})
+		h.reportLoads(map[WorkerID][2]float32{100: {0, 4}, 101: {0, 4}, 102: {0, 4}, 103: {0, 4}})
 	}
 	return h
 }
@@ -69,11 +69,11 @@
 // TestReportsSteer guards jobs against queues of other dispatchers' jobs: workers that have
 // told of none get the work, however many tokens the others have.
 func TestReportsSteer(t *testing.T) {
-	h := calm(t, told())
-	h.tell(map[WorkerID][2]float32{100: {9, 0}, 101: {9, 0}, 102: {9, 0}, 103: {0, 4}})
+	h := newIdleDriver(t, loadReportConfig())
+	h.reportLoads(map[WorkerID][2]float32{100: {9, 0}, 101: {9, 0}, 102: {9, 0}, 103: {0, 4}})
 	got := map[WorkerID]int{}
 	for range 3 {
-		a := h.ask(0, 0, 100*time.Millisecond)
+		a := h.arriveFor(0, 0, 100*time.Millisecond)
 		got[a.Worker]++
 	}
 	if got[103] != 3 {
@@ -81,40 +81,40 @@
 	}
 }
 
-// TestLateIsRefused guards clients from answers that come too late to be worth anything, and
+// TestOverdueWorkIsRejected guards clients from answers that come too late to be worth anything, and
 // others from the queue that these would make: what no worker can do in time is refused at
 // once, with a time to come back.
-func TestLateIsRefused(t *testing.T) {
-	h := calm(t, told())
-	h.tell(map[WorkerID][2]float32{100: {30, 0}, 101: {30, 0}, 102: {30, 0}, 103: {30, 0}})
+func TestOverdueWorkIsRejected(t *testing.T) {
+	h := newIdleDriver(t, loadReportConfig())
+	h.reportLoads(map[WorkerID][2]float32{100: {30, 0}, 101: {30, 0}, 102: {30, 0}, 103: {30, 0}})
 	for _, class := range []int{0, 1, 4} {
-		if a := h.ask(class, 0, 100*time.Millisecond); a.Type != Refuse || a.Why != Overload || a.After <= 0 {
+		if a := h.arriveFor(class, 0, 100*time.Millisecond); a.Type != Reject || a.Reason != Overload || a.After <= 0 {
 			t.Errorf("class %d: %+v, want a refusal with a time to come back", class, a)
 		}
 	}
-	h.pass(20 * time.Second)
-	if a := h.ask(0, 0, 100*time.Millisecond); a.Type != Send {
+	h.advance(20 * time.Second)
+	if a := h.arriveFor(0, 0, 100*time.Millisecond); a.Type != Send {
 		t.Errorf("%+v, want a send: what was told is too old to refuse anybody by", a)
 	}
 }
 
-// TestHeavyIsNotRefused guards work that is late by its own length alone: nothing waits
+// TestLongWorkIsNotRejected guards work that is late by its own length alone: nothing waits
 // behind a queue, so to refuse it would help nobody.
-func TestHeavyIsNotRefused(t *testing.T) {
-	h := calm(t, told())
-	if a := h.ask(0, 0, 4*time.Second); a.Type != Send {
+func TestLongWorkIsNotRejected(t *testing.T) {
+	h := newIdleDriver(t, loadReportConfig())
+	if a := h.arriveFor(0, 0, 4*time.Second); a.Type != Send {
 		t.Errorf("%+v, want a send to an idle worker", a)
 	}
 }
 
-// TestHopelessIsGivenUp guards those who could still be in time from jobs that wait and can
+// TestWaitPastTargetIsGivenUp guards those who could still be in time from jobs that wait and can
 // not: they are called off, what may run again goes elsewhere and what must not run twice
 // fails without another send.
-func TestHopelessIsGivenUp(t *testing.T) {
+func TestWaitPastTargetIsGivenUp(t *testing.T) {
 	for class, unsafe := range map[int]bool{1: false, 4: true} {
-		h := calm(t, told())
-		a := h.ask(class, 0, 100*time.Millisecond)
-		out := h.pass(390 * time.Millisecond) // the aim is 200 ms and twice the run
+		h := newIdleDriver(t, loadReportConfig())
+		a := h.arriveFor(class, 0, 100*time.Millisecond)
+		out := h.advance(390 * time.Millisecond) // the aim is 200 ms and twice the run
 		canceled, failed := false, false
 		for _, x := range out {
 			canceled = canceled || x.Type == Cancel && x.Attempt == a.Attempt
@@ -128,47 +128,47 @@
 			t.Errorf("class %d: then %v", class, after)
 		}
 	}
-	h := calm(t, told())
-	a := h.ask(1, 0, 100*time.Millisecond)
+	h := newIdleDriver(t, loadReportConfig())
+	a := h.arriveFor(1, 0, 100*time.Millisecond)
 	h.start(a)
-	if out := h.pass(2 * time.Second); len(out) > 0 {
+	if out := h.advance(2 * time.Second); len(out) > 0 {
 		t.Errorf("a job that runs led to %v", out)
 	}
 }
 
-// TestShareIsKept guards a tenant inside its share from one past it: while there is a queue
+// TestQuotaIsKept guards a tenant inside its share from one past it: while there is a queue
 // the latter is refused and the former served.
-func TestShareIsKept(t *testing.T) {
-	h := calm(t, told())
+func TestQuotaIsKept(t *testing.T) {
+	h := newIdleDriver(t, loadReportConfig())
 	var served, refused [2]int
-	h.tell(map[WorkerID][2]float32{100: {3, 0}, 101: {3, 0}, 102: {3, 0}, 103: {3, 0}})
+	h.reportLoads(map[WorkerID][2]float32{100: {3, 0}, 101: {3, 0}, 102: {3, 0}, 103: {3, 0}})
 	for i := range 140 { // tenant 0 sends 57 a second, tenant 1 ten; the part of each is ten
-		h.pass(15 * time.Millisecond)
+		h.advance(15 * time.Millisecond)
 		tenant := 0
 		if i%7 == 0 {
 			tenant = 1
 		}
-		a := h.ask(0, tenant, 400*time.Millisecond)
-		if a.Type == Refuse {
+		a := h.arriveFor(0, tenant, 400*time.Millisecond)
+		if a.Type == Reject {
 			refused[tenant]++
 			continue
 		}
 		served[tenant]++
-		h.done(a, [2]float32{3, 0})
+		h.serveWithLoad(a, [2]float32{3, 0})
 	}
 	if served[1] < 4*refused[1] || refused[0] < 4*served[0] {
 		t.Errorf("served %v, refused %v: want the one past its share refused, the other served", served, refused)
 	}
 }
 
-// TestReportsThatLie guards clients of a deployment whose workers say that all is full,
+// TestFalseLoadReports guards clients of a deployment whose workers say that all is full,
 // though each job starts at once: the refusals end.
-func TestReportsThatLie(t *testing.T) {
-	h := newHost(t, told(), oneZone(4))
+func TestFalseLoadReports(t *testing.T) {
+	h := newDriver(t, loadReportConfig(), membersInOneZone(4))
 	late := 0
 	for i := range 1000 {
-		h.pass(50 * time.Millisecond)
-		a := h.ask(0, 0, 100*time.Millisecond)
+		h.advance(50 * time.Millisecond)
+		a := h.arriveFor(0, 0, 100*time.Millisecond)
 		if a.Type != Send {
 			if i >= 900 {
 				late++
@@ -176,8 +176,8 @@
 			continue
 		}
 		h.start(a)
-		h.pass(100 * time.Millisecond)
-		h.done(a, [2]float32{60, 0})
+		h.advance(100 * time.Millisecond)
+		h.serveWithLoad(a, [2]float32{60, 0})
 	}
 	if late > 10 {
 		t.Errorf("%d of the last 100 were refused", late)
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -8,7 +8,7 @@
 // TestFastErrorsDoNotAttract guards against a worker that fails at once and so
 // has free tokens all the time.
 func TestFastErrorsDoNotAttract(t *testing.T) {
-	h := newHost(t, plain(), oneZone(5))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(5))
 	bad := 0
 	for range 200 {
 		a := h.arrive(4, 1)
@@ -18,22 +18,22 @@
 		} else {
 			h.end(a, Served)
 		}
-		h.pass(10 * time.Millisecond)
+		h.advance(10 * time.Millisecond)
 	}
 	if bad == 0 || bad > 6 {
 		t.Errorf("a worker that fails everything got %d of 200 jobs within 2 s", bad)
 	}
 }
 
-// TestLateStart guards against work done twice: a worker that is late to start is
+// TestOverdueStart guards against work done twice: a worker that is late to start is
 // left alone, and nobody gets a copy of what it has, as it may run what is called
 // off.
-func TestLateStart(t *testing.T) {
+func TestOverdueStart(t *testing.T) {
 	cfg := testConfig()
-	cfg.PullList = false
-	h := newHost(t, cfg, members(12))
+	cfg.PullMembers = false
+	h := newDriver(t, cfg, members(12))
 	first := h.arrive(0, 1)
-	if out := h.pass(time.Second); len(out) != 0 {
+	if out := h.advance(time.Second); len(out) != 0 {
 		t.Fatalf("a late start led to %v", out)
 	}
 	for range 22 {
@@ -50,10 +50,10 @@
 	t.Error("the worker got nothing after it had started the job")
 }
 
-// TestResetNowAndThen guards a worker that a connection breaks on now and then: it
+// TestOccasionalConnectionReset guards a worker that a connection breaks on now and then: it
 // rests only if another one breaks before a job has started.
-func TestResetNowAndThen(t *testing.T) {
-	h := newHost(t, plain(), oneZone(1))
+func TestOccasionalConnectionReset(t *testing.T) {
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(1))
 	for range 5 {
 		h.end(h.arrive(0, 1), ConnReset)
 		a := h.arrive(0, 1)
@@ -69,19 +69,19 @@
 	}
 }
 
-// TestUnusableBlamesNobody guards a worker's tokens and everybody's retries: jobs
+// TestUnusableRequestChangesNoHealth guards a worker's tokens and everybody's retries: jobs
 // that no worker can use are failed at once and leave no trace.
-func TestUnusableBlamesNobody(t *testing.T) {
-	h := newHost(t, plain(), oneZone(2))
-	widest, retries := h.d.widest, h.d.retries-1
-	h.d.retries = retries
+func TestUnusableRequestChangesNoHealth(t *testing.T) {
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
+	widest, retries := h.d.maxRequestSlots, h.d.retryCredit-1
+	h.d.retryCredit = retries
 	for range 5 * defaultTokens {
 		if a := h.end(h.arrive(0, 5), Unusable); len(a) != 1 || a[0].Type != Fail {
 			t.Fatalf("got %v, want the job to fail", a)
 		}
 	}
-	if h.d.widest != widest || h.d.retries > retries+retryCredit/2 {
-		t.Errorf("widest %d and retries %g, want %d and %g", h.d.widest, h.d.retries, widest, retries)
+	if h.d.maxRequestSlots != widest || h.d.retryCredit > retries+retryCreditPerRequest/2 {
+		t.Errorf("widest %d and retries %g, want %d and %g", h.d.maxRequestSlots, h.d.retryCredit, widest, retries)
 	}
 	for range 2 * defaultTokens {
 		if a := h.arrive(4, 1); a.Type != Send {
--- a/decision/lags_test.go
+++ b/decision/hedge_test.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// TestLags has a request that lags behind its like sent a second time where every rule lets it,
+// TestHedgedRequest has a request that lags behind its like sent a second time where every rule lets it,
 // and only then: the rules on copies, on effects and on attempts, and the credit for retries, hold
 // for copies too.
-func TestLags(t *testing.T) {
-	class := Class{GiveUp: time.Minute, Objective: 10 * time.Second, WorkerKind: -1}
+func TestHedgedRequest(t *testing.T) {
+	class := Class{ClientTimeout: time.Minute, Objective: 10 * time.Second, WorkerKind: -1}
 	keyed := class
-	keyed.Effect, keyed.Group, keyed.Window = Keyed, ScopeZone, time.Minute
+	keyed.Effect, keyed.DedupScope, keyed.DedupWindow = Keyed, ScopeZone, time.Minute
 	unsafe := class
 	unsafe.Effect = Unsafe
 	for _, tc := range []struct {
@@ -32,7 +32,7 @@
 		{"keyed, inside its group", keyed, func(*Config) {}, 0, false, 2},
 		{"keyed, outside of it", keyed, func(*Config) {}, 1, false, 1},
 	} {
-		cfg := Config{Instances: 1, Zones: 2, Classes: []Class{tc.class}, StartNotes: true, Limits: Limits{HedgingAllowed: true, CancelAllowed: true, MaxAttempts: 3}}
+		cfg := Config{Instances: 1, Zones: 2, Classes: []Class{tc.class}, StartEvents: true, Limits: Limits{HedgingAllowed: true, CancelAllowed: true, MaxAttempts: 3}}
 		tc.edit(&cfg)
 		d, err := New(cfg, 1)
 		if err != nil {
@@ -58,9 +58,9 @@
 		step(time.Hour, Event{Type: MembersReplaced, Members: []Member{{Worker: 1}, {Worker: 2, Zone: tc.zone}, {Worker: 3, Zone: tc.zone}}})
 		step(time.Hour, Event{Type: RequestArrived, Request: 1, Deadline: time.Hour + time.Minute, Slots: 1})
 		step(time.Hour, Event{Type: AttemptStarted, Request: 1, Worker: at[0]})
-		step(time.Hour+5*time.Second, Event{Type: RequestLags, Request: 1})
+		step(time.Hour+5*time.Second, Event{Type: RequestStraggling, Request: 1})
 		if tc.twice {
-			step(time.Hour+6*time.Second, Event{Type: RequestLags, Request: 1})
+			step(time.Hour+6*time.Second, Event{Type: RequestStraggling, Request: 1})
 		}
 		if sends != tc.want || to[1] > 1 || to[2] > 1 || to[3] > 1 {
 			t.Errorf("%s: %d sends, %v", tc.name, sends, to)
--- a/decision/course_test.go
+++ b/decision/lifecycle_test.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// TestOddNumbersAreHarmless covers class and tenant numbers out of range.
-func TestOddNumbersAreHarmless(t *testing.T) {
-	h := newHost(t, plain(), oneZone(2))
+// TestNumbersOutOfRangeAreHarmless covers class and tenant numbers out of range.
+func TestNumbersOutOfRangeAreHarmless(t *testing.T) {
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	for _, class := range []int{-1, 99} {
-		if a := h.arrive(class, 1); a.Type != Refuse {
+		if a := h.arrive(class, 1); a.Type != Reject {
 			t.Errorf("class %d: got %v, want a refusal", class, a)
 		}
 	}
@@ -23,11 +23,11 @@
 // keeps the class it came with, none gets an attempt past a lowered cap, and tokens that
 // are held stay held.
 func TestSettingsChange(t *testing.T) {
-	h := newHost(t, plain(), oneZone(3))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
 	safe, other := h.arrive(0, 1), h.arrive(0, 1)
-	cfg := plain()
+	cfg := bucketOnlyConfig()
 	cfg.Classes[0].Effect = Unsafe
-	cfg.Classes = append(cfg.Classes, Class{Effect: Keyed, Group: ScopeZone, Window: time.Second, WorkerKind: -1})
+	cfg.Classes = append(cfg.Classes, Class{Effect: Keyed, DedupScope: ScopeZone, DedupWindow: time.Second, WorkerKind: -1})
 	h.step(Event{Type: SettingsChanged, Settings: &cfg})
 	again := h.end(safe, Errored)
 	if len(again) != 1 || again[0].Type != Send {
@@ -42,7 +42,7 @@
 	}
 	cfg.Limits.MaxAttempts = 1
 	h.step(Event{Type: SettingsChanged, Settings: &cfg})
-	if out := h.end(other, Errored); len(out) != 1 || out[0].Type != Refuse {
+	if out := h.end(other, Errored); len(out) != 1 || out[0].Type != Reject {
 		t.Errorf("past the lowered cap a request got %v, want a refusal", out)
 	}
 	held := 0
@@ -57,7 +57,7 @@
 // TestAdopt guards a request that an earlier process began: its attempt is out here too,
 // holds its worker's token, and is counted for what it may still do.
 func TestAdopt(t *testing.T) {
-	h := newHost(t, plain(), oneZone(2))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	held := func() (n int) {
 		for _, w := range h.d.listed {
 			n += w.InUse
@@ -66,9 +66,9 @@
 	}
 	adopt := func(id RequestID, class int, worker WorkerID) Action {
 		h.step(Event{Type: RequestArrived, Request: id, Class: class, Deadline: h.now + time.Second,
-			Past: []Past{{Worker: worker, SentAt: h.now - time.Second, Started: true}}})
-		if len(h.last) > 0 {
-			t.Errorf("an adopted request led to %v, want nothing", h.last)
+			PriorAttempts: []AttemptRecord{{Worker: worker, SentAt: h.now - time.Second, Started: true}}})
+		if len(h.lastActions) > 0 {
+			t.Errorf("an adopted request led to %v, want nothing", h.lastActions)
 		}
 		return Action{Request: id, Worker: worker}
 	}
@@ -82,7 +82,7 @@
 	if out := h.end(unsafe, Errored); len(out) != 1 || out[0].Type != Fail {
 		t.Errorf("an unsafe one's failure led to %v, want a final failure", out)
 	}
-	if past := h.d.Past(1); len(past) != 2 || !past[0].Ended || past[1].Ended {
+	if past := h.d.PriorAttempts(1); len(past) != 2 || !past[0].Ended || past[1].Ended {
 		t.Errorf("its attempts are %+v", past)
 	}
 	h.end(left, Served)
--- a/decision/limits_test.go
+++ b/decision/limits_test.go
@@ -12,8 +12,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// aside are the files that decide nothing: the interface, the state, and what is told.
-var aside = []string{"api.go", "machine.go", "tell.go"}
+// exempt are the files that decide nothing: the interface, the state, and what is told.
+var exempt = []string{"api.go", "machine.go", "inspect.go"}
 
 // TestModuleSize keeps the module's files short enough to be read one at a time, and each that
 // decides named under policy in the deploy file.
@@ -37,7 +37,7 @@
 			continue
 		}
 		decides := slices.Contains(deploy.Policy, path.Join("decision", name))
-		if decides == slices.Contains(aside, name) {
+		if decides == slices.Contains(exempt, name) {
 			t.Errorf("%s: named under policy: %v", name, decides)
 		}
 		f, err := os.Open(name)
--- a/decision/list_test.go
+++ b/decision/membership_test.go
@@ -12,10 +12,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &host{t: t, d: d, now: time.Hour, timers: map[uint32]time.Duration{}}
+	h := &driver{t: t, d: d, now: time.Hour, timers: map[uint32]time.Duration{}}
 	h.step()
 	for range failures {
-		h.pass(20 * time.Second)
+		h.advance(20 * time.Second)
 		h.step(Event{Type: MembersFailed})
 	}
 	for _, at := range h.timers {
@@ -25,9 +25,9 @@
 	return 0
 }
 
-// TestListCallsAreSpreadAndBackOff guards discovery, which cannot answer every
+// TestSubscribeSpreadAndBackoff guards discovery, which cannot answer every
 // dispatcher at once.
-func TestListCallsAreSpreadAndBackOff(t *testing.T) {
+func TestSubscribeSpreadAndBackoff(t *testing.T) {
 	first := func(seed uint64, failures int) time.Duration { return nextCall(t, testConfig(), seed, failures) }
 	mean := func(failures int) (sum time.Duration) {
 		for seed := range uint64(50) {
@@ -39,36 +39,36 @@
 		t.Error("two dispatchers call at the same moment")
 	}
 	calm, troubled := mean(0), mean(3)
-	if troubled < 3*calm || troubled > testConfig().Rules.AskWithin {
+	if troubled < 3*calm || troubled > testConfig().Rules.MaxRefreshInterval {
 		t.Errorf("mean wait %v at first and %v after three failures", calm, troubled)
 	}
 }
 
-// TestListAfterFailures guards the pace of calls for the list: a whole list, like
+// TestSubscribeAfterFailures guards the pace of calls for the list: a whole list, like
 // changes, ends the growing waits that failed calls led to.
-func TestListAfterFailures(t *testing.T) {
-	cfg := plain()
-	cfg.PullList, cfg.Rules.AskWithin = true, 16*time.Second
-	h := newHost(t, cfg, oneZone(1))
-	h.pass(time.Second)
+func TestSubscribeAfterFailures(t *testing.T) {
+	cfg := bucketOnlyConfig()
+	cfg.PullMembers, cfg.Rules.MaxRefreshInterval = true, 16*time.Second
+	h := newDriver(t, cfg, membersInOneZone(1))
+	h.advance(time.Second)
 	for range 6 {
 		h.step(Event{Type: MembersFailed})
-		h.pass(16 * time.Second)
+		h.advance(16 * time.Second)
 	}
-	h.step(Event{Type: MembersReplaced, Members: oneZone(1)})
+	h.step(Event{Type: MembersReplaced, Members: membersInOneZone(1)})
 	for range 8 {
-		h.step(Event{Type: MembersReplaced, Members: oneZone(1)})
+		h.step(Event{Type: MembersReplaced, Members: membersInOneZone(1)})
 		h.step(Event{Type: MembersFailed})
-		if a := h.pass(2 * time.Second); len(a) != 1 || a[0].Type != Subscribe {
+		if a := h.advance(2 * time.Second); len(a) != 1 || a[0].Type != Subscribe {
 			t.Fatalf("got %v within 2 s of the first failure, want a call", a)
 		}
 	}
 }
 
-// TestManyCallersSpread guards discovery, which answers about ten calls a second and fails
+// TestManyDispatchersSpreadSubscribes guards discovery, which answers about ten calls a second and fails
 // those that wait for two: 80 dispatchers that start at one moment, or lose it at one, ask
 // over seconds, and still within the time in which each has to ask.
-func TestManyCallersSpread(t *testing.T) {
+func TestManyDispatchersSpreadSubscribes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 80
 	for _, failures := range []int{0, 1, 4} {
@@ -76,7 +76,7 @@
 		for i := range cfg.Instances {
 			wait := nextCall(t, cfg, uint64(i), failures)
 			perSecond[wait/time.Second]++
-			if wait > cfg.Rules.AskWithin {
+			if wait > cfg.Rules.MaxRefreshInterval {
 				t.Errorf("after %d failures a call comes after %v", failures, wait)
 			}
 		}
--- a/decision/overload_test.go
+++ b/decision/overload_test.go
@@ -8,7 +8,7 @@
 // TestRetryBudget guards against trouble that feeds itself: where everything
 // fails, further attempts stay a small share.
 func TestRetryBudget(t *testing.T) {
-	h := newHost(t, plain(), oneZone(30))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(30))
 	retries := 0
 	for range 200 {
 		a := h.arrive(0, 1)
@@ -20,7 +20,7 @@
 			}
 		}
 	}
-	if most := creditMost + 200*retryCredit; retries == 0 || float64(retries) > most {
+	if most := maxRetryCredit + 200*retryCreditPerRequest; retries == 0 || float64(retries) > most {
 		t.Errorf("%d further attempts for 200 requests, want at most %v", retries, most)
 	}
 }
@@ -30,16 +30,16 @@
 // when starts are prompt.
 func TestShedding(t *testing.T) {
 	cfg := testConfig()
-	cfg.PullList = false
+	cfg.PullMembers = false
 	cfg.Classes = cfg.Classes[:2]
-	cfg.Classes[1].Worth = 10
-	h := newHost(t, cfg, oneZone(40))
+	cfg.Classes[1].Value = 10
+	h := newDriver(t, cfg, membersInOneZone(40))
 	refused := func() (lesser, worthier int) {
 		for range 20 {
 			for class := range 2 {
 				a := h.arrive(class, 1)
 				if a.Type == Send {
-					h.step(Event{Type: RequestGone, Request: a.Request})
+					h.step(Event{Type: RequestCanceled, Request: a.Request})
 					h.end(a, Canceled)
 				} else if class == 0 {
 					lesser++
@@ -55,7 +55,7 @@
 	}
 	for range 6 {
 		h.arrive(1, 1)
-		h.pass(800 * time.Millisecond)
+		h.advance(800 * time.Millisecond)
 	}
 	if lesser, worthier := refused(); lesser < 10 || worthier > 5 {
 		t.Errorf("%d lesser and %d worthier of 20 refused while starts are late", lesser, worthier)
@@ -64,26 +64,26 @@
 		if a := h.arrive(1, 1); a.Type == Send {
 			h.serve(a)
 		}
-		h.pass(800 * time.Millisecond)
+		h.advance(800 * time.Millisecond)
 	}
 	if lesser, worthier := refused(); lesser+worthier > 0 {
 		t.Errorf("%d and %d of 20 still refused after starts were prompt again", lesser, worthier)
 	}
 }
 
-// TestFullQueuesShedSooner guards the seconds between the first full queues and
+// TestFullQueuesRaiseShedding guards the seconds between the first full queues and
 // the first late starts in them, in which all queues of a slow fleet fill.
-func TestFullQueuesShedSooner(t *testing.T) {
+func TestFullQueuesRaiseShedding(t *testing.T) {
 	for _, instances := range []int{10, 300} {
 		cfg := testConfig()
-		cfg.PullList, cfg.Instances = false, instances
-		h := newHost(t, cfg, oneZone(30))
+		cfg.PullMembers, cfg.Instances = false, instances
+		h := newDriver(t, cfg, membersInOneZone(30))
 		for range 8 {
 			h.end(h.arrive(4, 1), Rejected)
 		}
 		refused := 0
 		for range 20 {
-			if h.arrive(4, 1).Type == Refuse {
+			if h.arrive(4, 1).Type == Reject {
 				refused++
 			}
 		}
@@ -93,23 +93,23 @@
 	}
 }
 
-// TestLateStartsAmongManyDoNotShed guards the calm days at size, on which a third of
+// TestOverdueStartsAmongManyDispatchersDoNotRaiseShedding guards the calm days at size, on which a third of
 // the arrivals were refused while most workers had room: one of 300 dispatchers meets
 // a queue that is full by chance.
-func TestLateStartsAmongManyDoNotShed(t *testing.T) {
+func TestOverdueStartsAmongManyDispatchersDoNotRaiseShedding(t *testing.T) {
 	cfg := testConfig()
-	cfg.PullList, cfg.Instances = false, 300
-	h := newHost(t, cfg, oneZone(40))
+	cfg.PullMembers, cfg.Instances = false, 300
+	h := newDriver(t, cfg, membersInOneZone(40))
 	for range 6 {
 		h.arrive(1, 1)
-		h.pass(800 * time.Millisecond)
+		h.advance(800 * time.Millisecond)
 	}
 	refused := 0
 	for range 40 {
 		if a := h.arrive(0, 1); a.Type != Send {
 			refused++
 		} else {
-			h.step(Event{Type: RequestGone, Request: a.Request})
+			h.step(Event{Type: RequestCanceled, Request: a.Request})
 			h.end(a, Canceled)
 		}
 	}
@@ -122,24 +122,24 @@
 // start and sheds for good (incident i96cb58): a share is always let in.
 func TestSheddingEnds(t *testing.T) {
 	cfg := testConfig()
-	cfg.PullList = false
+	cfg.PullMembers = false
 	cfg.Classes = cfg.Classes[4:]
-	h := newHost(t, cfg, oneZone(80))
+	h := newDriver(t, cfg, membersInOneZone(80))
 	var waiting []Action
 	for range 40 {
 		waiting = append(waiting, h.arrive(0, 1))
 	}
-	h.pass(time.Second)
+	h.advance(time.Second)
 	for _, a := range waiting {
 		h.end(a, Rejected)
 	}
 	refused := func(n int) (out int) {
 		for range n {
-			if a := h.arrive(0, 1); a.Type == Refuse {
+			if a := h.arrive(0, 1); a.Type == Reject {
 				out++
 			} else {
 				h.serve(a)
-				h.pass(time.Second)
+				h.advance(time.Second)
 			}
 		}
 		return out
@@ -153,19 +153,19 @@
 	}
 }
 
-// TestEndingRefusesLongWork guards clients of a process that ends: a class whose
+// TestStoppingProcessRejectsLongWork guards clients of a process that ends: a class whose
 // work would mostly be cut off is refused at once, the others are served, and a
 // client's own short deadline refuses nothing.
-func TestEndingRefusesLongWork(t *testing.T) {
-	h := newHost(t, plain(), oneZone(2))
-	h.d.run[0], h.d.run[4] = 0.3, 2.5
+func TestStoppingProcessRejectsLongWork(t *testing.T) {
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
+	h.d.meanRun[0], h.d.meanRun[4] = 0.3, 2.5
 	for _, tc := range []struct {
 		class  int
 		ending bool
 		want   ActionType
-	}{{0, true, Send}, {4, true, Refuse}, {4, false, Send}} {
-		h.next++
-		out := h.step(Event{Type: RequestArrived, Request: h.next, Class: tc.class, Ending: tc.ending, Deadline: h.now + 2*time.Second})
+	}{{0, true, Send}, {4, true, Reject}, {4, false, Send}} {
+		h.lastRequest++
+		out := h.step(Event{Type: RequestArrived, Request: h.lastRequest, Class: tc.class, ProcessStopping: tc.ending, Deadline: h.now + 2*time.Second})
 		if len(out) != 1 || out[0].Type != tc.want {
 			t.Errorf("class %d, ending %t: got %v, want %v", tc.class, tc.ending, out, tc.want)
 		}
--- a/decision/permit/permit_test.go
+++ b/decision/permit/permit_test.go
@@ -9,22 +9,22 @@
 // TestCheck has each fact alone stop an attempt, and none of them stop one that may begin.
 func TestCheck(t *testing.T) {
 	now := time.Now()
-	good := Facts{Now: now, Deadline: now.Add(time.Second), Latest: now, Told: time.Second + DeadlineSlack}
+	good := Facts{Now: now, Deadline: now.Add(time.Second), LatestStart: now, StatedTime: time.Second + DeadlineSlack}
 	for _, tc := range []struct {
 		name string
 		edit func(*Facts)
 		want error
 	}{
 		{"all holds", func(*Facts) {}, nil},
-		{"no latest beginning", func(f *Facts) { f.Latest = time.Time{} }, nil},
+		{"no latest beginning", func(f *Facts) { f.LatestStart = time.Time{} }, nil},
 		{"given up", func(f *Facts) { f.Revoked = true }, ErrRevoked},
-		{"the client has left", func(f *Facts) { f.ClientGone = true }, ErrClientGone},
-		{"at the deadline", func(f *Facts) { f.Deadline = now }, ErrDeadline},
-		{"past the latest beginning", func(f *Facts) { f.Latest = now.Add(-1) }, ErrTooLate},
-		{"the worker drains", func(f *Facts) { f.Changed = true }, ErrBackend},
-		{"the process has stood still", func(f *Facts) { f.StoodStill = true }, ErrStoodStill},
-		{"more time told than is left", func(f *Facts) { f.Told++ }, ErrToldTooMuch},
-		{"the connection has ended", func(f *Facts) { f.Unusable = true }, ErrConnection},
+		{"the client has left", func(f *Facts) { f.ClientDisconnected = true }, ErrClientDisconnected},
+		{"at the deadline", func(f *Facts) { f.Deadline = now }, ErrDeadlineExceeded},
+		{"past the latest beginning", func(f *Facts) { f.LatestStart = now.Add(-1) }, ErrLatestStartPassed},
+		{"the worker drains", func(f *Facts) { f.BackendChanged = true }, ErrBackendChanged},
+		{"the process has stood still", func(f *Facts) { f.ProcessStalled = true }, ErrProcessStalled},
+		{"more time told than is left", func(f *Facts) { f.StatedTime++ }, ErrStatedTimeTooLong},
+		{"the connection has ended", func(f *Facts) { f.ConnectionUnusable = true }, ErrConnectionUnusable},
 	} {
 		f := good
 		tc.edit(&f)
@@ -32,7 +32,7 @@
 		if err != tc.want {
 			t.Errorf("%s: %v, want %v", tc.name, err, tc.want)
 		}
-		if err != nil && !errors.Is(err, ErrNotBegun) {
+		if err != nil && !errors.Is(err, ErrNotStarted) {
 			t.Errorf("%s: %v does not say that nothing was begun", tc.name, err)
 		}
 	}
--- a/decision/choice.go
+++ b/decision/selection.go
@@ -6,15 +6,15 @@
 
 // The choice of a worker.
 
-// pick returns the compatible worker with the least cost; of equal ones that whose
+// selectWorker returns the compatible worker with the least cost; of equal ones that whose
 // token has been free longest. With unwell set it takes workers that rest or are
 // slow to start as well, and those that rest only where no other fits: where all
 // zones seem lost, one that has just failed would otherwise draw every request in a
 // row. Guards against queues: of several dispatchers each sees little of a worker's
 // load, and the longest-free token alone would go to one that holds jobs of ours while
 // others hold none.
-func (d *Dispatcher) pick(r *request, unwell bool) (best *worker) {
-	if !d.mayTry(r) {
+func (d *Dispatcher) selectWorker(r *request, unwell bool) (best *worker) {
+	if !d.mayAttempt(r) {
 		return nil
 	}
 	least, resting := 0.0, false
@@ -29,7 +29,7 @@
 				continue
 			}
 		}
-		if d.fits(w, r, unwell) {
+		if d.eligible(w, r, unwell) {
 			best, least, resting = w, cost, rests
 		}
 	}
@@ -42,31 +42,31 @@
 // zone; and both by the preference of one dispatcher of many. A worker that was put back is
 // tried before all others, and so is a cold one to which few may go.
 func (d *Dispatcher) cost(w *worker, r *request) float64 {
-	if w.untried || d.early(w) { // the one that does most comes first
-		return -d.rules.Share(w.StartedAt, d.now) / d.fleet.Pace(&w.load, w.Kind, d.now)
+	if w.untried || d.earlyWarmUp(w) { // the one that does most comes first
+		return -d.rules.Capacity(w.StartedAt, d.now) / d.fleet.Pace(&w.load, w.Kind, d.now)
 	}
 	if d.fleet.Known() {
-		cost := d.fleet.Needs(&w.load, w.Kind, w.own(), &r.job, d.now)
+		cost := d.fleet.TimeToFinish(&w.load, w.Kind, w.ownLoad(), &r.job, d.now)
 		if w.Zone != d.cfg.Zone {
-			cost += farPrices * d.cfg.ZonePrice * r.job.Aim
+			cost += crossZonePenaltyFactor * d.cfg.CrossZonePenalty * r.job.Target
 		}
 		return cost * affinity.Factor(d.cfg.Instance, d.cfg.Instances, uint32(w.Worker))
 	}
-	known := max(1-float64(d.now-w.PaceAt)/float64(paceFor), 0)
+	known := max(1-float64(d.now-w.PaceAt)/float64(paceMemory), 0)
 	cost := float64(w.InUse+r.slots) / float64(d.tokensFor(w)) * (1 + known*(w.Pace-1))
 	if w.Zone != d.cfg.Zone {
-		cost *= farCost
+		cost *= crossZoneCost
 	}
-	if d.sharer(w).ByDraws() {
-		cost *= d.waits.Factor(d.warming(w), d.now) / d.rules.Share(w.StartedAt, d.now)
+	if d.warmUpPeer(w).Sampled() {
+		cost *= d.waits.Factor(d.warming(w), d.now) / d.rules.Capacity(w.StartedAt, d.now)
 	}
 	return cost * affinity.Factor(d.cfg.Instance, d.cfg.Instances, uint32(w.Worker))
 }
 
-// fits tells whether a worker is compatible with a request.
-func (d *Dispatcher) fits(w *worker, r *request, unwell bool) bool {
-	away := d.sharer(w).ByDraws() && d.zones.Away(w.Zone, w.StartedAt, d.now)
-	well := w.overdue == 0 && d.now >= w.RestUntil && !away && !d.slow(w, r)
+// eligible tells whether a worker is compatible with a request.
+func (d *Dispatcher) eligible(w *worker, r *request, unwell bool) bool {
+	away := d.warmUpPeer(w).Sampled() && d.zones.Unavailable(w.Zone, w.StartedAt, d.now)
+	well := w.overdue == 0 && d.now >= w.RestUntil && !away && !d.missesTargetWhileWarming(w, r)
 	return w.Free >= r.slots && (well || unwell) && d.allowed(r, w)
 }
 
@@ -74,17 +74,17 @@
 // left it fails open. Where even the best of those that tell of their load would be late
 // it is not sent. It reports whether it sent.
 func (d *Dispatcher) dispatch(r *request) bool {
-	w := d.pick(r, false)
+	w := d.selectWorker(r, false)
 	if w == nil {
-		w = d.pick(r, true)
+		w = d.selectWorker(r, true)
 	}
 	if w == nil {
 		return false
 	}
-	r.late = d.hopes(r) && d.now >= r.job.Until || // it would be called off at once
-		d.fleet.Known() && d.fleet.Late(&w.load, w.Kind, w.own(), &r.job, d.cfg.Instances, d.now)
-	if !r.late {
+	r.missesTarget = d.limitsWait(r) && d.now >= r.job.TargetAt || // it would be called off at once
+		d.fleet.Known() && d.fleet.ShouldReject(&w.load, w.Kind, w.ownLoad(), &r.job, d.cfg.Instances, d.now)
+	if !r.missesTarget {
 		d.send(r, w)
 	}
-	return !r.late
+	return !r.missesTarget
 }
--- a/decision/choice_test.go
+++ b/decision/selection_test.go
@@ -9,7 +9,7 @@
 // TestAllUnwellFailsOpen guards against refusing everything when every worker
 // has failed of late.
 func TestAllUnwellFailsOpen(t *testing.T) {
-	h := newHost(t, plain(), oneZone(3))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
 	for range 3 {
 		h.end(h.arrive(4, 1), Errored)
 	}
@@ -21,7 +21,7 @@
 // TestLeastCostFirst covers the order among compatible workers: by what they hold,
 // by their pace as far as it is known still, by zone.
 func TestLeastCostFirst(t *testing.T) {
-	h := newHost(t, plain(), oneZone(2))
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	slow := h.d.listed[0]
 	for range 40 { // both serve the same class, one takes three times as long
 		a, b := h.arrive(0, 1), h.arrive(0, 1)
@@ -29,9 +29,9 @@
 			h.step(Event{Type: AttemptStarted, Request: x.Request, Worker: x.Worker})
 		}
 		for _, wait := range []bool{false, true} {
-			h.pass(50 * time.Millisecond)
+			h.advance(50 * time.Millisecond)
 			if wait {
-				h.pass(50 * time.Millisecond)
+				h.advance(50 * time.Millisecond)
 			}
 			for _, x := range []Action{a, b} {
 				if (x.Worker == slow.Worker) == wait {
@@ -51,7 +51,7 @@
 			} else {
 				got[1]++
 			}
-			h.step(Event{Type: RequestGone, Request: a.Request})
+			h.step(Event{Type: RequestCanceled, Request: a.Request})
 			h.end(a, Canceled)
 		}
 		return got
@@ -59,14 +59,14 @@
 	if got := jobs(); got[1] != 4 {
 		t.Errorf("of 6 jobs the slow worker got %d and the other, of half its time, %d", got[0], got[1])
 	}
-	h.pass(paceFor)
+	h.advance(paceMemory)
 	if got := jobs(); got[1] != 3 {
 		t.Errorf("of 6 jobs %d and %d, want halves: the pace is long ago", got[0], got[1])
 	}
 
 	cfg := testConfig()
-	cfg.PullList = false
-	h = newHost(t, cfg, members(4))
+	cfg.PullMembers = false
+	h = newDriver(t, cfg, members(4))
 	for i, own := range []bool{true, true, false, false} {
 		if a := h.arrive(0, 1); (a.Worker%2 == 0) != own {
 			t.Errorf("job %d went to worker %d, want the own zone first among idle ones: %v", i, a.Worker, own)
@@ -79,10 +79,10 @@
 // this dispatcher has not met, and work goes elsewhere until the list names a new start.
 func TestLostZoneOfManyDispatchers(t *testing.T) {
 	for _, instances := range []int{4, 80} {
-		cfg := plain()
+		cfg := bucketOnlyConfig()
 		cfg.Zones, cfg.Instances = 2, instances
 		list := members(12) // zone 0 is the own one
-		h := newHost(t, cfg, list)
+		h := newDriver(t, cfg, list)
 		for range 20 {
 			for out := []Action{h.arrive(0, 1)}; len(out) == 1 && out[0].Type == Send; {
 				outcome := Served
@@ -92,7 +92,7 @@
 				out = slices.Clone(h.end(out[0], outcome))
 			}
 		}
-		h.pass(time.Second)
+		h.advance(time.Second)
 		own := func() (n int) {
 			for range 20 {
 				a := h.arrive(0, 1)
@@ -111,7 +111,7 @@
 			list[i].StartedAt = h.now
 		}
 		h.step(Event{Type: MembersReplaced, Members: list})
-		h.pass(cfg.Rules.WarmUp + time.Second)
+		h.advance(cfg.Rules.WarmUp + time.Second)
 		if n := own(); n == 0 {
 			t.Errorf("%d dispatchers: nothing goes to the zone long after its start was told", instances)
 		}
@@ -123,12 +123,12 @@
 // drew each request in a row although it had just failed.
 func TestAllZonesSeemLost(t *testing.T) {
 	cfg := testConfig()
-	cfg.PullList, cfg.Instances, cfg.Instance, cfg.Zones, cfg.Zone = false, 300, 17, 3, 0
+	cfg.PullMembers, cfg.Instances, cfg.Instance, cfg.Zones, cfg.Zone = false, 300, 17, 3, 0
 	list := members(99)
 	for i := range list {
 		list[i].Zone = i % 3
 	}
-	h := newHost(t, cfg, list)
+	h := newDriver(t, cfg, list)
 	failed := map[WorkerID]bool{}
 	for zones, n := map[int]int{}, 0; len(zones) < 3 || zones[0] < 2 || zones[1] < 2 || zones[2] < 2; n++ {
 		if n == 100 { // guards the test: arrivals that are refused fail no runner
--- a/decision/cold_test.go
+++ b/decision/warmup_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// TestReturnedWorkerWaitsAndGetsItsShare guards rule 4 (nothing while the worker
+// TestRestartedWorkerWaitsThenGetsItsFraction guards rule 4 (nothing while the worker
 // could be pushed over, no run of jobs after it) and the rolling restart of
 // incident i968a36 (its share at once, not an eighth of it).
-func TestReturnedWorkerWaitsAndGetsItsShare(t *testing.T) {
-	h := newHost(t, plain(), oneZone(10))
+func TestRestartedWorkerWaitsThenGetsItsFraction(t *testing.T) {
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(10))
 	back := Member{Worker: 100, StartedAt: h.now, Weight: 1}
 	h.step(Event{Type: MembersChanged, Members: []Member{back}})
 	for h.now < back.StartedAt+5*time.Second {
 		if a := h.arrive(0, 1); a.Worker == 100 {
 			t.Fatalf("a send to a worker %v after its start", h.now-back.StartedAt)
 		}
-		h.pass(100 * time.Millisecond)
-		h.end(Action{Request: h.next, Worker: h.d.requests[h.next].attempts[0].worker.Worker}, Served)
+		h.advance(100 * time.Millisecond)
+		h.end(Action{Request: h.lastRequest, Worker: h.d.requests[h.lastRequest].attempts[0].worker.Worker}, Served)
 	}
-	h.pass(3 * time.Second)
+	h.advance(3 * time.Second)
 	got, inRow, most := 0, 0, 0
 	for range 160 {
 		a := h.arrive(0, 1)
@@ -37,17 +37,17 @@
 	}
 }
 
-// TestColdWorkerIsRationed guards rule 4: a cold worker that is used already gets no
+// TestWarmingWorkerKeepsToBudget guards rule 4: a cold worker that is used already gets no
 // more work in any window than this dispatcher's part of what it bears, and one that
 // is heavier than that goes elsewhere.
-func TestColdWorkerIsRationed(t *testing.T) {
-	cfg := plain()
+func TestWarmingWorkerKeepsToBudget(t *testing.T) {
+	cfg := bucketOnlyConfig()
 	cfg.Instances = 2
-	h := newHost(t, cfg, append(oneZone(1), Member{Worker: 7, StartedAt: time.Hour - 3*time.Second, Weight: 1}))
-	h.d.run[0], h.d.run[4] = 0.05, 5
-	h.pass(time.Second)
+	h := newDriver(t, cfg, append(membersInOneZone(1), Member{Worker: 7, StartedAt: time.Hour - 3*time.Second, Weight: 1}))
+	h.d.meanRun[0], h.d.meanRun[4] = 0.05, 5
+	h.advance(time.Second)
 	const share = 0.2 + 0.8*0.58 // at the end of what follows
-	budget, heavy := share*cfg.Rules.FallMultiple/2, 0
+	budget, heavy := share*cfg.Rules.OverloadMultiple/2, 0
 	var sent []time.Duration
 	for h.now < time.Hour+2800*time.Millisecond {
 		for range 4 {
@@ -62,18 +62,18 @@
 				h.end(a, Canceled)
 			}
 		}
-		h.pass(20 * time.Millisecond)
+		h.advance(20 * time.Millisecond)
 	}
-	most := mostWithin(sent, cfg.Rules.FallWindow)
+	most := maxWithin(sent, cfg.Rules.OverloadWindow)
 	if heavy > 0 || len(sent) < 10 || float64(most)*0.05 > 2*budget {
 		t.Errorf("%d jobs, %d heavy, at most %.2f s of work in a window, want some light ones below %.2f s",
 			len(sent), heavy, float64(most)*0.05, 2*budget)
 	}
 }
 
-// TestAllCold guards clients after a power cut: where no worker is warm the cold ones are used from the
+// TestAllWorkersWarming guards clients after a power cut: where no worker is warm the cold ones are used from the
 // start, by their ration, and by nothing beyond it; where one is, they wait.
-func TestAllCold(t *testing.T) {
+func TestAllWorkersWarming(t *testing.T) {
 	for name, tc := range map[string]struct {
 		members []Member
 		used    bool
@@ -82,12 +82,12 @@
 		"one is warm":         {[]Member{{Worker: 7, StartedAt: time.Hour, Weight: 1}, {Worker: 8, Weight: 1}}, false},
 		"the warm one drains": {[]Member{{Worker: 7, StartedAt: time.Hour, Weight: 1}, {Worker: 8, Weight: 1, State: Draining}}, true},
 	} {
-		cfg := plain()
+		cfg := bucketOnlyConfig()
 		cfg.Instances = 2
-		h := newHost(t, cfg, tc.members)
-		h.d.run[0], h.d.run[4] = 0.05, 5
+		h := newDriver(t, cfg, tc.members)
+		h.d.meanRun[0], h.d.meanRun[4] = 0.05, 5
 		var sent []time.Duration
-		heavy, end := 0, time.Hour+cfg.Rules.FallWindow
+		heavy, end := 0, time.Hour+cfg.Rules.OverloadWindow
 		for h.now < end {
 			for _, class := range []int{0, 0, 0, 0, 4} {
 				a := h.arrive(class, 1)
@@ -101,36 +101,36 @@
 					h.end(a, Canceled)
 				}
 			}
-			h.pass(20 * time.Millisecond)
+			h.advance(20 * time.Millisecond)
 		}
-		bears := h.d.rules.Share(time.Hour, end) * cfg.Rules.FallMultiple / 2 * cfg.Rules.FallWindow.Seconds()
+		bears := h.d.rules.Capacity(time.Hour, end) * cfg.Rules.OverloadMultiple / 2 * cfg.Rules.OverloadWindow.Seconds()
 		if work := float64(len(sent)) * 0.05; heavy > 0 || (len(sent) > 0) != tc.used || work > 2*bears {
 			t.Errorf("%s: %d jobs, %d heavy, %.2f s of work in a window, %.2f s is its part", name, len(sent), heavy, work, bears)
 		}
 	}
 }
 
-// TestPutBack guards a runner that operators put back: it is tried at once though it
+// TestReinstatedWorker guards a runner that operators put back: it is tried at once though it
 // is cold, with one light job at a time, and gets nothing heavy.
-func TestPutBack(t *testing.T) {
-	h := newHost(t, plain(), oneZone(3))
-	h.d.run[0], h.d.run[4] = 0.05, 5
-	back := oneZone(3)[2]
-	h.pass(time.Second)
+func TestReinstatedWorker(t *testing.T) {
+	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
+	h.d.meanRun[0], h.d.meanRun[4] = 0.05, 5
+	back := membersInOneZone(3)[2]
+	h.advance(time.Second)
 	for _, m := range []struct {
 		state    MemberState
 		returned bool
 		want     int
 	}{{Draining, false, 1}, {Ready, false, 1}, {Draining, false, 1}, {Ready, true, 0}} {
-		back.State, back.Returned, back.StartedAt = m.state, m.returned, h.now
+		back.State, back.Reinstated, back.StartedAt = m.state, m.returned, h.now
 		h.step(Event{Type: MembersChanged, Members: []Member{back}})
 		if n := h.d.Unavailable(h.now); n != m.want {
 			t.Errorf("state %d, returned %t: %d workers are unavailable, want %d", m.state, m.returned, n, m.want)
 		}
 	}
 	for _, heavy := range []Event{{Class: 4}, {Class: 0, Slots: 2}, {Class: 0, Hint: time.Second}} {
-		h.next++
-		heavy.Type, heavy.Request, heavy.Deadline = RequestArrived, h.next, h.now+5*time.Second
+		h.lastRequest++
+		heavy.Type, heavy.Request, heavy.Deadline = RequestArrived, h.lastRequest, h.now+5*time.Second
 		if out := h.step(heavy); len(out) != 1 || out[0].Worker == back.Worker {
 			t.Errorf("%+v went to the cold worker: %v", heavy, out)
 		}
@@ -143,7 +143,7 @@
 		t.Errorf("a second job went to it beside the first")
 	}
 	h.end(first, Served)
-	h.pass(time.Second)
+	h.advance(time.Second)
 	for range 12 { // the others hold more of their tokens by then
 		if a := h.arrive(0, 1); a.Worker == back.Worker {
 			return
@@ -152,19 +152,19 @@
 	t.Errorf("it got no job after the first had ended")
 }
 
-// TestColdWorkersAmongMany guards a fleet of many dispatchers whose workers have mostly
+// TestWarmingWorkersAmongManyDispatchers guards a fleet of many dispatchers whose workers have mostly
 // just started: together they keep to what a cold worker bears, and they use it. Without
 // turns the part of one dispatcher of eighty holds no job, and the worker stays idle.
-func TestColdWorkersAmongMany(t *testing.T) {
+func TestWarmingWorkersAmongManyDispatchers(t *testing.T) {
 	const many, work = 80, 0.05
-	cfg := plain()
+	cfg := bucketOnlyConfig()
 	cfg.Instances = many
-	hosts := make([]*host, many)
+	hosts := make([]*driver, many)
 	for i := range hosts {
 		cfg.Instance = i
-		hosts[i] = newHost(t, cfg, append(oneZone(2), Member{Worker: 7, StartedAt: time.Hour, Weight: 1}))
+		hosts[i] = newDriver(t, cfg, append(membersInOneZone(2), Member{Worker: 7, StartedAt: time.Hour, Weight: 1}))
 		h := hosts[i]
-		h.d.run[0] = work
+		h.d.meanRun[0] = work
 		h.d.listed[0].Most = 4
 	}
 	var sent []time.Duration
@@ -178,11 +178,11 @@
 				h.step(Event{Type: AttemptStarted, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt})
 				h.end(a, Canceled)
 			}
-			h.pass(10 * time.Millisecond)
+			h.advance(10 * time.Millisecond)
 		}
 	}
-	most := mostWithin(sent, cfg.Rules.FallWindow)
-	budget := (0.2 + 0.8*0.3) * cfg.Rules.FallMultiple * 4 // at the end of these 3 s
+	most := maxWithin(sent, cfg.Rules.OverloadWindow)
+	budget := (0.2 + 0.8*0.3) * cfg.Rules.OverloadMultiple * 4 // at the end of these 3 s
 	if float64(most)*work > budget || len(sent) < 20 {
 		t.Errorf("%d jobs, at most %.2f s of work in a window; want 20 or more, and %.2f s at most",
 			len(sent), float64(most)*work, budget)
@@ -194,7 +194,7 @@
 // jobs within a second did: among many dispatchers a warming worker gets what fits in what
 // it bears from all of them together, and nothing heavy.
 func TestHeavyJobsAndHalfWarmWorkers(t *testing.T) {
-	cfg := plain()
+	cfg := bucketOnlyConfig()
 	cfg.Instances = 80
 	const over, every = 4 * time.Second, 100 * time.Millisecond
 	for _, age := range []time.Duration{over, 6 * time.Second, 14 * time.Second} { // at the end
@@ -202,27 +202,27 @@
 		heavy := false
 		for i := range cfg.Instances {
 			cfg.Instance = i
-			h := newHost(t, cfg, []Member{{Worker: 7, StartedAt: time.Hour + over - age, Weight: 1}})
+			h := newDriver(t, cfg, []Member{{Worker: 7, StartedAt: time.Hour + over - age, Weight: 1}})
 			h.d.listed[0].Most = 4
 			for h.now < time.Hour+over {
-				h.next++
-				for _, a := range h.step(Event{Type: RequestArrived, Request: h.next, Slots: 1, Hint: 100 * time.Millisecond, Deadline: h.now + 5*time.Second}) {
+				h.lastRequest++
+				for _, a := range h.step(Event{Type: RequestArrived, Request: h.lastRequest, Slots: 1, Hint: 100 * time.Millisecond, Deadline: h.now + 5*time.Second}) {
 					if a.Type == Send {
 						sent = append(sent, h.now)
 						h.end(a, Canceled)
 					}
 				}
-				h.pass(every)
+				h.advance(every)
 			}
-			h.next++
-			for _, a := range h.step(Event{Type: RequestArrived, Request: h.next, Slots: 1, Hint: 30 * time.Second, Deadline: h.now + 5*time.Second}) {
+			h.lastRequest++
+			for _, a := range h.step(Event{Type: RequestArrived, Request: h.lastRequest, Slots: 1, Hint: 30 * time.Second, Deadline: h.now + 5*time.Second}) {
 				heavy = heavy || a.Type == Send
 			}
 		}
 		slices.Sort(sent)
 		warm := age > cfg.Rules.WarmUp
 		all := cfg.Instances * int(over/every)
-		if most := mostWithin(sent, cfg.Rules.FallWindow); warm != (len(sent) == all) || heavy != warm || !warm && (most > 150 || len(sent) < 20) {
+		if most := maxWithin(sent, cfg.Rules.OverloadWindow); warm != (len(sent) == all) || heavy != warm || !warm && (most > 150 || len(sent) < 20) {
 			t.Errorf("at the age of %v: %d of %d sent, at most %d in a window, heavy ones %t", age, len(sent), all, most, heavy)
 		}
 	}
--- a/decision/warmupbudget/flow_test.go
+++ b/decision/warmupbudget/flow_test.go
@@ -11,12 +11,12 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// met returns a mix that has taken requests of some works for a while, at a rate.
-func met(rng *rand.Rand, rate float64, works ...float64) (Mix, time.Duration) {
-	var m Mix
+// sampleTraffic returns a mix that has taken requests of some works for a while, at a rate.
+func sampleTraffic(rng *rand.Rand, rate float64, works ...float64) (Traffic, time.Duration) {
+	var m Traffic
 	now := time.Hour
 	for range 400 {
-		m.Arrived(works[rng.IntN(len(works))], now)
+		m.RecordArrival(works[rng.IntN(len(works))], now)
 		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 	}
 	return m, now
@@ -26,31 +26,31 @@
 // spare deviations within what it bears, and be no more than keeps it busy.
 func TestFlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := Cold{Rate: rapid.Float64Range(0.01, 1e4).Draw(t, "rate"), StartedAt: time.Hour}
+		worker := WarmingWorker{Rate: rapid.Float64Range(0.01, 1e4).Draw(t, "rate"), StartedAt: time.Hour}
 		now := time.Hour + time.Duration(rapid.Int64Range(0, int64(30*time.Second)).Draw(t, "age"))
 		works := rapid.SliceOfN(rapid.Float64Range(0.001, 50), 1, 5).Draw(t, "works")
-		m, _ := met(rand.New(rand.NewPCG(1, 1)), 1, works...)
-		n := rules.Flow(&m, c, now) * rules.FallWindow.Seconds()
-		bears := Bound(rules.FallMultiple * c.Rate * rules.Share(c.StartedAt, now))
-		if worst := m.work/m.part*n + spare*math.Sqrt(m.square/m.part*n); !(worst <= bears*1.000001) {
+		m, _ := sampleTraffic(rand.New(rand.NewPCG(1, 1)), 1, works...)
+		n := rules.Flow(&m, worker, now) * rules.OverloadWindow.Seconds()
+		bears := WindowBound(rules.OverloadMultiple * worker.Rate * rules.Capacity(worker.StartedAt, now))
+		if worst := m.passedWork/m.passFraction*n + safetyDeviations*math.Sqrt(m.passedWorkSquared/m.passFraction*n); !(worst <= bears*1.000001) {
 			t.Fatalf("%.2f requests in a window: %.2f of work, it bears %.2f", n, worst, bears)
 		}
-		if can, all := rules.can(c, now), rules.Flow(&m, c, now); all < 0 || all*m.work/m.part > keepsBusy*can*1.000001 {
+		if can, all := rules.minServedRate(worker, now), rules.Flow(&m, worker, now); all < 0 || all*m.passedWork/m.passFraction > busyFactor*can*1.000001 {
 			t.Fatalf("%.2f requests a second for a worker that can do %.2f", all, can)
 		}
-		if later := rules.Flow(&m, c, now+time.Second); later < n*0.999999/rules.FallWindow.Seconds() {
+		if later := rules.Flow(&m, worker, now+time.Second); later < n*0.999999/rules.OverloadWindow.Seconds() {
 			t.Fatalf("the flow falls with age: %.3f, %.3f", n, later)
 		}
 	})
 }
 
-// TestPasses guards the sum of what many let go, each by its own rate alone: some have twenty
+// TestMaySendKeepsToFlow guards the sum of what many let go, each by its own rate alone: some have twenty
 // times as many requests as others, and all together come to the flow that was meant, but for
 // what is too heavy and for those that seldom get a request and take care.
-func TestPasses(t *testing.T) {
+func TestMaySendKeepsToFlow(t *testing.T) {
 	const dispatchers, over = 300, 200 * time.Second
 	rng := rand.New(rand.NewPCG(3, 3))
-	c := Cold{Rate: 5, StartedAt: time.Hour}
+	worker := WarmingWorker{Rate: 5, StartedAt: time.Hour}
 	went, meant, id := 0, 0.0, uint64(0)
 	heavy := false
 	for i := range dispatchers {
@@ -58,23 +58,23 @@
 		if i%10 == 0 {
 			rate = 4
 		}
-		m, from := met(rng, rate, 0.2, 0.4, 3)
-		c.StartedAt = from - 9*time.Second
-		meant += rules.Flow(&m, c, from) * over.Seconds() / dispatchers
+		m, from := sampleTraffic(rng, rate, 0.2, 0.4, 3)
+		worker.StartedAt = from - 9*time.Second
+		meant += rules.Flow(&m, worker, from) * over.Seconds() / dispatchers
 		for now := from; now < from+over; now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
-			c.StartedAt = now - 9*time.Second // as old all the time
+			worker.StartedAt = now - 9*time.Second // as old all the time
 			id++
 			work := []float64{0.2, 0.4, 3}[rng.IntN(3)]
-			m.Arrived(work, now)
-			who := Sharer{i, dispatchers}
-			goes := rules.Passes(&m, who, c, 7, id, work, now)
-			if goes != rules.Passes(&m, who, c, 7, id, work, now) {
+			m.RecordArrival(work, now)
+			peer := Peer{i, dispatchers}
+			goes := rules.MaySend(&m, peer, worker, 7, id, work, now)
+			if goes != rules.MaySend(&m, peer, worker, 7, id, work, now) {
 				t.Fatal("the same request may go and may not")
 			}
 			if goes {
 				went++
 			}
-			heavy = heavy || rules.Passes(&m, who, c, 7, id, 30, now)
+			heavy = heavy || rules.MaySend(&m, peer, worker, 7, id, 30, now)
 		}
 	}
 	if got := float64(went); got > meant || got < 0.65*meant || heavy {
@@ -82,15 +82,15 @@
 	}
 }
 
-// TestNewDispatcherWaits guards cold workers from a fleet of dispatchers that have all just
+// TestNewDispatcherSendsNothing guards cold workers from a fleet of dispatchers that have all just
 // started: one that does not know how many requests it gets lets the first go nowhere cold.
-func TestNewDispatcherWaits(t *testing.T) {
-	c := Cold{Rate: 1e6, StartedAt: time.Hour}
-	var m Mix
-	if rules.Passes(&m, Sharer{0, 300}, c, 7, 1, 0.1, time.Hour) {
+func TestNewDispatcherSendsNothing(t *testing.T) {
+	worker := WarmingWorker{Rate: 1e6, StartedAt: time.Hour}
+	var m Traffic
+	if rules.MaySend(&m, Peer{0, 300}, worker, 7, 1, 0.1, time.Hour) {
 		t.Error("one that has met nothing sends")
 	}
-	if m.Arrived(0.1, time.Hour); rules.Passes(&m, Sharer{0, 300}, c, 7, 1, 0.1, time.Hour) {
+	if m.RecordArrival(0.1, time.Hour); rules.MaySend(&m, Peer{0, 300}, worker, 7, 1, 0.1, time.Hour) {
 		t.Error("the first request may go")
 	}
 }
--- a/decision/warmupbudget/ration_test.go
+++ b/decision/warmupbudget/warmupbudget_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-var rules = Rules{ColdShare: 0.13, WarmUp: 23 * time.Second, FallMultiple: 2.5, FallWindow: time.Second}
+var rules = Rules{InitialCapacity: 0.13, WarmUp: 23 * time.Second, OverloadMultiple: 2.5, OverloadWindow: time.Second}
 
 // sending is work that one of the sharers has sent.
 type sending struct {
@@ -15,13 +15,13 @@
 	work float64
 }
 
-// greedy has every sharer send all that it may, one job of the given work after another.
-func greedy(sharers int, work float64, start, span, skew time.Duration) (all []sending) {
-	bills := make([]Bill, sharers)
+// sendGreedily has every sharer send all that it may, one job of the given work after another.
+func sendGreedily(sharers int, work float64, start, span, skew time.Duration) (all []sending) {
+	bills := make([]LeakyBucket, sharers)
 	for now := start; now < start+span; now += 10 * time.Millisecond {
 		for i := range bills {
 			own := now + skew*time.Duration(i%2)
-			for rules.Bears(&bills[i], Sharer{i, sharers}, 4, start, own, work) {
+			for rules.Allows(&bills[i], Peer{i, sharers}, 4, start, own, work) {
 				bills[i].Add(work)
 				all = append(all, sending{now, work})
 			}
@@ -30,24 +30,24 @@
 	return all
 }
 
-// TestFewSharersKeepTheWindow guards rule 4 for all dispatchers together, whatever their
+// TestFewPeersKeepToWindow guards rule 4 for all dispatchers together, whatever their
 // number up to that from which they share by leaves, and even with clocks that differ.
-func TestFewSharersKeepTheWindow(t *testing.T) {
+func TestFewPeersKeepToWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sharers := rapid.IntRange(1, Many).Draw(t, "sharers")
+		sharers := rapid.IntRange(1, MinSampledPeers).Draw(t, "sharers")
 		work := rapid.Float64Range(0.01, 3).Draw(t, "work")
 		start := time.Duration(rapid.Int64Range(1, 1e6).Draw(t, "start")) * time.Millisecond
 		skew := time.Duration(rapid.IntRange(0, 40).Draw(t, "skew")) * time.Millisecond
-		all := greedy(sharers, work, start, 6*time.Second, skew)
+		all := sendGreedily(sharers, work, start, 6*time.Second, skew)
 		first, sum := 0, 0.0
 		for _, s := range all {
 			sum += s.work
-			for s.at-all[first].at > rules.FallWindow {
+			for s.at-all[first].at > rules.OverloadWindow {
 				sum -= all[first].work
 				first++
 			}
 			// The bill of few may begin with a window's budget and go on at the rate.
-			bears := 2 * rules.share(s.at-start) * 4 * rules.FallMultiple * rules.FallWindow.Seconds()
+			bears := 2 * rules.capacityAtAge(s.at-start) * 4 * rules.OverloadMultiple * rules.OverloadWindow.Seconds()
 			if sum > bears {
 				t.Fatalf("%d sharers sent %.2f s of work within a window, %.2f is too much", sharers, sum, bears)
 			}
@@ -55,21 +55,21 @@
 	})
 }
 
-// TestJoinsByShare guards half warm workers: as many of a hundred dispatchers choose
+// TestInRotationByCapacity guards half warm workers: as many of a hundred dispatchers choose
 // among them as they have of their capacity, and not the same ones all the time.
-func TestJoinsByShare(t *testing.T) {
+func TestInRotationByCapacity(t *testing.T) {
 	for _, age := range []time.Duration{8 * time.Second, 12 * time.Second, 16 * time.Second} {
 		joined, ever := 0, map[int]bool{}
 		for turn := range 100 {
-			now := time.Hour + age + time.Duration(turn)*rules.FallWindow/2
+			now := time.Hour + age + time.Duration(turn)*rules.OverloadWindow/2
 			for i := range 100 {
-				if rules.Joins(Sharer{i, 100}, time.Hour+time.Duration(turn)*rules.FallWindow/2, now) {
+				if rules.InRotation(Peer{i, 100}, time.Hour+time.Duration(turn)*rules.OverloadWindow/2, now) {
 					joined++
 					ever[i] = true
 				}
 			}
 		}
-		share := rules.share(age)
+		share := rules.capacityAtAge(age)
 		if got := float64(joined) / 1e4; got < share-0.03 || got > share+0.03 || len(ever) < 100 {
 			t.Errorf("after %v %.2f of the dispatchers join, %d ever, want %.2f and all", age, got, len(ever), share)
 		}
--- a/internal/dispatcher/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -32,24 +32,24 @@
 
 // Config is what a dispatcher is told when it starts.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Console   string // the operators' address; empty for none
-	Inherited int    // the descriptor of a listening socket that the platform holds; 0 for none
-	Seed      uint64
-	Limits    Limits
-	Known     json.RawMessage // the list as last held, in discovery's form; it may be old or absent
-	Module    decision.Config
-	Names     wire.Names
-	Gone      []bool // by class: the file in force has it no more
-	Log       settings.Log
-	Telemetry export.Options
-	State     settings.State
-	Cluster   settings.Cluster
-	Gang      settings.Gang
-	Gearman   settings.Gearman
-	Warnings  []string // values of the environment that are passed over
+	Name           string
+	Listen         string
+	Discovery      string
+	Console        string // the operators' address; empty for none
+	ListenFD       int    // the descriptor of a listening socket that the platform holds; 0 for none
+	Seed           uint64
+	Limits         Limits
+	KnownMembers   json.RawMessage // the list as last held, in discovery's form; it may be old or absent
+	Module         decision.Config
+	Names          wire.Names
+	RemovedClasses []bool // by class: the file in force has it no more
+	Log            settings.Log
+	Telemetry      export.Options
+	State          settings.State
+	Cluster        settings.Cluster
+	Gang           settings.Gang
+	Gearman        settings.Gearman
+	Warnings       []string // values of the environment that are passed over
 
 	keys map[string]any // the file, as it is
 }
@@ -70,9 +70,9 @@
 const MinSockets = 64
 
 // Load reads the environment and the files. Source says whose word counts.
-func Load(src Source) (Config, error) {
-	c, err := load(src, false)
-	c.Gone = make([]bool, len(c.Names.Classes))
+func Load(source Source) (Config, error) {
+	c, err := load(source, false)
+	c.RemovedClasses = make([]bool, len(c.Names.Classes))
 	return c, err
 }
 
@@ -80,52 +80,52 @@
 // force. Guards against a new file that changes nothing: the environment of a running
 // process is that of its start, so here the file's discovery goes before it. The file
 // is turned down whole if anything in it can't be meant.
-func (c Config) Reload(src Source) (Config, error) {
-	next, err := load(src, true)
+func (c Config) Reload(source Source) (Config, error) {
+	next, err := load(source, true)
 	if err != nil {
 		return Config{}, err
 	}
-	if key := lacking(c.keys, next.keys); key != "" {
+	if key := missingKey(c.keys, next.keys); key != "" {
 		return Config{}, fmt.Errorf("%s is missing", key)
 	}
 	if next.Module.Limits.MaxAttempts <= 0 {
 		return Config{}, errors.New("settings: policy-limits.send-cap is no number above 0")
 	}
 	for i, class := range next.Module.Classes {
-		if class.GiveUp <= 0 {
+		if class.ClientTimeout <= 0 {
 			return Config{}, fmt.Errorf("settings: request-classes[%d].give-up is no number above 0", i)
 		}
 		if slices.Index(next.Names.Classes, next.Names.Classes[i]) < i {
 			return Config{}, fmt.Errorf("settings: request-classes[%d].name is there twice", i)
 		}
 	}
-	return c.over(next), nil
+	return c.renumberClasses(next), nil
 }
 
-// over numbers the classes of the next configuration as this one does: by name, new
+// renumberClasses numbers the classes of the next configuration as this one does: by name, new
 // ones after all others. One that is gone keeps its number, as jobs of it may be open.
-func (c Config) over(next Config) Config {
+func (c Config) renumberClasses(next Config) Config {
 	classes, names := slices.Clone(c.Module.Classes), slices.Clone(c.Names.Classes)
-	gone := slices.Repeat([]bool{true}, len(names))
+	removed := slices.Repeat([]bool{true}, len(names))
 	for i, name := range next.Names.Classes {
 		n := slices.Index(names, name)
 		if n < 0 {
 			n = len(names)
-			names, classes, gone = append(names, name), append(classes, decision.Class{}), append(gone, false)
+			names, classes, removed = append(names, name), append(classes, decision.Class{}), append(removed, false)
 		}
-		classes[n], gone[n] = next.Module.Classes[i], false
+		classes[n], removed[n] = next.Module.Classes[i], false
 	}
-	next.Names.Classes, next.Module.Classes, next.Gone = names, classes, gone
+	next.Names.Classes, next.Module.Classes, next.RemovedClasses = names, classes, removed
 	return next
 }
 
-// Keep returns the next configuration with what only a start can take as it is in this
+// KeepStartOnly returns the next configuration with what only a start can take as it is in this
 // one, and the names of what differs there.
-func (c Config) Keep(next Config) (Config, []string) {
-	var waits []string
+func (c Config) KeepStartOnly(next Config) (Config, []string) {
+	var startOnly []string
 	keep := func(name string, same bool) {
 		if !same {
-			waits = append(waits, name)
+			startOnly = append(startOnly, name)
 		}
 	}
 	keep("name", c.Name == next.Name)
@@ -148,8 +148,8 @@
 		next.Gearman = c.Gearman
 		next.Gearman.Functions = g.Functions
 	}
-	keep("discovery's way", c.Module.PullList == next.Module.PullList && c.Names.Pushed == next.Names.Pushed)
-	keep("cluster", c.Cluster.Listen == next.Cluster.Listen && c.Cluster.Advertise == next.Cluster.Advertise && c.Cluster.Dir == next.Cluster.Dir && c.Cluster.Keep == next.Cluster.Keep && c.Cluster.Stages == next.Cluster.Stages && c.Cluster.Workflows == next.Cluster.Workflows && c.Cluster.Undos == next.Cluster.Undos && c.Cluster.Paced == next.Cluster.Paced &&
+	keep("discovery's way", c.Module.PullMembers == next.Module.PullMembers && c.Names.Pushed == next.Names.Pushed)
+	keep("cluster", c.Cluster.Listen == next.Cluster.Listen && c.Cluster.Advertise == next.Cluster.Advertise && c.Cluster.Dir == next.Cluster.Dir && c.Cluster.WatermarkDir == next.Cluster.WatermarkDir && c.Cluster.StagedRejoin == next.Cluster.StagedRejoin && c.Cluster.Workflows == next.Cluster.Workflows && c.Cluster.MaxCompensations == next.Cluster.MaxCompensations && c.Cluster.PacedAdmission == next.Cluster.PacedAdmission &&
 		c.Cluster.Discovery == next.Cluster.Discovery && slices.Equal(c.Cluster.Join, next.Cluster.Join) && slices.Equal(c.Cluster.Voters, next.Cluster.Voters))
 	keep("gang", c.Gang == next.Gang)
 	next.State, next.Cluster, next.Gang = c.State, c.Cluster, c.Gang
@@ -157,34 +157,34 @@
 	next.Name, next.Listen, next.Console, next.Limits, next.Names = c.Name, c.Listen, c.Console, c.Limits, c.Names
 	next.Names.Classes, next.Names.Tenants = names, tenants
 	m := &next.Module
-	m.Metrics, m.Limits.ConnectTimeout, m.PullList = c.Module.Metrics, c.Module.Limits.ConnectTimeout, c.Module.PullList
+	m.Metrics, m.Limits.ConnectTimeout, m.PullMembers = c.Module.Metrics, c.Module.Limits.ConnectTimeout, c.Module.PullMembers
 	m.Instance, m.Zone, m.Zones = c.Module.Instance, c.Module.Zone, c.Module.Zones
-	return next, waits
+	return next, startOnly
 }
 
-// lacking returns a key that the file in force has and the next one lacks, empty for
+// missingKey returns a key that the file in force has and the next one lacks, empty for
 // none. Of objects in a list each has to have what all in force have; the list of
 // runners is discovery's and may hold what it likes.
-func lacking(inForce, next map[string]any) string {
+func missingKey(inForce, next map[string]any) string {
 	for _, key := range slices.Sorted(maps.Keys(inForce)) {
-		was, is := inForce[key], next[key]
-		if is == nil && was != nil {
+		current, is := inForce[key], next[key]
+		if is == nil && current != nil {
 			return key
 		}
 		if key == "known" {
 			continue
 		}
-		switch was := was.(type) {
+		switch current := current.(type) {
 		case map[string]any:
 			is, _ := is.(map[string]any)
-			if sub := lacking(was, is); sub != "" {
+			if sub := missingKey(current, is); sub != "" {
 				return key + "." + sub
 			}
 		case []any:
 			is, _ := is.([]any)
 			for i := range is {
 				of, _ := is[i].(map[string]any)
-				if sub := lacking(common(was), of); sub != "" {
+				if sub := missingKey(commonKeys(current), of); sub != "" {
 					return fmt.Sprintf("%s[%d].%s", key, i, sub)
 				}
 			}
@@ -193,8 +193,8 @@
 	return ""
 }
 
-// common returns the keys that all objects of a list have.
-func common(list []any) map[string]any {
+// commonKeys returns the keys that all objects of a list have.
+func commonKeys(list []any) map[string]any {
 	var all map[string]any
 	for i := range list {
 		of, _ := list[i].(map[string]any)
@@ -206,49 +206,49 @@
 	return all
 }
 
-func load(src Source, fileFirst bool) (Config, error) {
-	t, err := src.read()
+func load(source Source, fileFirst bool) (Config, error) {
+	document, err := source.read()
 	if err != nil {
 		return Config{}, err
 	}
-	path, text, getenv := t.path, t.json, src.Getenv
-	f := file{Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
-	if err := json.Unmarshal(text, &f); err != nil {
+	path, text, getenv := document.path, document.json, source.Getenv
+	parsed := file{Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
+	if err := json.Unmarshal(text, &parsed); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
 	for _, v := range []struct {
 		name string
 		to   *string
 		keep bool
-	}{{"BALANCER_NAME", &f.Name, false}, {"BALANCER_LISTEN", &f.Listen, false},
-		{"BALANCER_CONSOLE", &f.Console, false}, {"BALANCER_DISCOVERY", &f.Discovery, fileFirst && f.Discovery != ""}} {
+	}{{"BALANCER_NAME", &parsed.Name, false}, {"BALANCER_LISTEN", &parsed.Listen, false},
+		{"BALANCER_CONSOLE", &parsed.Console, false}, {"BALANCER_DISCOVERY", &parsed.Discovery, fileFirst && parsed.Discovery != ""}} {
 		if s := getenv(v.name); s != "" && !v.keep {
 			*v.to = s
 		}
 	}
-	fixed := t.settings != nil && f.Discovery == "" && len(f.Known) > 0
-	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Console: f.Console, Limits: f.Limits, Known: f.Known, keys: t.keys}
+	fixed := document.settings != nil && parsed.Discovery == "" && len(parsed.Known) > 0
+	c := Config{Name: parsed.Name, Listen: parsed.Listen, Discovery: parsed.Discovery, Console: parsed.Console, Limits: parsed.Limits, KnownMembers: parsed.Known, keys: document.keys}
 	if fd := getenv("BALANCER_FD"); fd != "" {
-		if c.Inherited, err = strconv.Atoi(fd); err != nil || c.Inherited <= 2 {
+		if c.ListenFD, err = strconv.Atoi(fd); err != nil || c.ListenFD <= 2 {
 			return Config{}, fmt.Errorf("BALANCER_FD: %q is not an inherited descriptor", fd)
 		}
 	}
 	if err := c.check(fixed); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.Seed, err = seed(f.Seed); err != nil {
+	if c.Seed, err = parseSeed(parsed.Seed); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if len(f.Settings) == 0 {
+	if len(parsed.Settings) == 0 {
 		return Config{}, fmt.Errorf("%s: settings are missing", path)
 	}
-	if c.Module, err = wire.ParseSettings(f.Settings); err != nil {
+	if c.Module, err = wire.ParseSettings(parsed.Settings); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.Names, err = wire.ParseNames(f.Settings); err != nil {
+	if c.Names, err = wire.ParseNames(parsed.Settings); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if c.Discovery != "" && !c.Module.PullList && !c.Names.Pushed { // it would never be read
+	if c.Discovery != "" && !c.Module.PullMembers && !c.Names.Pushed { // it would never be read
 		return Config{}, fmt.Errorf("%s: settings: discovery is missing: on_request where it has to be asked, pushed where an agent holds the list", path)
 	}
 	for i, name := range c.Names.Classes {
@@ -256,13 +256,13 @@
 			return Config{}, fmt.Errorf("%s: settings: request-classes[%d].name is missing", path, i)
 		}
 	}
-	var said settings.Telemetry
+	var telemetry settings.Telemetry
 	c.State = settings.DefaultState()
-	if t.settings != nil {
-		said, c.State, c.Gearman, c.Cluster, c.Gang = t.settings.Telemetry, t.settings.State, t.settings.Gearman, t.settings.Cluster, t.settings.Gang
+	if document.settings != nil {
+		telemetry, c.State, c.Gearman, c.Cluster, c.Gang = document.settings.Telemetry, document.settings.State, document.settings.Gearman, document.settings.Cluster, document.settings.Gang
 	}
 	c.State.Dir = cmp.Or(getenv("FROSTTIDE_STATE_DIR"), c.State.Dir)
-	if c.Telemetry, c.Warnings, err = export.Resolve(said, c.Name, getenv); err != nil {
+	if c.Telemetry, c.Warnings, err = export.Resolve(telemetry, c.Name, getenv); err != nil {
 		return Config{}, err
 	}
 	for name, class := range c.Gearman.Functions {
@@ -274,7 +274,7 @@
 			return Config{}, fmt.Errorf("%s: gearman.functions.%s: %q is not among the first 64 classes", path, name, class)
 		}
 	}
-	c.Log = src.log(t)
+	c.Log = source.log(document)
 	if _, err := logrus.ParseLevel(c.Log.Level); err != nil {
 		return Config{}, fmt.Errorf("log level: %w", err)
 	}
@@ -317,8 +317,8 @@
 	return nil
 }
 
-// seed reads the seed for random numbers; without one it draws one.
-func seed(text string) (uint64, error) {
+// parseSeed reads the seed for random numbers; without one it draws one.
+func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return rand.Uint64(), nil
 	}
--- a/internal/dispatcher/config/source.go
+++ b/internal/dispatcher/config/source.go
@@ -18,15 +18,15 @@
 // flags go first, then the environment, the platform's JSON file, the settings file and
 // the defaults.
 type Source struct {
-	Getenv func(string) string
-	Path   string // of the settings file; empty for none
-	Text   []byte // what the settings file says, where it is not to be read
-	Level  string // of the log, by a flag
-	Format string // of the log, by a flag
+	Getenv       func(string) string
+	Path         string // of the settings file; empty for none
+	SettingsText []byte // what the settings file says, where it is not to be read
+	LogLevel     string // of the log, by a flag
+	LogFormat    string // of the log, by a flag
 }
 
-// text is the configuration in the platform's form, and where it was read.
-type text struct {
+// sourceDocument is the configuration in the platform's form, and where it was read.
+type sourceDocument struct {
 	json     []byte
 	keys     map[string]any // what the platform's file says, nothing else
 	path     string
@@ -35,42 +35,42 @@
 
 // read reads the files and lays the platform's over the settings. Without a settings
 // file the platform's is taken as it stands.
-func (s Source) read() (t text, err error) {
-	if s.Path != "" {
-		if s.Text != nil {
-			t.settings, err = settings.Parse(s.Path, s.Text)
+func (source Source) read() (document sourceDocument, err error) {
+	if source.Path != "" {
+		if source.SettingsText != nil {
+			document.settings, err = settings.Parse(source.Path, source.SettingsText)
 		} else {
-			t.settings, err = settings.Read(s.Path)
+			document.settings, err = settings.Read(source.Path)
 		}
 		if err != nil {
-			return text{}, err
+			return sourceDocument{}, err
 		}
 	}
-	path := s.Getenv("BALANCER_CONFIG")
+	path := source.Getenv("BALANCER_CONFIG")
 	switch {
-	case path == "" && t.settings == nil:
-		return text{}, errors.New("BALANCER_CONFIG is not set; it names the configuration file")
+	case path == "" && document.settings == nil:
+		return sourceDocument{}, errors.New("BALANCER_CONFIG is not set; it names the configuration file")
 	case path == "":
-		t.path = s.Path
-		t.json, err = json.Marshal(t.settings.Platform)
-		return t, err
+		document.path = source.Path
+		document.json, err = json.Marshal(document.settings.Platform)
+		return document, err
 	}
-	t.path = path
-	if t.json, err = os.ReadFile(path); err != nil {
-		return text{}, fmt.Errorf("BALANCER_CONFIG: %w", err)
+	document.path = path
+	if document.json, err = os.ReadFile(path); err != nil {
+		return sourceDocument{}, fmt.Errorf("BALANCER_CONFIG: %w", err)
 	}
-	if t.keys, err = object(t.json); err != nil {
-		return text{}, fmt.Errorf("%s: %w", path, err)
+	if document.keys, err = parseObject(document.json); err != nil {
+		return sourceDocument{}, fmt.Errorf("%s: %w", path, err)
 	}
-	if t.settings != nil {
-		t.path = s.Path + " under " + path
-		t.json, err = json.Marshal(over(t.settings.Platform, t.keys))
+	if document.settings != nil {
+		document.path = source.Path + " under " + path
+		document.json, err = json.Marshal(merge(document.settings.Platform, document.keys))
 	}
-	return t, err
+	return document, err
 }
 
-// object reads a JSON object; numbers stay as they are written.
-func object(text []byte) (map[string]any, error) {
+// parseObject reads a JSON object; numbers stay as they are written.
+func parseObject(text []byte) (map[string]any, error) {
 	var keys map[string]any
 	if err := json.Unmarshal(text, &keys); err != nil {
 		return nil, err
@@ -81,14 +81,14 @@
 	return keys, in.Decode(&keys)
 }
 
-// over returns the base with all that the other says in its place; lists go whole.
-func over(base, other map[string]any) map[string]any {
+// merge returns the base with all that the other says in its place; lists go whole.
+func merge(base, other map[string]any) map[string]any {
 	out := maps.Clone(base)
 	for key, v := range other {
 		a, isTable := out[key].(map[string]any)
 		b, both := v.(map[string]any)
 		if isTable && both {
-			v = over(a, b)
+			v = merge(a, b)
 		}
 		out[key] = v
 	}
@@ -96,45 +96,45 @@
 }
 
 // log returns how to log.
-func (s Source) log(t text) settings.Log {
+func (source Source) log(document sourceDocument) settings.Log {
 	var l settings.Log
-	if t.settings != nil {
-		l = t.settings.Log
+	if document.settings != nil {
+		l = document.settings.Log
 	}
 	return settings.Log{
-		Level:  cmp.Or(s.Level, s.Getenv("FROSTTIDE_LOG_LEVEL"), l.Level, "info"),
-		Format: cmp.Or(s.Format, s.Getenv("FROSTTIDE_LOG_FORMAT"), l.Format, "text"),
+		Level:  cmp.Or(source.LogLevel, source.Getenv("FROSTTIDE_LOG_LEVEL"), l.Level, "info"),
+		Format: cmp.Or(source.LogFormat, source.Getenv("FROSTTIDE_LOG_FORMAT"), l.Format, "text"),
 	}
 }
 
 // Explain reads a configuration as Load does and tells each value with its source.
-func Explain(src Source) (Config, []settings.Value, error) {
-	c, err := Load(src)
+func Explain(source Source) (Config, []settings.Value, error) {
+	c, err := Load(source)
 	if err != nil {
 		return Config{}, nil, err
 	}
-	t, err := src.read()
+	document, err := source.read()
 	if err != nil {
 		return Config{}, nil, err
 	}
 	var values []settings.Value
-	leaves, said := map[string]string{}, map[string]bool{}
-	flatten("", t.keys, leaves)
-	if t.settings != nil {
-		for _, v := range t.settings.Values {
-			if text, ok := leaves[v.To]; ok && v.To != "" && !strings.Contains(v.Key, "[") {
-				v.Text, v.Source = text, t.path[strings.LastIndex(t.path, " ")+1:]
-				said[v.To] = true
+	platformValues, shown := map[string]string{}, map[string]bool{}
+	flatten("", document.keys, platformValues)
+	if document.settings != nil {
+		for _, v := range document.settings.Values {
+			if text, ok := platformValues[v.PlatformKey]; ok && v.PlatformKey != "" && !strings.Contains(v.Key, "[") {
+				v.Text, v.Source = text, document.path[strings.LastIndex(document.path, " ")+1:]
+				shown[v.PlatformKey] = true
 			}
-			if list, _, item := strings.Cut(v.Key, "["); item && replaced(t.keys, list) {
+			if list, _, item := strings.Cut(v.Key, "["); item && replacesList(document.keys, list) {
 				continue // the platform's list goes in its place
 			}
 			values = append(values, v)
 		}
 	}
-	for _, key := range slices.Sorted(maps.Keys(leaves)) {
-		if !said[key] {
-			values = append(values, settings.Value{Key: key, Text: leaves[key], Source: src.Getenv("BALANCER_CONFIG"), To: key})
+	for _, key := range slices.Sorted(maps.Keys(platformValues)) {
+		if !shown[key] {
+			values = append(values, settings.Value{Key: key, Text: platformValues[key], Source: source.Getenv("BALANCER_CONFIG"), PlatformKey: key})
 		}
 	}
 	for _, v := range []struct{ variable, key, to, is string }{{"BALANCER_NAME", "name", "name", c.Name},
@@ -142,30 +142,30 @@
 		{"BALANCER_DISCOVERY", "discovery.address", "discovery", c.Discovery},
 		{"FROSTTIDE_STATE_DIR", "state.dir", "", c.State.Dir},
 		{"FROSTTIDE_LOG_LEVEL", "log.level", "", c.Log.Level}, {"FROSTTIDE_LOG_FORMAT", "log.format", "", c.Log.Format}} {
-		if src.Getenv(v.variable) != "" {
-			values = put(values, v.key, v.to, v.is, "$"+v.variable)
+		if source.Getenv(v.variable) != "" {
+			values = setValue(values, v.key, v.to, v.is, "$"+v.variable)
 		}
 	}
-	for flag, is := range map[string]string{"level": src.Level, "format": src.Format} {
+	for flag, is := range map[string]string{"level": source.LogLevel, "format": source.LogFormat} {
 		if is != "" {
-			values = put(values, "log."+flag, "", is, "--log-"+flag)
+			values = setValue(values, "log."+flag, "", is, "--log-"+flag)
 		}
 	}
-	return c, append(values, c.Telemetry.Told()...), nil
+	return c, append(values, c.Telemetry.Values()...), nil
 }
 
-// replaced tells whether the platform's file has a list that goes in the place of one of
+// replacesList tells whether the platform's file has a list that goes in the place of one of
 // the settings'.
-func replaced(keys map[string]any, list string) bool {
+func replacesList(keys map[string]any, list string) bool {
 	if list == "runner" {
 		return keys["known"] != nil
 	}
-	s, _ := keys["settings"].(map[string]any)
-	return s["request-classes"] != nil
+	source, _ := keys["settings"].(map[string]any)
+	return source["request-classes"] != nil
 }
 
-// put sets a value that is told already, or tells it.
-func put(values []settings.Value, key, to, text, source string) []settings.Value {
+// setValue sets a value that is told already, or tells it.
+func setValue(values []settings.Value, key, to, text, source string) []settings.Value {
 	for i := range values {
 		if v := &values[i]; v.Key == key || to != "" && v.Key == to {
 			v.Text, v.Source = fmt.Sprintf("%q", text), source
--- a/internal/dispatcher/console/console.go
+++ b/internal/dispatcher/console/console.go
@@ -19,14 +19,14 @@
 
 const (
 	// Sockets is how many descriptors the console uses at most, its listener's too.
-	Sockets = places + 1
-	places  = 7
-	// hearTime is how long a call may take to arrive: whoever makes one waits 1 s.
-	hearTime = 1500 * time.Millisecond
-	// doTime is how long a call may take to be done, and tellTime how much later the
+	Sockets    = maxCallers + 1
+	maxCallers = 7
+	// requestTimeout is how long a call may take to arrive: whoever makes one waits 1 s.
+	requestTimeout = 1500 * time.Millisecond
+	// operationTimeout is how long a call may take to be done, and tellTime how much later the
 	// caller hears that it was not: within 1 s in all.
-	doTime   = 600 * time.Millisecond
-	tellTime = 150 * time.Millisecond
+	operationTimeout = 600 * time.Millisecond
+	responseMargin   = 150 * time.Millisecond
 	// maxCall bounds the body of a call.
 	maxCall = 4 << 10
 )
@@ -72,7 +72,7 @@
 	}
 	mux.HandleFunc("PUT /api/exclude", func(w http.ResponseWriter, r *http.Request) { c.exclude(w, r, true) })
 	mux.HandleFunc("PUT /api/include", func(w http.ResponseWriter, r *http.Request) { c.exclude(w, r, false) })
-	c.server = &http.Server{Handler: mux, ReadTimeout: hearTime, WriteTimeout: 2 * hearTime, MaxHeaderBytes: 4 << 10,
+	c.server = &http.Server{Handler: mux, ReadTimeout: requestTimeout, WriteTimeout: 2 * requestTimeout, MaxHeaderBytes: 4 << 10,
 		ErrorLog: stdlog.New(log.WriterLevel(logrus.DebugLevel), "", 0)}
 	c.server.SetKeepAlivesEnabled(false)
 	return c
@@ -80,13 +80,13 @@
 
 // Serve answers until the listener is closed.
 func (c *Console) Serve(l net.Listener) {
-	err := c.server.Serve(&door{Listener: neterr.Listener{Listener: l}})
+	err := c.server.Serve(&callerListener{Listener: neterr.Listener{Listener: l}})
 	c.log.WithError(err).Debug("console closed")
 }
 
 // exclude has a runner left out, or put back.
 func (c *Console) exclude(w http.ResponseWriter, r *http.Request, out bool) {
-	by := time.Now().Add(doTime)
+	by := time.Now().Add(operationTimeout)
 	var call struct {
 		Host string `json:"host"`
 	}
@@ -98,18 +98,18 @@
 		http.Error(w, `the body is to be {"host":"ID"}`, http.StatusBadRequest)
 		return
 	}
-	told := make(chan error, 1)
-	c.core.Exclude(call.Host, out, by, func(err error) { told <- err })
-	late := time.NewTimer(time.Until(by.Add(tellTime)))
-	defer late.Stop()
+	result := make(chan error, 1)
+	c.core.Exclude(call.Host, out, by, func(err error) { result <- err })
+	timer := time.NewTimer(time.Until(by.Add(responseMargin)))
+	defer timer.Stop()
 	select {
-	case err := <-told:
+	case err := <-result:
 		if errors.Is(err, ErrUnknown) {
 			http.Error(w, err.Error(), http.StatusNotFound)
 		} else if err != nil {
 			http.Error(w, "not done: "+err.Error(), http.StatusServiceUnavailable)
 		}
-	case <-late.C:
+	case <-timer.C:
 		http.Error(w, "not done, try again", http.StatusServiceUnavailable)
 	}
 }
--- a/internal/dispatcher/core/door_test.go
+++ b/internal/dispatcher/core/admission_test.go
@@ -11,41 +11,41 @@
 	"frosttide/internal/dispatcher/fleet/recovery/admission"
 )
 
-// TestDoor guards what comes in and goes out while a dispatcher comes back: nothing at a closed
+// TestAdmissionWhileRejoining guards what comes in and goes out while a dispatcher comes back: nothing at a closed
 // door, nothing that must not run twice before it may, nothing by what was decided before a
 // standstill, and no hop after one until the door is opened anew.
-func TestDoor(t *testing.T) {
+func TestAdmissionWhileRejoining(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	cfg := decision.Config{Instances: 1, Classes: []decision.Class{{GiveUp: time.Minute, Objective: time.Second, WorkerKind: -1},
-		{Effect: decision.Keyed, Window: time.Minute, GiveUp: time.Minute, Objective: time.Second, WorkerKind: -1}}, Limits: decision.Limits{MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second}}
-	sent := &sends{}
-	c, err := New(cfg, 1, sent, noList{}, func(int, int) {}, logrus.NewEntry(log))
+	cfg := decision.Config{Instances: 1, Classes: []decision.Class{{ClientTimeout: time.Minute, Objective: time.Second, WorkerKind: -1},
+		{Effect: decision.Keyed, DedupWindow: time.Minute, ClientTimeout: time.Minute, Objective: time.Second, WorkerKind: -1}}, Limits: decision.Limits{MaxAttempts: 3, RetryAfter: true, MaxRetryAfter: time.Second}}
+	sent := &sendCounter{}
+	c, err := New(cfg, 1, sent, emptyRouteTable{}, func(int, int) {}, logrus.NewEntry(log))
 	if err != nil {
 		t.Fatal(err)
 	}
 	var woke []time.Duration
 	c.Guard(func(still time.Duration) { woke = append(woke, still) })
-	at := c.clock(time.Now())
+	at := c.moduleTime(time.Now())
 	c.now = at
-	c.listed(decision.MembersReplaced, []Route{{UID: "s-1", Addr: "x"}, {UID: "s-2", Addr: "y"}})
+	c.updateMembers(decision.MembersReplaced, []Route{{UID: "s-1", Addr: "x"}, {UID: "s-2", Addr: "y"}})
 	c.step()
 	n := 0
 	try := func(class int) (answered bool) {
 		n++
-		c.guard.look(c.now)
-		got := make(answers, 1)
+		c.guard.observe(c.now)
+		got := make(responses, 1)
 		job := &Job{ID: string(rune('a' + n)), Class: class, Slots: 1, Deadline: time.Now().Add(time.Minute)}
 		c.Submit(job, got)
-		for _, message := range c.box.Drain(nil) {
+		for _, message := range c.mailbox.Drain(nil) {
 			message(c)
 		}
 		c.step()
 		return len(got) == 1
 	}
 	open := func(l admission.Level, keyed bool, first, stood int) {
-		c.Open(l, keyed, first, stood)
-		for _, message := range c.box.Drain(nil) {
+		c.SetAdmission(l, keyed, first, stood)
+		for _, message := range c.mailbox.Drain(nil) {
 			message(c)
 		}
 	}
@@ -63,7 +63,7 @@
 	if try(1) || sent.n != 2 {
 		t.Error("a wide door let nobody in")
 	}
-	c.now = at + stillAfter(cfg.Rules.DrainGrace)
+	c.now = at + stallBound(cfg.Rules.DrainGrace)
 	if !try(0) || sent.n != 2 || len(woke) != 1 {
 		t.Errorf("after a standstill %d were sent, and it was noticed %d times", sent.n, len(woke))
 	}
@@ -71,7 +71,7 @@
 	if !try(0) || sent.n != 2 {
 		t.Error("what was decided before the standstill opened the door")
 	}
-	c.event(decision.Event{Type: decision.AttemptEnded, Request: 1, Worker: 1, Outcome: decision.Errored})
+	c.addEvent(decision.Event{Type: decision.AttemptEnded, Request: 1, Worker: 1, Outcome: decision.Errored})
 	c.step()
 	if sent.n != 2 {
 		t.Error("a further attempt was sent by what was known before the standstill")
@@ -82,12 +82,12 @@
 	}
 }
 
-// sends counts hops.
-type sends struct{ n int }
+// sendCounter counts hops.
+type sendCounter struct{ n int }
 
-func (s *sends) Open(decision.WorkerID, string, string) Target { return s }
-func (s *sends) Send(Hop)                                      { s.n++ }
-func (s *sends) GiveUp(Hop)                                    {}
-func (s *sends) Probe(time.Time)                               {}
-func (s *sends) Move(string)                                   {}
-func (s *sends) Close()                                        {}
+func (s *sendCounter) Open(decision.WorkerID, string, string) Backend { return s }
+func (s *sendCounter) Send(Attempt)                                   { s.n++ }
+func (s *sendCounter) Cancel(Attempt)                                 {}
+func (s *sendCounter) Probe(time.Time)                                {}
+func (s *sendCounter) SetAddress(string)                              {}
+func (s *sendCounter) Close()                                         {}
--- a/internal/dispatcher/core/terms.go
+++ b/internal/dispatcher/core/api.go
@@ -18,22 +18,22 @@
 	Key      string // idempotency key, empty for none
 	Body     []byte
 
-	Class    int
-	Tenant   int // whose it is, from 1 in the order of the settings; 0 for nobody's
-	Slots    float64
-	Memory   float64
-	Subject  uint64        // what the request concerns; 0 for none
-	Hint     time.Duration // a rough estimate of the work; 0 for none
-	Retry    bool          // a client's repeat
-	Ending   bool          // the deadline is the end of this process
-	Gang     *Gang         // the gang that it is a part of; nil for none
-	Owed     bool          // it undoes what was done: it is not shed as new work is
-	Places   Places        // agrees on where it goes; nil for nobody
-	Gone     func() bool   // tells at once, from any goroutine, whether its client has left; nil for unknown
-	counted  bool          // the door has let it in and counts it
-	Deadline time.Time
-
-	Story *trace.Story // nil for none; from Submit on it is the core's
+	Class            int
+	Tenant           int // whose it is, from 1 in the order of the settings; 0 for nobody's
+	Slots            float64
+	Memory           float64
+	Subject          uint64        // what the request concerns; 0 for none
+	Hint             time.Duration // a rough estimate of the work; 0 for none
+	Retry            bool          // a client's repeat
+	ProcessStopping  bool          // the deadline is the end of this process
+	Gang             *Gang         // the gang that it is a part of; nil for none
+	Compensating     bool          // it undoes what was done: it is not shed as new work is
+	Placements       Placements    // agrees on where it goes; nil for nobody
+	ClientLeft       func() bool   // tells at once, from any goroutine, whether its client has left; nil for unknown
+	admissionCounted bool          // the door has let it in and counts it
+	Deadline         time.Time
+
+	Record *trace.Record // nil for none; from Submit on it is the core's
 }
 
 // Gang names a part of a gang of jobs, which is as late as its slowest part.
@@ -42,14 +42,14 @@
 	N, Of int // from 1
 }
 
-// Gangs watches the parts of gangs. None of its methods blocks.
-type Gangs interface {
+// GangObserver watches the parts of gangs. None of its methods blocks.
+type GangObserver interface {
 	Joined(job *Job, left time.Duration)
 	Sent(job *Job, attempt int, uid string)
 	Started(job *Job, attempt int)
-	Reported(job *Job, attempt int, share float64)
+	Progressed(job *Job, attempt int, share float64)
 	Ended(job *Job, attempt int, served bool)
-	Gone(job *Job)
+	Closed(job *Job)
 }
 
 // Verdict is the kind of a final answer.
@@ -58,14 +58,14 @@
 // The final answers.
 const (
 	Served    Verdict = iota // Result is what a runner gave
-	Shed                     // refused: trying again is harmless
+	Rejected                 // refused: trying again is harmless
 	Failed                   // no promise about the effect
 	Duplicate                // a request of this id is open already; nothing was done
 	Unusable                 // a runner can't use the job, and none will; it never ran
 )
 
-// Answer is the one final answer of a request.
-type Answer struct {
+// Response is the one final answer of a request.
+type Response struct {
 	Verdict    Verdict
 	Result     []byte
 	Last       []byte        // the part of Result that no Streamer has had
@@ -75,32 +75,32 @@
 
 // Ingress is the client's side of a request. Answer is called exactly once,
 // unless the client has left before, and must not block.
-type Ingress interface{ Answer(Answer) }
+type Ingress interface{ Respond(Response) }
 
 // Streamer is an Ingress that wants to hear of what runners tell while a job runs. Stream
 // must not block; nothing comes after the answer.
 type Streamer interface{ Stream(JobEvent) }
 
-// HopRef names a hop: a request of this process and its attempt's number.
-type HopRef struct {
+// AttemptRef names a hop: a request of this process and its attempt's number.
+type AttemptRef struct {
 	Request decision.RequestID
-	Attempt int
+	Number  int
 }
 
-// Hop is one attempt of a job at one egress target.
-type Hop struct {
-	Ref      HopRef
-	Job      *Job
-	Deadline time.Time // when the core stops waiting
-	Permit   *Permit   // what may stop it until its first byte is written; nil for nothing
-	Sole     bool      // no other may be out beside it, or follow it if it may have run
-	Confirm  bool      // GiveUp: another may follow once the runner has heard of it
-	Parent   string    // traceparent of this hop; empty where nothing is recorded
-	State    string    // tracestate
+// Attempt is one attempt of a job at one egress target.
+type Attempt struct {
+	Ref       AttemptRef
+	Job       *Job
+	Deadline  time.Time // when the core stops waiting
+	Permit    *Permit   // what may stop it until its first byte is written; nil for nothing
+	Exclusive bool      // no other may be out beside it, or follow it if it may have run
+	Confirm   bool      // GiveUp: another may follow once the runner has heard of it
+	Parent    string    // traceparent of this hop; empty where nothing is recorded
+	State     string    // tracestate
 }
 
 // Fields are what a log line about the hop says of its request.
-func (h *Hop) Fields() logrus.Fields {
+func (h *Attempt) Fields() logrus.Fields {
 	f := logrus.Fields{"id": h.Job.ID}
 	if c, ok := trace.ParseParent(h.Parent, ""); ok {
 		f["trace"] = c.Trace.String()
@@ -108,19 +108,19 @@
 	return f
 }
 
-// Target is an egress target. None of its methods may block. What becomes of a
+// Backend is an egress target. None of its methods may block. What becomes of a
 // hop is reported to the core by HopEnded, or by Report.
-type Target interface {
-	Send(Hop)
-	GiveUp(Hop)       // the core waits no longer: closes before the job is taken, recalls it after; HopRecalled tells
-	Probe(time.Time)  // asks for a load report until the deadline; ProbeEnded tells
-	Move(addr string) // the address has changed
-	Close()           // the target has left the route table
+type Backend interface {
+	Send(Attempt)
+	Cancel(Attempt)         // the core waits no longer: closes before the job is taken, recalls it after; HopRecalled tells
+	Probe(time.Time)        // asks for a load report until the deadline; ProbeEnded tells
+	SetAddress(addr string) // the address has changed
+	Close()                 // the target has left the route table
 }
 
-// Targets makes the egress targets as the route table names them.
-type Targets interface {
-	Open(worker decision.WorkerID, uid, addr string) Target
+// Backends makes the egress targets as the route table names them.
+type Backends interface {
+	Open(worker decision.WorkerID, uid, addr string) Backend
 }
 
 // RouteTable is discovery's list. None of its methods may block; what it finds
@@ -166,12 +166,12 @@
 	Load     []float32
 }
 
-// Witness is told what jobs find of runners. None of its methods may block.
-type Witness interface {
-	HopEnded(uid string, o decision.Outcome)
+// WorkerObserver is told what jobs find of runners. None of its methods may block.
+type WorkerObserver interface {
+	AttemptEnded(uid string, o decision.Outcome)
 	JobStarted(uid string)
-	Stranger(uid string) // a job sent to it is reported on by another name
+	UnknownSender(uid string) // a job sent to it is reported on by another name
 }
 
-// Members is told how many runners are listed, and how many of them get no new work.
-type Members func(listed, unavailable int)
+// MembersFunc is told how many runners are listed, and how many of them get no new work.
+type MembersFunc func(listed, unavailable int)
--- a/internal/dispatcher/core/exclusions.go
+++ b/internal/dispatcher/core/exclusions.go
@@ -12,16 +12,16 @@
 // anybody has the runner. Guards a caller who was told no, as the core had no time:
 // from the deadline on nothing is done and done is not called.
 func (c *Core) Exclude(uid string, out bool, by time.Time, done func(known bool)) {
-	c.box.Put(func(c *Core) {
+	c.mailbox.Put(func(c *Core) {
 		if time.Now().Before(by) {
 			done(c.exclude(uid, out))
 		}
 	})
 }
 
-// Lists tells whether anybody has a runner, or operators have left it out.
-func (c *Core) Lists(uid string, known func(bool)) {
-	c.box.Put(func(c *Core) { known(c.workers[uid] != nil || c.excluded[uid]) })
+// IsKnown tells whether anybody has a runner, or operators have left it out.
+func (c *Core) IsKnown(uid string, known func(bool)) {
+	c.mailbox.Put(func(c *Core) { known(c.workers[uid] != nil || c.excluded[uid]) })
 }
 
 // Exclusion is what operators say of a runner, as one process of a dispatcher tells it
@@ -32,12 +32,12 @@
 	At  time.Duration `json:"at"` // since 1970
 }
 
-// Inform names who is told of what operators say to this process; it is called before
+// SetExclusionHook names who is told of what operators say to this process; it is called before
 // Run. It must not block.
-func (c *Core) Inform(inform func(Exclusion)) { c.inform = inform }
+func (c *Core) SetExclusionHook(inform func(Exclusion)) { c.onExclusion = inform }
 
-// Heed takes over what operators have said to the other process.
-func (c *Core) Heed(e Exclusion) { c.box.Put(func(c *Core) { c.move(e) }) }
+// ApplyExclusion takes over what operators have said to the other process.
+func (c *Core) ApplyExclusion(e Exclusion) { c.mailbox.Put(func(c *Core) { c.applyExclusion(e) }) }
 
 // exclude leaves a runner out, or puts it back, and reports whether anybody has it.
 // Put back it counts as cold: operators restart runners in that time, and discovery
@@ -51,26 +51,26 @@
 		return true
 	}
 	e := Exclusion{UID: uid, Out: out, At: c.now}
-	c.move(e)
-	c.inform(e)
+	c.applyExclusion(e)
+	c.onExclusion(e)
 	return true
 }
 
-// move carries out what operators have said of a runner.
-func (c *Core) move(e Exclusion) {
+// applyExclusion carries out what operators have said of a runner.
+func (c *Core) applyExclusion(e Exclusion) {
 	if c.excluded[e.UID] == e.Out {
 		return
 	}
 	c.log.WithFields(logrus.Fields{"target": e.UID, "out": e.Out}).Info("operators have moved a runner")
 	if e.Out {
 		c.excluded[e.UID] = true
-		delete(c.putBack, e.UID)
+		delete(c.reinstated, e.UID)
 	} else {
 		delete(c.excluded, e.UID)
-		c.putBack[e.UID] = min(e.At, c.now)
-		c.wake(&due{at: c.putBack[e.UID] + c.cfg.Rules.WarmUp, putBack: e.UID})
+		c.reinstated[e.UID] = min(e.At, c.now)
+		c.addTimer(&timerEntry{at: c.reinstated[e.UID] + c.cfg.Rules.WarmUp, reinstatedUID: e.UID})
 	}
 	if w := c.workers[e.UID]; w != nil {
-		c.event(decision.Event{Type: decision.MembersChanged, Members: []decision.Member{c.shown(w)}})
+		c.addEvent(decision.Event{Type: decision.MembersChanged, Members: []decision.Member{c.effectiveMember(w)}})
 	}
 }
--- a/internal/dispatcher/core/handover.go
+++ b/internal/dispatcher/core/handover.go
@@ -12,100 +12,100 @@
 // Snapshot is what the core tells a newer process of its dispatcher. Times are of the core's
 // clock, since 1970; health is by uid.
 type Snapshot struct {
-	Offset   time.Duration              `json:"offset,omitempty"` // of that clock to the machine's monotonic one; 0 for not told
-	Excluded []string                   `json:"excluded"`
-	PutBack  map[string]time.Duration   `json:"put_back"`
-	Health   map[string]decision.Health `json:"health"`
-	Runs     []time.Duration            `json:"runs"` // mean run times by class
-	Starts   map[string]Start           `json:"starts,omitempty"`
+	Offset       time.Duration              `json:"offset,omitempty"` // of that clock to the machine's monotonic one; 0 for not told
+	Excluded     []string                   `json:"excluded"`
+	Reinstated   map[string]time.Duration   `json:"put_back"`
+	Health       map[string]decision.Health `json:"health"`
+	MeanRunTimes []time.Duration            `json:"runs"` // mean run times by class
+	Starts       map[string]WorkerStart     `json:"starts,omitempty"`
 }
 
-// Start is a worker's last start: as discovery tells it, by the wall clock, and when that was by the
+// WorkerStart is a worker's last start: as discovery tells it, by the wall clock, and when that was by the
 // core's.
-type Start struct {
+type WorkerStart struct {
 	Boot time.Duration `json:"boot"`
 	At   time.Duration `json:"at"`
 }
 
 // Snapshot tells what the core knows beside the list.
 func (c *Core) Snapshot(to func(Snapshot)) {
-	c.box.Put(func(c *Core) {
-		s := Snapshot{Offset: c.offset(), PutBack: maps.Clone(c.putBack), Health: map[string]decision.Health{}, Starts: map[string]Start{}}
+	c.mailbox.Put(func(c *Core) {
+		s := Snapshot{Offset: c.clockOffset(), Reinstated: maps.Clone(c.reinstated), Health: map[string]decision.Health{}, Starts: map[string]WorkerStart{}}
 		for uid := range c.excluded {
 			s.Excluded = append(s.Excluded, uid)
 		}
 		for uid, w := range c.workers {
 			s.Health[uid] = c.module.Health(w.number)
 			if w.boot > 0 {
-				s.Starts[uid] = Start{Boot: w.boot, At: w.member.StartedAt}
+				s.Starts[uid] = WorkerStart{Boot: w.boot, At: w.member.StartedAt}
 			}
 		}
-		s.Runs = c.module.Runs()
+		s.MeanRunTimes = c.module.MeanRunTimes()
 		to(s)
 	})
 }
 
 // Restore takes over a snapshot. It comes before the first list.
 func (c *Core) Restore(s Snapshot) {
-	c.box.Put(func(c *Core) {
+	c.mailbox.Put(func(c *Core) {
 		for _, uid := range s.Excluded {
-			c.move(Exclusion{UID: uid, Out: true})
+			c.applyExclusion(Exclusion{UID: uid, Out: true})
 		}
 		shift := time.Duration(0)
 		if s.Offset != 0 {
-			shift = c.offset() - s.Offset
+			shift = c.clockOffset() - s.Offset
 		}
-		for uid, at := range s.PutBack {
+		for uid, at := range s.Reinstated {
 			c.excluded[uid] = true
-			c.move(Exclusion{UID: uid, At: at + shift})
+			c.applyExclusion(Exclusion{UID: uid, At: at + shift})
 		}
 		for uid, h := range s.Health {
 			h.RestUntil += shift
 			h.PaceAt += shift
 			s.Health[uid] = h
 		}
-		c.health = s.Health
+		c.restoredHealth = s.Health
 		for uid, start := range s.Starts {
 			start.At += shift
 			s.Starts[uid] = start
 		}
-		c.starts = s.Starts
+		c.restoredStarts = s.Starts
 	})
 }
 
-// Processes tells how many processes of this dispatcher share what it may send to cold
+// SetProcessCount tells how many processes of this dispatcher share what it may send to cold
 // runners: to the module they are that many instances.
-func (c *Core) Processes(n int) {
-	c.box.Put(func(c *Core) {
-		c.processes = n
-		c.configure()
+func (c *Core) SetProcessCount(n int) {
+	c.mailbox.Put(func(c *Core) {
+		c.processCount = n
+		c.applyConfig()
 	})
 }
 
-// offset returns how far the core's clock is ahead of the machine's monotonic one, which another
+// clockOffset returns how far the core's clock is ahead of the machine's monotonic one, which another
 // process reads as well. Guards times that are told to it against a wall clock that is set between
 // the starts of the two.
-func (c *Core) offset() time.Duration { return c.clock(time.Now()) - monotime.Now() }
+func (c *Core) clockOffset() time.Duration { return c.moduleTime(time.Now()) - monotime.Now() }
 
-// Moved is what another process of the dispatcher needs to go on with a request. Its times are of the
+// MovedRequest is what another process of the dispatcher needs to go on with a request. Its times are of the
 // machine's monotonic clock, but for the story's.
-type Moved struct {
-	Deadline time.Duration `json:"deadline"`
-	Hops     []MovedHop    `json:"hops"`
-	Story    *trace.Story  `json:"story,omitempty"`
+type MovedRequest struct {
+	Deadline time.Duration  `json:"deadline"`
+	Attempts []MovedAttempt `json:"hops"`
+	Record   *trace.Record  `json:"story,omitempty"`
 }
 
-// MovedHop is an attempt of such a request.
-type MovedHop struct {
-	UID  string        `json:"uid"`
-	Past decision.Past `json:"past"`
+// MovedAttempt is an attempt of such a request.
+type MovedAttempt struct {
+	UID    string                 `json:"uid"`
+	Record decision.AttemptRecord `json:"past"`
 }
 
 // Release gives up a request to another process, once all its hops that are out have
 // been taken by their runners: until then what becomes of them comes here. Done is told
 // what goes along, or nil if the request has its answer; then it was not released.
-func (c *Core) Release(job *Job, done func(*Moved)) {
-	c.box.Put(func(c *Core) {
+func (c *Core) Release(job *Job, done func(*MovedRequest)) {
+	c.mailbox.Put(func(c *Core) {
 		if r := c.byID[job.ID]; r != nil && r.job == job && !r.answered {
 			c.releasing[r] = done
 		} else {
@@ -114,74 +114,74 @@
 	})
 }
 
-// release lets go of the requests that are ready for it. It recalls nothing: their
+// releaseReady lets go of the requests that are ready for it. It recalls nothing: their
 // hops go on.
-func (c *Core) release() {
+func (c *Core) releaseReady() {
 	for r, done := range c.releasing {
 		if r.answered {
 			delete(c.releasing, r)
 			done(nil)
 			continue
 		}
-		offset := c.offset()
-		m := &Moved{Deadline: r.deadline - offset, Story: r.story}
-		past := c.module.Past(r.ref)
-		ready := len(past) == len(r.hops)
-		for i := range r.hops {
-			h := &r.hops[i]
-			ready = ready && (h.ended || h.taken || h.reported)
+		offset := c.clockOffset()
+		m := &MovedRequest{Deadline: r.deadline - offset, Record: r.record}
+		past := c.module.PriorAttempts(r.id)
+		ready := len(past) == len(r.attempts)
+		for i := range r.attempts {
+			h := &r.attempts[i]
+			ready = ready && (h.ended || h.accepted || h.reported)
 			// A worker that is connected to this process tells it alone how its job ends.
-			ready = ready && (h.ended || h.to == nil || h.to.source == 0)
+			ready = ready && (h.ended || h.worker == nil || h.worker.source == 0)
 			if ready {
-				m.Hops = append(m.Hops, MovedHop{UID: h.uid(), Past: shifted(past[i], -offset)})
+				m.Attempts = append(m.Attempts, MovedAttempt{UID: h.workerUID(), Record: shiftClock(past[i], -offset)})
 			}
 		}
 		if !ready {
 			continue
 		}
 		delete(c.releasing, r)
-		r.story = nil // the other process goes on with it
-		c.settle(r)
-		c.event(decision.Event{Type: decision.RequestGone, Request: r.ref})
-		for i := range r.hops {
-			c.end(r, i, decision.Canceled, nil)
+		r.record = nil // the other process goes on with it
+		c.closeRequest(r)
+		c.addEvent(decision.Event{Type: decision.RequestCanceled, Request: r.id})
+		for i := range r.attempts {
+			c.endAttempt(r, i, decision.Canceled, nil)
 		}
-		c.forget(r)
+		c.removeIfDone(r)
 		c.step()
 		done(m)
 	}
 }
 
 // Adopt goes on with a request that another process has released.
-func (c *Core) Adopt(job *Job, m *Moved, ingress Ingress) {
-	c.box.Put(func(c *Core) {
+func (c *Core) Adopt(job *Job, m *MovedRequest, ingress Ingress) {
+	c.mailbox.Put(func(c *Core) {
 		if c.byID[job.ID] != nil {
-			c.duplicate(job, ingress)
+			c.rejectDuplicate(job, ingress)
 			return
 		}
-		r := c.take(job, ingress)
-		ev := c.arrival(r)
-		offset := c.offset()
-		for _, h := range m.Hops {
-			h.Past = shifted(h.Past, offset)
+		r := c.newRequest(job, ingress)
+		ev := c.arrivalEvent(r)
+		offset := c.clockOffset()
+		for _, h := range m.Attempts {
+			h.Record = shiftClock(h.Record, offset)
 			w := c.workers[h.UID]
 			if w == nil { // it has left the list
-				c.lastTo++
-				w = &worker{number: c.lastTo, uid: h.UID, target: gone{}}
+				c.lastWorkerID++
+				w = &worker{number: c.lastWorkerID, uid: h.UID, backend: departedBackend{}}
 			}
-			h.Past.Worker = w.number
-			ev.Past = append(ev.Past, h.Past)
-			r.hops = append(r.hops, hop{number: w.number, to: w, deadline: r.deadline, taken: true, ended: h.Past.Ended})
+			h.Record.Worker = w.number
+			ev.PriorAttempts = append(ev.PriorAttempts, h.Record)
+			r.attempts = append(r.attempts, attemptState{workerNumber: w.number, worker: w, deadline: r.deadline, accepted: true, ended: h.Record.Ended})
 		}
-		if r.story != nil {
-			c.adoptStory(r, m)
+		if r.record != nil {
+			c.adoptRecord(r, m)
 		}
-		c.event(ev)
+		c.addEvent(ev)
 	})
 }
 
-// shifted returns what is known of an attempt by another clock.
-func shifted(p decision.Past, by time.Duration) decision.Past {
+// shiftClock returns what is known of an attempt by another clock.
+func shiftClock(p decision.AttemptRecord, by time.Duration) decision.AttemptRecord {
 	p.SentAt += by
 	if p.Started {
 		p.StartedAt += by
@@ -189,11 +189,11 @@
 	return p
 }
 
-// gone is the target of a hop whose runner has left the list.
-type gone struct{}
+// departedBackend is the target of a hop whose runner has left the list.
+type departedBackend struct{}
 
-func (gone) Send(Hop)        {}
-func (gone) GiveUp(Hop)      {}
-func (gone) Probe(time.Time) {}
-func (gone) Move(string)     {}
-func (gone) Close()          {}
+func (departedBackend) Send(Attempt)      {}
+func (departedBackend) Cancel(Attempt)    {}
+func (departedBackend) Probe(time.Time)   {}
+func (departedBackend) SetAddress(string) {}
+func (departedBackend) Close()            {}
--- a/internal/dispatcher/core/hints.go
+++ b/internal/dispatcher/core/hints.go
@@ -11,27 +11,27 @@
 // Hint takes what another dispatcher has found of a runner. It counts until a job from here
 // has met the runner: what was met here says more.
 func (c *Core) Hint(uid string, h decision.Health) {
-	c.box.Put(func(c *Core) {
+	c.mailbox.Put(func(c *Core) {
 		h.Pace = recovery.Pace(h.Pace, c.cfg.Instance, uid)
 		w := c.workers[uid]
 		switch {
-		case w == nil && len(c.health) < maxHints:
-			if c.health == nil {
-				c.health = map[string]decision.Health{}
+		case w == nil && len(c.restoredHealth) < maxHints:
+			if c.restoredHealth == nil {
+				c.restoredHealth = map[string]decision.Health{}
 			}
-			c.health[uid] = h
-		case w != nil && !w.met:
-			c.event(decision.Event{Type: decision.HealthKnown, Worker: w.number, Health: h})
+			c.restoredHealth[uid] = h
+		case w != nil && !w.hasEndedAttempt:
+			c.addEvent(decision.Event{Type: decision.HealthRestored, Worker: w.number, Health: h})
 		}
 	})
 }
 
-// Found tells what jobs from here have found of the runners that they have met.
-func (c *Core) Found(to func(map[string]decision.Health)) {
-	c.box.Put(func(c *Core) {
+// OwnFindings tells what jobs from here have found of the runners that they have met.
+func (c *Core) OwnFindings(to func(map[string]decision.Health)) {
+	c.mailbox.Put(func(c *Core) {
 		out := map[string]decision.Health{}
 		for uid, w := range c.workers {
-			if w.met {
+			if w.hasEndedAttempt {
 				out[uid] = c.module.Health(w.number)
 			}
 		}
--- a/internal/dispatcher/core/permit_test.go
+++ b/internal/dispatcher/core/permit_test.go
@@ -7,23 +7,23 @@
 	"frosttide/decision"
 )
 
-// TestFence guards runners that were drained while the process stood still: an attempt that was decided
+// TestStallStopsEarlierAttempts guards runners that were drained while the process stood still: an attempt that was decided
 // on before does not begin after, whether it runs on before the core's loop has noticed or behind it;
 // one that is decided on later may.
-func TestFence(t *testing.T) {
-	c := silentCore(t)
+func TestStallStopsEarlierAttempts(t *testing.T) {
+	c := newTestCore(t)
 	c.Guard(func(time.Duration) {})
-	bound := stillAfter(c.cfg.Rules.DrainGrace)
-	later := func(by time.Duration) time.Time { return c.moment(c.now + by) }
+	bound := stallBound(c.cfg.Rules.DrainGrace)
+	later := func(by time.Duration) time.Time { return c.wallTime(c.now + by) }
 	looks := func(by time.Duration) {
 		c.now += by
-		c.guard.look(c.now)
+		c.guard.observe(c.now)
 	}
 	decided := func() *Permit {
 		r := &request{job: &Job{}}
-		return c.permit(r, &worker{member: decision.Member{State: decision.Ready}}, 0)
+		return c.newPermit(r, &worker{member: decision.Member{State: decision.Ready}}, 0)
 	}
-	stopped := func(p *Permit, at time.Time) bool { return p.Facts(at, at.Add(time.Hour)).StoodStill }
+	stopped := func(p *Permit, at time.Time) bool { return p.Facts(at, at.Add(time.Hour)).ProcessStalled }
 
 	looks(0)
 	p := decided()
@@ -40,8 +40,8 @@
 	if stopped(decided(), later(0)) {
 		t.Error("what is decided on after a standstill is stopped")
 	}
-	unwatched := silentCore(t)
-	if at := unwatched.moment(unwatched.now + time.Hour); stopped(unwatched.permit(&request{job: &Job{}}, nil, 0), at) {
+	unwatched := newTestCore(t)
+	if at := unwatched.wallTime(unwatched.now + time.Hour); stopped(unwatched.newPermit(&request{job: &Job{}}, nil, 0), at) {
 		t.Error("stopped where standstills are not watched")
 	}
 }
--- a/internal/dispatcher/core/timers.go
+++ b/internal/dispatcher/core/timers.go
@@ -8,76 +8,76 @@
 	"frosttide/decision"
 )
 
-// due is one thing to do at a time: ring a timer of the module, or end a
+// timerEntry is one thing to do at a time: ring a timer of the module, or end a
 // request (attempt -1) or one of its hops.
-type due struct {
-	at      time.Duration
-	token   uint32
-	putBack string   // a runner that has had its time to warm up since it was put back
-	request *request // nil for a timer of the module
-	attempt int
-	place   int // in the heap; -1 when it has left it
+type timerEntry struct {
+	at            time.Duration
+	token         uint32
+	reinstatedUID string   // a runner that has had its time to warm up since it was put back
+	request       *request // nil for a timer of the module
+	attempt       int
+	heapIndex     int // in the heap; -1 when it has left it
 }
 
-// deadlines is a heap with the earliest first.
-type deadlines []*due
+// timerHeap is a heap with the earliest first.
+type timerHeap []*timerEntry
 
-func (h deadlines) Len() int           { return len(h) }
-func (h deadlines) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h deadlines) Swap(i, j int) {
+func (h timerHeap) Len() int           { return len(h) }
+func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
+	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
-func (h *deadlines) Push(x any) {
-	d := x.(*due)
-	d.place = len(*h)
+func (h *timerHeap) Push(x any) {
+	d := x.(*timerEntry)
+	d.heapIndex = len(*h)
 	*h = append(*h, d)
 }
 
-func (h *deadlines) Pop() any {
+func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	last.place = -1
+	last.heapIndex = -1
 	return last
 }
 
-func (c *Core) wake(d *due) {
+func (c *Core) addTimer(d *timerEntry) {
 	d.at = min(d.at, math.MaxInt64/2)
-	heap.Push(&c.due, d)
+	heap.Push(&c.timers, d)
 }
 
-// remind notes what is to be done about a request at a time, unless it has been
+// addRequestTimer notes what is to be done about a request at a time, unless it has been
 // forgotten by then.
-func (c *Core) remind(r *request, d due) {
+func (c *Core) addRequestTimer(r *request, d timerEntry) {
 	d.request = r
-	r.due = append(r.due, &d)
-	c.wake(&d)
+	r.timers = append(r.timers, &d)
+	c.addTimer(&d)
 }
 
-// ring does all that has come due.
-func (c *Core) ring() {
-	for len(c.due) > 0 && c.due[0].at <= c.now {
-		d := heap.Pop(&c.due).(*due)
-		if d.putBack != "" {
-			if c.now >= c.putBack[d.putBack]+c.cfg.Rules.WarmUp {
-				delete(c.putBack, d.putBack)
+// runTimers does all that has come due.
+func (c *Core) runTimers() {
+	for len(c.timers) > 0 && c.timers[0].at <= c.now {
+		d := heap.Pop(&c.timers).(*timerEntry)
+		if d.reinstatedUID != "" {
+			if c.now >= c.reinstated[d.reinstatedUID]+c.cfg.Rules.WarmUp {
+				delete(c.reinstated, d.reinstatedUID)
 			}
 			continue
 		}
 		if d.request == nil {
-			c.event(decision.Event{Type: decision.TimerFired, Token: d.token})
+			c.addEvent(decision.Event{Type: decision.TimerFired, Token: d.token})
 			continue
 		}
 		c.step() // what came in before the deadline counts
-		if r := d.request; c.requests[r.ref] != r {
+		if r := d.request; c.requests[r.id] != r {
 			continue // forgotten in that step
 		} else if d.attempt < 0 {
 			c.expire(r)
 		} else {
-			c.giveUp(r, d.attempt, decision.TimedOut)
+			c.cancelAttempt(r, d.attempt, decision.TimedOut)
 		}
 	}
 }
--- a/internal/dispatcher/egress/conn.go
+++ b/internal/dispatcher/egress/conn.go
@@ -12,45 +12,45 @@
 // its place in the budget back when it is closed.
 type conn struct {
 	net.Conn
-	free func()
+	release func()
 
-	mu       sync.Mutex
-	begin    func() error // asked once before the next byte is written; nil for nobody
-	awaiting bool         // a request has begun on it since it was last chosen
-	stray    bool         // something came on it that no request asked for
-	heard    time.Time    // when something last came
-	closed   bool
-	watch    chan struct{} // closed when something comes, the connection ends or is chosen again; nil for nobody
+	mu        sync.Mutex
+	authorize func() error // asked once before the next byte is written; nil for nobody
+	awaiting  bool         // a request has begun on it since it was last chosen
+	stray     bool         // something came on it that no request asked for
+	lastRead  time.Time    // when something last came
+	closed    bool
+	watch     chan struct{} // closed when something comes, the connection ends or is chosen again; nil for nobody
 }
 
-// chosen has the next write asked about. It returns how long ago something last came on the
+// assign has the next write asked about. It returns how long ago something last came on the
 // connection; without end where nothing has.
-func (c *conn) chosen(begin func() error) (quiet time.Duration) {
+func (c *conn) assign(begin func() error) (quiet time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.begin, c.awaiting = begin, false
-	c.stirred()
-	if c.heard.IsZero() {
-		return neverHeard
+	c.authorize, c.awaiting = begin, false
+	c.notifyWatcher()
+	if c.lastRead.IsZero() {
+		return neverRead
 	}
-	return time.Since(c.heard)
+	return time.Since(c.lastRead)
 }
 
-// neverHeard is longer than any connection is kept.
-const neverHeard = 24 * time.Hour
+// neverRead is longer than any connection is kept.
+const neverRead = 24 * time.Hour
 
 // Write writes, unless the attempt that is about to begin may not.
 func (c *conn) Write(p []byte) (int, error) {
-	if err := c.mayBegin(); err != nil {
+	if err := c.authorizeWrite(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-func (c *conn) mayBegin() error {
+func (c *conn) authorizeWrite() error {
 	c.mu.Lock()
-	begin := c.begin
-	c.begin, c.awaiting = nil, true
+	begin := c.authorize
+	c.authorize, c.awaiting = nil, true
 	c.mu.Unlock()
 	if begin == nil {
 		return nil
@@ -63,24 +63,24 @@
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.mu.Lock()
-		c.heard = time.Now()
+		c.lastRead = time.Now()
 		c.stray = c.stray || !c.awaiting
-		c.stirred()
+		c.notifyWatcher()
 		c.mu.Unlock()
 	}
 	return n, err
 }
 
-// stirred tells who watches the connection. The caller has the lock.
-func (c *conn) stirred() {
+// notifyWatcher tells who watches the connection. The caller has the lock.
+func (c *conn) notifyWatcher() {
 	if c.watch != nil {
 		close(c.watch)
 		c.watch = nil
 	}
 }
 
-// rests tells whether nothing comes on the connection for a while, and nobody uses it or ends it.
-func (c *conn) rests(while time.Duration) bool {
+// staysQuiet tells whether nothing comes on the connection for a while, and nobody uses it or ends it.
+func (c *conn) staysQuiet(period time.Duration) bool {
 	c.mu.Lock()
 	if c.closed {
 		c.mu.Unlock()
@@ -89,19 +89,19 @@
 	watch := make(chan struct{})
 	c.watch = watch
 	c.mu.Unlock()
-	over := time.NewTimer(while)
-	defer over.Stop()
+	timer := time.NewTimer(period)
+	defer timer.Stop()
 	select {
 	case <-watch:
 		return false
-	case <-over.C:
+	case <-timer.C:
 		return true
 	}
 }
 
-// spoilt tells whether a request must not be written any more: the runner has ended the connection,
+// unusable tells whether a request must not be written any more: the runner has ended the connection,
 // or something has come on it that nobody asked for and that would pass as the request's answer.
-func (c *conn) spoilt() bool {
+func (c *conn) unusable() bool {
 	c.mu.Lock()
 	stray := c.stray
 	c.mu.Unlock()
@@ -119,13 +119,13 @@
 		return true // it has been closed
 	}
 	pending := true // unless it is still there
-	err = raw.Control(func(fd uintptr) { pending = peeked(int(fd)) })
+	err = raw.Control(func(fd uintptr) { pending = hasPendingData(int(fd)) })
 	return err != nil || pending
 }
 
-// peeked tells whether a socket has bytes or its end to read. Where the system does not say so,
+// hasPendingData tells whether a socket has bytes or its end to read. Where the system does not say so,
 // it has not.
-func peeked(fd int) bool {
+func hasPendingData(fd int) bool {
 	var one [1]byte
 	_, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	switch err {
@@ -136,10 +136,10 @@
 }
 
 func (c *conn) Close() error {
-	defer c.free()
+	defer c.release()
 	c.mu.Lock()
 	c.closed = true
-	c.stirred()
+	c.notifyWatcher()
 	c.mu.Unlock()
 	return c.Conn.Close()
 }
--- a/internal/dispatcher/egress/exchange.go
+++ b/internal/dispatcher/egress/exchange.go
@@ -15,28 +15,28 @@
 
 // recall asks the runner to drop a job that it has taken. Whatever the runner answers, it knows
 // from then on.
-func (t *target) recall(h core.Hop) {
-	via, addr := t.via(), t.addr
+func (b *backend) recall(h core.Attempt) {
+	via, addr := b.transport(), b.addr
 	go func() {
-		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(settleTime))
+		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(closeGrace))
 		defer cancel()
-		_, err := t.exchange(ctx, via, http.MethodDelete, addr, "/jobs/"+url.PathEscape(h.Job.ID))
+		_, err := b.roundTrip(ctx, via, http.MethodDelete, addr, "/jobs/"+url.PathEscape(h.Job.ID))
 		if err != nil {
-			t.log.WithError(err).WithFields(h.Fields()).Debug("job could not be recalled")
+			b.log.WithError(err).WithFields(h.Fields()).Debug("job could not be recalled")
 		}
-		t.fleet.reports.HopRecalled(h.Ref, err == nil || errors.Is(err, errStatus))
+		b.fleet.reporter.AttemptRecalled(h.Ref, err == nil || errors.Is(err, errStatus))
 	}()
 }
 
 // probe asks the runner how it is.
-func (t *target) probe(via *http.Transport, addr string, deadline time.Time) {
+func (b *backend) probe(via *http.Transport, addr string, deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	path := "/ping"
-	if t.fleet.cfg.Reports {
+	if b.fleet.cfg.LoadReports {
 		path = "/_load"
 	}
-	text, err := t.exchange(ctx, via, http.MethodGet, addr, path)
+	text, err := b.roundTrip(ctx, via, http.MethodGet, addr, path)
 	outcome := decision.Served
 	switch {
 	case errors.Is(err, errStatus):
@@ -46,17 +46,17 @@
 	case err != nil:
 		outcome = decision.ConnReset
 	}
-	load := loadreport.Parse(text, t.fleet.cfg.Columns)
-	t.put(func(t *target) {
-		t.probing--
-		t.fleet.reports.ProbeEnded(t.worker, outcome, load)
+	load := loadreport.Parse(text, b.fleet.cfg.Columns)
+	b.post(func(b *backend) {
+		b.openProbes--
+		b.fleet.reporter.ProbeEnded(b.worker, outcome, load)
 	})
 }
 
 var errStatus = errors.New("the runner answered with an error")
 
-// exchange makes a request without a body and returns what a 2xx answer holds.
-func (t *target) exchange(ctx context.Context, via *http.Transport, method, addr, path string) ([]byte, error) {
+// roundTrip makes a request without a body and returns what a 2xx answer holds.
+func (b *backend) roundTrip(ctx context.Context, via *http.Transport, method, addr, path string) ([]byte, error) {
 	req, err := request(ctx, method, addr, path)
 	if err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, path, err)
 	}
-	text := finish(resp)
+	text := drainBody(resp)
 	if resp.StatusCode/100 != 2 {
 		return text, fmt.Errorf("%s %s: status %d: %w", method, path, resp.StatusCode, errStatus)
 	}
