--- a/internal/dispatcher/export/export.go
+++ b/internal/dispatcher/export/export.go
@@ -17,108 +17,108 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// Sockets is how many descriptors the export takes at most: a connection for each of two
+// MaxSockets is how many descriptors the export takes at most: a connection for each of two
 // signals, one of each that is just being given back, and a file that is being rotated.
-const Sockets = 6
+const MaxSockets = 6
 
 const (
-	// intake bounds the stories that the actor has not looked at yet. Past it they are
+	// intakeCapacity bounds the stories that the actor has not looked at yet. Past it they are
 	// lost, also to the figures; it takes a core that others use up whole.
-	intake = 1024
-	// mostTries bounds the tries that repeats are tied to.
-	mostTries = 4096
-	// lastWait is how long the last stories may take at the process's end, where a
+	intakeCapacity = 1024
+	// maxRetryKeys bounds the tries that repeats are tied to.
+	maxRetryKeys = 4096
+	// closeTimeout is how long the last stories may take at the process's end, where a
 	// collector has been answering until then; one that hangs is not waited for.
-	lastWait = 250 * time.Millisecond
-	// patient is how long a call may be out and its collector still not count as hanging.
-	patient = 100 * time.Millisecond
+	closeTimeout = 250 * time.Millisecond
+	// hangTimeout is how long a call may be out and its collector still not count as hanging.
+	hangTimeout = 100 * time.Millisecond
 )
 
 // The reasons for which stories and batches are let go.
 const (
-	lostIntake   = "intake"        // the actor did not keep up
-	lostPlain    = "queue_plain"   // no room: a request that nothing happened to
-	lostNotable  = "queue_notable" // no room: one that something happened to
-	lostSampled  = "sampled"       // plain, and not picked
-	lostRefused  = "collector_refused"
-	lostGivenUp  = "collector_given_up" // tried again until it was too old
-	lostEnd      = "process_end"
-	lostFile     = "file"
-	lostMeasures = "measures_skipped" // the export before was still under way
+	droppedIntake  = "intake"        // the actor did not keep up
+	droppedPlain   = "queue_plain"   // no room: a request that nothing happened to
+	droppedNotable = "queue_notable" // no room: one that something happened to
+	droppedSampled = "sampled"       // plain, and not picked
+	droppedRefused = "collector_refused"
+	droppedTooOld  = "collector_given_up" // tried again until it was too old
+	droppedAtExit  = "process_end"
+	droppedFile    = "file"
+	droppedMetrics = "measures_skipped" // the export before was still under way
 )
 
 // Exporter is what the rest of the program sees. Its methods may be called from any
 // goroutine, and none but Close waits.
 type Exporter struct {
-	log *logrus.Entry
-	now atomic.Pointer[actor] // nil while nothing is exported
-	mu  sync.Mutex            // guards changes of the actor; never held by those who tell
+	log     *logrus.Entry
+	current atomic.Pointer[actor] // nil while nothing is exported
+	mu      sync.Mutex            // guards changes of the actor; never held by those who tell
 }
 
 // New makes an exporter that exports nothing yet.
 func New(log *logrus.Entry) *Exporter { return &Exporter{log: log} }
 
-// Take puts other options in force. What waits under the old ones is sent on by them in
+// Configure puts other options in force. What waits under the old ones is sent on by them in
 // the background for a moment, then let go.
-func (e *Exporter) Take(o Options) error {
+func (e *Exporter) Configure(o Options) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	var next *actor
-	if o.On() {
+	if o.Enabled() {
 		var err error
 		if next, err = newActor(o, e.log); err != nil {
 			return err
 		}
 		go next.run()
 	}
-	if last := e.now.Swap(next); last != nil {
-		go last.close(time.Now().Add(last.options.Delay + time.Second)) // it ends by then
+	if last := e.current.Swap(next); last != nil {
+		go last.close(time.Now().Add(last.options.BatchDelay + time.Second)) // it ends by then
 	}
 	return nil
 }
 
 // Begin begins the story of a request that came at a time, continuing the client's trace
 // if it names one. It returns nil while nothing is exported; nil is then no story to all.
-func (e *Exporter) Begin(came time.Time, parent, state string) *trace.Story {
-	a := e.now.Load()
+func (e *Exporter) Begin(came time.Time, parent, state string) *trace.Record {
+	a := e.current.Load()
 	if a == nil {
 		return nil
 	}
-	s := &trace.Story{Span: trace.NewSpanID(), Came: time.Duration(came.UnixNano())}
+	s := &trace.Record{Span: trace.NewSpanID(), Received: time.Duration(came.UnixNano())}
 	if c, ok := trace.ParseParent(parent, state); ok {
-		s.Trace, s.Parent, s.State, s.Sampled = c.Trace, c.Span, c.State, c.Sampled
+		s.Trace, s.Parent, s.TraceState, s.ParentSampled = c.Trace, c.Span, c.State, c.Sampled
 	} else {
 		s.Trace = trace.NewID()
 	}
-	s.Picked = a.options.Sampler.Pick(s)
+	s.Selected = a.options.Sampler.Select(s)
 	return s
 }
 
 // Ended takes a story whose request has ended; nobody writes to it any more.
-func (e *Exporter) Ended(s *trace.Story) {
-	if a := e.now.Load(); a != nil {
+func (e *Exporter) Ended(s *trace.Record) {
+	if a := e.current.Load(); a != nil {
 		select {
 		case a.intake <- s:
 		default:
-			a.missed.Add(1)
+			a.overflowed.Add(1)
 		}
 	}
 }
 
-// On tells whether anything is exported.
-func (e *Exporter) On() bool { return e.now.Load() != nil }
+// Enabled tells whether anything is exported.
+func (e *Exporter) Enabled() bool { return e.current.Load() != nil }
 
-// Loads takes how much of each target is in use now.
-func (e *Exporter) Loads(loads []measures.Load) {
-	if a := e.now.Load(); a != nil {
+// SetLoads takes how much of each target is in use now.
+func (e *Exporter) SetLoads(loads []measures.Load) {
+	if a := e.current.Load(); a != nil {
 		a.loads.Store(&loads)
 	}
 }
 
-// Hurry has all that waits sent at once from now on: the process ends soon.
-func (e *Exporter) Hurry() {
-	if a := e.now.Load(); a != nil {
-		a.hurry()
+// FlushNow has all that waits sent at once from now on: the process ends soon.
+func (e *Exporter) FlushNow() {
+	if a := e.current.Load(); a != nil {
+		a.flushNow()
 	}
 }
 
@@ -127,217 +127,217 @@
 func (e *Exporter) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a := e.now.Swap(nil); a != nil {
-		a.close(time.Now().Add(lastWait))
+	if a := e.current.Swap(nil); a != nil {
+		a.close(time.Now().Add(closeTimeout))
 	}
 }
 
 // actor owns the stories from their telling until they are sent. One goroutine of its
 // own decides; each sink has another that may wait.
 type actor struct {
-	options Options
-	log     *logrus.Entry
-	intake  chan *trace.Story
-	missed  atomic.Int64
-	loads   atomic.Pointer[[]measures.Load]
-	soon    chan struct{} // closed when all is to be sent at once
-	once    sync.Once
-	ends    chan time.Time // when the process ends
-	ended   chan struct{}
+	options    Options
+	log        *logrus.Entry
+	intake     chan *trace.Record
+	overflowed atomic.Int64
+	loads      atomic.Pointer[[]measures.Load]
+	flush      chan struct{} // closed when all is to be sent at once
+	once       sync.Once
+	stop       chan time.Time // when the process ends
+	done       chan struct{}
 
-	lanes   []*lane
-	done    chan report
-	figures *measures.Set
-	tries   *trace.Tries
-	dropped map[string]int64
-	sent    map[string]int64
-	retried map[string]int64
+	pipelines []*pipeline
+	results   chan jobResult
+	metrics   *measures.Set
+	retries   *trace.RetryTable
+	dropped   map[string]int64
+	sent      map[string]int64
+	retried   map[string]int64
 }
 
 func newActor(o Options, log *logrus.Entry) (*actor, error) {
-	a := &actor{options: o, log: log, intake: make(chan *trace.Story, intake), soon: make(chan struct{}),
-		ends: make(chan time.Time, 1), ended: make(chan struct{}), done: make(chan report, 3),
-		tries: trace.NewTries(mostTries), dropped: map[string]int64{}, sent: map[string]int64{}, retried: map[string]int64{}}
+	a := &actor{options: o, log: log, intake: make(chan *trace.Record, intakeCapacity), flush: make(chan struct{}),
+		stop: make(chan time.Time, 1), done: make(chan struct{}), results: make(chan jobResult, 3),
+		retries: trace.NewRetryTable(maxRetryKeys), dropped: map[string]int64{}, sent: map[string]int64{}, retried: map[string]int64{}}
 	var err error
-	if a.figures, err = measures.New(o.Delta); err != nil {
+	if a.metrics, err = measures.New(o.Delta); err != nil {
 		return nil, err
 	}
 	if o.Traces.URL != "" {
-		a.lanes = append(a.lanes, newLane("traces", true, false, o, newCollector(o.Traces, tracesMethod), a.done, log))
+		a.pipelines = append(a.pipelines, newPipeline("traces", true, false, o, newCollector(o.Traces, tracesMethod), a.results, log))
 	}
-	if o.Measures.URL != "" {
-		a.lanes = append(a.lanes, newLane("metrics", false, true, o, newCollector(o.Measures, measuresMethod), a.done, log))
+	if o.Metrics.URL != "" {
+		a.pipelines = append(a.pipelines, newPipeline("metrics", false, true, o, newCollector(o.Metrics, metricsMethod), a.results, log))
 	}
 	if o.File.Path != "" {
-		a.lanes = append(a.lanes, newLane("file", true, true, o, &file{o: o.File}, a.done, log))
+		a.pipelines = append(a.pipelines, newPipeline("file", true, true, o, &fileSink{options: o.File}, a.results, log))
 	}
 	return a, nil
 }
 
-func (a *actor) hurry() { a.once.Do(func() { close(a.soon) }) }
+func (a *actor) flushNow() { a.once.Do(func() { close(a.flush) }) }
 
 // close ends the actor by the deadline.
-func (a *actor) close(by time.Time) {
-	a.ends <- by
-	<-a.ended
+func (a *actor) close(deadline time.Time) {
+	a.stop <- deadline
+	<-a.done
 }
 
 func (a *actor) run() {
-	defer close(a.ended)
+	defer close(a.done)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var lanes sync.WaitGroup
-	for _, l := range a.lanes {
-		lanes.Go(func() { l.run(ctx) })
+	var pipelines sync.WaitGroup
+	for _, pipeline := range a.pipelines {
+		pipelines.Go(func() { pipeline.run(ctx) })
 	}
-	every := time.NewTicker(a.options.Every)
-	defer every.Stop()
-	delay := time.NewTicker(a.options.Delay)
+	metricsTicker := time.NewTicker(a.options.MetricsInterval)
+	defer metricsTicker.Stop()
+	delay := time.NewTicker(a.options.BatchDelay)
 	defer delay.Stop()
-	soon := a.soon
+	soon := a.flush
 	for {
 		select {
 		case s := <-a.intake:
-			a.take(s)
-		case r := <-a.done:
-			a.note(r)
+			a.add(s)
+		case r := <-a.results:
+			a.jobEnded(r)
 		case <-delay.C:
-			a.due()
-		case <-every.C:
-			a.measure()
+			a.markForFlush()
+		case <-metricsTicker.C:
+			a.collectMetrics()
 		case <-soon:
 			soon = nil
-			for _, l := range a.lanes {
-				l.delay = 0
+			for _, pipeline := range a.pipelines {
+				pipeline.delay = 0
 			}
-			a.due()
-		case by := <-a.ends:
-			a.finish(by)
-			a.figures.Close(by)
+			a.markForFlush()
+		case deadline := <-a.stop:
+			a.drain(deadline)
+			a.metrics.Close(deadline)
 			cancel()
-			lanes.Wait()
+			pipelines.Wait()
 			return
 		}
-		a.offer()
+		a.assignJobs()
 	}
 }
 
-// take looks at one story.
-func (a *actor) take(s *trace.Story) {
-	a.tries.Link(s)
+// add looks at one story.
+func (a *actor) add(s *trace.Record) {
+	a.retries.Link(s)
 	keep, _ := a.options.Sampler.Keep(s)
-	a.figures.Add(s, keep)
+	a.metrics.Add(s, keep)
 	if !keep {
-		a.dropped[lostSampled]++
+		a.dropped[droppedSampled]++
 		return
 	}
-	for _, l := range a.lanes {
-		if l.stories {
-			plain, notable := l.queue.Put(s)
-			a.dropped[lostPlain] += int64(plain)
-			a.dropped[lostNotable] += int64(notable)
+	for _, pipeline := range a.pipelines {
+		if pipeline.traces {
+			plain, notable := pipeline.queue.Put(s)
+			a.dropped[droppedPlain] += int64(plain)
+			a.dropped[droppedNotable] += int64(notable)
 		}
 	}
 }
 
-// due marks what waits as old enough to go.
-func (a *actor) due() {
-	for _, l := range a.lanes {
-		l.due = l.queue.Len() > 0
+// markForFlush marks what waits as old enough to go.
+func (a *actor) markForFlush() {
+	for _, pipeline := range a.pipelines {
+		pipeline.flushReady = pipeline.queue.Len() > 0
 	}
 }
 
-// offer gives each lane that has nothing under way what is next for it.
-func (a *actor) offer() {
-	for _, l := range a.lanes {
-		if l.busy || l.queue.Len() == 0 {
+// assignJobs gives each lane that has nothing under way what is next for it.
+func (a *actor) assignJobs() {
+	for _, pipeline := range a.pipelines {
+		if pipeline.busy || pipeline.queue.Len() == 0 {
 			continue
 		}
-		if l.due || l.delay == 0 || l.queue.Len() >= a.options.Batch {
-			l.give(job{stories: l.queue.Take(a.options.Batch)})
-			l.due = l.due && l.queue.Len() > 0
+		if pipeline.flushReady || pipeline.delay == 0 || pipeline.queue.Len() >= a.options.Batch {
+			pipeline.assign(exportJob{records: pipeline.queue.Take(a.options.Batch)})
+			pipeline.flushReady = pipeline.flushReady && pipeline.queue.Len() > 0
 		}
 	}
 }
 
-// measure gathers the figures for the lanes that are free. Guards delta figures from
+// collectMetrics gathers the figures for the lanes that are free. Guards delta figures from
 // being gathered and then not sent: what was gathered is gone from the next ones.
-func (a *actor) measure() {
-	var free []*lane
-	for _, l := range a.lanes {
-		if l.measures && !l.busy {
-			free = append(free, l)
-		} else if l.measures {
-			a.dropped[lostMeasures]++
+func (a *actor) collectMetrics() {
+	var free []*pipeline
+	for _, pipeline := range a.pipelines {
+		if pipeline.metrics && !pipeline.busy {
+			free = append(free, pipeline)
+		} else if pipeline.metrics {
+			a.dropped[droppedMetrics]++
 		}
 	}
 	if len(free) == 0 {
 		return
 	}
 	e := measures.Exporter{Sent: maps.Clone(a.sent), Retried: maps.Clone(a.retried), Dropped: maps.Clone(a.dropped)}
-	e.Dropped[lostIntake] = a.missed.Load()
-	for _, l := range a.lanes {
-		e.Queued += l.queue.Len()
-		e.QueuedBytes += l.queue.Bytes()
+	e.Dropped[droppedIntake] = a.overflowed.Load()
+	for _, pipeline := range a.pipelines {
+		e.Queued += pipeline.queue.Len()
+		e.QueuedBytes += pipeline.queue.Bytes()
 	}
 	var loads []measures.Load
 	if p := a.loads.Load(); p != nil {
 		loads = *p
 	}
-	figures, err := a.figures.Collect(loads, e)
+	figures, err := a.metrics.Collect(loads, e)
 	if err != nil {
 		a.log.WithError(err).Error("the figures could not be gathered")
 		return
 	}
-	for _, l := range free {
-		l.give(job{figures: figures})
+	for _, pipeline := range free {
+		pipeline.assign(exportJob{metrics: figures})
 	}
 }
 
-// note takes in how a lane's job ended.
-func (a *actor) note(r report) {
-	r.lane.busy = false
-	a.sent[r.lane.name] += int64(r.sent)
-	a.retried[r.lane.name] += int64(r.retried)
+// jobEnded takes in how a lane's job ended.
+func (a *actor) jobEnded(r jobResult) {
+	r.pipeline.busy = false
+	a.sent[r.pipeline.name] += int64(r.sent)
+	a.retried[r.pipeline.name] += int64(r.retried)
 	if r.lost > 0 {
-		a.dropped[r.why] += int64(r.lost)
+		a.dropped[r.reason] += int64(r.lost)
 	}
-	r.lane.tell(r)
+	r.pipeline.logTransition(r)
 }
 
-// finish sends what waits until the deadline, on lanes that don't hang, and the last
+// drain sends what waits until the deadline, on lanes that don't hang, and the last
 // figures after the stories.
-func (a *actor) finish(by time.Time) {
+func (a *actor) drain(deadline time.Time) {
 	for more := true; more; { // what was told before the end
 		select {
 		case s := <-a.intake:
-			a.take(s)
+			a.add(s)
 		default:
 			more = false
 		}
 	}
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
+	timer := time.NewTimer(time.Until(deadline))
+	defer timer.Stop()
 	measured := false
 	for {
-		a.due()
-		a.offer()
+		a.markForFlush()
+		a.assignJobs()
 		waiting := false
-		for _, l := range a.lanes {
-			waiting = waiting || l.busy && !l.hangs()
+		for _, pipeline := range a.pipelines {
+			waiting = waiting || pipeline.busy && !pipeline.hanging()
 		}
 		if !waiting && !measured {
 			measured = true
-			a.measure()
+			a.collectMetrics()
 			continue
 		}
 		if !waiting {
 			break
 		}
 		select {
-		case r := <-a.done:
-			a.note(r)
-		case <-late.C:
+		case r := <-a.results:
+			a.jobEnded(r)
+		case <-timer.C:
 			waiting = false
 		}
 		if !waiting {
@@ -345,10 +345,10 @@
 		}
 	}
 	lost := 0
-	for _, l := range a.lanes {
-		lost += l.queue.Len() + l.out
+	for _, pipeline := range a.pipelines {
+		lost += pipeline.queue.Len() + pipeline.inFlight
 	}
 	if lost > 0 {
-		a.log.WithFields(logrus.Fields{"stories": lost, "reason": lostEnd}).Warn("not exported at the end")
+		a.log.WithFields(logrus.Fields{"stories": lost, "reason": droppedAtExit}).Warn("not exported at the end")
 	}
 }
--- a/internal/dispatcher/export/export_test.go
+++ b/internal/dispatcher/export/export_test.go
@@ -53,8 +53,8 @@
 		{"one signal", file, []string{"OTEL_METRICS_EXPORTER=none"}, "http://settings:4318 grpc a=1| | {false 1 true}", 0},
 		{"gRPC without a scheme", settings.Telemetry{}, []string{"OTEL_EXPORTER_OTLP_ENDPOINT=c:4317", "OTEL_EXPORTER_OTLP_PROTOCOL=grpc",
 			"OTEL_EXPORTER_OTLP_INSECURE=true"}, "http://c:4317 grpc| http://c:4317 grpc| {false 1 true}", 0},
-		{"share of the settings", settings.Telemetry{Plain: &tenth}, nil, "| | {false 0.1 true}", 0},
-		{"sampler", settings.Telemetry{Plain: &tenth}, []string{"OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0.25"}, "| | {false 0.25 false}", 0},
+		{"share of the settings", settings.Telemetry{SampleRatio: &tenth}, nil, "| | {false 0.1 true}", 0},
+		{"sampler", settings.Telemetry{SampleRatio: &tenth}, []string{"OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0.25"}, "| | {false 0.25 false}", 0},
 		{"parent's sampler", settings.Telemetry{}, []string{"OTEL_TRACES_SAMPLER=parentbased_always_off"}, "| | {false 0 true}", 0},
 		{"no sampler", settings.Telemetry{}, []string{"OTEL_TRACES_SAMPLER=always_off"}, "| | {true 0 false}", 0},
 		{"what can't be meant is passed over", settings.Telemetry{}, []string{"OTEL_TRACES_SAMPLER=sometimes", "OTEL_BSP_SCHEDULE_DELAY=soon",
@@ -78,11 +78,11 @@
 				}
 				return s
 			}
-			got := fmt.Sprintf("%s| %s| %v", say(o.Traces), say(o.Measures), o.Sampler)
+			got := fmt.Sprintf("%s| %s| %v", say(o.Traces), say(o.Metrics), o.Sampler)
 			if got != tc.want || len(warnings) != tc.warns {
 				t.Errorf("got %s, want %s; warnings %q", got, tc.want, warnings)
 			}
-			if !o.Same(o) {
+			if !o.Equivalent(o) {
 				t.Error("equal options are not the same")
 			}
 		})
@@ -96,22 +96,22 @@
 	}
 }
 
-// TestPause guards the collector against a rush, and the queue against a batch that is
+// TestRetryWait guards the collector against a rush, and the queue against a batch that is
 // tried for ever: waits have a bound, none is shorter than asked for, and there is an end.
-func TestPause(t *testing.T) {
+func TestRetryWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.Float64Range(0, 1).Draw(t, "draw")
-		after := time.Duration(rapid.IntRange(0, int(mostPause)).Draw(t, "after"))
+		after := time.Duration(rapid.IntRange(0, int(maxRetryAfter)).Draw(t, "after"))
 		var spent time.Duration
 		for tries := 1; ; tries++ {
-			wait, again := pause(tries, after, spent, draw)
-			if wait < after || wait > max(mostWait, after) {
+			wait, again := retryWait(tries, after, spent, draw)
+			if wait < after || wait > max(maxRetryWait, after) {
 				t.Fatalf("try %d waits %s, asked for %s", tries, wait, after)
 			}
 			if !again {
 				break
 			}
-			if spent += wait + time.Millisecond; spent > tooOld+time.Second {
+			if spent += wait + time.Millisecond; spent > maxRetryAge+time.Second {
 				t.Fatal("a batch is tried for ever")
 			}
 		}
@@ -120,7 +120,7 @@
 
 func TestRetryAfter(t *testing.T) {
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
-	for text, want := range map[string]time.Duration{"": 0, "2": 2 * time.Second, "-1": 0, "soon": 0, "99999999999": mostPause, "3600": mostPause,
+	for text, want := range map[string]time.Duration{"": 0, "2": 2 * time.Second, "-1": 0, "soon": 0, "99999999999": maxRetryAfter, "3600": maxRetryAfter,
 		"Thu, 01 Jan 2026 12:00:05 GMT": 5 * time.Second, "Thu, 01 Jan 2026 11:00:00 GMT": 0} {
 		if got := retryAfter(text, now); got != want {
 			t.Errorf("%q: %s, want %s", text, got, want)
@@ -132,7 +132,7 @@
 	f.Add([]byte{0x0a, 0x04, 0x08, 0x01, 0x12, 0x00})
 	f.Add([]byte("\xff\xff<html>"))
 	f.Fuzz(func(t *testing.T, answer []byte) {
-		_, text, _ := partial(answer)
+		_, text, _ := parsePartialSuccess(answer)
 		if len(text) > len(answer) {
 			t.Errorf("%q of %d bytes", text, len(answer))
 		}
@@ -146,11 +146,11 @@
 	if err := os.WriteFile(path, []byte(`{"cut`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	f := &file{o: settings.TraceFile{Path: path, Size: 2000, Files: 3}}
+	f := &fileSink{options: settings.TraceFile{Path: path, Size: 2000, Files: 3}}
 	defer f.close()
 	for i := range 40 {
-		s := &trace.Story{Trace: trace.NewID(), Span: trace.NewSpanID(), Request: fmt.Sprint("r", i), Came: 1, Ended: 2}
-		line, err := f.write(otlp.TracesPayload(otlp.Traces(map[string]string{"service.name": "x"}, []*trace.Story{s})))
+		s := &trace.Record{Trace: trace.NewID(), Span: trace.NewSpanID(), Request: fmt.Sprint("r", i), Received: 1, Ended: 2}
+		line, err := f.write(otlp.TracesPayload(otlp.Traces(map[string]string{"service.name": "x"}, []*trace.Record{s})))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -201,40 +201,40 @@
 // TestIntake guards those who tell stories: nobody waits for an actor that does not keep
 // up, and what is lost is counted.
 func TestIntake(t *testing.T) {
-	a := &actor{intake: make(chan *trace.Story, 3)}
+	a := &actor{intake: make(chan *trace.Record, 3)}
 	e := New(logrus.NewEntry(logrus.New()))
-	e.now.Store(a) // it never runs
+	e.current.Store(a) // it never runs
 	for range 5 {
-		e.Ended(&trace.Story{})
+		e.Ended(&trace.Record{})
 	}
-	if diff := cmp.Diff([]int64{3, 2}, []int64{int64(len(a.intake)), a.missed.Load()}); diff != "" {
+	if diff := cmp.Diff([]int64{3, 2}, []int64{int64(len(a.intake)), a.overflowed.Load()}); diff != "" {
 		t.Errorf("taken and missed (-want +got):\n%s", diff)
 	}
 }
 
 // told is a story of an ordinary request, as the core writes it.
-func told(e *Exporter) *trace.Story {
+func told(e *Exporter) *trace.Record {
 	s := e.Begin(time.Now(), "", "")
 	s.Request, s.Class, s.Method = "9b1f03aa5c7e2d41", "render", "POST"
-	i := s.Next(trace.Hop{Target: "s-1", Addr: "127.0.0.1:9", Zone: "a", Began: s.Came + 1})
-	h := &s.Hops[i]
-	h.Taken = s.Came + 2
-	h.Note(s.Came+3, "started", 0)
-	h.Note(s.Came+4, "done", 0)
-	h.Ended, h.Outcome = s.Came+4, "served"
-	s.End(s.Came+4, trace.Served, trace.ByRunner, "done")
+	i := s.StartAttempt(trace.Attempt{Backend: "s-1", Addr: "127.0.0.1:9", Zone: "a", Sent: s.Received + 1})
+	h := &s.Attempts[i]
+	h.Accepted = s.Received + 2
+	h.AddEvent(s.Received+3, "started", 0)
+	h.AddEvent(s.Received+4, "done", 0)
+	h.Ended, h.Outcome = s.Received+4, "served"
+	s.Finish(s.Received+4, trace.Served, trace.ByRunner, "done")
 	return s
 }
 
-// BenchmarkStory measures what a request's story costs its tellers and the actor.
-func BenchmarkStory(b *testing.B) {
-	a, err := newActor(Options{Sampler: trace.Sampler{Plain: 0.01}, Resource: map[string]string{"service.name": "x"},
-		Every: time.Hour, Delay: time.Hour, Batch: 512, Queue: 4 << 20}, logrus.NewEntry(logrus.New()))
+// BenchmarkRecord measures what a request's story costs its tellers and the actor.
+func BenchmarkRecord(b *testing.B) {
+	a, err := newActor(Options{Sampler: trace.Sampler{Ratio: 0.01}, Resource: map[string]string{"service.name": "x"},
+		MetricsInterval: time.Hour, BatchDelay: time.Hour, Batch: 512, Queue: 4 << 20}, logrus.NewEntry(logrus.New()))
 	if err != nil {
 		b.Fatal(err)
 	}
 	e := New(logrus.NewEntry(logrus.New()))
-	e.now.Store(a)
+	e.current.Store(a)
 	b.Run("told", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
@@ -245,18 +245,18 @@
 		s := told(e)
 		b.ReportAllocs()
 		for b.Loop() {
-			a.take(s)
+			a.add(s)
 		}
 	})
 	b.Run("encoded", func(b *testing.B) {
-		l := newLane("traces", true, false, a.options, newCollector(Endpoint{}, tracesMethod), nil, a.log)
-		all := make([]*trace.Story, 512)
+		l := newPipeline("traces", true, false, a.options, newCollector(Endpoint{}, tracesMethod), nil, a.log)
+		all := make([]*trace.Record, 512)
 		for i := range all {
 			all[i] = told(e)
 		}
 		b.ReportAllocs()
 		for b.Loop() {
-			if _, _, err := l.encode(job{stories: all}); err != nil {
+			if _, _, err := l.encode(exportJob{records: all}); err != nil {
 				b.Fatal(err)
 			}
 		}
--- a/internal/dispatcher/export/file.go
+++ b/internal/dispatcher/export/file.go
@@ -12,34 +12,34 @@
 	"frosttide/internal/dispatcher/settings"
 )
 
-// file is a sink that writes lines of OTLP's JSON. Past its size the file is renamed to
+// fileSink is a sink that writes lines of OTLP's JSON. Past its size the file is renamed to
 // NAME.1, that one to NAME.2 and so on; the oldest goes.
 //
 // Source: OpenTelemetry specification, "OpenTelemetry Protocol File Exporter".
-type file struct {
-	o    settings.TraceFile
-	open *os.File
-	size int64
+type fileSink struct {
+	options settings.TraceFile
+	open    *os.File
+	size    int64
 }
 
-func (f *file) write(p otlp.Payload) ([]byte, error) {
+func (f *fileSink) write(p otlp.Payload) ([]byte, error) {
 	line, err := p.JSON()
 	return append(line, '\n'), err
 }
 
-func (f *file) send(_ context.Context, lines []byte) outcome {
+func (f *fileSink) send(_ context.Context, lines []byte) sendResult {
 	for line := range bytes.Lines(lines) {
 		if err := f.append(line); err != nil {
 			f.close() // opened anew with the next line
-			return outcome{err: fmt.Errorf("%s: %w", f.o.Path, err), why: lostFile}
+			return sendResult{err: fmt.Errorf("%s: %w", f.options.Path, err), reason: droppedFile}
 		}
 	}
-	return outcome{}
+	return sendResult{}
 }
 
 // append writes a line; a line is never split over two files.
-func (f *file) append(line []byte) error {
-	if f.open != nil && f.size > 0 && f.size+int64(len(line)) > f.o.Size {
+func (f *fileSink) append(line []byte) error {
+	if f.open != nil && f.size > 0 && f.size+int64(len(line)) > f.options.Size {
 		f.close()
 		if err := f.rotate(); err != nil {
 			return err
@@ -57,8 +57,8 @@
 
 // reopen opens the file behind what it holds. Guards the reader against a line that an
 // earlier process did not end: the next one begins on a line of its own.
-func (f *file) reopen() error {
-	open, err := os.OpenFile(f.o.Path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o640)
+func (f *fileSink) reopen() error {
+	open, err := os.OpenFile(f.options.Path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o640)
 	if err != nil {
 		return err
 	}
@@ -79,17 +79,17 @@
 	return nil
 }
 
-func (f *file) rotate() error {
+func (f *fileSink) rotate() error {
 	name := func(i int64) string {
 		if i == 0 {
-			return f.o.Path
+			return f.options.Path
 		}
-		return fmt.Sprintf("%s.%d", f.o.Path, i)
+		return fmt.Sprintf("%s.%d", f.options.Path, i)
 	}
-	if f.o.Files == 1 {
-		return os.Remove(f.o.Path)
+	if f.options.Files == 1 {
+		return os.Remove(f.options.Path)
 	}
-	for i := f.o.Files - 1; i > 0; i-- {
+	for i := f.options.Files - 1; i > 0; i-- {
 		if err := os.Rename(name(i-1), name(i)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return err
 		}
@@ -97,7 +97,7 @@
 	return nil
 }
 
-func (f *file) close() {
+func (f *fileSink) close() {
 	if f.open != nil {
 		f.open.Close()
 		f.open = nil
--- a/internal/dispatcher/fleet/gang/watcher/watcher.go
+++ b/internal/dispatcher/fleet/gang/watcher/watcher.go
@@ -25,9 +25,9 @@
 
 // Dispatcher is whose jobs they are; the core is. None of it blocks.
 type Dispatcher interface {
-	Copy(jobID string)              // a second copy would help
-	Slow(uid string, times float64) // a runner counts as that much slower for a while
-	Abandon(jobID string)           // the job is of no use any more
+	Hedge(jobID string)                 // a second copy would help
+	MarkSlow(uid string, times float64) // a runner counts as that much slower for a while
+	Abandon(jobID string)               // the job is of no use any more
 }
 
 // Config says how gangs are watched.
@@ -105,11 +105,11 @@
 			d.acts.copies.Add(1)
 			l.WithFields(logrus.Fields{"gang": a.Part.Gang, "part": a.Part.N, "id": job, "state": a.Why.State.String(), "ratio": a.Why.On.Standing.Ratio,
 				"peers": a.Why.On.Standing.Peers, "ends_in": (a.End - d.cfg.Now()).Round(time.Millisecond).String(), "with_a_copy": (a.With - d.cfg.Now()).Round(time.Millisecond).String()}).Info("a part of a gang straggles")
-			d.to.Copy(job)
+			d.to.Hedge(job)
 		case board.Slow:
 			d.acts.slow.Add(1)
 			l.WithField("times", a.Times).Info("a runner straggles in several gangs")
-			d.to.Slow(a.Worker, a.Times)
+			d.to.MarkSlow(a.Worker, a.Times)
 		case board.GiveUp:
 			d.acts.abandoned.Add(1)
 			l.WithFields(logrus.Fields{"gang": a.Part.Gang, "part": a.Part.N, "id": job}).Info("a gang can't be in time any more; a part that has not begun is given up")
@@ -142,8 +142,8 @@
 	d.put(func(d *Desk) { d.board.Started(idOf(job), attempt, at) })
 }
 
-// Reported takes in what share is done.
-func (d *Desk) Reported(job *core.Job, attempt int, share float64) {
+// Progressed takes in what share is done.
+func (d *Desk) Progressed(job *core.Job, attempt int, share float64) {
 	at := d.cfg.Now()
 	d.put(func(d *Desk) { d.board.Reported(idOf(job), attempt, share, at) })
 }
@@ -154,8 +154,8 @@
 	d.put(func(d *Desk) { d.board.Ended(idOf(job), attempt, served, at) })
 }
 
-// Gone takes in that a job has its answer, or its client has left.
-func (d *Desk) Gone(job *core.Job) {
+// Closed takes in that a job has its answer, or its client has left.
+func (d *Desk) Closed(job *core.Job) {
 	d.put(func(d *Desk) {
 		if d.jobs[idOf(job)] == job.ID {
 			delete(d.jobs, idOf(job))
--- a/internal/dispatcher/fleet/rejoin/comeback_test.go
+++ b/internal/dispatcher/fleet/rejoin/comeback_test.go
@@ -38,16 +38,18 @@
 	m.stages <- s
 }
 
-func (m *member) Open(level admission.Level, keyed bool, _, _ int) {
+func (m *member) SetAdmission(level admission.Level, keyed bool, _, _ int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.level, m.keyed = level, keyed
 }
 
-func (m *member) Way(to func(core.Way)) { to(core.Way{Listed: 4, Bears: true}) }
-func (m *member) Share(int)             {}
-func (m *member) Compare()              {}
-func (m *member) Renew(heard func())    { heard() }
+func (m *member) RejoinProgress(to func(core.RejoinProgress)) {
+	to(core.RejoinProgress{Listed: 4, Unrestricted: true})
+}
+func (m *member) SetWarmUpPeers(int) {}
+func (m *member) Compare()           {}
+func (m *member) Renew(heard func()) { heard() }
 
 // TestStageIsTrue guards clients of a member that has just come back: one that has heard of its
 // stage and sends it a keyed job must not be turned away because its core has not.
--- a/internal/dispatcher/fleet/rejoin/rejoin.go
+++ b/internal/dispatcher/fleet/rejoin/rejoin.go
@@ -39,10 +39,10 @@
 
 // Dispatcher is who comes back; the core does. None of it blocks.
 type Dispatcher interface {
-	// Open sets the door, by one who knows that it stood still so many times.
-	Open(level admission.Level, keyed bool, first, stood int)
-	Way(func(core.Way))
-	Share(count int)
+	// SetAdmission sets the door, by one who knows that it stood still so many times.
+	SetAdmission(level admission.Level, keyed bool, first, stood int)
+	RejoinProgress(func(core.RejoinProgress))
+	SetWarmUpPeers(count int)
 }
 
 // List is the list of runners.
@@ -94,7 +94,7 @@
 	machine stage.Machine
 	renewed bool // discovery has told all there is since the process stood still last
 	stood   int  // times that it has stood still
-	way     core.Way
+	way     core.RejoinProgress
 	rights  stage.Rights  // that the core acts by
 	again   bool          // it has to be told again: it closed the door by itself
 	from    time.Duration // when the way back began
@@ -109,7 +109,7 @@
 	a := &Actor{cfg: cfg, fleet: f, to: to, list: list, log: log, stood: cfg.Stood, box: mailbox.New[func(*Actor)](), begun: time.Now(), renewed: true,
 		machine: stage.Machine{Bounds: cfg.Bounds}, status: Status{Stage: stage.Empty.String(), Sharers: cfg.Dispatchers}}
 	if cfg.Warm {
-		a.way = core.Way{Listed: 1, Bears: true}
+		a.way = core.RejoinProgress{Listed: 1, Unrestricted: true}
 		a.moved(a.machine.Step(0, stage.Evidence{Open: true, Met: true, Log: stage.LogApplied, List: true, Copies: true, Bears: true}))
 		a.rights = a.machine.Stage().Rights()
 	}
@@ -154,7 +154,7 @@
 			}
 		}
 		last = a.now()
-		a.to.Way(func(w core.Way) { a.box.Put(func(a *Actor) { a.way = w }) })
+		a.to.RejoinProgress(func(w core.RejoinProgress) { a.box.Put(func(a *Actor) { a.way = w }) })
 		call, cancel := context.WithDeadline(ctx, time.Now().Add(askTime))
 		s, ok := a.fleet.Standing(call)
 		cancel()
@@ -167,7 +167,7 @@
 // look decides by what is known now. The core is told first: whoever hears of a stage finds a
 // member that acts by it.
 func (a *Actor) look(s Standing) {
-	e := stage.Evidence{Open: true, Met: s.Met, Nobody: s.Nobody, Log: s.Log, Copies: s.Copies, Bears: a.way.Bears || !a.cfg.Paced,
+	e := stage.Evidence{Open: true, Met: s.Met, Nobody: s.Nobody, Log: s.Log, Copies: s.Copies, Bears: a.way.Unrestricted || !a.cfg.Paced,
 		List: a.way.Listed > 0 && (a.renewed || s.Copies && s.Met)} // others' discoveries may answer where ours does not
 	moves := a.machine.Step(a.now(), e)
 	a.act(e)
@@ -176,7 +176,7 @@
 	if a.machine.Stage().Rights().Counts {
 		n = sharers.Count(a.cfg.Dispatchers, s.Others)
 	}
-	a.to.Share(n)
+	a.to.SetWarmUpPeers(n)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if n != a.status.Sharers {
@@ -215,7 +215,7 @@
 	if level == admission.Ajar && !a.cfg.Paced {
 		level = admission.Wide
 	}
-	a.to.Open(level, r.Keyed, slotsEach*a.way.Listed/max(a.cfg.Dispatchers, 1), a.stood)
+	a.to.SetAdmission(level, r.Keyed, slotsEach*a.way.Listed/max(a.cfg.Dispatchers, 1), a.stood)
 }
 
 // Status returns how far it has come back. It may be called from any goroutine.
--- a/internal/dispatcher/fleet/workflow/executor/clients.go
+++ b/internal/dispatcher/fleet/workflow/executor/clients.go
@@ -48,7 +48,7 @@
 	switch v {
 	case core.Served:
 		w.State = flow.Done
-	case core.Shed, core.Duplicate:
+	case core.Rejected, core.Duplicate:
 		w.State = flow.Never
 	case core.Unusable:
 		w.State, w.Failed = flow.Never, true
--- a/internal/dispatcher/fleet/workflow/executor/executor.go
+++ b/internal/dispatcher/fleet/workflow/executor/executor.go
@@ -237,13 +237,13 @@
 	}
 	by := time.Now().Add(class.GiveUp) // past the lease's end too: it is taken on meanwhile
 	job := &core.Job{ID: fmt.Sprintf("%s.undo-%016x-%d-%x", d.cfg.Name, xxhash.Sum64String(r.ID), r.N, time.Since(d.begun).Nanoseconds()), Method: "POST",
-		Resource: r.Undo.Path, Key: key, Body: r.Undo.Body, Class: class.Number, Slots: 1, Deadline: by, Owed: true,
-		Places: &places{d: d, run: r, by: by, went: map[core.Fate]uint64{}}}
-	d.jobs.Submit(job, answered(func(a core.Answer) {
+		Resource: r.Undo.Path, Key: key, Body: r.Undo.Body, Class: class.Number, Slots: 1, Deadline: by, Compensating: true,
+		Placements: &places{d: d, run: r, by: by, went: map[core.OutcomeRecord]uint64{}}}
+	d.jobs.Submit(job, answered(func(a core.Response) {
 		switch a.Verdict {
 		case core.Served:
 			d.took(r, flow.OK, "")
-		case core.Shed:
+		case core.Rejected:
 			after := a.RetryAfter
 			if after <= 0 {
 				after = rest
@@ -264,7 +264,7 @@
 }
 
 // answered takes a job's answer.
-type answered func(core.Answer)
+type answered func(core.Response)
 
-// Answer takes it; it does not block, as its ring has room for all that is under way.
-func (a answered) Answer(x core.Answer) { a(x) }
+// Respond takes it; it does not block, as its ring has room for all that is under way.
+func (a answered) Respond(x core.Response) { a(x) }
--- a/internal/dispatcher/fleet/workflow/executor/places.go
+++ b/internal/dispatcher/fleet/workflow/executor/places.go
@@ -20,22 +20,22 @@
 	by  time.Time // the job's own time
 
 	mu   sync.Mutex
-	went map[core.Fate]uint64 // groups of this run, and by which entry
+	went map[core.OutcomeRecord]uint64 // groups of this run, and by which entry
 }
 
-// Before tells where the log has it that the undo may have run.
-func (p *places) Before() (out []core.Fate) {
+// Previous tells where the log has it that the undo may have run.
+func (p *places) Previous() (out []core.OutcomeRecord) {
 	now := p.d.log.Now()
 	for _, w := range p.run.Went {
-		out = append(out, core.Fate{Zone: w.Zone, Cell: w.Cell, Age: max(now-time.Duration(w.At)*time.Millisecond, 0)})
+		out = append(out, core.OutcomeRecord{Zone: w.Zone, Cell: w.Cell, Age: max(now-time.Duration(w.At)*time.Millisecond, 0)})
 	}
 	return out
 }
 
-// Going has the log say that it goes to a group. A group that this run has gone to, and that was
+// Propose has the log say that it goes to a group. A group that this run has gone to, and that was
 // not taken back, needs no second word. An entry that comes to be after it was given up binds the undo
 // for its window, as nobody can tell it from one that was sent by.
-func (p *places) Going(group core.Fate, left time.Duration, send func(bool)) {
+func (p *places) Propose(group core.OutcomeRecord, left time.Duration, send func(bool)) {
 	p.mu.Lock()
 	_, there := p.went[group]
 	p.mu.Unlock()
@@ -62,9 +62,9 @@
 	}()
 }
 
-// Never takes the word back. One that finds no room stays: the undo is bound to the group for its
+// Withdraw takes the word back. One that finds no room stays: the undo is bound to the group for its
 // window.
-func (p *places) Never(group core.Fate) {
+func (p *places) Withdraw(group core.OutcomeRecord) {
 	p.mu.Lock()
 	entry := p.went[group]
 	delete(p.went, group)
--- a/internal/dispatcher/gearman/clients.go
+++ b/internal/dispatcher/gearman/clients.go
@@ -32,8 +32,8 @@
 	done, of   int64 // as the worker tells
 }
 
-// Answer takes the core's answer.
-func (j *job) Answer(a core.Answer) { j.server.box.Put(func(s *Server) { s.answered(j, a) }) }
+// Respond takes the core's answer.
+func (j *job) Respond(a core.Response) { j.server.box.Put(func(s *Server) { s.answered(j, a) }) }
 
 // Stream takes what a worker tells while it works.
 func (j *job) Stream(ev core.JobEvent) { j.server.box.Put(func(s *Server) { s.stream(j, ev) }) }
@@ -100,15 +100,15 @@
 		j.core.Key = unique
 	}
 	if by != nil && by.Before(j.core.Deadline) {
-		j.core.Deadline, j.core.Ending = *by, true
+		j.core.Deadline, j.core.ProcessStopping = *by, true
 	}
 	if story := s.stories.Begin(came, "", ""); story != nil {
-		story.Request, story.Class, story.Method, story.Worth, story.Slots = j.core.ID, f.Name, "SUBMIT_JOB", f.Worth, j.core.Slots
-		story.Keyed, story.Window = f.Keyed, f.Repeats
+		story.Request, story.Class, story.Method, story.Value, story.Slots = j.core.ID, f.Name, "SUBMIT_JOB", f.Worth, j.core.Slots
+		story.Keyed, story.RetryWindow = f.Keyed, f.Repeats
 		if key != "" {
-			story.Try = hash([]byte(key)) | 1
+			story.RetryKey = hash([]byte(key)) | 1
 		}
-		j.core.Story = story
+		j.core.Record = story
 	}
 	s.jobs[j.handle] = j
 	if key != "" {
@@ -169,7 +169,7 @@
 }
 
 // answered tells all who wait how a job ended.
-func (s *Server) answered(j *job, a core.Answer) {
+func (s *Server) answered(j *job, a core.Response) {
 	if s.jobs[j.handle] != j {
 		return
 	}
@@ -177,7 +177,7 @@
 	switch a.Verdict {
 	case core.Served:
 		s.counts.Completed(j.class)
-	case core.Shed:
+	case core.Rejected:
 		s.counts.Rejected(j.class)
 	default:
 		s.counts.Failed(j.class)
@@ -191,7 +191,7 @@
 				last = a.Last
 			}
 			x.send(proto.WorkComplete, handle, last)
-		case core.Shed:
+		case core.Rejected:
 			x.send(proto.WorkWarning, handle, comeBack(a.RetryAfter))
 			x.send(proto.WorkFail, handle)
 		case core.Duplicate:
@@ -250,7 +250,7 @@
 		if len(j.clients) == 0 && !j.background {
 			s.forget(j)
 			s.counts.Failed(j.class)
-			s.core.Leave(j.core)
+			s.core.ClientLeft(j.core)
 		}
 	}
 }
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -27,12 +27,12 @@
 // Core takes what clients and workers say. None of its methods blocks.
 type Core interface {
 	Submit(*core.Job, core.Ingress)
-	Leave(*core.Job)
+	ClientLeft(*core.Job)
 	Report(ev core.JobEvent, took func(bool))
-	HopTaken(core.HopRef, core.Flight)
-	HopEnded(core.HopRef, decision.Outcome, []float32, core.Flight)
-	HopRecalled(ref core.HopRef, known bool)
-	ListChanged([]core.Route)
+	AttemptAccepted(core.AttemptRef, core.Delivery)
+	AttemptEnded(core.AttemptRef, decision.Outcome, []float32, core.Delivery)
+	AttemptRecalled(ref core.AttemptRef, known bool)
+	RoutesChanged([]core.Route)
 }
 
 // Counts takes note of how jobs end, by their class's number.
@@ -46,8 +46,8 @@
 
 // Stories begins the stories of jobs, and takes those that the core never gets.
 type Stories interface {
-	Begin(came time.Time, parent, state string) *trace.Story
-	Ended(*trace.Story)
+	Begin(came time.Time, parent, state string) *trace.Record
+	Ended(*trace.Record)
 }
 
 // Function says what a Gearman function is here.
@@ -184,7 +184,7 @@
 func Has(addr string) bool { return strings.HasPrefix(addr, scheme) }
 
 // Open returns the target of a worker; one that has gone meanwhile takes nothing.
-func (s *Server) Open(addr string) core.Target {
+func (s *Server) Open(addr string) core.Backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.sessions {
--- a/internal/dispatcher/gearman/session.go
+++ b/internal/dispatcher/gearman/session.go
@@ -232,17 +232,17 @@
 	return !x.ended
 }
 
-func (t target) Send(h core.Hop) {
+func (t target) Send(h core.Attempt) {
 	if !t.x.tell(func(x *session) { x.offer(h) }) {
-		t.x.server.core.HopEnded(h.Ref, decision.ConnectFailed, nil, core.Flight{})
+		t.x.server.core.AttemptEnded(h.Ref, decision.ConnectFailed, nil, core.Delivery{})
 	}
 }
 
-func (t target) GiveUp(h core.Hop) {
+func (t target) Cancel(h core.Attempt) {
 	if !t.x.tell(func(x *session) { x.giveUp(h) }) { // its jobs have ended with it
-		t.x.server.core.HopRecalled(h.Ref, true)
+		t.x.server.core.AttemptRecalled(h.Ref, true)
 	}
 }
-func (t target) Probe(time.Time) {} // a worker that is connected is up
-func (t target) Move(string)     {}
-func (t target) Close()          {}
+func (t target) Probe(time.Time)   {} // a worker that is connected is up
+func (t target) SetAddress(string) {}
+func (t target) Close()            {}
--- a/internal/dispatcher/gearman/session_test.go
+++ b/internal/dispatcher/gearman/session_test.go
@@ -20,28 +20,28 @@
 // ledger plays the core: it notes how each hop ends.
 type ledger struct {
 	mu     sync.Mutex
-	ends   map[core.HopRef][]string
-	taken  map[core.HopRef]bool
-	byID   map[string]core.HopRef
-	called map[core.HopRef]int // how often it was told that a hop is called off
+	ends   map[core.AttemptRef][]string
+	taken  map[core.AttemptRef]bool
+	byID   map[string]core.AttemptRef
+	called map[core.AttemptRef]int // how often it was told that a hop is called off
 	routes chan core.Route
 }
 
 func (l *ledger) Submit(*core.Job, core.Ingress) {}
-func (l *ledger) Leave(*core.Job)                {}
-func (l *ledger) HopTaken(ref core.HopRef, _ core.Flight) {
+func (l *ledger) ClientLeft(*core.Job)           {}
+func (l *ledger) AttemptAccepted(ref core.AttemptRef, _ core.Delivery) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.taken[ref] = true
 }
 
-func (l *ledger) HopEnded(ref core.HopRef, o decision.Outcome, _ []float32, _ core.Flight) {
+func (l *ledger) AttemptEnded(ref core.AttemptRef, o decision.Outcome, _ []float32, _ core.Delivery) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.ends[ref] = append(l.ends[ref], fmt.Sprint("outcome ", o, " taken ", l.taken[ref]))
 }
 
-func (l *ledger) HopRecalled(ref core.HopRef, _ bool) {
+func (l *ledger) AttemptRecalled(ref core.AttemptRef, _ bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.called[ref]++
@@ -56,14 +56,14 @@
 	took(true)
 }
 
-func (l *ledger) ListChanged(routes []core.Route) {
+func (l *ledger) RoutesChanged(routes []core.Route) {
 	for _, r := range routes {
 		l.routes <- r
 	}
 }
 
 // heard waits until the session has acted on all that it was told.
-func heard(to core.Target) {
+func heard(to core.Backend) {
 	done := make(chan struct{})
 	if to.(target).x.tell(func(*session) { close(done) }) {
 		<-done
@@ -72,13 +72,13 @@
 
 type none struct{}
 
-func (none) Completed(int)                                {}
-func (none) Rejected(int)                                 {}
-func (none) Failed(int)                                   {}
-func (none) Sent(int)                                     {}
-func (none) Pending(int)                                  {}
-func (none) Begin(time.Time, string, string) *trace.Story { return nil }
-func (none) Ended(*trace.Story)                           {}
+func (none) Completed(int)                                 {}
+func (none) Rejected(int)                                  {}
+func (none) Failed(int)                                    {}
+func (none) Sent(int)                                      {}
+func (none) Pending(int)                                   {}
+func (none) Begin(time.Time, string, string) *trace.Record { return nil }
+func (none) Ended(*trace.Record)                           {}
 
 // TestWorkerStates holds any order of a worker's packets, the core's sends and its giving
 // up against one law: each hop ends once, as one that never ran exactly where the worker was
@@ -97,8 +97,8 @@
 	go s.Run(ctx)
 	rapid.Check(t, func(t *rapid.T) {
 		l.mu.Lock()
-		l.ends, l.taken, l.byID = map[core.HopRef][]string{}, map[core.HopRef]bool{}, map[string]core.HopRef{}
-		l.called = map[core.HopRef]int{}
+		l.ends, l.taken, l.byID = map[core.AttemptRef][]string{}, map[core.AttemptRef]bool{}, map[string]core.AttemptRef{}
+		l.called = map[core.AttemptRef]int{}
 		l.routes = make(chan core.Route, 1024)
 		l.mu.Unlock()
 		p := dial(t, s.Addr())
@@ -106,13 +106,13 @@
 		p.write(proto.CanDo, "cut")
 		route := <-l.routes
 		to := s.Open(route.Addr)
-		givenUp := map[core.HopRef]int{} // how many ends there were by then
-		var hops []core.Hop
+		givenUp := map[core.AttemptRef]int{} // how many ends there were by then
+		var hops []core.Attempt
 		handle := ""
 		for i := range rapid.IntRange(1, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
-				h := core.Hop{Ref: core.HopRef{Request: decision.RequestID(i + 1)}, Job: &core.Job{ID: fmt.Sprint("j", i), Resource: "/cut/cut"},
+				h := core.Attempt{Ref: core.AttemptRef{Request: decision.RequestID(i + 1)}, Job: &core.Job{ID: fmt.Sprint("j", i), Resource: "/cut/cut"},
 					Deadline: time.Now().Add(time.Hour)}
 				l.mu.Lock()
 				l.byID[h.Job.ID] = h.Ref
@@ -122,7 +122,7 @@
 			case 2:
 				if len(hops) > 0 {
 					h := hops[len(hops)-1]
-					to.GiveUp(h)
+					to.Cancel(h)
 					heard(to) // from here on nothing is told of it
 					l.mu.Lock()
 					if _, twice := givenUp[h.Ref]; !twice {
--- a/internal/dispatcher/gearman/workers.go
+++ b/internal/dispatcher/gearman/workers.go
@@ -34,7 +34,7 @@
 	can      map[string]bool
 	classes  uint64 // what it can do, a bit for each class
 	sleeps   bool
-	offered  *core.Hop // waits for the grab
+	offered  *core.Attempt // waits for the grab
 	until    *time.Timer
 	running  *run // what it has, until it says that it is done
 	assigned uint64
@@ -42,7 +42,7 @@
 
 // run is a job at a worker.
 type run struct {
-	hop     core.Hop
+	hop     core.Attempt
 	handle  string
 	data    []byte
 	givenUp bool // nobody waits for it; the slot is taken until the worker is done
@@ -159,7 +159,7 @@
 	}
 	w.listed = true
 	x.show()
-	x.server.core.ListChanged([]core.Route{x.route()})
+	x.server.core.RoutesChanged([]core.Route{x.route()})
 	if h := w.offered; h != nil && w.classes&(1<<h.Job.Class) == 0 {
 		x.decline(decision.Rejected) // guards a drain: it has not begun
 	}
@@ -169,8 +169,8 @@
 // dispatcher alone, and is as cold as anything that has just started.
 func (x *session) route() core.Route {
 	w, cfg := &x.worker, &x.server.cfg
-	m := decision.Member{Zone: cfg.Zone, Kind: cfg.Kind, StartedAt: time.Duration(w.since.UnixNano()), Returned: true, Sharers: 1,
-		Tokens: 1, Only: w.classes}
+	m := decision.Member{Zone: cfg.Zone, Kind: cfg.Kind, StartedAt: time.Duration(w.since.UnixNano()), Reinstated: true, WarmUpPeers: 1,
+		TokenLimit: 1, ClassMask: w.classes}
 	if w.classes == 0 {
 		m.State = decision.Draining
 	}
@@ -183,7 +183,7 @@
 	if w.listed {
 		route := x.route()
 		route.State = decision.Removed
-		x.server.core.ListChanged([]core.Route{route})
+		x.server.core.RoutesChanged([]core.Route{route})
 	}
 	w.listed = false
 	if w.uid != "" {
@@ -198,7 +198,7 @@
 func (x *session) lost() {
 	w := &x.worker
 	if r := w.running; r != nil && !r.givenUp {
-		x.server.core.HopEnded(r.hop.Ref, decision.ConnReset, nil, core.Flight{Kept: true, Bytes: len(r.hop.Job.Body)})
+		x.server.core.AttemptEnded(r.hop.Ref, decision.ConnReset, nil, core.Delivery{Reused: true, Bytes: len(r.hop.Job.Body)})
 	}
 	w.running = nil
 	if w.offered != nil {
@@ -208,10 +208,10 @@
 }
 
 // offer takes a job that the module has sent here, and wakes the worker.
-func (x *session) offer(h core.Hop) {
+func (x *session) offer(h core.Attempt) {
 	w := &x.worker
 	if x.over || w.offered != nil || w.classes&(1<<h.Job.Class) == 0 {
-		x.server.core.HopEnded(h.Ref, decision.ConnectFailed, nil, core.Flight{})
+		x.server.core.AttemptEnded(h.Ref, decision.ConnectFailed, nil, core.Delivery{})
 		return
 	}
 	w.offered = &h
@@ -236,7 +236,7 @@
 	w.offered = nil
 	w.until.Stop()
 	w.until = nil
-	x.server.core.HopEnded(h.Ref, o, nil, core.Flight{Kept: true})
+	x.server.core.AttemptEnded(h.Ref, o, nil, core.Delivery{Reused: true})
 }
 
 // grab gives the worker the job that waits for it.
@@ -266,7 +266,7 @@
 		x.send(proto.JobAssignAll, []byte(r.handle), function, unique, nil, h.Job.Body)
 	}
 	x.server.counts.Sent(h.Job.Class)
-	x.server.core.HopTaken(h.Ref, core.Flight{Kept: true, Bytes: len(h.Job.Body)})
+	x.server.core.AttemptAccepted(h.Ref, core.Delivery{Reused: true, Bytes: len(h.Job.Body)})
 	x.report(r, core.JobEvent{State: core.JobStarted})
 }
 
@@ -353,9 +353,9 @@
 
 // giveUp ends the core's waiting for a job. The protocol can't call a job off: a worker
 // that has it goes on, and its slot stays taken until it is done.
-func (x *session) giveUp(h core.Hop) {
+func (x *session) giveUp(h core.Attempt) {
 	w, known := &x.worker, true
-	defer func() { x.server.core.HopRecalled(h.Ref, known) }()
+	defer func() { x.server.core.AttemptRecalled(h.Ref, known) }()
 	switch {
 	case w.offered != nil && w.offered.Ref == h.Ref:
 		w.offered = nil
--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -19,29 +19,29 @@
 )
 
 const (
-	// dialTime is how long the older process may take to take the call, and tellTime to
+	// dialTimeout is how long the older process may take to take the call, and tellTime to
 	// tell its state: the newer one has to be ready in 6 s, with it or without.
-	dialTime = time.Second
-	tellTime = 2 * time.Second
-	// beat is how often a side says something, and hush how long it may say nothing.
-	beat = 400 * time.Millisecond
-	hush = 2 * time.Second
-	// maxLine bounds a message: a whole list of a large fleet.
-	maxLine = 4 << 20
-	// mostPath is the longest path that fits into a unix socket's address.
-	mostPath = 100
+	dialTimeout  = time.Second
+	stateTimeout = 2 * time.Second
+	// heartbeatInterval is how often a side says something, and hush how long it may say nothing.
+	heartbeatInterval = 400 * time.Millisecond
+	silenceTimeout    = 2 * time.Second
+	// maxMessage bounds a message: a whole list of a large fleet.
+	maxMessage = 4 << 20
+	// maxPath is the longest path that fits into a unix socket's address.
+	maxPath = 100
 )
 
 // Core is what the link tells the decisions of, and asks.
 type Core interface {
 	Snapshot(func(core.Snapshot))
 	Restore(core.Snapshot)
-	Heed(core.Exclusion)
+	ApplyExclusion(core.Exclusion)
 	Report(ev core.JobEvent, took func(bool))
 }
 
-// List is the route table.
-type List interface {
+// RouteTable is the route table.
+type RouteTable interface {
 	// Snapshot tells where the list comes from and what it is, in discovery's form.
 	Snapshot(func(discovery string, list []byte))
 }
@@ -53,8 +53,8 @@
 	Core      core.Snapshot   `json:"core"`
 }
 
-// Listed tells whether the list names anybody.
-func (s *State) Listed() bool {
+// HasMembers tells whether the list names anybody.
+func (s *State) HasMembers() bool {
 	var l struct {
 		Targets []json.RawMessage `json:"targets"`
 	}
@@ -76,19 +76,19 @@
 
 // client is what has been read from a client's connection, and what has become of it.
 type client struct {
-	Request []byte      `json:"request"`
-	Moved   *core.Moved `json:"moved"`
+	Request []byte             `json:"request"`
+	Moved   *core.MovedRequest `json:"moved"`
 }
 
 // Link is this process's side: it has at most one peer at a time, the older process at
 // first and the newer one later.
 type Link struct {
-	core    Core
-	list    List
-	overlap func(processes int)
-	adopt   Adopt
-	log     *logrus.Entry
-	path    string
+	core           Core
+	routeTable     RouteTable
+	onProcessCount func(processes int)
+	adopt          Adopt
+	log            *logrus.Entry
+	path           string
 
 	mu       sync.Mutex
 	listener *net.UnixListener
@@ -105,17 +105,17 @@
 
 // Adopt takes a client's connection over from the older process, and reports whether it
 // will be served.
-type Adopt func(c net.Conn, request []byte, m *core.Moved) bool
+type Adopt func(c net.Conn, request []byte, m *core.MovedRequest) bool
 
 // New makes a link. Overlap is told how many processes the dispatcher has from now on.
-func New(path string, c Core, l List, overlap func(processes int), adopt Adopt, log *logrus.Entry) *Link {
-	return &Link{core: c, list: l, overlap: overlap, adopt: adopt, log: log, path: path}
+func New(path string, c Core, l RouteTable, onProcessCount func(processes int), adopt Adopt, log *logrus.Entry) *Link {
+	return &Link{core: c, routeTable: l, onProcessCount: onProcessCount, adopt: adopt, log: log, path: path}
 }
 
 // address returns an address of a path and what holds it open. Guards against long
 // paths: a unix socket's address has room for some hundred bytes.
 func address(path string) (*net.UnixAddr, *os.File, error) {
-	if len(path) <= mostPath {
+	if len(path) <= maxPath {
 		return &net.UnixAddr{Name: path, Net: "unix"}, nil, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
@@ -136,14 +136,14 @@
 		return nil
 	}
 	defer dir.Close() // of nil, too
-	by := time.Now().Add(dialTime)
+	by := time.Now().Add(dialTimeout)
 	c, err := (&net.Dialer{Deadline: by}).Dial("unix", addr.Name)
 	if err != nil {
 		l.log.WithError(err).Debug("no older process")
 		return nil
 	}
 	p := newPeer(l, c.(*net.UnixConn))
-	state, err := p.state(time.Now().Add(tellTime))
+	state, err := p.awaitState(time.Now().Add(stateTimeout))
 	if err != nil {
 		l.log.WithError(err).Warn("no state taken over")
 		p.end()
@@ -153,9 +153,9 @@
 	l.mu.Lock()
 	l.peer = p
 	l.mu.Unlock()
-	l.overlap(2)
-	go p.write()
-	go p.read()
+	l.onProcessCount(2)
+	go p.writeLoop()
+	go p.readLoop()
 	l.log.Info("state of the older process taken over")
 	return state
 }
@@ -163,11 +163,11 @@
 // Serve takes the place of the older process, tells it that this one serves, and waits
 // for a newer one.
 func (l *Link) Serve() error {
-	fresh := l.path + ".new"
-	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
+	newPath := l.path + ".new"
+	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return fmt.Errorf("the link's socket: %w", err)
 	}
-	addr, dir, err := address(fresh)
+	addr, dir, err := address(newPath)
 	if err != nil {
 		return err
 	}
@@ -177,7 +177,7 @@
 		return fmt.Errorf("the link's socket: %w", err)
 	}
 	listener.SetUnlinkOnClose(false) // the name may be a newer process's by then
-	if err := os.Rename(fresh, l.path); err != nil {
+	if err := os.Rename(newPath, l.path); err != nil {
 		listener.Close()
 		return fmt.Errorf("the link's socket: %w", err)
 	}
@@ -190,7 +190,7 @@
 			if err != nil {
 				return
 			}
-			l.succeed(c)
+			l.handleSuccessor(c)
 		}
 	}()
 	return nil
@@ -199,14 +199,14 @@
 // Ready tells the older process that this one serves, and waits until it knows: its
 // SIGTERM comes with the platform's next look.
 func (l *Link) Ready() {
-	if p := l.current(); p != nil && !p.ask(message{Ready: true}, time.Now().Add(dialTime)) {
+	if p := l.current(); p != nil && !p.request(message{Ready: true}, time.Now().Add(dialTimeout)) {
 		l.log.Warn("the older process does not say that it knows of this one")
 	}
 }
 
-// succeed takes the call of a newer process, unless there is one already, and tells it
+// handleSuccessor takes the call of a newer process, unless there is one already, and tells it
 // the state. The core and the list answer from their mailboxes.
-func (l *Link) succeed(c *net.UnixConn) {
+func (l *Link) handleSuccessor(c *net.UnixConn) {
 	p := newPeer(l, c)
 	l.mu.Lock()
 	taken := l.peer != nil
@@ -219,32 +219,32 @@
 		p.end()
 		return
 	}
-	l.overlap(2)
+	l.onProcessCount(2)
 	var s State
-	told := make(chan struct{}, 2)
+	answers := make(chan struct{}, 2)
 	l.core.Snapshot(func(c core.Snapshot) {
 		s.Core = c
-		told <- struct{}{}
+		answers <- struct{}{}
 	})
-	l.list.Snapshot(func(discovery string, list []byte) {
+	l.routeTable.Snapshot(func(discovery string, list []byte) {
 		s.Discovery, s.List = discovery, list
-		told <- struct{}{}
+		answers <- struct{}{}
 	})
 	go func() {
-		late := time.NewTimer(tellTime)
-		defer late.Stop()
+		timer := time.NewTimer(stateTimeout)
+		defer timer.Stop()
 		for range 2 {
 			select {
-			case <-told:
-			case <-late.C:
+			case <-answers:
+			case <-timer.C:
 				p.end()
 				return
 			}
 		}
-		p.box.Put(message{State: &s})
+		p.mailbox.Put(message{State: &s})
 		l.log.Info("state told to the newer process")
-		go p.write()
-		p.read()
+		go p.writeLoop()
+		p.readLoop()
 	}()
 }
 
@@ -255,9 +255,9 @@
 	return l.peer
 }
 
-func (l *Link) tell(m message) {
+func (l *Link) send(m message) {
 	if p := l.current(); p != nil {
-		p.box.Put(m)
+		p.mailbox.Put(m)
 	}
 }
 
@@ -267,33 +267,33 @@
 // Succeeded tells whether a newer process serves.
 func (l *Link) Succeeded() bool {
 	p := l.current()
-	return p != nil && p.serves.Load()
+	return p != nil && p.serving.Load()
 }
 
 // Exclude tells the other process what operators have said to this one.
-func (l *Link) Exclude(e core.Exclusion) { l.tell(message{Exclusion: &e}) }
+func (l *Link) Exclude(e core.Exclusion) { l.send(message{Exclusion: &e}) }
 
-// Pass hands a call-back to the other process and reports whether that took it by the
+// ForwardReport hands a call-back to the other process and reports whether that took it by the
 // deadline. What came from there is never passed back.
-func (l *Link) Pass(ev core.JobEvent, by time.Time) bool {
+func (l *Link) ForwardReport(ev core.JobEvent, by time.Time) bool {
 	p := l.current()
-	return p != nil && p.ask(message{Event: &ev}, by)
+	return p != nil && p.request(message{Event: &ev}, by)
 }
 
-// Hand hands a client's connection to the other process, with what has been read from
+// TransferConn hands a client's connection to the other process, with what has been read from
 // it, and reports whether that serves it. The caller's copy stays the caller's.
-func (l *Link) Hand(c net.Conn, request []byte, m *core.Moved, by time.Time) bool {
+func (l *Link) TransferConn(c net.Conn, request []byte, m *core.MovedRequest, by time.Time) bool {
 	p := l.current()
 	if p == nil {
 		return false
 	}
-	s, err := copyOf(c)
+	s, err := duplicate(c)
 	if err != nil {
 		l.log.WithError(err).Warn("a connection could not be handed over")
 		return false
 	}
 	defer s.close()
-	return p.ask(message{Client: &client{Request: request, Moved: m}, socket: s}, by)
+	return p.request(message{Client: &client{Request: request, Moved: m}, socket: s}, by)
 }
 
 // Close ends the link. The socket's name goes with it unless it is a newer process's.
@@ -316,9 +316,9 @@
 
 // newPeer makes the actor of the other process; its connection is the peer's.
 func newPeer(l *Link, c *net.UnixConn) *peer {
-	in := &rights{conn: c}
-	p := &peer{link: l, conn: c, in: in, lines: bufio.NewScanner(in), box: mailbox.New[message](), over: make(chan struct{}),
-		asked: map[uint64]chan bool{}}
-	p.lines.Buffer(nil, maxLine)
+	in := &descriptorReader{conn: c}
+	p := &peer{link: l, conn: c, reader: in, scanner: bufio.NewScanner(in), mailbox: mailbox.New[message](), done: make(chan struct{}),
+		pending: map[uint64]chan bool{}}
+	p.scanner.Buffer(nil, maxMessage)
 	return p
 }
--- a/internal/dispatcher/handover/listener.go
+++ b/internal/dispatcher/handover/listener.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	// mostWait bounds, in microseconds, how long accept(2) may block should another holder
+	// maxAcceptBlock bounds, in microseconds, how long accept(2) may block should another holder
 	// set the socket blocking between our setting and our call. Multipath TCP, which Go's
 	// listeners speak where the kernel does, does not heed it.
-	mostWait = 100_000
-	// wakeEvery and mostWakes bound how a blocked accept is woken at the end.
-	wakeEvery = 2 * time.Millisecond
-	mostWakes = 250
+	maxAcceptBlock = 100_000
+	// wakeInterval and mostWakes bound how a blocked accept is woken at the end.
+	wakeInterval = 2 * time.Millisecond
+	maxWakes     = 250
 )
 
 // Listen serves a listening socket that the platform holds for all processes of the
@@ -30,7 +30,7 @@
 		return nil, fmt.Errorf("$BALANCER_FD: %w", err)
 	}
 	syscall.CloseOnExec(fd)
-	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Usec: mostWait}); err != nil {
+	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Usec: maxAcceptBlock}); err != nil {
 		return nil, fmt.Errorf("$BALANCER_FD: %w", err)
 	}
 	f := os.NewFile(uintptr(fd), "$BALANCER_FD")
@@ -99,15 +99,15 @@
 			l.err = l.file.Close()
 			close(l.closed)
 		}()
-		tick := time.NewTicker(wakeEvery)
+		tick := time.NewTicker(wakeInterval)
 		defer tick.Stop()
-		for range mostWakes {
+		for range maxWakes {
 			select {
 			case <-l.closed:
 				return
 			case <-tick.C:
 			}
-			if c, err := (&net.Dialer{Deadline: time.Now().Add(wakeEvery)}).Dial("tcp", l.addr.String()); err == nil {
+			if c, err := (&net.Dialer{Deadline: time.Now().Add(wakeInterval)}).Dial("tcp", l.addr.String()); err == nil {
 				c.Close()
 			}
 		}
--- a/internal/dispatcher/handover/peer.go
+++ b/internal/dispatcher/handover/peer.go
@@ -17,24 +17,24 @@
 // peer is the other process of the dispatcher. Guards this one against it: no wait on
 // it is without bound, and whatever it does but speak in time ends the link.
 type peer struct {
-	link   *Link
-	conn   *net.UnixConn
-	in     *rights
-	lines  *bufio.Scanner
-	box    *mailbox.Box[message] // what is to be written
-	serves atomic.Bool           // it has said that it serves
-	over   chan struct{}         // closed at the link's end
-	once   sync.Once
+	link    *Link
+	conn    *net.UnixConn
+	reader  *descriptorReader
+	scanner *bufio.Scanner
+	mailbox *mailbox.Box[message] // what is to be written
+	serving atomic.Bool           // it has said that it serves
+	done    chan struct{}         // closed at the link's end
+	once    sync.Once
 
-	mu     sync.Mutex
-	number uint64
-	asked  map[uint64]chan bool // what has been asked and not answered
+	mu         sync.Mutex
+	lastNumber uint64
+	pending    map[uint64]chan bool // what has been asked and not answered
 }
 
 // end is the one place where a link ends and its connection is given back.
 func (p *peer) end() {
 	p.once.Do(func() {
-		close(p.over)
+		close(p.done)
 		p.conn.Close()
 		l := p.link
 		l.mu.Lock()
@@ -45,29 +45,29 @@
 		l.mu.Unlock()
 		if linked {
 			l.log.Info("the other process has ended")
-			l.overlap(1)
+			l.onProcessCount(1)
 		}
 	})
 }
 
-// write puts what is in the mailbox on the connection, and a beat from time to time.
-func (p *peer) write() {
+// writeLoop puts what is in the mailbox on the connection, and a beat from time to time.
+func (p *peer) writeLoop() {
 	defer p.end()
-	tick := time.NewTicker(beat)
+	tick := time.NewTicker(heartbeatInterval)
 	defer tick.Stop()
 	var mail []message
 	for {
 		select {
-		case <-p.over:
+		case <-p.done:
 			return
-		case <-p.box.Ready():
-			mail = p.box.Drain(mail[:0])
+		case <-p.mailbox.Ready():
+			mail = p.mailbox.Drain(mail[:0])
 		case <-tick.C:
 			mail = append(mail[:0], message{})
 		}
-		_ = p.conn.SetWriteDeadline(time.Now().Add(hush))
+		_ = p.conn.SetWriteDeadline(time.Now().Add(silenceTimeout))
 		for _, m := range mail {
-			if err := p.put(m); err != nil {
+			if err := p.writeMessage(m); err != nil {
 				p.link.log.WithError(err).Debug("link ends")
 				return
 			}
@@ -75,8 +75,8 @@
 	}
 }
 
-// put writes a message, with its connection if there is one.
-func (p *peer) put(m message) error {
+// writeMessage writes a message, with its connection if there is one.
+func (p *peer) writeMessage(m message) error {
 	line, err := json.Marshal(m)
 	if err != nil {
 		return fmt.Errorf("writing the link: %w", err)
@@ -93,25 +93,25 @@
 	return nil
 }
 
-// next reads a message until the deadline.
-func (p *peer) next(by time.Time) (m message, err error) {
+// readMessage reads a message until the deadline.
+func (p *peer) readMessage(by time.Time) (m message, err error) {
 	_ = p.conn.SetReadDeadline(by)
-	if !p.lines.Scan() {
-		if err = p.lines.Err(); err == nil {
+	if !p.scanner.Scan() {
+		if err = p.scanner.Err(); err == nil {
 			err = io.EOF
 		}
 		return m, fmt.Errorf("reading the link: %w", err)
 	}
-	if err = json.Unmarshal(p.lines.Bytes(), &m); err != nil {
+	if err = json.Unmarshal(p.scanner.Bytes(), &m); err != nil {
 		return m, fmt.Errorf("reading the link: %w", err)
 	}
 	return m, nil
 }
 
-// state waits for the state, the first thing that counts on a link.
-func (p *peer) state(by time.Time) (*State, error) {
+// awaitState waits for the state, the first thing that counts on a link.
+func (p *peer) awaitState(by time.Time) (*State, error) {
 	for {
-		m, err := p.next(by)
+		m, err := p.readMessage(by)
 		if err != nil {
 			return nil, err
 		}
@@ -124,65 +124,65 @@
 	}
 }
 
-// read heeds what the other process says until it falls silent.
-func (p *peer) read() {
-	defer p.in.close()
+// readLoop heeds what the other process says until it falls silent.
+func (p *peer) readLoop() {
+	defer p.reader.close()
 	defer p.end()
 	for {
-		m, err := p.next(time.Now().Add(hush))
+		m, err := p.readMessage(time.Now().Add(silenceTimeout))
 		if err != nil {
 			p.link.log.WithError(err).Debug("link ends")
 			return
 		}
 		switch {
 		case m.Ready:
-			p.serves.Store(true)
-			p.box.Put(message{Number: m.Number, Took: true})
+			p.serving.Store(true)
+			p.mailbox.Put(message{Number: m.Number, Took: true})
 		case m.Exclusion != nil:
-			p.link.core.Heed(*m.Exclusion)
+			p.link.core.ApplyExclusion(*m.Exclusion)
 		case m.Event != nil:
-			p.link.core.Report(*m.Event, func(took bool) { p.box.Put(message{Number: m.Number, Took: took}) })
+			p.link.core.Report(*m.Event, func(taken bool) { p.mailbox.Put(message{Number: m.Number, Took: taken}) })
 		case m.Client != nil:
-			c, err := p.in.next()
-			took := err == nil && p.link.adopt(c, m.Client.Request, m.Client.Moved)
-			p.box.Put(message{Number: m.Number, Took: took})
+			c, err := p.reader.nextConn()
+			taken := err == nil && p.link.adopt(c, m.Client.Request, m.Client.Moved)
+			p.mailbox.Put(message{Number: m.Number, Took: taken})
 		case m.Number > 0:
-			p.answered(m.Number, m.Took)
+			p.resolve(m.Number, m.Took)
 		}
 	}
 }
 
-// ask sends what the other process is to take, and reports whether it did by the
+// request sends what the other process is to take, and reports whether it did by the
 // deadline.
-func (p *peer) ask(m message, by time.Time) bool {
-	took := make(chan bool, 1)
+func (p *peer) request(m message, by time.Time) bool {
+	taken := make(chan bool, 1)
 	p.mu.Lock()
-	p.number++
-	m.Number = p.number
-	p.asked[m.Number] = took
+	p.lastNumber++
+	m.Number = p.lastNumber
+	p.pending[m.Number] = taken
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
-		delete(p.asked, m.Number)
+		delete(p.pending, m.Number)
 		p.mu.Unlock()
 	}()
-	p.box.Put(m)
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
+	p.mailbox.Put(m)
+	timer := time.NewTimer(time.Until(by))
+	defer timer.Stop()
 	select {
-	case ok := <-took:
+	case ok := <-taken:
 		return ok
-	case <-late.C:
-	case <-p.over:
+	case <-timer.C:
+	case <-p.done:
 	}
 	return false
 }
 
-func (p *peer) answered(n uint64, took bool) {
+func (p *peer) resolve(n uint64, taken bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if to := p.asked[n]; to != nil {
-		to <- took
-		delete(p.asked, n) // once
+	if to := p.pending[n]; to != nil {
+		to <- taken
+		delete(p.pending, n) // once
 	}
 }
--- a/internal/dispatcher/handover/socket.go
+++ b/internal/dispatcher/handover/socket.go
@@ -16,8 +16,8 @@
 	fd int // -1 when it is closed
 }
 
-// copyOf makes a copy of a connection's descriptor; the connection may be wrapped.
-func copyOf(c net.Conn) (*socket, error) {
+// duplicate makes a copy of a connection's descriptor; the connection may be wrapped.
+func duplicate(c net.Conn) (*socket, error) {
 	if w, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = w.NetConn()
 	}
@@ -66,14 +66,14 @@
 	}
 }
 
-// rights reads a link and keeps the descriptors that come beside the bytes, in their
+// descriptorReader reads a link and keeps the descriptors that come beside the bytes, in their
 // order.
-type rights struct {
+type descriptorReader struct {
 	conn *net.UnixConn
 	fds  []int
 }
 
-func (r *rights) Read(p []byte) (int, error) {
+func (r *descriptorReader) Read(p []byte) (int, error) {
 	beside := make([]byte, syscall.CmsgSpace(4*4))
 	n, size, _, _, err := r.conn.ReadMsgUnix(p, beside)
 	messages, bad := syscall.ParseSocketControlMessage(beside[:size])
@@ -88,8 +88,8 @@
 	return n, err
 }
 
-// next returns the connection that came first and has not been taken.
-func (r *rights) next() (net.Conn, error) {
+// nextConn returns the connection that came first and has not been taken.
+func (r *descriptorReader) nextConn() (net.Conn, error) {
 	if len(r.fds) == 0 {
 		return nil, errors.New("no connection came along")
 	}
@@ -104,7 +104,7 @@
 }
 
 // close gives back the descriptors that nobody has taken.
-func (r *rights) close() {
+func (r *descriptorReader) close() {
 	for _, fd := range r.fds {
 		syscall.Close(fd)
 	}
--- a/internal/dispatcher/ingress/callbacks.go
+++ b/internal/dispatcher/ingress/callbacks.go
@@ -9,13 +9,13 @@
 	"frosttide/internal/dispatcher/loadreport"
 )
 
-var states = map[string]core.JobState{"started": core.JobStarted, "running": core.JobRunning, "done": core.JobDone,
+var jobStates = map[string]core.JobState{"started": core.JobStarted, "running": core.JobRunning, "done": core.JobDone,
 	"failed": core.JobFailed, "returned": core.JobReturned, "lost": core.JobLost}
 
-// jobEvent takes a runner's call-back. It is answered at once whatever it names,
+// handleJobEvent takes a runner's call-back. It is answered at once whatever it names,
 // as the runner would repeat it otherwise; the core applies it once.
-func (f *Front) jobEvent(w http.ResponseWriter, r *http.Request, c *conn) {
-	text, ok := f.body(w, r, c)
+func (f *Front) handleJobEvent(w http.ResponseWriter, r *http.Request, c *conn) {
+	text, ok := f.readBody(w, r, c)
 	if !ok {
 		return
 	}
@@ -25,41 +25,41 @@
 		Result, Load    json.RawMessage
 	}
 	err := json.Unmarshal(text, &ev)
-	state, known := states[ev.State]
+	state, known := jobStates[ev.State]
 	if err != nil || !known || !validID(ev.ID) || ev.From == "" {
-		f.refuse(w, "the call-back is malformed", http.StatusBadRequest)
+		f.rejectMalformed(w, "the call-back is malformed", http.StatusBadRequest)
 		return
 	}
-	c.heard(true)
+	c.requestArrived(true)
 	report := core.JobEvent{ID: ev.ID, From: ev.From, State: state, Share: ev.Share,
 		Load: loadreport.Parse(ev.Load, f.cfg.Columns), Result: ev.Result}
 	var result string
 	if json.Unmarshal(ev.Result, &result) == nil {
 		report.Result = []byte(result)
 	}
-	if f.take(report) {
+	if f.deliver(report) {
 		w.WriteHeader(http.StatusNoContent)
 		return
 	}
 	http.Error(w, "no process holds the job now", http.StatusServiceUnavailable)
 }
 
-// take hands a call-back to the process that holds the job. Where there is one alone
+// deliver hands a call-back to the process that holds the job. Where there is one alone
 // nobody waits for it. Guards a job of the other process: unless that has taken the
 // call-back the runner has to repeat it.
-func (f *Front) take(report core.JobEvent) bool {
-	if !f.other.Linked() {
+func (f *Front) deliver(report core.JobEvent) bool {
+	if !f.peer.Linked() {
 		f.core.Report(report, func(bool) {})
 		return true
 	}
-	by := time.Now().Add(passTime)
+	by := time.Now().Add(forwardTimeout)
 	held := make(chan bool, 1)
 	f.core.Report(report, func(here bool) { held <- here })
 	late := time.NewTimer(time.Until(by))
 	defer late.Stop()
 	select {
 	case here := <-held:
-		return here || f.other.Pass(report, by)
+		return here || f.peer.ForwardReport(report, by)
 	case <-late.C:
 		return false
 	}
--- a/internal/dispatcher/ingress/conn.go
+++ b/internal/dispatcher/ingress/conn.go
@@ -15,69 +15,69 @@
 // conn is a connection of the ingress. Its place is given back when it is closed.
 type conn struct {
 	net.Conn
-	door    *door
-	framing framing
-	moved   *core.Moved // what has become of the request read by another process; nil if it goes on here
+	listener    *connListener
+	framing     framing
+	transferred *core.MovedRequest // what has become of the request read by another process; nil if it goes on here
 
 	// Under the door's lock.
-	place   *list.Element // in the door's list; nil while a whole request is on it
-	of      int           // that list
-	since   time.Time     // when it came there
-	runner  bool          // the last request on it was a call-back
-	retired bool          // it is to end unless a request has come on it
-	last    bool          // a request has: it ends with the answer
-	waited  bool          // a whole request is on it that has no answer yet
-	behind  bool          // something has come behind that request
-	closed  bool
+	element          *list.Element // in the door's list; nil while a whole request is on it
+	listIndex        int           // that list
+	listedAt         time.Time     // when it came there
+	fromRunner       bool          // the last request on it was a call-back
+	retired          bool          // it is to end unless a request has come on it
+	lastRequest      bool          // a request has: it ends with the answer
+	awaitingResponse bool          // a whole request is on it that has no answer yet
+	pipelined        bool          // something has come behind that request
+	closed           bool
 
-	ahead lookahead
+	lookahead lookahead
 }
 
-// past is a deadline that has passed.
-var past = time.Unix(1, 0)
+// pastDeadline is a deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
 
 // Read takes note of the requests that pass. What has been read counts as taken, so a connection
 // that is to end does so here, before anything is read: nobody else knows whether something was.
 func (c *conn) Read(p []byte) (int, error) {
-	if c.ends() {
+	if c.isRetired() {
 		return 0, io.EOF
 	}
-	n, err := c.ahead.take(p)
+	n, err := c.lookahead.take(p)
 	if n == 0 && err == nil {
 		n, err = c.Conn.Read(p)
 	}
-	c.framing.see(p[:n])
+	c.framing.observe(p[:n])
 	if n > 0 {
-		c.spoke(len(p) == behindRead)
-	} else if c.ends() {
+		c.dataArrived(len(p) == backgroundReadSize)
+	} else if c.isRetired() {
 		err = io.EOF
 	}
 	return n, err
 }
 
-// behindRead is the size of the reads by which net/http looks for a client's end behind a request;
+// backgroundReadSize is the size of the reads by which net/http looks for a client's end behind a request;
 // all others are larger.
-const behindRead = 1
+const backgroundReadSize = 1
 
-// ends tells whether the connection was told to end and nothing has come on it since.
-func (c *conn) ends() bool {
-	c.door.mu.Lock()
-	defer c.door.mu.Unlock()
+// isRetired tells whether the connection was told to end and nothing has come on it since.
+func (c *conn) isRetired() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	return c.retired
 }
 
 // retire has the connection end before the next request on it is read. One in the middle of a
 // request is closed at once. The caller has the door's lock.
 func (c *conn) retire() {
-	resting := c.place != nil && c.of != begun
-	c.stir()
+	resting := c.element != nil && c.listIndex != partialRequests
+	c.dequeue()
 	if !resting {
-		c.shut()
+		c.closeLocked()
 		return
 	}
 	c.retired = true
-	c.door.leaving++
-	_ = c.Conn.SetReadDeadline(past) // wakes the reader
+	c.listener.retiring++
+	_ = c.Conn.SetReadDeadline(pastDeadline) // wakes the reader
 }
 
 // NetConn returns the connection that this one wraps.
@@ -92,130 +92,130 @@
 }
 
 func (c *conn) Close() error {
-	c.door.mu.Lock()
-	defer c.door.mu.Unlock()
-	return c.shut()
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.closeLocked()
 }
 
-// shut closes the connection and gives its place back. The caller has the door's lock.
-func (c *conn) shut() error {
+// closeLocked closes the connection and gives its place back. The caller has the door's lock.
+func (c *conn) closeLocked() error {
 	if !c.closed {
 		c.closed = true
-		c.door.open--
-		c.stay()
-		c.stir()
+		c.listener.open--
+		c.unretire()
+		c.dequeue()
 	}
 	return c.Conn.Close()
 }
 
-// stay takes back that the connection is to end.
-func (c *conn) stay() {
+// unretire takes back that the connection is to end.
+func (c *conn) unretire() {
 	if c.retired {
 		c.retired = false
-		c.door.leaving--
+		c.listener.retiring--
 	}
 }
 
-// wait and stir put a connection into a list and take it out.
-func (c *conn) wait(of int) {
-	c.place, c.of, c.since = c.door.waiting[of].PushBack(c), of, time.Now()
+// enqueue and stir put a connection into a list and take it out.
+func (c *conn) enqueue(index int) {
+	c.element, c.listIndex, c.listedAt = c.listener.evictable[index].PushBack(c), index, time.Now()
 }
 
-func (c *conn) stir() {
-	if c.place != nil {
-		c.door.waiting[c.of].Remove(c.place)
-		c.place = nil
+func (c *conn) dequeue() {
+	if c.element != nil {
+		c.listener.evictable[c.listIndex].Remove(c.element)
+		c.element = nil
 	}
 }
 
-// spoke tells that a part of a request has come. Guards against a client that stops after its
+// dataArrived tells that a part of a request has come. Guards against a client that stops after its
 // first byte: on a kept connection the server's own time for a request runs from the fourth.
 // What comes behind a request that waits for its answer is read on from there.
-func (c *conn) spoke(behind bool) {
-	c.door.mu.Lock()
-	defer c.door.mu.Unlock()
+func (c *conn) dataArrived(behind bool) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
 	switch {
 	case c.closed:
 		return
 	case behind:
-		c.behind = true
+		c.pipelined = true
 		c.readAhead()
 		return
 	}
-	resting := c.retired || c.place != nil && c.of != begun
+	resting := c.retired || c.element != nil && c.listIndex != partialRequests
 	if c.retired {
-		c.stay()
-		c.last = true
+		c.unretire()
+		c.lastRequest = true
 	}
-	c.stir()
-	c.wait(begun)
+	c.dequeue()
+	c.enqueue(partialRequests)
 	if resting {
-		_ = c.Conn.SetReadDeadline(time.Now().Add(hearTime))
+		_ = c.Conn.SetReadDeadline(time.Now().Add(requestTimeout))
 	}
 }
 
-// heard tells that a whole request has come: nobody takes its place until it is
+// requestArrived tells that a whole request has come: nobody takes its place until it is
 // answered.
-func (c *conn) heard(runner bool) {
-	c.door.mu.Lock()
-	defer c.door.mu.Unlock()
-	c.stir()
-	c.runner, c.waited = runner, true
+func (c *conn) requestArrived(runner bool) {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.dequeue()
+	c.fromRunner, c.awaitingResponse = runner, true
 	c.readAhead()
 }
 
 // readAhead reads on behind the request where net/http has stopped to. The caller has the door's
 // lock.
 func (c *conn) readAhead() {
-	if c.waited && c.behind {
-		c.ahead.start(c.Conn)
+	if c.awaitingResponse && c.pipelined {
+		c.lookahead.start(c.Conn)
 	}
 }
 
-// written tells that the request on it has its answer, or never will.
-func (c *conn) written() {
-	c.door.mu.Lock()
-	c.waited, c.behind = false, false
-	c.door.mu.Unlock()
-	c.ahead.stop(c.Conn)
+// responseWritten tells that the request on it has its answer, or never will.
+func (c *conn) responseWritten() {
+	c.listener.mu.Lock()
+	c.awaitingResponse, c.pipelined = false, false
+	c.listener.mu.Unlock()
+	c.lookahead.stop(c.Conn)
 }
 
-// ending tells whether the connection ends with the answer to the request that is on it.
-func (c *conn) ending() bool {
-	c.door.mu.Lock()
-	defer c.door.mu.Unlock()
-	return c.last
+// endsWithResponse tells whether the connection ends with the answer to the request that is on it.
+func (c *conn) endsWithResponse() bool {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	return c.lastRequest
 }
 
-// rests tells that the connection is kept between requests.
-func (c *conn) rests() {
-	c.door.mu.Lock()
-	defer c.door.mu.Unlock()
-	c.stir()
+// becameIdle tells that the connection is kept between requests.
+func (c *conn) becameIdle() {
+	c.listener.mu.Lock()
+	defer c.listener.mu.Unlock()
+	c.dequeue()
 	switch {
 	case c.closed:
-	case c.runner:
-		c.wait(runners)
+	case c.fromRunner:
+		c.enqueue(idleRunners)
 	default:
-		c.wait(clients)
+		c.enqueue(idleClients)
 	}
 }
 
-// speaks tells whether a request, or the next part of one, waits to be read: it
+// hasData tells whether a request, or the next part of one, waits to be read: it
 // came before the place was needed.
-func (c *conn) speaks() bool {
-	if c.framing.waiting() {
+func (c *conn) hasData() bool {
+	if c.framing.hasHead() {
 		return true
 	}
 	n, err := c.peek()
 	return err == nil && n > 0
 }
 
-// gone tells whether the client has ended the connection, as far as the system knows now: also
+// clientLeft tells whether the client has ended the connection, as far as the system knows now: also
 // where nobody has come to read it yet.
-func (c *conn) gone() bool {
+func (c *conn) clientLeft() bool {
 	select {
-	case <-c.ahead.over():
+	case <-c.lookahead.clientEnded():
 		return true
 	default:
 	}
@@ -256,6 +256,6 @@
 // connState follows net/http's view of a connection.
 func connState(c net.Conn, s http.ConnState) {
 	if s == http.StateIdle {
-		c.(*conn).rests()
+		c.(*conn).becameIdle()
 	}
 }
--- a/internal/dispatcher/ingress/framing.go
+++ b/internal/dispatcher/ingress/framing.go
@@ -11,14 +11,14 @@
 // Transfer-Encoding it drops the length and tells nobody, and what follows the
 // last chunk would pass as the next request. It changes nothing of what is read.
 type framing struct {
-	mu      sync.Mutex
-	heads   []head // whole ones that nobody has taken, in their order
-	now     head   // the one that is being read
-	line    []byte // of it, up to mostLine bytes
-	first   byte   // its first one
-	started bool   // it has a line
-	body    int64  // bytes that still belong to the body before it
-	lost    bool   // where the next head begins is not known
+	mu       sync.Mutex
+	heads    []head // whole ones that nobody has taken, in their order
+	current  head   // the one that is being read
+	line     []byte // of it, up to mostLine bytes
+	first    byte   // its first one
+	started  bool   // it has a line
+	body     int64  // bytes that still belong to the body before it
+	unsynced bool   // where the next head begins is not known
 }
 
 // head is what framing tells of one request.
@@ -27,21 +27,21 @@
 	length             int64 // -1 if it can't be read
 }
 
-// mostLine is enough for a length or the name of a header.
-const mostLine = 64
+// maxLine is enough for a length or the name of a header.
+const maxLine = 64
 
-// unclear tells whether two readers of the request could differ on its end.
-func (h head) unclear() bool { return h.lengths > 1 || h.lengths > 0 && h.encodings > 0 }
+// ambiguous tells whether two readers of the request could differ on its end.
+func (h head) ambiguous() bool { return h.lengths > 1 || h.lengths > 0 && h.encodings > 0 }
 
-// last tells whether the connection has to end with the request, as framing does
+// endsConnection tells whether the connection has to end with the request, as framing does
 // not know its end.
-func (h head) last() bool { return h.encodings > 0 || h.length < 0 }
+func (h head) endsConnection() bool { return h.encodings > 0 || h.length < 0 }
 
-// see takes in what was read.
-func (f *framing) see(p []byte) {
+// observe takes in what was read.
+func (f *framing) observe(p []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for len(p) > 0 && !f.lost {
+	for len(p) > 0 && !f.unsynced {
 		if f.body > 0 {
 			n := min(f.body, int64(len(p)))
 			f.body -= n
@@ -52,47 +52,47 @@
 		if !f.started && len(f.line) == 0 && len(part) > 0 {
 			f.first = part[0]
 		}
-		f.line = append(f.line, part[:min(len(part), mostLine-len(f.line))]...)
+		f.line = append(f.line, part[:min(len(part), maxLine-len(f.line))]...)
 		p = rest
 		if ended {
-			f.lineEnded()
+			f.endLine()
 		}
 	}
 }
 
-func (f *framing) lineEnded() {
+func (f *framing) endLine() {
 	line := bytes.TrimSuffix(f.line, []byte("\r"))
 	f.line = f.line[:0]
 	name, value, _ := bytes.Cut(line, []byte(":"))
 	switch {
 	case len(line) == 0:
-		f.headEnded()
+		f.endHead()
 		return
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		f.now.encodings++
+		f.current.encodings++
 	case bytes.EqualFold(name, []byte("Content-Length")):
 		n, err := strconv.ParseUint(string(bytes.Trim(value, " \t")), 10, 63)
-		f.now.lengths++
-		f.now.length = int64(n)
+		f.current.lengths++
+		f.current.length = int64(n)
 		if err != nil {
-			f.now.length = -1
+			f.current.length = -1
 		}
 	}
 	f.started = true
 }
 
-func (f *framing) headEnded() {
+func (f *framing) endHead() {
 	if !f.started {
 		return // net/http has no use for an empty line here either
 	}
-	f.heads = append(f.heads, f.now)
-	f.lost = f.now.last() || f.now.unclear()
-	f.body = f.now.length
-	f.now, f.started = head{}, false
+	f.heads = append(f.heads, f.current)
+	f.unsynced = f.current.endsConnection() || f.current.ambiguous()
+	f.body = f.current.length
+	f.current, f.started = head{}, false
 }
 
-// next returns the head of the request that net/http hands over now.
-func (f *framing) next() head {
+// takeHead returns the head of the request that net/http hands over now.
+func (f *framing) takeHead() head {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.heads) == 0 { // can't be: net/http has read it
@@ -103,17 +103,17 @@
 	return h
 }
 
-// waiting tells whether a whole head has been read that nobody has taken.
-func (f *framing) waiting() bool {
+// hasHead tells whether a whole head has been read that nobody has taken.
+func (f *framing) hasHead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.heads) > 0
 }
 
-// stray tells whether what has come beyond the request can't begin another one:
+// hasStrayData tells whether what has come beyond the request can't begin another one:
 // then the request's length was wrong, and its body is cut short.
-func (f *framing) stray() bool {
+func (f *framing) hasStrayData() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.lost && f.body == 0 && (f.started || len(f.line) > 0) && (f.first < 'A' || f.first > 'Z')
+	return !f.unsynced && f.body == 0 && (f.started || len(f.line) > 0) && (f.first < 'A' || f.first > 'Z')
 }
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -23,44 +23,44 @@
 const (
 	maxBody = 64 << 10 // the protocol's bound on any body
 	maxID   = 128      // a longer id is not one of ours
-	// hearTime is how long a request may take to arrive: from the connection's
+	// requestTimeout is how long a request may take to arrive: from the connection's
 	// opening, or from its first bytes on a kept one, to its last byte. Good ones may take
 	// more than 2 s; whoever sends something else is due an end within 3 s.
-	hearTime = 2750 * time.Millisecond
-	// readTime is how long a client may take to read its answer.
-	readTime = 10 * time.Second
-	// idleTime is how long a connection may sit between requests.
-	idleTime = 2 * time.Minute
-	// quiet is how long nothing must have come in before the listener closes.
-	quiet = 250 * time.Millisecond
-	// transit is taken off the time that a client gives, which runs from its
+	requestTimeout = 2750 * time.Millisecond
+	// responseTimeout is how long a client may take to read its answer.
+	responseTimeout = 10 * time.Second
+	// idleTimeout is how long a connection may sit between requests.
+	idleTimeout = 2 * time.Minute
+	// drainQuiet is how long nothing must have come in before the listener closes.
+	drainQuiet = 250 * time.Millisecond
+	// transitAllowance is taken off the time that a client gives, which runs from its
 	// sending: the way here, and the answer's way back.
-	transit = 10 * time.Millisecond
-	// crowded is what a client is told to wait when there is no room for it.
-	crowded = 500 * time.Millisecond
-	// lastWords is how long connections may take to end once their answers are written: net/http's
+	transitAllowance = 10 * time.Millisecond
+	// crowdedRetryAfter is what a client is told to wait when there is no room for it.
+	crowdedRetryAfter = 500 * time.Millisecond
+	// closeTimeout is how long connections may take to end once their answers are written: net/http's
 	// own wait for the client to read, and some more.
-	lastWords = 600 * time.Millisecond
-	// passTime is how long a call-back may take to the process that holds the job.
-	passTime = 500 * time.Millisecond
+	closeTimeout = 600 * time.Millisecond
+	// forwardTimeout is how long a call-back may take to the process that holds the job.
+	forwardTimeout = 500 * time.Millisecond
 )
 
 // Core takes what the front has read.
 type Core interface {
 	Submit(*core.Job, core.Ingress)
-	Leave(*core.Job)
-	Release(job *core.Job, done func(*core.Moved))
-	Adopt(*core.Job, *core.Moved, core.Ingress)
+	ClientLeft(*core.Job)
+	Release(job *core.Job, done func(*core.MovedRequest))
+	Adopt(*core.Job, *core.MovedRequest, core.Ingress)
 	Report(ev core.JobEvent, took func(bool))
-	EndBy(time.Time)
+	StopBy(time.Time)
 }
 
-// Other is the other process of the dispatcher, while there is one.
-type Other interface {
+// Peer is the other process of the dispatcher, while there is one.
+type Peer interface {
 	Linked() bool
 	Succeeded() bool // it is newer, and serves
-	Pass(ev core.JobEvent, by time.Time) bool
-	Hand(c net.Conn, request []byte, m *core.Moved, by time.Time) bool
+	ForwardReport(ev core.JobEvent, by time.Time) bool
+	TransferConn(c net.Conn, request []byte, m *core.MovedRequest, by time.Time) bool
 }
 
 // Counts takes note of how jobs end, by their class's number.
@@ -73,14 +73,14 @@
 
 // Config holds the figures of the ingress.
 type Config struct {
-	Classes []Class  // by their numbers
-	Tenants []string // likewise
-	Columns []string // of load reports
-	Slots   float64  // most that a job may ask for
-	Clients int      // most jobs at a time
-	Sockets int      // most connections at all; the rest is the call-backs'
-	Stories Stories
-	Steps   Steps // of workflows; nil for none
+	Classes        []Class  // by their numbers
+	Tenants        []string // likewise
+	Columns        []string // of load reports
+	MaxSlots       float64  // most that a job may ask for
+	MaxJobs        int      // most jobs at a time
+	MaxConnections int      // most connections at all; the rest is the call-backs'
+	Recorder       Recorder
+	Steps          Steps // of workflows; nil for none
 }
 
 // Steps has jobs that are steps of workflows agreed on before they are sent. Begin returns the
@@ -92,59 +92,59 @@
 
 // Class is what the ingress knows of a class.
 type Class struct {
-	Name  string
-	Keyed bool // its jobs carry a key
-	Gone  bool // no new job may be of it
-	Worth float64
-	// Repeats is how long after a job's coming one that asks for the same belongs to it.
-	Repeats time.Duration
+	Name    string
+	Keyed   bool // its jobs carry a key
+	Removed bool // no new job may be of it
+	Value   float64
+	// DedupWindow is how long after a job's coming one that asks for the same belongs to it.
+	DedupWindow time.Duration
 }
 
-// Stories begins the stories of jobs, and takes those that end at the door. Begin returns
+// Recorder begins the stories of jobs, and takes those that end at the door. Begin returns
 // nil where nothing is recorded.
-type Stories interface {
-	Begin(came time.Time, parent, state string) *trace.Story
-	Ended(*trace.Story)
+type Recorder interface {
+	Begin(came time.Time, parent, state string) *trace.Record
+	Ended(*trace.Record)
 }
 
 // Front is the server of clients and call-backs.
 type Front struct {
-	cfg      Config
-	core     Core
-	other    Other
-	counts   Counts
-	log      *logrus.Entry
-	server   *http.Server
-	door     *door
-	serving  atomic.Int64 // requests being handled, call-backs too
-	jobs     atomic.Int64 // those that wait for the core's answer
-	clients  atomic.Int64 // most of them
-	classes  atomic.Pointer[[]Class]
-	tenants  atomic.Pointer[[]string]
-	draining atomic.Bool   // each answer ends its connection
-	moving   chan struct{} // closed when all jobs go to a newer process
-	adopted  *adopted
-	bad      atomic.Int64              // requests refused as malformed, since the last summary
-	crowded  atomic.Int64              // jobs refused for want of room, since then
-	giveBy   atomic.Pointer[time.Time] // until when jobs go to a newer process; nil before
-	leaveBy  atomic.Pointer[time.Time] // when all that comes now has to be answered; nil before the planned end
+	cfg            Config
+	core           Core
+	peer           Peer
+	counts         Counts
+	log            *logrus.Entry
+	server         *http.Server
+	listener       *connListener
+	activeRequests atomic.Int64 // requests being handled, call-backs too
+	openJobs       atomic.Int64 // those that wait for the core's answer
+	maxJobs        atomic.Int64 // most of them
+	classes        atomic.Pointer[[]Class]
+	tenants        atomic.Pointer[[]string]
+	draining       atomic.Bool   // each answer ends its connection
+	handingOver    chan struct{} // closed when all jobs go to a newer process
+	adopted        *adoptedListener
+	malformed      atomic.Int64              // requests refused as malformed, since the last summary
+	crowded        atomic.Int64              // jobs refused for want of room, since then
+	handOverBy     atomic.Pointer[time.Time] // until when jobs go to a newer process; nil before
+	stopBy         atomic.Pointer[time.Time] // when all that comes now has to be answered; nil before the planned end
 }
 
 // New makes a front.
-func New(cfg Config, c Core, other Other, counts Counts, log *logrus.Entry) *Front {
-	f := &Front{cfg: cfg, core: c, other: other, counts: counts, log: log, door: &door{most: cfg.Sockets},
-		moving: make(chan struct{})}
+func New(cfg Config, c Core, other Peer, counts Counts, log *logrus.Entry) *Front {
+	f := &Front{cfg: cfg, core: c, peer: other, counts: counts, log: log, listener: &connListener{maxOpen: cfg.MaxConnections},
+		handingOver: make(chan struct{})}
 	// Room for all that an older process may have: on a busy machine 200 handed on at once overran 64,
 	// and those that found no room failed.
-	f.adopted = &adopted{conns: make(chan net.Conn, max(cfg.Sockets, 1)), over: make(chan struct{}), door: f.door}
-	f.clients.Store(int64(cfg.Clients))
+	f.adopted = &adoptedListener{conns: make(chan net.Conn, max(cfg.MaxConnections, 1)), closed: make(chan struct{}), listener: f.listener}
+	f.maxJobs.Store(int64(cfg.MaxJobs))
 	f.classes.Store(&cfg.Classes)
 	f.tenants.Store(&cfg.Tenants)
 	f.server = &http.Server{
 		Handler:           http.HandlerFunc(f.handle),
-		ReadTimeout:       hearTime,
-		ReadHeaderTimeout: hearTime,
-		IdleTimeout:       idleTime,
+		ReadTimeout:       requestTimeout,
+		ReadHeaderTimeout: requestTimeout,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    16 << 10,
 		ConnState:         connState,
 		ConnContext:       func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) },
@@ -159,50 +159,50 @@
 // Serve answers until the listener is closed.
 func (f *Front) Serve(l net.Listener) error {
 	var warn sync.Once
-	f.door.listen(neterr.Listener{Listener: l, Failed: func(err error) {
+	f.listener.setListener(neterr.Listener{Listener: l, OnError: func(err error) {
 		warn.Do(func() { f.log.WithError(err).Warn("accept failed; it is tried again, and not logged again") })
 	}})
 	stop := make(chan struct{})
 	defer close(stop)
-	go f.summarise(stop)
+	go f.logSummaries(stop)
 	go func() { _ = f.server.Serve(f.adopted) }() // ends with the server
-	err := f.server.Serve(f.door)
+	err := f.server.Serve(f.listener)
 	if errors.Is(err, http.ErrServerClosed) || f.draining.Load() {
 		return nil
 	}
 	return fmt.Errorf("serving %s: %w", l.Addr(), err)
 }
 
-// Leave tells when the process may be ended. No job that is here or comes from now
+// StopBy tells when the process may be ended. No job that is here or comes from now
 // on has a later deadline; who is refused is told to go elsewhere, and everybody
 // else may still use the connections there are.
-func (f *Front) Leave(by time.Time) {
-	f.leaveBy.Store(&by)
-	f.core.EndBy(by)
+func (f *Front) StopBy(by time.Time) {
+	f.stopBy.Store(&by)
+	f.core.StopBy(by)
 }
 
-// Classes sets what jobs may be of from now on.
-func (f *Front) Classes(classes []Class) { f.classes.Store(&classes) }
+// SetClasses sets what jobs may be of from now on.
+func (f *Front) SetClasses(classes []Class) { f.classes.Store(&classes) }
 
-// Tenants takes the names of the tenants by their numbers.
-func (f *Front) Tenants(names []string) { f.tenants.Store(&names) }
+// SetTenants takes the names of the tenants by their numbers.
+func (f *Front) SetTenants(names []string) { f.tenants.Store(&names) }
 
-// Budget sets how many jobs and connections there may be from now on.
-func (f *Front) Budget(clients, sockets int) {
-	f.clients.Store(int64(clients))
-	f.door.budget(sockets)
+// SetLimits sets how many jobs and connections there may be from now on.
+func (f *Front) SetLimits(clients, sockets int) {
+	f.maxJobs.Store(int64(clients))
+	f.listener.setMaxOpen(sockets)
 }
 
-// GiveWay leaves all jobs to a newer process, those that come on the connections that
+// HandOver leaves all jobs to a newer process, those that come on the connections that
 // there are too; the caller has closed the listener. It returns when no connection is
 // left, when the newer process has ended, or at the deadline. Guards requests that cross
 // a close: kept connections go with their next use, not before.
-func (f *Front) GiveWay(by time.Time) {
-	f.giveBy.Store(&by)
-	close(f.moving)
-	tick := time.NewTicker(quiet / 25)
+func (f *Front) HandOver(by time.Time) {
+	f.handOverBy.Store(&by)
+	close(f.handingOver)
+	tick := time.NewTicker(drainQuiet / 25)
 	defer tick.Stop()
-	for f.door.count() > 0 && time.Now().Before(by) && f.other.Succeeded() {
+	for f.listener.count() > 0 && time.Now().Before(by) && f.peer.Succeeded() {
 		<-tick.C
 	}
 }
@@ -217,15 +217,15 @@
 // or when none of them has begun a request for a while.
 func (f *Front) Drain(ctx context.Context) error {
 	f.draining.Store(true)
-	tick := time.NewTicker(quiet / 25)
+	tick := time.NewTicker(drainQuiet / 25)
 	defer tick.Stop()
 	for since := time.Now(); ; {
 		still := time.Since(since)
-		begun := f.door.endResting(still > quiet/2)
-		if f.serving.Load() > 0 || begun > 0 {
+		begun := f.listener.retireIdle(still > drainQuiet/2)
+		if f.activeRequests.Load() > 0 || begun > 0 {
 			since = time.Now()
 		}
-		if f.door.count() == 0 || still >= quiet {
+		if f.listener.count() == 0 || still >= drainQuiet {
 			break
 		}
 		select {
@@ -234,27 +234,27 @@
 			return fmt.Errorf("waiting for open requests: %w", ctx.Err())
 		}
 	}
-	f.door.shut() // nobody comes any more; one that has come is let in yet
-	f.ended(tick.C)
+	f.listener.closeListener() // nobody comes any more; one that has come is let in yet
+	f.awaitClosed(tick.C)
 	return nil
 }
 
-// ended waits until the last connections have ended. Guards answers that their clients have not
+// awaitClosed waits until the last connections have ended. Guards answers that their clients have not
 // read yet from a reset: net/http keeps such a connection half open for half a second.
-func (f *Front) ended(tick <-chan time.Time) {
-	for since := time.Now(); f.door.count() > 0 && time.Since(since) < lastWords; <-tick {
-		f.door.endResting(true)
+func (f *Front) awaitClosed(tick <-chan time.Time) {
+	for since := time.Now(); f.listener.count() > 0 && time.Since(since) < closeTimeout; <-tick {
+		f.listener.retireIdle(true)
 	}
 	_ = f.server.Close() // what is open now is silent
 }
 
-// summaryEvery is how often what was turned away is logged, if anything was.
-const summaryEvery = 10 * time.Second
+// summaryInterval is how often what was turned away is logged, if anything was.
+const summaryInterval = 10 * time.Second
 
-// summarise logs how much was turned away. Guards against a log line for each of
+// logSummaries logs how much was turned away. Guards against a log line for each of
 // them, which any client could cause at will.
-func (f *Front) summarise(stop <-chan struct{}) {
-	tick := time.NewTicker(summaryEvery)
+func (f *Front) logSummaries(stop <-chan struct{}) {
+	tick := time.NewTicker(summaryInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -262,10 +262,10 @@
 			return
 		case <-tick.C:
 		}
-		bad, crowded, out := f.bad.Swap(0), f.crowded.Swap(0), f.door.putOut.Swap(0)
+		bad, crowded, out := f.malformed.Swap(0), f.crowded.Swap(0), f.listener.evicted.Swap(0)
 		if bad+crowded+out > 0 {
 			f.log.WithFields(logrus.Fields{"malformed": bad, "crowded": crowded, "put_out": out,
-				"connections": f.door.count()}).Info("turned away in the last 10 s")
+				"connections": f.listener.count()}).Info("turned away in the last 10 s")
 		}
 	}
 }
--- a/internal/dispatcher/ingress/jobs.go
+++ b/internal/dispatcher/ingress/jobs.go
@@ -13,85 +13,85 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// exchange is the client's side of one job: a mailbox for its one answer.
-type exchange chan core.Answer
+// pendingResponse is the client's side of one job: a mailbox for its one answer.
+type pendingResponse chan core.Response
 
-// Answer takes the core's answer; there is room for it, as it comes once.
-func (x exchange) Answer(a core.Answer) { x <- a }
+// Respond takes the core's answer; there is room for it, as it comes once.
+func (x pendingResponse) Respond(a core.Response) { x <- a }
 
-func (f *Front) job(w http.ResponseWriter, r *http.Request, c *conn) {
-	story := f.story(r)
-	class, err := f.class(r.Header.Get("X-Qos"), r.URL.Path)
+func (f *Front) handleJob(w http.ResponseWriter, r *http.Request, c *conn) {
+	story := f.beginRecord(r)
+	class, err := f.findClass(r.Header.Get("X-Qos"), r.URL.Path)
 	if err != nil {
-		f.atDoor(story, trace.Unusable, "class", http.StatusBadRequest)
-		f.refuse(w, err.Error(), http.StatusBadRequest)
+		f.endRecord(story, trace.Invalid, "class", http.StatusBadRequest)
+		f.rejectMalformed(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	job, err := f.parse(r, class, time.Now())
-	f.describe(story, r, job, class)
+	job, err := f.parseJob(r, class, time.Now())
+	f.describeJob(story, r, job, class)
 	if err != nil {
-		f.atDoor(story, trace.Unusable, "malformed", http.StatusBadRequest)
+		f.endRecord(story, trace.Invalid, "malformed", http.StatusBadRequest)
 		f.counts.Failed(class)
-		f.refuse(w, err.Error(), http.StatusBadRequest)
+		f.rejectMalformed(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	text, ok := f.body(w, r, c)
+	text, ok := f.readBody(w, r, c)
 	if !ok {
-		f.atDoor(story, trace.Unusable, "body", http.StatusBadRequest)
+		f.endRecord(story, trace.Invalid, "body", http.StatusBadRequest)
 		f.counts.Failed(class)
 		return
 	}
-	c.heard(false)
+	c.requestArrived(false)
 	f.counts.Pending(1)
 	defer f.counts.Pending(-1)
-	defer f.jobs.Add(-1)
-	if f.jobs.Add(1) > f.clients.Load() {
+	defer f.openJobs.Add(-1)
+	if f.openJobs.Add(1) > f.maxJobs.Load() {
 		// Guards the budget of sockets: the connection is given back with a clean
 		// refusal, so that call-backs still find room.
 		f.crowded.Add(1)
-		f.atDoor(story, trace.Refused, "crowded", http.StatusServiceUnavailable)
+		f.endRecord(story, trace.Refused, "crowded", http.StatusServiceUnavailable)
 		f.counts.Rejected(class)
 		w.Header().Set("Connection", "close")
-		shed(w, crowded)
+		writeRejection(w, crowdedRetryAfter)
 		return
 	}
-	job.Body, job.Gone = text, func() bool { return r.Context().Err() != nil || c.gone() }
-	m := &core.Moved{}
-	if c.moved != nil { // the older process has begun it
-		m, c.moved = c.moved, nil
+	job.Body, job.ClientLeft = text, func() bool { return r.Context().Err() != nil || c.clientLeft() }
+	m := &core.MovedRequest{}
+	if c.transferred != nil { // the older process has begun it
+		m, c.transferred = c.transferred, nil
 		job.Deadline = monotime.Time(m.Deadline)
-		if story != nil && m.Story != nil {
-			story = m.Story
+		if story != nil && m.Record != nil {
+			story = m.Record
 		}
 	}
-	m.Story = story
-	if f.gives() {
+	m.Record = story
+	if f.handsOver() {
 		if m.Deadline == 0 {
 			m.Deadline = monotime.Of(job.Deadline)
 		}
-		if f.move(w, r, m, text) {
+		if f.transfer(w, r, m, text) {
 			return
 		}
 	}
-	by := f.leaveBy.Load()
-	if by != nil && by.Before(job.Deadline) {
+	stopBy := f.stopBy.Load()
+	if stopBy != nil && stopBy.Before(job.Deadline) {
 		// Guards rule 1: what the process's end finds without an answer is lost.
-		job.Deadline, job.Ending = *by, true
+		job.Deadline, job.ProcessStopping = *stopBy, true
 	}
-	job.Story = story
+	job.Record = story
 	var settled func(core.Verdict)
-	if f.cfg.Steps != nil && len(m.Hops) == 0 {
+	if f.cfg.Steps != nil && len(m.Attempts) == 0 {
 		code, why, tell := f.cfg.Steps.Begin(r.Context(), r.Header, job.Deadline)
 		if code != 0 {
-			f.atDoor(story, trace.Refused, "workflow", code)
+			f.endRecord(story, trace.Refused, "workflow", code)
 			f.counts.Rejected(class)
 			http.Error(w, why, code)
 			return
 		}
 		settled = tell
 	}
-	x := make(exchange, 1)
-	if len(m.Hops) > 0 {
+	x := make(pendingResponse, 1)
+	if len(m.Attempts) > 0 {
 		f.core.Adopt(job, m, x)
 	} else {
 		f.core.Submit(job, x)
@@ -101,33 +101,33 @@
 
 // await waits for a job's answer and writes it, unless the client leaves or the job
 // moves to a newer process.
-func (f *Front) await(w http.ResponseWriter, r *http.Request, c *conn, job *core.Job, x exchange, settled func(core.Verdict)) {
-	released := make(chan *core.Moved, 1)
-	for moving := f.moving; ; {
+func (f *Front) await(w http.ResponseWriter, r *http.Request, c *conn, job *core.Job, x pendingResponse, settled func(core.Verdict)) {
+	released := make(chan *core.MovedRequest, 1)
+	for moving := f.handingOver; ; {
 		select {
 		case a := <-x:
 			if settled != nil {
 				settled(a.Verdict)
 			}
-			_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(readTime))
-			if f.leaveBy.Load() != nil && a.Verdict == core.Shed || f.gives() || f.draining.Load() {
+			_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout))
+			if f.stopBy.Load() != nil && a.Verdict == core.Rejected || f.handsOver() || f.draining.Load() {
 				w.Header().Set("Connection", "close")
 			}
-			f.write(w, job.Class, a)
+			f.writeResponse(w, job.Class, a)
 			return
 		case <-r.Context().Done():
-			f.left(job)
-		case <-c.ahead.over():
-			f.left(job)
+			f.abortForClient(job)
+		case <-c.lookahead.clientEnded():
+			f.abortForClient(job)
 		case <-moving:
 			moving = nil // once
-			f.core.Release(job, func(m *core.Moved) { released <- m })
+			f.core.Release(job, func(m *core.MovedRequest) { released <- m })
 		case m := <-released:
 			if m == nil {
 				continue // its answer is on the way
 			}
-			if !f.move(w, r, m, job.Body) {
-				f.atDoor(m.Story, trace.Failed, "hand_over", http.StatusBadGateway)
+			if !f.transfer(w, r, m, job.Body) {
+				f.endRecord(m.Record, trace.Failed, "hand_over", http.StatusBadGateway)
 				f.counts.Failed(job.Class)
 				w.Header().Set("Connection", "close")
 				http.Error(w, "the job failed", http.StatusBadGateway)
@@ -137,31 +137,31 @@
 	}
 }
 
-// left ends a job whose client has gone, and its connection. Guards a client that has closed its
+// abortForClient ends a job whose client has gone, and its connection. Guards a client that has closed its
 // side alone from an answer that no runner made: net/http would write one.
-func (f *Front) left(job *core.Job) {
-	f.core.Leave(job)
+func (f *Front) abortForClient(job *core.Job) {
+	f.core.ClientLeft(job)
 	panic(http.ErrAbortHandler)
 }
 
-// gives tells whether all jobs go to a newer process now.
-func (f *Front) gives() bool {
+// handsOver tells whether all jobs go to a newer process now.
+func (f *Front) handsOver() bool {
 	select {
-	case <-f.moving:
-		return f.other.Succeeded()
+	case <-f.handingOver:
+		return f.peer.Succeeded()
 	default:
 		return false
 	}
 }
 
-// move hands a client's connection and its request to the newer process. It reports
+// transfer hands a client's connection and its request to the newer process. It reports
 // whether nothing more is owed here.
-func (f *Front) move(w http.ResponseWriter, r *http.Request, m *core.Moved, body []byte) bool {
-	if !f.other.Succeeded() {
+func (f *Front) transfer(w http.ResponseWriter, r *http.Request, m *core.MovedRequest, body []byte) bool {
+	if !f.peer.Succeeded() {
 		return false
 	}
 	x := r.Context().Value(connKey{}).(*conn)
-	x.written() // nobody else reads it from here on
+	x.responseWritten() // nobody else reads it from here on
 	c, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		f.log.WithError(err).Warn("a connection could not be handed over")
@@ -176,39 +176,39 @@
 	text.Write(body)
 	more, _ := buffered.Reader.Peek(buffered.Reader.Buffered())
 	text.Write(more)
-	text.Write(x.ahead.rest())
-	if !f.other.Hand(c, text.Bytes(), m, f.handBy(m)) {
+	text.Write(x.lookahead.rest())
+	if !f.peer.TransferConn(c, text.Bytes(), m, f.transferDeadline(m)) {
 		// Guards rule 1 against a newer process that has ended: it may have run, unless
 		// it was never sent.
 		status, answer := http.StatusBadGateway, trace.Failed
-		if len(m.Hops) == 0 {
+		if len(m.Attempts) == 0 {
 			status, answer = http.StatusServiceUnavailable, trace.Refused
 		}
-		f.atDoor(m.Story, answer, "hand_over", status)
-		_ = c.SetWriteDeadline(time.Now().Add(passTime))
+		f.endRecord(m.Record, answer, "hand_over", status)
+		_ = c.SetWriteDeadline(time.Now().Add(forwardTimeout))
 		fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 	}
 	return true
 }
 
-// handBy is when a job has to be at the newer process: by its own time, and while this one goes on.
+// transferDeadline is when a job has to be at the newer process: by its own time, and while this one goes on.
 // Guards clients on a busy machine: of 200 handed over at once some took over 500 ms, the time that
 // call-backs have, and failed while the newer process went on with them. One that stands still ends the link.
-func (f *Front) handBy(m *core.Moved) time.Time {
-	by := time.Now().Add(passTime)
-	if until := f.giveBy.Load(); until != nil && until.After(by) {
-		by = *until
+func (f *Front) transferDeadline(m *core.MovedRequest) time.Time {
+	stopBy := time.Now().Add(forwardTimeout)
+	if until := f.handOverBy.Load(); until != nil && until.After(stopBy) {
+		stopBy = *until
 	}
-	if at := monotime.Time(m.Deadline); at.Before(by) {
+	if at := monotime.Time(m.Deadline); at.Before(stopBy) {
 		return at
 	}
-	return by
+	return stopBy
 }
 
 // Adopt serves a client's connection that the older process hands over, beginning with
 // the request that was read from it there.
-func (f *Front) Adopt(c net.Conn, request []byte, m *core.Moved) bool {
-	x := f.door.admit(c, request, m)
+func (f *Front) Adopt(c net.Conn, request []byte, m *core.MovedRequest) bool {
+	x := f.listener.admit(c, request, m)
 	select {
 	case f.adopted.conns <- x:
 		return true
@@ -218,12 +218,12 @@
 	}
 }
 
-// write counts and writes a job's answer.
-func (f *Front) write(w http.ResponseWriter, class int, a core.Answer) {
+// writeResponse counts and writes a job's answer.
+func (f *Front) writeResponse(w http.ResponseWriter, class int, a core.Response) {
 	switch a.Verdict {
 	case core.Served:
 		f.counts.Completed(class)
-	case core.Shed:
+	case core.Rejected:
 		f.counts.Rejected(class)
 	default:
 		f.counts.Failed(class)
@@ -232,8 +232,8 @@
 	case core.Served:
 		w.Header().Set("Content-Type", "application/octet-stream")
 		_, _ = w.Write(a.Result) // a client that has left is seen by its context
-	case core.Shed:
-		shed(w, a.RetryAfter)
+	case core.Rejected:
+		writeRejection(w, a.RetryAfter)
 	case core.Duplicate:
 		http.Error(w, "a request with this id is open", http.StatusConflict)
 	case core.Unusable:
@@ -243,8 +243,8 @@
 	}
 }
 
-// shed writes a refusal and when to come back.
-func shed(w http.ResponseWriter, after time.Duration) {
+// writeRejection writes a refusal and when to come back.
+func writeRejection(w http.ResponseWriter, after time.Duration) {
 	if after > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
--- a/internal/dispatcher/ingress/log.go
+++ b/internal/dispatcher/ingress/log.go
@@ -8,11 +8,11 @@
 
 // stdLog lets net/http's complaints about connections into our log, at a level
 // that does not drown the rest: a client can cause them at will.
-func stdLog(to *logrus.Entry) *log.Logger { return log.New(writer{to}, "", 0) }
+func stdLog(to *logrus.Entry) *log.Logger { return log.New(debugWriter{to}, "", 0) }
 
-type writer struct{ to *logrus.Entry }
+type debugWriter struct{ to *logrus.Entry }
 
-func (w writer) Write(line []byte) (int, error) {
+func (w debugWriter) Write(line []byte) (int, error) {
 	w.to.WithField("from", "net/http").Debug(string(line))
 	return len(line), nil
 }
--- a/internal/dispatcher/ingress/lookahead.go
+++ b/internal/dispatcher/ingress/lookahead.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// mostAhead bounds what is read ahead of the answer to a request: past it a client's end is seen
+// maxLookahead bounds what is read ahead of the answer to a request: past it a client's end is seen
 // only once it has its answer.
-const mostAhead = 2 * maxBody
+const maxLookahead = 2 * maxBody
 
 // lookahead reads on behind a request that waits for its answer, once something has come there.
 // Guards against a client that sends more and goes: net/http reads one byte there and no further,
@@ -23,22 +23,22 @@
 	end     chan struct{} // closed when the client's end was seen; nil until asked for
 }
 
-// over is closed when the client's end has been seen behind what it sent.
-func (a *lookahead) over() <-chan struct{} {
+// clientEnded is closed when the client's end has been seen behind what it sent.
+func (a *lookahead) clientEnded() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.ended()
+	return a.endChannel()
 }
 
-func (a *lookahead) ended() chan struct{} {
+func (a *lookahead) endChannel() chan struct{} {
 	if a.end == nil {
 		a.end = make(chan struct{})
 	}
 	return a.end
 }
 
-// put is what another process has read of the connection already.
-func (a *lookahead) put(read []byte) { a.bytes = read }
+// prepend is what another process has read of the connection already.
+func (a *lookahead) prepend(read []byte) { a.bytes = read }
 
 // take returns what has been read ahead, and what ended it.
 func (a *lookahead) take(p []byte) (int, error) {
@@ -70,9 +70,9 @@
 		a.bytes = append(a.bytes, part[:n]...)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			a.err = err
-			close(a.ended())
+			close(a.endChannel())
 		}
-		full := len(a.bytes) >= mostAhead
+		full := len(a.bytes) >= maxLookahead
 		a.mu.Unlock()
 		if err != nil || full {
 			return
@@ -98,7 +98,7 @@
 	if reading == nil {
 		return
 	}
-	_ = c.SetReadDeadline(past)
+	_ = c.SetReadDeadline(pastDeadline)
 	<-reading
 	_ = c.SetReadDeadline(time.Time{})
 }
--- a/internal/dispatcher/ingress/parse.go
+++ b/internal/dispatcher/ingress/parse.go
@@ -14,9 +14,9 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// parse reads a job's headers. A size hint that is no number is passed over, as it is
+// parseJob reads a job's headers. A size hint that is no number is passed over, as it is
 // a rough estimate at best.
-func (f *Front) parse(r *http.Request, class int, came time.Time) (*core.Job, error) {
+func (f *Front) parseJob(r *http.Request, class int, came time.Time) (*core.Job, error) {
 	h := r.Header
 	job := &core.Job{ID: h.Get("X-Trace-Id"), Method: r.Method, Resource: r.RequestURI, Key: h.Get("Idempotency-Key"),
 		Class: class, Retry: h.Get("X-Second-Try") == "1", Slots: 1}
@@ -33,8 +33,8 @@
 	if err != nil || ms <= 0 || ms > math.MaxInt32 {
 		return nil, errors.New("X-Expires-In-Ms is missing or malformed")
 	}
-	job.Deadline = came.Add(time.Duration(ms)*time.Millisecond - transit)
-	if job.Gang, err = gangOf(h); err != nil {
+	job.Deadline = came.Add(time.Duration(ms)*time.Millisecond - transitAllowance)
+	if job.Gang, err = parseGang(h); err != nil {
 		return nil, err
 	}
 	if hint, err := strconv.ParseInt(h.Get("X-Size-Hint"), 10, 64); err == nil && hint > 0 && hint < math.MaxInt32 {
@@ -58,17 +58,17 @@
 			return nil, fmt.Errorf("X-Props: %s is malformed", name)
 		}
 	}
-	if job.Slots > f.cfg.Slots {
+	if job.Slots > f.cfg.MaxSlots {
 		return nil, fmt.Errorf("X-Props: slots=%g is more than any runner has", job.Slots)
 	}
 	return job, nil
 }
 
-// mostParts is the most parts of a gang that can be told.
-const mostParts = 1 << 16
+// maxParts is the most parts of a gang that can be told.
+const maxParts = 1 << 16
 
-// gangOf reads which part of a gang a job is: X-Gang names the gang, X-Gang-Part is N/OF.
-func gangOf(h http.Header) (*core.Gang, error) {
+// parseGang reads which part of a gang a job is: X-Gang names the gang, X-Gang-Part is N/OF.
+func parseGang(h http.Header) (*core.Gang, error) {
 	id := h.Get("X-Gang")
 	if id == "" {
 		return nil, nil
@@ -76,20 +76,20 @@
 	a, b, _ := strings.Cut(h.Get("X-Gang-Part"), "/")
 	n, err1 := strconv.Atoi(a)
 	of, err2 := strconv.Atoi(b)
-	if len(id) > maxID || err1 != nil || err2 != nil || n < 1 || n > of || of > mostParts {
+	if len(id) > maxID || err1 != nil || err2 != nil || n < 1 || n > of || of > maxParts {
 		return nil, errors.New("X-Gang or X-Gang-Part is malformed: a name, and a part as N/OF")
 	}
 	return &core.Gang{ID: id, N: n, Of: of}, nil
 }
 
-// class finds a job's class, which is told twice.
-func (f *Front) class(name, path string) (int, error) {
+// findClass finds a job's class, which is told twice.
+func (f *Front) findClass(name, path string) (int, error) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	if name == "" {
 		name = first
 	}
 	for i, c := range *f.classes.Load() {
-		if c.Name == name && first == name && !c.Gone {
+		if c.Name == name && first == name && !c.Removed {
 			return i, nil
 		}
 	}
--- a/internal/dispatcher/ingress/parse_test.go
+++ b/internal/dispatcher/ingress/parse_test.go
@@ -15,7 +15,7 @@
 // TestTenant guards the shares: a job is its tenant's by name, as the settings in force have
 // them, and one of a name that they lack is nobody's.
 func TestTenant(t *testing.T) {
-	f := New(Config{Classes: []Class{{Name: "a"}}, Tenants: []string{"north", "south"}, Slots: 8}, nil, nil, nil, logrus.NewEntry(logrus.New()))
+	f := New(Config{Classes: []Class{{Name: "a"}}, Tenants: []string{"north", "south"}, MaxSlots: 8}, nil, nil, nil, logrus.NewEntry(logrus.New()))
 	tenant := func(name string) int {
 		r := httptest.NewRequest("POST", "/a", nil)
 		r.Header.Set("X-Trace-Id", "x")
@@ -23,7 +23,7 @@
 		if name != "" {
 			r.Header.Set("X-Customer", name)
 		}
-		job, err := f.parse(r, 0, time.Now())
+		job, err := f.parseJob(r, 0, time.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -34,24 +34,24 @@
 			t.Errorf("%q is tenant %d, want %d", name, got, want)
 		}
 	}
-	f.Tenants([]string{"south"})
+	f.SetTenants([]string{"south"})
 	if got := tenant("south"); got != 1 {
 		t.Errorf("after new settings it is tenant %d, want 1", got)
 	}
 }
 
-// TestHandBy guards clients that are handed over to a newer process at once with many others: how
+// TestTransferDeadline guards clients that are handed over to a newer process at once with many others: how
 // long that may take ends with the job's own time or with this process, not before.
-func TestHandBy(t *testing.T) {
+func TestTransferDeadline(t *testing.T) {
 	f := New(Config{}, nil, nil, nil, logrus.NewEntry(logrus.New()))
 	now := time.Now()
 	end := now.Add(3 * time.Second)
-	f.giveBy.Store(&end)
+	f.handOverBy.Store(&end)
 	for _, c := range []struct{ deadline, want time.Time }{
 		{now.Add(time.Minute), end},
 		{now.Add(time.Second), now.Add(time.Second)},
 	} {
-		if by := f.handBy(&core.Moved{Deadline: monotime.Of(c.deadline)}); by.Sub(c.want).Abs() > 200*time.Millisecond {
+		if by := f.transferDeadline(&core.MovedRequest{Deadline: monotime.Of(c.deadline)}); by.Sub(c.want).Abs() > 200*time.Millisecond {
 			t.Errorf("a job with %v left has to be there %v from now, want %v", c.deadline.Sub(now), by.Sub(now), c.want.Sub(now))
 		}
 	}
@@ -60,7 +60,7 @@
 // TestAdoptAll guards clients that are handed over faster than they are served: there is room for as
 // many as a process may have, and one more is told so.
 func TestAdoptAll(t *testing.T) {
-	f := New(Config{Sockets: 200}, nil, nil, nil, logrus.NewEntry(logrus.New()))
+	f := New(Config{MaxConnections: 200}, nil, nil, nil, logrus.NewEntry(logrus.New()))
 	for i := range 201 {
 		c, _ := net.Pipe()
 		if took := f.Adopt(c, nil, nil); took != (i < 200) {
--- a/internal/dispatcher/loadreport/loadreport.go
+++ b/internal/dispatcher/loadreport/loadreport.go
@@ -22,7 +22,7 @@
 	if len(columns) == 0 || json.Unmarshal(text, &values) != nil || len(values) == 0 {
 		return nil
 	}
-	load := unknown(len(columns))
+	load := unknownValues(len(columns))
 	for i, name := range columns {
 		if v, ok := values[name].(float64); ok {
 			load[i] = float32(v)
@@ -40,7 +40,7 @@
 	if !ok || len(columns) == 0 {
 		return nil
 	}
-	load := unknown(len(columns))
+	load := unknownValues(len(columns))
 	for pair := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		v, err := strconv.ParseFloat(value, 32)
@@ -53,8 +53,8 @@
 	return load
 }
 
-// unknown returns a report that says nothing.
-func unknown(n int) []float32 {
+// unknownValues returns a report that says nothing.
+func unknownValues(n int) []float32 {
 	load := make([]float32, n)
 	for i := range load {
 		load[i] = float32(math.NaN())
--- a/internal/dispatcher/measures/measures.go
+++ b/internal/dispatcher/measures/measures.go
@@ -21,19 +21,19 @@
 )
 
 const (
-	// mostSeries bounds the series of each figure; past it all others are one, marked
+	// maxSeries bounds the series of each figure; past it all others are one, marked
 	// otel.metric.overflow.
-	mostSeries = 2500
+	maxSeries = 2500
 	// buckets bounds a histogram's memory; a thousandfold range has an error of 4% with
 	// 160, and of 25% with 24.
-	buckets       = 160
-	targetBuckets = 24
+	buckets        = 160
+	backendBuckets = 24
 )
 
 // Load is how much of a target this process uses.
 type Load struct {
-	Target      string
-	Held, Limit int // tokens
+	Backend      string
+	InUse, Limit int // tokens
 }
 
 // Exporter is what the export tells of itself.
@@ -45,17 +45,17 @@
 
 // Set holds the figures of a process.
 type Set struct {
-	reader   *sdk.ManualReader
-	provider *sdk.MeterProvider
-	duration metric.Float64Histogram
-	requests metric.Int64Counter
-	late     metric.Int64Counter
-	hops     metric.Int64Counter
-	start    metric.Float64Histogram
-
-	loads    []Load
-	exporter Exporter
-	known    map[series]metric.MeasurementOption
+	reader     *sdk.ManualReader
+	provider   *sdk.MeterProvider
+	duration   metric.Float64Histogram
+	requests   metric.Int64Counter
+	overdue    metric.Int64Counter
+	attempts   metric.Int64Counter
+	startDelay metric.Float64Histogram
+
+	loads         []Load
+	exporter      Exporter
+	attributeSets map[series]metric.MeasurementOption
 }
 
 // series names a set of attributes; making one costs more than finding it.
@@ -67,10 +67,10 @@
 // The kinds of series.
 const (
 	byRequest uint8 = iota
-	byAnswer
+	byResult
 	byClass
-	byHop
-	byTarget
+	byAttempt
+	byBackend
 )
 
 // New makes the figures. With delta each Collect tells what came since the last one.
@@ -81,42 +81,42 @@
 		}
 		return metricdata.CumulativeTemporality
 	}
-	s := &Set{reader: sdk.NewManualReader(sdk.WithTemporalitySelector(temporality)), known: map[series]metric.MeasurementOption{}}
+	s := &Set{reader: sdk.NewManualReader(sdk.WithTemporalitySelector(temporality)), attributeSets: map[series]metric.MeasurementOption{}}
 	histogram := func(name string, size int32) sdk.View {
 		return sdk.NewView(sdk.Instrument{Name: name}, sdk.Stream{
 			Aggregation: sdk.AggregationBase2ExponentialHistogram{MaxSize: size, MaxScale: 20}})
 	}
 	s.provider = sdk.NewMeterProvider(sdk.WithReader(s.reader), sdk.WithResource(resource.Empty()),
-		sdk.WithExemplarFilter(exemplar.TraceBasedFilter), sdk.WithCardinalityLimit(mostSeries),
-		sdk.WithView(histogram("http.server.request.duration", buckets), histogram("frosttide.hop.start", targetBuckets)))
-	m := s.provider.Meter("frosttide")
+		sdk.WithExemplarFilter(exemplar.TraceBasedFilter), sdk.WithCardinalityLimit(maxSeries),
+		sdk.WithView(histogram("http.server.request.duration", buckets), histogram("frosttide.hop.start", backendBuckets)))
+	meter := s.provider.Meter("frosttide")
 	var err [12]error
-	s.duration, err[0] = m.Float64Histogram("http.server.request.duration", metric.WithUnit("s"),
+	s.duration, err[0] = meter.Float64Histogram("http.server.request.duration", metric.WithUnit("s"),
 		metric.WithDescription("From a request's coming to its one final answer."))
-	s.requests, err[1] = m.Int64Counter("frosttide.requests", metric.WithUnit("{request}"),
+	s.requests, err[1] = meter.Int64Counter("frosttide.requests", metric.WithUnit("{request}"),
 		metric.WithDescription("Requests that have ended, by answer and reason."))
-	s.late, err[2] = m.Int64Counter("frosttide.requests.late", metric.WithUnit("{request}"),
+	s.overdue, err[2] = meter.Int64Counter("frosttide.requests.late", metric.WithUnit("{request}"),
 		metric.WithDescription("Requests served after the wanted time."))
-	s.hops, err[3] = m.Int64Counter("frosttide.hops", metric.WithUnit("{hop}"),
+	s.attempts, err[3] = meter.Int64Counter("frosttide.hops", metric.WithUnit("{hop}"),
 		metric.WithDescription("Hops that have ended, by target and outcome."))
-	s.start, err[4] = m.Float64Histogram("frosttide.hop.start", metric.WithUnit("s"),
+	s.startDelay, err[4] = meter.Float64Histogram("frosttide.hop.start", metric.WithUnit("s"),
 		metric.WithDescription("From a hop's sending to the runner's word that the job runs."))
-	_, err[5] = m.Int64ObservableGauge("frosttide.tokens.held", metric.WithUnit("{token}"),
-		metric.WithDescription("Tokens of a target that are out."), metric.WithInt64Callback(s.observe(func(l Load) int { return l.Held })))
-	_, err[6] = m.Int64ObservableGauge("frosttide.tokens.limit", metric.WithUnit("{token}"),
+	_, err[5] = meter.Int64ObservableGauge("frosttide.tokens.held", metric.WithUnit("{token}"),
+		metric.WithDescription("Tokens of a target that are out."), metric.WithInt64Callback(s.observe(func(l Load) int { return l.InUse })))
+	_, err[6] = meter.Int64ObservableGauge("frosttide.tokens.limit", metric.WithUnit("{token}"),
 		metric.WithDescription("Tokens of a target that may be out."), metric.WithInt64Callback(s.observe(func(l Load) int { return l.Limit })))
-	_, err[7] = m.Int64ObservableGauge("frosttide.export.queued", metric.WithUnit("{story}"),
+	_, err[7] = meter.Int64ObservableGauge("frosttide.export.queued", metric.WithUnit("{story}"),
 		metric.WithDescription("Stories that wait for their export."), metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
 			o.Observe(int64(s.exporter.Queued))
 			return nil
 		}))
-	_, err[8] = m.Int64ObservableGauge("frosttide.export.queued.size", metric.WithUnit("By"),
+	_, err[8] = meter.Int64ObservableGauge("frosttide.export.queued.size", metric.WithUnit("By"),
 		metric.WithDescription("Memory that they take."), metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
 			o.Observe(int64(s.exporter.QueuedBytes))
 			return nil
 		}))
 	counter := func(name, unit, text, label string, of func() map[string]int64) error {
-		_, err := m.Int64ObservableCounter(name, metric.WithUnit(unit), metric.WithDescription(text),
+		_, err := meter.Int64ObservableCounter(name, metric.WithUnit(unit), metric.WithDescription(text),
 			metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
 				for key, n := range of() {
 					o.Observe(n, metric.WithAttributes(attribute.String(label, key)))
@@ -142,7 +142,7 @@
 func (s *Set) observe(what func(Load) int) metric.Int64Callback {
 	return func(_ context.Context, o metric.Int64Observer) error {
 		for _, l := range s.loads {
-			o.Observe(int64(what(l)), s.option(series{byTarget, l.Target, "", ""}).(metric.ObserveOption))
+			o.Observe(int64(what(l)), s.option(series{byBackend, l.Backend, "", ""}).(metric.ObserveOption))
 		}
 		return nil
 	}
@@ -151,51 +151,51 @@
 // option returns the attributes of a series. Guards memory against names without
 // bound, as those of targets that come and go: past the bound all is made anew.
 func (s *Set) option(k series) metric.MeasurementOption {
-	if o := s.known[k]; o != nil {
+	if o := s.attributeSets[k]; o != nil {
 		return o
 	}
-	if len(s.known) >= 2*mostSeries {
-		clear(s.known)
+	if len(s.attributeSets) >= 2*maxSeries {
+		clear(s.attributeSets)
 	}
 	var attributes []attribute.KeyValue
 	switch k.kind {
 	case byRequest:
 		attributes = []attribute.KeyValue{attribute.String("frosttide.class", k.a), attribute.String("frosttide.answer", k.b),
 			attribute.String("http.request.method", k.c)}
-	case byAnswer:
+	case byResult:
 		attributes = []attribute.KeyValue{attribute.String("frosttide.class", k.a), attribute.String("frosttide.answer", k.b),
 			attribute.String("frosttide.answer.why", k.c)}
 	case byClass:
 		attributes = []attribute.KeyValue{attribute.String("frosttide.class", k.a)}
-	case byHop:
+	case byAttempt:
 		attributes = []attribute.KeyValue{attribute.String("frosttide.target", k.a), attribute.String("frosttide.outcome", k.b)}
-	case byTarget:
+	case byBackend:
 		attributes = []attribute.KeyValue{attribute.String("frosttide.target", k.a)}
 	}
 	o := metric.WithAttributeSet(attribute.NewSet(attributes...))
-	s.known[k] = o
+	s.attributeSets[k] = o
 	return o
 }
 
 // Add takes in a request that has ended. Kept tells whether its trace is exported, so
 // that a histogram may point at it.
-func (s *Set) Add(story *trace.Story, kept bool) {
+func (s *Set) Add(record *trace.Record, kept bool) {
 	ctx := context.Background()
 	if kept {
 		ctx = oteltrace.ContextWithSpanContext(ctx, oteltrace.NewSpanContext(oteltrace.SpanContextConfig{
-			TraceID: oteltrace.TraceID(story.Trace), SpanID: oteltrace.SpanID(story.Span), TraceFlags: oteltrace.FlagsSampled}))
+			TraceID: oteltrace.TraceID(record.Trace), SpanID: oteltrace.SpanID(record.Span), TraceFlags: oteltrace.FlagsSampled}))
 	}
-	answer := string(story.Answer)
-	s.duration.Record(ctx, (story.Ended - story.Came).Seconds(), s.option(series{byRequest, story.Class, answer, story.Method}))
-	s.requests.Add(ctx, 1, s.option(series{byAnswer, story.Class, answer, story.Why}))
-	if story.Late {
-		s.late.Add(ctx, 1, s.option(series{byClass, story.Class, "", ""}))
+	result := string(record.Result)
+	s.duration.Record(ctx, (record.Ended - record.Received).Seconds(), s.option(series{byRequest, record.Class, result, record.Method}))
+	s.requests.Add(ctx, 1, s.option(series{byResult, record.Class, result, record.Reason}))
+	if record.Overdue {
+		s.overdue.Add(ctx, 1, s.option(series{byClass, record.Class, "", ""}))
 	}
-	for i := range story.Hops {
-		h := &story.Hops[i]
-		s.hops.Add(ctx, 1, s.option(series{byHop, h.Target, h.Outcome, ""}))
-		if h.Started > h.Began {
-			s.start.Record(ctx, (h.Started - h.Began).Seconds(), s.option(series{byTarget, h.Target, "", ""}))
+	for i := range record.Attempts {
+		attempt := &record.Attempts[i]
+		s.attempts.Add(ctx, 1, s.option(series{byAttempt, attempt.Backend, attempt.Outcome, ""}))
+		if attempt.Started > attempt.Sent {
+			s.startDelay.Record(ctx, (attempt.Started - attempt.Sent).Seconds(), s.option(series{byBackend, attempt.Backend, "", ""}))
 		}
 	}
 }
@@ -211,8 +211,8 @@
 }
 
 // Close gives back what the SDK holds.
-func (s *Set) Close(by time.Time) {
-	ctx, cancel := context.WithDeadline(context.Background(), by)
+func (s *Set) Close(deadline time.Time) {
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	_ = s.provider.Shutdown(ctx) // it holds no file or socket
 }
--- a/internal/dispatcher/monotime/monotime_test.go
+++ b/internal/dispatcher/monotime/monotime_test.go
@@ -14,7 +14,7 @@
 	if Of(at.Add(time.Minute))-Of(at) < 59*time.Second {
 		t.Error("moments do not follow their times")
 	}
-	if before := Now(); Now() < before || before <= 0 {
+	if previous := Now(); Now() < previous || previous <= 0 {
 		t.Error("moments go back")
 	}
 }
--- a/internal/dispatcher/neterr/listener.go
+++ b/internal/dispatcher/neterr/listener.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	firstPause = 5 * time.Millisecond
-	longPause  = 160 * time.Millisecond
+	minAcceptBackoff = 5 * time.Millisecond
+	maxAcceptBackoff = 160 * time.Millisecond
 )
 
 // Listener is a listener whose Accept ends with the listener only: it tries again, after a pause
@@ -16,20 +16,20 @@
 // an error that passes, as net/http's does by those that it does not know.
 type Listener struct {
 	net.Listener
-	// Failed is told of each error that is tried again; nil for nobody.
-	Failed func(error)
+	// OnError is told of each error that is tried again; nil for nobody.
+	OnError func(error)
 }
 
 // Accept waits for the next connection.
 func (l Listener) Accept() (net.Conn, error) {
-	for pause := firstPause; ; pause = min(2*pause, longPause) {
+	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		c, err := l.Listener.Accept()
 		if err == nil || errors.Is(err, net.ErrClosed) || EndsListener(err) {
 			return c, err
 		}
-		if l.Failed != nil {
-			l.Failed(err)
+		if l.OnError != nil {
+			l.OnError(err)
 		}
-		time.Sleep(pause)
+		time.Sleep(backoff)
 	}
 }
--- a/internal/dispatcher/neterr/neterr.go
+++ b/internal/dispatcher/neterr/neterr.go
@@ -7,29 +7,29 @@
 	"syscall"
 )
 
-// passing are errors of this machine that pass by themselves: descriptors, memory, ports or a
+// localErrors are errors of this machine that pass by themselves: descriptors, memory, ports or a
 // signal. They say nothing of the peer.
-var passing = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EAGAIN, syscall.EINTR}
 
-// network are errors that a network or a peer that has just begun to end may give for a moment.
-var network = []error{syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPROTO}
+// networkErrors are errors that a network or a peer that has just begun to end may give for a moment.
+var networkErrors = []error{syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPROTO}
 
-// closed are errors of a listener that no further accept will get past.
-var closed = []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
+// listenerErrors are errors of a listener that no further accept will get past.
+var listenerErrors = []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
 // Local tells whether an error of socket or connect is this machine's own and says nothing of the
 // peer.
-func Local(err error) bool { return is(err, passing) }
+func Local(err error) bool { return isAny(err, localErrors) }
 
-// TryAgain tells whether a dial that failed so may well come up a moment later.
-func TryAgain(err error) bool { return is(err, passing) || is(err, network) }
+// Retryable tells whether a dial that failed so may well come up a moment later.
+func Retryable(err error) bool { return isAny(err, localErrors) || isAny(err, networkErrors) }
 
 // EndsListener tells whether a listener is of no use after an error of accept. All others, those
 // of the connection that was accepted among them (accept(2) passes them on), are to be tried again.
-func EndsListener(err error) bool { return is(err, closed) }
+func EndsListener(err error) bool { return isAny(err, listenerErrors) }
 
-func is(err error, of []error) bool {
+func isAny(err error, of []error) bool {
 	for _, e := range of {
 		if errors.Is(err, e) {
 			return true
--- a/internal/dispatcher/neterr/neterr_test.go
+++ b/internal/dispatcher/neterr/neterr_test.go
@@ -16,8 +16,8 @@
 // TestClasses has each error that Linux documents for connect and accept in its class.
 func TestClasses(t *testing.T) {
 	for _, tc := range []struct {
-		errno                    syscall.Errno
-		local, again, endsAccept bool
+		errno                        syscall.Errno
+		local, retryable, endsAccept bool
 	}{
 		{syscall.EMFILE, true, true, false},
 		{syscall.ENFILE, true, true, false},
@@ -48,7 +48,7 @@
 		if got := Local(err); got != tc.local {
 			t.Errorf("%v: local %t", tc.errno, got)
 		}
-		if got := TryAgain(err); got != tc.again {
+		if got := Retryable(err); got != tc.retryable {
 			t.Errorf("%v: try again %t", tc.errno, got)
 		}
 		if got := EndsListener(err); got != tc.endsAccept {
@@ -75,12 +75,12 @@
 // TestListener has a listener outlive each error but its own end.
 func TestListener(t *testing.T) {
 	errs := []error{wrapped("accept", syscall.ENOBUFS), wrapped("accept", syscall.EPROTO), wrapped("accept", syscall.ENETUNREACH)}
-	var seen []error
-	l := Listener{Listener: &failing{errs: errs}, Failed: func(err error) { seen = append(seen, err) }}
+	var retried []error
+	l := Listener{Listener: &failing{errs: errs}, OnError: func(err error) { retried = append(retried, err) }}
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
 		t.Errorf("ended by %v", err)
 	}
-	if len(seen) != len(errs) {
-		t.Errorf("%d errors were tried again, want %d", len(seen), len(errs))
+	if len(retried) != len(errs) {
+		t.Errorf("%d errors were tried again, want %d", len(retried), len(errs))
 	}
 }
--- a/internal/dispatcher/otlp/attributes.go
+++ b/internal/dispatcher/otlp/attributes.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// texts returns attributes of texts, by key.
-func texts(from map[string]string) (a Attributes) {
+// stringAttributes returns attributes of texts, by key.
+func stringAttributes(from map[string]string) (a Attributes) {
 	for _, key := range slices.Sorted(maps.Keys(from)) {
 		a.PutStr(key, from[key])
 	}
--- a/internal/dispatcher/otlp/measures.go
+++ b/internal/dispatcher/otlp/measures.go
@@ -10,11 +10,11 @@
 	"go.opentelemetry.io/otel/sdk/metric/metricdata"
 )
 
-// Measures writes the figures that the SDK has gathered.
-func Measures(resource map[string]string, from *metricdata.ResourceMetrics) (pmetric.Metrics, error) {
+// Metrics writes the figures that the SDK has gathered.
+func Metrics(resource map[string]string, from *metricdata.ResourceMetrics) (pmetric.Metrics, error) {
 	m := pmetric.NewMetrics()
 	of := m.ResourceMetrics().AppendEmpty()
-	attributes(of.Resource().Attributes(), resource)
+	putAttributes(of.Resource().Attributes(), resource)
 	for _, s := range from.ScopeMetrics {
 		in := of.ScopeMetrics().AppendEmpty()
 		in.Scope().SetName(s.Scope.Name)
@@ -28,14 +28,14 @@
 				sum := to.SetEmptySum()
 				sum.SetIsMonotonic(data.IsMonotonic)
 				sum.SetAggregationTemporality(temporality(data.Temporality))
-				numbers(sum.DataPoints(), data.DataPoints)
+				putNumbers(sum.DataPoints(), data.DataPoints)
 			case metricdata.Gauge[int64]:
-				numbers(to.SetEmptyGauge().DataPoints(), data.DataPoints)
+				putNumbers(to.SetEmptyGauge().DataPoints(), data.DataPoints)
 			case metricdata.ExponentialHistogram[float64]:
 				h := to.SetEmptyExponentialHistogram()
 				h.SetAggregationTemporality(temporality(data.Temporality))
 				for i := range data.DataPoints {
-					histogram(h.DataPoints().AppendEmpty(), &data.DataPoints[i])
+					putHistogram(h.DataPoints().AppendEmpty(), &data.DataPoints[i])
 				}
 			default:
 				return m, fmt.Errorf("figure %s is of the unforeseen form %T", f.Name, f.Data)
@@ -52,14 +52,14 @@
 	return pmetric.AggregationTemporalityCumulative
 }
 
-func nanos(t time.Time) pcommon.Timestamp {
+func timestamp(t time.Time) pcommon.Timestamp {
 	if t.IsZero() {
 		return 0
 	}
 	return pcommon.NewTimestampFromTime(t)
 }
 
-func labels(to pcommon.Map, from attribute.Set) {
+func putLabels(to pcommon.Map, from attribute.Set) {
 	for it := from.Iter(); it.Next(); {
 		kv := it.Attribute()
 		if kv.Value.Type() == attribute.BOOL {
@@ -70,20 +70,20 @@
 	}
 }
 
-func numbers(to pmetric.NumberDataPointSlice, from []metricdata.DataPoint[int64]) {
+func putNumbers(to pmetric.NumberDataPointSlice, from []metricdata.DataPoint[int64]) {
 	for _, p := range from {
 		n := to.AppendEmpty()
-		labels(n.Attributes(), p.Attributes)
-		n.SetStartTimestamp(nanos(p.StartTime))
-		n.SetTimestamp(nanos(p.Time))
+		putLabels(n.Attributes(), p.Attributes)
+		n.SetStartTimestamp(timestamp(p.StartTime))
+		n.SetTimestamp(timestamp(p.Time))
 		n.SetIntValue(p.Value)
 	}
 }
 
-func histogram(to pmetric.ExponentialHistogramDataPoint, from *metricdata.ExponentialHistogramDataPoint[float64]) {
-	labels(to.Attributes(), from.Attributes)
-	to.SetStartTimestamp(nanos(from.StartTime))
-	to.SetTimestamp(nanos(from.Time))
+func putHistogram(to pmetric.ExponentialHistogramDataPoint, from *metricdata.ExponentialHistogramDataPoint[float64]) {
+	putLabels(to.Attributes(), from.Attributes)
+	to.SetStartTimestamp(timestamp(from.StartTime))
+	to.SetTimestamp(timestamp(from.Time))
 	to.SetCount(from.Count)
 	to.SetSum(from.Sum)
 	to.SetScale(from.Scale)
@@ -102,7 +102,7 @@
 	for _, e := range from.Exemplars {
 		x := to.Exemplars().AppendEmpty()
 		x.SetDoubleValue(e.Value)
-		x.SetTimestamp(nanos(e.Time))
+		x.SetTimestamp(timestamp(e.Time))
 		x.SetTraceID(pcommon.TraceID(e.TraceID))
 		x.SetSpanID(pcommon.SpanID(e.SpanID))
 	}
--- a/internal/dispatcher/otlp/payload.go
+++ b/internal/dispatcher/otlp/payload.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// MeasuresPayload returns the payload of figures.
-func MeasuresPayload(m pmetric.Metrics) Payload {
+// MetricsPayload returns the payload of figures.
+func MetricsPayload(m pmetric.Metrics) Payload {
 	return Payload{
 		proto: func() ([]byte, error) { return (&pmetric.ProtoMarshaler{}).MarshalMetrics(m) },
 		json:  func() ([]byte, error) { return (&pmetric.JSONMarshaler{}).MarshalMetrics(m) },
--- a/internal/dispatcher/otlp/spansjson.go
+++ b/internal/dispatcher/otlp/spansjson.go
@@ -15,8 +15,8 @@
 // in base64 as protobuf's own JSON has bytes. Source: OTLP 1.x, JSON Protobuf Encoding.
 var idFields = map[string]bool{"traceId": true, "spanId": true, "parentSpanId": true}
 
-// errID is returned for an id that is no text in the encoding that it should have.
-var errID = errors.New("otlp: an id can't be read")
+// errInvalidID is returned for an id that is no text in the encoding that it should have.
+var errInvalidID = errors.New("otlp: an id can't be read")
 
 // MarshalSpans writes spans as one line of OTLP's JSON.
 func MarshalSpans(t *tracepb.TracesData) ([]byte, error) {
@@ -24,7 +24,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return recode(line, func(id string) (string, error) {
+	return recodeDocument(line, func(id string) (string, error) {
 		raw, err := base64.StdEncoding.DecodeString(id)
 		return hex.EncodeToString(raw), err
 	})
@@ -32,7 +32,7 @@
 
 // UnmarshalSpans reads spans from a line of OTLP's JSON.
 func UnmarshalSpans(line []byte) (*tracepb.TracesData, error) {
-	line, err := recode(line, func(id string) (string, error) {
+	line, err := recodeDocument(line, func(id string) (string, error) {
 		raw, err := hex.DecodeString(id)
 		return base64.StdEncoding.EncodeToString(raw), err
 	})
@@ -43,43 +43,43 @@
 	return t, protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(line, t)
 }
 
-// recode writes the ids of a line in another encoding.
-func recode(line []byte, change func(id string) (string, error)) ([]byte, error) {
+// recodeDocument writes the ids of a line in another encoding.
+func recodeDocument(line []byte, recodeID func(id string) (string, error)) ([]byte, error) {
 	in := json.NewDecoder(bytes.NewReader(line))
 	in.UseNumber()
-	var whole any
-	if err := in.Decode(&whole); err != nil {
+	var document any
+	if err := in.Decode(&document); err != nil {
 		return nil, err
 	}
-	if err := recodeIDs(whole, change); err != nil {
+	if err := recodeIDs(document, recodeID); err != nil {
 		return nil, err
 	}
-	return json.Marshal(whole)
+	return json.Marshal(document)
 }
 
-func recodeIDs(value any, change func(id string) (string, error)) error {
+func recodeIDs(value any, recodeID func(id string) (string, error)) error {
 	switch v := value.(type) {
 	case []any:
 		for _, entry := range v {
-			if err := recodeIDs(entry, change); err != nil {
+			if err := recodeIDs(entry, recodeID); err != nil {
 				return err
 			}
 		}
 	case map[string]any:
 		for name, member := range v {
 			if !idFields[name] {
-				if err := recodeIDs(member, change); err != nil {
+				if err := recodeIDs(member, recodeID); err != nil {
 					return err
 				}
 				continue
 			}
 			id, ok := member.(string)
 			if !ok {
-				return errID
+				return errInvalidID
 			}
-			changed, err := change(id)
+			changed, err := recodeID(id)
 			if err != nil {
-				return errors.Join(errID, err)
+				return errors.Join(errInvalidID, err)
 			}
 			v[name] = changed
 		}
--- a/internal/dispatcher/roster/lists.go
+++ b/internal/dispatcher/roster/lists.go
@@ -22,208 +22,208 @@
 	for _, message := range r.box.Drain(nil) {
 		message(r)
 	}
-	r.began = true
-	r.core.ListReplaced(r.all())
+	r.started = true
+	r.core.RoutesReplaced(r.effectiveRoutes())
 }
 
-// all returns the whole list as the core is to see it.
-func (r *Roster) all() []core.Route {
-	var out []core.Route
+// effectiveRoutes returns the whole list as the core is to see it.
+func (r *Roster) effectiveRoutes() []core.Route {
+	var excluded []core.Route
 	for uid := range r.routes {
-		if route := r.inForce(uid); route.State != decision.Removed {
-			out = append(out, route)
+		if route := r.effectiveRoute(uid); route.State != decision.Removed {
+			excluded = append(excluded, route)
 		}
 	}
-	slices.SortFunc(out, func(a, b core.Route) int {
+	slices.SortFunc(excluded, func(a, b core.Route) int {
 		if a.UID < b.UID {
 			return -1
 		}
 		return 1
 	})
-	return out
+	return excluded
 }
 
-// inForce returns a runner as the core is to see it, whoever spoke last.
-func (r *Roster) inForce(uid string) core.Route {
+// effectiveRoute returns a runner as the core is to see it, whoever spoke last.
+func (r *Roster) effectiveRoute(uid string) core.Route {
 	if r.entries[uid] != nil {
-		return r.shown(uid)
+		return r.storedRoute(uid)
 	}
 	return r.routes[uid]
 }
 
-// ListReplaced takes a whole list.
-func (r *Roster) ListReplaced(routes []core.Route) {
+// RoutesReplaced takes a whole list.
+func (r *Roster) RoutesReplaced(routes []core.Route) {
 	r.box.Put(func(r *Roster) {
-		if !r.began { // the platform's list: as good as discovery's, but no answer of its
+		if !r.started { // the platform's list: as good as discovery's, but no answer of its
 			for _, route := range routes {
-				r.settle(route)
+				r.confirm(route)
 			}
 			return
 		}
-		r.whole(routes)
+		r.applyFull(routes)
 	})
 }
 
-// ListChanged takes the entries that have changed. They are obeyed at once, whatever else
+// RoutesChanged takes the entries that have changed. They are obeyed at once, whatever else
 // is doubted.
-func (r *Roster) ListChanged(routes []core.Route) {
+func (r *Roster) RoutesChanged(routes []core.Route) {
 	r.box.Put(func(r *Roster) {
-		r.lists.Spoke(r.now)
-		r.answered = r.now
-		r.apply(routes)
-		r.settled()
+		r.fullUpdates.Contacted(r.now)
+		r.lastContact = r.now
+		r.applyChanges(routes)
+		r.dropEmptyStandings()
 	})
 }
 
-// ListFailed takes that discovery does not answer.
-func (r *Roster) ListFailed() {
+// DiscoveryFailed takes that discovery does not answer.
+func (r *Roster) DiscoveryFailed() {
 	r.box.Put(func(r *Roster) {
-		r.lists.Failed(r.now)
-		r.core.ListFailed()
+		r.fullUpdates.Failed(r.now)
+		r.core.DiscoveryFailed()
 	})
 }
 
-// whole takes a whole list: it goes in the place of what was known, unless it is doubted.
-func (r *Roster) whole(routes []core.Route) {
-	named := map[string]bool{}
+// applyFull takes a whole list: it goes in the place of what was known, unless it is doubted.
+func (r *Roster) applyFull(routes []core.Route) {
+	listed := map[string]bool{}
 	for _, route := range routes {
-		named[route.UID] = true
+		listed[route.UID] = true
 	}
-	known, lacks := 0, 0
+	known, missing := 0, 0
 	for uid := range r.routes {
-		if r.book != nil && r.entries[uid] != nil {
-			if s, _, _ := r.book.Standing(uid); s == rosterpolicy.Rejected {
+		if r.standings != nil && r.entries[uid] != nil {
+			if s, _, _ := r.standings.Standing(uid); s == rosterpolicy.Rejected {
 				continue // nothing is lost with it
 			}
 		}
 		known++
-		if !named[uid] {
-			lacks++
+		if !listed[uid] {
+			missing++
 		}
 	}
-	r.answered = r.now
-	if r.lists.Whole(r.now, known, lacks) == rosterpolicy.Doubted {
-		r.log.WithFields(logrus.Fields{"listed": len(routes), "known": known, "lacks": lacks}).
+	r.lastContact = r.now
+	if r.fullUpdates.Judge(r.now, known, missing) == rosterpolicy.Doubted {
+		r.log.WithFields(logrus.Fields{"listed": len(routes), "known": known, "lacks": missing}).
 			Warn("discovery's list lacks most of what is known; it only adds until it is confirmed")
-		r.doubted, r.lookAt = named, r.now+secondLook
-		r.apply(routes)
-		r.core.ListChanged(nil) // discovery has answered
+		r.doubtedUIDs, r.refetchAt = listed, r.now+confirmDelay
+		r.applyChanges(routes)
+		r.core.RoutesChanged(nil) // discovery has answered
 		return
 	}
-	r.apply(routes)
-	r.lose(named)
+	r.applyChanges(routes)
+	r.removeMissing(listed)
 }
 
-// confirmDoubted believes the list that was doubted.
-func (r *Roster) confirmDoubted() {
-	r.lists.Whole(r.now, 1, 1) // the second of its kind
-	r.lose(r.doubted)
+// acceptDoubted believes the list that was doubted.
+func (r *Roster) acceptDoubted() {
+	r.fullUpdates.Judge(r.now, 1, 1) // the second of its kind
+	r.removeMissing(r.doubtedUIDs)
 }
 
-// lose lets go of all that a list that is believed does not have.
-func (r *Roster) lose(named map[string]bool) {
+// removeMissing lets go of all that a list that is believed does not have.
+func (r *Roster) removeMissing(listed map[string]bool) {
 	for uid := range r.routes {
-		if !named[uid] {
+		if !listed[uid] {
 			r.forget(uid)
 		}
 	}
-	r.doubted, r.lookAt, r.dirty = nil, 0, true
-	r.settled()
-	r.core.ListReplaced(r.all())
+	r.doubtedUIDs, r.refetchAt, r.dirty = nil, 0, true
+	r.dropEmptyStandings()
+	r.core.RoutesReplaced(r.effectiveRoutes())
 }
 
-// apply takes in entries that discovery has named, and tells the core at once.
-func (r *Roster) apply(routes []core.Route) {
+// applyChanges takes in entries that discovery has named, and tells the core at once.
+func (r *Roster) applyChanges(routes []core.Route) {
 	var changes []core.Route
 	for _, route := range routes {
-		if from, ok := r.cold[route.UID]; ok && route.State == decision.Ready && route.StartedAt < from {
+		if from, ok := r.coldSince[route.UID]; ok && route.State == decision.Ready && route.StartedAt < from {
 			// Discovery knows that it has run for longer than the book could tell: it is
 			// taken out for this moment, so that it comes back as warm as it is.
-			out := route
-			out.State = decision.Draining
-			changes = append(changes, out)
+			excluded := route
+			excluded.State = decision.Draining
+			changes = append(changes, excluded)
 		}
-		r.settle(route)
+		r.confirm(route)
 		changes = append(changes, route)
 	}
 	for _, route := range routes {
-		if r.book == nil || route.State == decision.Removed {
+		if r.standings == nil || route.State == decision.Removed {
 			continue
 		}
-		for _, uid := range r.book.Taken(route.Addr, route.UID) {
-			changes = append(changes, r.shown(uid))
+		for _, uid := range r.standings.RejectAddress(route.Addr, route.UID) {
+			changes = append(changes, r.storedRoute(uid))
 		}
 	}
 	if len(changes) > 0 {
 		r.dirty = true
-		r.core.ListChanged(changes)
+		r.core.RoutesChanged(changes)
 	}
 }
 
-// settle takes over discovery's word on a runner: the book has no say in it any more.
-func (r *Roster) settle(route core.Route) {
+// confirm takes over discovery's word on a runner: the book has no say in it any more.
+func (r *Roster) confirm(route core.Route) {
 	uid := route.UID
 	if route.State == decision.Removed {
 		r.forget(uid)
 		return
 	}
-	r.routes[uid], r.voiced[uid] = route, voice{r.now, rosterstore.ByList}
+	r.routes[uid], r.confirmations[uid] = route, confirmation{r.now, rosterstore.ByDiscovery}
 	delete(r.entries, uid)
-	delete(r.cold, uid)
-	if r.book != nil {
-		r.book.Settle(uid)
+	delete(r.coldSince, uid)
+	if r.standings != nil {
+		r.standings.Remove(uid)
 	}
 }
 
 func (r *Roster) forget(uid string) {
 	delete(r.routes, uid)
 	delete(r.entries, uid)
-	delete(r.voiced, uid)
-	delete(r.cold, uid)
-	if r.book != nil {
-		r.book.Settle(uid)
+	delete(r.confirmations, uid)
+	delete(r.coldSince, uid)
+	if r.standings != nil {
+		r.standings.Remove(uid)
 	}
 }
 
-// settled closes the book when discovery has spoken of all that is in it.
-func (r *Roster) settled() {
-	if r.book == nil {
+// dropEmptyStandings closes the book when discovery has spoken of all that is in it.
+func (r *Roster) dropEmptyStandings() {
+	if r.standings == nil {
 		return
 	}
-	if all, _, _ := r.book.Count(); all == 0 {
-		r.book = nil
+	if all, _, _ := r.standings.Count(); all == 0 {
+		r.standings = nil
 		r.log.Info("discovery has confirmed the list")
 	}
 }
 
 // ---- What the core finds ----
 
-// HopEnded takes how a hop at a runner ended.
-func (r *Roster) HopEnded(uid string, o decision.Outcome) {
-	e, says := map[decision.Outcome]rosterpolicy.Evidence{decision.Served: rosterpolicy.Started, decision.Errored: rosterpolicy.Busy,
-		decision.Rejected: rosterpolicy.Busy, decision.TimedOut: rosterpolicy.Silent, decision.ConnectFailed: rosterpolicy.Refused,
+// AttemptEnded takes how a hop at a runner ended.
+func (r *Roster) AttemptEnded(uid string, o decision.Outcome) {
+	e, counts := map[decision.Outcome]rosterpolicy.Evidence{decision.Served: rosterpolicy.Started, decision.Errored: rosterpolicy.Busy,
+		decision.Rejected: rosterpolicy.Busy, decision.TimedOut: rosterpolicy.TimedOut, decision.ConnectFailed: rosterpolicy.Refused,
 		decision.ConnReset: rosterpolicy.Broken}[o]
-	if says {
-		r.box.Put(func(r *Roster) { r.hear(uid, e) })
+	if counts {
+		r.box.Put(func(r *Roster) { r.observe(uid, e) })
 	}
 }
 
 // JobStarted takes that a runner has told, by its own name, that a job runs.
 func (r *Roster) JobStarted(uid string) {
-	r.box.Put(func(r *Roster) { r.hear(uid, rosterpolicy.Started) })
+	r.box.Put(func(r *Roster) { r.observe(uid, rosterpolicy.Started) })
 }
 
-// Stranger takes that a job sent to a runner was reported on by another name.
-func (r *Roster) Stranger(uid string) {
-	r.box.Put(func(r *Roster) { r.hear(uid, rosterpolicy.Impostor) })
+// UnknownSender takes that a job sent to a runner was reported on by another name.
+func (r *Roster) UnknownSender(uid string) {
+	r.box.Put(func(r *Roster) { r.observe(uid, rosterpolicy.Impostor) })
 }
 
 // Excluded takes that operators have left a runner out, or put it back.
-func (r *Roster) Excluded(uid string, out bool) {
+func (r *Roster) Excluded(uid string, excluded bool) {
 	r.box.Put(func(r *Roster) {
 		r.dirty = true
-		if r.book != nil && r.book.Bar(uid, out) {
-			r.core.ListChanged([]core.Route{r.shown(uid)})
+		if r.standings != nil && r.standings.SetExcluded(uid, excluded) {
+			r.core.RoutesChanged([]core.Route{r.storedRoute(uid)})
 		}
 	})
 }
--- a/internal/dispatcher/roster/prober.go
+++ b/internal/dispatcher/roster/prober.go
@@ -14,32 +14,32 @@
 )
 
 // Sockets is how many descriptors the asking takes at most, and the state's files.
-const Sockets = places + 4
+const Sockets = maxProbes + 4
 
-// places is how many runners are asked at a time.
-const places = 12
+// maxProbes is how many runners are asked at a time.
+const maxProbes = 12
 
-// Asker asks runners over the platform's protocol: GET /ping, which one that is well
+// HTTPProber asks runners over the platform's protocol: GET /ping, which one that is well
 // answers 200; and a path that no runner has, which something that answers 200 to
 // everything gives itself away by. Where probes are not allowed it only connects.
-type Asker struct {
-	probes bool
+type HTTPProber struct {
+	httpAllowed bool
 }
 
-// NewAsker makes an asker; probes tells whether the settings allow them.
-func NewAsker(probes bool) *Asker { return &Asker{probes: probes} }
+// NewHTTPProber makes an asker; probes tells whether the settings allow them.
+func NewHTTPProber(httpAllowed bool) *HTTPProber { return &HTTPProber{httpAllowed: httpAllowed} }
 
-// Ask asks a runner in the background.
-func (a *Asker) Ask(addr string, by time.Time, found func(rosterpolicy.Evidence)) {
+// Probe asks a runner in the background.
+func (prober *HTTPProber) Probe(addr string, deadline time.Time, report func(rosterpolicy.Evidence)) {
 	go func() {
-		ctx, cancel := context.WithDeadline(context.Background(), by)
+		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
-		found(a.ask(ctx, addr))
+		report(prober.probe(ctx, addr))
 	}()
 }
 
-func (a *Asker) ask(ctx context.Context, addr string) rosterpolicy.Evidence {
-	if !a.probes {
+func (prober *HTTPProber) probe(ctx context.Context, addr string) rosterpolicy.Evidence {
+	if !prober.httpAllowed {
 		c, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 		if err != nil {
 			return evidence(err)
@@ -89,11 +89,11 @@
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return rosterpolicy.Refused
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, os.ErrDeadlineExceeded):
-		return rosterpolicy.Silent
+		return rosterpolicy.TimedOut
 	}
-	var late net.Error
-	if errors.As(err, &late) && late.Timeout() {
-		return rosterpolicy.Silent
+	var timeout net.Error
+	if errors.As(err, &timeout) && timeout.Timeout() {
+		return rosterpolicy.TimedOut
 	}
 	return rosterpolicy.Broken
 }
--- a/internal/dispatcher/roster/roster_test.go
+++ b/internal/dispatcher/roster/roster_test.go
@@ -16,12 +16,12 @@
 	"frosttide/internal/dispatcher/rosterstore"
 )
 
-// BenchmarkSave measures what writing the state costs at 2,000 runners: gathering, which
+// BenchmarkGatherAndEncode measures what writing the state costs at 2,000 runners: gathering, which
 // the actor does, and packing, which the writer's goroutine does.
-func BenchmarkSave(b *testing.B) {
+func BenchmarkGatherAndEncode(b *testing.B) {
 	r := New(Config{Name: "n0", Classes: func() []string { return []string{"cut"} }}, nil, nil, nil, nil, nil, nil)
-	r.lists = rosterpolicy.NewLists(r.cfg.Trust, false)
-	known := core.Snapshot{Health: map[string]decision.Health{}, Runs: []time.Duration{time.Second}}
+	r.fullUpdates = rosterpolicy.NewFullUpdatePolicy(r.cfg.Policy, false)
+	known := core.Snapshot{Health: map[string]decision.Health{}, MeanRunTimes: []time.Duration{time.Second}}
 	var entries []string
 	for i := range 2000 {
 		uid := fmt.Sprintf("s-%08x", i*2654435761)
@@ -61,22 +61,22 @@
 	lists [][]core.Route
 }
 
-func (l *listed) ListReplaced(routes []core.Route) { l.lists = append(l.lists, routes) }
-func (l *listed) Restore(core.Snapshot)            {}
+func (l *listed) RoutesReplaced(routes []core.Route) { l.lists = append(l.lists, routes) }
+func (l *listed) Restore(core.Snapshot)              {}
 
-// TestStartTellsTheList guards the first jobs of a process that starts from a stored list: the core
+// TestStartReplacesRoutes guards the first jobs of a process that starts from a stored list: the core
 // has it before anybody is served, whenever the actor comes to run.
-func TestStartTellsTheList(t *testing.T) {
+func TestStartReplacesRoutes(t *testing.T) {
 	var l listed
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	parse := func([]byte) (core.Route, error) {
 		return core.Route{UID: "s-1", Addr: "a", Member: decision.Member{State: decision.Ready}}, nil
 	}
-	r := New(Config{Trust: rosterpolicy.Config{Fresh: time.Hour, Old: time.Hour, Max: time.Hour}}, &l, nil, nil, nil, parse, logrus.NewEntry(log))
+	r := New(Config{Policy: rosterpolicy.Config{Fresh: time.Hour, Old: time.Hour, Max: time.Hour}}, &l, nil, nil, nil, parse, logrus.NewEntry(log))
 	now := r.clock()
-	r.Begin(&rosterstore.Snapshot{Saved: now, Answered: now, Nodes: []rosterstore.Node{{UID: "s-1", Entry: json.RawMessage(`{}`), Confirmed: now, By: rosterstore.ByList}}}, 1)
-	r.ListReplaced([]core.Route{{UID: "s-2", Addr: "b", Member: decision.Member{State: decision.Ready}}}) // the platform's
+	r.LoadStored(&rosterstore.Snapshot{Saved: now, Answered: now, Nodes: []rosterstore.Node{{UID: "s-1", Entry: json.RawMessage(`{}`), Confirmed: now, By: rosterstore.ByDiscovery}}}, 1)
+	r.RoutesReplaced([]core.Route{{UID: "s-2", Addr: "b", Member: decision.Member{State: decision.Ready}}}) // the platform's
 	r.Start()
 	if len(l.lists) != 1 || len(l.lists[0]) != 2 {
 		t.Errorf("before the actor runs the core was told %v", l.lists)
--- a/internal/dispatcher/rosterpolicy/rosterpolicy.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy.go
@@ -20,16 +20,16 @@
 	Max   time.Duration // past this it is not used at all
 
 	Zone        string        // runners of this zone are asked first
-	Rate        float64       // runners asked in a second
+	ProbeRate   float64       // runners asked in a second
 	Number      int           // this dispatcher's, from 0
 	Dispatchers int           // how many start alike
-	Warm        time.Duration // after so long a runner has all that it can do
+	WarmUp      time.Duration // after so long a runner has all that it can do
 
-	Planned time.Duration // since a planned end that is known of; 0 for an end of another kind
+	PlannedDowntime time.Duration // since a planned end that is known of; 0 for an end of another kind
 
-	Outage time.Duration // discovery has been away that long: its next list may be doubted
-	Lost   float64       // share of what is known that a list may lack unasked
-	Doubt  time.Duration // and is believed after this at the latest
+	Outage       time.Duration // discovery has been away that long: its next list may be doubted
+	MaxMissing   float64       // share of what is known that a list may lack unasked
+	DoubtTimeout time.Duration // and is believed after this at the latest
 }
 
 // Age is what the time since a runner was last confirmed means.
@@ -46,15 +46,15 @@
 // String returns the age in plain words.
 func (a Age) String() string { return [...]string{"fresh", "old", "very old", "unusable"}[a] }
 
-// skew is how far ahead another machine's clock may be.
-const skew = 5 * time.Second
+// clockSkew is how far ahead another machine's clock may be.
+const clockSkew = 5 * time.Second
 
 // Age tells what an age means. Guards against a clock that went back, as after a power
 // cut: what was confirmed in the future was confirmed at an unknown time, neither lately
 // nor too long ago to ask.
 func (c *Config) Age(now, confirmed time.Duration) Age {
 	switch age := now - confirmed; {
-	case age < -skew:
+	case age < -clockSkew:
 		return VeryOld
 	case age <= c.Fresh:
 		return Fresh
@@ -86,7 +86,7 @@
 	Refused                   // nothing listens there
 	Broken                    // the connection broke
 	Busy                      // it answers that it is not well
-	Silent                    // it said nothing in time
+	TimedOut                  // it said nothing in time
 	Impostor                  // something else answers there
 )
 
@@ -117,95 +117,95 @@
 
 // The times of asking again: full jitter under a bound that doubles with each bad answer.
 const (
-	againFirst = time.Second
-	againMost  = 30 * time.Second
-	// apart is the least time between two good answers that both count.
-	apart = time.Second
+	minProbeBackoff = time.Second
+	maxProbeBackoff = 30 * time.Second
+	// minAnswerInterval is the least time between two good answers that both count.
+	minAnswerInterval = time.Second
 )
 
-// node is a runner of the book.
-type node struct {
+// runner is a runner of the book.
+type runner struct {
 	Stored
-	age      Age
-	standing Standing
-	why      string
-	needs    int           // further good answers before it is used
-	goodAt   time.Duration // of the last one that counted
-	coldFrom time.Duration
-	proven   bool // it has run a job since
-	bad      int  // bad answers in a row
-	due      time.Duration
-	asking   bool
-	owned    bool
+	age           Age
+	standing      Standing
+	reason        string
+	answersNeeded int           // further good answers before it is used
+	lastSuccess   time.Duration // of the last one that counted
+	coldFrom      time.Duration
+	proven        bool // it has run a job since
+	failures      int  // bad answers in a row
+	probeAt       time.Duration
+	probing       bool
+	owned         bool
 }
 
-// Book holds the runners of a stored list that discovery has not spoken of since.
-type Book struct {
-	cfg   Config
-	rng   *rand.Rand
-	nodes map[string]*node
-	order []*node // as they are asked first
-	free  time.Duration
-	start time.Duration
-	share int // how many dispatchers use one runner while it is cold
+// StateTable holds the runners of a stored list that discovery has not spoken of since.
+type StateTable struct {
+	cfg        Config
+	rng        *rand.Rand
+	runners    map[string]*runner
+	probeOrder []*runner // as they are asked first
+	nextProbe  time.Duration
+	startedAt  time.Duration
+	owners     int // how many dispatchers use one runner while it is cold
 }
 
-// perDispatcher is how many cold runners a dispatcher is to have for itself, so that it
+// coldPerDispatcher is how many cold runners a dispatcher is to have for itself, so that it
 // can serve something at once; in a small fleet several share them.
-const perDispatcher = 4
+const coldPerDispatcher = 4
 
 // New makes a book of a stored list.
-func New(cfg Config, now time.Duration, stored []Stored, seed uint64) *Book {
-	b := &Book{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 3)), nodes: map[string]*node{}, start: now, free: now}
+func New(cfg Config, now time.Duration, stored []Stored, seed uint64) *StateTable {
+	table := &StateTable{cfg: cfg, rng: rand.New(rand.NewPCG(seed, 3)), runners: map[string]*runner{}, startedAt: now, nextProbe: now}
 	all := max(cfg.Dispatchers, 1)
 	usable := 0
 	for _, s := range stored {
-		n := &node{Stored: s, age: cfg.Age(now, s.Confirmed), due: now}
-		b.nodes[s.UID] = n
-		n.why = n.age.String()
+		runner := &runner{Stored: s, age: cfg.Age(now, s.Confirmed), probeAt: now}
+		table.runners[s.UID] = runner
+		runner.reason = runner.age.String()
 		switch {
 		case s.Barred:
-			n.standing, n.why = Barred, "it was draining or left out"
-		case n.age == Unusable:
-			n.standing = Rejected
+			runner.standing, runner.reason = Barred, "it was draining or left out"
+		case runner.age == Unusable:
+			runner.standing = Rejected
 		default:
 			usable++
-			n.needs = [...]int{Fresh: 0, Old: 1, VeryOld: 2}[n.age]
+			runner.answersNeeded = [...]int{Fresh: 0, Old: 1, VeryOld: 2}[runner.age]
 			if s.Failing {
-				n.needs++
+				runner.answersNeeded++
 			}
 		}
 	}
-	b.share = min(max((perDispatcher*all+usable-1)/max(usable, 1), 1), all)
+	table.owners = min(max((coldPerDispatcher*all+usable-1)/max(usable, 1), 1), all)
 	for _, s := range stored {
-		n := b.nodes[s.UID]
-		n.owned = b.Owned(s.UID)
-		if n.standing == Withheld {
-			b.order = append(b.order, n)
-			if n.needs == 0 {
-				b.use(n, now)
+		runner := table.runners[s.UID]
+		runner.owned = table.Owned(s.UID)
+		if runner.standing == Withheld {
+			table.probeOrder = append(table.probeOrder, runner)
+			if runner.answersNeeded == 0 {
+				table.admit(runner, now)
 			}
 		}
 	}
 	// Whom this dispatcher may use first, then its zone, then the youngest: by a draw
 	// where all is equal, so that dispatchers don't ask the same ones first.
-	draw := map[*node]uint64{}
-	for _, n := range b.order {
-		draw[n] = b.rng.Uint64()
+	draw := map[*runner]uint64{}
+	for _, runner := range table.probeOrder {
+		draw[runner] = table.rng.Uint64()
 	}
-	slices.SortFunc(b.order, func(x, y *node) int {
-		return cmp.Or(first(x.owned, y.owned), first(x.Zone == cfg.Zone, y.Zone == cfg.Zone),
-			cmp.Compare(x.age, y.age), first(!x.Failing, !y.Failing), cmp.Compare(draw[x], draw[y]))
+	slices.SortFunc(table.probeOrder, func(x, y *runner) int {
+		return cmp.Or(trueFirst(x.owned, y.owned), trueFirst(x.Zone == cfg.Zone, y.Zone == cfg.Zone),
+			cmp.Compare(x.age, y.age), trueFirst(!x.Failing, !y.Failing), cmp.Compare(draw[x], draw[y]))
 	})
-	return b
+	return table
 }
 
-// first orders what holds before what does not.
-func first(a, b bool) int {
+// trueFirst orders what holds before what does not.
+func trueFirst(a, table bool) int {
 	switch {
-	case a && !b:
+	case a && !table:
 		return -1
-	case b && !a:
+	case table && !a:
 		return 1
 	}
 	return 0
@@ -214,186 +214,186 @@
 // Owned tells whether this dispatcher is one of those that may use a runner while it is
 // cold: all of them know it by the same draw (rendezvous hashing), so that together they
 // keep to its ration without a word to each other.
-func (b *Book) Owned(uid string) bool {
-	mine, before := weight(uid, b.cfg.Number), 0
-	for i := range max(b.cfg.Dispatchers, 1) {
-		if w := weight(uid, i); i != b.cfg.Number && (w > mine || w == mine && i < b.cfg.Number) {
-			before++
+func (table *StateTable) Owned(uid string) bool {
+	mine, higher := rendezvousWeight(uid, table.cfg.Number), 0
+	for i := range max(table.cfg.Dispatchers, 1) {
+		if w := rendezvousWeight(uid, i); i != table.cfg.Number && (w > mine || w == mine && i < table.cfg.Number) {
+			higher++
 		}
 	}
-	return before < b.share
+	return higher < table.owners
 }
 
-func weight(uid string, number int) uint64 {
+func rendezvousWeight(uid string, number int) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(number) + 1)
 	_, _ = d.WriteString(uid) // to memory
 	return d.Sum64()
 }
 
-// Share returns by how much a cold runner's ration is to be divided: twice the number of
+// RationDivisor returns by how much a cold runner's ration is to be divided: twice the number of
 // dispatchers that use it. The module meters its ration as a leaky bucket as deep as it
 // drains in a window, which lets through up to twice that within one window; for a runner
 // that has all its work from this ration that would be twice what it bears.
-func (b *Book) Share() int { return 2 * b.share }
+func (table *StateTable) RationDivisor() int { return 2 * table.owners }
 
-// use has a runner used: by this dispatcher at once if it is one of those that share it
+// admit has a runner used: by this dispatcher at once if it is one of those that share it
 // while it is cold, else when it is warm. Guards rule 4: what its users send and what all
 // others would send comes to twice what it bears.
-func (b *Book) use(n *node, now time.Duration) {
-	n.coldFrom = now // it may have started at this very moment
-	if b.cfg.Planned > 0 && b.cfg.Planned <= pause && now == b.start && now-n.Confirmed <= pause {
-		n.coldFrom = n.ColdFrom
+func (table *StateTable) admit(runner *runner, now time.Duration) {
+	runner.coldFrom = now // it may have started at this very moment
+	if table.cfg.PlannedDowntime > 0 && table.cfg.PlannedDowntime <= plannedRestartWindow && now == table.startedAt && now-runner.Confirmed <= plannedRestartWindow {
+		runner.coldFrom = runner.ColdFrom
 	}
 	switch {
-	case n.coldFrom+b.cfg.Warm <= now:
-		n.standing, n.why = Used, n.age.String()+", as warm as it was before a planned restart"
-	case n.owned:
-		n.standing, n.why = Used, n.age.String()+", possibly cold"
+	case runner.coldFrom+table.cfg.WarmUp <= now:
+		runner.standing, runner.reason = Used, runner.age.String()+", as warm as it was before a planned restart"
+	case runner.owned:
+		runner.standing, runner.reason = Used, runner.age.String()+", possibly cold"
 	default:
-		n.standing, n.why = Waiting, "others use it while it is cold"
+		runner.standing, runner.reason = Waiting, "others use it while it is cold"
 	}
 }
 
-// pause is how long after a planned end runners are as they were. A power cut ends no
+// plannedRestartWindow is how long after a planned end runners are as they were. A power cut ends no
 // dispatcher as planned, or keeps it away for longer; a runner of its own that starts again
 // just then is one, and its first jobs tell.
-const pause = 5 * time.Second
+const plannedRestartWindow = 5 * time.Second
 
 // Tick returns the runners whose standing has changed with the time alone: those that are
 // warm by now, and when to call again; never for none.
-func (b *Book) Tick(now time.Duration) (changed []string, next time.Duration) {
+func (table *StateTable) Tick(now time.Duration) (changed []string, next time.Duration) {
 	next = never
-	for uid, n := range b.nodes {
-		if n.standing != Waiting {
+	for uid, runner := range table.runners {
+		if runner.standing != Waiting {
 			continue
 		}
-		if at := n.coldFrom + b.cfg.Warm; now < at {
+		if at := runner.coldFrom + table.cfg.WarmUp; now < at {
 			next = min(next, at)
 			continue
 		}
-		n.standing, n.why = Used, "warm by now"
+		runner.standing, runner.reason = Used, "warm by now"
 		changed = append(changed, uid)
 	}
 	slices.Sort(changed)
 	return changed, next
 }
 
-// Ask returns the runners that are to be asked now, at most so many, and when to call
+// NextProbes returns the runners that are to be asked now, at most so many, and when to call
 // again; never for nobody. They count as being asked until Hear.
-func (b *Book) Ask(now time.Duration, room int) (uids []string, next time.Duration) {
-	gap := time.Duration(float64(time.Second) / max(b.cfg.Rate, 0.001))
+func (table *StateTable) NextProbes(now time.Duration, limit int) (uids []string, next time.Duration) {
+	interval := time.Duration(float64(time.Second) / max(table.cfg.ProbeRate, 0.001))
 	next = never
-	for _, n := range b.order {
-		if b.nodes[n.UID] != n || n.asking || n.standing == Rejected || n.standing == Used && n.proven && n.bad == 0 {
+	for _, runner := range table.probeOrder {
+		if table.runners[runner.UID] != runner || runner.probing || runner.standing == Rejected || runner.standing == Used && runner.proven && runner.failures == 0 {
 			continue
 		}
-		at := max(n.due, b.free-burst*gap)
+		at := max(runner.probeAt, table.nextProbe-probeBurst*interval)
 		if at > now {
 			next = min(next, at)
 			continue
 		}
-		if len(uids) >= room {
+		if len(uids) >= limit {
 			break // an answer makes room
 		}
-		n.asking = true
-		uids = append(uids, n.UID)
-		b.free = max(b.free, now) + gap
+		runner.probing = true
+		uids = append(uids, runner.UID)
+		table.nextProbe = max(table.nextProbe, now) + interval
 	}
 	return uids, next
 }
 
 const (
 	never = time.Duration(1<<63 - 1)
-	// burst is how many may be asked at once after a rest.
-	burst = 8
+	// probeBurst is how many may be asked at once after a rest.
+	probeBurst = 8
 )
 
-// Hear takes in what was found of a runner, and reports whether its standing changed.
-func (b *Book) Hear(now time.Duration, uid string, e Evidence) (changed bool) {
-	n := b.nodes[uid]
-	if n == nil {
+// Observe takes in what was found of a runner, and reports whether its standing changed.
+func (table *StateTable) Observe(now time.Duration, uid string, e Evidence) (changed bool) {
+	runner := table.runners[uid]
+	if runner == nil {
 		return false
 	}
-	n.asking = false
-	if n.standing == Barred || n.standing == Rejected {
+	runner.probing = false
+	if runner.standing == Barred || runner.standing == Rejected {
 		return false // evidence undoes neither
 	}
-	was := n.standing
+	was := runner.standing
 	if e.Good() {
-		n.bad = 0
-		b.good(n, now, e)
+		runner.failures = 0
+		table.recordSuccess(runner, now, e)
 	} else {
-		b.ill(n, now, e)
+		table.recordFailure(runner, now, e)
 	}
-	return n.standing != was
+	return runner.standing != was
 }
 
-func (b *Book) good(n *node, now time.Duration, e Evidence) {
-	n.due = now + apart
+func (table *StateTable) recordSuccess(runner *runner, now time.Duration, e Evidence) {
+	runner.probeAt = now + minAnswerInterval
 	if e == Started {
-		n.proven, n.needs = true, 0 // nobody else has its name
-	} else if n.needs > 0 && (n.goodAt == 0 || now >= n.goodAt+apart) {
-		n.needs--
-		n.goodAt = now
+		runner.proven, runner.answersNeeded = true, 0 // nobody else has its name
+	} else if runner.answersNeeded > 0 && (runner.lastSuccess == 0 || now >= runner.lastSuccess+minAnswerInterval) {
+		runner.answersNeeded--
+		runner.lastSuccess = now
 	}
-	if n.needs == 0 {
-		if n.standing == Withheld {
-			b.use(n, now)
+	if runner.answersNeeded == 0 {
+		if runner.standing == Withheld {
+			table.admit(runner, now)
 		}
-		n.due = now + againMost // looked at now and then until it has run a job
+		runner.probeAt = now + maxProbeBackoff // looked at now and then until it has run a job
 	}
 }
 
-func (b *Book) ill(n *node, now time.Duration, e Evidence) {
+func (table *StateTable) recordFailure(runner *runner, now time.Duration, e Evidence) {
 	if e == Impostor {
-		n.standing, n.why = Rejected, "something else answers at its address"
+		runner.standing, runner.reason = Rejected, "something else answers at its address"
 		return
 	}
-	n.bad++
-	n.due = now + time.Duration(b.rng.Float64()*float64(min(againFirst<<min(n.bad, 10), againMost)))
-	if n.proven && n.bad < 2 && (e == Broken || e == Busy) {
+	runner.failures++
+	runner.probeAt = now + time.Duration(table.rng.Float64()*float64(min(minProbeBackoff<<min(runner.failures, 10), maxProbeBackoff)))
+	if runner.proven && runner.failures < 2 && (e == Broken || e == Busy) {
 		return // one such end says little of a runner that works
 	}
-	n.standing, n.why, n.proven = Withheld, e.String(), false
-	n.needs, n.goodAt = max(n.needs, 1), 0
+	runner.standing, runner.reason, runner.proven = Withheld, e.String(), false
+	runner.answersNeeded, runner.lastSuccess = max(runner.answersNeeded, 1), 0
 }
 
 // Standing returns what may be done with a runner, since when it may have been cold, and
 // why. Of one that the book does not hold nothing is known.
-func (b *Book) Standing(uid string) (s Standing, coldFrom time.Duration, why string) {
-	n := b.nodes[uid]
-	if n == nil {
+func (table *StateTable) Standing(uid string) (s Standing, coldFrom time.Duration, reason string) {
+	runner := table.runners[uid]
+	if runner == nil {
 		return Rejected, 0, "unknown"
 	}
-	return n.standing, n.coldFrom, n.why
+	return runner.standing, runner.coldFrom, runner.reason
 }
 
-// Bar bars a runner, as operators leave it out, or lets it be asked again.
-func (b *Book) Bar(uid string, out bool) (changed bool) {
-	n := b.nodes[uid]
+// SetExcluded bars a runner, as operators leave it out, or lets it be asked again.
+func (table *StateTable) SetExcluded(uid string, excluded bool) (changed bool) {
+	runner := table.runners[uid]
 	switch {
-	case n == nil || n.standing == Rejected || out == (n.standing == Barred):
+	case runner == nil || runner.standing == Rejected || excluded == (runner.standing == Barred):
 		return false
-	case out:
-		n.standing, n.why = Barred, "operators have left it out"
+	case excluded:
+		runner.standing, runner.reason = Barred, "operators have left it out"
 	default:
-		n.standing, n.why, n.needs, n.due = Withheld, "put back by operators", max(n.needs, 1), 0
-		if !slices.Contains(b.order, n) {
-			b.order = append(b.order, n)
+		runner.standing, runner.reason, runner.answersNeeded, runner.probeAt = Withheld, "put back by operators", max(runner.answersNeeded, 1), 0
+		if !slices.Contains(table.probeOrder, runner) {
+			table.probeOrder = append(table.probeOrder, runner)
 		}
 	}
 	return true
 }
 
-// Settle drops a runner from the book: discovery has spoken of it.
-func (b *Book) Settle(uid string) { delete(b.nodes, uid) }
+// Remove drops a runner from the book: discovery has spoken of it.
+func (table *StateTable) Remove(uid string) { delete(table.runners, uid) }
 
-// Taken rejects runners whose address discovery gives to another one, and returns them.
-func (b *Book) Taken(addr, by string) (uids []string) {
-	for uid, n := range b.nodes {
-		if n.Addr == addr && uid != by && n.standing != Rejected {
-			n.standing, n.why = Rejected, "its address is "+by+"'s now"
+// RejectAddress rejects runners whose address discovery gives to another one, and returns them.
+func (table *StateTable) RejectAddress(addr, by string) (uids []string) {
+	for uid, runner := range table.runners {
+		if runner.Addr == addr && uid != by && runner.standing != Rejected {
+			runner.standing, runner.reason = Rejected, "its address is "+by+"'s now"
 			uids = append(uids, uid)
 		}
 	}
@@ -403,22 +403,22 @@
 
 // Count returns how many runners the book still holds, how many of them get work and how
 // many don't yet.
-func (b *Book) Count() (all, used, withheld int) {
-	for _, n := range b.nodes {
-		switch n.standing {
+func (table *StateTable) Count() (all, used, withheld int) {
+	for _, runner := range table.runners {
+		switch runner.standing {
 		case Used:
 			used++
 		case Withheld, Waiting:
 			withheld++
 		}
 	}
-	return len(b.nodes), used, withheld
+	return len(table.runners), used, withheld
 }
 
-// Left returns the runners that the book still holds, by name.
-func (b *Book) Left() []string {
-	uids := make([]string, 0, len(b.nodes))
-	for uid := range b.nodes {
+// UIDs returns the runners that the book still holds, by name.
+func (table *StateTable) UIDs() []string {
+	uids := make([]string, 0, len(table.runners))
+	for uid := range table.runners {
 		uids = append(uids, uid)
 	}
 	slices.Sort(uids)
--- a/internal/dispatcher/rosterpolicy/rosterpolicy_test.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy_test.go
@@ -11,8 +11,8 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-var bounds = Config{Fresh: 2 * time.Minute, Old: time.Hour, Max: 24 * time.Hour, Zone: "a", Rate: 100, Dispatchers: 1, Warm: 23 * time.Second,
-	Outage: 5 * time.Second, Lost: 0.5, Doubt: 30 * time.Second}
+var bounds = Config{Fresh: 2 * time.Minute, Old: time.Hour, Max: 24 * time.Hour, Zone: "a", ProbeRate: 100, Dispatchers: 1, WarmUp: 23 * time.Second,
+	Outage: 5 * time.Second, MaxMissing: 0.5, DoubtTimeout: 30 * time.Second}
 
 const day = 24 * time.Hour
 
@@ -47,7 +47,7 @@
 		{"draining", Stored{Confirmed: now, Barred: true}, []Evidence{Answered, Started, Answered}, Barred},
 		{"another", Stored{Confirmed: now}, []Evidence{Impostor, Answered, Answered, Answered}, Rejected},
 		{"went and came", Stored{Confirmed: now}, []Evidence{Refused, Answered}, Used},
-		{"went again", Stored{Confirmed: now}, []Evidence{Refused, Answered, Silent}, Withheld},
+		{"went again", Stored{Confirmed: now}, []Evidence{Refused, Answered, TimedOut}, Withheld},
 		{"works, one break", Stored{Confirmed: now}, []Evidence{Started, Broken}, Used},
 		{"works, two breaks", Stored{Confirmed: now}, []Evidence{Started, Broken, Broken}, Withheld},
 		{"works, is gone", Stored{Confirmed: now}, []Evidence{Started, Refused}, Withheld},
@@ -56,7 +56,7 @@
 			tc.stored.UID = "s"
 			b := New(bounds, now, []Stored{tc.stored}, 1)
 			for i, e := range tc.hears {
-				b.Hear(now+time.Duration(i+1)*2*time.Second, "s", e)
+				b.Observe(now+time.Duration(i+1)*2*time.Second, "s", e)
 			}
 			if got, _, why := b.Standing("s"); got != tc.want {
 				t.Errorf("it is %s (%s), want %s", got, why, tc.want)
@@ -85,7 +85,7 @@
 		asked := 0
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			uids, next := b.Ask(now, 5)
+			uids, next := b.NextProbes(now, 5)
 			if len(uids) > 5 {
 				t.Fatalf("%d are asked at once", len(uids))
 			}
@@ -99,20 +99,20 @@
 				asking[uid] = true
 				asked++
 			}
-			if most := burst + 1 + int(float64(now-start)/float64(time.Second)*cfg.Rate); asked > most {
+			if most := probeBurst + 1 + int(float64(now-start)/float64(time.Second)*cfg.ProbeRate); asked > most {
 				t.Fatalf("%d were asked in %s", asked, now-start)
 			}
 			s := stored[rapid.IntRange(0, len(stored)-1).Draw(t, "who")]
 			e := Evidence(rapid.IntRange(0, int(Impostor)).Draw(t, "evidence"))
 			before, coldBefore, _ := b.Standing(s.UID)
-			b.Hear(now, s.UID, e)
+			b.Observe(now, s.UID, e)
 			delete(asking, s.UID)
 			after, cold, why := b.Standing(s.UID)
 			if !e.Good() && after == Withheld {
 				down[s.UID] = now
 			}
 			for _, uid := range func() []string { warm, _ := b.Tick(now); return warm }() {
-				if _, cold, _ := b.Standing(uid); b.Owned(uid) || now < cold+cfg.Warm || cold < down[uid] {
+				if _, cold, _ := b.Standing(uid); b.Owned(uid) || now < cold+cfg.WarmUp || cold < down[uid] {
 					t.Fatalf("%s is taken for warm at %s, cold from %s", uid, now, cold)
 				}
 			}
@@ -154,7 +154,7 @@
 			cfg := bounds
 			cfg.Dispatchers, cfg.Number = all, number
 			b := New(cfg, day, stored, uint64(number))
-			share = b.share
+			share = b.owners
 			for _, s := range stored {
 				if b.Owned(s.UID) {
 					users[s.UID]++
@@ -168,7 +168,7 @@
 			}
 		}
 		for number, own := range has {
-			if own == 0 && n >= perDispatcher && share < all && n*share >= 8*all {
+			if own == 0 && n >= coldPerDispatcher && share < all && n*share >= 8*all {
 				t.Fatalf("dispatcher %d of %d has none of %d, %d each", number, all, n, share)
 			}
 		}
@@ -192,8 +192,8 @@
 	}
 	firsts := map[string]bool{}
 	for seed := range uint64(8) {
-		uids, next := New(bounds, now, stored, seed).Ask(now, 100)
-		if len(uids) != burst+1 || next > now+time.Second {
+		uids, next := New(bounds, now, stored, seed).NextProbes(now, 100)
+		if len(uids) != probeBurst+1 || next > now+time.Second {
 			t.Fatalf("%d are asked at first, the next after %s", len(uids), next-now)
 		}
 		for _, uid := range uids {
@@ -212,25 +212,25 @@
 
 func TestTakenAndBarred(t *testing.T) {
 	b := New(bounds, day, []Stored{{UID: "s", Addr: "x", Confirmed: day}, {UID: "t", Addr: "y", Confirmed: day}}, 1)
-	if diff := cmp.Diff([]string{"s"}, b.Taken("x", "u")); diff != "" {
+	if diff := cmp.Diff([]string{"s"}, b.RejectAddress("x", "u")); diff != "" {
 		t.Error(diff)
 	}
 	if s, _, _ := b.Standing("s"); s != Rejected {
 		t.Errorf("a runner whose address is another's is %s", s)
 	}
-	b.Bar("t", true)
-	b.Hear(day, "t", Started)
+	b.SetExcluded("t", true)
+	b.Observe(day, "t", Started)
 	if s, _, _ := b.Standing("t"); s != Barred {
 		t.Errorf("one that operators left out is %s", s)
 	}
-	b.Bar("t", false)
-	b.Hear(day, "t", Answered)
+	b.SetExcluded("t", false)
+	b.Observe(day, "t", Answered)
 	if s, _, _ := b.Standing("t"); s != Used {
 		t.Errorf("one that they put back and that answers is %s", s)
 	}
-	b.Settle("s")
-	b.Settle("t")
-	if left := b.Left(); len(left) > 0 {
+	b.Remove("s")
+	b.Remove("t")
+	if left := b.UIDs(); len(left) > 0 {
 		t.Errorf("%v are left", left)
 	}
 }
@@ -249,25 +249,25 @@
 		stored bool
 		steps  []step
 	}{
-		{"an ordinary day", false, []step{{0, false, 10, 10, Believed}, {time.Hour, false, 10, 9, Believed}}},
-		{"a short silence", false, []step{{0, true, 0, 0, 0}, {time.Second, false, 10, 10, Believed}}},
-		{"a long silence, then nothing, twice", false, []step{{0, true, 0, 0, 0}, {time.Minute, false, 10, 10, Doubted}, {time.Second, false, 10, 10, Believed}}},
-		{"a long silence, then half, then all", false, []step{{0, true, 0, 0, 0}, {time.Minute, false, 10, 6, Doubted}, {time.Second, false, 10, 0, Believed},
-			{time.Second, false, 10, 10, Believed}}},
-		{"a long silence, then most", false, []step{{0, true, 0, 0, 0}, {time.Minute, false, 10, 5, Believed}}},
-		{"from a stored list", true, []step{{0, false, 10, 10, Doubted}, {time.Second, false, 10, 10, Believed}}},
+		{"an ordinary day", false, []step{{0, false, 10, 10, Accepted}, {time.Hour, false, 10, 9, Accepted}}},
+		{"a short silence", false, []step{{0, true, 0, 0, 0}, {time.Second, false, 10, 10, Accepted}}},
+		{"a long silence, then nothing, twice", false, []step{{0, true, 0, 0, 0}, {time.Minute, false, 10, 10, Doubted}, {time.Second, false, 10, 10, Accepted}}},
+		{"a long silence, then half, then all", false, []step{{0, true, 0, 0, 0}, {time.Minute, false, 10, 6, Doubted}, {time.Second, false, 10, 0, Accepted},
+			{time.Second, false, 10, 10, Accepted}}},
+		{"a long silence, then most", false, []step{{0, true, 0, 0, 0}, {time.Minute, false, 10, 5, Accepted}}},
+		{"from a stored list", true, []step{{0, false, 10, 10, Doubted}, {time.Second, false, 10, 10, Accepted}}},
 		{"flapping", false, []step{{0, true, 0, 0, 0}, {time.Minute, false, 10, 10, Doubted}, {time.Second, true, 0, 0, 0},
-			{time.Minute, false, 10, 10, Believed}}},
+			{time.Minute, false, 10, 10, Accepted}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l, now := NewLists(bounds, tc.stored), day
+			l, now := NewFullUpdatePolicy(bounds, tc.stored), day
 			for i, s := range tc.steps {
 				now += s.after
 				if s.failed {
 					l.Failed(now)
 					continue
 				}
-				if got := l.Whole(now, s.known, s.lacks); got != s.want {
+				if got := l.Judge(now, s.known, s.lacks); got != s.want {
 					t.Errorf("step %d: %d, want %d", i, got, s.want)
 				}
 			}
--- a/internal/dispatcher/rosterstore/disk.go
+++ b/internal/dispatcher/rosterstore/disk.go
@@ -6,9 +6,9 @@
 	"os"
 )
 
-// disk is the part of a file system that the store uses, so that tests can break it at
+// fileSystem is the part of a file system that the store uses, so that tests can break it at
 // any step.
-type disk interface {
+type fileSystem interface {
 	List(dir string) ([]string, error)
 	Read(path string) ([]byte, error)
 	// Create makes a new file and fails where there is one.
@@ -26,10 +26,10 @@
 	Close() error
 }
 
-// system is the real one.
-type system struct{}
+// osFileSystem is the real one.
+type osFileSystem struct{}
 
-func (system) List(dir string) ([]string, error) {
+func (osFileSystem) List(dir string) ([]string, error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 }
 
 // Read guards memory against a file that has grown, or is none.
-func (system) Read(path string) ([]byte, error) {
+func (osFileSystem) Read(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
@@ -51,22 +51,22 @@
 	if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() {
 		return nil, &fs.PathError{Op: "read", Path: path, Err: fs.ErrInvalid}
 	}
-	text, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
-	if err == nil && len(text) > mostBytes {
-		err = ErrLarge
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(text) > maxFileBytes {
+		err = ErrTooLarge
 	}
 	return text, err
 }
 
-func (system) Create(path string) (file, error) {
+func (osFileSystem) Create(path string) (file, error) {
 	return os.OpenFile(path, os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 }
 
-func (system) Link(from, to string) error   { return os.Link(from, to) }
-func (system) Rename(from, to string) error { return os.Rename(from, to) }
-func (system) Remove(path string) error     { return os.Remove(path) }
+func (osFileSystem) Link(from, to string) error   { return os.Link(from, to) }
+func (osFileSystem) Rename(from, to string) error { return os.Rename(from, to) }
+func (osFileSystem) Remove(path string) error     { return os.Remove(path) }
 
-func (system) SyncDir(dir string) error {
+func (osFileSystem) SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
 		return err
--- a/internal/dispatcher/rosterstore/rosterstore_test.go
+++ b/internal/dispatcher/rosterstore/rosterstore_test.go
@@ -32,7 +32,7 @@
 	for i := range nodes {
 		uid := fmt.Sprintf("s-%d", i)
 		s.Nodes = append(s.Nodes, Node{UID: uid, Entry: json.RawMessage(fmt.Sprintf(`{"uid":%q,"n":%d}`, uid, number)),
-			Confirmed: time.Duration(number), By: ByList})
+			Confirmed: time.Duration(number), By: ByDiscovery})
 	}
 	return s
 }
@@ -78,10 +78,10 @@
 	}
 	newer := bytes.Clone(good)
 	binary.BigEndian.PutUint32(newer[len(magic):], version+1)
-	if _, err := Decode(newer, ""); !errors.Is(err, ErrVersion) {
+	if _, err := Decode(newer, ""); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("newer: %v", err)
 	}
-	if _, err := Decode(good, "n1"); !errors.Is(err, ErrName) {
+	if _, err := Decode(good, "n1"); !errors.Is(err, ErrOtherDispatcher) {
 		t.Errorf("another's: %v", err)
 	}
 }
@@ -276,7 +276,7 @@
 func TestBrokenDisk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemory()
-		d := &Dir{path: "/s", name: "n0", keep: rapid.IntRange(2, 4).Draw(t, "keep"), disk: m}
+		d := &Dir{path: "/s", name: "n0", retained: rapid.IntRange(2, 4).Draw(t, "keep"), files: m}
 		saved, number := 0, 0
 		for range rapid.IntRange(1, 6).Draw(t, "lives") {
 			m.how = rapid.SampledFrom([]string{"off", "full", "ro"}).Draw(t, "how")
@@ -291,7 +291,7 @@
 				m.crash(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") })
 			}
 			m.steps = -1
-			d = &Dir{path: "/s", name: "n0", keep: d.keep, disk: m}
+			d = &Dir{path: "/s", name: "n0", retained: d.retained, files: m}
 			s, err := d.Load(func(string, error) {})
 			switch {
 			case err != nil:
@@ -307,7 +307,7 @@
 			if int(s.Rev) < saved || int(s.Rev) > number {
 				t.Fatalf("generation %d is there, %d was saved last", s.Rev, saved)
 			}
-			if files, _ := d.files(); len(files) > d.keep+4 {
+			if files, _ := d.generations(); len(files) > d.retained+4 {
 				t.Fatalf("%d generations are kept", len(files))
 			}
 		}
@@ -329,7 +329,7 @@
 			t.Fatal(err)
 		}
 	}
-	files, err := d.files()
+	files, err := d.generations()
 	if err != nil || len(files) != 3 {
 		t.Fatalf("%d generations are kept, %v", len(files), err)
 	}
@@ -347,7 +347,7 @@
 	if err != nil || s == nil || s.Rev != 2 {
 		t.Fatalf("loaded %+v, %v", s, err)
 	}
-	if diff := cmp.Diff([]string{ErrVersion.Error(), ErrCorrupt.Error()}, said); diff != "" {
+	if diff := cmp.Diff([]string{ErrNewerVersion.Error(), ErrCorrupt.Error()}, said); diff != "" {
 		t.Errorf("said (-want +got):\n%s", diff)
 	}
 	names, _ := os.ReadDir(path)
@@ -375,7 +375,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.disk = drafts{system{}, len(dirs)}
+		d.files = drafts{osFileSystem{}, len(dirs)}
 		dirs = append(dirs, d)
 	}
 	done := make(chan error, 2)
@@ -395,7 +395,7 @@
 			t.Fatal(err)
 		}
 	}
-	all, err := dirs[0].All()
+	all, err := dirs[0].ReadAll()
 	if err != nil || len(all) != 40 {
 		t.Fatalf("%d generations, %v", len(all), err)
 	}
@@ -408,19 +408,19 @@
 
 // drafts gives each of two writers of one process a draft's name of its own.
 type drafts struct {
-	system
+	osFileSystem
 	number int
 }
 
 func (d drafts) own(path string) string {
-	if strings.HasSuffix(path, fresh) {
+	if strings.HasSuffix(path, draftSuffix) {
 		return path + strconv.Itoa(d.number)
 	}
 	return path
 }
-func (d drafts) Create(path string) (file, error) { return d.system.Create(d.own(path)) }
-func (d drafts) Link(from, to string) error       { return d.system.Link(d.own(from), to) }
-func (d drafts) Remove(path string) error         { return d.system.Remove(d.own(path)) }
+func (d drafts) Create(path string) (file, error) { return d.osFileSystem.Create(d.own(path)) }
+func (d drafts) Link(from, to string) error       { return d.osFileSystem.Link(d.own(from), to) }
+func (d drafts) Remove(path string) error         { return d.osFileSystem.Remove(d.own(path)) }
 
 // hanging is a disk whose writes wait.
 type hanging struct {
@@ -439,17 +439,17 @@
 	m := hanging{newMemory(), make(chan struct{})}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	w := NewWriter(&Dir{path: "/s", name: "n0", keep: 3, disk: m}, time.Millisecond, logrus.NewEntry(log))
+	w := NewWriter(&Dir{path: "/s", name: "n0", retained: 3, files: m}, time.Millisecond, logrus.NewEntry(log))
 	for n := range 1000 {
 		w.Put(sample(n, 1))
 	}
 	w.Close(time.Now().Add(10 * time.Millisecond))
 	close(m.wait)
-	<-w.ended
-	if n := w.Wrote(); n < 1 || n > 2 {
+	<-w.done
+	if n := w.Written(); n < 1 || n > 2 {
 		t.Errorf("%d generations were written for 1000 told at once", n)
 	}
-	s, err := (&Dir{path: "/s", name: "n0", keep: 3, disk: m.memory}).Load(func(string, error) {})
+	s, err := (&Dir{path: "/s", name: "n0", retained: 3, files: m.memory}).Load(func(string, error) {})
 	if err != nil || s == nil || s.Rev != 999 {
 		t.Errorf("the last state is %+v, %v", s, err)
 	}
@@ -510,7 +510,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		all, err := d.All()
+		all, err := d.ReadAll()
 		if err != nil {
 			t.Fatal(err)
 		}
