--- a/internal/chainclient/doc.go
+++ b/internal/chainclient/doc.go
@@ -3,7 +3,7 @@
 // The processes that need the control plane own one Client each: the gateways for their clients' jobs, and the control
 // members for the operators' API. A write goes to the head of the chain and a read to its tail; replies come from the tail
 // once everything they depend on is committed (van Renesse and Schneider, "Chain Replication for Supporting High Throughput
-// and Availability", 2004, section 2). The Client follows the view, sends a request again where no reply comes, and reports
+// and Availability", 2004, section 3). The Client follows the view, sends a request again where no reply comes, and reports
 // at the end whether a request without a reply may have been executed.
 //
 // The owner passes in the time of a steady clock, views and replies, calls Tick regularly, and after each call carries out
--- a/internal/control/journal/doc.go
+++ b/internal/control/journal/doc.go
@@ -24,8 +24,8 @@
 // # Invariants
 //
 //   - A torn end is not damage. A crash may leave the last writes incomplete; what follows the last valid record is then
-//     cut off, and nobody has been told that it was synced.
-//   - Damage is never taken for a torn end where the file can tell: where a valid record after an invalid one says that the
+//     cut off, and it has not been acknowledged.
+//   - Damage is not mistaken for a torn end where the file shows it: where a valid record after an invalid one says that the
 //     invalid one had been synced, the file is damaged, and the member comes back as one that has lost its disk. It must
 //     not vote again under its earlier identity, as it may have forgotten promises.
 //   - A file of a newer format is refused unchanged.
--- a/internal/control/journal/file.go
+++ b/internal/control/journal/file.go
@@ -13,7 +13,7 @@
 const (
 	stateFile        = "state"
 	newStateFile     = "state.new"     // a rewritten file before it takes the place of the old one
-	damagedStateFile = "state.damaged" // a damaged file, kept for whoever looks into the damage
+	damagedStateFile = "state.damaged" // a damaged file, kept for the investigation of the damage
 	fileMode         = 0o600
 	dirMode          = 0o700
 )
@@ -111,7 +111,7 @@
 		err = os.Rename(path, filepath.Join(f.dir, stateFile))
 	}
 	if err != nil {
-		file.Close() // nobody relies on its content
+		file.Close() // its content does not matter
 		return errors.Wrap(err, "journal: replacing the state file")
 	}
 	f.file.Close() // all of it that counts was synced
--- a/internal/control/journal/journal_rapid_test.go
+++ b/internal/control/journal/journal_rapid_test.go
@@ -1,6 +1,7 @@
 package journal
 
 import (
+	"bytes"
 	"fmt"
 	"testing"
 
@@ -13,53 +14,81 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
+// drawnFile is a file with entries, of which some are known to be synced.
+type drawnFile struct {
+	data   []byte
+	synced int   // bytes known to be synced
+	ends   []int // offsets at which writes end; each write is synced before the next but one
+}
+
+// drawFile draws a file.
+func drawFile(t *rapid.T) drawnFile {
+	t.Helper()
+	data, err := Snapshot(State{ID: 7, Store: store.New()})
+	require.NoError(t, err)
+	f := drawnFile{data: data, synced: len(data)}
+	for i := range rapid.IntRange(1, 12).Draw(t, "writes") {
+		for range rapid.IntRange(1, 3).Draw(t, "records") {
+			value := rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "value")
+			f.data, err = Append(f.data, KindEntry, int64(f.synced), &protocol.Entry{
+				Index: uint64(i + 1),
+				Puts:  []*protocol.Put{{Key: fmt.Sprint("k", i), Value: value}},
+			})
+			require.NoError(t, err)
+		}
+		if len(f.ends) > 0 {
+			f.synced = f.ends[len(f.ends)-1]
+		}
+		f.ends = append(f.ends, len(f.data))
+	}
+	return f
+}
+
 // TestTornOrDamagedFileIsNotReadAsComplete tears or damages a file at any offset. What is read is the state after some of
 // the writes, among them all that were synced, or the file is reported as damaged.
 func TestTornOrDamagedFileIsNotReadAsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		data, err := Snapshot(State{ID: 7, Store: store.New()})
-		require.NoError(t, err)
-		synced := len(data)
-		var ends []int // of writes; each is synced before the next but one
-		for i := range rapid.IntRange(1, 12).Draw(t, "writes") {
-			for range rapid.IntRange(1, 3).Draw(t, "records") {
-				e := &protocol.Entry{Index: uint64(i + 1), Puts: []*protocol.Put{{Key: fmt.Sprint("k", i), Value: rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "value")}}}
-				data, err = Append(data, KindEntry, int64(synced), e)
-				require.NoError(t, err)
-			}
-			if len(ends) > 0 {
-				synced = ends[len(ends)-1]
-			}
-			ends = append(ends, len(data))
-		}
-		torn := append([]byte(nil), data...)
+		f := drawFile(t)
 		if rapid.Bool().Draw(t, "damage") {
-			at := rapid.IntRange(0, len(torn)-1).Draw(t, "at")
-			torn[at] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
-			s, _, err := Read(torn)
-			if at < synced && err == nil {
-				// Nothing after it says that it had been synced: only the newest writes can be meant.
-				require.GreaterOrEqual(t, at, lastRecordedSynced(data), "synced records are ignored")
-			}
-			if err == nil {
-				require.LessOrEqual(t, s.Index, uint64(len(ends)))
-				requireState(t, s)
-			}
-			return
-		}
-		torn = torn[:rapid.IntRange(synced, len(torn)).Draw(t, "length")]
-		s, validLength, err := Read(torn)
-		require.NoError(t, err, "writes that were not synced may be torn")
-		require.LessOrEqual(t, validLength, len(torn))
-		requireState(t, s)
-		for i, end := range ends {
-			if end <= synced {
-				require.GreaterOrEqual(t, s.Index, uint64(i+1))
-			}
+			requireDamageSeen(t, f)
+		} else {
+			requireSyncedPartRead(t, f)
 		}
 	})
 }
 
+// requireDamageSeen damages one byte. Read reports the damage, unless no record says that this byte had been synced.
+func requireDamageSeen(t *rapid.T, f drawnFile) {
+	t.Helper()
+	damaged := bytes.Clone(f.data)
+	offset := rapid.IntRange(0, len(damaged)-1).Draw(t, "offset")
+	damaged[offset] ^= byte(rapid.IntRange(1, 255).Draw(t, "bits"))
+	s, _, err := Read(damaged)
+	if err != nil {
+		return
+	}
+	if offset < f.synced {
+		require.GreaterOrEqual(t, offset, lastRecordedSynced(f.data), "synced records are ignored")
+	}
+	require.LessOrEqual(t, s.Index, uint64(len(f.ends)))
+	requireState(t, s)
+}
+
+// requireSyncedPartRead truncates the file to any length with which it keeps what was synced, and requires that to be read.
+func requireSyncedPartRead(t *rapid.T, f drawnFile) {
+	t.Helper()
+	torn := f.data[:rapid.IntRange(f.synced, len(f.data)).Draw(t, "length")]
+	s, validLength, err := Read(torn)
+	require.NoError(t, err, "writes that were not synced may be torn")
+	require.LessOrEqual(t, validLength, len(torn))
+	requireState(t, s)
+	for i, end := range f.ends {
+		if end <= f.synced {
+			require.GreaterOrEqual(t, s.Index, uint64(i+1))
+		}
+	}
+}
+
 // lastRecordedSynced returns the length of a file that its own records report as synced.
 func lastRecordedSynced(data []byte) (synced int) {
 	for at := 0; at < len(data); {
--- a/internal/control/replica/chain.go
+++ b/internal/control/replica/chain.go
@@ -57,7 +57,7 @@
 	return m.Serving() && !m.disk.failed && m.promised <= m.Epoch()
 }
 
-// Accepting reports whether the head may accept requests: a majority has confirmed its epoch lately, and the entries
+// Accepting reports whether the head may accept requests: a majority has recently confirmed its epoch, and the entries
 // appended before are being committed.
 func (m *Machine) Accepting(now time.Duration) bool {
 	return m.Serving() && now-m.confirmations.confirmedAt <= contactTimeout && m.index-m.chain.committed < maxUncommitted
@@ -151,7 +151,7 @@
 		if inChain {
 			m.requestResend(from)
 		} else {
-			m.chain.following = false // the state is transferred anew
+			m.chain.following = false // the state is transferred again
 		}
 		return
 	}
@@ -192,7 +192,7 @@
 	m.advance()
 }
 
-// advance commits what the whole chain has synced, informs the neighbors of what has been synced here, and completes the
+// advance commits what all members of the chain have synced, informs the neighbors of what has been synced here, and completes the
 // reads that have waited for it.
 func (m *Machine) advance() {
 	if m.chainPosition() < 0 || m.installedEpoch != m.Epoch() {
@@ -228,7 +228,7 @@
 	m.chain.commitProgressAt = m.now
 }
 
-// trimLog removes entries from the log that nobody will ask for: those that the successor and all after it have synced and
+// trimLog removes entries from the log that no member will request: those that the successor and all after it have synced and
 // that are committed, and at the tail those that have been replied to. A member outside the chain keeps none.
 func (m *Machine) trimLog() {
 	keepAfter := m.index
--- a/internal/control/replica/cluster_test.go
+++ b/internal/control/replica/cluster_test.go
@@ -333,7 +333,7 @@
 	for until := c.now + time.Second; c.head() == nil && c.now < until; {
 		c.play(tick)
 	}
-	require.NotNil(c.t, c.head(), "nobody serves for a second")
+	require.NotNil(c.t, c.head(), "no member serves for a second")
 	return c.head()
 }
 
@@ -404,7 +404,7 @@
 func (c *cluster) requireNoWriteLost() {
 	c.t.Helper()
 	h := c.head()
-	require.NotNil(c.t, h, "nobody serves")
+	require.NotNil(c.t, h, "no member serves")
 	for id := range c.replies {
 		_, ok := h.Store().Get(fmt.Sprintf("k%d", id))
 		require.True(c.t, ok, "write %d had a reply and is lost at %s", id, h.address)
--- a/internal/control/replica/config.go
+++ b/internal/control/replica/config.go
@@ -17,7 +17,7 @@
 	ConfirmInterval   time.Duration // time between the head's confirmations of its epoch
 	DiskStallTimeout  time.Duration // age of an unfinished write from which a disk counts as stalled
 	DiskSlowThreshold time.Duration // mean time of a sync from which a disk counts as slow
-	DiskRetryInterval time.Duration // time between a failed write and the next attempt to write the whole file
+	DiskRetryInterval time.Duration // time between a failed write and the next attempt to write the complete file
 	ReplaceAfter      time.Duration // time without contact after which a newcomer may replace a voter
 	LostAfter         time.Duration // time without contact after which a voter is removed where the living ones need a smaller majority
 	ForgetAfter       time.Duration // time without contact after which a voter is removed without a replacement
--- a/internal/control/replica/disk.go
+++ b/internal/control/replica/disk.go
@@ -32,7 +32,7 @@
 	syncedSize     int64          // size of the file after the last finished write; 0 while it is being replaced
 	installedEpoch uint64         // newest installed epoch that is synced
 
-	failed   bool // after a failed write, until the whole file is written anew
+	failed   bool // after a failed write, until the complete file has been submitted again
 	retryAt  time.Duration
 	meanSync time.Duration // mean time of a sync, without the time for the bytes written
 	decayAt  time.Duration // when meanSync is halved, as nothing is written
--- a/internal/control/replica/disk_test.go
+++ b/internal/control/replica/disk_test.go
@@ -52,7 +52,7 @@
 		lost := c.memberOutsideChain()
 		c.stop(lost, true)
 		c.wipe(lost)
-		c.start(lost) // it asks to join, which begins a round of the head's
+		c.start(lost) // it asks to join, upon which the head starts a proposal
 		c.play(time.Duration(seed) * 20 * time.Millisecond)
 		h := c.awaitHead()
 		h.diskDelay = 917 * time.Millisecond
--- a/internal/control/replica/doc.go
+++ b/internal/control/replica/doc.go
@@ -39,7 +39,7 @@
 //   - One head commits. A chain has a member in common with every majority of the voters (view.ChainLength), a majority
 //     must promise before a view is agreed, and a member that has promised a number above an epoch takes no more
 //     entries of that epoch. The earlier chain therefore cannot commit beside the later one.
-//   - No acknowledged entry is lost. An entry is committed when every chain member has synced it ([1], section 2, the
+//   - No acknowledged entry is lost. An entry is committed when every chain member has synced it ([1], section 3, the
 //     Update Propagation Invariant); the next head is a voter that has installed the newest epoch, and it serves only
 //     after every member of the new chain has installed that state (considerActivation).
 //   - Reads are current. A read is ready only when a majority has confirmed, after the read arrived, that it has promised
--- a/internal/control/replica/election.go
+++ b/internal/control/replica/election.go
@@ -166,7 +166,7 @@
 }
 
 // lostChainMember returns why the chain has lost a member, empty where all are alive. A member that has restarted has
-// lost its unsynced entries, so that the chain has to be installed anew.
+// lost its unsynced entries, so that a new chain has to install the state.
 func (m *Machine) lostChainMember() string {
 	for _, id := range m.view.GetChain() {
 		if id == m.selfID() {
--- a/internal/control/wallclock/wallclock.go
+++ b/internal/control/wallclock/wallclock.go
@@ -10,7 +10,7 @@
 //   - A minority's clocks do not move the agreed time, however far they are set.
 //   - The agreed time never jumps where a majority's clocks are set for a short while: it follows a small difference at
 //     driftSlewRate and a step at stepSlewRate, and adopts a step at once only after the majority has held it for
-//     stepAfter. The terms are those of the Network Time Protocol (RFC 5905, section 11), the rates are this system's.
+//     stepAfter. The terms are those of the Network Time Protocol (RFC 5905, section 11.3), the rates are this system's.
 //   - A member that restarts adopts the time that others have agreed on, so that restarts do not move it.
 //   - Where all members restart at once, times before the newest one in the replicated state are ruled out. Nothing else
 //     tells which clocks are right: a majority of wrong ones wins.
@@ -29,7 +29,7 @@
 	// maxSamples is how many of a member's newest readings are kept. The one with the largest offset counts, as it was on
 	// its way for the shortest time.
 	maxSamples = 8
-	// initialAgreementWindow is how long after the first agreement the time is chosen anew when more members have been
+	// initialAgreementWindow is how long after the first agreement the time is chosen again when more members have been
 	// read: the first two of five may be those whose clocks are wrong.
 	initialAgreementWindow = 5 * time.Second
 	// stepThreshold is the difference above which a clock counts as set rather than as drifting.
@@ -209,7 +209,7 @@
 }
 
 // AgreedMs returns the agreed time of day in ms since 1970, 0 before others may adopt it: within the initial window it may
-// still be chosen anew.
+// still be chosen again.
 func (c *Clock) AgreedMs(now time.Duration) int64 {
 	if !c.hasAgreed || c.initialReadings > 0 && now-c.agreedAt < initialAgreementWindow {
 		return 0
--- a/internal/view/doc.go
+++ b/internal/view/doc.go
@@ -11,8 +11,8 @@
 //   - Every two quorums of a view have a voter in common, and while the voters change, a quorum needs majorities of both
 //     sets, as in joint consensus (Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm", 2014,
 //     section 6).
-//   - Every majority of the voters contains a member of any chain that ChainLength allows. Whoever has a majority's promises
-//     therefore learns of everything that an earlier chain has committed (van Renesse and Schneider, "Chain Replication for
+//   - Every majority of the voters contains a member of any chain that ChainLength allows. A member with promises of a
+//     majority therefore learns of everything that an earlier chain has committed (van Renesse and Schneider, "Chain Replication for
 //     Supporting High Throughput and Availability", 2004, leave this to an external configuration master).
 //   - The head of the next view has installed the newest epoch among a quorum of voters, so that nothing committed is lost.
 //   - Two members never propose under the same number: a proposal number contains the proposer's number, which is never
