--- a/internal/control/journal/journal_rapid_test.go
+++ b/internal/control/journal/journal_rapid_test.go
@@ -50,15 +50,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFile(t)
 		if rapid.Bool().Draw(t, "damage") {
-			requireDamageSeen(t, f)
+			requireDamageFound(t, f)
 		} else {
-			requireSyncedPartRead(t, f)
+			requireSyncedRecordsRead(t, f)
 		}
 	})
 }
 
-// requireDamageSeen damages one byte. Read reports the damage, unless no record says that this byte had been synced.
-func requireDamageSeen(t *rapid.T, f drawnFile) {
+// requireDamageFound damages one byte. Read reports the damage, unless no record says that this byte had been synced.
+func requireDamageFound(t *rapid.T, f drawnFile) {
 	t.Helper()
 	damaged := bytes.Clone(f.data)
 	offset := rapid.IntRange(0, len(damaged)-1).Draw(t, "offset")
@@ -74,8 +74,8 @@
 	requireState(t, s)
 }
 
-// requireSyncedPartRead truncates the file to any length with which it keeps what was synced, and requires that to be read.
-func requireSyncedPartRead(t *rapid.T, f drawnFile) {
+// requireSyncedRecordsRead truncates the file to any length with which it keeps what was synced, and requires that to be read.
+func requireSyncedRecordsRead(t *rapid.T, f drawnFile) {
 	t.Helper()
 	torn := f.data[:rapid.IntRange(f.synced, len(f.data)).Draw(t, "length")]
 	s, validLength, err := Read(torn)
