--- a/internal/control/placement/doc.go
+++ b/internal/control/placement/doc.go
@@ -21,8 +21,9 @@
 //
 // # Invariants
 //
-//   - No runner's reservations exceed its capacity, in any resource, as long as callers reserve only what Pick and the
-//     gang functions return. Runs that an earlier head started are reserved whatever the capacity.
+//   - No runner's reservations come to exceed its capacity, in any resource, where callers reserve only what Pick and
+//     the gang functions return. Runs that an earlier head started are reserved whatever the capacity, and a runner may
+//     report less capacity than is reserved; then it takes no more until enough is released.
 //   - The totals of a pool are the sums over its usable runners. Fleet.update is the only way in which anything
 //     changes that they are made of.
 //   - While Changes returns the same number and no time passes, a task that did not fit does not fit now.
--- a/internal/control/placement/fleet.go
+++ b/internal/control/placement/fleet.go
@@ -33,16 +33,6 @@
 	}
 }
 
-// Runner returns a runner, nil where the id is not known.
-func (f *Fleet) Runner(id string) *Runner { return f.runners[id] }
-
-// Each calls visit with every runner, in no order.
-func (f *Fleet) Each(visit func(*Runner)) {
-	for _, r := range f.runners {
-		visit(r)
-	}
-}
-
 // Add returns the runner with an id, and adds it without capacity where it is not known. Runs may be reserved on it
 // before UpdateRunner sets its capacity.
 func (f *Fleet) Add(id string) *Runner {
@@ -100,7 +90,7 @@
 
 // Reserve reserves resources of a runner for the run of a task. It does nothing where the task has a reservation there.
 func (f *Fleet) Reserve(r *Runner, task string, demand Resources, group Group) {
-	if r.HasReservation(task) {
+	if r.hasReservation(task) {
 		return
 	}
 	reservation := Reservation{Demand: demand, Group: group, tokens: r.tokensFor(demand)}
--- a/internal/control/placement/fleet_test.go
+++ b/internal/control/placement/fleet_test.go
@@ -55,15 +55,17 @@
 				f.Reserve(r, fmt.Sprint(i), req.Demand, Group{})
 				all = append(all, testReservation{r, fmt.Sprint(i)})
 			}
-			f.Each(func(r *Runner) {
+			for _, r := range f.runners {
 				free := r.Free()
 				require.True(t, free.CPU >= 0 && free.MemMB >= 0 && free.GPUs >= 0, "%s is over its capacity", r.ID)
 				require.Equal(t, r.tokens.Limit, r.tokens.Free+r.tokens.InUse)
-			})
+			}
 		}
 		for _, h := range all {
 			f.Release(h.runner, h.task)
 		}
-		f.Each(func(r *Runner) { require.Equal(t, Resources{}, r.Used()) })
+		for _, r := range f.runners {
+			require.Equal(t, Resources{}, r.Used())
+		}
 	}
 }
--- a/internal/control/placement/gang_test.go
+++ b/internal/control/placement/gang_test.go
@@ -15,7 +15,7 @@
 	require.Len(t, f.PickGang(req, []string{"a", "b", "c", "d"}, 0), 4)
 	require.Nil(t, f.PickGang(req, []string{"a", "b", "c", "d", "e"}, 0))
 	for i := range 4 {
-		require.Zero(t, f.Runner(fmt.Sprint("r", i)).ReservationCount(), "picking leaves nothing reserved")
+		require.Zero(t, f.runners[fmt.Sprint("r", i)].ReservationCount(), "picking leaves nothing reserved")
 	}
 	require.Nil(t, f.PickGangInRack(req, []string{"a", "b", "c"}, 0), "a rack has two")
 	picked := f.PickGangInRack(req, []string{"a", "b"}, 0)
--- a/internal/control/placement/health_test.go
+++ b/internal/control/placement/health_test.go
@@ -10,7 +10,7 @@
 
 func TestEjection(t *testing.T) {
 	f := newTestFleet(t, 4, bigRunner)
-	bad := f.Runner("r0")
+	bad := f.runners["r0"]
 	f.RecordOutcome(bad, "j1", Failure, 0)
 	f.RecordOutcome(bad, "j1", Failure, 0)
 	require.False(t, bad.Ejected(0), "one job may be at fault itself")
@@ -43,12 +43,12 @@
 func TestEjectionIsBounded(t *testing.T) {
 	f := newTestFleet(t, 4, bigRunner)
 	for i := range 3 {
-		eject(f, f.Runner(fmt.Sprint("r", i)))
+		eject(f, f.runners[fmt.Sprint("r", i)])
 	}
 	require.Equal(t, "r3", f.Pick(taskRequest(100), 0).ID, "ejected runners come last")
-	f.SetUsable(f.Runner("r3"), false)
+	f.SetUsable(f.runners["r3"], false)
 	require.Equal(t, "r0", f.Pick(taskRequest(100), 0).ID, "where most are ejected none is kept out")
 	alone := newTestFleet(t, 1, bigRunner)
-	eject(alone, alone.Runner("r0"))
+	eject(alone, alone.runners["r0"])
 	require.NotNil(t, alone.Pick(taskRequest(100), 0), "nor where there is but one")
 }
--- a/internal/control/placement/rank_test.go
+++ b/internal/control/placement/rank_test.go
@@ -21,11 +21,11 @@
 	// The oldest token of r0 is older than what was released, and than the tokens of the others.
 	require.Equal(t, []string{"r0", "r0", "r0", "r0", "r0", "r0"}, order)
 	for i := range 16 {
-		f.Reserve(f.Runner("r0"), fmt.Sprint("x", i), demand, Group{})
+		f.Reserve(f.runners["r0"], fmt.Sprint("x", i), demand, Group{})
 	}
 	require.Equal(t, "r1", f.Pick(taskRequest(1000), 0).ID, "the first is full")
 	for i := range 16 {
-		f.Release(f.Runner("r0"), fmt.Sprint("x", i))
+		f.Release(f.runners["r0"], fmt.Sprint("x", i))
 	}
 	require.Equal(t, "r1", f.Pick(taskRequest(1000), 0).ID, "what was released lies at the end of the ring")
 }
@@ -66,7 +66,7 @@
 	}
 	require.Nil(t, f.Pick(req, 0), "each has one task of the group")
 	require.Equal(t, 4, f.Explain(req, 0).AntiAffinity)
-	f.SetUsable(f.Runner("r0"), false)
+	f.SetUsable(f.runners["r0"], false)
 	require.Equal(t, 1, f.Explain(req, 0).Unusable)
 }
 
--- a/internal/control/placement/runner.go
+++ b/internal/control/placement/runner.go
@@ -50,8 +50,8 @@
 // ReservationCount returns how many runs have a reservation.
 func (r *Runner) ReservationCount() int { return len(r.reservations) }
 
-// HasReservation reports whether the run of a task has a reservation.
-func (r *Runner) HasReservation(task string) bool {
+// hasReservation reports whether the run of a task has a reservation.
+func (r *Runner) hasReservation(task string) bool {
 	_, ok := r.reservations[task]
 	return ok
 }
--- a/internal/control/scheduler/counters.go
+++ b/internal/control/scheduler/counters.go
@@ -28,7 +28,7 @@
 	return c
 }
 
-// endOther stands for all reasons that the protocol does not have, so that a runner can't fill the counters with
+// endOther stands for all reasons that are not counted by themselves, so that a runner can't fill the counters with
 // reasons of its own.
 const endOther = "other"
 
--- a/internal/control/scheduler/orders_test.go
+++ b/internal/control/scheduler/orders_test.go
@@ -70,10 +70,10 @@
 	id := h.submit(1, "fast", stage(2, 1000))
 	h.cancel(id)
 	require.Empty(t, h.started("c1"))
-	require.EqualValues(t, 2000, h.scheduler.fleet.Runner("i1").Used().CPU, "what is being stopped still counts")
+	require.EqualValues(t, 2000, h.scheduler.runners["i1"].fleetRunner.Used().CPU, "what is being stopped still counts")
 	h.report("c1", "i1", ends("stopped", &protocol.RunEnd{Number: 1, Task: id + ".0.0.0", Run: 1}, &protocol.RunEnd{Number: 2, Task: id + ".0.0.1", Run: 1}))
 	h.commit()
-	require.Zero(t, h.scheduler.fleet.Runner("i1").Used().CPU)
+	require.Zero(t, h.scheduler.runners["i1"].fleetRunner.Used().CPU)
 }
 
 func TestRefusedStartGoesElsewhere(t *testing.T) {
@@ -119,13 +119,13 @@
 		}
 	}
 	require.Len(t, dropped, 2, "the agent is to report their ends")
-	require.Equal(t, 2, h.scheduler.fleet.Runner("i1").ReservationCount())
+	require.Equal(t, 2, h.scheduler.runners["i1"].fleetRunner.ReservationCount())
 	tasks := h.scheduler.Status().Runners[0].Tasks
 	require.Len(t, tasks, 2)
 	require.Equal(t, RunStatus{Task: id + ".0.0.0", Run: 1, State: "canceled", Stopping: true}, tasks[0], "an operator sees what has the reservation")
 	h.report("c1", "i1", refuses(dropped...))
 	h.commit()
-	require.Zero(t, h.scheduler.fleet.Runner("i1").ReservationCount())
+	require.Zero(t, h.scheduler.runners["i1"].fleetRunner.ReservationCount())
 	previous := len(h.orders["c1"])
 	h.report("c1", "i1", refuses(dropped...))
 	h.commit()
@@ -135,7 +135,7 @@
 	}
 	require.Len(t, forgotten, 2, "the agent may forget them")
 	h.elect()
-	require.Zero(t, h.scheduler.fleet.Runner("i1").ReservationCount(), "their ends are in the store")
+	require.Zero(t, h.scheduler.runners["i1"].fleetRunner.ReservationCount(), "their ends are in the store")
 }
 
 // TestLostOrdersUnderNewOnes checks that an agent that has missed orders gets a full sync though newer orders are sent
--- a/internal/control/scheduler/pass_test.go
+++ b/internal/control/scheduler/pass_test.go
@@ -136,7 +136,7 @@
 	last := q.entries[waiting-1]
 	last.since -= time.Hour // it waits for the rack no longer
 	require.Nil(t, h.scheduler.Entry(h.now), "nothing has changed")
-	h.scheduler.fleet.RecordOutcome(h.scheduler.fleet.Runner("w1"), "j", placement.Success, h.now)
+	h.scheduler.fleet.RecordOutcome(h.scheduler.runners["w1"].fleetRunner, "j", placement.Success, h.now)
 	require.NotNil(t, h.scheduler.Entry(h.now))
 	require.Equal(t, "w1", h.runnersByTask()[last.step.TaskID(0)])
 	require.Len(t, q.entries, waiting-1)
