--- a/internal/control/jobs/jobs_test.go
+++ b/internal/control/jobs/jobs_test.go
@@ -221,7 +221,7 @@
 // requireSameTable compares two tables as far as they show.
 func requireSameTable(t *testing.T, a, b *Table) {
 	t.Helper()
-	require.Equal(t, a.Len(), b.Len())
+	require.Len(t, b.jobs, len(a.jobs))
 	a.Each(func(j *Job) {
 		other := b.Get(j.ID)
 		require.NotNil(t, other)
--- a/internal/control/jobs/table.go
+++ b/internal/control/jobs/table.go
@@ -54,9 +54,6 @@
 // Get returns a job, nil where the ID is not known.
 func (t *Table) Get(id string) *Job { return t.jobs[id] }
 
-// Len returns how many jobs are known.
-func (t *Table) Len() int { return len(t.jobs) }
-
 // Each calls visit with every job, in no order.
 func (t *Table) Each(visit func(*Job)) {
 	for _, j := range t.jobs {
--- a/internal/control/scheduler/requests_test.go
+++ b/internal/control/scheduler/requests_test.go
@@ -16,7 +16,7 @@
 	h := newHarness(t)
 	h.submit(1, "fast", stage(1, 100))
 	h.submit(1, "fast", stage(1, 100))
-	require.Equal(t, 1, h.scheduler.Jobs().Len())
+	require.Len(t, h.scheduler.JobStatuses(), 1)
 	const unknown = "0000000000000002"
 	for _, tc := range []struct {
 		name    string
