--- a/internal/control/jobs/jobs_test.go
+++ b/internal/control/jobs/jobs_test.go
@@ -166,14 +166,10 @@
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
 		table, s := NewTable(), store.New()
-		flush := func() {
-			e := table.TakeWrites().Entry()
-			s.Apply(e.GetPuts(), e.GetDeletes())
-		}
 		var steps []*Step
 		for n := range 6 {
-			submit := &protocol.Submit{Id: fmt.Sprintf("%016x", n), Queue: "q", Stages: []*protocol.Stage{
-				{Count: uint32(1 + rng.IntN(3)), Gang: rng.IntN(3) == 0}, {Count: 1, DependsOn: []uint32{0}}}, MaxRuns: uint32(rng.IntN(3))}
+			stages := []*protocol.Stage{{Count: uint32(1 + rng.IntN(3)), Gang: rng.IntN(3) == 0}, {Count: 1, DependsOn: []uint32{0}}}
+			submit := &protocol.Submit{Id: fmt.Sprintf("%016x", n), Queue: "q", Stages: stages, MaxRuns: uint32(rng.IntN(3))}
 			table.Accept(submit, "svc", int64(n))
 		}
 		for range 60 {
@@ -190,7 +186,7 @@
 			if rng.IntN(20) == 0 {
 				table.Cancel(step.Job.ID, 5000)
 			}
-			flush()
+			flush(table, s)
 			restored, err := Load(s)
 			require.NoError(t, err)
 			requireSameTable(t, table, restored)
@@ -198,6 +194,12 @@
 	}
 }
 
+// flush applies what has changed to a store.
+func flush(table *Table, s *store.Store) {
+	e := table.TakeWrites().Entry()
+	s.Apply(e.GetPuts(), e.GetDeletes())
+}
+
 // randomTransition starts or ends a random task of a step, or its gang.
 func randomTransition(rng *rand.Rand, table *Table, step *Step) {
 	index := rng.IntN(len(step.Tasks))
