--- a/internal/dispatcher/egress/delivery.go
+++ b/internal/dispatcher/egress/delivery.go
@@ -50,18 +50,18 @@
 
 // deliver sends a hop once and tells whether the runner has taken it. Where the connection that was
 // kept for it has ended or is spoilt, and so nothing was written, it goes by a new one.
-func (t *backend) deliver(ctx context.Context, via *http.Transport, addr string, h core.Attempt) result {
-	res, unusable := t.deliverOnce(ctx, via, addr, h)
+func (b *backend) deliver(ctx context.Context, via *http.Transport, addr string, h core.Attempt) result {
+	res, unusable := b.deliverOnce(ctx, via, addr, h)
 	if unusable {
-		res, _ = t.deliverOnce(ctx, t.unpooled, addr, h)
+		res, _ = b.deliverOnce(ctx, b.unpooled, addr, h)
 	}
 	return res
 }
 
 // deliverOnce sends a hop by one connection. Spoilt tells that a kept one could not be used, so that nothing
 // was written.
-func (t *backend) deliverOnce(ctx context.Context, via *http.Transport, addr string, h core.Attempt) (res result, unusable bool) {
-	a := &exchange{attempt: h, log: t.log, body: sentBody{data: h.Job.Body}}
+func (b *backend) deliverOnce(ctx context.Context, via *http.Transport, addr string, h core.Attempt) (res result, unusable bool) {
+	a := &exchange{attempt: h, log: b.log, body: sentBody{data: h.Job.Body}}
 	defer func() {
 		if res.report.Reused = a.reused.Load(); a.body.ended.Load() {
 			res.report.Bytes = len(h.Job.Body)
@@ -71,9 +71,9 @@
 	if err := permit.Check(h.Permit.Facts(time.Now(), h.Deadline)); err != nil {
 		return a.notStarted(err), false // not worth a connection
 	}
-	req, err := a.request(ctx, addr, t.fleet.cfg.OnSent)
+	req, err := a.request(ctx, addr, b.fleet.cfg.OnSent)
 	if err != nil {
-		t.log.WithError(err).WithFields(h.Fields()).Error("hop could not be written down")
+		b.log.WithError(err).WithFields(h.Fields()).Error("hop could not be written down")
 		return result{outcome: decision.NotSent}, false
 	}
 	resp, err := via.RoundTrip(req)
@@ -82,7 +82,7 @@
 		return a.handleError(err), why != nil && errors.Is(*why, permit.ErrConnectionUnusable) && a.reused.Load()
 	}
 	drainBody(resp)
-	return a.handleResponse(resp, loadreport.ParseHeader(resp.Header.Get(headerLoad), t.fleet.cfg.Columns)), false
+	return a.handleResponse(resp, loadreport.ParseHeader(resp.Header.Get(headerLoad), b.fleet.cfg.Columns)), false
 }
 
 // request writes the hop down.
