--- a/internal/chainclient/client.go
+++ b/internal/chainclient/client.go
@@ -31,12 +31,6 @@
 	Elapsed         time.Duration         // since the start of the request
 }
 
-// Send is a message to the process at an internal address.
-type Send struct {
-	To      string
-	Message *protocol.Envelope
-}
-
 // Client is a process's access to the control plane. New makes one.
 type Client struct {
 	incarnation   uint64
@@ -47,8 +41,8 @@
 	viewQueriedAt time.Duration
 	lastID        uint64
 	pending       map[uint64]*request
-	outcomes      []Outcome // not taken yet
-	sends         []Send    // not taken yet
+	outcomes      []Outcome           // not taken yet
+	sends         []protocol.Outbound // not taken yet
 }
 
 // New returns a client that queries the processes at some internal addresses for the first view. The incarnation is drawn
@@ -70,14 +64,14 @@
 // Pending returns the number of requests without an outcome.
 func (c *Client) Pending() int { return len(c.pending) }
 
-// Do starts a request, a read or a write, and returns its ID. The request ends without a reply at the deadline, or at the
+// Do starts a request to one end of the chain and returns its ID. The request ends without a reply at the deadline, or at the
 // unsent deadline where no view was found by then to send it by. Do sets the ID and the incarnation of the message, which
 // belongs to the client from then on.
-func (c *Client) Do(now time.Duration, r *protocol.ClientRequest, read bool, deadline, unsentDeadline time.Duration) uint64 {
+func (c *Client) Do(now time.Duration, r *protocol.ClientRequest, destination Destination, deadline, unsentDeadline time.Duration) uint64 {
 	c.now = now
 	c.lastID++
 	r.Id, r.Incarnation = c.lastID, c.incarnation
-	req := &request{message: r, read: read, startedAt: now, deadline: deadline, unsentDeadline: min(unsentDeadline, deadline)}
+	req := &request{message: r, destination: destination, startedAt: now, deadline: deadline, unsentDeadline: min(unsentDeadline, deadline)}
 	c.pending[r.GetId()] = req
 	c.send(req)
 	return r.GetId()
@@ -146,7 +140,7 @@
 }
 
 // TakeSends returns the messages to be sent since the last call.
-func (c *Client) TakeSends() []Send {
+func (c *Client) TakeSends() []protocol.Outbound {
 	out := c.sends
 	c.sends = nil
 	return out
@@ -159,13 +153,13 @@
 		return
 	}
 	id := view.Head(c.view)
-	if req.read {
+	if req.destination == ToTail {
 		id = view.Tail(c.view)
 	}
 	to := view.Find(c.view.GetVoters(), id)
 	req.resendAt = c.now + resendAfter
 	message := req.nextAttempt()
-	c.sends = append(c.sends, Send{To: to.GetAddress(), Message: &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: message}}})
+	c.sends = append(c.sends, protocol.Outbound{To: to.GetAddress(), Message: &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: message}}})
 }
 
 // queryView asks for a newer view, each time another one of the contacts and voters known.
@@ -179,7 +173,7 @@
 		return
 	}
 	c.contactIndex++
-	c.sends = append(c.sends, Send{
+	c.sends = append(c.sends, protocol.Outbound{
 		To:      addresses[c.contactIndex%len(addresses)],
 		Message: &protocol.Envelope{Body: &protocol.Envelope_ViewQuery{ViewQuery: &protocol.ViewQuery{Epoch: c.view.GetEpoch()}}},
 	})
--- a/internal/chainclient/client_test.go
+++ b/internal/chainclient/client_test.go
@@ -36,17 +36,17 @@
 // TestWritesToTheHeadReadsFromTheTail starts a write and a read.
 func TestWritesToTheHeadReadsFromTheTail(t *testing.T) {
 	for _, tc := range []struct {
-		name string
-		read bool
-		want string
+		name        string
+		destination Destination
+		want        string
 	}{
-		{name: "write", want: "b"},
-		{name: "read", read: true, want: "d"},
+		{name: "write", destination: ToHead, want: "b"},
+		{name: "read", destination: ToTail, want: "d"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(1, []string{"contact"})
 			c.UpdateView(0, chain(1, 1, 2, 3))
-			c.Do(0, write(), tc.read, time.Second, time.Second)
+			c.Do(0, write(), tc.destination, time.Second, time.Second)
 			require.Equal(t, []string{tc.want}, sentTo(c))
 		})
 	}
@@ -56,7 +56,7 @@
 func TestRepliesOnce(t *testing.T) {
 	c := New(1, nil)
 	c.UpdateView(0, chain(1, 1))
-	id := c.Do(0, write(), false, time.Second, time.Second)
+	id := c.Do(0, write(), ToHead, time.Second, time.Second)
 	c.Reply(0, &protocol.ClientReply{Id: id, Status: 200})
 	c.Reply(0, &protocol.ClientReply{Id: id, Status: 200})
 	outcomes := c.TakeOutcomes()
@@ -68,14 +68,14 @@
 // TestIDsDifferBetweenIncarnations starts a request each of two incarnations of a process.
 func TestIDsDifferBetweenIncarnations(t *testing.T) {
 	earlier, later := New(1, nil), New(2, nil)
-	require.NotEqual(t, earlier.Do(0, write(), false, time.Second, time.Second), later.Do(0, write(), false, time.Second, time.Second))
+	require.NotEqual(t, earlier.Do(0, write(), ToHead, time.Second, time.Second), later.Do(0, write(), ToHead, time.Second, time.Second))
 }
 
 // TestResendsToNewHead sends a pending request to the head of a newer view at once, and again after resendAfter.
 func TestResendsToNewHead(t *testing.T) {
 	c := New(1, nil)
 	c.UpdateView(0, chain(1, 1))
-	c.Do(0, write(), false, 3*time.Second, time.Second)
+	c.Do(0, write(), ToHead, 3*time.Second, time.Second)
 	require.Equal(t, []string{"b"}, sentTo(c))
 	c.UpdateView(0, chain(2, 2))
 	require.Equal(t, []string{"c"}, sentTo(c))
@@ -89,7 +89,7 @@
 func TestExpires(t *testing.T) {
 	t.Run("not sent", func(t *testing.T) {
 		c := New(1, []string{"contact"})
-		c.Do(0, write(), false, time.Second, 100*time.Millisecond)
+		c.Do(0, write(), ToHead, time.Second, 100*time.Millisecond)
 		queried := false
 		for now := time.Duration(0); now <= 120*time.Millisecond; now += 20 * time.Millisecond {
 			c.Tick(now)
@@ -105,7 +105,7 @@
 	t.Run("without a reply", func(t *testing.T) {
 		c := New(1, []string{"contact"})
 		c.UpdateView(0, chain(1, 1))
-		c.Do(time.Second, write(), false, 2*time.Second, time.Second)
+		c.Do(time.Second, write(), ToHead, 2*time.Second, time.Second)
 		c.Tick(2 * time.Second)
 		outcomes := c.TakeOutcomes()
 		require.Len(t, outcomes, 1)
@@ -117,7 +117,7 @@
 func TestNotServingReplyIsRetried(t *testing.T) {
 	c := New(1, nil)
 	c.UpdateView(0, chain(1, 1))
-	id := c.Do(0, write(), false, time.Second, time.Second)
+	id := c.Do(0, write(), ToHead, time.Second, time.Second)
 	c.TakeSends()
 	c.Reply(0, &protocol.ClientReply{Id: id, NotServing: true})
 	require.Empty(t, c.TakeOutcomes())
@@ -138,7 +138,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(1, nil)
 			c.UpdateView(0, chain(1, 1))
-			id := c.Do(0, write(), false, 100*time.Millisecond, 100*time.Millisecond)
+			id := c.Do(0, write(), ToHead, 100*time.Millisecond, 100*time.Millisecond)
 			c.TakeSends()
 			c.Reply(0, &protocol.ClientReply{Id: id, NotServing: true, Attempt: 1})
 			c.Tick(refusedBackoff)
--- a/internal/chainclient/request.go
+++ b/internal/chainclient/request.go
@@ -6,10 +6,19 @@
 	"frosttide/internal/protocol"
 )
 
+// Destination names the member of the chain that a request is sent to.
+type Destination int
+
+// The ends of the chain.
+const (
+	ToHead Destination = iota // evaluates writes, and answers questions about the placement role
+	ToTail                    // answers reads of replicated items
+)
+
 // request is a request without an outcome.
 type request struct {
 	message         *protocol.ClientRequest
-	read            bool
+	destination     Destination
 	startedAt       time.Duration
 	deadline        time.Duration // ends the request in any case
 	unsentDeadline  time.Duration // ends the request where it has not been sent
--- a/internal/control/cli/config.go
+++ b/internal/control/cli/config.go
@@ -103,7 +103,7 @@
 
 // checkConfig returns the mistakes of a configuration that can be found without the one in force.
 func checkConfig(path string, body []byte) error {
-	_, err := routeconfig.Empty().Apply(body, false)
+	_, err := routeconfig.Empty().Apply(body, routeconfig.Document)
 	return errors.Wrap(err, path)
 }
 
--- a/internal/control/member/attempts_test.go
+++ b/internal/control/member/attempts_test.go
@@ -48,7 +48,7 @@
 }
 
 // countReplies returns how many of the sends are replies to clients that reject an attempt, and how many are others.
-func countReplies(sends []Send) (rejected, others int) {
+func countReplies(sends []protocol.Outbound) (rejected, others int) {
 	for _, s := range sends {
 		switch r := s.Message.GetClientReply(); {
 		case r == nil:
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -20,16 +20,10 @@
 	Scheduler scheduler.Config
 }
 
-// Send is a message to the process at an internal address.
-type Send struct {
-	To      string
-	Message *protocol.Envelope
-}
-
 // Output is what a turn has led to.
 type Output struct {
 	Writes   []replica.Write // to be handed to the disk before anything is sent
-	Sends    []Send
+	Sends    []protocol.Outbound
 	Outcomes []chainclient.Outcome // of requests made by Do
 	Events   []event.Event         // for the log
 }
@@ -172,8 +166,8 @@
 
 // Do sends a request of this process's own to the chain and returns the request's ID. read says that the tail can answer
 // it. An Output holds its outcome at the latest when the timeout has passed.
-func (m *Member) Do(now time.Duration, r *protocol.ClientRequest, read bool, timeout time.Duration) uint64 {
-	return m.client.Do(now, r, read, now+timeout, now+timeout)
+func (m *Member) Do(now time.Duration, r *protocol.ClientRequest, destination chainclient.Destination, timeout time.Duration) uint64 {
+	return m.client.Do(now, r, destination, now+timeout, now+timeout)
 }
 
 // Drain asks the other members to go on without this one, which is about to end. Replica().Drained reports when
@@ -199,7 +193,7 @@
 }
 
 func (m *Member) send(to string, e *protocol.Envelope) {
-	m.out.Sends = append(m.out.Sends, Send{To: to, Message: e})
+	m.out.Sends = append(m.out.Sends, protocol.Outbound{To: to, Message: e})
 }
 
 // event adds an event to this turn's output.
--- a/internal/control/member/member_test.go
+++ b/internal/control/member/member_test.go
@@ -45,7 +45,7 @@
 }
 
 // completeTurn carries out a turn on a disk that syncs at once and returns the messages that it sends.
-func completeTurn(m *Member, now time.Duration) (sends []Send) {
+func completeTurn(m *Member, now time.Duration) (sends []protocol.Outbound) {
 	for {
 		out := m.Turn(now)
 		sends = append(sends, out.Sends...)
--- a/internal/control/replica/actions.go
+++ b/internal/control/replica/actions.go
@@ -8,19 +8,13 @@
 
 // Actions are what the owner of a Machine carries out after a call, in the order of the fields.
 type Actions struct {
-	Writes      []Write           // for the disk, in order; DiskDone reports their end
-	Sends       []Send            // messages to other processes; any of them may be lost
-	Replies     []*protocol.Reply // to clients whose entries are committed; only the tail has any
-	RoleChanges []RoleChange      // for the application
-	ReadsReady  []uint64          // tokens of reads whose values may be returned to clients
-	ReadsFailed []uint64          // tokens of reads that this member cannot confirm
-	Events      []event.Event     // for the log
-}
-
-// Send is a message to the process at an internal address.
-type Send struct {
-	To      string
-	Message *protocol.Envelope
+	Writes      []Write             // for the disk, in order; DiskDone reports their end
+	Sends       []protocol.Outbound // messages to other processes; any of them may be lost
+	Replies     []*protocol.Reply   // to clients whose entries are committed; only the tail has any
+	RoleChanges []RoleChange        // for the application
+	ReadsReady  []uint64            // tokens of reads whose values may be returned to clients
+	ReadsFailed []uint64            // tokens of reads that this member cannot confirm
+	Events      []event.Event       // for the log
 }
 
 // Write is a task for the disk: records to append and sync, or a new file that replaces the old one. Writes are carried
--- a/internal/control/replica/cluster_test.go
+++ b/internal/control/replica/cluster_test.go
@@ -238,7 +238,7 @@
 }
 
 // send sends a message, which may be lost.
-func (c *cluster) send(n *node, s Send) {
+func (c *cluster) send(n *node, s protocol.Outbound) {
 	if c.rng.Float64() < c.lossRate {
 		return
 	}
--- a/internal/control/replica/machine.go
+++ b/internal/control/replica/machine.go
@@ -205,7 +205,7 @@
 
 // send queues a message.
 func (m *Machine) send(to string, e *protocol.Envelope) {
-	m.actions.Sends = append(m.actions.Sends, Send{To: to, Message: e})
+	m.actions.Sends = append(m.actions.Sends, protocol.Outbound{To: to, Message: e})
 }
 
 // broadcast sends a message to members other than this one, once to each address: a machine that has lost its disk may
--- a/internal/control/scheduler/orders.go
+++ b/internal/control/scheduler/orders.go
@@ -124,5 +124,5 @@
 		sess.lastSequence++
 	}
 	orders.Sequence = sess.lastSequence
-	s.sends = append(s.sends, Send{To: sess.address, Message: &protocol.Envelope{Body: &protocol.Envelope_RunnerOrders{RunnerOrders: orders}}})
+	s.sends = append(s.sends, protocol.Outbound{To: sess.address, Message: &protocol.Envelope{Body: &protocol.Envelope_RunnerOrders{RunnerOrders: orders}}})
 }
--- a/internal/control/scheduler/scheduler.go
+++ b/internal/control/scheduler/scheduler.go
@@ -21,12 +21,6 @@
 	RemoteSlowdown  float64       // factor by which work takes longer in another rack than its data
 }
 
-// Send is a message to the process at an internal address.
-type Send struct {
-	To      string
-	Message *protocol.Envelope
-}
-
 // Scheduler is the state of the head. The package comment says how it is used and which invariants it keeps. It is not
 // safe for concurrent use.
 type Scheduler struct {
@@ -59,7 +53,7 @@
 	replies []*protocol.Reply
 	batch   batch   // orders of the next entry
 	batches []batch // orders of appended entries, by index, until these are committed
-	sends   []Send
+	sends   []protocol.Outbound
 	events  []event.Event
 
 	// When something is to be done next.
@@ -212,7 +206,7 @@
 }
 
 // TakeSends returns the messages that are to be sent since the last call.
-func (s *Scheduler) TakeSends() []Send {
+func (s *Scheduler) TakeSends() []protocol.Outbound {
 	sends := s.sends
 	s.sends = nil
 	return sends
--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -15,6 +15,7 @@
 	"frosttide/internal/control/member"
 	"frosttide/internal/httpserver"
 	"frosttide/internal/protocol"
+	"frosttide/internal/routeconfig"
 )
 
 const (
@@ -28,18 +29,6 @@
 	retryAfterSeconds = "1"
 )
 
-// Which member of the chain answers a request.
-const (
-	atHead = false
-	atTail = true
-)
-
-// How a call changes the configuration.
-const (
-	replaceConfig = false
-	patchConfig   = true
-)
-
 // serveAPI serves the operator's API until the caller closes the listener.
 func (s *Server) serveAPI(address string) (*httpserver.Listener, error) {
 	listener, err := httpserver.Listen(address, &http.Server{Handler: s.apiHandler(), ReadTimeout: readTimeout})
@@ -49,8 +38,8 @@
 func (s *Server) apiHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/config", s.getConfig)
-	mux.HandleFunc("PUT /v1/config", s.changeConfig(replaceConfig))
-	mux.HandleFunc("PATCH /v1/config", s.changeConfig(patchConfig))
+	mux.HandleFunc("PUT /v1/config", s.changeConfig(routeconfig.Document))
+	mux.HandleFunc("PATCH /v1/config", s.changeConfig(routeconfig.Patch))
 	mux.HandleFunc("GET /v1/config/history", s.getPlacement(member.TopicHistory))
 	mux.HandleFunc("GET /v1/status", s.getMemberStatus)
 	mux.HandleFunc("GET /v1/scheduler", s.getPlacement(""))
@@ -62,7 +51,7 @@
 
 // getConfig answers with the newest configuration.
 func (s *Server) getConfig(w http.ResponseWriter, r *http.Request) {
-	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, atTail)
+	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, chainclient.ToTail)
 }
 
 // changeConfig returns the handler of calls that replace or patch the configuration. Their If-Match names the version
@@ -80,7 +69,7 @@
 			return
 		}
 		order := &protocol.ConfigOrder{Patch: patch, IfMatch: ifMatch, Body: body}
-		s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: order}}, atHead)
+		s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: order}}, chainclient.ToHead)
 	}
 }
 
@@ -89,13 +78,13 @@
 func (s *Server) getPlacement(topic string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		read := &protocol.ReadStatus{What: topic, Id: r.PathValue("id")}
-		s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: read}}, atHead)
+		s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: read}}, chainclient.ToHead)
 	}
 }
 
 // cancelJob cancels a job of any queue.
 func (s *Server) cancelJob(w http.ResponseWriter, r *http.Request) {
-	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: r.PathValue("id")}}}, atHead)
+	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: r.PathValue("id")}}}, chainclient.ToHead)
 }
 
 // getMemberStatus answers with the state of this member, which it knows by itself.
@@ -112,8 +101,8 @@
 
 // respond sends a request to the control plane and answers the call with the reply. Without one the answer is 503 with
 // Retry-After: a change may or may not have been made then.
-func (s *Server) respond(w http.ResponseWriter, r *http.Request, request *protocol.ClientRequest, read bool) {
-	outcome, ok := s.do(r.Context(), request, read)
+func (s *Server) respond(w http.ResponseWriter, r *http.Request, request *protocol.ClientRequest, destination chainclient.Destination) {
+	outcome, ok := s.do(r.Context(), request, destination)
 	switch {
 	case !ok: // the caller has gone
 	case outcome.Reply == nil:
@@ -130,10 +119,10 @@
 }
 
 // do sends a request to the control plane and returns its outcome. It returns false if the context ends first.
-func (s *Server) do(ctx context.Context, r *protocol.ClientRequest, read bool) (chainclient.Outcome, bool) {
+func (s *Server) do(ctx context.Context, r *protocol.ClientRequest, destination chainclient.Destination) (chainclient.Outcome, bool) {
 	result := make(chan chainclient.Outcome, 1)
 	s.process.Post(func() {
-		s.pending[s.member.Do(s.process.Now(), r, read, responseTimeout)] = result
+		s.pending[s.member.Do(s.process.Now(), r, destination, responseTimeout)] = result
 	})
 	select {
 	case outcome := <-result:
--- a/internal/data/agent/head.go
+++ b/internal/data/agent/head.go
@@ -60,7 +60,7 @@
 }
 
 func (m *Machine) send(to string, e *protocol.Envelope) {
-	m.sends = append(m.sends, Send{To: to, Message: e})
+	m.sends = append(m.sends, protocol.Outbound{To: to, Message: e})
 }
 
 // expire drops what the head need not know any more, and removes a timed-out runner whose run leases have ended.
--- a/internal/data/agent/machine.go
+++ b/internal/data/agent/machine.go
@@ -34,17 +34,11 @@
 	HeartbeatInterval time.Duration // until the next heartbeat
 }
 
-// Send is a message to the process at an internal address.
-type Send struct {
-	To      string
-	Message *protocol.Envelope
-}
-
 // Machine is an agent as a pure state machine. It is not safe for concurrent use.
 type Machine struct {
 	cfg   Config
 	now   time.Duration
-	sends []Send
+	sends []protocol.Outbound
 
 	// The runner.
 	runner            *runner                  // nil where there is none
@@ -108,7 +102,7 @@
 }
 
 // TakeSends returns the messages to send since the last call.
-func (m *Machine) TakeSends() []Send {
+func (m *Machine) TakeSends() []protocol.Outbound {
 	out := m.sends
 	m.sends = nil
 	return out
--- a/internal/data/agent/node.go
+++ b/internal/data/agent/node.go
@@ -46,15 +46,13 @@
 func (n *Node) Tick(now time.Duration) { n.gossip.Tick(now) }
 
 // Turn ends a turn and returns the messages to send.
-func (n *Node) Turn(now time.Duration) []Send {
+func (n *Node) Turn(now time.Duration) []protocol.Outbound {
 	if v := n.gossip.View(); v.GetEpoch() > n.knownEpoch && len(v.GetChain()) > 0 {
 		n.knownEpoch = v.GetEpoch()
 		n.Machine.SetView(now, v.GetEpoch(), view.Find(v.GetVoters(), view.Head(v)).GetAddress())
 	}
 	n.Machine.Tick(now)
 	out := n.Machine.TakeSends()
-	for _, s := range n.gossip.TakeSends() {
-		out = append(out, Send(s))
-	}
+	out = append(out, n.gossip.TakeSends()...)
 	return out
 }
--- a/internal/data/gateway/gateway.go
+++ b/internal/data/gateway/gateway.go
@@ -26,9 +26,9 @@
 
 // call is a request to the control plane on behalf of a client.
 type call struct {
-	request *protocol.ClientRequest
-	read    bool // it changes nothing, so that the tail can answer it
-	timeout time.Duration
+	request     *protocol.ClientRequest
+	destination chainclient.Destination // the tail for what changes nothing
+	timeout     time.Duration
 }
 
 // Run runs a gateway by the settings that were read from the file at path, until the context ends and the open
@@ -96,7 +96,7 @@
 func (g *Gateway) do(ctx context.Context, c call) (chainclient.Outcome, bool) {
 	result := make(chan chainclient.Outcome, 1)
 	g.process.Post(func() {
-		g.pending[g.node.Do(g.process.Now(), c.request, c.read, c.timeout)] = result
+		g.pending[g.node.Do(g.process.Now(), c.request, c.destination, c.timeout)] = result
 	})
 	select {
 	case outcome := <-result:
--- a/internal/data/gateway/handler.go
+++ b/internal/data/gateway/handler.go
@@ -7,6 +7,7 @@
 	"strings"
 	"time"
 
+	"frosttide/internal/chainclient"
 	"frosttide/internal/protocol"
 	"frosttide/internal/routeconfig"
 )
@@ -38,9 +39,9 @@
 	timeout := requestTimeout(r, route)
 	switch {
 	case r.Method == http.MethodGet && id == "":
-		f.respond(w, r, call{request: readPending(route.Name), read: true, timeout: timeout})
+		f.respond(w, r, call{request: readPending(route.Name), destination: chainclient.ToTail, timeout: timeout})
 	case r.Method == http.MethodGet:
-		f.respond(w, r, call{request: readState(route.Name, id), read: true, timeout: timeout})
+		f.respond(w, r, call{request: readState(route.Name, id), destination: chainclient.ToTail, timeout: timeout})
 	case r.Method == http.MethodDelete && id != "":
 		f.respond(w, r, call{request: cancelJob(route.Name, id), timeout: timeout})
 	case r.Method == http.MethodPost && id != "":
@@ -114,7 +115,7 @@
 	case !ok: // the client has gone
 	case outcome.Reply != nil:
 		writeReply(w, outcome.Reply)
-	case outcome.MayHaveExecuted && !c.read:
+	case outcome.MayHaveExecuted && c.destination == chainclient.ToHead:
 		http.Error(w, "the control plane does not answer; the request may have been taken", http.StatusGatewayTimeout)
 	default:
 		reject(w, "the control plane can't be reached")
--- a/internal/data/gateway/node.go
+++ b/internal/data/gateway/node.go
@@ -9,12 +9,6 @@
 	"frosttide/internal/routeconfig"
 )
 
-// Send is a message to the process at an internal address.
-type Send struct {
-	To      string
-	Message *protocol.Envelope
-}
-
 // unsentTimeout bounds how long a request waits while no member of the control plane is known to send it to.
 const unsentTimeout = 250 * time.Millisecond
 
@@ -45,8 +39,8 @@
 
 // Do sends a request to the control plane and returns its ID. read says that the tail can answer it. Turn returns its
 // outcome at the latest when the timeout has passed.
-func (n *Node) Do(now time.Duration, r *protocol.ClientRequest, read bool, timeout time.Duration) uint64 {
-	return n.client.Do(now, r, read, now+timeout, now+unsentTimeout)
+func (n *Node) Do(now time.Duration, r *protocol.ClientRequest, destination chainclient.Destination, timeout time.Duration) uint64 {
+	return n.client.Do(now, r, destination, now+timeout, now+unsentTimeout)
 }
 
 // Receive handles a message that another process has sent from an internal address.
@@ -70,17 +64,13 @@
 }
 
 // Turn ends a turn and returns the messages to send and the requests that have ended.
-func (n *Node) Turn(now time.Duration) ([]Send, []chainclient.Outcome) {
+func (n *Node) Turn(now time.Duration) ([]protocol.Outbound, []chainclient.Outcome) {
 	if v := n.gossip.View(); v.GetEpoch() > n.knownEpoch {
 		n.knownEpoch = v.GetEpoch()
 		n.client.UpdateView(now, v)
 	}
-	var sends []Send
-	for _, s := range n.gossip.TakeSends() {
-		sends = append(sends, Send(s))
-	}
-	for _, s := range n.client.TakeSends() {
-		sends = append(sends, Send(s))
-	}
+	var sends []protocol.Outbound
+	sends = append(sends, n.gossip.TakeSends()...)
+	sends = append(sends, n.client.TakeSends()...)
 	return sends, n.client.TakeOutcomes()
 }
--- a/internal/data/gateway/node_fuzz_test.go
+++ b/internal/data/gateway/node_fuzz_test.go
@@ -4,6 +4,7 @@
 	"testing"
 	"time"
 
+	"frosttide/internal/chainclient"
 	"frosttide/internal/protocol"
 	"frosttide/internal/protocol/protocoltest"
 )
@@ -20,7 +21,7 @@
 		{Body: &protocol.Envelope_ConfigDelta{ConfigDelta: &protocol.ConfigDelta{}}},
 	}, func(t *testing.T, e *protocol.Envelope) {
 		n := NewNode("self", 1, []string{"core"})
-		id := n.Do(0, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, true, time.Second)
+		id := n.Do(0, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, chainclient.ToTail, time.Second)
 		ended := 0
 		for now := time.Duration(0); now < 3*time.Second; now += 300 * time.Millisecond {
 			n.Receive(now, "other", e)
--- a/internal/gossip/machine.go
+++ b/internal/gossip/machine.go
@@ -17,12 +17,6 @@
 	Seed     uint64   // of the random choices; differs between processes
 }
 
-// Send is a message to the process at an internal address.
-type Send struct {
-	To      string
-	Message *protocol.Envelope
-}
-
 // rngStream separates the random choices of this package from those that others draw from the same seed.
 const rngStream = 7
 
@@ -30,8 +24,8 @@
 type Machine struct {
 	cfg   Config
 	rng   *rand.Rand
-	now   time.Duration // of the newest event, on the steady clock
-	sends []Send        // since the last TakeSends
+	now   time.Duration       // of the newest event, on the steady clock
+	sends []protocol.Outbound // since the last TakeSends
 
 	// Peer sampling.
 	neighbors       []*protocol.Neighbor // the partial view
@@ -70,7 +64,7 @@
 }
 
 // TakeSends returns the messages that are to be sent since the last call.
-func (m *Machine) TakeSends() []Send {
+func (m *Machine) TakeSends() []protocol.Outbound {
 	out := m.sends
 	m.sends = nil
 	return out
@@ -141,5 +135,5 @@
 }
 
 func (m *Machine) send(to string, e *protocol.Envelope) {
-	m.sends = append(m.sends, Send{To: to, Message: e})
+	m.sends = append(m.sends, protocol.Outbound{To: to, Message: e})
 }
--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -23,7 +23,7 @@
 // delivery is a message in flight.
 type delivery struct {
 	from string
-	send Send
+	send protocol.Outbound
 }
 
 // network carries the messages of many machines on a simulated clock, and loses some.
@@ -136,7 +136,7 @@
 	for _, c := range []struct {
 		name    string
 		message *protocol.Envelope
-		want    func(t *testing.T, replies []Send)
+		want    func(t *testing.T, replies []protocol.Outbound)
 	}{
 		{"rumor of the same", rumor(&protocol.Rumor{ConfigVersion: 5, View: view(5)}), noReply},
 		{"rumor of an older configuration", rumor(&protocol.Rumor{ConfigVersion: 4, View: view(5)}), rumorReply},
@@ -163,20 +163,20 @@
 	}
 }
 
-func noReply(t *testing.T, replies []Send) {
+func noReply(t *testing.T, replies []protocol.Outbound) {
 	t.Helper()
 	require.Empty(t, replies)
 }
 
 // onlyReply returns the one message that was sent to the other process.
-func onlyReply(t *testing.T, replies []Send) *protocol.Envelope {
+func onlyReply(t *testing.T, replies []protocol.Outbound) *protocol.Envelope {
 	t.Helper()
 	require.Len(t, replies, 1)
 	require.Equal(t, "other", replies[0].To)
 	return replies[0].Message
 }
 
-func rumorReply(t *testing.T, replies []Send) {
+func rumorReply(t *testing.T, replies []protocol.Outbound) {
 	t.Helper()
 	rumor := onlyReply(t, replies).GetRumor()
 	require.True(t, rumor.GetReply())
@@ -184,8 +184,8 @@
 	require.EqualValues(t, 5, rumor.GetView().GetEpoch())
 }
 
-func pullReply(want *protocol.RumorPull) func(t *testing.T, replies []Send) {
-	return func(t *testing.T, replies []Send) {
+func pullReply(want *protocol.RumorPull) func(t *testing.T, replies []protocol.Outbound) {
+	return func(t *testing.T, replies []protocol.Outbound) {
 		t.Helper()
 		pull := onlyReply(t, replies).GetRumorPull()
 		require.Equal(t, want.GetHaveVersion(), pull.GetHaveVersion())
@@ -193,8 +193,8 @@
 	}
 }
 
-func deltaReply(from uint64) func(t *testing.T, replies []Send) {
-	return func(t *testing.T, replies []Send) {
+func deltaReply(from uint64) func(t *testing.T, replies []protocol.Outbound) {
+	return func(t *testing.T, replies []protocol.Outbound) {
 		t.Helper()
 		delta := onlyReply(t, replies).GetConfigDelta()
 		require.Equal(t, from, delta.GetFrom())
--- a/internal/routeconfig/change.go
+++ b/internal/routeconfig/change.go
@@ -18,6 +18,12 @@
 	Items map[string]*protocol.ConfigItem
 }
 
+// What the body of an operator's order is, as the wire tells it by a flag.
+const (
+	Document = false // the complete configuration
+	Patch    = true  // a change of parts of it
+)
+
 // Apply evaluates an operator's order: a document, which replaces the whole configuration, or a patch. It returns an
 // error marked with ErrInvalid where the order cannot be read, its version is not above the table's, or the table after it
 // would not be valid.
--- a/internal/routeconfig/table_test.go
+++ b/internal/routeconfig/table_test.go
@@ -15,7 +15,7 @@
 // applyDocument returns the table after a document.
 func applyDocument(t *testing.T, base *Table, body string) *Table {
 	t.Helper()
-	change, err := base.Apply([]byte(body), false)
+	change, err := base.Apply([]byte(body), Document)
 	require.NoError(t, err)
 	return change.Table
 }
@@ -23,7 +23,7 @@
 // applyPatch returns the table after a patch.
 func applyPatch(t *testing.T, base *Table, body string) *Table {
 	t.Helper()
-	change, err := base.Apply([]byte(body), true)
+	change, err := base.Apply([]byte(body), Patch)
 	require.NoError(t, err)
 	return change.Table
 }
@@ -161,7 +161,7 @@
 			require.True(t, errors.Is(err, ErrInvalid), "%v", err)
 			return
 		}
-		again, err := Empty().Apply(change.Table.Document(), false)
+		again, err := Empty().Apply(change.Table.Document(), Document)
 		require.NoError(t, err, "%s", change.Table.Document())
 		require.JSONEq(t, string(change.Table.Document()), string(again.Table.Document()))
 	})
--- a/internal/testkit/simnet/client.go
+++ b/internal/testkit/simnet/client.go
@@ -66,7 +66,7 @@
 		sim.after(delay, func() { c.attemptSubmit(j) })
 	}
 	submit := &protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: j.submission()}}
-	sim.anyGateway().request(submit, update, clientTimeout, func(o chainclient.Outcome) {
+	sim.anyGateway().request(submit, chainclient.ToHead, clientTimeout, func(o chainclient.Outcome) {
 		finish(func() {
 			switch {
 			case o.Reply.GetStatus() == http.StatusOK:
@@ -115,7 +115,7 @@
 	} else {
 		other.Queue = map[string]string{"quick": "batch", "batch": "quick"}[j.queue]
 	}
-	sim.anyGateway().request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: other}}, update, clientTimeout, func(o chainclient.Outcome) {
+	sim.anyGateway().request(&protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: other}}, chainclient.ToHead, clientTimeout, func(o chainclient.Outcome) {
 		if o.Reply.GetStatus() == http.StatusOK {
 			sim.violation("LOST", "another job under the ID of %s is acknowledged", j.id)
 		}
@@ -127,7 +127,7 @@
 	sim := c.sim
 	at, began := sim.anyGateway(), sim.now
 	read := &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadState{ReadState: &protocol.ReadState{Id: j.id, Queue: j.queue}}}
-	at.request(read, readOnly, clientTimeout, func(o chainclient.Outcome) {
+	at.request(read, chainclient.ToTail, clientTimeout, func(o chainclient.Outcome) {
 		switch o.Reply.GetStatus() {
 		case http.StatusOK:
 			j.lastState = strings.Trim(strings.TrimPrefix(string(o.Reply.GetBody()), `{"State":`), `"}`)
@@ -152,7 +152,7 @@
 		j.cancelRequestedAt = sim.now
 	}
 	cancel := &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: j.id, Queue: j.queue}}}
-	sim.anyGateway().request(cancel, update, clientTimeout, func(o chainclient.Outcome) {
+	sim.anyGateway().request(cancel, chainclient.ToHead, clientTimeout, func(o chainclient.Outcome) {
 		if o.Reply.GetStatus() == http.StatusOK && j.cancelAcknowledgedAt == 0 {
 			j.cancelAcknowledgedAt = sim.now
 			sim.trace("job %s is canceled", j.id)
--- a/internal/testkit/simnet/configreads.go
+++ b/internal/testkit/simnet/configreads.go
@@ -35,7 +35,7 @@
 		}
 	}
 	at, began := sim.anyGateway(), sim.now
-	at.request(readConfig(), readOnly, orderTimeout, func(out chainclient.Outcome) {
+	at.request(readConfig(), chainclient.ToTail, orderTimeout, func(out chainclient.Outcome) {
 		if out.Reply.GetStatus() != http.StatusOK {
 			finish(0, false)
 			return
@@ -55,7 +55,7 @@
 // readAt reads the configuration at a member and checks it.
 func (o *operator) readAt(c *core) {
 	minVersion, began := o.newestAcknowledged, o.sim.now
-	c.request(readConfig(), readOnly, func(reply *protocol.ClientReply) {
+	c.request(readConfig(), chainclient.ToTail, func(reply *protocol.ClientReply) {
 		if reply.GetStatus() == http.StatusOK {
 			o.recordRead(began, o.checkRead(reply.GetBody(), minVersion))
 		}
@@ -67,7 +67,7 @@
 func (o *operator) statusAt(c *core) {
 	minVersion := o.newestAcknowledged
 	status := &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: &protocol.ReadStatus{}}}
-	c.request(status, update, func(reply *protocol.ClientReply) {
+	c.request(status, chainclient.ToHead, func(reply *protocol.ClientReply) {
 		if reply.GetStatus() != http.StatusOK {
 			return
 		}
--- a/internal/testkit/simnet/core.go
+++ b/internal/testkit/simnet/core.go
@@ -4,6 +4,7 @@
 	"fmt"
 	"time"
 
+	"frosttide/internal/chainclient"
 	"frosttide/internal/control/journal"
 	"frosttide/internal/control/member"
 	"frosttide/internal/control/replica"
@@ -123,20 +124,11 @@
 	}
 }
 
-// requestKind says whether a request may change anything.
-type requestKind bool
-
-// The kinds of requests.
-const (
-	update   requestKind = false
-	readOnly requestKind = true
-)
-
 // request has the control plane answer a request that was made at this machine.
-func (c *core) request(r *protocol.ClientRequest, kind requestKind, handle func(reply *protocol.ClientReply)) {
+func (c *core) request(r *protocol.ClientRequest, destination chainclient.Destination, handle func(reply *protocol.ClientReply)) {
 	sim := c.sim
 	sim.execute(c.process, func() {
-		c.pendingReplies[c.member.Do(sim.clock(c.process), r, bool(kind), orderTimeout)] = handle
+		c.pendingReplies[c.member.Do(sim.clock(c.process), r, destination, orderTimeout)] = handle
 	})
 }
 
--- a/internal/testkit/simnet/gatewayhost.go
+++ b/internal/testkit/simnet/gatewayhost.go
@@ -66,13 +66,13 @@
 }
 
 // request has a request answered within a time; nothing comes back where the process ends before.
-func (g *gatewayHost) request(r *protocol.ClientRequest, kind requestKind, within time.Duration, handle func(chainclient.Outcome)) {
+func (g *gatewayHost) request(r *protocol.ClientRequest, destination chainclient.Destination, within time.Duration, handle func(chainclient.Outcome)) {
 	sim := g.sim
 	if !g.up {
 		return
 	}
 	sim.execute(g.process, func() {
-		id := g.node.Do(sim.clock(g.process), r, bool(kind), within)
+		id := g.node.Do(sim.clock(g.process), r, destination, within)
 		g.pendingReplies[id] = handle
 	})
 }
--- a/internal/testkit/simnet/operator.go
+++ b/internal/testkit/simnet/operator.go
@@ -6,6 +6,7 @@
 	"slices"
 	"time"
 
+	"frosttide/internal/chainclient"
 	"frosttide/internal/protocol"
 	"frosttide/internal/routeconfig"
 )
@@ -123,7 +124,7 @@
 	if c := sim.anyCore(); c.up {
 		config := &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: one.patch, IfMatch: one.match, Body: one.body}}}
 		lost := sim.rng.IntN(6) == 0
-		c.request(config, update, func(reply *protocol.ClientReply) {
+		c.request(config, chainclient.ToHead, func(reply *protocol.ClientReply) {
 			if !lost {
 				finish(int(reply.GetStatus()))
 			}
