--- a/decision/affinity/affinity_test.go
+++ b/decision/affinity/affinity_test.go
@@ -2,9 +2,8 @@
 
 import "testing"
 
-// TestFirstChoicesSpread guards the runners that every dispatcher would choose first: of
-// 80 dispatchers and 60 workers nobody is the first choice of many, nobody that of few
-// among the first ten, and it stays the same.
+// TestFirstChoicesSpread checks that of 60 workers none is the first choice of many of 80 dispatchers or among the
+// preferred ones of few, and that preferences never change.
 func TestFirstChoicesSpread(t *testing.T) {
 	const dispatchers, workers = 80, 60
 	first, among := map[uint32]int{}, map[uint32]int{}
--- a/decision/fairshare/fairshare.go
+++ b/decision/fairshare/fairshare.go
@@ -1,23 +1,26 @@
-// Package fairshare tells which requests stay inside the share of their tenant. A share is a
-// rate over all dispatchers together, of which each sees its own traffic alone; its part of
-// a rate is its part of the work that the fleet holds. What is refused uses up nothing. The
-// package is pure: no I/O, no clock.
+// Package fairshare reports which requests are within the quota of their tenant. A quota is a rate over all
+// dispatchers together, of which each sees only its own traffic. Each allows the fraction of the rate that
+// equals its fraction of the work that the fleet has in use. Package decision asks it for every request, and
+// charges a tenant only for requests that are sent.
+//
+// The package is pure: it does no I/O and reads no clock. Quotas are not safe for concurrent use.
 package fairshare
 
 import "time"
 
 const (
-	// burst is for how long a share may be saved up: a share is a rate, not a spacing.
+	// burst is for how long a quota can be saved up, as requests do not come at regular intervals.
 	burst = 2 * time.Second
-	// minSavedRequests is how many requests can be saved up of the smallest share.
+	// minSavedRequests is how many requests of the smallest quota can be saved up.
 	minSavedRequests = 2
-	// fractionGain is the weight of a new look in the part of the fleet's work.
+	// fractionGain is the weight of a new sample in the mean fraction of the fleet's work.
 	fractionGain = 1.0 / 32
-	// sampleInterval is the least time between two looks.
+	// sampleInterval is the least time between two samples of the fleet's work.
 	sampleInterval = 50 * time.Millisecond
 )
 
-// Quotas is what is left of all tenants' shares at this dispatcher. Make it with Set.
+// Quotas are the quotas of all tenants at this dispatcher, and what has been used of them: a leaky bucket per
+// tenant. The zero value has no tenants; see SetRates.
 type Quotas struct {
 	rates         []float64 // requests a second over all dispatchers; 0 for no limit
 	usage         []usage
@@ -30,8 +33,8 @@
 	at       time.Duration
 }
 
-// SetRates takes the tenants' rates, in requests a second over all dispatchers, 0 for no limit,
-// and how many dispatchers there are. What is used up stays.
+// SetRates takes over the tenants' rates, in requests per second over all dispatchers, 0 for no limit, and the
+// number of dispatchers, which is the first estimate of this dispatcher's fraction. What has been used stays used.
 func (q *Quotas) SetRates(rates []float64, dispatchers int) {
 	q.rates = rates
 	q.usage = append(q.usage, make([]usage, max(len(rates)-len(q.usage), 0))...)
@@ -40,12 +43,13 @@
 	}
 }
 
-// NeedsSample tells whether it is time for another look at who holds the fleet's work.
+// NeedsSample reports whether it is time for another Sample.
 func (q *Quotas) NeedsSample(now time.Duration) bool {
 	return len(q.rates) > 0 && now >= q.nextSampleAt
 }
 
-// Sample takes in how many slots this dispatcher's jobs hold, and all dispatchers'.
+// Sample updates this dispatcher's fraction of the fleet's work by the slots that its own requests use, and those that
+// all dispatchers' requests use.
 func (q *Quotas) Sample(own, all float64, now time.Duration) {
 	q.nextSampleAt = now + sampleInterval
 	if all > 0 {
@@ -53,8 +57,8 @@
 	}
 }
 
-// Within tells whether another request of a tenant stays inside its share. Who is no tenant
-// has none to go past.
+// Within reports whether another request of a tenant is within its quota. It always is for an unknown tenant and one
+// without a limit.
 func (q *Quotas) Within(tenant int, now time.Duration) bool {
 	if tenant < 0 || tenant >= len(q.rates) || q.rates[tenant] <= 0 {
 		return true
@@ -64,14 +68,15 @@
 	return u.requests+1 <= q.maxRequests(tenant)
 }
 
-// Charge takes in that a request of a tenant has been let in. Guards the share of the next
-// minute from a time in which there was room for all: no more than can be saved is owed.
+// Charge counts a request against its tenant's quota. No more than twice what can be saved up is owed, so that requests
+// beyond the quota, let in while there was capacity for all, do not use up the quota of the next minute.
 func (q *Quotas) Charge(tenant int) {
 	if tenant >= 0 && tenant < len(q.rates) {
 		q.usage[tenant].requests = min(q.usage[tenant].requests+1, 2*q.maxRequests(tenant))
 	}
 }
 
+// maxRequests returns how many requests of a tenant can be saved up.
 func (q *Quotas) maxRequests(tenant int) float64 {
 	return max(q.rates[tenant]*q.localFraction*burst.Seconds(), minSavedRequests)
 }
--- a/decision/fairshare/fairshare_test.go
+++ b/decision/fairshare/fairshare_test.go
@@ -9,8 +9,8 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestWithin has a tenant that keeps to its part always be inside, one that sends more be so
-// for its part, and nobody be outside where there is no limit.
+// TestWithin checks that a tenant that keeps to its part of its quota is always within it, that one that
+// sends more is so for its part, and that a tenant without a limit always is.
 func TestWithin(t *testing.T) {
 	var s Quotas
 	s.SetRates([]float64{40, 40, 0}, 4)
@@ -33,7 +33,7 @@
 	}
 }
 
-// TestLocalFractionFollowsWork has the part of a dispatcher follow the work that it holds.
+// TestLocalFractionFollowsWork checks that a dispatcher's fraction follows the work that it has in use.
 func TestLocalFractionFollowsWork(t *testing.T) {
 	var s Quotas
 	s.SetRates([]float64{40}, 4)
@@ -52,8 +52,8 @@
 	}
 }
 
-// TestChargeIsBounded has no tenant get more than what its rate allows and could be saved up, and owe
-// no more than twice that after it was let in past it.
+// TestChargeIsBounded checks that a tenant gets no more than its rate and what it has saved up, and owes no
+// more than twice that after requests beyond its quota.
 func TestChargeIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s Quotas
--- a/decision/permit/permit.go
+++ b/decision/permit/permit.go
@@ -1,7 +1,8 @@
-// Package permit decides whether an attempt may still begin. Between the decision to send an
-// attempt and its first byte lie mailboxes, a dial and the wait for a connection; whatever has
-// changed meanwhile is weighed here, at the one moment that counts. The package is pure: no I/O,
-// no clock.
+// Package permit decides whether an attempt may still begin. Between the decision to send it and its first byte lie
+// mailboxes, a dial and the wait for a connection, and what the decision rested on may have changed meanwhile. The
+// egress calls Check directly before it writes the first byte.
+//
+// The package is pure: it does no I/O and reads no clock. It has no state, so it is safe for concurrent use.
 package permit
 
 import (
@@ -11,16 +12,16 @@
 )
 
 const (
-	// MaxStall is how long a process may be held up between reading its clock and writing.
-	// What must not happen after a given moment is not begun later than this before it.
+	// MaxStall is how long a process may be stalled between reading its clock and writing. An attempt that must not
+	// begin after a given time is not begun later than MaxStall before it.
 	MaxStall = 150 * time.Millisecond
-	// DeadlineSlack is how much more time than is left to its client an attempt may be told
-	// at the moment of its first byte. It lies below what the protocol allows (150 ms), as the
-	// process may still be held up before the write.
+	// DeadlineSlack is by how much the time that an attempt states may exceed the time that its client has left at
+	// the first byte. It is below what the protocol allows (150 ms), as the process may still be stalled before the
+	// write.
 	DeadlineSlack = 20 * time.Millisecond
 )
 
-// Reasons for which an attempt does not begin. All of them mean that it never ran.
+// Reasons for which an attempt does not begin. All of them wrap ErrNotStarted and mean that the attempt never ran.
 var (
 	ErrNotStarted         = errors.New("the attempt was not begun")
 	ErrRevoked            = fmt.Errorf("%w: it was given up", ErrNotStarted)
@@ -33,20 +34,20 @@
 	ErrConnectionUnusable = fmt.Errorf("%w: the connection has ended or holds an answer that nobody asked for", ErrNotStarted)
 )
 
-// Facts are what holds at the moment at which an attempt's first byte would be written.
+// Facts are the facts at the time at which an attempt's first byte would be written.
 type Facts struct {
 	Now                time.Time
 	Deadline           time.Time     // of the request
-	LatestStart        time.Time     // the latest beginning that the decision allows; zero for the deadline
-	StatedTime         time.Duration // the time that the attempt tells its worker
-	Revoked            bool          // whoever asked for the attempt has given it up
+	LatestStart        time.Time     // the latest start that the decision allows; zero for the deadline
+	StatedTime         time.Duration // the time that the attempt tells its worker it has
+	Revoked            bool          // the dispatcher has canceled the attempt
 	ClientDisconnected bool
 	BackendChanged     bool // the worker drains, has left the list or has restarted since the decision
-	ProcessStalled     bool // the process has, since the decision, for so long that what it knew may be old
+	ProcessStalled     bool // the process was stalled since the decision for so long that what it knew may be outdated
 	ConnectionUnusable bool // the connection has ended, or an unexpected answer has come on it
 }
 
-// Check returns why an attempt may not begin, or nil.
+// Check returns the first reason, in the order below, for which an attempt may not begin, and nil if it may.
 func Check(f Facts) error {
 	switch {
 	case f.Revoked:
--- a/decision/permit/permit_test.go
+++ b/decision/permit/permit_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestCheck has each fact alone stop an attempt, and none of them stop one that may begin.
+// TestCheck checks that each fact alone stops an attempt, and that an attempt may begin without them.
 func TestCheck(t *testing.T) {
 	now := time.Now()
 	good := Facts{Now: now, Deadline: now.Add(time.Second), LatestStart: now, StatedTime: time.Second + DeadlineSlack}
@@ -26,14 +26,16 @@
 		{"more time told than is left", func(f *Facts) { f.StatedTime++ }, ErrStatedTimeTooLong},
 		{"the connection has ended", func(f *Facts) { f.ConnectionUnusable = true }, ErrConnectionUnusable},
 	} {
-		f := good
-		tc.edit(&f)
-		err := Check(f)
-		if err != tc.want {
-			t.Errorf("%s: %v, want %v", tc.name, err, tc.want)
-		}
-		if err != nil && !errors.Is(err, ErrNotStarted) {
-			t.Errorf("%s: %v does not say that nothing was begun", tc.name, err)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			facts := good
+			tc.edit(&facts)
+			err := Check(facts)
+			if err != tc.want {
+				t.Errorf("got %v, want %v", err, tc.want)
+			}
+			if err != nil && !errors.Is(err, ErrNotStarted) {
+				t.Errorf("%v does not say that nothing was begun", err)
+			}
+		})
 	}
 }
--- a/decision/shedding/shedding.go
+++ b/decision/shedding/shedding.go
@@ -1,35 +1,37 @@
-// Package shedding tells which arrivals are refused while requests start late, for workers
-// that tell nothing of their load. The package is pure: no I/O, no clock.
+// Package shedding decides what fraction of new requests is rejected while requests start late, for workers that do
+// not report their load. Package decision asks it for each new request and records each start.
+//
+// The package is pure: it does no I/O and reads no clock. A Shedder is not safe for concurrent use.
 package shedding
 
 const (
-	toleratedFraction = 0.2        // share of requests that may start late before arrivals are shed
-	gain              = 0.2        // how fast shedding follows
-	maxFraction       = 0.8        // share of any class that is shed at most: the rest shows when to stop
-	meanGain          = 1.0 / 16.0 // weight of a new arrival in the means
+	toleratedFraction = 0.2        // fraction of requests that may start late before any are rejected
+	gain              = 0.2        // how fast the level follows starts
+	maxFraction       = 0.8        // largest fraction of a class that is rejected; the rest shows when to stop
+	meanGain          = 1.0 / 16.0 // weight of a new request in the means
 )
 
-// Shedder follows late starts. The zero value sheds nothing.
+// Shedder follows the fraction of late starts. The zero value rejects nothing.
 type Shedder struct {
-	meanValue, meanWork float64 // means over recent arrivals
-	level               float64 // up to 1: share of lesser work refused; up to 2: of all work
+	meanValue, meanWork float64 // of recent requests; work in seconds
+	level               float64 // 0 to 1: fraction rejected of less valuable work; 1 to 2: all of that, and level-1 of the rest
 }
 
-// RejectFraction takes in an arrival by its worth and its seconds of work and returns the share of
-// its like that is refused: work of less than mean worth a second first. Guards against
-// queues that all stand full, so that everything is served and nothing in time.
+// RejectFraction records a new request, by its value and its seconds of work, and returns the fraction of such requests
+// that is rejected. Work of less than the mean value per second is rejected first. Without rejections all queues of an
+// overloaded fleet would stay full: every request would be served, and none on time.
 func (s *Shedder) RejectFraction(value, work float64) float64 {
 	s.meanValue += (value - s.meanValue) * meanGain
 	s.meanWork += (work - s.meanWork) * meanGain
-	p := s.level
+	fraction := s.level
 	if value*s.meanWork > s.meanValue*work {
-		p--
+		fraction--
 	}
-	return min(p, maxFraction)
+	return min(fraction, maxFraction)
 }
 
-// RecordStart takes in whether a request started late or met a full queue. Where few are let in
-// few are seen, so the way back is longer by the sample but no longer by the clock.
+// RecordStart records whether a request's start was overdue, or its worker's queue full. The fewer requests are let in,
+// the more a start on time counts, so that the level falls as fast in time with fewer samples.
 func (s *Shedder) RecordStart(overdue bool) {
 	step := -toleratedFraction / max(1-s.level, 1-maxFraction)
 	if overdue {
--- a/decision/shedding/shedding_test.go
+++ b/decision/shedding/shedding_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestRejectFraction has late starts lead to shedding, lesser work first, of no class all, and an end
-// of it once starts come in time.
+// TestRejectFraction checks that late starts lead to rejections, of less valuable work first and of no class
+// all, and that these end once starts are on time.
 func TestRejectFraction(t *testing.T) {
 	var s Shedder
 	for range 64 { // of two kinds of equal length one is worth three times the other
@@ -11,24 +11,24 @@
 		s.RejectFraction(3, 1)
 	}
 	if got := s.RejectFraction(1, 1); got > 0 {
-		t.Errorf("%g is shed while nothing is late", got)
+		t.Errorf("%g is rejected while nothing is late", got)
 	}
 	for range 5 {
 		s.RecordStart(true)
 	}
 	if low, high := s.RejectFraction(1, 1), s.RejectFraction(3, 1); low <= 0 || high > 0 {
-		t.Errorf("%g of lesser and %g of better work are shed, want the lesser first", low, high)
+		t.Errorf("%g of lesser and %g of better work are rejected, want the lesser first", low, high)
 	}
 	for range 100 {
 		s.RecordStart(true)
 	}
 	if low, high := s.RejectFraction(1, 1), s.RejectFraction(3, 1); low != maxFraction || high != maxFraction {
-		t.Errorf("%g of lesser and %g of better work are shed at worst, want %g of each", low, high, maxFraction)
+		t.Errorf("%g of lesser and %g of better work are rejected at worst, want %g of each", low, high, maxFraction)
 	}
 	for range 100 {
 		s.RecordStart(false)
 	}
 	if got := s.RejectFraction(1, 1); got > 0 {
-		t.Errorf("%g is still shed", got)
+		t.Errorf("%g is still rejected", got)
 	}
 }
--- a/decision/waittime/waittime.go
+++ b/decision/waittime/waittime.go
@@ -1,7 +1,9 @@
-// Package waittime keeps how long jobs wait at workers that are warm and at those that have
-// started lately. A dispatcher among many meets each worker too seldom to know its queue, and
-// after many were replaced at once the old ones have long queues while the new ones have
-// none: what jobs find at one tells of its like. The package is pure: no I/O, no clock.
+// Package waittime keeps mean waits of requests for their start, at warm workers and at warming ones. One of many
+// dispatchers uses each worker too seldom to know its queue; and after many workers were replaced at once the old
+// ones have long queues while the new ones have none. So the waits at one worker are taken to tell about the others of
+// its group. Package decision multiplies costs by Factor.
+//
+// The package is pure: it does no I/O and reads no clock. Waits is not safe for concurrent use.
 package waittime
 
 import (
@@ -10,43 +12,45 @@
 )
 
 const (
-	// gain is the weight of a new wait in the mean: about five jobs, as queues of a few
-	// seconds come and go.
+	// gain is the weight of a new wait in the mean; the mean is over about five requests, as queues of a few seconds
+	// come and go.
 	gain = 0.2
-	// decayTime is how fast it is forgotten where no job tells of it.
+	// decayTime is the time constant with which the mean is forgotten while no request starts.
 	decayTime = 5 * time.Second
-	// maxWait bounds what one wait says, against the mean run.
+	// maxWait bounds one wait, relative to the mean run time.
 	maxWait = 3.0
 )
 
-// Waits is what is known. The zero value knows of no wait.
+// Waits are the mean waits of both groups. The zero value has recorded no wait.
 type Waits struct{ means [2]mean }
 
 type mean struct {
-	wait float64 // against the mean run of a job
+	wait float64 // relative to the mean run time
 	at   time.Duration
 }
 
-// RecordWait takes in that a job has waited so long for its start, against the mean run of jobs,
-// at a worker that is warming up or not.
+// RecordWait records that a request has waited for the given seconds before it started, at a worker that was warming up
+// or not; run is the mean run time of requests, in seconds.
 func (w *Waits) RecordWait(warming bool, wait, run float64, now time.Duration) {
 	m := &w.means[indexOf(warming)]
-	x := 0.0
+	relative := 0.0
 	if run > 0 && wait > 0 {
-		x = min(wait/run, maxWait)
+		relative = min(wait/run, maxWait)
 	}
-	m.wait, m.at = m.decayed(now)+(x-m.decayed(now))*gain, now
+	m.wait, m.at = m.decayed(now)+(relative-m.decayed(now))*gain, now
 }
 
+// decayed returns the mean as far as it is not forgotten.
 func (m *mean) decayed(now time.Duration) float64 {
 	return m.wait * math.Exp(-float64(now-m.at)/float64(decayTime))
 }
 
-// Factor returns how much longer a job is likely to take at such a worker than it runs.
+// Factor returns the likely time from sending to answer at a worker of the group, relative to the run time.
 func (w *Waits) Factor(warming bool, now time.Duration) float64 {
 	return 1 + w.means[indexOf(warming)].decayed(now)
 }
 
+// indexOf returns the index of a group in Waits.means.
 func indexOf(warming bool) int {
 	if warming {
 		return 1
--- a/decision/waittime/waittime_test.go
+++ b/decision/waittime/waittime_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestFactor has waits at warm workers tell nothing of those that warm up, and be forgotten.
+// TestFactor checks that waits at warm workers do not count for warming ones, and are forgotten.
 func TestFactor(t *testing.T) {
 	var w Waits
 	for range 20 {
--- a/decision/zones/zones.go
+++ b/decision/zones/zones.go
@@ -1,36 +1,38 @@
-// Package zones keeps what a dispatcher knows of the workers of a zone together: how
-// quickly jobs start there, and whether the zone is lost. A dispatcher among many meets
-// each worker too seldom to learn from that one alone. The package is pure: no I/O, no
-// clock.
+// Package zones keeps what a dispatcher knows of all workers of a zone together: how quickly requests start there, and
+// whether the zone is lost. One of many dispatchers uses each worker too seldom to learn that from the worker alone.
+// Package decision asks it before it selects a worker.
+//
+// The package is pure: it does no I/O and reads no clock. Zones is not safe for concurrent use.
 package zones
 
 import "time"
 
 const (
-	// maxZones bounds the zones that are told apart; those past it count as the last one.
+	// maxZones bounds the zones that are told apart; those beyond it count as the last one.
 	maxZones = 1 << 10
-	// minFailedWorkers is how many workers in a row no connection comes up to before their zone
-	// counts as lost.
+	// minFailedWorkers is how many workers in a row have to fail to connect before their zone counts as lost.
 	minFailedWorkers = 2
-	// notifiedWithin is how long discovery may take to tell of what came back: what it has
-	// to tell counts as told after that time in any case.
+	// notifiedWithin is the time within which discovery lists the new start of a worker that came back; see
+	// freshness.NotifiedWithin.
 	notifiedWithin = 6 * time.Second
-	// recoveryPeriod is how long after the first worker of a lost zone has answered the others
-	// are left alone unless discovery has told of their new start.
+	// recoveryPeriod is how long after the first answer from a lost zone its other workers are avoided, unless
+	// discovery has listed their new start.
 	recoveryPeriod = 3 * time.Second
 )
 
-// Zones is what is known of all zones. The zero value knows nothing.
+// Zones is what is known of all zones, by their numbers. The zero value knows nothing.
 type Zones struct{ all []zone }
 
+// zone is what is known of one zone.
 type zone struct {
-	quickestStart time.Duration // recent time to a start; forgotten slowly
+	quickestStart time.Duration // recent time from sending to start; rises slowly
 	startKnown    bool
-	failedWorkers int           // workers in a row to which no connection came up
-	lostAt        time.Duration // when the last of them did not
-	recoveredAt   time.Duration // when the first after them answered
+	failedWorkers int           // how many workers in a row failed to connect
+	lostAt        time.Duration // when the last of them failed; 0 for never
+	recoveredAt   time.Duration // when the first worker after them answered; 0 for never
 }
 
+// at returns the state of a zone.
 func (z *Zones) at(n int) *zone {
 	n = min(max(n, 0), maxZones-1)
 	for n >= len(z.all) {
@@ -39,7 +41,7 @@
 	return &z.all[n]
 }
 
-// RecordStart takes in how long after its sending a job has started in a zone.
+// RecordStart records how long after its sending a request has started in a zone.
 func (z *Zones) RecordStart(n int, took time.Duration) {
 	if state := z.at(n); state.startKnown {
 		state.quickestStart = min(took, state.quickestStart+state.quickestStart/32+time.Microsecond)
@@ -48,11 +50,11 @@
 	}
 }
 
-// UsualStart returns the quickest recent time to a start in a zone, 0 if none is known.
+// UsualStart returns the quickest recent time from sending to start in a zone, 0 if none is known.
 func (z *Zones) UsualStart(n int) time.Duration { return z.at(n).quickestStart }
 
-// RecordConnectFailure takes in that no connection came up to a worker of a zone; again tells that
-// it was not the first time in a row. Guards a zone from the one worker that is down.
+// RecordConnectFailure records that no connection came up to a worker of a zone. Only a worker's first failure in a row
+// counts, which again tells, so that a single worker that is down does not make its zone count as lost.
 func (z *Zones) RecordConnectFailure(n int, again bool, now time.Duration) {
 	state := z.at(n)
 	if !again {
@@ -63,8 +65,8 @@
 	}
 }
 
-// RecordSuccess takes in that a worker of a zone has served what was sent at a time. What was
-// sent before the zone was lost says nothing of it.
+// RecordSuccess records that a worker of a zone has served a request that was sent at the given time. One that was sent
+// before the zone was lost tells nothing about it.
 func (z *Zones) RecordSuccess(n int, sentAt, now time.Duration) {
 	state := z.at(n)
 	if sentAt <= state.lostAt {
@@ -76,15 +78,16 @@
 	state.failedWorkers = 0
 }
 
-// Unavailable tells whether a worker that started at a time, as far as is known, is in a zone
-// that is lost, or has come back so lately that the worker may have started anew without
-// discovery having told. Guards workers that come back cold, and in great number, from
-// dispatchers that see a zone with nothing to do; a time that was told after the loss
-// ends it at once.
+// Unavailable reports whether a worker with the given time of its last listed start is in a zone that is lost, or has
+// recovered so lately that the worker may have restarted without discovery having listed it. Many workers that come back
+// together and warm up are so protected from dispatchers that see an idle zone. A start listed after the loss ends
+// that at once.
 func (z *Zones) Unavailable(n int, startedAt, now time.Duration) bool {
 	state := z.at(n)
 	if state.lostAt == 0 || startedAt >= state.lostAt {
 		return false
 	}
-	return state.failedWorkers >= minFailedWorkers && now < state.lostAt+notifiedWithin || state.recoveredAt > 0 && now < state.recoveredAt+recoveryPeriod
+	lost := state.failedWorkers >= minFailedWorkers && now < state.lostAt+notifiedWithin
+	recovering := state.recoveredAt > 0 && now < state.recoveredAt+recoveryPeriod
+	return lost || recovering
 }
