--- a/decision/forecast/forecast_test.go
+++ b/decision/forecast/forecast_test.go
@@ -10,8 +10,8 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestOwnJobsAreNotCountedTwice guards the dispatcher's own jobs from counting twice, in a report and by
-// themselves, and others' from counting for ever.
+// TestOwnJobsAreNotCountedTwice checks that the dispatcher's own jobs do not count twice, in a report and by
+// themselves, and that others' jobs decay.
 func TestOwnJobsAreNotCountedTwice(t *testing.T) {
 	var f Fleet
 	var w, other Worker
@@ -21,10 +21,10 @@
 	f.RecordReport(&w, 0, Report{Free: 4}, Own{}, now)
 	f.RecordReport(&w, 0, Report{Free: 0, Queued: 2, InFlight: math.NaN()}, Own{InUse: 3, Running: 3}, now)
 	if got := f.Others(&w, 0, now); math.Abs(got-3) > 1e-9 {
-		t.Errorf("others hold %g slots, want the 3 of 6 that are not our own", got)
+		t.Errorf("others use %g slots, want the 3 of 6 that are not our own", got)
 	}
 	if got := f.Others(&w, 0, now+time.Minute); got > 0.1 {
-		t.Errorf("others hold %g slots a minute later, want next to none", got)
+		t.Errorf("others use %g slots a minute later, want next to none", got)
 	}
 	busy := f.TimeToFinish(&w, 0, Own{InUse: 3, Running: 3, Work: 3}, &Job{Slots: 1, Work: 1}, now)
 	idle := f.TimeToFinish(&other, 0, Own{}, &Job{Slots: 1, Work: 1}, now)
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestSize guards a worker with four slots from being taken for a larger one by the noise of
-// its reports, and one whose reports lag from being taken for a smaller one than we have used.
+// TestSize checks that noise of reports does not raise the size of a worker with four slots, and that the
+// size is at least what own jobs have used, though reports lag.
 func TestSize(t *testing.T) {
 	var f Fleet
 	var w Worker
@@ -58,8 +58,9 @@
 	}
 }
 
-// TestSizeOfKind guards wide jobs from workers that look small since they are busy: one that
-// was never seen empty has as many slots as others of its kind, up to twice what it showed, one that showed nothing as many as all have, and what was learned of it outlives the process.
+// TestSizeOfKind checks the size of workers that look small because they are busy: one that was never seen
+// empty has as many slots as others of its kind, up to twice what it showed; one that showed nothing has the
+// fleet's mean; and what was learned outlives the process.
 func TestSizeOfKind(t *testing.T) {
 	var f Fleet
 	var empty, busy, full, next Worker
@@ -95,8 +96,8 @@
 	}
 }
 
-// TestHints guards forecasts from hints that say less than the class's mean, and believes
-// those that say more, whatever they are a multiple of.
+// TestHints checks that hints worse than the class's mean are ignored, and that others are used, whatever
+// multiple of the work they are.
 func TestHints(t *testing.T) {
 	var good, bad runEstimate
 	for i := range 64 {
@@ -115,8 +116,8 @@
 	}
 }
 
-// TestPace has a worker that was never met taken for one of its kind, and a worker's own
-// jobs say more than its kind once there are some; a slow time is forgotten.
+// TestPace checks that an unknown worker has the pace of its kind, that a worker's own jobs outweigh its
+// kind, and that a slow time is forgotten.
 func TestPace(t *testing.T) {
 	var f Fleet
 	var w, like Worker
@@ -140,8 +141,8 @@
 	}
 }
 
-// TestReportConfidence guards service from reports that always say that all is full while jobs start at
-// once: less of them is believed with each, and all again once what they say comes true.
+// TestReportConfidence checks that reports of full workers are trusted less with each job that starts at
+// once, and fully again once jobs do wait.
 func TestReportConfidence(t *testing.T) {
 	var f Fleet
 	var w Worker
@@ -179,10 +180,10 @@
 // rounding is how far two forecasts may be apart that are equal but for the arithmetic.
 const rounding = 1e-9
 
-// TestForecastsAreFinite has any history lead to forecasts that can be: finite, not negative, no sooner with
-// another of our own jobs of the mean work there, and a hope that lies between now and the job's
-// end. A lighter job may take the place of one that is only guessed at, and so have less work be
-// expected there: by less than a job of the mean work is worth.
+// TestForecastsAreFinite checks that any history leads to forecasts that are finite and not negative, no
+// sooner with another own job of the mean work at the worker, and to a WaitUntil between now and the target.
+// An own job lighter than the mean may replace one that is only assumed, and so lower the expected work: by
+// less than a job of the mean work counts.
 func TestForecastsAreFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f Fleet
@@ -223,15 +224,15 @@
 				t.Fatalf("needs %g s, and %g behind one more job of a second: a job of the mean work is worth %g", needs, more, usual)
 			}
 			if hope := f.WaitUntil(w, kind, &j, now); hope < now || hope > j.TargetAt {
-				t.Fatalf("hope until %v, it is %v and over at %v", hope, now, j.TargetAt)
+				t.Fatalf("wait until %v, it is %v and the target at %v", hope, now, j.TargetAt)
 			}
 			f.ShouldReject(w, kind, own, &j, 4, now)
 		}
 	})
 }
 
-// TestQueueFromInFlight has a queue known by the jobs that are handled, where no column tells of it, and that
-// column passed over where one does.
+// TestQueueFromInFlight checks that a queue is derived from the jobs in flight where no column reports it,
+// and that they are ignored where one does.
 func TestQueueFromInFlight(t *testing.T) {
 	now := time.Hour
 	waits := func(r Report) float64 {
@@ -251,12 +252,12 @@
 	told := queue
 	told.Queued = 0
 	if a, b := waits(full), waits(told); math.Abs(a-b) > 1e-9 {
-		t.Errorf("a job needs %.2f s where no queue is told, want %.2f", b, a)
+		t.Errorf("a job needs %.2f s where no queue is reported, want %.2f", b, a)
 	}
 }
 
-// TestQueueFromInFlightDecays has a queue that is reckoned from what is handled be over once it has run, however
-// seldom reports come, and a worker's size known by what it handles where nothing waits.
+// TestQueueFromInFlightDecays checks that a queue derived from jobs in flight ends once it has run, however
+// seldom reports come, and that jobs in flight show the size of a worker where none waits.
 func TestQueueFromInFlightDecays(t *testing.T) {
 	now := time.Hour
 	var f Fleet
@@ -269,12 +270,12 @@
 	f.RecordReport(&w, 0, Report{Free: 0, Queued: math.NaN(), InFlight: 8}, Own{}, now)
 	at, later := f.Others(&w, 0, now), f.Others(&w, 0, now+2*time.Second)
 	if at != 8 || later > 5 {
-		t.Errorf("others hold %g slots and 2 s later %g, want 8 and hardly more than the 4 that there are", at, later)
+		t.Errorf("others use %g slots and 2 s later %g, want 8 and hardly more than the 4 that there are", at, later)
 	}
 }
 
-// TestRecordNoStart has a job that is called off unstarted tell of the queue that it met: the next would wait
-// there as long at the least, and the word fades like a report.
+// TestRecordNoStart checks that a job canceled before its start shows the queue that it met: the next one
+// would wait at least as long, and this decays like a report.
 func TestRecordNoStart(t *testing.T) {
 	now := time.Hour
 	var f Fleet
--- a/decision/freshness/freshness.go
+++ b/decision/freshness/freshness.go
@@ -1,7 +1,11 @@
-// Package freshness keeps one clock for discovery's list: how long the list that is held may
-// be used, and when to ask again. What discovery has to tell counts as told after a stated
-// time, whether it has arrived or not, so all times run from the last byte heard. The
-// package is pure: no I/O, no clock.
+// Package freshness decides how long a dispatcher may use the list of workers that it has from discovery, and when it
+// calls discovery again. By the protocol a change of the list counts as notified after a fixed time, whether it has
+// arrived or not, and binds the dispatcher from then on. So all times count from the last contact, not from when a
+// failure is noticed. The route table owns a Clock and reports watches and calls to it.
+//
+// The list is valid until the first change that it may lack binds (Clock.ValidUntil), whatever becomes of calls. The
+// package is pure: it does no I/O and reads no clock. Times are durations on one clock that never goes back. A Clock is
+// not safe for concurrent use.
 package freshness
 
 import (
@@ -10,71 +14,73 @@
 )
 
 const (
-	// HeartbeatInterval is how often a watch says something, an empty line if nothing else.
+	// HeartbeatInterval is how often discovery sends something on a watch, an empty line if nothing else.
 	HeartbeatInterval = 2 * time.Second
-	// WatchTimeout is how long a watch may say nothing before it counts as broken: a beat, and what
-	// one may be late on the way.
+	// WatchTimeout is how long nothing may come on a watch before it counts as broken: a heartbeat interval, and by how
+	// much a heartbeat may be delayed on its way.
 	WatchTimeout = HeartbeatInterval + 400*time.Millisecond
-	// NotifiedWithin is how long after a watch has fallen silent what it misses counts as told.
+	// NotifiedWithin is how long after the last contact by a watch a change that it misses counts as notified.
 	NotifiedWithin = 6 * time.Second
-	// MoveNotifiedWithin is how long after SIGHUP has named another discovery what that has to tell
-	// counts as told.
+	// MoveNotifiedWithin is how long after SIGHUP has named another discovery a change there counts as notified.
 	MoveNotifiedWithin = 4 * time.Second
-	// callTimeout is how long a call may wait in discovery's line before that gives it up.
+	// callTimeout is how long a call may wait in discovery's queue before discovery fails it.
 	callTimeout = 3 * time.Second
-	// MaxUnspreadCallers is how many dispatchers discovery answers without their spreading out.
+	// MaxUnspreadCallers is how many dispatchers discovery answers without their calls being spread.
 	MaxUnspreadCallers = 16
-	// minQueueTime is how long a call is in discovery's line at the least if it fails there.
+	// minQueueTime is the least time after which a call fails because of discovery's queue.
 	minQueueTime = time.Second
-	// fewCallersTimeout is how long few dispatchers wait at most for the answer to their first call.
+	// fewCallersTimeout is how long a dispatcher waits for the answer to its first call where there are few.
 	fewCallersTimeout = 300 * time.Millisecond
-	// minCallInterval is the least time between two calls for one list.
+	// minCallInterval is the least time between two calls.
 	minCallInterval = 250 * time.Millisecond
 )
 
 // Rules are the deployment's figures.
 type Rules struct {
-	MaxRefreshInterval time.Duration // how long the list counts without a watch; 0 where lists are pushed
-	DrainGrace         time.Duration // how long after a drain is told work may still be sent
+	MaxRefreshInterval time.Duration // how long the list may be used without a watch; 0 where lists are pushed
+	DrainGrace         time.Duration // how long after the notice of a drain work may still be sent
 	Number             int           // of this dispatcher, from 0
-	Count              int           // of dispatchers that ask the same discovery
-	Pushed             bool          // the call is answered on this machine, at no cost
+	Count              int           // how many dispatchers call the same discovery
+	Pushed             bool          // calls are answered by an agent on this machine, at no cost
 }
 
-// Clock is what is known of the list's age. All times are of one clock that never goes back.
-// The zero value with Rules set has heard nothing.
+// Clock is what is known of the list's age. The zero value with Rules set has had no contact with discovery.
 type Clock struct {
 	Rules
-	lastContact time.Duration // the last byte of a watch, or the last whole object, or the begin of a call that brought nothing
-	notifiedAt  time.Duration // when something that is not held begins to count as told; 0 for no such time
-	fixed       bool          // due stands whatever becomes of calls: discovery may have been there all the while
-	attempts    int           // calls since due was set, or in a row without an answer
+	// lastContact is the time of the last byte of a watch, or of the last complete list, or of the begin of the last
+	// call that failed.
+	lastContact time.Duration
+	// notifiedAt is when a change that the list may lack counts as notified; 0 where it lacks none.
+	notifiedAt time.Duration
+	// fixed has notifiedAt stand whatever becomes of calls, as discovery may have been there all the time.
+	fixed    bool
+	attempts int // calls since notifiedAt was fixed, or calls that failed in a row
 }
 
-// RecordContact takes in that a byte of a watch has come, or when the call began that has brought nothing.
+// RecordContact records that a byte of a watch has come, or when the call began that then failed.
 func (c *Clock) RecordContact(now time.Duration) { c.lastContact = now }
 
-// RecordComplete takes in that all that discovery had to tell by now is held.
+// RecordComplete records that the list holds every change up to now.
 func (c *Clock) RecordComplete(now time.Duration) {
 	c.lastContact, c.notifiedAt, c.fixed, c.attempts = now, 0, false, 0
 }
 
-// WatchTimedOut takes in that a watch is broken because it has said nothing, and returns when to ask
-// again. What is missed counts from the last byte, however late its silence was noticed.
+// WatchTimedOut records that nothing has come on a watch for WatchTimeout, and returns when to call again. A change that
+// the watch missed counts from its last byte, however late the time-out was noticed.
 func (c *Clock) WatchTimedOut(now time.Duration) time.Duration {
 	c.requireBy(c.lastContact + NotifiedWithin)
 	return c.nextCall(now, 0)
 }
 
-// DiscoveryMoved takes in that the address of discovery is another, and returns when to ask there.
+// DiscoveryMoved records that discovery has another address, and returns when to call there.
 func (c *Clock) DiscoveryMoved(now time.Duration) time.Duration {
 	c.requireBy(now + MoveNotifiedWithin)
 	c.attempts = 0
 	return c.nextCall(now, 0)
 }
 
-// WatchEnded takes in that discovery has ended a watch that had told all until then, and returns
-// when to ask again: the list counts for as long as without a watch, which the settings name.
+// WatchEnded records that discovery has ended a watch, which had sent every change until then, and returns when to call
+// again. The list may be used as long as without a watch, for MaxRefreshInterval.
 func (c *Clock) WatchEnded(now time.Duration) time.Duration {
 	within := c.MaxRefreshInterval
 	if within <= 0 {
@@ -84,37 +90,36 @@
 	return c.nextCall(now, 0)
 }
 
-// CallFailed takes in that a call has brought nothing, and returns when to ask again. Discovery
-// may have been back just after it had failed this call, and what it has to tell counts as told
-// ToldWithin after; so that runs from the call's begin. A spread by the time for which the list
-// counts without a call would be past it. The next call may wait in discovery's line for as
-// long as this one did.
+// CallFailed records that a call has failed, and returns when to call again. Discovery may have come back directly after
+// it had failed this call, and a change counts as notified NotifiedWithin later, so that this time counts from the
+// call's begin. A spread by MaxRefreshInterval would exceed it. The next call may wait in discovery's queue for as long
+// as this one did.
 func (c *Clock) CallFailed(now time.Duration) time.Duration {
 	c.expectBy(c.lastContact + NotifiedWithin)
 	return c.nextCall(now, now-c.lastContact)
 }
 
-// requireBy has the list be held again by a time; an earlier time that is open stays.
+// requireBy sets the time at which a change counts as notified, whatever becomes of calls; an earlier such time stays.
 func (c *Clock) requireBy(by time.Duration) {
 	if !c.fixed || by < c.notifiedAt {
 		c.notifiedAt, c.fixed = by, true
 	}
 }
 
-// expectBy has the list be held again by a time that rests on the last call alone.
+// expectBy sets the time at which a change counts as notified by the last call alone.
 func (c *Clock) expectBy(by time.Duration) {
 	if !c.fixed {
 		c.notifiedAt = by
 	}
 }
 
-// HasDeadline tells whether the list has to be held again by a stated time.
+// HasDeadline reports whether the list may lack a change, and so has to be complete again by a known time.
 func (c *Clock) HasDeadline() bool { return c.notifiedAt > 0 }
 
-// nextCall returns when to ask after a call that brought nothing, or after silence, if the next
-// may wait in discovery's line for a time. At least half of the time that is left is
-// discovery's, the rest is spread over the dispatchers by their numbers: a few hundred calls at
-// once would fail in its line. Once the time is over it runs from the last call's begin.
+// nextCall returns when to call after a failure, if that call may wait in discovery's queue for queueTime. At least half
+// of the time until the list becomes invalid is left to discovery; the calls of all dispatchers are spread over the rest
+// by their numbers, as a few hundred calls at once would fail in the queue. Once the list is invalid the time counts from
+// the last call's begin.
 func (c *Clock) nextCall(now, queueTime time.Duration) time.Duration {
 	if c.Pushed {
 		return now
@@ -123,68 +128,24 @@
 	if left <= 0 {
 		left = c.lastContact + NotifiedWithin + c.DrainGrace - now
 	}
-	left = max(left, minCallInterval) // guards discovery from calls that come too late in any case
+	left = max(left, minCallInterval) // a call that comes too late anyway need not come at once
 	spread := min(Spread(c.MaxRefreshInterval, c.Count, c.attempts), left/2, max(left-queueTime, left/8))
 	at := now + time.Duration(c.spreadOffset()*float64(spread))
-	if c.attempts++; c.attempts > 1 { // the line that failed it is as long now
+	if c.attempts++; c.attempts > 1 { // the queue in which the last call failed is still as long
 		at = max(at, now+minCallInterval)
 	}
 	return at
 }
 
-// Spread returns over how long dispatchers spread a call, by the time that the list counts
-// without one, their number, and how many calls in a row have failed. The first lies within
-// half of the time after which what a call that failed has missed counts as told: the process
-// before this one may have been killed in the middle of a call.
-// Few dispatchers, whom discovery answers at once, hardly spread the first: until then they go by
-// the list that they were given.
-func Spread(within time.Duration, count, failed int) time.Duration {
-	spread := within / 16 << min(failed, 4)
-	wider := min(float64(spread)*float64(max(count, MaxUnspreadCallers))/MaxUnspreadCallers, float64(max(spread, within)))
-	if failed > 0 {
-		return time.Duration(wider)
-	}
-	first := min(float64(spread)*float64(max(count, 1))/MaxUnspreadCallers, wider)
-	return min(time.Duration(first), max(min(within-callTimeout, NotifiedWithin/2), spread))
-}
-
-// FirstAnswerTimeout returns how long a process that has just begun waits at most for discovery's first
-// word before it goes by the list that it was given: that may be as old as the process before it,
-// and what has changed since may bind already. All that changed before it began counts as told
-// ToldWithin later at the latest, so that it waits no less where many dispatchers make the line
-// long. Few ask for the whole list nearly at once, and are answered at once where discovery is
-// there: one that does not answer them is not waited for.
-func FirstAnswerTimeout(r Rules) time.Duration {
-	switch {
-	case r.Pushed:
-		return r.DrainGrace
-	case r.FewCallers():
-		return Spread(r.MaxRefreshInterval, r.Count, 0) + fewCallersTimeout
-	}
-	return NotifiedWithin
-}
-
-// FewCallers tells whether discovery answers all its dispatchers without their spreading out. Such ask
-// for the whole list when they begin, which is answered though nothing has changed: on a watch
-// discovery says nothing for a beat. In the line that many make a whole list would cost too much.
-func (r Rules) FewCallers() bool { return !r.Pushed && r.Count <= MaxUnspreadCallers }
-
-// FailedInQueue tells whether a process that has just begun still waits for discovery's first word when
-// a call has failed after a time: many dispatchers make a line in which calls fail, while discovery
-// is there and what it has to tell binds. A call that fails sooner has found discovery down.
-func FailedInQueue(r Rules, took time.Duration) bool {
-	return !r.Pushed && r.Count > MaxUnspreadCallers && took >= minQueueTime
-}
-
-// spreadOffset returns where in a spread this dispatcher's next call is, from 0 to 1: the numbers
-// lie evenly, and another try of the same is elsewhere.
+// spreadOffset returns where in a spread this dispatcher's next call is, from 0 to 1. Multiples of an irrational number
+// distribute the dispatchers evenly, and further attempts of each one elsewhere.
 func (c *Clock) spreadOffset() float64 {
-	_, f := math.Modf(float64(c.Number)*math.Phi + float64(c.attempts)*math.Sqrt2)
-	return f
+	_, offset := math.Modf(float64(c.Number)*math.Phi + float64(c.attempts)*math.Sqrt2)
+	return offset
 }
 
-// ValidUntil returns how long the list that is held may be used: until what it may lack binds.
-// Without a silent watch or a move that is without end, as the watch tells all.
+// ValidUntil returns until when the list may be used: until a change that it may lack binds. That is the largest
+// Duration while a watch sends every change.
 func (c *Clock) ValidUntil() time.Duration {
 	if c.notifiedAt == 0 {
 		return math.MaxInt64
@@ -192,5 +153,5 @@
 	return c.notifiedAt + c.DrainGrace
 }
 
-// Stale tells whether the list may lack what binds by now.
+// Stale reports whether the list may lack a change that binds by now.
 func (c *Clock) Stale(now time.Duration) bool { return now >= c.ValidUntil() }
--- a/decision/warmupbudget/flow.go
+++ b/decision/warmupbudget/flow.go
@@ -5,105 +5,107 @@
 	"time"
 )
 
-// Where many share a worker that has started lately, each lets a part of its own requests go
-// there, so that what all let go together comes to a stated flow, whoever gets how much of the
-// traffic. Nobody needs to know what the others send: a dispatcher with a rate of its own lets
-// each request go by a draw of flow / (dispatchers x its rate).
+// Sampling: each of many dispatchers sends a sample of its own requests to a warming worker, so that what they all send
+// adds up to a given flow whatever part of the traffic each one gets. No dispatcher needs to know what the others send:
+// one with an arrival rate of its own samples each request with the probability flow / (dispatchers x its rate).
 
 const (
-	// maxWindowFraction is the part of what a worker bears in a window that one request may take.
+	// maxWindowFraction is the fraction of a window's limit that one request may use.
 	maxWindowFraction = 0.18
-	// lightWork is the work against the mean up to which all requests count alike.
+	// lightWork is the work, relative to the mean, up to which requests are sampled alike.
 	lightWork = 1.0
-	// safetyDeviations is how many standard deviations a window stays below what the worker bears.
+	// safetyDeviations is how many standard deviations the mean of a window stays below its limit.
 	safetyDeviations = 3.0
-	// busyFactor is how much of what a cold worker can do at least may go there: most can do more, and
-	// a request that may go to several goes to one.
+	// busyFactor bounds the flow, relative to what a warming worker serves at the least: most serve more, and a request
+	// that may go to several workers goes to one.
 	busyFactor = 2.0
-	// rateMemory is how long an arrival counts in a dispatcher's rate, about.
+	// rateMemory is the time constant of a dispatcher's arrival rate.
 	rateMemory = 10 * time.Second
-	// trafficGain is the weight of a request in what is known of its like.
+	// trafficGain is the weight of a new request in the means of Traffic.
 	trafficGain = 1.0 / 32
 )
 
-// WindowBound returns how many requests of mean work a cold worker bears in a window without
-// falling, where the settings allow it n: the rule's own slack for chance.
+// WindowBound returns how many requests of mean work a warming worker can take in a window without a crash, where the
+// rules allow it n: the rules leave slack for chance.
 func WindowBound(n float64) float64 { return n + 2*math.Sqrt(n) + 2 }
 
-// WarmingWorker is a worker that has started at a time, and how many requests of mean work a warm one
-// of its like serves in a second.
+// WarmingWorker is a worker that has started lately: Rate is how many requests of mean work per second it serves once it
+// is warm.
 type WarmingWorker struct {
 	Rate      float64
 	StartedAt time.Duration
 }
 
-// minServedRate returns how many requests of mean work a second a cold worker serves at least.
+// minServedRate returns how many requests of mean work per second a warming worker serves at the least.
 func (r Rules) minServedRate(worker WarmingWorker, now time.Duration) float64 {
 	return worker.Rate * r.Capacity(worker.StartedAt, now)
 }
 
-// windowLimit returns how many requests of mean work a cold worker bears in the window that begins.
+// windowLimit returns how many requests of mean work a warming worker can take in the window that begins now.
 func (r Rules) windowLimit(worker WarmingWorker, now time.Duration) float64 {
 	return WindowBound(r.OverloadMultiple * r.minServedRate(worker, now) * r.OverloadWindow.Seconds())
 }
 
-// Traffic is what a dispatcher knows of its own requests: how many come, and what work they are. The
-// zero value knows nothing and lets none go.
+// Traffic is what a dispatcher knows of its own requests: their rate and their work. The zero value knows nothing, and
+// no request is sent by it.
 type Traffic struct {
-	firstArrival, lastArrival                   time.Duration
-	count                                       float64 // of arrivals, as they fade
-	passFraction, passedWork, passedWorkSquared float64 // means of the part that may go, of its work and of the work's square
+	firstArrival, lastArrival time.Duration
+	count                     float64 // of arrivals, decayed with rateMemory
+	// Means over requests of lightFraction, and of its products with the work and with the square of the work.
+	passFraction, passedWork, passedWorkSquared float64
 }
 
-// lightFraction is the part of requests of some work, against the mean, that may go to a worker which is
-// cold: of heavier ones fewer, so that few of them do not make up a window, and light ones, which
-// end soon even there, are most of what it gets.
+// lightFraction returns the fraction of requests of the given work, relative to the mean, that may be sent to a warming
+// worker. It is smaller for longer requests, so that a few of them do not fill a window and short ones, which end soon
+// even there, are most of what the worker gets.
 func lightFraction(work float64) float64 { return min(lightWork/max(work, lightWork), 1) }
 
-// RecordArrival takes in a request and its work against the mean.
-func (m *Traffic) RecordArrival(work float64, now time.Duration) {
-	if m.count == 0 {
-		m.firstArrival, m.lastArrival = now, now
-		m.passFraction, m.passedWork, m.passedWorkSquared = 0.85, 0.6, 0.8 // as works with twice the mean as deviation have
+// RecordArrival records a request and its work relative to the mean.
+func (t *Traffic) RecordArrival(work float64, now time.Duration) {
+	if t.count == 0 {
+		t.firstArrival, t.lastArrival = now, now
+		// The values of a distribution of work whose standard deviation is twice its mean.
+		t.passFraction, t.passedWork, t.passedWorkSquared = 0.85, 0.6, 0.8
 	}
-	m.count = m.count*math.Exp(-float64(now-m.lastArrival)/float64(rateMemory)) + 1
-	m.lastArrival = now
-	part := lightFraction(work)
-	m.passFraction += (part - m.passFraction) * trafficGain
-	m.passedWork += (part*work - m.passedWork) * trafficGain
-	m.passedWorkSquared += (part*work*work - m.passedWorkSquared) * trafficGain
+	t.count = t.count*math.Exp(-float64(now-t.lastArrival)/float64(rateMemory)) + 1
+	t.lastArrival = now
+	fraction := lightFraction(work)
+	t.passFraction += (fraction - t.passFraction) * trafficGain
+	t.passedWork += (fraction*work - t.passedWork) * trafficGain
+	t.passedWorkSquared += (fraction*work*work - t.passedWorkSquared) * trafficGain
 }
 
-// rate returns how many requests a second arrive, the last one counted; infinite at the first,
-// so that a dispatcher which has just started lets none go before it knows.
-func (m *Traffic) rate(now time.Duration) float64 {
-	seen := 1 - math.Exp(-float64(now-m.firstArrival)/float64(rateMemory))
-	return m.count * math.Exp(-float64(now-m.lastArrival)/float64(rateMemory)) / (rateMemory.Seconds() * seen)
+// rate returns how many requests arrive per second, the last one included. It is infinite at the first one, so that a
+// dispatcher which has just started sends none before it knows its rate.
+func (t *Traffic) rate(now time.Duration) float64 {
+	observed := 1 - math.Exp(-float64(now-t.firstArrival)/float64(rateMemory))
+	return t.count * math.Exp(-float64(now-t.lastArrival)/float64(rateMemory)) / (rateMemory.Seconds() * observed)
 }
 
-// Flow returns how many requests a second all dispatchers together let go to a cold worker: so
-// many that a window holds less than the worker bears by spare standard deviations, and no more
-// than keeps it busy, as all that may go there goes.
-func (r Rules) Flow(m *Traffic, worker WarmingWorker, now time.Duration) float64 {
-	if m.count == 0 {
+// Flow returns how many requests per second all dispatchers together send to a warming worker: so many that the mean of
+// a window stays below its limit by safetyDeviations standard deviations, and no more than busyFactor times what it
+// serves, as every request that may be sent there is.
+func (r Rules) Flow(t *Traffic, worker WarmingWorker, now time.Duration) float64 {
+	if t.count == 0 {
 		return 0
 	}
-	work, square := m.passedWork/m.passFraction, m.passedWorkSquared/m.passFraction
-	// The most requests n of a window with work*n + spare*sqrt(square*n) at the bound.
-	dev := safetyDeviations * math.Sqrt(square)
-	n := (math.Sqrt(dev*dev+4*work*r.windowLimit(worker, now)) - dev) / (2 * work)
-	return min(n*n/r.OverloadWindow.Seconds(), busyFactor*r.minServedRate(worker, now)/work)
+	work, square := t.passedWork/t.passFraction, t.passedWorkSquared/t.passFraction
+	// The square root of the most requests n of a window for which work*n + safetyDeviations*sqrt(square*n) is
+	// within the limit.
+	deviation := safetyDeviations * math.Sqrt(square)
+	root := (math.Sqrt(deviation*deviation+4*work*r.windowLimit(worker, now)) - deviation) / (2 * work)
+	return min(root*root/r.OverloadWindow.Seconds(), busyFactor*r.minServedRate(worker, now)/work)
 }
 
-// MaySend tells whether a dispatcher may send one request of some work, against the mean, to a
-// cold worker. It says the same each time that it is asked for the same request and worker.
-func (r Rules) MaySend(m *Traffic, peer Peer, worker WarmingWorker, workerID uint32, requestID uint64, work float64, now time.Duration) bool {
-	if m.count == 0 || work > maxWindowFraction*r.windowLimit(worker, now) {
+// MaySend reports whether a dispatcher may send one request of the given work, relative to the mean, to a warming worker.
+// The sample is a hash, so the answer depends on t and now but not on how often it is asked.
+func (r Rules) MaySend(t *Traffic, peer Peer, worker WarmingWorker, workerID uint32, requestID uint64, work float64, now time.Duration) bool {
+	if t.count == 0 || work > maxWindowFraction*r.windowLimit(worker, now) {
 		return false
 	}
-	h := requestID*0x9e3779b97f4a7c15 + uint64(peer.Number)*0xbf58476d1ce4e5b9 + uint64(workerID)*0x94d049bb133111eb
-	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
-	h = (h ^ h>>27) * 0x94d049bb133111eb
-	part := lightFraction(work) / m.passFraction * r.Flow(m, worker, now) / (float64(max(peer.Count, 1)) * m.rate(now))
-	return float64((h^h>>31)>>11)/(1<<53) < part
+	hash := requestID*0x9e3779b97f4a7c15 + uint64(peer.Number)*0xbf58476d1ce4e5b9 + uint64(workerID)*0x94d049bb133111eb
+	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
+	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+	probability := lightFraction(work) / t.passFraction * r.Flow(t, worker, now) / (float64(max(peer.Count, 1)) * t.rate(now))
+	return float64((hash^hash>>31)>>11)/(1<<53) < probability
 }
--- a/decision/warmupbudget/flow_test.go
+++ b/decision/warmupbudget/flow_test.go
@@ -11,7 +11,7 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// sampleTraffic returns a mix that has taken requests of some works for a while, at a rate.
+// sampleTraffic returns a Traffic that has recorded requests of the given works at a rate for a while.
 func sampleTraffic(rng *rand.Rand, rate float64, works ...float64) (Traffic, time.Duration) {
 	var m Traffic
 	now := time.Hour
@@ -22,8 +22,8 @@
 	return m, now
 }
 
-// TestFlow has the flow to a cold worker grow with what it can do, keep a window's mean and
-// spare deviations within what it bears, and be no more than keeps it busy.
+// TestFlow checks that the flow to a warming worker keeps the mean of a window and its safety deviations
+// within the limit, and is no more than keeps the worker busy.
 func TestFlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worker := WarmingWorker{Rate: rapid.Float64Range(0.01, 1e4).Draw(t, "rate"), StartedAt: time.Hour}
@@ -44,9 +44,9 @@
 	})
 }
 
-// TestMaySendKeepsToFlow guards the sum of what many let go, each by its own rate alone: some have twenty
-// times as many requests as others, and all together come to the flow that was meant, but for
-// what is too heavy and for those that seldom get a request and take care.
+// TestMaySendKeepsToFlow checks the sum of what many dispatchers send, each by its own rate alone: some have
+// twenty times as many requests as others, and together they come to the flow, but for long requests and for
+// dispatchers that seldom get a request.
 func TestMaySendKeepsToFlow(t *testing.T) {
 	const dispatchers, over = 300, 200 * time.Second
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestNewDispatcherSendsNothing guards cold workers from a fleet of dispatchers that have all just
-// started: one that does not know how many requests it gets lets the first go nowhere cold.
+// TestNewDispatcherSendsNothing checks that a dispatcher that does not know its request rate yet sends
+// nothing to a warming worker, as a fleet of dispatchers may have just started.
 func TestNewDispatcherSendsNothing(t *testing.T) {
 	worker := WarmingWorker{Rate: 1e6, StartedAt: time.Hour}
 	var m Traffic
--- a/decision/warmupbudget/warmupbudget_test.go
+++ b/decision/warmupbudget/warmupbudget_test.go
@@ -15,7 +15,7 @@
 	work float64
 }
 
-// sendGreedily has every sharer send all that it may, one job of the given work after another.
+// sendGreedily has every peer send all that it may, one job of the given work after another.
 func sendGreedily(sharers int, work float64, start, span, skew time.Duration) (all []sending) {
 	bills := make([]LeakyBucket, sharers)
 	for now := start; now < start+span; now += 10 * time.Millisecond {
@@ -30,8 +30,8 @@
 	return all
 }
 
-// TestFewPeersKeepToWindow guards rule 4 for all dispatchers together, whatever their
-// number up to that from which they share by leaves, and even with clocks that differ.
+// TestFewPeersKeepToWindow checks rule 4 for all peers together, for every number of them that has leaky
+// buckets, and with clocks that differ.
 func TestFewPeersKeepToWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sharers := rapid.IntRange(1, MinSampledPeers).Draw(t, "sharers")
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestInRotationByCapacity guards half warm workers: as many of a hundred dispatchers choose
-// among them as they have of their capacity, and not the same ones all the time.
+// TestInRotationByCapacity checks that the fraction of a hundred dispatchers in the rotation of a half-warm
+// worker is its capacity, and that these are not always the same ones.
 func TestInRotationByCapacity(t *testing.T) {
 	for _, age := range []time.Duration{8 * time.Second, 12 * time.Second, 16 * time.Second} {
 		joined, ever := 0, map[int]bool{}
