--- a/decision/allocations_test.go
+++ b/decision/allocations_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestAllocationsDoNotGrowWithWorkers has a request, and a change of the list, allocate no more with 16 times the workers.
+// TestAllocationsDoNotGrowWithWorkers checks that a request, and a change of the list, allocate no more with
+// 16 times the workers.
 func TestAllocationsDoNotGrowWithWorkers(t *testing.T) {
 	need := func(workers int) (request, change float64) {
 		d, err := New(Config{Instances: 300, Instance: 1, Zones: 1, Classes: []Class{{Objective: time.Second, ClientTimeout: time.Minute, WorkerKind: -1}},
--- a/decision/bucket_test.go
+++ b/decision/bucket_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// TestFirstTokensBeforeSecond checks that each worker's first token is taken before any second one.
 func TestFirstTokensBeforeSecond(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(10))
 	for round := range 2 {
@@ -19,6 +20,7 @@
 	}
 }
 
+// TestSeedsShuffleTheBucket checks that dispatchers of different seeds start with different workers.
 func TestSeedsShuffleTheBucket(t *testing.T) {
 	orders := map[WorkerID]bool{}
 	for seed := range uint64(20) {
@@ -35,6 +37,7 @@
 	}
 }
 
+// TestLongestFreeTokenGoesFirst checks the order of returned tokens.
 func TestLongestFreeTokenGoesFirst(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
 	var sent []Action
@@ -51,6 +54,8 @@
 	}
 }
 
+// TestNoTokenMeansPromptRefusal checks that a request without a free token is rejected at once, with a
+// retry-after.
 func TestNoTokenMeansPromptRefusal(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(1))
 	for range defaultTokens {
@@ -64,6 +69,8 @@
 	}
 }
 
+// TestSlotsTakeTokensOfOneWorker checks that a request of several slots takes all its tokens from one
+// worker.
 func TestSlotsTakeTokensOfOneWorker(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	first := h.arrive(0, 5)
@@ -80,8 +87,8 @@
 	}
 }
 
-// TestWideRequestAfterFailures guards against locking wide requests out: a
-// failure leaves a worker tokens for one job, however many slots that takes.
+// TestWideRequestAfterFailures checks that a failure leaves a worker tokens for one request, however many
+// slots that has, so that requests of many slots are not locked out.
 func TestWideRequestAfterFailures(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(1))
 	h.end(h.arrive(4, 4), Errored)
@@ -94,6 +101,7 @@
 	}
 }
 
+// TestTokensFollowWeights checks that workers get requests in proportion to their weights.
 func TestTokensFollowWeights(t *testing.T) {
 	cfg := bucketOnlyConfig()
 	cfg.WeightKnown = true
@@ -113,9 +121,9 @@
 	}
 }
 
-// TestJoiningWorkerIsNotOverrun guards rule 4 after incident ie2a5c7: the bucket's front holds
-// unused tokens of a far zone, and a joining worker placed among them would be
-// next at every dispatcher.
+// TestJoiningWorkerIsNotOverrun checks rule 4 after incident ie2a5c7: the front of the bucket holds unused
+// tokens of a zone that is not preferred, and a joining worker's token among them would be the next one at
+// every dispatcher.
 func TestJoiningWorkerIsNotOverrun(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers = false
--- a/decision/driver_test.go
+++ b/decision/driver_test.go
@@ -15,6 +15,7 @@
 	lastActions []Action
 }
 
+// newDriver returns a driver of a new dispatcher that has got the list of workers.
 func newDriver(t *testing.T, cfg Config, list []Member) *driver {
 	t.Helper()
 	d, err := New(cfg, 1)
@@ -26,7 +27,7 @@
 	return h
 }
 
-// step hands over events and returns the actions other than timers.
+// step brings events and returns the actions other than timers.
 func (h *driver) step(events ...Event) []Action {
 	h.lastActions = h.lastActions[:0]
 	for _, a := range h.d.Step(h.now, events, nil) {
@@ -39,7 +40,7 @@
 	return h.lastActions
 }
 
-// advance lets time go by and fires the timers that come due, in order.
+// advance lets time pass and fires the timers that expire meanwhile, in order; it returns the actions.
 func (h *driver) advance(span time.Duration) (out []Action) {
 	end := h.now + span
 	for {
@@ -60,7 +61,7 @@
 	return out
 }
 
-// arrive brings a request and returns what is done with it.
+// arrive brings a request and returns the action that it leads to.
 func (h *driver) arrive(class int, slots float64) Action {
 	h.t.Helper()
 	h.lastRequest++
@@ -72,27 +73,27 @@
 	return out[0]
 }
 
-// end reports how an attempt ended.
+// end reports the end of an attempt and returns the actions.
 func (h *driver) end(a Action, o Outcome) []Action {
 	return h.step(Event{Type: AttemptEnded, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt, Outcome: o,
 		RequestClosed: o == Served})
 }
 
-// serve starts a job at once and has it served after a while.
+// serve starts an attempt at once and has it served 50 ms later.
 func (h *driver) serve(a Action) {
 	h.step(Event{Type: AttemptStarted, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt})
 	h.advance(50 * time.Millisecond)
 	h.end(a, Served)
 }
 
-// bucketOnlyConfig is a config in which nothing but the bucket decides.
+// bucketOnlyConfig is a config with which only the bucket decides on the worker.
 func bucketOnlyConfig() Config {
 	cfg := testConfig()
 	cfg.StartEvents, cfg.PullMembers, cfg.Zones = false, false, 1
 	return cfg
 }
 
-// maxWithin returns how many of the times, in order, lie within a window at most.
+// maxWithin returns how many of the times, which are in order, lie within a window at most.
 func maxWithin(at []time.Duration, window time.Duration) (most int) {
 	first := 0
 	for i := range at {
@@ -104,6 +105,7 @@
 	return most
 }
 
+// membersInOneZone returns n ready workers in zone 0.
 func membersInOneZone(n int) []Member {
 	list := members(n)
 	for i := range list {
@@ -111,3 +113,29 @@
 	}
 	return list
 }
+
+// testConfig is a deployment with every class effect and scope.
+func testConfig() Config {
+	class := func(e Effect, g DedupScope) Class {
+		return Class{Effect: e, DedupScope: g, DedupWindow: 3 * time.Second, Objective: 200 * time.Millisecond, Stretch: 2,
+			ClientTimeout: 4 * time.Second, Value: 1, LateValue: 0.3, WorkerKind: -1}
+	}
+	return Config{
+		Instance: 3, Instances: 10, Zones: 2, PullMembers: true, StartEvents: true, Quantum: time.Millisecond,
+		Classes: []Class{class(Safe, ScopeAll), class(Keyed, ScopeAll), class(Keyed, ScopeZone),
+			class(Keyed, ScopeCell), class(Unsafe, ScopeAll)},
+		Limits: Limits{MaxAttempts: 4, HedgingAllowed: true, CancelAllowed: true, RetryAfter: true,
+			MaxRetryAfter: 2 * time.Second, ConnectTimeout: 200 * time.Millisecond},
+		Rules: Rules{DrainGrace: 0, InitialCapacity: 0.2, WarmUp: 10 * time.Second, OverloadMultiple: 3,
+			OverloadWindow: time.Second, MaxRefreshInterval: 10 * time.Second},
+	}
+}
+
+// members returns n ready workers in two zones, and in cells of six.
+func members(n int) []Member {
+	out := make([]Member, n)
+	for i := range out {
+		out[i] = Member{Worker: WorkerID(100 + i), Zone: i % 2, Cell: i / 6, Weight: 1}
+	}
+	return out
+}
--- a/decision/eligibility.go
+++ b/decision/eligibility.go
@@ -7,31 +7,29 @@
 	"frosttide/decision/permit"
 )
 
-// The send gate: what the rules let go where.
-
-// mayAttempt tells whether the request may have another attempt, wherever it goes.
+// mayAttempt reports whether the request may have another attempt at any worker.
 func (d *Dispatcher) mayAttempt(r *request) bool {
-	lim := &d.cfg.Limits
-	if r.closed || d.now >= r.deadline || (lim.MaxAttempts > 0 && len(r.attempts) >= lim.MaxAttempts) {
+	limits := &d.cfg.Limits
+	if r.closed || d.now >= r.deadline || (limits.MaxAttempts > 0 && len(r.attempts) >= limits.MaxAttempts) {
 		return false
 	}
 	unsafe := r.class.Effect == Unsafe
 	return !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		return !a.Ended && !lim.HedgingAllowed || unsafe && !a.neverRan()
+		return !a.Ended && !limits.HedgingAllowed || unsafe && !a.neverRan()
 	})
 }
 
-// allowed tells whether rules 1 to 4 let the request go to the worker now.
+// allowed reports whether the invariants of the package let the request go to the worker now.
 func (d *Dispatcher) allowed(r *request, w *worker) bool {
 	c := r.class
 	wrongKind := c.WorkerKind >= 0 && w.Kind != c.WorkerKind ||
 		w.ClassMask != 0 && w.ClassMask>>r.classIndex&1 == 0
-	cold := d.now < w.excludedUntil && !w.allWarming && !d.earlyWarmUp(w) && !d.trialAllowed(w, r)
-	if w.State != Ready || cold || wrongKind || !d.mayAttempt(r) || !d.withinWarmUpBudget(w, r) {
+	excluded := d.now < w.excludedUntil && !w.allWarming && !d.earlyWarmUp(w) && !d.trialAllowed(w, r)
+	if w.State != Ready || excluded || wrongKind || !d.mayAttempt(r) || !d.withinWarmUpBudget(w, r) {
 		return false
 	}
 	if len(r.attempts) > 0 && d.warming(w) {
-		return false // further attempts come on top of the traffic that rule 4 was reckoned with
+		return false // the warm-up budgets are computed from first attempts only
 	}
 	for i := range r.attempts {
 		a := &r.attempts[i]
@@ -48,38 +46,39 @@
 	return true
 }
 
-// warmUpStartWithin is how long an attempt at a worker that warms up may take to begin. Guards the bound
-// on what such a worker gets in a window, which is reckoned by when attempts are decided on: dials
-// that come up late together would bring one window what belongs to two.
+// warmUpStartWithin is how long an attempt at a warming worker may take to begin. What such a worker gets in
+// a window is counted by when attempts are decided on; connections that come up late together would bring one
+// window the attempts of two.
 const warmUpStartWithin = 100 * time.Millisecond
 
-// latestStart returns the latest moment at which an attempt decided on now may begin, 0 where its
-// deadline alone bounds it: before the window closes in which repeats are dropped, whatever holds
-// the process up, and before the budget of a worker that warms up is another window's.
-func (d *Dispatcher) latestStart(r *request, w *worker) (until time.Duration) {
+// latestStart returns the latest time at which an attempt decided on now may begin, 0 where the deadline
+// alone bounds it. It begins before the window closes in which workers drop repeats, even if the process
+// stalls meanwhile, and before the attempt would count against a later window of a warming worker's budget.
+func (d *Dispatcher) latestStart(r *request, w *worker) (latest time.Duration) {
 	if d.warming(w) {
-		until = d.now + warmUpStartWithin
+		latest = d.now + warmUpStartWithin
 	}
 	if r.class.Effect != Keyed {
-		return until
+		return latest
 	}
 	for i := range r.attempts {
 		if a := &r.attempts[i]; !a.neverRan() && a.worker != w {
 			closes := a.SentAt + r.class.DedupWindow - permit.MaxStall
-			if until == 0 || closes < until {
-				until = closes
+			if latest == 0 || closes < latest {
+				latest = closes
 			}
 		}
 	}
-	return until
+	return latest
 }
 
-// sameDedupScope tells whether two workers drop each other's repeats.
-func sameDedupScope(g DedupScope, a, b *worker) bool {
-	return g == ScopeAll || a.Zone == b.Zone && (g == ScopeZone || a.Cell == b.Cell)
+// sameDedupScope reports whether two workers drop each other's repeats.
+func sameDedupScope(scope DedupScope, a, b *worker) bool {
+	return scope == ScopeAll || a.Zone == b.Zone && (scope == ScopeZone || a.Cell == b.Cell)
 }
 
-// send is the one gate through which every attempt goes.
+// send sends the request to the worker if that is allowed and the worker has the tokens. Every attempt passes
+// it.
 func (d *Dispatcher) send(r *request, w *worker) {
 	if !d.allowed(r, w) || w.Free < r.slots {
 		return
--- a/decision/eligibility_test.go
+++ b/decision/eligibility_test.go
@@ -7,8 +7,8 @@
 	"frosttide/decision/permit"
 )
 
-// TestLatestStart has an attempt begin before what bounds it closes: the window in which repeats are dropped
-// and, at a worker that warms up, the share of the budget that it was reckoned with.
+// TestLatestStart checks that an attempt begins before the window closes in which repeats are dropped and,
+// at a warming worker, before its part of the budget belongs to another window.
 func TestLatestStart(t *testing.T) {
 	start := 1000 * time.Hour
 	cfg := Config{Instances: 1, Classes: []Class{{Effect: Keyed, DedupWindow: 10 * time.Second, Objective: time.Second, WorkerKind: -1},
@@ -43,7 +43,7 @@
 	}
 }
 
-// TestCancelUnconfirmed has no attempt follow one whose worker may not know that it was given up.
+// TestCancelUnconfirmed checks that no attempt follows one whose worker may not know of its cancel.
 func TestCancelUnconfirmed(t *testing.T) {
 	for _, unsure := range []bool{false, true} {
 		d, err := New(Config{Instances: 1, Classes: []Class{{Objective: time.Second, WorkerKind: -1}}, Limits: Limits{MaxAttempts: 3}}, 1)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestNoAttemptPastTarget has no attempt go out that would be called off at once, as its job can't be in time any
-// more and is worth nothing later.
+// TestNoAttemptPastTarget checks that no attempt is sent that would be canceled at once, as its request
+// cannot be in time any more and has no value later.
 func TestNoAttemptPastTarget(t *testing.T) {
 	cfg := Config{Instances: 1, StartEvents: true, Metrics: []Metric{MetricFreeSlots},
 		Classes: []Class{{Objective: time.Second, ClientTimeout: time.Minute, WorkerKind: -1}},
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -7,8 +7,8 @@
 	"frosttide/decision"
 )
 
-// A host tells a dispatcher of its workers and of a request, carries out the
-// send that comes back, and reports how it ended.
+// A host brings a dispatcher its list of workers and a request, carries out the Send that follows, and
+// reports how the attempt ended.
 func Example() {
 	cfg := decision.Config{
 		Classes: []decision.Class{{Effect: decision.Safe, Objective: 200 * time.Millisecond, Value: 1,
--- a/decision/forecast_test.go
+++ b/decision/forecast_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// loadReportConfig is a config of a deployment whose workers tell of their load in answers.
+// loadReportConfig is a config of a deployment whose workers report their load with answers.
 func loadReportConfig() Config {
 	cfg := bucketOnlyConfig()
 	cfg.Instances, cfg.StartEvents = 4, true
@@ -17,7 +17,7 @@
 	return cfg
 }
 
-// arriveFor brings a request with a hint of a tenant's and returns what is done with it.
+// arriveFor brings a request of a tenant with a hint and returns the action that it leads to.
 func (h *driver) arriveFor(class, tenant int, hint time.Duration) Action {
 	h.t.Helper()
 	h.lastRequest++
@@ -29,17 +29,18 @@
 	return out[0]
 }
 
+// start reports the start of an attempt.
 func (h *driver) start(a Action) {
 	h.step(Event{Type: AttemptStarted, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt})
 }
 
-// serveWithLoad has a job served and its worker report how many jobs wait and how many slots are free.
+// serveWithLoad ends an attempt as served, with a load report of queued jobs and free slots.
 func (h *driver) serveWithLoad(a Action, load [2]float32) {
 	h.step(Event{Type: AttemptEnded, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt, Outcome: Served,
 		RequestClosed: true, LoadCount: 3, Load: [MaxMetrics]float32{1, load[0], load[1]}})
 }
 
-// reportLoads has every worker serve a job and report on its load.
+// reportLoads has every worker serve a request and report its load: queued jobs and free slots.
 func (h *driver) reportLoads(load map[WorkerID][2]float32) {
 	h.t.Helper()
 	out := map[WorkerID]Action{}
@@ -57,7 +58,7 @@
 	}
 }
 
-// newIdleDriver lets four workers tell that they have four slots and nothing to do.
+// newIdleDriver returns a driver whose four workers have reported four free slots each.
 func newIdleDriver(t *testing.T, cfg Config) *driver {
 	h := newDriver(t, cfg, membersInOneZone(4))
 	for range 3 {
@@ -66,8 +67,8 @@
 	return h
 }
 
-// TestReportsSteer guards jobs against queues of other dispatchers' jobs: workers that have
-// told of none get the work, however many tokens the others have.
+// TestReportsSteer checks that workers without a queue get the work, however many of their tokens are in
+// use.
 func TestReportsSteer(t *testing.T) {
 	h := newIdleDriver(t, loadReportConfig())
 	h.reportLoads(map[WorkerID][2]float32{100: {9, 0}, 101: {9, 0}, 102: {9, 0}, 103: {0, 4}})
@@ -77,13 +78,12 @@
 		got[a.Worker]++
 	}
 	if got[103] != 3 {
-		t.Errorf("jobs went to %v, want all at 103, which alone has told of free slots", got)
+		t.Errorf("jobs went to %v, want all at 103, which alone has reported free slots", got)
 	}
 }
 
-// TestOverdueWorkIsRejected guards clients from answers that come too late to be worth anything, and
-// others from the queue that these would make: what no worker can do in time is refused at
-// once, with a time to come back.
+// TestOverdueWorkIsRejected checks that a request that no worker can do in time is rejected at once, with a
+// retry-after: its answer would have no value, and it would lengthen the queue for others.
 func TestOverdueWorkIsRejected(t *testing.T) {
 	h := newIdleDriver(t, loadReportConfig())
 	h.reportLoads(map[WorkerID][2]float32{100: {30, 0}, 101: {30, 0}, 102: {30, 0}, 103: {30, 0}})
@@ -94,12 +94,12 @@
 	}
 	h.advance(20 * time.Second)
 	if a := h.arriveFor(0, 0, 100*time.Millisecond); a.Type != Send {
-		t.Errorf("%+v, want a send: what was told is too old to refuse anybody by", a)
+		t.Errorf("%+v, want a send: the reports are too old to reject anything", a)
 	}
 }
 
-// TestLongWorkIsNotRejected guards work that is late by its own length alone: nothing waits
-// behind a queue, so to refuse it would help nobody.
+// TestLongWorkIsNotRejected checks that a request that is late by its own length alone is sent, as rejecting
+// it would help nobody.
 func TestLongWorkIsNotRejected(t *testing.T) {
 	h := newIdleDriver(t, loadReportConfig())
 	if a := h.arriveFor(0, 0, 4*time.Second); a.Type != Send {
@@ -107,9 +107,8 @@
 	}
 }
 
-// TestWaitPastTargetIsGivenUp guards those who could still be in time from jobs that wait and can
-// not: they are called off, what may run again goes elsewhere and what must not run twice
-// fails without another send.
+// TestWaitPastTargetIsGivenUp checks that an attempt that waits and cannot be in time any more is canceled:
+// a request that may run again goes elsewhere, and an Unsafe one fails without another send.
 func TestWaitPastTargetIsGivenUp(t *testing.T) {
 	for class, unsafe := range map[int]bool{1: false, 4: true} {
 		h := newIdleDriver(t, loadReportConfig())
@@ -136,8 +135,8 @@
 	}
 }
 
-// TestQuotaIsKept guards a tenant inside its share from one past it: while there is a queue
-// the latter is refused and the former served.
+// TestQuotaIsKept checks that while there is a queue a tenant beyond its quota is rejected and one within it
+// served.
 func TestQuotaIsKept(t *testing.T) {
 	h := newIdleDriver(t, loadReportConfig())
 	var served, refused [2]int
@@ -161,8 +160,8 @@
 	}
 }
 
-// TestFalseLoadReports guards clients of a deployment whose workers say that all is full,
-// though each job starts at once: the refusals end.
+// TestFalseLoadReports checks that rejections end where workers report that they are full though every
+// request starts at once.
 func TestFalseLoadReports(t *testing.T) {
 	h := newDriver(t, loadReportConfig(), membersInOneZone(4))
 	late := 0
--- a/decision/health.go
+++ b/decision/health.go
@@ -7,9 +7,8 @@
 	"frosttide/decision/forecast"
 )
 
-// What jobs show of workers.
-
-// restoreHealth takes over what an earlier process has found of a worker's health.
+// restoreHealth takes over what an earlier process has found of a worker's health, within the bounds that
+// this process keeps to.
 func (d *Dispatcher) restoreHealth(w *worker, h Health) {
 	w.Health = h
 	w.RestUntil, w.PaceAt = min(h.RestUntil, d.now+maxRest), min(h.PaceAt, d.now)
@@ -22,12 +21,23 @@
 	}
 }
 
-// handleReport takes in a load report.
+// handleReport updates the worker's load by the load report of an event.
 func (d *Dispatcher) handleReport(w *worker, ev *Event) {
 	d.fleet.RecordReport(&w.load, w.Kind, d.parseReport(ev), w.ownLoad(), d.now)
 }
 
-// parseReport reads a load report; what it does not tell is NaN.
+// handleProbe updates how many slots a worker has by the load report of a probe.
+func (d *Dispatcher) handleProbe(ev *Event) {
+	w := d.workers[ev.Worker]
+	if w == nil || ev.Outcome != Served {
+		return
+	}
+	if free := d.parseReport(ev).Free; free > 0 { // false for NaN
+		w.Most = max(w.Most, int(min(free, maxTokens)))
+	}
+}
+
+// parseReport returns the load report of an event; a value that it does not hold is NaN.
 func (d *Dispatcher) parseReport(ev *Event) forecast.Report {
 	r := forecast.Report{Free: math.NaN(), Queued: math.NaN(), InFlight: math.NaN()}
 	for i, m := range d.cfg.Metrics[:min(len(d.cfg.Metrics), int(ev.LoadCount))] {
@@ -43,17 +53,17 @@
 	return r
 }
 
-// recordRun takes in how long a job of a class ran at a worker.
+// recordRun updates the worker's pace and the means of the request's class by how long the request ran.
 func (d *Dispatcher) recordRun(w *worker, r *request, took time.Duration) {
-	share := d.rules.Capacity(w.StartedAt, d.now-took) // one that is cold is not slow for good
-	d.fleet.RecordRun(&w.load, w.Kind, r.classIndex, r.hint, r.job.Work, took.Seconds()*share, d.now)
+	capacity := d.rules.Capacity(w.StartedAt, d.now-took) // a warming worker is slow for a while only
+	d.fleet.RecordRun(&w.load, w.Kind, r.classIndex, r.hint, r.job.Work, took.Seconds()*capacity, d.now)
 	pace := min(took.Seconds()/d.meanRun[r.classIndex], maxPace)
 	w.Pace, w.PaceAt = w.Pace+(pace-w.Pace)*meanGain, d.now
 	d.meanRun[r.classIndex] += (took.Seconds() - d.meanRun[r.classIndex]) * meanGain
 }
 
-// widen makes room for requests of more slots than any before. Only what a worker
-// took counts: a client may ask for anything.
+// widen raises all workers' tokens to the slots of a request that has more than any before. Only requests
+// that a worker has taken count: a client may ask for any number.
 func (d *Dispatcher) widen(slots int) {
 	if slots <= d.maxRequestSlots {
 		return
@@ -66,14 +76,13 @@
 	}
 }
 
-// updateHealth draws the worker's health from how an attempt ended. A failure leaves it
-// tokens for one job and a rest that doubles with each in a row; a success
-// brings the others back. Guards against a worker that fails at once: its tokens
-// would be free, and draw jobs, all the time.
+// updateHealth updates the worker's health by how an attempt ended. A failure leaves it tokens for one
+// request and a rest that doubles with each further failure in a row; a success restores its tokens. Without
+// the rest a worker that fails at once would always have free tokens, and attract requests.
 func (d *Dispatcher) updateHealth(r *request, a *attempt) {
 	w := a.worker
 	if a.Outcome == Canceled || a.Outcome == NotSent || a.Outcome == Unusable {
-		return // says nothing of it
+		return // these tell nothing about the worker
 	}
 	d.widen(r.slots)
 	if a.Outcome == ConnectFailed {
@@ -90,7 +99,7 @@
 	default:
 		w.Failures++
 		if a.Outcome == ConnReset && w.Failures == 1 {
-			return // guards a worker that a connection breaks on now and then
+			return // a connection may break now and then
 		}
 		rest := min(restBase<<min(w.Failures-1, 8), maxRest)
 		w.RestUntil = d.now + rest/2 + d.jitter(rest)
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestFastErrorsDoNotAttract guards against a worker that fails at once and so
-// has free tokens all the time.
+// TestFastErrorsDoNotAttract checks that a worker that fails at once, and so always has free tokens, gets
+// few requests.
 func TestFastErrorsDoNotAttract(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(5))
 	bad := 0
@@ -25,9 +25,8 @@
 	}
 }
 
-// TestOverdueStart guards against work done twice: a worker that is late to start is
-// left alone, and nobody gets a copy of what it has, as it may run what is called
-// off.
+// TestOverdueStart checks that a worker with an overdue start is avoided, and that nobody gets a second
+// attempt of its request, as it may run what is canceled.
 func TestOverdueStart(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers = false
@@ -50,8 +49,8 @@
 	t.Error("the worker got nothing after it had started the job")
 }
 
-// TestOccasionalConnectionReset guards a worker that a connection breaks on now and then: it
-// rests only if another one breaks before a job has started.
+// TestOccasionalConnectionReset checks that a worker rests only if a second connection breaks before a
+// request has started.
 func TestOccasionalConnectionReset(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(1))
 	for range 5 {
@@ -69,8 +68,8 @@
 	}
 }
 
-// TestUnusableRequestChangesNoHealth guards a worker's tokens and everybody's retries: jobs
-// that no worker can use are failed at once and leave no trace.
+// TestUnusableRequestChangesNoHealth checks that requests that no worker can use fail at once, and change
+// neither tokens nor the retry budget.
 func TestUnusableRequestChangesNoHealth(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	widest, retries := h.d.maxRequestSlots, h.d.retryCredit-1
--- a/decision/lifecycle.go
+++ b/decision/lifecycle.go
@@ -7,8 +7,7 @@
 	"time"
 )
 
-// The course of a request, from its arrival to its end.
-
+// handleArrival takes a request: it is sent, rejected, or taken over with the attempts of an earlier process.
 func (d *Dispatcher) handleArrival(ev *Event) {
 	if d.requests[ev.Request] != nil {
 		return
@@ -17,27 +16,17 @@
 		d.emit(Action{Type: Reject, Request: ev.Request, Reason: UnknownClass})
 		return
 	}
-	r := &request{id: ev.Request, classIndex: ev.Class, class: &d.cfg.Classes[ev.Class],
-		deadline: ev.Deadline, hint: ev.Hint, slots: 1}
-	if ev.Slots > 1 { // false for NaN
-		r.slots = int(math.Ceil(min(ev.Slots, maxTokens)))
-	}
-	d.requests[r.id] = r
-	r.job = d.fleet.NewJob(r.classIndex, float64(r.slots), r.hint, d.meanRun[r.classIndex])
-	aim := r.class.LatencyTarget(cmp.Or(r.hint, time.Duration(r.job.Work*float64(time.Second))))
-	r.job.TargetAt, r.job.OverQuota = min(d.now+aim, r.deadline), !d.withinQuota(ev.Tenant)
-	r.job.Target = (r.job.TargetAt - d.now).Seconds()
+	r := d.newRequest(ev)
 	if len(ev.PriorAttempts) > 0 {
 		d.adoptAttempts(r, ev.PriorAttempts)
 		return
 	}
 	d.retryCredit = min(d.retryCredit+retryCreditPerRequest, maxRetryCredit)
 	d.traffic.RecordArrival(d.relativeWork(r), d.now)
-	// Guards a client that could be served elsewhere: most work of its class would be
-	// cut off.
-	hopeless := ev.ProcessStopping && (r.deadline-d.now).Seconds() < minRunsBeforeStop*d.meanRun[r.classIndex]
+	// Another dispatcher can serve the client, while here most requests of the class would be cut off.
+	cutOff := ev.ProcessStopping && (r.deadline-d.now).Seconds() < minRunsBeforeStop*d.meanRun[r.classIndex]
 	switch {
-	case hopeless:
+	case cutOff:
 		d.finish(r, ProcessStopping)
 	case !ev.Compensating && !d.fleet.Known() && d.rejectsForOverload(r, ev.Retry):
 		d.finish(r, Overload)
@@ -49,34 +38,51 @@
 	}
 }
 
-// adoptAttempts takes over a request's attempts; those that are out hold tokens from now on.
-func (d *Dispatcher) adoptAttempts(r *request, past []AttemptRecord) {
-	out := false
-	for _, p := range past {
-		w := d.workers[p.Worker]
+// newRequest returns the state of an arriving request, with its latency target, and adds it to the open
+// requests.
+func (d *Dispatcher) newRequest(ev *Event) *request {
+	r := &request{id: ev.Request, classIndex: ev.Class, class: &d.cfg.Classes[ev.Class],
+		deadline: ev.Deadline, hint: ev.Hint, slots: 1}
+	if ev.Slots > 1 { // false for NaN
+		r.slots = int(math.Ceil(min(ev.Slots, maxTokens)))
+	}
+	d.requests[r.id] = r
+	r.job = d.fleet.NewJob(r.classIndex, float64(r.slots), r.hint, d.meanRun[r.classIndex])
+	target := r.class.LatencyTarget(cmp.Or(r.hint, time.Duration(r.job.Work*float64(time.Second))))
+	r.job.TargetAt, r.job.OverQuota = min(d.now+target, r.deadline), !d.withinQuota(ev.Tenant)
+	r.job.Target = (r.job.TargetAt - d.now).Seconds()
+	return r
+}
+
+// adoptAttempts takes over a request's attempts from an earlier process. Those that are open hold tokens from
+// now on; where none is, the request is sent anew.
+func (d *Dispatcher) adoptAttempts(r *request, records []AttemptRecord) {
+	open := false
+	for _, record := range records {
+		w := d.workers[record.Worker]
 		if w == nil {
-			w = &worker{Member: Member{Worker: p.Worker, State: Removed}} // it has left the list
+			w = &worker{Member: Member{Worker: record.Worker, State: Removed}} // it has left the list
 		}
-		r.attempts = append(r.attempts, attempt{AttemptRecord: p, worker: w})
-		if p.Ended {
+		r.attempts = append(r.attempts, attempt{AttemptRecord: record, worker: w})
+		if record.Ended {
 			continue
 		}
-		out = true
+		open = true
 		d.bucket.Remove(&w.tokens, min(r.slots, w.Free))
 		w.InUse += r.slots
 		w.outstandingWork += r.job.Slots * r.job.Work
-		if p.Started {
+		if record.Started {
 			w.runningSlots += r.slots
 		}
 	}
-	if !out && !d.dispatch(r) {
+	if !open && !d.dispatch(r) {
 		d.finish(r, d.rejectReason(r))
 	}
 }
 
-// markOverdue acts on an attempt that has not started in the usual time: its worker
-// is left alone until it starts or ends. The request has no attempt beside it: a
-// worker may run what was called off, so copies do the work twice.
+// markOverdue marks an attempt that has not started in the usual time; its worker is avoided until it starts
+// or ends. The request gets no second attempt for it: workers may still run what was canceled, so hedging
+// would do the work twice.
 func (d *Dispatcher) markOverdue(t timer) {
 	if a := &t.request.attempts[t.attempt]; !a.Ended && !a.Started {
 		a.overdue = true
@@ -84,26 +90,26 @@
 	}
 }
 
-// hedge sends a second copy of a request whose attempt is far behind its like, out of the credit
-// for retries and by the same rules. What must not run twice has none. Where a copy lags too the
-// first attempt gives way: its end is what another is sent at.
+// hedge sends a second attempt of a straggling request, out of the retry budget and by the same rules as a
+// retry [Dean & Barroso, "The Tail at Scale", 2013]. An Unsafe request is never hedged. Where the second
+// attempt straggles too, the first one is canceled, and its end leads to a third.
 func (d *Dispatcher) hedge(r *request) {
-	out, first := 0, 0
+	open, first := 0, 0
 	for i := range r.attempts {
 		if !r.attempts[i].Ended {
-			if out++; out == 1 {
+			if open++; open == 1 {
 				first = i
 			}
 		}
 	}
-	if out < 1 || out > 2 || r.class.Effect == Unsafe || d.retryCredit < 1 {
+	if open < 1 || open > 2 || r.class.Effect == Unsafe || d.retryCredit < 1 {
 		return
 	}
-	w := d.selectWorker(r, false)
+	w := d.selectWorker(r, healthyOnly)
 	if w == nil || r.job.Work/d.rules.Capacity(w.StartedAt, d.now) >= (r.deadline-d.now).Seconds() {
 		return
 	}
-	if out == 2 {
+	if open == 2 {
 		d.cancel(r, first)
 	} else {
 		d.retryCredit--
@@ -111,30 +117,7 @@
 	}
 }
 
-// limitsWait tells whether attempts of the request are called off once they could not be in time.
-func (d *Dispatcher) limitsWait(r *request) bool {
-	return d.cfg.StartEvents && d.fleet.Known() && d.cfg.Limits.CancelAllowed && r.class.LateValue == 0
-}
-
-// giveUpWaiting gives up an attempt that waits and could not be in time any more where late
-// answers are worth nothing: what it waits for serves others. What must not run twice fails.
-func (d *Dispatcher) giveUpWaiting(t timer) {
-	r := t.request
-	a := &r.attempts[t.attempt]
-	if a.Ended || a.Started || r.closed {
-		return
-	}
-	d.fleet.RecordNoStart(&a.worker.load, a.worker.Kind, &r.job, a.worker.ownLoad(), d.now)
-	switch {
-	case r.class.Effect == Unsafe:
-		d.emit(Action{Type: Fail, Request: r.id, Reason: Overload})
-		d.close(r)
-	default:
-		d.cancel(r, t.attempt)
-	}
-}
-
-// handleStart takes in that a worker runs an attempt.
+// handleStart updates the attempt, its worker and what is known of waits when the worker has begun to run it.
 func (d *Dispatcher) handleStart(r *request, a *attempt) {
 	a.Started, a.StartedAt = true, d.now
 	a.worker.runningSlots += r.slots
@@ -150,7 +133,30 @@
 	d.fleet.RecordStart(&a.worker.load, a.worker.Kind, &r.job, a.overdue, a.worker.ownLoad(), d.now)
 }
 
+// handleEnd takes the end of an attempt: the worker's state is updated, and the request is closed, retried or
+// finished.
 func (d *Dispatcher) handleEnd(r *request, a *attempt, ev *Event) {
+	d.endAttempt(r, a, ev)
+	switch {
+	case ev.RequestClosed || ev.Outcome == Served:
+		d.close(r)
+	case r.closed:
+		d.removeIfDone(r)
+	case ev.Outcome == Unusable:
+		d.retryCredit = max(d.retryCredit-retryCreditPerRequest, 0) // it earns no retries
+		d.emit(Action{Type: Fail, Request: r.id, Reason: NoCapableWorker})
+		d.close(r)
+	case ev.CancelUnconfirmed: // another attempt could run beside it
+		d.finish(r, MayHaveRun)
+	case d.retryCredit >= 1 && d.dispatch(r): // the budget keeps retries from amplifying an overload
+		d.retryCredit--
+	default:
+		d.finish(r, d.rejectReason(r))
+	}
+}
+
+// endAttempt updates the attempt, its worker's load, health and tokens, and the shedder by the attempt's end.
+func (d *Dispatcher) endAttempt(r *request, a *attempt, ev *Event) {
 	a.Ended, a.Outcome = true, ev.Outcome
 	if a.Started {
 		a.worker.runningSlots -= r.slots
@@ -165,40 +171,43 @@
 	a.worker.outstandingWork -= r.job.Slots * r.job.Work
 	d.updateHealth(r, a)
 	d.release(a.worker, r.slots)
-	if ev.Outcome == Rejected { // a full queue says so sooner than the late starts in it
+	if ev.Outcome == Rejected { // a full queue shows before the late starts in it
 		d.shedder.RecordStart(true)
 	}
+}
+
+// rejectReason returns why a request gets no further attempt.
+func (d *Dispatcher) rejectReason(r *request) Reason {
+	maxAttempts := d.cfg.Limits.MaxAttempts
+	mayHaveRun := slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverRan() })
 	switch {
-	case ev.RequestClosed || ev.Outcome == Served:
-		d.close(r)
-	case r.closed:
-		d.removeIfDone(r)
-	case ev.Outcome == Unusable: // guards the retries that others need
-		d.retryCredit = max(d.retryCredit-retryCreditPerRequest, 0)
-		d.emit(Action{Type: Fail, Request: r.id, Reason: NoCapableWorker})
-		d.close(r)
-	case ev.CancelUnconfirmed: // a second copy where none is allowed
-		d.finish(r, MayHaveRun)
-	case d.retryCredit >= 1 && d.dispatch(r): // the budget keeps trouble from feeding itself
-		d.retryCredit--
-	default:
-		d.finish(r, d.rejectReason(r))
-	}
+	case d.now >= r.deadline:
+		return DeadlineExceeded
+	case r.missesTarget:
+		return Overload
+	case r.class.Effect == Unsafe && mayHaveRun:
+		return MayHaveRun
+	case maxAttempts > 0 && len(r.attempts) >= maxAttempts:
+		return AttemptsExhausted
+	case len(r.attempts) > 0 && d.retryCredit < 1:
+		return RetryBudgetExhausted
+	}
+	return NoFreeToken
 }
 
-// finish is the one place where a request that nobody serves is ended: it waits
-// while an attempt is out, refuses where that is harmless, else fails.
-func (d *Dispatcher) finish(r *request, why Reason) {
+// finish ends a request that is not served: not before its last attempt has ended, with a Reject where
+// another try of the client does no harm, otherwise with a Fail.
+func (d *Dispatcher) finish(r *request, reason Reason) {
 	c := r.class
-	answer := Action{Type: Reject, Request: r.id, Reason: why}
+	answer := Action{Type: Reject, Request: r.id, Reason: reason}
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if !a.Ended {
 			return
 		}
-		inTime := d.now+d.cfg.Limits.MaxRetryAfter < a.SentAt+c.DedupWindow
-		dropped := c.Effect == Keyed && c.DedupScope == ScopeAll && inTime
-		if c.Effect != Safe && !a.neverRan() && !dropped {
+		repeatDropped := c.Effect == Keyed && c.DedupScope == ScopeAll &&
+			d.now+d.cfg.Limits.MaxRetryAfter < a.SentAt+c.DedupWindow
+		if c.Effect != Safe && !a.neverRan() && !repeatDropped {
 			answer.Type = Fail
 		}
 	}
@@ -209,7 +218,7 @@
 	d.close(r)
 }
 
-// close marks a request as over and calls off what is still out for it.
+// close closes a request and cancels its open attempts.
 func (d *Dispatcher) close(r *request) {
 	r.closed = true
 	for i := range r.attempts {
@@ -218,13 +227,15 @@
 	d.removeIfDone(r)
 }
 
-// removeIfDone drops a request that is over once none of its attempts is out.
+// removeIfDone deletes a closed request once it has no open attempts.
 func (d *Dispatcher) removeIfDone(r *request) {
 	if !slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.Ended }) {
 		delete(d.requests, r.id)
 	}
 }
 
+// cancel cancels an attempt if it is open and the deployment allows it; the attempt stays open until its end
+// is reported.
 func (d *Dispatcher) cancel(r *request, attempt int) {
 	if d.cfg.Limits.CancelAllowed && !r.attempts[attempt].Ended {
 		d.emit(Action{Type: Cancel, Request: r.id, Attempt: attempt})
--- a/decision/lifecycle_test.go
+++ b/decision/lifecycle_test.go
@@ -19,9 +19,8 @@
 	}
 }
 
-// TestSettingsChange guards what is open and known over a change of settings: a request
-// keeps the class it came with, none gets an attempt past a lowered cap, and tokens that
-// are held stay held.
+// TestSettingsChange checks what stays over a change of settings: a request keeps the class that it arrived
+// with, none gets an attempt beyond a lowered limit, and tokens in use stay in use.
 func TestSettingsChange(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
 	safe, other := h.arrive(0, 1), h.arrive(0, 1)
@@ -50,12 +49,12 @@
 		held += w.InUse
 	}
 	if held != 2 {
-		t.Errorf("%d tokens are held, want those of the two attempts that are out", held)
+		t.Errorf("%d tokens are in use, want those of the two open attempts", held)
 	}
 }
 
-// TestAdopt guards a request that an earlier process began: its attempt is out here too,
-// holds its worker's token, and is counted for what it may still do.
+// TestAdopt checks that the open attempt of a request from an earlier process holds its worker's token, and
+// counts for what the request may still do.
 func TestAdopt(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	held := func() (n int) {
@@ -74,7 +73,7 @@
 	}
 	safe, unsafe, left := adopt(1, 0, 100), adopt(2, 4, 101), adopt(3, 0, 999)
 	if n := held(); n != 2 {
-		t.Errorf("%d tokens are held, want those of the two attempts at listed workers", n)
+		t.Errorf("%d tokens are in use, want those of the two attempts at listed workers", n)
 	}
 	if out := h.end(safe, Errored); len(out) != 1 || out[0].Type != Send || out[0].Worker != 101 || out[0].Attempt != 1 {
 		t.Errorf("its failure led to %v, want a second attempt elsewhere", out)
@@ -87,6 +86,6 @@
 	}
 	h.end(left, Served)
 	if n := held(); n != 1 {
-		t.Errorf("%d tokens are held at the end, want the second attempt's", n)
+		t.Errorf("%d tokens are in use at the end, want the second attempt's", n)
 	}
 }
--- a/decision/limits_test.go
+++ b/decision/limits_test.go
@@ -12,11 +12,11 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// exempt are the files that decide nothing: the interface, the state, and what is told.
-var exempt = []string{"api.go", "machine.go", "inspect.go"}
+// exempt are the files that decide nothing: the documentation, the interface, the state and questions about it.
+var exempt = []string{"action.go", "config.go", "doc.go", "event.go", "inspect.go", "machine.go"}
 
-// TestModuleSize keeps the module's files short enough to be read one at a time, and each that
-// decides named under policy in the deploy file.
+// TestModuleSize checks that the package's files are short enough to be read one at a time, and that each
+// one that decides is named under policy in the deploy file.
 func TestModuleSize(t *testing.T) {
 	const maxLines, maxColumns = 240, 110
 	text, err := os.ReadFile("../deploy/balancer.toml")
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -18,50 +18,46 @@
 	"frosttide/internal/bucket"
 )
 
-// The module's state, and how events reach the files that decide. Nothing here decides: those
-// are list.go, cold.go, health.go, bucket.go, choice.go, gate.go, course.go, overload.go and
-// settings.go.
-
 // worker is what this dispatcher knows of a worker.
 type worker struct {
 	Member
 	Health
 	tokens
-	allWarming      bool // it was cold when all were: it is used by its ration
-	untried         bool // it has been put back and sent nothing since
-	overdue         int  // its attempts whose start is overdue
-	excludedUntil   time.Duration
-	budgetedUntil   time.Duration
-	sentWork        warmupbudget.LeakyBucket
+	allWarming      bool                     // all workers were warming up: it is used within its budget
+	untried         bool                     // it has been reinstated and sent nothing since
+	overdue         int                      // how many of its open attempts have an overdue start
+	excludedUntil   time.Duration            // it gets no attempts until then, as it warms up
+	budgetedUntil   time.Duration            // it gets no more than its warm-up budget until then
+	sentWork        warmupbudget.LeakyBucket // what counts against that budget
 	load            forecast.Worker
-	outstandingWork float64 // seconds times slots that its attempts are taken for
-	runningSlots    int     // slots that started attempts use; Most is the most that they did
-	updateNumber    uint64  // the last list that met it
-	listedWeight    float64 // what it adds to the sum of weights
+	outstandingWork float64 // slots times seconds that its open attempts are estimated at
+	runningSlots    int     // slots of its started attempts; Health.Most is their maximum so far
+	updateNumber    uint64  // the last update of the list that named it
+	listedWeight    float64 // what it adds to Dispatcher.totalWeight
 }
 
-// attempt is one send of a request. It holds tokens until it ends.
+// attempt is one sending of a request. It holds tokens until it ends.
 type attempt struct {
 	AttemptRecord
 	worker  *worker
-	overdue bool
+	overdue bool // it had not started when it should have
 }
 
-// request is a request that is not yet answered, or still has attempts out.
+// request is a request that has no final answer yet, or still has open attempts.
 type request struct {
 	id           RequestID
 	classIndex   int
-	class        *Class // its class as it was when it came
+	class        *Class // the class as it was when the request arrived
 	slots        int
 	hint         time.Duration
 	job          forecast.Job
-	missesTarget bool // no worker is likely to have done it in time
+	missesTarget bool // no worker was likely to do it in time when it was last tried
 	deadline     time.Duration
 	attempts     []attempt
 	closed       bool
 }
 
-// timer says what to do when a timer fires.
+// timer is what happens when a timer fires, and to which request, attempt and worker.
 type timer struct {
 	fire    func(d *Dispatcher, t timer)
 	request *request
@@ -69,25 +65,25 @@
 	worker  *worker
 }
 
-// Dispatcher decides for one scheduler. It is not safe for concurrent use.
+// Dispatcher is the state machine of one dispatcher; make it with New. It is not safe for concurrent use.
 type Dispatcher struct {
 	cfg      Config
 	rules    warmupbudget.Rules
 	rng      *rand.Rand
 	now      time.Duration
-	actions  []Action
+	actions  []Action // of the present Step
 	requests map[RequestID]*request
 	timers   map[uint32]timer
 	timerSeq uint32
 
 	workers         map[WorkerID]*worker
 	listed          []*worker // the same in the order in which they were first listed
-	updates         uint64    // lists taken in
-	callPlanned     bool      // a call for the list is planned
-	failedCalls     int       // in a row
-	totalWeight     float64   // of the listed workers, the sum
+	updates         uint64    // how many updates of the list there were
+	callPlanned     bool      // a timer for a Subscribe runs
+	failedCalls     int       // calls for the list that failed, in a row
+	totalWeight     float64   // of the listed workers
 	meanWeight      float64
-	maxRequestSlots int // most slots that a request took
+	maxRequestSlots int // the most slots of a request that a worker has taken
 
 	bucket *bucket.Bucket[*worker]
 
@@ -95,32 +91,51 @@
 	fleet       forecast.Fleet
 	waits       waittime.Waits
 	traffic     warmupbudget.Traffic
-	probed      bool // a cold worker has been asked how many slots it has
+	probed      bool // a warming worker has been asked for its free slots
 	quotas      fairshare.Quotas
 	meanRun     []float64 // mean seconds from start to answer, by class
 	shedder     shedding.Shedder
-	retryCredit float64 // credit for attempts after a failure
+	retryCredit float64 // how many attempts after a failure the budget allows now
+}
+
+// ErrNoClasses is returned by New for a Config without classes.
+var ErrNoClasses = errors.New("decision: Config.Classes is empty")
+
+// InvalidClassError is returned by New for a class with a negative time or an unknown enumeration value.
+type InvalidClassError struct {
+	Index int // into Config.Classes
 }
 
-// New makes a dispatcher. Equal configs, seeds and events lead to equal actions.
+// Error names the class.
+func (e *InvalidClassError) Error() string {
+	return fmt.Sprintf("decision: Config.Classes[%d] has a value out of range", e.Index)
+}
+
+// New makes a dispatcher that knows no workers. Equal configs, seeds and events lead to equal actions. It
+// returns ErrNoClasses or an *InvalidClassError for a Config that cannot be used.
 func New(cfg Config, seed uint64) (*Dispatcher, error) {
 	if len(cfg.Classes) == 0 {
-		return nil, errors.New("decision: Config.Classes is empty")
+		return nil, ErrNoClasses
 	}
-	d := &Dispatcher{rng: rand.New(rand.NewPCG(seed, 0)),
-		requests: map[RequestID]*request{}, timers: map[uint32]timer{}, workers: map[WorkerID]*worker{},
-		maxRequestSlots: 1, retryCredit: maxRetryCredit}
 	for i, c := range cfg.Classes {
 		if c.Effect > Unsafe || c.DedupScope > ScopeCell || c.DedupWindow < 0 || c.Objective < 0 {
-			return nil, fmt.Errorf("decision: Config.Classes[%d] has a value out of range", i)
+			return nil, &InvalidClassError{Index: i}
 		}
 	}
+	d := &Dispatcher{
+		rng:             rand.New(rand.NewPCG(seed, 0)),
+		requests:        map[RequestID]*request{},
+		timers:          map[uint32]timer{},
+		workers:         map[WorkerID]*worker{},
+		maxRequestSlots: 1,
+		retryCredit:     maxRetryCredit,
+		bucket:          bucket.New[*worker](),
+	}
 	d.configure(cfg)
-	d.bucket = bucket.New[*worker]()
 	return d, nil
 }
 
-// configure takes settings. What is known stays, and requests keep the class they came with.
+// configure takes over settings. What is known stays, and requests keep the class that they arrived with.
 func (d *Dispatcher) configure(cfg Config) {
 	d.cfg = cfg
 	d.cfg.Classes = slices.Clone(cfg.Classes)
@@ -136,8 +151,9 @@
 	}
 }
 
-// Step takes the events of one moment, in their order, appends the actions
-// that answer them to actions and returns it. now never goes back.
+// Step handles the events of one moment, in their order, appends the actions that they lead to to actions and
+// returns it. The time now is read from the clock that the dispatchers of a fleet share, as a duration since
+// its epoch; one that is earlier than that of the last Step counts as equal to it.
 func (d *Dispatcher) Step(now time.Duration, events []Event, actions []Action) []Action {
 	d.now, d.actions = max(now, d.now), actions
 	if d.timerSeq == 0 {
@@ -150,6 +166,8 @@
 	return actions
 }
 
+// handle passes an event to the file that decides on it. Events on unknown requests, workers, attempts and
+// timers change nothing.
 func (d *Dispatcher) handle(ev *Event) {
 	switch ev.Type {
 	case MembersReplaced, MembersChanged:
@@ -176,11 +194,7 @@
 			d.handleEnd(r, a, ev)
 		}
 	case ProbeEnded:
-		if w := d.workers[ev.Worker]; w != nil && ev.Outcome == Served {
-			if free := d.parseReport(ev).Free; free > 0 { // false for NaN
-				w.Most = max(w.Most, int(min(free, maxTokens)))
-			}
-		}
+		d.handleProbe(ev)
 	case HealthRestored:
 		if w := d.workers[ev.Worker]; w != nil {
 			d.restoreHealth(w, ev.Health)
@@ -197,8 +211,8 @@
 	}
 }
 
-// openAttempt returns the attempt that an event speaks of, if it is still out: stale,
-// repeated and unknown events find none and change nothing.
+// openAttempt returns the open attempt that an event is about, and its request; nil for stale, repeated and
+// unknown events, which change nothing.
 func (d *Dispatcher) openAttempt(ev *Event) (*request, *attempt) {
 	r := d.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
@@ -211,20 +225,22 @@
 	return r, a
 }
 
+// emit appends an action to those of the present Step.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
+// setTimer has a timer fire at the given time.
 func (d *Dispatcher) setTimer(at time.Duration, t timer) {
 	d.timerSeq++
 	d.timers[d.timerSeq] = t
 	d.emit(Action{Type: SetTimer, At: at, Token: d.timerSeq})
 }
 
-// jitter returns a random time below span.
+// jitter returns a uniformly random duration from 0 to span.
 func (d *Dispatcher) jitter(span time.Duration) time.Duration {
 	return time.Duration(d.rng.Float64() * float64(span))
 }
 
-// effectiveWeight returns a usable weight: 1 where the list gives none.
+// effectiveWeight returns the worker's weight, 1 where the list gives none that can be used.
 func (m *Member) effectiveWeight() float64 {
 	if m.Weight > 0 && !math.IsInf(m.Weight, 0) {
 		return m.Weight
@@ -232,10 +248,10 @@
 	return 1
 }
 
-// ownLoad tells what this dispatcher has out at a worker.
+// ownLoad returns what this dispatcher's own open attempts use at the worker.
 func (w *worker) ownLoad() forecast.Own {
 	return forecast.Own{InUse: float64(w.InUse), Running: float64(w.runningSlots), Work: w.outstandingWork}
 }
 
-// neverRan tells whether it is proved that the attempt did not run.
+// neverRan reports whether it is proved that the attempt did not run.
 func (a *attempt) neverRan() bool { return a.Ended && a.Outcome.NeverRan() }
--- a/decision/membership.go
+++ b/decision/membership.go
@@ -7,11 +7,9 @@
 	"frosttide/decision/freshness"
 )
 
-// The list of workers: when it is asked for, and what its entries change.
-
-// planSubscribe subscribes to the worker list after a random wait that grows with
-// each failed call and, past a number of them, with that of dispatchers: all of them
-// asking at once would swamp discovery, where a call that waits too long fails.
+// planSubscribe plans a Subscribe after a random wait that grows with each failed call in a row and, above
+// freshness.MaxUnspreadCallers, with the number of dispatchers. Calls of all dispatchers at once would
+// overload discovery, where a call that waits too long fails.
 func (d *Dispatcher) planSubscribe() {
 	if !d.cfg.PullMembers || d.callPlanned {
 		return
@@ -24,29 +22,27 @@
 	}})
 }
 
+// updateMembers takes over a list of workers, or changes of it, and gives tokens to the workers that become
+// ready.
 func (d *Dispatcher) updateMembers(ev *Event) {
 	d.failedCalls = 0
 	d.updates++
-	gone := ev.Type == MembersReplaced
+	complete := ev.Type == MembersReplaced
+	removed := false
 	var ready []*worker
 	for i := range ev.Members {
 		m := &ev.Members[i]
-		w := d.workers[m.Worker]
-		if w == nil {
-			w = &worker{Member: Member{Worker: m.Worker, State: Removed}, Health: Health{Pace: 1}}
-			d.workers[m.Worker] = w
-			d.listed = append(d.listed, w)
-		}
+		w := d.member(m.Worker)
 		w.updateNumber = d.updates
 		d.totalWeight += m.effectiveWeight() - w.listedWeight
 		w.listedWeight = m.effectiveWeight()
 		if d.updateMember(w, m) {
 			ready = append(ready, w)
 		}
-		gone = gone || w.State == Removed
+		removed = removed || w.State == Removed
 	}
-	if gone {
-		d.removeDeparted(ev.Type == MembersReplaced)
+	if complete || removed {
+		d.removeDeparted(complete)
 	}
 	d.meanWeight = d.totalWeight / float64(max(len(d.listed), 1))
 	if d.bucket.Empty() {
@@ -59,12 +55,23 @@
 	d.fill(d.useAllWarming())
 }
 
-// removeDeparted drops workers that have left the list, after a whole list all that it does not name. Only
-// then are all workers gone through: a large fleet's list changes all the time.
-func (d *Dispatcher) removeDeparted(whole bool) {
+// member returns the worker of an ID, a new one where it is unknown.
+func (d *Dispatcher) member(id WorkerID) *worker {
+	w := d.workers[id]
+	if w == nil {
+		w = &worker{Member: Member{Worker: id, State: Removed}, Health: Health{Pace: 1}}
+		d.workers[id] = w
+		d.listed = append(d.listed, w)
+	}
+	return w
+}
+
+// removeDeparted deletes the workers that have left the list; after a complete list, all that it does not
+// name. It visits every worker, which is too dear for each of the many changes of a large fleet's list.
+func (d *Dispatcher) removeDeparted(complete bool) {
 	d.totalWeight = 0
 	d.listed = slices.DeleteFunc(d.listed, func(w *worker) bool {
-		if whole && w.updateNumber != d.updates {
+		if complete && w.updateNumber != d.updates {
 			d.withdraw(w, Removed)
 		}
 		if w.State == Removed {
@@ -76,32 +83,32 @@
 	})
 }
 
-// useAllWarming returns the cold workers that are used by their ration from now on, as no worker is warm.
-// Guards clients after a power cut: they would be refused for as long as nobody is half warm.
-func (d *Dispatcher) useAllWarming() (cold []*worker) {
+// useAllWarming returns the warming workers if there are no others, and has them used within their budgets
+// from now on. After a power cut clients would otherwise be rejected until a worker has warmed up enough.
+func (d *Dispatcher) useAllWarming() (warming []*worker) {
 	for _, w := range d.listed {
 		if w.State == Ready && (d.now >= w.excludedUntil || w.Limit > 0) {
 			return nil
 		}
 		if w.State == Ready {
-			cold = append(cold, w)
+			warming = append(warming, w)
 		}
 	}
-	for _, w := range cold {
+	for _, w := range warming {
 		w.allWarming = true
 	}
-	return cold
+	return warming
 }
 
-// updateMember takes over a list entry and tells whether the worker became ready for
-// work. A worker that is still cold gets its tokens when that time is over.
+// updateMember takes over an entry of the list and reports whether the worker gets its tokens now. A worker
+// that warms up gets them by a timer.
 func (d *Dispatcher) updateMember(w *worker, m *Member) bool {
-	begins := m.State == Ready && (w.State != Ready || m.StartedAt > w.StartedAt)
-	if m.State != Ready || begins {
+	becomesReady := m.State == Ready && (w.State != Ready || m.StartedAt > w.StartedAt)
+	if m.State != Ready || becomesReady {
 		d.withdraw(w, m.State)
 	}
 	w.Member = *m
-	if !begins {
+	if !becomesReady {
 		return false
 	}
 	w.Failures, w.Failed, w.RestUntil, w.untried, w.allWarming = 0, false, 0, w.Reinstated, false
@@ -120,17 +127,17 @@
 	return d.now >= w.excludedUntil || w.Reinstated || d.earlyWarmUp(w)
 }
 
-// grantTokens gives a worker its tokens once its cold time is over, and new places in
-// the bucket once its ration is: they have come to the front meanwhile, and would
-// draw many jobs in a row.
+// grantTokens gives a worker its tokens once it may be used, and again, at new positions of the bucket, once
+// it has no budget any more: its tokens have come to the front meanwhile and would attract many requests in a
+// row.
 func (d *Dispatcher) grantTokens(t timer) {
 	if w := t.worker; w.State == Ready && d.now >= w.excludedUntil && !w.Failed {
 		d.join(w)
 	}
 }
 
-// withdraw takes a worker's free tokens out of the bucket; those that it holds
-// are dropped as they come back.
+// withdraw removes a worker's free tokens from the bucket; those that attempts hold are dropped as they
+// return.
 func (d *Dispatcher) withdraw(w *worker, state MemberState) {
 	w.State, w.Limit = state, 0
 	d.trim(w)
--- a/decision/membership_test.go
+++ b/decision/membership_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// nextCall returns how long a dispatcher waits with its call for the list after failures.
+// nextCall returns how long a dispatcher waits with its next call for the list after failures.
 func nextCall(t *testing.T, cfg Config, seed uint64, failures int) time.Duration {
 	t.Helper()
 	d, err := New(cfg, seed)
@@ -25,8 +25,8 @@
 	return 0
 }
 
-// TestSubscribeSpreadAndBackoff guards discovery, which cannot answer every
-// dispatcher at once.
+// TestSubscribeSpreadAndBackoff checks that calls for the list are spread, and that their wait grows with
+// failures, as discovery cannot answer every dispatcher at once.
 func TestSubscribeSpreadAndBackoff(t *testing.T) {
 	first := func(seed uint64, failures int) time.Duration { return nextCall(t, testConfig(), seed, failures) }
 	mean := func(failures int) (sum time.Duration) {
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestSubscribeAfterFailures guards the pace of calls for the list: a whole list, like
-// changes, ends the growing waits that failed calls led to.
+// TestSubscribeAfterFailures checks that a complete list, like changes, ends the growing waits that failed
+// calls led to.
 func TestSubscribeAfterFailures(t *testing.T) {
 	cfg := bucketOnlyConfig()
 	cfg.PullMembers, cfg.Rules.MaxRefreshInterval = true, 16*time.Second
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestManyDispatchersSpreadSubscribes guards discovery, which answers about ten calls a second and fails
-// those that wait for two: 80 dispatchers that start at one moment, or lose it at one, ask
-// over seconds, and still within the time in which each has to ask.
+// TestManyDispatchersSpreadSubscribes checks that 80 dispatchers which start, or lose discovery, at the same
+// time call it over seconds, and within the refresh interval: discovery answers about ten calls a second and
+// fails those that wait for two seconds.
 func TestManyDispatchersSpreadSubscribes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 80
--- a/decision/overload.go
+++ b/decision/overload.go
@@ -7,10 +7,8 @@
 	"frosttide/decision/warmupbudget"
 )
 
-// What is refused so that the rest is in time.
-
-// withinQuota tells whether a request is inside its tenant's share, by this dispatcher's part of
-// the work that the fleet is known to hold.
+// withinQuota reports whether another request of the tenant is within its quota, by this dispatcher's part of
+// the work that the fleet is known to have.
 func (d *Dispatcher) withinQuota(tenant int) bool {
 	if d.fleet.Known() && d.quotas.NeedsSample(d.now) {
 		var own, all float64
@@ -22,30 +20,54 @@
 	return d.quotas.Within(tenant, d.now)
 }
 
-// rejectsForOverload tells whether an arrival is refused because requests start late; a client's
-// repeat counts at the worth of a late answer.
+// rejectsForOverload reports whether a new request is rejected because requests start late. A client's repeat
+// has the value of a late answer.
 func (d *Dispatcher) rejectsForOverload(r *request, repeat bool) bool {
-	worth := r.class.Value
+	value := r.class.Value
 	if repeat {
-		worth *= r.class.LateValue
+		value *= r.class.LateValue
 	}
-	return d.rng.Float64() < d.shedder.RejectFraction(worth, d.meanRun[r.classIndex])
+	return d.rng.Float64() < d.shedder.RejectFraction(value, d.meanRun[r.classIndex])
 }
 
-// startSlack returns how long a typical request can wait and still be in time: run
-// times are skewed, so half of them are far below the mean.
+// startSlack returns how long a typical request can wait and still meet its latency target. It takes half the
+// mean run time, as run times are skewed and half of them are far below the mean.
 func (d *Dispatcher) startSlack(r *request) time.Duration {
 	c := r.class
 	return c.Objective + time.Duration(max(c.Stretch-1, 0)*d.meanRun[r.classIndex]/2*float64(time.Second))
 }
 
-// sampleStart sees whether a request has started within its slack. One that ended
-// without a start says nothing, nor does a late start where many dispatchers share the
-// workers: it tells of the one queue that it met by chance, not of all, and a full
-// queue's refusal still counts. Guards against refusals while other workers are free.
+// sampleStart records whether a request has started within its slack. One that ended without a start tells
+// nothing. Nor does a late start where many dispatchers use the workers: it tells about one queue only, met
+// by chance, and requests would be rejected while other workers are free. A worker that rejects as its queue
+// is full is recorded all the same, by handleEnd.
 func (d *Dispatcher) sampleStart(t timer) {
 	started := slices.ContainsFunc(t.request.attempts, func(a attempt) bool { return a.Started })
-	if started || !t.request.closed && !(warmupbudget.Peer{Count: d.cfg.Instances}).Sampled() {
+	all := warmupbudget.Peer{Count: d.cfg.Instances}
+	if started || !t.request.closed && !all.Sampled() {
 		d.shedder.RecordStart(!started)
 	}
 }
+
+// limitsWait reports whether attempts of the request are canceled once they cannot meet its latency target
+// any more.
+func (d *Dispatcher) limitsWait(r *request) bool {
+	return d.cfg.StartEvents && d.fleet.Known() && d.cfg.Limits.CancelAllowed && r.class.LateValue == 0
+}
+
+// giveUpWaiting cancels an attempt that has not started and cannot meet its latency target any more, where a
+// late answer has no value, so that its slots serve others. An Unsafe request fails.
+func (d *Dispatcher) giveUpWaiting(t timer) {
+	r := t.request
+	a := &r.attempts[t.attempt]
+	if a.Ended || a.Started || r.closed {
+		return
+	}
+	d.fleet.RecordNoStart(&a.worker.load, a.worker.Kind, &r.job, a.worker.ownLoad(), d.now)
+	if r.class.Effect == Unsafe {
+		d.emit(Action{Type: Fail, Request: r.id, Reason: Overload})
+		d.close(r)
+		return
+	}
+	d.cancel(r, t.attempt)
+}
--- a/decision/overload_test.go
+++ b/decision/overload_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRetryBudget guards against trouble that feeds itself: where everything
-// fails, further attempts stay a small share.
+// TestRetryBudget checks that further attempts stay a small fraction where every attempt fails, so that
+// retries do not amplify an overload.
 func TestRetryBudget(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(30))
 	retries := 0
@@ -25,9 +25,8 @@
 	}
 }
 
-// TestShedding guards against full queues in which all is served and nothing in
-// time: arrivals are refused, the least worth a second first, and taken again
-// when starts are prompt.
+// TestShedding checks that requests are rejected while queues are full and starts late, those of the least
+// value per second first, and taken again once starts are on time.
 func TestShedding(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers = false
@@ -71,8 +70,8 @@
 	}
 }
 
-// TestFullQueuesRaiseShedding guards the seconds between the first full queues and
-// the first late starts in them, in which all queues of a slow fleet fill.
+// TestFullQueuesRaiseShedding checks that full queues lead to rejections before the first late starts in
+// them do, as in those seconds all queues of a slow fleet fill.
 func TestFullQueuesRaiseShedding(t *testing.T) {
 	for _, instances := range []int{10, 300} {
 		cfg := testConfig()
@@ -93,9 +92,8 @@
 	}
 }
 
-// TestOverdueStartsAmongManyDispatchersDoNotRaiseShedding guards the calm days at size, on which a third of
-// the arrivals were refused while most workers had room: one of 300 dispatchers meets
-// a queue that is full by chance.
+// TestOverdueStartsAmongManyDispatchersDoNotRaiseShedding checks that one of 300 dispatchers does not reject
+// because of late starts: it meets a full queue by chance, while most workers have capacity.
 func TestOverdueStartsAmongManyDispatchersDoNotRaiseShedding(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers, cfg.Instances = false, 300
@@ -118,8 +116,8 @@
 	}
 }
 
-// TestSheddingEnds guards against a dispatcher that sheds everything, so sees no
-// start and sheds for good (incident i96cb58): a share is always let in.
+// TestSheddingEnds checks that a fraction of requests is always let in: a dispatcher that rejected
+// everything would see no start, and reject for good (incident i96cb58).
 func TestSheddingEnds(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers = false
@@ -153,9 +151,8 @@
 	}
 }
 
-// TestStoppingProcessRejectsLongWork guards clients of a process that ends: a class whose
-// work would mostly be cut off is refused at once, the others are served, and a
-// client's own short deadline refuses nothing.
+// TestStoppingProcessRejectsLongWork checks that a process that ends rejects a class whose requests would
+// mostly be cut off, that it serves the others, and that a short deadline of the client rejects nothing.
 func TestStoppingProcessRejectsLongWork(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	h.d.meanRun[0], h.d.meanRun[4] = 0.3, 2.5
--- a/decision/selection_test.go
+++ b/decision/selection_test.go
@@ -6,8 +6,7 @@
 	"time"
 )
 
-// TestAllUnwellFailsOpen guards against refusing everything when every worker
-// has failed of late.
+// TestAllUnwellFailsOpen checks that requests are sent though every worker has failed lately.
 func TestAllUnwellFailsOpen(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
 	for range 3 {
@@ -18,8 +17,8 @@
 	}
 }
 
-// TestLeastCostFirst covers the order among compatible workers: by what they hold,
-// by their pace as far as it is known still, by zone.
+// TestLeastCostFirst checks the order of eligible workers: by tokens in use, by pace while it is remembered,
+// and by zone.
 func TestLeastCostFirst(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	slow := h.d.listed[0]
@@ -74,9 +73,9 @@
 	}
 }
 
-// TestLostZoneOfManyDispatchers guards the workers of a zone that comes back cold before
-// discovery has said so: two that can't be reached tell of all others, also of those that
-// this dispatcher has not met, and work goes elsewhere until the list names a new start.
+// TestLostZoneOfManyDispatchers checks that two workers that cannot be reached tell one of many dispatchers
+// about all workers of their zone, and that work goes elsewhere until the list names a new start: they may
+// all warm up before discovery has listed that.
 func TestLostZoneOfManyDispatchers(t *testing.T) {
 	for _, instances := range []int{4, 80} {
 		cfg := bucketOnlyConfig()
@@ -113,14 +112,13 @@
 		h.step(Event{Type: MembersReplaced, Members: list})
 		h.advance(cfg.Rules.WarmUp + time.Second)
 		if n := own(); n == 0 {
-			t.Errorf("%d dispatchers: nothing goes to the zone long after its start was told", instances)
+			t.Errorf("%d dispatchers: nothing goes to the zone long after its start was listed", instances)
 		}
 	}
 }
 
-// TestAllZonesSeemLost guards a dispatcher of many to which two runners of each zone
-// did not connect: every zone counts as lost, and the runner of least cost among all
-// drew each request in a row although it had just failed.
+// TestAllZonesSeemLost checks that a worker that has just failed does not get every request in a row where
+// two workers of each zone did not connect, so that every zone counts as lost.
 func TestAllZonesSeemLost(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers, cfg.Instances, cfg.Instance, cfg.Zones, cfg.Zone = false, 300, 17, 3, 0
--- a/decision/warmup.go
+++ b/decision/warmup.go
@@ -7,95 +7,103 @@
 	"frosttide/decision/warmupbudget"
 )
 
-// Workers that have started lately: what they are sent, and by which dispatcher.
-
-// trialAllowed tells whether a cold worker that an operator put back may have a request:
-// a light one, while it has no other. Guards a machine that is wanted again from lying
-// idle, and rule 4 from one of the few jobs that take many times their class's mean.
+// trialAllowed reports whether a reinstated worker may have a request while it is still excluded by its
+// warm-up: a light one, while it has no other. So a machine that is wanted again does not lie idle, and none
+// of the few requests that take many times the mean of their class overloads it.
 func (d *Dispatcher) trialAllowed(w *worker, r *request) bool {
 	return w.Reinstated && w.InUse == 0 && r.slots == 1 && r.hint.Seconds() <= d.meanRun[r.classIndex]
 }
 
-// withinWarmUpBudget tells whether a worker can take a request on top of what it was sent. As
-// long as an ordinary share of the traffic, whoever sends it, could push a cold one
-// over, each dispatcher keeps to its part of what that one bears, in slots as its like
-// have shown them in use. Guards rule 4 against bursts and heavy work without a word on
-// what the others send.
+// withinWarmUpBudget reports whether the worker can take the request on top of what it was sent. While an
+// ordinary part of the traffic, whoever sends it, could overload a warming worker, each dispatcher keeps to
+// its own part of what the worker can take, so that bursts and long requests are safe without dispatchers
+// telling each other what they send. The worker's slots are taken from those that other workers were seen to
+// use.
 func (d *Dispatcher) withinWarmUpBudget(w *worker, r *request) bool {
-	who := d.warmUpPeer(w)
-	if d.now >= w.budgetedUntil && !(who.Sampled() && d.warming(w)) {
+	peer := d.warmUpPeer(w)
+	if d.now >= w.budgetedUntil && !(peer.Sampled() && d.warming(w)) {
 		return true
 	}
-	var slots, seen, most float64
-	for _, other := range d.listed {
-		if other.Most > 0 {
-			slots, seen, most = slots+float64(other.Most), seen+1, max(most, float64(other.Most))
-		}
+	meanSlots, maxSlots := d.observedSlots()
+	if !peer.Sampled() {
+		return d.rules.Allows(&w.sentWork, peer, meanSlots, w.StartedAt, d.now, d.estimatedWork(w, r))
 	}
-	if !who.Sampled() {
-		mean := max(slots/max(seen, 1), 1)
-		return d.rules.Allows(&w.sentWork, who, mean, w.StartedAt, d.now, d.estimatedWork(w, r))
+	if !d.earlyWarmUp(w) { // load reports tell how full it is, so not all dispatchers prefer it at once
+		return (d.now >= w.budgetedUntil || d.rules.InRotation(peer, w.StartedAt, d.now)) &&
+			d.rules.Tolerates(maxSlots, w.StartedAt, d.now, r.hint.Seconds()*float64(r.slots))
 	}
-	most = max(most, 1)    // each sees little of what a worker holds
-	if !d.earlyWarmUp(w) { // reports tell how full it is: not all want it at once
-		return (d.now >= w.budgetedUntil || d.rules.InRotation(who, w.StartedAt, d.now)) &&
-			d.rules.Tolerates(most, w.StartedAt, d.now, r.hint.Seconds()*float64(r.slots))
+	rate := d.fleet.Rate(&w.load, w.Kind, maxSlots, d.now)
+	worker, request, work := uint32(w.Worker), uint64(r.id), d.relativeWork(r)
+	warming := warmupbudget.WarmingWorker{Rate: rate, StartedAt: w.StartedAt}
+	return d.rules.MaySend(&d.traffic, peer, warming, worker, request, work, d.now)
+}
+
+// observedSlots returns the mean and the maximum of the slots that workers were seen to use, at least 1 each.
+// One of many dispatchers sees only a part of what a worker runs, so the maximum is the better estimate for
+// it.
+func (d *Dispatcher) observedSlots() (meanSlots, maxSlots float64) {
+	var slots, workers float64
+	for _, w := range d.listed {
+		if w.Most > 0 {
+			slots, workers, maxSlots = slots+float64(w.Most), workers+1, max(maxSlots, float64(w.Most))
+		}
 	}
-	c := warmupbudget.WarmingWorker{Rate: d.fleet.Rate(&w.load, w.Kind, most, d.now), StartedAt: w.StartedAt}
-	return d.rules.MaySend(&d.traffic, who, c, uint32(w.Worker), uint64(r.id), d.relativeWork(r), d.now)
+	return max(slots/max(workers, 1), 1), max(maxSlots, 1)
 }
 
-// relativeWork is the work of a request against the mean, by its class or its hint.
+// relativeWork returns the request's work, by its class or its hint, relative to the fleet's mean request.
 func (d *Dispatcher) relativeWork(r *request) float64 {
 	return max(r.job.Work*r.job.Slots, d.meanRun[r.classIndex]*float64(r.slots)) / d.fleet.MeanSlotSeconds()
 }
 
-// missesTargetWhileWarming tells whether a request would be late at a warming worker by its run alone.
+// missesTargetWhileWarming reports whether the request would miss its latency target at a warming worker by
+// its run time alone.
 func (d *Dispatcher) missesTargetWhileWarming(w *worker, r *request) bool {
-	share := d.rules.Capacity(w.StartedAt, d.now)
-	return share < 1 && d.warmUpPeer(w).Sampled() &&
-		r.job.Work*d.fleet.Pace(&w.load, w.Kind, d.now)/share > (r.job.TargetAt-d.now).Seconds()
+	capacity := d.rules.Capacity(w.StartedAt, d.now)
+	return capacity < 1 && d.warmUpPeer(w).Sampled() &&
+		r.job.Work*d.fleet.Pace(&w.load, w.Kind, d.now)/capacity > (r.job.TargetAt-d.now).Seconds()
 }
 
-// probeWarming asks one of the cold workers, which are idle yet, for its free slots: how many a worker
-// has is told nowhere else, and a dispatcher of many never fills one.
+// probeWarming asks a random worker in its early warm-up, which is still idle, for its free slots. Nothing
+// else tells how many slots a worker has, and one of many dispatchers never fills one.
 func (d *Dispatcher) probeWarming(timer) {
-	cold := slices.DeleteFunc(slices.Clone(d.listed), func(w *worker) bool {
+	warming := slices.DeleteFunc(slices.Clone(d.listed), func(w *worker) bool {
 		return w.State != Ready || !d.earlyWarmUp(w)
 	})
-	if len(cold) > 0 {
-		d.emit(Action{Type: Probe, Worker: cold[d.rng.IntN(len(cold))].Worker})
+	if len(warming) > 0 {
+		d.emit(Action{Type: Probe, Worker: warming[d.rng.IntN(len(warming))].Worker})
 	}
 }
 
-// warmUpPeer tells which part of a cold worker is this dispatcher's.
+// warmUpPeer returns this dispatcher's number among those that divide the worker's warm-up budget.
 func (d *Dispatcher) warmUpPeer(w *worker) warmupbudget.Peer {
 	return warmupbudget.Peer{Number: d.cfg.Instance, Count: max(cmp.Or(w.WarmUpPeers, d.cfg.Instances), 1)}
 }
 
-// earlyWarmUp tells whether a worker is so cold that all that may go there goes. Guards against its
-// lying idle between the time when it is used at all and the time when it is as cheap as others,
-// and rule 4 from all who would want it then: one 18.8 s old fell.
+// earlyWarmUp reports whether the worker, of many dispatchers, has warmed up so little that it is preferred
+// for every request that its budget lets through. Otherwise it would lie idle from the time when it may be
+// used to the time when it costs no more than others, and be overloaded by all dispatchers at that time: a
+// worker 18.8 s old was.
 func (d *Dispatcher) earlyWarmUp(w *worker) bool {
-	if d.fleet.Known() { // what it holds is known
+	if d.fleet.Known() { // load reports tell how full it is
 		return d.now < w.excludedUntil && d.warmUpPeer(w).Sampled()
 	}
 	return d.warming(w) && d.warmUpPeer(w).Sampled()
 }
 
-// estimatedWork returns the seconds of work that a request is likely to be at a worker. Its hint
-// counts where few share the worker's ration, or one at a time: there is nobody whose
-// unused part makes up for one that is heavier than its class.
+// estimatedWork returns the slots times seconds of work that the request is likely to be at the worker. The
+// hint counts where the budget is a single dispatcher's, or one at a time uses it: no other's unused part
+// makes up for a request that is longer than its class.
 func (d *Dispatcher) estimatedWork(w *worker, r *request) float64 {
-	work := d.meanRun[r.classIndex]
+	run := d.meanRun[r.classIndex]
 	if w.WarmUpPeers > 0 || d.warmUpPeer(w).Sampled() {
-		work = max(work, r.hint.Seconds())
+		run = max(run, r.hint.Seconds())
 	}
-	return work * float64(r.slots)
+	return run * float64(r.slots)
 }
 
-// warming tells whether a worker has started so lately that it may not have all
-// its capacity yet: it gets its share of first attempts and nothing beyond.
+// warming reports whether the worker has started so lately that it may not have all its capacity yet. It gets
+// its part of first attempts, and no further attempts.
 func (d *Dispatcher) warming(w *worker) bool {
 	return w.StartedAt > 0 && d.now < w.StartedAt+d.cfg.Rules.WarmUp
 }
--- a/decision/warmup_test.go
+++ b/decision/warmup_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestRestartedWorkerWaitsThenGetsItsFraction guards rule 4 (nothing while the worker
-// could be pushed over, no run of jobs after it) and the rolling restart of
-// incident i968a36 (its share at once, not an eighth of it).
+// TestRestartedWorkerWaitsThenGetsItsFraction checks rule 4 (no requests while the worker could be
+// overloaded, and no run of requests after it) and the rolling restart of incident i968a36 (the worker's
+// fraction of the traffic at once, not an eighth of it).
 func TestRestartedWorkerWaitsThenGetsItsFraction(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(10))
 	back := Member{Worker: 100, StartedAt: h.now, Weight: 1}
@@ -37,9 +37,8 @@
 	}
 }
 
-// TestWarmingWorkerKeepsToBudget guards rule 4: a cold worker that is used already gets no
-// more work in any window than this dispatcher's part of what it bears, and one that
-// is heavier than that goes elsewhere.
+// TestWarmingWorkerKeepsToBudget checks that a warming worker in use gets no more work in any window than
+// this dispatcher's part of its budget, and that a request longer than that goes elsewhere.
 func TestWarmingWorkerKeepsToBudget(t *testing.T) {
 	cfg := bucketOnlyConfig()
 	cfg.Instances = 2
@@ -71,8 +70,8 @@
 	}
 }
 
-// TestAllWorkersWarming guards clients after a power cut: where no worker is warm the cold ones are used from the
-// start, by their ration, and by nothing beyond it; where one is, they wait.
+// TestAllWorkersWarming checks that warming workers are used from their start, within their budgets, where
+// no worker is warm, as after a power cut; and that they wait where one is.
 func TestAllWorkersWarming(t *testing.T) {
 	for name, tc := range map[string]struct {
 		members []Member
@@ -82,36 +81,38 @@
 		"one is warm":         {[]Member{{Worker: 7, StartedAt: time.Hour, Weight: 1}, {Worker: 8, Weight: 1}}, false},
 		"the warm one drains": {[]Member{{Worker: 7, StartedAt: time.Hour, Weight: 1}, {Worker: 8, Weight: 1, State: Draining}}, true},
 	} {
-		cfg := bucketOnlyConfig()
-		cfg.Instances = 2
-		h := newDriver(t, cfg, tc.members)
-		h.d.meanRun[0], h.d.meanRun[4] = 0.05, 5
-		var sent []time.Duration
-		heavy, end := 0, time.Hour+cfg.Rules.OverloadWindow
-		for h.now < end {
-			for _, class := range []int{0, 0, 0, 0, 4} {
-				a := h.arrive(class, 1)
-				if a.Type == Send && a.Worker == 7 {
-					sent = append(sent, h.now)
-					if class == 4 {
-						heavy++
+		t.Run(name, func(t *testing.T) {
+			cfg := bucketOnlyConfig()
+			cfg.Instances = 2
+			h := newDriver(t, cfg, tc.members)
+			h.d.meanRun[0], h.d.meanRun[4] = 0.05, 5
+			var sent []time.Duration
+			heavy, end := 0, time.Hour+cfg.Rules.OverloadWindow
+			for h.now < end {
+				for _, class := range []int{0, 0, 0, 0, 4} {
+					a := h.arrive(class, 1)
+					if a.Type == Send && a.Worker == 7 {
+						sent = append(sent, h.now)
+						if class == 4 {
+							heavy++
+						}
+					}
+					if a.Type == Send {
+						h.end(a, Canceled)
 					}
 				}
-				if a.Type == Send {
-					h.end(a, Canceled)
-				}
+				h.advance(20 * time.Millisecond)
 			}
-			h.advance(20 * time.Millisecond)
-		}
-		bears := h.d.rules.Capacity(time.Hour, end) * cfg.Rules.OverloadMultiple / 2 * cfg.Rules.OverloadWindow.Seconds()
-		if work := float64(len(sent)) * 0.05; heavy > 0 || (len(sent) > 0) != tc.used || work > 2*bears {
-			t.Errorf("%s: %d jobs, %d heavy, %.2f s of work in a window, %.2f s is its part", name, len(sent), heavy, work, bears)
-		}
+			bears := h.d.rules.Capacity(time.Hour, end) * cfg.Rules.OverloadMultiple / 2 * cfg.Rules.OverloadWindow.Seconds()
+			if work := float64(len(sent)) * 0.05; heavy > 0 || (len(sent) > 0) != tc.used || work > 2*bears {
+				t.Errorf("%d jobs, %d heavy, %.2f s of work in a window, %.2f s is its part", len(sent), heavy, work, bears)
+			}
+		})
 	}
 }
 
-// TestReinstatedWorker guards a runner that operators put back: it is tried at once though it
-// is cold, with one light job at a time, and gets nothing heavy.
+// TestReinstatedWorker checks that a worker that operators put back is tried at once though it warms up,
+// with one light request at a time, and gets no long one.
 func TestReinstatedWorker(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
 	h.d.meanRun[0], h.d.meanRun[4] = 0.05, 5
@@ -132,7 +133,7 @@
 		h.lastRequest++
 		heavy.Type, heavy.Request, heavy.Deadline = RequestArrived, h.lastRequest, h.now+5*time.Second
 		if out := h.step(heavy); len(out) != 1 || out[0].Worker == back.Worker {
-			t.Errorf("%+v went to the cold worker: %v", heavy, out)
+			t.Errorf("%+v went to the warming worker: %v", heavy, out)
 		}
 	}
 	first := h.arrive(0, 1)
@@ -152,9 +153,9 @@
 	t.Errorf("it got no job after the first had ended")
 }
 
-// TestWarmingWorkersAmongManyDispatchers guards a fleet of many dispatchers whose workers have mostly
-// just started: together they keep to what a cold worker bears, and they use it. Without
-// turns the part of one dispatcher of eighty holds no job, and the worker stays idle.
+// TestWarmingWorkersAmongManyDispatchers checks that many dispatchers together keep to the budget of a
+// warming worker, and use it. Without sampling the part of one of eighty dispatchers would not hold a
+// request, and the worker would stay idle.
 func TestWarmingWorkersAmongManyDispatchers(t *testing.T) {
 	const many, work = 80, 0.05
 	cfg := bucketOnlyConfig()
@@ -189,10 +190,9 @@
 	}
 }
 
-// TestHeavyJobsAndHalfWarmWorkers guards rule 4 after a day on which one job of many times
-// its class's mean pushed over a worker that had just joined, and after days on which a dozen
-// jobs within a second did: among many dispatchers a warming worker gets what fits in what
-// it bears from all of them together, and nothing heavy.
+// TestHeavyJobsAndHalfWarmWorkers checks that a warming worker of many dispatchers gets what it can take
+// from all of them together, and no long request. On one day a request of many times its class's mean
+// overloaded a worker that had just joined, on others a dozen requests within a second did.
 func TestHeavyJobsAndHalfWarmWorkers(t *testing.T) {
 	cfg := bucketOnlyConfig()
 	cfg.Instances = 80
