--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// batch builds a frame from records.
+// batch returns a frame of records.
 func batch(seq uint32, clock time.Duration, records ...[]byte) []byte {
 	body := bytes.Join(records, nil)
 	out := binary.LittleEndian.AppendUint32(nil, uint32(len(records)))
@@ -19,7 +19,7 @@
 	return append(out, body...)
 }
 
-// record builds a record from its code and fields.
+// record returns a record of a code and fields.
 func record(code uint16, fields ...any) []byte {
 	var b bytes.Buffer
 	for _, f := range append([]any{code}, fields...) {
@@ -30,15 +30,18 @@
 	return b.Bytes()
 }
 
+// provision returns the record that starts an instance with a seed.
 func provision(instance uint16, seed uint64) []byte {
 	settings := `{"request-classes": [{"aim": 200000, "give-up": 5000000}]}`
 	return append(record(265, instance, seed, uint32(len(settings))), settings...)
 }
 
+// worker returns a ready worker of a list, without its ID.
 func worker(id uint32) []byte {
 	return record(0, uint16(0), uint16(0), uint16(0), uint8(0), float32(1), uint64(0))[2:]
 }
 
+// census returns the record that defines a numbered list of workers.
 func census(sheet uint8, ids ...uint32) []byte {
 	out := record(261, sheet, uint32(len(ids)))
 	for _, id := range ids {
@@ -48,16 +51,18 @@
 	return out
 }
 
+// fleet returns the record that brings an instance a numbered list.
 func fleet(instance uint16, sheet uint8) []byte {
 	return record(267, instance, sheet, uint8(3), uint64(1))
 }
 
+// arrival returns the record of the arrival of a request.
 func arrival(instance uint16, id uint32, deadline time.Duration) []byte {
 	return record(264, instance, id, uint64(deadline/time.Microsecond), float32(1), uint64(0), float32(0), uint32(0),
 		uint8(0), uint32(0), uint8(0))
 }
 
-// codes lists the actions of the replies as "batch: code/instance ...".
+// codes returns the actions of replies, each reply as "batch: code/instance ...".
 func codes(t *testing.T, raw []byte) (out []string) {
 	t.Helper()
 	sizes := map[uint16]int{256: 16, 259: 12, 261: 8, 262: 4, 264: 16, 265: 10, 266: 8, 267: 5}
@@ -80,6 +85,7 @@
 	return out
 }
 
+// runFrames serves frames and returns the replies by their codes, the log and the error.
 func runFrames(t *testing.T, frames ...[]byte) (replies []string, log string, err error) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -87,6 +93,7 @@
 	return codes(t, out.Bytes()), errs.String(), err
 }
 
+// TestServeAnswersEveryBatch checks that each batch has one reply.
 func TestServeAnswersEveryBatch(t *testing.T) {
 	replies, log, err := runFrames(t,
 		batch(1, time.Second),
@@ -102,8 +109,8 @@
 	}
 }
 
-// TestInstanceIncarnations covers a kill and a new start in one batch: the new
-// instance knows nothing of the old one's workers.
+// TestInstanceIncarnations checks that an instance that ends and starts in one batch knows nothing of its
+// predecessor's workers.
 func TestInstanceIncarnations(t *testing.T) {
 	replies, log, err := runFrames(t,
 		batch(1, time.Second, provision(0, 7), census(0, 50), fleet(0, 0)),
@@ -124,6 +131,7 @@
 	}
 }
 
+// TestBadSettingsAreAFault checks that bad settings are reported as a fault, once, that names the key.
 func TestBadSettingsAreAFault(t *testing.T) {
 	bad := append(record(265, uint16(4), uint64(1), uint32(2)), "{}"...)
 	replies, log, err := runFrames(t, batch(1, time.Second, bad))
@@ -135,6 +143,7 @@
 	}
 }
 
+// TestMalformedBatchEndsWithoutReply checks that a malformed batch ends the program without a reply.
 func TestMalformedBatchEndsWithoutReply(t *testing.T) {
 	replies, _, err := runFrames(t, batch(1, time.Second, provision(0, 1)), batch(2, 2*time.Second, record(999, uint16(0))))
 	if err == nil || !strings.Contains(err.Error(), "batch 2") || !strings.Contains(err.Error(), "999") {
@@ -145,8 +154,7 @@
 	}
 }
 
-// TestSpreadOverProcesses guards state shared between instances: each acts the
-// same alone as beside others.
+// TestSpreadOverProcesses checks that instances share no state: each acts the same alone as beside others.
 func TestSpreadOverProcesses(t *testing.T) {
 	var together, alone []string
 	frames := func(instances ...uint16) (out [][]byte) {
--- a/internal/dispatcher/wire/encode.go
+++ b/internal/dispatcher/wire/encode.go
@@ -9,10 +9,10 @@
 	"frosttide/decision"
 )
 
-// Reply collects the actions that answer one batch.
+// Reply collects the actions that answer one batch: call Begin, then Action and Fault, then Bytes.
 type Reply struct{ data []byte }
 
-// Begin empties the reply and makes it the answer to a batch.
+// Begin empties the reply and starts the one to the batch of a number.
 func (r *Reply) Begin(seq uint32) {
 	r.data = append(r.data[:0], 0, 0, 0, 0)
 	r.data = binary.LittleEndian.AppendUint32(r.data, seq)
@@ -24,6 +24,7 @@
 	return r.data
 }
 
+// head appends the head of a record.
 func (r *Reply) head(code uint16, instance int) {
 	r.data = binary.LittleEndian.AppendUint16(r.data, code)
 	r.data = binary.LittleEndian.AppendUint16(r.data, uint16(instance))
@@ -31,7 +32,7 @@
 
 func (r *Reply) u32(v uint32) { r.data = binary.LittleEndian.AppendUint32(r.data, v) }
 
-// Action appends an action of an instance.
+// Action appends an action of an instance. It returns an error for an unknown type.
 func (r *Reply) Action(instance int, a *decision.Action) error {
 	switch a.Type {
 	case decision.Send:
@@ -68,7 +69,7 @@
 	return nil
 }
 
-// Fault reports that the decision code of an instance has failed.
+// Fault appends the report that an instance has failed; text says why, cut to 65,535 bytes.
 func (r *Reply) Fault(instance int, text string) {
 	r.head(acBug, instance)
 	text = text[:min(len(text), math.MaxUint16)]
@@ -76,7 +77,7 @@
 	r.data = append(r.data, text...)
 }
 
-// toMicros32 converts a duration to the wire's 32-bit microseconds, cut to fit.
+// toMicros32 returns a duration in 32-bit microseconds, or the nearest that they hold.
 func toMicros32(d time.Duration) uint32 {
 	return uint32(min(max(d/time.Microsecond, 0), math.MaxUint32))
 }
