--- a/decision/eligibility_test.go
+++ b/decision/eligibility_test.go
@@ -58,7 +58,8 @@
 			}
 		}
 		sent, refused := 0, 0
-		for _, a := range d.Step(time.Hour+time.Second, []Event{{Type: AttemptEnded, Request: 1, Worker: at, Outcome: TimedOut, CancelUnconfirmed: unsure}}, nil) {
+		ended := Event{Type: AttemptEnded, Request: 1, Worker: at, Outcome: TimedOut, CancelUnconfirmed: unsure}
+		for _, a := range d.Step(time.Hour+time.Second, []Event{ended}, nil) {
 			switch a.Type {
 			case Send:
 				sent++
--- a/decision/forecast/forecast_test.go
+++ b/decision/forecast/forecast_test.go
@@ -87,7 +87,11 @@
 	if got := later.Pace(&w, 3, 2*time.Hour); got < 1.1 {
 		t.Errorf("after a start its pace is %g, want one above 1", got)
 	}
-	for _, odd := range []Learned{{Slots: math.NaN(), Pace: math.NaN(), Jobs: 1}, {Slots: -1, Pace: 9, Jobs: 1}, {Slots: math.Inf(1), Jobs: math.Inf(1)}} {
+	for _, odd := range []Learned{
+		{Slots: math.NaN(), Pace: math.NaN(), Jobs: 1},
+		{Slots: -1, Pace: 9, Jobs: 1},
+		{Slots: math.Inf(1), Jobs: math.Inf(1)},
+	} {
 		var w Worker
 		w.Restore(odd, time.Hour)
 		if got := later.TimeToFinish(&w, 3, Own{}, &Job{Slots: 1, Work: 1}, time.Hour); !(got >= 0) || math.IsInf(got, 0) {
--- a/decision/health.go
+++ b/decision/health.go
@@ -86,7 +86,7 @@
 	}
 	d.widen(r.slots)
 	if a.Outcome == ConnectFailed {
-		d.zones.RecordConnectFailure(w.Zone, w.Failures > 0, d.now)
+		d.zones.RecordConnectFailure(w.Zone, w.Failures, d.now)
 	}
 	switch a.Outcome {
 	case Served:
--- a/decision/lifecycle.go
+++ b/decision/lifecycle.go
@@ -5,6 +5,8 @@
 	"math"
 	"slices"
 	"time"
+
+	"frosttide/decision/shedding"
 )
 
 // handleArrival takes a request: it is sent, rejected, or taken over with the attempts of an earlier process.
@@ -172,7 +174,7 @@
 	d.updateHealth(r, a)
 	d.release(a.worker, r.slots)
 	if ev.Outcome == Rejected { // a full queue shows before the late starts in it
-		d.shedder.RecordStart(true)
+		d.shedder.RecordStart(shedding.Overdue)
 	}
 }
 
--- a/decision/overload.go
+++ b/decision/overload.go
@@ -4,6 +4,7 @@
 	"slices"
 	"time"
 
+	"frosttide/decision/shedding"
 	"frosttide/decision/warmupbudget"
 )
 
@@ -44,8 +45,11 @@
 func (d *Dispatcher) sampleStart(t timer) {
 	started := slices.ContainsFunc(t.request.attempts, func(a attempt) bool { return a.Started })
 	all := warmupbudget.Peer{Count: d.cfg.Instances}
-	if started || !t.request.closed && !all.Sampled() {
-		d.shedder.RecordStart(!started)
+	switch {
+	case started:
+		d.shedder.RecordStart(shedding.OnTime)
+	case !t.request.closed && !all.Sampled():
+		d.shedder.RecordStart(shedding.Overdue)
 	}
 }
 
--- a/decision/overload_test.go
+++ b/decision/overload_test.go
@@ -162,7 +162,8 @@
 		want   ActionType
 	}{{0, true, Send}, {4, true, Reject}, {4, false, Send}} {
 		h.lastRequest++
-		out := h.step(Event{Type: RequestArrived, Request: h.lastRequest, Class: tc.class, ProcessStopping: tc.ending, Deadline: h.now + 2*time.Second})
+		out := h.step(Event{Type: RequestArrived, Request: h.lastRequest, Class: tc.class,
+			ProcessStopping: tc.ending, Deadline: h.now + 2*time.Second})
 		if len(out) != 1 || out[0].Type != tc.want {
 			t.Errorf("class %d, ending %t: got %v, want %v", tc.class, tc.ending, out, tc.want)
 		}
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -9,13 +9,13 @@
 // TestRulesHoldOnRandomSequences checks all four rules from outside, with the settings of several deployments.
 func TestRulesHoldOnRandomSequences(t *testing.T) {
 	variants := map[string]func(*Config){
-		"as given":       func(*Config) {},
-		"no hedging":     func(c *Config) { c.Limits.HedgingAllowed = false },
+		"as given":        func(*Config) {},
+		"no hedging":      func(c *Config) { c.Limits.HedgingAllowed = false },
 		"no start events": func(c *Config) { c.StartEvents = false },
-		"no cancel":      func(c *Config) { c.Limits.CancelAllowed = false },
-		"pushed list":    func(c *Config) { c.PullMembers = false },
-		"one attempt":    func(c *Config) { c.Limits.MaxAttempts = 1 },
-		"no limits":      func(c *Config) { c.Limits.MaxAttempts = 0; c.WeightKnown = true },
+		"no cancel":       func(c *Config) { c.Limits.CancelAllowed = false },
+		"pushed list":     func(c *Config) { c.PullMembers = false },
+		"one attempt":     func(c *Config) { c.Limits.MaxAttempts = 1 },
+		"no limits":       func(c *Config) { c.Limits.MaxAttempts = 0; c.WeightKnown = true },
 		"load reports": func(c *Config) {
 			c.Metrics, c.Tenants = []Metric{MetricQueued, MetricFreeSlots}, []Tenant{{RatePerSecond: 5}, {}}
 			for i := range c.Classes {
--- a/decision/sequence_test.go
+++ b/decision/sequence_test.go
@@ -96,7 +96,29 @@
 	if s.rng.IntN(15) == 0 {
 		events = append(events, s.memberChange())
 	}
-	var fired []Event
+	events = append(events, s.firedTimers()...)
+	events = append(events, s.attemptEvents()...)
+	for range s.rng.IntN(4) {
+		events = append(events, s.arrival())
+	}
+	if s.rng.IntN(40) == 0 {
+		events = append(events, Event{Type: MembersFailed})
+	}
+	for range s.rng.IntN(3) {
+		if ev := s.unknownEvent(); ev.Type != RequestArrived && ev.Type != MembersReplaced && s.changesNothing(ev) {
+			events = append(events, ev)
+		}
+	}
+	if len(events) > 0 && s.rng.IntN(10) == 0 {
+		if last := events[len(events)-1]; last.Type == AttemptEnded {
+			events = append(events, last) // a repeated event
+		}
+	}
+	return events
+}
+
+// firedTimers returns the events of the timers that have expired, in the order of their tokens.
+func (s *sequence) firedTimers() (fired []Event) {
 	for token, at := range s.checker.timers {
 		if at <= s.now {
 			fired = append(fired, Event{Type: TimerFired, Token: token})
@@ -104,7 +126,11 @@
 		}
 	}
 	slices.SortFunc(fired, func(a, b Event) int { return int(a.Token) - int(b.Token) })
-	events = append(events, fired...)
+	return fired
+}
+
+// attemptEvents returns the ends of attempts past their deadline, and random starts and ends of other open attempts.
+func (s *sequence) attemptEvents() (events []Event) {
 	for _, ev := range s.outstanding() {
 		r := s.checker.requests[ev.Request]
 		switch n := s.rng.IntN(30); {
@@ -123,22 +149,6 @@
 		}
 		events = append(events, ev)
 	}
-	for range s.rng.IntN(4) {
-		events = append(events, s.arrival())
-	}
-	if s.rng.IntN(40) == 0 {
-		events = append(events, Event{Type: MembersFailed})
-	}
-	for range s.rng.IntN(3) {
-		if ev := s.unknownEvent(); ev.Type != RequestArrived && ev.Type != MembersReplaced && s.changesNothing(ev) {
-			events = append(events, ev)
-		}
-	}
-	if len(events) > 0 && s.rng.IntN(10) == 0 {
-		if last := events[len(events)-1]; last.Type == AttemptEnded {
-			events = append(events, last) // a repeated event
-		}
-	}
 	return events
 }
 
--- a/decision/shedding/shedding.go
+++ b/decision/shedding/shedding.go
@@ -11,6 +11,15 @@
 	meanGain          = 1.0 / 16.0 // weight of a new request in the means
 )
 
+// Start says whether a request started on time.
+type Start int
+
+// The kinds of starts.
+const (
+	OnTime  Start = iota // it started on time
+	Overdue              // it did not, or its worker's queue was full
+)
+
 // Shedder follows the fraction of late starts. The zero value rejects nothing.
 type Shedder struct {
 	meanValue, meanWork float64 // of recent requests; work in seconds
@@ -30,11 +39,11 @@
 	return min(fraction, maxFraction)
 }
 
-// RecordStart records whether a request's start was overdue, or its worker's queue full. The fewer requests are let in,
-// the more a start on time counts, so that the level falls as fast in time with fewer samples.
-func (s *Shedder) RecordStart(overdue bool) {
+// RecordStart records whether a request started on time. The fewer requests are let in, the more a start on time counts,
+// so that the level falls as fast in time with fewer samples.
+func (s *Shedder) RecordStart(start Start) {
 	step := -toleratedFraction / max(1-s.level, 1-maxFraction)
-	if overdue {
+	if start == Overdue {
 		step = 1 - toleratedFraction
 	}
 	s.level = min(max(s.level+step*gain, 0), 1+maxFraction)
--- a/decision/warmup_test.go
+++ b/decision/warmup_test.go
@@ -199,14 +199,16 @@
 	const over, every = 4 * time.Second, 100 * time.Millisecond
 	for _, age := range []time.Duration{over, 6 * time.Second, 14 * time.Second} { // at the end
 		var sent []time.Duration
-		heavy := false
+		longSent := false
 		for i := range cfg.Instances {
 			cfg.Instance = i
 			h := newDriver(t, cfg, []Member{{Worker: 7, StartedAt: time.Hour + over - age, Weight: 1}})
 			h.d.listed[0].Most = 4
 			for h.now < time.Hour+over {
 				h.lastRequest++
-				for _, a := range h.step(Event{Type: RequestArrived, Request: h.lastRequest, Slots: 1, Hint: 100 * time.Millisecond, Deadline: h.now + 5*time.Second}) {
+				light := Event{Type: RequestArrived, Request: h.lastRequest, Slots: 1, Hint: 100 * time.Millisecond,
+					Deadline: h.now + 5*time.Second}
+				for _, a := range h.step(light) {
 					if a.Type == Send {
 						sent = append(sent, h.now)
 						h.end(a, Canceled)
@@ -215,15 +217,18 @@
 				h.advance(every)
 			}
 			h.lastRequest++
-			for _, a := range h.step(Event{Type: RequestArrived, Request: h.lastRequest, Slots: 1, Hint: 30 * time.Second, Deadline: h.now + 5*time.Second}) {
-				heavy = heavy || a.Type == Send
+			long := Event{Type: RequestArrived, Request: h.lastRequest, Slots: 1, Hint: 30 * time.Second,
+				Deadline: h.now + 5*time.Second}
+			for _, a := range h.step(long) {
+				longSent = longSent || a.Type == Send
 			}
 		}
 		slices.Sort(sent)
 		warm := age > cfg.Rules.WarmUp
 		all := cfg.Instances * int(over/every)
-		if most := maxWithin(sent, cfg.Rules.OverloadWindow); warm != (len(sent) == all) || heavy != warm || !warm && (most > 150 || len(sent) < 20) {
-			t.Errorf("at the age of %v: %d of %d sent, at most %d in a window, heavy ones %t", age, len(sent), all, most, heavy)
+		inWindow := maxWithin(sent, cfg.Rules.OverloadWindow)
+		if warm != (len(sent) == all) || longSent != warm || !warm && (inWindow > 150 || len(sent) < 20) {
+			t.Errorf("at the age of %v: %d of %d sent, at most %d in a window, long ones %t", age, len(sent), all, inWindow, longSent)
 		}
 	}
 }
--- a/decision/warmupbudget/flow.go
+++ b/decision/warmupbudget/flow.go
@@ -99,13 +99,15 @@
 
 // MaySend reports whether a dispatcher may send one request of the given work, relative to the mean, to a warming worker.
 // The sample is a hash, so the answer depends on t and now but not on how often it is asked.
-func (r Rules) MaySend(t *Traffic, peer Peer, worker WarmingWorker, workerID uint32, requestID uint64, work float64, now time.Duration) bool {
+func (r Rules) MaySend(t *Traffic, peer Peer, worker WarmingWorker, workerID uint32, requestID uint64, work float64,
+	now time.Duration) bool {
 	if t.count == 0 || work > maxWindowFraction*r.windowLimit(worker, now) {
 		return false
 	}
 	hash := requestID*0x9e3779b97f4a7c15 + uint64(peer.Number)*0xbf58476d1ce4e5b9 + uint64(workerID)*0x94d049bb133111eb
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
 	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
-	probability := lightFraction(work) / t.passFraction * r.Flow(t, worker, now) / (float64(max(peer.Count, 1)) * t.rate(now))
+	traffic := float64(max(peer.Count, 1)) * t.rate(now)
+	probability := lightFraction(work) / t.passFraction * r.Flow(t, worker, now) / traffic
 	return float64((hash^hash>>31)>>11)/(1<<53) < probability
 }
--- a/decision/warmupbudget/flow_test.go
+++ b/decision/warmupbudget/flow_test.go
@@ -31,12 +31,14 @@
 		works := rapid.SliceOfN(rapid.Float64Range(0.001, 50), 1, 5).Draw(t, "works")
 		m, _ := sampleTraffic(rand.New(rand.NewPCG(1, 1)), 1, works...)
 		n := rules.Flow(&m, worker, now) * rules.OverloadWindow.Seconds()
-		bears := WindowBound(rules.OverloadMultiple * worker.Rate * rules.Capacity(worker.StartedAt, now))
-		if worst := m.passedWork/m.passFraction*n + safetyDeviations*math.Sqrt(m.passedWorkSquared/m.passFraction*n); !(worst <= bears*1.000001) {
-			t.Fatalf("%.2f requests in a window: %.2f of work, it bears %.2f", n, worst, bears)
+		limit := WindowBound(rules.OverloadMultiple * worker.Rate * rules.Capacity(worker.StartedAt, now))
+		mean, meanSquare := m.passedWork/m.passFraction, m.passedWorkSquared/m.passFraction
+		if worst := mean*n + safetyDeviations*math.Sqrt(meanSquare*n); !(worst <= limit*1.000001) {
+			t.Fatalf("%.2f requests in a window: %.2f of work, the limit is %.2f", n, worst, limit)
 		}
-		if can, all := rules.minServedRate(worker, now), rules.Flow(&m, worker, now); all < 0 || all*m.passedWork/m.passFraction > busyFactor*can*1.000001 {
-			t.Fatalf("%.2f requests a second for a worker that can do %.2f", all, can)
+		served, all := rules.minServedRate(worker, now), rules.Flow(&m, worker, now)
+		if all < 0 || all*m.passedWork/m.passFraction > busyFactor*served*1.000001 {
+			t.Fatalf("%.2f requests a second for a worker that serves %.2f", all, served)
 		}
 		if later := rules.Flow(&m, worker, now+time.Second); later < n*0.999999/rules.OverloadWindow.Seconds() {
 			t.Fatalf("the flow falls with age: %.3f, %.3f", n, later)
--- a/decision/zones/zones.go
+++ b/decision/zones/zones.go
@@ -53,11 +53,12 @@
 // UsualStart returns the quickest recent time from sending to start in a zone, 0 if none is known.
 func (z *Zones) UsualStart(n int) time.Duration { return z.at(n).quickestStart }
 
-// RecordConnectFailure records that no connection came up to a worker of a zone. Only a worker's first failure in a row
-// counts, which again tells, so that a single worker that is down does not make its zone count as lost.
-func (z *Zones) RecordConnectFailure(n int, again bool, now time.Duration) {
+// RecordConnectFailure records that no connection came up to a worker of a zone, which has failed the given number of
+// times in a row before. Only a worker's first failure in a row counts, so that a single worker that is down does not
+// make its zone count as lost.
+func (z *Zones) RecordConnectFailure(n int, earlierFailures int, now time.Duration) {
 	state := z.at(n)
-	if !again {
+	if earlierFailures == 0 {
 		state.failedWorkers++
 	}
 	if state.failedWorkers >= minFailedWorkers {
--- a/decision/zones/zones_test.go
+++ b/decision/zones/zones_test.go
@@ -9,13 +9,13 @@
 func TestLostZone(t *testing.T) {
 	const s = time.Second
 	fail := func(at time.Duration) func(*Zones) {
-		return func(z *Zones) { z.RecordConnectFailure(1, false, at) }
+		return func(z *Zones) { z.RecordConnectFailure(1, 0, at) }
 	}
 	failAgain := func(at time.Duration) func(*Zones) {
-		return func(z *Zones) { z.RecordConnectFailure(1, true, at) }
+		return func(z *Zones) { z.RecordConnectFailure(1, 1, at) }
 	}
 	failElsewhere := func(zone int, at time.Duration) func(*Zones) {
-		return func(z *Zones) { z.RecordConnectFailure(zone, false, at) }
+		return func(z *Zones) { z.RecordConnectFailure(zone, 0, at) }
 	}
 	serve := func(sentAt, at time.Duration) func(*Zones) {
 		return func(z *Zones) { z.RecordSuccess(1, sentAt, at) }
