--- a/decision/overload.go
+++ b/decision/overload.go
@@ -41,7 +41,7 @@
 // sampleStart records whether a request has started within its slack. One that ended without a start tells
 // nothing. Nor does a late start where many dispatchers use the workers: it tells about one queue only, met
 // by chance, and requests would be rejected while other workers are free. A worker that rejects as its queue
-// is full is recorded all the same, by handleEnd.
+// is full is recorded all the same, by endAttempt.
 func (d *Dispatcher) sampleStart(t timer) {
 	started := slices.ContainsFunc(t.request.attempts, func(a attempt) bool { return a.Started })
 	all := warmupbudget.Peer{Count: d.cfg.Instances}
