--- a/decision/warmupbudget/flow_test.go
+++ b/decision/warmupbudget/flow_test.go
@@ -11,7 +11,7 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// sampleTraffic returns a mix that has taken requests of some works for a while, at a rate.
+// sampleTraffic returns a Traffic that has recorded requests of the given works at a rate for a while.
 func sampleTraffic(rng *rand.Rand, rate float64, works ...float64) (Traffic, time.Duration) {
 	var m Traffic
 	now := time.Hour
@@ -22,8 +22,8 @@
 	return m, now
 }
 
-// TestFlow has the flow to a cold worker grow with what it can do, keep a window's mean and
-// spare deviations within what it bears, and be no more than keeps it busy.
+// TestFlow checks that the flow to a warming worker keeps the mean of a window and its safety deviations
+// within the limit, and is no more than keeps the worker busy.
 func TestFlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worker := WarmingWorker{Rate: rapid.Float64Range(0.01, 1e4).Draw(t, "rate"), StartedAt: time.Hour}
@@ -31,12 +31,14 @@
 		works := rapid.SliceOfN(rapid.Float64Range(0.001, 50), 1, 5).Draw(t, "works")
 		m, _ := sampleTraffic(rand.New(rand.NewPCG(1, 1)), 1, works...)
 		n := rules.Flow(&m, worker, now) * rules.OverloadWindow.Seconds()
-		bears := WindowBound(rules.OverloadMultiple * worker.Rate * rules.Capacity(worker.StartedAt, now))
-		if worst := m.passedWork/m.passFraction*n + safetyDeviations*math.Sqrt(m.passedWorkSquared/m.passFraction*n); !(worst <= bears*1.000001) {
-			t.Fatalf("%.2f requests in a window: %.2f of work, it bears %.2f", n, worst, bears)
+		limit := WindowBound(rules.OverloadMultiple * worker.Rate * rules.Capacity(worker.StartedAt, now))
+		mean, meanSquare := m.passedWork/m.passFraction, m.passedWorkSquared/m.passFraction
+		if worst := mean*n + safetyDeviations*math.Sqrt(meanSquare*n); !(worst <= limit*1.000001) {
+			t.Fatalf("%.2f requests in a window: %.2f of work, the limit is %.2f", n, worst, limit)
 		}
-		if can, all := rules.minServedRate(worker, now), rules.Flow(&m, worker, now); all < 0 || all*m.passedWork/m.passFraction > busyFactor*can*1.000001 {
-			t.Fatalf("%.2f requests a second for a worker that can do %.2f", all, can)
+		served, all := rules.minServedRate(worker, now), rules.Flow(&m, worker, now)
+		if all < 0 || all*m.passedWork/m.passFraction > busyFactor*served*1.000001 {
+			t.Fatalf("%.2f requests a second for a worker that serves %.2f", all, served)
 		}
 		if later := rules.Flow(&m, worker, now+time.Second); later < n*0.999999/rules.OverloadWindow.Seconds() {
 			t.Fatalf("the flow falls with age: %.3f, %.3f", n, later)
@@ -44,9 +46,9 @@
 	})
 }
 
-// TestMaySendKeepsToFlow guards the sum of what many let go, each by its own rate alone: some have twenty
-// times as many requests as others, and all together come to the flow that was meant, but for
-// what is too heavy and for those that seldom get a request and take care.
+// TestMaySendKeepsToFlow checks the sum of what many dispatchers send, each by its own rate alone: some have
+// twenty times as many requests as others, and together they come to the flow, but for long requests and for
+// dispatchers that seldom get a request.
 func TestMaySendKeepsToFlow(t *testing.T) {
 	const dispatchers, over = 300, 200 * time.Second
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -82,8 +84,8 @@
 	}
 }
 
-// TestNewDispatcherSendsNothing guards cold workers from a fleet of dispatchers that have all just
-// started: one that does not know how many requests it gets lets the first go nowhere cold.
+// TestNewDispatcherSendsNothing checks that a dispatcher that does not know its request rate yet sends
+// nothing to a warming worker, as a fleet of dispatchers may have just started.
 func TestNewDispatcherSendsNothing(t *testing.T) {
 	worker := WarmingWorker{Rate: 1e6, StartedAt: time.Hour}
 	var m Traffic
