--- a/internal/dispatcher/core/admission.go
+++ b/internal/dispatcher/core/admission.go
@@ -10,126 +10,144 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// Why a job is not let in, or not sent, while the dispatcher comes back.
+// reasonRejoining is why a job is rejected or not sent while the dispatcher
+// rejoins its cluster. The word is part of span records.
 const reasonRejoining = "coming_back"
 
-// stallBound is how long a process has to have stood still for what it knows to be doubted: as
-// long as work may be sent after a drain was told. The core's loop looks every freshEvery by
-// itself.
-func stallBound(grace time.Duration) time.Duration { return max(grace, 2*refreshInterval) }
+// stallBound returns how long the process must have stalled for its knowledge to
+// be doubted: as long as work may be sent to a worker after it began to drain.
+// The loop of the core runs every refreshInterval by itself, so a shorter bound
+// would detect stalls where there are none.
+func stallBound(drainGrace time.Duration) time.Duration { return max(drainGrace, 2*refreshInterval) }
 
-// guard is what watches over a dispatcher that comes back together with others. One on its own
-// has none.
+// guard bounds what a dispatcher admits and sends while it rejoins its cluster,
+// and detects stalls of the process. A dispatcher without a cluster has none.
 type guard struct {
 	admission   admission.Door
 	stallWatch  stall.Watch
-	stalls      int                       // standstills so far
-	detector    stallDetector             // tells attempts of them
-	admitsKeyed bool                      // jobs that must not run twice are let in too
-	onStall     func(still time.Duration) // must not block
+	stalls      int                        // detected so far
+	detector    stallDetector              // shows stalls to attempts on their way
+	admitsKeyed bool                       // jobs that must not run twice are admitted too
+	onStall     func(length time.Duration) // must not block
 }
 
-// Guard has the core let jobs in by a door, closed at first, and notice when the process stood
-// still: from then on the door is closed, and nothing is sent, until Open says otherwise. It
-// is called before Run.
-func (c *Core) Guard(woke func(still time.Duration)) {
+// Guard has the core admit jobs gradually, none at first, and detect stalls of
+// the process: after one, nothing is admitted or sent until SetAdmission is
+// called with the new number of stalls. Each stall is passed to onStall, which
+// must not block. Guard must be called before Run.
+func (c *Core) Guard(onStall func(length time.Duration)) {
 	bound := stallBound(c.cfg.Rules.DrainGrace)
-	c.guard = &guard{stallWatch: stall.Watch{Bound: bound}, onStall: woke, detector: stallDetector{clock: c.moduleTime, bound: bound}}
+	c.guard = &guard{
+		stallWatch: stall.Watch{Bound: bound},
+		onStall:    onStall,
+		detector:   stallDetector{clock: c.moduleTime, bound: bound},
+	}
 	c.guard.detector.observe(c.moduleTime(time.Now()), false)
 	c.guard.admission.Set(admission.Closed, 0, 0)
 }
 
-// SetAdmission sets how far the door stands open. First is how many jobs may be under way to begin with,
-// where it is ajar; keyed lets in jobs that must not run twice too. Stood is how many standstills the caller knows of: what was decided before
-// the last one does not count.
-func (c *Core) SetAdmission(level admission.Level, keyed bool, first, stood int) {
+// SetAdmission sets how many jobs are admitted. At level Ajar, initial is how many
+// may be in flight to begin with; admitsKeyed admits jobs that must not run twice
+// too. Stalls is how many stalls the caller knows of: a call that was decided on
+// before the last stall changes nothing.
+func (c *Core) SetAdmission(level admission.Level, admitsKeyed bool, initial, stalls int) {
 	c.mailbox.Put(func(c *Core) {
-		if c.guard != nil && stood == c.guard.stalls {
-			c.guard.admitsKeyed = keyed
-			c.guard.admission.Set(level, first, c.now)
+		if c.guard != nil && stalls == c.guard.stalls {
+			c.guard.admitsKeyed = admitsKeyed
+			c.guard.admission.Set(level, initial, c.now)
 		}
 	})
 }
 
-// RejoinProgress is what the core knows of a dispatcher's coming back.
+// RejoinProgress is how far a dispatcher has rejoined, as its core knows it.
 type RejoinProgress struct {
-	Listed       int  // runners
-	Unrestricted bool // the door has been wide enough for all that came
+	Listed       int  // workers in the list
+	Unrestricted bool // admission has been wide enough for all jobs that came
 }
 
-// RejoinProgress tells it, soon, from another goroutine.
+// RejoinProgress passes the progress to a function, which the core's goroutine
+// calls soon.
 func (c *Core) RejoinProgress(to func(RejoinProgress)) {
 	c.mailbox.Put(func(c *Core) {
-		w := RejoinProgress{Listed: len(c.workers)}
+		progress := RejoinProgress{Listed: len(c.workers)}
 		if c.guard != nil {
-			w.Unrestricted = c.guard.admission.Bears(c.now)
+			progress.Unrestricted = c.guard.admission.Bears(c.now)
 		}
-		to(w)
+		to(progress)
 	})
 }
 
-// SetWarmUpPeers has runners that are cold be shared with so many dispatchers, this one among them, in
-// place of the settings' number.
+// SetWarmUpPeers has warming workers be shared among that many dispatchers, this
+// one included, in place of the number in the settings.
 func (c *Core) SetWarmUpPeers(count int) {
 	c.mailbox.Put(func(c *Core) {
 		if c.warmUpPeers != count {
 			c.warmUpPeers = count
-			c.step() // what came in before counts by the old number
+			c.step() // events that came before count by the old number
 			c.applyConfig()
 		}
 	})
 }
 
-// observe notices a standstill before anything else is done. Guards runners that were drained or
-// replaced meanwhile: what is written in the process's sockets is read in any order.
+// observe detects a stall before anything else is done in a turn of the loop. It
+// protects workers that were drained or replaced during the stall: what has
+// arrived on the process's sockets meanwhile is read in any order.
 func (g *guard) observe(now time.Duration) {
 	if g == nil {
 		return
 	}
-	still, _ := g.stallWatch.Look(now, now)
-	if still > 0 {
+	length, _ := g.stallWatch.Look(now, now)
+	if length > 0 {
 		g.stalls++
 		g.admission.Set(admission.Closed, 0, now)
-		g.onStall(still)
+		g.onStall(length)
 	}
-	g.detector.observe(now, still > 0)
+	g.detector.observe(now, length > 0)
 }
 
-// admit tells whether a job may come in, and refuses it where it may not.
+// admit reports whether a job is admitted, and responds to it where it is not.
 func (c *Core) admit(job *Job, ingress Ingress) bool {
 	if c.guard == nil {
 		return true
 	}
-	in, counted := false, false
+	admitted, counted := false, false
 	if c.guard.admitsKeyed || c.cfg.Classes[job.Class].Effect == decision.Safe {
-		in, counted = c.guard.admission.Admit(c.now)
+		admitted, counted = c.guard.admission.Admit(c.now)
 	}
-	if job.Compensating { // nobody would come again for it
-		in = in || c.guard.admission.Level() == admission.Ajar
+	if job.Compensating { // no client would retry it
+		admitted = admitted || c.guard.admission.Level() == admission.Ajar
 	}
-	if in {
+	if admitted {
 		job.admissionCounted = counted
 		return true
 	}
-	c.summary.answers[Rejected]++
+	c.summary.responses[Rejected]++
 	after := c.guard.admission.After(rand.Float64(), c.cfg.Limits.MaxRetryAfter, c.now)
 	if !c.cfg.Limits.RetryAfter {
 		after = 0
 	}
-	if job.Record != nil {
-		job.Record.Finish(c.now, trace.Refused, trace.ByCore, reasonRejoining)
-		job.Record.Retryable = true
-		c.onRecord(job.Record)
-	}
+	c.endRejectedRecord(job, reasonRejoining)
 	ingress.Respond(Response{Verdict: Rejected, RetryAfter: after})
 	return false
 }
 
-// stalled tells whether nothing may be sent: the process stood still, and has not heard anew
-// what there is.
+// endRejectedRecord ends the span record, if there is one, of a job that was
+// rejected before it became a request.
+func (c *Core) endRejectedRecord(job *Job, reason string) {
+	if job.Record == nil {
+		return
+	}
+	job.Record.Finish(c.now, trace.Refused, trace.ByCore, reason)
+	job.Record.Retryable = true
+	c.onRecord(job.Record)
+}
+
+// stalled reports whether nothing may be sent: the process has stalled, and has
+// not refreshed its knowledge of the workers since.
 func (c *Core) stalled() bool { return c.guard != nil && c.guard.admission.Level() == admission.Closed }
 
-// releaseAdmission takes in that a job has its answer.
+// releaseAdmission records that a job no longer counts among those admitted.
+// Served tells whether a worker served it.
 func (c *Core) releaseAdmission(job *Job, served bool) {
 	if job.admissionCounted {
 		job.admissionCounted = false
--- a/internal/dispatcher/core/api.go
+++ b/internal/dispatcher/core/api.go
@@ -9,124 +9,149 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// Job is what a client asks for, in no protocol's terms. What a runner is to
-// get passes through unchanged.
+// Job is what a client asks for, in no protocol's terms. Method, resource and body
+// reach the worker unchanged.
 type Job struct {
-	ID       string // the client's name for the request, unique among those that are open
+	ID       string // the client's name for the request, unique among open requests
 	Method   string
 	Resource string // path and query
-	Key      string // idempotency key, empty for none
+	Key      string // idempotency key; empty for none
 	Body     []byte
 
-	Class            int
-	Tenant           int // whose it is, from 1 in the order of the settings; 0 for nobody's
-	Slots            float64
-	Memory           float64
-	Subject          uint64        // what the request concerns; 0 for none
-	Hint             time.Duration // a rough estimate of the work; 0 for none
-	Retry            bool          // a client's repeat
-	ProcessStopping  bool          // the deadline is the end of this process
-	Gang             *Gang         // the gang that it is a part of; nil for none
-	Compensating     bool          // it undoes what was done: it is not shed as new work is
-	Placements       Placements    // agrees on where it goes; nil for nobody
-	ClientLeft       func() bool   // tells at once, from any goroutine, whether its client has left; nil for unknown
-	admissionCounted bool          // the door has let it in and counts it
-	Deadline         time.Time
-
-	Record *trace.Record // nil for none; from Submit on it is the core's
+	Class    int           // number of the class in the settings
+	Tenant   int           // number of the tenant in the settings, from 1; 0 for none
+	Slots    float64       // slots that the job occupies at a worker
+	Memory   float64       // memory that it needs there, in the unit of the settings
+	Subject  uint64        // what the request concerns, for affinity; 0 for nothing
+	Hint     time.Duration // rough estimate of its run time; 0 for none
+	Retry    bool          // the client says that it retries
+	Deadline time.Time     // when its client stops waiting
+
+	ProcessStopping bool        // the deadline is the end of this process
+	Compensating    bool        // it undoes an effect, so load shedding does not reject it as new work
+	Gang            *Gang       // the gang that it is a part of; nil for none
+	Placements      Placements  // agrees on where it is sent; nil where nothing has to agree
+	ClientLeft      func() bool // reports at once whether its client has left; safe for concurrent use; nil where unknown
+
+	admissionCounted bool // admission counts it among the jobs in flight
+
+	Record *trace.Record // nil for none; the core owns it from Submit on
 }
 
-// Gang names a part of a gang of jobs, which is as late as its slowest part.
+// Gang names a part of a gang of jobs, which completes with its slowest part.
 type Gang struct {
 	ID    string
-	N, Of int // from 1
+	N, Of int // part N of Of, from 1
 }
 
-// GangObserver watches the parts of gangs. None of its methods blocks.
+// GangObserver observes the parts of gangs. None of its methods blocks.
 type GangObserver interface {
-	Joined(job *Job, left time.Duration)
+	// Joined reports a new part and the time until its deadline.
+	Joined(job *Job, remaining time.Duration)
+	// Sent reports an attempt of a part at a worker.
 	Sent(job *Job, attempt int, uid string)
+	// Started reports that the worker of an attempt has started the part.
 	Started(job *Job, attempt int)
+	// Progressed reports the finished share of a part, from 0 to 1.
 	Progressed(job *Job, attempt int, share float64)
+	// Ended reports the end of an attempt.
 	Ended(job *Job, attempt int, served bool)
+	// Closed reports that a part has its response or its client has left.
 	Closed(job *Job)
 }
 
-// Verdict is the kind of a final answer.
+// Verdict is the kind of a final response.
 type Verdict uint8
 
-// The final answers.
+// The verdicts.
 const (
-	Served    Verdict = iota // Result is what a runner gave
-	Rejected                 // refused: trying again is harmless
-	Failed                   // no promise about the effect
-	Duplicate                // a request of this id is open already; nothing was done
-	Unusable                 // a runner can't use the job, and none will; it never ran
+	Served    Verdict = iota // Result is what a worker returned
+	Rejected                 // nothing was done, and a retry is harmless
+	Failed                   // nothing is promised about the job's effect
+	Duplicate                // a request with this ID is open already; nothing was done
+	Unusable                 // a worker can't use the job, and none will; it never ran
 )
 
-// Response is the one final answer of a request.
+// Response is the one final response of a request.
 type Response struct {
 	Verdict    Verdict
 	Result     []byte
-	Last       []byte        // the part of Result that no Streamer has had
+	Last       []byte        // the part of Result that was not streamed before
 	Streamed   bool          // Last is set
-	RetryAfter time.Duration // for Shed; 0 for no advice
+	RetryAfter time.Duration // for Rejected: when to retry; 0 for no advice
 }
 
-// Ingress is the client's side of a request. Answer is called exactly once,
-// unless the client has left before, and must not block.
-type Ingress interface{ Respond(Response) }
+// Ingress is the client's side of a request.
+type Ingress interface {
+	// Respond is called exactly once, unless the client has left before. It must
+	// not block.
+	Respond(Response)
+}
 
-// Streamer is an Ingress that wants to hear of what runners tell while a job runs. Stream
-// must not block; nothing comes after the answer.
-type Streamer interface{ Stream(JobEvent) }
+// Streamer is an Ingress that takes the reports of workers while a job runs.
+type Streamer interface {
+	// Stream must not block. It is not called after Respond.
+	Stream(JobEvent)
+}
 
-// AttemptRef names a hop: a request of this process and its attempt's number.
+// AttemptRef identifies an attempt: a request of this process and the attempt's
+// number, from 0.
 type AttemptRef struct {
 	Request decision.RequestID
 	Number  int
 }
 
-// Attempt is one attempt of a job at one egress target.
+// Attempt is one attempt of a job at one backend.
 type Attempt struct {
 	Ref       AttemptRef
 	Job       *Job
 	Deadline  time.Time // when the core stops waiting
 	Permit    *Permit   // what may stop it until its first byte is written; nil for nothing
-	Exclusive bool      // no other may be out beside it, or follow it if it may have run
-	Confirm   bool      // GiveUp: another may follow once the runner has heard of it
-	Parent    string    // traceparent of this hop; empty where nothing is recorded
-	State     string    // tracestate
+	Exclusive bool      // no other attempt may be out beside it, or follow it if it may have run
+	Confirm   bool      // for Cancel: another attempt may follow once the worker knows of the cancellation
+	Parent    string    // traceparent header of this attempt; empty where nothing is recorded
+	State     string    // tracestate header
 }
 
-// Fields are what a log line about the hop says of its request.
-func (h *Attempt) Fields() logrus.Fields {
-	f := logrus.Fields{"id": h.Job.ID}
-	if c, ok := trace.ParseParent(h.Parent, ""); ok {
-		f["trace"] = c.Trace.String()
+// Fields returns the log fields that identify the attempt's request.
+func (a *Attempt) Fields() logrus.Fields {
+	fields := logrus.Fields{"id": a.Job.ID}
+	if c, ok := trace.ParseParent(a.Parent, ""); ok {
+		fields["trace"] = c.Trace.String()
 	}
-	return f
+	return fields
 }
 
-// Backend is an egress target. None of its methods may block. What becomes of a
-// hop is reported to the core by HopEnded, or by Report.
+// Backend is the way to one worker. None of its methods may block. It reports
+// what becomes of an attempt by AttemptAccepted, AttemptEnded, AttemptRecalled or
+// Report of the core.
 type Backend interface {
+	// Send sends an attempt.
 	Send(Attempt)
-	Cancel(Attempt)         // the core waits no longer: closes before the job is taken, recalls it after; HopRecalled tells
-	Probe(time.Time)        // asks for a load report until the deadline; ProbeEnded tells
-	SetAddress(addr string) // the address has changed
-	Close()                 // the target has left the route table
+	// Cancel stops waiting for an attempt: it closes the connection before the
+	// worker has accepted the job, and recalls the job after. AttemptRecalled
+	// reports the end.
+	Cancel(Attempt)
+	// Probe asks the worker for a load report by a deadline. ProbeEnded reports it.
+	Probe(deadline time.Time)
+	// SetAddress changes the address of the worker.
+	SetAddress(addr string)
+	// Close ends the backend, because its worker has left the route table, once its
+	// attempts have ended.
+	Close()
 }
 
-// Backends makes the egress targets as the route table names them.
+// Backends makes the backends of the workers in the route table.
 type Backends interface {
 	Open(worker decision.WorkerID, uid, addr string) Backend
 }
 
-// RouteTable is discovery's list. None of its methods may block; what it finds
-// comes by ListReplaced, ListChanged and ListFailed.
+// RouteTable is discovery's list of workers. None of its methods may block. It
+// reports its content by RoutesReplaced, RoutesChanged and DiscoveryFailed.
 type RouteTable interface {
+	// Watch subscribes to changes.
 	Watch()
+	// Fetch asks for the whole list.
 	Fetch()
 }
 
@@ -134,44 +159,50 @@
 type Route struct {
 	UID, Addr string
 	ZoneName  string
-	Source    uint8 // who lists it: 0 for discovery. A whole list takes nobody else's away
-	Withheld  bool  // nobody vouches for it yet: it is listed as draining and gets nothing
+	Source    uint8 // who lists it, 0 for discovery; a whole list removes only entries of discovery
+	Withheld  bool  // nothing confirms it yet: it is listed as draining and gets no work
 	decision.Member
 }
 
-// JobState is what a runner reports of a job.
+// JobState is what a worker reports of a job.
 type JobState uint8
 
-// The states of a job at a runner.
+// The states of a job at a worker.
 const (
 	JobStarted JobState = iota
 	JobRunning
 	JobDone
 	JobFailed
-	JobReturned // handed back unstarted
+	JobReturned // handed back without having been started
 	JobLost
-	JobData      // a part of the result
-	JobWarning   // a word to the client
-	JobException // why it will fail
+	JobData      // carries a part of the result
+	JobWarning   // carries a message to the client
+	JobException // says why the job will fail
 )
 
-// JobEvent is a runner's report on a job that it has been sent.
+// JobEvent is a worker's report on a job that was sent to it. Processes of one
+// dispatcher exchange it as JSON under these field names.
 type JobEvent struct {
-	ID, From string
+	ID, From string // the job's ID and the worker's UID
 	State    JobState
-	Share    float64
+	Share    float64 // finished share, from 0 to 1
 	Result   []byte
-	Last     []byte // the part of the result that has not come as JobData
-	Streamed bool   // Last is set
-	Load     []float32
+	Last     []byte    // the part of the result that did not come as JobData
+	Streamed bool      // Last is set
+	Load     []float32 // load report, by the columns of the settings
 }
 
-// WorkerObserver is told what jobs find of runners. None of its methods may block.
+// WorkerObserver learns what jobs show of workers. None of its methods blocks.
 type WorkerObserver interface {
+	// AttemptEnded reports the outcome of an attempt at a worker.
 	AttemptEnded(uid string, o decision.Outcome)
+	// JobStarted reports that a worker has started a job.
 	JobStarted(uid string)
-	UnknownSender(uid string) // a job sent to it is reported on by another name
+	// UnknownSender reports that a job sent to a worker was reported on under
+	// another worker's UID.
+	UnknownSender(uid string)
 }
 
-// MembersFunc is told how many runners are listed, and how many of them get no new work.
+// MembersFunc receives the number of listed workers and of those among them that
+// get no new work. It must not block.
 type MembersFunc func(listed, unavailable int)
--- a/internal/dispatcher/core/core.go
+++ b/internal/dispatcher/core/core.go
@@ -1,17 +1,29 @@
-// Package core is the actor of the decision module. It drains its mailbox into
-// one Step of the module, carries out the actions that come back, and owns the
-// state of requests and hops, the timers and the one final answer of each
-// request. It knows no protocol: fronts and egress targets stand behind the
-// small interfaces declared here. What those tell (Submit, Report, HopEnded, ...) may be
-// called from any goroutine, and none of it blocks.
+// Package core is the actor between the pure decision module and the network.
+//
+// It drains its mailbox into one Step of the module, executes the actions that
+// Step returns, and owns what the module does not: the open requests with their
+// attempts, the timers, and the one final response of each request. It knows no
+// protocol. Clients stand behind Ingress, workers behind Backend, discovery
+// behind RouteTable; packages ingress, gearman, egress and routetable implement
+// them, and cmd/frosttide connects everything.
+//
+// Invariants: each request gets exactly one final response unless its client
+// has left; each attempt ends exactly once, whatever its backend and its worker
+// report and in whatever order; nothing is sent after a stall of the process
+// until admission is opened anew.
+//
+// All exported methods of Core are safe for concurrent use and never block; they
+// put a message into the mailbox that the goroutine of Run executes. The
+// exceptions are the Set... methods of hooks and observers, Guard and HoldBack,
+// which must be called before Run.
 package core
 
 import (
 	"cmp"
 	"context"
-	"fmt"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
@@ -20,62 +32,97 @@
 	"frosttide/internal/mailbox"
 )
 
-// Core is the actor. Make it with New, start it with Run.
+// Core is the actor. Make it with New and start it with Run. Unless a comment
+// says otherwise its fields belong to the goroutine of Run.
 type Core struct {
 	log        *logrus.Entry
 	cfg        decision.Config
 	module     *decision.Dispatcher
 	backends   Backends
 	routeTable RouteTable
-	mailbox    *mailbox.Box[func(*Core)]
-	start      time.Time
-	startWall  time.Duration        // what the wall clock said then
-	wall       func() time.Duration // the wall clock, since 1970; it may be set at any time
-
-	now               time.Duration
-	events            []decision.Event // for the next Step
-	timers            timerHeap
+	mailbox    *mailbox.Box[func(*Core)] // safe for concurrent use
+
+	// The clock. Durations that are points in time count since 1970.
+	start     time.Time            // when the core was made
+	startWall time.Duration        // what the wall clock showed then
+	wall      func() time.Duration // the wall clock, which may be set at any time
+	now       time.Duration        // of the current turn of the loop
+
+	// Work of the current turn, and timers.
+	events []decision.Event // for the next Step
+	timers timerHeap
+
+	// Requests.
 	requests          map[decision.RequestID]*request
-	byID              map[string]*request
+	byID              map[string]*request // by the client's name for the request
 	lastRequestID     decision.RequestID
-	lastWorkerID      decision.WorkerID
-	summary           trafficCounts
-	workers           map[string]*worker // by uid
-	workersByNumber   map[decision.WorkerID]*worker
-	excluded          map[string]bool                  // uids that operators have left out, whatever discovery lists
-	reinstated        map[string]time.Duration         // uids that they have put back, and when
-	restoredHealth    map[string]decision.Health       // of an earlier process, for runners not listed yet
-	restoredStarts    map[string]WorkerStart           // the same
-	processCount      int                              // of this dispatcher
-	releasing         map[*request]func(*MovedRequest) // requests that are to go to another process
-	onExclusion       func(Exclusion)                  // told of what operators say here
+	awaitingAdmission map[*Job]bool                    // jobs held back or looked up in the outcome store, whose clients are still there
+	heldBack          *heldBackJobs                    // nil once discovery has answered
+	releasing         map[*request]func(*MovedRequest) // requests that will go to another process
+	stopAt            time.Duration                    // when the process may be ended; 0 before it is told to stop
+
+	// Workers.
+	workers         map[string]*worker // by UID
+	workersByNumber map[decision.WorkerID]*worker
+	lastWorkerID    decision.WorkerID
+	excluded        map[string]bool            // UIDs that operators have excluded, whatever discovery lists
+	reinstated      map[string]time.Duration   // UIDs that operators have included again, and when
+	restoredHealth  map[string]decision.Health // of an earlier process, for workers not listed yet
+	restoredStarts  map[string]WorkerStart     // likewise
+
+	// Other processes and other dispatchers.
+	processCount int    // processes of this dispatcher
+	warmUpPeers  int    // dispatchers that share warming workers, in place of the settings' number; 0 for that number
+	guard        *guard // nil for a dispatcher without a cluster
+
+	// Observers. None of them may block.
+	onExclusion       func(Exclusion) // receives what operators decide at this process
 	onMembers         MembersFunc
-	membersReportedAt time.Duration       // when it was told last
-	onRecord          func(*trace.Record) // takes the stories of requests that have ended
-	onHoldings        func([]Holding)     // is told what each worker holds; nil for nobody
-	holdingsWanted    func() bool         // whether it wants to know now
+	membersReportedAt time.Duration
+	onRecord          func(*trace.Record) // receives the span records of requests that have ended
+	onHoldings        func([]Holding)     // receives the tokens that each worker holds; nil for nobody
+	holdingsWanted    func() bool         // whether onHoldings is of use now
 	observer          WorkerObserver      // nil for none
 	outcomeStore      OutcomeStore        // nil for none
-	awaitingAdmission map[*Job]bool       // jobs whose fate is asked for, or that are held back, their clients still there
-	heldBack          *heldBackJobs       // what came before discovery's first word; nil once that has come
-	stopAt            time.Duration       // when the process may be ended; 0 for not yet
 	gangs             GangObserver        // nil for none
-	guard             *guard              // of one that comes back together with others; nil for none
-	warmUpPeers       int                 // of cold runners, in place of the settings' number; 0 for that
+	summary           trafficCounts
 }
 
-// New makes the core. Seed is for the module's random numbers.
-func New(cfg decision.Config, seed uint64, targets Backends, list RouteTable, members MembersFunc,
+// New makes a core that is not running yet. The seed is for the random numbers
+// of the decision module. It fails with the module's error for settings that the
+// module does not accept.
+func New(cfg decision.Config, seed uint64, backends Backends, routeTable RouteTable, onMembers MembersFunc,
 	log *logrus.Entry) (*Core, error) {
 	module, err := decision.New(cfg, seed)
 	if err != nil {
-		return nil, fmt.Errorf("making the module: %w", err)
+		return nil, errors.Wrap(err, "making the module")
 	}
-	return &Core{log: log, cfg: cfg, module: module, backends: targets, routeTable: list, mailbox: mailbox.New[func(*Core)](),
-		start: time.Now(), startWall: monotime.Wall(), wall: monotime.Wall, requests: map[decision.RequestID]*request{}, byID: map[string]*request{},
-		workers: map[string]*worker{}, workersByNumber: map[decision.WorkerID]*worker{},
-		excluded: map[string]bool{}, reinstated: map[string]time.Duration{}, releasing: map[*request]func(*MovedRequest){},
-		onExclusion: func(Exclusion) {}, onMembers: members, processCount: 1, awaitingAdmission: map[*Job]bool{}}, nil
+	return &Core{
+		log:        log,
+		cfg:        cfg,
+		module:     module,
+		backends:   backends,
+		routeTable: routeTable,
+		mailbox:    mailbox.New[func(*Core)](),
+
+		start:     time.Now(),
+		startWall: monotime.Wall(),
+		wall:      monotime.Wall,
+
+		requests:          map[decision.RequestID]*request{},
+		byID:              map[string]*request{},
+		awaitingAdmission: map[*Job]bool{},
+		releasing:         map[*request]func(*MovedRequest){},
+
+		workers:         map[string]*worker{},
+		workersByNumber: map[decision.WorkerID]*worker{},
+		excluded:        map[string]bool{},
+		reinstated:      map[string]time.Duration{},
+
+		processCount: 1,
+		onExclusion:  func(Exclusion) {},
+		onMembers:    onMembers,
+	}, nil
 }
 
 // Run works until the context ends.
@@ -85,8 +132,8 @@
 	defer timer.Stop()
 	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
-	fresh := time.NewTicker(refreshInterval) // rests end with the time alone
-	defer fresh.Stop()
+	refresh := time.NewTicker(refreshInterval) // a worker's rest ends by the passing of time alone
+	defer refresh.Stop()
 	for {
 		select {
 		case <-ctx.Done():
@@ -95,7 +142,7 @@
 		case <-timer.C:
 		case <-summary.C:
 			c.logSummary()
-		case <-fresh.C:
+		case <-refresh.C:
 			c.reportHoldings()
 		}
 		c.now = c.moduleTime(time.Now())
@@ -115,38 +162,39 @@
 	}
 }
 
-// moduleTime turns a time into the module's: the time since 1970, which never goes
-// back in a process as it follows the monotonic clock.
+// moduleTime converts a time into the decision module's: the time since 1970. It
+// follows the monotonic clock, so it never goes back within a process.
 func (c *Core) moduleTime(t time.Time) time.Duration {
 	return c.startWall + t.Sub(c.start)
 }
 
-// wallTime turns the module's time back.
+// wallTime converts the decision module's time back.
 func (c *Core) wallTime(at time.Duration) time.Time {
 	return c.start.Add(at - c.startWall)
 }
 
-// ApplySettings takes new settings: classes keep their numbers, and new ones come after
-// them. Jobs submitted from now on may be of those.
+// ApplySettings puts new settings in force. Classes keep their numbers, and new
+// ones come after them. Jobs submitted from now on may be of those.
 func (c *Core) ApplySettings(cfg decision.Config) {
 	c.mailbox.Put(func(c *Core) {
-		c.step() // what came in before counts by the old ones
+		c.step() // events that came before the new settings count by the old ones
 		c.cfg = cfg
 		c.applyConfig()
 	})
 }
 
-// applyConfig tells the module the settings in force.
+// applyConfig passes the settings in force to the decision module.
 func (c *Core) applyConfig() {
 	cfg := c.cfg
 	cfg.Instances = max(cmp.Or(c.warmUpPeers, cfg.Instances), 1) * c.processCount
 	c.addEvent(decision.Event{Type: decision.SettingsChanged, Settings: &cfg})
 }
 
+// addEvent queues an event for the next Step.
 func (c *Core) addEvent(ev decision.Event) { c.events = append(c.events, ev) }
 
-// step lets the module act on the events gathered, and on those that carrying
-// out its actions makes, until nothing is left to tell.
+// step has the decision module act on the queued events, and on those that
+// executing its actions causes, until none is left.
 func (c *Core) step() {
 	var actions []decision.Action
 	for len(c.events) > 0 {
@@ -154,7 +202,7 @@
 		c.events = nil
 		actions = c.module.Step(c.now, events, actions[:0])
 		for i := range actions {
-			c.carryOut(&actions[i])
+			c.execute(&actions[i])
 		}
 		for i := range events {
 			if r := c.requests[events[i].Request]; r != nil {
@@ -164,7 +212,8 @@
 	}
 }
 
-func (c *Core) carryOut(a *decision.Action) {
+// execute carries out an action of the decision module.
+func (c *Core) execute(a *decision.Action) {
 	switch a.Type {
 	case decision.Send:
 		c.sendAttempt(a)
--- a/internal/dispatcher/core/exclusions.go
+++ b/internal/dispatcher/core/exclusions.go
@@ -8,40 +8,40 @@
 	"frosttide/decision"
 )
 
-// Exclude leaves a runner out until it is put back with out false. Done is told whether
-// anybody has the runner. Guards a caller who was told no, as the core had no time:
-// from the deadline on nothing is done and done is not called.
-func (c *Core) Exclude(uid string, out bool, by time.Time, done func(known bool)) {
+// Exclusion is what operators decide on a worker: that it gets no work, whatever
+// discovery lists, or that it gets work again. Processes of one dispatcher and
+// members of a cluster exchange it.
+type Exclusion struct {
+	UID string        `json:"uid"`
+	Out bool          `json:"out"`
+	At  time.Duration `json:"at"` // since 1970
+}
+
+// Exclude excludes a worker, or reinstates it with out false, and passes to done
+// whether anybody has the worker. From the deadline on it does nothing and does
+// not call done, because the caller has been told of the failure by then.
+func (c *Core) Exclude(uid string, out bool, deadline time.Time, done func(known bool)) {
 	c.mailbox.Put(func(c *Core) {
-		if time.Now().Before(by) {
+		if time.Now().Before(deadline) {
 			done(c.exclude(uid, out))
 		}
 	})
 }
 
-// IsKnown tells whether anybody has a runner, or operators have left it out.
+// IsKnown passes to known whether a worker is listed or excluded.
 func (c *Core) IsKnown(uid string, known func(bool)) {
 	c.mailbox.Put(func(c *Core) { known(c.workers[uid] != nil || c.excluded[uid]) })
 }
 
-// Exclusion is what operators say of a runner, as one process of a dispatcher tells it
-// to the other.
-type Exclusion struct {
-	UID string        `json:"uid"`
-	Out bool          `json:"out"`
-	At  time.Duration `json:"at"` // since 1970
-}
-
-// SetExclusionHook names who is told of what operators say to this process; it is called before
-// Run. It must not block.
-func (c *Core) SetExclusionHook(inform func(Exclusion)) { c.onExclusion = inform }
+// SetExclusionHook sets who receives what operators decide at this process. It
+// must be called before Run, and the hook must not block.
+func (c *Core) SetExclusionHook(onExclusion func(Exclusion)) { c.onExclusion = onExclusion }
 
-// ApplyExclusion takes over what operators have said to the other process.
+// ApplyExclusion applies what operators decided elsewhere. The hook of
+// SetExclusionHook is not called.
 func (c *Core) ApplyExclusion(e Exclusion) { c.mailbox.Put(func(c *Core) { c.applyExclusion(e) }) }
 
-// exclude leaves a runner out, or puts it back, and reports whether anybody has it.
-// Put back it counts as cold: operators restart runners in that time, and discovery
-// may not tell when.
+// exclude excludes or reinstates a worker, and reports whether anybody has it.
 func (c *Core) exclude(uid string, out bool) bool {
 	w := c.workers[uid]
 	if w == nil && !c.excluded[uid] {
@@ -56,7 +56,9 @@
 	return true
 }
 
-// applyExclusion carries out what operators have said of a runner.
+// applyExclusion applies what operators have decided on a worker. A reinstated
+// worker counts as warming: operators restart workers that are excluded, and
+// discovery may not say when.
 func (c *Core) applyExclusion(e Exclusion) {
 	if c.excluded[e.UID] == e.Out {
 		return
--- a/internal/dispatcher/core/handover.go
+++ b/internal/dispatcher/core/handover.go
@@ -9,28 +9,48 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// Snapshot is what the core tells a newer process of its dispatcher. Times are of the core's
-// clock, since 1970; health is by uid.
+// Snapshot is what the core passes to a newer process of its dispatcher. Points in
+// time are of the core's clock, since 1970. Workers are named by UID.
 type Snapshot struct {
-	Offset       time.Duration              `json:"offset,omitempty"` // of that clock to the machine's monotonic one; 0 for not told
+	Offset       time.Duration              `json:"offset,omitempty"` // of the core's clock to the machine's monotonic one; 0 for unknown
 	Excluded     []string                   `json:"excluded"`
 	Reinstated   map[string]time.Duration   `json:"put_back"`
 	Health       map[string]decision.Health `json:"health"`
-	MeanRunTimes []time.Duration            `json:"runs"` // mean run times by class
+	MeanRunTimes []time.Duration            `json:"runs"` // by the number of the class
 	Starts       map[string]WorkerStart     `json:"starts,omitempty"`
 }
 
-// WorkerStart is a worker's last start: as discovery tells it, by the wall clock, and when that was by the
-// core's.
+// WorkerStart is a worker's last start: Boot as it is listed, by the wall clock,
+// and At by the core's clock.
 type WorkerStart struct {
 	Boot time.Duration `json:"boot"`
 	At   time.Duration `json:"at"`
 }
 
-// Snapshot tells what the core knows beside the list.
+// MovedRequest is what another process of the dispatcher needs to go on with a
+// request. Its times are of the machine's monotonic clock, but for the record's.
+type MovedRequest struct {
+	Deadline time.Duration  `json:"deadline"`
+	Attempts []MovedAttempt `json:"hops"`
+	Record   *trace.Record  `json:"story,omitempty"`
+}
+
+// MovedAttempt is an attempt of a request that moves to another process.
+type MovedAttempt struct {
+	UID    string                 `json:"uid"`
+	Record decision.AttemptRecord `json:"past"`
+}
+
+// Snapshot passes on what the core knows beside the list of workers. The core's
+// goroutine calls the function soon.
 func (c *Core) Snapshot(to func(Snapshot)) {
 	c.mailbox.Put(func(c *Core) {
-		s := Snapshot{Offset: c.clockOffset(), Reinstated: maps.Clone(c.reinstated), Health: map[string]decision.Health{}, Starts: map[string]WorkerStart{}}
+		s := Snapshot{
+			Offset:     c.clockOffset(),
+			Reinstated: maps.Clone(c.reinstated),
+			Health:     map[string]decision.Health{},
+			Starts:     map[string]WorkerStart{},
+		}
 		for uid := range c.excluded {
 			s.Excluded = append(s.Excluded, uid)
 		}
@@ -45,7 +65,7 @@
 	})
 }
 
-// Restore takes over a snapshot. It comes before the first list.
+// Restore takes over a snapshot. It must come before the first list of workers.
 func (c *Core) Restore(s Snapshot) {
 	c.mailbox.Put(func(c *Core) {
 		for _, uid := range s.Excluded {
@@ -59,10 +79,10 @@
 			c.excluded[uid] = true
 			c.applyExclusion(Exclusion{UID: uid, At: at + shift})
 		}
-		for uid, h := range s.Health {
-			h.RestUntil += shift
-			h.PaceAt += shift
-			s.Health[uid] = h
+		for uid, health := range s.Health {
+			health.RestUntil += shift
+			health.PaceAt += shift
+			s.Health[uid] = health
 		}
 		c.restoredHealth = s.Health
 		for uid, start := range s.Starts {
@@ -73,37 +93,24 @@
 	})
 }
 
-// SetProcessCount tells how many processes of this dispatcher share what it may send to cold
-// runners: to the module they are that many instances.
-func (c *Core) SetProcessCount(n int) {
+// SetProcessCount sets how many processes of this dispatcher share the work for
+// warming workers. The decision module sees them as that many instances.
+func (c *Core) SetProcessCount(count int) {
 	c.mailbox.Put(func(c *Core) {
-		c.processCount = n
+		c.processCount = count
 		c.applyConfig()
 	})
 }
 
-// clockOffset returns how far the core's clock is ahead of the machine's monotonic one, which another
-// process reads as well. Guards times that are told to it against a wall clock that is set between
-// the starts of the two.
+// clockOffset returns how far the core's clock is ahead of the machine's monotonic
+// clock, which another process reads as well. Times that are passed between
+// processes hold so even if the wall clock is set between the starts of the two.
 func (c *Core) clockOffset() time.Duration { return c.moduleTime(time.Now()) - monotime.Now() }
 
-// MovedRequest is what another process of the dispatcher needs to go on with a request. Its times are of the
-// machine's monotonic clock, but for the story's.
-type MovedRequest struct {
-	Deadline time.Duration  `json:"deadline"`
-	Attempts []MovedAttempt `json:"hops"`
-	Record   *trace.Record  `json:"story,omitempty"`
-}
-
-// MovedAttempt is an attempt of such a request.
-type MovedAttempt struct {
-	UID    string                 `json:"uid"`
-	Record decision.AttemptRecord `json:"past"`
-}
-
-// Release gives up a request to another process, once all its hops that are out have
-// been taken by their runners: until then what becomes of them comes here. Done is told
-// what goes along, or nil if the request has its answer; then it was not released.
+// Release gives a request up to another process once its workers have accepted all
+// attempts that are out; until then this process has to learn what becomes of
+// them. It passes on what the other process needs, or nil if the request has its
+// response and so was not released.
 func (c *Core) Release(job *Job, done func(*MovedRequest)) {
 	c.mailbox.Put(func(c *Core) {
 		if r := c.byID[job.ID]; r != nil && r.job == job && !r.answered {
@@ -114,8 +121,8 @@
 	})
 }
 
-// releaseReady lets go of the requests that are ready for it. It recalls nothing: their
-// hops go on.
+// releaseReady releases the requests that are ready for it. It recalls nothing:
+// their attempts go on.
 func (c *Core) releaseReady() {
 	for r, done := range c.releasing {
 		if r.answered {
@@ -123,19 +130,7 @@
 			done(nil)
 			continue
 		}
-		offset := c.clockOffset()
-		m := &MovedRequest{Deadline: r.deadline - offset, Record: r.record}
-		past := c.module.PriorAttempts(r.id)
-		ready := len(past) == len(r.attempts)
-		for i := range r.attempts {
-			h := &r.attempts[i]
-			ready = ready && (h.ended || h.accepted || h.reported)
-			// A worker that is connected to this process tells it alone how its job ends.
-			ready = ready && (h.ended || h.worker == nil || h.worker.source == 0)
-			if ready {
-				m.Attempts = append(m.Attempts, MovedAttempt{UID: h.workerUID(), Record: shiftClock(past[i], -offset)})
-			}
-		}
+		m, ready := c.movedRequest(r)
 		if !ready {
 			continue
 		}
@@ -152,6 +147,28 @@
 	}
 }
 
+// movedRequest returns a request in the form in which it moves, and whether it may
+// move now.
+func (c *Core) movedRequest(r *request) (m *MovedRequest, ready bool) {
+	offset := c.clockOffset()
+	m = &MovedRequest{Deadline: r.deadline - offset, Record: r.record}
+	prior := c.module.PriorAttempts(r.id)
+	if len(prior) != len(r.attempts) {
+		return nil, false
+	}
+	for i := range r.attempts {
+		a := &r.attempts[i]
+		known := a.ended || a.accepted || a.reported
+		// A worker that is connected to this process reports to it alone.
+		mayMove := a.ended || a.worker == nil || a.worker.source == 0
+		if !known || !mayMove {
+			return nil, false
+		}
+		m.Attempts = append(m.Attempts, MovedAttempt{UID: a.workerUID(), Record: shiftClock(prior[i], -offset)})
+	}
+	return m, true
+}
+
 // Adopt goes on with a request that another process has released.
 func (c *Core) Adopt(job *Job, m *MovedRequest, ingress Ingress) {
 	c.mailbox.Put(func(c *Core) {
@@ -162,16 +179,18 @@
 		r := c.newRequest(job, ingress)
 		ev := c.arrivalEvent(r)
 		offset := c.clockOffset()
-		for _, h := range m.Attempts {
-			h.Record = shiftClock(h.Record, offset)
-			w := c.workers[h.UID]
-			if w == nil { // it has left the list
-				c.lastWorkerID++
-				w = &worker{number: c.lastWorkerID, uid: h.UID, backend: departedBackend{}}
-			}
-			h.Record.Worker = w.number
-			ev.PriorAttempts = append(ev.PriorAttempts, h.Record)
-			r.attempts = append(r.attempts, attemptState{workerNumber: w.number, worker: w, deadline: r.deadline, accepted: true, ended: h.Record.Ended})
+		for _, moved := range m.Attempts {
+			w := c.workerOrDeparted(moved.UID)
+			record := shiftClock(moved.Record, offset)
+			record.Worker = w.number
+			ev.PriorAttempts = append(ev.PriorAttempts, record)
+			r.attempts = append(r.attempts, attemptState{
+				workerNumber: w.number,
+				worker:       w,
+				deadline:     r.deadline,
+				accepted:     true,
+				ended:        record.Ended,
+			})
 		}
 		if r.record != nil {
 			c.adoptRecord(r, m)
@@ -180,16 +199,27 @@
 	})
 }
 
-// shiftClock returns what is known of an attempt by another clock.
-func shiftClock(p decision.AttemptRecord, by time.Duration) decision.AttemptRecord {
-	p.SentAt += by
-	if p.Started {
-		p.StartedAt += by
+// workerOrDeparted returns a listed worker, or one that stands for a worker that
+// has left the list.
+func (c *Core) workerOrDeparted(uid string) *worker {
+	if w := c.workers[uid]; w != nil {
+		return w
+	}
+	c.lastWorkerID++
+	return &worker{number: c.lastWorkerID, uid: uid, backend: departedBackend{}}
+}
+
+// shiftClock returns an attempt's record by a clock that is ahead by a duration.
+func shiftClock(record decision.AttemptRecord, by time.Duration) decision.AttemptRecord {
+	record.SentAt += by
+	if record.Started {
+		record.StartedAt += by
 	}
-	return p
+	return record
 }
 
-// departedBackend is the target of a hop whose runner has left the list.
+// departedBackend is the Backend of a worker that has left the list. It does
+// nothing.
 type departedBackend struct{}
 
 func (departedBackend) Send(Attempt)      {}
--- a/internal/dispatcher/core/heldback.go
+++ b/internal/dispatcher/core/heldback.go
@@ -1,29 +1,29 @@
 package core
 
-import (
-	"time"
+import "time"
 
-	"frosttide/internal/dispatcher/trace"
-)
-
-// reasonHeldBack is why a job that was held back is refused: its time, or the process's, was over first.
+// reasonHeldBack is why a held-back job is rejected: its deadline, or the end of
+// the process, came before discovery's answer. The word is part of span records.
 const reasonHeldBack = "discovery_not_heard"
 
-// heldBackJobs are the jobs that came before the list was known to be discovery's own, in their order.
-// Their number is bounded by the ingress' bound on what it has open.
+// heldBackJobs are the jobs that were submitted before the route table was known
+// to be discovery's own, in the order of their submission. Their number is
+// bounded by the ingress's limit on open jobs.
 type heldBackJobs struct{ jobs []heldBackJob }
 
-// heldBackJob is a job that waits; its client is there as long as Core.asking has it.
+// heldBackJob is a job that waits. Its client is there as long as
+// Core.awaitingAdmission holds it.
 type heldBackJob struct {
 	job     *Job
 	ingress Ingress
 }
 
-// HoldBack has the core keep back what is submitted until Begin. It is called before Run.
+// HoldBack has the core hold back submitted jobs until ReleaseHeldBack. It must
+// be called before Run.
 func (c *Core) HoldBack() { c.heldBack = &heldBackJobs{} }
 
-// ReleaseHeldBack lets what was held back go, and what comes from now on. It may be called from any
-// goroutine.
+// ReleaseHeldBack admits the jobs that were held back, and from now on every job
+// at once.
 func (c *Core) ReleaseHeldBack() {
 	c.mailbox.Put(func(c *Core) {
 		if c.heldBack == nil {
@@ -40,8 +40,8 @@
 	})
 }
 
-// holdBack keeps a job. Guards against a client that leaves meanwhile: its job is not taken in any
-// more; and against one whose time is over first: it has its answer then.
+// holdBack holds a job back. A job whose client leaves meanwhile is never taken
+// in; one whose deadline passes first is rejected then.
 func (c *Core) holdBack(job *Job, ingress Ingress) {
 	c.awaitingAdmission[job] = true
 	c.heldBack.jobs = append(c.heldBack.jobs, heldBackJob{job, ingress})
@@ -58,23 +58,19 @@
 	})
 }
 
-// rejectHeldBack refuses a job that is held back still; it was sent to nobody.
+// rejectHeldBack rejects a job that is still held back, which was sent to nobody.
 func (c *Core) rejectHeldBack(job *Job, ingress Ingress) {
 	if !c.awaitingAdmission[job] {
 		return
 	}
 	delete(c.awaitingAdmission, job)
 	c.releaseAdmission(job, false)
-	c.summary.answers[Rejected]++
-	if job.Record != nil {
-		job.Record.Finish(c.now, trace.Refused, trace.ByCore, reasonHeldBack)
-		job.Record.Retryable = true
-		c.onRecord(job.Record)
-	}
+	c.summary.responses[Rejected]++
+	c.endRejectedRecord(job, reasonHeldBack)
 	ingress.Respond(Response{Verdict: Rejected})
 }
 
-// rejectAllHeldBack refuses all that is held back, as the process is about to end.
+// rejectAllHeldBack rejects all held-back jobs because the process will end.
 func (c *Core) rejectAllHeldBack() {
 	if c.heldBack == nil {
 		return
--- /dev/null
+++ b/internal/dispatcher/core/holdings.go
@@ -0,0 +1,27 @@
+package core
+
+// Holding is how many tokens of a worker are in use, and how many may be.
+type Holding struct {
+	Backend      string // the worker's UID
+	InUse, Limit int
+}
+
+// SetHoldingsHook sets who takes the tokens in use of all workers, every
+// refreshInterval while wanted returns true. It must be called before Run. The
+// hook must not block, and it may keep the slice.
+func (c *Core) SetHoldingsHook(wanted func() bool, onHoldings func([]Holding)) {
+	c.holdingsWanted, c.onHoldings = wanted, onHoldings
+}
+
+// reportHoldings passes the tokens in use to the hook.
+func (c *Core) reportHoldings() {
+	if c.onHoldings == nil || !c.holdingsWanted() {
+		return
+	}
+	holdings := make([]Holding, 0, len(c.workers))
+	for uid, w := range c.workers {
+		held, limit := c.module.TokensInUse(w.number)
+		holdings = append(holdings, Holding{Backend: uid, InUse: held, Limit: limit})
+	}
+	c.onHoldings(holdings)
+}
--- a/internal/dispatcher/core/outcomes.go
+++ b/internal/dispatcher/core/outcomes.go
@@ -8,51 +8,63 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// OutcomeRecord is where another dispatcher has sent a job with the same key.
+// Why a job that was sent before is not sent again. The words are part of span
+// records.
+const (
+	reasonAlreadySent    = "it was sent before, and it must not run twice"
+	reasonGroupNotListed = "it was sent before to runners that are not listed here"
+)
+
+// OutcomeRecord says that a job with the same key was sent to a group of workers
+// that drops repeats among themselves. Without an age it names the group alone.
 type OutcomeRecord struct {
-	Zone string // of the group that drops its repeats; empty for all runners
+	Zone string // of the group; empty for all workers
 	Cell int
-	Age  time.Duration // since then
+	Age  time.Duration // time since the job was sent
 }
 
-// OutcomeStore remembers, together with other dispatchers, where jobs with keys were sent. None of
-// its methods blocks.
+// OutcomeStore remembers, together with other dispatchers, where jobs with keys
+// were sent. None of its methods blocks.
 type OutcomeStore interface {
-	// Lookup tells where a job was sent, by this process too, and may have run. Told is called once,
-	// from any goroutine, soon: where others don't answer in time by what is known here.
-	Lookup(job *Job, lookedUp func([]OutcomeRecord))
-	// RecordSending makes known that a job is about to go to a runner of a group, whose window ends so
-	// long from now. Send is called once, from any goroutine, when another dispatcher knows it,
-	// or soon where none answers.
-	RecordSending(job *Job, group OutcomeRecord, left time.Duration, send func())
-	// RecordNeverRan makes known that what was said to go there surely never ran.
+	// Lookup finds where a job was sent, by this process too, and may have run.
+	// It calls found once, soon, from any goroutine; where other dispatchers don't
+	// answer in time, with what is known here.
+	Lookup(job *Job, found func([]OutcomeRecord))
+	// RecordSending records that a job is about to be sent to a group whose
+	// deduplication window ends after the given time. It calls send once, from any
+	// goroutine, when another dispatcher has the record, or soon where none answers.
+	RecordSending(job *Job, group OutcomeRecord, window time.Duration, send func())
+	// RecordNeverRan records that a job that was to be sent to a group surely never
+	// ran there.
 	RecordNeverRan(job *Job, group OutcomeRecord)
-	// RecordDone makes known that it was done there.
-	RecordDone(job *Job, group OutcomeRecord, left time.Duration, result []byte)
+	// RecordDone records that a group has done a job.
+	RecordDone(job *Job, group OutcomeRecord, window time.Duration, result []byte)
 }
 
-// Placements remembers for one job where it was sent, in what all members agree on. None of its methods
-// blocks.
+// Placements remembers in the agreed log of the cluster where one job was sent.
+// None of its methods blocks.
 type Placements interface {
-	// Previous tells where it may have run.
+	// Previous returns the groups where the job may have run.
 	Previous() []OutcomeRecord
-	// Propose has agreed on that the job goes to a group, whose window ends so long from now. Send is
-	// called once, from any goroutine: with true once it is, else it is not sent.
-	Propose(group OutcomeRecord, left time.Duration, send func(agreed bool))
-	// Withdraw takes back what was agreed on: it surely never ran there.
+	// Propose has the members agree that the job goes to a group whose deduplication
+	// window ends after the given time. It calls decided once, from any goroutine;
+	// the job is sent only if agreed is true.
+	Propose(group OutcomeRecord, window time.Duration, decided func(agreed bool))
+	// Withdraw takes back an agreed group where the job surely never ran.
 	Withdraw(group OutcomeRecord)
 }
 
-// SetOutcomeStore names who remembers the fates of jobs; nil for nobody. It is called before Run.
-func (c *Core) SetOutcomeStore(records OutcomeStore) { c.outcomeStore = records }
+// SetOutcomeStore sets the store of outcome records; nil for none. It must be
+// called before Run.
+func (c *Core) SetOutcomeStore(store OutcomeStore) { c.outcomeStore = store }
 
-// recordsOutcome tells whether others have to know of a job.
+// recordsOutcome reports whether other dispatchers have to know of a job.
 func (c *Core) recordsOutcome(job *Job) bool {
 	return c.outcomeStore != nil && job.Key != "" && c.cfg.Classes[job.Class].Effect != decision.Safe
 }
 
-// lookUpOutcomes has the fate of a job found out before it is taken in. Guards against a client that
-// leaves meanwhile: its job is not taken in any more.
+// lookUpOutcomes finds out where a job was sent before, and then takes it in. A
+// job whose client leaves meanwhile is not taken in.
 func (c *Core) lookUpOutcomes(job *Job, ingress Ingress) {
 	c.awaitingAdmission[job] = true
 	c.outcomeStore.Lookup(job, func(records []OutcomeRecord) {
@@ -73,23 +85,25 @@
 	})
 }
 
-// mergeRecords adds fates to others; of two of a group the older counts, as its window ends first.
-func mergeRecords(records, more []OutcomeRecord) []OutcomeRecord {
-	for _, more := range more {
-		i := slices.IndexFunc(records, func(other OutcomeRecord) bool { return other.Zone == more.Zone && other.Cell == more.Cell })
+// mergeRecords adds records to others. Of two records of one group the older
+// counts, as its window ends first.
+func mergeRecords(records, added []OutcomeRecord) []OutcomeRecord {
+	for _, a := range added {
+		i := slices.IndexFunc(records, func(r OutcomeRecord) bool { return r.Zone == a.Zone && r.Cell == a.Cell })
 		if i < 0 {
-			records = append(records, more)
+			records = append(records, a)
 		} else {
-			records[i].Age = max(records[i].Age, more.Age)
+			records[i].Age = max(records[i].Age, a.Age)
 		}
 	}
 	return records
 }
 
-// admitResent takes in a job that was sent before, here or by another dispatcher: for the module it is one whose
-// attempts may have run. What must not run twice fails, and what only runners of a group
-// drop that is not listed here is refused, to be tried again.
-func (c *Core) admitResent(job *Job, ingress Ingress, fates []OutcomeRecord) {
+// admitResent takes in a job that was sent before, by this or another dispatcher;
+// to the decision module its earlier attempts may have run. A job that must not
+// run twice fails. One that only a group without a listed worker would drop is
+// rejected, so that its client tries again.
+func (c *Core) admitResent(job *Job, ingress Ingress, records []OutcomeRecord) {
 	r := c.newRequest(job, ingress)
 	ev := c.arrivalEvent(r)
 	if c.cfg.Classes[job.Class].Effect == decision.Unsafe {
@@ -97,46 +111,49 @@
 		c.removeIfDone(r)
 		return
 	}
-	for _, records := range fates {
-		w := c.representative(job, records)
+	for _, record := range records {
+		w := c.representative(job, record)
 		if w == nil {
 			c.respond(r.id, Response{Verdict: Rejected, RetryAfter: c.cfg.Limits.MaxRetryAfter}, reasonGroupNotListed)
 			c.removeIfDone(r)
 			return
 		}
-		ev.PriorAttempts = append(ev.PriorAttempts, decision.AttemptRecord{Worker: w.number, SentAt: c.now - records.Age, Ended: true, Outcome: decision.TimedOut})
-		r.attempts = append(r.attempts, attemptState{workerNumber: w.number, worker: w, deadline: r.deadline, accepted: true, ended: true})
-		if r.record != nil { // a story has a place for each hop
-			r.record.StartAttempt(trace.Attempt{Backend: w.uid, Sent: c.now - records.Age, Ended: c.now, Outcome: outcomeNames[decision.TimedOut]})
-		}
+		ev.PriorAttempts = append(ev.PriorAttempts, c.addPriorAttempt(r, w, c.now-record.Age))
 	}
 	c.addEvent(ev)
 }
 
-// Why a job that was sent before is not sent again.
-const (
-	reasonAlreadySent    = "it was sent before, and it must not run twice"
-	reasonGroupNotListed = "it was sent before to runners that are not listed here"
-)
+// addPriorAttempt adds an attempt of another dispatcher to a request and returns
+// it in the decision module's form. The span record has an entry for each attempt,
+// so it gets one too.
+func (c *Core) addPriorAttempt(r *request, w *worker, sentAt time.Duration) decision.AttemptRecord {
+	r.attempts = append(r.attempts, attemptState{workerNumber: w.number, worker: w, deadline: r.deadline, accepted: true, ended: true})
+	if r.record != nil {
+		r.record.StartAttempt(trace.Attempt{Backend: w.uid, Sent: sentAt, Ended: c.now, Outcome: outcomeNames[decision.TimedOut]})
+	}
+	return decision.AttemptRecord{Worker: w.number, SentAt: sentAt, Ended: true, Outcome: decision.TimedOut}
+}
 
-// representative returns a runner that stands for a group: one that gets no work if there is one, as the
-// module sends no job again to where it was, and the first listed of those.
-func (c *Core) representative(job *Job, records OutcomeRecord) (found *worker) {
+// representative returns a worker that stands for a group, nil if none is listed.
+// It prefers one that gets no work, because the module never sends a job again to
+// a worker where it was, and among those the one listed first.
+func (c *Core) representative(job *Job, record OutcomeRecord) (found *worker) {
 	better := func(a, b *worker) bool {
 		if x, y := a.member.State == decision.Ready, b.member.State == decision.Ready; x != y {
 			return y
 		}
 		return a.number < b.number
 	}
+	group := OutcomeRecord{Zone: record.Zone, Cell: record.Cell}
 	for _, w := range c.workers {
-		if c.dedupGroup(job, w) == (OutcomeRecord{Zone: records.Zone, Cell: records.Cell}) && (found == nil || better(w, found)) {
+		if c.dedupGroup(job, w) == group && (found == nil || better(w, found)) {
 			found = w
 		}
 	}
 	return found
 }
 
-// dedupGroup returns the group of a runner that drops the repeats of a job.
+// dedupGroup returns the group of a worker that drops repeats of a job.
 func (c *Core) dedupGroup(job *Job, w *worker) OutcomeRecord {
 	switch c.cfg.Classes[job.Class].DedupScope {
 	case decision.ScopeZone:
@@ -147,8 +164,9 @@
 	return OutcomeRecord{}
 }
 
-// dedupWindow returns how long the window of a job is whose first attempt is sent now. What must not
-// run twice is remembered for as long as its client may come again.
+// dedupWindow returns the deduplication window of a job whose first attempt is
+// sent now. A job that must not run twice is remembered for as long as its client
+// may retry it.
 func (c *Core) dedupWindow(job *Job) time.Duration {
 	class := c.cfg.Classes[job.Class]
 	if class.Effect == decision.Unsafe {
@@ -157,30 +175,23 @@
 	return class.DedupWindow
 }
 
-// sendRecorded sends a hop once others know of it.
+// sendRecorded sends an attempt once the members have agreed on its group, where
+// that is needed, and another dispatcher has its record.
 func (c *Core) sendRecorded(r *request, attempt int, w *worker) {
 	r.attempts[attempt].recorded = true
-	group, left := c.dedupGroup(r.job, w), c.dedupWindow(r.job)
-	tell := func() {
-		c.outcomeStore.RecordSending(r.job, group, left, func() {
-			c.mailbox.Put(func(c *Core) {
-				if c.requests[r.id] == r && !r.attempts[attempt].ended {
-					if c.stalled() { // it stood still since
-						c.endAttempt(r, attempt, decision.NotSent, nil)
-						return
-					}
-					w.backend.Send(c.newAttempt(r, attempt))
-				}
-			})
+	group, window := c.dedupGroup(r.job, w), c.dedupWindow(r.job)
+	record := func() {
+		c.outcomeStore.RecordSending(r.job, group, window, func() {
+			c.mailbox.Put(func(c *Core) { c.sendAfterRecord(r, attempt, w) })
 		})
 	}
 	if r.job.Placements == nil {
-		tell()
+		record()
 		return
 	}
-	r.job.Placements.Propose(group, left, func(agreed bool) {
+	r.job.Placements.Propose(group, window, func(agreed bool) {
 		if agreed {
-			tell()
+			record()
 			return
 		}
 		c.mailbox.Put(func(c *Core) {
@@ -191,15 +202,29 @@
 	})
 }
 
-// recordNeverRan has others forget a hop that surely never ran, unless another of the request may have
-// run in its group. Guards a client that was refused, as trying again is harmless, from being
-// bound for a whole window to runners that nobody reaches.
+// sendAfterRecord sends an attempt that others know of, unless it has ended or the
+// process has stalled since it was decided on.
+func (c *Core) sendAfterRecord(r *request, attempt int, w *worker) {
+	if c.requests[r.id] != r || r.attempts[attempt].ended {
+		return
+	}
+	if c.stalled() {
+		c.endAttempt(r, attempt, decision.NotSent, nil)
+		return
+	}
+	w.backend.Send(c.newAttempt(r, attempt))
+}
+
+// recordNeverRan has other dispatchers forget an attempt that surely never ran,
+// unless another attempt of the request may have run in the same group. Otherwise
+// a client that is rejected, and so invited to retry, would be bound for a whole
+// window to workers that nothing reaches.
 func (c *Core) recordNeverRan(r *request, attempt int) {
-	h := &r.attempts[attempt]
-	if !h.recorded || !h.neverRan {
+	a := &r.attempts[attempt]
+	if !a.recorded || !a.neverRan {
 		return
 	}
-	group := c.dedupGroup(r.job, h.worker)
+	group := c.dedupGroup(r.job, a.worker)
 	for i := range r.attempts {
 		if other := &r.attempts[i]; other.recorded && !other.neverRan && c.dedupGroup(r.job, other.worker) == group {
 			return
@@ -211,9 +236,9 @@
 	}
 }
 
-// recordDone makes known that a job was done by a hop.
-func (c *Core) recordDone(r *request, h *attemptState, result []byte) {
-	if c.recordsOutcome(r.job) && h.worker != nil {
-		c.outcomeStore.RecordDone(r.job, c.dedupGroup(r.job, h.worker), c.dedupWindow(r.job), result)
+// recordDone records that an attempt has done its job.
+func (c *Core) recordDone(r *request, a *attemptState, result []byte) {
+	if c.recordsOutcome(r.job) && a.worker != nil {
+		c.outcomeStore.RecordDone(r.job, c.dedupGroup(r.job, a.worker), c.dedupWindow(r.job), result)
 	}
 }
--- a/internal/dispatcher/core/permit.go
+++ b/internal/dispatcher/core/permit.go
@@ -7,20 +7,22 @@
 	"frosttide/decision/permit"
 )
 
-// Permit holds what may stop an attempt between its sending and its first byte. The core and the
-// client's front change it from their goroutines, at once and without mail; egress reads it
-// immediately before the write.
+// Permit holds what may stop an attempt between its sending and its first byte.
+// The goroutines of the core and of the client's connection change it at once,
+// without a message; the backend reads it immediately before it writes. It is safe
+// for concurrent use.
 type Permit struct {
 	revoked       atomic.Bool
 	clientLeft    func() bool // nil where nobody can tell
-	epoch         *epoch
-	decidedEpoch  uint64         // the worker's epoch when the attempt was decided on
-	latestStart   time.Time      // zero for no bound beside the deadline
-	detector      *stallDetector // nil where standstills are not watched
-	decidedStalls int64          // the fence's count when the attempt was decided on
+	epoch         *epoch      // of the worker; nil for a worker that is not listed
+	decidedEpoch  uint64      // the worker's epoch when the attempt was decided on
+	latestStart   time.Time   // zero for no bound beside the deadline
+	detector      *stallDetector
+	decidedStalls int64 // the detector's count when the attempt was decided on
 }
 
-// Facts returns what holds for an attempt now, as far as the core knows. A nil permit stops nothing.
+// Facts returns what holds for an attempt now, as far as the core knows. A nil
+// permit stops nothing.
 func (p *Permit) Facts(now, deadline time.Time) permit.Facts {
 	f := permit.Facts{Now: now, Deadline: deadline}
 	if p == nil {
@@ -34,51 +36,56 @@
 	return f
 }
 
-// revoke stops the attempt if it has not begun.
+// revoke stops the attempt if it has not started. A nil permit is left alone.
 func (p *Permit) revoke() {
 	if p != nil {
 		p.revoked.Store(true)
 	}
 }
 
-// epoch counts what has happened to a worker so that attempts decided on before must not begin
-// any more: a drain, its leaving the list, a restart, another address.
+// epoch counts the events of a worker after which attempts that were decided on
+// before must not start any more: a drain, its leaving the list, a restart, a
+// change of its address.
 type epoch struct{ count atomic.Uint64 }
 
+// current returns the epoch.
 func (e *epoch) current() uint64 { return e.count.Load() }
 
+// advance begins a new epoch.
 func (e *epoch) advance() { e.count.Add(1) }
 
-// stallDetector tells attempts that are on their way whether the process has stood still: the core's loop,
-// which would notice, may run again only after they do. A nil fence knows of no standstill.
+// stallDetector shows attempts on their way whether the process has stalled: the
+// core's loop, which would notice, may run only after them. A nil detector knows
+// of no stall.
 type stallDetector struct {
 	clock   func(time.Time) time.Duration // the core's
-	bound   time.Duration                 // a longer time without a look is a standstill
-	stalls  atomic.Int64                  // standstills that the core has noticed
-	lastRun atomic.Int64                  // when the core's loop last ran, by its clock
+	bound   time.Duration                 // a longer time without a turn of the loop is a stall
+	stalls  atomic.Int64                  // stalls that the loop has noticed
+	lastRun atomic.Int64                  // when the loop last ran, by the core's clock
 }
 
-// observe takes in that the core's loop runs, and whether it has noticed a standstill.
-func (f *stallDetector) observe(now time.Duration, stood bool) {
-	if stood {
-		f.stalls.Add(1) // before the time: who sees the new time sees the count
+// observe records that the core's loop runs, and whether it has noticed a stall.
+func (d *stallDetector) observe(now time.Duration, stalled bool) {
+	if stalled {
+		d.stalls.Add(1) // before the time: whoever sees the new time sees the count
 	}
-	f.lastRun.Store(int64(now))
+	d.lastRun.Store(int64(now))
 }
 
-// stallCount returns how many standstills there were so far.
-func (f *stallDetector) stallCount() int64 {
-	if f == nil {
+// stallCount returns how many stalls the loop has noticed.
+func (d *stallDetector) stallCount() int64 {
+	if d == nil {
 		return 0
 	}
-	return f.stalls.Load()
+	return d.stalls.Load()
 }
 
-// stalledSince tells whether the process has stood still since so many standstills were seen.
-func (f *stallDetector) stalledSince(now time.Time, seen int64) bool {
-	if f == nil {
+// stalledSince reports whether the process has stalled since the loop had noticed
+// that many stalls.
+func (d *stallDetector) stalledSince(now time.Time, stalls int64) bool {
+	if d == nil {
 		return false
 	}
-	looked := time.Duration(f.lastRun.Load())
-	return f.clock(now)-looked >= f.bound || f.stalls.Load() != seen
+	lastRun := time.Duration(d.lastRun.Load())
+	return d.clock(now)-lastRun >= d.bound || d.stalls.Load() != stalls
 }
--- a/internal/dispatcher/core/recall.go
+++ b/internal/dispatcher/core/recall.go
@@ -2,7 +2,21 @@
 
 import "frosttide/decision"
 
-// cancelAttempt stops waiting for a hop that is out.
+// handleCancel executes a Cancel action of the decision module. Where a request
+// may not have two copies out, the attempt ends only once its worker knows of the
+// cancellation: until then another attempt would be a second copy.
+func (c *Core) handleCancel(r *request, attempt int) {
+	if r.answered || !c.needsConfirmation(r) {
+		c.cancelAttempt(r, attempt, decision.Canceled)
+		return
+	}
+	if attempt >= 0 && attempt < len(r.attempts) && !r.attempts[attempt].ended {
+		c.recall(r, attempt, true)
+	}
+}
+
+// cancelAttempt stops waiting for an attempt that is out and ends it with an
+// outcome.
 func (c *Core) cancelAttempt(r *request, attempt int, outcome decision.Outcome) {
 	if attempt < 0 || attempt >= len(r.attempts) || r.attempts[attempt].ended {
 		return
@@ -11,35 +25,25 @@
 	c.endAttempt(r, attempt, outcome, nil)
 }
 
-// recall tells the worker of a hop that is out that it is given up, once. With confirm another may
-// follow when the worker has heard of it.
+// recall tells the worker of an attempt that is out, once, that it is canceled.
+// With confirm another attempt may follow when the worker knows.
 func (c *Core) recall(r *request, attempt int, confirm bool) {
-	h := &r.attempts[attempt]
-	h.permit.revoke()
-	if !h.recalled {
-		h.recalled = true
-		if r.record != nil {
-			r.record.Attempts[attempt].Cancelled = c.now
-		}
-		out := c.newAttempt(r, attempt)
-		out.Confirm = confirm
-		h.worker.backend.Cancel(out)
-	}
-}
-
-// handleCancel gives a hop up that the module calls off. Where a request may not have two copies out the
-// hop ends once its worker knows: until then another would be a second copy.
-func (c *Core) handleCancel(r *request, attempt int) {
-	if r.answered || !c.needsConfirmation(r) {
-		c.cancelAttempt(r, attempt, decision.Canceled)
+	a := &r.attempts[attempt]
+	a.permit.revoke()
+	if a.recalled {
 		return
 	}
-	if attempt >= 0 && attempt < len(r.attempts) && !r.attempts[attempt].ended {
-		c.recall(r, attempt, true)
+	a.recalled = true
+	if r.record != nil {
+		r.record.Attempts[attempt].Cancelled = c.now
 	}
+	canceled := c.newAttempt(r, attempt)
+	canceled.Confirm = confirm
+	a.worker.backend.Cancel(canceled)
 }
 
-// AttemptRecalled tells that a hop was given up, and whether its runner surely knows.
+// AttemptRecalled reports that an attempt was canceled, and whether its worker
+// surely knows.
 func (c *Core) AttemptRecalled(ref AttemptRef, known bool) {
 	c.mailbox.Put(func(c *Core) {
 		r := c.requests[ref.Request]
--- a/internal/dispatcher/core/records.go
+++ b/internal/dispatcher/core/records.go
@@ -8,90 +8,79 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// Where a request has a story, the core writes it from Submit on, and gives it away
-// when the request is forgotten. Without one nothing here is called.
+// This file writes the span records of requests. A request that is recorded
+// carries its record from Submit on; the core passes it on when it removes the
+// request. Nothing here is called for a request without a record, beside
+// recordDelivery, which checks.
 
-// Delivery is what a target tells of a hop's way to its runner.
-type Delivery struct {
-	Reused bool // on a connection that was used before
-	Bytes  int  // of the body; 0 if it was not handed over whole
-}
-
-// SetRecordHook names who takes the stories of requests that have ended; it is called before
-// Run. It must not block.
-func (c *Core) SetRecordHook(ended func(*trace.Record)) { c.onRecord = ended }
-
-// outcomeNames are the words for how hops end.
-var outcomeNames = [...]string{decision.Served: "served", decision.Errored: "errored", decision.Rejected: "rejected",
-	decision.TimedOut: "timed_out", decision.ConnectFailed: "unconnected", decision.ConnReset: "reset",
-	decision.Canceled: "given_up", decision.NotSent: "not_sent", decision.Unusable: "unusable"}
-
-// jobStateNames are the words for what runners report.
-var jobStateNames = [...]string{JobStarted: "started", JobRunning: "running", JobDone: "done", JobFailed: "failed",
-	JobReturned: "returned", JobLost: "lost", JobData: "data", JobWarning: "warning", JobException: "exception"}
+// The reasons for the end of a request that the core gives itself. The words are
+// part of span records.
+const (
+	reasonDone       = "done"
+	reasonHeld       = "held" // neither answered nor sent by its deadline
+	reasonClientLeft = "client_left"
+	reasonDuplicate  = "duplicate"
+)
 
-// Holding is how many tokens of a target are out, and how many may be.
-type Holding struct {
-	Backend      string
-	InUse, Limit int
+// outcomeNames are the words of span records for how attempts end.
+var outcomeNames = [...]string{
+	decision.Served:        "served",
+	decision.Errored:       "errored",
+	decision.Rejected:      "rejected",
+	decision.TimedOut:      "timed_out",
+	decision.ConnectFailed: "unconnected",
+	decision.ConnReset:     "reset",
+	decision.Canceled:      "given_up",
+	decision.NotSent:       "not_sent",
+	decision.Unusable:      "unusable",
 }
 
-// SetWorkerObserver names who is told what jobs find of runners; it is called before Run.
-func (c *Core) SetWorkerObserver(w WorkerObserver) { c.observer = w }
-
-// SetHoldingsHook names who is told from time to time what the targets hold; it is called before
-// Run. It must not block; the slice is its own.
-func (c *Core) SetHoldingsHook(wanted func() bool, to func([]Holding)) {
-	c.holdingsWanted, c.onHoldings = wanted, to
+// jobStateNames are the words of span records for what workers report.
+var jobStateNames = [...]string{
+	JobStarted:   "started",
+	JobRunning:   "running",
+	JobDone:      "done",
+	JobFailed:    "failed",
+	JobReturned:  "returned",
+	JobLost:      "lost",
+	JobData:      "data",
+	JobWarning:   "warning",
+	JobException: "exception",
 }
 
-// reportHoldings does so.
-func (c *Core) reportHoldings() {
-	if c.onHoldings == nil || !c.holdingsWanted() {
-		return
-	}
-	out := make([]Holding, 0, len(c.workers))
-	for uid, w := range c.workers {
-		held, limit := c.module.TokensInUse(w.number)
-		out = append(out, Holding{Backend: uid, InUse: held, Limit: limit})
-	}
-	c.onHoldings(out)
+// Delivery is what a backend knows of an attempt's way to its worker.
+type Delivery struct {
+	Reused bool // it went out on a connection that was used before
+	Bytes  int  // bytes of the body; 0 if it was not sent whole
 }
 
-// rejectDuplicate answers a request whose id is open already. Guards the match of call-backs by
-// id: two open requests of one id could not be told apart.
-func (c *Core) rejectDuplicate(job *Job, ingress Ingress) {
-	c.releaseAdmission(job, false)
-	if job.Record != nil {
-		job.Record.Finish(c.now, trace.Invalid, trace.ByCore, reasonDuplicate)
-		job.Record.Status = http.StatusConflict
-		c.onRecord(job.Record)
-	}
-	ingress.Respond(Response{Verdict: Duplicate})
-}
+// SetRecordHook sets who takes the span records of requests that have ended. It
+// must be called before Run, and the hook must not block.
+func (c *Core) SetRecordHook(onRecord func(*trace.Record)) { c.onRecord = onRecord }
 
-// recordStart takes down a hop. It has the same place in the story as in the request.
-func (c *Core) recordStart(s *trace.Record, w *worker) {
-	h := trace.Attempt{Sent: max(c.now, s.Received)} // the clock was read before the request came in its batch
+// recordStart adds an attempt to a span record. It has the same index there as in
+// the request.
+func (c *Core) recordStart(record *trace.Record, w *worker) {
+	span := trace.Attempt{Sent: max(c.now, record.Received)} // the clock was read before the request came in its batch
 	if w != nil {
-		h.Backend, h.Addr, h.Zone = w.uid, w.addr, w.zone
-		h.WarmingUp = w.member.StartedAt > 0 && c.now < w.member.StartedAt+c.cfg.Rules.WarmUp
+		span.Backend, span.Addr, span.Zone = w.uid, w.addr, w.zone
+		span.WarmingUp = w.member.StartedAt > 0 && c.now < w.member.StartedAt+c.cfg.Rules.WarmUp
 	}
-	s.StartAttempt(h)
+	record.StartAttempt(span)
 }
 
-// recordDelivery takes down how a hop went out.
-func recordDelivery(r *request, attempt int, f Delivery) {
+// recordDelivery records how an attempt went out.
+func recordDelivery(r *request, attempt int, d Delivery) {
 	if r.record != nil {
-		r.record.Attempts[attempt].ReusedConnection, r.record.Attempts[attempt].Bytes = f.Reused, f.Bytes
+		r.record.Attempts[attempt].ReusedConnection, r.record.Attempts[attempt].Bytes = d.Reused, d.Bytes
 	}
 }
 
-// endRecord takes down how a request was answered.
-func (c *Core) endRecord(r *request, a Response, why string) {
-	s := r.record
+// endRecord records the response to a request.
+func (c *Core) endRecord(r *request, response Response, reason string) {
+	record := r.record
 	answer, by := trace.Failed, trace.ByModule
-	switch a.Verdict {
+	switch response.Verdict {
 	case Served:
 		answer, by = trace.Served, trace.ByRunner
 	case Rejected:
@@ -102,44 +91,51 @@
 	if answer != trace.Served && c.now >= r.deadline {
 		answer = trace.Expired
 	}
-	if why == reasonHeld {
+	if reason == reasonHeld {
 		by = trace.ByCore
 	}
-	s.Finish(c.now, answer, by, why)
-	s.Retryable = a.Verdict == Rejected
-	if answer != trace.Served {
-		return
+	record.Finish(c.now, answer, by, reason)
+	record.Retryable = response.Verdict == Rejected
+	if answer == trace.Served {
+		c.recordServed(r)
 	}
-	for i := range s.Attempts {
-		if h := &s.Attempts[i]; h.Outcome == outcomeNames[decision.Served] {
-			var run time.Duration
-			if h.Started > 0 {
-				run = h.Ended - h.Started
-			}
-			s.Backend = h.Backend
-			s.Overdue = s.Ended-s.Received > c.cfg.Classes[r.job.Class].LatencyTarget(run)
+}
+
+// recordServed records which worker served a request, and whether it missed the
+// latency target of its class.
+func (c *Core) recordServed(r *request) {
+	record := r.record
+	for i := range record.Attempts {
+		span := &record.Attempts[i]
+		if span.Outcome != outcomeNames[decision.Served] {
+			continue
+		}
+		var run time.Duration
+		if span.Started > 0 {
+			run = span.Ended - span.Started
 		}
+		record.Backend = span.Backend
+		record.Overdue = record.Ended-record.Received > c.cfg.Classes[r.job.Class].LatencyTarget(run)
 	}
 }
 
-// The reasons that the core gives itself.
-const (
-	reasonDone       = "done"
-	reasonHeld       = "held" // neither answered nor sent, until its time was up
-	reasonClientLeft = "client_left"
-	reasonDuplicate  = "duplicate"
-)
+// endDuplicateRecord ends the record of a job whose ID is that of an open request.
+func (c *Core) endDuplicateRecord(record *trace.Record) {
+	record.Finish(c.now, trace.Invalid, trace.ByCore, reasonDuplicate)
+	record.Status = http.StatusConflict
+	c.onRecord(record)
+}
 
-// adoptRecord makes the story that came with a request fit its hops. Guards against an
-// older process that wrote none.
+// adoptRecord makes the record that came with a request from another process fit
+// its attempts. An older release may have written none of them.
 func (c *Core) adoptRecord(r *request, m *MovedRequest) {
-	s := r.record
-	s.HandedOver = true
-	for i := len(s.Attempts); i < len(r.attempts); i++ {
-		past := m.Attempts[i].Record
-		s.StartAttempt(trace.Attempt{Backend: m.Attempts[i].UID, Sent: past.SentAt, Started: past.StartedAt})
-		if past.Ended {
-			s.Attempts[i].Ended, s.Attempts[i].Outcome = c.now, outcomeNames[past.Outcome]
+	record := r.record
+	record.HandedOver = true
+	for i := len(record.Attempts); i < len(r.attempts); i++ {
+		attempt := m.Attempts[i].Record
+		record.StartAttempt(trace.Attempt{Backend: m.Attempts[i].UID, Sent: attempt.SentAt, Started: attempt.StartedAt})
+		if attempt.Ended {
+			record.Attempts[i].Ended, record.Attempts[i].Outcome = c.now, outcomeNames[attempt.Outcome]
 		}
 	}
 }
--- /dev/null
+++ b/internal/dispatcher/core/reports.go
@@ -0,0 +1,92 @@
+package core
+
+import "frosttide/decision"
+
+// Report takes a worker's report on a job, and passes to held whether the job is
+// open in this process. A report that names no attempt that is out, such as a
+// repeated one or one on a canceled attempt, changes nothing.
+func (c *Core) Report(ev JobEvent, held func(bool)) {
+	c.mailbox.Put(func(c *Core) {
+		held(c.byID[ev.ID] != nil)
+		c.handleReport(ev)
+	})
+}
+
+// handleReport finds the attempt that a report is on.
+func (c *Core) handleReport(ev JobEvent) {
+	r := c.byID[ev.ID]
+	if r == nil {
+		return
+	}
+	for i := range r.attempts {
+		if a := &r.attempts[i]; !a.ended && a.worker.uid == ev.From {
+			c.applyReport(r, i, ev)
+			return
+		}
+	}
+	c.handleUnknownSender(r, ev)
+}
+
+// applyReport applies a report to the attempt that it is on.
+func (c *Core) applyReport(r *request, attempt int, ev JobEvent) {
+	a := &r.attempts[attempt]
+	if r.record != nil {
+		r.record.Attempts[attempt].AddEvent(c.now, jobStateNames[ev.State], ev.Share)
+	}
+	if streamer, ok := r.ingress.(Streamer); ok {
+		streamer.Stream(ev)
+	}
+	switch ev.State {
+	case JobStarted:
+		c.handleStarted(r, attempt, ev)
+	case JobRunning:
+		c.handleProgress(r, attempt, ev)
+	case JobDone:
+		c.recordDone(r, a, ev.Result)
+		c.endAttempt(r, attempt, decision.Served, ev.Load)
+		c.respond(r.id, Response{Verdict: Served, Result: ev.Result, Last: ev.Last, Streamed: ev.Streamed}, reasonDone)
+	case JobFailed:
+		c.endAttempt(r, attempt, decision.Errored, ev.Load)
+	case JobReturned:
+		c.endAttempt(r, attempt, decision.Rejected, ev.Load)
+	case JobLost:
+		c.endAttempt(r, attempt, decision.ConnReset, ev.Load)
+	}
+}
+
+// handleStarted applies the report that a job has started.
+func (c *Core) handleStarted(r *request, attempt int, ev JobEvent) {
+	a := &r.attempts[attempt]
+	a.reported = true
+	if c.observer != nil {
+		c.observer.JobStarted(ev.From)
+	}
+	if c.inObservedGang(r) {
+		c.gangs.Started(r.job, attempt)
+	}
+	c.addEvent(decision.Event{Type: decision.AttemptStarted, Request: r.id, Attempt: attempt, Worker: a.workerNumber, Progress: ev.Share})
+}
+
+// handleProgress applies the report that a job runs.
+func (c *Core) handleProgress(r *request, attempt int, ev JobEvent) {
+	a := &r.attempts[attempt]
+	a.reported = true
+	if c.inObservedGang(r) {
+		c.gangs.Progressed(r.job, attempt, ev.Share)
+	}
+	c.addEvent(decision.Event{Type: decision.AttemptProgressed, Request: r.id, Attempt: attempt, Worker: a.workerNumber, Progress: ev.Share})
+}
+
+// handleUnknownSender handles a report on a job by a worker that it was not sent
+// to. While the job is out at one worker alone, that worker's address is another's
+// by now, and the observer learns of it.
+func (c *Core) handleUnknownSender(r *request, ev JobEvent) {
+	if c.observer == nil || ev.State != JobStarted || c.workers[ev.From] == nil {
+		return
+	}
+	for i := range r.attempts {
+		if a := &r.attempts[i]; !a.ended && len(r.attempts) == 1 {
+			c.observer.UnknownSender(a.worker.uid)
+		}
+	}
+}
--- a/internal/dispatcher/core/requests.go
+++ b/internal/dispatcher/core/requests.go
@@ -8,22 +8,22 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// request is a request from its arrival until it is answered and none of its
-// hops is out.
+// request is a request from its arrival until it has its response and none of its
+// attempts is out.
 type request struct {
 	id       decision.RequestID
 	job      *Job
-	ingress  Ingress
+	ingress  Ingress // nil once answered
 	deadline time.Duration
-	answered bool
-	unusable bool // a runner has said so
+	answered bool // it has its response, or nothing more is owed to its client
+	unusable bool // a worker has said that the job can't be used
 	attempts []attemptState
-	timers   []*timerEntry // what is to be done about it at a time
-	record   *trace.Record
+	timers   []*timerEntry
+	record   *trace.Record // nil for none
 }
 
-// Submit hands over a request; its answer goes to the ingress. The ingress names
-// the request in Leave.
+// Submit hands over a job. Its response goes to the ingress, unless ClientLeft
+// is called for the job before.
 func (c *Core) Submit(job *Job, ingress Ingress) {
 	c.mailbox.Put(func(c *Core) {
 		switch {
@@ -36,7 +36,8 @@
 	})
 }
 
-// handleAdmitted takes in a job that was let in, once others have said what they know of it.
+// handleAdmitted takes in an admitted job, once the outcome store has been asked
+// where that is needed.
 func (c *Core) handleAdmitted(job *Job, ingress Ingress) {
 	if c.recordsOutcome(job) {
 		c.lookUpOutcomes(job, ingress)
@@ -45,7 +46,8 @@
 	c.handleArrival(job, ingress)
 }
 
-// ClientLeft tells that the client of a request has gone away.
+// ClientLeft reports that the client of a job has left. Nothing is owed to it any
+// more.
 func (c *Core) ClientLeft(job *Job) {
 	c.mailbox.Put(func(c *Core) {
 		if c.awaitingAdmission[job] {
@@ -63,22 +65,23 @@
 	})
 }
 
-// StopBy tells when the process may be ended: what is open then gets its answer.
-// Guards rule 1, and clients from a reset where they could have been told to try
-// again.
-func (c *Core) StopBy(by time.Time) {
+// StopBy sets when the process may be ended: every open request gets its response
+// by then. Otherwise clients would see a reset where they could have been told to
+// retry.
+func (c *Core) StopBy(deadline time.Time) {
 	c.mailbox.Put(func(c *Core) {
-		c.stopAt = c.moduleTime(by) // for those whose fate is asked for yet
+		c.stopAt = c.moduleTime(deadline) // for jobs that still wait for the outcome store
 		c.rejectAllHeldBack()
 		for _, r := range c.requests {
-			if at := c.moduleTime(by); at < r.deadline {
+			if at := c.moduleTime(deadline); at < r.deadline {
 				r.deadline = at
-				c.addRequestTimer(r, timerEntry{at: at, attempt: -1})
+				c.addRequestTimer(r, timerEntry{at: at, attempt: wholeRequest})
 			}
 		}
 	})
 }
 
+// handleArrival makes the request of a job and passes it to the decision module.
 func (c *Core) handleArrival(job *Job, ingress Ingress) {
 	if c.byID[job.ID] != nil {
 		c.rejectDuplicate(job, ingress)
@@ -90,12 +93,12 @@
 // newRequest makes the request of a job.
 func (c *Core) newRequest(job *Job, ingress Ingress) *request {
 	c.lastRequestID++
-	for c.lastRequestID == 0 || c.requests[c.lastRequestID] != nil { // numbers may come round
+	for c.lastRequestID == 0 || c.requests[c.lastRequestID] != nil { // numbers may wrap around
 		c.lastRequestID++
 	}
 	r := &request{id: c.lastRequestID, job: job, ingress: ingress, deadline: c.moduleTime(job.Deadline), record: job.Record}
 	if clientTimeout := c.cfg.Classes[job.Class].ClientTimeout; clientTimeout > 0 {
-		// Guards tokens and memory against a client that claims to wait for days.
+		// A client that claims to wait for days must not hold tokens and memory for so long.
 		r.deadline = min(r.deadline, c.now+clientTimeout)
 	}
 	if c.stopAt > 0 {
@@ -108,34 +111,56 @@
 	if c.inObservedGang(r) {
 		c.gangs.Joined(job, r.deadline-c.now)
 	}
-	c.addRequestTimer(r, timerEntry{at: r.deadline, attempt: -1})
+	c.addRequestTimer(r, timerEntry{at: r.deadline, attempt: wholeRequest})
 	return r
 }
 
-// arrivalEvent is the event of a new request.
+// arrivalEvent returns the decision module's event of a new request.
 func (c *Core) arrivalEvent(r *request) decision.Event {
 	job := r.job
-	return decision.Event{Type: decision.RequestArrived, Request: r.id, Class: job.Class, Tenant: job.Tenant - 1,
-		Deadline: r.deadline, Slots: job.Slots, Memory: job.Memory, Hint: job.Hint, Key: job.Subject, Retry: job.Retry,
-		ProcessStopping: job.ProcessStopping, Compensating: job.Compensating}
+	return decision.Event{
+		Type:            decision.RequestArrived,
+		Request:         r.id,
+		Class:           job.Class,
+		Tenant:          job.Tenant - 1,
+		Deadline:        r.deadline,
+		Slots:           job.Slots,
+		Memory:          job.Memory,
+		Hint:            job.Hint,
+		Key:             job.Subject,
+		Retry:           job.Retry,
+		ProcessStopping: job.ProcessStopping,
+		Compensating:    job.Compensating,
+	}
 }
 
-// respond is the one place where a request gets its final answer.
-func (c *Core) respond(id decision.RequestID, a Response, why string) {
+// respond is the one place where a request gets its final response. A request that
+// is unknown or has its response is left alone.
+func (c *Core) respond(id decision.RequestID, response Response, reason string) {
 	r := c.requests[id]
 	if r == nil || r.answered {
 		return
 	}
-	c.summary.answers[a.Verdict]++
-	c.releaseAdmission(r.job, a.Verdict == Served)
+	c.summary.responses[response.Verdict]++
+	c.releaseAdmission(r.job, response.Verdict == Served)
 	if r.record != nil {
-		c.endRecord(r, a, why)
+		c.endRecord(r, response, reason)
 	}
-	r.ingress.Respond(a)
+	r.ingress.Respond(response)
 	c.closeRequest(r)
 }
 
-// closeRequest marks a request as one that nothing more is owed.
+// rejectDuplicate responds to a job whose ID is that of an open request: reports
+// of workers are matched by ID, so two open requests could not be told apart.
+func (c *Core) rejectDuplicate(job *Job, ingress Ingress) {
+	c.releaseAdmission(job, false)
+	if job.Record != nil {
+		c.endDuplicateRecord(job.Record)
+	}
+	ingress.Respond(Response{Verdict: Duplicate})
+}
+
+// closeRequest marks a request whose client is owed nothing more.
 func (c *Core) closeRequest(r *request) {
 	if !r.answered && c.inObservedGang(r) {
 		c.gangs.Closed(r.job)
@@ -147,9 +172,9 @@
 	r.answered, r.ingress = true, nil
 }
 
-// removeIfDone gives back the id, the body and the reminders of a request that is
-// answered and has no hop out. Guards against a flood of requests that are
-// refused at once: their deadlines would pile up until they come.
+// removeIfDone frees the ID, the body and the timers of a request that is answered
+// and has no attempt out. The timers of a flood of requests that are rejected at
+// once would otherwise pile up until their deadlines.
 func (c *Core) removeIfDone(r *request) {
 	if !r.answered || c.requests[r.id] != r {
 		return
@@ -164,29 +189,31 @@
 	if r.record != nil {
 		c.onRecord(r.record)
 	}
-	for _, d := range r.timers {
-		if d.heapIndex >= 0 {
-			heap.Remove(&c.timers, d.heapIndex)
+	for _, t := range r.timers {
+		if t.heapIndex >= 0 {
+			heap.Remove(&c.timers, t.heapIndex)
 		}
 	}
 }
 
-// expire acts on a request whose deadline has come: each hop that is out times
-// out, an answered request's too, and what the module then leaves without an
-// answer fails.
+// expire acts on a request whose deadline has come. Each attempt that is out times
+// out, also those of a request that has its response, and a request that the
+// decision module then still leaves open fails.
 func (c *Core) expire(r *request) {
 	for i := range r.attempts {
 		c.cancelAttempt(r, i, decision.TimedOut)
 	}
 	c.step()
-	if !r.answered {
-		// Guards rule 1 against a module that holds a request without a hop.
-		h := Attempt{Job: r.job}
-		if r.record != nil {
-			h.Parent = trace.Context{Trace: r.record.Trace, Span: r.record.Span}.Parent()
-		}
-		c.log.WithFields(h.Fields()).Warn("request was still held at its deadline and fails")
-		c.respond(r.id, Response{Verdict: Failed}, reasonHeld)
-		c.addEvent(decision.Event{Type: decision.RequestCanceled, Request: r.id})
+	if r.answered {
+		return
+	}
+	// Each request has its response by its deadline, also if the module should hold
+	// one without an attempt.
+	a := Attempt{Job: r.job}
+	if r.record != nil {
+		a.Parent = trace.Context{Trace: r.record.Trace, Span: r.record.Span}.Parent()
 	}
+	c.log.WithFields(a.Fields()).Warn("request was still held at its deadline and fails")
+	c.respond(r.id, Response{Verdict: Failed}, reasonHeld)
+	c.addEvent(decision.Event{Type: decision.RequestCanceled, Request: r.id})
 }
--- a/internal/dispatcher/core/timers.go
+++ b/internal/dispatcher/core/timers.go
@@ -8,33 +8,44 @@
 	"frosttide/decision"
 )
 
-// timerEntry is one thing to do at a time: ring a timer of the module, or end a
-// request (attempt -1) or one of its hops.
+// wholeRequest is the attempt of a timer that ends a request, not an attempt.
+const wholeRequest = -1
+
+// timerEntry is one thing to do at a time: fire a timer of the decision module,
+// end the warm-up of a reinstated worker, end an attempt, or end a request.
 type timerEntry struct {
 	at            time.Duration
-	token         uint32
-	reinstatedUID string   // a runner that has had its time to warm up since it was put back
+	token         uint32   // of the module's timer
+	reinstatedUID string   // a worker that has had its time to warm up since it was reinstated
 	request       *request // nil for a timer of the module
-	attempt       int
-	heapIndex     int // in the heap; -1 when it has left it
+	attempt       int      // number of the attempt, or wholeRequest
+	heapIndex     int      // in the heap; -1 once it has left it
 }
 
-// timerHeap is a heap with the earliest first.
+// timerHeap implements heap.Interface with the earliest entry first. Each entry
+// knows its index, so that it can be removed.
 type timerHeap []*timerEntry
 
-func (h timerHeap) Len() int           { return len(h) }
+// Len implements heap.Interface.
+func (h timerHeap) Len() int { return len(h) }
+
+// Less implements heap.Interface.
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
+
+// Swap implements heap.Interface.
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
 	h[i].heapIndex, h[j].heapIndex = i, j
 }
 
+// Push implements heap.Interface.
 func (h *timerHeap) Push(x any) {
-	d := x.(*timerEntry)
-	d.heapIndex = len(*h)
-	*h = append(*h, d)
+	t := x.(*timerEntry)
+	t.heapIndex = len(*h)
+	*h = append(*h, t)
 }
 
+// Pop implements heap.Interface.
 func (h *timerHeap) Pop() any {
 	old := *h
 	last := old[len(old)-1]
@@ -44,40 +55,40 @@
 	return last
 }
 
-func (c *Core) addTimer(d *timerEntry) {
-	d.at = min(d.at, math.MaxInt64/2)
-	heap.Push(&c.timers, d)
+// addTimer adds an entry to the heap.
+func (c *Core) addTimer(t *timerEntry) {
+	t.at = min(t.at, math.MaxInt64/2)
+	heap.Push(&c.timers, t)
 }
 
-// addRequestTimer notes what is to be done about a request at a time, unless it has been
-// forgotten by then.
-func (c *Core) addRequestTimer(r *request, d timerEntry) {
-	d.request = r
-	r.timers = append(r.timers, &d)
-	c.addTimer(&d)
+// addRequestTimer adds an entry that leaves the heap with its request.
+func (c *Core) addRequestTimer(r *request, t timerEntry) {
+	t.request = r
+	r.timers = append(r.timers, &t)
+	c.addTimer(&t)
 }
 
-// runTimers does all that has come due.
+// runTimers does everything whose time has come.
 func (c *Core) runTimers() {
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
-		d := heap.Pop(&c.timers).(*timerEntry)
-		if d.reinstatedUID != "" {
-			if c.now >= c.reinstated[d.reinstatedUID]+c.cfg.Rules.WarmUp {
-				delete(c.reinstated, d.reinstatedUID)
+		t := heap.Pop(&c.timers).(*timerEntry)
+		if t.reinstatedUID != "" {
+			if c.now >= c.reinstated[t.reinstatedUID]+c.cfg.Rules.WarmUp {
+				delete(c.reinstated, t.reinstatedUID)
 			}
 			continue
 		}
-		if d.request == nil {
-			c.addEvent(decision.Event{Type: decision.TimerFired, Token: d.token})
+		if t.request == nil {
+			c.addEvent(decision.Event{Type: decision.TimerFired, Token: t.token})
 			continue
 		}
-		c.step() // what came in before the deadline counts
-		if r := d.request; c.requests[r.id] != r {
-			continue // forgotten in that step
-		} else if d.attempt < 0 {
+		c.step() // what came before the deadline counts
+		if r := t.request; c.requests[r.id] != r {
+			continue // removed in that step
+		} else if t.attempt == wholeRequest {
 			c.expire(r)
 		} else {
-			c.cancelAttempt(r, d.attempt, decision.TimedOut)
+			c.cancelAttempt(r, t.attempt, decision.TimedOut)
 		}
 	}
 }
--- a/internal/dispatcher/core/workers.go
+++ b/internal/dispatcher/core/workers.go
@@ -8,22 +8,26 @@
 	"frosttide/decision"
 )
 
-// worker is an egress target as the core knows it.
+// worker is a worker of the route table as the core knows it.
 type worker struct {
 	number          decision.WorkerID
 	uid             string
 	addr            string
-	zone            string          // its name
-	source          uint8           // who lists it
-	member          decision.Member // as discovery lists it
+	zone            string // name of its zone
+	source          uint8  // who lists it, as in Route
 	backend         Backend
-	epoch           epoch           // passes when attempts on their way there must not begin any more
-	boot            time.Duration   // its last start, by the wall clock of who lists it
-	reportedMember  decision.Member // as the module was told last
-	hasEndedAttempt bool            // a job from here has ended there
+	epoch           epoch           // advances when attempts on their way there must not start any more
+	boot            time.Duration   // its last start, by the wall clock of whoever lists it
+	member          decision.Member // as it is listed
+	reportedMember  decision.Member // as the decision module last learned it
+	hasEndedAttempt bool            // an attempt of this dispatcher has ended there
 }
 
-// ProbeEnded tells what a probe found.
+// SetWorkerObserver sets who learns what jobs show of workers. It must be called
+// before Run.
+func (c *Core) SetWorkerObserver(o WorkerObserver) { c.observer = o }
+
+// ProbeEnded reports the result of a probe.
 func (c *Core) ProbeEnded(number decision.WorkerID, outcome decision.Outcome, load []float32) {
 	c.mailbox.Put(func(c *Core) {
 		ev := decision.Event{Type: decision.ProbeEnded, Worker: number, Outcome: outcome}
@@ -32,69 +36,52 @@
 	})
 }
 
-// RoutesReplaced tells the whole route table.
+// RoutesReplaced replaces the whole route table.
 func (c *Core) RoutesReplaced(routes []Route) {
 	c.mailbox.Put(func(c *Core) { c.updateMembers(decision.MembersReplaced, routes) })
 }
 
-// RoutesChanged tells the entries of the route table that have changed.
+// RoutesChanged changes entries of the route table.
 func (c *Core) RoutesChanged(routes []Route) {
 	c.mailbox.Put(func(c *Core) { c.updateMembers(decision.MembersChanged, routes) })
 }
 
-// DiscoveryFailed tells that a call to discovery has failed or a watch has ended.
+// DiscoveryFailed reports that a call to discovery has failed or a watch has ended.
 func (c *Core) DiscoveryFailed() {
 	c.mailbox.Put(func(c *Core) { c.addEvent(decision.Event{Type: decision.MembersFailed}) })
 }
 
-// updateMembers takes in entries of the route table. A target that leaves is closed at
-// once for new hops; the module learns of it in the same moment.
+// updateMembers applies entries of the route table. The backend of a worker that
+// leaves is closed for new attempts at once, and the decision module learns of it
+// in the same turn.
 func (c *Core) updateMembers(kind decision.EventType, routes []Route) {
 	ev := decision.Event{Type: kind}
-	var known []decision.Event
-	named := map[string]bool{}
+	var restored []decision.Event
+	listed := map[string]bool{}
 	for i := range routes {
-		t := &routes[i]
-		named[t.UID] = true
-		w := c.workers[t.UID]
+		route := &routes[i]
+		listed[route.UID] = true
+		w := c.workers[route.UID]
 		if w == nil {
-			if t.State == decision.Removed {
+			if route.State == decision.Removed {
 				continue
 			}
-			c.lastWorkerID++
-			w = &worker{number: c.lastWorkerID, uid: t.UID, addr: t.Addr}
-			w.backend = c.backends.Open(w.number, w.uid, w.addr)
-			c.workers[w.uid], c.workersByNumber[w.number] = w, w
-			c.log.WithFields(logrus.Fields{"target": w.uid, "addr": w.addr}).Info("egress target listed")
-			if h, ok := c.restoredHealth[w.uid]; ok {
-				known = append(known, decision.Event{Type: decision.HealthRestored, Worker: w.number, Health: h})
+			w = c.addWorker(route)
+			if health, ok := c.restoredHealth[w.uid]; ok {
+				restored = append(restored, decision.Event{Type: decision.HealthRestored, Worker: w.number, Health: health})
 				delete(c.restoredHealth, w.uid)
 			}
 		}
-		if t.Addr != "" && t.Addr != w.addr {
-			c.log.WithFields(logrus.Fields{"target": w.uid, "addr": t.Addr}).Info("egress target moved")
-			w.addr = t.Addr
-			w.epoch.advance()
-			w.backend.SetAddress(t.Addr)
-		}
-		if t.State == decision.Draining && w.member.State != t.State && !t.Withheld {
-			c.log.WithField("target", w.uid).Info("egress target drains")
-		}
-		startedAt := w.member.StartedAt
-		if t.StartedAt != w.boot {
-			startedAt = c.startedAt(t.UID, t.StartedAt)
-		}
-		w.member, w.zone, w.source, w.boot = t.Member, t.ZoneName, t.Source, t.StartedAt
-		w.member.Worker, w.member.StartedAt = w.number, startedAt
+		c.updateWorker(w, route)
 		ev.Members = append(ev.Members, c.effectiveMember(w))
-		if t.State == decision.Removed {
+		if route.State == decision.Removed {
 			c.removeWorker(w)
 		}
 	}
 	if kind == decision.MembersReplaced {
 		for uid, w := range c.workers {
 			switch {
-			case named[uid]:
+			case listed[uid]:
 			case w.source == 0:
 				c.removeWorker(w)
 			default: // the module takes a whole list as it is
@@ -103,14 +90,44 @@
 		}
 	}
 	c.addEvent(ev)
-	c.events = append(c.events, known...)
+	c.events = append(c.events, restored...)
+}
+
+// addWorker adds a worker that is listed for the first time.
+func (c *Core) addWorker(route *Route) *worker {
+	c.lastWorkerID++
+	w := &worker{number: c.lastWorkerID, uid: route.UID, addr: route.Addr}
+	w.backend = c.backends.Open(w.number, w.uid, w.addr)
+	c.workers[w.uid], c.workersByNumber[w.number] = w, w
+	c.log.WithFields(logrus.Fields{"target": w.uid, "addr": w.addr}).Info("egress target listed")
+	return w
+}
+
+// updateWorker applies an entry of the route table to its worker.
+func (c *Core) updateWorker(w *worker, route *Route) {
+	if route.Addr != "" && route.Addr != w.addr {
+		c.log.WithFields(logrus.Fields{"target": w.uid, "addr": route.Addr}).Info("egress target moved")
+		w.addr = route.Addr
+		w.epoch.advance()
+		w.backend.SetAddress(route.Addr)
+	}
+	if route.State == decision.Draining && w.member.State != route.State && !route.Withheld {
+		c.log.WithField("target", w.uid).Info("egress target drains")
+	}
+	startedAt := w.member.StartedAt
+	if route.StartedAt != w.boot {
+		startedAt = c.startedAt(route.UID, route.StartedAt)
+	}
+	w.member, w.zone, w.source, w.boot = route.Member, route.ZoneName, route.Source, route.StartedAt
+	w.member.Worker, w.member.StartedAt = w.number, startedAt
 }
 
-// startedAt turns a worker's start by the wall clock into the core's time, when it is first told. It
-// is kept until another start is told, also by a newer process, so that a clock that is set later
-// changes nothing. Where the wall clock was set between this process's start and now, the younger of
-// the two ages that it gives counts: a worker that is taken for older than it is would be sent more
-// than it bears.
+// startedAt converts a worker's start by the wall clock into the core's time, when
+// it is first listed. The result is kept until another start is listed, also by a
+// newer process, so that setting the clock later changes nothing. Where the wall
+// clock was set between the start of this process and now, it gives two ages, and
+// the younger counts: a worker that is taken for older than it is would get more
+// work than it can bear.
 func (c *Core) startedAt(uid string, boot time.Duration) time.Duration {
 	if boot == 0 {
 		return 0
@@ -124,8 +141,9 @@
 	return c.now - max(age, 0)
 }
 
-// effectiveMember returns a worker as the module is to see it: as discovery lists it, but for
-// what operators have said. Guards what they said against every later list.
+// effectiveMember returns a worker as the decision module is to see it: as it is
+// listed, but for what operators have decided, which holds against every later
+// list. It also advances the worker's epoch where attempts must not start any more.
 func (c *Core) effectiveMember(w *worker) decision.Member {
 	m := w.member
 	if c.excluded[w.uid] && m.State == decision.Ready {
@@ -142,8 +160,8 @@
 	return m
 }
 
-// removeWorker lets a target go that has left the route table. Hops that it still has
-// are matched by its uid until they end.
+// removeWorker removes a worker that has left the route table. Attempts that are
+// still out there are matched by its UID until they end.
 func (c *Core) removeWorker(w *worker) {
 	c.log.WithField("target", w.uid).Info("egress target gone from the list")
 	w.epoch.advance()
