--- a/internal/dispatcher/ingress/callbacks.go
+++ b/internal/dispatcher/ingress/callbacks.go
@@ -9,11 +9,19 @@
 	"frosttide/internal/dispatcher/loadreport"
 )
 
-var jobStates = map[string]core.JobState{"started": core.JobStarted, "running": core.JobRunning, "done": core.JobDone,
-	"failed": core.JobFailed, "returned": core.JobReturned, "lost": core.JobLost}
+// jobStates are the states that workers may report over HTTP.
+var jobStates = map[string]core.JobState{
+	"started":  core.JobStarted,
+	"running":  core.JobRunning,
+	"done":     core.JobDone,
+	"failed":   core.JobFailed,
+	"returned": core.JobReturned,
+	"lost":     core.JobLost,
+}
 
-// handleJobEvent takes a runner's call-back. It is answered at once whatever it names,
-// as the runner would repeat it otherwise; the core applies it once.
+// handleJobEvent takes a worker's report on a job. It responds at once whatever
+// job the report names, as the worker would repeat the report otherwise; the core
+// applies it once.
 func (f *Front) handleJobEvent(w http.ResponseWriter, r *http.Request, c *conn) {
 	text, ok := f.readBody(w, r, c)
 	if !ok {
@@ -31,8 +39,14 @@
 		return
 	}
 	c.requestArrived(true)
-	report := core.JobEvent{ID: ev.ID, From: ev.From, State: state, Share: ev.Share,
-		Load: loadreport.Parse(ev.Load, f.cfg.Columns), Result: ev.Result}
+	report := core.JobEvent{
+		ID:     ev.ID,
+		From:   ev.From,
+		State:  state,
+		Share:  ev.Share,
+		Load:   loadreport.Parse(ev.Load, f.cfg.Columns),
+		Result: ev.Result,
+	}
 	var result string
 	if json.Unmarshal(ev.Result, &result) == nil {
 		report.Result = []byte(result)
@@ -44,23 +58,23 @@
 	http.Error(w, "no process holds the job now", http.StatusServiceUnavailable)
 }
 
-// deliver hands a call-back to the process that holds the job. Where there is one alone
-// nobody waits for it. Guards a job of the other process: unless that has taken the
-// call-back the runner has to repeat it.
+// deliver passes a report to the process that holds the job, and reports whether
+// that has it. With one process nobody waits for that. With two, the worker has to
+// repeat a report on a job of the other process which that has not taken.
 func (f *Front) deliver(report core.JobEvent) bool {
 	if !f.peer.Linked() {
 		f.core.Report(report, func(bool) {})
 		return true
 	}
-	by := time.Now().Add(forwardTimeout)
+	deadline := time.Now().Add(forwardTimeout)
 	held := make(chan bool, 1)
 	f.core.Report(report, func(here bool) { held <- here })
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
 	select {
 	case here := <-held:
-		return here || f.peer.ForwardReport(report, by)
-	case <-late.C:
+		return here || f.peer.ForwardReport(report, deadline)
+	case <-timeout.C:
 		return false
 	}
 }
--- a/internal/dispatcher/ingress/conn.go
+++ b/internal/dispatcher/ingress/conn.go
@@ -12,32 +12,40 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// conn is a connection of the ingress. Its place is given back when it is closed.
+// backgroundReadSize is the size of the reads by which net/http looks for the end
+// of the client's side behind a request. All its other reads are larger.
+const backgroundReadSize = 1
+
+// pastDeadline is a deadline that has passed.
+var pastDeadline = time.Unix(1, 0)
+
+// errNoSocket is the error of peeking at a connection that is no socket.
+var errNoSocket = errors.New("the connection is no socket")
+
+// conn is a connection of the ingress. It follows the requests on it, and gives its
+// place back when it is closed.
 type conn struct {
 	net.Conn
 	listener    *connListener
 	framing     framing
-	transferred *core.MovedRequest // what has become of the request read by another process; nil if it goes on here
+	transferred *core.MovedRequest // what another process has done for the first request; nil for nothing
+	lookahead   lookahead
 
-	// Under the door's lock.
-	element          *list.Element // in the door's list; nil while a whole request is on it
-	listIndex        int           // that list
+	// Guarded by the listener's lock.
+	element          *list.Element // in listener.evictable; nil while a whole request is on the connection
+	listIndex        int           // its class there
 	listedAt         time.Time     // when it came there
-	fromRunner       bool          // the last request on it was a call-back
-	retired          bool          // it is to end unless a request has come on it
-	lastRequest      bool          // a request has: it ends with the answer
-	awaitingResponse bool          // a whole request is on it that has no answer yet
-	pipelined        bool          // something has come behind that request
+	fromRunner       bool          // the last request on it was a worker's report
+	retired          bool          // it ends unless a request has begun on it
+	lastRequest      bool          // a request has begun after it was retired: it ends with the response
+	awaitingResponse bool          // a whole request is on it that has no response yet
+	pipelined        bool          // data has come behind that request
 	closed           bool
-
-	lookahead lookahead
 }
 
-// pastDeadline is a deadline that has passed.
-var pastDeadline = time.Unix(1, 0)
-
-// Read takes note of the requests that pass. What has been read counts as taken, so a connection
-// that is to end does so here, before anything is read: nobody else knows whether something was.
+// Read follows the requests that pass. What has been read counts as taken, so a
+// retired connection ends here, before anything is read: nobody else knows whether
+// something was.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.isRetired() {
 		return 0, io.EOF
@@ -55,23 +63,21 @@
 	return n, err
 }
 
-// backgroundReadSize is the size of the reads by which net/http looks for a client's end behind a request;
-// all others are larger.
-const backgroundReadSize = 1
-
-// isRetired tells whether the connection was told to end and nothing has come on it since.
+// isRetired reports whether the connection was retired and no request has begun on
+// it since.
 func (c *conn) isRetired() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.retired
 }
 
-// retire has the connection end before the next request on it is read. One in the middle of a
-// request is closed at once. The caller has the door's lock.
+// retire has an idle connection end before the next request on it is read. It
+// closes a connection within a request at once. The caller holds the listener's
+// lock.
 func (c *conn) retire() {
-	resting := c.element != nil && c.listIndex != partialRequests
+	idle := c.element != nil && c.listIndex != partialRequests
 	c.dequeue()
-	if !resting {
+	if !idle {
 		c.closeLocked()
 		return
 	}
@@ -83,7 +89,7 @@
 // NetConn returns the connection that this one wraps.
 func (c *conn) NetConn() net.Conn { return c.Conn }
 
-// CloseWrite lets net/http end an answer before it stops reading.
+// CloseWrite lets net/http end a response before it stops reading.
 func (c *conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -91,13 +97,14 @@
 	return nil
 }
 
+// Close implements net.Conn. Its first call gives the connection's place back.
 func (c *conn) Close() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.closeLocked()
 }
 
-// closeLocked closes the connection and gives its place back. The caller has the door's lock.
+// closeLocked closes the connection. The caller holds the listener's lock.
 func (c *conn) closeLocked() error {
 	if !c.closed {
 		c.closed = true
@@ -108,7 +115,8 @@
 	return c.Conn.Close()
 }
 
-// unretire takes back that the connection is to end.
+// unretire takes back that the connection ends. The caller holds the listener's
+// lock.
 func (c *conn) unretire() {
 	if c.retired {
 		c.retired = false
@@ -116,11 +124,14 @@
 	}
 }
 
-// enqueue and stir put a connection into a list and take it out.
-func (c *conn) enqueue(index int) {
-	c.element, c.listIndex, c.listedAt = c.listener.evictable[index].PushBack(c), index, time.Now()
+// enqueue adds the connection to a class of those that may be evicted. The caller
+// holds the listener's lock.
+func (c *conn) enqueue(class int) {
+	c.element, c.listIndex, c.listedAt = c.listener.evictable[class].PushBack(c), class, time.Now()
 }
 
+// dequeue takes the connection out of its class, if it is in one. The caller holds
+// the listener's lock.
 func (c *conn) dequeue() {
 	if c.element != nil {
 		c.listener.evictable[c.listIndex].Remove(c.element)
@@ -128,9 +139,10 @@
 	}
 }
 
-// dataArrived tells that a part of a request has come. Guards against a client that stops after its
-// first byte: on a kept connection the server's own time for a request runs from the fourth.
-// What comes behind a request that waits for its answer is read on from there.
+// dataArrived records that a part of a request has come; behind tells that it came
+// behind one that waits for its response, and then the lookahead reads on. It sets
+// the read deadline of a request on a kept connection: net/http's own begins only
+// with the fourth byte, so a client could stop after the first.
 func (c *conn) dataArrived(behind bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -142,37 +154,38 @@
 		c.readAhead()
 		return
 	}
-	resting := c.retired || c.element != nil && c.listIndex != partialRequests
+	wasIdle := c.retired || c.element != nil && c.listIndex != partialRequests
 	if c.retired {
 		c.unretire()
 		c.lastRequest = true
 	}
 	c.dequeue()
 	c.enqueue(partialRequests)
-	if resting {
+	if wasIdle {
 		_ = c.Conn.SetReadDeadline(time.Now().Add(requestTimeout))
 	}
 }
 
-// requestArrived tells that a whole request has come: nobody takes its place until it is
-// answered.
-func (c *conn) requestArrived(runner bool) {
+// requestArrived records that a whole request has come: the connection is not
+// evicted until it has its response.
+func (c *conn) requestArrived(fromRunner bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.dequeue()
-	c.fromRunner, c.awaitingResponse = runner, true
+	c.fromRunner, c.awaitingResponse = fromRunner, true
 	c.readAhead()
 }
 
-// readAhead reads on behind the request where net/http has stopped to. The caller has the door's
-// lock.
+// readAhead reads on behind the request where net/http has stopped to. The caller
+// holds the listener's lock.
 func (c *conn) readAhead() {
 	if c.awaitingResponse && c.pipelined {
 		c.lookahead.start(c.Conn)
 	}
 }
 
-// responseWritten tells that the request on it has its answer, or never will.
+// responseWritten records that the request on the connection has its response, or
+// never will.
 func (c *conn) responseWritten() {
 	c.listener.mu.Lock()
 	c.awaitingResponse, c.pipelined = false, false
@@ -180,14 +193,15 @@
 	c.lookahead.stop(c.Conn)
 }
 
-// endsWithResponse tells whether the connection ends with the answer to the request that is on it.
+// endsWithResponse reports whether the connection ends with the response to the
+// request on it.
 func (c *conn) endsWithResponse() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.lastRequest
 }
 
-// becameIdle tells that the connection is kept between requests.
+// becameIdle records that the connection is kept between requests.
 func (c *conn) becameIdle() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
@@ -201,8 +215,7 @@
 	}
 }
 
-// hasData tells whether a request, or the next part of one, waits to be read: it
-// came before the place was needed.
+// hasData reports whether a request, or the next part of one, waits to be read.
 func (c *conn) hasData() bool {
 	if c.framing.hasHead() {
 		return true
@@ -211,8 +224,8 @@
 	return err == nil && n > 0
 }
 
-// clientLeft tells whether the client has ended the connection, as far as the system knows now: also
-// where nobody has come to read it yet.
+// clientLeft reports whether the client has ended the connection, as far as the
+// kernel knows now, also where nobody has read that yet.
 func (c *conn) clientLeft() bool {
 	select {
 	case <-c.lookahead.clientEnded():
@@ -230,10 +243,9 @@
 		errors.Is(err, syscall.EHOSTUNREACH)
 }
 
-// errNoSocket tells that a connection has no socket to look at.
-var errNoSocket = errors.New("the connection is no socket")
-
-// peek looks at what waits to be read, without blocking: 0 bytes and no error is the end.
+// peek returns how many bytes, 1 at most, wait to be read, without blocking. No
+// byte and no error is the end of the client's side. It fails with errNoSocket,
+// with net.ErrClosed for a closed connection, and with errors of recvfrom(2).
 func (c *conn) peek() (n int, err error) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -244,13 +256,13 @@
 		return 0, net.ErrClosed
 	}
 	var one [1]byte
-	var peeked error
+	var peekErr error
 	if err := raw.Control(func(fd uintptr) {
-		n, _, peeked = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, peekErr = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	}); err != nil {
 		return 0, net.ErrClosed
 	}
-	return n, peeked
+	return n, peekErr
 }
 
 // connState follows net/http's view of a connection.
--- /dev/null
+++ b/internal/dispatcher/ingress/drain.go
@@ -0,0 +1,83 @@
+package ingress
+
+import (
+	"context"
+	"fmt"
+	"time"
+)
+
+const (
+	// drainQuiet is how long nothing must have come in before the listener closes.
+	drainQuiet = 250 * time.Millisecond
+	// drainPoll is the time between two looks at what is open.
+	drainPoll = drainQuiet / 25
+	// closeTimeout is how long connections may take to end once their responses are
+	// written: net/http's own wait for the client to read, and some more.
+	closeTimeout = 600 * time.Millisecond
+)
+
+// StopBy sets when the process may be ended. No job that is open or comes from now
+// on has a later deadline. A client whose job is rejected loses its connection, and
+// so goes elsewhere; all others may still use the connections that they have.
+func (f *Front) StopBy(deadline time.Time) {
+	f.stopBy.Store(&deadline)
+	f.core.StopBy(deadline)
+}
+
+// HandOver leaves all jobs to a newer process, also those that come on the
+// connections that are open. The caller has closed the listener. It returns when no
+// connection is left, when the newer process has ended, or at the deadline. A kept
+// connection is handed over with its next request, not before, so that no request
+// crosses its close.
+func (f *Front) HandOver(deadline time.Time) {
+	f.handOverBy.Store(&deadline)
+	close(f.handingOver)
+	tick := time.NewTicker(drainPoll)
+	defer tick.Stop()
+	for f.listener.count() > 0 && time.Now().Before(deadline) && f.peer.Succeeded() {
+		<-tick.C
+	}
+}
+
+// Drain sends clients elsewhere, goes on serving, workers' reports above all, until
+// every request has its response, and only then closes the listener.
+// Server.Shutdown alone would close it first, and the reports could not come in any
+// more. It fails if the context ends before.
+//
+// Connections close after each response from here on, and idle ones before their
+// next request is read, so an open one has a request on it or has just been made.
+// Drain ends when none is open, or when none has begun a request for a while.
+func (f *Front) Drain(ctx context.Context) error {
+	f.draining.Store(true)
+	tick := time.NewTicker(drainPoll)
+	defer tick.Stop()
+	for lastActive := time.Now(); ; {
+		quiet := time.Since(lastActive)
+		includeNew := quiet > drainQuiet/2
+		partial := f.listener.retireIdle(includeNew)
+		if f.activeRequests.Load() > 0 || partial > 0 {
+			lastActive = time.Now()
+		}
+		if f.listener.count() == 0 || quiet >= drainQuiet {
+			break
+		}
+		select {
+		case <-tick.C:
+		case <-ctx.Done():
+			return fmt.Errorf("waiting for open requests: %w", ctx.Err())
+		}
+	}
+	f.listener.closeListener() // connections accepted before are still served
+	f.awaitClosed(tick.C)
+	return nil
+}
+
+// awaitClosed waits until the last connections have ended. net/http keeps a
+// connection half open for half a second, so that a response that its client has
+// not read yet is not lost to a reset.
+func (f *Front) awaitClosed(tick <-chan time.Time) {
+	for since := time.Now(); f.listener.count() > 0 && time.Since(since) < closeTimeout; <-tick {
+		f.listener.retireIdle(true)
+	}
+	_ = f.server.Close() // nothing comes on connections that are still open
+}
--- a/internal/dispatcher/ingress/framing.go
+++ b/internal/dispatcher/ingress/framing.go
@@ -6,38 +6,40 @@
 	"sync"
 )
 
-// framing reads along where each request of a connection begins and ends, as far
-// as net/http hides it: of a request with both Content-Length and
-// Transfer-Encoding it drops the length and tells nobody, and what follows the
-// last chunk would pass as the next request. It changes nothing of what is read.
+// maxLine bounds what framing keeps of a header line: enough for a length, and for
+// the name of a header.
+const maxLine = 64
+
+// framing follows where each request of a connection begins and ends, as far as
+// net/http hides it. Of a request with both Content-Length and Transfer-Encoding,
+// net/http drops the length without a sign, and what follows the last chunk would
+// pass as the next request. framing changes nothing of what is read.
 type framing struct {
 	mu       sync.Mutex
-	heads    []head // whole ones that nobody has taken, in their order
+	heads    []head // whole ones that takeHead has not returned, in their order
 	current  head   // the one that is being read
-	line     []byte // of it, up to mostLine bytes
-	first    byte   // its first one
+	line     []byte // of it, up to maxLine bytes
+	first    byte   // its first byte
 	started  bool   // it has a line
 	body     int64  // bytes that still belong to the body before it
 	unsynced bool   // where the next head begins is not known
 }
 
-// head is what framing tells of one request.
+// head is what framing knows of one request: how many Content-Length and
+// Transfer-Encoding headers it has, and its length.
 type head struct {
 	lengths, encodings int
-	length             int64 // -1 if it can't be read
+	length             int64 // -1 if it can't be parsed
 }
 
-// maxLine is enough for a length or the name of a header.
-const maxLine = 64
-
-// ambiguous tells whether two readers of the request could differ on its end.
+// ambiguous reports whether two readers of the request could differ on its end.
 func (h head) ambiguous() bool { return h.lengths > 1 || h.lengths > 0 && h.encodings > 0 }
 
-// endsConnection tells whether the connection has to end with the request, as framing does
-// not know its end.
+// endsConnection reports whether the connection has to end with the request,
+// because framing does not know its end.
 func (h head) endsConnection() bool { return h.encodings > 0 || h.length < 0 }
 
-// observe takes in what was read.
+// observe follows bytes that were read from the connection.
 func (f *framing) observe(p []byte) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,6 +62,7 @@
 	}
 }
 
+// endLine evaluates a whole line. The caller holds the lock.
 func (f *framing) endLine() {
 	line := bytes.TrimSuffix(f.line, []byte("\r"))
 	f.line = f.line[:0]
@@ -81,9 +84,10 @@
 	f.started = true
 }
 
+// endHead evaluates a whole head. The caller holds the lock.
 func (f *framing) endHead() {
 	if !f.started {
-		return // net/http has no use for an empty line here either
+		return // net/http skips an empty line here as well
 	}
 	f.heads = append(f.heads, f.current)
 	f.unsynced = f.current.endsConnection() || f.current.ambiguous()
@@ -103,15 +107,16 @@
 	return h
 }
 
-// hasHead tells whether a whole head has been read that nobody has taken.
+// hasHead reports whether a whole head has been read that takeHead has not
+// returned.
 func (f *framing) hasHead() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.heads) > 0
 }
 
-// hasStrayData tells whether what has come beyond the request can't begin another one:
-// then the request's length was wrong, and its body is cut short.
+// hasStrayData reports whether the data behind the request can't begin another
+// one. Then the request's length was wrong, and its body is cut short.
 func (f *framing) hasStrayData() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/dispatcher/ingress/handle.go
+++ b/internal/dispatcher/ingress/handle.go
@@ -10,19 +10,19 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// handle sends a request to its part. There is no http.ServeMux, as it would
-// redirect a job whose path it finds unclean, and paths pass through unchanged.
+// handle routes a request. There is no http.ServeMux, as it would redirect a job
+// whose path it finds unclean, and paths have to reach the worker unchanged.
 func (f *Front) handle(w http.ResponseWriter, r *http.Request) {
 	f.activeRequests.Add(1)
 	defer f.activeRequests.Add(-1)
-	// Guards answers on a kept connection against the write deadline of an earlier
-	// one, which net/http does not take away.
+	// net/http does not take away the write deadline of an earlier response on a kept
+	// connection.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
-	// Guards against a request hidden in another's body: where the lengths disagree
-	// nothing is taken, and past a body whose end only net/http has seen nothing more
-	// is read from the connection.
 	c := r.Context().Value(connKey{}).(*conn)
 	defer c.responseWritten()
+	// A request may hide in another's body. So nothing is taken where the lengths
+	// disagree, and nothing more is read from the connection past a body whose end
+	// only net/http has seen.
 	framed := c.framing.takeHead()
 	if framed.endsConnection() || f.handsOver() || f.draining.Load() || c.endsWithResponse() {
 		w.Header().Set("Connection", "close")
@@ -42,36 +42,36 @@
 	}
 }
 
-// rejectMalformed answers what is malformed and ends the connection: where the next
-// request begins may not be known, and whoever sends such things is not to hold
-// a place.
+// rejectMalformed responds to a malformed request and ends the connection: where
+// the next request begins may not be known, and whoever sends such requests must
+// not hold a place.
 func (f *Front) rejectMalformed(w http.ResponseWriter, text string, status int) {
 	f.malformed.Add(1)
 	w.Header().Set("Connection", "close")
 	http.Error(w, text, status)
 }
 
-// readBody reads a request's body within its bounds, and within the time for the
-// whole request. It answers what is wrong itself.
+// readBody reads a request's body of up to maxBody bytes, within the timeout of
+// the whole request. It responds to what is wrong itself, and then returns false.
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request, c *conn) ([]byte, bool) {
 	var text []byte
 	err := error(&http.MaxBytesError{Limit: maxBody})
 	if r.ContentLength <= maxBody { // a body that is announced as too large is not waited for
 		text, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	}
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		f.rejectMalformed(w, "the body is larger than 64 KiB", http.StatusRequestEntityTooLarge)
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		f.rejectMalformed(w, "the body did not arrive in time", http.StatusRequestTimeout)
 	case err != nil:
 		f.rejectMalformed(w, "the body could not be read", http.StatusBadRequest)
 	case c.framing.hasStrayData():
-		// Guards against a body that is longer than it says: half of it would run.
+		// A job whose body is longer than it says would run with a part of it.
 		f.rejectMalformed(w, "the body is longer than its length", http.StatusBadRequest)
 	default:
-		// From here on a read only tells that the client leaves.
+		// From here on a read only shows that the client leaves.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
 		return text, true
 	}
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -1,6 +1,14 @@
-// Package ingress is the platform's front: it takes the jobs of clients, answers
-// the health check, and takes the runners' call-backs, all at one address. It
-// turns HTTP into the core's terms and back, and decides nothing.
+// Package ingress is the dispatcher's HTTP server for clients and workers: it takes
+// the jobs of clients, answers the health check, and takes the workers' reports on
+// jobs, all at one address. It converts HTTP into the core's terms and back, and
+// decides nothing. cmd/frosttide makes one Front and runs it.
+//
+// Invariants: nothing is taken from a request whose end two readers could see
+// differently; past the limit of connections one of them is evicted, so that a new
+// one is always accepted; a request whose first byte was read has a response, or
+// its client has left.
+//
+// All methods of Front are safe for concurrent use.
 package ingress
 
 import (
@@ -21,122 +29,149 @@
 )
 
 const (
-	maxBody = 64 << 10 // the protocol's bound on any body
-	maxID   = 128      // a longer id is not one of ours
-	// requestTimeout is how long a request may take to arrive: from the connection's
-	// opening, or from its first bytes on a kept one, to its last byte. Good ones may take
-	// more than 2 s; whoever sends something else is due an end within 3 s.
+	maxBody = 64 << 10 // bytes; the protocol's bound on any body
+	maxID   = 128      // bytes; a longer ID is none of this dispatcher
+	// requestTimeout is how long a request may take to arrive: from the opening of
+	// its connection, or from its first byte on a kept one, to its last byte. Valid
+	// ones may take more than 2 s; invalid ones have to end within 3 s.
 	requestTimeout = 2750 * time.Millisecond
-	// responseTimeout is how long a client may take to read its answer.
+	// responseTimeout is how long a client may take to read its response.
 	responseTimeout = 10 * time.Second
-	// idleTimeout is how long a connection may sit between requests.
+	// idleTimeout is how long a connection may be idle between requests.
 	idleTimeout = 2 * time.Minute
-	// drainQuiet is how long nothing must have come in before the listener closes.
-	drainQuiet = 250 * time.Millisecond
-	// transitAllowance is taken off the time that a client gives, which runs from its
-	// sending: the way here, and the answer's way back.
+	// transitAllowance is subtracted from the time that a client gives, which counts
+	// from its sending: for the way here, and the response's way back.
 	transitAllowance = 10 * time.Millisecond
-	// crowdedRetryAfter is what a client is told to wait when there is no room for it.
+	// crowdedRetryAfter is when a client may retry that was rejected past the limit
+	// of open jobs.
 	crowdedRetryAfter = 500 * time.Millisecond
-	// closeTimeout is how long connections may take to end once their answers are written: net/http's
-	// own wait for the client to read, and some more.
-	closeTimeout = 600 * time.Millisecond
-	// forwardTimeout is how long a call-back may take to the process that holds the job.
+	// forwardTimeout is how long a report may take to the process that holds its job.
 	forwardTimeout = 500 * time.Millisecond
+	// summaryInterval is the time between two logged summaries of what was turned
+	// away; one without anything is left out.
+	summaryInterval = 10 * time.Second
 )
 
-// Core takes what the front has read.
+// Core takes what the front has read; *core.Core implements it. None of its methods
+// blocks.
 type Core interface {
 	Submit(*core.Job, core.Ingress)
 	ClientLeft(*core.Job)
 	Release(job *core.Job, done func(*core.MovedRequest))
 	Adopt(*core.Job, *core.MovedRequest, core.Ingress)
-	Report(ev core.JobEvent, took func(bool))
-	StopBy(time.Time)
+	Report(ev core.JobEvent, held func(bool))
+	StopBy(deadline time.Time)
 }
 
 // Peer is the other process of the dispatcher, while there is one.
 type Peer interface {
+	// Linked reports whether there is another process.
 	Linked() bool
-	Succeeded() bool // it is newer, and serves
-	ForwardReport(ev core.JobEvent, by time.Time) bool
-	TransferConn(c net.Conn, request []byte, m *core.MovedRequest, by time.Time) bool
+	// Succeeded reports whether the other process is newer, and serves.
+	Succeeded() bool
+	// ForwardReport passes a report on and reports whether the other process held
+	// its job, by a deadline.
+	ForwardReport(ev core.JobEvent, deadline time.Time) bool
+	// TransferConn passes a client's connection on, with what was read from it, and
+	// reports whether the other process serves it, by a deadline.
+	TransferConn(c net.Conn, request []byte, m *core.MovedRequest, deadline time.Time) bool
 }
 
-// Counts takes note of how jobs end, by their class's number.
+// Counts counts how jobs end, by the number of their class.
 type Counts interface {
 	Completed(class int)
 	Rejected(class int)
 	Failed(class int)
+	// Pending adds to the number of open jobs.
 	Pending(change int)
 }
 
-// Config holds the figures of the ingress.
-type Config struct {
-	Classes        []Class  // by their numbers
-	Tenants        []string // likewise
-	Columns        []string // of load reports
-	MaxSlots       float64  // most that a job may ask for
-	MaxJobs        int      // most jobs at a time
-	MaxConnections int      // most connections at all; the rest is the call-backs'
-	Recorder       Recorder
-	Steps          Steps // of workflows; nil for none
+// Recorder begins the span records of jobs, and takes those of jobs that the core
+// never gets.
+type Recorder interface {
+	// Begin returns nil where nothing is recorded.
+	Begin(received time.Time, parent, state string) *trace.Record
+	Ended(*trace.Record)
 }
 
-// Steps has jobs that are steps of workflows agreed on before they are sent. Begin returns the
-// status and text of the answer where one can't be, and else who is told the verdict; zeros for
-// a job that is no step.
+// Steps has jobs that are steps of workflows agreed on before they are sent.
 type Steps interface {
-	Begin(ctx context.Context, h http.Header, deadline time.Time) (status int, text string, settled func(core.Verdict))
+	// Begin returns the status and text of the response where a step can't begin,
+	// and otherwise who learns its verdict. For a job that is no step it returns
+	// zeros.
+	Begin(ctx context.Context, h http.Header, deadline time.Time) (status int, text string, onVerdict func(core.Verdict))
 }
 
-// Class is what the ingress knows of a class.
+// Class is what the ingress knows of a class of jobs.
 type Class struct {
-	Name    string
-	Keyed   bool // its jobs carry a key
-	Removed bool // no new job may be of it
-	Value   float64
-	// DedupWindow is how long after a job's coming one that asks for the same belongs to it.
-	DedupWindow time.Duration
+	Name        string
+	Keyed       bool          // its jobs carry an idempotency key
+	Removed     bool          // it takes no new jobs
+	Value       float64       // of a job, for span records
+	DedupWindow time.Duration // how long after a job a request for the same is a retry of it
 }
 
-// Recorder begins the stories of jobs, and takes those that end at the door. Begin returns
-// nil where nothing is recorded.
-type Recorder interface {
-	Begin(came time.Time, parent, state string) *trace.Record
-	Ended(*trace.Record)
+// Config holds the settings of the ingress.
+type Config struct {
+	Classes        []Class  // by their numbers
+	Tenants        []string // names by their numbers
+	Columns        []string // of load reports
+	MaxSlots       float64  // slots that one job may ask for
+	MaxJobs        int      // open jobs
+	MaxConnections int      // open connections; those beyond MaxJobs are for reports
+	Recorder       Recorder
+	Steps          Steps // nil without workflows
 }
 
-// Front is the server of clients and call-backs.
+// Front is the server of clients and workers. Make it with New and run it with
+// Serve.
 type Front struct {
-	cfg            Config
-	core           Core
-	peer           Peer
-	counts         Counts
-	log            *logrus.Entry
-	server         *http.Server
-	listener       *connListener
-	activeRequests atomic.Int64 // requests being handled, call-backs too
-	openJobs       atomic.Int64 // those that wait for the core's answer
-	maxJobs        atomic.Int64 // most of them
-	classes        atomic.Pointer[[]Class]
-	tenants        atomic.Pointer[[]string]
-	draining       atomic.Bool   // each answer ends its connection
-	handingOver    chan struct{} // closed when all jobs go to a newer process
-	adopted        *adoptedListener
-	malformed      atomic.Int64              // requests refused as malformed, since the last summary
-	crowded        atomic.Int64              // jobs refused for want of room, since then
-	handOverBy     atomic.Pointer[time.Time] // until when jobs go to a newer process; nil before
-	stopBy         atomic.Pointer[time.Time] // when all that comes now has to be answered; nil before the planned end
-}
-
-// New makes a front.
-func New(cfg Config, c Core, other Peer, counts Counts, log *logrus.Entry) *Front {
-	f := &Front{cfg: cfg, core: c, peer: other, counts: counts, log: log, listener: &connListener{maxOpen: cfg.MaxConnections},
-		handingOver: make(chan struct{})}
-	// Room for all that an older process may have: on a busy machine 200 handed on at once overran 64,
-	// and those that found no room failed.
-	f.adopted = &adoptedListener{conns: make(chan net.Conn, max(cfg.MaxConnections, 1)), closed: make(chan struct{}), listener: f.listener}
+	cfg      Config
+	core     Core
+	peer     Peer
+	counts   Counts
+	log      *logrus.Entry
+	server   *http.Server
+	listener *connListener
+	adopted  *adoptedListener
+
+	// Settings that a reload may change.
+	classes atomic.Pointer[[]Class]
+	tenants atomic.Pointer[[]string]
+	maxJobs atomic.Int64
+
+	// Load.
+	activeRequests atomic.Int64 // requests being handled, reports included
+	openJobs       atomic.Int64 // jobs that wait for the core's response
+	malformed      atomic.Int64 // requests rejected as malformed, since the last summary
+	crowded        atomic.Int64 // jobs rejected past maxJobs, since the last summary
+
+	// The end of the process.
+	draining    atomic.Bool               // each response ends its connection
+	stopBy      atomic.Pointer[time.Time] // when everything has to be answered; nil before the planned end
+	handingOver chan struct{}             // closed when all jobs go to a newer process
+	handOverBy  atomic.Pointer[time.Time] // until when they do; nil before
+}
+
+// New makes a front that does not serve yet.
+func New(cfg Config, c Core, peer Peer, counts Counts, log *logrus.Entry) *Front {
+	f := &Front{
+		cfg:         cfg,
+		core:        c,
+		peer:        peer,
+		counts:      counts,
+		log:         log,
+		listener:    &connListener{maxOpen: cfg.MaxConnections},
+		handingOver: make(chan struct{}),
+	}
+	// The channel has room for all connections that an older process may have: on a
+	// busy machine 200 handed over at once overran 64 places, and the jobs of those
+	// that found none failed.
+	f.adopted = &adoptedListener{
+		listener: f.listener,
+		conns:    make(chan net.Conn, max(cfg.MaxConnections, 1)),
+		closed:   make(chan struct{}),
+	}
 	f.maxJobs.Store(int64(cfg.MaxJobs))
 	f.classes.Store(&cfg.Classes)
 	f.tenants.Store(&cfg.Tenants)
@@ -153,10 +188,10 @@
 	return f
 }
 
-// connKey finds a request's connection in its context.
+// connKey is the key of a request's *conn in its context.
 type connKey struct{}
 
-// Serve answers until the listener is closed.
+// Serve serves until the listener is closed. It returns nil if that was by Drain.
 func (f *Front) Serve(l net.Listener) error {
 	var warn sync.Once
 	f.listener.setListener(neterr.Listener{Listener: l, OnError: func(err error) {
@@ -173,86 +208,20 @@
 	return fmt.Errorf("serving %s: %w", l.Addr(), err)
 }
 
-// StopBy tells when the process may be ended. No job that is here or comes from now
-// on has a later deadline; who is refused is told to go elsewhere, and everybody
-// else may still use the connections there are.
-func (f *Front) StopBy(by time.Time) {
-	f.stopBy.Store(&by)
-	f.core.StopBy(by)
-}
-
-// SetClasses sets what jobs may be of from now on.
+// SetClasses sets the classes of jobs that come from now on, by their numbers.
 func (f *Front) SetClasses(classes []Class) { f.classes.Store(&classes) }
 
-// SetTenants takes the names of the tenants by their numbers.
+// SetTenants sets the names of the tenants, by their numbers.
 func (f *Front) SetTenants(names []string) { f.tenants.Store(&names) }
 
-// SetLimits sets how many jobs and connections there may be from now on.
-func (f *Front) SetLimits(clients, sockets int) {
-	f.maxJobs.Store(int64(clients))
-	f.listener.setMaxOpen(sockets)
-}
-
-// HandOver leaves all jobs to a newer process, those that come on the connections that
-// there are too; the caller has closed the listener. It returns when no connection is
-// left, when the newer process has ended, or at the deadline. Guards requests that cross
-// a close: kept connections go with their next use, not before.
-func (f *Front) HandOver(by time.Time) {
-	f.handOverBy.Store(&by)
-	close(f.handingOver)
-	tick := time.NewTicker(drainQuiet / 25)
-	defer tick.Stop()
-	for f.listener.count() > 0 && time.Now().Before(by) && f.peer.Succeeded() {
-		<-tick.C
-	}
+// SetLimits sets the limits of open jobs and connections.
+func (f *Front) SetLimits(jobs, connections int) {
+	f.maxJobs.Store(int64(jobs))
+	f.listener.setMaxOpen(connections)
 }
 
-// Drain tells clients to go elsewhere, keeps answering, call-backs above all,
-// until every request taken has its answer, and only then closes the listener.
-// Server.Shutdown alone would close it first, and the runners' call-backs could
-// not come in any more.
-//
-// Connections close after each answer from here on, and those that rest before their next request
-// is read, so an open one has a request on it or has just been made: the end is when none is open,
-// or when none of them has begun a request for a while.
-func (f *Front) Drain(ctx context.Context) error {
-	f.draining.Store(true)
-	tick := time.NewTicker(drainQuiet / 25)
-	defer tick.Stop()
-	for since := time.Now(); ; {
-		still := time.Since(since)
-		begun := f.listener.retireIdle(still > drainQuiet/2)
-		if f.activeRequests.Load() > 0 || begun > 0 {
-			since = time.Now()
-		}
-		if f.listener.count() == 0 || still >= drainQuiet {
-			break
-		}
-		select {
-		case <-tick.C:
-		case <-ctx.Done():
-			return fmt.Errorf("waiting for open requests: %w", ctx.Err())
-		}
-	}
-	f.listener.closeListener() // nobody comes any more; one that has come is let in yet
-	f.awaitClosed(tick.C)
-	return nil
-}
-
-// awaitClosed waits until the last connections have ended. Guards answers that their clients have not
-// read yet from a reset: net/http keeps such a connection half open for half a second.
-func (f *Front) awaitClosed(tick <-chan time.Time) {
-	for since := time.Now(); f.listener.count() > 0 && time.Since(since) < closeTimeout; <-tick {
-		f.listener.retireIdle(true)
-	}
-	_ = f.server.Close() // what is open now is silent
-}
-
-// summaryInterval is how often what was turned away is logged, if anything was.
-const summaryInterval = 10 * time.Second
-
-// logSummaries logs how much was turned away. Guards against a log line for each of
-// them, which any client could cause at will.
+// logSummaries logs how much was turned away. Clients can cause as much of it as
+// they like, so it is not logged one by one.
 func (f *Front) logSummaries(stop <-chan struct{}) {
 	tick := time.NewTicker(summaryInterval)
 	defer tick.Stop()
@@ -262,9 +231,9 @@
 			return
 		case <-tick.C:
 		}
-		bad, crowded, out := f.malformed.Swap(0), f.crowded.Swap(0), f.listener.evicted.Swap(0)
-		if bad+crowded+out > 0 {
-			f.log.WithFields(logrus.Fields{"malformed": bad, "crowded": crowded, "put_out": out,
+		malformed, crowded, evicted := f.malformed.Swap(0), f.crowded.Swap(0), f.listener.evicted.Swap(0)
+		if malformed+crowded+evicted > 0 {
+			f.log.WithFields(logrus.Fields{"malformed": malformed, "crowded": crowded, "put_out": evicted,
 				"connections": f.listener.count()}).Info("turned away in the last 10 s")
 		}
 	}
--- a/internal/dispatcher/ingress/listener.go
+++ b/internal/dispatcher/ingress/listener.go
@@ -10,96 +10,170 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// connListener is the listener of the ingress and the owner of its connections. It takes
-// every one at once; past its budget it gives another one's place away. Guards
-// against connections that say nothing, or never come to an end of what they say:
-// behind a listener that waits for a place they would keep clients, call-backs
-// and the health check outside.
-type connListener struct {
-	net.Listener
-	maxOpen int
-
-	evicted   atomic.Int64 // connections that had to make room, since the last summary
-	mu        sync.Mutex
-	open      int
-	retiring  int                        // of those, connections that are told to end and have not yet
-	evictable [idleRunners + 1]list.List // connections whose place may be given away, the longest quiet first
-}
-
-// The lists of connections without a whole request.
+// The classes of connections that may be evicted, each without a whole request on
+// it.
 const (
-	newConns        = iota // have said nothing yet
-	partialRequests        // have begun a request
-	idleClients            // kept, last used by a client
-	idleRunners            // kept, last used by a runner's call-back
+	newConns        = iota // nothing has been read from them
+	partialRequests        // a request has begun
+	idleClients            // kept between requests, last used by a client
+	idleRunners            // kept between requests, last used by a worker's report
 )
 
 const (
-	// maxPeeks bounds the connections of a list that are asked whether they speak,
-	// for one place.
+	// maxPeeks bounds how many connections of a class are checked for unread data
+	// in search of one victim.
 	maxPeeks = 32
-	// evictionAge is how long a connection may be quiet before it makes room first. Guards
-	// a client that is about to send its first request, or the rest of one: a close fails
-	// that, while one that had its answer just connects again.
+	// evictionAge is how long a connection must have been quiet to be evicted
+	// before others. A client that is about to send its first request, or the rest
+	// of one, fails when its connection closes; one that had its response just
+	// connects again.
 	evictionAge = 500 * time.Millisecond
 )
 
-// setListener has the door take connections from a listener. Whoever drains may look at it meanwhile.
-func (d *connListener) setListener(l net.Listener) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.Listener = l
+// connListener is the listener of the ingress and the owner of its connections. It
+// accepts every connection at once, and past its limit evicts another one. If it
+// waited for a free place instead, connections that send nothing, or never the end
+// of a request, would keep clients, workers' reports and the health check out.
+type connListener struct {
+	net.Listener
+	maxOpen int
+
+	evicted   atomic.Int64 // connections evicted since the last summary
+	mu        sync.Mutex
+	open      int
+	retiring  int                        // those of them that were told to end and have not yet
+	evictable [idleRunners + 1]list.List // of *conn by class, the longest quiet first
+}
+
+// setListener has connections be accepted from a listener. A goroutine that drains
+// may use the connListener meanwhile.
+func (l *connListener) setListener(listener net.Listener) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.Listener = listener
 }
 
 // closeListener closes the listener, if there is one yet.
-func (d *connListener) closeListener() {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.Listener != nil {
-		_ = d.Listener.Close() // it ends either way
+func (l *connListener) closeListener() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.Listener != nil {
+		_ = l.Listener.Close() // nothing is accepted any more in either case
 	}
 }
 
-func (d *connListener) Accept() (net.Conn, error) {
-	c, err := d.Listener.Accept()
+// Accept implements net.Listener.
+func (l *connListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return d.admit(c, nil, nil), nil
+	return l.admit(c, nil, nil), nil
 }
 
-// admit takes a connection, past the budget in another one's place. What has been read
-// from it already comes first, and moved is what has become of that request.
-func (d *connListener) admit(c net.Conn, read []byte, moved *core.MovedRequest) *conn {
-	x := &conn{Conn: c, listener: d, transferred: moved}
-	x.lookahead.prepend(read)
-	d.mu.Lock()
-	defer d.mu.Unlock()
+// admit takes a connection, past the limit in another one's place. What another
+// process has read from it comes first, and moved is what that process has done
+// for the request.
+func (l *connListener) admit(c net.Conn, read []byte, moved *core.MovedRequest) *conn {
+	admitted := &conn{Conn: c, listener: l, transferred: moved}
+	admitted.lookahead.prepend(read)
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	if len(read) == 0 {
-		x.enqueue(newConns)
+		admitted.enqueue(newConns)
 	}
-	d.open++
-	d.evict(x)
-	return x
+	l.open++
+	l.evict(admitted)
+	return admitted
 }
 
-// evict ends connections past the budget. Latest, nil for none, goes last. The caller has the
-// lock.
-func (d *connListener) evict(newest *conn) {
-	for d.open-d.retiring > d.maxOpen {
-		x := d.selectVictim(newest)
-		if x == nil {
+// evict ends connections past the limit. The newest, nil for none, is the last to
+// go. The caller holds the lock.
+func (l *connListener) evict(newest *conn) {
+	for l.open-l.retiring > l.maxOpen {
+		victim := l.selectVictim(newest)
+		if victim == nil {
 			return
 		}
-		d.evicted.Add(1)
-		x.retire()
-		if x == newest {
+		l.evicted.Add(1)
+		victim.retire()
+		if victim == newest {
 			return
 		}
 	}
 }
 
-// adoptedListener is the listener of connections that another process hands over.
+// selectVictim selects the connection to evict: a new one that has sent nothing for
+// evictionAge, else a client's that has been idle for so long, else one that has
+// stopped for so long within a request; and if none has been quiet for so long, a
+// client's, a worker's, then any. It passes over connections with unread data, and
+// selects the newest if nothing else is left. So requests that are written slowly,
+// on new connections, survive while thousands of others connect, send one request
+// and stay.
+func (l *connListener) selectVictim(newest *conn) *conn {
+	settled := time.Now().Add(-evictionAge)
+	for _, pass := range [...]struct {
+		class      int
+		quietSince time.Time // zero for any
+	}{
+		{newConns, settled},
+		{idleClients, settled},
+		{partialRequests, settled},
+		{idleClients, time.Time{}},
+		{idleRunners, time.Time{}},
+		{newConns, time.Time{}},
+		{partialRequests, time.Time{}},
+	} {
+		peeks := 0
+		for e := l.evictable[pass.class].Front(); e != nil && peeks < maxPeeks; e = e.Next() {
+			c := e.Value.(*conn)
+			if !pass.quietSince.IsZero() && c.listedAt.After(pass.quietSince) {
+				break
+			}
+			if c != newest && !c.hasData() {
+				return c
+			}
+			peeks++
+		}
+	}
+	return newest
+}
+
+// setMaxOpen sets the limit of open connections, and evicts those past it.
+func (l *connListener) setMaxOpen(maxOpen int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.maxOpen = maxOpen
+	l.evict(nil)
+}
+
+// retireIdle ends the connections that are idle between requests, and with
+// includeNew those that have sent nothing yet. It returns how many have begun a
+// request that is not whole.
+func (l *connListener) retireIdle(includeNew bool) (partial int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	classes := []int{idleClients, idleRunners}
+	if includeNew {
+		classes = append(classes, newConns)
+	}
+	for _, class := range classes {
+		for l.evictable[class].Len() > 0 {
+			l.evictable[class].Front().Value.(*conn).retire()
+		}
+	}
+	return l.evictable[partialRequests].Len()
+}
+
+// count returns how many connections are open.
+func (l *connListener) count() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open
+}
+
+// adoptedListener is the listener of the connections that another process hands
+// over.
 type adoptedListener struct {
 	listener *connListener
 	conns    chan net.Conn
@@ -107,6 +181,7 @@
 	once     sync.Once
 }
 
+// Accept implements net.Listener.
 func (a *adoptedListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-a.conns:
@@ -116,68 +191,11 @@
 	}
 }
 
+// Close implements net.Listener.
 func (a *adoptedListener) Close() error {
 	a.once.Do(func() { close(a.closed) })
 	return nil
 }
 
+// Addr implements net.Listener.
 func (a *adoptedListener) Addr() net.Addr { return a.listener.Addr() }
-
-// selectVictim picks the connection that is to make room: a newcomer that has said nothing
-// for long, else a client's that has rested for long, else one that has stopped in the
-// middle of a request; and if none has been quiet for long, a client's, a runner's, then
-// any. One that speaks is passed over. Guards requests that are written slowly, on new
-// connections, while thousands of others connect, ask once and stay.
-func (d *connListener) selectVictim(newest *conn) *conn {
-	settled := time.Now().Add(-evictionAge)
-	for _, pass := range []struct {
-		list   int
-		before time.Time
-	}{{newConns, settled}, {idleClients, settled}, {partialRequests, settled}, {idleClients, time.Time{}}, {idleRunners, time.Time{}},
-		{newConns, time.Time{}}, {partialRequests, time.Time{}}} {
-		peeks := 0
-		for e := d.evictable[pass.list].Front(); e != nil && peeks < maxPeeks; e = e.Next() {
-			x := e.Value.(*conn)
-			if !pass.before.IsZero() && x.listedAt.After(pass.before) {
-				break
-			}
-			if x != newest && !x.hasData() {
-				return x
-			}
-			peeks++
-		}
-	}
-	return newest
-}
-
-// setMaxOpen sets how many connections there may be, and ends those past it that may go.
-func (d *connListener) setMaxOpen(maxOpen int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.maxOpen = maxOpen
-	d.evict(nil)
-}
-
-// retireIdle ends the connections that rest between requests, and with newcomersToo those that
-// have said nothing yet. It returns how many have begun a request that is not whole.
-func (d *connListener) retireIdle(includeNew bool) (partial int) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	lists := []int{idleClients, idleRunners}
-	if includeNew {
-		lists = append(lists, newConns)
-	}
-	for _, n := range lists {
-		for d.evictable[n].Len() > 0 {
-			d.evictable[n].Front().Value.(*conn).retire()
-		}
-	}
-	return d.evictable[partialRequests].Len()
-}
-
-// count returns how many connections are open.
-func (d *connListener) count() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.open
-}
--- a/internal/dispatcher/ingress/log.go
+++ b/internal/dispatcher/ingress/log.go
@@ -6,13 +6,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// stdLog lets net/http's complaints about connections into our log, at a level
-// that does not drown the rest: a client can cause them at will.
+// stdLog returns a logger that writes net/http's messages about connections at
+// level debug: clients can cause as many of them as they like.
 func stdLog(to *logrus.Entry) *log.Logger { return log.New(debugWriter{to}, "", 0) }
 
-type debugWriter struct{ to *logrus.Entry }
+// debugWriter is an io.Writer that logs each line at level debug.
+type debugWriter struct{ log *logrus.Entry }
 
+// Write implements io.Writer. It never fails.
 func (w debugWriter) Write(line []byte) (int, error) {
-	w.to.WithField("from", "net/http").Debug(string(line))
+	w.log.WithField("from", "net/http").Debug(string(line))
 	return len(line), nil
 }
--- a/internal/dispatcher/ingress/lookahead.go
+++ b/internal/dispatcher/ingress/lookahead.go
@@ -8,28 +8,30 @@
 	"time"
 )
 
-// maxLookahead bounds what is read ahead of the answer to a request: past it a client's end is seen
-// only once it has its answer.
+// maxLookahead bounds the bytes that are read ahead of the response to a request.
+// Past it, the end of the client's side is noticed only after the response.
 const maxLookahead = 2 * maxBody
 
-// lookahead reads on behind a request that waits for its answer, once something has come there.
-// Guards against a client that sends more and goes: net/http reads one byte there and no further,
-// and so does not see the end. The zero value reads nothing.
+// lookahead reads on behind a request that waits for its response, once data has
+// arrived there. net/http reads one byte there and no further, and so would not
+// notice a client that sends more and leaves. The zero value reads nothing.
 type lookahead struct {
 	mu      sync.Mutex
 	bytes   []byte
 	err     error
-	reading chan struct{} // closed when the reader has ended; nil for none
-	end     chan struct{} // closed when the client's end was seen; nil until asked for
+	reading chan struct{} // closed when the reader has ended; nil for no reader
+	end     chan struct{} // closed when the end of the client's side was seen; nil until asked for
 }
 
-// clientEnded is closed when the client's end has been seen behind what it sent.
+// clientEnded returns a channel that is closed when the end of the client's side
+// has been read behind what the client sent.
 func (a *lookahead) clientEnded() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.endChannel()
 }
 
+// endChannel returns the channel of clientEnded. The caller holds the lock.
 func (a *lookahead) endChannel() chan struct{} {
 	if a.end == nil {
 		a.end = make(chan struct{})
@@ -37,10 +39,12 @@
 	return a.end
 }
 
-// prepend is what another process has read of the connection already.
+// prepend sets what another process has read of the connection already. It must be
+// called before any other use.
 func (a *lookahead) prepend(read []byte) { a.bytes = read }
 
-// take returns what has been read ahead, and what ended it.
+// take copies bytes that have been read ahead. Without any it returns the error
+// that ended the reading, nil for none.
 func (a *lookahead) take(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -52,7 +56,7 @@
 	return n, nil
 }
 
-// start begins to read, unless that goes on already.
+// start starts the reader, unless it runs or the connection has ended.
 func (a *lookahead) start(c net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,6 +66,7 @@
 	}
 }
 
+// read reads until the connection ends, enough is read, or stop interrupts it.
 func (a *lookahead) read(c net.Conn, done chan struct{}) {
 	defer close(done)
 	for part := make([]byte, 4<<10); ; {
@@ -80,7 +85,7 @@
 	}
 }
 
-// rest takes all that has been read ahead.
+// rest takes all bytes that have been read ahead.
 func (a *lookahead) rest() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -89,7 +94,8 @@
 	return rest
 }
 
-// stop ends the reading: the connection's own reader goes on.
+// stop ends the reader and waits for its end, so that the connection's own reader
+// can go on.
 func (a *lookahead) stop(c net.Conn) {
 	a.mu.Lock()
 	reading := a.reading
--- a/internal/dispatcher/ingress/records.go
+++ b/internal/dispatcher/ingress/records.go
@@ -10,33 +10,33 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// beginRecord begins the story of a job; nil where nothing is recorded, and then nothing else
-// here does anything.
+// beginRecord begins the span record of a job. It returns nil where nothing is
+// recorded; the other functions of this file then do nothing.
 func (f *Front) beginRecord(r *http.Request) *trace.Record {
-	s := f.cfg.Recorder.Begin(time.Now(), r.Header.Get("Traceparent"), strings.Join(r.Header["Tracestate"], ","))
-	if s != nil {
-		s.Method = r.Method
+	record := f.cfg.Recorder.Begin(time.Now(), r.Header.Get("Traceparent"), strings.Join(r.Header["Tracestate"], ","))
+	if record != nil {
+		record.Method = r.Method
 	}
-	return s
+	return record
 }
 
-// describeJob takes down what is asked for. The job is nil if it could not be read.
-func (f *Front) describeJob(s *trace.Record, r *http.Request, job *core.Job, number int) {
-	if s == nil {
+// describeJob records what is asked for. The job is nil if it could not be parsed.
+func (f *Front) describeJob(record *trace.Record, r *http.Request, job *core.Job, number int) {
+	if record == nil {
 		return
 	}
 	class := (*f.classes.Load())[number]
-	s.Class, s.Value, s.RetryWindow = class.Name, class.Value, class.DedupWindow
+	record.Class, record.Value, record.RetryWindow = class.Name, class.Value, class.DedupWindow
 	if job == nil {
 		return
 	}
-	s.Request, s.Slots, s.Keyed, s.ClientRetry = job.ID, job.Slots, job.Key != "", job.Retry
-	s.RetryKey = retryKey(class.Name, r, job)
+	record.Request, record.Slots, record.Keyed, record.ClientRetry = job.ID, job.Slots, job.Key != "", job.Retry
+	record.RetryKey = retryKey(class.Name, r, job)
 }
 
-// retryKey returns what all tries of one thing have in common: the idempotency key, or else
-// what the job is about. It is a guess there, and only used where the client says that
-// it tries again.
+// retryKey returns a hash that all retries of one job have in common: of its
+// idempotency key, or else of what the job is about. The latter is a guess, which
+// counts only where the client says that it retries. It is never 0.
 func retryKey(class string, r *http.Request, job *core.Job) uint64 {
 	h := fnv.New64a()
 	parts := []string{class, "key", job.Key}
@@ -47,15 +47,15 @@
 		h.Write([]byte(part))
 		h.Write([]byte{0})
 	}
-	return h.Sum64() | 1 // 0 is none
+	return h.Sum64() | 1 // 0 stands for none
 }
 
-// endRecord ends the story of a job that the core never gets, or has given up.
-func (f *Front) endRecord(s *trace.Record, answer trace.Result, why string, status int) {
-	if s == nil {
+// endRecord ends the record of a job that the core never gets, or has released.
+func (f *Front) endRecord(record *trace.Record, result trace.Result, reason string, status int) {
+	if record == nil {
 		return
 	}
-	s.Finish(time.Duration(time.Now().UnixNano()), answer, trace.ByIngress, why)
-	s.Status, s.Retryable = status, answer == trace.Refused
-	f.cfg.Recorder.Ended(s)
+	record.Finish(time.Duration(time.Now().UnixNano()), result, trace.ByIngress, reason)
+	record.Status, record.Retryable = status, result == trace.Refused
+	f.cfg.Recorder.Ended(record)
 }
