--- a/internal/dispatcher/egress/backend.go
+++ b/internal/dispatcher/egress/backend.go
@@ -1,14 +1,9 @@
-// Package egress speaks the platform's protocol to the runners. Each egress
-// target is an actor with a mailbox and an http.Transport of its own; it owns
-// the hops from their sending until the runner has taken the job or the hop has
-// failed. It decides nothing.
 package egress
 
 import (
 	"context"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -19,121 +14,53 @@
 )
 
 const (
-	headerID      = "X-Trace-Id"
-	headerExpires = "X-Expires-In-Ms"
-	headerKey     = "Idempotency-Key"
-	headerUnrun   = "X-Never-Ran"
-	headerLoad    = "Endpoint-Load-Metrics"
-	headerParent  = "Traceparent" // W3C Trace Context
-	headerState   = "Tracestate"
-
-	maxBody = 64 << 10 // the protocol's bound on any body
-	// minUnpooledTime is how long a runner that broke a kept connection gets a new one for
-	// each hop, doubled each time that keeping them fails again, up to aloneMost.
+	// minUnpooledTime is how long a worker that broke a pooled connection gets a new
+	// one for each attempt. It doubles each time that pooling fails again, up to
+	// maxUnpooledTime.
 	minUnpooledTime = 15 * time.Second
 	maxUnpooledTime = 2 * time.Minute
-	// acceptTimeout is how long a runner may take to say that it has a job. It says so in
-	// milliseconds; one that is silent is down, or its connection is.
-	acceptTimeout = time.Second
-	// closeGrace is how long after its deadline a hop's connection may still be
-	// open: the core gives up first, this only ends what nobody waits for.
-	closeGrace = time.Second
 )
 
-// Reporter takes what becomes of hops and probes; the core does. It must not block.
-type Reporter interface {
-	AttemptAccepted(core.AttemptRef, core.Delivery)
-	AttemptEnded(core.AttemptRef, decision.Outcome, []float32, core.Delivery)
-	AttemptRecalled(ref core.AttemptRef, known bool)
-	ProbeEnded(decision.WorkerID, decision.Outcome, []float32)
-}
-
-// Config holds the figures of the egress side.
-type Config struct {
-	ConnectTimeout time.Duration // a dial that is not done by then has failed
-	IdleTimeout    time.Duration // runners close connections that sat idle this long
-	MaxSockets     int           // most connections to all runners together
-	Columns        []string      // of load reports
-	LoadReports    bool          // GET /_load gives a load report
-	OnSent         func(int)     // told the class's number of each hop that has been written whole
-	Dial           Dial          // nil for the net package's
-}
-
-// Fleet makes the targets and holds what they share: the budget of sockets.
-type Fleet struct {
-	cfg      Config
-	reporter Reporter
-	log      *logrus.Entry
-	maxOpen  atomic.Int64 // connections that may be open
-	open     atomic.Int64
-}
-
-// NewFleet makes a fleet without targets.
-func NewFleet(cfg Config, log *logrus.Entry) *Fleet {
-	if cfg.Dial == nil {
-		cfg.Dial = dialNet
-	}
-	f := &Fleet{cfg: cfg, log: log}
-	f.SetMaxSockets(cfg.MaxSockets)
-	return f
-}
-
-// SetMaxSockets sets how many connections there may be from now on.
-func (f *Fleet) SetMaxSockets(sockets int) { f.maxOpen.Store(int64(sockets)) }
-
-// SetReporter names who takes the reports; it is called before the first Open.
-func (f *Fleet) SetReporter(reports Reporter) { f.reporter = reports }
-
-// Open makes the actor of a target.
-func (f *Fleet) Open(worker decision.WorkerID, uid, addr string) core.Backend {
-	b := &backend{fleet: f, worker: worker, addr: addr, mailbox: mailbox.New[func(*backend)](),
-		log: f.log.WithField("target", uid), inFlight: map[core.AttemptRef]*delivery{}}
-	b.pooled = &http.Transport{
-		DialContext:         f.dial,
-		Proxy:               nil,
-		DisableCompression:  true,
-		MaxIdleConnsPerHost: f.cfg.MaxSockets,
-		// Guards against a request written to a connection that the runner closes
-		// at that moment, which ends as a reset: ours goes first.
-		IdleConnTimeout:        f.cfg.IdleTimeout * 3 / 4,
-		ResponseHeaderTimeout:  acceptTimeout,
-		MaxResponseHeaderBytes: 16 << 10,
-		ReadBufferSize:         2 << 10,
-		WriteBufferSize:        2 << 10,
-	}
-	b.unpooled = b.pooled.Clone()
-	b.unpooled.DisableKeepAlives = true
-	go b.run()
-	return b
-}
-
-// backend is the actor of one runner.
+// backend is the actor of one worker. It implements core.Backend.
 type backend struct {
-	fleet      *Fleet
-	log        *logrus.Entry
-	worker     decision.WorkerID
-	addr       string
-	pooled     *http.Transport // uses connections again
-	unpooled   *http.Transport // opens one for each request
-	mailbox    *mailbox.Box[func(*backend)]
-	inFlight   map[core.AttemptRef]*delivery // hops that the runner has not taken yet
-	openProbes int
-	closed     bool
+	fleet   *Fleet
+	log     *logrus.Entry
+	worker  decision.WorkerID
+	mailbox *mailbox.Box[func(*backend)]
+
+	// Owned by the actor.
+	addr          string
+	pooled        *http.Transport               // reuses connections
+	unpooled      *http.Transport               // opens one for each request
+	inFlight      map[core.AttemptRef]*delivery // attempts that the worker has not accepted yet
+	openProbes    int
+	closed        bool
+	unpooledTime  time.Duration // how long connections were last not pooled
+	unpooledUntil time.Time     // none are pooled before
 
 	endMu sync.Mutex
 	ended bool // the actor has ended
-
-	unpooledTime  time.Duration // how long connections were last not kept
-	unpooledUntil time.Time     // none are kept before
 }
 
-// delivery is a hop on its way to the runner.
+// delivery is an attempt on its way to the worker.
 type delivery struct {
 	cancel   context.CancelFunc
 	canceled bool
-	confirm  bool // another may follow once the runner has heard that
+	confirm  bool // another attempt may follow once the worker knows of the cancellation
+}
+
+// result is how the exchange of an attempt ended.
+type result struct {
+	accepted        bool
+	outcome         decision.Outcome // unless accepted
+	load            []float32
+	pooledConnBroke bool
+	ambiguous       bool // the response may be another request's: the worker may have the job
+	mayHaveLeft     bool // the last byte may have been sent
+	report          core.Delivery
 }
 
+// run is the actor's loop.
 func (b *backend) run() {
 	var mail []func(*backend)
 	for ended := false; !ended; {
@@ -154,15 +81,16 @@
 	defer b.endMu.Unlock()
 	select {
 	case <-b.mailbox.Ready():
-		b.mailbox.Put(func(*backend) {}) // the loop waits for it
+		b.mailbox.Put(func(*backend) {}) // the loop waits for the signal that was taken here
 	default:
 		b.ended = true
 	}
 	return b.ended
 }
 
-// post gives the actor a message. Once it has ended the sender carries it out: jobs that the runner
-// has taken outlive its place in the list, and are recalled all the same.
+// post sends the actor a message. Once the actor has ended the caller executes the
+// message: jobs that a worker has accepted outlive its place in the list, and are
+// recalled all the same.
 func (b *backend) post(message func(*backend)) {
 	b.endMu.Lock()
 	defer b.endMu.Unlock()
@@ -173,7 +101,7 @@
 	b.mailbox.Put(message)
 }
 
-// transport picks the transport of a request.
+// transport returns the transport of the next request.
 func (b *backend) transport() *http.Transport {
 	if time.Now().Before(b.unpooledUntil) {
 		return b.unpooled
@@ -181,12 +109,13 @@
 	return b.pooled
 }
 
-// suspendPooling stops keeping connections for a while. Guards hops against a runner, or
-// something on the way, that breaks kept connections when the next request comes:
-// what was written to one may have run, however surely it did not.
+// suspendPooling stops pooling connections for a while. It protects attempts from a
+// worker, or something on the way there, that breaks a pooled connection when the
+// next request comes: a job written to one may have run, even though it surely did
+// not.
 func (b *backend) suspendPooling() {
 	if time.Now().Before(b.unpooledUntil) {
-		return // of a hop that began before
+		return // an attempt that began before
 	}
 	b.unpooledTime = min(max(2*b.unpooledTime, minUnpooledTime), maxUnpooledTime)
 	b.unpooledUntil = time.Now().Add(b.unpooledTime)
@@ -194,10 +123,16 @@
 	b.log.WithField("for", b.unpooledTime.String()).Info("runner breaks kept connections; hops get new ones")
 }
 
-func (b *backend) Send(h core.Attempt)   { b.post(func(b *backend) { b.send(h) }) }
-func (b *backend) Cancel(h core.Attempt) { b.post(func(b *backend) { b.cancelAttempt(h) }) }
-func (b *backend) Close()                { b.post(func(b *backend) { b.closed = true }) }
+// Send implements core.Backend.
+func (b *backend) Send(a core.Attempt) { b.post(func(b *backend) { b.send(a) }) }
+
+// Cancel implements core.Backend.
+func (b *backend) Cancel(a core.Attempt) { b.post(func(b *backend) { b.cancelAttempt(a) }) }
 
+// Close implements core.Backend.
+func (b *backend) Close() { b.post(func(b *backend) { b.closed = true }) }
+
+// SetAddress implements core.Backend.
 func (b *backend) SetAddress(addr string) {
 	b.post(func(b *backend) {
 		b.addr = addr
@@ -205,6 +140,7 @@
 	})
 }
 
+// Probe implements core.Backend.
 func (b *backend) Probe(deadline time.Time) {
 	b.post(func(b *backend) {
 		b.openProbes++
@@ -212,54 +148,46 @@
 	})
 }
 
-func (b *backend) send(h core.Attempt) {
-	ctx, cancel := context.WithDeadline(context.Background(), h.Deadline.Add(closeGrace))
-	f := &delivery{cancel: cancel}
-	b.inFlight[h.Ref] = f
-	via, addr := b.transport(), b.addr
+// send starts the exchange of an attempt. Its goroutine ends by the attempt's
+// deadline and closeGrace.
+func (b *backend) send(a core.Attempt) {
+	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline.Add(closeGrace))
+	d := &delivery{cancel: cancel}
+	b.inFlight[a.Ref] = d
+	transport, addr := b.transport(), b.addr
 	go func() {
-		res := b.deliver(ctx, via, addr, h)
+		res := b.deliver(ctx, transport, addr, a)
 		cancel()
-		b.post(func(b *backend) { b.handleResult(h, f, res) })
+		b.post(func(b *backend) { b.handleResult(a, d, res) })
 	}()
 }
 
-// result is how a hop's own exchange ended.
-type result struct {
-	accepted        bool
-	outcome         decision.Outcome // unless taken
-	load            []float32
-	pooledConnBroke bool // a kept connection broke
-	ambiguous       bool // the answer may be another request's: the runner may have the job
-	mayHaveLeft     bool // its last byte may have left
-	report          core.Delivery
-}
-
-// handleResult is the one place where a flight ends.
-func (b *backend) handleResult(h core.Attempt, f *delivery, res result) {
-	delete(b.inFlight, h.Ref)
-	if res.pooledConnBroke && !f.canceled {
+// handleResult is the one place where a delivery ends.
+func (b *backend) handleResult(a core.Attempt, d *delivery, res result) {
+	delete(b.inFlight, a.Ref)
+	if res.pooledConnBroke && !d.canceled {
 		b.suspendPooling()
 	}
+	acceptedMeanwhile := d.canceled && res.accepted
 	switch {
-	case res.ambiguous, f.confirm && res.mayHaveLeft, f.canceled && res.accepted: // its 202 was on the way
-		b.recall(h)
+	case res.ambiguous, d.confirm && res.mayHaveLeft, acceptedMeanwhile:
+		b.recall(a)
 	case res.accepted:
-		b.fleet.reporter.AttemptAccepted(h.Ref, res.report)
-	case f.canceled: // its connection was closed, or it had ended before
-		b.fleet.reporter.AttemptRecalled(h.Ref, true)
+		b.fleet.reporter.AttemptAccepted(a.Ref, res.report)
+	case d.canceled: // its connection was closed, or it had ended before
+		b.fleet.reporter.AttemptRecalled(a.Ref, true)
 	default:
-		b.fleet.reporter.AttemptEnded(h.Ref, res.outcome, res.load, res.report)
+		b.fleet.reporter.AttemptEnded(a.Ref, res.outcome, res.load, res.report)
 	}
 }
 
-// cancelAttempt ends the core's waiting for a hop: before the 202 by closing its
-// connection, after it by recalling the job.
-func (b *backend) cancelAttempt(h core.Attempt) {
-	if f := b.inFlight[h.Ref]; f != nil {
-		f.canceled, f.confirm = true, h.Confirm
-		f.cancel()
+// cancelAttempt ends the core's waiting for an attempt: before the worker's 202 by
+// closing the connection, after it by recalling the job.
+func (b *backend) cancelAttempt(a core.Attempt) {
+	if d := b.inFlight[a.Ref]; d != nil {
+		d.canceled, d.confirm = true, a.Confirm
+		d.cancel()
 		return
 	}
-	b.recall(h)
+	b.recall(a)
 }
--- a/internal/dispatcher/egress/conn.go
+++ b/internal/dispatcher/egress/conn.go
@@ -7,28 +7,32 @@
 	"time"
 )
 
-// conn is a connection to a runner. It asks the attempt that it was chosen for immediately before
-// the attempt's first byte is written, and it knows whether what is read was asked for. It gives
-// its place in the budget back when it is closed.
+// neverRead is what assign returns for a connection on which nothing has come. It
+// is longer than any connection is kept.
+const neverRead = 24 * time.Hour
+
+// conn is a connection to a worker. Immediately before the first byte of an attempt
+// is written it asks that attempt, and it knows whether what is read answers a
+// request. It gives its socket back to the fleet when it is closed.
 type conn struct {
 	net.Conn
 	release func()
 
 	mu        sync.Mutex
-	authorize func() error // asked once before the next byte is written; nil for nobody
-	awaiting  bool         // a request has begun on it since it was last chosen
+	authorize func() error // called once before the next byte is written; nil for nobody
+	awaiting  bool         // a request has begun on it since it was last assigned
 	stray     bool         // something came on it that no request asked for
 	lastRead  time.Time    // when something last came
 	closed    bool
-	watch     chan struct{} // closed when something comes, the connection ends or is chosen again; nil for nobody
+	watch     chan struct{} // closed when something comes, or the connection ends or is assigned; nil for nobody
 }
 
-// assign has the next write asked about. It returns how long ago something last came on the
-// connection; without end where nothing has.
-func (c *conn) assign(begin func() error) (quiet time.Duration) {
+// assign assigns the connection to an attempt, which authorizes the next write. It
+// returns how long ago something last came on the connection, neverRead for never.
+func (c *conn) assign(authorize func() error) (quiet time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.authorize, c.awaiting = begin, false
+	c.authorize, c.awaiting = authorize, false
 	c.notifyWatcher()
 	if c.lastRead.IsZero() {
 		return neverRead
@@ -36,10 +40,8 @@
 	return time.Since(c.lastRead)
 }
 
-// neverRead is longer than any connection is kept.
-const neverRead = 24 * time.Hour
-
-// Write writes, unless the attempt that is about to begin may not.
+// Write implements net.Conn. It fails, without writing, with the error of the
+// attempt that does not authorize it.
 func (c *conn) Write(p []byte) (int, error) {
 	if err := c.authorizeWrite(); err != nil {
 		return 0, err
@@ -47,18 +49,20 @@
 	return c.Conn.Write(p)
 }
 
+// authorizeWrite asks the attempt that the connection was assigned to, once.
 func (c *conn) authorizeWrite() error {
 	c.mu.Lock()
-	begin := c.authorize
+	authorize := c.authorize
 	c.authorize, c.awaiting = nil, true
 	c.mu.Unlock()
-	if begin == nil {
+	if authorize == nil {
 		return nil
 	}
-	return begin()
+	return authorize()
 }
 
-// Read notes when something comes, and whether it was asked for.
+// Read implements net.Conn. It records when something comes, and whether a request
+// asked for it.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -71,7 +75,7 @@
 	return n, err
 }
 
-// notifyWatcher tells who watches the connection. The caller has the lock.
+// notifyWatcher ends the wait of staysQuiet. The caller holds the lock.
 func (c *conn) notifyWatcher() {
 	if c.watch != nil {
 		close(c.watch)
@@ -79,7 +83,8 @@
 	}
 }
 
-// staysQuiet tells whether nothing comes on the connection for a while, and nobody uses it or ends it.
+// staysQuiet reports whether for a period nothing comes on the connection, and
+// nobody is assigned it or closes it. It blocks for up to the period.
 func (c *conn) staysQuiet(period time.Duration) bool {
 	c.mu.Lock()
 	if c.closed {
@@ -99,8 +104,9 @@
 	}
 }
 
-// unusable tells whether a request must not be written any more: the runner has ended the connection,
-// or something has come on it that nobody asked for and that would pass as the request's answer.
+// unusable reports whether a request must not be written any more: the worker has
+// ended the connection, or something has come on it that no request asked for and
+// that would pass as the response.
 func (c *conn) unusable() bool {
 	c.mu.Lock()
 	stray := c.stray
@@ -108,7 +114,8 @@
 	return stray || readable(c.Conn)
 }
 
-// readable tells whether a connection has something to read, its end included. It does not block.
+// readable reports whether a connection has something to read, its end included. It
+// does not block.
 func readable(c net.Conn) bool {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -118,13 +125,13 @@
 	if err != nil {
 		return true // it has been closed
 	}
-	pending := true // unless it is still there
+	pending := true // unless the socket is still there
 	err = raw.Control(func(fd uintptr) { pending = hasPendingData(int(fd)) })
 	return err != nil || pending
 }
 
-// hasPendingData tells whether a socket has bytes or its end to read. Where the system does not say so,
-// it has not.
+// hasPendingData reports whether a socket has bytes or its end to read. Where the
+// kernel does not say so, it has not.
 func hasPendingData(fd int) bool {
 	var one [1]byte
 	_, _, err := syscall.Recvfrom(fd, one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
@@ -135,6 +142,7 @@
 	return false
 }
 
+// Close implements net.Conn. Its first call gives the socket back.
 func (c *conn) Close() error {
 	defer c.release()
 	c.mu.Lock()
--- a/internal/dispatcher/egress/delivery.go
+++ b/internal/dispatcher/egress/delivery.go
@@ -21,211 +21,219 @@
 )
 
 const (
-	// expiryMargin is taken off the time that an attempt tells its runner: the process may be held up
-	// between reckoning it and the write. Where little is left, an eighth of that is.
+	// expiryMargin is subtracted from the time that an attempt tells its worker,
+	// because the process may be delayed between computing it and the write. Where
+	// little time is left, an eighth of that is subtracted.
 	expiryMargin = 50 * time.Millisecond
-	// quietTime is how long nothing must have come on a connection before a request, or must come after
-	// its answer, for that answer to be believed where it says that the job did not run. Guards
-	// against a second answer to the request before, which may come some milliseconds late.
+	// quietTime is how long nothing must have come on a connection before a request,
+	// or must come after its response, for that response to be believed where it says
+	// that the job did not run. A second response to the request before may come some
+	// milliseconds late.
 	quietTime = 50 * time.Millisecond
-	// bodyTimeout is how long an answer's body is read once its status is known. Guards against one that
-	// never ends.
+	// bodyTimeout is how long a response's body is read once its status is known; it
+	// may never end.
 	bodyTimeout = 250 * time.Millisecond
 )
 
-// exchange is the exchange of one hop with a runner, up to the runner's word that it has the job.
+// exchange is the exchange of one attempt with a worker, up to the worker's word
+// that it has the job.
 type exchange struct {
 	attempt    core.Attempt
 	log        *logrus.Entry
 	body       sentBody
 	header     http.Header
-	advertised time.Duration // the time that it tells, since a connection was found
+	advertised time.Duration // time that the worker is told, known once there is a connection
 	conn       atomic.Pointer[conn]
 
-	broken     atomic.Bool           // the transport says that it could not write it all
-	reused     atomic.Bool           // it goes out on a connection that was used before
-	recentData atomic.Bool           // something came on that connection just before
-	blocked    atomic.Pointer[error] // why it was not begun
+	writeFailed atomic.Bool           // the transport says that it could not write everything
+	reused      atomic.Bool           // it goes out on a connection that was used before
+	recentData  atomic.Bool           // something came on that connection within quietTime before
+	blocked     atomic.Pointer[error] // why it was not started
 }
 
-// deliver sends a hop once and tells whether the runner has taken it. Where the connection that was
-// kept for it has ended or is spoilt, and so nothing was written, it goes by a new one.
-func (b *backend) deliver(ctx context.Context, via *http.Transport, addr string, h core.Attempt) result {
-	res, unusable := b.deliverOnce(ctx, via, addr, h)
+// deliver sends an attempt once and returns whether the worker has accepted it.
+// Where a pooled connection could not be used, so that nothing was written, it
+// sends on a new one.
+func (b *backend) deliver(ctx context.Context, transport *http.Transport, addr string, a core.Attempt) result {
+	res, unusable := b.deliverOnce(ctx, transport, addr, a)
 	if unusable {
-		res, _ = b.deliverOnce(ctx, b.unpooled, addr, h)
+		res, _ = b.deliverOnce(ctx, b.unpooled, addr, a)
 	}
 	return res
 }
 
-// deliverOnce sends a hop by one connection. Spoilt tells that a kept one could not be used, so that nothing
-// was written.
-func (b *backend) deliverOnce(ctx context.Context, via *http.Transport, addr string, h core.Attempt) (res result, unusable bool) {
-	a := &exchange{attempt: h, log: b.log, body: sentBody{data: h.Job.Body}}
+// deliverOnce sends an attempt on one connection. Unusable tells that a pooled one
+// could not be used, so that nothing was written.
+func (b *backend) deliverOnce(ctx context.Context, transport *http.Transport, addr string, a core.Attempt) (res result, unusable bool) {
+	e := &exchange{attempt: a, log: b.log, body: sentBody{data: a.Job.Body}}
 	defer func() {
-		if res.report.Reused = a.reused.Load(); a.body.ended.Load() {
-			res.report.Bytes = len(h.Job.Body)
-			res.mayHaveLeft = a.blocked.Load() == nil
+		if res.report.Reused = e.reused.Load(); e.body.ended.Load() {
+			res.report.Bytes = len(a.Job.Body)
+			res.mayHaveLeft = e.blocked.Load() == nil
 		}
 	}()
-	if err := permit.Check(h.Permit.Facts(time.Now(), h.Deadline)); err != nil {
-		return a.notStarted(err), false // not worth a connection
+	if err := permit.Check(a.Permit.Facts(time.Now(), a.Deadline)); err != nil {
+		return e.notStarted(err), false // not worth a connection
 	}
-	req, err := a.request(ctx, addr, b.fleet.cfg.OnSent)
+	req, err := e.request(ctx, addr, b.fleet.cfg.OnSent)
 	if err != nil {
-		b.log.WithError(err).WithFields(h.Fields()).Error("hop could not be written down")
+		b.log.WithError(err).WithFields(a.Fields()).Error("hop could not be written down")
 		return result{outcome: decision.NotSent}, false
 	}
-	resp, err := via.RoundTrip(req)
+	resp, err := transport.RoundTrip(req)
 	if err != nil {
-		why := a.blocked.Load()
-		return a.handleError(err), why != nil && errors.Is(*why, permit.ErrConnectionUnusable) && a.reused.Load()
+		reason := e.blocked.Load()
+		return e.handleError(err), reason != nil && errors.Is(*reason, permit.ErrConnectionUnusable) && e.reused.Load()
 	}
 	drainBody(resp)
-	return a.handleResponse(resp, loadreport.ParseHeader(resp.Header.Get(headerLoad), b.fleet.cfg.Columns)), false
+	return e.handleResponse(resp, loadreport.ParseHeader(resp.Header.Get(headerLoad), b.fleet.cfg.Columns)), false
 }
 
-// request writes the hop down.
-func (a *exchange) request(ctx context.Context, addr string, sent func(class int)) (*http.Request, error) {
-	h := a.attempt
-	trace := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
-		GotConn: a.onConnected,
+// request makes the HTTP request of the attempt.
+func (e *exchange) request(ctx context.Context, addr string, onSent func(class int)) (*http.Request, error) {
+	a := e.attempt
+	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
+		GotConn: e.onConnected,
 		WroteRequest: func(info httptrace.WroteRequestInfo) {
-			a.broken.Store(info.Err != nil)
+			e.writeFailed.Store(info.Err != nil)
 			if info.Err == nil {
-				sent(h.Job.Class)
+				onSent(a.Job.Class)
 			}
 		},
 	})
-	req, err := request(trace, h.Job.Method, addr, h.Job.Resource)
+	req, err := newRequest(traced, a.Job.Method, addr, a.Job.Resource)
 	if err != nil {
 		return nil, err
 	}
-	// Guards rule 2: without GetBody, and with a body that is not NoBody even
-	// where it is empty, the transport never sends a request again by itself, not
-	// even one with an Idempotency-Key on a connection that turned out dead.
-	req.Body, req.ContentLength = &a.body, int64(len(h.Job.Body))
-	req.Header[headerID] = []string{h.Job.ID}
-	req.Header[headerExpires] = []string{""} // once there is a connection
-	if h.Job.Key != "" {
-		req.Header[headerKey] = []string{h.Job.Key}
-	}
-	if h.Parent != "" {
-		req.Header[headerParent] = []string{h.Parent}
-		if h.State != "" {
-			req.Header[headerState] = []string{h.State}
+	// Without GetBody, and with a body that is not NoBody even where it is empty, the
+	// transport never sends a request again by itself, not even one with an
+	// Idempotency-Key on a connection that turned out dead.
+	req.Body, req.ContentLength = &e.body, int64(len(a.Job.Body))
+	req.Header[headerID] = []string{a.Job.ID}
+	req.Header[headerExpires] = []string{""} // set in onConnected
+	if a.Job.Key != "" {
+		req.Header[headerKey] = []string{a.Job.Key}
+	}
+	if a.Parent != "" {
+		req.Header[headerParent] = []string{a.Parent}
+		if a.State != "" {
+			req.Header[headerState] = []string{a.State}
 		}
 	}
-	a.header = req.Header
+	e.header = req.Header
 	return req, nil
 }
 
-// onConnected takes in that the transport has a connection for the attempt. It runs before the
-// transport's writer is given the request, so that the header may still be set: the time that is
-// told is what is left after the wait for a connection.
-func (a *exchange) onConnected(info httptrace.GotConnInfo) {
-	a.reused.Store(info.Reused)
-	left := time.Until(a.attempt.Deadline)
-	a.advertised = max(left-min(expiryMargin, left/8), time.Millisecond)
-	a.header[headerExpires][0] = strconv.FormatInt(a.advertised.Milliseconds(), 10)
+// onConnected records that the transport has a connection for the attempt. It runs
+// before the transport's writer gets the request, so the header may still be set:
+// the worker is told the time that is left after the wait for a connection.
+func (e *exchange) onConnected(info httptrace.GotConnInfo) {
+	e.reused.Store(info.Reused)
+	remaining := time.Until(e.attempt.Deadline)
+	e.advertised = max(remaining-min(expiryMargin, remaining/8), time.Millisecond)
+	e.header[headerExpires][0] = strconv.FormatInt(e.advertised.Milliseconds(), 10)
 	c, ok := info.Conn.(*conn)
 	if !ok {
 		return // can't be: the fleet has dialed it
 	}
-	a.conn.Store(c)
-	a.recentData.Store(c.assign(a.mayStart) < quietTime)
+	e.conn.Store(c)
+	e.recentData.Store(c.assign(e.mayStart) < quietTime)
 }
 
-// mayStart is asked immediately before the attempt's first byte is written.
-func (a *exchange) mayStart() error {
-	facts := a.attempt.Permit.Facts(time.Now(), a.attempt.Deadline)
-	facts.StatedTime = a.advertised
-	facts.ConnectionUnusable = a.conn.Load().unusable()
+// mayStart checks the permit immediately before the attempt's first byte is
+// written. Its error, of package permit, stops the write.
+func (e *exchange) mayStart() error {
+	facts := e.attempt.Permit.Facts(time.Now(), e.attempt.Deadline)
+	facts.StatedTime = e.advertised
+	facts.ConnectionUnusable = e.conn.Load().unusable()
 	err := permit.Check(facts)
 	if err != nil {
-		a.blocked.Store(&err)
+		e.blocked.Store(&err)
 	}
 	return err
 }
 
-// notStarted is the end of an attempt of which no byte was written.
-func (a *exchange) notStarted(err error) result {
-	a.log.WithError(err).WithFields(a.attempt.Fields()).Debug("hop was not begun")
-	if errors.Is(err, permit.ErrConnectionUnusable) { // the runner's doing
-		return result{outcome: decision.ConnectFailed, pooledConnBroke: a.reused.Load()}
+// notStarted returns the result of an attempt of which no byte was written.
+func (e *exchange) notStarted(err error) result {
+	e.log.WithError(err).WithFields(e.attempt.Fields()).Debug("hop was not begun")
+	if errors.Is(err, permit.ErrConnectionUnusable) { // the worker's doing
+		return result{outcome: decision.ConnectFailed, pooledConnBroke: e.reused.Load()}
 	}
 	return result{outcome: decision.NotSent}
 }
 
-// handleError tells how an attempt ended that got no answer.
-func (a *exchange) handleError(err error) result {
-	if why := a.blocked.Load(); why != nil {
-		return a.notStarted(*why)
+// handleError returns the result of an attempt that got no response.
+func (e *exchange) handleError(err error) result {
+	if reason := e.blocked.Load(); reason != nil {
+		return e.notStarted(*reason)
 	}
 	if errors.Is(err, errSocketBudget) || errors.Is(err, errLocalDial) {
-		return result{outcome: decision.NotSent} // says nothing of the runner
-	}
-	a.log.WithError(err).WithFields(a.attempt.Fields()).WithField("kept", a.reused.Load()).Debug("hop's connection broke")
-	// The job may have run once its last byte may have left. The trace may
-	// come later than the error, so the body's end counts unless the trace
-	// has said that the write failed.
-	if !a.body.ended.Load() || a.broken.Load() {
-		return result{outcome: decision.ConnectFailed, pooledConnBroke: a.reused.Load()}
-	}
-	// Guards a job whose connection has fallen silent: nothing would come on it
-	// before the deadline. The transport has closed it, which gives the hop up. The system's own
-	// word that a connection has timed out is a break like others.
+		return result{outcome: decision.NotSent} // says nothing of the worker
+	}
+	e.log.WithError(err).WithFields(e.attempt.Fields()).WithField("kept", e.reused.Load()).Debug("hop's connection broke")
+	// The job may have run once its last byte may have been sent. The trace may come
+	// later than the error, so the body's end counts unless the trace has said that
+	// the write failed.
+	if !e.body.ended.Load() || e.writeFailed.Load() {
+		return result{outcome: decision.ConnectFailed, pooledConnBroke: e.reused.Load()}
+	}
+	// On a connection that has gone silent nothing would come before the deadline.
+	// The transport has closed it, which cancels the attempt. The kernel's own word
+	// that a connection has timed out is a break like others.
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() && !errors.Is(err, syscall.ETIMEDOUT) {
-		return result{outcome: decision.TimedOut, pooledConnBroke: a.reused.Load()}
+		return result{outcome: decision.TimedOut, pooledConnBroke: e.reused.Load()}
 	}
-	return result{outcome: decision.ConnReset, pooledConnBroke: a.reused.Load()}
+	return result{outcome: decision.ConnReset, pooledConnBroke: e.reused.Load()}
 }
 
-// handleResponse tells how an attempt ended that got an answer.
-func (a *exchange) handleResponse(resp *http.Response, load []float32) result {
+// handleResponse returns the result of an attempt that got a response.
+func (e *exchange) handleResponse(resp *http.Response, load []float32) result {
 	if resp.StatusCode == http.StatusAccepted {
 		return result{accepted: true}
 	}
-	if a.attempt.Exclusive && a.recentData.Load() && !resp.Close && !a.conn.Load().staysQuiet(quietTime) {
-		// It may be the answer to the request before, and what has come now this one's. The hop
-		// is given up, and may have run.
-		a.conn.Load().Close()
+	if e.attempt.Exclusive && e.recentData.Load() && !resp.Close && !e.conn.Load().staysQuiet(quietTime) {
+		// The response may be that of the request before, and what has come now this
+		// one's. The attempt is recalled, and may have run.
+		e.conn.Load().Close()
 		return result{ambiguous: true}
 	}
 	switch {
 	case neverRan(resp):
 		return result{outcome: decision.Rejected, load: load}
 	case resp.StatusCode/100 == 4:
-		// Guards the runner's good name: what it can't use is the client's fault, and
-		// no other runner would take it.
+		// A job that the worker can't use is the client's fault, not the worker's, and
+		// no other worker would take it.
 		return result{outcome: decision.Unusable}
 	default:
 		return result{outcome: decision.Errored, load: load}
 	}
 }
 
+// neverRan reports whether a response says that the job was not started.
 func neverRan(resp *http.Response) bool {
-	code := resp.StatusCode
-	return (code == http.StatusServiceUnavailable || code == http.StatusGatewayTimeout) && resp.Header.Get(headerUnrun) == "1"
+	status := resp.StatusCode
+	return (status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout) && resp.Header.Get(headerNeverRan) == "1"
 }
 
-// drainBody reads an answer to its end, so that its connection can be used again,
-// and gives it back; where the end does not come, the connection goes.
+// drainBody reads a response to its end, so that its connection can be used again,
+// and returns the body. If the end does not come within bodyTimeout, it closes the
+// connection.
 func drainBody(resp *http.Response) []byte {
 	timeout := time.AfterFunc(bodyTimeout, func() { resp.Body.Close() })
 	defer timeout.Stop()
 	defer resp.Body.Close()
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxBody+1)) // cut off or not, the status counts
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxBody+1)) // the status counts also where the body is cut off
 	return text
 }
 
-// sentBody is a request's body that knows whether all of it was handed over.
+// sentBody is a request's body that knows whether all of it was read.
 type sentBody struct {
 	data  []byte
 	ended atomic.Bool
 }
 
+// Read implements io.Reader.
 func (b *sentBody) Read(p []byte) (int, error) {
 	n := copy(p, b.data)
 	b.data = b.data[n:]
@@ -236,4 +244,5 @@
 	return n, nil
 }
 
+// Close implements io.Closer. It does nothing.
 func (b *sentBody) Close() error { return nil }
--- a/internal/dispatcher/egress/dial.go
+++ b/internal/dispatcher/egress/dial.go
@@ -11,28 +11,30 @@
 	"frosttide/internal/dispatcher/neterr"
 )
 
+// initialBackoff is how long a dial waits after a retryable error. It doubles with
+// each.
+const initialBackoff = 5 * time.Millisecond
+
 var (
+	// errSocketBudget is the error of a dial past the limit of sockets.
 	errSocketBudget = errors.New("the budget of sockets to runners is used up")
-	// errLocalDial tells that a dial failed by this machine's own doing.
+	// errLocalDial is the error of a dial that failed because of this machine.
 	errLocalDial = errors.New("this machine could not dial")
 )
 
-// initialBackoff is how long a dial waits after an error that may pass before it tries again; it doubles
-// with each.
-const initialBackoff = 5 * time.Millisecond
-
-// Dial opens a connection by a deadline. It is net.Dialer's but in tests.
+// Dial opens a connection by a deadline. Tests replace the net package's.
 type Dial func(network, addr string, deadline time.Time) (net.Conn, error)
 
-// dialNet is the Dial of the program.
+// dialNet is the Dial of the net package.
 func dialNet(network, addr string, deadline time.Time) (net.Conn, error) {
 	d := net.Dialer{Deadline: deadline}
 	return d.Dial(network, addr)
 }
 
-// dial opens a connection within the budget. It ends by the connect timeout
-// whatever becomes of the request that began it: another may use the connection,
-// and a request that gives up must not leave a runner a half-open one.
+// dial opens a connection within the limit of sockets. It is bounded by the connect
+// timeout, not by the request that began it: another request may use the
+// connection, and a canceled request must not leave a worker a half-open one. It
+// fails with errSocketBudget, errLocalDial or the error of the last try.
 func (f *Fleet) dial(_ context.Context, network, addr string) (net.Conn, error) {
 	if f.open.Add(1) > f.maxOpen.Load() {
 		f.open.Add(-1)
@@ -46,7 +48,7 @@
 	return &conn{Conn: c, release: sync.OnceFunc(func() { f.open.Add(-1) })}, nil
 }
 
-// connect dials until the deadline, again after errors that may pass.
+// connect dials until the deadline, again after retryable errors.
 func (f *Fleet) connect(network, addr string, deadline time.Time) (net.Conn, error) {
 	for backoff := initialBackoff; ; backoff *= 2 {
 		c, err := f.cfg.Dial(network, addr, deadline)
--- a/internal/dispatcher/egress/exchange.go
+++ b/internal/dispatcher/egress/requests.go
@@ -13,30 +13,34 @@
 	"frosttide/internal/dispatcher/loadreport"
 )
 
-// recall asks the runner to drop a job that it has taken. Whatever the runner answers, it knows
-// from then on.
-func (b *backend) recall(h core.Attempt) {
-	via, addr := b.transport(), b.addr
+// errStatus is the error of a response whose status is not 2xx.
+var errStatus = errors.New("the runner answered with an error")
+
+// recall asks the worker to drop a job that it has accepted. Whatever the worker
+// responds, it knows of the cancellation from then on.
+func (b *backend) recall(a core.Attempt) {
+	transport, addr := b.transport(), b.addr
 	go func() {
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(closeGrace))
 		defer cancel()
-		_, err := b.roundTrip(ctx, via, http.MethodDelete, addr, "/jobs/"+url.PathEscape(h.Job.ID))
+		_, err := b.roundTrip(ctx, transport, http.MethodDelete, addr, "/jobs/"+url.PathEscape(a.Job.ID))
 		if err != nil {
-			b.log.WithError(err).WithFields(h.Fields()).Debug("job could not be recalled")
+			b.log.WithError(err).WithFields(a.Fields()).Debug("job could not be recalled")
 		}
-		b.fleet.reporter.AttemptRecalled(h.Ref, err == nil || errors.Is(err, errStatus))
+		b.fleet.reporter.AttemptRecalled(a.Ref, err == nil || errors.Is(err, errStatus))
 	}()
 }
 
-// probe asks the runner how it is.
-func (b *backend) probe(via *http.Transport, addr string, deadline time.Time) {
+// probe asks the worker for a load report, or where it gives none whether it is
+// there.
+func (b *backend) probe(transport *http.Transport, addr string, deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
 	path := "/ping"
 	if b.fleet.cfg.LoadReports {
 		path = "/_load"
 	}
-	text, err := b.roundTrip(ctx, via, http.MethodGet, addr, path)
+	text, err := b.roundTrip(ctx, transport, http.MethodGet, addr, path)
 	outcome := decision.Served
 	switch {
 	case errors.Is(err, errStatus):
@@ -53,15 +57,14 @@
 	})
 }
 
-var errStatus = errors.New("the runner answered with an error")
-
-// roundTrip makes a request without a body and returns what a 2xx answer holds.
-func (b *backend) roundTrip(ctx context.Context, via *http.Transport, method, addr, path string) ([]byte, error) {
-	req, err := request(ctx, method, addr, path)
+// roundTrip sends a request without a body and returns the body of a 2xx response.
+// Another status is errStatus.
+func (b *backend) roundTrip(ctx context.Context, transport *http.Transport, method, addr, path string) ([]byte, error) {
+	req, err := newRequest(ctx, method, addr, path)
 	if err != nil {
 		return nil, err
 	}
-	resp, err := via.RoundTrip(req)
+	resp, err := transport.RoundTrip(req)
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, path, err)
 	}
@@ -72,8 +75,9 @@
 	return text, nil
 }
 
-// request makes a request to an address; the resource passes through as it came.
-func request(ctx context.Context, method, addr, resource string) (*http.Request, error) {
+// newRequest makes a request to an address. The resource, path and query, passes
+// through with its escapes as they are.
+func newRequest(ctx context.Context, method, addr, resource string) (*http.Request, error) {
 	u, err := url.ParseRequestURI(resource)
 	if err != nil {
 		return nil, fmt.Errorf("resource of a request to %s: %w", addr, err)
@@ -83,7 +87,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("request to %s: %w", addr, err)
 	}
-	req.URL = u // as it came, escapes and all
+	req.URL = u
 	req.Header["User-Agent"] = nil
 	return req, nil
 }
