--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -1,9 +1,18 @@
+// Package handover connects two processes of one dispatcher while the platform puts
+// the newer in the older one's place.
+//
+// The processes share the clients' listening socket (Listen) and a Link over a unix
+// socket. On the link the older process passes its state, then both pass on what
+// operators decide and reports on jobs of the other, and the older one passes its
+// clients' connections with their requests. cmd/frosttide makes the Link; package
+// ingress uses it as its Peer.
+//
+// Invariants: a process has at most one peer at a time; no wait on the peer is
+// without bound, and a peer that violates the protocol or says nothing for
+// silenceTimeout loses the link. All methods of Link are safe for concurrent use.
 package handover
 
 import (
-	"bufio"
-	"encoding/json"
-	"errors"
 	"fmt"
 	"hash/fnv"
 	"net"
@@ -12,76 +21,44 @@
 	"sync"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
 	"frosttide/internal/dispatcher/core"
-	"frosttide/internal/mailbox"
 )
 
 const (
-	// dialTimeout is how long the older process may take to take the call, and tellTime to
-	// tell its state: the newer one has to be ready in 6 s, with it or without.
+	// dialTimeout is how long the older process may take to accept the link, and
+	// stateTimeout to pass its state: the newer one has to be ready in 6 s, with the
+	// state or without.
 	dialTimeout  = time.Second
 	stateTimeout = 2 * time.Second
-	// heartbeatInterval is how often a side says something, and hush how long it may say nothing.
-	heartbeatInterval = 400 * time.Millisecond
-	silenceTimeout    = 2 * time.Second
-	// maxMessage bounds a message: a whole list of a large fleet.
-	maxMessage = 4 << 20
-	// maxPath is the longest path that fits into a unix socket's address.
+	// maxPath is the longest path, in bytes, that surely fits into the address of a
+	// unix socket.
 	maxPath = 100
 )
 
-// Core is what the link tells the decisions of, and asks.
+// Core is the core as the link uses it; *core.Core implements it. None of its
+// methods blocks.
 type Core interface {
-	Snapshot(func(core.Snapshot))
+	Snapshot(to func(core.Snapshot))
 	Restore(core.Snapshot)
 	ApplyExclusion(core.Exclusion)
-	Report(ev core.JobEvent, took func(bool))
+	Report(ev core.JobEvent, held func(bool))
 }
 
-// RouteTable is the route table.
+// RouteTable is the list of workers as the link uses it. It does not block.
 type RouteTable interface {
-	// Snapshot tells where the list comes from and what it is, in discovery's form.
-	Snapshot(func(discovery string, list []byte))
+	// Snapshot passes on where the list comes from, and the list in discovery's form.
+	Snapshot(to func(discovery string, list []byte))
 }
 
-// State is what a process tells its successor.
-type State struct {
-	Discovery string          `json:"discovery"`
-	List      json.RawMessage `json:"list"`
-	Core      core.Snapshot   `json:"core"`
-}
-
-// HasMembers tells whether the list names anybody.
-func (s *State) HasMembers() bool {
-	var l struct {
-		Targets []json.RawMessage `json:"targets"`
-	}
-	return json.Unmarshal(s.List, &l) == nil && len(l.Targets) > 0
-}
-
-// message is one line on the link; an empty one is a beat.
-type message struct {
-	State     *State          `json:"state,omitempty"`
-	Ready     bool            `json:"ready,omitempty"` // the newer process serves
-	Exclusion *core.Exclusion `json:"exclusion,omitempty"`
-	Event     *core.JobEvent  `json:"event,omitempty"`  // a call-back for a job that the sender doesn't hold
-	Number    uint64          `json:"number,omitempty"` // of what is to be answered, and of the answer to it
-	Took      bool            `json:"took,omitempty"`   // the answer
-	Client    *client         `json:"client,omitempty"` // a connection, which comes beside the line
-
-	socket *socket // that connection, at the sender
-}
-
-// client is what has been read from a client's connection, and what has become of it.
-type client struct {
-	Request []byte             `json:"request"`
-	Moved   *core.MovedRequest `json:"moved"`
-}
+// Adopt takes a client's connection over from the older process, with what was read
+// from it, and reports whether it will be served.
+type Adopt func(c net.Conn, request []byte, m *core.MovedRequest) bool
 
-// Link is this process's side: it has at most one peer at a time, the older process at
-// first and the newer one later.
+// Link is this process's side. Its peer is the older process at first and the newer
+// one later.
 type Link struct {
 	core           Core
 	routeTable     RouteTable
@@ -95,40 +72,38 @@
 	peer     *peer // nil while there is none
 }
 
-// Path is where the processes of a dispatcher meet. Listen, the clients' address, tells
-// dispatchers apart that share a folder.
+// Path returns the path of the unix socket where the processes of a dispatcher meet.
+// The address on which they listen for clients tells dispatchers apart that share
+// the folder.
 func Path(dir, listen string) string {
 	name := fnv.New32a()
 	name.Write([]byte(listen))
 	return filepath.Join(dir, fmt.Sprintf("frosttide-%08x.sock", name.Sum32()))
 }
 
-// Adopt takes a client's connection over from the older process, and reports whether it
-// will be served.
-type Adopt func(c net.Conn, request []byte, m *core.MovedRequest) bool
-
-// New makes a link. Overlap is told how many processes the dispatcher has from now on.
-func New(path string, c Core, l RouteTable, onProcessCount func(processes int), adopt Adopt, log *logrus.Entry) *Link {
-	return &Link{core: c, routeTable: l, onProcessCount: onProcessCount, adopt: adopt, log: log, path: path}
+// New makes a link without a peer. It calls onProcessCount with the number of
+// processes of the dispatcher, 1 or 2, whenever that changes.
+func New(path string, c Core, routeTable RouteTable, onProcessCount func(processes int), adopt Adopt, log *logrus.Entry) *Link {
+	return &Link{core: c, routeTable: routeTable, onProcessCount: onProcessCount, adopt: adopt, log: log, path: path}
 }
 
-// address returns an address of a path and what holds it open. Guards against long
-// paths: a unix socket's address has room for some hundred bytes.
+// address returns the address of a unix socket, and for a path that is too long for
+// one the open folder that the address goes by, else nil.
 func address(path string) (*net.UnixAddr, *os.File, error) {
 	if len(path) <= maxPath {
 		return &net.UnixAddr{Name: path, Net: "unix"}, nil, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
-		return nil, nil, fmt.Errorf("the link's folder: %w", err)
+		return nil, nil, errors.Wrap(err, "the link's folder")
 	}
 	name := fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path))
 	return &net.UnixAddr{Name: name, Net: "unix"}, dir, nil
 }
 
-// Dial calls the older process, if there is one, and takes over its state: the core's
-// goes to the core, the rest is returned. Without one, or one that can't tell in time,
-// the process starts from nothing.
+// Dial calls the older process, if there is one, and takes over its state: the
+// core's part goes to the core, and the whole is returned. It returns nil without an
+// older process, or with one that does not pass its state in time.
 func (l *Link) Dial() *State {
 	addr, dir, err := address(l.path)
 	if err != nil {
@@ -136,8 +111,8 @@
 		return nil
 	}
 	defer dir.Close() // of nil, too
-	by := time.Now().Add(dialTimeout)
-	c, err := (&net.Dialer{Deadline: by}).Dial("unix", addr.Name)
+	dialer := net.Dialer{Deadline: time.Now().Add(dialTimeout)}
+	c, err := dialer.Dial("unix", addr.Name)
 	if err != nil {
 		l.log.WithError(err).Debug("no older process")
 		return nil
@@ -160,12 +135,12 @@
 	return state
 }
 
-// Serve takes the place of the older process, tells it that this one serves, and waits
-// for a newer one.
+// Serve takes the older process's place at the path, and waits for newer ones in a
+// goroutine that ends with Close.
 func (l *Link) Serve() error {
 	newPath := l.path + ".new"
 	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return fmt.Errorf("the link's socket: %w", err)
+		return errors.Wrap(err, "the link's socket")
 	}
 	addr, dir, err := address(newPath)
 	if err != nil {
@@ -174,12 +149,12 @@
 	defer dir.Close()
 	listener, err := net.ListenUnix("unix", addr)
 	if err != nil {
-		return fmt.Errorf("the link's socket: %w", err)
+		return errors.Wrap(err, "the link's socket")
 	}
 	listener.SetUnlinkOnClose(false) // the name may be a newer process's by then
 	if err := os.Rename(newPath, l.path); err != nil {
 		listener.Close()
-		return fmt.Errorf("the link's socket: %w", err)
+		return errors.Wrap(err, "the link's socket")
 	}
 	l.mu.Lock()
 	l.listener = listener
@@ -197,21 +172,21 @@
 }
 
 // Ready tells the older process that this one serves, and waits until it knows: its
-// SIGTERM comes with the platform's next look.
+// SIGTERM comes with the platform's next check.
 func (l *Link) Ready() {
 	if p := l.current(); p != nil && !p.request(message{Ready: true}, time.Now().Add(dialTimeout)) {
 		l.log.Warn("the older process does not say that it knows of this one")
 	}
 }
 
-// handleSuccessor takes the call of a newer process, unless there is one already, and tells it
-// the state. The core and the list answer from their mailboxes.
+// handleSuccessor takes a newer process as the peer, unless there is a peer already,
+// and passes the state to it.
 func (l *Link) handleSuccessor(c *net.UnixConn) {
 	p := newPeer(l, c)
 	l.mu.Lock()
 	taken := l.peer != nil
 	if !taken {
-		l.peer = p // exclusions after the snapshot now come after it
+		l.peer = p // exclusions that come after the snapshot now follow it
 	}
 	l.mu.Unlock()
 	if taken {
@@ -220,6 +195,12 @@
 		return
 	}
 	l.onProcessCount(2)
+	l.passState(p)
+}
+
+// passState passes the state to a peer and starts the peer's loops. The core and the
+// route table answer from their own goroutines.
+func (l *Link) passState(p *peer) {
 	var s State
 	answers := make(chan struct{}, 2)
 	l.core.Snapshot(func(c core.Snapshot) {
@@ -233,7 +214,7 @@
 	go func() {
 		timer := time.NewTimer(stateTimeout)
 		defer timer.Stop()
-		for range 2 {
+		for range cap(answers) {
 			select {
 			case <-answers:
 			case <-timer.C:
@@ -255,34 +236,33 @@
 	return l.peer
 }
 
-func (l *Link) send(m message) {
-	if p := l.current(); p != nil {
-		p.mailbox.Put(m)
-	}
-}
-
-// Linked tells whether another process of the dispatcher runs.
+// Linked reports whether another process of the dispatcher runs.
 func (l *Link) Linked() bool { return l.current() != nil }
 
-// Succeeded tells whether a newer process serves.
+// Succeeded reports whether a newer process serves.
 func (l *Link) Succeeded() bool {
 	p := l.current()
 	return p != nil && p.serving.Load()
 }
 
-// Exclude tells the other process what operators have said to this one.
-func (l *Link) Exclude(e core.Exclusion) { l.send(message{Exclusion: &e}) }
+// Exclude passes to the other process, if there is one, what operators decided here.
+func (l *Link) Exclude(e core.Exclusion) {
+	if p := l.current(); p != nil {
+		p.mailbox.Put(message{Exclusion: &e})
+	}
+}
 
-// ForwardReport hands a call-back to the other process and reports whether that took it by the
-// deadline. What came from there is never passed back.
-func (l *Link) ForwardReport(ev core.JobEvent, by time.Time) bool {
+// ForwardReport passes a report to the other process and reports whether that held
+// the job, by the deadline. What came from there is never passed back.
+func (l *Link) ForwardReport(ev core.JobEvent, deadline time.Time) bool {
 	p := l.current()
-	return p != nil && p.request(message{Event: &ev}, by)
+	return p != nil && p.request(message{Event: &ev}, deadline)
 }
 
-// TransferConn hands a client's connection to the other process, with what has been read from
-// it, and reports whether that serves it. The caller's copy stays the caller's.
-func (l *Link) TransferConn(c net.Conn, request []byte, m *core.MovedRequest, by time.Time) bool {
+// TransferConn passes a client's connection to the other process, with what has been
+// read from it, and reports whether that serves it, by the deadline. The caller still
+// has to close its own copy.
+func (l *Link) TransferConn(c net.Conn, request []byte, m *core.MovedRequest, deadline time.Time) bool {
 	p := l.current()
 	if p == nil {
 		return false
@@ -293,10 +273,10 @@
 		return false
 	}
 	defer s.close()
-	return p.request(message{Client: &client{Request: request, Moved: m}, socket: s}, by)
+	return p.request(message{Client: &client{Request: request, Moved: m}, socket: s}, deadline)
 }
 
-// Close ends the link. The socket's name goes with it unless it is a newer process's.
+// Close ends the link. It removes the socket unless that is a newer process's.
 func (l *Link) Close() {
 	l.mu.Lock()
 	p, listener := l.peer, l.listener
@@ -311,14 +291,3 @@
 		p.end()
 	}
 }
-
-// ---- The peer ----
-
-// newPeer makes the actor of the other process; its connection is the peer's.
-func newPeer(l *Link, c *net.UnixConn) *peer {
-	in := &descriptorReader{conn: c}
-	p := &peer{link: l, conn: c, reader: in, scanner: bufio.NewScanner(in), mailbox: mailbox.New[message](), done: make(chan struct{}),
-		pending: map[uint64]chan bool{}}
-	p.scanner.Buffer(nil, maxMessage)
-	return p
-}
--- a/internal/dispatcher/handover/listener.go
+++ b/internal/dispatcher/handover/listener.go
@@ -1,5 +1,3 @@
-// Package handover is what two processes of one dispatcher do for each other while
-// the platform puts the newer in the older one's place.
 package handover
 
 import (
@@ -13,18 +11,22 @@
 )
 
 const (
-	// maxAcceptBlock bounds, in microseconds, how long accept(2) may block should another holder
-	// set the socket blocking between our setting and our call. Multipath TCP, which Go's
-	// listeners speak where the kernel does, does not heed it.
+	// maxAcceptBlock bounds, in microseconds, how long accept(2) may block if another
+	// holder makes the socket blocking between this process's setting and its call.
+	// Multipath TCP, which Go's listeners use where the kernel has it, ignores the
+	// bound.
 	maxAcceptBlock = 100_000
-	// wakeInterval and mostWakes bound how a blocked accept is woken at the end.
+	// wakeInterval and maxWakes bound how a blocked accept is woken at the end.
 	wakeInterval = 2 * time.Millisecond
 	maxWakes     = 250
 )
 
-// Listen serves a listening socket that the platform holds for all processes of the
-// dispatcher. Closing the listener ends this process's copy alone: shutdown(2) would
-// end the socket for all.
+// errBlocked is the error of closing a listener whose accept can't be woken.
+var errBlocked = errors.New("an accept on the shared socket blocks and can't be woken")
+
+// Listen returns a listener on the listening socket that the platform holds for all
+// processes of the dispatcher, given by its descriptor. Closing the listener ends
+// this process's copy alone: shutdown(2) would end the socket for all.
 func Listen(fd int) (net.Listener, error) {
 	if err := syscall.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("$BALANCER_FD: %w", err)
@@ -48,9 +50,10 @@
 	return &listener{file: f, raw: raw, addr: first.Addr(), closed: make(chan struct{})}, nil
 }
 
-// listener accepts from the shared socket. Guards against another holder that sets it
-// blocking, as starting a process with it may: net's listener would then be stuck in
-// accept(2), and so would its Close, when another process takes the connection.
+// listener accepts from the shared socket. Another holder may make the socket
+// blocking, as starting a process with it may do. The net package's listener would
+// then be stuck in accept(2), and so would its Close, when another process takes the
+// connection.
 type listener struct {
 	file *os.File
 	raw  syscall.RawConn
@@ -61,6 +64,7 @@
 	err    error
 }
 
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		var fd int
@@ -90,9 +94,10 @@
 	}
 }
 
-// Close ends this process's copy. Guards the process's end against an accept that blocks, which
-// the file's own Close waits for: it is woken by connections of our own, which whoever takes
-// them drops as they say nothing.
+// Close ends this process's copy of the socket. The file's own Close would wait for
+// an accept that blocks, and the process would not end; so the accept is woken by
+// connections of this process, which whoever accepts them drops as they send
+// nothing. It fails with errBlocked after maxWakes of them.
 func (l *listener) Close() error {
 	l.once.Do(func() {
 		go func() {
@@ -120,7 +125,5 @@
 	}
 }
 
-var errBlocked = errors.New("an accept on the shared socket blocks and can't be woken")
-
-// Addr is the socket's.
+// Addr returns the socket's address.
 func (l *listener) Addr() net.Addr { return l.addr }
--- a/internal/dispatcher/handover/peer.go
+++ b/internal/dispatcher/handover/peer.go
@@ -3,35 +3,63 @@
 import (
 	"bufio"
 	"encoding/json"
-	"errors"
-	"fmt"
 	"io"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"frosttide/internal/mailbox"
 )
 
-// peer is the other process of the dispatcher. Guards this one against it: no wait on
-// it is without bound, and whatever it does but speak in time ends the link.
+const (
+	// heartbeatInterval is the time between two heartbeats of a side, and
+	// silenceTimeout how long a side may say nothing.
+	heartbeatInterval = 400 * time.Millisecond
+	silenceTimeout    = 2 * time.Second
+	// maxMessage bounds a message, in bytes: the whole list of a large fleet.
+	maxMessage = 4 << 20
+)
+
+// errNoState is the error of an older process that does not pass its state.
+var errNoState = errors.New("the older process told no state in time")
+
+// peer is the other process of the dispatcher. Each wait on it is bounded, and
+// whatever it does other than speak in time ends the link.
 type peer struct {
 	link    *Link
 	conn    *net.UnixConn
 	reader  *descriptorReader
 	scanner *bufio.Scanner
-	mailbox *mailbox.Box[message] // what is to be written
+	mailbox *mailbox.Box[message] // messages to write
 	serving atomic.Bool           // it has said that it serves
 	done    chan struct{}         // closed at the link's end
 	once    sync.Once
 
 	mu         sync.Mutex
 	lastNumber uint64
-	pending    map[uint64]chan bool // what has been asked and not answered
+	pending    map[uint64]chan bool // requests without a response
 }
 
-// end is the one place where a link ends and its connection is given back.
+// newPeer makes the peer on a connection, which belongs to the peer from then on.
+func newPeer(l *Link, c *net.UnixConn) *peer {
+	reader := &descriptorReader{conn: c}
+	p := &peer{
+		link:    l,
+		conn:    c,
+		reader:  reader,
+		scanner: bufio.NewScanner(reader),
+		mailbox: mailbox.New[message](),
+		done:    make(chan struct{}),
+		pending: map[uint64]chan bool{},
+	}
+	p.scanner.Buffer(nil, maxMessage)
+	return p
+}
+
+// end is the one place where a link ends and its connection is closed.
 func (p *peer) end() {
 	p.once.Do(func() {
 		close(p.done)
@@ -50,7 +78,7 @@
 	})
 }
 
-// writeLoop puts what is in the mailbox on the connection, and a beat from time to time.
+// writeLoop writes the messages of the mailbox, and heartbeats, until the link ends.
 func (p *peer) writeLoop() {
 	defer p.end()
 	tick := time.NewTicker(heartbeatInterval)
@@ -75,11 +103,11 @@
 	}
 }
 
-// writeMessage writes a message, with its connection if there is one.
+// writeMessage writes a message, with its descriptor if there is one.
 func (p *peer) writeMessage(m message) error {
 	line, err := json.Marshal(m)
 	if err != nil {
-		return fmt.Errorf("writing the link: %w", err)
+		return errors.Wrap(err, "writing the link")
 	}
 	line = append(line, '\n')
 	if m.socket == nil {
@@ -87,44 +115,43 @@
 	} else {
 		err = m.socket.send(p.conn, line)
 	}
-	if err != nil {
-		return fmt.Errorf("writing the link: %w", err)
-	}
-	return nil
+	return errors.Wrap(err, "writing the link")
 }
 
-// readMessage reads a message until the deadline.
-func (p *peer) readMessage(by time.Time) (m message, err error) {
-	_ = p.conn.SetReadDeadline(by)
+// readMessage reads a message until the deadline. At the end of the connection it
+// fails with io.EOF.
+func (p *peer) readMessage(deadline time.Time) (m message, err error) {
+	_ = p.conn.SetReadDeadline(deadline)
 	if !p.scanner.Scan() {
 		if err = p.scanner.Err(); err == nil {
 			err = io.EOF
 		}
-		return m, fmt.Errorf("reading the link: %w", err)
+		return m, errors.Wrap(err, "reading the link")
 	}
 	if err = json.Unmarshal(p.scanner.Bytes(), &m); err != nil {
-		return m, fmt.Errorf("reading the link: %w", err)
+		return m, errors.Wrap(err, "reading the link")
 	}
 	return m, nil
 }
 
-// awaitState waits for the state, the first thing that counts on a link.
-func (p *peer) awaitState(by time.Time) (*State, error) {
+// awaitState waits for the state, the first message of an older process beside
+// heartbeats.
+func (p *peer) awaitState(deadline time.Time) (*State, error) {
 	for {
-		m, err := p.readMessage(by)
+		m, err := p.readMessage(deadline)
 		if err != nil {
 			return nil, err
 		}
 		if m.State != nil {
 			return m.State, nil
 		}
-		if !time.Now().Before(by) {
-			return nil, errors.New("the older process told no state in time")
+		if !time.Now().Before(deadline) {
+			return nil, errNoState
 		}
 	}
 }
 
-// readLoop heeds what the other process says until it falls silent.
+// readLoop handles what the other process sends until it falls silent.
 func (p *peer) readLoop() {
 	defer p.reader.close()
 	defer p.end()
@@ -134,32 +161,41 @@
 			p.link.log.WithError(err).Debug("link ends")
 			return
 		}
-		switch {
-		case m.Ready:
-			p.serving.Store(true)
-			p.mailbox.Put(message{Number: m.Number, Took: true})
-		case m.Exclusion != nil:
-			p.link.core.ApplyExclusion(*m.Exclusion)
-		case m.Event != nil:
-			p.link.core.Report(*m.Event, func(taken bool) { p.mailbox.Put(message{Number: m.Number, Took: taken}) })
-		case m.Client != nil:
-			c, err := p.reader.nextConn()
-			taken := err == nil && p.link.adopt(c, m.Client.Request, m.Client.Moved)
-			p.mailbox.Put(message{Number: m.Number, Took: taken})
-		case m.Number > 0:
-			p.resolve(m.Number, m.Took)
-		}
+		p.handle(m)
 	}
 }
 
-// request sends what the other process is to take, and reports whether it did by the
-// deadline.
-func (p *peer) request(m message, by time.Time) bool {
-	taken := make(chan bool, 1)
+// handle handles a message.
+func (p *peer) handle(m message) {
+	switch {
+	case m.Ready:
+		p.serving.Store(true)
+		p.respond(m, true)
+	case m.Exclusion != nil:
+		p.link.core.ApplyExclusion(*m.Exclusion)
+	case m.Event != nil:
+		p.link.core.Report(*m.Event, func(held bool) { p.respond(m, held) })
+	case m.Client != nil:
+		c, err := p.reader.nextConn()
+		p.respond(m, err == nil && p.link.adopt(c, m.Client.Request, m.Client.Moved))
+	case m.Number > 0:
+		p.resolve(m.Number, m.Took)
+	}
+}
+
+// respond responds to a request of the other process.
+func (p *peer) respond(request message, took bool) {
+	p.mailbox.Put(message{Number: request.Number, Took: took})
+}
+
+// request sends a request and reports whether the other process took what it carries,
+// by the deadline.
+func (p *peer) request(m message, deadline time.Time) bool {
+	took := make(chan bool, 1)
 	p.mu.Lock()
 	p.lastNumber++
 	m.Number = p.lastNumber
-	p.pending[m.Number] = taken
+	p.pending[m.Number] = took
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
@@ -167,10 +203,10 @@
 		p.mu.Unlock()
 	}()
 	p.mailbox.Put(m)
-	timer := time.NewTimer(time.Until(by))
+	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
-	case ok := <-taken:
+	case ok := <-took:
 		return ok
 	case <-timer.C:
 	case <-p.done:
@@ -178,11 +214,12 @@
 	return false
 }
 
-func (p *peer) resolve(n uint64, taken bool) {
+// resolve passes on the response to a request, if somebody still waits for it.
+func (p *peer) resolve(number uint64, took bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if to := p.pending[n]; to != nil {
-		to <- taken
-		delete(p.pending, n) // once
+	if waiting := p.pending[number]; waiting != nil {
+		waiting <- took
+		delete(p.pending, number) // the channel has room for one
 	}
 }
--- a/internal/dispatcher/handover/socket.go
+++ b/internal/dispatcher/handover/socket.go
@@ -9,14 +9,17 @@
 	"syscall"
 )
 
-// socket is a copy of a connection's descriptor on its way to another process. Whoever
-// made it closes it.
+// errNoDescriptor is the error of a message that should have brought a connection.
+var errNoDescriptor = errors.New("no connection came along")
+
+// socket is a copy of a connection's descriptor on its way to another process. Its
+// maker closes it.
 type socket struct {
 	mu sync.Mutex
 	fd int // -1 when it is closed
 }
 
-// duplicate makes a copy of a connection's descriptor; the connection may be wrapped.
+// duplicate makes a copy of a connection's descriptor. The connection may be wrapped.
 func duplicate(c net.Conn) (*socket, error) {
 	if w, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = w.NetConn()
@@ -43,7 +46,8 @@
 	return out, nil
 }
 
-// send writes a line with the descriptor beside its first byte.
+// send writes a line, with the descriptor beside its first byte. A closed socket is
+// not sent.
 func (s *socket) send(to *net.UnixConn, line []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,6 +61,7 @@
 	return err
 }
 
+// close closes the copy.
 func (s *socket) close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -66,13 +71,14 @@
 	}
 }
 
-// descriptorReader reads a link and keeps the descriptors that come beside the bytes, in their
-// order.
+// descriptorReader reads a link and keeps the descriptors that come beside the bytes,
+// in their order.
 type descriptorReader struct {
 	conn *net.UnixConn
 	fds  []int
 }
 
+// Read implements io.Reader.
 func (r *descriptorReader) Read(p []byte) (int, error) {
 	beside := make([]byte, syscall.CmsgSpace(4*4))
 	n, size, _, _, err := r.conn.ReadMsgUnix(p, beside)
@@ -88,10 +94,11 @@
 	return n, err
 }
 
-// nextConn returns the connection that came first and has not been taken.
+// nextConn returns the connection that came first and has not been returned. Without
+// one it fails with errNoDescriptor.
 func (r *descriptorReader) nextConn() (net.Conn, error) {
 	if len(r.fds) == 0 {
-		return nil, errors.New("no connection came along")
+		return nil, errNoDescriptor
 	}
 	f := os.NewFile(uintptr(r.fds[0]), "client")
 	r.fds = r.fds[1:]
@@ -103,7 +110,7 @@
 	return c, nil
 }
 
-// close gives back the descriptors that nobody has taken.
+// close closes the descriptors that nextConn has not returned.
 func (r *descriptorReader) close() {
 	for _, fd := range r.fds {
 		syscall.Close(fd)
