--- a/internal/dispatcher/telemetry/telemetry.go
+++ b/internal/dispatcher/telemetry/telemetry.go
@@ -1,5 +1,9 @@
-// Package telemetry owns the figures of this process that operators read. Each part
-// counts where things happen; reading waits for nobody.
+// Package telemetry holds the figures of this process that operators read, as
+// Prometheus metrics. The other packages count through it where things happen;
+// cmd/frosttide makes the one Counts and passes its Handler to the console.
+//
+// Names and labels of the metrics are part of the program's interface. All methods
+// are safe for concurrent use, but for Classes, and reading waits for nobody.
 package telemetry
 
 import (
@@ -12,11 +16,11 @@
 )
 
 const (
-	prefix = "edge_balancer"
-	label  = "lane" // the class
+	prefix = "edge_balancer" // of all names
+	label  = "lane"          // names the class
 )
 
-// Counts holds the figures. Every count starts at 0.
+// Counts holds the figures. Every count begins at 0.
 type Counts struct {
 	registry *prometheus.Registry
 	byClass  [outcomes]*prometheus.CounterVec
@@ -28,7 +32,7 @@
 	refused  prometheus.Counter
 }
 
-// What is counted for each class.
+// The counts of each class.
 const (
 	completed = iota
 	rejected
@@ -40,7 +44,7 @@
 // series are the counts of one class.
 type series [outcomes]prometheus.Counter
 
-// New makes the figures.
+// New makes the figures. There are no classes yet.
 func New() *Counts {
 	c := &Counts{registry: prometheus.NewRegistry()}
 	for i, f := range []struct{ name, help string }{
@@ -71,8 +75,8 @@
 	return c
 }
 
-// Classes names the classes by their numbers. Names are only ever added, so that series
-// stay; each starts at 0. One goroutine at a time may call it.
+// Classes sets the names of the classes, by their numbers. Names are only ever added,
+// so series stay; each begins at 0. One goroutine at a time may call it.
 func (c *Counts) Classes(names []string) {
 	var all []series
 	for _, name := range names {
@@ -85,12 +89,13 @@
 	c.classes.Store(&all)
 }
 
+// count counts an outcome of a class, given by its number.
 func (c *Counts) count(class, outcome int) { (*c.classes.Load())[class][outcome].Inc() }
 
-// Completed counts a job served.
+// Completed counts a job that was served.
 func (c *Counts) Completed(class int) { c.count(class, completed) }
 
-// Rejected counts a job refused.
+// Rejected counts a job that was rejected, so that a retry is harmless.
 func (c *Counts) Rejected(class int) { c.count(class, rejected) }
 
 // Failed counts a job that ended otherwise.
@@ -99,16 +104,16 @@
 // Sent counts an attempt whose last byte has been written to a runner.
 func (c *Counts) Sent(class int) { c.count(class, sent) }
 
-// Pending counts a job taken, or with -1 one that has ended.
+// Pending counts a job that was taken, or with -1 one that has ended.
 func (c *Counts) Pending(change int) { c.pending.Add(float64(change)) }
 
-// Members tells how many runners are listed and how many of them get no new work.
+// Members sets how many workers are listed, and how many of them get no new work.
 func (c *Counts) Members(listed, unavailable int) {
 	c.members.Set(float64(listed))
 	c.avoided.Set(float64(unavailable))
 }
 
-// Reloaded counts a configuration file taken or turned down.
+// Reloaded counts a configuration file that was put in force, or with false rejected.
 func (c *Counts) Reloaded(ok bool) {
 	if ok {
 		c.taken.Inc()
@@ -117,8 +122,9 @@
 	}
 }
 
-// Stored adds the figures of a process that may serve from a stored list: how old it is,
-// 0 while discovery has confirmed it, and how many of its runners get work or not yet.
+// Stored adds the figures of a process that may serve from a stored list: the list's
+// age, 0 while discovery has confirmed it, and how many of its workers get work or do
+// not yet. Status is called at each reading. Stored may be called once.
 func (c *Counts) Stored(status func() (age time.Duration, used, withheld int)) {
 	gauge := func(name, help string, of func(age time.Duration, used, withheld int) float64) {
 		c.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: prefix, Name: name, Help: help},
@@ -132,7 +138,7 @@
 		func(_ time.Duration, _, withheld int) float64 { return float64(withheld) })
 }
 
-// Handler writes the figures in Prometheus's text form.
+// Handler returns the handler that writes the figures in Prometheus's text format.
 func (c *Counts) Handler() http.Handler {
 	return promhttp.HandlerFor(c.registry, promhttp.HandlerOpts{DisableCompression: true})
 }
