--- a/cmd/frosttide/clusterevents.go
+++ b/cmd/frosttide/clusterevents.go
@@ -13,32 +13,39 @@
 	"frosttide/internal/dispatcher/routetable"
 )
 
-// updateHook returns who hears what discovery tells, nil for nobody.
-func (o *peers) updateHook() func(routetable.Update) {
-	if o == nil {
+const (
+	// maxPendingUpdates bounds the updates of discovery that are kept for a member
+	// that has not opened. What is past it comes with the next whole list.
+	maxPendingUpdates = 1000
+	// findingsInterval is the time between two times that what jobs have shown of
+	// workers is shared with the other members.
+	findingsInterval = 2 * time.Second
+)
+
+// updateHook returns who takes the updates of discovery, nil for nobody. It may be
+// called on nil.
+func (p *peers) updateHook() func(routetable.Update) {
+	if p == nil {
 		return nil
 	}
 	return func(update routetable.Update) {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		if o.member != nil {
-			o.forwardUpdate(o.member, update)
+		p.mu.Lock()
+		defer p.mu.Unlock()
+		if p.member != nil {
+			p.forwardUpdate(p.member, update)
 			return
 		}
-		if update.Full { // what came before counts no more
-			o.pendingUpdates = nil
+		if update.Full { // it replaces the updates before
+			p.pendingUpdates = nil
 		}
-		if len(o.pendingUpdates) < maxPendingUpdates {
-			o.pendingUpdates = append(o.pendingUpdates, update)
+		if len(p.pendingUpdates) < maxPendingUpdates {
+			p.pendingUpdates = append(p.pendingUpdates, update)
 		}
 	}
 }
 
-// maxPendingUpdates bounds what is kept for a member that has not begun; what is past it comes
-// with the next whole list.
-const maxPendingUpdates = 1000
-
-func (o *peers) forwardUpdate(m *cluster.Cluster, update routetable.Update) {
+// forwardUpdate passes an update of discovery to the member.
+func (p *peers) forwardUpdate(m *cluster.Cluster, update routetable.Update) {
 	entries := make([]cluster.Entry, len(update.Entries))
 	for i, e := range update.Entries {
 		state := replica.Serving
@@ -50,34 +57,42 @@
 		}
 		entries[i] = cluster.Entry{UID: e.UID, State: state, Boot: e.StartedAt.Milliseconds(), Text: e.JSON}
 	}
-	m.Told(cmp.Or(o.alias, update.Source), update.Version, update.Full, update.VersionReset, entries)
+	m.Told(cmp.Or(p.alias, update.Source), update.Version, update.Full, update.VersionReset, entries)
 }
 
-// Exclude carries out what operators have said at any member.
-func (o *peers) Exclude(uid string, out bool, at time.Time) {
+// Exclude implements cluster.Dispatcher: it applies what operators decided at any
+// member.
+func (p *peers) Exclude(uid string, out bool, at time.Time) {
 	e := core.Exclusion{UID: uid, Out: out, At: time.Duration(at.UnixNano())}
-	o.core.ApplyExclusion(e)
-	o.link.Exclude(e)
-	if o.roster != nil {
-		o.roster.Excluded(uid, out)
+	p.core.ApplyExclusion(e)
+	p.link.Exclude(e)
+	if p.roster != nil {
+		p.roster.Excluded(uid, out)
 	}
 }
 
-// Hint brings what another dispatcher has found of a runner.
-func (o *peers) Hint(uid string, found []byte) {
-	var h decision.Health
-	if err := json.Unmarshal(found, &h); err != nil { // of another build
-		o.log.WithError(err).WithField("target", uid).Debug("what another member found of a runner can't be read")
+// Hint implements cluster.Dispatcher: it takes what another dispatcher has found out
+// about a worker.
+func (p *peers) Hint(uid string, found []byte) {
+	var health decision.Health
+	if err := json.Unmarshal(found, &health); err != nil { // of another release
+		p.log.WithError(err).WithField("target", uid).Debug("what another member found of a runner can't be read")
 		return
 	}
-	o.core.Hint(uid, h)
+	p.core.Hint(uid, health)
 }
 
-// findingsInterval is how often what jobs have found of runners is told to the others.
-const findingsInterval = 2 * time.Second
+// Hear implements cluster.Dispatcher: it takes entries of another member's discovery.
+func (p *peers) Hear(source string, rev uint64, entries [][]byte) {
+	if p.alias != "" { // the operators say that all of that name are one discovery
+		source = ""
+	}
+	p.table.ApplyGossip(source, rev, entries)
+}
 
-// shareFindings tells it until the context ends.
-func (o *peers) shareFindings(ctx context.Context) {
+// shareFindings shares what jobs here have shown of workers with the other members,
+// until the context ends.
+func (p *peers) shareFindings(ctx context.Context) {
 	tick := time.NewTicker(findingsInterval)
 	defer tick.Stop()
 	for {
@@ -86,26 +101,21 @@
 			return
 		case <-tick.C:
 		}
-		o.core.OwnFindings(func(all map[string]decision.Health) {
-			m := o.currentMember()
-			if m == nil {
-				return
-			}
-			var list []cluster.Found
-			for uid, h := range all {
-				if text, err := json.Marshal(h); err == nil { // false for figures that are none
-					list = append(list, cluster.Found{UID: uid, Failed: h.Failed, Text: text})
-				}
-			}
-			m.Found(list)
-		})
+		p.core.OwnFindings(p.forwardFindings)
 	}
 }
 
-// Hear brings what another's discovery has told.
-func (o *peers) Hear(source string, rev uint64, entries [][]byte) {
-	if o.alias != "" { // by the operators' word all of that name count alike
-		source = ""
+// forwardFindings passes the health of workers to the member, if there is one.
+func (p *peers) forwardFindings(findings map[string]decision.Health) {
+	m := p.currentMember()
+	if m == nil {
+		return
+	}
+	var list []cluster.Found
+	for uid, health := range findings {
+		if text, err := json.Marshal(health); err == nil { // fails for figures that are no numbers
+			list = append(list, cluster.Found{UID: uid, Failed: health.Failed, Text: text})
+		}
 	}
-	o.table.ApplyGossip(source, rev, entries)
+	m.Found(list)
 }
--- a/cmd/frosttide/discoverygate.go
+++ b/cmd/frosttide/discoverygate.go
@@ -9,8 +9,8 @@
 	"frosttide/internal/dispatcher/routetable"
 )
 
-// discoveryGate has no job be sent by the list that a process was given before discovery was heard, or
-// could have been: what has changed since may bind already.
+// discoveryGate keeps jobs from being sent by a list that the process was given before
+// discovery has answered, or could have: a change since then may bind already.
 type discoveryGate struct {
 	table *routetable.Table
 	core  *core.Core
@@ -18,37 +18,38 @@
 	stale bool // the list is the one that was given
 }
 
-// prepare is called before the table and the core run.
-func (f *discoveryGate) prepare() {
-	if f.stale && f.rules.FewCallers() {
-		f.table.RequestFull()
-		f.core.HoldBack()
+// prepare must be called before the table and the core run.
+func (g *discoveryGate) prepare() {
+	if g.stale && g.rules.FewCallers() {
+		g.table.RequestFull()
+		g.core.HoldBack()
 	}
 }
 
-// await returns once jobs may be taken in. Few dispatchers, whose wait is short, take them in at
-// once and hold them back for so long: clients of two that restart one after the other would miss
-// each meanwhile.
-func (f *discoveryGate) await(ctx context.Context) {
-	timeout := freshness.FirstAnswerTimeout(f.rules)
+// await returns once jobs may be submitted. Few dispatchers, whose wait is short, take
+// jobs at once and hold them back for that time: with two that restart one after the
+// other, clients would otherwise miss each meanwhile.
+func (g *discoveryGate) await(ctx context.Context) {
+	timeout := freshness.FirstAnswerTimeout(g.rules)
 	switch {
-	case !f.stale && !f.rules.Pushed:
-	case f.rules.FewCallers():
+	case !g.stale && !g.rules.Pushed:
+	case g.rules.FewCallers():
 		go func() {
-			f.awaitDiscovery(ctx, timeout)
-			f.core.ReleaseHeldBack()
+			g.awaitDiscovery(ctx, timeout)
+			g.core.ReleaseHeldBack()
 		}()
 	default:
-		f.awaitDiscovery(ctx, timeout)
+		g.awaitDiscovery(ctx, timeout)
 	}
 }
 
-// awaitDiscovery waits for discovery's first word, which it does not say during an outage.
-func (f *discoveryGate) awaitDiscovery(ctx context.Context, timeout time.Duration) {
-	wait, cancel := context.WithDeadline(ctx, time.Now().Add(timeout))
+// awaitDiscovery waits for discovery's first answer, up to the timeout, as there is
+// none during an outage.
+func (g *discoveryGate) awaitDiscovery(ctx context.Context, timeout time.Duration) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(timeout))
 	defer cancel()
 	select {
-	case <-f.table.FirstResult():
-	case <-wait.Done():
+	case <-g.table.FirstResult():
+	case <-ctx.Done():
 	}
 }
--- a/cmd/frosttide/gangs.go
+++ b/cmd/frosttide/gangs.go
@@ -13,66 +13,75 @@
 	gangdesk "frosttide/internal/dispatcher/fleet/gang/watcher"
 )
 
-// watchGangs has the parts of gangs watched, by this dispatcher alone or with the others; nil
-// where the settings don't say so. It is called before the core runs.
-func watchGangs(cfg config.Config, c *core.Core, o *peers, log *logrus.Entry) *gangdesk.Desk {
+// gangStatusTimeout bounds a question to the watcher of gangs. Operators wait for 1 s.
+const gangStatusTimeout = 800 * time.Millisecond
+
+// watchGangs makes the watcher of gangs, for this dispatcher alone or with the other
+// members. It returns nil where the settings don't have it, and must be called before
+// the core runs.
+func watchGangs(cfg config.Config, c *core.Core, p *peers, log *logrus.Entry) *gangdesk.Desk {
 	if !cfg.Gang.Enabled {
 		return nil
 	}
-	look := cfg.Gang.ReportInterval / 2
-	if look <= 0 {
-		look = time.Second
+	checkInterval := cfg.Gang.ReportInterval / 2
+	if checkInterval <= 0 {
+		checkInterval = time.Second
+	}
+	watcher := gangdesk.New(gangdesk.Config{
+		Every:  cfg.Gang.ReportInterval,
+		Look:   checkInterval,
+		Copies: cfg.Gang.Speculative,
+		Now:    p.clusterTime,
+		Tell:   p.shareGangFact,
+	}, c, log)
+	c.SetGangObserver(watcher)
+	if p != nil {
+		p.gangWatcher = watcher
 	}
-	d := gangdesk.New(gangdesk.Config{Every: cfg.Gang.ReportInterval, Look: look, Copies: cfg.Gang.Speculative, Now: o.clusterTime, Tell: o.shareGangFact}, c, log)
-	c.SetGangObserver(d)
-	if o != nil {
-		o.gangWatcher = d
+	return watcher
+}
+
+// runGangWatcher runs the watcher, nil for none, until the context ends.
+func runGangWatcher(ctx context.Context, watcher *gangdesk.Desk) {
+	if watcher != nil {
+		go watcher.Run(ctx)
 	}
-	return d
 }
 
-// gangHandler answers operators about gangs.
-func gangHandler(d *gangdesk.Desk) http.Handler {
+// gangHandler answers operators' calls about gangs. The watcher may be nil.
+func gangHandler(watcher *gangdesk.Desk) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if d == nil {
+		if watcher == nil {
 			http.Error(w, "gangs are watched where [gang] has enabled = true", http.StatusServiceUnavailable)
 			return
 		}
 		ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(gangStatusTimeout))
 		defer cancel()
-		s, ok := d.Status(ctx)
+		status, ok := watcher.Status(ctx)
 		if !ok {
 			http.Error(w, "not done, try again", http.StatusServiceUnavailable)
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(s) // a caller that has left hears nothing
+		_ = json.NewEncoder(w).Encode(status) // a caller that has left needs no error
 	})
 }
 
-// gangStatusTimeout bounds a question to the watcher: whoever makes a call waits for a second.
-const gangStatusTimeout = 800 * time.Millisecond
-
-// shareGangFact makes known to the other members how a part does.
-func (o *peers) shareGangFact(name string, fact []byte) {
-	if o == nil {
+// shareGangFact shares a fact about a part of a gang with the other members. It may be
+// called on nil.
+func (p *peers) shareGangFact(name string, fact []byte) {
+	if p == nil {
 		return
 	}
-	if m := o.currentMember(); m != nil {
+	if m := p.currentMember(); m != nil {
 		m.TellGang(name, fact)
 	}
 }
 
-// HearGang brings what another member tells of a part.
-func (o *peers) HearGang(told []byte) {
-	if o.gangWatcher != nil {
-		o.gangWatcher.Hear(told)
-	}
-}
-
-// runGangWatcher has them watched until the context ends.
-func runGangWatcher(ctx context.Context, d *gangdesk.Desk) {
-	if d != nil {
-		go d.Run(ctx)
+// HearGang implements cluster.Dispatcher: it takes a fact of another member about a
+// part of a gang.
+func (p *peers) HearGang(fact []byte) {
+	if p.gangWatcher != nil {
+		p.gangWatcher.Hear(fact)
 	}
 }
--- a/cmd/frosttide/operators.go
+++ b/cmd/frosttide/operators.go
@@ -1,22 +1,27 @@
 package main
 
 import (
-	"errors"
 	"fmt"
 	"net/http"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"frosttide/internal/dispatcher/console"
 	"frosttide/internal/dispatcher/core"
 )
 
-// clusterHandler answers operators about the others.
-func (o *peers) clusterHandler() http.Handler {
-	if o == nil {
+// errNoMember is the error of a call that only a member of the cluster can execute.
+var errNoMember = errors.New("this process is no member; its older or newer one is")
+
+// clusterHandler answers operators' calls about the cluster. It returns nil without
+// one, and may be called on nil.
+func (p *peers) clusterHandler() http.Handler {
+	if p == nil {
 		return nil
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		m := o.currentMember()
+		m := p.currentMember()
 		if m == nil {
 			http.Error(w, errNoMember.Error(), http.StatusServiceUnavailable)
 			return
@@ -25,44 +30,47 @@
 	})
 }
 
-var errNoMember = errors.New("this process is no member; its older or newer one is")
-
-// operators carries out what operators say at this console: at this dispatcher alone, or by
-// the log at all.
+// operators executes what operators ask for at this console: at this dispatcher
+// alone, or with a cluster by its log at all members. It implements console.Core.
 type operators struct {
 	core  *core.Core
-	peers *peers
+	peers *peers // nil without a cluster
 }
 
-func (o *peers) operators(c *core.Core) console.Core { return operators{c, o} }
+// operators returns the console's core. It may be called on nil.
+func (p *peers) operators(c *core.Core) console.Core { return operators{c, p} }
 
-// Exclude leaves a runner out, or puts it back.
-func (p operators) Exclude(uid string, out bool, by time.Time, done func(error)) {
-	if p.peers == nil {
-		p.core.Exclude(uid, out, by, func(known bool) { done(unknown(known)) })
+// Exclude implements console.Core.
+func (o operators) Exclude(uid string, out bool, deadline time.Time, done func(error)) {
+	if o.peers == nil {
+		o.core.Exclude(uid, out, deadline, func(known bool) { done(unknownError(known)) })
 		return
 	}
-	p.core.IsKnown(uid, func(known bool) {
-		m := p.peers.currentMember()
+	o.core.IsKnown(uid, func(known bool) {
+		m := o.peers.currentMember()
 		switch {
 		case m == nil:
 			done(errNoMember)
 		case !known && !m.Out(uid):
 			done(console.ErrUnknown)
 		default:
-			m.Exclude(uid, out, "", by, func(err error) {
-				if err != nil {
-					err = fmt.Errorf("%w; nothing is lost by trying again", err)
-				}
-				done(err)
-			})
+			m.Exclude(uid, out, "", deadline, func(err error) { done(harmlessRetry(err)) })
 		}
 	})
 }
 
-func unknown(known bool) error {
+// unknownError returns console.ErrUnknown for a worker that nobody has.
+func unknownError(known bool) error {
 	if known {
 		return nil
 	}
 	return console.ErrUnknown
 }
+
+// harmlessRetry adds to an error, if there is one, that the call may be retried.
+func harmlessRetry(err error) error {
+	if err == nil {
+		return nil
+	}
+	return fmt.Errorf("%w; nothing is lost by trying again", err)
+}
--- a/cmd/frosttide/peers.go
+++ b/cmd/frosttide/peers.go
@@ -3,13 +3,13 @@
 import (
 	"cmp"
 	"context"
-	"errors"
 	"os/signal"
 	"sync"
 	"sync/atomic"
 	"syscall"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
 	"frosttide/internal/dispatcher/config"
@@ -26,38 +26,45 @@
 	"frosttide/internal/dispatcher/routetable"
 )
 
-// peers are the dispatchers that this one knows. All methods may be called on nil, the
-// others of a dispatcher on its own.
+// memberRetryInterval is the time between two tries to open the member while an older
+// process holds its address.
+const memberRetryInterval = 100 * time.Millisecond
+
+// peers is this dispatcher's part in a cluster: the member, and what connects it to
+// the other components. It implements cluster.Dispatcher. The nil peers stands for a
+// dispatcher without a cluster; methods that may be called on it say so.
 type peers struct {
 	cfg   cluster.Config
-	alias string // the discovery's name among members; empty for its address
+	alias string // discovery's name among the members; empty for its address
 	log   *logrus.Entry
 
-	classes atomic.Pointer[[]string]
-
-	core   *core.Core
-	table  *routetable.Table
-	link   *handover.Link
-	roster *roster.Roster
-
-	gangWatcher     *gangdesk.Desk                // nil where nobody watches gangs
-	executor        atomic.Pointer[executor.Desk] // nil where no workflows are carried out
+	// Settings in force.
+	classes         atomic.Pointer[[]string] // names by their numbers
 	workflowClasses atomic.Pointer[map[string]executor.Class]
-	maxUndos        int // at once; 0 for no workflows
+	stages, paced   bool // the dispatcher rejoins by stages, and admits jobs gradually
+	dispatchers     int  // by the settings
+	maxUndos        int  // compensations at a time; 0 without workflows
+
+	// Components, set before the member opens.
+	core        *core.Core
+	table       *routetable.Table
+	link        *handover.Link
+	roster      *roster.Roster // nil where nothing is stored
+	gangWatcher *gangdesk.Desk // nil where nobody watches gangs
 
-	stages, paced bool
-	dispatchers   int
-	stalls        atomic.Int64 // standstills of the process
+	executor atomic.Pointer[executor.Desk] // nil where no workflows are executed
+	stalls   atomic.Int64                  // stalls of the process so far
 
 	mu             sync.Mutex
-	rejoin         *rejoin.Actor // nil where there are no stages, or no member yet
+	member         *cluster.Cluster // nil before it has opened, and after it has ended
+	rejoin         *rejoin.Actor    // nil without stages, or without a member
 	cancelRejoin   context.CancelFunc
-	member         *cluster.Cluster // nil before it has begun, and after it has ended
 	ended          bool
-	pendingUpdates []routetable.Update // of the time before
+	pendingUpdates []routetable.Update // of discovery, from before the member opened
 }
 
-// openPeers returns nil where the settings name nobody.
+// openPeers returns nil where the settings name no cluster. The member opens with
+// start.
 func openPeers(cfg config.Config, log *logrus.Entry) *peers {
 	s := cfg.Cluster
 	if s.Listen == "" {
@@ -67,146 +74,177 @@
 	if z := cfg.Module.Zone; z < len(cfg.Names.Zones) {
 		site = cfg.Names.Zones[z]
 	}
-	o := &peers{log: log, alias: s.Discovery, stages: s.StagedRejoin, paced: s.PacedAdmission, dispatchers: max(cfg.Module.Instances, 1), cfg: cluster.Config{Name: cfg.Name, Site: site, Build: version(), Listen: s.Listen, Advertise: s.Advertise,
-		Join: s.Join, Voters: s.Voters, Dir: s.Dir, Keep: s.WatermarkDir, Source: cmp.Or(s.Discovery, cfg.Discovery)}}
-	o.applySettings(cfg)
+	p := &peers{
+		cfg: cluster.Config{
+			Name:      cfg.Name,
+			Site:      site,
+			Build:     version(),
+			Listen:    s.Listen,
+			Advertise: s.Advertise,
+			Join:      s.Join,
+			Voters:    s.Voters,
+			Dir:       s.Dir,
+			Keep:      s.WatermarkDir,
+			Source:    cmp.Or(s.Discovery, cfg.Discovery),
+		},
+		alias:       s.Discovery,
+		log:         log,
+		stages:      s.StagedRejoin,
+		paced:       s.PacedAdmission,
+		dispatchers: max(cfg.Module.Instances, 1),
+	}
+	p.applySettings(cfg)
 	if s.Workflows {
-		o.maxUndos = s.MaxCompensations
+		p.maxUndos = s.MaxCompensations
 	}
-	return o
+	return p
 }
 
-// applySettings takes the settings in force.
-func (o *peers) applySettings(cfg config.Config) {
-	o.classes.Store(&cfg.Names.Classes)
-	o.workflowClasses.Store(workflowClasses(cfg))
+// applySettings puts a configuration in force.
+func (p *peers) applySettings(cfg config.Config) {
+	p.classes.Store(&cfg.Names.Classes)
+	p.workflowClasses.Store(workflowClasses(cfg))
 }
 
-// memberRetryInterval is how often a member's address is tried that an older process has yet.
-const memberRetryInterval = 100 * time.Millisecond
+// guardCore has the core admit jobs by stages. It must be called before the core
+// runs.
+func (p *peers) guardCore(c *core.Core, table *routetable.Table) {
+	p.core, p.table = c, table
+	if p.stages {
+		c.Guard(p.onStall)
+	}
+}
 
-// start takes part. Where an older process of this dispatcher is the member yet, it does so
-// once that has ended its part.
-func (o *peers) start(c *core.Core, table *routetable.Table, link *handover.Link, keeper *roster.Roster, held *storedState) error {
-	o.link, o.roster = link, keeper
-	signal.Ignore(syscall.SIGXFSZ) // a file that may not grow is a full disk, and no end of the dispatcher
-	if held != nil && held.loaded != nil {
-		o.cfg.Out = held.loaded.Excluded
+// start opens the member. Where an older process of this dispatcher still is the
+// member, it does so in a goroutine once that has ended its part.
+func (p *peers) start(c *core.Core, table *routetable.Table, link *handover.Link, roster *roster.Roster, stored *storedState) error {
+	p.link, p.roster = link, roster
+	signal.Ignore(syscall.SIGXFSZ) // a file at its size limit is a full disk, and no reason to end
+	if stored != nil && stored.loaded != nil {
+		p.cfg.Out = stored.loaded.Excluded
 	}
-	err := o.openMember(false)
+	err := p.openMember(false)
 	if !inUse(err) {
 		return err
 	}
-	if o.stages { // the older process stands for both meanwhile
+	if p.stages { // the older process stands for both meanwhile
 		c.SetAdmission(admission.Wide, true, 0, 0)
 	}
-	o.log.WithError(err).Warn("another process is this member; it is waited for")
-	go func() {
-		for {
-			time.Sleep(memberRetryInterval)
-			err := o.openMember(true)
-			if err == nil {
-				return
-			}
-			if !inUse(err) {
-				o.log.WithError(err).Error("the member could not begin; this dispatcher is on its own")
-				return
-			}
-		}
-	}()
+	p.log.WithError(err).Warn("another process is this member; it is waited for")
+	go p.retryMember()
 	return nil
 }
 
-// inUse tells whether an older process has what the member needs.
-func inUse(err error) bool {
-	return errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, quorum.ErrInUse)
+// retryMember tries to open the member until that succeeds or fails for good.
+func (p *peers) retryMember() {
+	for {
+		time.Sleep(memberRetryInterval)
+		err := p.openMember(true)
+		if err == nil {
+			return
+		}
+		if !inUse(err) {
+			p.log.WithError(err).Error("the member could not begin; this dispatcher is on its own")
+			return
+		}
+	}
 }
 
-// guardCore has the core come back by stages; it is called before the core runs.
-func (o *peers) guardCore(c *core.Core, table *routetable.Table) {
-	o.core, o.table = c, table
-	if o.stages {
-		c.Guard(o.onStall)
-	}
+// inUse reports whether an older process holds what the member needs.
+func inUse(err error) bool {
+	return errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, quorum.ErrInUse)
 }
 
-// onStall takes in that the process stood still. It does not block.
-func (o *peers) onStall(still time.Duration) {
-	stood := int(o.stalls.Add(1))
-	o.mu.Lock()
-	back := o.rejoin
-	o.mu.Unlock()
-	if back != nil {
-		back.Woke(still)
+// onStall handles a stall of the process. It does not block.
+func (p *peers) onStall(length time.Duration) {
+	stalls := int(p.stalls.Add(1))
+	p.mu.Lock()
+	actor := p.rejoin
+	p.mu.Unlock()
+	if actor != nil {
+		actor.Woke(length)
 		return
 	}
-	o.table.Renew(func() { o.core.SetAdmission(admission.Wide, true, 0, stood) })
+	p.table.Renew(func() { p.core.SetAdmission(admission.Wide, true, 0, stalls) })
 }
 
-// openMember opens the member. Warm is set where this process has served before.
-func (o *peers) openMember(warm bool) error {
-	o.mu.Lock()
-	ended := o.ended
-	o.mu.Unlock()
+// openMember opens the member; warm tells that this process has served before. It
+// does nothing once the part in the cluster has ended.
+func (p *peers) openMember(warm bool) error {
+	p.mu.Lock()
+	ended := p.ended
+	p.mu.Unlock()
 	if ended {
 		return nil
 	}
 	// Without the lock: the core and the table take it, and must not wait for the disk.
-	m, err := cluster.Open(o.cfg, o, o.log)
+	m, err := cluster.Open(p.cfg, p, p.log)
 	if err != nil {
 		return err
 	}
-	o.mu.Lock()
-	if o.ended {
-		o.mu.Unlock()
+	p.mu.Lock()
+	if p.ended {
+		p.mu.Unlock()
 		m.Close(false)
 		return nil
 	}
-	defer o.mu.Unlock()
-	o.member = m
-	if o.stages {
-		var ctx context.Context
-		ctx, o.cancelRejoin = context.WithCancel(context.Background())
-		back := rejoin.New(rejoin.Config{Dispatchers: o.dispatchers, Paced: o.paced, Warm: warm, Stood: int(o.stalls.Load()), Bounds: stage.Defaults()}, m, o.core, o.table, o.log)
-		o.rejoin = back
-		m.ToldBy(back.Status)
-		go back.Run(ctx)
-		o.startWorkflows(ctx, m)
-	}
-	for _, update := range o.pendingUpdates {
-		o.forwardUpdate(m, update)
-	}
-	o.pendingUpdates = nil
+	defer p.mu.Unlock()
+	p.member = m
+	if p.stages {
+		p.startRejoin(m, warm)
+	}
+	for _, update := range p.pendingUpdates {
+		p.forwardUpdate(m, update)
+	}
+	p.pendingUpdates = nil
 	return nil
 }
 
+// startRejoin starts the rejoin by stages, and workflows, which need it. The caller
+// holds the lock.
+func (p *peers) startRejoin(m *cluster.Cluster, warm bool) {
+	var ctx context.Context
+	ctx, p.cancelRejoin = context.WithCancel(context.Background())
+	p.rejoin = rejoin.New(rejoin.Config{
+		Dispatchers: p.dispatchers,
+		Paced:       p.paced,
+		Warm:        warm,
+		Stood:       int(p.stalls.Load()),
+		Bounds:      stage.Defaults(),
+	}, m, p.core, p.table, p.log)
+	m.ToldBy(p.rejoin.Status)
+	go p.rejoin.Run(ctx)
+	p.startWorkflows(ctx, m)
+}
+
 // currentMember returns the member, nil for none.
-func (o *peers) currentMember() *cluster.Cluster {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	return o.member
+func (p *peers) currentMember() *cluster.Cluster {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.member
 }
 
-// announceDrain tells the others that this process is about to end; one that was succeeded gives
-// its part to its successor at once.
-func (o *peers) announceDrain(succeeded bool) {
+// announceDrain tells the other members that this process will end. One that was
+// succeeded gives its part to its successor at once.
+func (p *peers) announceDrain(succeeded bool) {
 	if succeeded {
-		o.close(false)
-	} else if m := o.currentMember(); m != nil {
+		p.close(false)
+	} else if m := p.currentMember(); m != nil {
 		m.Drains()
 	}
 }
 
-// leave ends the part for good.
-func (o *peers) leave() { o.close(true) }
-
-func (o *peers) close(farewell bool) {
-	o.mu.Lock()
-	m, end := o.member, o.cancelRejoin
-	o.member, o.rejoin, o.ended = nil, nil, true
-	o.mu.Unlock()
-	if end != nil {
-		end()
+// leave ends the part in the cluster for good.
+func (p *peers) leave() { p.close(true) }
+
+// close ends the member; farewell tells the other members that it will not come back.
+func (p *peers) close(farewell bool) {
+	p.mu.Lock()
+	m, cancel := p.member, p.cancelRejoin
+	p.member, p.rejoin, p.ended = nil, nil, true
+	p.mu.Unlock()
+	if cancel != nil {
+		cancel()
 	}
 	if m != nil {
 		m.Close(farewell)
--- /dev/null
+++ b/cmd/frosttide/shutdown.go
@@ -0,0 +1,68 @@
+package main
+
+import (
+	"context"
+	"time"
+
+	"frosttide/internal/dispatcher/config"
+)
+
+const (
+	// lingerTime is how long after SIGTERM clients may keep their connections: the
+	// platform's front goes on sending new ones for a while, and the next dispatcher's
+	// restart may begin before the last one is back, so that there is nowhere else to
+	// go.
+	lingerTime = 2 * time.Second
+	// The platform ends the process no earlier than the longest client timeout, or
+	// maxGrace if that is shorter, and graceMargin after SIGTERM. Every open request
+	// has its response answerMargin before that.
+	maxGrace     = 3 * time.Second
+	graceMargin  = 700 * time.Millisecond
+	answerMargin = 300 * time.Millisecond
+	// closeMargin is how long before the last response connections are closed that
+	// clients have not used since a newer process took over.
+	closeMargin = 600 * time.Millisecond
+)
+
+// shutdownGrace returns how long the process has to itself after SIGTERM.
+func shutdownGrace(cfg config.Config) time.Duration {
+	var longest time.Duration
+	for i, class := range cfg.Module.Classes {
+		if !cfg.RemovedClasses[i] {
+			longest = max(longest, class.ClientTimeout)
+		}
+	}
+	return min(longest, maxGrace) + graceMargin
+}
+
+// drain ends the service: it hands everything over to a newer process, or lets
+// clients find another dispatcher, and returns when every request has its response
+// and the state is stored.
+func (p *process) drain(ctx context.Context) error {
+	deadline := time.Now().Add(time.Duration(p.grace.Load()) - answerMargin)
+	if p.peers != nil {
+		p.peers.announceDrain(p.link.Succeeded())
+	}
+	if p.gearman != nil {
+		p.gearman.Leave(deadline)
+	}
+	if p.link.Succeeded() {
+		p.listener.Close()
+		p.front.HandOver(deadline.Add(-closeMargin))
+		p.front.StopBy(deadline)
+	} else {
+		p.front.StopBy(deadline)
+		time.Sleep(lingerTime)
+	}
+	if err := p.front.Drain(ctx); err != nil {
+		return err
+	}
+	if p.gearman != nil {
+		p.gearman.drain(deadline)
+	}
+	if p.roster != nil {
+		p.roster.Close(time.Now().Add(finalSaveTimeout))
+	}
+	p.log.Info("frosttide has answered everything and ends")
+	return nil
+}
--- a/cmd/frosttide/storedstate.go
+++ b/cmd/frosttide/storedstate.go
@@ -5,6 +5,7 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 
 	"frosttide/internal/dispatcher/config"
@@ -18,38 +19,38 @@
 )
 
 const (
-	// finalSaveTimeout is how long the last state may take at the process's end; with what
-	// telemetry may take it stays within lead.
+	// finalSaveTimeout is how long storing the last state may take at the end of the
+	// process. With the time of telemetry it stays within answerMargin.
 	finalSaveTimeout = 200 * time.Millisecond
-	// outageTime is how long discovery has to be away for its next list to be doubted, and
-	// askRate how many runners a dispatcher asks in a second.
+	// outageTime is how long discovery has to be away for its next list to be doubted.
 	outageTime = 5 * time.Second
-	probeRate  = 100
-	// probeTimeout is how long a runner that is asked may take beside its connect timeout.
+	// probeRate is how many workers a dispatcher probes in a second.
+	probeRate = 100
+	// probeTimeout is how long a probed worker may take beside its connect timeout.
 	probeTimeout = 500 * time.Millisecond
 )
 
-// storedState is what is kept on disk of the runners.
+// storedState is what is stored on disk of the workers.
 type storedState struct {
 	log    *logrus.Entry
 	dir    *rosterstore.Dir
-	loaded *rosterstore.Snapshot
+	loaded *rosterstore.Snapshot // nil for none
 	writer *rosterstore.Writer
 
-	classes atomic.Pointer[[]string]
+	classes atomic.Pointer[[]string] // names of the classes in force, by their numbers
 }
 
-// openState reads what is kept. What can't be read is said and passed over; only a folder
-// that can't be one ends the start.
+// openState reads what is stored. It logs and ignores a list that can't be read, and
+// fails only for a folder that can't be used.
 func openState(cfg config.Config, log *logrus.Entry) (*storedState, error) {
 	dir, err := rosterstore.Open(cfg.State.Dir, cfg.Name, int(cfg.State.Generations))
 	if err != nil {
-		return nil, fmt.Errorf("configuration: state.dir: %w", err)
+		return nil, errors.Wrap(err, "configuration: state.dir")
 	}
 	s := &storedState{log: log, dir: dir}
 	s.classes.Store(&cfg.Names.Classes)
-	s.loaded, err = dir.Load(func(file string, why error) {
-		log.WithError(why).WithField("file", file).Warn("a stored list is passed over")
+	s.loaded, err = dir.Load(func(file string, reason error) {
+		log.WithError(reason).WithField("file", file).Warn("a stored list is passed over")
 	})
 	if err != nil {
 		log.WithError(err).Warn("no stored list can be read")
@@ -58,8 +59,8 @@
 	return s, nil
 }
 
-// applyMeanRunTimes tells the module how long jobs of each class ran before. Without it a class
-// counts as long as its objective, and cold runners get none of it until they are warm.
+// applyMeanRunTimes sets how long jobs of each class ran before. Without it a class
+// counts as long as its objective, and warming workers get none of its jobs.
 func (s *storedState) applyMeanRunTimes(cfg *config.Config) {
 	if s.loaded == nil {
 		return
@@ -71,46 +72,62 @@
 	}
 }
 
-// newRoster makes the actor and ties it to the core and the figures.
+// newRoster makes the roster, and connects it to the core and the figures.
 func (s *storedState) newRoster(cfg config.Config, c *core.Core, table *routetable.Table, counts *telemetry.Counts) *roster.Roster {
-	of := rosterConfig(cfg)
-	of.Classes = func() []string { return *s.classes.Load() }
-	k := roster.New(of, c, table, roster.NewHTTPProber(cfg.Module.Limits.ProbeAllowed), s.writer, table.Parse, s.log)
-	c.SetWorkerObserver(k)
+	rosterCfg := rosterConfig(cfg)
+	rosterCfg.Classes = func() []string { return *s.classes.Load() }
+	r := roster.New(rosterCfg, c, table, roster.NewHTTPProber(cfg.Module.Limits.ProbeAllowed), s.writer, table.Parse, s.log)
+	c.SetWorkerObserver(r)
 	counts.Stored(func() (time.Duration, int, int) {
-		now := k.Status()
-		return now.Age, now.Used, now.Withheld
+		status := r.Status()
+		return status.Age, status.Used, status.Withheld
 	})
-	return k
+	return r
 }
 
-// start hands over what was kept, unless an older process has told what it knows itself.
-func (s *storedState) start(k *roster.Roster, older handover.State, seed uint64) {
+// start passes the stored list to the roster, unless an older process has passed its
+// own.
+func (s *storedState) start(r *roster.Roster, older handover.State, seed uint64) {
 	if len(older.List) > 0 && older.HasMembers() {
-		k.LoadStored(nil, seed)
+		r.LoadStored(nil, seed)
 		return
 	}
-	k.LoadStored(s.loaded, seed)
+	r.LoadStored(s.loaded, seed)
 }
 
+// rosterConfig returns the roster's settings.
 func rosterConfig(cfg config.Config) roster.Config {
 	zone := ""
 	if z := cfg.Module.Zone; z < len(cfg.Names.Zones) {
 		zone = cfg.Names.Zones[z]
 	}
-	return roster.Config{Name: cfg.Name, WriteInterval: cfg.State.WriteInterval, ProbeTimeout: cfg.Module.Limits.ConnectTimeout + probeTimeout,
-		Policy: rosterpolicy.Config{Fresh: cfg.State.Fresh, Old: cfg.State.Old, Max: cfg.State.Max, Zone: zone, ProbeRate: probeRate,
-			Number: cfg.Module.Instance, Dispatchers: max(cfg.Module.Instances, 1), Outage: outageTime,
-			MaxMissing: cfg.State.MaxMissing, DoubtTimeout: cfg.State.DoubtTimeout, WarmUp: cfg.Module.Rules.WarmUp}}
+	return roster.Config{
+		Name:          cfg.Name,
+		WriteInterval: cfg.State.WriteInterval,
+		ProbeTimeout:  cfg.Module.Limits.ConnectTimeout + probeTimeout,
+		Policy: rosterpolicy.Config{
+			Fresh:        cfg.State.Fresh,
+			Old:          cfg.State.Old,
+			Max:          cfg.State.Max,
+			Zone:         zone,
+			ProbeRate:    probeRate,
+			Number:       cfg.Module.Instance,
+			Dispatchers:  max(cfg.Module.Instances, 1),
+			Outage:       outageTime,
+			MaxMissing:   cfg.State.MaxMissing,
+			DoubtTimeout: cfg.State.DoubtTimeout,
+			WarmUp:       cfg.Module.Rules.WarmUp,
+		},
+	}
 }
 
-// storedListNote tells operators what the process serves from; nothing while that is
-// discovery's list.
-func storedListNote(k *roster.Roster) string {
-	if k == nil {
+// storedListNote tells operators that the process serves from a stored list. It is
+// empty while that is discovery's list, and without a roster.
+func storedListNote(r *roster.Roster) string {
+	if r == nil {
 		return ""
 	}
-	s := k.Status()
+	s := r.Status()
 	if !s.Stored {
 		return ""
 	}
--- a/cmd/frosttide/workflows.go
+++ b/cmd/frosttide/workflows.go
@@ -11,54 +11,58 @@
 	"frosttide/internal/dispatcher/fleet/workflow/executor"
 )
 
-// currentExecutor returns who carries workflows out, nil for nobody.
-func (o *peers) currentExecutor() *executor.Desk {
-	if o == nil {
+// currentExecutor returns the executor of workflows, nil for none. It may be called
+// on nil.
+func (p *peers) currentExecutor() *executor.Desk {
+	if p == nil {
 		return nil
 	}
-	return o.executor.Load()
+	return p.executor.Load()
 }
 
-// workflowClasses returns what workflows have to know of the classes.
+// workflowClasses returns what workflows have to know of the classes, by name.
 func workflowClasses(cfg config.Config) *map[string]executor.Class {
-	out := map[string]executor.Class{}
+	classes := map[string]executor.Class{}
 	for i, name := range cfg.Names.Classes {
 		if c := cfg.Module.Classes[i]; i >= len(cfg.RemovedClasses) || !cfg.RemovedClasses[i] {
-			out[name] = executor.Class{Number: i, GiveUp: c.ClientTimeout, Unsafe: c.Effect == decision.Unsafe}
+			classes[name] = executor.Class{Number: i, GiveUp: c.ClientTimeout, Unsafe: c.Effect == decision.Unsafe}
 		}
 	}
-	return &out
+	return &classes
 }
 
-// startWorkflows has workflows carried out by a member, until the context ends.
-func (o *peers) startWorkflows(ctx context.Context, m *cluster.Cluster) {
-	if o.maxUndos == 0 {
+// startWorkflows starts the executor of workflows of a member, if the settings have
+// workflows. Its goroutine ends with the context.
+func (p *peers) startWorkflows(ctx context.Context, m *cluster.Cluster) {
+	if p.maxUndos == 0 {
 		return
 	}
-	d := executor.New(executor.Config{Name: o.cfg.Name, AtOnce: o.maxUndos, Class: func(name string) (executor.Class, bool) {
-		c, ok := (*o.workflowClasses.Load())[name]
+	class := func(name string) (executor.Class, bool) {
+		c, ok := (*p.workflowClasses.Load())[name]
 		return c, ok
-	}}, m, o.core, o.log.WithField("part", "workflow"))
-	o.executor.Store(d)
+	}
+	e := executor.New(executor.Config{Name: p.cfg.Name, AtOnce: p.maxUndos, Class: class}, m, p.core, p.log.WithField("part", "workflow"))
+	p.executor.Store(e)
 	go func() {
-		d.Run(ctx)
-		o.executor.CompareAndSwap(d, nil)
+		e.Run(ctx)
+		p.executor.CompareAndSwap(e, nil)
 	}()
 }
 
-// fleetHandler answers about workflows and gangs.
-func fleetHandler(flows, gangs http.Handler) http.Handler {
+// workHandler answers operators' calls about workflows and gangs.
+func workHandler(workflows, gangs http.Handler) http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/api/workflow", flows)
-	mux.Handle("/api/workflow/", flows)
+	mux.Handle("/api/workflow", workflows)
+	mux.Handle("/api/workflow/", workflows)
 	mux.Handle("GET /api/gang", gangs)
 	return mux
 }
 
-// clusterTime is the time as members have it; without any, the machine's.
-func (o *peers) clusterTime() time.Duration {
-	if o != nil {
-		if m := o.currentMember(); m != nil {
+// clusterTime returns the members' time since 1970; without a member, the machine's.
+// It may be called on nil.
+func (p *peers) clusterTime() time.Duration {
+	if p != nil {
+		if m := p.currentMember(); m != nil {
 			return m.Now()
 		}
 	}
--- a/internal/dispatcher/console/console.go
+++ b/internal/dispatcher/console/console.go
@@ -1,6 +1,10 @@
-// Package console is the operators' front: an HTTP server at an address of its own
-// that tells whether the process is ready and its figures, leaves runners out and puts
-// them back. It takes one call per connection.
+// Package console is the operators' HTTP server, at an address of its own. It tells
+// whether the process is ready, returns its figures, and excludes and reinstates
+// workers. It takes one call per connection. cmd/frosttide makes one Console and
+// runs it.
+//
+// At most Sockets descriptors are open, whatever callers do. All methods are safe
+// for concurrent use.
 package console
 
 import (
@@ -18,28 +22,39 @@
 )
 
 const (
-	// Sockets is how many descriptors the console uses at most, its listener's too.
+	// Sockets is the largest number of descriptors that the console uses, its
+	// listener's included.
 	Sockets    = maxCallers + 1
 	maxCallers = 7
-	// requestTimeout is how long a call may take to arrive: whoever makes one waits 1 s.
+	// requestTimeout is how long a call may take to arrive. Callers wait for 1 s.
 	requestTimeout = 1500 * time.Millisecond
-	// operationTimeout is how long a call may take to be done, and tellTime how much later the
-	// caller hears that it was not: within 1 s in all.
+	// operationTimeout is how long a call may take to be executed, and responseMargin
+	// how much later its caller learns that it was not: within 1 s in all.
 	operationTimeout = 600 * time.Millisecond
 	responseMargin   = 150 * time.Millisecond
-	// maxCall bounds the body of a call.
+	// maxCall bounds the body of a call, in bytes.
 	maxCall = 4 << 10
 )
 
+// ErrUnknown is the error of a call on a worker that nobody has.
+var ErrUnknown = errors.New("no runner has this id")
+
 // Core does what operators ask for.
 type Core interface {
-	// Exclude leaves a runner out, or puts it back. Done is told ErrUnknown where nobody has
-	// the runner, and another error where it is not done; it may come after the deadline.
-	Exclude(uid string, out bool, by time.Time, done func(error))
+	// Exclude excludes a worker, or reinstates it with out false. It calls done with
+	// nil, with ErrUnknown, or with why it was not done, possibly after the deadline.
+	Exclude(uid string, out bool, deadline time.Time, done func(error))
 }
 
-// ErrUnknown is told of a runner that nobody has.
-var ErrUnknown = errors.New("no runner has this id")
+// Handlers answer the calls that the console passes on.
+type Handlers struct {
+	// Ready reports whether the process serves, and then what operators should know
+	// of it.
+	Ready   func() (ready bool, note string)
+	Figures http.Handler // the figures of the process
+	Cluster http.Handler // the cluster; nil without one
+	Work    http.Handler // workflows and gangs
+}
 
 // Console is the server of operators.
 type Console struct {
@@ -48,45 +63,53 @@
 	log    *logrus.Entry
 }
 
-// New makes a console. Ready tells whether the process serves, and what operators should
-// know of it then; figures writes its figures; cluster answers what is asked of the other
-// dispatchers, nil where there are none; work answers about workflows and gangs.
-func New(core Core, ready func() (yes bool, note string), figures, cluster, work http.Handler, log *logrus.Entry) *Console {
+// New makes a console that does not serve yet.
+func New(core Core, handlers Handlers, log *logrus.Entry) *Console {
 	c := &Console{core: core, log: log}
+	c.server = &http.Server{
+		Handler:        c.routes(handlers),
+		ReadTimeout:    requestTimeout,
+		WriteTimeout:   2 * requestTimeout,
+		MaxHeaderBytes: 4 << 10,
+		ErrorLog:       stdlog.New(log.WriterLevel(logrus.DebugLevel), "", 0),
+	}
+	c.server.SetKeepAlivesEnabled(false)
+	return c
+}
+
+// routes returns the handler of all calls.
+func (c *Console) routes(handlers Handlers) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/ready", func(w http.ResponseWriter, _ *http.Request) {
-		yes, note := ready()
-		if !yes {
+		ready, note := handlers.Ready()
+		if !ready {
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
-		_, _ = io.WriteString(w, note) // a caller that has left hears nothing
+		_, _ = io.WriteString(w, note) // a caller that has left needs no error
 	})
-	mux.Handle("GET /api/telemetry", figures)
+	mux.Handle("GET /api/telemetry", handlers.Figures)
 	for _, path := range []string{"/api/workflow", "/api/workflow/", "/api/gang"} {
-		mux.Handle(path, work)
+		mux.Handle(path, handlers.Work)
 	}
-	if cluster != nil {
-		mux.Handle("/api/cluster", cluster)
-		mux.Handle("/api/cluster/", cluster)
+	if handlers.Cluster != nil {
+		mux.Handle("/api/cluster", handlers.Cluster)
+		mux.Handle("/api/cluster/", handlers.Cluster)
 	}
 	mux.HandleFunc("PUT /api/exclude", func(w http.ResponseWriter, r *http.Request) { c.exclude(w, r, true) })
 	mux.HandleFunc("PUT /api/include", func(w http.ResponseWriter, r *http.Request) { c.exclude(w, r, false) })
-	c.server = &http.Server{Handler: mux, ReadTimeout: requestTimeout, WriteTimeout: 2 * requestTimeout, MaxHeaderBytes: 4 << 10,
-		ErrorLog: stdlog.New(log.WriterLevel(logrus.DebugLevel), "", 0)}
-	c.server.SetKeepAlivesEnabled(false)
-	return c
+	return mux
 }
 
-// Serve answers until the listener is closed.
+// Serve serves until the listener is closed.
 func (c *Console) Serve(l net.Listener) {
 	err := c.server.Serve(&callerListener{Listener: neterr.Listener{Listener: l}})
 	c.log.WithError(err).Debug("console closed")
 }
 
-// exclude has a runner left out, or put back.
+// exclude executes a call that excludes a worker, or reinstates it with out false.
 func (c *Console) exclude(w http.ResponseWriter, r *http.Request, out bool) {
-	by := time.Now().Add(operationTimeout)
+	deadline := time.Now().Add(operationTimeout)
 	var call struct {
 		Host string `json:"host"`
 	}
@@ -99,8 +122,8 @@
 		return
 	}
 	result := make(chan error, 1)
-	c.core.Exclude(call.Host, out, by, func(err error) { result <- err })
-	timer := time.NewTimer(time.Until(by.Add(responseMargin)))
+	c.core.Exclude(call.Host, out, deadline, func(err error) { result <- err })
+	timer := time.NewTimer(time.Until(deadline.Add(responseMargin)))
 	defer timer.Stop()
 	select {
 	case err := <-result:
--- a/internal/dispatcher/console/listener.go
+++ b/internal/dispatcher/console/listener.go
@@ -6,36 +6,36 @@
 	"sync"
 )
 
-// callerListener is the console's listener. It takes every caller at once and bounds their
-// number: past it the one that came first gives up its place. Guards against callers
-// that connect and say nothing: a call is answered in milliseconds, so the first of
-// many is one of those.
+// callerListener accepts every caller at once and bounds their number: past
+// maxCallers it closes the connection of the one that came first. A call is answered
+// in milliseconds, so the first of many is one that connected and sent nothing.
 type callerListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open list.List // of *caller, the first first
+	open list.List // of *caller, in the order of their coming
 }
 
-func (d *callerListener) Accept() (net.Conn, error) {
-	c, err := d.Listener.Accept()
+// Accept implements net.Listener.
+func (l *callerListener) Accept() (net.Conn, error) {
+	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	accepted := &caller{Conn: c, listener: d}
+	accepted := &caller{Conn: c, listener: l}
 	var oldest *caller
-	d.mu.Lock()
-	accepted.element = d.open.PushBack(accepted)
-	if d.open.Len() > maxCallers {
-		oldest = d.open.Front().Value.(*caller)
+	l.mu.Lock()
+	accepted.element = l.open.PushBack(accepted)
+	if l.open.Len() > maxCallers {
+		oldest = l.open.Front().Value.(*caller)
 	}
-	d.mu.Unlock()
+	l.mu.Unlock()
 	if oldest != nil {
 		oldest.Close()
 	}
 	return accepted, nil
 }
 
-// caller is a connection of the console. Its place is given back when it is closed.
+// caller is a connection of the console. It gives its place back when it is closed.
 type caller struct {
 	net.Conn
 	listener *callerListener
@@ -43,6 +43,7 @@
 	once     sync.Once
 }
 
+// Close implements net.Conn.
 func (c *caller) Close() error {
 	c.once.Do(func() {
 		c.listener.mu.Lock()
