--- a/internal/dispatcher/routetable/older.go
+++ b/internal/dispatcher/routetable/relocation.go
@@ -9,27 +9,28 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// A discovery that a reload names may lag behind the one before: its first lists are older, and
-// runners that drain or have gone by what was told before stand there as serving. What was told
-// counts, so those stay drained until the new one has come as far, tells of another start, or has
-// had the time in which all that there is counts as told.
+// A discovery that a reload names may lag behind the previous one: its first updates are older and list runners as
+// serving that the previous one had drained or removed. Such a runner stays drained until the new discovery has
+// reached the version of the previous one, reports a later start of the runner, or has had the time within which
+// everything counts as notified.
 
-// previousDiscoveryTimeout is how long the new discovery may lag.
+// previousDiscoveryTimeout is how long the drains of the previous discovery have effect at most.
 const previousDiscoveryTimeout = freshness.MoveNotifiedWithin + freshness.NotifiedWithin
 
-// maxDrainedRunners bounds the runners that are remembered as drained or gone; past it all are forgotten.
+// maxDrainedRunners bounds the runners that are remembered as drained or removed. Past it all are forgotten, which
+// costs no more than the protection that this file gives.
 const maxDrainedRunners = 8192
 
-// drainedRunners is what was told of runners that get no new work, by uid: their last starts.
+// drainedRunners holds the start times, since 1970, of runners that are drained or removed, by uid.
 type drainedRunners map[string]time.Duration
 
-// previousDiscovery is what the discovery before had told when it was left.
+// previousDiscovery is the state of the previous discovery when the address changed.
 type previousDiscovery struct {
 	version uint64
 	drained drainedRunners
 }
 
-// record takes note of a route that discovery has told.
+// record records the state of a route that discovery has sent.
 func (d drainedRunners) record(r core.Route) {
 	if r.State == decision.Ready {
 		delete(d, r.UID)
@@ -41,13 +42,14 @@
 	d[r.UID] = r.StartedAt
 }
 
-// keepPreviousDiscovery takes in that discovery is another from now on.
+// keepPreviousDiscovery keeps the state of a discovery whose address is about to change. The context is that of the
+// calls to the new address.
 func (t *Table) keepPreviousDiscovery(callsContext context.Context) {
 	if !t.versionKnown || t.pushed {
-		return // its versions say nothing, or an agent's that count for itself
+		return // versions that are unknown, or an agent's own, can't be compared with another discovery's
 	}
 	previous := &previousDiscovery{version: t.version, drained: t.drained}
-	if t.previous != nil { // that one had not caught up either
+	if t.previous != nil { // the discovery that is left had not caught up with its own predecessor
 		previous.version = max(previous.version, t.previous.version)
 		for uid, startedAt := range t.previous.drained {
 			previous.drained[uid] = max(previous.drained[uid], startedAt)
@@ -63,17 +65,17 @@
 	})
 }
 
-// drainedByPrevious tells whether a route that the new discovery lists as serving is drained by what the one
-// before told later.
-func (t *Table) drainedByPrevious(rev uint64, r core.Route) bool {
-	if t.previous == nil || r.State != decision.Ready || rev >= t.previous.version {
+// drainedByPrevious reports whether a route that discovery lists as serving, in an update of a version, is of a
+// runner that the previous discovery has drained or removed later than that.
+func (t *Table) drainedByPrevious(version uint64, r core.Route) bool {
+	if t.previous == nil || r.State != decision.Ready || version >= t.previous.version {
 		return false
 	}
 	startedAt, drained := t.previous.drained[r.UID]
 	return drained && r.StartedAt <= startedAt
 }
 
-// dropPreviousDiscovery takes the new discovery at its word from now on.
+// dropPreviousDiscovery lets the new discovery's entries have effect as they are from now on.
 func (t *Table) dropPreviousDiscovery() {
 	if t.previous == nil {
 		return
--- a/internal/dispatcher/routetable/routetable_test.go
+++ b/internal/dispatcher/routetable/routetable_test.go
@@ -18,45 +18,48 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// sink takes down what the table tells.
+// sink counts what the table passes to it.
 type sink struct{ replaced, changed, failed int }
 
 func (s *sink) RoutesReplaced([]core.Route) { s.replaced++ }
 func (s *sink) RoutesChanged([]core.Route)  { s.changed++ }
 func (s *sink) DiscoveryFailed()            { s.failed++ }
 
+// quiet returns a log that writes nothing.
 func quiet() *logrus.Entry {
 	log := logrus.New()
 	log.SetLevel(logrus.PanicLevel)
 	return logrus.NewEntry(log)
 }
 
-// TestRetryInterval guards the rule on drains against an agent that is away for a moment, and the
-// machine against calls without end: the wait grows to an eighth of the grace and no further.
+// TestRetryInterval has the interval between calls to an agent grow to an eighth of the drain grace and no further: an
+// agent that is down for a moment is called in time for drains, and one that is down for long not without a pause.
 func TestRetryInterval(t *testing.T) {
 	for _, tc := range []struct {
+		name                  string
 		grace, first, longest time.Duration
 	}{
-		{400 * time.Millisecond, minRetryInterval, 50 * time.Millisecond},
-		{500 * time.Millisecond, minRetryInterval, 62500 * time.Microsecond},
-		{0, minRetryInterval, minRetryInterval},
-		{time.Hour, minRetryInterval, maxRetryInterval},
-		{math.MaxInt64, minRetryInterval, maxRetryInterval},
+		{"400 ms", 400 * time.Millisecond, minRetryInterval, 50 * time.Millisecond},
+		{"500 ms", 500 * time.Millisecond, minRetryInterval, 62500 * time.Microsecond},
+		{"none", 0, minRetryInterval, minRetryInterval},
+		{"an hour", time.Hour, minRetryInterval, maxRetryInterval},
+		{"no end", math.MaxInt64, minRetryInterval, maxRetryInterval},
 	} {
-		table := New(Config{Addr: "127.0.0.1:1", Pushed: true, DrainGrace: tc.grace}, quiet())
-		var waits []time.Duration
-		for table.failures = 0; table.failures < 40; table.failures++ {
-			waits = append(waits, table.retryInterval())
-		}
-		if diff := cmp.Diff([]time.Duration{tc.first, tc.longest}, []time.Duration{waits[0], waits[39]}); diff != "" {
-			t.Errorf("grace %v: first and longest wait (-want +got):\n%s", tc.grace, diff)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			table := New(Config{Addr: "127.0.0.1:1", Pushed: true, DrainGrace: tc.grace}, quiet())
+			var intervals []time.Duration
+			for table.failures = 0; table.failures < 40; table.failures++ {
+				intervals = append(intervals, table.retryInterval())
+			}
+			if diff := cmp.Diff([]time.Duration{tc.first, tc.longest}, []time.Duration{intervals[0], intervals[39]}); diff != "" {
+				t.Errorf("first and longest interval (-want +got):\n%s", diff)
+			}
+		})
 	}
 }
 
-// TestRetriesAfterFailedCall guards rule 3 where discovery was down: after a call that failed the table asks
-// again by itself, within the time after which what it missed counts as told, however many
-// dispatchers there are and whatever the module would wait.
+// TestRetriesAfterFailedCall has the table call again by itself after a failed call, before what that has missed counts
+// as notified, however many dispatchers there are.
 func TestRetriesAfterFailedCall(t *testing.T) {
 	calls := make(chan time.Time, 16)
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -75,14 +78,14 @@
 	select {
 	case at := <-calls:
 		if wait := at.Sub(first); wait > freshness.NotifiedWithin+500*time.Millisecond {
-			t.Errorf("asked again %v after a call that failed", wait)
+			t.Errorf("called again %v after a failed call", wait)
 		}
 	case <-time.After(2 * freshness.NotifiedWithin):
-		t.Error("not asked again")
+		t.Error("not called again")
 	}
 }
 
-// FuzzUpdate has no text from discovery end the program or be taken for a list half.
+// FuzzUpdate has any text of discovery's applied completely or not at all.
 func FuzzUpdate(f *testing.F) {
 	f.Add([]byte(`{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:1","az":"a","model":"m","pod_group":3,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}]}`))
 	f.Add([]byte(`{"rev":43,"all":false,"targets":[{"uid":"s-1","state":"DELETED"}]}`))
@@ -93,7 +96,7 @@
 		table.sink = s
 		taken := table.applyText(text)
 		if updates := s.replaced + s.changed; taken != (updates == 1) || updates > 1 {
-			t.Errorf("read: %v, told %d times", taken, updates)
+			t.Errorf("read: %v, passed on %d times", taken, updates)
 		}
 		if !taken && (len(table.entries) > 0 || table.version != 0) {
 			t.Error("what could not be read left something behind")
@@ -101,9 +104,8 @@
 	})
 }
 
-// TestGossipedEntries guards rule 3 among dispatchers: a drain that another's discovery has told
-// counts until ours has come as far, an older word than ours changes nothing, and versions
-// that begin anew end all that was heard.
+// TestGossipedEntries has a drain that another member's discovery has sent take effect until this dispatcher's has reached
+// its version, an older entry have none, and versions that count anew end all gossiped entries.
 func TestGossipedEntries(t *testing.T) {
 	entry := func(state string) string {
 		return `{"uid":"s-1","endpoint":"127.0.0.1:1","az":"a","model":"m","state":"` + state + `"}`
@@ -141,12 +143,12 @@
 		}
 	}
 	if work(); sink.last != decision.Removed {
-		t.Errorf("a word from this discovery does not count: %d", sink.last)
+		t.Errorf("an entry of this discovery has no effect: state %d", sink.last)
 	}
 	table.SetAddress("127.0.0.1:2")
 	work()
 	if table.applyText(update(1, true, "SERVING")); sink.last != decision.Ready {
-		t.Errorf("after a move a word about the old discovery counts: %d", sink.last)
+		t.Errorf("after a move an entry of the old discovery has effect: state %d", sink.last)
 	}
 	if len(table.gossiped) > 0 {
 		t.Errorf("still held: %v", table.gossiped)
@@ -157,15 +159,15 @@
 			resets++
 		}
 		if len(x.Entries) != 1 || x.Entries[0].State != decision.Ready {
-			t.Errorf("told of %+v, want what discovery said and nothing heard", x)
+			t.Errorf("passed on %+v, want what discovery sent and nothing gossiped", x)
 		}
 	}
 	if resets != 1 || len(updates) != 7 {
-		t.Errorf("told %d times, %d of them that versions begin anew", len(updates), resets)
+		t.Errorf("passed on %d times, %d of them with a version reset", len(updates), resets)
 	}
 }
 
-// states remembers how the last runner told of is.
+// states records the state of the last route that the table passes to it.
 type states struct{ last decision.MemberState }
 
 func (s *states) RoutesReplaced(r []core.Route) { s.RoutesChanged(r) }
--- a/internal/dispatcher/routetable/stream/stream.go
+++ b/internal/dispatcher/routetable/stream/stream.go
@@ -1,6 +1,6 @@
-// Package stream reads what discovery answers: JSON objects one after another, in any
-// layout, on one line or over many. It reads by the library's decoder as the bytes come and
-// holds one object at a time.
+// Package stream reads discovery's responses: JSON objects one after another, in any layout, each on one line or
+// over many. Package routetable uses it for responses and for lists that were kept as text. It decodes as bytes
+// arrive and holds one object at a time. A Reader is for one goroutine.
 package stream
 
 import (
@@ -11,61 +11,62 @@
 	"io"
 )
 
-// MaxObject bounds one object in bytes: a whole list of 10,000 runners, indented, with room
-// to spare. Past it the call fails. What nests more than 10,000 deep fails in the decoder.
+// MaxObject bounds one object in bytes: an indented list of 10,000 runners fits with a margin. The decoder itself
+// bounds the nesting to 10,000 levels.
 const MaxObject = 8 << 20
 
-// ErrTooLarge tells that an object is larger than MaxObject.
+// ErrTooLarge is returned for an object that is larger than MaxObject.
 var ErrTooLarge = errors.New("an object of the list is larger than 8 MiB")
 
-// TruncatedError is the error of an answer that broke within an object: a change may be lost with it.
+// TruncatedError is the error of a response that broke off within an object, with which a change may be lost.
 type TruncatedError struct{ error }
 
-// Unwrap returns what broke it.
-func (c TruncatedError) Unwrap() error { return c.error }
+// Unwrap returns the error that broke the response off.
+func (e TruncatedError) Unwrap() error { return e.error }
 
-// Reader reads the objects of one answer.
+// Reader reads the objects of one response.
 type Reader struct {
 	decoder *json.Decoder
 	in      *boundedReader
 }
 
-// New reads from an answer; some is told of all that comes, and whether that was an empty
-// line between two objects and nothing else. Guards a list that comes in pieces from being
-// broken off: the next call would bring it no faster.
+// New makes a reader of a response. It calls onBytes with each read that brings bytes, so that a list that arrives
+// slowly is not taken for a broken connection; heartbeat reports that these bytes are white space between two
+// objects and nothing else.
 func New(response io.Reader, onBytes func(heartbeat bool)) *Reader {
 	in := &boundedReader{from: response, onBytes: onBytes}
 	return &Reader{decoder: json.NewDecoder(in), in: in}
 }
 
-// Next reads the next object into v. It returns io.EOF where the answer ends between two
-// objects. After any other error nothing more can be read: an object that is cut, or
-// garbage, costs the rest of the answer and no more, and v is not to be used.
-func (o *Reader) Next(v any) error {
-	o.in.limit = o.decoder.InputOffset() + MaxObject
-	ahead, _ := io.ReadAll(o.decoder.Buffered()) // of memory
-	o.in.partial = len(bytes.TrimSpace(ahead)) > 0
-	err := o.decoder.Decode(v)
+// Next reads the next object into v. It returns io.EOF if the response ends between two objects, and a
+// TruncatedError if it breaks off within one. After any error nothing more can be read and v must not be used;
+// objects that were read before are not affected.
+func (r *Reader) Next(v any) error {
+	r.in.limit = r.decoder.InputOffset() + MaxObject
+	buffered, _ := io.ReadAll(r.decoder.Buffered()) // can't fail: it reads memory
+	r.in.partial = len(bytes.TrimSpace(buffered)) > 0
+	err := r.decoder.Decode(v)
 	switch {
 	case err == nil || errors.Is(err, io.EOF):
 		return err
 	case errors.Is(err, io.ErrUnexpectedEOF):
 		return TruncatedError{errors.New("the answer ends within an object")}
-	case o.in.partial:
+	case r.in.partial:
 		return TruncatedError{fmt.Errorf("reading an object: %w", err)}
 	}
 	return fmt.Errorf("reading an object: %w", err)
 }
 
-// boundedReader reads up to a place in the answer.
+// boundedReader reads the response up to a limit, which Next moves on with each object.
 type boundedReader struct {
 	from    io.Reader
 	onBytes func(heartbeat bool)
-	read    int64
-	limit   int64
-	partial bool // a part of the next object has come
+	read    int64 // bytes read so far
+	limit   int64 // bytes of the response that may be read
+	partial bool  // a part of the next object has been read
 }
 
+// Read reads as io.Reader says, and fails with ErrTooLarge at the limit.
 func (b *boundedReader) Read(p []byte) (int, error) {
 	if b.read >= b.limit {
 		return 0, ErrTooLarge
--- a/internal/dispatcher/routetable/stream/stream_test.go
+++ b/internal/dispatcher/routetable/stream/stream_test.go
@@ -14,7 +14,7 @@
 	Rev *int `json:"rev"`
 }
 
-// read returns the versions in an answer, and how it ended.
+// read returns the versions in a response, the number of heartbeats, and the error at the end.
 func read(in io.Reader) (revs []int, heartbeats int, err error) {
 	o := New(in, func(heartbeat bool) {
 		if heartbeat {
@@ -32,8 +32,8 @@
 	}
 }
 
-// TestLayouts has objects read whatever their layout, in pieces of any size, and what can't
-// be read cost what comes behind it and nothing that came before.
+// TestLayouts has objects read in any layout and in reads of any size, and an object that can't be read cost those after
+// it and none before.
 func TestLayouts(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
@@ -44,10 +44,10 @@
 		{"indented", "{\n    \"rev\": 1,\n    \"targets\": [\n        {\n        }\n    ]\n}\n\n{\n\t\"rev\" :\t2\r\n}", []int{1, 2}, ""},
 		{"all in a row", `{"rev":1}{"rev":2}`, []int{1, 2}, ""},
 		{"empty lines", "\n\n{\"rev\":1}\n\n", []int{1}, ""},
-		{"cut", "{\"rev\":1}\n{\"rev\":2", []int{1}, "ends within"},
+		{"truncated", "{\"rev\":1}\n{\"rev\":2", []int{1}, "ends within"},
 		{"garbage behind", "{\"rev\":1} <html>", []int{1}, "reading an object"},
 		{"a wrong type", "{\"rev\":1}{\"rev\":\"2\"}{\"rev\":3}", []int{1}, "reading an object"},
-		{"nested past all measure", "{\"rev\":1}{\"x\":" + strings.Repeat("[", 20_000), []int{1}, "reading an object"},
+		{"nested too deep", "{\"rev\":1}{\"x\":" + strings.Repeat("[", 20_000), []int{1}, "reading an object"},
 		{"too large", "{\"rev\":1}{\"x\":\"" + strings.Repeat("y", MaxObject+4096), []int{1}, ErrTooLarge.Error()},
 		{"white space without end", strings.Repeat(" ", MaxObject+4096), nil, ErrTooLarge.Error()},
 	} {
@@ -63,17 +63,16 @@
 	}
 }
 
-// TestHeartbeats has an empty line told apart from white space within an object: it alone says
-// that nothing has changed.
+// TestHeartbeats has white space between objects count as a heartbeat, and white space within an object not.
 func TestHeartbeats(t *testing.T) {
 	_, heartbeats, _ := read(iotest.OneByteReader(strings.NewReader("\n{\n  \"rev\": 1\n}\n{  \"rev\" :2 }\n")))
 	if heartbeats != 3 {
-		t.Errorf("%d beats, want those before, between and behind the objects", heartbeats)
+		t.Errorf("%d heartbeats, want those before, between and behind the objects", heartbeats)
 	}
 }
 
-// TestTruncated has an answer that is cut at any byte give the whole objects before the cut and nothing else,
-// and say whether an object was cut.
+// TestTruncated has a response that is truncated at any byte give the complete objects before that and no other, and the
+// error show whether it ended within an object.
 func TestTruncated(t *testing.T) {
 	const first, second = "{\"rev\": 1}\n", "{\n \"rev\": 2\n}\n"
 	for length := range len(first + second) {
@@ -87,11 +86,11 @@
 			want = []int{1, 2}
 		}
 		if diff := cmp.Diff(want, revs); diff != "" {
-			t.Errorf("cut after %q (-want +got):\n%s", text, diff)
+			t.Errorf("truncated after %q (-want +got):\n%s", text, diff)
 		}
 		within := length > 0 && length < len(first)-1 || length > len(first) && length < len(first+second)-1
 		if isCut := errors.As(err, new(TruncatedError)); isCut != within || !within && !errors.Is(err, io.EOF) {
-			t.Errorf("cut after %q: %v, within an object: %t", text, err, within)
+			t.Errorf("truncated after %q: %v, within an object: %t", text, err, within)
 		}
 	}
 }
