--- /dev/null
+++ b/internal/dispatcher/rosterpolicy/ration.go
@@ -0,0 +1,51 @@
+package rosterpolicy
+
+import (
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+)
+
+// Owned reports whether this dispatcher may use a runner while the runner is cold. All dispatchers come to the same
+// owners by rendezvous hashing [Thaler & Ravishankar 1998], so that together they keep to the ration of a cold runner
+// without communicating.
+func (t *StateTable) Owned(uid string) bool {
+	own, higher := rendezvousWeight(uid, t.cfg.Number), 0
+	for i := range max(t.cfg.Dispatchers, 1) {
+		if w := rendezvousWeight(uid, i); i != t.cfg.Number && (w > own || w == own && i < t.cfg.Number) {
+			higher++
+		}
+	}
+	return higher < t.owners
+}
+
+func rendezvousWeight(uid string, number int) uint64 {
+	var d xxhash.Digest
+	d.ResetWithSeed(uint64(number) + 1)
+	_, _ = d.WriteString(uid) // can't fail: it writes to memory
+	return d.Sum64()
+}
+
+// RationDivisor returns by what the ration of a cold runner is to be divided: twice the number of dispatchers that use
+// it. The decision module meters a ration by a leaky bucket as deep as it drains in a window, which lets up to twice
+// the ration through within one window; a runner that gets all its work from this ration would get twice what it can
+// take.
+func (t *StateTable) RationDivisor() int { return 2 * t.owners }
+
+// admit brings a runner into use: at once if this dispatcher owns it or it is warm, else when it has warmed up. Used
+// by all dispatchers at once, a cold runner would get more work than it can take.
+func (t *StateTable) admit(c *candidate, now time.Duration) {
+	c.coldFrom = now // it may have started at this moment
+	planned := t.cfg.PlannedDowntime > 0 && t.cfg.PlannedDowntime <= plannedRestartWindow
+	if planned && now == t.startedAt && now-c.Confirmed <= plannedRestartWindow {
+		c.coldFrom = c.ColdFrom
+	}
+	switch {
+	case c.coldFrom+t.cfg.WarmUp <= now:
+		c.standing, c.reason = Used, c.age.String()+", as warm as it was before a planned restart"
+	case c.owned:
+		c.standing, c.reason = Used, c.age.String()+", possibly cold"
+	default:
+		c.standing, c.reason = Waiting, "others use it while it is cold"
+	}
+}
