--- a/internal/dispatcher/rosterstore/generations.go
+++ b/internal/dispatcher/rosterstore/generations.go
@@ -1,6 +1,7 @@
 package rosterstore
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"hash/fnv"
@@ -13,51 +14,54 @@
 	"syscall"
 )
 
-// Dir is a folder with the generations of one dispatcher, or of several by their names.
+// Dir is a folder with the generations of one dispatcher. Several dispatchers may share a folder, as may the two
+// processes of an upgrade. It is not safe for concurrent use within a process.
 type Dir struct {
 	path           string
-	name           string
-	retained       int
+	name           string // the dispatcher's; empty for any
+	retained       int    // generations that are kept
 	files          fileSystem
-	nextGeneration uint64 // the least number that a new generation may have
+	nextGeneration uint64 // the lowest number that a new generation may have
 }
 
-// Open names the folder, the dispatcher and how many generations are kept; it makes the
-// folder if there is none. It reads nothing.
-func Open(path, name string, keep int) (*Dir, error) {
+// The parts of file names.
+const (
+	prefix        = "roster-"
+	suffix        = ".state"
+	corruptSuffix = ".bad" // follows the name of a file that was set aside
+	draftSuffix   = ".new" // follows the stem and the process id of a file that is being written
+)
+
+// Open names the folder, which it makes if there is none, the dispatcher and how many generations are kept. It reads
+// nothing.
+func Open(path, name string, retained int) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, fmt.Errorf("the folder of the state: %w", err)
 	}
-	return &Dir{path: path, name: name, retained: keep, files: osFileSystem{}}, nil
+	return &Dir{path: path, name: name, retained: retained, files: osFileSystem{}}, nil
 }
 
-// Rename has the folder be of another dispatcher from now on.
+// Rename changes the dispatcher whose generations are read and written from now on.
 func (d *Dir) Rename(name string) { d.name, d.nextGeneration = name, 0 }
 
-// StoredFile is a file of the folder and what came of reading it.
+// StoredFile is a file of the folder and the result of reading it.
 type StoredFile struct {
-	File       string
+	File       string // its name in the folder
 	Generation uint64
-	Snapshot   *Snapshot // nil where it can't be read
-	Err        error     // why
+	Snapshot   *Snapshot // nil if it can't be read
+	Err        error     // why it can't
 }
 
-const (
-	prefix        = "roster-"
-	suffix        = ".state"
-	corruptSuffix = ".bad" // after the name of a file that was set aside
-	draftSuffix   = ".new" // after that of one that is being written
-)
-
-// stem begins the names of this dispatcher's files. Guards against names that no file can
-// have, and keeps dispatchers apart that share a folder.
+// stem returns how the names of this dispatcher's files begin. The dispatcher's name is hashed, as it may hold
+// characters that a file name can't.
 func (d *Dir) stem() string {
 	h := fnv.New32a()
 	h.Write([]byte(d.name))
 	return fmt.Sprintf("%s%08x-", prefix, h.Sum32())
 }
 
-// generations returns the generations' files by their numbers, the newest first.
+// generations returns the generations' files, the newest first, without reading them. They are ordered by number, not by
+// time: the clock may have been set back between two of them.
 func (d *Dir) generations() ([]StoredFile, error) {
 	names, err := d.files.List(d.path)
 	if err != nil {
@@ -66,7 +70,7 @@
 	var out []StoredFile
 	for _, name := range names {
 		digits, ok := strings.CutPrefix(strings.TrimSuffix(name, suffix), d.stem())
-		if d.name == "" { // anybody's
+		if d.name == "" { // of any dispatcher
 			_, digits, ok = strings.Cut(strings.TrimPrefix(strings.TrimSuffix(name, suffix), prefix), "-")
 		}
 		if !ok || !strings.HasSuffix(name, suffix) {
@@ -76,21 +80,10 @@
 			out = append(out, StoredFile{File: name, Generation: n})
 		}
 	}
-	// By number, not by time: the clock may have gone back between two of them.
-	slices.SortFunc(out, func(a, b StoredFile) int { return -compare(a.Generation, b.Generation) })
+	slices.SortFunc(out, func(a, b StoredFile) int { return cmp.Compare(b.Generation, a.Generation) })
 	return out, nil
 }
 
-func compare(a, b uint64) int {
-	switch {
-	case a < b:
-		return -1
-	case a > b:
-		return 1
-	}
-	return 0
-}
-
 // ReadAll reads every generation, the newest first, and changes nothing.
 func (d *Dir) ReadAll() ([]StoredFile, error) {
 	files, err := d.generations()
@@ -104,9 +97,9 @@
 	return files, err
 }
 
-// Load returns the newest generation that can be read, nil if there is none. Files that
-// are broken are set aside under another name, and said is told of each that is passed
-// over; one of a newer version stays, as that program may come back.
+// Load returns the newest generation that can be read, nil if there is none. A corrupt file is set aside under another
+// name; one of a newer version of the program stays, as that program may be started again. Skipped is called for each
+// file that can't be read.
 func (d *Dir) Load(skipped func(file string, reason error)) (*Snapshot, error) {
 	files, err := d.generations()
 	if err != nil {
@@ -126,17 +119,17 @@
 			return f.Snapshot, nil
 		}
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // the other process of an upgrade has just let it go
+			continue // the other process of an upgrade has just removed it
 		}
 		if errors.Is(err, ErrCorrupt) || errors.Is(err, ErrTooLarge) {
-			_ = d.files.Rename(path, path+corruptSuffix) // where it can't be, it is passed over again next time
+			_ = d.files.Rename(path, path+corruptSuffix) // if that fails, it is skipped again next time
 		}
 		skipped(f.File, err)
 	}
 	return nil, nil
 }
 
-// removeDrafts removes the drafts of processes that have ended in the middle of one.
+// removeDrafts removes the drafts of processes that ended during a write.
 func (d *Dir) removeDrafts() {
 	names, err := d.files.List(d.path)
 	if err != nil {
@@ -146,18 +139,17 @@
 		text, ok := strings.CutPrefix(strings.TrimSuffix(name, draftSuffix), d.stem())
 		pid, err := strconv.Atoi(text)
 		if ok && strings.HasSuffix(name, draftSuffix) && err == nil && pid > 0 && syscall.Kill(pid, 0) == syscall.ESRCH {
-			_ = d.files.Remove(filepath.Join(d.path, name)) // it does no harm
+			_ = d.files.Remove(filepath.Join(d.path, name)) // a draft that stays does no harm
 		}
 	}
 }
 
-// maxNameAttempts bounds how often a name is taken by the other process in the same moment.
+// maxNameAttempts bounds how often in a row the other process of an upgrade may take the next generation's name.
 const maxNameAttempts = 16
 
-// Save writes a further generation: a file of its own, synced, then given its name, then
-// the folder is synced; so that whatever happens at any moment each name stands for a
-// whole file. Older generations than are kept go. Guards the other process of an upgrade
-// by a name that can be given once: no file ever replaces another.
+// Save writes a further generation and removes those past the number that is kept. The generation is written to a draft,
+// which is synced, linked to its name, and the folder synced: whenever the process or the machine stops, each name stands
+// for a complete file. A link never replaces a file, so the two processes of an upgrade do not overwrite each other's.
 func (d *Dir) Save(s *Snapshot) error {
 	text, err := Encode(s)
 	if err != nil {
@@ -168,18 +160,11 @@
 		return fmt.Errorf("an old draft: %w", err)
 	}
 	if err := d.write(draft, text); err != nil {
-		_ = d.files.Remove(draft) // room for the next one
+		_ = d.files.Remove(draft) // makes room for the next one
 		return fmt.Errorf("writing the state: %w", err)
 	}
-	for range maxNameAttempts {
-		number := d.nextGeneration
-		d.nextGeneration++
-		err = d.files.Link(draft, filepath.Join(d.path, fmt.Sprintf("%s%020d%s", d.stem(), number, suffix)))
-		if !errors.Is(err, fs.ErrExist) {
-			break
-		}
-	}
-	_ = d.files.Remove(draft)
+	err = d.linkGeneration(draft)
+	_ = d.files.Remove(draft) // the content stays under the generation's name
 	if err != nil {
 		return fmt.Errorf("naming the state: %w", err)
 	}
@@ -189,6 +174,7 @@
 	return d.prune()
 }
 
+// write writes and syncs a new file.
 func (d *Dir) write(path string, text []byte) error {
 	f, err := d.files.Create(path)
 	if err != nil {
@@ -201,19 +187,35 @@
 	return errors.Join(err, f.Close())
 }
 
-// prune lets go of generations past those that are kept, and of what was set aside past
-// as many.
+// linkGeneration gives a draft the name of the next generation that is free.
+func (d *Dir) linkGeneration(draft string) error {
+	var err error
+	for range maxNameAttempts {
+		number := d.nextGeneration
+		d.nextGeneration++
+		err = d.files.Link(draft, filepath.Join(d.path, fmt.Sprintf("%s%020d%s", d.stem(), number, suffix)))
+		if !errors.Is(err, fs.ErrExist) {
+			break
+		}
+	}
+	return err
+}
+
+// prune removes generations past those that are kept, and files that were set aside past as many.
 func (d *Dir) prune() error {
 	files, err := d.generations()
 	if err != nil {
 		return err
 	}
 	var failures []error
-	for _, f := range files[min(len(files), d.retained):] {
-		if err := d.files.Remove(filepath.Join(d.path, f.File)); err != nil && !errors.Is(err, fs.ErrNotExist) {
+	remove := func(name string) {
+		if err := d.files.Remove(filepath.Join(d.path, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 			failures = append(failures, err)
 		}
 	}
+	for _, f := range files[min(len(files), d.retained):] {
+		remove(f.File)
+	}
 	names, err := d.files.List(d.path)
 	if err != nil {
 		return errors.Join(append(failures, err)...)
@@ -223,9 +225,7 @@
 	})
 	slices.Sort(corrupt)
 	for _, name := range corrupt[:max(len(corrupt)-d.retained, 0)] {
-		if err := d.files.Remove(filepath.Join(d.path, name)); err != nil && !errors.Is(err, fs.ErrNotExist) {
-			failures = append(failures, err)
-		}
+		remove(name)
 	}
 	return errors.Join(failures...)
 }
--- a/internal/dispatcher/rosterstore/rosterstore_test.go
+++ b/internal/dispatcher/rosterstore/rosterstore_test.go
@@ -26,7 +26,7 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// sample is a snapshot all of whose parts tell its number, so that a mixture shows.
+// sample returns a snapshot each part of which holds its number, so that a mixture of two is detected.
 func sample(number, nodes int) *Snapshot {
 	s := &Snapshot{Name: "n0", Saved: time.Duration(number), Rev: uint64(number), Discovery: fmt.Sprint("d", number)}
 	for i := range nodes {
@@ -37,15 +37,16 @@
 	return s
 }
 
-// whole tells whether a snapshot is one that sample made.
-func whole(s *Snapshot) error {
+// checkSample returns an error if a snapshot is not one that sample has returned.
+func checkSample(s *Snapshot) error {
 	if diff := cmp.Diff(sample(int(s.Rev), len(s.Nodes)), s); diff != "" {
 		return fmt.Errorf("a mixture (-want +got):\n%s", diff)
 	}
 	return nil
 }
 
-func encode(t interface{ Fatal(...any) }, s *Snapshot) []byte {
+func encode(t *testing.T, s *Snapshot) []byte {
+	t.Helper()
 	text, err := Encode(s)
 	if err != nil {
 		t.Fatal(err)
@@ -53,13 +54,13 @@
 	return text
 }
 
-// TestDecode guards against files that are cut at any byte, changed in any bit, longer
-// than they should be, of another version or another dispatcher's.
+// TestDecode has a file rejected that is truncated at any byte, changed in any bit, too long, of another version, or
+// another dispatcher's.
 func TestDecode(t *testing.T) {
 	good := encode(t, sample(7, 3))
 	s, err := Decode(good, "n0")
-	if err != nil || whole(s) != nil {
-		t.Fatal(err, whole(s))
+	if err != nil || checkSample(s) != nil {
+		t.Fatal(err, checkSample(s))
 	}
 	for n := range good {
 		if _, err := Decode(good[:n], ""); !errors.Is(err, ErrCorrupt) {
@@ -69,7 +70,7 @@
 			bad := bytes.Clone(good)
 			bad[n] ^= 1 << bit
 			if _, err := Decode(bad, ""); err == nil {
-				t.Fatalf("bit %d of byte %d is changed and nobody sees it", bit, n)
+				t.Fatalf("bit %d of byte %d is changed, which is not detected", bit, n)
 			}
 		}
 	}
@@ -86,6 +87,7 @@
 	}
 }
 
+// FuzzDecode has any file lead to a snapshot or an error.
 func FuzzDecode(f *testing.F) {
 	good, _ := Encode(sample(7, 3))
 	f.Add(good)
@@ -97,16 +99,17 @@
 	})
 }
 
-// memory is a disk that loses what was not synced when its power goes, and breaks at a
-// given step.
+// memory is a file system in memory that loses what was not synced when the power fails, and that fails at a given
+// step.
 type memory struct {
-	names  map[string]*inode // what programs see
-	synced map[string]*inode // names as they are on the platter
-	steps  int               // until it breaks; below 0 it does not
-	how    string            // "off": nothing more happens; "full": writes fail; "ro": changes fail
+	names  map[string]*inode // as programs see them
+	synced map[string]*inode // as they are on the disk
+	steps  int               // until it fails; below 0 for never
+	how    string            // "off": all steps fail; "full": writes fail; "ro": changes fail
 }
 
-type inode struct{ data, safe []byte }
+// inode is a file's content: all that was written, and what was synced of it.
+type inode struct{ data, synced []byte }
 
 var errOff = errors.New("the power is off")
 
@@ -114,7 +117,7 @@
 	return &memory{names: map[string]*inode{}, synced: map[string]*inode{}, steps: -1}
 }
 
-// step counts down and tells what the disk does now.
+// step counts a step and returns its error.
 func (m *memory) step(writes, changes bool) error {
 	if m.steps > 0 {
 		m.steps--
@@ -133,8 +136,8 @@
 	return nil
 }
 
-// crash turns the power off and on: names that were not synced may or may not be there,
-// and what was not synced of a file is cut anywhere.
+// crash simulates a power failure: names that were not synced may or may not exist, and the content of a file that was
+// not synced is truncated anywhere.
 func (m *memory) crash(draw func(n int) int) {
 	all := map[string]bool{}
 	for name := range m.names {
@@ -143,24 +146,24 @@
 	for name := range m.synced {
 		all[name] = true
 	}
-	after := map[string]*inode{}
+	remaining := map[string]*inode{}
 	for _, name := range slices.Sorted(keys(all)) {
-		now, safe := m.names[name], m.synced[name]
-		node := safe
+		current, synced := m.names[name], m.synced[name]
+		node := synced
 		if draw(2) == 0 {
-			node = now
+			node = current
 		}
 		if node == nil {
 			continue
 		}
-		data := node.safe
+		data := node.synced
 		if len(node.data) > len(data) {
 			data = node.data[:len(data)+draw(len(node.data)-len(data)+1)]
 		}
-		after[name] = &inode{data: bytes.Clone(data), safe: bytes.Clone(data)}
+		remaining[name] = &inode{data: bytes.Clone(data), synced: bytes.Clone(data)}
 	}
-	m.names, m.synced, m.steps = after, map[string]*inode{}, -1
-	for name, node := range after {
+	m.names, m.synced, m.steps = remaining, map[string]*inode{}, -1
+	for name, node := range remaining {
 		m.synced[name] = node
 	}
 }
@@ -243,6 +246,7 @@
 	return nil
 }
 
+// open is a file of memory that is open for writing.
 type open struct {
 	disk *memory
 	node *inode
@@ -264,15 +268,14 @@
 	if err := o.disk.step(false, false); err != nil {
 		return err
 	}
-	o.node.safe = bytes.Clone(o.node.data)
+	o.node.synced = bytes.Clone(o.node.data)
 	return nil
 }
 
 func (o *open) Close() error { return o.disk.step(false, false) }
 
-// TestBrokenDisk guards what is kept against a disk that breaks at any step, and against
-// the power that goes at any step: there is always a whole generation, and never an older
-// one than the last that was said to be saved.
+// TestBrokenDisk has a complete generation load whenever the disk or the power fails, and none that is older than the
+// last one that was saved without an error.
 func TestBrokenDisk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemory()
@@ -301,7 +304,7 @@
 			case s == nil:
 				continue
 			}
-			if err := whole(s); err != nil {
+			if err := checkSample(s); err != nil {
 				t.Fatal(err)
 			}
 			if int(s.Rev) < saved || int(s.Rev) > number {
@@ -314,8 +317,7 @@
 	})
 }
 
-// TestLoad guards the way past files that can't be read, and against a clock that went
-// back: the number counts, not the time.
+// TestLoad has Load skip files that can't be read, and take the highest number whatever the times are.
 func TestLoad(t *testing.T) {
 	path := t.TempDir()
 	d, err := Open(path, "n0", 3)
@@ -342,20 +344,20 @@
 	binary.BigEndian.PutUint32(newer[len(magic):], version+1)
 	write(0, newer)
 	write(1, []byte("torn"))
-	var said []string
-	s, err := d.Load(func(file string, why error) { said = append(said, why.Error()) })
+	var skipped []string
+	s, err := d.Load(func(file string, reason error) { skipped = append(skipped, reason.Error()) })
 	if err != nil || s == nil || s.Rev != 2 {
 		t.Fatalf("loaded %+v, %v", s, err)
 	}
-	if diff := cmp.Diff([]string{ErrNewerVersion.Error(), ErrCorrupt.Error()}, said); diff != "" {
-		t.Errorf("said (-want +got):\n%s", diff)
+	if diff := cmp.Diff([]string{ErrNewerVersion.Error(), ErrCorrupt.Error()}, skipped); diff != "" {
+		t.Errorf("skipped (-want +got):\n%s", diff)
 	}
 	names, _ := os.ReadDir(path)
-	var left []string
+	var remaining []string
 	for _, n := range names {
-		left = append(left, strings.TrimPrefix(n.Name(), files[0].File[:len(files[0].File)-len("4.state")]))
+		remaining = append(remaining, strings.TrimPrefix(n.Name(), files[0].File[:len(files[0].File)-len("4.state")]))
 	}
-	if diff := cmp.Diff([]string{"1.state", "2.state.bad", "3.state"}, left); diff != "" {
+	if diff := cmp.Diff([]string{"1.state", "2.state.bad", "3.state"}, remaining); diff != "" {
 		t.Errorf("files (-want +got):\n%s", diff)
 	}
 	if other, err := Open(path, "n1", 3); err != nil {
@@ -365,8 +367,7 @@
 	}
 }
 
-// TestTwoProcesses guards an upgrade: two processes write into one folder, and each name
-// stands for one of their files.
+// TestTwoProcesses has the two processes of an upgrade write into one folder without losing a generation of either.
 func TestTwoProcesses(t *testing.T) {
 	path := t.TempDir()
 	var dirs []*Dir
@@ -400,18 +401,19 @@
 		t.Fatalf("%d generations, %v", len(all), err)
 	}
 	for _, f := range all {
-		if f.Err != nil || whole(f.Snapshot) != nil {
+		if f.Err != nil || checkSample(f.Snapshot) != nil {
 			t.Errorf("%s: %v", f.File, f.Err)
 		}
 	}
 }
 
-// drafts gives each of two writers of one process a draft's name of its own.
+// drafts gives each of two writers of one process its own name of drafts, as two processes have.
 type drafts struct {
 	osFileSystem
 	number int
 }
 
+// own returns the writer's name of a draft.
 func (d drafts) own(path string) string {
 	if strings.HasSuffix(path, draftSuffix) {
 		return path + strconv.Itoa(d.number)
@@ -422,7 +424,7 @@
 func (d drafts) Link(from, to string) error       { return d.osFileSystem.Link(d.own(from), to) }
 func (d drafts) Remove(path string) error         { return d.osFileSystem.Remove(d.own(path)) }
 
-// hanging is a disk whose writes wait.
+// hanging is a file system whose writes block until wait is closed.
 type hanging struct {
 	*memory
 	wait chan struct{}
@@ -433,8 +435,8 @@
 	return h.memory.Create(path)
 }
 
-// TestHangingDisk guards those who tell the state, and the process's end: nobody waits
-// for a disk, and what comes meanwhile is merged.
+// TestHangingDisk has neither Put nor the shutdown wait for a disk that hangs, and only the newest snapshot written
+// afterwards.
 func TestHangingDisk(t *testing.T) {
 	m := hanging{newMemory(), make(chan struct{})}
 	log := logrus.New()
@@ -447,7 +449,7 @@
 	close(m.wait)
 	<-w.done
 	if n := w.Written(); n < 1 || n > 2 {
-		t.Errorf("%d generations were written for 1000 told at once", n)
+		t.Errorf("%d generations were written for 1000 put at once", n)
 	}
 	s, err := (&Dir{path: "/s", name: "n0", retained: 3, files: m.memory}).Load(func(string, error) {})
 	if err != nil || s == nil || s.Rev != 999 {
@@ -455,30 +457,11 @@
 	}
 }
 
-// TestKills guards against SIGKILL at random moments of writing. CI does a few; FROSTTIDE_KILLS
-// says how many otherwise.
+// TestKills has no generation lost or corrupt when the process is killed at random moments of writing. CI kills it a few
+// times; FROSTTIDE_KILLS sets another number.
 func TestKills(t *testing.T) {
 	if dir := os.Getenv("FROSTTIDE_KILL_DIR"); dir != "" {
-		d, err := Open(dir, "n0", 3)
-		if err != nil {
-			t.Fatal(err)
-		}
-		last, err := d.Load(func(string, error) {})
-		if err != nil {
-			t.Fatal(err)
-		}
-		n := 1
-		if last != nil {
-			n = int(last.Rev) + 1
-		} else if err := d.Save(sample(0, 200)); err != nil { // on a slow machine none would get so far
-			t.Fatal(err)
-		}
-		fmt.Println("writes")
-		for ; ; n++ { // until it is killed
-			if err := d.Save(sample(n, 200)); err != nil {
-				t.Fatal(err)
-			}
-		}
+		writeUntilKilled(t, dir)
 	}
 	kills := 12
 	if text := os.Getenv("FROSTTIDE_KILLS"); text != "" {
@@ -487,47 +470,12 @@
 	dir := t.TempDir()
 	last := uint64(0)
 	for i := range kills {
-		cmd := exec.Command(os.Args[0], "-test.run=^TestKills$")
-		cmd.Env = append(os.Environ(), "FROSTTIDE_KILL_DIR="+dir)
-		out, err := cmd.StdoutPipe()
-		if err != nil {
-			t.Fatal(err)
-		}
-		if err := cmd.Start(); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := io.ReadFull(out, make([]byte, len("writes"))); err != nil {
-			t.Fatal(err)
-		}
 		within := 12_000
 		if last == 0 { // on a busy machine nothing has been written in that time yet
 			within *= 1 + i
 		}
-		time.Sleep(time.Duration(rand.IntN(within)) * time.Microsecond) // the moment is what is tested
-		_ = cmd.Process.Kill()
-		_ = cmd.Wait()
-		d, err := Open(dir, "n0", 3)
-		if err != nil {
-			t.Fatal(err)
-		}
-		all, err := d.ReadAll()
-		if err != nil {
-			t.Fatal(err)
-		}
-		for _, f := range all {
-			if f.Err != nil {
-				t.Fatalf("kill %d: %s: %v", i, f.File, f.Err)
-			}
-			if err := whole(f.Snapshot); err != nil {
-				t.Fatalf("kill %d: %v", i, err)
-			}
-		}
-		if len(all) == 0 && last > 0 || len(all) > 0 && all[0].Snapshot.Rev < last {
-			t.Fatalf("kill %d: generation %d is lost", i, last)
-		}
-		if len(all) > 0 {
-			last = all[0].Snapshot.Rev
-		}
+		killWriter(t, dir, time.Duration(rand.IntN(within))*time.Microsecond)
+		last = checkGenerations(t, dir, i, last)
 	}
 	if last == 0 {
 		t.Error("nothing was ever written")
@@ -537,3 +485,77 @@
 		t.Errorf("%d files are left", len(names))
 	}
 }
+
+// writeUntilKilled is the process that TestKills kills: it saves one generation after another.
+func writeUntilKilled(t *testing.T, dir string) {
+	t.Helper()
+	d, err := Open(dir, "n0", 3)
+	if err != nil {
+		t.Fatal(err)
+	}
+	last, err := d.Load(func(string, error) {})
+	if err != nil {
+		t.Fatal(err)
+	}
+	n := 1
+	if last != nil {
+		n = int(last.Rev) + 1
+	} else if err := d.Save(sample(0, 200)); err != nil { // on a slow machine none would get so far
+		t.Fatal(err)
+	}
+	fmt.Println("writes")
+	for ; ; n++ {
+		if err := d.Save(sample(n, 200)); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// killWriter starts a process that writes into a folder and kills it a while after it has begun to write.
+func killWriter(t *testing.T, dir string, after time.Duration) {
+	t.Helper()
+	cmd := exec.Command(os.Args[0], "-test.run=^TestKills$")
+	cmd.Env = append(os.Environ(), "FROSTTIDE_KILL_DIR="+dir)
+	out, err := cmd.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := io.ReadFull(out, make([]byte, len("writes"))); err != nil {
+		t.Fatal(err)
+	}
+	time.Sleep(after) // the moment is what is tested
+	_ = cmd.Process.Kill()
+	_ = cmd.Wait()
+}
+
+// checkGenerations fails the test if a generation is corrupt after a kill, or none is as new as the last one before. It
+// returns the newest.
+func checkGenerations(t *testing.T, dir string, kill int, last uint64) uint64 {
+	t.Helper()
+	d, err := Open(dir, "n0", 3)
+	if err != nil {
+		t.Fatal(err)
+	}
+	all, err := d.ReadAll()
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, f := range all {
+		if f.Err != nil {
+			t.Fatalf("kill %d: %s: %v", kill, f.File, f.Err)
+		}
+		if err := checkSample(f.Snapshot); err != nil {
+			t.Fatalf("kill %d: %v", kill, err)
+		}
+	}
+	if len(all) == 0 && last > 0 || len(all) > 0 && all[0].Snapshot.Rev < last {
+		t.Fatalf("kill %d: generation %d is lost", kill, last)
+	}
+	if len(all) > 0 {
+		last = all[0].Snapshot.Rev
+	}
+	return last
+}
--- a/internal/dispatcher/rosterstore/snapshot.go
+++ b/internal/dispatcher/rosterstore/snapshot.go
@@ -1,6 +1,10 @@
-// Package rosterstore keeps on disk what a dispatcher knows of its runners, so that it
-// can start while discovery is down. It holds several generations, each whole or not at
-// all, and never makes anybody wait for the disk.
+// Package rosterstore stores on disk what a dispatcher knows of its runners, so that it can start while discovery is
+// down. Package roster hands snapshots to a Writer; the program loads the last one at its start, and the state commands
+// read and write them.
+//
+// A folder holds several generations, each a file of its own. Invariants: each generation's name stands for a complete
+// file whenever the process or the machine stops; a file that is corrupt is never read as a snapshot; nothing that is
+// on the way of a job waits for the disk.
 package rosterstore
 
 import (
@@ -15,51 +19,50 @@
 	"time"
 )
 
-// Snapshot is one generation. Times are since 1970 by the clock of the machine, which
-// may go back.
+// Snapshot is one generation. Times are since 1970 by the machine's clock, which may be set back.
 type Snapshot struct {
 	Name      string        `json:"name"`            // of the dispatcher
 	Saved     time.Duration `json:"saved"`           // when it was written
 	Discovery string        `json:"discovery"`       // the address that the list is from
-	Rev       uint64        `json:"rev"`             // of the list
-	Answered  time.Duration `json:"answered"`        // when discovery last said anything
-	Ended     bool          `json:"ended,omitempty"` // it was written by a dispatcher that ended as planned
+	Rev       uint64        `json:"rev"`             // version of the list
+	Answered  time.Duration `json:"answered"`        // when discovery last sent anything
+	Ended     bool          `json:"ended,omitempty"` // it was written at a planned shutdown
 	Nodes     []Node        `json:"nodes"`
 
-	Excluded []string                 `json:"excluded,omitempty"` // uids that operators have left out
-	PutBack  map[string]time.Duration `json:"put_back,omitempty"` // uids that they have put back, and when
-	Health   json.RawMessage          `json:"health,omitempty"`   // what the module has found, by uid
+	Excluded []string                 `json:"excluded,omitempty"` // uids that operators have excluded
+	PutBack  map[string]time.Duration `json:"put_back,omitempty"` // uids that they have reinstated, and when
+	Health   json.RawMessage          `json:"health,omitempty"`   // the decision module's findings, by uid
 	Runs     map[string]time.Duration `json:"runs,omitempty"`     // mean run times, by the class's name
 }
 
 // Node is what is known of a runner.
 type Node struct {
 	UID       string          `json:"uid"`
-	Entry     json.RawMessage `json:"entry"`     // in discovery's form, as it came
-	Confirmed time.Duration   `json:"confirmed"` // when somebody last spoke for it
-	By        string          `json:"by"`        // who: ByList or ByRunner
+	Entry     json.RawMessage `json:"entry"`     // in discovery's form, as it was sent
+	Confirmed time.Duration   `json:"confirmed"` // when discovery or the runner last confirmed it
+	By        string          `json:"by"`        // ByDiscovery or ByRunner
 	ColdFrom  time.Duration   `json:"cold_from"` // it may have started then; 0 for long ago
 }
 
-// Who speaks for a node.
+// Who has confirmed a runner, as it is stored.
 const (
 	ByDiscovery = "discovery"
 	ByRunner    = "runner"
 )
 
-// The form of a file: the magic, the version, the payload's length and the SHA-256 sum of
-// all that and the payload, then the payload, which is JSON packed by gzip.
+// A file is a header and a payload. The header is the magic, the version, the payload's length and the SHA-256 sum of
+// the header so far and the payload; the payload is JSON compressed by gzip.
 const (
 	magic      = "frosttid"
 	version    = 1
 	headerSize = len(magic) + 4 + 8 + sha256.Size
-	// maxFileBytes bounds a file, and MostPlain what it unpacks to: 100 times a fleet of
-	// 2,000. A larger snapshot is not written, a larger file not read.
+	// maxFileBytes bounds a file, and MaxPlainBytes its JSON: 100 times what a fleet of 2,000 takes. A larger
+	// snapshot is not written, and a larger file not read.
 	maxFileBytes  = 32 << 20
 	MaxPlainBytes = 128 << 20
 )
 
-// The reasons for which a file is not read.
+// The reasons for which a file is not read, and ErrTooLarge also for which a snapshot is not written.
 var (
 	ErrCorrupt         = errors.New("the file is cut short or changed")
 	ErrNewerVersion    = errors.New("the file is of a newer version of this program")
@@ -67,7 +70,7 @@
 	ErrTooLarge        = errors.New("the snapshot is too large")
 )
 
-// Encode writes a snapshot in the form of a file.
+// Encode returns a snapshot as the content of a file.
 func Encode(s *Snapshot) ([]byte, error) {
 	var packed bytes.Buffer
 	z, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
@@ -92,12 +95,33 @@
 	return append(sum.Sum(out), packed.Bytes()...), nil
 }
 
-// Decode reads what Encode writes. Name is the dispatcher's, empty for any.
+// Decode returns the snapshot of a file's content. Name is the dispatcher's, empty for any. The error is, or wraps, one
+// of the reasons above.
 func Decode(file []byte, name string) (*Snapshot, error) {
+	payload, err := verify(file)
+	if err != nil {
+		return nil, err
+	}
+	plain, err := unpack(payload)
+	if err != nil {
+		return nil, err
+	}
+	var s Snapshot
+	if err := json.Unmarshal(plain, &s); err != nil {
+		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
+	}
+	if name != "" && s.Name != name {
+		return nil, fmt.Errorf("%w: %q", ErrOtherDispatcher, s.Name)
+	}
+	return &s, nil
+}
+
+// verify returns the payload of a file whose header and sum are right. The version is compared before the sum, as a
+// newer version may sum otherwise.
+func verify(file []byte) (payload []byte, err error) {
 	if len(file) < headerSize || string(file[:len(magic)]) != magic {
 		return nil, ErrCorrupt
 	}
-	// The version goes before the sum: a newer form may sum up otherwise.
 	if binary.BigEndian.Uint32(file[len(magic):]) != version {
 		return nil, ErrNewerVersion
 	}
@@ -105,10 +129,15 @@
 	sum := sha256.New()
 	sum.Write(head)
 	sum.Write(payload)
-	if !bytes.Equal(sum.Sum(nil), file[len(head):headerSize]) ||
-		binary.BigEndian.Uint64(head[len(magic)+4:]) != uint64(len(payload)) {
+	length := binary.BigEndian.Uint64(head[len(magic)+4:])
+	if !bytes.Equal(sum.Sum(nil), file[len(head):headerSize]) || length != uint64(len(payload)) {
 		return nil, ErrCorrupt
 	}
+	return payload, nil
+}
+
+// unpack returns the JSON of a payload, up to MaxPlainBytes.
+func unpack(payload []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(payload))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
@@ -120,12 +149,5 @@
 	if len(plain) > MaxPlainBytes {
 		return nil, ErrTooLarge
 	}
-	var s Snapshot
-	if err := json.Unmarshal(plain, &s); err != nil {
-		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
-	}
-	if name != "" && s.Name != name {
-		return nil, fmt.Errorf("%w: %q", ErrOtherDispatcher, s.Name)
-	}
-	return &s, nil
+	return plain, nil
 }
--- a/internal/dispatcher/rosterstore/writer.go
+++ b/internal/dispatcher/rosterstore/writer.go
@@ -7,47 +7,46 @@
 	"github.com/sirupsen/logrus"
 )
 
-// slowWrite is how long a write may take before it is told: the disk hangs, or is about to.
+// slowWrite is how long a write may take before it is logged as slow: the disk may be failing.
 const slowWrite = 5 * time.Second
 
-// Writer writes snapshots one after the other in a goroutine of its own. What comes while
-// one is being written, or too soon after it, is merged: the newest counts.
+// Writer writes snapshots on a goroutine of its own, one at a time. Of the snapshots that come during a write, or
+// within the interval after one, only the newest is written. Its methods may be called from any goroutine, and none but
+// Close blocks.
 type Writer struct {
 	dir      *Dir
 	interval time.Duration
 	log      *logrus.Entry
 
-	mu      sync.Mutex // never held while anything is written
+	mu      sync.Mutex // not held during a write
 	next    *Snapshot
 	closed  bool
-	wake    chan struct{} // there is something, or it is closed
-	closing chan struct{} // closed: no further wait between two writes
-	done    chan struct{}
 	written int
+
+	wake    chan struct{} // holds one token if there is a snapshot, or the writer is closed
+	closing chan struct{} // closed by Close: ends the wait between two writes
+	done    chan struct{} // closed when the goroutine has ended
 }
 
-// NewWriter starts a writer that writes at most once in so long.
+// NewWriter starts a writer that leaves at least an interval between two writes. It has to be closed.
 func NewWriter(dir *Dir, interval time.Duration, log *logrus.Entry) *Writer {
 	w := &Writer{dir: dir, interval: interval, log: log, wake: make(chan struct{}, 1), closing: make(chan struct{}), done: make(chan struct{})}
 	go w.run()
 	return w
 }
 
-// Put hands over a snapshot, which nobody changes any more. It never waits.
+// Put hands over a snapshot, which must not be changed any more.
 func (w *Writer) Put(s *Snapshot) {
 	w.mu.Lock()
 	if !w.closed {
 		w.next = s
 	}
 	w.mu.Unlock()
-	select {
-	case w.wake <- struct{}{}:
-	default:
-	}
+	w.signal()
 }
 
-// Close has the last snapshot written and returns when it is, or at the deadline: a disk
-// that hangs holds up nobody's end.
+// Close has the last snapshot written and returns when it is, or at the deadline: a disk that hangs does not delay the
+// shutdown of the process.
 func (w *Writer) Close(deadline time.Time) {
 	w.mu.Lock()
 	if !w.closed {
@@ -55,10 +54,7 @@
 		close(w.closing)
 	}
 	w.mu.Unlock()
-	select {
-	case w.wake <- struct{}{}:
-	default:
-	}
+	w.signal()
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
@@ -68,6 +64,13 @@
 	}
 }
 
+func (w *Writer) signal() {
+	select {
+	case w.wake <- struct{}{}:
+	default: // the goroutine is to wake up already
+	}
+}
+
 // Written returns how many generations have been written.
 func (w *Writer) Written() int {
 	w.mu.Lock()
@@ -89,20 +92,7 @@
 		<-w.wake
 		s, closed := w.take()
 		if s != nil {
-			timer := time.AfterFunc(slowWrite, func() { w.log.Warn("writing the state takes long; dispatching goes on") })
-			err := w.dir.Save(s)
-			timer.Stop()
-			switch {
-			case err != nil && !failing:
-				w.log.WithError(err).Warn("the state can't be written; dispatching goes on without")
-			case err == nil && failing:
-				w.log.Info("the state can be written again")
-			}
-			if failing = err != nil; !failing {
-				w.mu.Lock()
-				w.written++
-				w.mu.Unlock()
-			}
+			failing = w.save(s, failing)
 		}
 		if closed {
 			return
@@ -115,3 +105,23 @@
 		}
 	}
 }
+
+// save writes a generation and reports whether that failed. It logs the first failure and the first success after one.
+func (w *Writer) save(s *Snapshot, failing bool) (failed bool) {
+	warning := time.AfterFunc(slowWrite, func() { w.log.Warn("writing the state takes long; dispatching goes on") })
+	err := w.dir.Save(s)
+	warning.Stop()
+	switch {
+	case err != nil && !failing:
+		w.log.WithError(err).Warn("the state can't be written; dispatching goes on without")
+	case err == nil && failing:
+		w.log.Info("the state can be written again")
+	}
+	if err != nil {
+		return true
+	}
+	w.mu.Lock()
+	w.written++
+	w.mu.Unlock()
+	return false
+}
