--- a/internal/dispatcher/trace/ids.go
+++ b/internal/dispatcher/trace/context.go
@@ -1,7 +1,9 @@
-// Package trace holds what is told of a request after its end: its story, from
-// its coming over each hop to its one final answer, and what is decided about
-// stories: which are kept, which go first when there is no room, and which
-// request a client's repeat belongs to. It does no I/O and reads no clock.
+// Package trace holds the record of a request, from its arrival over each attempt to its one final response, and decides
+// which records are kept, which are dropped first when a queue is full, and which request a client's retry repeats. The
+// ingress, the core and the Gearman server write records; package export keeps and sends them.
+//
+// It does no I/O and reads no clock, except that ids are random. Its types are not safe for concurrent use: a record has
+// one owner at a time.
 package trace
 
 import (
@@ -13,14 +15,13 @@
 	"strings"
 )
 
-// ID names a trace, SpanID a span of it. The zero values name none. Source: W3C
-// Trace Context, level 1.
+// ID identifies a trace, and SpanID a span of it. Their zero values identify none. Source: W3C Trace Context, level 1.
 type (
 	ID     [16]byte
 	SpanID [8]byte
 )
 
-// NewID returns a random id. Guards against the one value that names nothing.
+// NewID returns a random id that is not zero.
 func NewID() (id ID) {
 	for id == (ID{}) {
 		binary.BigEndian.PutUint64(id[:8], rand.Uint64())
@@ -29,7 +30,7 @@
 	return id
 }
 
-// NewSpanID returns a random id.
+// NewSpanID returns a random id that is not zero.
 func NewSpanID() (id SpanID) {
 	for id == (SpanID{}) {
 		binary.BigEndian.PutUint64(id[:], rand.Uint64())
@@ -43,21 +44,21 @@
 // String returns the id as lower-case hexadecimal digits.
 func (id SpanID) String() string { return hex.EncodeToString(id[:]) }
 
-// MarshalText writes an id as lower-case hexadecimal digits.
+// MarshalText returns the id as lower-case hexadecimal digits.
 func (id ID) MarshalText() ([]byte, error) { return []byte(id.String()), nil }
 
-// MarshalText writes an id as lower-case hexadecimal digits.
+// MarshalText returns the id as lower-case hexadecimal digits.
 func (id SpanID) MarshalText() ([]byte, error) { return []byte(id.String()), nil }
 
-// UnmarshalText reads what MarshalText writes.
+// UnmarshalText reads what MarshalText returns.
 func (id *ID) UnmarshalText(text []byte) error { return digits(id[:], string(text)) }
 
-// UnmarshalText reads what MarshalText writes.
+// UnmarshalText reads what MarshalText returns.
 func (id *SpanID) UnmarshalText(text []byte) error { return digits(id[:], string(text)) }
 
 var errInvalidDigits = errors.New("not lower-case hexadecimal digits of the right number")
 
-// digits reads hexadecimal digits; upper-case ones are not allowed in the header.
+// digits reads hexadecimal digits into to. The header's specification allows no upper-case ones.
 func digits(to []byte, text string) error {
 	if len(text) != 2*len(to) || strings.ContainsAny(text, "ABCDEF") {
 		return fmt.Errorf("%q: %w", text, errInvalidDigits)
@@ -68,22 +69,21 @@
 	return nil
 }
 
-// Context is what a client tells of the trace that it is in.
+// Context is the trace context that a request carries.
 type Context struct {
 	Trace   ID     `json:"trace"`
 	Span    SpanID `json:"span"`
-	State   string `json:"state,omitempty"` // tracestate, handed on as it came
+	State   string `json:"state,omitempty"` // tracestate, passed on unchanged
 	Sampled bool   `json:"sampled,omitempty"`
 }
 
-// maxState is the longest tracestate that is handed on; the recommendation asks for
-// 512 characters at least, and a longer one may be dropped whole.
+// maxState is the longest tracestate, in bytes, that is passed on. The recommendation asks for at least 512 and allows a
+// longer one to be dropped.
 const maxState = 512
 
-// ParseParent reads the headers traceparent and tracestate. It reports whether they
-// name a trace; where they don't a new trace begins, and the state is not to be used.
-// Source: W3C Trace Context, level 1, 3.2 and 3.3; versions after 00 are read as far
-// as 00 goes.
+// ParseParent reads the headers traceparent and tracestate and reports whether they name a trace. If they don't, a new
+// trace begins and the state must not be used. Versions after 00 are read as far as version 00 is defined. Source: W3C
+// Trace Context, level 1, 3.2 and 3.3.
 func ParseParent(parent, state string) (c Context, ok bool) {
 	const length = 2 + 1 + 32 + 1 + 16 + 1 + 2
 	if len(parent) < length || parent[2] != '-' || parent[35] != '-' || parent[52] != '-' {
@@ -106,7 +106,7 @@
 	return c, true
 }
 
-// Parent writes the traceparent header of a request that belongs to the span.
+// Parent returns the traceparent header of a request that belongs to the span.
 func (c Context) Parent() string {
 	flags := "00"
 	if c.Sampled {
--- a/internal/dispatcher/trace/queue.go
+++ b/internal/dispatcher/trace/queue.go
@@ -1,47 +1,49 @@
 package trace
 
-// Queue holds the stories that wait for their export, within a bound of bytes. Past it
-// plain ones go, the oldest first, then notable ones, the oldest first: what was lost
-// to trouble is worth more than what went well, and the newest trouble the most.
+// Queue holds the records that wait for their export, within a bound of bytes. Past it plain records are dropped, the
+// oldest first, and if there is none notable ones, the oldest first: records of faults are worth more than others, and
+// those of the newest faults the most. It is not safe for concurrent use.
 type Queue struct {
 	maxBytes       int
 	bytes          int
 	plain, notable fifo
 }
 
-// NewQueue makes a queue that holds at most so many bytes, by Story.Size.
+// NewQueue makes a queue of at most maxBytes, by Record.Size.
 func NewQueue(maxBytes int) *Queue { return &Queue{maxBytes: maxBytes} }
 
-// fifo is a queue in the order of coming.
+// fifo is a first-in, first-out queue. The items before first have been taken.
 type fifo struct {
 	items []*Record
 	first int
 }
 
-func (l *fifo) len() int { return len(l.items) - l.first }
+func (f *fifo) len() int { return len(f.items) - f.first }
 
-func (l *fifo) pop() *Record {
-	record := l.items[l.first]
-	l.items[l.first] = nil
-	l.first++
-	if 2*l.first >= len(l.items) { // guards the memory of what has been taken out
-		n := copy(l.items, l.items[l.first:])
-		clear(l.items[n:])
-		l.items, l.first = l.items[:n], 0
+// pop removes and returns the oldest record. Once half of the slice has been taken the rest is moved to its front, so
+// that the slice does not grow with all that was ever queued.
+func (f *fifo) pop() *Record {
+	r := f.items[f.first]
+	f.items[f.first] = nil
+	f.first++
+	if 2*f.first >= len(f.items) {
+		n := copy(f.items, f.items[f.first:])
+		clear(f.items[n:])
+		f.items, f.first = f.items[:n], 0
 	}
-	return record
+	return r
 }
 
-// Put adds a story and returns how many plain and notable ones had to go for it.
-func (q *Queue) Put(record *Record) (plain, notable int) {
+// Put adds a record and returns how many plain and how many notable ones were dropped for it. A malformed request counts
+// as plain: clients can send those at full speed, and would displace all notable records.
+func (q *Queue) Put(r *Record) (plain, notable int) {
 	to := &q.plain
-	// Guards notable stories against clients that send what can't be read, at full speed.
-	junk := record.AnsweredBy == ByIngress && record.Result == Invalid
-	if NotableReason(record) != "" && !junk {
+	malformed := r.AnsweredBy == ByIngress && r.Result == Invalid
+	if NotableReason(r) != "" && !malformed {
 		to = &q.notable
 	}
-	to.items = append(to.items, record)
-	q.bytes += record.Size()
+	to.items = append(to.items, r)
+	q.bytes += r.Size()
 	for q.bytes > q.maxBytes {
 		if q.plain.len() > 0 {
 			q.bytes -= q.plain.pop().Size()
@@ -54,7 +56,7 @@
 	return plain, notable
 }
 
-// Take removes and returns at most n stories, notable ones first.
+// Take removes and returns at most n records, notable ones first.
 func (q *Queue) Take(n int) []*Record {
 	out := make([]*Record, 0, min(n, q.Len()))
 	for len(out) < n && q.Len() > 0 {
@@ -62,15 +64,15 @@
 		if from.len() == 0 {
 			from = &q.plain
 		}
-		record := from.pop()
-		q.bytes -= record.Size()
-		out = append(out, record)
+		r := from.pop()
+		q.bytes -= r.Size()
+		out = append(out, r)
 	}
 	return out
 }
 
-// Len returns how many stories wait.
+// Len returns how many records wait.
 func (q *Queue) Len() int { return q.plain.len() + q.notable.len() }
 
-// Bytes returns how much of the bound they take.
+// Bytes returns how many bytes the waiting records take.
 func (q *Queue) Bytes() int { return q.bytes }
--- a/internal/dispatcher/trace/trace_test.go
+++ b/internal/dispatcher/trace/trace_test.go
@@ -13,6 +13,7 @@
 
 const validParent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 
+// TestParseParent has the header read as its specification says, and written as it was read.
 func TestParseParent(t *testing.T) {
 	for _, tc := range []struct {
 		name, parent, state string
@@ -46,6 +47,7 @@
 	}
 }
 
+// FuzzParseParent has a header that names no trace give no context, and any other be written as it was read.
 func FuzzParseParent(f *testing.F) {
 	f.Add(validParent, "a=1")
 	f.Add("cc"+validParent[2:]+"-", "")
@@ -60,8 +62,8 @@
 	})
 }
 
-// TestHedges guards the reader: a hedged copy is a sibling that names whom it copies,
-// and what comes after all have ended is a repeat.
+// TestHedges has an attempt that starts while another has not ended recorded as its hedge, and one that starts after all
+// have ended as a retry.
 func TestHedges(t *testing.T) {
 	var s Record
 	s.StartAttempt(Attempt{Backend: "a"})
@@ -78,10 +80,11 @@
 		t.Errorf("kinds (-want +got):\n%s", diff)
 	}
 	if s.Result = Served; NotableReason(&s) != KeptHedged {
-		t.Error("a request with copies is not kept as one")
+		t.Error("a hedged request is not kept as one")
 	}
 }
 
+// TestKeep has notable records kept always, and plain ones by the ratio or the client's flag.
 func TestKeep(t *testing.T) {
 	half, _ := ParseParent(validParent, "")
 	for _, tc := range []struct {
@@ -94,13 +97,13 @@
 		{"plain, none", Sampler{}, Record{Result: Served}, false},
 		{"refused, none", Sampler{}, Record{Result: Refused}, true},
 		{"refused, off", Sampler{Off: true, Ratio: 1}, Record{Result: Refused}, false},
-		{"late", Sampler{}, Record{Result: Served, Overdue: true}, true},
-		{"tried again", Sampler{}, Record{Result: Served, Attempts: make([]Attempt, 2)}, true},
-		{"a repeat", Sampler{}, Record{Result: Served, ClientRetry: true}, true},
-		{"the client records", Sampler{Parent: true}, Record{Result: Served, Parent: half.Span, ParentSampled: true}, true},
-		{"the client does not", Sampler{Ratio: 1, Parent: true}, Record{Result: Served, Parent: half.Span}, false},
-		{"the client does not, but it failed", Sampler{Ratio: 1, Parent: true}, Record{Result: Failed, Parent: half.Span}, true},
-		{"the client does not count", Sampler{Ratio: 1}, Record{Result: Served, Parent: half.Span}, true},
+		{"overdue", Sampler{}, Record{Result: Served, Overdue: true}, true},
+		{"retried", Sampler{}, Record{Result: Served, Attempts: make([]Attempt, 2)}, true},
+		{"retry of a client", Sampler{}, Record{Result: Served, ClientRetry: true}, true},
+		{"client samples", Sampler{Parent: true}, Record{Result: Served, Parent: half.Span, ParentSampled: true}, true},
+		{"client does not", Sampler{Ratio: 1, Parent: true}, Record{Result: Served, Parent: half.Span}, false},
+		{"client does not, but it failed", Sampler{Ratio: 1, Parent: true}, Record{Result: Failed, Parent: half.Span}, true},
+		{"client is not asked", Sampler{Ratio: 1}, Record{Result: Served, Parent: half.Span}, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.record.Selected = tc.sampler.Select(&tc.record)
@@ -117,12 +120,12 @@
 		}
 	}
 	if n < 1700 || n > 2300 {
-		t.Errorf("of 20000 a tenth is %d", n)
+		t.Errorf("a tenth of 20000 is %d", n)
 	}
 }
 
-// TestQueue guards the bound, and what matters: nothing notable goes while there is
-// anything plain, and whatever went was older than what stayed.
+// TestQueue has the queue keep to its bound, drop no notable record while it holds a plain one, and drop the oldest
+// first.
 func TestQueue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(600, 20000).Draw(t, "most")
@@ -137,14 +140,14 @@
 			queued[notable] = append(queued[notable], s)
 			plain, lost := q.Put(s)
 			if lost > 0 && len(queued[false]) > plain {
-				t.Fatalf("%d notable ones went while %d plain ones stayed", lost, len(queued[false])-plain)
+				t.Fatalf("%d notable records were dropped while %d plain ones stayed", lost, len(queued[false])-plain)
 			}
 			queued[false], queued[true] = queued[false][plain:], queued[true][lost:]
 			if rapid.IntRange(0, 9).Draw(t, "take") == 0 {
 				for _, s := range q.Take(rapid.IntRange(1, 5).Draw(t, "n")) {
 					kind := s.Result != Served
 					if len(queued[kind]) == 0 || queued[kind][0] != s {
-						t.Fatalf("story %d comes out of its order", s.Received)
+						t.Fatalf("record %d is taken out of order", s.Received)
 					}
 					queued[kind] = queued[kind][1:]
 				}
@@ -156,13 +159,13 @@
 				}
 			}
 			if q.Bytes() != bytes || bytes > limit || q.Len() != len(queued[false])+len(queued[true]) {
-				t.Fatalf("the queue holds %d stories of %d bytes, the model %d", q.Len(), q.Bytes(), bytes)
+				t.Fatalf("the queue holds %d records of %d bytes, the model %d", q.Len(), q.Bytes(), bytes)
 			}
 		}
 	})
 }
 
-// TestJunk guards notable stories against clients that send what can't be read.
+// TestJunk has malformed requests displace no notable record.
 func TestJunk(t *testing.T) {
 	q := NewQueue(3000)
 	q.Put(&Record{Result: Failed, Request: "asked for"})
@@ -174,8 +177,8 @@
 	}
 }
 
-// TestRetryTable guards the table's bound, and repeats against links to what they don't
-// repeat: a later try, one long ago, or another's.
+// TestRetryTable has the table keep to its bound, and no retry linked to a later request, to one that is too old, or to
+// one of another key.
 func TestRetryTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := rapid.IntRange(1, 4).Draw(t, "most")
@@ -187,7 +190,7 @@
 			table.Link(s)
 			all = append(all, s)
 			if table.Len() > limit {
-				t.Fatalf("%d things are known, at most %d may be", table.Len(), limit)
+				t.Fatalf("the table holds %d keys, at most %d are allowed", table.Len(), limit)
 			}
 			for _, l := range s.Links {
 				i := 0
