--- a/internal/dispatcher/export/collector.go
+++ b/internal/dispatcher/export/collector.go
@@ -25,25 +25,25 @@
 	metricsMethod = "/opentelemetry.proto.collector.metrics.v1.MetricsService/Export"
 )
 
-// maxResponseBytes bounds what is read of an answer. Guards memory and time against a
-// collector that answers without end: what matters stands in the first bytes.
+// maxResponseBytes bounds what is read of a response, in memory and time: what matters is in its first bytes.
 const maxResponseBytes = 64 << 10
 
-// collector is a sink that speaks OTLP, over HTTP or gRPC. It has at most one connection.
+// collector is a sink that sends OTLP over HTTP or gRPC. It has at most one connection.
 type collector struct {
 	endpoint  Endpoint
 	transport *http.Transport
 	grpc      *connect.Client[otlp.Message, otlp.Message]
 }
 
+// newCollector makes a sink for an endpoint. Method is the path of the gRPC method.
 func newCollector(to Endpoint, method string) *collector {
 	c := &collector{endpoint: to}
 	c.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			return (&net.Dialer{}).DialContext(ctx, network, addr) // by the call's deadline
+			return (&net.Dialer{}).DialContext(ctx, network, addr) // bounded by the call's deadline
 		},
 		TLSClientConfig:        to.TLS,
-		DisableCompression:     true, // guards memory against a small answer that unpacks to a large one
+		DisableCompression:     true, // a small response could unpack to a large one
 		MaxConnsPerHost:        1,
 		MaxIdleConnsPerHost:    1,
 		IdleConnTimeout:        90 * time.Second,
@@ -64,14 +64,16 @@
 	return c
 }
 
-// noRedirect guards against a collector that sends its callers elsewhere: where data goes
-// is the operators' word alone.
+// noRedirect has redirects not followed: operators alone decide where data goes.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
+// close implements sink.
 func (c *collector) close() { c.transport.CloseIdleConnections() }
 
+// write implements sink.
 func (c *collector) write(p otlp.Payload) ([]byte, error) { return p.Proto() }
 
+// send implements sink.
 func (c *collector) send(ctx context.Context, body []byte) sendResult {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(c.endpoint.Timeout))
 	defer cancel()
@@ -81,72 +83,86 @@
 	return c.post(ctx, body)
 }
 
-// post speaks OTLP/HTTP. Source: OTLP 1.x, "OTLP/HTTP".
+// post sends a batch by OTLP/HTTP. Source: OTLP 1.x, "OTLP/HTTP".
 func (c *collector) post(ctx context.Context, body []byte) sendResult {
+	request, err := c.newRequest(ctx, body)
+	if err != nil {
+		return sendResult{err: err, reason: droppedRefused}
+	}
+	response, err := c.transport.RoundTrip(request)
+	if err != nil {
+		return sendResult{err: err, retryable: !isCertificateError(err), reason: droppedRefused}
+	}
+	defer response.Body.Close()
+	return httpResult(response)
+}
+
+// newRequest returns the HTTP request of a batch.
+func (c *collector) newRequest(ctx context.Context, body []byte) (*http.Request, error) {
 	encoding := ""
 	if c.endpoint.Gzip {
-		var small bytes.Buffer
-		z := gzip.NewWriter(&small)
-		_, _ = z.Write(body) // to memory
+		var packed bytes.Buffer
+		z := gzip.NewWriter(&packed)
+		_, _ = z.Write(body) // can't fail: it writes to memory
 		_ = z.Close()
-		body, encoding = small.Bytes(), "gzip"
+		body, encoding = packed.Bytes(), "gzip"
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.endpoint.URL, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.endpoint.URL, bytes.NewReader(body))
 	if err != nil {
-		return sendResult{err: err, reason: droppedRefused}
+		return nil, err
 	}
-	for k, v := range c.endpoint.Headers {
-		req.Header.Set(k, v)
+	for name, value := range c.endpoint.Headers {
+		request.Header.Set(name, value)
 	}
-	req.Header.Set("Content-Type", "application/x-protobuf")
-	req.Header.Set("User-Agent", "frosttide")
+	request.Header.Set("Content-Type", "application/x-protobuf")
+	request.Header.Set("User-Agent", "frosttide")
 	if encoding != "" {
-		req.Header.Set("Content-Encoding", encoding)
+		request.Header.Set("Content-Encoding", encoding)
 	}
-	resp, err := c.transport.RoundTrip(req)
-	if err != nil {
-		return sendResult{err: err, retryable: !isCertificateError(err), reason: droppedRefused}
-	}
-	defer resp.Body.Close()
-	responseBody, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes+1))
-	switch code := resp.StatusCode; {
+	return request, nil
+}
+
+// httpResult returns the result of a call from its response.
+func httpResult(response *http.Response) sendResult {
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
+	switch code := response.StatusCode; {
 	case code/100 == 2 && err != nil:
-		// The collector may have it: a second time would count twice, so it is not tried.
+		// The collector may have taken the batch; sent again it could count twice.
 		return sendResult{err: fmt.Errorf("reading the answer: %w", err), reason: droppedRefused}
 	case code/100 == 2:
-		n, text, err := parsePartialSuccess(responseBody)
-		if err != nil || len(responseBody) > maxResponseBytes {
-			return sendResult{} // taken; what else the answer says can't be read
+		rejected, _, err := parsePartialSuccess(body)
+		if err != nil || len(body) > maxResponseBytes {
+			return sendResult{} // the batch was taken; what else the response says can't be read
 		}
-		return acceptedResult(n, text)
+		return acceptedResult(rejected)
 	case code == http.StatusTooManyRequests, code == http.StatusBadGateway, code == http.StatusServiceUnavailable,
 		code == http.StatusGatewayTimeout:
 		return sendResult{err: fmt.Errorf("the collector answers %d", code), retryable: true,
-			retryAfter: retryAfter(resp.Header.Get("Retry-After"), time.Now()), reason: droppedRefused}
+			retryAfter: retryAfter(response.Header.Get("Retry-After"), time.Now()), reason: droppedRefused}
 	default:
 		return sendResult{err: fmt.Errorf("the collector answers %d", code), reason: droppedRefused}
 	}
 }
 
-// acceptedResult is the outcome of a call that was answered well; items that the collector left
-// out are lost, as the specification forbids to send them again.
-func acceptedResult(rejected int64, text string) sendResult {
+// acceptedResult returns the result of a successful call. Items that the collector has rejected are lost, as the
+// specification forbids to send them again.
+func acceptedResult(rejected int64) sendResult {
 	if rejected <= 0 {
 		return sendResult{}
 	}
 	return sendResult{rejected: int(min(rejected, 1<<30)), reason: droppedRefused}
 }
 
-// isCertificateError tells whether trying again can't help.
+// isCertificateError reports whether a collector's certificate was rejected, which a retry does not change.
 func isCertificateError(err error) bool {
-	var wrong *tls.CertificateVerificationError
-	return errors.As(err, &wrong)
+	var certificateError *tls.CertificateVerificationError
+	return errors.As(err, &certificateError)
 }
 
-// maxRetryAfter bounds what a collector may ask to wait.
+// maxRetryAfter bounds the wait that a collector may ask for.
 const maxRetryAfter = 30 * time.Second
 
-// retryAfter reads a time to wait, in seconds or as a date.
+// retryAfter returns the wait that a Retry-After header asks for, in seconds or as a date; 0 if it asks for none.
 func retryAfter(text string, now time.Time) time.Duration {
 	if s, err := strconv.Atoi(text); err == nil && s >= 0 {
 		return min(time.Duration(min(s, 1<<20))*time.Second, maxRetryAfter)
@@ -157,11 +173,11 @@
 	return 0
 }
 
-// parsePartialSuccess reads what a collector did not take. Source: ExportTracePartialSuccess, in the
-// field partial_success = 1 of the answer: rejected_spans = 1, error_message = 2; the
-// answer for metrics has the same numbers.
-func parsePartialSuccess(responseBody []byte) (rejected int64, text string, err error) {
-	err = visitFields(responseBody, func(n protowire.Number, _ uint64, of []byte) error {
+// parsePartialSuccess returns how many items a collector has rejected, and why. Source: ExportTracePartialSuccess, in the
+// field partial_success = 1 of the response: rejected_spans = 1, error_message = 2; the response for metrics has the same
+// numbers.
+func parsePartialSuccess(response []byte) (rejected int64, text string, err error) {
+	err = visitFields(response, func(n protowire.Number, _ uint64, of []byte) error {
 		if n != 1 {
 			return nil
 		}
@@ -178,7 +194,8 @@
 	return rejected, text, err
 }
 
-// visitFields visits the fields of a message.
+// visitFields calls visit with the number of each field of a protobuf message and its value, if that is a varint or
+// bytes.
 func visitFields(message []byte, visit func(protowire.Number, uint64, []byte) error) error {
 	for len(message) > 0 {
 		n, kind, used := protowire.ConsumeTag(message)
@@ -207,35 +224,33 @@
 	return nil
 }
 
-// call speaks OTLP/gRPC. Source: OTLP 1.x, "OTLP/gRPC" and its table of codes that may be
-// tried again.
+// call sends a batch by OTLP/gRPC. Source: OTLP 1.x, "OTLP/gRPC" and its table of codes that may be retried.
 func (c *collector) call(ctx context.Context, body []byte) sendResult {
-	req := connect.NewRequest(&otlp.Message{Bytes: body})
-	for k, v := range c.endpoint.Headers {
-		req.Header().Set(k, v)
+	request := connect.NewRequest(&otlp.Message{Bytes: body})
+	for name, value := range c.endpoint.Headers {
+		request.Header().Set(name, value)
 	}
-	resp, err := c.grpc.CallUnary(ctx, req)
+	response, err := c.grpc.CallUnary(ctx, request)
 	if err == nil {
-		n, text, err := parsePartialSuccess(resp.Msg.Bytes)
+		rejected, _, err := parsePartialSuccess(response.Msg.Bytes)
 		if err != nil {
 			return sendResult{}
 		}
-		return acceptedResult(n, text)
+		return acceptedResult(rejected)
 	}
-	o := sendResult{err: err, reason: droppedRefused}
 	after, requested := retryInfo(err)
+	result := sendResult{err: err, retryAfter: after, reason: droppedRefused}
 	switch connect.CodeOf(err) {
 	case connect.CodeCanceled, connect.CodeDeadlineExceeded, connect.CodeAborted, connect.CodeOutOfRange,
 		connect.CodeUnavailable, connect.CodeDataLoss:
-		o.retryable = !isCertificateError(err)
+		result.retryable = !isCertificateError(err)
 	case connect.CodeResourceExhausted:
-		o.retryable = requested
+		result.retryable = requested
 	}
-	o.retryAfter = after
-	return o
+	return result
 }
 
-// retryInfo returns how long a gRPC error asks to wait. Source: google.rpc.RetryInfo,
+// retryInfo returns the wait that a gRPC error asks for, and whether it asks for one. Source: google.rpc.RetryInfo,
 // retry_delay = 1, a Duration of seconds = 1 and nanos = 2.
 func retryInfo(err error) (wait time.Duration, requested bool) {
 	var e *connect.Error
--- a/internal/dispatcher/export/export.go
+++ b/internal/dispatcher/export/export.go
@@ -1,12 +1,16 @@
-// Package export takes the stories of requests that have ended, keeps those that will be
-// asked for, and sends them and the figures made of them to collectors or into a file.
-// Whoever tells a story waits for nobody: what can't be taken in, kept or sent in time is
-// let go and counted.
+// Package export takes the records of requests that have ended, keeps those that the sampler selects or that are
+// notable, and sends them, and the figures made of all of them, to OpenTelemetry collectors or into a file. The ingress,
+// the core and the Gearman server write records.
+//
+// Invariants: those who write records never block, and what can't be taken, kept or sent in time is dropped and counted;
+// memory is bounded by the intake and by the queues, and descriptors by MaxSockets; a shutdown waits for no collector
+// that hangs.
+//
+// An Exporter is safe for concurrent use. Each configuration in force has an actor, which owns the records, and a
+// pipeline with a goroutine of its own for each sink.
 package export
 
 import (
-	"context"
-	"maps"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,49 +21,34 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// MaxSockets is how many descriptors the export takes at most: a connection for each of two
-// signals, one of each that is just being given back, and a file that is being rotated.
+// MaxSockets is how many descriptors the export takes at most: a connection for each of two signals, one of each that is
+// just being closed, and a file during its rotation.
 const MaxSockets = 6
 
 const (
-	// intakeCapacity bounds the stories that the actor has not looked at yet. Past it they are
-	// lost, also to the figures; it takes a core that others use up whole.
+	// intakeCapacity bounds the records that the actor has not seen yet. Past it they are dropped, also from the
+	// figures; this takes a core whose time others use up.
 	intakeCapacity = 1024
-	// maxRetryKeys bounds the tries that repeats are tied to.
+	// maxRetryKeys bounds the keys by which clients' retries are linked.
 	maxRetryKeys = 4096
-	// closeTimeout is how long the last stories may take at the process's end, where a
-	// collector has been answering until then; one that hangs is not waited for.
+	// closeTimeout bounds the time for the last records at the process's end.
 	closeTimeout = 250 * time.Millisecond
-	// hangTimeout is how long a call may be out and its collector still not count as hanging.
+	// hangTimeout is how long a call may take, beside the batch delay, before its collector counts as hanging.
 	hangTimeout = 100 * time.Millisecond
 )
 
-// The reasons for which stories and batches are let go.
-const (
-	droppedIntake  = "intake"        // the actor did not keep up
-	droppedPlain   = "queue_plain"   // no room: a request that nothing happened to
-	droppedNotable = "queue_notable" // no room: one that something happened to
-	droppedSampled = "sampled"       // plain, and not picked
-	droppedRefused = "collector_refused"
-	droppedTooOld  = "collector_given_up" // tried again until it was too old
-	droppedAtExit  = "process_end"
-	droppedFile    = "file"
-	droppedMetrics = "measures_skipped" // the export before was still under way
-)
-
-// Exporter is what the rest of the program sees. Its methods may be called from any
-// goroutine, and none but Close waits.
+// Exporter takes records and exports them by the options in force. No method but Close blocks.
 type Exporter struct {
 	log     *logrus.Entry
 	current atomic.Pointer[actor] // nil while nothing is exported
-	mu      sync.Mutex            // guards changes of the actor; never held by those who tell
+	mu      sync.Mutex            // held while the actor is exchanged; not by those who write records
 }
 
-// New makes an exporter that exports nothing yet.
+// New makes an exporter that exports nothing until Configure is called.
 func New(log *logrus.Entry) *Exporter { return &Exporter{log: log} }
 
-// Configure puts other options in force. What waits under the old ones is sent on by them in
-// the background for a moment, then let go.
+// Configure puts options in force. What waits under the options before is sent by them in the background for the batch
+// delay and a second at most, then dropped.
 func (e *Exporter) Configure(o Options) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -71,59 +60,58 @@
 		}
 		go next.run()
 	}
-	if last := e.current.Swap(next); last != nil {
-		go last.close(time.Now().Add(last.options.BatchDelay + time.Second)) // it ends by then
+	if previous := e.current.Swap(next); previous != nil {
+		go previous.close(time.Now().Add(previous.options.BatchDelay + time.Second)) // ends by then
 	}
 	return nil
 }
 
-// Begin begins the story of a request that came at a time, continuing the client's trace
-// if it names one. It returns nil while nothing is exported; nil is then no story to all.
-func (e *Exporter) Begin(came time.Time, parent, state string) *trace.Record {
+// Begin returns the record of a request that was received at a time. It continues the client's trace if the headers
+// traceparent and tracestate name one. It returns nil, which all writers of records accept, while nothing is exported.
+func (e *Exporter) Begin(received time.Time, parent, state string) *trace.Record {
 	a := e.current.Load()
 	if a == nil {
 		return nil
 	}
-	s := &trace.Record{Span: trace.NewSpanID(), Received: time.Duration(came.UnixNano())}
+	r := &trace.Record{Span: trace.NewSpanID(), Received: time.Duration(received.UnixNano())}
 	if c, ok := trace.ParseParent(parent, state); ok {
-		s.Trace, s.Parent, s.TraceState, s.ParentSampled = c.Trace, c.Span, c.State, c.Sampled
+		r.Trace, r.Parent, r.TraceState, r.ParentSampled = c.Trace, c.Span, c.State, c.Sampled
 	} else {
-		s.Trace = trace.NewID()
+		r.Trace = trace.NewID()
 	}
-	s.Selected = a.options.Sampler.Select(s)
-	return s
+	r.Selected = a.options.Sampler.Select(r)
+	return r
 }
 
-// Ended takes a story whose request has ended; nobody writes to it any more.
-func (e *Exporter) Ended(s *trace.Record) {
+// Ended takes the record of a request that has ended. The caller must not change it any more.
+func (e *Exporter) Ended(r *trace.Record) {
 	if a := e.current.Load(); a != nil {
 		select {
-		case a.intake <- s:
+		case a.intake <- r:
 		default:
 			a.overflowed.Add(1)
 		}
 	}
 }
 
-// Enabled tells whether anything is exported.
+// Enabled reports whether anything is exported.
 func (e *Exporter) Enabled() bool { return e.current.Load() != nil }
 
-// SetLoads takes how much of each target is in use now.
+// SetLoads takes how much of each backend is in use now.
 func (e *Exporter) SetLoads(loads []measures.Load) {
 	if a := e.current.Load(); a != nil {
 		a.loads.Store(&loads)
 	}
 }
 
-// FlushNow has all that waits sent at once from now on: the process ends soon.
+// FlushNow has everything sent at once from now on, as the process is about to end.
 func (e *Exporter) FlushNow() {
 	if a := e.current.Load(); a != nil {
 		a.flushNow()
 	}
 }
 
-// Close sends what it can within a moment and ends. Guards the process's end: a collector
-// that hangs is not waited for.
+// Close sends what it can within closeTimeout and ends the export.
 func (e *Exporter) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,224 +119,3 @@
 		a.close(time.Now().Add(closeTimeout))
 	}
 }
-
-// actor owns the stories from their telling until they are sent. One goroutine of its
-// own decides; each sink has another that may wait.
-type actor struct {
-	options    Options
-	log        *logrus.Entry
-	intake     chan *trace.Record
-	overflowed atomic.Int64
-	loads      atomic.Pointer[[]measures.Load]
-	flush      chan struct{} // closed when all is to be sent at once
-	once       sync.Once
-	stop       chan time.Time // when the process ends
-	done       chan struct{}
-
-	pipelines []*pipeline
-	results   chan jobResult
-	metrics   *measures.Set
-	retries   *trace.RetryTable
-	dropped   map[string]int64
-	sent      map[string]int64
-	retried   map[string]int64
-}
-
-func newActor(o Options, log *logrus.Entry) (*actor, error) {
-	a := &actor{options: o, log: log, intake: make(chan *trace.Record, intakeCapacity), flush: make(chan struct{}),
-		stop: make(chan time.Time, 1), done: make(chan struct{}), results: make(chan jobResult, 3),
-		retries: trace.NewRetryTable(maxRetryKeys), dropped: map[string]int64{}, sent: map[string]int64{}, retried: map[string]int64{}}
-	var err error
-	if a.metrics, err = measures.New(o.Delta); err != nil {
-		return nil, err
-	}
-	if o.Traces.URL != "" {
-		a.pipelines = append(a.pipelines, newPipeline("traces", true, false, o, newCollector(o.Traces, tracesMethod), a.results, log))
-	}
-	if o.Metrics.URL != "" {
-		a.pipelines = append(a.pipelines, newPipeline("metrics", false, true, o, newCollector(o.Metrics, metricsMethod), a.results, log))
-	}
-	if o.File.Path != "" {
-		a.pipelines = append(a.pipelines, newPipeline("file", true, true, o, &fileSink{options: o.File}, a.results, log))
-	}
-	return a, nil
-}
-
-func (a *actor) flushNow() { a.once.Do(func() { close(a.flush) }) }
-
-// close ends the actor by the deadline.
-func (a *actor) close(deadline time.Time) {
-	a.stop <- deadline
-	<-a.done
-}
-
-func (a *actor) run() {
-	defer close(a.done)
-	ctx, cancel := context.WithCancel(context.Background())
-	defer cancel()
-	var pipelines sync.WaitGroup
-	for _, pipeline := range a.pipelines {
-		pipelines.Go(func() { pipeline.run(ctx) })
-	}
-	metricsTicker := time.NewTicker(a.options.MetricsInterval)
-	defer metricsTicker.Stop()
-	delay := time.NewTicker(a.options.BatchDelay)
-	defer delay.Stop()
-	soon := a.flush
-	for {
-		select {
-		case s := <-a.intake:
-			a.add(s)
-		case r := <-a.results:
-			a.jobEnded(r)
-		case <-delay.C:
-			a.markForFlush()
-		case <-metricsTicker.C:
-			a.collectMetrics()
-		case <-soon:
-			soon = nil
-			for _, pipeline := range a.pipelines {
-				pipeline.delay = 0
-			}
-			a.markForFlush()
-		case deadline := <-a.stop:
-			a.drain(deadline)
-			a.metrics.Close(deadline)
-			cancel()
-			pipelines.Wait()
-			return
-		}
-		a.assignJobs()
-	}
-}
-
-// add looks at one story.
-func (a *actor) add(s *trace.Record) {
-	a.retries.Link(s)
-	keep, _ := a.options.Sampler.Keep(s)
-	a.metrics.Add(s, keep)
-	if !keep {
-		a.dropped[droppedSampled]++
-		return
-	}
-	for _, pipeline := range a.pipelines {
-		if pipeline.traces {
-			plain, notable := pipeline.queue.Put(s)
-			a.dropped[droppedPlain] += int64(plain)
-			a.dropped[droppedNotable] += int64(notable)
-		}
-	}
-}
-
-// markForFlush marks what waits as old enough to go.
-func (a *actor) markForFlush() {
-	for _, pipeline := range a.pipelines {
-		pipeline.flushReady = pipeline.queue.Len() > 0
-	}
-}
-
-// assignJobs gives each lane that has nothing under way what is next for it.
-func (a *actor) assignJobs() {
-	for _, pipeline := range a.pipelines {
-		if pipeline.busy || pipeline.queue.Len() == 0 {
-			continue
-		}
-		if pipeline.flushReady || pipeline.delay == 0 || pipeline.queue.Len() >= a.options.Batch {
-			pipeline.assign(exportJob{records: pipeline.queue.Take(a.options.Batch)})
-			pipeline.flushReady = pipeline.flushReady && pipeline.queue.Len() > 0
-		}
-	}
-}
-
-// collectMetrics gathers the figures for the lanes that are free. Guards delta figures from
-// being gathered and then not sent: what was gathered is gone from the next ones.
-func (a *actor) collectMetrics() {
-	var free []*pipeline
-	for _, pipeline := range a.pipelines {
-		if pipeline.metrics && !pipeline.busy {
-			free = append(free, pipeline)
-		} else if pipeline.metrics {
-			a.dropped[droppedMetrics]++
-		}
-	}
-	if len(free) == 0 {
-		return
-	}
-	e := measures.Exporter{Sent: maps.Clone(a.sent), Retried: maps.Clone(a.retried), Dropped: maps.Clone(a.dropped)}
-	e.Dropped[droppedIntake] = a.overflowed.Load()
-	for _, pipeline := range a.pipelines {
-		e.Queued += pipeline.queue.Len()
-		e.QueuedBytes += pipeline.queue.Bytes()
-	}
-	var loads []measures.Load
-	if p := a.loads.Load(); p != nil {
-		loads = *p
-	}
-	figures, err := a.metrics.Collect(loads, e)
-	if err != nil {
-		a.log.WithError(err).Error("the figures could not be gathered")
-		return
-	}
-	for _, pipeline := range free {
-		pipeline.assign(exportJob{metrics: figures})
-	}
-}
-
-// jobEnded takes in how a lane's job ended.
-func (a *actor) jobEnded(r jobResult) {
-	r.pipeline.busy = false
-	a.sent[r.pipeline.name] += int64(r.sent)
-	a.retried[r.pipeline.name] += int64(r.retried)
-	if r.lost > 0 {
-		a.dropped[r.reason] += int64(r.lost)
-	}
-	r.pipeline.logTransition(r)
-}
-
-// drain sends what waits until the deadline, on lanes that don't hang, and the last
-// figures after the stories.
-func (a *actor) drain(deadline time.Time) {
-	for more := true; more; { // what was told before the end
-		select {
-		case s := <-a.intake:
-			a.add(s)
-		default:
-			more = false
-		}
-	}
-	timer := time.NewTimer(time.Until(deadline))
-	defer timer.Stop()
-	measured := false
-	for {
-		a.markForFlush()
-		a.assignJobs()
-		waiting := false
-		for _, pipeline := range a.pipelines {
-			waiting = waiting || pipeline.busy && !pipeline.hanging()
-		}
-		if !waiting && !measured {
-			measured = true
-			a.collectMetrics()
-			continue
-		}
-		if !waiting {
-			break
-		}
-		select {
-		case r := <-a.results:
-			a.jobEnded(r)
-		case <-timer.C:
-			waiting = false
-		}
-		if !waiting {
-			break
-		}
-	}
-	lost := 0
-	for _, pipeline := range a.pipelines {
-		lost += pipeline.queue.Len() + pipeline.inFlight
-	}
-	if lost > 0 {
-		a.log.WithFields(logrus.Fields{"stories": lost, "reason": droppedAtExit}).Warn("not exported at the end")
-	}
-}
--- a/internal/dispatcher/export/export_test.go
+++ b/internal/dispatcher/export/export_test.go
@@ -19,6 +19,7 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
+// getenv returns an environment of NAME=VALUE pairs.
 func getenv(pairs ...string) func(string) string {
 	m := map[string]string{}
 	for _, p := range pairs {
@@ -28,8 +29,7 @@
 	return func(name string) string { return m[name] }
 }
 
-// TestResolve guards what OpenTelemetry's specification says of its variables, and that
-// they go before the settings.
+// TestResolve has OpenTelemetry's variables read as the specification says, and take precedence over the settings.
 func TestResolve(t *testing.T) {
 	file := settings.Telemetry{OTLP: settings.OTLP{Endpoint: "http://settings:4318", Protocol: "grpc", Headers: map[string]string{"a": "1"}}}
 	tenth := 0.1
@@ -37,27 +37,27 @@
 		name     string
 		settings settings.Telemetry
 		env      []string
-		want     string // traces | measures | sampler
-		warns    int
+		want     string // traces | metrics | sampler
+		warnings int
 	}{
 		{"off", settings.Telemetry{}, nil, "| | {false 1 true}", 0},
-		{"the common one gets its paths", settings.Telemetry{}, []string{"OTEL_EXPORTER_OTLP_ENDPOINT=http://c:1/base/"},
+		{"common endpoint with the paths added", settings.Telemetry{}, []string{"OTEL_EXPORTER_OTLP_ENDPOINT=http://c:1/base/"},
 			"http://c:1/base/v1/traces| http://c:1/base/v1/metrics| {false 1 true}", 0},
-		{"a signal's own is taken as it is", settings.Telemetry{}, []string{"OTEL_EXPORTER_OTLP_TRACES_ENDPOINT=http://c:1/in"},
+		{"a signal's own endpoint as it is", settings.Telemetry{}, []string{"OTEL_EXPORTER_OTLP_TRACES_ENDPOINT=http://c:1/in"},
 			"http://c:1/in| | {false 1 true}", 0},
 		{"settings", file, nil, "http://settings:4318 grpc a=1| http://settings:4318 grpc a=1| {false 1 true}", 0},
-		{"before the settings", file, []string{"OTEL_EXPORTER_OTLP_ENDPOINT=http://c:1", "OTEL_EXPORTER_OTLP_METRICS_PROTOCOL=http/protobuf",
+		{"environment over the settings", file, []string{"OTEL_EXPORTER_OTLP_ENDPOINT=http://c:1", "OTEL_EXPORTER_OTLP_METRICS_PROTOCOL=http/protobuf",
 			"OTEL_EXPORTER_OTLP_TRACES_HEADERS=a=2,b=x%20y"},
 			"http://c:1 grpc a=2 b=x y| http://c:1/v1/metrics a=1| {false 1 true}", 0},
 		{"disabled", file, []string{"OTEL_SDK_DISABLED=true"}, "| | {false 1 true}", 0},
 		{"one signal", file, []string{"OTEL_METRICS_EXPORTER=none"}, "http://settings:4318 grpc a=1| | {false 1 true}", 0},
 		{"gRPC without a scheme", settings.Telemetry{}, []string{"OTEL_EXPORTER_OTLP_ENDPOINT=c:4317", "OTEL_EXPORTER_OTLP_PROTOCOL=grpc",
 			"OTEL_EXPORTER_OTLP_INSECURE=true"}, "http://c:4317 grpc| http://c:4317 grpc| {false 1 true}", 0},
-		{"share of the settings", settings.Telemetry{SampleRatio: &tenth}, nil, "| | {false 0.1 true}", 0},
+		{"ratio of the settings", settings.Telemetry{SampleRatio: &tenth}, nil, "| | {false 0.1 true}", 0},
 		{"sampler", settings.Telemetry{SampleRatio: &tenth}, []string{"OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0.25"}, "| | {false 0.25 false}", 0},
 		{"parent's sampler", settings.Telemetry{}, []string{"OTEL_TRACES_SAMPLER=parentbased_always_off"}, "| | {false 0 true}", 0},
-		{"no sampler", settings.Telemetry{}, []string{"OTEL_TRACES_SAMPLER=always_off"}, "| | {true 0 false}", 0},
-		{"what can't be meant is passed over", settings.Telemetry{}, []string{"OTEL_TRACES_SAMPLER=sometimes", "OTEL_BSP_SCHEDULE_DELAY=soon",
+		{"always off", settings.Telemetry{}, []string{"OTEL_TRACES_SAMPLER=always_off"}, "| | {true 0 false}", 0},
+		{"malformed values ignored", settings.Telemetry{}, []string{"OTEL_TRACES_SAMPLER=sometimes", "OTEL_BSP_SCHEDULE_DELAY=soon",
 			"OTEL_EXPORTER_OTLP_PROTOCOL=smoke", "OTEL_EXPORTER_OTLP_ENDPOINT=http://c:1", "OTEL_EXPORTER_OTLP_TIMEOUT=-1"},
 			"http://c:1/v1/traces| http://c:1/v1/metrics| {false 1 true}", 6},
 	} {
@@ -66,58 +66,66 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			say := func(e Endpoint) string {
-				s := e.URL
-				if e.GRPC && s != "" {
-					s += " grpc"
-				}
-				for _, k := range []string{"a", "b"} {
-					if v, ok := e.Headers[k]; ok && s != "" {
-						s += " " + k + "=" + v
-					}
-				}
-				return s
-			}
-			got := fmt.Sprintf("%s| %s| %v", say(o.Traces), say(o.Metrics), o.Sampler)
-			if got != tc.want || len(warnings) != tc.warns {
+			got := fmt.Sprintf("%s| %s| %v", describe(o.Traces), describe(o.Metrics), o.Sampler)
+			if got != tc.want || len(warnings) != tc.warnings {
 				t.Errorf("got %s, want %s; warnings %q", got, tc.want, warnings)
 			}
 			if !o.Equivalent(o) {
-				t.Error("equal options are not the same")
+				t.Error("equal options are not equivalent")
 			}
 		})
 	}
-	for _, bad := range []string{"OTEL_EXPORTER_OTLP_ENDPOINT=nowhere", "OTEL_EXPORTER_OTLP_HEADERS=x", "OTEL_RESOURCE_ATTRIBUTES==",
-		"OTEL_EXPORTER_OTLP_CERTIFICATE=/nowhere"} {
-		_, _, err := Resolve(settings.Telemetry{OTLP: settings.OTLP{Endpoint: "https://c"}}, "n0", getenv(bad))
-		if err == nil {
-			t.Errorf("%s was taken", bad)
+}
+
+// describe returns an endpoint as one text.
+func describe(e Endpoint) string {
+	s := e.URL
+	if e.GRPC && s != "" {
+		s += " grpc"
+	}
+	for _, k := range []string{"a", "b"} {
+		if v, ok := e.Headers[k]; ok && s != "" {
+			s += " " + k + "=" + v
 		}
 	}
+	return s
+}
+
+// TestResolveErrors has addresses, headers, attributes and certificates that can't be used rejected.
+func TestResolveErrors(t *testing.T) {
+	for _, variable := range []string{"OTEL_EXPORTER_OTLP_ENDPOINT=nowhere", "OTEL_EXPORTER_OTLP_HEADERS=x", "OTEL_RESOURCE_ATTRIBUTES==",
+		"OTEL_EXPORTER_OTLP_CERTIFICATE=/nowhere"} {
+		t.Run(variable, func(t *testing.T) {
+			_, _, err := Resolve(settings.Telemetry{OTLP: settings.OTLP{Endpoint: "https://c"}}, "n0", getenv(variable))
+			if err == nil {
+				t.Error("it was accepted")
+			}
+		})
+	}
 }
 
-// TestRetryWait guards the collector against a rush, and the queue against a batch that is
-// tried for ever: waits have a bound, none is shorter than asked for, and there is an end.
+// TestRetryWait has waits between retries bounded and no shorter than the collector asks for, and retries end.
 func TestRetryWait(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := rapid.Float64Range(0, 1).Draw(t, "draw")
 		after := time.Duration(rapid.IntRange(0, int(maxRetryAfter)).Draw(t, "after"))
 		var spent time.Duration
-		for tries := 1; ; tries++ {
-			wait, again := retryWait(tries, after, spent, draw)
+		for calls := 1; ; calls++ {
+			wait, again := retryWait(calls, after, spent, draw)
 			if wait < after || wait > max(maxRetryWait, after) {
-				t.Fatalf("try %d waits %s, asked for %s", tries, wait, after)
+				t.Fatalf("the wait after call %d is %s, asked for %s", calls, wait, after)
 			}
 			if !again {
 				break
 			}
 			if spent += wait + time.Millisecond; spent > maxRetryAge+time.Second {
-				t.Fatal("a batch is tried for ever")
+				t.Fatal("a batch is retried for ever")
 			}
 		}
 	})
 }
 
+// TestRetryAfter has the header's wait read in both forms, and bounded.
 func TestRetryAfter(t *testing.T) {
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
 	for text, want := range map[string]time.Duration{"": 0, "2": 2 * time.Second, "-1": 0, "soon": 0, "99999999999": maxRetryAfter, "3600": maxRetryAfter,
@@ -128,19 +136,20 @@
 	}
 }
 
+// FuzzPartial has any response read without a panic.
 func FuzzPartial(f *testing.F) {
 	f.Add([]byte{0x0a, 0x04, 0x08, 0x01, 0x12, 0x00})
 	f.Add([]byte("\xff\xff<html>"))
-	f.Fuzz(func(t *testing.T, answer []byte) {
-		_, text, _ := parsePartialSuccess(answer)
-		if len(text) > len(answer) {
-			t.Errorf("%q of %d bytes", text, len(answer))
+	f.Fuzz(func(t *testing.T, response []byte) {
+		_, text, _ := parsePartialSuccess(response)
+		if len(text) > len(response) {
+			t.Errorf("%q of %d bytes", text, len(response))
 		}
 	})
 }
 
-// TestFile guards the size and number of files, lines against being split, and the next
-// line against one that an earlier process did not end.
+// TestFile has files kept to their size and number, no line split over two, and a line after an incomplete one start on a
+// line of its own.
 func TestFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "traces.jsonl")
 	if err := os.WriteFile(path, []byte(`{"cut`), 0o600); err != nil {
@@ -185,21 +194,20 @@
 	}
 }
 
-// TestOff guards the price of telemetry for those who have none.
+// TestOff has a request cost no allocation while nothing is exported.
 func TestOff(t *testing.T) {
 	e := New(logrus.NewEntry(logrus.New()))
 	now := time.Now()
 	if n := testing.AllocsPerRun(100, func() {
 		if e.Begin(now, "", "") != nil {
-			t.Fatal("a story without anybody to read it")
+			t.Fatal("a record while nothing is exported")
 		}
 	}); n > 0 {
 		t.Errorf("%g allocations for a request", n)
 	}
 }
 
-// TestIntake guards those who tell stories: nobody waits for an actor that does not keep
-// up, and what is lost is counted.
+// TestIntake has Ended not block while the actor does not keep up, and the dropped records counted.
 func TestIntake(t *testing.T) {
 	a := &actor{intake: make(chan *trace.Record, 3)}
 	e := New(logrus.NewEntry(logrus.New()))
@@ -208,12 +216,12 @@
 		e.Ended(&trace.Record{})
 	}
 	if diff := cmp.Diff([]int64{3, 2}, []int64{int64(len(a.intake)), a.overflowed.Load()}); diff != "" {
-		t.Errorf("taken and missed (-want +got):\n%s", diff)
+		t.Errorf("taken and dropped (-want +got):\n%s", diff)
 	}
 }
 
-// told is a story of an ordinary request, as the core writes it.
-func told(e *Exporter) *trace.Record {
+// served returns the record of an ordinary request, as the core writes it.
+func served(e *Exporter) *trace.Record {
 	s := e.Begin(time.Now(), "", "")
 	s.Request, s.Class, s.Method = "9b1f03aa5c7e2d41", "render", "POST"
 	i := s.StartAttempt(trace.Attempt{Backend: "s-1", Addr: "127.0.0.1:9", Zone: "a", Sent: s.Received + 1})
@@ -226,7 +234,7 @@
 	return s
 }
 
-// BenchmarkRecord measures what a request's story costs its tellers and the actor.
+// BenchmarkRecord measures the cost of a record: writing it, taking it in the actor, and encoding it.
 func BenchmarkRecord(b *testing.B) {
 	a, err := newActor(Options{Sampler: trace.Sampler{Ratio: 0.01}, Resource: map[string]string{"service.name": "x"},
 		MetricsInterval: time.Hour, BatchDelay: time.Hour, Batch: 512, Queue: 4 << 20}, logrus.NewEntry(logrus.New()))
@@ -235,24 +243,24 @@
 	}
 	e := New(logrus.NewEntry(logrus.New()))
 	e.current.Store(a)
-	b.Run("told", func(b *testing.B) {
+	b.Run("write", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			told(e)
+			served(e)
 		}
 	})
-	b.Run("taken", func(b *testing.B) {
-		s := told(e)
+	b.Run("take", func(b *testing.B) {
+		s := served(e)
 		b.ReportAllocs()
 		for b.Loop() {
 			a.add(s)
 		}
 	})
-	b.Run("encoded", func(b *testing.B) {
-		l := newPipeline("traces", true, false, a.options, newCollector(Endpoint{}, tracesMethod), nil, a.log)
+	b.Run("encode", func(b *testing.B) {
+		l := newPipeline("traces", tracesSignal, a.options, newCollector(Endpoint{}, tracesMethod), nil, a.log)
 		all := make([]*trace.Record, 512)
 		for i := range all {
-			all[i] = told(e)
+			all[i] = served(e)
 		}
 		b.ReportAllocs()
 		for b.Loop() {
@@ -260,6 +268,6 @@
 				b.Fatal(err)
 			}
 		}
-		b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/512, "µs/story")
+		b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N)/512, "µs/record")
 	})
 }
--- a/internal/dispatcher/export/file.go
+++ b/internal/dispatcher/export/filesink.go
@@ -12,8 +12,8 @@
 	"frosttide/internal/dispatcher/settings"
 )
 
-// fileSink is a sink that writes lines of OTLP's JSON. Past its size the file is renamed to
-// NAME.1, that one to NAME.2 and so on; the oldest goes.
+// fileSink is a sink that appends lines of OTLP's JSON to a file. Past its size the file is renamed to NAME.1, that one to
+// NAME.2 and so on; the oldest is removed.
 //
 // Source: OpenTelemetry specification, "OpenTelemetry Protocol File Exporter".
 type fileSink struct {
@@ -22,22 +22,24 @@
 	size    int64
 }
 
+// write implements sink.
 func (f *fileSink) write(p otlp.Payload) ([]byte, error) {
 	line, err := p.JSON()
 	return append(line, '\n'), err
 }
 
+// send implements sink. Calls that failed are not repeated.
 func (f *fileSink) send(_ context.Context, lines []byte) sendResult {
 	for line := range bytes.Lines(lines) {
 		if err := f.append(line); err != nil {
-			f.close() // opened anew with the next line
+			f.close() // the next line opens it anew
 			return sendResult{err: fmt.Errorf("%s: %w", f.options.Path, err), reason: droppedFile}
 		}
 	}
 	return sendResult{}
 }
 
-// append writes a line; a line is never split over two files.
+// append appends a line, which is never split over two files.
 func (f *fileSink) append(line []byte) error {
 	if f.open != nil && f.size > 0 && f.size+int64(len(line)) > f.options.Size {
 		f.close()
@@ -55,8 +57,8 @@
 	return err
 }
 
-// reopen opens the file behind what it holds. Guards the reader against a line that an
-// earlier process did not end: the next one begins on a line of its own.
+// reopen opens the file for appending. If an earlier process has left an incomplete line, it ends that line, so that the
+// next one can be read.
 func (f *fileSink) reopen() error {
 	open, err := os.OpenFile(f.options.Path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o640)
 	if err != nil {
@@ -79,6 +81,7 @@
 	return nil
 }
 
+// rotate renames the files, of which the oldest is replaced.
 func (f *fileSink) rotate() error {
 	name := func(i int64) string {
 		if i == 0 {
@@ -97,6 +100,7 @@
 	return nil
 }
 
+// close implements sink.
 func (f *fileSink) close() {
 	if f.open != nil {
 		f.open.Close()
