--- a/internal/dispatcher/otlp/attributes.go
+++ b/internal/dispatcher/otlp/attributes.go
@@ -8,25 +8,25 @@
 	commonpb "go.opentelemetry.io/proto/otlp/common/v1"
 )
 
-// Attributes is a list of attributes as messages hold it.
+// Attributes is a list of attributes as OTLP's messages hold it.
 type Attributes []*commonpb.KeyValue
 
-// PutStr adds a text.
+// PutStr adds an attribute that is a string.
 func (a *Attributes) PutStr(key, value string) {
-	a.put(key, &commonpb.AnyValue{Value: &commonpb.AnyValue_StringValue{StringValue: value}})
+	*a = append(*a, stringAttribute(key, value))
 }
 
-// PutInt adds a whole number.
+// PutInt adds an attribute that is an integer.
 func (a *Attributes) PutInt(key string, value int64) {
 	a.put(key, &commonpb.AnyValue{Value: &commonpb.AnyValue_IntValue{IntValue: value}})
 }
 
-// PutDouble adds a number.
+// PutDouble adds an attribute that is a floating-point number.
 func (a *Attributes) PutDouble(key string, value float64) {
 	a.put(key, &commonpb.AnyValue{Value: &commonpb.AnyValue_DoubleValue{DoubleValue: value}})
 }
 
-// PutBool adds a truth value.
+// PutBool adds an attribute that is a Boolean.
 func (a *Attributes) PutBool(key string, value bool) {
 	a.put(key, &commonpb.AnyValue{Value: &commonpb.AnyValue_BoolValue{BoolValue: value}})
 }
@@ -35,7 +35,7 @@
 	*a = append(*a, &commonpb.KeyValue{Key: key, Value: value})
 }
 
-// Get returns the value of an attribute, nil if there is none.
+// Get returns the value of an attribute, nil if the list has none of the key.
 func (a Attributes) Get(key string) *commonpb.AnyValue {
 	for _, kv := range a {
 		if kv.GetKey() == key {
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// Text returns an attribute as a text, empty if there is none.
+// Text returns an attribute of any scalar type as a string, empty if the list has none of the key.
 func (a Attributes) Text(key string) string {
 	switch v := a.Get(key).GetValue().(type) {
 	case *commonpb.AnyValue_StringValue:
@@ -61,7 +61,7 @@
 	}
 }
 
-// Number returns an attribute as a number, 0 if there is none.
+// Number returns an attribute as a number, 0 if it is none or the list has none of the key.
 func (a Attributes) Number(key string) float64 {
 	switch v := a.Get(key).GetValue().(type) {
 	case *commonpb.AnyValue_IntValue:
@@ -73,7 +73,12 @@
 	}
 }
 
-// stringAttributes returns attributes of texts, by key.
+// stringAttribute returns one attribute that is a string.
+func stringAttribute(key, value string) *commonpb.KeyValue {
+	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_StringValue{StringValue: value}}}
+}
+
+// stringAttributes returns attributes that are strings, sorted by key.
 func stringAttributes(from map[string]string) (a Attributes) {
 	for _, key := range slices.Sorted(maps.Keys(from)) {
 		a.PutStr(key, from[key])
--- a/internal/dispatcher/otlp/codec.go
+++ b/internal/dispatcher/otlp/codec.go
@@ -7,19 +7,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Message is a gRPC message that is written already, or not read yet.
+// Message is a gRPC message in its encoded form.
 type Message struct{ Bytes []byte }
 
-// Codec lets connect carry Messages. Those of the library's own, as the status of a
-// failed call, it writes and reads itself.
+// Codec is a codec of the connect library that passes a Message through as it is, and encodes and decodes the library's
+// own messages, as the status of a failed call.
 type Codec struct{}
 
-// Name is that of the encoding on the wire.
+// Name returns the encoding's name on the wire.
 func (Codec) Name() string { return "proto" }
 
-// Marshal writes a message into bytes of its own. Guards a message that is sent again: the
-// RPC library owns what it is given here and writes the next message over it once this one
-// is sent.
+// Marshal returns a message in a buffer of its own. The library owns that buffer and overwrites it with the next message,
+// while the Message may be sent again.
 func (Codec) Marshal(m any) ([]byte, error) {
 	switch m := m.(type) {
 	case *Message:
@@ -30,7 +29,7 @@
 	return nil, fmt.Errorf("%T is no message", m)
 }
 
-// Unmarshal reads a message; it keeps nothing of the text.
+// Unmarshal decodes a message and keeps no reference to the text.
 func (Codec) Unmarshal(text []byte, m any) error {
 	switch m := m.(type) {
 	case *Message:
--- a/internal/dispatcher/otlp/codec_test.go
+++ b/internal/dispatcher/otlp/codec_test.go
@@ -5,9 +5,8 @@
 	"testing"
 )
 
-// TestMarshalOwns guards a message that is sent again: whoever is given its text may do with
-// it what he likes. Without a copy a batch that a collector had turned away came garbled the
-// next time.
+// TestMarshalOwns has a message that is sent again not change when the library overwrites the buffer of the first call.
+// Without a copy a batch that a collector had rejected arrived garbled the next time.
 func TestMarshalOwns(t *testing.T) {
 	m := &Message{Bytes: []byte("spans")}
 	text, err := Codec{}.Marshal(m)
--- a/internal/dispatcher/otlp/measures.go
+++ b/internal/dispatcher/otlp/metrics.go
@@ -2,6 +2,8 @@
 
 import (
 	"fmt"
+	"maps"
+	"slices"
 	"time"
 
 	"go.opentelemetry.io/collector/pdata/pcommon"
@@ -10,39 +12,50 @@
 	"go.opentelemetry.io/otel/sdk/metric/metricdata"
 )
 
-// Metrics writes the figures that the SDK has gathered.
+// Metrics returns figures that the SDK has collected in OTLP's form. It fails for an aggregation that package measures
+// does not use.
 func Metrics(resource map[string]string, from *metricdata.ResourceMetrics) (pmetric.Metrics, error) {
-	m := pmetric.NewMetrics()
-	of := m.ResourceMetrics().AppendEmpty()
-	putAttributes(of.Resource().Attributes(), resource)
-	for _, s := range from.ScopeMetrics {
-		in := of.ScopeMetrics().AppendEmpty()
-		in.Scope().SetName(s.Scope.Name)
-		for _, f := range s.Metrics {
-			to := in.Metrics().AppendEmpty()
-			to.SetName(f.Name)
-			to.SetDescription(f.Description)
-			to.SetUnit(f.Unit)
-			switch data := f.Data.(type) {
-			case metricdata.Sum[int64]:
-				sum := to.SetEmptySum()
-				sum.SetIsMonotonic(data.IsMonotonic)
-				sum.SetAggregationTemporality(temporality(data.Temporality))
-				putNumbers(sum.DataPoints(), data.DataPoints)
-			case metricdata.Gauge[int64]:
-				putNumbers(to.SetEmptyGauge().DataPoints(), data.DataPoints)
-			case metricdata.ExponentialHistogram[float64]:
-				h := to.SetEmptyExponentialHistogram()
-				h.SetAggregationTemporality(temporality(data.Temporality))
-				for i := range data.DataPoints {
-					putHistogram(h.DataPoints().AppendEmpty(), &data.DataPoints[i])
-				}
-			default:
-				return m, fmt.Errorf("figure %s is of the unforeseen form %T", f.Name, f.Data)
+	metrics := pmetric.NewMetrics()
+	resourceMetrics := metrics.ResourceMetrics().AppendEmpty()
+	attributes := resourceMetrics.Resource().Attributes()
+	for _, key := range slices.Sorted(maps.Keys(resource)) {
+		attributes.PutStr(key, resource[key])
+	}
+	for _, scopeMetrics := range from.ScopeMetrics {
+		to := resourceMetrics.ScopeMetrics().AppendEmpty()
+		to.Scope().SetName(scopeMetrics.Scope.Name)
+		for _, m := range scopeMetrics.Metrics {
+			if err := putMetric(to.Metrics().AppendEmpty(), m); err != nil {
+				return metrics, err
 			}
 		}
 	}
-	return m, nil
+	return metrics, nil
+}
+
+// putMetric sets a figure.
+func putMetric(to pmetric.Metric, from metricdata.Metrics) error {
+	to.SetName(from.Name)
+	to.SetDescription(from.Description)
+	to.SetUnit(from.Unit)
+	switch data := from.Data.(type) {
+	case metricdata.Sum[int64]:
+		sum := to.SetEmptySum()
+		sum.SetIsMonotonic(data.IsMonotonic)
+		sum.SetAggregationTemporality(temporality(data.Temporality))
+		putNumbers(sum.DataPoints(), data.DataPoints)
+	case metricdata.Gauge[int64]:
+		putNumbers(to.SetEmptyGauge().DataPoints(), data.DataPoints)
+	case metricdata.ExponentialHistogram[float64]:
+		histogram := to.SetEmptyExponentialHistogram()
+		histogram.SetAggregationTemporality(temporality(data.Temporality))
+		for i := range data.DataPoints {
+			putHistogram(histogram.DataPoints().AppendEmpty(), &data.DataPoints[i])
+		}
+	default:
+		return fmt.Errorf("figure %s is of the unforeseen form %T", from.Name, from.Data)
+	}
+	return nil
 }
 
 func temporality(t metricdata.Temporality) pmetric.AggregationTemporality {
@@ -52,6 +65,7 @@
 	return pmetric.AggregationTemporalityCumulative
 }
 
+// timestamp returns a time as figures hold it, 0 for none.
 func timestamp(t time.Time) pcommon.Timestamp {
 	if t.IsZero() {
 		return 0
@@ -59,6 +73,7 @@
 	return pcommon.NewTimestampFromTime(t)
 }
 
+// putLabels sets the attributes of a data point.
 func putLabels(to pcommon.Map, from attribute.Set) {
 	for it := from.Iter(); it.Next(); {
 		kv := it.Attribute()
@@ -70,6 +85,7 @@
 	}
 }
 
+// putNumbers adds the data points of a sum or gauge.
 func putNumbers(to pmetric.NumberDataPointSlice, from []metricdata.DataPoint[int64]) {
 	for _, p := range from {
 		n := to.AppendEmpty()
@@ -80,6 +96,7 @@
 	}
 }
 
+// putHistogram sets a data point of a histogram.
 func putHistogram(to pmetric.ExponentialHistogramDataPoint, from *metricdata.ExponentialHistogramDataPoint[float64]) {
 	putLabels(to.Attributes(), from.Attributes)
 	to.SetStartTimestamp(timestamp(from.StartTime))
--- a/internal/dispatcher/otlp/payload.go
+++ b/internal/dispatcher/otlp/payload.go
@@ -6,13 +6,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Payload is a message that can be written either way.
+// Payload is a message that can be encoded as protobuf or JSON.
 type Payload struct {
 	proto, json func() ([]byte, error)
 }
 
-// TracesPayload returns the payload of spans. Its protobuf form is that of
-// ExportTraceServiceRequest, which has the fields of TracesData.
+// TracesPayload returns the payload of spans. Its protobuf form is also that of ExportTraceServiceRequest, which has the
+// fields of TracesData.
 func TracesPayload(t *tracepb.TracesData) Payload {
 	return Payload{
 		proto: func() ([]byte, error) { return proto.Marshal(t) },
@@ -28,8 +28,8 @@
 	}
 }
 
-// Proto writes the message as protobuf.
+// Proto encodes the message as protobuf.
 func (p Payload) Proto() ([]byte, error) { return p.proto() }
 
-// JSON writes it as one line of JSON, as the file exporter's specification has it.
+// JSON encodes the message as one line of JSON without its end, as the file exporter's specification has it.
 func (p Payload) JSON() ([]byte, error) { return p.json() }
--- a/internal/dispatcher/otlp/spansjson.go
+++ b/internal/dispatcher/otlp/spansjson.go
@@ -11,14 +11,14 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-// idFields are the members of OTLP's JSON that hold ids, which are written in hexadecimal there and not
-// in base64 as protobuf's own JSON has bytes. Source: OTLP 1.x, JSON Protobuf Encoding.
+// idFields are the members of OTLP's JSON that hold ids, which are hexadecimal there, not base64 as the bytes of
+// protobuf's own JSON. Source: OTLP 1.x, JSON Protobuf Encoding.
 var idFields = map[string]bool{"traceId": true, "spanId": true, "parentSpanId": true}
 
-// errInvalidID is returned for an id that is no text in the encoding that it should have.
+// errInvalidID is wrapped by the error of an id that is no string in the right encoding.
 var errInvalidID = errors.New("otlp: an id can't be read")
 
-// MarshalSpans writes spans as one line of OTLP's JSON.
+// MarshalSpans encodes spans as one line of OTLP's JSON.
 func MarshalSpans(t *tracepb.TracesData) ([]byte, error) {
 	line, err := protojson.MarshalOptions{UseEnumNumbers: true}.Marshal(t)
 	if err != nil {
@@ -30,7 +30,7 @@
 	})
 }
 
-// UnmarshalSpans reads spans from a line of OTLP's JSON.
+// UnmarshalSpans decodes spans from a line of OTLP's JSON.
 func UnmarshalSpans(line []byte) (*tracepb.TracesData, error) {
 	line, err := recodeDocument(line, func(id string) (string, error) {
 		raw, err := hex.DecodeString(id)
@@ -43,7 +43,7 @@
 	return t, protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(line, t)
 }
 
-// recodeDocument writes the ids of a line in another encoding.
+// recodeDocument returns a line with its ids in another encoding.
 func recodeDocument(line []byte, recodeID func(id string) (string, error)) ([]byte, error) {
 	in := json.NewDecoder(bytes.NewReader(line))
 	in.UseNumber()
@@ -57,6 +57,7 @@
 	return json.Marshal(document)
 }
 
+// recodeIDs replaces the ids in a decoded JSON value.
 func recodeIDs(value any, recodeID func(id string) (string, error)) error {
 	switch v := value.(type) {
 	case []any:
--- a/internal/dispatcher/otlp/traces.go
+++ b/internal/dispatcher/otlp/traces.go
@@ -1,17 +1,16 @@
-// Package otlp writes stories and figures in OpenTelemetry's protocol. It sends nothing.
+// Package otlp encodes records of requests, and figures, in OpenTelemetry's protocol, and decodes spans. Package export
+// sends what it encodes, and package traceview reads files of it. It does no I/O, and its functions are safe for
+// concurrent use on different arguments.
 //
-// Source: OTLP 1.x, and the semantic conventions for HTTP where they have a name; names
-// that begin with frosttide are this project's own and stand in docs/telemetry.md.
+// Source: OTLP 1.x, and the semantic conventions for HTTP where they have a name. Names that begin with frosttide are
+// this project's own and are listed in docs/telemetry.md.
 package otlp
 
 import (
-	"maps"
 	"net"
-	"slices"
 	"strconv"
 	"time"
 
-	"go.opentelemetry.io/collector/pdata/pcommon"
 	commonpb "go.opentelemetry.io/proto/otlp/common/v1"
 	resourcepb "go.opentelemetry.io/proto/otlp/resource/v1"
 	tracepb "go.opentelemetry.io/proto/otlp/trace/v1"
@@ -19,68 +18,33 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// scope names who made the spans and figures.
+// scope is the name of the instrumentation scope of all spans.
 const scope = "frosttide"
 
-// sampled is the bit of a span's flags that says that its trace is recorded, and the two
-// of whether its parent is another process's.
+// The bits of a span's flags: its trace is sampled; it is known whether its parent is another process's; it is.
 const (
 	sampled     = 1
 	remoteKnown = 1 << 8
 	isRemote    = 1 << 9
 )
 
-// Traces writes stories: a span of kind SERVER for each, and below it one of kind CLIENT
-// for each hop.
+// Traces returns the spans of records: one of kind SERVER for each request, and below it one of kind CLIENT for each
+// attempt, in the order in which the attempts were sent.
 func Traces(resource map[string]string, records []*trace.Record) *tracepb.TracesData {
-	in := &tracepb.ScopeSpans{Scope: &commonpb.InstrumentationScope{Name: scope}}
+	spans := &tracepb.ScopeSpans{Scope: &commonpb.InstrumentationScope{Name: scope}}
 	for _, record := range records {
-		in.Spans = append(in.Spans, requestSpan(record))
+		spans.Spans = append(spans.Spans, requestSpan(record))
 		for i := range record.Attempts {
-			in.Spans = append(in.Spans, attemptSpan(record, i))
+			spans.Spans = append(spans.Spans, attemptSpan(record, i))
 		}
 	}
-	of := &tracepb.ResourceSpans{Resource: &resourcepb.Resource{Attributes: stringAttributes(resource)}, ScopeSpans: []*tracepb.ScopeSpans{in}}
-	return &tracepb.TracesData{ResourceSpans: []*tracepb.ResourceSpans{of}}
-}
-
-// putAttributes is for figures, which are written by another library than spans.
-func putAttributes(to pcommon.Map, from map[string]string) {
-	for _, key := range slices.Sorted(maps.Keys(from)) {
-		to.PutStr(key, from[key])
-	}
-}
-
-// unixNanos returns a moment as spans have it.
-func unixNanos(at time.Duration) uint64 { return uint64(max(at, 0)) }
-
-// nonZeroID returns an id as spans have it: an empty one is left out.
-func nonZeroID(id []byte) []byte {
-	for _, b := range id {
-		if b != 0 {
-			return id
-		}
-	}
-	return nil
-}
-
-// httpStatus is what a client was told, where the front has not said it.
-func httpStatus(record *trace.Record) int {
-	switch {
-	case record.Status != 0:
-		return record.Status
-	case record.Result == trace.Served:
-		return 200
-	case record.Result == trace.Abandoned:
-		return 0
-	case record.Result == trace.Invalid:
-		return 400
-	case record.Retryable:
-		return 503
-	}
-	return 502
+	return &tracepb.TracesData{ResourceSpans: []*tracepb.ResourceSpans{{
+		Resource:   &resourcepb.Resource{Attributes: stringAttributes(resource)},
+		ScopeSpans: []*tracepb.ScopeSpans{spans},
+	}}}
 }
 
+// requestSpan returns the span of a request.
 func requestSpan(record *trace.Record) *tracepb.Span {
 	flags := uint32(sampled)
 	if record.Parent != (trace.SpanID{}) {
@@ -90,8 +54,32 @@
 	if record.Class != "" {
 		name += " /" + record.Class
 	}
-	to := &tracepb.Span{TraceId: nonZeroID(record.Trace[:]), SpanId: nonZeroID(record.Span[:]), ParentSpanId: nonZeroID(record.Parent[:]), TraceState: record.TraceState, Flags: flags,
-		Name: name, Kind: tracepb.Span_SPAN_KIND_SERVER, StartTimeUnixNano: unixNanos(record.Received), EndTimeUnixNano: unixNanos(max(record.Ended, record.Received)), Status: &tracepb.Status{}}
+	span := &tracepb.Span{
+		TraceId:           nonZeroID(record.Trace[:]),
+		SpanId:            nonZeroID(record.Span[:]),
+		ParentSpanId:      nonZeroID(record.Parent[:]),
+		TraceState:        record.TraceState,
+		Flags:             flags,
+		Name:              name,
+		Kind:              tracepb.Span_SPAN_KIND_SERVER,
+		StartTimeUnixNano: unixNanos(record.Received),
+		EndTimeUnixNano:   unixNanos(max(record.Ended, record.Received)),
+		Status:            &tracepb.Status{},
+	}
+	code := httpStatus(record)
+	span.Attributes = requestAttributes(record, code)
+	if code >= 500 { // source: semantic conventions, the status of HTTP server spans
+		span.Status.Code = tracepb.Status_STATUS_CODE_ERROR
+		span.Attributes = append(span.Attributes, stringAttribute("error.type", record.Reason))
+	}
+	for _, l := range record.Links {
+		addLink(span, l.Trace, l.Span, "previous_try")
+	}
+	return span
+}
+
+// requestAttributes returns the attributes of a request's span. Code is the status of its response, 0 for none.
+func requestAttributes(record *trace.Record, code int) Attributes {
 	var a Attributes
 	a.PutStr("http.request.method", record.Method)
 	a.PutStr("url.scheme", "http")
@@ -99,7 +87,6 @@
 		a.PutStr("http.route", "/"+record.Class)
 		a.PutStr("frosttide.class", record.Class)
 	}
-	code := httpStatus(record)
 	if code != 0 {
 		a.PutInt("http.response.status_code", int64(code))
 	}
@@ -123,28 +110,58 @@
 	if record.HandedOver {
 		a.PutBool("frosttide.moved", true)
 	}
-	if code >= 500 { // source: semantic conventions, the status of HTTP server spans
-		to.Status.Code = tracepb.Status_STATUS_CODE_ERROR
-		a.PutStr("error.type", record.Reason)
-	}
-	for _, l := range record.Links {
-		addLink(to, l.Trace, l.Span, "previous_try")
+	return a
+}
+
+// httpStatus returns the status of the client's response, by the result where the ingress has not recorded it; 0 if the
+// client has left.
+func httpStatus(record *trace.Record) int {
+	switch {
+	case record.Status != 0:
+		return record.Status
+	case record.Result == trace.Served:
+		return 200
+	case record.Result == trace.Abandoned:
+		return 0
+	case record.Result == trace.Invalid:
+		return 400
+	case record.Retryable:
+		return 503
 	}
-	to.Attributes = a
-	return to
+	return 502
 }
 
-func addLink(to *tracepb.Span, t trace.ID, span trace.SpanID, kind string) {
-	var a Attributes
-	a.PutStr("frosttide.link", kind)
-	to.Links = append(to.Links, &tracepb.Span_Link{TraceId: nonZeroID(t[:]), SpanId: nonZeroID(span[:]), Attributes: a})
+// attemptSpan returns the span of a record's attempt.
+func attemptSpan(record *trace.Record, index int) *tracepb.Span {
+	attempt := &record.Attempts[index]
+	span := &tracepb.Span{
+		TraceId:            nonZeroID(record.Trace[:]),
+		SpanId:             nonZeroID(attempt.Span[:]),
+		ParentSpanId:       nonZeroID(record.Span[:]),
+		TraceState:         record.TraceState,
+		Flags:              sampled | remoteKnown,
+		Name:               record.Method + " " + string(attempt.Kind),
+		Kind:               tracepb.Span_SPAN_KIND_CLIENT,
+		StartTimeUnixNano:  unixNanos(attempt.Sent),
+		EndTimeUnixNano:    unixNanos(max(attempt.Ended, attempt.Sent)),
+		Status:             &tracepb.Status{},
+		DroppedEventsCount: uint32(attempt.DroppedEvents),
+		Attributes:         attemptAttributes(record, index),
+	}
+	if attempt.Outcome != "served" && attempt.Outcome != "given_up" {
+		span.Status.Code = tracepb.Status_STATUS_CODE_ERROR
+		span.Attributes = append(span.Attributes, stringAttribute("error.type", attempt.Outcome))
+	}
+	if attempt.Kind == trace.Hedge {
+		addLink(span, record.Trace, record.Attempts[attempt.HedgeOf].Span, "copy_of")
+	}
+	addAttemptEvents(span, attempt)
+	return span
 }
 
-func attemptSpan(record *trace.Record, i int) *tracepb.Span {
-	attempt := &record.Attempts[i]
-	to := &tracepb.Span{TraceId: nonZeroID(record.Trace[:]), SpanId: nonZeroID(attempt.Span[:]), ParentSpanId: nonZeroID(record.Span[:]), TraceState: record.TraceState, Flags: sampled | remoteKnown,
-		Name: record.Method + " " + string(attempt.Kind), Kind: tracepb.Span_SPAN_KIND_CLIENT, StartTimeUnixNano: unixNanos(attempt.Sent), EndTimeUnixNano: unixNanos(max(attempt.Ended, attempt.Sent)),
-		Status: &tracepb.Status{}, DroppedEventsCount: uint32(attempt.DroppedEvents)}
+// attemptAttributes returns the attributes of an attempt's span.
+func attemptAttributes(record *trace.Record, index int) Attributes {
+	attempt := &record.Attempts[index]
 	var a Attributes
 	a.PutStr("http.request.method", record.Method)
 	if host, port, err := net.SplitHostPort(attempt.Addr); err == nil {
@@ -153,13 +170,13 @@
 			a.PutInt("server.port", int64(n))
 		}
 	}
-	if i > 0 {
-		a.PutInt("http.request.resend_count", int64(i))
+	if index > 0 {
+		a.PutInt("http.request.resend_count", int64(index))
 	}
 	a.PutInt("http.request.body.size", int64(attempt.Bytes))
 	a.PutStr("frosttide.target", attempt.Backend)
 	a.PutStr("frosttide.zone", attempt.Zone)
-	a.PutInt("frosttide.hop", int64(i+1))
+	a.PutInt("frosttide.hop", int64(index+1))
 	a.PutStr("frosttide.hop.kind", string(attempt.Kind))
 	a.PutBool("frosttide.hop.cold", attempt.WarmingUp)
 	a.PutStr("frosttide.outcome", attempt.Outcome)
@@ -169,33 +186,50 @@
 		connection = "kept"
 	}
 	a.PutStr("frosttide.connection", connection)
-	if attempt.Outcome != "served" && attempt.Outcome != "given_up" {
-		to.Status.Code = tracepb.Status_STATUS_CODE_ERROR
-		a.PutStr("error.type", attempt.Outcome)
-	}
-	if attempt.Kind == trace.Hedge {
-		addLink(to, record.Trace, record.Attempts[attempt.HedgeOf].Span, "copy_of")
-	}
+	return a
+}
+
+// addAttemptEvents adds the events of an attempt to its span.
+func addAttemptEvents(span *tracepb.Span, attempt *trace.Attempt) {
 	if attempt.Accepted != 0 {
-		addEvent(to, attempt.Accepted, "taken")
+		addEvent(span, attempt.Accepted, "taken")
 	}
-	for _, n := range attempt.Events {
-		e := addEvent(to, n.At, n.Name)
-		if n.Name == "running" {
+	for _, e := range attempt.Events {
+		event := addEvent(span, e.At, e.Name)
+		if e.Name == "running" {
 			var progress Attributes
-			progress.PutDouble("frosttide.share", n.Progress)
-			e.Attributes = progress
+			progress.PutDouble("frosttide.share", e.Progress)
+			event.Attributes = progress
 		}
 	}
 	if attempt.Cancelled != 0 {
-		addEvent(to, attempt.Cancelled, "recalled")
+		addEvent(span, attempt.Cancelled, "recalled")
 	}
-	to.Attributes = a
-	return to
 }
 
-func addEvent(to *tracepb.Span, at time.Duration, name string) *tracepb.Span_Event {
-	e := &tracepb.Span_Event{Name: name, TimeUnixNano: unixNanos(at)}
-	to.Events = append(to.Events, e)
-	return e
+// addEvent adds an event to a span and returns it.
+func addEvent(span *tracepb.Span, at time.Duration, name string) *tracepb.Span_Event {
+	event := &tracepb.Span_Event{Name: name, TimeUnixNano: unixNanos(at)}
+	span.Events = append(span.Events, event)
+	return event
+}
+
+// addLink adds a link of a kind to another span.
+func addLink(span *tracepb.Span, toTrace trace.ID, toSpan trace.SpanID, kind string) {
+	var a Attributes
+	a.PutStr("frosttide.link", kind)
+	span.Links = append(span.Links, &tracepb.Span_Link{TraceId: nonZeroID(toTrace[:]), SpanId: nonZeroID(toSpan[:]), Attributes: a})
+}
+
+// unixNanos returns a time since 1970 as spans hold it, 0 for one before.
+func unixNanos(at time.Duration) uint64 { return uint64(max(at, 0)) }
+
+// nonZeroID returns an id as spans hold it: nil if it is zero.
+func nonZeroID(id []byte) []byte {
+	for _, b := range id {
+		if b != 0 {
+			return id
+		}
+	}
+	return nil
 }
