--- a/internal/dispatcher/traceview/read.go
+++ b/internal/dispatcher/traceview/read.go
@@ -1,5 +1,5 @@
-// Package traceview reads files of traces in OTLP's JSON and tells what happened: to one
-// request, or to all of a time.
+// Package traceview reads files of traces in OTLP's JSON and shows what happened to one request, or summarises all of a
+// time. The program's trace commands use it. It keeps in memory what it shows, whatever the size of a file.
 package traceview
 
 import (
@@ -18,10 +18,10 @@
 	"frosttide/internal/dispatcher/otlp"
 )
 
-// Request is one request as its spans tell it.
+// Request is one request, read from its spans. Ids are hexadecimal.
 type Request struct {
 	Trace, Span, Parent         string
-	ID, Class, Node             string // Node is the process that dispatched it
+	ID, Class, Node             string // Node is the name of the process that dispatched it
 	Result, AnsweredBy, Reason  string
 	Backend                     string
 	Status                      int64
@@ -34,7 +34,7 @@
 	Links                       []Link
 }
 
-// Attempt is one attempt.
+// Attempt is one attempt at a runner.
 type Attempt struct {
 	Span, Backend, Zone, Addr               string
 	Kind, Outcome                           string
@@ -42,23 +42,23 @@
 	Bytes                                   int64
 	Sent, Ended                             time.Time
 	Events                                  []Event
-	HedgeOf                                 string // the span of the hop that it copies
+	HedgeOf                                 string // the span of the attempt that a hedge duplicates; empty for none
 }
 
-// Event is a moment of a hop.
+// Event is an event of an attempt.
 type Event struct {
 	At       time.Time
 	Name     string
 	Progress float64
 }
 
-// Link names another span that belongs to this one.
+// Link refers to another span that belongs to a request.
 type Link struct{ Trace, Span, Kind string }
 
-// maxLine bounds a line of a file; longer ones are passed over and counted.
+// maxLine bounds a line in bytes; longer ones are skipped and counted.
 const maxLine = 64 << 20
 
-// Open opens a file, "-" for standard input; what is packed by gzip is unpacked.
+// Open opens a file, "-" for standard input. A file that is compressed by gzip is decompressed.
 func Open(path string) (io.ReadCloser, error) {
 	in := os.Stdin
 	if path != "-" {
@@ -79,15 +79,15 @@
 	return reader{z, in}, nil
 }
 
+// reader reads from one and closes another.
 type reader struct {
 	io.Reader
 	io.Closer
 }
 
-// Read visits each request of a file, with its hops in the order of their sending; spans
-// of one request stand in one line, as the program writes them. It returns how many lines
-// it could not read: a file may end in the middle of one, or hold other signals, which
-// are passed over without a word.
+// Read calls visit for each request of a file, with its attempts in the order in which they were sent. The spans of a
+// request are in one line, as the program writes them. It returns how many lines could not be read, as a file may end
+// within one; lines of figures are skipped and not counted.
 func Read(from io.Reader, visit func(*Request)) (unread int, err error) {
 	in := bufio.NewReaderSize(from, 1<<16)
 	for {
@@ -101,7 +101,7 @@
 			}
 		}
 		switch {
-		case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF): // cut short while it is written
+		case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF): // the file is still being written
 			return unread, nil
 		case errors.Is(err, errLineTooLong):
 			unread++
@@ -111,8 +111,10 @@
 	}
 }
 
+// errLineTooLong is returned by readLine for a line past maxLine, which it has skipped.
 var errLineTooLong = errors.New("a line is too long")
 
+// readLine reads a line with its end.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	var line []byte
 	long := false
@@ -131,43 +133,68 @@
 	}
 }
 
+// visitRequests calls visit for each request of a line.
 func visitRequests(traces *tracepb.TracesData, visit func(*Request)) {
-	for _, of := range traces.GetResourceSpans() {
-		node := otlp.Attributes(of.GetResource().GetAttributes()).Text("service.instance.id")
-		for _, in := range of.GetScopeSpans() {
-			attempts := map[string][]Attempt{}
-			var requests []*Request
-			for _, s := range in.GetSpans() {
-				switch s.GetKind() {
-				case tracepb.Span_SPAN_KIND_SERVER:
-					requests = append(requests, parseRequest(s, node))
-				case tracepb.Span_SPAN_KIND_CLIENT:
-					parent := hex.EncodeToString(s.GetParentSpanId())
-					attempts[parent] = append(attempts[parent], parseAttempt(s))
-				}
-			}
-			for _, r := range requests {
-				r.Attempts = attempts[r.Span]
+	for _, resource := range traces.GetResourceSpans() {
+		node := otlp.Attributes(resource.GetResource().GetAttributes()).Text("service.instance.id")
+		for _, scope := range resource.GetScopeSpans() {
+			for _, r := range parseSpans(scope.GetSpans(), node) {
 				visit(r)
 			}
 		}
 	}
 }
 
+// parseSpans returns the requests of spans, with their attempts.
+func parseSpans(spans []*tracepb.Span, node string) []*Request {
+	attempts := map[string][]Attempt{} // by the request's span
+	var requests []*Request
+	for _, s := range spans {
+		switch s.GetKind() {
+		case tracepb.Span_SPAN_KIND_SERVER:
+			requests = append(requests, parseRequest(s, node))
+		case tracepb.Span_SPAN_KIND_CLIENT:
+			parent := hex.EncodeToString(s.GetParentSpanId())
+			attempts[parent] = append(attempts[parent], parseAttempt(s))
+		}
+	}
+	for _, r := range requests {
+		r.Attempts = attempts[r.Span]
+	}
+	return requests
+}
+
+// boolAttribute returns an attribute that is a Boolean, false if there is none.
 func boolAttribute(a otlp.Attributes, key string) bool { return a.Text(key) == "true" }
 
-// timestamp returns the time of a stamp.
+// timestamp returns the time of a span's field.
 func timestamp(nanos uint64) time.Time { return time.Unix(0, int64(nanos)).UTC() }
 
+// parseRequest returns the request of a span of kind SERVER, without its attempts.
 func parseRequest(s *tracepb.Span, node string) *Request {
 	a := otlp.Attributes(s.GetAttributes())
-	r := &Request{Trace: hex.EncodeToString(s.GetTraceId()), Span: hex.EncodeToString(s.GetSpanId()), Parent: hex.EncodeToString(s.GetParentSpanId()), Node: node,
-		ID: a.Text("frosttide.request"), Class: a.Text("frosttide.class"), Result: a.Text("frosttide.answer"),
-		AnsweredBy: a.Text("frosttide.answer.by"), Reason: a.Text("frosttide.answer.why"), Backend: a.Text("frosttide.target"),
-		Status: int64(a.Number("http.response.status_code")), Value: a.Number("frosttide.worth"), Slots: a.Number("frosttide.slots"),
-		Keyed: boolAttribute(a, "frosttide.keyed"), ClientRetry: boolAttribute(a, "frosttide.repeat"), Overdue: boolAttribute(a, "frosttide.late"),
-		HandedOver: boolAttribute(a, "frosttide.moved"), Received: timestamp(s.GetStartTimeUnixNano()), Ended: timestamp(s.GetEndTimeUnixNano()),
-		Deadline: time.Duration(a.Number("frosttide.deadline.ms")) * time.Millisecond}
+	r := &Request{
+		Trace:       hex.EncodeToString(s.GetTraceId()),
+		Span:        hex.EncodeToString(s.GetSpanId()),
+		Parent:      hex.EncodeToString(s.GetParentSpanId()),
+		Node:        node,
+		ID:          a.Text("frosttide.request"),
+		Class:       a.Text("frosttide.class"),
+		Result:      a.Text("frosttide.answer"),
+		AnsweredBy:  a.Text("frosttide.answer.by"),
+		Reason:      a.Text("frosttide.answer.why"),
+		Backend:     a.Text("frosttide.target"),
+		Status:      int64(a.Number("http.response.status_code")),
+		Value:       a.Number("frosttide.worth"),
+		Slots:       a.Number("frosttide.slots"),
+		Keyed:       boolAttribute(a, "frosttide.keyed"),
+		ClientRetry: boolAttribute(a, "frosttide.repeat"),
+		Overdue:     boolAttribute(a, "frosttide.late"),
+		HandedOver:  boolAttribute(a, "frosttide.moved"),
+		Received:    timestamp(s.GetStartTimeUnixNano()),
+		Ended:       timestamp(s.GetEndTimeUnixNano()),
+		Deadline:    time.Duration(a.Number("frosttide.deadline.ms")) * time.Millisecond,
+	}
 	for _, l := range s.GetLinks() {
 		r.Links = append(r.Links, Link{Trace: hex.EncodeToString(l.GetTraceId()), Span: hex.EncodeToString(l.GetSpanId()),
 			Kind: otlp.Attributes(l.GetAttributes()).Text("frosttide.link")})
@@ -175,13 +202,23 @@
 	return r
 }
 
+// parseAttempt returns the attempt of a span of kind CLIENT.
 func parseAttempt(s *tracepb.Span) Attempt {
 	a := otlp.Attributes(s.GetAttributes())
-	attempt := Attempt{Span: hex.EncodeToString(s.GetSpanId()), Backend: a.Text("frosttide.target"), Zone: a.Text("frosttide.zone"),
-		Addr: a.Text("server.address") + ":" + a.Text("server.port"), Kind: a.Text("frosttide.hop.kind"),
-		Outcome: a.Text("frosttide.outcome"), WarmingUp: boolAttribute(a, "frosttide.hop.cold"), MayHaveRun: boolAttribute(a, "frosttide.may_have_run"),
-		ReusedConnection: a.Text("frosttide.connection") == "kept", Bytes: int64(a.Number("http.request.body.size")),
-		Sent: timestamp(s.GetStartTimeUnixNano()), Ended: timestamp(s.GetEndTimeUnixNano())}
+	attempt := Attempt{
+		Span:             hex.EncodeToString(s.GetSpanId()),
+		Backend:          a.Text("frosttide.target"),
+		Zone:             a.Text("frosttide.zone"),
+		Addr:             a.Text("server.address") + ":" + a.Text("server.port"),
+		Kind:             a.Text("frosttide.hop.kind"),
+		Outcome:          a.Text("frosttide.outcome"),
+		WarmingUp:        boolAttribute(a, "frosttide.hop.cold"),
+		MayHaveRun:       boolAttribute(a, "frosttide.may_have_run"),
+		ReusedConnection: a.Text("frosttide.connection") == "kept",
+		Bytes:            int64(a.Number("http.request.body.size")),
+		Sent:             timestamp(s.GetStartTimeUnixNano()),
+		Ended:            timestamp(s.GetEndTimeUnixNano()),
+	}
 	for _, e := range s.GetEvents() {
 		attempt.Events = append(attempt.Events, Event{At: timestamp(e.GetTimeUnixNano()), Name: e.GetName(), Progress: otlp.Attributes(e.GetAttributes()).Number("frosttide.share")})
 	}
--- a/internal/dispatcher/traceview/show.go
+++ b/internal/dispatcher/traceview/show.go
@@ -9,41 +9,84 @@
 	"time"
 )
 
-// maxShown bounds what one call shows; a trace with more requests is cut, and says so.
+// maxShown bounds the requests that one call writes. The number of those left out is written too.
 const maxShown = 1000
 
-// Show writes the requests of a trace, or those with a client's id, each as a tree with
-// times from its coming. It returns how many there were.
+// Show writes the requests of a trace, of a span, or with a client's id, by the time of their arrival, each as a tree of
+// its attempts with times since its arrival. It returns how many there are.
 func Show(out io.Writer, from io.Reader, id string) (found int, err error) {
-	var all []*Request
+	var shown []*Request
 	unread, err := Read(from, func(r *Request) {
 		if r.Trace == id || r.ID == id || r.Span == id {
 			if found++; found <= maxShown {
-				all = append(all, r)
+				shown = append(shown, r)
 			}
 		}
 	})
 	if err != nil {
 		return found, err
 	}
-	slices.SortStableFunc(all, func(a, b *Request) int { return a.Received.Compare(b.Received) })
-	for _, r := range all {
+	slices.SortStableFunc(shown, func(a, b *Request) int { return a.Received.Compare(b.Received) })
+	for _, r := range shown {
 		r.write(out)
 	}
 	if found > maxShown {
 		fmt.Fprintf(out, "%d more are not shown\n", found-maxShown)
 	}
-	warnUnread(out, unread)
+	if unread > 0 {
+		fmt.Fprintf(out, "lines that could not be read: %d\n", unread)
+	}
 	return found, nil
 }
 
-func warnUnread(out io.Writer, unread int) {
-	if unread > 0 {
-		fmt.Fprintf(out, "lines that could not be read: %d\n", unread)
+// write writes the request with its attempts.
+func (r *Request) write(out io.Writer) {
+	fmt.Fprintf(out, "trace %s\n", r.Trace)
+	fmt.Fprintf(out, "request %s of %s at %s by %s: %s by %s, %s, after %s%s\n", cmp.Or(r.ID, "without id"), cmp.Or(r.Class, "no class"),
+		r.Received.Format(time.RFC3339Nano), cmp.Or(r.Node, "?"), r.Result, r.AnsweredBy, cmp.Or(r.Reason, "no reason"),
+		formatDuration(r.Ended.Sub(r.Received)),
+		joinFlags(flag{r.Overdue, "late"}, flag{r.HandedOver, "begun by an older process"}, flag{r.ClientRetry, "a client's repeat"}))
+	fmt.Fprintf(out, "  worth %g, %g slots, time %s, status %d%s\n", r.Value, r.Slots, formatDuration(r.Deadline), r.Status,
+		joinFlags(flag{r.Keyed, "keyed"}))
+	for _, l := range r.Links {
+		fmt.Fprintf(out, "  after the try of trace %s, span %s\n", l.Trace, l.Span)
+	}
+	for i := range r.Attempts {
+		r.writeAttempt(out, i)
+	}
+}
+
+// writeAttempt writes an attempt as a branch of the request's tree.
+func (r *Request) writeAttempt(out io.Writer, index int) {
+	a := &r.Attempts[index]
+	branch, bar := "├─", "│ "
+	if index == len(r.Attempts)-1 {
+		branch, bar = "└─", "  "
+	}
+	fmt.Fprintf(out, "  %s +%s hop %d (%s) to %s %s in %s: %s after %s%s\n", branch, formatDuration(a.Sent.Sub(r.Received)), index+1,
+		r.attemptKind(a), a.Backend, a.Addr, cmp.Or(a.Zone, "?"), a.Outcome, formatDuration(a.Ended.Sub(a.Sent)),
+		joinFlags(flag{a.MayHaveRun, "may have run"}, flag{a.WarmingUp, "cold"}, flag{a.ReusedConnection, "kept connection"}))
+	for _, e := range a.Events {
+		progress := ""
+		if e.Name == "running" {
+			progress = fmt.Sprintf(" %.0f%%", e.Progress*100)
+		}
+		fmt.Fprintf(out, "  %s   +%s %s%s\n", bar, formatDuration(e.At.Sub(r.Received)), e.Name, progress)
 	}
 }
 
-// formatDuration writes a time as an operator reads it.
+// attemptKind returns an attempt's kind, and for a hedge the number of the attempt that it duplicates.
+func (r *Request) attemptKind(a *Attempt) string {
+	kind := a.Kind
+	for i := range r.Attempts {
+		if a.HedgeOf != "" && r.Attempts[i].Span == a.HedgeOf {
+			kind = fmt.Sprintf("copy of hop %d", i+1)
+		}
+	}
+	return kind
+}
+
+// formatDuration returns a time in the unit in which it is easy to read.
 func formatDuration(d time.Duration) string {
 	switch {
 	case d < time.Millisecond:
@@ -54,49 +97,19 @@
 	return fmt.Sprintf("%.1fs", d.Seconds())
 }
 
-// joinFlags writes the words that hold.
-func joinFlags(pairs ...any) string {
-	var set []string
-	for i := 0; i < len(pairs); i += 2 {
-		if pairs[i].(bool) {
-			set = append(set, pairs[i+1].(string))
-		}
-	}
-	if len(set) == 0 {
-		return ""
-	}
-	return ", " + strings.Join(set, ", ")
+// flag is a property that is shown if it is set.
+type flag struct {
+	set  bool
+	text string
 }
 
-func (r *Request) write(out io.Writer) {
-	fmt.Fprintf(out, "trace %s\n", r.Trace)
-	fmt.Fprintf(out, "request %s of %s at %s by %s: %s by %s, %s, after %s%s\n", cmp.Or(r.ID, "without id"), cmp.Or(r.Class, "no class"),
-		r.Received.Format(time.RFC3339Nano), cmp.Or(r.Node, "?"), r.Result, r.AnsweredBy, cmp.Or(r.Reason, "no reason"), formatDuration(r.Ended.Sub(r.Received)),
-		joinFlags(r.Overdue, "late", r.HandedOver, "begun by an older process", r.ClientRetry, "a client's repeat"))
-	fmt.Fprintf(out, "  worth %g, %g slots, time %s, status %d%s\n", r.Value, r.Slots, formatDuration(r.Deadline), r.Status, joinFlags(r.Keyed, "keyed"))
-	for _, l := range r.Links {
-		fmt.Fprintf(out, "  after the try of trace %s, span %s\n", l.Trace, l.Span)
-	}
-	for i, attempt := range r.Attempts {
-		branch, bar := "├─", "│ "
-		if i == len(r.Attempts)-1 {
-			branch, bar = "└─", "  "
-		}
-		kind := attempt.Kind
-		for j := range r.Attempts {
-			if attempt.HedgeOf != "" && r.Attempts[j].Span == attempt.HedgeOf {
-				kind = fmt.Sprintf("copy of hop %d", j+1)
-			}
-		}
-		fmt.Fprintf(out, "  %s +%s hop %d (%s) to %s %s in %s: %s after %s%s\n", branch, formatDuration(attempt.Sent.Sub(r.Received)), i+1, kind, attempt.Backend,
-			attempt.Addr, cmp.Or(attempt.Zone, "?"), attempt.Outcome, formatDuration(attempt.Ended.Sub(attempt.Sent)),
-			joinFlags(attempt.MayHaveRun, "may have run", attempt.WarmingUp, "cold", attempt.ReusedConnection, "kept connection"))
-		for _, e := range attempt.Events {
-			progress := ""
-			if e.Name == "running" {
-				progress = fmt.Sprintf(" %.0f%%", e.Progress*100)
-			}
-			fmt.Fprintf(out, "  %s   +%s %s%s\n", bar, formatDuration(e.At.Sub(r.Received)), e.Name, progress)
+// joinFlags returns the texts of the flags that are set, each after a comma.
+func joinFlags(flags ...flag) string {
+	var out strings.Builder
+	for _, f := range flags {
+		if f.set {
+			out.WriteString(", " + f.text)
 		}
 	}
+	return out.String()
 }
--- a/internal/dispatcher/traceview/traceview_test.go
+++ b/internal/dispatcher/traceview/traceview_test.go
@@ -17,47 +17,48 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// when returns a time of the tests' day, in ms.
+// when returns the time a number of milliseconds after the start of the tests' traces.
 func when(ms int) time.Duration {
 	return time.Duration(time.Date(2026, 11, 29, 20, 45, 0, 0, time.UTC).UnixNano()) + time.Duration(ms)*time.Millisecond
 }
 
-// peak is a file with one request of each kind.
-func peak(t *testing.T) []byte {
+// sampleFile returns a file with one request of each kind, lines that hold no spans, and an incomplete line.
+func sampleFile(t *testing.T) []byte {
 	t.Helper()
 	id := func(n byte) (t trace.ID, s trace.SpanID) { t[0], s[0] = n, n; return t, s }
-	story := func(n byte, request, class string, worth float64, came, took int, answer trace.Result, why string, hops ...trace.Attempt) *trace.Record {
-		s := &trace.Record{Request: request, Class: class, Method: "POST", Value: worth, Slots: 1, Received: when(came), Deadline: when(came + 5000),
-			Ended: when(came + took), Result: answer, AnsweredBy: trace.ByModule, Reason: why, Attempts: hops}
+	record := func(n byte, request, class string, value float64, received, took int, result trace.Result, reason string, attempts ...trace.Attempt) *trace.Record {
+		s := &trace.Record{Request: request, Class: class, Method: "POST", Value: value, Slots: 1, Received: when(received), Deadline: when(received + 5000),
+			Ended: when(received + took), Result: result, AnsweredBy: trace.ByModule, Reason: reason, Attempts: attempts}
 		s.Trace, s.Span = id(n)
 		return s
 	}
-	hop := func(n byte, target string, began, took int, kind trace.Kind, outcome string) trace.Attempt {
+	attempt := func(n byte, backend string, sent, took int, kind trace.Kind, outcome string) trace.Attempt {
 		_, span := id(n)
-		return trace.Attempt{Span: span, Kind: kind, Backend: target, Addr: "127.0.0.1:9", Zone: "sur", Sent: when(began), Ended: when(began + took), Outcome: outcome}
+		return trace.Attempt{Span: span, Kind: kind, Backend: backend, Addr: "127.0.0.1:9", Zone: "sur", Sent: when(sent), Ended: when(sent + took), Outcome: outcome}
 	}
-	first := hop(11, "s-1", 1, 40, trace.First, "errored")
+	first := attempt(11, "s-1", 1, 40, trace.First, "errored")
 	first.MayHaveRun, first.WarmingUp = true, true
-	second := hop(12, "s-2", 20, 80, trace.Hedge, "served")
+	second := attempt(12, "s-2", 20, 80, trace.Hedge, "served")
 	second.Events = []trace.Event{{At: when(30), Name: "started"}, {At: when(60), Name: "running", Progress: 0.5}}
-	copied := story(1, "c1", "cut", 1, 0, 100, trace.Served, "done", first, second)
-	copied.Backend, copied.Links = "s-2", []trace.SpanReference{{Trace: trace.ID{9}, Span: trace.SpanID{9}}}
-	late := story(2, "l1", "cut", 1, 1000, 900, trace.Served, "done", hop(21, "s-1", 1001, 899, trace.First, "served"))
-	late.Overdue, late.Backend = true, "s-1"
-	stories := []*trace.Record{copied, late,
-		story(3, "r1", "release", 5, 2000, 1, trace.Refused, "no_token"),
-		story(4, "f1", "release", 5, 3000, 50, trace.Failed, "may_have_run", hop(41, "s-1", 3001, 49, trace.First, "reset")),
-		story(5, "u1", "", 0, 4000, 1, trace.Invalid, "malformed")}
-	line, err := otlp.TracesPayload(otlp.Traces(map[string]string{"service.name": "f", "service.instance.id": "n1"}, stories)).JSON()
+	hedged := record(1, "c1", "cut", 1, 0, 100, trace.Served, "done", first, second)
+	hedged.Backend, hedged.Links = "s-2", []trace.SpanReference{{Trace: trace.ID{9}, Span: trace.SpanID{9}}}
+	overdue := record(2, "l1", "cut", 1, 1000, 900, trace.Served, "done", attempt(21, "s-1", 1001, 899, trace.First, "served"))
+	overdue.Overdue, overdue.Backend = true, "s-1"
+	records := []*trace.Record{hedged, overdue,
+		record(3, "r1", "release", 5, 2000, 1, trace.Refused, "no_token"),
+		record(4, "f1", "release", 5, 3000, 50, trace.Failed, "may_have_run", attempt(41, "s-1", 3001, 49, trace.First, "reset")),
+		record(5, "u1", "", 0, 4000, 1, trace.Invalid, "malformed")}
+	line, err := otlp.TracesPayload(otlp.Traces(map[string]string{"service.name": "f", "service.instance.id": "n1"}, records)).JSON()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return append(append([]byte("{\"resourceMetrics\":[]}\n\nnot a line\n"), line...), "\n{\"resourceSpans\":[{\"cut"...)
 }
 
+// TestShow has a request written as a tree, found by its own id and by its trace's.
 func TestShow(t *testing.T) {
 	var out strings.Builder
-	n, err := Show(&out, bytes.NewReader(peak(t)), "c1")
+	n, err := Show(&out, bytes.NewReader(sampleFile(t)), "c1")
 	if err != nil || n != 1 {
 		t.Fatal(n, err)
 	}
@@ -74,11 +75,12 @@
 	if diff := cmp.Diff(want, out.String()); diff != "" {
 		t.Errorf("(-want +got):\n%s", diff)
 	}
-	if n, _ := Show(io.Discard, bytes.NewReader(peak(t)), "04000000000000000000000000000000"); n != 1 {
+	if n, _ := Show(io.Discard, bytes.NewReader(sampleFile(t)), "04000000000000000000000000000000"); n != 1 {
 		t.Errorf("by its trace's id a request was found %d times", n)
 	}
 }
 
+// TestSummary has requests summarised by each kind of group and within times.
 func TestSummary(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -93,15 +95,15 @@
 			"target hops errored rejected timed_out unconnected reset not_sent", "s-1 3 1 0 0 0 1 0",
 			"worst requests", "04000000000000000000000000000000 release f1: failed, may_have_run, after 50ms, 1 hops, worth 5",
 			"03000000000000000000000000000000 release r1: refused, no_token, after 1ms, 0 hops, worth 5"}},
-		{"a part by target", Query{GroupBy: "target", From: time.Unix(0, int64(when(500))), To: time.Unix(0, int64(when(2000)))}, []string{
+		{"times, by target", Query{GroupBy: "target", From: time.Unix(0, int64(when(500))), To: time.Unix(0, int64(when(2000)))}, []string{
 			"1 requests from 2026-11-29T20:45:01Z to 2026-11-29T20:45:01Z: 0.0% of their worth served in time",
 			"target requests served late refused failed expired gone unusable worth lost p50 p99",
 			"s-1 1 1 1 0 0 0 0 0 1 900ms 900ms", "lost to requests worth lost", "served: late 1 1"}},
-		{"nothing", Query{GroupBy: "answer", From: time.Unix(0, int64(when(9000)))}, []string{"no requests"}},
+		{"no requests", Query{GroupBy: "answer", From: time.Unix(0, int64(when(9000)))}, []string{"no requests"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := NewSummary(tc.query)
-			if unread, err := Read(bytes.NewReader(peak(t)), s.Add); err != nil || unread != 2 {
+			if unread, err := Read(bytes.NewReader(sampleFile(t)), s.Add); err != nil || unread != 2 {
 				t.Fatal(unread, err)
 			}
 			var out strings.Builder
@@ -121,9 +123,9 @@
 	}
 }
 
-// TestOpen guards packed files, also those cut short.
+// TestOpen has files read that are plain, compressed, and compressed but truncated.
 func TestOpen(t *testing.T) {
-	plain := peak(t)
+	plain := sampleFile(t)
 	var packed bytes.Buffer
 	z := gzip.NewWriter(&packed)
 	if _, err := z.Write(plain); err != nil {
