--- a/cmd/frosttide/clustercmd.go
+++ b/cmd/frosttide/clustercmd.go
@@ -121,7 +121,7 @@
 				part = "voter"
 			}
 		}
-		for _, f := range r.Log.Followed {
+		for _, f := range r.Log.Followers {
 			if f == m.Name {
 				part = "follower"
 			}
@@ -129,7 +129,7 @@
 		if m.Name == r.Log.Leader {
 			part = "leader"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Addr, m.Life, m.Site, part, m.Build)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", m.Name, m.Addr, m.Status, m.Site, part, m.Build)
 	}
 	w.Flush()
 }
@@ -137,24 +137,24 @@
 func showShared(out io.Writer, r cluster.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "agreed up to\t%d\n", r.State.Index)
-	for _, d := range r.State.Out {
+	for _, d := range r.State.Excluded {
 		fmt.Fprintf(w, "left out\t%s\tby %s since %s\t%s\n", d.UID, d.By, time.UnixMilli(d.At).UTC().Format(time.RFC3339), d.Why)
 	}
-	if b := r.Back; b != nil {
-		fmt.Fprintf(w, "come back\t%s for %.1f s\t%s\n", b.Stage, b.Since, b.Waits)
-		fmt.Fprintf(w, "sharers\t%d\tof cold runners; the process stood still %d times\n", b.Sharers, b.Stood)
+	if b := r.Rejoin; b != nil {
+		fmt.Fprintf(w, "come back\t%s for %.1f s\t%s\n", b.Stage, b.Since, b.WaitsFor)
+		fmt.Fprintf(w, "sharers\t%d\tof cold runners; the process stood still %d times\n", b.Sharers, b.Stalls)
 	}
-	c := r.Copies
+	c := r.Replicas
 	fmt.Fprintf(w, "copies\t%s\tdigest\n", c.Digest)
 	for _, kind := range []string{"runners", "health", "fates"} {
-		fmt.Fprintf(w, "%s\t%d\t%d dropped for want of room\n", kind, c.Held[kind], c.Dropped[kind])
+		fmt.Fprintf(w, "%s\t%d\t%d dropped for want of room\n", kind, c.Stored[kind], c.Dropped[kind])
 	}
 	synced := "never yet"
 	if c.Synced >= 0 {
 		synced = fmt.Sprintf("%.1f s ago", c.Synced)
 	}
 	fmt.Fprintf(w, "behind\t%d of 256 parts\tequal to another's %s\n", c.Behind, synced)
-	fmt.Fprintf(w, "words\t%d heard, %d new, %d refused, %d contradictions\t%d wait\n", c.Heard, c.Took, c.Refused, c.Clashes, c.Waiting)
+	fmt.Fprintf(w, "words\t%d heard, %d new, %d refused, %d contradictions\t%d wait\n", c.Received, c.Accepted, c.Rejected, c.Conflicts, c.QueuedUpdates)
 	w.Flush()
 }
 
@@ -166,13 +166,13 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "role\t%s (%s)\nleader\t%s\nterm\t%d\nlast entry\t%d\napplied\t%d\nvoters\t%s\nfollowers\t%s\n", l.Role, l.ID, leader, l.Term,
-		l.Last, l.Applied, strings.Join(l.Voters, " "), strings.Join(l.Followed, " "))
+		l.Last, l.Applied, strings.Join(l.Voters, " "), strings.Join(l.Followers, " "))
 	if l.Lost != "" {
 		fmt.Fprintf(w, "lost\t%s\n", l.Lost)
 	}
 	w.Flush()
 	w = tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	for _, d := range r.State.Last {
+	for _, d := range r.State.Recent {
 		effect := "no change"
 		if d.Changed {
 			effect = "done"
@@ -191,7 +191,7 @@
 		return fmt.Errorf("cluster: %w", err)
 	}
 	kept, err := cluster.BeginAnew(cluster.Config{Name: cfg.Name, Listen: cfg.Cluster.Listen, Advertise: cfg.Cluster.Advertise,
-		Dir: cfg.Cluster.Dir, Keep: cfg.Cluster.WatermarkDir}, sure)
+		Dir: cfg.Cluster.Dir, WatermarkDir: cfg.Cluster.WatermarkDir}, sure)
 	if err != nil {
 		return err
 	}
--- a/cmd/frosttide/clusterevents.go
+++ b/cmd/frosttide/clusterevents.go
@@ -57,7 +57,7 @@
 		}
 		entries[i] = cluster.Entry{UID: e.UID, State: state, Boot: e.StartedAt.Milliseconds(), Text: e.JSON}
 	}
-	m.Told(cmp.Or(p.alias, update.Source), update.Version, update.Full, update.VersionReset, entries)
+	m.PublishRunners(cmp.Or(p.alias, update.Source), update.Version, update.Full, update.VersionReset, entries)
 }
 
 // Exclude implements cluster.Dispatcher: it applies what operators decided at any
@@ -73,7 +73,7 @@
 
 // Hint implements cluster.Dispatcher: it takes what another dispatcher has found out
 // about a worker.
-func (p *peers) Hint(uid string, found []byte) {
+func (p *peers) ApplyHealth(uid string, found []byte) {
 	var health decision.Health
 	if err := json.Unmarshal(found, &health); err != nil { // of another release
 		p.log.WithError(err).WithField("target", uid).Debug("what another member found of a runner can't be read")
@@ -83,7 +83,7 @@
 }
 
 // Hear implements cluster.Dispatcher: it takes entries of another member's discovery.
-func (p *peers) Hear(source string, rev uint64, entries [][]byte) {
+func (p *peers) ApplyRunners(source string, rev uint64, entries [][]byte) {
 	if p.alias != "" { // the operators say that all of that name are one discovery
 		source = ""
 	}
@@ -111,11 +111,11 @@
 	if m == nil {
 		return
 	}
-	var list []cluster.Found
+	var list []cluster.RunnerHealth
 	for uid, health := range findings {
 		if text, err := json.Marshal(health); err == nil { // fails for figures that are no numbers
-			list = append(list, cluster.Found{UID: uid, Failed: health.Failed, Text: text})
+			list = append(list, cluster.RunnerHealth{UID: uid, Failed: health.Failed, Text: text})
 		}
 	}
-	m.Found(list)
+	m.PublishHealth(list)
 }
--- a/cmd/frosttide/gangs.go
+++ b/cmd/frosttide/gangs.go
@@ -74,13 +74,13 @@
 		return
 	}
 	if m := p.currentMember(); m != nil {
-		m.TellGang(name, fact)
+		m.PublishGang(name, fact)
 	}
 }
 
 // HearGang implements cluster.Dispatcher: it takes a fact of another member about a
 // part of a gang.
-func (p *peers) HearGang(fact []byte) {
+func (p *peers) ApplyGang(fact []byte) {
 	if p.gangWatcher != nil {
 		p.gangWatcher.Hear(fact)
 	}
--- a/cmd/frosttide/operators.go
+++ b/cmd/frosttide/operators.go
@@ -51,7 +51,7 @@
 		switch {
 		case m == nil:
 			done(errNoMember)
-		case !known && !m.Out(uid):
+		case !known && !m.IsExcluded(uid):
 			done(console.ErrUnknown)
 		default:
 			m.Exclude(uid, out, "", deadline, func(err error) { done(harmlessRetry(err)) })
--- a/cmd/frosttide/outcomerecords.go
+++ b/cmd/frosttide/outcomerecords.go
@@ -51,7 +51,7 @@
 		found(nil)
 		return
 	}
-	m.Ask(o.recordName(job), job.Deadline, func(facts []replica.Fact) {
+	m.LookupOutcomes(o.recordName(job), job.Deadline, func(facts []replica.Fact) {
 		var records []core.OutcomeRecord
 		for _, fact := range facts {
 			record := parseGroup(fact.Scope)
@@ -69,7 +69,7 @@
 
 // RecordNeverRan implements core.OutcomeStore.
 func (o outcomeRecords) RecordNeverRan(job *core.Job, group core.OutcomeRecord) {
-	o.record(job, group, replica.Free, 0, "", nil)
+	o.record(job, group, replica.NeverRan, 0, "", nil)
 }
 
 // RecordDone implements core.OutcomeStore.
@@ -87,5 +87,5 @@
 		}
 		return
 	}
-	m.Tell(cluster.Fate{Name: o.recordName(job), Group: formatGroup(group)}, state, window, digest, job.Deadline, then)
+	m.RecordOutcome(cluster.OutcomeKey{Name: o.recordName(job), Group: formatGroup(group)}, state, window, digest, job.Deadline, then)
 }
--- a/cmd/frosttide/peers.go
+++ b/cmd/frosttide/peers.go
@@ -84,7 +84,7 @@
 			Join:      s.Join,
 			Voters:    s.Voters,
 			Dir:       s.Dir,
-			Keep:      s.WatermarkDir,
+			WatermarkDir:   s.WatermarkDir,
 			Source:    cmp.Or(s.Discovery, cfg.Discovery),
 		},
 		alias:       s.Discovery,
@@ -121,14 +121,14 @@
 	p.link, p.roster = link, roster
 	signal.Ignore(syscall.SIGXFSZ) // a file at its size limit is a full disk, and no reason to end
 	if stored != nil && stored.loaded != nil {
-		p.cfg.Out = stored.loaded.Excluded
+		p.cfg.Excluded = stored.loaded.Excluded
 	}
 	err := p.openMember(false)
 	if !inUse(err) {
 		return err
 	}
 	if p.stages { // the older process stands for both meanwhile
-		c.SetAdmission(admission.Wide, true, 0, 0)
+		c.SetAdmission(admission.Unlimited, true, 0, 0)
 	}
 	p.log.WithError(err).Warn("another process is this member; it is waited for")
 	go p.retryMember()
@@ -162,10 +162,10 @@
 	actor := p.rejoin
 	p.mu.Unlock()
 	if actor != nil {
-		actor.Woke(length)
+		actor.ProcessStalled(length)
 		return
 	}
-	p.table.Renew(func() { p.core.SetAdmission(admission.Wide, true, 0, stalls) })
+	p.table.Renew(func() { p.core.SetAdmission(admission.Unlimited, true, 0, stalls) })
 }
 
 // openMember opens the member; warm tells that this process has served before. It
@@ -209,10 +209,10 @@
 		Dispatchers: p.dispatchers,
 		Paced:       p.paced,
 		Warm:        warm,
-		Stood:       int(p.stalls.Load()),
+		Stalls:      int(p.stalls.Load()),
 		Bounds:      stage.Defaults(),
 	}, m, p.core, p.table, p.log)
-	m.ToldBy(p.rejoin.Status)
+	m.SetRejoinStatus(p.rejoin.Status)
 	go p.rejoin.Run(ctx)
 	p.startWorkflows(ctx, m)
 }
@@ -230,7 +230,7 @@
 	if succeeded {
 		p.close(false)
 	} else if m := p.currentMember(); m != nil {
-		m.Drains()
+		m.SetDraining()
 	}
 }
 
--- a/internal/dispatcher/core/admission.go
+++ b/internal/dispatcher/core/admission.go
@@ -23,7 +23,7 @@
 // guard bounds what a dispatcher admits and sends while it rejoins its cluster,
 // and detects stalls of the process. A dispatcher without a cluster has none.
 type guard struct {
-	admission   admission.Door
+	admission   admission.Limiter
 	stallWatch  stall.Watch
 	stalls      int                        // detected so far
 	detector    stallDetector              // shows stalls to attempts on their way
@@ -43,7 +43,7 @@
 		detector:   stallDetector{clock: c.moduleTime, bound: bound},
 	}
 	c.guard.detector.observe(c.moduleTime(time.Now()), false)
-	c.guard.admission.Set(admission.Closed, 0, 0)
+	c.guard.admission.SetLevel(admission.Closed, 0, 0)
 }
 
 // SetAdmission sets how many jobs are admitted. At level Ajar, initial is how many
@@ -54,7 +54,7 @@
 	c.mailbox.Put(func(c *Core) {
 		if c.guard != nil && stalls == c.guard.stalls {
 			c.guard.admitsKeyed = admitsKeyed
-			c.guard.admission.Set(level, initial, c.now)
+			c.guard.admission.SetLevel(level, initial, c.now)
 		}
 	})
 }
@@ -71,7 +71,7 @@
 	c.mailbox.Put(func(c *Core) {
 		progress := RejoinProgress{Listed: len(c.workers)}
 		if c.guard != nil {
-			progress.Unrestricted = c.guard.admission.Bears(c.now)
+			progress.Unrestricted = c.guard.admission.Unrestricted(c.now)
 		}
 		to(progress)
 	})
@@ -96,10 +96,10 @@
 	if g == nil {
 		return
 	}
-	length, _ := g.stallWatch.Look(now, now)
+	length, _ := g.stallWatch.Observe(now, now)
 	if length > 0 {
 		g.stalls++
-		g.admission.Set(admission.Closed, 0, now)
+		g.admission.SetLevel(admission.Closed, 0, now)
 		g.onStall(length)
 	}
 	g.detector.observe(now, length > 0)
@@ -115,14 +115,14 @@
 		admitted, counted = c.guard.admission.Admit(c.now)
 	}
 	if job.Compensating { // no client would retry it
-		admitted = admitted || c.guard.admission.Level() == admission.Ajar
+		admitted = admitted || c.guard.admission.Level() == admission.Limited
 	}
 	if admitted {
 		job.admissionCounted = counted
 		return true
 	}
 	c.summary.responses[Rejected]++
-	after := c.guard.admission.After(rand.Float64(), c.cfg.Limits.MaxRetryAfter, c.now)
+	after := c.guard.admission.RetryAfter(rand.Float64(), c.cfg.Limits.MaxRetryAfter, c.now)
 	if !c.cfg.Limits.RetryAfter {
 		after = 0
 	}
@@ -151,6 +151,6 @@
 func (c *Core) releaseAdmission(job *Job, served bool) {
 	if job.admissionCounted {
 		job.admissionCounted = false
-		c.guard.admission.Ended(served, c.now)
+		c.guard.admission.JobEnded(served, c.now)
 	}
 }
--- a/internal/dispatcher/core/admission_test.go
+++ b/internal/dispatcher/core/admission_test.go
@@ -52,14 +52,14 @@
 	if !try(0) || sent.n != 0 {
 		t.Error("a closed door let a job in")
 	}
-	open(admission.Ajar, false, 4, 0)
+	open(admission.Limited, false, 4, 0)
 	if try(0) || sent.n != 1 {
 		t.Error("a door that is ajar let nobody in")
 	}
 	if !try(1) || sent.n != 1 {
 		t.Error("a job that must not run twice came in before it may")
 	}
-	open(admission.Wide, true, 0, 0)
+	open(admission.Unlimited, true, 0, 0)
 	if try(1) || sent.n != 2 {
 		t.Error("a wide door let nobody in")
 	}
@@ -67,7 +67,7 @@
 	if !try(0) || sent.n != 2 || len(woke) != 1 {
 		t.Errorf("after a standstill %d were sent, and it was noticed %d times", sent.n, len(woke))
 	}
-	open(admission.Wide, true, 0, 0)
+	open(admission.Unlimited, true, 0, 0)
 	if !try(0) || sent.n != 2 {
 		t.Error("what was decided before the standstill opened the door")
 	}
@@ -76,7 +76,7 @@
 	if sent.n != 2 {
 		t.Error("a further attempt was sent by what was known before the standstill")
 	}
-	open(admission.Wide, true, 0, 1)
+	open(admission.Unlimited, true, 0, 1)
 	if try(0) || sent.n != 3 {
 		t.Error("the door stays closed after it was opened anew")
 	}
--- a/internal/dispatcher/core/attempts.go
+++ b/internal/dispatcher/core/attempts.go
@@ -190,7 +190,7 @@
 	w := r.attempts[attempt].worker
 	c.summary.attempts[outcome]++
 	if outcome == decision.Rejected && c.guard != nil {
-		c.guard.admission.TurnedAway(c.now)
+		c.guard.admission.RunnerRejected(c.now)
 	}
 	if w != nil && outcome != decision.NotSent && outcome != decision.Canceled {
 		w.hasEndedAttempt = true
--- a/internal/dispatcher/core/hints.go
+++ b/internal/dispatcher/core/hints.go
@@ -13,7 +13,7 @@
 // an attempt of this dispatcher has ended there, which says more.
 func (c *Core) Hint(uid string, health decision.Health) {
 	c.mailbox.Put(func(c *Core) {
-		health.Pace = recovery.Pace(health.Pace, c.cfg.Instance, uid)
+		health.Pace = recovery.JitteredPace(health.Pace, c.cfg.Instance, uid)
 		w := c.workers[uid]
 		switch {
 		case w == nil && len(c.restoredHealth) < maxHints:
--- a/internal/dispatcher/fleet/cluster/calls.go
+++ b/internal/dispatcher/fleet/cluster/calls.go
@@ -24,8 +24,8 @@
 const (
 	// maxExchange is the most bytes of facts that go one way in a comparison; the rest goes
 	// in the next. maxBody is the most that is read.
-	maxExchange = 256 << 10
-	maxBody     = maxExchange + 64<<10
+	maxExchangeSize = 256 << 10
+	maxBodySize     = maxExchangeSize + 64<<10
 )
 
 // comparison is the answer to a digest: what the asked member has in the buckets that differ,
@@ -41,14 +41,14 @@
 // serveCalls answers the other members.
 func (c *Cluster) serveCalls() {
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/propose", c.proposed)
+	mux.HandleFunc("POST /v1/propose", c.handlePropose)
 	mux.HandleFunc("POST /v1/last", func(w http.ResponseWriter, _ *http.Request) {
-		reply(w, c.quorum.Last())
+		writeJSON(w, c.quorum.Last())
 	})
-	mux.HandleFunc("POST /v1/compare", c.compared)
-	mux.HandleFunc("POST /v1/facts", c.facts)
-	mux.HandleFunc("POST /v1/fates", c.fates)
-	c.calls = &http.Server{Handler: mux, ReadTimeout: answerWithin, WriteTimeout: answerWithin, IdleTimeout: 10 * time.Second,
+	mux.HandleFunc("POST /v1/compare", c.handleCompare)
+	mux.HandleFunc("POST /v1/facts", c.handleFacts)
+	mux.HandleFunc("POST /v1/fates", c.handleOutcomes)
+	c.calls = &http.Server{Handler: mux, ReadTimeout: exchangeTimeout, WriteTimeout: exchangeTimeout, IdleTimeout: 10 * time.Second,
 		MaxHeaderBytes: 4 << 10, ErrorLog: stdlog.New(c.log.WriterLevel(logrus.DebugLevel), "", 0)}
 	c.http = &http.Client{Transport: &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1, MaxIdleConns: 16, IdleConnTimeout: 5 * time.Second,
 		DialContext: func(ctx context.Context, _, addr string) (net.Conn, error) {
@@ -72,12 +72,12 @@
 		return fmt.Errorf("call: %w", err)
 	}
 	defer resp.Body.Close()
-	got, err := readAll(resp.Body, maxBody)
+	got, err := readAll(resp.Body, maxBodySize)
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return &refusal{resp.StatusCode, string(bytes.TrimSpace(got))}
+		return &statusError{resp.StatusCode, string(bytes.TrimSpace(got))}
 	}
 	if into == nil {
 		return nil
@@ -89,20 +89,20 @@
 }
 
 // refusal is an answer other than 200.
-type refusal struct {
+type statusError struct {
 	status int
 	why    string
 }
 
-func (r *refusal) Error() string { return r.why }
+func (r *statusError) Error() string { return r.why }
 
-func reply(w http.ResponseWriter, v any) {
+func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v) // a caller that has left hears nothing
 }
 
-func read(w http.ResponseWriter, r *http.Request, into any) bool {
-	text, err := readAll(r.Body, maxBody)
+func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
+	text, err := readAll(r.Body, maxBodySize)
 	if err == nil {
 		err = json.Unmarshal(text, into)
 	}
@@ -121,7 +121,7 @@
 	}
 	var d ledger.Done
 	err := c.call(ctx, addr, "/v1/propose", e, &d)
-	var no *refusal
+	var no *statusError
 	if errors.As(err, &no) && no.status == http.StatusMisdirectedRequest {
 		return d, quorum.ErrNoLeader
 	}
@@ -132,18 +132,18 @@
 }
 
 // lastOf asks a member how far its log goes.
-func (c *Cluster) lastOf(ctx context.Context, addr string) (last uint64, err error) {
+func (c *Cluster) lastIndexOf(ctx context.Context, addr string) (last uint64, err error) {
 	err = c.call(ctx, addr, "/v1/last", nil, &last)
 	return last, err
 }
 
 // proposed writes an entry of another member's, where this one leads.
-func (c *Cluster) proposed(w http.ResponseWriter, r *http.Request) {
+func (c *Cluster) handlePropose(w http.ResponseWriter, r *http.Request) {
 	var e ledger.Entry
-	if !read(w, r, &e) {
+	if !readJSON(w, r, &e) {
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(answerWithin))
+	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(exchangeTimeout))
 	defer cancel()
 	d, err := c.quorum.Propose(ctx, e)
 	switch {
@@ -152,44 +152,44 @@
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		reply(w, d)
+		writeJSON(w, d)
 	}
 }
 
 // compared answers a digest.
-func (c *Cluster) compared(w http.ResponseWriter, r *http.Request) {
+func (c *Cluster) handleCompare(w http.ResponseWriter, r *http.Request) {
 	var theirs replica.Digest
-	if !read(w, r, &theirs) {
+	if !readJSON(w, r, &theirs) {
 		return
 	}
-	got, ok := ask(r.Context(), c, func(c *Cluster) comparison {
-		a := comparison{Differ: c.store.Against(theirs, c.now()), Digest: c.store.Digest(), Now: c.now()}
-		a.Sent, a.Facts = c.parts(a.Differ)
+	got, ok := query(r.Context(), c, func(c *Cluster) comparison {
+		a := comparison{Differ: c.store.DifferingBuckets(theirs, c.now()), Digest: c.store.Digest(), Now: c.now()}
+		a.Sent, a.Facts = c.selectBuckets(a.Differ)
 		return a
 	})
 	if !ok {
 		return
 	}
-	reply(w, got)
+	writeJSON(w, got)
 }
 
 // weight is about how many bytes a fact takes.
-func weight(f *replica.Fact) int { return 160 + len(f.Name) + len(f.Scope) + len(f.Entry) }
+func factSize(f *replica.Fact) int { return 160 + len(f.Name) + len(f.Scope) + len(f.Entry) }
 
 // parts returns the facts of as many buckets as go in an exchange, from another one on each
 // time: guards against a bucket that is always cut off.
-func (c *Cluster) parts(buckets []int) (sent []int, out []replica.Fact) {
+func (c *Cluster) selectBuckets(buckets []int) (sent []int, out []replica.Fact) {
 	size := 0
 	for i := range buckets {
 		b := buckets[i]
 		if len(buckets) > 1 {
-			b = buckets[(i+c.turn(len(buckets)))%len(buckets)]
+			b = buckets[(i+c.firstBucket(len(buckets)))%len(buckets)]
 		}
 		facts := c.store.Bucket(b)
 		for k := range facts {
-			size += weight(&facts[k])
+			size += factSize(&facts[k])
 		}
-		if size > maxExchange && len(sent) > 0 {
+		if size > maxExchangeSize && len(sent) > 0 {
 			break
 		}
 		sent, out = append(sent, b), append(out, facts...)
@@ -198,52 +198,52 @@
 }
 
 // turn is where an exchange of so many buckets begins; the same throughout one.
-func (c *Cluster) turn(n int) int { return int(c.told.Compared*31) % n }
+func (c *Cluster) firstBucket(n int) int { return int(c.counts.Compared*31) % n }
 
 // facts takes in facts of another member's.
-func (c *Cluster) facts(w http.ResponseWriter, r *http.Request) {
-	var list []replica.Fact
-	if !read(w, r, &list) {
+func (c *Cluster) handleFacts(w http.ResponseWriter, r *http.Request) {
+	var facts []replica.Fact
+	if !readJSON(w, r, &facts) {
 		return
 	}
-	_, ok := ask(r.Context(), c, func(c *Cluster) bool {
-		for _, f := range list {
-			c.take(f)
+	_, ok := query(r.Context(), c, func(c *Cluster) bool {
+		for _, f := range facts {
+			c.merge(f)
 		}
 		return true
 	})
 	if ok {
-		reply(w, len(list))
+		writeJSON(w, len(facts))
 	}
 }
 
 // compareWith brings the copies here and at another member together, as far as goes in one
 // exchange. More tells that there is a rest.
 func (c *Cluster) compareWith(ctx context.Context, with members.Info) (more bool, err error) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(answerWithin))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(exchangeTimeout))
 	defer cancel()
-	mine, ok := ask(ctx, c, func(c *Cluster) replica.Digest { c.told.Compared++; return c.store.Digest() })
+	mine, ok := query(ctx, c, func(c *Cluster) replica.Digest { c.counts.Compared++; return c.store.Digest() })
 	if !ok {
 		return false, ctx.Err()
 	}
 	var a comparison
-	asked := c.times.steady()
+	asked := c.clock.steady()
 	if err := c.call(ctx, with.Addr, "/v1/compare", mine, &a); err != nil {
 		return false, err
 	}
-	c.heardClock(with.Name, a.Now, asked, c.times.steady())
-	back, ok := ask(ctx, c, func(c *Cluster) []replica.Fact {
+	c.observeClock(with.Name, a.Now, asked, c.clock.steady())
+	back, ok := query(ctx, c, func(c *Cluster) []replica.Fact {
 		theirs := map[replica.Key]replica.Fact{}
 		for _, f := range a.Facts {
 			theirs[f.Key] = f
-			c.take(f)
+			c.merge(f)
 		}
-		c.store.Against(replica.Digest{Floors: a.Digest.Floors}, c.now())
-		c.caughtUp(len(a.Differ), with.Name)
+		c.store.DifferingBuckets(replica.Digest{Floors: a.Digest.Floors}, c.now())
+		c.comparisonDone(len(a.Differ), with.Name)
 		var out []replica.Fact
 		for _, b := range a.Sent {
 			for _, f := range c.store.Bucket(b) {
-				if t, ok := theirs[f.Key]; !ok || replica.Newer(&f, &t) != 0 {
+				if t, ok := theirs[f.Key]; !ok || replica.Compare(&f, &t) != 0 {
 					out = append(out, f)
 				}
 			}
@@ -254,8 +254,8 @@
 		return false, ctx.Err()
 	}
 	n, size := 0, 0
-	for n < len(back) && size < maxExchange {
-		size += weight(&back[n])
+	for n < len(back) && size < maxExchangeSize {
+		size += factSize(&back[n])
 		n++
 	}
 	more = len(a.Sent) < len(a.Differ) || n < len(back)
@@ -266,19 +266,19 @@
 }
 
 // farBehind is how many buckets have to differ for the member to say that it is behind.
-const farBehind = replica.Buckets / 8
+const manyBuckets = replica.Buckets / 8
 
 // caughtUp takes in in how many buckets a comparison found differences.
-func (c *Cluster) caughtUp(differ int, with string) {
-	if differ >= farBehind && c.behind < farBehind {
+func (c *Cluster) comparisonDone(differ int, with string) {
+	if differ >= manyBuckets && c.differingBuckets < manyBuckets {
 		c.log.WithFields(logrus.Fields{"member": with, "parts": differ, "of": replica.Buckets}).Info("copies are behind; they are fetched")
 	}
-	if differ < farBehind && (c.behind >= farBehind || c.synced.IsZero()) {
-		c.log.WithFields(logrus.Fields{"member": with, "after": time.Since(c.started).Round(time.Millisecond).String()}).Info("copies have caught up")
+	if differ < manyBuckets && (c.differingBuckets >= manyBuckets || c.syncedAt.IsZero()) {
+		c.log.WithFields(logrus.Fields{"member": with, "after": time.Since(c.startedAt).Round(time.Millisecond).String()}).Info("copies have caught up")
 	}
-	c.behind = differ
+	c.differingBuckets = differ
 	if differ == 0 {
-		c.synced = time.Now()
+		c.syncedAt = time.Now()
 	}
 }
 
--- /dev/null
+++ b/internal/dispatcher/fleet/cluster/console.go
@@ -0,0 +1,166 @@
+package cluster
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"time"
+
+	"frosttide/internal/dispatcher/fleet/ledger"
+	"frosttide/internal/dispatcher/fleet/members"
+	"frosttide/internal/dispatcher/fleet/quorum"
+	"frosttide/internal/dispatcher/fleet/rejoin"
+	"frosttide/internal/dispatcher/fleet/replica"
+)
+
+// Copies is what people may know of the soft copies.
+type ReplicaStatus struct {
+	Digest            string            `json:"digest"`
+	Stored            map[string]int    `json:"held"`
+	Dropped           map[string]uint64 `json:"dropped"` // for want of room
+	Behind            int               `json:"behind"`  // parts of 256 that differed when last compared
+	Synced            float64           `json:"synced"`  // seconds since a comparison found no difference; -1 for never
+	QueuedUpdates     int               `json:"waiting"` // words not yet gossiped
+	Received          uint64            `json:"heard"`
+	Accepted          uint64            `json:"took"`
+	Rejected          uint64            `json:"refused"`
+	Conflicts         uint64            `json:"conflicts"`
+	FailedComparisons uint64            `json:"not_compared"` // comparisons that failed
+	Sent              uint64            `json:"sent_bytes"`   // by UDP
+	Lost              uint64            `json:"lost_packets"` // and words, as nobody had time for them
+}
+
+// Report is all that the console tells.
+type Report struct {
+	Name     string         `json:"name"`
+	Members  []members.Info `json:"members"`
+	Replicas ReplicaStatus  `json:"copies"`
+	Log      quorum.Status  `json:"log"`
+	State    ledger.State   `json:"state"`
+	Rejoin   *rejoin.Status `json:"back,omitempty"` // how far the dispatcher has come back
+}
+
+// ToldBy names who tells how far the dispatcher has come back.
+func (c *Cluster) SetRejoinStatus(status func() rejoin.Status) { c.rejoinStatus.Store(&status) }
+
+var kindNames = [replica.Kinds]string{replica.Runner: "runners", replica.Health: "health", replica.JobOutcome: "fates", replica.Gang: "gangs"}
+
+// Report gathers it; false where the context ends before.
+func (c *Cluster) Report(ctx context.Context) (Report, bool) {
+	r := Report{Name: c.cfg.Name, Members: c.members.All(), Log: c.quorum.Status(), State: c.quorum.State()}
+	if status := c.rejoinStatus.Load(); status != nil {
+		s := (*status)()
+		r.Rejoin = &s
+	}
+	var ok bool
+	r.Replicas, ok = query(ctx, c, func(c *Cluster) ReplicaStatus {
+		k := ReplicaStatus{Digest: digestText(c.store.Digest()), Stored: map[string]int{}, Dropped: map[string]uint64{}, Behind: c.differingBuckets, Synced: -1,
+			QueuedUpdates: c.members.Queued(), Received: c.counts.Received, Accepted: c.counts.Accepted, Rejected: c.counts.Rejected, Conflicts: c.counts.Conflicts, FailedComparisons: c.counts.Failed}
+		for kind, name := range kindNames {
+			if name != "" {
+				k.Stored[name], k.Dropped[name] = c.store.Len(replica.Kind(kind))
+			}
+		}
+		if !c.syncedAt.IsZero() {
+			k.Synced = time.Since(c.syncedAt).Seconds()
+		}
+		k.Sent, _, k.Lost = c.port.Traffic()
+		k.Lost += c.droppedUpdates.Load()
+		return k
+	})
+	return r, ok
+}
+
+func digestText(d replica.Digest) string {
+	const hex = "0123456789abcdef"
+	out, sum := make([]byte, 16), d.Checksum()
+	for i := range out {
+		out[i] = hex[sum>>(60-4*i)&15]
+	}
+	return string(out)
+}
+
+// Runners returns what the copies say of runners, for people.
+func (c *Cluster) Runners(ctx context.Context) ([]replica.Fact, bool) {
+	return query(ctx, c, func(c *Cluster) []replica.Fact { return c.store.All(replica.Runner) })
+}
+
+// operatorTime bounds what operators ask for: whoever makes a call waits 1 s.
+const operatorTimeout = 800 * time.Millisecond
+
+// Operators is the console's part: GET /api/cluster, GET /api/cluster/runners, and
+// POST /api/cluster/snapshot, /join and /remove.
+func (c *Cluster) Operators() http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /api/cluster", func(w http.ResponseWriter, r *http.Request) {
+		c.respond(w, r, func(ctx context.Context) (any, bool) { return both(c.Report(ctx)) })
+	})
+	mux.HandleFunc("GET /api/cluster/runners", func(w http.ResponseWriter, r *http.Request) {
+		c.respond(w, r, func(ctx context.Context) (any, bool) { return both(c.Runners(ctx)) })
+	})
+	mux.HandleFunc("POST /api/cluster/snapshot", func(w http.ResponseWriter, _ *http.Request) { respondError(w, c.quorum.Snapshot()) })
+	mux.HandleFunc("POST /api/cluster/join", func(w http.ResponseWriter, r *http.Request) {
+		var call struct{ Address string }
+		if readCall(w, r, &call) {
+			respondError(w, c.members.Join(call.Address))
+		}
+	})
+	mux.HandleFunc("POST /api/cluster/remove", func(w http.ResponseWriter, r *http.Request) {
+		var call struct{ Name string }
+		if !readCall(w, r, &call) {
+			return
+		}
+		ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(operatorTimeout))
+		defer cancel()
+		respondError(w, c.quorum.Remove(ctx, call.Name))
+	})
+	return mux
+}
+
+func both[T any](v T, ok bool) (any, bool) { return v, ok }
+
+func (c *Cluster) respond(w http.ResponseWriter, r *http.Request, get func(context.Context) (any, bool)) {
+	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(operatorTimeout))
+	defer cancel()
+	v, ok := get(ctx)
+	if !ok {
+		http.Error(w, "not done, try again", http.StatusServiceUnavailable)
+		return
+	}
+	w.Header().Set("Content-Type", "application/json")
+	out := json.NewEncoder(w)
+	out.SetIndent("", "  ")
+	_ = out.Encode(v) // a caller that has left hears nothing
+}
+
+// heard reads an operator's call.
+func readCall(w http.ResponseWriter, r *http.Request, into any) bool {
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 4<<10))
+	if err == nil {
+		err = json.Unmarshal(text, into)
+	}
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
+		return false
+	}
+	return true
+}
+
+func respondError(w http.ResponseWriter, err error) {
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+	}
+}
+
+// Alive returns how many members this one sees alive, itself included.
+func (c *Cluster) AliveCount() int { return len(c.members.Alive()) }
+
+// Sent returns how many bytes have been sent by UDP.
+func (c *Cluster) SentBytes() uint64 {
+	sent, _, _ := c.port.Traffic()
+	return sent
+}
+
+// Waiting returns how many words wait to be gossiped.
+func (c *Cluster) QueuedUpdates() int { return c.members.Queued() }
--- a/internal/dispatcher/fleet/cluster/outfile.go
+++ b/internal/dispatcher/fleet/cluster/exclusionfile.go
@@ -21,10 +21,10 @@
 // outFile holds which runners the log leaves out, as far as it was applied here. Guards those
 // runners between a member's start and the moment when it hears from a majority how far its
 // own log counts.
-const outFile = "out.json"
+const excludedFile = "out.json"
 
 // readOuts returns what was kept; nothing where there is none or it can't be read.
-func readOuts(dir, name string) ([]string, error) {
+func readUIDs(dir, name string) ([]string, error) {
 	if dir == "" {
 		return nil, nil
 	}
@@ -44,18 +44,18 @@
 
 // keepOuts writes it down in one step, beside the log and, with how far that has gone, in the
 // folder apart from it.
-func (c *Cluster) keepOuts(index uint64) {
-	uids := slices.Sorted(maps.Keys(c.outs))
-	err := writeOuts(c.cfg.Dir, outFile, uids)
-	if c.cfg.Keep != "" {
-		err = errors.Join(err, mark.Write(c.cfg.Keep, mark.Mark{Log: c.quorum.LogName(), Index: index, Out: uids}))
+func (c *Cluster) storeExclusions(index uint64) {
+	uids := slices.Sorted(maps.Keys(c.excluded))
+	err := writeUIDs(c.cfg.Dir, excludedFile, uids)
+	if c.cfg.WatermarkDir != "" {
+		err = errors.Join(err, mark.Write(c.cfg.WatermarkDir, mark.Watermark{Log: c.quorum.LogName(), Index: index, Out: uids}))
 	}
 	if err != nil {
 		c.log.WithError(err).Warn("which runners are left out was not kept on disk; the log has it")
 	}
 }
 
-func writeOuts(dir, name string, uids []string) error {
+func writeUIDs(dir, name string, uids []string) error {
 	if dir == "" {
 		return nil
 	}
@@ -71,43 +71,43 @@
 
 // remember has the dispatcher leave out at its start what was left out at its end. It returns
 // what a log that begins anew here has to say first.
-func (c *Cluster) remember() ([]ledger.Entry, error) {
-	kept, err := readOuts(c.cfg.Dir, outFile)
+func (c *Cluster) restoreExclusions() ([]ledger.Entry, error) {
+	kept, err := readUIDs(c.cfg.Dir, excludedFile)
 	if err != nil {
 		c.log.WithError(err).Warn("which runners were left out can't be read; the log will tell")
 	}
-	if c.knew, err = mark.Read(c.cfg.Keep); err != nil {
+	if c.startWatermark, err = mark.Read(c.cfg.WatermarkDir); err != nil {
 		c.log.WithError(err).Error("how far the log had gone can't be read; if its own folder is lost too, that is unknown")
 	}
-	if c.knew != nil && len(kept) == 0 {
-		kept = c.knew.Out
+	if c.startWatermark != nil && len(kept) == 0 {
+		kept = c.startWatermark.Out
 	}
-	for _, uid := range c.cfg.Out {
-		c.outs[uid] = true
+	for _, uid := range c.cfg.Excluded {
+		c.excluded[uid] = true
 	}
 	for _, uid := range kept {
-		if !c.outs[uid] {
-			c.outs[uid] = true
-			c.to.Exclude(uid, true, time.Now())
+		if !c.excluded[uid] {
+			c.excluded[uid] = true
+			c.dispatcher.Exclude(uid, true, time.Now())
 		}
 	}
 	// Guards what an operator wants back against a start that would pass it over.
-	again, err := readOuts(c.cfg.Dir, restateFile)
+	again, err := readUIDs(c.cfg.Dir, restateFile)
 	if err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
-	var say []ledger.Entry
+	var initial []ledger.Entry
 	for _, uid := range again {
-		say = append(say, ledger.Entry{ID: "restate-" + uid, Op: ledger.Exclude, UID: uid, Why: "kept of the log that is lost"})
+		initial = append(initial, ledger.Entry{ID: "restate-" + uid, Op: ledger.Exclude, UID: uid, Why: "kept of the log that is lost"})
 	}
-	return say, nil
+	return initial, nil
 }
 
 // restateFile holds the runners that a log which begins anew has to leave out first.
 const restateFile = "restate.json"
 
 // restated takes in that it has.
-func (c *Cluster) restated() {
+func (c *Cluster) removeRestateFile() {
 	if c.cfg.Dir == "" {
 		return
 	}
@@ -119,8 +119,8 @@
 // BeginAnew makes a stopped member that has lost its log the only voter of a new one, which
 // says first what was kept apart from the old. It returns that, and changes nothing unless
 // sure is set. A crash in between leaves what was kept, and the same can be said again.
-func BeginAnew(cfg Config, sure bool) (*mark.Mark, error) {
-	kept, err := mark.Read(cfg.Keep)
+func BeginAnew(cfg Config, sure bool) (*mark.Watermark, error) {
+	kept, err := mark.Read(cfg.WatermarkDir)
 	switch {
 	case err != nil:
 		return nil, err
@@ -129,13 +129,13 @@
 	case !sure:
 		return kept, nil
 	}
-	for _, name := range []string{restateFile, outFile} {
-		if err := writeOuts(cfg.Dir, name, kept.Out); err != nil {
+	for _, name := range []string{restateFile, excludedFile} {
+		if err := writeUIDs(cfg.Dir, name, kept.Out); err != nil {
 			return nil, fmt.Errorf("cluster: %w", err)
 		}
 	}
 	if err := quorum.BeginAnew(cfg.Dir, cfg.Name, cmp.Or(cfg.Advertise, cfg.Listen)); err != nil {
 		return nil, err
 	}
-	return kept, mark.Drop(cfg.Keep)
+	return kept, mark.Drop(cfg.WatermarkDir)
 }
--- a/internal/dispatcher/fleet/cluster/agreed.go
+++ b/internal/dispatcher/fleet/cluster/exclusions.go
@@ -15,66 +15,66 @@
 )
 
 // out carries out what was agreed on a runner, as it comes by the log.
-func (c *Cluster) out(d ledger.Done) {
-	c.seen = max(c.seen, d.Index)
-	if c.ahead[d.UID] > d.Index {
+func (c *Cluster) applyExclusion(d ledger.Done) {
+	c.logIndex = max(c.logIndex, d.Index)
+	if c.agreedAhead[d.UID] > d.Index {
 		return // a later word is in force already
 	}
 	// What the log has passed binds nothing more, also a word that changed nothing, which does not
 	// come here: so these are no more than were told since the log's last word.
-	maps.DeleteFunc(c.ahead, func(_ string, index uint64) bool { return index <= c.seen })
-	c.carry(d, d.Index)
+	maps.DeleteFunc(c.agreedAhead, func(_ string, index uint64) bool { return index <= c.logIndex })
+	c.carryOut(d, d.Index)
 }
 
 // sooner carries out at once what an operator was told here to be agreed on. Guards rule 3: the
 // leader may stand still, or be cut off, before the log has brought it here, which goes so far.
-func (c *Cluster) sooner(d ledger.Done, applied uint64) {
-	if d.Index <= max(c.seen, c.ahead[d.UID]) {
+func (c *Cluster) applyAhead(d ledger.Done, applied uint64) {
+	if d.Index <= max(c.logIndex, c.agreedAhead[d.UID]) {
 		return
 	}
-	c.ahead[d.UID] = d.Index
-	c.carry(d, applied) // a mark past its own log would have its disk set aside
+	c.agreedAhead[d.UID] = d.Index
+	c.carryOut(d, applied) // a mark past its own log would have its disk set aside
 }
 
 // carry has the dispatcher act, and keeps that the log had gone so far.
-func (c *Cluster) carry(d ledger.Done, index uint64) {
+func (c *Cluster) carryOut(d ledger.Done, index uint64) {
 	out := d.Op == ledger.Exclude
-	if c.outs[d.UID] == out {
+	if c.excluded[d.UID] == out {
 		return
 	}
 	if out {
-		c.outs[d.UID] = true
+		c.excluded[d.UID] = true
 	} else {
-		delete(c.outs, d.UID)
+		delete(c.excluded, d.UID)
 	}
-	c.keepOuts(index)
-	c.to.Exclude(d.UID, out, time.UnixMilli(d.At))
+	c.storeExclusions(index)
+	c.dispatcher.Exclude(d.UID, out, time.UnixMilli(d.At))
 }
 
 // settle puts back, once the log is known here as far as it goes, what was left out at the
 // start and is not any more: that may have been agreed while the member was away.
-func (c *Cluster) settle() {
-	if c.settled {
+func (c *Cluster) reconcileExclusions() {
+	if c.reconciled {
 		return
 	}
 	s := c.quorum.Status()
 	state := c.quorum.State()
-	c.askHowFar()
-	if !caughtUp(&s, state.Log, c.reaches) {
+	c.queryLeaderLast()
+	if !caughtUp(&s, state.Log, c.leaderLast) {
 		return
 	}
-	c.settled = true
-	other := c.knew != nil && c.knew.Log != "" && c.knew.Log != state.Log
-	for _, d := range ledger.Differences(&ledger.State{Out: c.left()}, &state) {
-		if c.ahead[d.UID] > s.Applied {
+	c.reconciled = true
+	other := c.startWatermark != nil && c.startWatermark.Log != "" && c.startWatermark.Log != state.Log
+	for _, d := range ledger.Differences(&ledger.State{Excluded: c.exclusions()}, &state) {
+		if c.agreedAhead[d.UID] > s.Applied {
 			continue
 		}
 		if other && d.Op == ledger.Include {
-			c.log.WithFields(logrus.Fields{"target": d.UID, "lost": c.knew.Log, "log": state.Log}).Warn("left out by the log that is lost, and not by the one in force: it is put back")
+			c.log.WithFields(logrus.Fields{"target": d.UID, "lost": c.startWatermark.Log, "log": state.Log}).Warn("left out by the log that is lost, and not by the one in force: it is put back")
 		}
-		c.out(d)
+		c.applyExclusion(d)
 	}
-	c.keepOuts(s.Applied)
+	c.storeExclusions(s.Applied)
 }
 
 // caughtUp tells whether all that was agreed on before the leader was asked is known here; reaches is how
@@ -86,31 +86,31 @@
 }
 
 // askHowFar has the leader asked how far its log goes; what it says comes before the next look.
-func (c *Cluster) askHowFar() {
+func (c *Cluster) queryLeaderLast() {
 	_, addr := c.quorum.Leader()
 	if addr == "" {
 		return
 	}
-	c.done.Add(1)
+	c.goroutines.Add(1)
 	go func() { // one at a time, as it ends before the next look
-		defer c.done.Done()
-		ctx, cancel := context.WithDeadline(c.ctx, time.Now().Add(expireEvery))
+		defer c.goroutines.Done()
+		ctx, cancel := context.WithDeadline(c.ctx, time.Now().Add(expireInterval))
 		defer cancel()
 		last := c.quorum.Last()
-		if !c.quorum.Leads() {
+		if !c.quorum.IsLeader() {
 			var err error
-			if last, err = c.lastOf(ctx, addr); err != nil {
+			if last, err = c.lastIndexOf(ctx, addr); err != nil {
 				return
 			}
 		}
-		c.box.Put(func(c *Cluster) { c.reaches = last })
+		c.mailbox.Put(func(c *Cluster) { c.leaderLast = last })
 	}()
 }
 
 // left is what is left out here, as the log would have it.
-func (c *Cluster) left() map[string]ledger.Done {
+func (c *Cluster) exclusions() map[string]ledger.Done {
 	out := map[string]ledger.Done{}
-	for uid := range c.outs {
+	for uid := range c.excluded {
 		out[uid] = ledger.Done{}
 	}
 	return out
@@ -120,19 +120,19 @@
 // nobody knows; then the same entry can be proposed again.
 func (c *Cluster) Propose(ctx context.Context, e ledger.Entry) (ledger.Done, error) {
 	if e.ID == "" {
-		e.ID = fmt.Sprintf("%s-%x-%x", c.cfg.Name, c.started.UnixMilli(), rand.Uint64())
+		e.ID = fmt.Sprintf("%s-%x-%x", c.cfg.Name, c.startedAt.UnixMilli(), rand.Uint64())
 	}
-	if c.second.Load() {
-		return ledger.Done{}, errSecond
+	if c.nameTaken.Load() {
+		return ledger.Done{}, errNameTaken
 	}
-	if err := c.quorum.Lost(); err != nil {
+	if err := c.quorum.LostError(); err != nil {
 		return ledger.Done{}, err
 	}
 	e.By, e.At = c.cfg.Name, c.now()
 	var err error
 	for ctx.Err() == nil {
 		var d ledger.Done
-		if c.quorum.Leads() {
+		if c.quorum.IsLeader() {
 			d, err = c.quorum.Propose(ctx, e)
 		} else {
 			d, err = c.forward(ctx, e)
@@ -149,7 +149,7 @@
 }
 
 // errLate is told where nobody knows whether it is in force here yet.
-var errLate = errors.New("it is agreed on, and not known to be in force here yet")
+var errNotYetInForce = errors.New("it is agreed on, and not known to be in force here yet")
 
 // Exclude leaves a runner out at all members, or puts it back. Done is told before the
 // deadline or a little after it.
@@ -163,8 +163,8 @@
 		}
 		d, err := c.Propose(ctx, ledger.Entry{Op: op, UID: uid, Why: why})
 		if err == nil {
-			if _, ok := ask(ctx, c, func(c *Cluster) bool { c.sooner(d, c.quorum.State().Index); return true }); !ok {
-				err = errLate
+			if _, ok := query(ctx, c, func(c *Cluster) bool { c.applyAhead(d, c.quorum.State().Index); return true }); !ok {
+				err = errNotYetInForce
 			}
 		}
 		done(err)
@@ -172,8 +172,8 @@
 }
 
 // Out tells whether the log leaves a runner out.
-func (c *Cluster) Out(uid string) bool {
+func (c *Cluster) IsExcluded(uid string) bool {
 	s := c.quorum.State()
-	_, out := s.Out[uid]
+	_, out := s.Excluded[uid]
 	return out
 }
--- a/internal/dispatcher/fleet/cluster/agreed_test.go
+++ b/internal/dispatcher/fleet/cluster/exclusions_test.go
@@ -20,11 +20,11 @@
 // TestSooner guards rule 3 at a member whose operator was told that a runner is left out: it is
 // from then on, though the log brings that later, and older words after it; and words that came
 // since count before it.
-func TestSooner(t *testing.T) {
+func TestApplyAhead(t *testing.T) {
 	// A word is where it comes from, its index, and what it says: log 7 out.
 	for name, tc := range map[string]struct {
-		words string
-		want  []bool // whether it is left out, after each
+		updates string
+		want    []bool // whether it is left out, after each
 	}{
 		"by the log alone":          {"log 3 out log 4 in", []bool{true, false}},
 		"told before the log":       {"told 7 out log 5 in log 6 out log 7 out log 8 in", []bool{true, true, true, true, false}},
@@ -36,27 +36,27 @@
 		"told again, nothing since": {"told 7 out told 7 out", []bool{true, true}},
 	} {
 		to := &acting{out: map[string]bool{}}
-		c := &Cluster{to: to, outs: map[string]bool{}, ahead: map[string]uint64{}}
-		var from, word string
+		c := &Cluster{dispatcher: to, excluded: map[string]bool{}, agreedAhead: map[string]uint64{}}
+		var from, verb string
 		var index uint64
-		rest := tc.words
+		rest := tc.updates
 		for i, want := range tc.want {
-			if _, err := fmt.Sscan(rest, &from, &index, &word); err != nil {
+			if _, err := fmt.Sscan(rest, &from, &index, &verb); err != nil {
 				t.Fatal(err)
 			}
-			rest = rest[min(len(from)+len(word)+len(fmt.Sprint(index))+3, len(rest)):]
+			rest = rest[min(len(from)+len(verb)+len(fmt.Sprint(index))+3, len(rest)):]
 			op := ledger.Include
-			if word == "out" {
+			if verb == "out" {
 				op = ledger.Exclude
 			}
 			d := ledger.Done{Entry: ledger.Entry{Op: op, UID: "s-1"}, Index: index, Changed: true}
 			if from == "told" {
-				c.sooner(d, 0)
+				c.applyAhead(d, 0)
 			} else {
-				c.out(d)
+				c.applyExclusion(d)
 			}
 			if got := to.out["s-1"]; got != want {
-				t.Errorf("%s: after word %d, %s %d %s, it is left out: %t", name, i+1, from, index, word, got)
+				t.Errorf("%s: after word %d, %s %d %s, it is left out: %t", name, i+1, from, index, verb, got)
 			}
 		}
 	}
@@ -65,13 +65,13 @@
 // TestAheadIsBounded has words that were told sooner be forgotten once the log has passed them,
 // though one that changed nothing never comes by it.
 func TestAheadIsBounded(t *testing.T) {
-	c := &Cluster{to: &acting{out: map[string]bool{}}, outs: map[string]bool{}, ahead: map[string]uint64{}}
+	c := &Cluster{dispatcher: &acting{out: map[string]bool{}}, excluded: map[string]bool{}, agreedAhead: map[string]uint64{}}
 	for i := range uint64(100) {
-		c.sooner(ledger.Done{Entry: ledger.Entry{Op: ledger.Exclude, UID: fmt.Sprint(i)}, Index: 10 + i}, 0)
+		c.applyAhead(ledger.Done{Entry: ledger.Entry{Op: ledger.Exclude, UID: fmt.Sprint(i)}, Index: 10 + i}, 0)
 	}
-	c.out(ledger.Done{Entry: ledger.Entry{Op: ledger.Exclude, UID: "x"}, Index: 200, Changed: true})
-	if len(c.ahead) > 0 {
-		t.Errorf("%d are kept", len(c.ahead))
+	c.applyExclusion(ledger.Done{Entry: ledger.Entry{Op: ledger.Exclude, UID: "x"}, Index: 200, Changed: true})
+	if len(c.agreedAhead) > 0 {
+		t.Errorf("%d are kept", len(c.agreedAhead))
 	}
 }
 
--- a/internal/dispatcher/fleet/cluster/flows.go
+++ b/internal/dispatcher/fleet/cluster/flows.go
@@ -17,9 +17,9 @@
 // Rank is this member's place among those that have come back in full, in an order that all
 // draw alike from a name; -1 where it has not itself.
 func (c *Cluster) Rank(name string) int {
-	order := slices.DeleteFunc(c.list.Alive(), func(i members.Info) bool {
-		return i.Goes || i.Drain || !stage.Stage(i.Stage).Rights().Runs
+	order := slices.DeleteFunc(c.members.Alive(), func(i members.Info) bool {
+		return i.Leaving || i.Draining || !stage.Stage(i.Stage).Rights().RunsWorkflows
 	})
-	sortFor(name, order)
+	rankMembers(name, order)
 	return slices.IndexFunc(order, func(i members.Info) bool { return i.Name == c.cfg.Name })
 }
--- a/internal/dispatcher/fleet/cluster/fates.go
+++ b/internal/dispatcher/fleet/cluster/outcomes.go
@@ -16,48 +16,48 @@
 	// keepers is how many other members are told of a key before its job is sent, and asked
 	// before a job with it is taken in. Those told and those asked have one in common where
 	// members agree on who is alive: whoever tells is passed over in the same order.
-	keepers = 2
+	holderCount = 2
 	// keeperTime is how long a job waits for them beside the way there. Guards clients against a
 	// member that stands still; what that one alone knew is missing then.
-	keeperTime = 20 * time.Millisecond
+	holderTimeout = 20 * time.Millisecond
 	// trips is how often a call goes there and back at most: to open a connection, and for itself.
-	trips = 2
+	rttsPerCall = 2
 	// lazyFor is how long a word may wait for others to go with that nobody waits for.
-	lazyFor = 50 * time.Millisecond
+	lazyDelay = 50 * time.Millisecond
 	// callTime bounds a call to one, and mostItems what goes in it and waits for it.
-	callTime  = 200 * time.Millisecond
-	mostItems = 512
-	mostQueue = 8192
+	callTimeout    = 200 * time.Millisecond
+	maxBatchItems  = 512
+	maxQueuedItems = 8192
 )
 
 // Fate names a job's key and the group that drops its repeats.
-type Fate struct {
+type OutcomeKey struct {
 	Name  string // class and key
 	Group string
 }
 
 // keepersOf returns the members that are told of a key, this one passed over: rendezvous
 // hashing, so that members agree without a word.
-func (c *Cluster) keepersOf(name string) []members.Info {
-	order := c.orderOf(name)
-	return order[:min(len(order), keepers)]
+func (c *Cluster) holdersOf(name string) []members.Info {
+	order := c.rankedMembers(name)
+	return order[:min(len(order), holderCount)]
 }
 
 // askedOf returns the members that are asked for a key: those that are told of it, and in place
 // of each that came back lately, and may have forgotten, the next that did not.
-func (c *Cluster) askedOf(name string) []members.Info {
-	order := c.orderOf(name)
-	return order[:asked(order)]
+func (c *Cluster) queriedMembers(name string) []members.Info {
+	order := c.rankedMembers(name)
+	return order[:countQueried(order)]
 }
 
 // asked returns how many of some members, in their order, are asked for a key.
-func asked(order []members.Info) int {
+func countQueried(order []members.Info) int {
 	know := 0
 	for i, m := range order {
-		if recalls(m) {
+		if outcomesComplete(m) {
 			know++
 		}
-		if i+1 >= keepers && (know >= keepers || i+1 == mostAsked) {
+		if i+1 >= holderCount && (know >= holderCount || i+1 == maxQueried) {
 			return i + 1
 		}
 	}
@@ -65,16 +65,16 @@
 }
 
 // mostAsked bounds how many members are asked for a key.
-const mostAsked = 5
+const maxQueried = 5
 
-func (c *Cluster) orderOf(name string) []members.Info {
-	alive := slices.DeleteFunc(c.list.Alive(), func(i members.Info) bool { return i.Name == c.cfg.Name || i.Goes })
-	sortFor(name, alive)
+func (c *Cluster) rankedMembers(name string) []members.Info {
+	alive := slices.DeleteFunc(c.members.Alive(), func(i members.Info) bool { return i.Name == c.cfg.Name || i.Leaving })
+	rankMembers(name, alive)
 	return alive
 }
 
 // sortFor brings members into a name's order, which all draw alike.
-func sortFor(name string, list []members.Info) {
+func rankMembers(name string, list []members.Info) {
 	draw := func(i members.Info) uint64 {
 		var d xxhash.Digest
 		d.ResetWithSeed(xxhash.Sum64String(i.Name))
@@ -88,25 +88,25 @@
 // key. Told is called once, from any goroutine: when the keepers have answered, or once they
 // could have, and at the job's deadline at the latest, by what is known: the groups that it is
 // bound to, each in its fact's scope.
-func (c *Cluster) Ask(name string, by time.Time, told func([]replica.Fact)) {
-	c.box.Put(func(c *Cluster) {
-		of := c.askedOf(name)
+func (c *Cluster) LookupOutcomes(name string, by time.Time, done func([]replica.Fact)) {
+	c.mailbox.Put(func(c *Cluster) {
+		of := c.queriedMembers(name)
 		finish := func() {
-			c.box.Put(func(c *Cluster) {
-				told(replica.Bound(c.store.Fates(name, c.now())))
+			c.mailbox.Put(func(c *Cluster) {
+				done(replica.BoundGroups(c.store.Outcomes(name, c.now())))
 			})
 		}
-		g := newGather(len(of), len(of), patience(of, time.Until(by)), finish)
+		g := newResponseWaiter(len(of), len(of), outcomeTimeout(of, time.Until(by)), finish)
 		for _, m := range of {
-			c.peer(m.Addr).put(item{ask: name, done: func(facts []replica.Fact, _ error) {
+			c.peer(m.Addr).put(item{lookup: name, done: func(facts []replica.Fact, _ error) {
 				if len(facts) > 0 {
-					c.box.Put(func(c *Cluster) {
+					c.mailbox.Put(func(c *Cluster) {
 						for _, f := range facts {
-							c.take(f)
+							c.merge(f)
 						}
 					})
 				}
-				g.one(nil) // one that does not answer has nothing to say
+				g.responded(nil) // one that does not answer has nothing to say
 			}})
 		}
 	})
@@ -114,94 +114,94 @@
 
 // Tell makes a key's fate known. Then is called once, from any goroutine: when a keeper knows
 // it, or once one could, and at the job's deadline at the latest; nil for nobody who waits.
-func (c *Cluster) Tell(f Fate, state replica.State, left time.Duration, sum string, by time.Time, then func()) {
-	c.box.Put(func(c *Cluster) {
-		key := replica.FateKey(f.Name, f.Group, c.cfg.Name, c.epoch())
+func (c *Cluster) RecordOutcome(f OutcomeKey, state replica.State, window time.Duration, sum string, by time.Time, then func()) {
+	c.mailbox.Put(func(c *Cluster) {
+		key := replica.OutcomeKey(f.Name, f.Group, c.cfg.Name, c.epoch())
 		var was *replica.Fact
 		if old, ok := c.store.Get(key); ok {
 			was = &old
 		}
-		fact, told := replica.Fact{}, true
+		fact, done := replica.Fact{}, true
 		switch state {
-		case replica.Free:
-			fact, told = replica.Freed(was)
+		case replica.NeverRan:
+			fact, done = replica.RecordNeverRan(was)
 		case replica.Done:
-			fact = replica.Finished(was, key, c.cfg.Name, c.epoch(), c.now(), left.Milliseconds(), sum)
+			fact = replica.RecordDone(was, key, c.cfg.Name, c.epoch(), c.now(), window.Milliseconds(), sum)
 		default:
-			fact = replica.Sending(was, key, c.cfg.Name, c.epoch(), c.now(), left.Milliseconds())
+			fact = replica.RecordSending(was, key, c.cfg.Name, c.epoch(), c.now(), window.Milliseconds())
 		}
-		out := replica.Kept
-		if told {
+		out := replica.Superseded
+		if done {
 			var err error
 			if out, _, err = c.store.Merge(fact, c.now()); err != nil {
-				c.refused(err)
+				c.countRejected(err)
 			}
 		}
-		of, lazy := c.keepersOf(f.Name), then == nil && state != replica.Free // who is refused may come again at once
+		of, lazy := c.holdersOf(f.Name), then == nil && state != replica.NeverRan // who is refused may come again at once
 		if then == nil {
 			then = func() {}
 		}
-		if out != replica.Took || len(of) == 0 {
+		if out != replica.Accepted || len(of) == 0 {
 			then()
 			return
 		}
-		g := newGather(len(of), 1, patience(of, time.Until(by)), then)
+		g := newResponseWaiter(len(of), 1, outcomeTimeout(of, time.Until(by)), then)
 		for _, m := range of {
-			c.peer(m.Addr).put(item{tell: &fact, lazy: lazy, done: func(_ []replica.Fact, err error) { g.one(err) }})
+			c.peer(m.Addr).put(item{record: &fact, lazy: lazy, done: func(_ []replica.Fact, err error) { g.responded(err) }})
 		}
 	})
 }
 
-func (c *Cluster) epoch() uint64 { return uint64(c.started.UnixMilli()) }
+func (c *Cluster) epoch() uint64 { return uint64(c.startedAt.UnixMilli()) }
 
 // patience is how long a job with so much time left waits for some members: the way to the
 // farthest counts beside keeperTime, up to what a call may take. Guards jobs of dispatchers whose
 // sites lie further apart than keeperTime: others would hear of each only after it is sent.
-func patience(of []members.Info, left time.Duration) time.Duration {
+func outcomeTimeout(of []members.Info, window time.Duration) time.Duration {
 	far := time.Duration(0)
 	for _, m := range of {
-		far = max(far, m.Trip)
+		far = max(far, m.RTT)
 	}
-	return min(keeperTime+trips*far, callTime, max(left, 0))
+	return min(holderTimeout+rttsPerCall*far, callTimeout, max(window, 0))
 }
 
 // gather calls a function once: when enough answers have come, when no more can, or after
 // its time. A call that failed is no answer: who was not reached knows nothing.
-type gather struct {
-	mu    sync.Mutex
-	left  int // answers that are wanted still
-	open  int // calls that are out
-	then  func()
-	timer *time.Timer
+type responseWaiter struct {
+	mu          sync.Mutex
+	wanted      int // answers that are wanted still
+	outstanding int // calls that are out
+	then        func()
+	timer       *time.Timer
 }
 
-func newGather(of, enough int, wait time.Duration, then func()) *gather {
-	g := &gather{left: min(of, enough), open: of, then: then}
-	if g.left == 0 {
+func newResponseWaiter(of, enough int, wait time.Duration, then func()) *responseWaiter {
+	g := &responseWaiter{wanted: min(of, enough), outstanding: of, then: then}
+	if g.wanted == 0 {
 		then()
 		return g
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.timer = time.AfterFunc(wait, g.over)
+	g.timer = time.AfterFunc(wait, g.finish)
 	return g
 }
 
-func (g *gather) one(err error) {
+func (g *responseWaiter) responded(err error) {
 	g.mu.Lock()
-	g.open--
+	g.outstanding--
 	if err == nil {
-		g.left--
+		g.wanted--
 	}
-	last := g.left == 0 || g.open == 0
+	last := g.wanted == 0 || g.outstanding == 0
 	g.mu.Unlock()
 	if last {
 		g.timer.Stop()
-		g.over()
+		g.finish()
 	}
 }
 
-func (g *gather) over() {
+func (g *responseWaiter) finish() {
 	g.mu.Lock()
 	then := g.then
 	g.then = nil
--- a/internal/dispatcher/fleet/cluster/fates_test.go
+++ b/internal/dispatcher/fleet/cluster/outcomes_test.go
@@ -11,7 +11,7 @@
 
 // TestGather guards keyed jobs from being sent as if others knew of them: a call that failed
 // is no answer, unless none can come any more.
-func TestGather(t *testing.T) {
+func TestResponseWaiter(t *testing.T) {
 	failed := errors.New("not reached")
 	for name, tc := range map[string]struct {
 		of, enough int
@@ -26,12 +26,12 @@
 		"fewer than are wanted": {1, 2, []error{nil}, 1},
 	} {
 		called := make(chan bool, 2)
-		g := newGather(tc.of, tc.enough, time.Hour, func() { called <- true })
+		g := newResponseWaiter(tc.of, tc.enough, time.Hour, func() { called <- true })
 		for i, err := range tc.answers {
 			if done := len(called) > 0; done != (i >= tc.after) {
 				t.Errorf("%s: after %d answers it was called: %t", name, i, done)
 			}
-			g.one(err)
+			g.responded(err)
 		}
 		if len(called) != 1 {
 			t.Errorf("%s: it was called %d times", name, len(called))
@@ -41,42 +41,42 @@
 
 // TestPatience has a job wait as long as the farthest of the members that it needs can take, and
 // no longer than a call may or its own time.
-func TestPatience(t *testing.T) {
+func TestOutcomeTimeout(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for _, tc := range []struct {
 		trips      []time.Duration
 		left, want time.Duration
 	}{
-		{nil, time.Second, keeperTime},
-		{[]time.Duration{0, ms(1)}, time.Second, keeperTime + ms(2)},
+		{nil, time.Second, holderTimeout},
+		{[]time.Duration{0, ms(1)}, time.Second, holderTimeout + ms(2)},
 		{[]time.Duration{ms(40), ms(1)}, time.Second, ms(100)},
-		{[]time.Duration{ms(90)}, time.Second, callTime},
+		{[]time.Duration{ms(90)}, time.Second, callTimeout},
 		{[]time.Duration{ms(40)}, ms(7), ms(7)},
 		{[]time.Duration{ms(40)}, -ms(7), 0},
 	} {
 		var of []members.Info
 		for _, d := range tc.trips {
-			of = append(of, members.Info{Trip: d})
+			of = append(of, members.Info{RTT: d})
 		}
-		if got := patience(of, tc.left); got != tc.want {
+		if got := outcomeTimeout(of, tc.left); got != tc.want {
 			t.Errorf("trips %v, %s left: it waits %s, want %s", tc.trips, tc.left, got, tc.want)
 		}
 	}
 }
 
 // TestAsked has keys that members which came back lately may have forgotten asked of others too.
-func TestAsked(t *testing.T) {
+func TestCountQueried(t *testing.T) {
 	for _, tc := range []struct {
 		stages string // f for one that is back, j for one that joins
 		want   int
-	}{{"", 0}, {"f", 1}, {"ff", 2}, {"fff", 2}, {"jff", 3}, {"jjff", 4}, {"fjjjjjf", mostAsked}, {"jjjjjj", mostAsked}, {"jf", 2}} {
+	}{{"", 0}, {"f", 1}, {"ff", 2}, {"fff", 2}, {"jff", 3}, {"jjff", 4}, {"fjjjjjf", maxQueried}, {"jjjjjj", maxQueried}, {"jf", 2}} {
 		var order []members.Info
 		for _, s := range tc.stages {
 			i := members.Info{}
 			i.Stage = map[rune]uint8{'f': uint8(stage.Full), 'j': uint8(stage.Joining)}[s]
 			order = append(order, i)
 		}
-		if got := asked(order); got != tc.want {
+		if got := countQueried(order); got != tc.want {
 			t.Errorf("%q: %d are asked, want %d", tc.stages, got, tc.want)
 		}
 	}
--- a/internal/dispatcher/fleet/cluster/keepers.go
+++ b/internal/dispatcher/fleet/cluster/peer.go
@@ -14,31 +14,31 @@
 
 // item is what goes to a keeper: a question or a word.
 type item struct {
-	ask  string
-	tell *replica.Fact
-	lazy bool // nobody waits for it
-	done func([]replica.Fact, error)
+	lookup string
+	record *replica.Fact
+	lazy   bool // nobody waits for it
+	done   func([]replica.Fact, error)
 }
 
 // batch is a call's body, and its answer holds the facts for each question.
 type batch struct {
-	Asks  []string       `json:"asks,omitempty"`
-	Tells []replica.Fact `json:"tells,omitempty"`
+	Lookups []string       `json:"asks,omitempty"`
+	Records []replica.Fact `json:"tells,omitempty"`
 }
 
 // peer is the actor of another member: one call is under way at a time, and what comes
 // meanwhile goes in the next. So the connections between two members stay few however many
 // jobs there are.
 type peer struct {
-	c    *Cluster
-	addr string
-	box  *mailbox.Box[item]
-	end  context.CancelFunc
-	mu   sync.Mutex
-	held int
+	c       *Cluster
+	addr    string
+	mailbox *mailbox.Box[item]
+	end     context.CancelFunc
+	mu      sync.Mutex
+	queued  int
 }
 
-var errQueue = errors.New("too much waits for this member")
+var errQueueFull = errors.New("too much waits for this member")
 
 // peer returns a member's actor, and starts it where there is none. The actor's alone.
 func (c *Cluster) peer(addr string) *peer {
@@ -46,18 +46,18 @@
 		return p
 	}
 	ctx, end := context.WithCancel(c.ctx)
-	p := &peer{c: c, addr: addr, box: mailbox.New[item](), end: end}
+	p := &peer{c: c, addr: addr, mailbox: mailbox.New[item](), end: end}
 	c.peers[addr] = p
-	c.done.Add(1)
+	c.goroutines.Add(1)
 	go func() {
-		defer c.done.Done()
+		defer c.goroutines.Done()
 		p.run(ctx)
 	}()
 	return p
 }
 
 // drop ends the actor of a member that is gone. What waited for it is told of by keeperTime.
-func (c *Cluster) drop(addr string) {
+func (c *Cluster) dropPeer(addr string) {
 	if p := c.peers[addr]; p != nil {
 		p.end()
 		delete(c.peers, addr)
@@ -66,16 +66,16 @@
 
 func (p *peer) put(i item) {
 	p.mu.Lock()
-	full := p.held >= mostQueue
+	full := p.queued >= maxQueuedItems
 	if !full {
-		p.held++
+		p.queued++
 	}
 	p.mu.Unlock()
 	if full {
-		i.done(nil, errQueue)
+		i.done(nil, errQueueFull)
 		return
 	}
-	p.box.Put(i)
+	p.mailbox.Put(i)
 }
 
 func (p *peer) run(ctx context.Context) {
@@ -86,22 +86,22 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.box.Ready():
-			items = p.box.Drain(items)
+		case <-p.mailbox.Ready():
+			items = p.mailbox.Drain(items)
 		case <-flush:
 			due = true
 		}
 		if !due && !slices.ContainsFunc(items, func(i item) bool { return !i.lazy }) {
 			if flush == nil {
-				flush = time.After(lazyFor)
+				flush = time.After(lazyDelay)
 			}
 			continue
 		}
-		for part := range slices.Chunk(items, mostItems) {
+		for part := range slices.Chunk(items, maxBatchItems) {
 			p.send(ctx, part)
 		}
 		p.mu.Lock()
-		p.held -= len(items)
+		p.queued -= len(items)
 		p.mu.Unlock()
 		clear(items)
 		items, flush = items[:0], nil
@@ -109,14 +109,14 @@
 }
 
 func (p *peer) send(ctx context.Context, items []item) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(callTime))
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(callTimeout))
 	defer cancel()
 	var b batch
 	for _, i := range items {
-		if i.tell != nil {
-			b.Tells = append(b.Tells, *i.tell)
+		if i.record != nil {
+			b.Records = append(b.Records, *i.record)
 		} else {
-			b.Asks = append(b.Asks, i.ask)
+			b.Lookups = append(b.Lookups, i.lookup)
 		}
 	}
 	var got [][]replica.Fact
@@ -124,7 +124,7 @@
 	n := 0
 	for _, i := range items {
 		var facts []replica.Fact
-		if i.tell == nil {
+		if i.record == nil {
 			if n < len(got) {
 				facts = got[n]
 			}
@@ -135,26 +135,26 @@
 }
 
 // fates answers another member's batch.
-func (c *Cluster) fates(w http.ResponseWriter, r *http.Request) {
+func (c *Cluster) handleOutcomes(w http.ResponseWriter, r *http.Request) {
 	var b batch
-	if !read(w, r, &b) {
+	if !readJSON(w, r, &b) {
 		return
 	}
-	if len(b.Asks)+len(b.Tells) > mostItems {
+	if len(b.Lookups)+len(b.Records) > maxBatchItems {
 		http.Error(w, "too much at once", http.StatusBadRequest)
 		return
 	}
-	got, ok := ask(r.Context(), c, func(c *Cluster) [][]replica.Fact {
-		for _, f := range b.Tells {
-			c.take(f)
+	got, ok := query(r.Context(), c, func(c *Cluster) [][]replica.Fact {
+		for _, f := range b.Records {
+			c.merge(f)
 		}
-		out := make([][]replica.Fact, len(b.Asks))
-		for i, name := range b.Asks {
-			out[i] = c.store.Fates(name, c.now())
+		out := make([][]replica.Fact, len(b.Lookups))
+		for i, name := range b.Lookups {
+			out[i] = c.store.Outcomes(name, c.now())
 		}
 		return out
 	})
 	if ok {
-		reply(w, got)
+		writeJSON(w, got)
 	}
 }
--- a/internal/dispatcher/fleet/cluster/told.go
+++ b/internal/dispatcher/fleet/cluster/sinks.go
@@ -10,62 +10,62 @@
 )
 
 // gossip is what the members' list tells; it comes from the list's goroutines.
-type gossip Cluster
+type membershipSink Cluster
 
 // Joined tells of a member that is new or back.
-func (g *gossip) Joined(i members.Info) { g.line(i).Info("member joined") }
+func (g *membershipSink) Joined(i members.Info) { g.memberLog(i).Info("member joined") }
 
 // Changed tells that one says something else of itself.
-func (g *gossip) Changed(i members.Info) { g.line(i).Debug("member changed") }
+func (g *membershipSink) Changed(i members.Info) { g.memberLog(i).Debug("member changed") }
 
 // Gone tells of one that is gone.
-func (g *gossip) Gone(i members.Info) {
-	g.times.gone(i.Name)
-	g.box.Put(func(c *Cluster) { c.drop(i.Addr) })
-	l := g.line(i)
-	if i.Life == members.Left {
+func (g *membershipSink) Departed(i members.Info) {
+	g.clock.forget(i.Name)
+	g.mailbox.Put(func(c *Cluster) { c.dropPeer(i.Addr) })
+	l := g.memberLog(i)
+	if i.Status == members.Departed {
 		l.Info("member left")
 		return
 	}
 	l.Warn("member lost")
 }
 
-func (g *gossip) line(i members.Info) *logrus.Entry {
+func (g *membershipSink) memberLog(i members.Info) *logrus.Entry {
 	return g.log.WithFields(logrus.Fields{"member": i.Name, "addr": i.Addr, "site": i.Site, "build": i.Build})
 }
 
 // Clash tells of two members of one name.
-func (g *gossip) Clash(mine, other members.Info) {
+func (g *membershipSink) NameConflict(mine, other members.Info) {
 	g.log.WithFields(logrus.Fields{"member": mine.Name, "addr": mine.Addr, "other": other.Addr}).Error("two members have the same name; the first keeps it")
 	if mine.Addr == g.port.Advertised() && mine.Epoch > other.Epoch {
-		g.second.Store(true)
+		g.nameTaken.Store(true)
 	}
 }
 
 // errSecond is why a member whose name another has had before does not write.
-var errSecond = errors.New("another member had this name first; give this one a name of its own")
+var errNameTaken = errors.New("another member had this name first; give this one a name of its own")
 
 // Heard brings a word.
-func (g *gossip) Heard(word []byte) {
-	if g.words.Add(1) > mostWords { // it comes when copies are compared
-		g.words.Add(-1)
-		g.lost.Add(1)
+func (g *membershipSink) UpdateReceived(update []byte) {
+	if g.pendingUpdates.Add(1) > maxPendingUpdates { // it comes when copies are compared
+		g.pendingUpdates.Add(-1)
+		g.droppedUpdates.Add(1)
 		return
 	}
-	g.box.Put(func(c *Cluster) {
-		c.words.Add(-1)
-		c.word(word)
+	g.mailbox.Put(func(c *Cluster) {
+		c.pendingUpdates.Add(-1)
+		c.receive(update)
 	})
 }
 
 // mostWords is how many words may wait for the actor; more are dropped and counted.
-const mostWords = 4096
+const maxPendingUpdates = 4096
 
 // agreement is what the log tells; it comes from the engine's goroutine.
-type agreement Cluster
+type logSink Cluster
 
 // Agreed tells of an entry that was applied.
-func (a *agreement) Agreed(d ledger.Done) {
+func (a *logSink) Applied(d ledger.Done) {
 	if d.Refused != "" && d.Op != ledger.Flow {
 		a.log.WithFields(logrus.Fields{"index": d.Index, "op": d.Op, "why": d.Refused}).Warn("an entry of the log had no effect")
 	}
@@ -73,19 +73,19 @@
 		return
 	}
 	a.log.WithFields(logrus.Fields{"index": d.Index, "op": d.Op, "target": d.UID, "by": d.By, "why": d.Why}).Info("agreed")
-	a.box.Put(func(c *Cluster) { c.out(d) })
+	a.mailbox.Put(func(c *Cluster) { c.applyExclusion(d) })
 }
 
 // Restored tells that a snapshot took the state's place.
-func (a *agreement) Restored(was, is ledger.State) {
+func (a *logSink) Restored(was, is ledger.State) {
 	a.log.WithField("index", is.Index).Info("the log's state came by a snapshot")
 	for _, d := range ledger.Differences(&was, &is) {
-		a.box.Put(func(c *Cluster) { c.out(d) })
+		a.mailbox.Put(func(c *Cluster) { c.applyExclusion(d) })
 	}
 }
 
 // Led tells who leads.
-func (a *agreement) Led(leader string, term uint64) {
+func (a *logSink) LeaderChanged(leader string, term uint64) {
 	if leader == "" {
 		a.log.WithField("term", term).Warn("the log has no leader")
 		return
@@ -94,6 +94,6 @@
 }
 
 // Formed tells what this member's part is.
-func (a *agreement) Formed(disk string, begun bool) {
-	a.list.Update(func(m *members.Meta) { m.Disk, m.Log = disk, begun })
+func (a *logSink) LogOpened(disk string, begun bool) {
+	a.members.Update(func(m *members.Meta) { m.Disk, m.Log = disk, begun })
 }
--- a/internal/dispatcher/fleet/ledger/ledger.go
+++ b/internal/dispatcher/fleet/ledger/ledger.go
@@ -1,6 +1,10 @@
-// Package ledger is what the members of a cluster agree on: the state that the replicated
-// log leads to. It is few facts that must never differ: which runners operators have left
-// out. It does no I/O and reads no clock; equal entries lead to equal states.
+// Package ledger is the replicated state machine of a cluster: the state that the committed log
+// entries lead to. It holds the few facts on which members must never differ, namely the runners
+// that operators have excluded and the workflows.
+//
+// Package quorum applies the entries and package cluster acts on the results. Invariant: equal
+// entries in equal order lead to equal states, also across a snapshot. The package does no I/O and
+// reads no clock; times come with the entries. A State is not safe for concurrent use.
 package ledger
 
 import (
@@ -14,46 +18,47 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// Op says what an entry does.
+// Op is an entry's operation.
 type Op string
 
-// The operations. An entry with another is of a newer build and changes nothing here.
+// The operations. An entry with another operation comes from a newer build and changes nothing.
 const (
-	Exclude Op = "exclude" // an operator leaves a runner out
-	Include Op = "include" // and puts it back
-	Begin   Op = "begin"   // gives the log its name, in UID; the first counts
-	Flow    Op = "flow"    // a word on workflows, in Flow
+	Exclude Op = "exclude" // an operator excludes a runner
+	Include Op = "include" // an operator includes it again
+	Begin   Op = "begin"   // names the log with Entry.UID; the first one counts
+	Flow    Op = "flow"    // applies the workflow command in Entry.Flow
 )
 
 const (
-	maxText = 256
-	// History is how many of the last entries are kept for people, and by which an entry
-	// that is proposed again is known.
+	// maxTextBytes bounds each text of an entry.
+	maxTextBytes = 256
+	// History is the number of latest entries kept, for operators and to recognise an entry that
+	// is proposed again.
 	History = 256
-	// Most is how many runners can be left out.
-	Most = 20_000
+	// MaxExcluded is how many runners may be excluded at a time.
+	MaxExcluded = 20_000
 )
 
-// Entry is one of the log.
+// Entry is one entry of the replicated log.
 type Entry struct {
-	ID  string `json:"id"`            // drawn by who proposes it; the same again has no further effect
-	Op  Op     `json:"op"`            // see Op
+	ID  string `json:"id"` // drawn by the proposer; a repetition has no further effect
+	Op  Op     `json:"op"`
 	UID string `json:"uid,omitempty"` // the runner
-	At  int64  `json:"at"`            // ms since 1970, by the clock of who proposes it
-	By  string `json:"by,omitempty"`  // the member at which an operator said it
-	Why string `json:"why,omitempty"` // what the operator said to it
+	At  int64  `json:"at"`            // ms since 1970, on the proposer's clock
+	By  string `json:"by,omitempty"`  // the member that the operator called
+	Why string `json:"why,omitempty"` // the operator's reason
 
 	Flow *statetable.Command `json:"flow,omitempty"`
 }
 
-// Valid returns why an entry can't be meant, nil where it can.
-func (e *Entry) Valid() error {
+// Validate returns why the entry is invalid, nil if it is valid.
+func (e *Entry) Validate() error {
 	if e.ID == "" || e.Op == "" {
 		return errors.New("id or op is missing")
 	}
 	for _, s := range []string{e.ID, string(e.Op), e.UID, e.By, e.Why} {
-		if len(s) > maxText {
-			return fmt.Errorf("a text of %d bytes, %d is the most", len(s), maxText)
+		if len(s) > maxTextBytes {
+			return fmt.Errorf("a text of %d bytes, %d is the most", len(s), maxTextBytes)
 		}
 	}
 	if e.Op == Flow && e.Flow == nil {
@@ -65,104 +70,105 @@
 	return nil
 }
 
-// Done is an entry that has been applied.
+// Done is an applied entry with its result.
 type Done struct {
 	Entry
 	Index   uint64 `json:"index"`
-	Changed bool   `json:"changed"`
-	Refused string `json:"refused,omitempty"` // why it changed nothing, where it should have
-	Kind    string `json:"kind,omitempty"`    // of the refusal, of a word on workflows
+	Changed bool   `json:"changed"`           // it changed the state
+	Refused string `json:"refused,omitempty"` // why it was rejected, if it was
+	Kind    string `json:"kind,omitempty"`    // kind of the rejection, for workflow commands
 }
 
-// State is what the entries so far lead to. The zero value is that of an empty log.
+// State is the result of the entries applied so far. The zero value is the state of an empty log.
 type State struct {
-	Log   string           `json:"log"`   // the log's name; empty until it has been given one
-	Index uint64           `json:"index"` // of the last entry
-	Out   map[string]Done  `json:"out"`   // runners that are left out, by uid, and by which entry
-	Last  []Done           `json:"last"`  // the last entries, the oldest first
-	Odd   uint64           `json:"odd"`   // entries that this build did not understand
-	Flows *statetable.Book `json:"flows,omitempty"`
-	known map[string]*Done // Last by id
+	Log        string           `json:"log"`   // name of the log; empty until a Begin entry
+	Index      uint64           `json:"index"` // of the last entry
+	Excluded   map[string]Done  `json:"out"`   // excluded runners by UID, each with the entry that excluded it
+	Recent     []Done           `json:"last"`  // the last History entries, oldest first
+	UnknownOps uint64           `json:"odd"`   // entries with an operation that this build does not know
+	Flows      *statetable.Book `json:"flows,omitempty"`
+	recentByID map[string]*Done // index of Recent
 }
 
-// Apply takes in the entry at an index and returns what came of it.
+// Apply applies the entry at an index of the log and returns its result. A repeated entry returns
+// the result of the first, with Changed unset.
 func (s *State) Apply(index uint64, e Entry) Done {
 	s.Index = index
-	if s.Out == nil {
-		s.Out = map[string]Done{}
+	if s.Excluded == nil {
+		s.Excluded = map[string]Done{}
 	}
-	if s.known == nil {
-		s.relearn()
+	if s.recentByID == nil {
+		s.indexRecent()
 	}
-	if was := s.known[e.ID]; was != nil && was.Op == e.Op && was.UID == e.UID {
-		again := *was
+	if previous := s.recentByID[e.ID]; previous != nil && previous.Op == e.Op && previous.UID == e.UID {
+		again := *previous
 		again.Changed = false
 		return again
 	}
 	d := Done{Entry: e, Index: index}
-	if err := e.Valid(); err != nil {
+	if err := e.Validate(); err != nil {
 		d.Refused = err.Error()
 	} else {
-		s.do(&d)
+		s.applyOp(&d)
 	}
-	d.Flow = nil // bodies are the book's
-	s.Last = append(s.Last, d)
-	if len(s.Last) > History {
-		delete(s.known, s.Last[0].ID)
-		s.Last = slices.Clone(s.Last[1:])
-		s.relearn()
+	d.Flow = nil // the state table keeps the workflows' bodies
+	s.Recent = append(s.Recent, d)
+	if len(s.Recent) > History {
+		delete(s.recentByID, s.Recent[0].ID)
+		s.Recent = slices.Clone(s.Recent[1:])
+		s.indexRecent()
 	}
-	s.known[e.ID] = &s.Last[len(s.Last)-1]
+	s.recentByID[e.ID] = &s.Recent[len(s.Recent)-1]
 	return d
 }
 
-func (s *State) relearn() {
-	s.known = map[string]*Done{}
-	for i := range s.Last {
-		s.known[s.Last[i].ID] = &s.Last[i]
+func (s *State) indexRecent() {
+	s.recentByID = map[string]*Done{}
+	for i := range s.Recent {
+		s.recentByID[s.Recent[i].ID] = &s.Recent[i]
 	}
 }
 
-func (s *State) do(d *Done) {
-	_, out := s.Out[d.UID]
+func (s *State) applyOp(d *Done) {
+	_, out := s.Excluded[d.UID]
 	switch d.Op {
 	case Flow:
 		if s.Flows == nil {
 			s.Flows = &statetable.Book{}
 		}
-		changed, no := s.Flows.Apply(d.Index, d.At, d.Flow)
-		if d.Changed = changed; no != nil {
-			d.Refused, d.Kind = no.Text, no.Kind
+		changed, refusal := s.Flows.Apply(d.Index, d.At, d.Flow)
+		if d.Changed = changed; refusal != nil {
+			d.Refused, d.Kind = refusal.Text, refusal.Kind
 		}
-	case Begin: // nothing changes for any dispatcher
+	case Begin: // no change for the dispatchers
 		s.Log = cmp.Or(s.Log, d.UID)
 	case Exclude:
-		if !out && len(s.Out) >= Most {
-			d.Refused = fmt.Sprintf("%d runners are left out already", Most)
+		if !out && len(s.Excluded) >= MaxExcluded {
+			d.Refused = fmt.Sprintf("%d runners are left out already", MaxExcluded)
 			return
 		}
 		if d.Changed = !out; d.Changed {
-			s.Out[d.UID] = *d
+			s.Excluded[d.UID] = *d
 		}
 	case Include:
 		if d.Changed = out; out {
-			delete(s.Out, d.UID)
+			delete(s.Excluded, d.UID)
 		}
 	default:
-		s.Odd++
+		s.UnknownOps++
 		d.Refused = fmt.Sprintf("%q is no operation of this build", d.Op)
 	}
 }
 
-// Clone returns a copy, without the workflows.
+// Clone returns a copy without the workflows.
 func (s *State) Clone() State {
-	return State{Log: s.Log, Index: s.Index, Out: maps.Clone(s.Out), Last: slices.Clone(s.Last), Odd: s.Odd}
+	return State{Log: s.Log, Index: s.Index, Excluded: maps.Clone(s.Excluded), Recent: slices.Clone(s.Recent), UnknownOps: s.UnknownOps}
 }
 
-// Bytes is the state as a snapshot holds it.
+// Bytes returns the state as stored in a snapshot.
 func (s *State) Bytes() ([]byte, error) { return json.Marshal(s) }
 
-// Parse reads a snapshot.
+// Parse reads a snapshot; its error describes the malformed text.
 func Parse(text []byte) (State, error) {
 	var s State
 	if err := json.Unmarshal(text, &s); err != nil {
@@ -171,19 +177,19 @@
 	return s, nil
 }
 
-// Differences returns what has to be said to a dispatcher that acted by one state for it to
-// act by the next: runners that came out, or back.
-func Differences(was, is *State) []Done {
+// Differences returns the exclusions and inclusions that take a dispatcher from one state to the
+// next.
+func Differences(previous, next *State) []Done {
 	var out []Done
-	for _, uid := range slices.Sorted(maps.Keys(is.Out)) {
-		if _, ok := was.Out[uid]; !ok {
-			out = append(out, is.Out[uid])
+	for _, uid := range slices.Sorted(maps.Keys(next.Excluded)) {
+		if _, ok := previous.Excluded[uid]; !ok {
+			out = append(out, next.Excluded[uid])
 		}
 	}
-	for _, uid := range slices.Sorted(maps.Keys(was.Out)) {
-		if _, ok := is.Out[uid]; !ok {
-			d := Done{Entry: Entry{Op: Include, UID: uid, At: was.Out[uid].At}, Index: is.Index, Changed: true}
-			for _, l := range is.Last {
+	for _, uid := range slices.Sorted(maps.Keys(previous.Excluded)) {
+		if _, ok := next.Excluded[uid]; !ok {
+			d := Done{Entry: Entry{Op: Include, UID: uid, At: previous.Excluded[uid].At}, Index: next.Index, Changed: true}
+			for _, l := range next.Recent {
 				if l.UID == uid && l.Op == Include {
 					d = l
 				}
--- a/internal/dispatcher/fleet/ledger/ledger_test.go
+++ b/internal/dispatcher/fleet/ledger/ledger_test.go
@@ -19,8 +19,8 @@
 	})
 }
 
-// TestReplay guards members from differing: a state that went through a snapshot anywhere
-// goes on as one that did not, and what is said to dispatchers brings the one to the other.
+// TestReplay checks, for any log, that a state restored from a snapshot at any point goes on
+// exactly like one that was not, and that Differences describes each change.
 func TestReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		log := rapid.SliceOfN(entries(), 0, 400).Draw(t, "log")
@@ -52,13 +52,13 @@
 		if diff := cmp.Diff(plain, stored, cmpopts.IgnoreUnexported(State{}), cmpopts.EquateEmpty()); diff != "" {
 			t.Fatalf("the states differ:\n%s", diff)
 		}
-		if len(plain.Last) > History {
-			t.Fatalf("%d entries are kept", len(plain.Last))
+		if len(plain.Recent) > History {
+			t.Fatalf("%d entries are kept", len(plain.Recent))
 		}
 	})
 }
 
-// TestApply has each operation do what it says, once.
+// TestApply checks that each operation has its effect once.
 func TestApply(t *testing.T) {
 	var s State
 	for i, tc := range []struct {
@@ -77,11 +77,11 @@
 		{Entry{Op: Exclude, UID: "s-1"}, false, true, nil},
 	} {
 		d := s.Apply(uint64(i+1), tc.e)
-		if d.Changed != tc.changed || (d.Refused != "") != tc.refused || len(s.Out) != len(tc.out) {
-			t.Errorf("%+v came to %+v, out %v", tc.e, d, maps.Keys(s.Out))
+		if d.Changed != tc.changed || (d.Refused != "") != tc.refused || len(s.Excluded) != len(tc.out) {
+			t.Errorf("%+v came to %+v, out %v", tc.e, d, maps.Keys(s.Excluded))
 		}
 	}
-	if s.Odd != 1 || s.Index != 8 {
-		t.Errorf("odd %d, index %d", s.Odd, s.Index)
+	if s.UnknownOps != 1 || s.Index != 8 {
+		t.Errorf("odd %d, index %d", s.UnknownOps, s.Index)
 	}
 }
--- a/internal/dispatcher/fleet/members/delegates.go
+++ b/internal/dispatcher/fleet/members/delegates.go
@@ -9,16 +9,16 @@
 	"github.com/sirupsen/logrus"
 )
 
-func info(n *memberlist.Node, life Life) Info {
-	i := Info{Name: n.Name, Addr: n.Address(), Life: life}
+func info(n *memberlist.Node, status Status) Info {
+	i := Info{Name: n.Name, Addr: n.Address(), Status: status}
 	_ = json.Unmarshal(n.Meta, &i.Meta) // of a build that says it otherwise nothing is known
 	return i
 }
 
 // broadcast is a word on its way.
 type broadcast struct {
-	key  string
-	word []byte
+	key    string
+	update []byte
 }
 
 // Invalidates has a later word under the same key take the place of an earlier one.
@@ -31,7 +31,7 @@
 func (b *broadcast) Name() string { return b.key }
 
 // Message is what goes out.
-func (b *broadcast) Message() []byte { return b.word }
+func (b *broadcast) Message() []byte { return b.update }
 
 // Finished is called when the word is not sent any more.
 func (b *broadcast) Finished() {}
@@ -44,18 +44,18 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	text, err := json.Marshal(d.meta)
-	if err != nil || len(text) > min(limit, maxMeta) { // names in the settings are shorter
+	if err != nil || len(text) > min(limit, maxMetaSize) { // names in the settings are shorter
 		return nil
 	}
 	return text
 }
 
 // NotifyMsg brings a word.
-func (d *delegate) NotifyMsg(b []byte) { d.sink.Heard(slices.Clone(b)) }
+func (d *delegate) NotifyMsg(b []byte) { d.sink.UpdateReceived(slices.Clone(b)) }
 
 // GetBroadcasts gives words for a packet.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
-	return d.words.GetBroadcasts(overhead, limit)
+	return d.broadcasts.GetBroadcasts(overhead, limit)
 }
 
 // LocalState is not used: what is missing is fetched in parts.
@@ -71,8 +71,8 @@
 func (e *events) NotifyJoin(n *memberlist.Node) {
 	i := info(n, Alive)
 	e.mu.Lock()
-	delete(e.gone, n.Name)
-	e.here[n.Name] = i
+	delete(e.departed, n.Name)
+	e.alive[n.Name] = i
 	e.mu.Unlock()
 	e.sink.Joined(i)
 }
@@ -80,28 +80,28 @@
 // NotifyLeave tells of one that is gone.
 func (e *events) NotifyLeave(n *memberlist.Node) {
 	i := info(n, Dead)
-	if i.Goes {
-		i.Life = Left
+	if i.Leaving {
+		i.Status = Departed
 	}
 	e.mu.Lock()
-	if len(e.gone) >= remembered {
-		for name := range e.gone {
-			delete(e.gone, name)
+	if len(e.departed) >= maxDeparted {
+		for name := range e.departed {
+			delete(e.departed, name)
 			break
 		}
 	}
-	delete(e.here, n.Name)
-	delete(e.trips, n.Name)
-	e.gone[n.Name] = i
+	delete(e.alive, n.Name)
+	delete(e.rtts, n.Name)
+	e.departed[n.Name] = i
 	e.mu.Unlock()
-	e.sink.Gone(i)
+	e.sink.Departed(i)
 }
 
 // NotifyUpdate tells that a member says something else of itself.
 func (e *events) NotifyUpdate(n *memberlist.Node) {
 	i := info(n, Alive)
 	e.mu.Lock()
-	e.here[n.Name] = i
+	e.alive[n.Name] = i
 	e.mu.Unlock()
 	e.sink.Changed(i)
 }
@@ -111,14 +111,14 @@
 
 // NotifyConflict tells of another who uses a name that is taken.
 func (c *conflicts) NotifyConflict(existing, other *memberlist.Node) {
-	c.sink.Clash(info(existing, Alive), info(other, Alive))
+	c.sink.NameConflict(info(existing, Alive), info(other, Alive))
 }
 
 // said writes memberlist's lines to the log, at debug level: it repeats itself
 // while a member is away, and what matters is told to the sink.
-type said struct{ log *logrus.Entry }
+type debugWriter struct{ log *logrus.Entry }
 
-func (s said) Write(line []byte) (int, error) {
-	s.log.Debug(strings.TrimSpace(string(line)))
-	return len(line), nil
+func (s debugWriter) Write(message []byte) (int, error) {
+	s.log.Debug(strings.TrimSpace(string(message)))
+	return len(message), nil
 }
--- a/internal/dispatcher/fleet/members/members_test.go
+++ b/internal/dispatcher/fleet/members/members_test.go
@@ -13,23 +13,23 @@
 	"frosttide/internal/dispatcher/fleet/clusterport"
 )
 
-const patience = 20 * time.Second
+const eventTimeout = 20 * time.Second
 
-type heard struct {
-	joined, gone, changed chan Info
-	heard                 chan string
-	clashes               chan [2]Info
+type fakeSink struct {
+	joined, departed, changed chan Info
+	updates                   chan string
+	conflicts                 chan [2]Info
 }
 
-func (h *heard) Joined(i Info)          { h.joined <- i }
-func (h *heard) Changed(i Info)         { h.changed <- i }
-func (h *heard) Gone(i Info)            { h.gone <- i }
-func (h *heard) Heard(word []byte)      { h.heard <- string(word) }
-func (h *heard) Clash(mine, other Info) { h.clashes <- [2]Info{mine, other} }
+func (h *fakeSink) Joined(i Info)                 { h.joined <- i }
+func (h *fakeSink) Changed(i Info)                { h.changed <- i }
+func (h *fakeSink) Departed(i Info)               { h.departed <- i }
+func (h *fakeSink) UpdateReceived(update []byte)  { h.updates <- string(update) }
+func (h *fakeSink) NameConflict(mine, other Info) { h.conflicts <- [2]Info{mine, other} }
 
 type member struct {
 	*Members
-	seen *heard
+	sink *fakeSink
 	port *clusterport.Port
 	end  context.CancelFunc
 }
@@ -47,14 +47,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &heard{joined: make(chan Info, 64), gone: make(chan Info, 64), changed: make(chan Info, 64), heard: make(chan string, 4096), clashes: make(chan [2]Info, 64)}
+	h := &fakeSink{joined: make(chan Info, 64), departed: make(chan Info, 64), changed: make(chan Info, 64), updates: make(chan string, 4096), conflicts: make(chan [2]Info, 64)}
 	m, err := New(Config{Name: name, Seeds: seeds, Meta: Meta{Site: "a", Epoch: 1}}, port, h, logrus.NewEntry(log))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go m.Run(ctx)
-	x := &member{Members: m, seen: h, port: port, end: cancel}
+	x := &member{Members: m, sink: h, port: port, end: cancel}
 	t.Cleanup(x.kill)
 	return x
 }
@@ -68,14 +68,14 @@
 
 func await[T any](t *testing.T, from <-chan T, what string, ok func(T) bool) T {
 	t.Helper()
-	over := time.After(patience)
+	timeout := time.After(eventTimeout)
 	for {
 		select {
 		case v := <-from:
 			if ok(v) {
 				return v
 			}
-		case <-over:
+		case <-timeout:
 			t.Fatalf("no %s", what)
 		}
 	}
@@ -92,28 +92,28 @@
 	c := start(t, "c", "", a.port.Advertised())
 	for _, m := range []*member{a, b, c} {
 		seen := map[string]bool{}
-		await(t, m.seen.joined, "all three joined", func(i Info) bool { seen[i.Name] = true; return len(seen) == 3 })
+		await(t, m.sink.joined, "all three joined", func(i Info) bool { seen[i.Name] = true; return len(seen) == 3 })
 	}
-	if !a.Say("k", []byte("one")) || a.Say("k", make([]byte, Word+1)) {
+	if !a.Broadcast("k", []byte("one")) || a.Broadcast("k", make([]byte, MaxUpdateSize+1)) {
 		t.Error("a short word was not said, or one that is too long was")
 	}
-	await(t, c.seen.heard, "word", func(w string) bool { return w == "one" })
-	b.Update(func(m *Meta) { m.Drain = true })
-	if i := await(t, c.seen.changed, "change", named("b")); !i.Drain || i.Site != "a" {
+	await(t, c.sink.updates, "word", func(w string) bool { return w == "one" })
+	b.Update(func(m *Meta) { m.Draining = true })
+	if i := await(t, c.sink.changed, "change", named("b")); !i.Draining || i.Site != "a" {
 		t.Errorf("b is heard of as %+v", i)
 	}
 	at := b.port.Advertised()
 	b.kill()
-	if i := await(t, a.seen.gone, "end of b", named("b")); i.Life != Dead {
-		t.Errorf("after a crash b is %s", i.Life)
+	if i := await(t, a.sink.departed, "end of b", named("b")); i.Status != Dead {
+		t.Errorf("after a crash b is %s", i.Status)
 	}
 	start(t, "b", at, c.port.Advertised())
-	await(t, a.seen.joined, "b back", named("b"))
+	await(t, a.sink.joined, "b back", named("b"))
 	c.Leave()
-	if i := await(t, a.seen.gone, "farewell of c", named("c")); i.Life != Left {
-		t.Errorf("after its farewell c is %s", i.Life)
+	if i := await(t, a.sink.departed, "farewell of c", named("c")); i.Status != Departed {
+		t.Errorf("after its farewell c is %s", i.Status)
 	}
-	if all := a.All(); len(all) != 3 || all[2].Life != Left {
+	if all := a.All(); len(all) != 3 || all[2].Status != Departed {
 		t.Errorf("a lists %+v", all)
 	}
 }
@@ -123,9 +123,9 @@
 	t.Parallel()
 	a := start(t, "a", "")
 	b := start(t, "b", "", a.port.Advertised())
-	await(t, a.seen.joined, "b", named("b"))
+	await(t, a.sink.joined, "b", named("b"))
 	other := start(t, "b", "", a.port.Advertised())
-	clash := await(t, a.seen.clashes, "clash", func([2]Info) bool { return true })
+	clash := await(t, a.sink.conflicts, "clash", func([2]Info) bool { return true })
 	if clash[0].Addr != b.port.Advertised() || clash[1].Addr != other.port.Advertised() {
 		t.Errorf("told of %+v", clash)
 	}
@@ -140,7 +140,7 @@
 		if err := odd.port.WriteTo([]byte(text), a.port.Advertised()); err != nil {
 			t.Fatal(err)
 		}
-		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(patience))
+		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(eventTimeout))
 		c, err := odd.port.Dial(ctx, clusterport.Gossip, a.port.Advertised())
 		cancel()
 		if err != nil {
@@ -152,5 +152,5 @@
 		c.Close()
 	}
 	start(t, "b", "", a.port.Advertised())
-	await(t, a.seen.joined, "b, after all that", named("b"))
+	await(t, a.sink.joined, "b, after all that", named("b"))
 }
--- a/internal/dispatcher/fleet/members/trip_test.go
+++ b/internal/dispatcher/fleet/members/rtt_test.go
@@ -8,7 +8,7 @@
 
 // TestTrip has the way to a member be known by its first probe, and one that has become longer
 // by the next: a keyed job that is sent meanwhile waits for it.
-func TestTrip(t *testing.T) {
+func TestRTTEstimate(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for name, tc := range map[string]struct {
 		probes      []int
@@ -21,11 +21,11 @@
 		"shorter in time": {append([]int{80}, slices.Repeat([]int{1}, 40)...), ms(1), ms(10)},
 		"no time at all":  {[]int{0, 0}, 1, ms(1)},
 	} {
-		var x trip
+		var x rttEstimate
 		for _, p := range tc.probes {
-			x.took(ms(p))
+			x.observe(ms(p))
 		}
-		if got := x.within(); got < tc.least || got > tc.most {
+		if got := x.bound(); got < tc.least || got > tc.most {
 			t.Errorf("%s: within %s, want %s to %s", name, got, tc.least, tc.most)
 		}
 	}
--- a/internal/dispatcher/fleet/quorum/disk.go
+++ b/internal/dispatcher/fleet/quorum/disk.go
@@ -25,9 +25,9 @@
 	logFile  = "log.db"
 	diskFile = "disk"
 	// snapshots is how many are kept, so that a torn one has another before it.
-	snapshots = 2
+	keptSnapshots = 2
 	// lockWait is how long another process of the same member may hold the folder.
-	lockWait = time.Second
+	lockTimeout = time.Second
 )
 
 // disk is where a member keeps its part of the log. It has a name of its own, drawn when the
@@ -42,39 +42,39 @@
 // openDisk opens a folder. What can't be read, or is from before what the member has
 // acknowledged, is set aside under another name and an empty one begun in its place; aside
 // names it. Guards what was acknowledged against a disk of last week that votes as it did then.
-func openDisk(dir string, kept uint64, log hclog.Logger) (d *disk, aside string, err error) {
+func openDisk(dir string, known uint64, log hclog.Logger) (d *disk, setAside string, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, "", fmt.Errorf("cluster: %w", err)
 	}
-	d, err = tryDisk(dir, log)
+	d, err = openFolder(dir, log)
 	if err == nil {
-		err = d.current(kept)
+		err = d.checkCurrent(known)
 		if err != nil {
 			d.logs.Close()
 		}
 	}
-	var torn tornError
+	var torn corruptError
 	if !errors.As(err, &torn) {
 		return d, "", err
 	}
-	aside = dir + ".torn-" + time.Now().UTC().Format("20060102T150405.000000000")
-	if err := os.Rename(dir, aside); err != nil {
+	setAside = dir + ".torn-" + time.Now().UTC().Format("20060102T150405.000000000")
+	if err := os.Rename(dir, setAside); err != nil {
 		return nil, "", fmt.Errorf("cluster: %w", err)
 	}
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, "", fmt.Errorf("cluster: %w", err)
 	}
-	d, err = tryDisk(dir, log)
-	return d, aside + ": " + torn.Error(), err
+	d, err = openFolder(dir, log)
+	return d, setAside + ": " + torn.Error(), err
 }
 
 // ErrInUse is told of a folder that another process of the member has yet.
 var ErrInUse = errors.New("it is in use by another process")
 
 // tornError is what a folder says that can't be read.
-type tornError struct{ error }
+type corruptError struct{ error }
 
-func tryDisk(dir string, log hclog.Logger) (*disk, error) {
+func openFolder(dir string, log hclog.Logger) (*disk, error) {
 	id, err := diskID(dir)
 	if err != nil {
 		return nil, err
@@ -83,11 +83,11 @@
 	if err := checkLog(path); err != nil {
 		return nil, err
 	}
-	logs, err := boltdb.New(boltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: lockWait}})
+	logs, err := boltdb.New(boltdb.Options{Path: path, BoltOptions: &bbolt.Options{Timeout: lockTimeout}})
 	if err != nil {
 		return nil, fmt.Errorf("cluster: %s: %w", path, err)
 	}
-	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, snapshots, log)
+	snaps, err := raft.NewFileSnapshotStoreWithLogger(dir, keptSnapshots, log)
 	if err != nil {
 		logs.Close()
 		return nil, fmt.Errorf("cluster: %w", err)
@@ -107,13 +107,13 @@
 		if id := strings.TrimSpace(string(text)); len(id) == 16 {
 			return id, nil
 		}
-		return "", tornError{fmt.Errorf("%s holds no name", path)}
+		return "", corruptError{fmt.Errorf("%s holds no name", path)}
 	}
 	if !errors.Is(err, os.ErrNotExist) {
 		return "", fmt.Errorf("cluster: %w", err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, logFile)); err == nil {
-		return "", tornError{fmt.Errorf("%s is gone and the log is there", path)}
+		return "", corruptError{fmt.Errorf("%s is gone and the log is there", path)}
 	}
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -141,15 +141,15 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = tornError{fmt.Errorf("%s can't be read: %v", path, r)}
+			err = corruptError{fmt.Errorf("%s can't be read: %v", path, r)}
 		}
 	}()
-	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockWait, ReadOnly: true, PreLoadFreelist: true})
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: true, PreLoadFreelist: true})
 	if errors.Is(err, bolterrors.ErrTimeout) {
 		return fmt.Errorf("cluster: %s: %w", path, ErrInUse)
 	}
 	if err != nil {
-		return tornError{fmt.Errorf("%s: %w", path, err)}
+		return corruptError{fmt.Errorf("%s: %w", path, err)}
 	}
 	defer db.Close()
 	var all []byte
@@ -162,7 +162,7 @@
 		})
 	})
 	if err != nil {
-		return tornError{fmt.Errorf("%s: %w", path, err)}
+		return corruptError{fmt.Errorf("%s: %w", path, err)}
 	}
 	return nil
 }
@@ -188,28 +188,28 @@
 		reached = max(reached, s.Index)
 	}
 	if len(list) > 0 && reached == 0 {
-		return tornError{errors.New("no snapshot can be read")}
+		return corruptError{errors.New("no snapshot can be read")}
 	}
 	if first > reached+1 {
-		return tornError{fmt.Errorf("the log begins at %d and the snapshots that can be read end at %d", first, reached)}
+		return corruptError{fmt.Errorf("the log begins at %d and the snapshots that can be read end at %d", first, reached)}
 	}
 	return nil
 }
 
 // current returns an error where the log is shorter than what the member kept elsewhere.
-func (d *disk) current(kept uint64) error {
-	last, err := d.last()
+func (d *disk) checkCurrent(known uint64) error {
+	last, err := d.lastIndex()
 	if err != nil {
 		return err
 	}
-	if recovery.Older(kept, last) {
-		return tornError{fmt.Errorf("the log ends at entry %d, and this member had acknowledged entry %d", last, kept)}
+	if recovery.DiskOutdated(known, last) {
+		return corruptError{fmt.Errorf("the log ends at entry %d, and this member had acknowledged entry %d", last, known)}
 	}
 	return nil
 }
 
 // last returns how far the log goes, its snapshots included.
-func (d *disk) last() (uint64, error) {
+func (d *disk) lastIndex() (uint64, error) {
 	last, err := d.logs.LastIndex()
 	if err != nil {
 		return 0, fmt.Errorf("cluster: %w", err)
--- a/internal/dispatcher/fleet/quorum/engine.go
+++ b/internal/dispatcher/fleet/quorum/engine.go
@@ -12,8 +12,8 @@
 func engineConfig(id raft.ServerID, logger hclog.Logger) *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = id, logger
-	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = heartbeat, heartbeat, lease, commit
-	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = compactAfter, trailing, compactEvery
+	c.HeartbeatTimeout, c.ElectionTimeout, c.LeaderLeaseTimeout, c.CommitTimeout = heartbeatTimeout, heartbeatTimeout, leaderLease, commitTimeout
+	c.SnapshotThreshold, c.TrailingLogs, c.SnapshotInterval = snapshotThreshold, trailingLogs, snapshotInterval
 	c.ShutdownOnRemove = false // it may be taken in again
 	return c
 }
@@ -21,12 +21,12 @@
 // engineLog has the engine's lines go to the log at debug level: while a member is away it
 // says so several times a second. What matters is said by this package.
 func engineLog(log *logrus.Entry) hclog.Logger {
-	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Debug, DisableTime: true, Output: lines{log}})
+	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Debug, DisableTime: true, Output: debugWriter{log}})
 }
 
-type lines struct{ log *logrus.Entry }
+type debugWriter struct{ log *logrus.Entry }
 
-func (l lines) Write(b []byte) (int, error) {
+func (l debugWriter) Write(b []byte) (int, error) {
 	l.log.Debug(strings.TrimSpace(string(b)))
 	return len(b), nil
 }
--- a/internal/dispatcher/fleet/quorum/machine.go
+++ b/internal/dispatcher/fleet/quorum/machine.go
@@ -20,7 +20,7 @@
 	state   ledger.State
 	applied func(ledger.Done)
 	// replaced is told of the state before and after a snapshot.
-	replaced func(was, is ledger.State)
+	restored func(was, is ledger.State)
 }
 
 // Apply takes in an entry.
@@ -83,7 +83,7 @@
 	m.state = next
 	is := m.state.Clone()
 	m.mu.Unlock()
-	m.replaced(was, is)
+	m.restored(was, is)
 	return nil
 }
 
--- /dev/null
+++ b/internal/dispatcher/fleet/quorum/namelog.go
@@ -0,0 +1,45 @@
+package quorum
+
+import (
+	"context"
+	"crypto/rand"
+	"time"
+
+	"github.com/hashicorp/raft"
+
+	"frosttide/internal/dispatcher/fleet/ledger"
+)
+
+// found gives a log that has begun its name, after what it has to say first. Until then
+// nothing else is written, so that whoever sees the name sees all of that.
+func (q *Quorum) nameLog(ctx context.Context) {
+	if q.raft.State() != raft.Leader || q.machine.name() != "" {
+		return
+	}
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(rpcTimeout))
+	defer cancel()
+	if err := q.raft.Barrier(timeoutOf(ctx)).Error(); err != nil || q.machine.name() != "" {
+		return // an entry of before may name it yet
+	}
+	say := append(q.cfg.InitialEntries[:len(q.cfg.InitialEntries):len(q.cfg.InitialEntries)], ledger.Entry{ID: "begin", Op: ledger.Begin, UID: rand.Text()})
+	for _, e := range say {
+		e.By, e.At = q.cfg.Name, time.Now().UnixMilli()
+		if _, err := q.write(ctx, e); err != nil {
+			q.log.WithError(err).Warn("the log has no name yet; it is tried again")
+			return
+		}
+	}
+	if len(q.cfg.InitialEntries) > 0 {
+		q.log.WithField("entries", len(q.cfg.InitialEntries)).Warn("the log has begun anew by an operator's word, with what was kept")
+	}
+	if q.cfg.OnInitialEntries != nil {
+		q.cfg.OnInitialEntries()
+	}
+}
+
+// name is the log's.
+func (m *machine) name() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.state.Log
+}
--- a/internal/dispatcher/fleet/quorum/propose.go
+++ b/internal/dispatcher/fleet/quorum/propose.go
@@ -14,10 +14,10 @@
 // has the entry on disk and it is applied here. After an error that is not ErrNoLeader the
 // entry may yet come to be; proposing it again under its id is harmless.
 func (q *Quorum) Propose(ctx context.Context, e ledger.Entry) (ledger.Done, error) {
-	if err := e.Valid(); err != nil {
+	if err := e.Validate(); err != nil {
 		return ledger.Done{}, err
 	}
-	if err := q.Lost(); err != nil {
+	if err := q.LostError(); err != nil {
 		return ledger.Done{}, err
 	}
 	if q.raft.State() != raft.Leader {
@@ -35,7 +35,7 @@
 	if err != nil {
 		return ledger.Done{}, fmt.Errorf("entry: %w", err)
 	}
-	f := q.raft.Apply(text, until(ctx))
+	f := q.raft.Apply(text, timeoutOf(ctx))
 	got := make(chan error, 1)
 	go func() { got <- f.Error() }() // it ends with the leadership at the latest
 	select {
--- a/internal/dispatcher/fleet/quorum/quorum.go
+++ b/internal/dispatcher/fleet/quorum/quorum.go
@@ -27,25 +27,25 @@
 const (
 	// The engine's times: a leader that is silent for heartbeat is doubted, one that does
 	// not hear from a majority for lease steps down by itself, before another can be chosen.
-	heartbeat = 500 * time.Millisecond
-	lease     = 400 * time.Millisecond
-	commit    = 100 * time.Millisecond
+	heartbeatTimeout = 500 * time.Millisecond
+	leaderLease      = 400 * time.Millisecond
+	commitTimeout    = 100 * time.Millisecond
 	// A snapshot is taken after so many entries, and as many are kept behind it for
 	// followers that are a little late.
-	compactAfter = 1024
-	trailing     = 512
-	compactEvery = 5 * time.Second
-	rpcTime      = time.Second
+	snapshotThreshold = 1024
+	trailingLogs      = 512
+	snapshotInterval  = 5 * time.Second
+	rpcTimeout        = time.Second
 	// oneByOne has the engine send a follower nothing before it has answered the last: several entries
 	// go in one call all the same. Guards followers from a sender that stands still for good: where the
 	// engine sends ahead and a follower refuses one call (a full disk), its sender waits for room behind
 	// the next, which nobody reads any more (raft 1.7.3, netPipeline.AppendEntries and decodeResponses).
-	oneByOne = 1
+	maxRPCsInFlight = 1
 	// lookEvery is how often the leader looks after who is in the log's configuration.
-	lookEvery = 500 * time.Millisecond
+	reconcileInterval = 500 * time.Millisecond
 	// forgetAfter is how long a follower without a vote may be away before it is taken out;
 	// it comes in again when it is back.
-	forgetAfter = time.Minute
+	followerTimeout = time.Minute
 )
 
 // The reasons why nothing is written.
@@ -58,10 +58,10 @@
 
 // Sink is told what the log leads to, from one goroutine. It must not block.
 type Sink interface {
-	Agreed(ledger.Done)             // an entry was applied
-	Restored(was, is ledger.State)  // a snapshot took the state's place
-	Led(leader string, term uint64) // who leads; empty for nobody
-	Formed(disk string, begun bool) // what the member says of its log
+	Applied(ledger.Done)                      // an entry was applied
+	Restored(was, is ledger.State)            // a snapshot took the state's place
+	LeaderChanged(leader string, term uint64) // who leads; empty for nobody
+	LogOpened(disk string, begun bool)        // what the member says of its log
 }
 
 // Config says what a member's part in the log is.
@@ -70,15 +70,15 @@
 	Dir    string   // of the member's part; empty for none, which makes a follower in memory
 	Voters []string // names of members
 	// Ask has another member say by itself how far its log goes, 0 for none.
-	Ask func(ctx context.Context, addr string) (last uint64, err error)
+	LastIndex func(ctx context.Context, addr string) (last uint64, err error)
 	// Kept is how far the log had gone by what the member keeps elsewhere; 0 for unknown.
-	Kept uint64
+	KnownIndex uint64
 	// Restate are entries that a log which begins anew here has to say first, by an operator's
 	// word; Restated is called once it has.
-	Restate  []ledger.Entry
-	Restated func()
+	InitialEntries   []ledger.Entry
+	OnInitialEntries func()
 
-	through func(stores) stores // puts something between the engine and its disk; nil for nothing
+	wrapStores func(stores) stores // puts something between the engine and its disk; nil for nothing
 }
 
 // stores are what the engine keeps.
@@ -90,35 +90,35 @@
 
 // Quorum is a member's part in the log. Open makes it.
 type Quorum struct {
-	cfg     Config
-	log     *logrus.Entry
-	sink    Sink
-	disk    *disk // nil without a folder
-	kept    stores
-	stable  *patient
-	id      raft.ServerID
-	addr    raft.ServerAddress // where others reach it
-	raft    *raft.Raft
-	trans   *raft.NetworkTransport
-	machine *machine
-	alive   func() []members.Info
-	away    map[raft.ServerID]time.Time
-	lost    atomic.Pointer[string] // why the log is lost; nil where it is not
+	cfg         Config
+	log         *logrus.Entry
+	sink        Sink
+	disk        *disk // nil without a folder
+	stores      stores
+	stable      *retryingStore
+	id          raft.ServerID
+	addr        raft.ServerAddress // where others reach it
+	raft        *raft.Raft
+	transport   *raft.NetworkTransport
+	machine     *machine
+	alive       func() []members.Info
+	absentSince map[raft.ServerID]time.Time
+	lost        atomic.Pointer[string] // why the log is lost; nil where it is not
 }
 
 // Open opens a member's part. Alive tells who is alive; it may be called from any goroutine.
 func Open(cfg Config, port *clusterport.Port, alive func() []members.Info, sink Sink, log *logrus.Entry) (*Quorum, error) {
-	q := &Quorum{cfg: cfg, log: log, sink: sink, alive: alive, away: map[raft.ServerID]time.Time{}}
+	q := &Quorum{cfg: cfg, log: log, sink: sink, alive: alive, absentSince: map[raft.ServerID]time.Time{}}
 	logger := engineLog(log)
-	q.machine = &machine{applied: sink.Agreed, replaced: sink.Restored}
+	q.machine = &machine{applied: sink.Applied, restored: sink.Restored}
 	var kept stores
-	id := noDisk
+	id := noDiskID
 	if cfg.Dir == "" {
 		memory := raft.NewInmemStore()
 		kept = stores{memory, memory, raft.NewInmemSnapshotStore()}
 		q.id = raft.ServerID(cfg.Name)
 	} else {
-		d, aside, err := openDisk(cfg.Dir, cfg.Kept, logger)
+		d, aside, err := openDisk(cfg.Dir, cfg.KnownIndex, logger)
 		if err != nil {
 			return nil, err
 		}
@@ -128,16 +128,16 @@
 		q.disk, kept, id = d, stores{d.logs, d.logs, d.snaps}, d.id
 		q.id = raft.ServerID(cfg.Name + "/" + d.id)
 	}
-	q.addr = addressOf(id, port.Advertised())
-	q.trans = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: streams{port.Listener(clusterport.Log), port, id},
-		MaxPool: 2, MaxRPCsInFlight: oneByOne, Timeout: rpcTime, Logger: logger})
-	if cfg.through != nil {
-		kept = cfg.through(kept)
+	q.addr = serverAddress(id, port.Advertised())
+	q.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{Stream: streamLayer{port.Listener(clusterport.Log), port, id},
+		MaxPool: 2, MaxRPCsInFlight: maxRPCsInFlight, Timeout: rpcTimeout, Logger: logger})
+	if cfg.wrapStores != nil {
+		kept = cfg.wrapStores(kept)
 	}
-	q.kept, q.stable = kept, newPatient(kept.stable, log)
-	r, err := raft.NewRaft(engineConfig(q.id, logger), q.machine, kept.logs, q.stable, kept.snaps, transport{q.trans, q.addr})
+	q.stores, q.stable = kept, newRetryingStore(kept.stable, log)
+	r, err := raft.NewRaft(engineConfig(q.id, logger), q.machine, kept.logs, q.stable, kept.snaps, transport{q.transport, q.addr})
 	if err != nil {
-		q.trans.Close()
+		q.transport.Close()
 		if q.disk != nil {
 			q.disk.close()
 		}
@@ -149,32 +149,32 @@
 
 // Run looks after the log's configuration until the context ends.
 func (q *Quorum) Run(ctx context.Context) {
-	seen := make(chan raft.Observation, 16)
-	o := raft.NewObserver(seen, false, func(o *raft.Observation) bool {
+	observations := make(chan raft.Observation, 16)
+	o := raft.NewObserver(observations, false, func(o *raft.Observation) bool {
 		_, ok := o.Data.(raft.LeaderObservation)
 		return ok
 	})
 	q.raft.RegisterObserver(o)
 	defer q.raft.DeregisterObserver(o)
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(reconcileInterval)
 	defer tick.Stop()
-	var led leading
+	var led leaderTerm
 	for {
-		led = q.led(led)
-		q.form(ctx)
-		q.look()
-		q.found(ctx)
+		led = q.reportLeader(led)
+		q.bootstrapIfReady(ctx)
+		q.reconcile()
+		q.nameLog(ctx)
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
-		case <-seen:
+		case <-observations:
 		}
 	}
 }
 
 // leading is who led when it was last told.
-type leading struct {
+type leaderTerm struct {
 	id   raft.ServerID
 	term uint64
 }
@@ -182,27 +182,27 @@
 // led tells who leads where that is another than was told, or the same anew. Guards a leader
 // that was there before anybody listened, and a change while the listener was busy: the engine
 // tells each change once.
-func (q *Quorum) led(was leading) leading {
+func (q *Quorum) reportLeader(was leaderTerm) leaderTerm {
 	_, id := q.raft.LeaderWithID()
-	is := leading{id, q.raft.CurrentTerm()}
+	is := leaderTerm{id, q.raft.CurrentTerm()}
 	if is.id == was.id && (is.term == was.term || id == "") {
 		return was
 	}
-	q.sink.Led(nameOf(id), is.term)
+	q.sink.LeaderChanged(memberName(id), is.term)
 	return is
 }
 
 // nameOf is the member's name in an id.
-func nameOf(id raft.ServerID) string {
+func memberName(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), "/")
 	return name
 }
 
 // until is what the engine takes in place of a deadline.
-func until(ctx context.Context) time.Duration {
+func timeoutOf(ctx context.Context) time.Duration {
 	by, ok := ctx.Deadline()
 	if !ok {
-		return rpcTime
+		return rpcTimeout
 	}
 	return max(time.Until(by), time.Millisecond)
 }
@@ -210,15 +210,15 @@
 // Leader returns the name and address of the leader, empty for none.
 func (q *Quorum) Leader() (name, addr string) {
 	a, id := q.raft.LeaderWithID()
-	return nameOf(id), plain(a)
+	return memberName(id), withoutDisk(a)
 }
 
 // Leads tells whether this member leads.
-func (q *Quorum) Leads() bool { return q.raft.State() == raft.Leader }
+func (q *Quorum) IsLeader() bool { return q.raft.State() == raft.Leader }
 
 // Lost returns what is known of a log that is lost; nil where it is not.
-func (q *Quorum) Lost() error {
-	if why := q.lost.Load(); why != nil && !q.inForce() {
+func (q *Quorum) LostError() error {
+	if why := q.lost.Load(); why != nil && !q.ledAndNamed() {
 		return fmt.Errorf("%w: %s", ErrLost, *why)
 	}
 	return nil
@@ -228,7 +228,7 @@
 // just joined a log begun anew against what gossip says yet of its voters, which is from before: by
 // that it would refuse what operators say for up to lookEvery. A follower that alone has a log
 // whose voters have lost it hears no leader.
-func (q *Quorum) inForce() bool {
+func (q *Quorum) ledAndNamed() bool {
 	leader, _ := q.Leader()
 	return leader != "" && q.machine.name() != ""
 }
--- a/internal/dispatcher/fleet/quorum/quorum_test.go
+++ b/internal/dispatcher/fleet/quorum/quorum_test.go
@@ -14,12 +14,12 @@
 )
 
 // told notes who was told to lead.
-type told struct{ led chan string }
+type fakeSink struct{ led chan string }
 
-func (t told) Agreed(ledger.Done)                  {}
-func (t told) Restored(ledger.State, ledger.State) {}
-func (t told) Led(leader string, _ uint64)         { t.led <- leader }
-func (t told) Formed(string, bool)                 {}
+func (t fakeSink) Applied(ledger.Done)                   {}
+func (t fakeSink) Restored(ledger.State, ledger.State)   {}
+func (t fakeSink) LeaderChanged(leader string, _ uint64) { t.led <- leader }
+func (t fakeSink) LogOpened(string, bool)                {}
 
 // TestLedBeforeAnybodyListens guards operators and what waits for a leader on a busy machine: an
 // engine that finds its log again may lead before Run has begun to listen. And operators from a
@@ -32,7 +32,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sink := told{make(chan string, 64)}
+		sink := fakeSink{make(chan string, 64)}
 		alone := func() []members.Info {
 			return []members.Info{{Name: "m", Addr: port.Advertised(), Meta: members.Meta{Disk: "d"}}}
 		}
@@ -40,7 +40,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for by := time.Now().Add(10 * time.Second); again && !q.Leads(); {
+		for by := time.Now().Add(10 * time.Second); again && !q.IsLeader(); {
 			if time.Now().After(by) {
 				t.Fatal("a log of one voter has no leader")
 			}
@@ -63,7 +63,7 @@
 		}
 		before := "no voter has it" // what was judged of voters that had not told of their logs yet
 		q.lost.Store(&before)
-		if err := q.Lost(); err != nil {
+		if err := q.LostError(); err != nil {
 			t.Errorf("a log that is led and has its name is taken for lost: %v", err)
 		}
 		stop()
--- a/internal/dispatcher/fleet/quorum/recover.go
+++ b/internal/dispatcher/fleet/quorum/recover.go
@@ -12,7 +12,7 @@
 )
 
 // Found is what a folder holds.
-type Found struct {
+type Contents struct {
 	Last, Term uint64
 	Voters     []string
 	Out        int // runners that are left out by it
@@ -21,20 +21,20 @@
 // Recover makes a stopped member the only voter of the log in its folder, where sure, and
 // tells what the folder held. What only other voters had is lost, and what this one has
 // counts as agreed.
-func Recover(dir, name, addr string, sure bool) (Found, error) {
-	var found Found
+func Recover(dir, name, addr string, sure bool) (Contents, error) {
+	var found Contents
 	if _, err := os.Stat(dir); err != nil {
 		return found, fmt.Errorf("cluster: %w", err)
 	}
 	quiet := hclog.NewNullLogger()
-	d, err := tryDisk(dir, quiet)
+	d, err := openFolder(dir, quiet)
 	if err != nil {
 		return found, err
 	}
 	defer d.close()
 	id := raft.ServerID(name + "/" + d.id)
-	m := &machine{applied: func(ledger.Done) {}, replaced: func(_, _ ledger.State) {}}
-	addrs, trans := raft.NewInmemTransport(addressOf(d.id, addr))
+	m := &machine{applied: func(ledger.Done) {}, restored: func(_, _ ledger.State) {}}
+	addrs, trans := raft.NewInmemTransport(serverAddress(d.id, addr))
 	defer trans.Close()
 	conf, err := raft.GetConfiguration(engineConfig(id, quiet), m, d.logs, d.logs, d.snaps, trans)
 	if err != nil {
@@ -42,10 +42,10 @@
 	}
 	for _, s := range conf.Servers {
 		if s.Suffrage == raft.Voter {
-			found.Voters = append(found.Voters, nameOf(s.ID))
+			found.Voters = append(found.Voters, memberName(s.ID))
 		}
 	}
-	if found.Last, err = d.last(); err != nil {
+	if found.Last, err = d.lastIndex(); err != nil {
 		return found, err
 	}
 	if found.Last == 0 {
@@ -54,16 +54,16 @@
 	if found.Term, err = d.logs.GetUint64([]byte("CurrentTerm")); err != nil {
 		return found, fmt.Errorf("cluster: the folder holds no log that has begun: %w", err)
 	}
-	found.Out = len(m.state.Out)
+	found.Out = len(m.state.Excluded)
 	if !sure {
 		return found, nil
 	}
 	only := raft.Configuration{Servers: []raft.Server{{ID: id, Address: addrs}}}
-	m = &machine{applied: m.applied, replaced: m.replaced}
+	m = &machine{applied: m.applied, restored: m.restored}
 	if err := raft.RecoverCluster(engineConfig(id, quiet), m, d.logs, d.logs, d.snaps, trans, only); err != nil {
 		return found, fmt.Errorf("cluster: %w", err)
 	}
-	found.Out = len(m.state.Out)
+	found.Out = len(m.state.Excluded)
 	return found, nil
 }
 
@@ -74,13 +74,13 @@
 // in which no voter has the log any more; what the new one has to say first is the caller's.
 func BeginAnew(dir, name, addr string) error {
 	quiet := hclog.NewNullLogger()
-	d, err := tryDisk(dir, quiet)
+	d, err := openFolder(dir, quiet)
 	if err != nil {
 		return err
 	}
 	defer d.close()
 	id := raft.ServerID(name + "/" + d.id)
-	at, trans := raft.NewInmemTransport(addressOf(d.id, addr))
+	at, trans := raft.NewInmemTransport(serverAddress(d.id, addr))
 	defer trans.Close()
 	only := raft.Configuration{Servers: []raft.Server{{ID: id, Address: at}}}
 	if err := raft.BootstrapCluster(engineConfig(id, quiet), d.logs, d.logs, d.snaps, trans, only); err != nil {
--- a/internal/dispatcher/fleet/quorum/status.go
+++ b/internal/dispatcher/fleet/quorum/status.go
@@ -9,16 +9,16 @@
 
 // Status is how a member's part does.
 type Status struct {
-	ID       string   `json:"id"`
-	Role     string   `json:"role"`
-	Leader   string   `json:"leader"`
-	Term     uint64   `json:"term"`
-	Last     uint64   `json:"last"`    // the last entry that is here
-	Applied  uint64   `json:"applied"` // the last one that has had its effect
-	Contact  float64  `json:"contact"` // seconds since the leader was heard; -1 for never
-	Voters   []string `json:"voters"`
-	Followed []string `json:"followers"`
-	Lost     string   `json:"lost,omitempty"` // what is known of a log that is lost
+	ID        string   `json:"id"`
+	Role      string   `json:"role"`
+	Leader    string   `json:"leader"`
+	Term      uint64   `json:"term"`
+	Last      uint64   `json:"last"`    // the last entry that is here
+	Applied   uint64   `json:"applied"` // the last one that has had its effect
+	Contact   float64  `json:"contact"` // seconds since the leader was heard; -1 for never
+	Voters    []string `json:"voters"`
+	Followers []string `json:"followers"`
+	Lost      string   `json:"lost,omitempty"` // what is known of a log that is lost
 }
 
 // Status returns it.
@@ -26,19 +26,19 @@
 	s := Status{ID: string(q.id), Role: strings.ToLower(q.raft.State().String()), Term: q.raft.CurrentTerm(),
 		Last: q.raft.LastIndex(), Applied: q.raft.AppliedIndex(), Contact: -1}
 	s.Leader, _ = q.Leader()
-	if why := q.lost.Load(); why != nil && !q.inForce() {
+	if why := q.lost.Load(); why != nil && !q.ledAndNamed() {
 		s.Lost = *why
 	}
-	if at := q.raft.LastContact(); q.Leads() {
+	if at := q.raft.LastContact(); q.IsLeader() {
 		s.Contact = 0
 	} else if !at.IsZero() {
 		s.Contact = time.Since(at).Seconds()
 	}
 	for _, x := range q.servers() {
 		if x.Suffrage == raft.Voter {
-			s.Voters = append(s.Voters, nameOf(x.ID))
+			s.Voters = append(s.Voters, memberName(x.ID))
 		} else {
-			s.Followed = append(s.Followed, nameOf(x.ID))
+			s.Followers = append(s.Followers, memberName(x.ID))
 		}
 	}
 	return s
--- a/internal/dispatcher/fleet/quorum/stream.go
+++ b/internal/dispatcher/fleet/quorum/stream.go
@@ -19,10 +19,12 @@
 // engine asks for votes by address alone, and a member that comes back with another disk has
 // the same one. Guards what was acknowledged against such a member, which would give its vote
 // to one who does not have it.
-func addressOf(disk, addr string) raft.ServerAddress { return raft.ServerAddress(disk + "@" + addr) }
+func serverAddress(disk, addr string) raft.ServerAddress {
+	return raft.ServerAddress(disk + "@" + addr)
+}
 
 // plain is the address without the disk.
-func plain(a raft.ServerAddress) string {
+func withoutDisk(a raft.ServerAddress) string {
 	if _, addr, ok := strings.Cut(string(a), "@"); ok {
 		return addr
 	}
@@ -30,37 +32,37 @@
 }
 
 // noDisk stands for that of a member without one.
-const noDisk = "0000000000000000"
+const noDiskID = "0000000000000000"
 
 // streams lets the engine use the port.
-type streams struct {
+type streamLayer struct {
 	net.Listener
 	port *clusterport.Port
 	disk string
 }
 
 // Dial connects for the engine, which has no deadlines.
-func (s streams) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (s streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(timeout))
 	defer cancel()
 	disk, at, ok := strings.Cut(string(addr), "@")
-	if !ok || len(disk) != len(noDisk) {
+	if !ok || len(disk) != len(noDiskID) {
 		return nil, fmt.Errorf("cluster: %q names no disk", addr)
 	}
 	return s.port.Dial(ctx, clusterport.Log, at, []byte(disk)...)
 }
 
 // Accept yields connections that are meant for this disk; the others end at their first byte.
-func (s streams) Accept() (net.Conn, error) {
+func (s streamLayer) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &meant{Conn: c, disk: s.disk}, nil
+	return &diskConn{Conn: c, disk: s.disk}, nil
 }
 
 // meant is a connection that has to say first which disk it is meant for.
-type meant struct {
+type diskConn struct {
 	net.Conn
 	disk string
 	once sync.Once
@@ -70,18 +72,18 @@
 var errOtherDisk = errors.New("cluster: meant for another disk")
 
 // sayTime is how long a connection may take to say it.
-const sayTime = 2 * time.Second
+const preambleTimeout = 2 * time.Second
 
-func (m *meant) Read(b []byte) (int, error) {
+func (m *diskConn) Read(b []byte) (int, error) {
 	m.once.Do(func() {
-		said := make([]byte, len(noDisk))
-		if m.err = m.SetReadDeadline(time.Now().Add(sayTime)); m.err == nil {
-			_, m.err = io.ReadFull(m.Conn, said)
+		preamble := make([]byte, len(noDiskID))
+		if m.err = m.SetReadDeadline(time.Now().Add(preambleTimeout)); m.err == nil {
+			_, m.err = io.ReadFull(m.Conn, preamble)
 		}
 		if m.err == nil {
 			m.err = m.SetReadDeadline(time.Time{})
 		}
-		if m.err == nil && string(said) != m.disk {
+		if m.err == nil && string(preamble) != m.disk {
 			m.err = errOtherDisk
 		}
 	})
--- a/internal/dispatcher/fleet/quorum/writes_test.go
+++ b/internal/dispatcher/fleet/quorum/writes_test.go
@@ -126,8 +126,8 @@
 	alone := func() []members.Info {
 		return []members.Info{{Name: "m", Addr: port.Advertised(), Meta: members.Meta{Disk: "d"}}}
 	}
-	q, err := Open(Config{Name: "m", Dir: dir, Voters: []string{"m"}, through: through}, port, alone,
-		told{make(chan string, 1024)}, logrus.NewEntry(log))
+	q, err := Open(Config{Name: "m", Dir: dir, Voters: []string{"m"}, wrapStores: through}, port, alone,
+		fakeSink{make(chan string, 1024)}, logrus.NewEntry(log))
 	if err != nil {
 		port.Close()
 		return nil, err
@@ -144,14 +144,14 @@
 }
 
 // patience bounds each wait for an event.
-const patience = 30 * time.Second
+const eventTimeout = 30 * time.Second
 
 // say has entries written, each again until it is acknowledged, and notes which are.
-func (m *member) say(t *testing.T, acknowledged *acks, uids ...string) {
+func (m *member) proposeAll(t *testing.T, acknowledged *acks, uids ...string) {
 	t.Helper()
 	for _, uid := range uids {
 		e := ledger.Entry{ID: "say-" + uid, Op: ledger.Exclude, UID: uid}
-		for by := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
+		for by := time.Now().Add(eventTimeout); ; time.Sleep(5 * time.Millisecond) {
 			ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(time.Second))
 			_, err := m.Propose(ctx, e)
 			cancel()
@@ -187,8 +187,8 @@
 // awaitAll waits until the member's state has all of some entries.
 func (m *member) awaitAll(t *testing.T, uids []string) {
 	t.Helper()
-	for by := time.Now().Add(patience); ; time.Sleep(5 * time.Millisecond) {
-		out := m.State().Out
+	for by := time.Now().Add(eventTimeout); ; time.Sleep(5 * time.Millisecond) {
+		out := m.State().Excluded
 		missing := ""
 		for _, uid := range uids {
 			if _, ok := out[uid]; !ok {
@@ -205,26 +205,26 @@
 }
 
 // life is what a member goes through: some entries, a snapshot, some more.
-func (m *member) life(t *testing.T, acknowledged *acks) {
+func (m *member) runLifetime(t *testing.T, acknowledged *acks) {
 	t.Helper()
-	m.say(t, acknowledged, "s-1", "s-2", "s-3")
-	for by := time.Now().Add(patience); m.Snapshot() != nil; time.Sleep(5 * time.Millisecond) {
+	m.proposeAll(t, acknowledged, "s-1", "s-2", "s-3")
+	for by := time.Now().Add(eventTimeout); m.Snapshot() != nil; time.Sleep(5 * time.Millisecond) {
 		if time.Now().After(by) {
 			t.Fatal("no snapshot is taken")
 		}
 	}
-	m.say(t, acknowledged, "s-4", "s-5")
+	m.proposeAll(t, acknowledged, "s-4", "s-5")
 }
 
 // lifeWrites is how many writes the disk sees in a life that nothing disturbs.
-func lifeWrites(t *testing.T) int {
+func countLifetimeWrites(t *testing.T) int {
 	t.Helper()
 	var w writes
 	m, err := openMember(t, t.TempDir(), w.through)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.life(t, &acks{})
+	m.runLifetime(t, &acks{})
 	m.end()
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -237,7 +237,7 @@
 func TestFailedWrites(t *testing.T) {
 	t.Parallel()
 	const lasts = 2 // writes in a row that fail
-	for first := 1; first <= lifeWrites(t); first++ {
+	for first := 1; first <= countLifetimeWrites(t); first++ {
 		for _, there := range []bool{false, true} {
 			t.Run(fmt.Sprintf("from %d, there afterwards %t", first, there), func(t *testing.T) {
 				t.Parallel()
@@ -256,7 +256,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				m.life(t, said)
+				m.runLifetime(t, said)
 				m.awaitAll(t, said.all())
 				m.end()
 				if m, err = openMember(t, dir, nil); err != nil {
@@ -307,7 +307,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.life(t, said)
+	m.runLifetime(t, said)
 	m.end()
 	if len(images) < 20 || len(said.all()) != 5 {
 		t.Fatalf("%d images of %d entries", len(images), len(said.all()))
@@ -321,7 +321,7 @@
 					t.Fatal(err)
 				}
 				m.awaitAll(t, i.said)
-				m.say(t, &acks{}, "s-9") // and it goes on
+				m.proposeAll(t, &acks{}, "s-9") // and it goes on
 				m.end()
 			})
 		}
--- a/internal/dispatcher/fleet/recovery/donor.go
+++ b/internal/dispatcher/fleet/recovery/donor.go
@@ -2,10 +2,12 @@
 
 import "slices"
 
-// Donor returns which of some members to ask first for what all know, by the epochs that they
-// drew at their starts: the one that has been there longest, where that is longer than who
-// asks. It returns -1 where nobody has: all came back together, and any will do. Guards a
-// member that has just started from taking another that knows as little for one that agrees.
+// Donor returns the index in epochs of the member that a restarting member should fetch shared
+// state from: the one with the lowest epoch, provided that it is lower than mine. Epochs are drawn
+// at process start and only grow, so the lowest belongs to the member that has run longest. Donor
+// returns -1 when no other member is older: all have restarted together and any of them will do.
+// Without this rule, a member that has just started could take another that knows as little for an
+// authority.
 func Donor(mine uint64, epochs []uint64) int {
 	if len(epochs) == 0 {
 		return -1
--- a/internal/dispatcher/fleet/recovery/donor_test.go
+++ b/internal/dispatcher/fleet/recovery/donor_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestDonor has the member asked that has been there longest, and nobody preferred who came
-// later than who asks.
+// TestDonor checks that the longest-running member is chosen, and none that started after the
+// caller.
 func TestDonor(t *testing.T) {
 	for _, tc := range []struct {
 		mine   uint64
--- a/internal/dispatcher/fleet/recovery/fleetclock/fleetclock.go
+++ b/internal/dispatcher/fleet/recovery/fleetclock/fleetclock.go
@@ -1,7 +1,12 @@
-// Package fleetclock is the time that a fleet's members go by among themselves. A member's own
-// clock may be wrong, or be set while it runs, and facts are weighed by their times: so a
-// member's time runs on by a steady clock, and is put right by what a majority of those that
-// it hears agree on. The package is pure: no I/O, no clock.
+// Package fleetclock provides the time that a fleet's members use among themselves. A member's
+// wall clock may be wrong or may be set while the process runs, and replicated facts are compared
+// by their times. A member's fleet time therefore advances with a monotonic clock, and is
+// corrected to the time that a majority of the members it exchanges messages with agree on.
+//
+// Package cluster owns the clock and feeds it the readings of other members. Invariant: a minority
+// of wrong clocks never moves a correct one by more than MaxSkew.
+//
+// The package is pure: it does no I/O and reads no clock. A Clock is not safe for concurrent use.
 package fleetclock
 
 import (
@@ -10,57 +15,62 @@
 )
 
 const (
-	// Bound is by how much a member may be off without being put right, which exchanges with
-	// others are exact enough for.
-	Bound = 2 * time.Second
-	// agree is how near to each other members count as of one mind.
-	agree = time.Second
-	// remembered is how many members' times are kept; the others are passed over.
-	remembered = 400
+	// MaxSkew is the error that is tolerated without a correction; exchanges with other members
+	// measure more exactly than that.
+	MaxSkew = 2 * time.Second
+	// tolerance is the largest difference from the median at which a member counts as agreeing
+	// with it.
+	tolerance = time.Second
+	// maxMembers bounds the members whose readings are kept; those of others are ignored.
+	maxMembers = 400
 )
 
-// Clock is a member's. Begin makes it.
+// Clock is one member's fleet clock; New creates it.
 type Clock struct {
-	wall, steady time.Duration // at the start
-	off          time.Duration // added to what runs on from there
-	heard        map[string]time.Duration
+	wall, steady time.Duration // both at the start
+	correction   time.Duration // added to the uncorrected time
+	offsets      map[string]time.Duration
 }
 
-// Begin makes a clock from the machine's own, since 1970, and a steady one.
-func Begin(wall, steady time.Duration) *Clock {
-	return &Clock{wall: wall, steady: steady, heard: map[string]time.Duration{}}
+// New returns a clock that starts at wall, the machine's time since 1970, when the monotonic clock
+// reads steady.
+func New(wall, steady time.Duration) *Clock {
+	return &Clock{wall: wall, steady: steady, offsets: map[string]time.Duration{}}
 }
 
-// Now returns the time since 1970.
-func (c *Clock) Now(steady time.Duration) time.Duration { return c.wall + steady - c.steady + c.off }
+// Now returns the fleet time since 1970 when the monotonic clock reads steady.
+func (c *Clock) Now(steady time.Duration) time.Duration {
+	return c.wall + steady - c.steady + c.correction
+}
 
-// Heard takes in a member's time, and between which of this one's steady times it was asked
-// and answered. It returns by how much this clock has been put right, 0 for not: only where a
-// majority of all that are heard of, this one among them, agree on a time that it is far from.
-func (c *Clock) Heard(member string, theirs, asked, answered time.Duration) time.Duration {
-	if _, ok := c.heard[member]; !ok && len(c.heard) >= remembered {
+// Observe records another member's time, read between the own monotonic times sentAt and
+// receivedAt. It returns the correction that it made to the clock, 0 for none: the clock is
+// corrected only if it is at least MaxSkew away from a time that a majority of all known members,
+// this one included, agree on.
+func (c *Clock) Observe(member string, theirs, sentAt, receivedAt time.Duration) time.Duration {
+	if _, ok := c.offsets[member]; !ok && len(c.offsets) >= maxMembers {
 		return 0
 	}
-	middle := asked + (answered-asked)/2
-	c.heard[member] = theirs - (c.wall + middle - c.steady) // against the clock that is never put right
+	middle := sentAt + (receivedAt-sentAt)/2
+	c.offsets[member] = theirs - (c.wall + middle - c.steady) // relative to the uncorrected clock
 	all := []time.Duration{0}
-	for _, d := range c.heard {
+	for _, d := range c.offsets {
 		all = append(all, d)
 	}
 	slices.Sort(all)
 	median := all[len(all)/2]
 	near := 0
 	for _, d := range all {
-		if d-median <= agree && median-d <= agree {
+		if d-median <= tolerance && median-d <= tolerance {
 			near++
 		}
 	}
-	if by := median - c.off; near*2 > len(all) && (by >= Bound || by <= -Bound) {
-		c.off = median
-		return by
+	if change := median - c.correction; near*2 > len(all) && (change >= MaxSkew || change <= -MaxSkew) {
+		c.correction = median
+		return change
 	}
 	return 0
 }
 
-// Gone forgets a member that is away.
-func (c *Clock) Gone(member string) { delete(c.heard, member) }
+// Forget drops the reading of a member that has departed.
+func (c *Clock) Forget(member string) { delete(c.offsets, member) }
--- a/internal/dispatcher/fleet/recovery/fleetclock/fleetclock_test.go
+++ b/internal/dispatcher/fleet/recovery/fleetclock/fleetclock_test.go
@@ -10,8 +10,8 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestHeard has a clock put right by a majority, and never by one other alone.
-func TestHeard(t *testing.T) {
+// TestObserve checks that a clock is corrected by a majority and never by a single other member.
+func TestObserve(t *testing.T) {
 	const year = 365 * 24 * time.Hour
 	for _, tc := range []struct {
 		name string
@@ -26,10 +26,10 @@
 		{"another is wrong", []time.Duration{0, 10 * time.Minute}, 0},
 		{"all differ", []time.Duration{time.Hour, 2 * time.Hour, 3 * time.Hour}, 0},
 	} {
-		c := Begin(50*year, time.Second)
+		c := New(50*year, time.Second)
 		for i, off := range tc.off {
 			now := time.Duration(i+2) * time.Second
-			c.Heard(fmt.Sprint(i), 50*year+now-time.Second+off, now-time.Millisecond, now+time.Millisecond)
+			c.Observe(fmt.Sprint(i), 50*year+now-time.Second+off, now-time.Millisecond, now+time.Millisecond)
 		}
 		if got := c.Now(time.Minute) - (50*year + 59*time.Second); got != tc.want {
 			t.Errorf("%s: it is put right by %s, want %s", tc.name, got, tc.want)
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestMajorityHolds guards facts against members with wrong clocks: while most are right,
-// nobody is led away from them, and whoever was wrong comes to agree.
+// TestMajorityHolds checks that, while most clocks are right, every member ends within MaxSkew of
+// them.
 func TestMajorityHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(3, 15).Draw(t, "members")
@@ -50,19 +50,19 @@
 			if i < wrong {
 				off = time.Duration(rapid.IntRange(-86400, 86400).Draw(t, "off")) * time.Second
 			}
-			clocks[i] = Begin(1000*time.Hour+off, 0)
+			clocks[i] = New(1000*time.Hour+off, 0)
 		}
 		for range 2 {
 			for i, c := range clocks {
 				for j, o := range clocks {
 					if i != j {
-						c.Heard(fmt.Sprint(j), o.Now(now), now, now)
+						c.Observe(fmt.Sprint(j), o.Now(now), now, now)
 					}
 				}
 			}
 		}
 		for i, c := range clocks {
-			if d := c.Now(now) - 1001*time.Hour; d > Bound || d < -Bound {
+			if d := c.Now(now) - 1001*time.Hour; d > MaxSkew || d < -MaxSkew {
 				t.Fatalf("member %d of %d, %d wrong, is off by %s", i, n, wrong, d)
 			}
 		}
--- a/internal/dispatcher/fleet/recovery/mark/mark_test.go
+++ b/internal/dispatcher/fleet/recovery/mark/mark_test.go
@@ -8,14 +8,14 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestMark has a mark read as it was written, none where there is none, and an error that
-// names the file where it is cut, empty or garbage.
-func TestMark(t *testing.T) {
+// TestWatermark checks that a watermark is read as written, that a missing one is nil, and that a
+// truncated, empty or garbled file is an error.
+func TestWatermark(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keep")
 	if m, err := Read(dir); m != nil || err != nil {
 		t.Fatalf("of nothing: %v, %v", m, err)
 	}
-	want := Mark{Log: "l1", Index: 7, Out: []string{"s-1"}}
+	want := Watermark{Log: "l1", Index: 7, Out: []string{"s-1"}}
 	if err := Write(dir, want); err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 		t.Errorf("(-want +got):\n%s", diff)
 	}
 	for _, text := range []string{"", `{"log":"l1","ind`, "\x00\xff"} {
-		if err := os.WriteFile(filepath.Join(dir, file), []byte(text), 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, fileName), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if m, err := Read(dir); m != nil || err == nil {
--- a/internal/dispatcher/fleet/recovery/pace.go
+++ b/internal/dispatcher/fleet/recovery/pace.go
@@ -6,15 +6,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// paceSpread is by how much a pace that another member has measured may be off: it is a mean
-// of about sixteen jobs, whose own lengths differ by more than their mean.
-const paceSpread = 0.4
+// paceJitter is the width of the relative error of a pace measured by another member: it is the
+// mean of about sixteen jobs, whose run times vary by more than their mean.
+const paceJitter = 0.4
 
-// Pace returns the pace that a member goes by for a runner of which it knows from others only:
-// what they measured, off by up to a fifth either way, by the member's number and the
-// runner's id. Guards the runner that all who come back at once would take for the best, as
-// they were all told the same of it.
-func Pace(told float64, number int, uid string) float64 {
-	h := xxhash.Sum64String(strconv.Itoa(number) + "/" + uid)
-	return told * (1 + paceSpread*(float64(h>>11)/(1<<53)-0.5))
+// JitteredPace returns the pace (relative run time; 1 is average, lower is faster) that a member
+// assumes for a runner it knows only from other members' measurements: the reported pace, changed
+// by up to a fifth either way. The change depends only on the member's instance number and the
+// runner's UID, so that it is stable. Without it, all members that rejoin at once would pick the
+// same runner as the fastest, since all were sent the same report.
+func JitteredPace(reported float64, instance int, uid string) float64 {
+	h := xxhash.Sum64String(strconv.Itoa(instance) + "/" + uid)
+	return reported * (1 + paceJitter*(float64(h>>11)/(1<<53)-0.5))
 }
--- a/internal/dispatcher/fleet/recovery/pace_test.go
+++ b/internal/dispatcher/fleet/recovery/pace_test.go
@@ -6,30 +6,30 @@
 	"testing"
 )
 
-// TestPace has members that were told the same of twenty equal runners disagree on the best,
-// each for good, and nobody's view be far from what was told.
-func TestPace(t *testing.T) {
+// TestJitteredPace checks that members with equal reports on twenty equal runners disagree on the
+// fastest one, that each member's choice is stable, and that no pace is far from the report.
+func TestJitteredPace(t *testing.T) {
 	best := map[string]int{}
 	for number := range 15 {
-		least, which := math.Inf(1), ""
+		lowest, lowestUID := math.Inf(1), ""
 		for i := range 20 {
 			uid := fmt.Sprintf("s-%d", i)
-			p := Pace(1, number, uid)
-			if p != Pace(1, number, uid) || p < 0.8 || p > 1.2 {
+			p := JitteredPace(1, number, uid)
+			if p != JitteredPace(1, number, uid) || p < 0.8 || p > 1.2 {
 				t.Fatalf("member %d goes by %v for %s", number, p, uid)
 			}
-			if p < least {
-				least, which = p, uid
+			if p < lowest {
+				lowest, lowestUID = p, uid
 			}
 		}
-		best[which]++
+		best[lowestUID]++
 	}
 	for uid, n := range best {
 		if n > 5 {
 			t.Errorf("%s is the best for %d of 15 members", uid, n)
 		}
 	}
-	if slow, fast := Pace(3, 1, "a"), Pace(1, 1, "b"); slow < fast {
+	if slow, fast := JitteredPace(3, 1, "a"), JitteredPace(1, 1, "b"); slow < fast {
 		t.Error("one that is three times slower is taken for faster")
 	}
 }
--- a/internal/dispatcher/fleet/recovery/sharers/sharers.go
+++ b/internal/dispatcher/fleet/recovery/sharers/sharers.go
@@ -1,33 +1,35 @@
-// Package sharers counts by how many dispatchers what a runner bears is shared now. Budgets by
-// the settings' number alone leave most of it unused while most dispatchers are away, and by
-// those that are seen alive they would be spent twice while a fleet is cut in two. So one that
-// is not seen still counts, until there is evidence that it is gone. The package is pure: no
-// I/O, no clock.
+// Package sharers counts the dispatchers that currently share the warm-up capacity of a runner.
+// Dividing by the configured number alone would leave most of it unused while most dispatchers are
+// down; dividing by those seen alive would spend it twice during a network partition. A dispatcher
+// that is not seen therefore counts until there is evidence that it has ended.
+//
+// Package rejoin calls it with the states that package cluster observes. The package is pure and
+// safe for concurrent use.
 package sharers
 
-// Life is what is known of a dispatcher.
-type Life uint8
+// PeerState is what is known of another dispatcher.
+type PeerState uint8
 
-// The lives.
+// The states of a peer.
 const (
-	Unseen  Life = iota // nothing is heard of it: it may be dead, or cut off and at work
-	Alive               // it answers
-	Left                // it said that it goes
-	Refused             // its machine answers that nobody listens at its address
+	Unseen   PeerState = iota // no contact: it may be down, or partitioned and working
+	Alive                     // it responds
+	Departed                  // it has announced its end
+	Refused                   // its machine refuses connections to its address
 )
 
-// Count returns how many share, by the settings' number and what is known of others, this
-// dispatcher not among them. Those that nothing was ever heard of count as at work, and more
-// that are alive than the settings say count too.
-func Count(settings int, others []Life) int {
-	working, gone := 1, 0
+// Count returns the number of dispatchers that share the capacity, at least 1, from the configured
+// number and the states of the other dispatchers known. A configured dispatcher that was never
+// seen counts as working, and so do live ones beyond the configured number.
+func Count(configured int, others []PeerState) int {
+	working, departed := 1, 0
 	for _, l := range others {
 		switch l {
-		case Left, Refused:
-			gone++
+		case Departed, Refused:
+			departed++
 		default:
 			working++
 		}
 	}
-	return max(settings-gone, working, 1)
+	return max(configured-departed, working, 1)
 }
--- a/internal/dispatcher/fleet/recovery/sharers/sharers_test.go
+++ b/internal/dispatcher/fleet/recovery/sharers/sharers_test.go
@@ -8,22 +8,22 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestCount shares by who may be at work.
+// TestCount checks the number of sharers for each kind of peer.
 func TestCount(t *testing.T) {
 	for _, tc := range []struct {
 		name     string
 		settings int
-		others   []Life
+		others   []PeerState
 		want     int
 	}{
 		{"alone", 1, nil, 1},
 		{"nobody is heard of yet", 5, nil, 5},
-		{"all are here", 5, []Life{Alive, Alive, Alive, Alive}, 5},
-		{"three are killed", 5, []Life{Alive, Refused, Refused, Refused}, 2},
-		{"one has left", 5, []Life{Alive, Alive, Alive, Left}, 4},
-		{"three are cut off", 5, []Life{Alive, Unseen, Unseen, Unseen}, 5},
-		{"more than the settings say", 2, []Life{Alive, Alive, Alive}, 4},
-		{"all are gone", 3, []Life{Refused, Left}, 1},
+		{"all are here", 5, []PeerState{Alive, Alive, Alive, Alive}, 5},
+		{"three are killed", 5, []PeerState{Alive, Refused, Refused, Refused}, 2},
+		{"one has left", 5, []PeerState{Alive, Alive, Alive, Departed}, 4},
+		{"three are cut off", 5, []PeerState{Alive, Unseen, Unseen, Unseen}, 5},
+		{"more than the settings say", 2, []PeerState{Alive, Alive, Alive}, 4},
+		{"all are gone", 3, []PeerState{Refused, Departed}, 1},
 	} {
 		if got := Count(tc.settings, tc.others); got != tc.want {
 			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
@@ -31,8 +31,8 @@
 	}
 }
 
-// TestNeverSpentTwice guards a runner that has just started: however a fleet is cut, killed
-// and seen, the shares of those that work come to no more than the whole.
+// TestNeverSpentTwice checks, for any partition of a fleet, that the shares of the working members
+// add up to at most the whole.
 func TestNeverSpentTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 15).Draw(t, "members")
@@ -45,7 +45,7 @@
 			if side[i] == 0 {
 				continue
 			}
-			var others []Life
+			var others []PeerState
 			for j := range side {
 				switch {
 				case j == i:
@@ -54,7 +54,7 @@
 				case side[j] > 0: // cut off: it may be seen as dead, but nothing refuses
 					others = append(others, Unseen)
 				default:
-					others = append(others, rapid.SampledFrom([]Life{Unseen, Refused, Left}).Draw(t, "dead"))
+					others = append(others, rapid.SampledFrom([]PeerState{Unseen, Refused, Departed}).Draw(t, "dead"))
 				}
 			}
 			sum += 1 / float64(Count(n, others))
--- a/internal/dispatcher/fleet/recovery/stage/stage.go
+++ b/internal/dispatcher/fleet/recovery/stage/stage.go
@@ -1,27 +1,34 @@
-// Package stage says how far a member has come back after its start, or after it stood still,
-// and what it may do meanwhile. Evidence moves it on, not time; each stage has a longest time
-// after which it goes on by what there is and says what was missing. The package is pure: no
-// I/O, no clock.
+// Package stage is the state machine by which a member rejoins its fleet after a start or a stall,
+// and the rights that it has in each stage. Evidence advances the machine, not elapsed time; each
+// stage that waits for evidence has a bound after which the member continues without it and
+// reports what was missing.
+//
+// Package rejoin drives the machine. Invariants: stages follow each other one by one, a stalled
+// process returns to CatchingUp, and no stage past CatchingUp is entered without a list of
+// runners.
+//
+// The package is pure: it does no I/O and reads no clock. A Machine is not safe for concurrent
+// use.
 package stage
 
 import "time"
 
-// Stage is how far a member has come back.
+// Stage is how far a member has rejoined.
 type Stage uint8
 
 // The stages, in order.
 const (
 	Empty      Stage = iota // its addresses are not open
-	Listening               // they are; it knows of nobody
-	Joining                 // it has met others, or nobody is there; the log is not known
-	CatchingUp              // it fetches what others know
-	Probation               // it serves, by a door that opens with what is served
-	Full                    // it serves as before
+	Listening               // its addresses are open; no other member is known
+	Joining                 // another member is alive, or none is there; the state of the log is unknown
+	CatchingUp              // it fetches what other members know
+	Probation               // it serves, under an admission limit that grows with the served jobs
+	Full                    // it serves without restriction
 )
 
 var names = [...]string{"empty", "listening", "joining", "catching up", "probation", "full"}
 
-// String returns the stage in plain words, as operators see it.
+// String returns the stage's name as operators see it.
 func (s Stage) String() string {
 	if int(s) < len(names) {
 		return names[s]
@@ -29,161 +36,164 @@
 	return "unknown"
 }
 
-// Admit is how much of its clients' work a member takes in.
-type Admit uint8
+// Admission is how much client work a member accepts.
+type Admission uint8
 
-// The measures of admission.
+// The degrees of admission.
 const (
-	None Admit = iota // each is told when to come back
-	Some              // as the door opens
-	All
+	AdmitNone    Admission = iota // every job is rejected with a retry delay
+	AdmitLimited                  // as many jobs as the admission limiter's window holds
+	AdmitAll
 )
 
-// Rights are what a member may do.
+// Rights are the actions that a stage permits.
 type Rights struct {
-	Admits  Admit
-	Keyed   bool // also jobs that another may have sent already and that must not run twice
-	Recalls bool // what it remembers of keyed jobs counts when others ask
-	Counts  bool // it may reckon by who is alive: others know of it too
-	Runs    bool // it may take on what others have left undone
+	Admission        Admission
+	KeyedJobs        bool // accept keyed jobs that another member may have sent and that must not run twice
+	OutcomesComplete bool // its outcome records of keyed jobs are complete
+	CountsPeers      bool // use the number of live members: they know of this one too
+	RunsWorkflows    bool // take over workflows of other members
 }
 
-// Rights returns a stage's, where runners are known by a word that is not old.
+// Rights returns what the stage permits while the list of runners is current; see Machine.Rights.
 func (s Stage) Rights() Rights {
 	switch s {
 	case Empty:
 		return Rights{}
 	case Probation:
-		return Rights{Admits: Some, Keyed: true, Recalls: true, Counts: true}
+		return Rights{Admission: AdmitLimited, KeyedJobs: true, OutcomesComplete: true, CountsPeers: true}
 	case Full:
-		return Rights{Admits: All, Keyed: true, Recalls: true, Counts: true, Runs: true}
+		return Rights{Admission: AdmitAll, KeyedJobs: true, OutcomesComplete: true, CountsPeers: true, RunsWorkflows: true}
 	}
-	return Rights{Admits: Some}
+	return Rights{Admission: AdmitLimited}
 }
 
-// May returns what a member may do by what is known now. Guards runners that were drained or
-// replaced while the process stood still: on the way nothing is sent by an old list.
-func (m *Machine) May(e Evidence) Rights {
+// Rights returns what the member may do under the evidence e. Up to CatchingUp nothing is admitted
+// without a current list of runners: runners may have been drained or replaced while the process
+// was stalled.
+func (m *Machine) Rights(e Evidence) Rights {
 	r := m.stage.Rights()
-	if m.stage <= CatchingUp && !e.List {
-		r.Admits = None
+	if m.stage <= CatchingUp && !e.RunnersKnown {
+		r.Admission = AdmitNone
 	}
 	return r
 }
 
-// Log is how the agreed log stands at a member.
+// Log is the state of the replicated log at a member.
 type Log uint8
 
-// The ways in which it may stand.
+// The states of the replicated log.
 const (
-	LogUnknown Log = iota // nothing is known of it yet
-	LogBehind             // it has a leader, and entries that are not applied here
-	LogApplied            // all that there is has been applied here
-	LogLost               // it is lost; what was kept counts until an operator speaks
-	LogNone               // its voters have never begun one
+	LogUnknown Log = iota // nothing is known yet
+	LogBehind             // a leader exists and some entries are not applied here
+	LogApplied            // all entries are applied here
+	LogLost               // the log is lost; the stored exclusions hold until an operator decides
+	LogNone               // the voters have never started a log
 )
 
-// Evidence is what is known at a moment.
+// Evidence is what a member knows at one moment.
 type Evidence struct {
-	Open   bool // the addresses are open
-	Met    bool // another member is alive
-	Nobody bool // each address in the settings said that nobody listens there
-	Log    Log
-	List   bool // runners are known by a word since the start, or since it stood still
-	Copies bool // they were compared with a member's that was there before, if there is one
-	Bears  bool // the door has been open wide enough for all that came
+	AddressesOpen    bool // its listeners are open
+	PeerAlive        bool // another member is alive
+	NoPeers          bool // every configured address refused the connection
+	Log              Log
+	RunnersKnown     bool // a list of runners was received since the start or the last stall
+	ReplicasCompared bool // replicas were compared with those of an earlier member, if there is one
+	Unrestricted     bool // the admission window has been wide enough for all arriving jobs
 }
 
-// Bounds are the longest times in the stages that have one; past it a member goes on without
-// what is missing. A list of runners is never gone without: nothing could be sent.
+// Bounds are the longest waits for evidence, by stage; 0 waits for ever. After it the member
+// continues without the evidence. The list of runners has no bound: without it nothing could be
+// sent.
 type Bounds struct{ Listening, Joining, CatchingUp, Probation time.Duration }
 
-// Defaults returns the bounds where nobody says otherwise: a member that is dead is known to
-// be after some 4 s, another leads after 1.3 s, copies of 20,000 runners take 3 s.
+// Defaults returns the default bounds. For comparison: a failed member is detected after about 4
+// s, a new leader is elected within 1.3 s, and replicas of 20,000 runners are fetched in 3 s.
 func Defaults() Bounds {
 	return Bounds{Listening: 2 * time.Second, Joining: 2 * time.Second, CatchingUp: 5 * time.Second, Probation: 10 * time.Second}
 }
 
-// Move is a step from one stage to another and what it rests on.
-type Move struct {
+// Transition is a change of stage with its reason.
+type Transition struct {
 	From, To Stage
-	Why      string        // the evidence, or what was gone on without
-	Without  bool          // it was gone on without evidence
-	After    time.Duration // in the stage that is left
+	Why      string        // the evidence, or what was missing
+	TimedOut bool          // the bound passed without the evidence
+	Elapsed  time.Duration // time spent in the stage left
 }
 
-// Machine is a member's way back. The zero value is that of a process that has just begun.
+// Machine is one member's rejoin state machine. The zero value is that of a process that has just
+// started, with no bounds.
 type Machine struct {
 	Bounds  Bounds
 	stage   Stage
 	entered time.Duration
 }
 
-// Stage returns where it is.
+// Stage returns the current stage.
 func (m *Machine) Stage() Stage { return m.stage }
 
-// Step takes in what is known now and returns the moves that follow, in order.
-func (m *Machine) Step(now time.Duration, e Evidence) (moves []Move) {
+// Step applies the evidence known at time now and returns the resulting transitions in order.
+func (m *Machine) Step(now time.Duration, e Evidence) (transitions []Transition) {
 	for {
-		why, without, ok := m.next(now, e)
+		why, timedOut, ok := m.next(now, e)
 		if !ok {
-			return moves
+			return transitions
 		}
-		moves = append(moves, m.to(m.stage+1, now, why, without))
+		transitions = append(transitions, m.enter(m.stage+1, now, why, timedOut))
 	}
 }
 
-// Woke takes in that the process stood still for a time, and what that made old: it has to
-// hear anew what its list and its copies missed. What it does until then is a newcomer's.
-func (m *Machine) Woke(now time.Duration) (moves []Move) {
+// ProcessStalled returns a member that is past CatchingUp to that stage: its list of runners and
+// its replicas missed the updates of the stall and have to be fetched again.
+func (m *Machine) ProcessStalled(now time.Duration) (transitions []Transition) {
 	if m.stage > CatchingUp {
-		moves = append(moves, m.to(CatchingUp, now, "the process stood still", false))
+		transitions = append(transitions, m.enter(CatchingUp, now, "the process stood still", false))
 	}
-	return moves
+	return transitions
 }
 
-func (m *Machine) to(s Stage, now time.Duration, why string, without bool) Move {
-	v := Move{From: m.stage, To: s, Why: why, Without: without, After: now - m.entered}
+func (m *Machine) enter(s Stage, now time.Duration, why string, timedOut bool) Transition {
+	transition := Transition{From: m.stage, To: s, Why: why, TimedOut: timedOut, Elapsed: now - m.entered}
 	m.stage, m.entered = s, now
-	return v
+	return transition
 }
 
-// next returns the reason to go on, if there is one.
-func (m *Machine) next(now time.Duration, e Evidence) (why string, without, ok bool) {
-	over := func(bound time.Duration) bool { return bound > 0 && now-m.entered >= bound }
+// next returns the reason to advance, if there is one.
+func (m *Machine) next(now time.Duration, e Evidence) (why string, timedOut, ok bool) {
+	exceeded := func(bound time.Duration) bool { return bound > 0 && now-m.entered >= bound }
 	switch m.stage {
 	case Empty:
-		return "its addresses are open", false, e.Open
+		return "its addresses are open", false, e.AddressesOpen
 	case Listening:
 		switch {
-		case e.Met:
+		case e.PeerAlive:
 			return "another member is alive", false, true
-		case e.Nobody:
+		case e.NoPeers:
 			return "nobody listens at any address that the settings name", false, true
-		case over(m.Bounds.Listening):
+		case exceeded(m.Bounds.Listening):
 			return "no member has answered", true, true
 		}
 	case Joining:
 		switch {
 		case e.Log != LogUnknown:
 			return "how the log stands is known", false, true
-		case over(m.Bounds.Joining):
+		case exceeded(m.Bounds.Joining):
 			return "the log has no leader", true, true
 		}
 	case CatchingUp:
 		missing := missing(e)
 		switch {
-		case !e.List:
+		case !e.RunnersKnown:
 		case missing == "":
 			return "list, copies and log are caught up", false, true
-		case over(m.Bounds.CatchingUp):
+		case exceeded(m.Bounds.CatchingUp):
 			return missing, true, true
 		}
 	case Probation:
 		switch {
-		case e.Bears:
+		case e.Unrestricted:
 			return "what came was served", false, true
-		case over(m.Bounds.Probation):
+		case exceeded(m.Bounds.Probation):
 			return "the door was never open wide enough for all that came", true, true
 		}
 	}
@@ -194,14 +204,14 @@
 	switch {
 	case e.Log == LogBehind:
 		return "entries of the log are not applied"
-	case !e.Copies:
+	case !e.ReplicasCompared:
 		return "copies were compared with nobody who was there before"
 	}
 	return ""
 }
 
-// Waits returns what a member lacks to go on, for people; empty for nothing.
-func (m *Machine) Waits(e Evidence) string {
+// WaitsFor describes to operators what the member lacks to advance; empty for nothing.
+func (m *Machine) WaitsFor(e Evidence) string {
 	switch m.stage {
 	case Empty:
 		return "its addresses are not open"
@@ -210,7 +220,7 @@
 	case Joining:
 		return "the log has no leader yet"
 	case CatchingUp:
-		if !e.List {
+		if !e.RunnersKnown {
 			return "no runner is known: discovery has not answered, and no member has told of any"
 		}
 		return missing(e)
--- a/internal/dispatcher/fleet/recovery/stage/stage_test.go
+++ b/internal/dispatcher/fleet/recovery/stage/stage_test.go
@@ -10,10 +10,10 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestStep has each stage left by its evidence, or at its bound without, and the list never
-// gone without.
+// TestStep checks that each stage is left on its evidence, or without it at its bound, and that
+// the list of runners is never skipped.
 func TestStep(t *testing.T) {
-	all := Evidence{Open: true, Met: true, Log: LogApplied, List: true, Copies: true, Bears: true}
+	all := Evidence{AddressesOpen: true, PeerAlive: true, Log: LogApplied, RunnersKnown: true, ReplicasCompared: true, Unrestricted: true}
 	for _, tc := range []struct {
 		name  string
 		after time.Duration
@@ -22,19 +22,19 @@
 		lacks bool // the last move was without evidence
 	}{
 		{"all at once", 0, func(*Evidence) {}, Full, false},
-		{"nothing is open", time.Hour, func(e *Evidence) { e.Open = false }, Empty, false},
-		{"nobody has answered yet", time.Second, func(e *Evidence) { e.Met = false }, Listening, false},
-		{"nobody answers", 3 * time.Second, func(e *Evidence) { e.Met, e.Bears = false, false }, Probation, false},
-		{"nobody is there", 0, func(e *Evidence) { e.Met, e.Nobody = false, true }, Full, false},
+		{"nothing is open", time.Hour, func(e *Evidence) { e.AddressesOpen = false }, Empty, false},
+		{"nobody has answered yet", time.Second, func(e *Evidence) { e.PeerAlive = false }, Listening, false},
+		{"nobody answers", 3 * time.Second, func(e *Evidence) { e.PeerAlive, e.Unrestricted = false, false }, Probation, false},
+		{"nobody is there", 0, func(e *Evidence) { e.PeerAlive, e.NoPeers = false, true }, Full, false},
 		{"the log's leader is not known yet", time.Second, func(e *Evidence) { e.Log = LogUnknown }, Joining, false},
-		{"the log has none", 3 * time.Second, func(e *Evidence) { e.Log, e.Bears = LogUnknown, false }, Probation, false},
+		{"the log has none", 3 * time.Second, func(e *Evidence) { e.Log, e.Unrestricted = LogUnknown, false }, Probation, false},
 		{"the log is behind", 4 * time.Second, func(e *Evidence) { e.Log = LogBehind }, CatchingUp, false},
-		{"the log stays behind", 6 * time.Second, func(e *Evidence) { e.Log, e.Bears = LogBehind, false }, Probation, true},
+		{"the log stays behind", 6 * time.Second, func(e *Evidence) { e.Log, e.Unrestricted = LogBehind, false }, Probation, true},
 		{"the log is lost", 0, func(e *Evidence) { e.Log = LogLost }, Full, false},
-		{"nobody tells of runners", time.Hour, func(e *Evidence) { e.List = false }, CatchingUp, false},
-		{"copies are not compared", 4 * time.Second, func(e *Evidence) { e.Copies = false }, CatchingUp, false},
-		{"the door is narrow", 9 * time.Second, func(e *Evidence) { e.Bears = false }, Probation, false},
-		{"the door stays narrow", 11 * time.Second, func(e *Evidence) { e.Bears = false }, Full, true},
+		{"nobody tells of runners", time.Hour, func(e *Evidence) { e.RunnersKnown = false }, CatchingUp, false},
+		{"copies are not compared", 4 * time.Second, func(e *Evidence) { e.ReplicasCompared = false }, CatchingUp, false},
+		{"the door is narrow", 9 * time.Second, func(e *Evidence) { e.Unrestricted = false }, Probation, false},
+		{"the door stays narrow", 11 * time.Second, func(e *Evidence) { e.Unrestricted = false }, Full, true},
 	} {
 		m, e := Machine{Bounds: Defaults()}, all
 		tc.edit(&e)
@@ -42,17 +42,17 @@
 		if m.Stage() != tc.want {
 			t.Errorf("%s: %s, want %s", tc.name, m.Stage(), tc.want)
 		}
-		if n := len(moves); n > 0 && moves[n-1].Without != tc.lacks {
+		if n := len(moves); n > 0 && moves[n-1].TimedOut != tc.lacks {
 			t.Errorf("%s: the last move was %+v", tc.name, moves[n-1])
 		}
-		if (m.Waits(e) == "") != (tc.want == Full) {
-			t.Errorf("%s: it waits for %q", tc.name, m.Waits(e))
+		if (m.WaitsFor(e) == "") != (tc.want == Full) {
+			t.Errorf("%s: it waits for %q", tc.name, m.WaitsFor(e))
 		}
 	}
 }
 
-// TestOrder guards every way back: one stage after the other, never past what was not open or
-// without a list of runners, and a process that stood still serves as a newcomer again.
+// TestOrder checks, for any sequence of evidence and stalls, that stages follow one by one and
+// that a stalled process returns to CatchingUp.
 func TestOrder(t *testing.T) {
 	flag := rapid.Bool()
 	rapid.Check(t, func(t *rapid.T) {
@@ -61,21 +61,21 @@
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
 			was := m.Stage()
 			if rapid.IntRange(0, 9).Draw(t, "stall") == 0 {
-				if m.Woke(now); m.Stage() != min(was, CatchingUp) {
+				if m.ProcessStalled(now); m.Stage() != min(was, CatchingUp) {
 					t.Fatalf("it woke %s as %s", was, m.Stage())
 				}
 				continue
 			}
-			e := Evidence{Open: flag.Draw(t, "open"), Met: flag.Draw(t, "met"), Nobody: flag.Draw(t, "nobody"), List: flag.Draw(t, "list"),
-				Copies: flag.Draw(t, "copies"), Bears: flag.Draw(t, "bears"), Log: Log(rapid.IntRange(0, int(LogLost)).Draw(t, "log"))}
+			e := Evidence{AddressesOpen: flag.Draw(t, "open"), PeerAlive: flag.Draw(t, "met"), NoPeers: flag.Draw(t, "nobody"), RunnersKnown: flag.Draw(t, "list"),
+				ReplicasCompared: flag.Draw(t, "copies"), Unrestricted: flag.Draw(t, "bears"), Log: Log(rapid.IntRange(0, int(LogLost)).Draw(t, "log"))}
 			for i, v := range m.Step(now, e) {
 				if v.From != was+Stage(i) || v.To != v.From+1 || v.Why == "" {
 					t.Fatalf("a move %+v from %s", v, was)
 				}
-				if r := m.May(e); !e.List && m.Stage() <= CatchingUp && r.Admits != None {
+				if r := m.Rights(e); !e.RunnersKnown && m.Stage() <= CatchingUp && r.Admission != AdmitNone {
 					t.Fatalf("without a list it may %+v", r)
 				}
-				if v.From == Empty && !e.Open || v.From == CatchingUp && !e.List {
+				if v.From == Empty && !e.AddressesOpen || v.From == CatchingUp && !e.RunnersKnown {
 					t.Fatalf("%+v on %+v", v, e)
 				}
 			}
@@ -86,15 +86,15 @@
 	})
 }
 
-// TestRights has rights only grow with the stages.
+// TestRights checks that rights only grow from stage to stage.
 func TestRights(t *testing.T) {
 	for s := Empty; s < Full; s++ {
 		a, b := s.Rights(), (s + 1).Rights()
-		if a.Admits > b.Admits || a.Keyed && !b.Keyed || a.Recalls && !b.Recalls || a.Counts && !b.Counts || a.Runs && !b.Runs {
+		if a.Admission > b.Admission || a.KeyedJobs && !b.KeyedJobs || a.OutcomesComplete && !b.OutcomesComplete || a.CountsPeers && !b.CountsPeers || a.RunsWorkflows && !b.RunsWorkflows {
 			t.Errorf("%s may %+v, %s %+v", s, a, s+1, b)
 		}
 	}
-	if diff := cmp.Diff(Rights{Admits: All, Keyed: true, Recalls: true, Counts: true, Runs: true}, Full.Rights()); diff != "" {
+	if diff := cmp.Diff(Rights{Admission: AdmitAll, KeyedJobs: true, OutcomesComplete: true, CountsPeers: true, RunsWorkflows: true}, Full.Rights()); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/dispatcher/fleet/recovery/stall/stall.go
+++ b/internal/dispatcher/fleet/recovery/stall/stall.go
@@ -1,33 +1,36 @@
-// Package stall notices that a process stood still, or that the machine's clock was set: what
-// it knows then is older than it looks. The package is pure: no I/O, no clock.
+// Package stall detects that the process was suspended, or that the wall clock was set: either
+// makes what the process knows older than it looks. The dispatcher's core observes the clocks in
+// its loop.
+//
+// The package is pure: it does no I/O and reads no clock. A Watch is not safe for concurrent use.
 package stall
 
 import "time"
 
-// Watch is looked at each time the process works, at least several times within Bound. The
-// zero value never notices anything.
+// Watch detects stalls between its observations, which must be made several times within Bound
+// while the process runs. The zero value detects nothing.
 type Watch struct {
-	Bound time.Duration // a longer time between two looks is a standstill; 0 for none
+	Bound time.Duration // shortest gap between observations that counts as a stall; 0 disables detection
 
-	steady, wall time.Duration // of the last look
-	looked       bool
+	steady, wall time.Duration // readings at the last observation
+	observed     bool
 }
 
-// Look takes in that the process works, by a clock that only goes forward and by the
-// machine's own. It returns how long the process stood still, 0 for not, and by how much the
-// machine's clock was set meanwhile, 0 for not.
-func (w *Watch) Look(steady, wall time.Duration) (still, set time.Duration) {
-	gone, by := steady-w.steady, (wall-w.wall)-(steady-w.steady)
-	first := !w.looked
-	w.steady, w.wall, w.looked = steady, wall, true
+// Observe records the readings of the monotonic and the wall clock. It returns how long the
+// process was stalled and by how much the wall clock was set since the last observation, 0 each
+// for not.
+func (w *Watch) Observe(steady, wall time.Duration) (stalled, set time.Duration) {
+	elapsed, shift := steady-w.steady, (wall-w.wall)-(steady-w.steady)
+	first := !w.observed
+	w.steady, w.wall, w.observed = steady, wall, true
 	if first || w.Bound <= 0 {
 		return 0, 0
 	}
-	if gone >= w.Bound {
-		still = gone
+	if elapsed >= w.Bound {
+		stalled = elapsed
 	}
-	if by >= w.Bound || by <= -w.Bound {
-		set = by
+	if shift >= w.Bound || shift <= -w.Bound {
+		set = shift
 	}
-	return still, set
+	return stalled, set
 }
--- a/internal/dispatcher/fleet/recovery/stall/stall_test.go
+++ b/internal/dispatcher/fleet/recovery/stall/stall_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestLook tells standstills and set clocks from time that passes.
-func TestLook(t *testing.T) {
+// TestObserve distinguishes stalls and set clocks from ordinary progress.
+func TestObserve(t *testing.T) {
 	s := time.Second
 	for _, tc := range []struct {
 		name         string
@@ -24,10 +24,10 @@
 		{"nobody watches", 0, 3 * s, 60 * s, 0, 0},
 	} {
 		w := Watch{Bound: tc.bound}
-		if still, set := w.Look(5*s, 1000*s); still != 0 || set != 0 {
+		if still, set := w.Observe(5*s, 1000*s); still != 0 || set != 0 {
 			t.Errorf("%s: the first look noticed %s, %s", tc.name, still, set)
 		}
-		if still, set := w.Look(5*s+tc.steady, 1000*s+tc.wall); still != tc.still || set != tc.set {
+		if still, set := w.Observe(5*s+tc.steady, 1000*s+tc.wall); still != tc.still || set != tc.set {
 			t.Errorf("%s: %s, %s, want %s, %s", tc.name, still, set, tc.still, tc.set)
 		}
 	}
--- a/internal/dispatcher/fleet/rejoin/rejoin.go
+++ b/internal/dispatcher/fleet/rejoin/rejoin.go
@@ -1,7 +1,11 @@
-// Package rejoin is the actor that brings a dispatcher of a cluster back after its start, or
-// after it stood still: it gathers evidence from the members, the log and the core, has the
-// stages (recovery/stage) decide, and has the core act by what the stage allows. What it
-// decides by is pure and stands in internal/dispatcher/fleet/recovery.
+// Package rejoin is the actor that brings a dispatcher back into its fleet after a start or a
+// stall. It gathers evidence from the members, the replicated log and the core, advances the
+// stages of package recovery/stage, and applies the rights of the current stage to the core. The
+// decisions themselves are pure and live in the packages below internal/dispatcher/fleet/recovery.
+//
+// The dispatcher's command creates one Actor for each cluster member. Invariant: the core acts by
+// a stage before the other members are told of it. One goroutine (Run) owns the state machine;
+// ProcessStalled and Status may be called from any goroutine.
 package rejoin
 
 import (
@@ -18,211 +22,218 @@
 	"frosttide/internal/mailbox"
 )
 
-// Fleet is what the member knows of the others. None of it may block for long.
+// Fleet is the member's view of the other members. No method may block for long.
 type Fleet interface {
-	// Standing tells what is known now.
-	Standing(ctx context.Context) (Standing, bool)
-	// Stage makes known how far this member has come back.
-	Stage(stage.Stage)
-	// Compare has copies compared with another member's anew, soon.
-	Compare()
+	// State returns what is known now; false if the member does not respond before ctx ends.
+	State(ctx context.Context) (FleetState, bool)
+	// SetStage publishes this member's stage to the others.
+	SetStage(stage.Stage)
+	// CompareReplicas starts another comparison of replicas soon.
+	CompareReplicas()
 }
 
-// Standing is what a member knows of the others.
-type Standing struct {
-	Met    bool
-	Nobody bool
-	Log    stage.Log
-	Copies bool           // compared with who was there before, or with anybody where nobody was
-	Others []sharers.Life // those that were ever heard of
+// FleetState is what a member knows of the others; see stage.Evidence.
+type FleetState struct {
+	PeerAlive        bool
+	NoPeers          bool
+	Log              stage.Log
+	ReplicasCompared bool                // with an earlier member's, or with any member's if there was no earlier one
+	Peers            []sharers.PeerState // every dispatcher that was ever known
 }
 
-// Dispatcher is who comes back; the core does. None of it blocks.
+// Dispatcher is the dispatcher's core. No method blocks.
 type Dispatcher interface {
-	// SetAdmission sets the door, by one who knows that it stood still so many times.
+	// SetAdmission sets the admission level. keyed permits keyed jobs, first is the admission
+	// window to start from, and stood is the number of stalls that the caller knows of: the core
+	// ignores a call that does not know of its latest stall.
 	SetAdmission(level admission.Level, keyed bool, first, stood int)
+	// RejoinProgress calls the function with the core's progress, from the core's goroutine.
 	RejoinProgress(func(core.RejoinProgress))
+	// SetWarmUpPeers sets by how many dispatchers the capacity of cold runners is divided.
 	SetWarmUpPeers(count int)
 }
 
-// List is the list of runners.
-type List interface {
-	// Renew asks discovery anew; heard is called once it has told all there is, or has failed:
-	// then it has told nothing that the list lacks.
-	Renew(heard func())
+// RunnerTable is the table of runners that discovery maintains.
+type RunnerTable interface {
+	// Renew requests the full list from discovery again; done is called when it has been received,
+	// or when the request has failed, in which case discovery had no more to report than the table
+	// holds.
+	Renew(done func())
 }
 
-// Config says how a dispatcher comes back.
+// Config configures an Actor.
 type Config struct {
-	Dispatchers int  // by the settings
-	Paced       bool // jobs are let in by a door; else it stands wide open as soon as they may be sent
-	Warm        bool // the dispatcher served before this part began: an older process was the member
-	Stood       int  // standstills of the process before this part began
+	Dispatchers int  // configured number of dispatchers
+	Paced       bool // admit under a growing limit; otherwise admission is unlimited as soon as jobs may be sent
+	Warm        bool // the dispatcher was serving before: it takes over from an older process of the member
+	Stalls      int  // stalls of the process before the actor was created
 	Bounds      stage.Bounds
 }
 
 const (
-	// lookEvery is how often evidence is gathered on the way, and restEvery once it is back.
-	lookEvery = 50 * time.Millisecond
-	restEvery = 500 * time.Millisecond
-	// slotsEach is what a runner is taken to bear at once until jobs have shown it.
-	slotsEach = 4
-	// askTime bounds a question to the member.
-	askTime = time.Second
+	// evaluateInterval is the interval between evaluations while rejoining, and idleInterval the
+	// one after that.
+	evaluateInterval = 50 * time.Millisecond
+	idleInterval     = 500 * time.Millisecond
+	// slotsPerRunner is the assumed number of concurrent jobs of a runner until jobs have shown
+	// it.
+	slotsPerRunner = 4
+	// stateTimeout bounds a request for the fleet's state.
+	stateTimeout = time.Second
 )
 
-// Status is how far a dispatcher has come back, for people.
+// Status is a dispatcher's rejoin progress, for operators.
 type Status struct {
-	Stage   string  `json:"stage"`
-	Waits   string  `json:"waits,omitempty"` // what it lacks to go on
-	Since   float64 `json:"since"`           // seconds in the stage
-	Sharers int     `json:"sharers"`         // by how many cold runners are shared
-	Stood   int     `json:"stood_still"`     // times that the process stood still
-	Took    float64 `json:"took,omitempty"`  // seconds from the start, or from the last standstill, until it was back in full
+	Stage    string  `json:"stage"`
+	WaitsFor string  `json:"waits,omitempty"` // what is missing to advance
+	Since    float64 `json:"since"`           // seconds in the stage
+	Sharers  int     `json:"sharers"`         // number of dispatchers that divide the capacity of cold runners
+	Stalls   int     `json:"stood_still"`     // number of stalls
+	Took     float64 `json:"took,omitempty"`  // seconds from the start, or the last stall, to the full stage
 }
 
-// Actor is a dispatcher's. New makes it.
+// Actor brings one dispatcher back; New creates it.
 type Actor struct {
-	cfg   Config
-	fleet Fleet
-	to    Dispatcher
-	list  List
-	log   *logrus.Entry
-	box   *mailbox.Box[func(*Actor)]
-	begun time.Time
-
-	machine stage.Machine
-	renewed bool // discovery has told all there is since the process stood still last
-	stood   int  // times that it has stood still
-	way     core.RejoinProgress
-	rights  stage.Rights  // that the core acts by
-	again   bool          // it has to be told again: it closed the door by itself
-	from    time.Duration // when the way back began
-
-	mu     sync.Mutex
-	status Status
-	at     time.Duration // when its stage began
+	cfg        Config
+	fleet      Fleet
+	dispatcher Dispatcher
+	runners    RunnerTable
+	log        *logrus.Entry
+	mailbox    *mailbox.Box[func(*Actor)]
+	startedAt  time.Time
+
+	machine     stage.Machine
+	renewed     bool // discovery has sent the full list since the last stall
+	stalls      int  // number of stalls
+	progress    core.RejoinProgress
+	rights      stage.Rights // rights in force at the core
+	reapply     bool         // the core closed admission by itself, so the rights have to be applied again
+	rejoinStart time.Duration
+
+	mu         sync.Mutex
+	status     Status
+	stageStart time.Duration
 }
 
-// New makes an actor; Run starts it.
-func New(cfg Config, f Fleet, to Dispatcher, list List, log *logrus.Entry) *Actor {
-	a := &Actor{cfg: cfg, fleet: f, to: to, list: list, log: log, stood: cfg.Stood, box: mailbox.New[func(*Actor)](), begun: time.Now(), renewed: true,
+// New creates an actor; it does nothing until Run is called.
+func New(cfg Config, fleet Fleet, to Dispatcher, runners RunnerTable, log *logrus.Entry) *Actor {
+	a := &Actor{cfg: cfg, fleet: fleet, dispatcher: to, runners: runners, log: log, stalls: cfg.Stalls, mailbox: mailbox.New[func(*Actor)](), startedAt: time.Now(), renewed: true,
 		machine: stage.Machine{Bounds: cfg.Bounds}, status: Status{Stage: stage.Empty.String(), Sharers: cfg.Dispatchers}}
 	if cfg.Warm {
-		a.way = core.RejoinProgress{Listed: 1, Unrestricted: true}
-		a.moved(a.machine.Step(0, stage.Evidence{Open: true, Met: true, Log: stage.LogApplied, List: true, Copies: true, Bears: true}))
+		a.progress = core.RejoinProgress{Listed: 1, Unrestricted: true}
+		a.report(a.machine.Step(0, stage.Evidence{AddressesOpen: true, PeerAlive: true, Log: stage.LogApplied, RunnersKnown: true, ReplicasCompared: true, Unrestricted: true}))
 		a.rights = a.machine.Stage().Rights()
 	}
 	return a
 }
 
-func (a *Actor) now() time.Duration { return time.Since(a.begun) }
+func (a *Actor) now() time.Duration { return time.Since(a.startedAt) }
 
-// Woke takes in that the process stood still. It does not block.
-func (a *Actor) Woke(still time.Duration) {
-	a.box.Put(func(a *Actor) {
-		a.log.WithField("for", still.Round(time.Millisecond).String()).Warn("this process stood still; what it knew is heard anew before anything is sent")
-		a.renewed, a.from = false, a.now()
-		a.stood++
-		a.again = true
+// ProcessStalled records that the process was stalled. It does not block.
+func (a *Actor) ProcessStalled(stalledFor time.Duration) {
+	a.mailbox.Put(func(a *Actor) {
+		a.log.WithField("for", stalledFor.Round(time.Millisecond).String()).Warn("this process stood still; what it knew is heard anew before anything is sent")
+		a.renewed, a.rejoinStart = false, a.now()
+		a.stalls++
+		a.reapply = true
 		a.mu.Lock()
-		a.status.Stood = a.stood
+		a.status.Stalls = a.stalls
 		a.mu.Unlock()
-		a.moved(a.machine.Woke(a.now()))
-		a.list.Renew(func() { a.box.Put(func(a *Actor) { a.renewed = true }) })
-		a.fleet.Compare()
+		a.report(a.machine.ProcessStalled(a.now()))
+		a.runners.Renew(func() { a.mailbox.Put(func(a *Actor) { a.renewed = true }) })
+		a.fleet.CompareReplicas()
 	})
 }
 
-// Run works until the context ends.
+// Run evaluates the evidence periodically until ctx ends.
 func (a *Actor) Run(ctx context.Context) {
-	tick := time.NewTicker(lookEvery)
+	tick := time.NewTicker(evaluateInterval)
 	defer tick.Stop()
 	last := time.Duration(0)
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-a.box.Ready():
-			for _, message := range a.box.Drain(nil) {
+		case <-a.mailbox.Ready():
+			for _, message := range a.mailbox.Drain(nil) {
 				message(a)
 			}
-			continue // evidence is gathered by the tick alone
+			continue // the ticker alone paces the evaluations
 		case <-tick.C:
-			if a.machine.Stage() == stage.Full && a.now()-last < restEvery {
+			if a.machine.Stage() == stage.Full && a.now()-last < idleInterval {
 				continue
 			}
 		}
 		last = a.now()
-		a.to.RejoinProgress(func(w core.RejoinProgress) { a.box.Put(func(a *Actor) { a.way = w }) })
-		call, cancel := context.WithDeadline(ctx, time.Now().Add(askTime))
-		s, ok := a.fleet.Standing(call)
+		a.dispatcher.RejoinProgress(func(w core.RejoinProgress) { a.mailbox.Put(func(a *Actor) { a.progress = w }) })
+		call, cancel := context.WithDeadline(ctx, time.Now().Add(stateTimeout))
+		s, ok := a.fleet.State(call)
 		cancel()
 		if ok {
-			a.look(s)
+			a.evaluate(s)
 		}
 	}
 }
 
-// look decides by what is known now. The core is told first: whoever hears of a stage finds a
-// member that acts by it.
-func (a *Actor) look(s Standing) {
-	e := stage.Evidence{Open: true, Met: s.Met, Nobody: s.Nobody, Log: s.Log, Copies: s.Copies, Bears: a.way.Unrestricted || !a.cfg.Paced,
-		List: a.way.Listed > 0 && (a.renewed || s.Copies && s.Met)} // others' discoveries may answer where ours does not
-	moves := a.machine.Step(a.now(), e)
-	a.act(e)
-	a.moved(moves)
+// evaluate advances the stages by what is known now. The core acts first: a member that learns of
+// a stage must find one that already acts by it.
+func (a *Actor) evaluate(s FleetState) {
+	e := stage.Evidence{AddressesOpen: true, PeerAlive: s.PeerAlive, NoPeers: s.NoPeers, Log: s.Log, ReplicasCompared: s.ReplicasCompared, Unrestricted: a.progress.Unrestricted || !a.cfg.Paced,
+		RunnersKnown: a.progress.Listed > 0 && (a.renewed || s.ReplicasCompared && s.PeerAlive)} // the other members' discoveries may respond when this one's does not
+	transitions := a.machine.Step(a.now(), e)
+	a.apply(e)
+	a.report(transitions)
 	n := a.cfg.Dispatchers
-	if a.machine.Stage().Rights().Counts {
-		n = sharers.Count(a.cfg.Dispatchers, s.Others)
+	if a.machine.Stage().Rights().CountsPeers {
+		n = sharers.Count(a.cfg.Dispatchers, s.Peers)
 	}
-	a.to.SetWarmUpPeers(n)
+	a.dispatcher.SetWarmUpPeers(n)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if n != a.status.Sharers {
 		a.log.WithFields(logrus.Fields{"sharers": n, "were": a.status.Sharers}).Info("cold runners are shared by another number of dispatchers")
 	}
-	a.status.Sharers, a.status.Waits = n, a.machine.Waits(e)
+	a.status.Sharers, a.status.WaitsFor = n, a.machine.WaitsFor(e)
 }
 
-// moved carries out what moves mean.
-func (a *Actor) moved(moves []stage.Move) {
-	for _, v := range moves {
-		l := a.log.WithFields(logrus.Fields{"from": v.From.String(), "to": v.To.String(), "why": v.Why, "after": v.After.Round(time.Millisecond).String()})
-		if v.Without {
+// report publishes and logs transitions.
+func (a *Actor) report(transitions []stage.Transition) {
+	for _, v := range transitions {
+		l := a.log.WithFields(logrus.Fields{"from": v.From.String(), "to": v.To.String(), "why": v.Why, "after": v.Elapsed.Round(time.Millisecond).String()})
+		if v.TimedOut {
 			l.Warn("coming back without it")
 		} else {
 			l.Info("coming back")
 		}
-		a.fleet.Stage(v.To)
+		a.fleet.SetStage(v.To)
 		a.mu.Lock()
-		a.status.Stage, a.at = v.To.String(), a.now()
+		a.status.Stage, a.stageStart = v.To.String(), a.now()
 		if v.To == stage.Full {
-			a.status.Took = (a.now() - a.from).Seconds()
+			a.status.Took = (a.now() - a.rejoinStart).Seconds()
 		}
 		a.mu.Unlock()
 	}
 }
 
-// act has the core do what is allowed now. A door that stands ajar keeps its window.
-func (a *Actor) act(e stage.Evidence) {
-	r := a.machine.May(e)
-	if r == a.rights && !a.again {
+// apply puts the current rights in force at the core. A limited admission level keeps its window.
+func (a *Actor) apply(e stage.Evidence) {
+	r := a.machine.Rights(e)
+	if r == a.rights && !a.reapply {
 		return
 	}
-	a.rights, a.again = r, false
-	level := map[stage.Admit]admission.Level{stage.None: admission.Closed, stage.Some: admission.Ajar, stage.All: admission.Wide}[r.Admits]
-	if level == admission.Ajar && !a.cfg.Paced {
-		level = admission.Wide
+	a.rights, a.reapply = r, false
+	level := map[stage.Admission]admission.Level{stage.AdmitNone: admission.Closed, stage.AdmitLimited: admission.Limited, stage.AdmitAll: admission.Unlimited}[r.Admission]
+	if level == admission.Limited && !a.cfg.Paced {
+		level = admission.Unlimited
 	}
-	a.to.SetAdmission(level, r.Keyed, slotsEach*a.way.Listed/max(a.cfg.Dispatchers, 1), a.stood)
+	a.dispatcher.SetAdmission(level, r.KeyedJobs, slotsPerRunner*a.progress.Listed/max(a.cfg.Dispatchers, 1), a.stalls)
 }
 
-// Status returns how far it has come back. It may be called from any goroutine.
+// Status returns the rejoin progress. It may be called from any goroutine.
 func (a *Actor) Status() Status {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.status
-	s.Since = (a.now() - a.at).Seconds()
+	s.Since = (a.now() - a.stageStart).Seconds()
 	return s
 }
--- a/internal/dispatcher/fleet/rejoin/comeback_test.go
+++ b/internal/dispatcher/fleet/rejoin/rejoin_test.go
@@ -14,7 +14,7 @@
 	"frosttide/internal/dispatcher/fleet/recovery/stage"
 )
 
-// member is the fleet, the core and the list of a member to which everything comes at once.
+// member fakes the fleet, the core and the table of a member that receives all evidence at once.
 type member struct {
 	t      *testing.T
 	mu     sync.Mutex
@@ -23,16 +23,16 @@
 	stages chan stage.Stage
 }
 
-func (m *member) Standing(context.Context) (Standing, bool) {
-	return Standing{Met: true, Log: stage.LogApplied, Copies: true}, true
+func (m *member) State(context.Context) (FleetState, bool) {
+	return FleetState{PeerAlive: true, Log: stage.LogApplied, ReplicasCompared: true}, true
 }
 
-// Stage holds what others hear of a stage against what the core was told by then.
-func (m *member) Stage(s stage.Stage) {
+// SetStage checks a published stage against what the core was told before.
+func (m *member) SetStage(s stage.Stage) {
 	m.mu.Lock()
 	level, keyed := m.level, m.keyed
 	m.mu.Unlock()
-	if s.Rights().Keyed && !keyed || s.Rights().Admits == stage.All && level != admission.Wide {
+	if s.Rights().KeyedJobs && !keyed || s.Rights().Admission == stage.AdmitAll && level != admission.Unlimited {
 		m.t.Errorf("it says that it is at %q, its core has a door at %v and keyed jobs %t", s, level, keyed)
 	}
 	m.stages <- s
@@ -48,11 +48,11 @@
 	to(core.RejoinProgress{Listed: 4, Unrestricted: true})
 }
 func (m *member) SetWarmUpPeers(int) {}
-func (m *member) Compare()           {}
-func (m *member) Renew(heard func()) { heard() }
+func (m *member) CompareReplicas()   {}
+func (m *member) Renew(done func())  { done() }
 
-// TestStageIsTrue guards clients of a member that has just come back: one that has heard of its
-// stage and sends it a keyed job must not be turned away because its core has not.
+// TestStageIsTrue protects the clients of a rejoined member: one that has seen the published stage
+// and sends it a keyed job must not be rejected because the core does not act by the stage yet.
 func TestStageIsTrue(t *testing.T) {
 	m := &member{t: t, level: admission.Closed, stages: make(chan stage.Stage, 16)}
 	log := logrus.New()
--- a/internal/dispatcher/fleet/replica/fact.go
+++ b/internal/dispatcher/fleet/replica/fact.go
@@ -1,7 +1,14 @@
-// Package replica is the state that dispatchers which know each other share softly: copies
-// may differ for a while and come to be equal. It decides which of two copies counts, finds
-// what two stores have apart, and keeps itself within bounds. It does no I/O and reads no
-// clock: times come with the calls, in milliseconds since 1970.
+// Package replica is the eventually consistent state that dispatchers share: replicas may differ
+// for a while and converge by gossip and by pairwise comparison (anti-entropy, Demers et al.
+// 1987). It decides which of two versions of a fact wins, finds the differences between two
+// stores, and bounds its memory.
+//
+// Package cluster owns a Store and exchanges the facts. Invariants: merging is associative,
+// commutative and idempotent, so that the order of arrival does not matter; a drained runner never
+// looks ready again without a newer version from the same discovery.
+//
+// The package does no I/O and reads no clock; times come with the calls, in ms since 1970. A Store
+// is not safe for concurrent use.
 package replica
 
 import (
@@ -11,23 +18,23 @@
 	"fmt"
 )
 
-// Kind says what a fact is about.
+// Kind is what a fact describes.
 type Kind uint8
 
-// The kinds of facts. Their numbers are part of the wire's form; those of a newer build are
-// passed over.
+// The kinds of facts. Their numbers are part of the wire format; unknown kinds of newer builds
+// are ignored.
 const (
-	Runner  Kind = 1 // a runner as a discovery told of it; Scope names the discovery
-	Health  Kind = 3 // how a runner does, by who met it
-	Fate    Kind = 5 // a job with a key; Scope names the group that drops its repeats, and who sent it
-	Gang    Kind = 6 // how a part of a gang does, by whose part it is
-	kindEnd Kind = 7 // 2 and 4 are not in use
+	Runner     Kind = 1 // a runner as listed by a discovery; Scope names the discovery
+	Health     Kind = 3 // health of a runner, as measured by a member
+	JobOutcome Kind = 5 // outcome record of a keyed job; Scope names the group that deduplicates it and the writer
+	Gang       Kind = 6 // progress of one part of a gang, reported by the member that runs it
+	kindEnd    Kind = 7 // 2 and 4 are not in use
 )
 
-// Kinds is how many kinds there are, 0 among them, for tables by kind.
+// Kinds is the number of kinds, including the unused 0, for tables indexed by kind.
 const Kinds = int(kindEnd)
 
-// State is where a runner or a job is; the higher of two wins where nothing else tells.
+// State is the state of a runner or of a job. The higher of two wins if nothing else decides.
 type State uint8
 
 // The states of runners and of jobs.
@@ -36,47 +43,47 @@
 	Draining State = 2
 	Deleted  State = 3
 
-	Free State = 1 // what was sent surely never ran
-	Sent State = 2 // it may have run
-	Done State = 3 // it has run
+	NeverRan State = 1 // what was sent has certainly not run
+	Sent     State = 2 // it may have run
+	Done     State = 3 // it has run
 )
 
 // The bounds of a fact's texts, in bytes.
 const (
 	maxName  = 256
 	maxEntry = 1 << 10
-	// ahead is how far a fact's time may lie ahead of the reader's clock, in ms. Guards
-	// against a member whose clock has jumped: what it tells would count as newest for ever.
-	ahead = 60_000
+	// maxClockLead is how far a fact's time may be ahead of the reader's clock, in ms. Without it,
+	// the facts of a member whose clock has jumped ahead would win for ever.
+	maxClockLead = 60_000
 )
 
-// Key names a fact: there is one for each in a store.
+// Key identifies a fact; a store holds one fact for each key.
 type Key struct {
 	Kind  Kind   `json:"k"`
-	Name  string `json:"n"`           // a runner's uid, a job's class and key
+	Name  string `json:"n"`           // a runner's UID, or a job's class and key
 	Scope string `json:"s,omitempty"` // see Kind
 }
 
-// Fact is what is known under a key. Kind tells which fields count.
+// Fact is the value of a key. Its kind determines which fields are set.
 type Fact struct {
 	Key
-	State State           `json:"st,omitempty"` // Runner, Fate
-	Gen   uint64          `json:"g,omitempty"`  // Runner: how often the discovery has begun its versions anew
-	Rev   uint64          `json:"r,omitempty"`  // Runner: the discovery's version; Fate: how many rest on the word
+	State State           `json:"st,omitempty"` // Runner, JobOutcome
+	Gen   uint64          `json:"g,omitempty"`  // Runner: how often the discovery has restarted its versions
+	Rev   uint64          `json:"r,omitempty"`  // Runner: the discovery's version; JobOutcome: attempts that rely on the record
 	Boot  int64           `json:"b,omitempty"`  // Runner: its last start, ms since 1970
-	Entry json.RawMessage `json:"e,omitempty"`  // Runner: the discovery's words; Health: the teller's
-	At    int64           `json:"t,omitempty"`  // ms since 1970: told, measured, or first sent
-	Until int64           `json:"u,omitempty"`  // Fate: when the window ends
-	By    string          `json:"by,omitempty"` // the member who tells
-	Epoch uint64          `json:"ep,omitempty"` // Fate: drawn at the teller's start
-	Sum   string          `json:"d,omitempty"`  // Fate: digest of the result
+	Entry json.RawMessage `json:"e,omitempty"`  // Runner: the discovery's entry; Health and Gang: the writer's report
+	At    int64           `json:"t,omitempty"`  // ms since 1970: received, measured, or first sent
+	Until int64           `json:"u,omitempty"`  // JobOutcome: end of the deduplication window, ms since 1970
+	By    string          `json:"by,omitempty"` // the member that wrote it
+	Epoch uint64          `json:"ep,omitempty"` // JobOutcome: drawn at the writer's start
+	Sum   string          `json:"d,omitempty"`  // JobOutcome: digest of the result
 }
 
-// Valid returns why a fact can't be meant, nil where it can. Guards a store against members
-// that are broken or speak another form.
-func (f *Fact) Valid(now int64) error {
+// Validate returns why the fact is invalid at time now (ms since 1970), nil if it is valid. It
+// protects a store from members that are faulty or speak another format.
+func (f *Fact) Validate(now int64) error {
 	switch {
-	case f.Kind != Runner && f.Kind != Health && f.Kind != Fate && f.Kind != Gang:
+	case f.Kind != Runner && f.Kind != Health && f.Kind != JobOutcome && f.Kind != Gang:
 		return fmt.Errorf("kind %d is not known", f.Kind)
 	case f.Name == "" || len(f.Name) > maxName || len(f.Scope) > maxName || len(f.By) > maxName || len(f.Sum) > maxName:
 		return errors.New("a name is empty or too long")
@@ -84,35 +91,35 @@
 		return fmt.Errorf("an entry of %d bytes, %d is the most", len(f.Entry), maxEntry)
 	case len(f.Entry) > 0 && !json.Valid(f.Entry):
 		return errors.New("its entry is no JSON")
-	case f.At > now+ahead:
+	case f.At > now+maxClockLead:
 		return fmt.Errorf("it is %d s ahead of the clock here", (f.At-now)/1000)
-	case f.Kind == Runner && (f.State < Serving || f.State > Deleted) || f.Kind == Fate && (f.State < Free || f.State > Done):
+	case f.Kind == Runner && (f.State < Serving || f.State > Deleted) || f.Kind == JobOutcome && (f.State < NeverRan || f.State > Done):
 		return fmt.Errorf("state %d is not known", f.State)
-	case f.Kind == Fate && (f.Until <= f.At || f.Until > f.At+maxWindow):
+	case f.Kind == JobOutcome && (f.Until <= f.At || f.Until > f.At+maxWindow):
 		return errors.New("its window can't be meant")
 	}
 	return nil
 }
 
-// maxWindow is the longest that a key may be kept, a day in ms.
+// maxWindow is the longest deduplication window, in ms: a day.
 const maxWindow = 24 * 3600 * 1000
 
-// Newer is the rule for copies that differ: above 0 where a counts before b, below where b
-// does, 0 only where they are the same. It is a strict order of all facts under one key, so
-// that merging is associative, commutative and idempotent, whatever the order of arrival.
+// Compare orders two versions of a fact under one key: it returns a positive number if a wins, a
+// negative one if b wins, and 0 only if they are equal. The order is strict and total, so that
+// merging is associative, commutative and idempotent in any order of arrival.
 //
-//   - a runner as a discovery told of it: the later count of its versions, the higher
-//     version, and of equal versions the state that takes work away;
-//   - health, and how a part of a gang does: the one measured later;
-//   - a job's fate: done before all, else what its one writer has said later.
-func Newer(a, b *Fact) int {
+//   - A runner: the later restart of the discovery's versions, then the higher version, then the
+//     state that takes work away.
+//   - Health and progress of a part of a gang: the later time.
+//   - A job's outcome: done wins, otherwise the later record of its only writer.
+func Compare(a, b *Fact) int {
 	first := 0
 	switch a.Kind {
 	case Runner:
 		first = cmp.Or(cmp.Compare(a.Gen, b.Gen), cmp.Compare(a.Rev, b.Rev), cmp.Compare(a.State, b.State), cmp.Compare(a.Boot, b.Boot))
 	case Health, Gang:
 		first = cmp.Compare(a.At, b.At)
-	case Fate:
+	case JobOutcome:
 		done := func(f *Fact) int { return max(int(f.State)-int(Sent), 0) }
 		first = cmp.Or(cmp.Compare(done(a), done(b)), cmp.Compare(a.At, b.At), cmp.Compare(a.Rev, b.Rev), cmp.Compare(b.State, a.State))
 	}
@@ -121,8 +128,8 @@
 		cmp.Compare(a.Gen, b.Gen), cmp.Compare(a.Rev, b.Rev), cmp.Compare(a.Boot, b.Boot), cmp.Compare(a.Epoch, b.Epoch))
 }
 
-// Differ tells whether two copies contradict each other, so that people should hear of it: a
-// job that was done twice with different results.
-func Differ(a, b *Fact) bool {
-	return a.Kind == Fate && a.State == Done && b.State == Done && a.Sum != b.Sum && a.Group() == b.Group()
+// Conflict reports whether two facts contradict each other in a way that operators should know: a
+// job was executed twice with different results.
+func Conflict(a, b *Fact) bool {
+	return a.Kind == JobOutcome && a.State == Done && b.State == Done && a.Sum != b.Sum && a.Group() == b.Group()
 }
