--- a/internal/dispatcher/fleet/replica/store.go
+++ b/internal/dispatcher/fleet/replica/store.go
@@ -10,113 +10,113 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Buckets is how many parts a store is compared in.
+// Buckets is the number of buckets in which two stores are compared.
 const Buckets = 256
 
-// Bounds are how many facts of each kind a store holds at most; past them the oldest go.
+// Bounds are the most facts of each kind that a store holds; beyond them the oldest are dropped.
 type Bounds [Kinds]int
 
-// DefaultBounds fits 20,000 runners, 100,000 keys and 20,000 parts of gangs.
+// DefaultBounds returns the bounds for 20,000 runners, 100,000 keys and 20,000 parts of gangs.
 func DefaultBounds() Bounds {
-	return Bounds{Runner: 20_000, Health: 20_000, Fate: 100_000, Gang: 20_000}
+	return Bounds{Runner: 20_000, Health: 20_000, JobOutcome: 100_000, Gang: 20_000}
 }
 
-// tombstones is how long a runner that is gone is remembered, in ms. A copy of it that is
-// older than that and comes back from a member long cut off would list it again, so those
-// have to fetch everything anew (see Stale).
-const tombstones = 10 * 60_000
+// tombstoneTTL is how long a removed runner is remembered, in ms. An older fact about it from a
+// member that was partitioned for longer would list it again.
+const tombstoneTTL = 10 * 60_000
 
-// gangs is how long a word on a part of a gang counts, in ms.
-const gangs = 60_000
+// gangTTL is how long a report on a part of a gang is valid, in ms.
+const gangTTL = 60_000
 
-// Store holds facts. It is not safe for use by several goroutines.
+// Store holds the facts of one member. It is not safe for concurrent use.
 type Store struct {
-	bounds  Bounds
-	facts   map[Key]held
-	counts  [Kinds]int
-	buckets [Buckets]map[Key]struct{}
-	sums    [Buckets]uint64
-	floors  [Kinds]int64 // facts up to this age have been dropped
-	dropped [Kinds]uint64
-	fates   map[string][]string // the scopes of each key that has a fate
+	bounds        Bounds
+	facts         map[Key]storedFact
+	counts        [Kinds]int
+	buckets       [Buckets]map[Key]struct{}
+	sums          [Buckets]uint64 // sum of the digests of each bucket's facts
+	floors        [Kinds]int64    // facts of a kind that are as old as its floor, or older, have been dropped
+	dropped       [Kinds]uint64
+	outcomeScopes map[string][]string // scopes of the outcome records, by name
 }
 
-type held struct {
+type storedFact struct {
 	Fact
 	sum uint64
 }
 
-// New makes an empty store.
+// New returns an empty store.
 func New(b Bounds) *Store {
-	s := &Store{bounds: b, facts: map[Key]held{}, fates: map[string][]string{}}
+	s := &Store{bounds: b, facts: map[Key]storedFact{}, outcomeScopes: map[string][]string{}}
 	for i := range s.buckets {
 		s.buckets[i] = map[Key]struct{}{}
 	}
 	return s
 }
 
-// Outcome says what became of a fact that was merged.
-type Outcome uint8
+// MergeResult is the result of merging a fact.
+type MergeResult uint8
 
-// The outcomes.
+// The merge results.
 const (
-	Same    Outcome = iota // it was there
-	Took                   // it is new, or counts before what was there
-	Kept                   // what was there counts before it
-	TooOld                 // it has ended, or its like has been dropped for want of room
-	Invalid                // it can't be meant
+	Duplicate  MergeResult = iota // the store holds it already
+	Accepted                      // it is new, or wins over the stored fact
+	Superseded                    // the stored fact wins
+	Expired                       // it has expired, or facts of its age were dropped to keep the bounds
+	Invalid                       // it is malformed; see Validate
 )
 
-// Merge takes in a fact. Conflict is set where it contradicts what was there.
-func (s *Store) Merge(f Fact, now int64) (out Outcome, conflict bool, err error) {
-	if err := f.Valid(now); err != nil {
+// Merge merges a fact at time now (ms since 1970). conflict is set if it contradicts a stored
+// fact. The error of an Invalid fact says why.
+func (s *Store) Merge(f Fact, now int64) (out MergeResult, conflict bool, err error) {
+	if err := f.Validate(now); err != nil {
 		return Invalid, false, err
 	}
-	if s.old(&f, now) {
-		return TooOld, false, nil
+	if s.expired(&f, now) {
+		return Expired, false, nil
 	}
-	was, ok := s.facts[f.Key]
-	if ok && ended(&was.Fact, now) { // a key that comes again after its window begins another
+	previous, ok := s.facts[f.Key]
+	if ok && expired(&previous.Fact, now) { // a key that is reused after its window begins a new one
 		s.remove(f.Key)
 		ok = false
 	}
 	if !ok {
 		s.put(f)
 		s.shrink(f.Kind)
-		return Took, s.differs(&f), nil
+		return Accepted, s.conflicts(&f), nil
 	}
-	order := Newer(&f, &was.Fact)
+	order := Compare(&f, &previous.Fact)
 	if order == 0 {
-		return Same, false, nil
+		return Duplicate, false, nil
 	}
-	conflict = Differ(&f, &was.Fact)
+	conflict = Conflict(&f, &previous.Fact)
 	if order < 0 {
-		return Kept, conflict, nil
+		return Superseded, conflict, nil
 	}
 	s.remove(f.Key)
 	s.put(f)
-	return Took, conflict || s.differs(&f), nil
+	return Accepted, conflict || s.conflicts(&f), nil
 }
 
-// differs tells whether another process has told of the same job otherwise.
-func (s *Store) differs(f *Fact) bool {
-	return f.Kind == Fate && f.State == Done && slices.ContainsFunc(s.fates[f.Name], func(scope string) bool {
-		o, ok := s.facts[Key{Fate, f.Name, scope}]
-		return ok && Differ(f, &o.Fact)
+// conflicts reports whether another process has recorded a different result of the same job.
+func (s *Store) conflicts(f *Fact) bool {
+	return f.Kind == JobOutcome && f.State == Done && slices.ContainsFunc(s.outcomeScopes[f.Name], func(scope string) bool {
+		o, ok := s.facts[Key{JobOutcome, f.Name, scope}]
+		return ok && Conflict(f, &o.Fact)
 	})
 }
 
-// old tells whether a fact has ended or fell under what has been dropped.
-func (s *Store) old(f *Fact, now int64) bool { return ended(f, now) || f.At <= s.floors[f.Kind] }
+// expired reports whether a fact has expired or is as old as dropped facts of its kind.
+func (s *Store) expired(f *Fact, now int64) bool { return expired(f, now) || f.At <= s.floors[f.Kind] }
 
-func ended(f *Fact, now int64) bool {
+func expired(f *Fact, now int64) bool {
 	switch f.Kind {
-	case Fate:
+	case JobOutcome:
 		return f.Until <= now
 	case Gang:
-		return f.At+gangs <= now
+		return f.At+gangTTL <= now
 	case Runner:
-		return f.State == Deleted && f.At+tombstones <= now
+		return f.State == Deleted && f.At+tombstoneTTL <= now
 	}
 	return false
 }
@@ -128,15 +128,15 @@
 func (s *Store) put(f Fact) {
 	text, err := json.Marshal(f)
 	if err != nil {
-		return // can't be: its entry has been checked
+		return // impossible: its entry was validated
 	}
-	h, b := held{Fact: f, sum: xxhash.Sum64(text)}, bucket(f.Key)
+	h, b := storedFact{Fact: f, sum: xxhash.Sum64(text)}, bucket(f.Key)
 	s.facts[f.Key] = h
 	s.counts[f.Kind]++
 	s.buckets[b][f.Key] = struct{}{}
-	s.sums[b] += h.sum // sums, as they don't depend on the order
-	if f.Kind == Fate {
-		s.fates[f.Name] = append(s.fates[f.Name], f.Scope)
+	s.sums[b] += h.sum // a sum does not depend on the order
+	if f.Kind == JobOutcome {
+		s.outcomeScopes[f.Name] = append(s.outcomeScopes[f.Name], f.Scope)
 	}
 }
 
@@ -150,37 +150,38 @@
 	delete(s.buckets[b], k)
 	s.counts[k.Kind]--
 	s.sums[b] -= h.sum
-	if k.Kind != Fate {
+	if k.Kind != JobOutcome {
 		return
 	}
-	if left := slices.DeleteFunc(s.fates[k.Name], func(scope string) bool { return scope == k.Scope }); len(left) > 0 {
-		s.fates[k.Name] = left
+	if left := slices.DeleteFunc(s.outcomeScopes[k.Name], func(scope string) bool { return scope == k.Scope }); len(left) > 0 {
+		s.outcomeScopes[k.Name] = left
 	} else {
-		delete(s.fates, k.Name)
+		delete(s.outcomeScopes, k.Name)
 	}
 }
 
-// shrink drops the oldest facts of a kind that has passed its bound, and a sixteenth of the
-// bound beyond them, so that it does not happen at each fact.
+// shrink drops the oldest facts of a kind that exceeds its bound, and a sixteenth of the bound
+// more, so that the next facts do not cause it again.
 func (s *Store) shrink(kind Kind) {
 	over := s.counts[kind] - s.bounds[kind]
 	if over <= 0 {
 		return
 	}
-	var all []held
+	var all []storedFact
 	for _, h := range s.facts {
 		if h.Kind == kind {
 			all = append(all, h)
 		}
 	}
-	slices.SortFunc(all, func(a, b held) int { return cmp.Compare(a.At, b.At) })
+	slices.SortFunc(all, func(a, b storedFact) int { return cmp.Compare(a.At, b.At) })
 	last := all[min(over-1+s.bounds[kind]/16, len(all)-1)]
-	s.raise(kind, last.At)
+	s.raiseFloor(kind, last.At)
 }
 
-// raise drops what is as old as a time, or older. The floor is spread like the facts, as a
-// member that kept them would send them again and again.
-func (s *Store) raise(kind Kind, at int64) {
+// raiseFloor drops the facts of a kind that are as old as at (ms since 1970) or older. The floor
+// is sent to the other members like a fact: a member that kept those facts would send them again
+// and again.
+func (s *Store) raiseFloor(kind Kind, at int64) {
 	if at <= s.floors[kind] {
 		return
 	}
@@ -193,33 +194,33 @@
 	}
 }
 
-// Expire drops what has ended.
+// Expire drops the expired facts.
 func (s *Store) Expire(now int64) {
 	for k, h := range s.facts {
-		if ended(&h.Fact, now) {
+		if expired(&h.Fact, now) {
 			s.remove(k)
 		}
 	}
 }
 
-// Get returns the fact under a key.
+// Get returns the fact of a key.
 func (s *Store) Get(k Key) (Fact, bool) {
 	h, ok := s.facts[k]
 	return h.Fact, ok
 }
 
-// Fates returns what is known of a key, in every group, that has not ended.
-func (s *Store) Fates(name string, now int64) (out []Fact) {
-	for _, scope := range s.fates[name] {
-		if f, ok := s.Get(Key{Fate, name, scope}); ok && !ended(&f, now) {
+// Outcomes returns the unexpired outcome records of a key in all groups.
+func (s *Store) Outcomes(name string, now int64) (out []Fact) {
+	for _, scope := range s.outcomeScopes[name] {
+		if f, ok := s.Get(Key{JobOutcome, name, scope}); ok && !expired(&f, now) {
 			out = append(out, f)
 		}
 	}
 	return out
 }
 
-// Len returns how many facts of a kind there are, and how many were dropped for want of room.
-func (s *Store) Len(kind Kind) (held int, dropped uint64) { return s.counts[kind], s.dropped[kind] }
+// Len returns the number of facts of a kind, and how many were dropped to keep its bound.
+func (s *Store) Len(kind Kind) (stored int, dropped uint64) { return s.counts[kind], s.dropped[kind] }
 
 // All returns the facts of a kind, ordered by name and scope.
 func (s *Store) All(kind Kind) []Fact {
@@ -233,17 +234,18 @@
 	return out
 }
 
-// Digest is a store in short: equal stores have equal ones, and those that differ tell where.
+// Digest summarises a store: equal stores have equal digests, and the sums of two digests show in
+// which buckets the stores differ.
 type Digest struct {
 	Sums   [Buckets]uint64 `json:"sums"`
 	Floors [Kinds]int64    `json:"floors"`
 }
 
-// Digest returns the store's.
+// Digest returns the store's digest.
 func (s *Store) Digest() Digest { return Digest{Sums: s.sums, Floors: s.floors} }
 
-// Whole returns one number for the digest, for people and tests to compare.
-func (d Digest) Whole() uint64 {
+// Checksum folds the digest into one number for operators and tests to compare.
+func (d Digest) Checksum() uint64 {
 	var sum uint64
 	for i, x := range d.Sums {
 		sum ^= bits.RotateLeft64(x*0x9e3779b97f4a7c15, i%64)
@@ -251,12 +253,13 @@
 	return sum
 }
 
-// Against returns the buckets in which the other's facts differ from the store's, and takes
-// over the floors of the other's. Guards against a floor from tomorrow, which would empty it.
-func (s *Store) Against(other Digest, now int64) []int {
+// DifferingBuckets returns the buckets in which the other store differs, and adopts the other's
+// floors. A floor ahead of now (ms since 1970) by more than the allowed clock lead is ignored, as
+// it would empty the store.
+func (s *Store) DifferingBuckets(other Digest, now int64) []int {
 	for kind, floor := range other.Floors {
-		if floor <= now+ahead {
-			s.raise(Kind(kind), floor)
+		if floor <= now+maxClockLead {
+			s.raiseFloor(Kind(kind), floor)
 		}
 	}
 	var differ []int
@@ -268,7 +271,7 @@
 	return differ
 }
 
-// Bucket returns the facts of one bucket.
+// Bucket returns the facts of a bucket, nil for one out of range.
 func (s *Store) Bucket(i int) []Fact {
 	if i < 0 || i >= Buckets {
 		return nil
--- a/internal/testkit/compatibility/dispatcher/agreedlog_test.go
+++ b/internal/testkit/compatibility/dispatcher/agreedlog_test.go
@@ -110,11 +110,11 @@
 	applied chan ledger.Done
 }
 
-func (s sink) Agreed(d ledger.Done)        { s.applied <- d }
-func (s sink) Restored(_, _ ledger.State)  {}
-func (s sink) Led(leader string, _ uint64) { s.led <- leader }
-func (s sink) Formed(_ string, _ bool)     {}
-func newSink() sink                        { return sink{make(chan string, 64), make(chan ledger.Done, 256)} }
+func (s sink) Applied(d ledger.Done)                 { s.applied <- d }
+func (s sink) Restored(_, _ ledger.State)            {}
+func (s sink) LeaderChanged(leader string, _ uint64) { s.led <- leader }
+func (s sink) LogOpened(_ string, _ bool)            {}
+func newSink() sink                                  { return sink{make(chan string, 64), make(chan ledger.Done, 256)} }
 func (s sink) await(t *testing.T, id string) {
 	t.Helper()
 	late := time.After(wait)
@@ -180,7 +180,7 @@
 				}
 			}
 			ctx, cancel := context.WithTimeout(context.Background(), wait)
-			if _, err := q.Propose(ctx, e); err != nil && e.Valid() == nil {
+			if _, err := q.Propose(ctx, e); err != nil && e.Validate() == nil {
 				t.Fatal(err)
 			}
 			cancel()
@@ -220,7 +220,7 @@
 // TestCompatibilityMark has the file that is kept apart from the log read, and written in the same bytes.
 func TestCompatibilityMark(t *testing.T) {
 	dir := t.TempDir()
-	want := mark.Mark{Log: "PZQ3", Index: 17, Out: []string{"s-1", "s-2"}}
+	want := mark.Watermark{Log: "PZQ3", Index: 17, Out: []string{"s-1", "s-2"}}
 	if err := mark.Write(dir, want); err != nil {
 		t.Fatal(err)
 	}
@@ -242,7 +242,7 @@
 // for its next start.
 func TestCompatibilityBeginAnew(t *testing.T) {
 	keep, dir := copyFolder(t, "mark"), t.TempDir()
-	if _, err := cluster.BeginAnew(cluster.Config{Name: "m", Listen: "127.0.0.1:7946", Dir: dir, Keep: keep}, true); err != nil {
+	if _, err := cluster.BeginAnew(cluster.Config{Name: "m", Listen: "127.0.0.1:7946", Dir: dir, WatermarkDir: keep}, true); err != nil {
 		t.Fatal(err)
 	}
 	files := map[string]json.RawMessage{}
--- a/internal/testkit/lab/faults/await.go
+++ b/internal/testkit/lab/faults/await.go
@@ -56,8 +56,8 @@
 			return err
 		}
 		return r.each(who, func(m *member, got cluster.Report) error {
-			if got.Back == nil || w[0] == "sharers" && strconv.Itoa(got.Back.Sharers) != w[1] || w[0] == "stage" && !reached(got.Back.Stage, w[1]) {
-				return fmt.Errorf("%s is %+v", m.name, got.Back)
+			if got.Rejoin == nil || w[0] == "sharers" && strconv.Itoa(got.Rejoin.Sharers) != w[1] || w[0] == "stage" && !reached(got.Rejoin.Stage, w[1]) {
+				return fmt.Errorf("%s is %+v", m.name, got.Rejoin)
 			}
 			return nil
 		})
@@ -72,8 +72,8 @@
 		}
 		return r.each(who, func(m *member, got cluster.Report) error {
 			for _, i := range got.Members {
-				if i.Life == members.Alive && i.Name != m.name && i.Trip < time.Duration(ms)*time.Millisecond {
-					return fmt.Errorf("from %s to %s it is %s", m.name, i.Name, i.Trip)
+				if i.Status == members.Alive && i.Name != m.name && i.RTT < time.Duration(ms)*time.Millisecond {
+					return fmt.Errorf("from %s to %s it is %s", m.name, i.Name, i.RTT)
 				}
 			}
 			return nil
@@ -84,7 +84,7 @@
 			return err
 		}
 		return r.each(who, func(m *member, got cluster.Report) error {
-			if _, out := got.State.Out[w[1]]; out != (w[0] == "out") {
+			if _, out := got.State.Excluded[w[1]]; out != (w[0] == "out") {
 				return fmt.Errorf("at %s it is out: %t", m.name, out)
 			}
 			return nil
--- a/internal/testkit/lab/faults/held.go
+++ b/internal/testkit/lab/faults/held.go
@@ -62,9 +62,9 @@
 		for _, m := range who[1:] {
 			got := all[m]
 			switch {
-			case got.Copies.Digest != first.Copies.Digest:
-				return fmt.Errorf("copies differ: %s at %s with %v, %s at %s with %v", first.Copies.Digest, who[0].name, first.Copies.Held, got.Copies.Digest, m.name, got.Copies.Held)
-			case got.State.Index != first.State.Index || len(got.State.Out) != len(first.State.Out):
+			case got.Replicas.Digest != first.Replicas.Digest:
+				return fmt.Errorf("copies differ: %s at %s with %v, %s at %s with %v", first.Replicas.Digest, who[0].name, first.Replicas.Stored, got.Replicas.Digest, m.name, got.Replicas.Stored)
+			case got.State.Index != first.State.Index || len(got.State.Excluded) != len(first.State.Excluded):
 				return fmt.Errorf("logs differ: %d at %s, %d at %s", first.State.Index, who[0].name, got.State.Index, m.name)
 			}
 		}
--- a/internal/testkit/lab/faults/run.go
+++ b/internal/testkit/lab/faults/run.go
@@ -61,7 +61,7 @@
 	if len(r.result.Broken) > 0 {
 		for _, m := range r.running() {
 			if got, err := f.report(m); err == nil {
-				text, _ := json.Marshal(map[string]any{"members": got.Members, "log": got.Log, "copies": got.Copies}) // plain values
+				text, _ := json.Marshal(map[string]any{"members": got.Members, "log": got.Log, "copies": got.Replicas}) // plain values
 				r.result.Logs += m.name + " " + string(text) + "\n"
 			}
 		}
--- a/internal/testkit/lab/faults/steps.go
+++ b/internal/testkit/lab/faults/steps.go
@@ -137,8 +137,8 @@
 	}
 	return r.until(func() error {
 		got, err := r.fleet.report(m)
-		if err == nil && (got.Copies.Held["health"] != 1 || got.Copies.Refused == 0) {
-			err = fmt.Errorf("it holds %v and has refused %d", got.Copies.Held, got.Copies.Refused)
+		if err == nil && (got.Replicas.Stored["health"] != 1 || got.Replicas.Rejected == 0) {
+			err = fmt.Errorf("it holds %v and has refused %d", got.Replicas.Stored, got.Replicas.Rejected)
 		}
 		return err
 	})
--- a/internal/testkit/lab/faults/watch.go
+++ b/internal/testkit/lab/faults/watch.go
@@ -86,7 +86,7 @@
 	if s.Log == "" {
 		return // it has no name yet
 	}
-	for _, d := range s.Last {
+	for _, d := range s.Recent {
 		at := place{s.Log, d.Index}
 		text := fmt.Sprintf("%s %s %s %t", d.ID, d.Op, d.UID, d.Changed)
 		if was, ok := w.entries[at]; ok && was != text {
@@ -95,7 +95,7 @@
 		}
 		w.entries[at], w.by[at] = text, member
 	}
-	if was, ok := w.last[member]; ok && s.Log == was.Log && s.Index < was.Index && s.Index > 0 && len(s.Last) >= len(was.Last) {
+	if was, ok := w.last[member]; ok && s.Log == was.Log && s.Index < was.Index && s.Index > 0 && len(s.Recent) >= len(was.Recent) {
 		w.faults = append(w.faults, fmt.Sprintf("%s went back from entry %d to %d with more entries", member, was.Index, s.Index))
 	}
 	w.last[member] = s
@@ -156,7 +156,7 @@
 	at := int64(end) + 1
 	for _, member := range sortedKeys(ends) {
 		for _, uid := range sortedKeys(uids) {
-			_, out := ends[member].Out[uid]
+			_, out := ends[member].Excluded[uid]
 			sure = append(sure, porcupine.Operation{ClientId: len(w.calls) + 1, Input: input{uid: uid, read: true}, Output: out, Call: at, Return: at + 1})
 			at += 2
 		}
--- a/internal/testkit/lab/faults/who.go
+++ b/internal/testkit/lab/faults/who.go
@@ -142,7 +142,7 @@
 
 func alive(got cluster.Report) (n int) {
 	for _, i := range got.Members {
-		if i.Life == members.Alive {
+		if i.Status == members.Alive {
 			n++
 		}
 	}
--- a/internal/testkit/lab/scale/member.go
+++ b/internal/testkit/lab/scale/member.go
@@ -80,11 +80,11 @@
 	sent := make(map[string]uint64)
 	own.Beside = func(ctx context.Context) {
 		for _, m := range fleet.Members() {
-			sent[m.Name] = m.Sent()
+			sent[m.Name] = m.SentBytes()
 		}
 		w.run(ctx)
 		for _, m := range fleet.Members() {
-			sent[m.Name] = m.Sent() - sent[m.Name]
+			sent[m.Name] = m.SentBytes() - sent[m.Name]
 		}
 	}
 	r.plan.Member = own
@@ -130,7 +130,7 @@
 	if !own.Voter {
 		r, _ = f.Member(0).Report(ctx)
 	}
-	if have := len(r.Log.Voters) + len(r.Log.Followed); r.Log.Role != "leader" || have < members {
+	if have := len(r.Log.Voters) + len(r.Log.Followers); r.Log.Role != "leader" || have < members {
 		return fmt.Errorf("the log's leader is %q, it has %d of %d members", r.Log.Leader, have, members)
 	}
 	return nil
--- a/internal/testkit/lab/simulatedmembers/simulatedmembers.go
+++ b/internal/testkit/lab/simulatedmembers/simulatedmembers.go
@@ -161,13 +161,13 @@
 }
 
 // Hear is not used here.
-func (m *Member) Hear(string, uint64, [][]byte) {}
+func (m *Member) ApplyRunners(string, uint64, [][]byte) {}
 
 // Hint is not used here.
-func (m *Member) Hint(string, []byte) {}
+func (m *Member) ApplyHealth(string, []byte) {}
 
 // HearGang is not used here.
-func (m *Member) HearGang([]byte) {}
+func (m *Member) ApplyGang([]byte) {}
 
 var errLate = errors.New("not told in time")
 
@@ -200,7 +200,7 @@
 	for {
 		least := n
 		for _, m := range f.Members() {
-			least = min(least, m.Alive())
+			least = min(least, m.AliveCount())
 		}
 		switch {
 		case least >= n:
--- a/internal/testkit/lab/size/member.go
+++ b/internal/testkit/lab/size/member.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return t, err
 	}
-	t.packets = int64(r.Copies.Sent)
+	t.packets = int64(r.Replicas.Sent)
 	t.written, t.disk, err = d.Written()
 	return t, err
 }
--- a/internal/testkit/lab/spread/spread.go
+++ b/internal/testkit/lab/spread/spread.go
@@ -36,11 +36,11 @@
 func (l *listener) Exclude(string, bool, time.Time) {}
 
 // Hint is not used here.
-func (l *listener) Hint(string, []byte) {}
-func (l *listener) HearGang([]byte)     {}
+func (l *listener) ApplyHealth(string, []byte) {}
+func (l *listener) ApplyGang([]byte)           {}
 
 // Hear notes a version.
-func (l *listener) Hear(_ string, rev uint64, _ [][]byte) {
+func (l *listener) ApplyRunners(_ string, rev uint64, _ [][]byte) {
 	l.mu.Lock()
 	l.heard[rev] = true
 	l.mu.Unlock()
@@ -96,7 +96,7 @@
 	f := &Figures{}
 	if err := until(func() error {
 		for i, c := range all {
-			if got := c.Alive(); got < n {
+			if got := c.AliveCount(); got < n {
 				return fmt.Errorf("member %d sees %d of %d", i, got, n)
 			}
 		}
@@ -110,13 +110,13 @@
 		uid := fmt.Sprintf("s-%04d", i)
 		entries[i] = cluster.Entry{UID: uid, State: replica.Serving, Text: entry(uid, "SERVING")}
 	}
-	all[0].Told("one", 1, true, false, entries)
+	all[0].PublishRunners("one", 1, true, false, entries)
 	if err := until(func() error { return equal(all) }); err != nil {
 		return nil, err
 	}
 	if err := until(func() error { // what was said at the beginning has been said
 		for _, c := range all {
-			if c.Waiting() > 0 {
+			if c.QueuedUpdates() > 0 {
 				return errors.New("words wait")
 			}
 		}
@@ -126,13 +126,13 @@
 	}
 	var before uint64
 	for _, c := range all {
-		before += c.Sent()
+		before += c.SentBytes()
 	}
 	at := time.Now()
 	<-time.After(3 * time.Second) // what is measured is this time's traffic
 	var after uint64
 	for _, c := range all {
-		after += c.Sent()
+		after += c.SentBytes()
 	}
 	f.Idle = float64(after-before) / time.Since(at).Seconds() / float64(n)
 	for i := range drains {
@@ -143,7 +143,7 @@
 		}
 		at := time.Now()
 		teller := i % n
-		all[teller].Told("one", rev, false, false, []cluster.Entry{{UID: uid, State: state, Text: entry(uid, word)}})
+		all[teller].PublishRunners("one", rev, false, false, []cluster.Entry{{UID: uid, State: state, Text: entry(uid, word)}})
 		for j, l := range ears {
 			if j == teller {
 				continue
@@ -191,11 +191,11 @@
 		uid := fmt.Sprintf("s-%04d", i)
 		entries[i] = cluster.Entry{UID: uid, State: replica.Serving, Text: entry(uid, "SERVING")}
 	}
-	first.Told("one", 1, true, false, entries)
+	first.PublishRunners("one", 1, true, false, entries)
 	var told sync.WaitGroup
 	for i := range keys {
 		told.Add(1)
-		first.Tell(cluster.Fate{Name: fmt.Sprintf("release/key-%06d", i), Group: "a#0"}, replica.Sent, time.Hour, "", time.Now().Add(time.Hour), told.Done)
+		first.RecordOutcome(cluster.OutcomeKey{Name: fmt.Sprintf("release/key-%06d", i), Group: "a#0"}, replica.Sent, time.Hour, "", time.Now().Add(time.Hour), told.Done)
 	}
 	told.Wait()
 	began := time.Now()
@@ -222,8 +222,8 @@
 		case !ok:
 			return errors.New("no answer")
 		case i == 0:
-			first = r.Copies.Digest
-		case r.Copies.Digest != first:
+			first = r.Replicas.Digest
+		case r.Replicas.Digest != first:
 			return fmt.Errorf("member %d differs", i)
 		}
 	}
