--- a/cmd/frosttide/gangs.go
+++ b/cmd/frosttide/gangs.go
@@ -19,7 +19,7 @@
 // watchGangs makes the watcher of gangs, for this dispatcher alone or with the other
 // members. It returns nil where the settings don't have it, and must be called before
 // the core runs.
-func watchGangs(cfg config.Config, c *core.Core, p *peers, log *logrus.Entry) *gangdesk.Desk {
+func watchGangs(cfg config.Config, c *core.Core, p *peers, log *logrus.Entry) *gangdesk.Watcher {
 	if !cfg.Gang.Enabled {
 		return nil
 	}
@@ -28,11 +28,11 @@
 		checkInterval = time.Second
 	}
 	watcher := gangdesk.New(gangdesk.Config{
-		Every:  cfg.Gang.ReportInterval,
-		Look:   checkInterval,
-		Copies: cfg.Gang.Speculative,
-		Now:    p.clusterTime,
-		Tell:   p.shareGangFact,
+		ReportInterval: cfg.Gang.ReportInterval,
+		CheckInterval:  checkInterval,
+		CopiesAllowed:  cfg.Gang.Speculative,
+		Now:            p.clusterTime,
+		Publish:        p.shareGangFact,
 	}, c, log)
 	c.SetGangObserver(watcher)
 	if p != nil {
@@ -42,14 +42,14 @@
 }
 
 // runGangWatcher runs the watcher, nil for none, until the context ends.
-func runGangWatcher(ctx context.Context, watcher *gangdesk.Desk) {
+func runGangWatcher(ctx context.Context, watcher *gangdesk.Watcher) {
 	if watcher != nil {
 		go watcher.Run(ctx)
 	}
 }
 
 // gangHandler answers operators' calls about gangs. The watcher may be nil.
-func gangHandler(watcher *gangdesk.Desk) http.Handler {
+func gangHandler(watcher *gangdesk.Watcher) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if watcher == nil {
 			http.Error(w, "gangs are watched where [gang] has enabled = true", http.StatusServiceUnavailable)
@@ -82,6 +82,6 @@
 // part of a gang.
 func (p *peers) ApplyGang(fact []byte) {
 	if p.gangWatcher != nil {
-		p.gangWatcher.Hear(fact)
+		p.gangWatcher.AddFact(fact)
 	}
 }
--- a/cmd/frosttide/gearman.go
+++ b/cmd/frosttide/gearman.go
@@ -46,14 +46,14 @@
 	f := &gearmanFront{log: log}
 	g := cfg.Gearman
 	serverConfig := gearman.Config{
-		Listen:      g.Listen,
-		Functions:   gearmanFunctions(cfg),
-		Zone:        max(slices.Index(cfg.Names.Zones, g.Zone), 0),
-		Kind:        max(slices.Index(cfg.Names.Kinds, g.Kind), 0),
-		ZoneName:    g.Zone,
-		Connections: int(g.Connections),
-		Jobs:        int(g.Jobs),
-		Packet:      int(g.Packet),
+		Listen:         g.Listen,
+		Functions:      gearmanFunctions(cfg),
+		Zone:           max(slices.Index(cfg.Names.Zones, g.Zone), 0),
+		Kind:           max(slices.Index(cfg.Names.Kinds, g.Kind), 0),
+		ZoneName:       g.Zone,
+		MaxConnections: int(g.Connections),
+		MaxJobs:        int(g.Jobs),
+		MaxPacketBytes: int(g.Packet),
 	}
 	if g.Certificate != "" {
 		f.tls = &gearman.TLS{}
@@ -84,15 +84,15 @@
 		}
 		c := &cfg.Module.Classes[i]
 		f := gearman.Function{
-			Class:   i,
-			Name:    class,
-			Keyed:   c.Effect == decision.Keyed,
-			GiveUp:  c.ClientTimeout,
-			Worth:   c.Value,
-			Repeats: c.ClientTimeout,
+			Class:       i,
+			Name:        class,
+			Keyed:       c.Effect == decision.Keyed,
+			Timeout:     c.ClientTimeout,
+			Value:       c.Value,
+			RetryWindow: c.ClientTimeout,
 		}
 		if f.Keyed {
-			f.Repeats = c.DedupWindow
+			f.RetryWindow = c.DedupWindow
 		}
 		functions[name] = f
 	}
@@ -102,7 +102,7 @@
 // applySettings puts a configuration in force. Certificates that can't be read leave
 // the old ones in force.
 func (f *gearmanFront) applySettings(cfg config.Config) {
-	f.Functions(gearmanFunctions(cfg))
+	f.SetFunctions(gearmanFunctions(cfg))
 	if f.tls == nil {
 		return
 	}
--- a/cmd/frosttide/peers.go
+++ b/cmd/frosttide/peers.go
@@ -49,11 +49,11 @@
 	core        *core.Core
 	table       *routetable.Table
 	link        *handover.Link
-	roster      *roster.Roster // nil where nothing is stored
-	gangWatcher *gangdesk.Desk // nil where nobody watches gangs
+	roster      *roster.Roster    // nil where nothing is stored
+	gangWatcher *gangdesk.Watcher // nil where nobody watches gangs
 
-	executor atomic.Pointer[executor.Desk] // nil where no workflows are executed
-	stalls   atomic.Int64                  // stalls of the process so far
+	executor atomic.Pointer[executor.Executor] // nil where no workflows are executed
+	stalls   atomic.Int64                      // stalls of the process so far
 
 	mu             sync.Mutex
 	member         *cluster.Cluster // nil before it has opened, and after it has ended
@@ -76,16 +76,16 @@
 	}
 	p := &peers{
 		cfg: cluster.Config{
-			Name:      cfg.Name,
-			Site:      site,
-			Build:     version(),
-			Listen:    s.Listen,
-			Advertise: s.Advertise,
-			Join:      s.Join,
-			Voters:    s.Voters,
-			Dir:       s.Dir,
-			WatermarkDir:   s.WatermarkDir,
-			Source:    cmp.Or(s.Discovery, cfg.Discovery),
+			Name:         cfg.Name,
+			Site:         site,
+			Build:        version(),
+			Listen:       s.Listen,
+			Advertise:    s.Advertise,
+			Join:         s.Join,
+			Voters:       s.Voters,
+			Dir:          s.Dir,
+			WatermarkDir: s.WatermarkDir,
+			Source:       cmp.Or(s.Discovery, cfg.Discovery),
 		},
 		alias:       s.Discovery,
 		log:         log,
--- a/cmd/frosttide/process.go
+++ b/cmd/frosttide/process.go
@@ -42,9 +42,9 @@
 	backends        *backends
 	core            *core.Core
 	exporter        *export.Exporter
-	gangs           *gangdesk.Desk // nil where nobody watches gangs
-	roster          *roster.Roster // nil where nothing is stored
-	gearman         *gearmanFront  // nil without Gearman
+	gangs           *gangdesk.Watcher // nil where nobody watches gangs
+	roster          *roster.Roster    // nil where nothing is stored
+	gearman         *gearmanFront     // nil without Gearman
 	link            *handover.Link
 	front           *ingress.Front
 	listener        net.Listener // of clients
@@ -249,7 +249,7 @@
 		MaxJobs:        p.budget.jobs,
 		MaxConnections: p.budget.ingress,
 		Recorder:       p.exporter,
-		Steps:          workflowfront.Steps{Of: p.peers.currentExecutor},
+		Steps:          workflowfront.Steps{Executor: p.peers.currentExecutor},
 	}, p.core, p.link, p.counts, p.part("ingress"))
 }
 
--- a/cmd/frosttide/workflows.go
+++ b/cmd/frosttide/workflows.go
@@ -13,7 +13,7 @@
 
 // currentExecutor returns the executor of workflows, nil for none. It may be called
 // on nil.
-func (p *peers) currentExecutor() *executor.Desk {
+func (p *peers) currentExecutor() *executor.Executor {
 	if p == nil {
 		return nil
 	}
@@ -25,7 +25,7 @@
 	classes := map[string]executor.Class{}
 	for i, name := range cfg.Names.Classes {
 		if c := cfg.Module.Classes[i]; i >= len(cfg.RemovedClasses) || !cfg.RemovedClasses[i] {
-			classes[name] = executor.Class{Number: i, GiveUp: c.ClientTimeout, Unsafe: c.Effect == decision.Unsafe}
+			classes[name] = executor.Class{Number: i, Timeout: c.ClientTimeout, Unsafe: c.Effect == decision.Unsafe}
 		}
 	}
 	return &classes
@@ -41,7 +41,7 @@
 		c, ok := (*p.workflowClasses.Load())[name]
 		return c, ok
 	}
-	e := executor.New(executor.Config{Name: p.cfg.Name, AtOnce: p.maxUndos, Class: class}, m, p.core, p.log.WithField("part", "workflow"))
+	e := executor.New(executor.Config{Name: p.cfg.Name, MaxConcurrent: p.maxUndos, Class: class}, m, p.core, p.log.WithField("part", "workflow"))
 	p.executor.Store(e)
 	go func() {
 		e.Run(ctx)
--- a/internal/dispatcher/fleet/cluster/flows.go
+++ b/internal/dispatcher/fleet/cluster/flows.go
@@ -9,7 +9,7 @@
 )
 
 // Flows shows the workflows that members agree on; they must not be kept or changed.
-func (c *Cluster) Flows(show func(*statetable.Book)) { c.quorum.Flows(show) }
+func (c *Cluster) Flows(show func(*statetable.Table)) { c.quorum.Flows(show) }
 
 // Seen is how far they go, as the index of an entry.
 func (c *Cluster) Seen() uint64 { return c.quorum.Seen() }
--- a/internal/dispatcher/fleet/gang/board/board.go
+++ b/internal/dispatcher/fleet/gang/board/board.go
@@ -1,8 +1,10 @@
-// Package board is what a dispatcher knows of gangs: its own parts by their workers' reports,
-// other dispatchers' parts by what those tell, and of both how each part stands among its peers.
-// It says which parts a second copy would help, which workers straggle in several gangs, and
-// which gangs can't be in time any more. The package is pure: no I/O, no clock; times are those
-// that all members go by.
+// Package board holds what a dispatcher knows of gangs: its own parts from the reports of their
+// workers, the parts of other dispatchers from the facts that those publish, and how each own part
+// compares with its peers. It decides which parts get a second copy, which workers straggle in
+// several gangs, and which gangs can't meet their deadline any more.
+//
+// The package is pure: it does no I/O and reads no clock; times are the cluster's time since 1970.
+// Package watcher owns a Board, which is not safe for concurrent use.
 package board
 
 import (
@@ -17,213 +19,220 @@
 	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
-// The bounds of a board.
+// Limits and thresholds of a board.
 const (
-	MostGangs = 1000 // the one that ends first is forgotten past it
-	MostParts = 512  // of a gang; others are not watched
-	// mostSlow is how many workers' straggling is remembered, slowFor how long, and slowIn in
-	// how many gangs it has to be found to count.
-	mostSlow = 4096
-	slowFor  = time.Minute
-	slowIn   = 2
-	// goodHints is how many parts have to have ended for their hints to be held against what
-	// they took.
-	goodHints = 8
-	// gain is the part of a part's remaining time that a copy has to end before.
-	gain = 0.8
-	// keeps is the part of its peers' speed from which on a worker does a part as they do.
-	keeps = 0.67
-	// starts is how long a copy is taken to wait before it runs, in looks.
-	starts = 1
-	// mostCopies is how often a part is copied: a copy that straggles too is watched as the first
-	// was, and one more takes the first one's place.
-	mostCopies = 2
+	MaxGangs = 1000 // gangs that are held; past it the one with the earliest deadline is dropped
+	MaxParts = 512  // parts of a gang; larger gangs are not watched
+	// maxSlowWorkers bounds the workers that are remembered as slow, slowDuration is how long a
+	// gang counts against a worker, and minSlowGangs in how many gangs a worker must straggle to
+	// be marked.
+	maxSlowWorkers = 4096
+	slowDuration   = time.Minute
+	minSlowGangs   = 2
+	// minHintSamples is how many parts must have ended before their hints are compared with their
+	// run times.
+	minHintSamples = 8
+	// maxCopyRatio is the fraction of a part's remaining time within which its copy must end.
+	maxCopyRatio = 0.8
+	// inStepRatio is the ratio to its peers' speed from which on a part counts as run at normal
+	// speed.
+	inStepRatio = 0.67
+	// copyStartChecks is how long a copy is assumed to wait before it runs, in check intervals.
+	copyStartChecks = 1
+	// maxCopies is how often a part is copied. A copy that straggles as well is watched like the
+	// first attempt, and a further copy takes the place of the first attempt.
+	maxCopies = 2
 )
 
-// Config says how a board judges.
+// Config says how a board judges parts.
 type Config struct {
-	Every  time.Duration // between a worker's reports; 0 for starts and ends alone
-	Look   time.Duration // between looks
-	Copies bool          // second copies are allowed
+	ReportInterval time.Duration // between a worker's progress reports; 0 for starts and ends alone
+	CheckInterval  time.Duration // between checks
+	CopiesAllowed  bool          // second copies may be started
 }
 
-// ID names a part.
+// ID identifies a part.
 type ID struct {
 	Gang string
-	N    int // from 1
+	N    int // number of the part, from 1
 }
 
-// Kind says what an act is.
+// Kind says what an action does.
 type Kind uint8
 
-// The kinds.
+// The kinds of actions.
 const (
-	Copy   Kind = iota // a second copy of the part would help
-	Slow               // the worker straggles in several gangs: it counts as that much slower
-	GiveUp             // the gang can't be in time any more: the part, which has not begun, is of no use
+	StartCopy Kind = iota // start a second copy of the part
+	MarkSlow              // treat the worker, which straggles in several gangs, as SlowFactor times slower
+	Abandon               // give up the part, which has not begun, as the gang can't meet its deadline
 )
 
-// Act is what a look leads to.
-type Act struct {
-	Kind   Kind
-	Part   ID
-	Worker string
-	Times  float64 // Slow: how many times slower than its peers
-	Why    verdict.Verdict
-	End    time.Duration // Copy: when the part is likely to end without, and With with a copy
-	With   time.Duration
+// Action is what a check leads to.
+type Action struct {
+	Kind           Kind
+	Part           ID
+	Worker         string
+	SlowFactor     float64 // for MarkSlow: how many times slower than its peers
+	Verdict        verdict.Verdict
+	EndWithoutCopy time.Duration // for StartCopy: expected end of the part
+	EndWithCopy    time.Duration // for StartCopy: expected end of the copy
 }
 
-// own is a part of this dispatcher's.
-type own struct {
+// ownPart is a part that this dispatcher has sent.
+type ownPart struct {
 	part.Part
-	Why     verdict.Verdict
-	copied  bool // a copy was asked for, and none that is watched has been sent since
-	copies  int  // that were sent
-	givenUp bool
-	keeps   bool // at the last look it went as fast as its peers
-	hinted  bool
-	told    Fact
+	Verdict       verdict.Verdict
+	copyRequested bool // a copy was requested, and no watched copy has been sent since
+	copiesSent    int  // second copies that were sent
+	abandoned     bool
+	inStep        bool // it ran at its peers' speed at the last check
+	hinted        bool
+	lastFact      Fact // as it was published last
 }
 
+// gang is one gang, as far as this dispatcher knows it.
 type gang struct {
-	of       int
-	deadline time.Duration
-	own      map[int]*own
-	others   map[int]Fact
-	lost     bool // it can't be in time any more
+	parts          int
+	deadline       time.Duration
+	ownParts       map[int]*ownPart
+	peerFacts      map[int]Fact
+	missesDeadline bool // it can't meet its deadline any more
 }
 
-// Board is a dispatcher's. New makes it.
+// Board holds the gangs that one dispatcher knows. New makes it.
 type Board struct {
-	cfg    Config
-	gangs  map[string]*gang
-	slow   map[string]map[string]mark // by worker and gang
-	said   map[string]time.Duration   // workers that were said to be slow, and when
-	budget copies.Budget
-	heard  map[string]time.Duration // by worker: when another part there kept step
-	hints  []sample
-	looked time.Duration
+	cfg          Config
+	gangs        map[string]*gang
+	slowReports  map[string]map[string]slowReport // by worker and gang
+	markedSlowAt map[string]time.Duration         // by worker: when it was marked slow last
+	budget       copies.Budget
+	inStepAt     map[string]time.Duration // by worker: when it ran a part at its peers' speed last
+	hints        []sample
+	lastCheck    time.Duration
 }
 
-type mark struct {
-	at    time.Duration
-	times float64
+// slowReport says that a worker straggled in a gang.
+type slowReport struct {
+	at     time.Duration
+	factor float64
 }
 
-// sample is a part's hint and what it took.
+// sample is a part's hint and its run time, in seconds.
 type sample struct{ hint, took float64 }
 
 // New makes an empty board.
 func New(cfg Config) *Board {
-	return &Board{cfg: cfg, gangs: map[string]*gang{}, slow: map[string]map[string]mark{}, said: map[string]time.Duration{}, heard: map[string]time.Duration{}}
+	return &Board{cfg: cfg, gangs: map[string]*gang{}, slowReports: map[string]map[string]slowReport{}, markedSlowAt: map[string]time.Duration{}, inStepAt: map[string]time.Duration{}}
 }
 
-// gang returns one, and makes room for it where there is none.
-func (b *Board) gang(name string, of int, deadline time.Duration) *gang {
+// gang returns a gang and adds it if it is not known.
+func (b *Board) gang(name string, parts int, deadline time.Duration) *gang {
 	g := b.gangs[name]
 	if g != nil {
 		return g
 	}
-	if len(b.gangs) >= MostGangs {
+	if len(b.gangs) >= MaxGangs {
 		first := slices.MinFunc(slices.Collect(maps.Keys(b.gangs)), func(x, y string) int {
 			return cmp.Or(cmp.Compare(b.gangs[x].deadline, b.gangs[y].deadline), cmp.Compare(x, y))
 		})
 		delete(b.gangs, first)
 	}
-	g = &gang{of: of, deadline: deadline, own: map[int]*own{}, others: map[int]Fact{}}
+	g = &gang{parts: parts, deadline: deadline, ownParts: map[int]*ownPart{}, peerFacts: map[int]Fact{}}
 	b.gangs[name] = g
 	return g
 }
 
-// Join takes in a part of this dispatcher's. Hint is the seconds that it is expected to run, 0
-// for unknown. It tells whether the part is watched.
-func (b *Board) Join(id ID, of int, hint float64, deadline time.Duration) bool {
-	if id.N < 1 || id.N > of || of > MostParts {
+// AddPart adds a part of this dispatcher. Hint is its expected run time in seconds, 0 for unknown.
+// It reports whether the part is watched.
+func (b *Board) AddPart(id ID, parts int, hint float64, deadline time.Duration) bool {
+	if id.N < 1 || id.N > parts || parts > MaxParts {
 		return false
 	}
-	g := b.gang(id.Gang, of, deadline)
-	if g.own[id.N] != nil {
+	g := b.gang(id.Gang, parts, deadline)
+	if g.ownParts[id.N] != nil {
 		return false
 	}
-	p := &own{hinted: hint > 0}
+	p := &ownPart{hinted: hint > 0}
 	if p.Work = hint; hint <= 0 {
 		p.Work = 1
 	}
-	g.own[id.N] = p
+	g.ownParts[id.N] = p
 	return true
 }
 
-func (b *Board) find(id ID) *own {
+// find returns a part of this dispatcher, nil if it is not watched.
+func (b *Board) find(id ID) *ownPart {
 	if g := b.gangs[id.Gang]; g != nil {
-		return g.own[id.N]
+		return g.ownParts[id.N]
 	}
 	return nil
 }
 
-// Sent takes in that an attempt of a part went to a worker. A copy is watched in place of the
-// attempt that it stands beside: what that one does is known.
-func (b *Board) Sent(id ID, worker string, attempt int, now time.Duration) {
+// PartSent records that an attempt of a part was sent to a worker. A second copy is watched in
+// place of the first attempt, whose speed is known.
+func (b *Board) PartSent(id ID, worker string, attempt int, now time.Duration) {
 	p := b.find(id)
 	if p == nil {
 		return
 	}
-	if !p.copied {
-		b.budget.Sent()
-	} else if p.copies++; p.copies < mostCopies {
-		p.copied = false
+	if !p.copyRequested {
+		b.budget.PartSent()
+	} else if p.copiesSent++; p.copiesSent < maxCopies {
+		p.copyRequested = false
 	}
 	p.Send(worker, attempt, now)
-	p.Why = verdict.Verdict{}
+	p.Verdict = verdict.Verdict{}
 }
 
-// Started records that an attempt of a part has started.
-func (b *Board) Started(id ID, attempt int, now time.Duration) {
+// PartStarted records that an attempt of a part has started.
+func (b *Board) PartStarted(id ID, attempt int, now time.Duration) {
 	if p := b.find(id); p != nil {
-		waited := p.Waits()
-		if p.Start(attempt, now); waited && p.Running() { // what its wait said is over
-			p.Why = verdict.Verdict{}
+		waited := p.Waiting()
+		if p.Start(attempt, now); waited && p.Running() { // the verdict on its wait is void
+			p.Verdict = verdict.Verdict{}
 		}
 	}
 }
 
-// Reported takes in a share that is done.
-func (b *Board) Reported(id ID, attempt int, share float64, now time.Duration) {
+// PartProgressed records the fraction that an attempt has done.
+func (b *Board) PartProgressed(id ID, attempt int, fraction float64, now time.Duration) {
 	if p := b.find(id); p != nil {
-		p.Report(attempt, share, now)
+		p.Report(attempt, fraction, now)
 	}
 }
 
-// Ended takes in that an attempt is over.
-func (b *Board) Ended(id ID, attempt int, served bool, now time.Duration) {
+// PartEnded records that an attempt is over, and whether it succeeded.
+func (b *Board) PartEnded(id ID, attempt int, served bool, now time.Duration) {
 	p := b.find(id)
 	if p == nil {
 		return
 	}
 	p.End(attempt, served, now)
-	if over, ok := p.Over(); over && ok && p.hinted && p.Took() > 0 {
-		b.hints = append(b.hints, sample{p.Work, p.Took().Seconds()})
+	if over, ok := p.Finished(); over && ok && p.hinted && p.RunTime() > 0 {
+		b.hints = append(b.hints, sample{p.Work, p.RunTime().Seconds()})
 		if len(b.hints) > 256 {
 			b.hints = slices.Clone(b.hints[128:])
 		}
 	}
 }
 
-// Gone takes in that a part is this dispatcher's no more: it has its answer.
-func (b *Board) Gone(id ID) {
+// RemovePart removes a part that has its answer, unless an attempt that succeeded makes it useful
+// as a peer.
+func (b *Board) RemovePart(id ID) {
 	if g := b.gangs[id.Gang]; g != nil {
-		if p := g.own[id.N]; p != nil {
-			if over, served := p.Over(); !over || !served {
-				delete(g.own, id.N)
+		if p := g.ownParts[id.N]; p != nil {
+			if over, served := p.Finished(); !over || !served {
+				delete(g.ownParts, id.N)
 			}
 		}
 	}
 }
 
-// trusted tells whether what parts took is less spread against their hints than by itself, by
-// measures that a few slow workers do not move. Before enough have ended hints are trusted.
-func (b *Board) trusted() bool {
-	if len(b.hints) < goodHints {
+// hintsTrusted reports whether hints predict run times: run times relative to hints are spread no
+// more than run times alone, by a measure that a few slow workers do not move. Hints are trusted
+// until enough parts have ended.
+func (b *Board) hintsTrusted() bool {
+	if len(b.hints) < minHintSamples {
 		return true
 	}
 	took, against := make([]float64, len(b.hints)), make([]float64, len(b.hints))
@@ -233,39 +242,39 @@
 	return peers.Spread(against) <= peers.Spread(took)
 }
 
-// speed is a part's, without its hint where hints are no good.
-func (b *Board) speed(p *own, now time.Duration, trusted bool) (v float64, bound, ok bool) {
-	v, bound, ok = p.Speed(now, b.cfg.Every)
-	if !trusted {
+// speed returns a part's speed, in parts per second if hints are not trusted.
+func (b *Board) speed(p *ownPart, now time.Duration, hintsTrusted bool) (v float64, bound, ok bool) {
+	v, bound, ok = p.Speed(now, b.cfg.ReportInterval)
+	if !hintsTrusted {
 		v /= p.Work
 	}
 	return v, bound, ok
 }
 
-// Look judges all parts, at most once in a while, and returns what follows and what the others
-// are to be told.
-func (b *Board) Look(now time.Duration) (acts []Act, tell []Fact) {
-	if b.looked > 0 && now < b.looked+b.cfg.Look {
+// Check judges all parts, at most once per check interval, and returns the actions and the facts
+// that are new to the other members.
+func (b *Board) Check(now time.Duration) (actions []Action, facts []Fact) {
+	if b.lastCheck > 0 && now < b.lastCheck+b.cfg.CheckInterval {
 		return nil, nil
 	}
-	b.looked = now
-	trusted := b.trusted()
+	b.lastCheck = now
+	hintsTrusted := b.hintsTrusted()
 	for _, name := range slices.Sorted(maps.Keys(b.gangs)) {
 		g := b.gangs[name]
-		if now >= g.deadline+slowFor {
+		if now >= g.deadline+slowDuration {
 			delete(b.gangs, name)
 			continue
 		}
-		acts = append(acts, b.judge(name, g, now, trusted)...)
-		tell = append(tell, b.tell(name, g, now)...)
+		actions = append(actions, b.judgeGang(name, g, now, hintsTrusted)...)
+		facts = append(facts, b.newFacts(name, g, now)...)
 	}
-	return append(acts, b.workers(now)...), tell
+	return append(actions, b.slowWorkers(now)...), facts
 }
 
-// State returns a part's verdict.
+// State returns the verdict on a part of this dispatcher.
 func (b *Board) State(id ID) verdict.Verdict {
 	if p := b.find(id); p != nil {
-		return p.Why
+		return p.Verdict
 	}
 	return verdict.Verdict{}
 }
--- a/internal/dispatcher/fleet/gang/board/board_test.go
+++ b/internal/dispatcher/fleet/gang/board/board_test.go
@@ -13,50 +13,51 @@
 
 const s = time.Second
 
-// play has a gang of parts run at speeds, one report every 2 s, on one board or told by another,
-// and returns the board and all acts.
-func play(t *testing.T, cfg Config, speeds []float64, own int, until, deadline time.Duration) (*Board, []Act) {
+// play runs a gang of parts at given speeds with a report every 2 s, the first ownParts of them on
+// one board and the others on a second board that publishes facts to it. It returns the first board
+// and all of its actions.
+func play(t *testing.T, cfg Config, speeds []float64, ownParts int, until, deadline time.Duration) (*Board, []Action) {
 	t.Helper()
 	b, other := New(cfg), New(cfg)
-	var acts []Act
+	var actions []Action
 	of := func(n int) *Board {
-		if n <= own {
+		if n <= ownParts {
 			return b
 		}
 		return other
 	}
 	for n := range speeds {
 		id := ID{"g", n + 1}
-		of(n+1).Join(id, len(speeds), 20, deadline)
-		of(n+1).Sent(id, fmt.Sprint("s-", n+1), 0, s)
-		of(n+1).Started(id, 0, s)
+		of(n+1).AddPart(id, len(speeds), 20, deadline)
+		of(n+1).PartSent(id, fmt.Sprint("s-", n+1), 0, s)
+		of(n+1).PartStarted(id, 0, s)
 	}
 	for now := s; now <= until; now += s {
 		for n, v := range speeds {
-			if share := v * (now - s).Seconds() / 20; now%(2*s) == s && v > 0 && share <= 1 {
-				of(n+1).Reported(ID{"g", n + 1}, 0, share, now)
+			if fraction := v * (now - s).Seconds() / 20; now%(2*s) == s && v > 0 && fraction <= 1 {
+				of(n+1).PartProgressed(ID{"g", n + 1}, 0, fraction, now)
 			}
 		}
-		_, facts := other.Look(now)
+		_, facts := other.Check(now)
 		for _, f := range facts {
-			b.Hear(f)
+			b.AddFact(f)
 		}
-		got, _ := b.Look(now)
-		acts = append(acts, got...)
+		got, _ := b.Check(now)
+		actions = append(actions, got...)
 	}
-	return b, acts
+	return b, actions
 }
 
-// TestCopies has a part copied where a copy is of use and allowed, and no other.
+// TestCopies checks that a part is copied where a copy helps and is allowed, and only there.
 func TestCopies(t *testing.T) {
-	cfg := Config{Every: 2 * s, Look: s, Copies: true}
+	cfg := Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true}
 	off := cfg
-	off.Copies = false
+	off.CopiesAllowed = false
 	for _, tc := range []struct {
 		name     string
 		cfg      Config
 		speeds   []float64
-		own      int
+		ownParts int
 		until    time.Duration
 		deadline time.Duration
 		copies   int
@@ -73,13 +74,13 @@
 		{"most are slow", cfg, []float64{0.25, 0.25, 0.25, 0.25, 1}, 5, 15 * s, 200 * s, 0, 0, verdict.InStep},
 		{"more stragglers than may be copied", cfg, []float64{0.2, 0.2, 1, 1, 1, 1, 1}, 7, 9 * s, 200 * s, 1, 0, verdict.Straggler},
 	} {
-		b, acts := play(t, tc.cfg, tc.speeds, tc.own, tc.until, tc.deadline)
+		b, actions := play(t, tc.cfg, tc.speeds, tc.ownParts, tc.until, tc.deadline)
 		copies := 0
-		for _, a := range acts {
-			if a.Kind == Copy {
+		for _, a := range actions {
+			if a.Kind == StartCopy {
 				copies++
-				if a.With >= a.End {
-					t.Errorf("%s: the copy ends at %s, the part at %s", tc.name, a.With, a.End)
+				if a.EndWithCopy >= a.EndWithoutCopy {
+					t.Errorf("%s: the copy ends at %s, the part at %s", tc.name, a.EndWithCopy, a.EndWithoutCopy)
 				}
 			}
 		}
@@ -89,66 +90,66 @@
 	}
 }
 
-// TestSlowWorker has a worker count as slow once it straggles in two gangs, here or at another
-// dispatcher, and for a while only.
+// TestSlowWorker checks that a worker is marked slow once it straggles in two gangs, here or at
+// another dispatcher, and only for a while.
 func TestSlowWorker(t *testing.T) {
-	b := New(Config{Every: 2 * s, Look: s})
+	b := New(Config{ReportInterval: 2 * s, CheckInterval: s})
 	slow := func() (n int) {
-		acts, _ := b.Look(b.looked + s)
-		for _, a := range acts {
-			if a.Kind == Slow {
+		actions, _ := b.Check(b.lastCheck + s)
+		for _, a := range actions {
+			if a.Kind == MarkSlow {
 				n++
 			}
 		}
 		return n
 	}
-	b.looked = s
-	b.Hear(Fact{Gang: "a", N: 1, Of: 4, Deadline: 99 * s, Worker: "w", Speed: 1, Work: 1, Slow: 3, At: s})
+	b.lastCheck = s
+	b.AddFact(Fact{Gang: "a", N: 1, Of: 4, Deadline: 99 * s, Worker: "w", Speed: 1, Work: 1, SlowFactor: 3, At: s})
 	if slow() != 0 {
 		t.Error("one gang is enough")
 	}
-	b.Hear(Fact{Gang: "b", N: 1, Of: 4, Deadline: 99 * s, Worker: "w", Speed: 1, Work: 1, Slow: 5, At: 2 * s})
+	b.AddFact(Fact{Gang: "b", N: 1, Of: 4, Deadline: 99 * s, Worker: "w", Speed: 1, Work: 1, SlowFactor: 5, At: 2 * s})
 	if slow() != 1 || slow() != 0 {
-		t.Error("it is not said, or said at each look")
+		t.Error("it is not marked, or marked at each check")
 	}
-	if b.looked = 2 * slowFor; slow() != 0 || len(b.slow) != 0 {
+	if b.lastCheck = 2 * slowDuration; slow() != 0 || len(b.slowReports) != 0 {
 		t.Error("it is remembered for too long")
 	}
 }
 
-// TestCutOff has the parts of a dispatcher that tells nothing count as unknown.
-func TestCutOff(t *testing.T) {
-	b := New(Config{Every: 2 * s, Look: s, Copies: true})
+// TestPartitionedDispatcher checks that the parts of a dispatcher that publishes nothing are unknown.
+func TestPartitionedDispatcher(t *testing.T) {
+	b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
 	for n := 2; n <= 6; n++ {
-		b.Hear(Fact{Gang: "g", N: n, Of: 6, Deadline: 99 * s, Worker: fmt.Sprint("s-", n), Speed: 1, Work: 1, At: s})
+		b.AddFact(Fact{Gang: "g", N: n, Of: 6, Deadline: 99 * s, Worker: fmt.Sprint("s-", n), Speed: 1, Work: 1, At: s})
 	}
-	b.Join(ID{"g", 1}, 6, 20, 99*s)
-	b.Sent(ID{"g", 1}, "s-1", 0, 20*s)
-	b.Started(ID{"g", 1}, 0, 20*s)
+	b.AddPart(ID{"g", 1}, 6, 20, 99*s)
+	b.PartSent(ID{"g", 1}, "s-1", 0, 20*s)
+	b.PartStarted(ID{"g", 1}, 0, 20*s)
 	for now := 22 * s; now < 40*s; now += s {
-		b.Reported(ID{"g", 1}, 0, 0.1*(now-20*s).Seconds()/20, now)
-		if acts, _ := b.Look(now); len(acts) > 0 {
-			t.Fatalf("it is compared with what was told %s ago: %+v", now-s, acts)
+		b.PartProgressed(ID{"g", 1}, 0, 0.1*(now-20*s).Seconds()/20, now)
+		if actions, _ := b.Check(now); len(actions) > 0 {
+			t.Fatalf("it is compared with facts that are %s old: %+v", now-s, actions)
 		}
 	}
 }
 
-// TestBounds guards the board's size, whatever is told.
+// TestBounds checks that the board's size is bounded, whatever facts arrive.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New(Config{Every: 2 * s, Look: s, Copies: true})
-		for i := range rapid.IntRange(0, 3*MostGangs).Draw(t, "gangs") {
-			b.Hear(Fact{Gang: fmt.Sprint(i), N: rapid.IntRange(-1, 3).Draw(t, "n"), Of: 2, Worker: "w", Speed: rapid.Float64().Draw(t, "speed"), Work: rapid.Float64().Draw(t, "work"), Deadline: time.Duration(i) * s})
+		b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
+		for i := range rapid.IntRange(0, 3*MaxGangs).Draw(t, "gangs") {
+			b.AddFact(Fact{Gang: fmt.Sprint(i), N: rapid.IntRange(-1, 3).Draw(t, "n"), Of: 2, Worker: "w", Speed: rapid.Float64().Draw(t, "speed"), Work: rapid.Float64().Draw(t, "work"), Deadline: time.Duration(i) * s})
 		}
-		if b.Len() > MostGangs {
+		if b.Len() > MaxGangs {
 			t.Fatalf("%d gangs", b.Len())
 		}
-		b.Look(s)
+		b.Check(s)
 	})
 }
 
-// TestWaitingParts has a part that waits unbegun at a worker that straggles copied once it has
-// waited far longer than its peers did, and one that waits at any other worker left alone.
+// TestWaitingParts checks that a part which waits at a straggling worker is copied once it has
+// waited far longer than its peers did, and that one which waits at another worker is not.
 func TestWaitingParts(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -160,38 +161,38 @@
 		{"at one that keeps step", "s-2", 90 * s, 0},
 		{"not for long", "s-1", 7 * s, 0},
 	} {
-		b := New(Config{Every: 2 * s, Look: s, Copies: true})
+		b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
 		const parts, waiting = 10, 10
 		for n := 1; n <= parts; n++ {
 			worker := fmt.Sprint("s-", n)
 			if n == waiting {
 				worker = tc.worker
 			}
-			b.Join(ID{"g", n}, parts, 20, 999*s)
-			b.Sent(ID{"g", n}, worker, 0, s)
+			b.AddPart(ID{"g", n}, parts, 20, 999*s)
+			b.PartSent(ID{"g", n}, worker, 0, s)
 			if n != waiting {
-				b.Started(ID{"g", n}, 0, s)
+				b.PartStarted(ID{"g", n}, 0, s)
 			}
 		}
 		copies := map[int]int{}
 		for now := 2 * s; now <= 40*s; now += s {
 			if now == s+tc.waits {
-				b.Started(ID{"g", waiting}, 0, now)
+				b.PartStarted(ID{"g", waiting}, 0, now)
 			}
 			for n := 2; n <= waiting; n++ { // the first hangs
 				begun := s
 				if n == waiting {
 					begun += tc.waits
 				}
-				if share := (now - begun).Seconds() / 20; share > 0 && share < 1 {
-					b.Reported(ID{"g", n}, 0, share, now)
-				} else if share >= 1 {
-					b.Ended(ID{"g", n}, 0, true, now)
+				if fraction := (now - begun).Seconds() / 20; fraction > 0 && fraction < 1 {
+					b.PartProgressed(ID{"g", n}, 0, fraction, now)
+				} else if fraction >= 1 {
+					b.PartEnded(ID{"g", n}, 0, true, now)
 				}
 			}
-			acts, _ := b.Look(now)
-			for _, a := range acts {
-				if a.Kind == Copy {
+			actions, _ := b.Check(now)
+			for _, a := range actions {
+				if a.Kind == StartCopy {
 					copies[a.Part.N]++
 				}
 			}
@@ -202,31 +203,31 @@
 	}
 }
 
-// TestPoorHints has a part that hangs copied where hints are no good and parts are counted by
-// themselves: its copy is reckoned in the same measure.
+// TestPoorHints checks that a part which hangs is copied also where hints are not trusted, and that
+// the end of its copy is then estimated in parts per second as well.
 func TestPoorHints(t *testing.T) {
-	b := New(Config{Every: 2 * s, Look: s, Copies: true})
-	for n := 1; n <= goodHints; n++ { // as long each, whatever their hints say
-		b.Join(ID{"before", n}, goodHints, float64(n*n), 99*s)
-		b.Sent(ID{"before", n}, "s-0", 0, s)
-		b.Started(ID{"before", n}, 0, s)
-		b.Ended(ID{"before", n}, 0, true, 21*s)
+	b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
+	for n := 1; n <= minHintSamples; n++ { // as long each, whatever their hints say
+		b.AddPart(ID{"before", n}, minHintSamples, float64(n*n), 99*s)
+		b.PartSent(ID{"before", n}, "s-0", 0, s)
+		b.PartStarted(ID{"before", n}, 0, s)
+		b.PartEnded(ID{"before", n}, 0, true, 21*s)
 	}
-	if b.trusted() {
+	if b.hintsTrusted() {
 		t.Fatal("hints that say nothing are trusted")
 	}
 	for n := 1; n <= 6; n++ {
-		b.Join(ID{"g", n}, 6, 20, 99*s)
-		b.Sent(ID{"g", n}, fmt.Sprint("s-", n), 0, 21*s)
-		b.Started(ID{"g", n}, 0, 21*s)
+		b.AddPart(ID{"g", n}, 6, 20, 99*s)
+		b.PartSent(ID{"g", n}, fmt.Sprint("s-", n), 0, 21*s)
+		b.PartStarted(ID{"g", n}, 0, 21*s)
 	}
 	for now := 22 * s; now < 35*s; now += s {
 		for n := 2; n <= 6; n++ { // the first hangs
-			b.Reported(ID{"g", n}, 0, (now-21*s).Seconds()/20, now)
+			b.PartProgressed(ID{"g", n}, 0, (now-21*s).Seconds()/20, now)
 		}
-		acts, _ := b.Look(now)
-		for _, a := range acts {
-			if a.Kind == Copy && a.Part.N == 1 && a.With < now+25*s {
+		actions, _ := b.Check(now)
+		for _, a := range actions {
+			if a.Kind == StartCopy && a.Part.N == 1 && a.EndWithCopy < now+25*s {
 				return
 			}
 		}
@@ -234,35 +235,35 @@
 	t.Error("the part that hangs was not copied")
 }
 
-// TestCopyOfACopy has a copy that hangs too make room for another, once, and one that keeps step
-// be left alone.
-func TestCopyOfACopy(t *testing.T) {
+// TestSecondCopy checks that a copy which hangs as well is copied, once, and that one which keeps up
+// with its peers is not.
+func TestSecondCopy(t *testing.T) {
 	for name, tc := range map[string]struct {
 		speed float64 // of the first copy
 		want  int
 	}{"the copy hangs too": {0, 2}, "the copy keeps step": {1, 1}} {
-		b := New(Config{Every: 2 * s, Look: s, Copies: true})
+		b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
 		const of = 12
 		id := func(n int) ID { return ID{"g", n} }
 		for n := 1; n <= of; n++ {
-			b.Join(id(n), of, 60, 999*s)
-			b.Sent(id(n), fmt.Sprint("s-", n), 0, s)
-			b.Started(id(n), 0, s)
+			b.AddPart(id(n), of, 60, 999*s)
+			b.PartSent(id(n), fmt.Sprint("s-", n), 0, s)
+			b.PartStarted(id(n), 0, s)
 		}
 		copies, began := 0, s
 		for now := s; now <= 60*s; now += s {
 			for n := 2; n <= of && now%(2*s) == s; n++ {
-				b.Reported(id(n), 0, (now-s).Seconds()/60, now)
+				b.PartProgressed(id(n), 0, (now-s).Seconds()/60, now)
 			}
 			if copies == 1 && tc.speed > 0 && now%(2*s) == s {
-				b.Reported(id(1), 1, tc.speed*(now-began).Seconds()/60, now)
+				b.PartProgressed(id(1), 1, tc.speed*(now-began).Seconds()/60, now)
 			}
-			acts, _ := b.Look(now)
-			for _, a := range acts {
-				if a.Kind == Copy && a.Part == id(1) {
+			actions, _ := b.Check(now)
+			for _, a := range actions {
+				if a.Kind == StartCopy && a.Part == id(1) {
 					copies, began = copies+1, now
-					b.Sent(id(1), fmt.Sprint("t-", copies), copies, now)
-					b.Started(id(1), copies, now)
+					b.PartSent(id(1), fmt.Sprint("t-", copies), copies, now)
+					b.PartStarted(id(1), copies, now)
 				}
 			}
 		}
--- a/internal/dispatcher/fleet/gang/board/judge.go
+++ b/internal/dispatcher/fleet/gang/board/judge.go
@@ -10,100 +10,100 @@
 	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
-// steps takes down that a worker does a part as fast as its peers do theirs.
-func (b *Board) steps(worker string, now time.Duration) {
-	if len(b.heard) >= mostSlow {
-		clear(b.heard) // it is found anew
+// recordInStep records that a worker runs a part at its peers' speed.
+func (b *Board) recordInStep(worker string, now time.Duration) {
+	if len(b.inStepAt) >= maxSlowWorkers {
+		clear(b.inStepAt) // they are found again at the next checks
 	}
-	b.heard[worker] = max(b.heard[worker], now)
+	b.inStepAt[worker] = max(b.inStepAt[worker], now)
 }
 
-// known is a speed of a gang's part, and how long it waited before it began.
-type known struct {
+// peerSpeed is the speed of a part of a gang, and how many seconds it waited before it began.
+type peerSpeed struct {
 	n     int
-	v     float64
+	speed float64
 	bound bool
 	wait  float64
 }
 
-// judge looks at the gang's own parts.
-func (b *Board) judge(name string, g *gang, now time.Duration, trusted bool) (acts []Act) {
-	var all []known
-	for n, p := range g.own {
-		if v, bound, ok := b.speed(p, now, trusted); ok {
-			all = append(all, known{n, v, bound, p.Waited(now).Seconds()})
+// judgeGang judges the parts of a gang that this dispatcher has sent.
+func (b *Board) judgeGang(name string, g *gang, now time.Duration, hintsTrusted bool) (actions []Action) {
+	var all []peerSpeed
+	for n, p := range g.ownParts {
+		if v, bound, ok := b.speed(p, now, hintsTrusted); ok {
+			all = append(all, peerSpeed{n, v, bound, p.WaitTime(now).Seconds()})
 		}
 	}
-	for n, f := range g.others {
-		// A dispatcher that is cut off tells nothing: its parts are unknown.
-		if f.Speed > 0 && (f.Over || now-f.At < 3*max(b.cfg.Every, b.cfg.Look)) {
+	for n, f := range g.peerFacts {
+		// A partitioned dispatcher publishes nothing: its parts are unknown.
+		if f.Speed > 0 && (f.Ended || now-f.At < 3*max(b.cfg.ReportInterval, b.cfg.CheckInterval)) {
 			v := f.Speed
-			if !trusted {
+			if !hintsTrusted {
 				v /= f.Work
 			}
-			all = append(all, known{n, v, f.Bound, f.Wait})
+			all = append(all, peerSpeed{n, v, f.Bound, f.Wait})
 		}
 	}
-	out := 0
-	for _, p := range g.own {
-		if over, _ := p.Over(); (p.copied || p.copies > 0) && !over {
-			out++
+	activeCopies := 0
+	for _, p := range g.ownParts {
+		if over, _ := p.Finished(); (p.copyRequested || p.copiesSent > 0) && !over {
+			activeCopies++
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(g.own)) {
-		p := g.own[n]
-		if over, _ := p.Over(); over || p.Worker == "" {
+	for _, n := range slices.Sorted(maps.Keys(g.ownParts)) {
+		p := g.ownParts[n]
+		if over, _ := p.Finished(); over || p.Worker == "" {
 			continue
 		}
-		var exact []float64
+		var exactSpeeds []float64
 		for _, k := range all {
 			if k.n != n && !k.bound {
-				exact = append(exact, k.v)
+				exactSpeeds = append(exactSpeeds, k.speed)
 			}
 		}
-		e := verdict.Evidence{At: now, Heavy: b.heavy(p.Worker, now)}
-		v, bound, ok := b.speed(p, now, trusted)
+		e := verdict.Evidence{At: now, Heavy: b.partIsHeavy(p.Worker, now)}
+		v, bound, ok := b.speed(p, now, hintsTrusted)
 		if ok {
-			e.Standing, e.Known = peers.Compare(v, exact)
-			// What goes no faster than a bound above its peers may be as fast as they are.
+			e.Standing, e.Known = peers.Compare(v, exactSpeeds)
+			// An upper bound above the peers' speed says nothing.
 			e.Known = e.Known && (!bound || e.Standing.Ratio < 1)
 		}
-		if p.keeps = e.Known && !bound && e.Standing.Ratio >= keeps; p.keeps {
-			b.steps(p.Worker, now)
+		if p.inStep = e.Known && !bound && e.Standing.Ratio >= inStepRatio; p.inStep {
+			b.recordInStep(p.Worker, now)
 		}
-		if p.Waits() {
-			e.Standing, e.Known = b.stands(p, n, all, exact, trusted, now)
+		if p.Waiting() {
+			e.Standing, e.Known = b.compareWaits(p, n, all, exactSpeeds, hintsTrusted, now)
 		}
-		e.Silent = p.Silent(now, b.cfg.Every) && len(exact) >= peers.Least
-		if p.Why.Look(e, b.cfg.Look) && (p.Why.State == verdict.Straggler || p.Why.State == verdict.Silent) {
-			if !p.Waits() { // one that waits was told of because its worker straggles
-				b.straggles(p.Worker, name, timesOf(e), now)
+		e.Silent = p.ReportsOverdue(now, b.cfg.ReportInterval) && len(exactSpeeds) >= peers.MinPeers
+		if p.Verdict.Observe(e, b.cfg.CheckInterval) && (p.Verdict.State == verdict.Straggler || p.Verdict.State == verdict.Silent) {
+			if !p.Waiting() { // the verdict on a wait rests on the worker's slowness already
+				b.recordSlow(p.Worker, name, slowFactor(e), now)
 			}
 		}
 		size := p.Work
-		if !trusted { // speeds are then in parts
+		if !hintsTrusted { // speeds are in parts per second then
 			size, v = 1, v*p.Work
 		}
-		if act, ok := b.copy(name, n, g, p, exact, size, out, v, now); ok {
-			acts = append(acts, act)
-			out++
+		if act, ok := b.proposeCopy(name, n, g, p, exactSpeeds, size, activeCopies, v, now); ok {
+			actions = append(actions, act)
+			activeCopies++
 		}
 	}
-	return append(acts, b.late(name, g)...)
+	return append(actions, b.abandonUnstarted(name, g)...)
 }
 
-// stands holds how long a part has waited against how long its peers waited before they began,
-// where its worker straggles in some gang: nothing is told of a part that has not begun, and what
-// waits there is as late as what runs. Half of a usual run is added to each wait, so that short
-// ones do not differ. A wait that goes on is the least that it can be, so that it never speaks
-// for the part.
-func (b *Board) stands(p *own, n int, all []known, exact []float64, trusted bool, now time.Duration) (peers.Standing, bool) {
-	usual, ok := peers.Compare(0, exact)
-	if !ok || usual.Median <= 0 || len(b.slow[p.Worker]) == 0 {
+// compareWaits compares how long a part has waited with how long its peers waited before they
+// began, if its worker straggles in some gang: there are no reports of a part that has not begun,
+// yet it will be as late as those that run there. Half of a typical run time is added to each
+// wait, so that short waits do not differ. An unfinished wait is only a lower bound, so it never
+// counts in favour of the part.
+func (b *Board) compareWaits(p *ownPart, n int, all []peerSpeed, exactSpeeds []float64, hintsTrusted bool, now time.Duration) (peers.Standing, bool) {
+	typical, ok := peers.Compare(0, exactSpeeds)
+	if !ok || typical.Median <= 0 || len(b.slowReports[p.Worker]) == 0 {
 		return peers.Standing{}, false
 	}
-	run := 0.5 / usual.Median
-	if trusted {
+	run := 0.5 / typical.Median
+	if hintsTrusted {
 		run *= p.Work
 	}
 	var waits []float64
@@ -112,51 +112,52 @@
 			waits = append(waits, 1/(k.wait+run))
 		}
 	}
-	s, ok := peers.Compare(1/(p.Waited(now).Seconds()+run), waits)
+	s, ok := peers.Compare(1/(p.WaitTime(now).Seconds()+run), waits)
 	return s, ok && s.Ratio < 1
 }
 
-// heavy tells whether a worker does another part at its peers' pace: then what is slow is the
-// part, as it is more than its hint says, and a copy would take as long.
-func (b *Board) heavy(worker string, now time.Duration) bool {
-	at, ok := b.heard[worker]
-	return ok && now-at < 3*max(b.cfg.Every, b.cfg.Look)
+// partIsHeavy reports whether a worker runs another part at its peers' speed. Then a slow part is
+// larger than its hint, and a copy would take as long.
+func (b *Board) partIsHeavy(worker string, now time.Duration) bool {
+	at, ok := b.inStepAt[worker]
+	return ok && now-at < 3*max(b.cfg.ReportInterval, b.cfg.CheckInterval)
 }
 
-// copy tells whether a second copy of a part would help. Exact are its peers' speeds by now and
-// size is the part's in their measure; v is its own speed by its hint.
-func (b *Board) copy(name string, n int, g *gang, p *own, exact []float64, size float64, out int, v float64, now time.Duration) (Act, bool) {
-	if !b.cfg.Copies || p.copied || p.Why.State != verdict.Straggler && p.Why.State != verdict.Silent || len(exact) == 0 {
-		return Act{}, false
+// proposeCopy returns the action that starts a second copy of a part, if one helps and the limits
+// allow it. ExactSpeeds are its peers' speeds that are not bounds, size is the part's size in the
+// same measure, and v is its own speed by its hint.
+func (b *Board) proposeCopy(name string, n int, g *gang, p *ownPart, exactSpeeds []float64, size float64, activeCopies int, v float64, now time.Duration) (Action, bool) {
+	if !b.cfg.CopiesAllowed || p.copyRequested || p.Verdict.State != verdict.Straggler && p.Verdict.State != verdict.Silent || len(exactSpeeds) == 0 {
+		return Action{}, false
 	}
-	if p.Why.State == verdict.Silent {
+	if p.Verdict.State == verdict.Silent {
 		v = 0
 	}
-	usual, _ := peers.Compare(0, exact) // of those by now: what moved the verdict may be in another measure
-	left := p.Left(now, v)
-	again := starts*b.cfg.Look + time.Duration(size/max(usual.Median, 1e-3)*float64(time.Second))
-	if now+again > g.deadline && now+left > g.deadline {
-		g.lost = true
+	typical, _ := peers.Compare(0, exactSpeeds) // the verdict's evidence may be in another measure
+	remaining := p.Remaining(now, v)
+	copyTime := copyStartChecks*b.cfg.CheckInterval + time.Duration(size/max(typical.Median, 1e-3)*float64(time.Second))
+	if now+copyTime > g.deadline && now+remaining > g.deadline {
+		g.missesDeadline = true
 	}
-	if float64(again) > gain*float64(left) || now+again > g.deadline || !copies.OfGang(g.of, out) || !b.budget.Take() {
-		return Act{}, false
+	if float64(copyTime) > maxCopyRatio*float64(remaining) || now+copyTime > g.deadline || !copies.AllowedInGang(g.parts, activeCopies) || !b.budget.Take() {
+		return Action{}, false
 	}
-	p.copied = true
-	return Act{Kind: Copy, Part: ID{name, n}, Worker: p.Worker, Why: p.Why, End: now + left, With: now + again}, true
+	p.copyRequested = true
+	return Action{Kind: StartCopy, Part: ID{name, n}, Worker: p.Worker, Verdict: p.Verdict, EndWithoutCopy: now + remaining, EndWithCopy: now + copyTime}, true
 }
 
-// late returns the parts that have not begun of a gang that can't be in time any more: one part
-// of it will not be, whether it is copied or not. Each is returned once.
-func (b *Board) late(name string, g *gang) (acts []Act) {
-	if !g.lost {
+// abandonUnstarted returns, once each, the parts that have not begun of a gang that can't meet its
+// deadline any more: one of its parts will be late with or without a copy.
+func (b *Board) abandonUnstarted(name string, g *gang) (actions []Action) {
+	if !g.missesDeadline {
 		return nil
 	}
-	for _, n := range slices.Sorted(maps.Keys(g.own)) {
-		p := g.own[n]
-		if over, _ := p.Over(); !over && !p.Running() && !p.givenUp {
-			p.givenUp = true
-			acts = append(acts, Act{Kind: GiveUp, Part: ID{name, n}, Worker: p.Worker, Why: p.Why})
+	for _, n := range slices.Sorted(maps.Keys(g.ownParts)) {
+		p := g.ownParts[n]
+		if over, _ := p.Finished(); !over && !p.Running() && !p.abandoned {
+			p.abandoned = true
+			actions = append(actions, Action{Kind: Abandon, Part: ID{name, n}, Worker: p.Worker, Verdict: p.Verdict})
 		}
 	}
-	return acts
+	return actions
 }
--- a/internal/dispatcher/fleet/gang/board/tell.go
+++ b/internal/dispatcher/fleet/gang/board/tell.go
@@ -8,63 +8,64 @@
 	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
-// Fact is what a dispatcher tells the others of a part of its own. It is small and goes each time
-// something changes.
+// Fact is what a dispatcher publishes about one of its parts each time something changes. Its JSON
+// form is sent between members, so the tags must not change.
 type Fact struct {
-	Gang     string        `json:"g"`
-	N        int           `json:"n"`
-	Of       int           `json:"of"`
-	Deadline time.Duration `json:"d"`
-	Worker   string        `json:"w"`
-	Speed    float64       `json:"v"`           // of work by its hint, 0 for unknown
-	Work     float64       `json:"h"`           // the hint, or 1: whoever trusts no hints goes by Speed/Work
-	Bound    bool          `json:"b,omitempty"` // it goes no faster, and may go slower
-	Over     bool          `json:"o,omitempty"`
-	Wait     float64       `json:"q,omitempty"` // seconds that it waited before it began
-	Lost     bool          `json:"l,omitempty"` // the gang can't be in time any more
-	Slow     float64       `json:"s,omitempty"` // it straggles, being that many times slower
-	Step     bool          `json:"k,omitempty"` // it keeps step
-	At       time.Duration `json:"at"`
+	Gang           string        `json:"g"`
+	N              int           `json:"n"`
+	Of             int           `json:"of"`
+	Deadline       time.Duration `json:"d"`
+	Worker         string        `json:"w"`
+	Speed          float64       `json:"v"`           // of the work by its hint, per second; 0 for unknown
+	Work           float64       `json:"h"`           // the hint in seconds, or 1; without trust in hints the speed is Speed/Work
+	Bound          bool          `json:"b,omitempty"` // Speed is an upper bound
+	Ended          bool          `json:"o,omitempty"`
+	Wait           float64       `json:"q,omitempty"` // seconds that it waited before it began
+	MissesDeadline bool          `json:"l,omitempty"` // the gang can't meet its deadline any more
+	SlowFactor     float64       `json:"s,omitempty"` // it straggles and is that many times slower; 0 if it does not
+	InStep         bool          `json:"k,omitempty"` // it runs at its peers' speed
+	At             time.Duration `json:"at"`
 }
 
-// Hear takes in what another dispatcher tells of a part.
-func (b *Board) Hear(f Fact) {
-	if f.N < 1 || f.N > f.Of || f.Of > MostParts || !(f.Speed >= 0) || !(f.Work > 0) || !(f.Wait >= 0) {
+// AddFact adds a fact that another dispatcher has published. Malformed and outdated facts are
+// ignored.
+func (b *Board) AddFact(f Fact) {
+	if f.N < 1 || f.N > f.Of || f.Of > MaxParts || !(f.Speed >= 0) || !(f.Work > 0) || !(f.Wait >= 0) {
 		return
 	}
 	g := b.gang(f.Gang, f.Of, f.Deadline)
-	g.lost = g.lost || f.Lost
-	if f.Step {
-		b.steps(f.Worker, f.At)
+	g.missesDeadline = g.missesDeadline || f.MissesDeadline
+	if f.InStep {
+		b.recordInStep(f.Worker, f.At)
 	}
-	if f.Slow > 0 {
-		b.straggles(f.Worker, f.Gang, min(f.Slow, mostTimes), f.At)
+	if f.SlowFactor > 0 {
+		b.recordSlow(f.Worker, f.Gang, min(f.SlowFactor, maxSlowFactor), f.At)
 	}
-	if was, ok := g.others[f.N]; !ok || f.At >= was.At {
-		g.others[f.N] = f
+	if previous, ok := g.peerFacts[f.N]; !ok || f.At >= previous.At {
+		g.peerFacts[f.N] = f
 	}
 }
 
-// tell returns what the others don't know yet of this dispatcher's parts.
-func (b *Board) tell(name string, g *gang, now time.Duration) (out []Fact) {
-	for _, n := range slices.Sorted(maps.Keys(g.own)) {
-		p := g.own[n]
-		v, bound, ok := p.Speed(now, b.cfg.Every)
+// newFacts returns the facts of this dispatcher's parts of a gang that the others do not know yet.
+func (b *Board) newFacts(name string, g *gang, now time.Duration) (facts []Fact) {
+	for _, n := range slices.Sorted(maps.Keys(g.ownParts)) {
+		p := g.ownParts[n]
+		v, bound, ok := p.Speed(now, b.cfg.ReportInterval)
 		if !ok {
 			continue
 		}
-		over, _ := p.Over()
-		f := Fact{Gang: name, N: n, Of: g.of, Deadline: g.deadline, Worker: p.Worker, Speed: v, Work: p.Work, Bound: bound, Over: over, Wait: p.Waited(now).Seconds(), Lost: g.lost, Step: p.keeps && !over, At: now}
-		if (p.Why.State == verdict.Straggler || p.Why.State == verdict.Silent) && !p.Waits() {
-			f.Slow = timesOf(p.Why.On)
+		ended, _ := p.Finished()
+		f := Fact{Gang: name, N: n, Of: g.parts, Deadline: g.deadline, Worker: p.Worker, Speed: v, Work: p.Work, Bound: bound, Ended: ended, Wait: p.WaitTime(now).Seconds(), MissesDeadline: g.missesDeadline, InStep: p.inStep && !ended, At: now}
+		if (p.Verdict.State == verdict.Straggler || p.Verdict.State == verdict.Silent) && !p.Waiting() {
+			f.SlowFactor = slowFactor(p.Verdict.Evidence)
 		}
 		same := f
-		same.At = p.told.At
-		if over && same == p.told {
+		same.At = p.lastFact.At
+		if ended && same == p.lastFact {
 			continue
 		}
-		p.told = f
-		out = append(out, f)
+		p.lastFact = f
+		facts = append(facts, f)
 	}
-	return out
+	return facts
 }
--- a/internal/dispatcher/fleet/gang/board/workers.go
+++ b/internal/dispatcher/fleet/gang/board/workers.go
@@ -8,50 +8,50 @@
 	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
-// straggles takes down that a worker straggles in a gang.
-func (b *Board) straggles(worker, gang string, times float64, now time.Duration) {
-	if b.slow[worker] == nil {
-		if len(b.slow) >= mostSlow {
+// recordSlow records that a worker straggles in a gang.
+func (b *Board) recordSlow(worker, gang string, times float64, now time.Duration) {
+	if b.slowReports[worker] == nil {
+		if len(b.slowReports) >= maxSlowWorkers {
 			return
 		}
-		b.slow[worker] = map[string]mark{}
+		b.slowReports[worker] = map[string]slowReport{}
 	}
-	b.slow[worker][gang] = mark{now, times}
+	b.slowReports[worker][gang] = slowReport{now, times}
 }
 
-// mostTimes is how much slower a worker is taken for at most.
-const mostTimes = 4.0
+// maxSlowFactor is the largest factor by which a worker counts as slower.
+const maxSlowFactor = 4.0
 
-// timesOf is how many times slower than its peers one is by some evidence.
-func timesOf(e verdict.Evidence) float64 {
-	if e.Known && e.Standing.Ratio > 1/mostTimes {
+// slowFactor returns how many times slower than its peers a part is by some evidence.
+func slowFactor(e verdict.Evidence) float64 {
+	if e.Known && e.Standing.Ratio > 1/maxSlowFactor {
 		return 1 / e.Standing.Ratio
 	}
-	return mostTimes
+	return maxSlowFactor
 }
 
-// workers returns those that straggle in several gangs, each again only after a while. What is
-// old counts less.
-func (b *Board) workers(now time.Duration) (acts []Act) {
-	for _, w := range slices.Sorted(maps.Keys(b.slow)) {
+// slowWorkers returns the actions that mark workers which straggle in several gangs, each worker
+// at most four times per slowDuration. Older reports weigh less.
+func (b *Board) slowWorkers(now time.Duration) (actions []Action) {
+	for _, w := range slices.Sorted(maps.Keys(b.slowReports)) {
 		times, weight := 0.0, 0.0
-		for gang, m := range b.slow[w] {
-			age := float64(now-m.at) / float64(slowFor)
+		for gang, m := range b.slowReports[w] {
+			age := float64(now-m.at) / float64(slowDuration)
 			if age >= 1 {
-				delete(b.slow[w], gang)
+				delete(b.slowReports[w], gang)
 				continue
 			}
-			times, weight = times+(1-age)*m.times, weight+1-age
+			times, weight = times+(1-age)*m.factor, weight+1-age
 		}
-		if len(b.slow[w]) == 0 {
-			delete(b.slow, w)
-			delete(b.said, w)
+		if len(b.slowReports[w]) == 0 {
+			delete(b.slowReports, w)
+			delete(b.markedSlowAt, w)
 			continue
 		}
-		if at, said := b.said[w]; len(b.slow[w]) >= slowIn && (!said || now-at >= slowFor/4) {
-			b.said[w] = now
-			acts = append(acts, Act{Kind: Slow, Worker: w, Times: times / weight})
+		if at, said := b.markedSlowAt[w]; len(b.slowReports[w]) >= minSlowGangs && (!said || now-at >= slowDuration/4) {
+			b.markedSlowAt[w] = now
+			actions = append(actions, Action{Kind: MarkSlow, Worker: w, SlowFactor: times / weight})
 		}
 	}
-	return acts
+	return actions
 }
--- a/internal/dispatcher/fleet/gang/copies/copies.go
+++ b/internal/dispatcher/fleet/gang/copies/copies.go
@@ -1,43 +1,46 @@
-// Package copies bounds second copies of parts: by gang, and by dispatcher as a share of the
-// parts that it sends, so that a fleet of any size does little work twice without a word between
-// its dispatchers. Each part is one dispatcher's, so that nobody else copies it. The package is
-// pure.
+// Package copies limits second copies of parts (speculative execution [Dean & Ghemawat 2004, sec.
+// 3.6]): for each gang, and for each dispatcher to a fraction of the parts that it sends. Each
+// part belongs to one dispatcher and nobody else copies it, so a fleet of any size duplicates
+// little work without any message between its dispatchers. The package is pure; a Budget is not
+// safe for concurrent use.
 package copies
 
 const (
-	// share is the copies for each part that is sent, and saved how many may be saved up.
-	share, saved = 0.05, 16.0
-	// first is how many there are to begin with: as many parts as one runner may have taken in.
-	first = 4
-	// byGang is which part of a gang's parts may be copied at once.
-	byGang = 4
+	// creditPerPart is how many copies each sent part adds to the budget, and maxCredit the upper
+	// limit of the budget.
+	creditPerPart, maxCredit = 0.05, 16.0
+	// initialCredit is the budget at the start: as many copies as one slow runner may hold parts.
+	initialCredit = 4
+	// gangDivisor is the inverse of the fraction of a gang's parts that may have copies at a time.
+	gangDivisor = 4
 )
 
-// Budget is a dispatcher's. The zero value has a few copies to give.
+// Budget is the token bucket of one dispatcher. The zero value holds initialCredit.
 type Budget struct {
-	credit float64
-	begun  bool
+	credit      float64
+	initialized bool
 }
 
-// Sent takes in that a part was sent.
-func (b *Budget) Sent() {
-	b.begin()
-	b.credit = min(b.credit+share, saved)
+// PartSent adds credit for a part that was sent.
+func (b *Budget) PartSent() {
+	b.initialize()
+	b.credit = min(b.credit+creditPerPart, maxCredit)
 }
 
-func (b *Budget) begin() {
-	if !b.begun {
-		b.begun, b.credit = true, first
+// initialize sets the initial credit on first use.
+func (b *Budget) initialize() {
+	if !b.initialized {
+		b.initialized, b.credit = true, initialCredit
 	}
 }
 
-// OfGang tells whether a gang of so many parts may have a further copy beside those that are
-// out.
-func OfGang(of, out int) bool { return out < max(of/byGang, 1) }
+// AllowedInGang reports whether a gang with a number of parts may have another copy in addition to
+// the active ones.
+func AllowedInGang(parts, active int) bool { return active < max(parts/gangDivisor, 1) }
 
-// Take takes a copy from the budget, if there is one.
+// Take takes one copy from the budget and reports whether there was one.
 func (b *Budget) Take() bool {
-	b.begin()
+	b.initialize()
 	if b.credit < 1 {
 		return false
 	}
--- a/internal/dispatcher/fleet/gang/part/part.go
+++ b/internal/dispatcher/fleet/gang/part/part.go
@@ -1,149 +1,156 @@
-// Package part is one part of a gang job at one worker: how fast it goes, fair to its size, by
-// what the worker tells of it. It is pure: no I/O, no clock.
+// Package part estimates the speed of one part of a gang job from its worker's progress reports,
+// relative to the part's size. Package board holds a Part for each part that its dispatcher has
+// sent.
+//
+// The package is pure: it does no I/O and reads no clock; times are the cluster's time since 1970.
+// A Part is not safe for concurrent use.
 package part
 
 import "time"
 
-// window is over how many reports the pace is taken: what a worker does now counts, not what
-// it did at first.
-const window = 3
+// reportWindow is how many of the last reports the speed is taken from: the present speed counts,
+// not that of the beginning.
+const reportWindow = 3
 
-// Part is an attempt of a part. The zero value has not been sent.
+// Part is the present attempt of one part of a gang. The zero value has not been sent; set Work
+// before the first Send.
 type Part struct {
-	Worker  string
-	Work    float64 // seconds that it is expected to take at a usual worker, by its hint; 1 for no hint
+	Worker  string  // empty until it is sent
+	Work    float64 // expected run time in seconds at a typical worker, from the job's hint; 1 without a hint
 	Attempt int
 
-	sent, started, ended time.Duration
-	begun, over, served  bool
-	seen                 [window + 1]mark // the last reports, the start among them, the newest last
-	n                    int
-	Odd                  int // reports that were passed over
-	Told                 int // reports that counted
+	sentAt, startedAt, endedAt time.Duration
+	started, finished, served  bool
+	reports                    [reportWindow + 1]progress // the last ones, among them the start; the newest last
+	reportCount                int
+	RejectedReports            int // events that were ignored, of all attempts
+	AcceptedReports            int // progress reports that counted
 }
 
-// mark is a share done at a time.
-type mark struct {
-	at    time.Duration
-	share float64
+// progress is the fraction that was done at a time.
+type progress struct {
+	at       time.Duration
+	fraction float64
 }
 
-// Send has the part go to a worker anew. What is told of an earlier attempt counts no more.
+// Send begins a new attempt at a worker. Events of earlier attempts are ignored from now on.
 func (p *Part) Send(worker string, attempt int, at time.Duration) {
-	*p = Part{Worker: worker, Work: p.Work, Attempt: attempt, sent: at, Odd: p.Odd}
+	*p = Part{Worker: worker, Work: p.Work, Attempt: attempt, sentAt: at, RejectedReports: p.RejectedReports}
 }
 
-// Start takes in that the worker began it.
+// Start records that the worker began an attempt.
 func (p *Part) Start(attempt int, at time.Duration) {
-	if attempt != p.Attempt || p.begun || p.over || p.Worker == "" {
-		p.Odd++
+	if attempt != p.Attempt || p.started || p.finished || p.Worker == "" {
+		p.RejectedReports++
 		return
 	}
-	p.begun, p.started = true, at
-	p.note(mark{at, 0})
+	p.started, p.startedAt = true, at
+	p.record(progress{at, 0})
 }
 
-// Report takes in a share that is done. One of an earlier attempt, one that is late or lies
-// behind what was told before, or no share at all, is passed over.
-func (p *Part) Report(attempt int, share float64, at time.Duration) {
-	last := p.seen[max(p.n-1, 0)]
-	if attempt != p.Attempt || p.over || p.Worker == "" || !(share >= 0 && share <= 1) || p.n > 0 && (at < last.at || share < last.share) {
-		p.Odd++
+// Report records the fraction that an attempt has done. A report is ignored if it belongs to
+// another attempt, is older or smaller than the last one, or is not in [0, 1].
+func (p *Part) Report(attempt int, fraction float64, at time.Duration) {
+	last := p.reports[max(p.reportCount-1, 0)]
+	if attempt != p.Attempt || p.finished || p.Worker == "" || !(fraction >= 0 && fraction <= 1) || p.reportCount > 0 && (at < last.at || fraction < last.fraction) {
+		p.RejectedReports++
 		return
 	}
-	if !p.begun { // the word of its start was lost
-		p.begun, p.started = true, p.sent
-		p.note(mark{p.sent, 0})
+	if !p.started { // its start event was lost
+		p.started, p.startedAt = true, p.sentAt
+		p.record(progress{p.sentAt, 0})
 	}
-	p.note(mark{at, share})
-	p.Told++
+	p.record(progress{at, fraction})
+	p.AcceptedReports++
 }
 
-func (p *Part) note(m mark) {
-	if p.n == len(p.seen) {
-		copy(p.seen[:], p.seen[1:])
-		p.n--
+// record appends to the window and drops the oldest report if it is full.
+func (p *Part) record(m progress) {
+	if p.reportCount == len(p.reports) {
+		copy(p.reports[:], p.reports[1:])
+		p.reportCount--
 	}
-	p.seen[p.n] = m
-	p.n++
+	p.reports[p.reportCount] = m
+	p.reportCount++
 }
 
-// End takes in that the attempt is over.
+// End records that an attempt is over, and whether it succeeded.
 func (p *Part) End(attempt int, served bool, at time.Duration) {
-	if attempt != p.Attempt || p.over {
-		p.Odd++
+	if attempt != p.Attempt || p.finished {
+		p.RejectedReports++
 		return
 	}
-	p.over, p.served, p.ended = true, served, at
+	p.finished, p.served, p.endedAt = true, served, at
 }
 
-// Over tells whether it is over, and whether it was served.
-func (p *Part) Over() (over, served bool) { return p.over, p.served }
+// Finished reports whether the attempt is over, and whether it succeeded.
+func (p *Part) Finished() (finished, served bool) { return p.finished, p.served }
 
-// Running tells whether a worker has begun it and it is not over.
-func (p *Part) Running() bool { return p.begun && !p.over }
+// Running reports whether a worker has begun the attempt and it is not over.
+func (p *Part) Running() bool { return p.started && !p.finished }
 
-// Waits tells whether it has been sent and no worker has begun it.
-func (p *Part) Waits() bool { return p.Worker != "" && !p.begun && !p.over }
+// Waiting reports whether the attempt was sent and no worker has begun it.
+func (p *Part) Waiting() bool { return p.Worker != "" && !p.started && !p.finished }
 
-// Waited returns how long it waited before it began, or has waited by now.
-func (p *Part) Waited(now time.Duration) time.Duration {
-	if p.begun {
-		return p.started - p.sent
+// WaitTime returns how long the attempt waited before it began, or has waited until now.
+func (p *Part) WaitTime(now time.Duration) time.Duration {
+	if p.started {
+		return p.startedAt - p.sentAt
 	}
-	return now - p.sent
+	return now - p.sentAt
 }
 
-// Took returns how long it ran, once it was served.
-func (p *Part) Took() time.Duration { return p.ended - p.started }
+// RunTime returns how long the attempt ran. It is meaningful only for one that has succeeded.
+func (p *Part) RunTime() time.Duration { return p.endedAt - p.startedAt }
 
-// Share returns what is done by the last report.
-func (p *Part) Share() float64 {
-	if p.n == 0 {
+// Fraction returns the fraction that was done at the last report, 0 before the first.
+func (p *Part) Fraction() float64 {
+	if p.reportCount == 0 {
 		return 0
 	}
-	return p.seen[p.n-1].share
+	return p.reports[p.reportCount-1].fraction
 }
 
-// Speed returns the work that it does in a second, 1 for a usual worker and a good hint. Bound
-// is set where it does no more than that, and may do less: nothing was told for longer than
-// reports are apart, or nothing is told at all but starts and ends. Every is how far apart
-// reports are, 0 for none. It is false where nothing can be said.
-func (p *Part) Speed(now, every time.Duration) (v float64, bound, ok bool) {
+// Speed returns the work done per second, which is 1 at a typical worker with a good hint.
+// Interval is the interval between reports, 0 if workers report only start and end. Bound means
+// that v is only an upper bound: the last report is overdue, or there are no reports. ok is false
+// if nothing is known.
+func (p *Part) Speed(now, interval time.Duration) (speed float64, bound, ok bool) {
 	switch {
-	case p.over && p.served && p.ended > p.started:
-		return p.Work / (p.ended - p.started).Seconds(), false, true
-	case !p.Running() || now <= p.started:
+	case p.finished && p.served && p.endedAt > p.startedAt:
+		return p.Work / (p.endedAt - p.startedAt).Seconds(), false, true
+	case !p.Running() || now <= p.startedAt:
 		return 0, false, false
 	}
-	first, last := p.seen[0], p.seen[p.n-1]
-	most := p.Work * (1 - first.share) / (now - first.at).Seconds() // all that was left might be done by now
-	if p.Told == 0 {
-		return most, true, true
+	first, last := p.reports[0], p.reports[p.reportCount-1]
+	maxSpeed := p.Work * (1 - first.fraction) / (now - first.at).Seconds() // as if all that was left were done by now
+	if p.AcceptedReports == 0 {
+		return maxSpeed, true, true
 	}
 	if last.at <= first.at {
-		return most, true, true
+		return maxSpeed, true, true
 	}
-	v = p.Work * (last.share - first.share) / (last.at - first.at).Seconds()
-	if every > 0 && now-last.at > every*3/2 {
-		return min(v, most), true, true
+	speed = p.Work * (last.fraction - first.fraction) / (last.at - first.at).Seconds()
+	if interval > 0 && now-last.at > interval*3/2 {
+		return min(speed, maxSpeed), true, true
 	}
-	return v, false, true
+	return speed, false, true
 }
 
-// Silent tells whether a worker that tells of progress has said nothing for far too long.
-func (p *Part) Silent(now, every time.Duration) bool {
-	return every > 0 && p.Running() && p.n > 0 && now-p.seen[p.n-1].at > every*5/2
+// ReportsOverdue reports whether a worker that reports progress has not reported for two and a
+// half intervals.
+func (p *Part) ReportsOverdue(now, interval time.Duration) bool {
+	return interval > 0 && p.Running() && p.reportCount > 0 && now-p.reports[p.reportCount-1].at > interval*5/2
 }
 
-// Left returns how long it is likely to take yet at a speed.
-func (p *Part) Left(now time.Duration, v float64) time.Duration {
-	if p.over {
+// Remaining returns how long the attempt will probably still take at a speed.
+func (p *Part) Remaining(now time.Duration, speed float64) time.Duration {
+	if p.finished {
 		return 0
 	}
-	left := p.Work * (1 - p.Share())
-	if p.n > 0 { // what was done since the last report
-		left -= v * (now - p.seen[p.n-1].at).Seconds()
+	remaining := p.Work * (1 - p.Fraction())
+	if p.reportCount > 0 { // subtract what was done since the last report
+		remaining -= speed * (now - p.reports[p.reportCount-1].at).Seconds()
 	}
-	return time.Duration(max(left, 0) / max(v, 1e-3) * float64(time.Second))
+	return time.Duration(max(remaining, 0) / max(speed, 1e-3) * float64(time.Second))
 }
--- a/internal/dispatcher/fleet/gang/part/part_test.go
+++ b/internal/dispatcher/fleet/gang/part/part_test.go
@@ -12,23 +12,23 @@
 
 const s = time.Second
 
-// TestSpeed has what reports say of a part's pace, and what their absence says.
+// TestSpeed checks the speed that reports, and their absence, lead to.
 func TestSpeed(t *testing.T) {
 	type report struct {
-		attempt int
-		share   float64
-		at      time.Duration
+		attempt  int
+		fraction float64
+		at       time.Duration
 	}
 	for _, tc := range []struct {
-		name    string
-		work    float64
-		every   time.Duration
-		reports []report
-		now     time.Duration
-		v       float64
-		bound   bool
-		odd     int
-		silent  bool
+		name     string
+		work     float64
+		interval time.Duration
+		reports  []report
+		now      time.Duration
+		v        float64
+		bound    bool
+		rejected int
+		overdue  bool
 	}{
 		{"as fast as its hint", 10, 2 * s, []report{{0, 0.2, 2 * s}, {0, 0.4, 4 * s}}, 4 * s, 1, false, 0, false},
 		{"three times slower", 9, 2 * s, []report{{0, 2.0 / 27, 2 * s}, {0, 4.0 / 27, 4 * s}}, 4 * s, 1.0 / 3, false, 0, false},
@@ -46,22 +46,22 @@
 		p.Send("w", 0, 0)
 		p.Start(0, 0)
 		for _, r := range tc.reports {
-			p.Report(r.attempt, r.share, r.at)
+			p.Report(r.attempt, r.fraction, r.at)
 		}
-		v, bound, ok := p.Speed(tc.now, tc.every)
-		if !ok || math.Abs(v-tc.v) > 1e-9 || bound != tc.bound || p.Odd != tc.odd || p.Silent(tc.now, tc.every) != tc.silent {
-			t.Errorf("%s: %g, bound %t, known %t, %d passed over, silent %t", tc.name, v, bound, ok, p.Odd, p.Silent(tc.now, tc.every))
+		v, bound, ok := p.Speed(tc.now, tc.interval)
+		if !ok || math.Abs(v-tc.v) > 1e-9 || bound != tc.bound || p.RejectedReports != tc.rejected || p.ReportsOverdue(tc.now, tc.interval) != tc.overdue {
+			t.Errorf("%s: %g, bound %t, known %t, %d passed over, silent %t", tc.name, v, bound, ok, p.RejectedReports, p.ReportsOverdue(tc.now, tc.interval))
 		}
 	}
 }
 
-// TestAnyReports guards the reckoning against whatever is told in whatever order: a speed is a
-// figure, what is left is not below nothing, a share never goes back, and a new attempt begins
-// anew.
+// TestAnyReports checks invariants under random events in random order: a speed is finite and not
+// negative, the remaining time is not negative, a fraction never decreases within an attempt, and a
+// new attempt begins at 0.
 func TestAnyReports(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := Part{Work: rapid.Float64Range(0.001, 1000).Draw(t, "work")}
-		now, attempt, share := time.Duration(0), 0, 0.0
+		now, attempt, fraction := time.Duration(0), 0, 0.0
 		for range rapid.IntRange(0, 40).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 5000).Draw(t, "ms")) * time.Millisecond
 			at := now - time.Duration(rapid.IntRange(0, 3000).Draw(t, "late"))*time.Millisecond
@@ -70,7 +70,7 @@
 			case 0:
 				attempt++
 				p.Send("w", attempt, now)
-				share = 0
+				fraction = 0
 			case 1:
 				p.Start(of, at)
 			case 2:
@@ -78,14 +78,14 @@
 			default:
 				p.Report(of, rapid.Float64().Draw(t, "share"), at)
 			}
-			if p.Share() < share {
-				t.Fatalf("from %g back to %g", share, p.Share())
+			if p.Fraction() < fraction {
+				t.Fatalf("from %g back to %g", fraction, p.Fraction())
 			}
-			share = p.Share()
+			fraction = p.Fraction()
 			if v, _, ok := p.Speed(now, 2*s); ok && !(v >= 0 && !math.IsInf(v, 0)) {
 				t.Fatalf("a speed of %g", v)
 			}
-			if p.Left(now, 1) < 0 {
+			if p.Remaining(now, 1) < 0 {
 				t.Fatal("less than nothing is left")
 			}
 		}
--- a/internal/dispatcher/fleet/gang/verdict/verdict.go
+++ b/internal/dispatcher/fleet/gang/verdict/verdict.go
@@ -1,6 +1,6 @@
-// Package verdict says of a part of a gang whether it keeps step with its peers. A verdict
-// needs enough peers and more than one look, and is taken back as slowly as it was come to. The
-// package is pure.
+// Package verdict decides whether a part of a gang keeps up with its peers. A verdict needs enough
+// peers and more than one check, and is withdrawn as slowly as it was reached, so that it does not
+// flap. The package is pure; a Verdict is not safe for concurrent use.
 package verdict
 
 import (
@@ -9,84 +9,86 @@
 	"frosttide/internal/dispatcher/fleet/gang/peers"
 )
 
-// State is how a part does.
+// State is how a part keeps up with its peers.
 type State uint8
 
-// The states.
+// The states of a part.
 const (
 	Unknown   State = iota // too little is known
-	InStep                 // as its peers
-	Behind                 // slower at this look
-	Straggler              // slower at look after look
-	Silent                 // its worker has stopped telling, and others' tell
+	InStep                 // about as fast as its peers
+	Behind                 // slower at the last check
+	Straggler              // slower at several checks in a row
+	Silent                 // its worker stopped reporting while others report
 )
 
-var names = [...]string{"unknown", "in step", "behind", "straggler", "silent"}
+var stateNames = [...]string{"unknown", "in step", "behind", "straggler", "silent"}
 
-// String returns the state in plain words, as operators see it.
-func (s State) String() string { return names[min(int(s), len(names)-1)] }
+// String returns the state as operators see it.
+func (s State) String() string { return stateNames[min(int(s), len(stateNames)-1)] }
 
 const (
-	// slow is the part of its peers' speed below which a part is behind, and back from which on
-	// it keeps step again.
-	slow, back = 0.5, 0.67
-	// far is how many spreads below its peers it has to be.
-	far = 2.5
-	// looks is how many in a row it takes, either way.
-	looks = 2
+	// slowRatio is the ratio to its peers' median speed below which a part is behind;
+	// recoveredRatio is the ratio from which on it keeps up again.
+	slowRatio, recoveredRatio = 0.5, 0.67
+	// minSigmas is how many standard deviations below its peers a part must be as well.
+	minSigmas = 2.5
+	// confirmations is how many checks in a row a change to or from Straggler needs.
+	confirmations = 2
 )
 
-// Evidence is what a look found.
+// Evidence is the result of one check.
 type Evidence struct {
 	At       time.Duration
 	Standing peers.Standing
-	Known    bool // Standing says something
-	Silent   bool // nothing is told of it for too long, and something of peers'
-	Heavy    bool // its worker does other work at its usual pace: the part is what is heavy
+	Known    bool // Standing is meaningful
+	Silent   bool // its reports are overdue, and those of enough peers are not
+	Heavy    bool // its worker runs other parts at their peers' speed, so the part itself is heavy
 }
 
-// Verdict is a part's. The zero value knows nothing.
+// Verdict is the verdict on one part. The zero value is Unknown.
 type Verdict struct {
-	State State
-	On    Evidence // what moved it last
-	run   int      // looks in a row that speak for another state
-	last  time.Duration
+	State    State
+	Evidence Evidence // that caused the present state
+	streak   int      // checks in a row for another state: positive for slow, negative for recovered
+	lastAt   time.Duration
 }
 
-// Look takes in evidence, at most once in so long, and tells whether the state changed.
-func (v *Verdict) Look(e Evidence, apart time.Duration) bool {
-	if v.last > 0 && e.At < v.last+apart {
+// Observe takes the evidence of one check, ignoring it if less than interval has passed since the
+// last one, and reports whether the state changed.
+func (v *Verdict) Observe(e Evidence, interval time.Duration) bool {
+	if v.lastAt > 0 && e.At < v.lastAt+interval {
 		return false
 	}
-	v.last = e.At
-	was := v.State
+	v.lastAt = e.At
+	previous := v.State
 	switch {
 	case e.Silent:
-		v.to(Silent, e)
-	case !e.Known: // nothing is taken back for want of peers
+		v.set(Silent, e)
+	case !e.Known: // missing peers do not withdraw a Straggler
 		if v.State == Silent || v.State == Behind {
-			v.to(Unknown, e)
+			v.set(Unknown, e)
 		}
-	case e.Standing.Ratio < slow && e.Standing.Sigmas > far && !e.Heavy:
-		if v.run = max(v.run, 0) + 1; v.run >= looks {
-			v.to(Straggler, e)
+	case e.Standing.Ratio < slowRatio && e.Standing.Sigmas > minSigmas && !e.Heavy:
+		if v.streak = max(v.streak, 0) + 1; v.streak >= confirmations {
+			v.set(Straggler, e)
 		} else if v.State != Straggler {
-			v.to(Behind, e)
+			v.set(Behind, e)
 		}
-	case e.Standing.Ratio >= back:
-		if v.run = min(v.run, 0) - 1; v.run <= -looks || v.State != Straggler {
-			v.to(InStep, e)
+	case e.Standing.Ratio >= recoveredRatio:
+		if v.streak = min(v.streak, 0) - 1; v.streak <= -confirmations || v.State != Straggler {
+			v.set(InStep, e)
 		}
-	default: // between the two, or heavy: neither is said
-		if v.run = 0; v.State != Straggler {
-			v.to(Behind, e)
+	default: // between the two ratios, or heavy
+		if v.streak = 0; v.State != Straggler {
+			v.set(Behind, e)
 		}
 	}
-	return v.State != was
+	return v.State != previous
 }
 
-func (v *Verdict) to(s State, e Evidence) {
+// set enters a state and keeps the evidence for it.
+func (v *Verdict) set(s State, e Evidence) {
 	if v.State != s {
-		v.State, v.On = s, e
+		v.State, v.Evidence = s, e
 	}
 }
--- a/internal/dispatcher/fleet/gang/verdict/verdict_test.go
+++ b/internal/dispatcher/fleet/gang/verdict/verdict_test.go
@@ -7,8 +7,9 @@
 	"frosttide/internal/dispatcher/fleet/gang/peers"
 )
 
-// TestLook has verdicts come to by more than one look, with enough peers, and taken back slowly.
-func TestLook(t *testing.T) {
+// TestObserve checks that a verdict needs more than one check and enough peers, and is withdrawn
+// slowly.
+func TestObserve(t *testing.T) {
 	at := func(ratio float64, others ...float64) Evidence {
 		if others == nil {
 			others = []float64{0.9, 1, 1.1, 1}
@@ -20,16 +21,16 @@
 	heavy, silent := slow, fine
 	heavy.Heavy, silent.Silent = true, true
 	for _, tc := range []struct {
-		name  string
-		looks []Evidence
-		want  State
+		name   string
+		checks []Evidence
+		want   State
 	}{
 		{"nothing is known", []Evidence{{}}, Unknown},
 		{"two peers are too few", []Evidence{at(0.1, 1, 1), at(0.1, 1, 1), at(0.1, 1, 1)}, Unknown},
 		{"in step", []Evidence{fine}, InStep},
 		{"slow once", []Evidence{fine, slow}, Behind},
 		{"slow twice", []Evidence{fine, slow, slow}, Straggler},
-		{"with a look between", []Evidence{slow, fine, slow}, Behind},
+		{"with a good check between", []Evidence{slow, fine, slow}, Behind},
 		{"all parts are slow", []Evidence{at(0.3, 0.3, 0.31, 0.29), at(0.3, 0.3, 0.31, 0.29)}, InStep},
 		{"peers differ as much", []Evidence{at(0.3, 0.2, 0.5, 1, 2, 4), at(0.3, 0.2, 0.5, 1, 2, 4)}, Behind},
 		{"heavy, not slow", []Evidence{heavy, heavy, heavy}, Behind},
@@ -42,10 +43,10 @@
 		{"it speaks again", []Evidence{silent, fine}, InStep},
 	} {
 		var v Verdict
-		for i, e := range tc.looks {
+		for i, e := range tc.checks {
 			e.At = time.Duration(i+1) * time.Second
-			v.Look(e, time.Second)
-			v.Look(Evidence{At: e.At + time.Millisecond, Silent: true}, time.Second) // too soon: not looked at
+			v.Observe(e, time.Second)
+			v.Observe(Evidence{At: e.At + time.Millisecond, Silent: true}, time.Second) // too soon: ignored
 		}
 		if v.State != tc.want {
 			t.Errorf("%s: %s, want %s", tc.name, v.State, tc.want)
--- a/internal/dispatcher/fleet/gang/watcher/watcher.go
+++ b/internal/dispatcher/fleet/gang/watcher/watcher.go
@@ -1,6 +1,8 @@
-// Package watcher watches gang jobs for a dispatcher: what the core sees of their parts comes in by
-// a bounded ring, a board (internal/dispatcher/fleet/gang/board) judges in a goroutine of its own, and what
-// follows goes to the core and to other members. Nothing here blocks the core.
+// Package watcher watches a dispatcher's gang jobs: events of their parts come from the core
+// through a bounded queue, a goroutine of its own applies them to a board
+// (internal/dispatcher/fleet/gang/board) and checks it at an interval, and the resulting actions
+// go to the core and facts to the other members. No method blocks the core: if the queue is full
+// an event is dropped and counted. All methods are safe for concurrent use.
 package watcher
 
 import (
@@ -16,165 +18,171 @@
 	"frosttide/internal/dispatcher/fleet/gang/board"
 )
 
-// ring is how many observations may wait; past it one is dropped and counted: its part is known
-// less well, and nothing else.
-const ring = 4096
+// queueSize bounds the events that wait. A dropped event makes the estimate for its part worse and
+// has no other effect.
+const queueSize = 4096
 
-// mostJobs is how many parts are watched at once; others are jobs like any.
-const mostJobs = 1 << 16
+// maxJobs bounds the parts that are watched at a time; further ones are run like other jobs.
+const maxJobs = 1 << 16
 
-// Dispatcher is whose jobs they are; the core is. None of it blocks.
+// Dispatcher acts on stragglers; the core implements it. No method blocks.
 type Dispatcher interface {
-	Hedge(jobID string)                 // a second copy would help
-	MarkSlow(uid string, times float64) // a runner counts as that much slower for a while
-	Abandon(jobID string)               // the job is of no use any more
+	Hedge(jobID string)                 // starts a second copy of a job
+	MarkSlow(uid string, times float64) // treats a runner as that many times slower for a while
+	Abandon(jobID string)               // gives up a job that has not begun
 }
 
 // Config says how gangs are watched.
 type Config struct {
-	Every  time.Duration // between a runner's reports; 0 for none
-	Look   time.Duration
-	Copies bool
-	// Now is the time that members go by, since 1970.
+	ReportInterval time.Duration // between a runner's progress reports; 0 for none
+	CheckInterval  time.Duration // between checks of the board
+	CopiesAllowed  bool          // second copies may be started
+	// Now returns the cluster's time since 1970.
 	Now func() time.Duration
-	// Tell makes facts known to other members; nil for nobody. It must not block.
-	Tell func(name string, fact []byte)
+	// Publish sends a fact, in JSON, to the other members; nil for a member without others. It
+	// must not block.
+	Publish func(name string, fact []byte)
 }
 
-// Desk is a dispatcher's. New makes it.
-type Desk struct {
-	cfg     Config
-	to      Dispatcher
-	log     *logrus.Entry
-	in      chan func(*Desk)
-	dropped atomic.Uint64
+// Watcher watches the gang jobs of one dispatcher. New makes it and Run starts it. Only the
+// goroutine of Run uses board and jobs.
+type Watcher struct {
+	cfg        Config
+	dispatcher Dispatcher
+	log        *logrus.Entry
+	events     chan func(*Watcher)
+	dropped    atomic.Uint64
 
-	board *board.Board
-	jobs  map[board.ID]string // the open job of each part
-	acts  counts
+	board    *board.Board
+	jobs     map[board.ID]string // the open job of each part
+	counters counters
 }
 
-// counts are of what was found.
-type counts struct{ copies, slow, abandoned atomic.Uint64 }
+// counters count the actions.
+type counters struct{ copies, slow, abandoned atomic.Uint64 }
 
-// New makes a desk; Run starts it.
-func New(cfg Config, to Dispatcher, log *logrus.Entry) *Desk {
-	return &Desk{cfg: cfg, to: to, log: log, in: make(chan func(*Desk), ring), jobs: map[board.ID]string{},
-		board: board.New(board.Config{Every: cfg.Every, Look: cfg.Look, Copies: cfg.Copies})}
+// New returns a watcher; Run starts it.
+func New(cfg Config, dispatcher Dispatcher, log *logrus.Entry) *Watcher {
+	return &Watcher{cfg: cfg, dispatcher: dispatcher, log: log, events: make(chan func(*Watcher), queueSize), jobs: map[board.ID]string{},
+		board: board.New(board.Config{ReportInterval: cfg.ReportInterval, CheckInterval: cfg.CheckInterval, CopiesAllowed: cfg.CopiesAllowed})}
 }
 
-func (d *Desk) put(what func(*Desk)) {
+// enqueue queues an event for the goroutine of Run and drops it if the queue is full.
+func (w *Watcher) enqueue(event func(*Watcher)) {
 	select {
-	case d.in <- what:
+	case w.events <- event:
 	default:
-		if n := d.dropped.Add(1); n&(n-1) == 0 { // the 1st, 2nd, 4th, ...: guards the log
-			d.log.WithField("count", n).Warn("too much is told of gangs; some of it is dropped")
+		if n := w.dropped.Add(1); n&(n-1) == 0 { // log only the 1st, 2nd, 4th, ...
+			w.log.WithField("count", n).Warn("too much is told of gangs; some of it is dropped")
 		}
 	}
 }
 
 // Run works until the context ends.
-func (d *Desk) Run(ctx context.Context) {
-	tick := time.NewTicker(d.cfg.Look)
+func (w *Watcher) Run(ctx context.Context) {
+	tick := time.NewTicker(w.cfg.CheckInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case what := <-d.in:
-			what(d)
+		case event := <-w.events:
+			event(w)
 		case <-tick.C:
-			d.look()
+			w.check()
 		}
 	}
 }
 
-func (d *Desk) look() {
-	acts, facts := d.board.Look(d.cfg.Now())
-	if d.cfg.Tell != nil {
+// check checks the board, publishes the new facts and carries out the actions.
+func (w *Watcher) check() {
+	actions, facts := w.board.Check(w.cfg.Now())
+	if w.cfg.Publish != nil {
 		for i := range facts {
-			if text, err := json.Marshal(&facts[i]); err == nil { // false for figures that are none
-				d.cfg.Tell(name(facts[i].Gang, facts[i].N), text)
+			if text, err := json.Marshal(&facts[i]); err == nil { // fails for NaN and infinities
+				w.cfg.Publish(factName(facts[i].Gang, facts[i].N), text)
 			}
 		}
 	}
-	for _, a := range acts {
-		l := d.log.WithFields(logrus.Fields{"target": a.Worker})
-		switch job := d.jobs[a.Part]; a.Kind {
-		case board.Copy:
-			d.acts.copies.Add(1)
-			l.WithFields(logrus.Fields{"gang": a.Part.Gang, "part": a.Part.N, "id": job, "state": a.Why.State.String(), "ratio": a.Why.On.Standing.Ratio,
-				"peers": a.Why.On.Standing.Peers, "ends_in": (a.End - d.cfg.Now()).Round(time.Millisecond).String(), "with_a_copy": (a.With - d.cfg.Now()).Round(time.Millisecond).String()}).Info("a part of a gang straggles")
-			d.to.Hedge(job)
-		case board.Slow:
-			d.acts.slow.Add(1)
-			l.WithField("times", a.Times).Info("a runner straggles in several gangs")
-			d.to.MarkSlow(a.Worker, a.Times)
-		case board.GiveUp:
-			d.acts.abandoned.Add(1)
-			l.WithFields(logrus.Fields{"gang": a.Part.Gang, "part": a.Part.N, "id": job}).Info("a gang can't be in time any more; a part that has not begun is given up")
-			d.to.Abandon(job)
+	for _, action := range actions {
+		logger := w.log.WithFields(logrus.Fields{"target": action.Worker})
+		switch job := w.jobs[action.Part]; action.Kind {
+		case board.StartCopy:
+			w.counters.copies.Add(1)
+			logger.WithFields(logrus.Fields{"gang": action.Part.Gang, "part": action.Part.N, "id": job, "state": action.Verdict.State.String(), "ratio": action.Verdict.Evidence.Standing.Ratio,
+				"peers": action.Verdict.Evidence.Standing.Peers, "ends_in": (action.EndWithoutCopy - w.cfg.Now()).Round(time.Millisecond).String(), "with_a_copy": (action.EndWithCopy - w.cfg.Now()).Round(time.Millisecond).String()}).Info("a part of a gang straggles")
+			w.dispatcher.Hedge(job)
+		case board.MarkSlow:
+			w.counters.slow.Add(1)
+			logger.WithField("times", action.SlowFactor).Info("a runner straggles in several gangs")
+			w.dispatcher.MarkSlow(action.Worker, action.SlowFactor)
+		case board.Abandon:
+			w.counters.abandoned.Add(1)
+			logger.WithFields(logrus.Fields{"gang": action.Part.Gang, "part": action.Part.N, "id": job}).Info("a gang can't be in time any more; a part that has not begun is given up")
+			w.dispatcher.Abandon(job)
 		}
 	}
 }
 
+// idOf returns the id of the part that a job is.
 func idOf(job *core.Job) board.ID { return board.ID{Gang: job.Gang.ID, N: job.Gang.N} }
 
-// Joined takes in a job that is a part.
-func (d *Desk) Joined(job *core.Job, deadline time.Duration) {
+// Joined adds a job that is a part; deadline is the time until its deadline.
+func (w *Watcher) Joined(job *core.Job, deadline time.Duration) {
 	left, hint := deadline, job.Hint.Seconds()
-	d.put(func(d *Desk) {
-		if len(d.jobs) < mostJobs && d.board.Join(idOf(job), job.Gang.Of, hint, d.cfg.Now()+left) {
-			d.jobs[idOf(job)] = job.ID
+	w.enqueue(func(w *Watcher) {
+		if len(w.jobs) < maxJobs && w.board.AddPart(idOf(job), job.Gang.Of, hint, w.cfg.Now()+left) {
+			w.jobs[idOf(job)] = job.ID
 		}
 	})
 }
 
-// Sent takes in that an attempt goes to a runner.
-func (d *Desk) Sent(job *core.Job, attempt int, uid string) {
-	at := d.cfg.Now()
-	d.put(func(d *Desk) { d.board.Sent(idOf(job), uid, attempt, at) })
+// Sent records that an attempt was sent to a runner.
+func (w *Watcher) Sent(job *core.Job, attempt int, uid string) {
+	at := w.cfg.Now()
+	w.enqueue(func(w *Watcher) { w.board.PartSent(idOf(job), uid, attempt, at) })
 }
 
-// Started takes in that a runner has begun one.
-func (d *Desk) Started(job *core.Job, attempt int) {
-	at := d.cfg.Now()
-	d.put(func(d *Desk) { d.board.Started(idOf(job), attempt, at) })
+// Started records that a runner began an attempt.
+func (w *Watcher) Started(job *core.Job, attempt int) {
+	at := w.cfg.Now()
+	w.enqueue(func(w *Watcher) { w.board.PartStarted(idOf(job), attempt, at) })
 }
 
-// Progressed takes in what share is done.
-func (d *Desk) Progressed(job *core.Job, attempt int, share float64) {
-	at := d.cfg.Now()
-	d.put(func(d *Desk) { d.board.Reported(idOf(job), attempt, share, at) })
+// Progressed records the fraction that an attempt has done.
+func (w *Watcher) Progressed(job *core.Job, attempt int, share float64) {
+	at := w.cfg.Now()
+	w.enqueue(func(w *Watcher) { w.board.PartProgressed(idOf(job), attempt, share, at) })
 }
 
-// Ended takes in that an attempt is over.
-func (d *Desk) Ended(job *core.Job, attempt int, served bool) {
-	at := d.cfg.Now()
-	d.put(func(d *Desk) { d.board.Ended(idOf(job), attempt, served, at) })
+// Ended records that an attempt is over, and whether it succeeded.
+func (w *Watcher) Ended(job *core.Job, attempt int, served bool) {
+	at := w.cfg.Now()
+	w.enqueue(func(w *Watcher) { w.board.PartEnded(idOf(job), attempt, served, at) })
 }
 
-// Closed takes in that a job has its answer, or its client has left.
-func (d *Desk) Closed(job *core.Job) {
-	d.put(func(d *Desk) {
-		if d.jobs[idOf(job)] == job.ID {
-			delete(d.jobs, idOf(job))
-			d.board.Gone(idOf(job))
+// Closed removes a job that has its answer or whose client has left.
+func (w *Watcher) Closed(job *core.Job) {
+	w.enqueue(func(w *Watcher) {
+		if w.jobs[idOf(job)] == job.ID {
+			delete(w.jobs, idOf(job))
+			w.board.RemovePart(idOf(job))
 		}
 	})
 }
 
-// Hear takes in what another member tells. What can't be read is of another build.
-func (d *Desk) Hear(text []byte) {
+// AddFact adds a fact that another member has published. One that can't be decoded comes from
+// another build and is ignored.
+func (w *Watcher) AddFact(text []byte) {
 	var f board.Fact
 	if err := json.Unmarshal(text, &f); err != nil {
-		d.log.WithError(err).Debug("what another member tells of a gang can't be read")
+		w.log.WithError(err).Debug("what another member tells of a gang can't be read")
 		return
 	}
-	d.put(func(d *Desk) { d.board.Hear(f) })
+	w.enqueue(func(w *Watcher) { w.board.AddFact(f) })
 }
 
-// Status is what was found so far, for people.
+// Status is the JSON form of the counters that operators see.
 type Status struct {
 	Gangs     int    `json:"gangs"`
 	Copies    uint64 `json:"copies"`
@@ -183,17 +191,17 @@
 	Dropped   uint64 `json:"dropped"`
 }
 
-// Status tells it; false where the context ends before.
-func (d *Desk) Status(ctx context.Context) (Status, bool) {
+// Status returns the counters, false if the context ends first.
+func (w *Watcher) Status(ctx context.Context) (Status, bool) {
 	got := make(chan int, 1)
-	d.put(func(d *Desk) { got <- d.board.Len() })
+	w.enqueue(func(w *Watcher) { got <- w.board.Len() })
 	select {
 	case n := <-got:
-		return Status{n, d.acts.copies.Load(), d.acts.slow.Load(), d.acts.abandoned.Load(), d.dropped.Load()}, true
+		return Status{n, w.counters.copies.Load(), w.counters.slow.Load(), w.counters.abandoned.Load(), w.dropped.Load()}, true
 	case <-ctx.Done():
 		return Status{}, false
 	}
 }
 
-// name is what a part goes by among members.
-func name(gang string, n int) string { return gang + "/" + strconv.Itoa(n) }
+// factName is the name under which members share the fact of a part.
+func factName(gang string, n int) string { return gang + "/" + strconv.Itoa(n) }
--- a/internal/dispatcher/fleet/ledger/ledger.go
+++ b/internal/dispatcher/fleet/ledger/ledger.go
@@ -81,13 +81,13 @@
 
 // State is the result of the entries applied so far. The zero value is the state of an empty log.
 type State struct {
-	Log        string           `json:"log"`   // name of the log; empty until a Begin entry
-	Index      uint64           `json:"index"` // of the last entry
-	Excluded   map[string]Done  `json:"out"`   // excluded runners by UID, each with the entry that excluded it
-	Recent     []Done           `json:"last"`  // the last History entries, oldest first
-	UnknownOps uint64           `json:"odd"`   // entries with an operation that this build does not know
-	Flows      *statetable.Book `json:"flows,omitempty"`
-	recentByID map[string]*Done // index of Recent
+	Log        string            `json:"log"`   // name of the log; empty until a Begin entry
+	Index      uint64            `json:"index"` // of the last entry
+	Excluded   map[string]Done   `json:"out"`   // excluded runners by UID, each with the entry that excluded it
+	Recent     []Done            `json:"last"`  // the last History entries, oldest first
+	UnknownOps uint64            `json:"odd"`   // entries with an operation that this build does not know
+	Flows      *statetable.Table `json:"flows,omitempty"`
+	recentByID map[string]*Done  // index of Recent
 }
 
 // Apply applies the entry at an index of the log and returns its result. A repeated entry returns
@@ -134,7 +134,7 @@
 	switch d.Op {
 	case Flow:
 		if s.Flows == nil {
-			s.Flows = &statetable.Book{}
+			s.Flows = &statetable.Table{}
 		}
 		changed, refusal := s.Flows.Apply(d.Index, d.At, d.Flow)
 		if d.Changed = changed; refusal != nil {
--- a/internal/dispatcher/fleet/quorum/machine.go
+++ b/internal/dispatcher/fleet/quorum/machine.go
@@ -37,11 +37,11 @@
 }
 
 // flows shows the workflows.
-func (m *machine) flows(show func(*statetable.Book)) {
+func (m *machine) flows(show func(*statetable.Table)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state.Flows == nil {
-		m.state.Flows = &statetable.Book{}
+		m.state.Flows = &statetable.Table{}
 	}
 	show(m.state.Flows)
 }
--- a/internal/dispatcher/fleet/quorum/quorum.go
+++ b/internal/dispatcher/fleet/quorum/quorum.go
@@ -240,7 +240,7 @@
 func (q *Quorum) State() ledger.State { return q.machine.read() }
 
 // Flows shows the workflows that the log has led to here; they must not be kept or changed.
-func (q *Quorum) Flows(show func(*statetable.Book)) { q.machine.flows(show) }
+func (q *Quorum) Flows(show func(*statetable.Table)) { q.machine.flows(show) }
 
 // Seen returns the last entry that State and Flows rest on.
 func (q *Quorum) Seen() uint64 {
--- a/internal/dispatcher/fleet/workflow/assignment/assignment_test.go
+++ b/internal/dispatcher/fleet/workflow/assignment/assignment_test.go
@@ -9,37 +9,37 @@
 	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
-// TestChoose has a member take what nobody has, oldest deadline first and later where it is not
-// the first in the order, run no more than it has room for, and leave alone what is not ready.
+// TestChoose checks that a member claims what nobody holds, the oldest deadline first and later the
+// higher its rank, runs no more than it has free slots for, and leaves alone what is not ready.
 func TestChoose(t *testing.T) {
-	undoing := func(id string, deadline int64, holder string, held int64, state flow.State, until int64) *flow.Flow {
-		return &flow.Flow{ID: id, Phase: flow.Undoing, Deadline: deadline, Since: 1000, Holder: holder, Held: held, Fence: 7, Steps: []flow.Step{{State: state, Until: until}}}
+	undoing := func(id string, deadline int64, holder string, heldUntil int64, state flow.State, until int64) *flow.Flow {
+		return &flow.Flow{ID: id, Phase: flow.Undoing, Deadline: deadline, Since: 1000, Holder: holder, HeldUntil: heldUntil, FencingToken: 7, Steps: []flow.Step{{State: state, EffectUntil: until}}}
 	}
 	for _, tc := range []struct {
-		name string
-		live []*flow.Flow
-		rank int
-		busy string
-		room int
-		now  int64
-		want Plan
+		name      string
+		live      []*flow.Flow
+		rank      int
+		busy      string
+		freeSlots int
+		now       int64
+		want      Plan
 	}{
-		{"taken, the oldest deadline first", []*flow.Flow{undoing("b", 9, "", 0, flow.Done, 0), undoing("a", 8, "", 0, flow.Done, 0)}, 0, "", 1, 2000, Plan{Take: []string{"a"}}},
+		{"taken, the oldest deadline first", []*flow.Flow{undoing("b", 9, "", 0, flow.Done, 0), undoing("a", 8, "", 0, flow.Done, 0)}, 0, "", 1, 2000, Plan{Claim: []string{"a"}}},
 		{"another is first", []*flow.Flow{undoing("a", 9, "", 0, flow.Done, 0)}, 2, "", 4, 1100, Plan{}},
-		{"and does not come", []*flow.Flow{undoing("a", 9, "", 0, flow.Done, 0)}, 2, "", 4, 1800, Plan{Take: []string{"a"}}},
+		{"and does not come", []*flow.Flow{undoing("a", 9, "", 0, flow.Done, 0)}, 2, "", 4, 1800, Plan{Claim: []string{"a"}}},
 		{"another has it", []*flow.Flow{undoing("a", 9, "other", 5000, flow.Done, 0)}, 0, "", 4, 4999, Plan{}},
-		{"its lease has run out", []*flow.Flow{undoing("a", 9, "other", 5000, flow.Done, 0)}, 0, "", 4, 5000, Plan{Take: []string{"a"}}},
-		{"run", []*flow.Flow{undoing("a", 9, "me", 5000, flow.Done, 0)}, 0, "", 4, 2000, Plan{Run: []Run{{ID: "a", N: 1, Fence: 7}}}},
-		{"run and taken on", []*flow.Flow{undoing("a", 9, "me", 5000, flow.Done, 0)}, 0, "", 4, 4000, Plan{Take: []string{"a"}, Run: []Run{{ID: "a", N: 1, Fence: 7}}}},
+		{"its lease has run out", []*flow.Flow{undoing("a", 9, "other", 5000, flow.Done, 0)}, 0, "", 4, 5000, Plan{Claim: []string{"a"}}},
+		{"run", []*flow.Flow{undoing("a", 9, "me", 5000, flow.Done, 0)}, 0, "", 4, 2000, Plan{Run: []Run{{ID: "a", Step: 1, FencingToken: 7}}}},
+		{"run and taken on", []*flow.Flow{undoing("a", 9, "me", 5000, flow.Done, 0)}, 0, "", 4, 4000, Plan{Claim: []string{"a"}, Run: []Run{{ID: "a", Step: 1, FencingToken: 7}}}},
 		{"under way", []*flow.Flow{undoing("a", 9, "me", 5000, flow.Done, 0)}, 0, "a", 4, 2000, Plan{}},
 		{"no room", []*flow.Flow{undoing("a", 9, "me", 5000, flow.Done, 0), undoing("b", 9, "", 0, flow.Done, 0)}, 0, "", 0, 2000, Plan{}},
-		{"in doubt", []*flow.Flow{undoing("a", 9, "me", 5000, flow.Doubt, 3000)}, 0, "", 4, 2999, Plan{}},
-		{"in doubt no more", []*flow.Flow{undoing("a", 9, "me", 5000, flow.Doubt, 3000)}, 0, "", 4, 3000, Plan{Run: []Run{{ID: "a", N: 1, Fence: 7}}}},
-		{"nobody holds it on", []*flow.Flow{{ID: "a", Phase: flow.Active, Deadline: 9000, Lease: 2000}}, 1, "", 4, 2400, Plan{Expire: []string{"a"}}},
-		{"it is held on", []*flow.Flow{{ID: "a", Phase: flow.Active, Deadline: 9000, Lease: 2500}}, 0, "", 4, 2400, Plan{}},
+		{"in doubt", []*flow.Flow{undoing("a", 9, "me", 5000, flow.InDoubt, 3000)}, 0, "", 4, 2999, Plan{}},
+		{"in doubt no more", []*flow.Flow{undoing("a", 9, "me", 5000, flow.InDoubt, 3000)}, 0, "", 4, 3000, Plan{Run: []Run{{ID: "a", Step: 1, FencingToken: 7}}}},
+		{"nobody holds it on", []*flow.Flow{{ID: "a", Phase: flow.Active, Deadline: 9000, LeaseUntil: 2000}}, 1, "", 4, 2400, Plan{Expire: []string{"a"}}},
+		{"it is held on", []*flow.Flow{{ID: "a", Phase: flow.Active, Deadline: 9000, LeaseUntil: 2500}}, 0, "", 4, 2400, Plan{}},
 		{"stuck", []*flow.Flow{{ID: "a", Phase: flow.Stuck, Deadline: 9000, Steps: []flow.Step{{State: flow.Done}}}}, 0, "", 4, 9999, Plan{}},
 	} {
-		got := Choose(tc.live, "me", func(string) int { return tc.rank }, func(id string) bool { return id == tc.busy }, tc.room, 64, tc.now)
+		got := Choose(tc.live, "me", func(string) int { return tc.rank }, func(id string) bool { return id == tc.busy }, tc.freeSlots, 64, tc.now)
 		if diff := cmp.Diff(tc.want, got, cmpopts.EquateEmpty()); diff != "" {
 			t.Errorf("%s:\n%s", tc.name, diff)
 		}
--- a/internal/dispatcher/fleet/workflow/executor/clients.go
+++ b/internal/dispatcher/fleet/workflow/executor/clients.go
@@ -11,14 +11,14 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// ErrOff is told where there are no workflows.
-var ErrOff = errors.New("workflows need [cluster], and enabled = true in [workflow]")
+// ErrDisabled is reported to clients where workflows are not configured.
+var ErrDisabled = errors.New("workflows need [cluster], and enabled = true in [workflow]")
 
-// Do has a client's or an operator's word written and returns once it is agreed on, with what
-// it came to. A refusal is a *flow.Refusal; any other error means that nobody knows, and saying
-// the same again is harmless.
-func (d *Desk) Do(ctx context.Context, c *statetable.Command) error {
-	done, err := d.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: c.ID, Flow: c})
+// Propose proposes a command of a client or an operator and returns once it is agreed on. A
+// *flow.Refusal means that it changed nothing. Any other error means that its outcome is unknown;
+// repeating the command is harmless.
+func (e *Executor) Propose(ctx context.Context, c *statetable.Command) error {
+	done, err := e.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: c.ID, Flow: c})
 	if err != nil {
 		return err
 	}
@@ -28,39 +28,39 @@
 	return nil
 }
 
-// Register has a step agreed on before its job is sent. Until is when its job can't have an
-// effect any more.
-func (d *Desk) Register(ctx context.Context, id string, n int, u *flow.Undo, until time.Time) error {
+// Register proposes step n of a workflow before its job is sent. The job can have no effect after
+// until. Errors are those of Propose.
+func (e *Executor) Register(ctx context.Context, id string, n int, u *flow.Undo, until time.Time) error {
 	if u != nil {
-		class, ok := d.cfg.Class(u.Class)
+		class, ok := e.cfg.Class(u.Class)
 		if !ok {
-			return flow.No(flow.Bad, "the undo's class %q is not known", u.Class)
+			return flow.NewRefusal(flow.Invalid, "the undo's class %q is not known", u.Class)
 		}
 		u.Unsafe = class.Unsafe
 	}
-	at := d.log.Now() + time.Until(until)
-	return d.Do(ctx, &statetable.Command{Kind: statetable.Step, ID: id, N: n, Undo: u, Until: at.Milliseconds()})
+	at := e.log.Now() + time.Until(until)
+	return e.Propose(ctx, &statetable.Command{Kind: statetable.Step, ID: id, N: n, Undo: u, Until: at.Milliseconds()})
 }
 
-// Settled makes known what became of a step's job. It does not block.
-func (d *Desk) Settled(id string, n int, v core.Verdict) {
-	w := statetable.Word{ID: id, N: n}
+// EndStep queues the outcome of a step's job. It does not block.
+func (e *Executor) EndStep(id string, n int, v core.Verdict) {
+	w := statetable.Update{ID: id, Step: n}
 	switch v {
 	case core.Served:
 		w.State = flow.Done
 	case core.Rejected, core.Duplicate:
-		w.State = flow.Never
+		w.State = flow.NoEffect
 	case core.Unusable:
-		w.State, w.Failed = flow.Never, true
+		w.State, w.Failed = flow.NoEffect, true
 	default:
-		w.State, w.Failed = flow.Doubt, true
+		w.State, w.Failed = flow.InDoubt, true
 	}
-	d.put(word{kind: statetable.Settle, Word: w})
+	e.enqueue(pendingUpdate{kind: statetable.EndSteps, Update: w})
 }
 
-// Find returns a copy of a workflow as far as it is known here, nil for none.
-func (d *Desk) Find(id string) (f *flow.Flow) {
-	d.log.Flows(func(b *statetable.Book) {
+// Find returns a copy of a workflow as far as this member knows it, nil if it is not known.
+func (e *Executor) Find(id string) (f *flow.Flow) {
+	e.log.Flows(func(b *statetable.Table) {
 		if x := b.Find(id); x != nil {
 			f = x.Clone()
 		}
@@ -68,13 +68,14 @@
 	return f
 }
 
-// List returns what is known here of all: those that are live, and how many have ended.
-func (d *Desk) List() (live []*flow.Flow, over, bytes int) {
-	d.log.Flows(func(b *statetable.Book) {
+// List returns copies of the live workflows that this member knows, how many ended ones it
+// remembers, and the bytes that the live ones take.
+func (e *Executor) List() (live []*flow.Flow, ended, bytes int) {
+	e.log.Flows(func(b *statetable.Table) {
 		for _, f := range b.Live {
 			live = append(live, f.Clone())
 		}
-		over, bytes = len(b.Ended), b.Bytes
+		ended, bytes = len(b.Ended), b.Bytes
 	})
-	return live, over, bytes
+	return live, ended, bytes
 }
--- a/internal/dispatcher/fleet/workflow/executor/executor.go
+++ b/internal/dispatcher/fleet/workflow/executor/executor.go
@@ -1,8 +1,13 @@
-// Package executor carries out what members agree on about workflows: it has their words written to
-// the log, takes those that are to be undone and that nobody has, and runs their undos through
-// the dispatcher as jobs. A goroutine for each duty, decide, send and store, joined by bounded
-// rings; none of them blocks the core. What is chosen is pure (workflow/duty), and what counts
-// is the log's alone (workflow/book).
+// Package executor carries out workflows for one member: it proposes the commands of clients,
+// operators and its own plans to the agreed log, claims workflows that have to be undone and that
+// no member holds, and runs their undos as jobs of the dispatcher. Three goroutines, owned by Run,
+// decide, propose plans, and propose updates; they are joined by bounded channels, and none of
+// them blocks the core.
+//
+// The decisions are pure (package assignment), and only what the log agrees on counts (package
+// statetable). The main invariant is that an undo is sent to a second group of runners only when
+// the log shows that it can't have had its effect in the first; see destinations. The methods of
+// Executor are safe for concurrent use.
 package executor
 
 import (
@@ -22,249 +27,255 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Log is the agreed log.
+// Log is the agreed log of the cluster; package cluster implements it. It is safe for concurrent
+// use.
 type Log interface {
+	// Propose returns once the entry is agreed on. An error means that its outcome is unknown.
 	Propose(context.Context, ledger.Entry) (ledger.Done, error)
-	// Flows shows the book as far as it is known here; it must not be kept or changed.
-	Flows(func(*statetable.Book))
-	// Seen is how far the book that is shown goes, as the index of an entry.
+	// Flows calls a function with the table as far as this member has applied it. The function
+	// must not keep or change the table.
+	Flows(func(*statetable.Table))
+	// Seen returns the index of the last entry that this member has applied.
 	Seen() uint64
-	// Now is the members' time since 1970.
+	// Now returns the cluster's time since 1970.
 	Now() time.Duration
-	// Rank is this member's place among those that may work, in an order that all draw alike
-	// from a name; -1 where it may not.
+	// Rank returns the rank of this member for a name, in an order that all members compute alike;
+	// -1 if this member must not act yet.
 	Rank(name string) int
 }
 
-// Jobs runs jobs; the core does. It does not block.
+// Jobs runs jobs; the core implements it. Submit does not block.
 type Jobs interface {
 	Submit(*core.Job, core.Ingress)
 }
 
-// Config says who the member is and what it may do at once.
+// Config describes the member and limits its work.
 type Config struct {
-	Name   string
-	AtOnce int // undos under way here
-	// Class returns a class's number, how long its jobs may take and whether they must not run
-	// twice; false where there is none of the name.
+	Name          string // of the member
+	MaxConcurrent int    // undos that run at the same time here
+	// Class returns the settings of a job class, false if there is none of that name.
 	Class func(name string) (Class, bool)
 }
 
-// Class is what the desk knows of a class.
+// Class is what the executor needs to know of a job class.
 type Class struct {
-	Number int
-	GiveUp time.Duration
-	Unsafe bool
+	Number  int           // its index among the classes
+	Timeout time.Duration // how long a job may take
+	Unsafe  bool          // a job must not run twice
 }
 
 const (
-	// lookEvery is how often the book is looked through.
-	lookEvery = 50 * time.Millisecond
-	// batch is how many workflows go in one entry, and wordsWait how long a word waits for
-	// others to go with.
-	batch     = 64
-	wordsWait = 20 * time.Millisecond
-	// words is how many settled steps and undos may wait to be written. A step that finds no
-	// room stays open until its time is over; an undo that finds none is run again, which its
-	// key makes harmless.
-	words = 4096
-	// writeTime bounds a word of ours; it is tried again at the next look.
-	writeTime = 2 * time.Second
-	// rest is how long an undo waits that the dispatcher had no room for and told no time.
-	rest = 200 * time.Millisecond
+	// scanInterval is the interval between scans of the table.
+	scanInterval = 50 * time.Millisecond
+	// maxBatch is how many workflows go into one entry, and batchDelay how long an update waits
+	// for others to share its entry.
+	maxBatch   = 64
+	batchDelay = 20 * time.Millisecond
+	// maxPendingUpdates bounds the queue of outcomes that wait to be proposed. If the outcome of a
+	// step is dropped, the step stays open until EffectUntil; if that of an undo is dropped, the
+	// undo is run again, which its key makes harmless.
+	maxPendingUpdates = 4096
+	// proposeTimeout bounds one proposal. A plan is made anew at the next scan.
+	proposeTimeout = 2 * time.Second
+	// defaultRetryDelay is how long an undo waits that the dispatcher rejected without a time to
+	// retry after.
+	defaultRetryDelay = 200 * time.Millisecond
 )
 
-// Desk is a member's. New makes it.
-type Desk struct {
-	cfg   Config
-	log   Log
-	jobs  Jobs
-	line  *logrus.Entry
-	words chan word            // to be written in batches
-	plans chan assignment.Plan // what the store is to write; one, as the next look plans anew
-	ended chan ended           // undos that have ended
-	lost  atomic.Uint64        // words that found no room
-	done  sync.WaitGroup
-	ran   atomic.Uint64
-	said  atomic.Pointer[said] // what a plan of ours came to last; nil for none
-	begun time.Time
+// Executor carries out workflows for one member. New makes it and Run starts it.
+type Executor struct {
+	cfg          Config
+	log          Log
+	jobs         Jobs
+	logger       *logrus.Entry
+	updates      chan pendingUpdate   // outcomes to be proposed in batches
+	plans        chan assignment.Plan // at most one, as each scan plans anew
+	undoEnds     chan undoEnd         // to decide, which owns the set of running undos
+	dropped      atomic.Uint64        // updates that found the queue full
+	done         sync.WaitGroup
+	undosSent    atomic.Uint64
+	lastProposal atomic.Pointer[proposal] // of a plan; nil for none
+	startedAt    time.Time
 }
 
-// said is an entry that a plan of ours came to.
-type said struct {
+// proposal is the log entry of a plan that was agreed on.
+type proposal struct {
 	index uint64
 	at    time.Time
 }
 
-// sayAgain is when a member whose copy does not come to what it has said plans by it all the same.
-// Guards the log against one whose copy stands still: it would say the same by its old book at each
-// look, 20 entries a second. And that one against a log that has begun anew.
-const sayAgain = assignment.LeaseFor * time.Millisecond
+// reproposeAfter is how long a member waits for its own copy of the log to reach its last proposal
+// before it plans again. Without the wait, a member whose copy does not advance would propose the
+// same from its stale table at each scan, 20 entries per second; without a limit, it would never
+// act again after the log was started anew.
+const reproposeAfter = assignment.LeaseMillis * time.Millisecond
 
-// word is what became of a step, or of an undo.
-type word struct {
-	kind  statetable.Kind
-	tries int // of the undo before
-	statetable.Word
+// pendingUpdate is the outcome of a step or of an undo that waits to be proposed.
+type pendingUpdate struct {
+	kind     statetable.Kind
+	attempts int // failed attempts of the undo before this one
+	statetable.Update
 }
 
-// ended is an undo that is under way no more.
-type ended struct {
-	id    string
-	after time.Duration    // it was refused: not tried before
-	tries int              // failed ones, before it
-	wrote *statetable.Word // what became of it is agreed on; nil where it is not
+// undoEnd tells decide that an undo does not run any more.
+type undoEnd struct {
+	id         string
+	retryAfter time.Duration      // it was rejected and is not run again before; 0 for no wait
+	attempts   int                // failed attempts before this one
+	agreed     *statetable.Update // its outcome, if the log agreed on it; nil otherwise
 }
 
-// New makes a desk.
-func New(cfg Config, log Log, jobs Jobs, line *logrus.Entry) *Desk {
-	return &Desk{cfg: cfg, log: log, jobs: jobs, line: line, words: make(chan word, words), plans: make(chan assignment.Plan, 1),
-		ended: make(chan ended, cfg.AtOnce), begun: time.Now()}
+// New returns an executor; Run starts it.
+func New(cfg Config, log Log, jobs Jobs, logger *logrus.Entry) *Executor {
+	return &Executor{cfg: cfg, log: log, jobs: jobs, logger: logger, updates: make(chan pendingUpdate, maxPendingUpdates), plans: make(chan assignment.Plan, 1),
+		undoEnds: make(chan undoEnd, cfg.MaxConcurrent), startedAt: time.Now()}
 }
 
-// Run works until the context ends, and returns when all duties have ended.
-func (d *Desk) Run(ctx context.Context) {
-	for _, run := range []func(context.Context){d.decide, d.storePlans, d.storeWords} {
-		d.done.Add(1)
+// Run works until the context ends, and returns when all of its goroutines have ended.
+func (e *Executor) Run(ctx context.Context) {
+	for _, run := range []func(context.Context){e.decide, e.proposePlans, e.proposeUpdates} {
+		e.done.Add(1)
 		go func() {
-			defer d.done.Done()
+			defer e.done.Done()
 			run(ctx)
 		}()
 	}
-	d.done.Wait()
+	e.done.Wait()
 }
 
-// Lost returns how many words found no room, and Ran how many undos were sent.
-func (d *Desk) Lost() uint64 { return d.lost.Load() }
+// DroppedUpdates returns how many updates were dropped because the queue was full.
+func (e *Executor) DroppedUpdates() uint64 { return e.dropped.Load() }
 
-// Ran returns how many undos were sent from here.
-func (d *Desk) Ran() uint64 { return d.ran.Load() }
+// UndosSent returns how many undos this member has run.
+func (e *Executor) UndosSent() uint64 { return e.undosSent.Load() }
 
-// decide looks through the book, and begins undos. It owns what is under way.
-func (d *Desk) decide(ctx context.Context) {
-	under, later := map[string]bool{}, map[string]time.Time{}
-	wrote := map[string]mark{} // what is agreed on and may not be applied here yet
-	tick := time.NewTicker(lookEvery)
+// decide scans the table, starts undos and hands plans on. It owns the set of undos that run here.
+func (e *Executor) decide(ctx context.Context) {
+	running, retryAt := map[string]bool{}, map[string]time.Time{}
+	agreed := map[string]undoAttempt{} // outcomes that are agreed on but perhaps not applied here yet
+	tick := time.NewTicker(scanInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case e := <-d.ended:
-			delete(under, e.id)
-			if e.wrote != nil {
-				wrote[e.id] = mark{e.wrote.N, e.wrote.Fence, e.tries}
+		case end := <-e.undoEnds:
+			delete(running, end.id)
+			if end.agreed != nil {
+				agreed[end.id] = undoAttempt{end.agreed.Step, end.agreed.FencingToken, end.attempts}
 			}
-			if e.after > 0 {
-				later[e.id] = time.Now().Add(e.after)
+			if end.retryAfter > 0 {
+				retryAt[end.id] = time.Now().Add(end.retryAfter)
 			}
 			continue
 		case <-tick.C:
 		}
-		if d.log.Rank("") < 0 { // it has not come back far enough to take on what others left
+		if e.log.Rank("") < 0 { // not caught up after a restart
 			continue
 		}
-		if last := d.said.Load(); last != nil && d.log.Seen() < last.index && time.Since(last.at) < sayAgain {
-			continue // what was planned last has not come here
+		if last := e.lastProposal.Load(); last != nil && e.log.Seen() < last.index && time.Since(last.at) < reproposeAfter {
+			continue // the last plan's entry has not arrived here
 		}
 		var live []*flow.Flow
-		now := d.log.Now().Milliseconds()
-		d.log.Flows(func(b *statetable.Book) {
+		now := e.log.Now().Milliseconds()
+		e.log.Flows(func(b *statetable.Table) {
 			for _, f := range b.Live {
 				if f.Phase == flow.Undoing || f.Overdue(now) != "" {
 					live = append(live, f.Clone())
 				}
 			}
 		})
-		for id, at := range later {
+		for id, at := range retryAt {
 			if time.Now().After(at) {
-				delete(later, id)
+				delete(retryAt, id)
 			}
 		}
-		forget(wrote, live)
+		dropEnded(agreed, live)
 		if len(live) == 0 {
 			continue
 		}
-		p := assignment.Choose(live, d.cfg.Name, d.log.Rank, func(id string) bool { _, rests := later[id]; return under[id] || rests },
-			d.cfg.AtOnce-len(under), batch, now)
+		p := assignment.Choose(live, e.cfg.Name, e.log.Rank, func(id string) bool { _, rests := retryAt[id]; return running[id] || rests },
+			e.cfg.MaxConcurrent-len(running), maxBatch, now)
 		for _, r := range p.Run {
-			if wrote[r.ID] == (mark{r.N, r.Fence, r.Tries}) {
+			if agreed[r.ID] == (undoAttempt{r.Step, r.FencingToken, r.Attempts}) {
 				continue
 			}
-			under[r.ID] = true
-			d.send(r)
+			running[r.ID] = true
+			e.sendUndo(r)
 		}
-		if len(p.Expire)+len(p.Take) > 0 {
+		if len(p.Expire)+len(p.Claim) > 0 {
 			select {
-			case d.plans <- p:
-			default: // the last is being written yet
+			case e.plans <- p:
+			default: // the last plan is still being proposed
 			}
 		}
 	}
 }
 
-// mark names an undo's run.
-type mark struct {
-	n     int
-	fence uint64
-	tries int
+// undoAttempt identifies one attempt of an undo within a workflow.
+type undoAttempt struct {
+	step         int
+	fencingToken uint64
+	attempts     int
 }
 
-// forget drops what is marked of workflows that are live no more.
-func forget(wrote map[string]mark, live []*flow.Flow) {
-	if len(wrote) == 0 {
+// dropEnded removes the attempts of workflows that are not live any more.
+func dropEnded(agreed map[string]undoAttempt, live []*flow.Flow) {
+	if len(agreed) == 0 {
 		return
 	}
 	there := map[string]bool{}
 	for _, f := range live {
 		there[f.ID] = true
 	}
-	maps.DeleteFunc(wrote, func(id string, _ mark) bool { return !there[id] })
+	maps.DeleteFunc(agreed, func(id string, _ undoAttempt) bool { return !there[id] })
 }
 
-// send runs an undo as a job. Its key is the same over tries and members, so that its effect
-// comes once in its group and window whoever sends it.
-func (d *Desk) send(r assignment.Run) {
-	class, ok := d.cfg.Class(r.Undo.Class)
+// sendUndo runs an undo as a job. Its key is the same for all attempts and members, so that within
+// a group's deduplication window its effect comes at most once, whichever member sends it.
+func (e *Executor) sendUndo(r assignment.Run) {
+	class, ok := e.cfg.Class(r.Undo.Class)
 	if !ok {
-		d.took(r, flow.Useless, fmt.Sprintf("there is no class %s", r.Undo.Class))
+		e.reportUndo(r, flow.Unusable, fmt.Sprintf("there is no class %s", r.Undo.Class))
 		return
 	}
-	d.ran.Add(1)
+	e.undosSent.Add(1)
 	key := r.Undo.Key
 	if key == "" {
-		key = fmt.Sprintf("undo/%s/%d", r.ID, r.N)
+		key = fmt.Sprintf("undo/%s/%d", r.ID, r.Step)
 	}
-	by := time.Now().Add(class.GiveUp) // past the lease's end too: it is taken on meanwhile
-	job := &core.Job{ID: fmt.Sprintf("%s.undo-%016x-%d-%x", d.cfg.Name, xxhash.Sum64String(r.ID), r.N, time.Since(d.begun).Nanoseconds()), Method: "POST",
+	by := time.Now().Add(class.Timeout) // may be after the claim's end: the claim is renewed meanwhile
+	job := &core.Job{ID: fmt.Sprintf("%s.undo-%016x-%d-%x", e.cfg.Name, xxhash.Sum64String(r.ID), r.Step, time.Since(e.startedAt).Nanoseconds()), Method: "POST",
 		Resource: r.Undo.Path, Key: key, Body: r.Undo.Body, Class: class.Number, Slots: 1, Deadline: by, Compensating: true,
-		Placements: &places{d: d, run: r, by: by, went: map[core.OutcomeRecord]uint64{}}}
-	d.jobs.Submit(job, answered(func(a core.Response) {
+		Placements: &destinations{executor: e, run: r, deadline: by, entries: map[core.OutcomeRecord]uint64{}}}
+	e.jobs.Submit(job, responseFunc(func(a core.Response) {
 		switch a.Verdict {
 		case core.Served:
-			d.took(r, flow.OK, "")
+			e.reportUndo(r, flow.Succeeded, "")
 		case core.Rejected:
 			after := a.RetryAfter
 			if after <= 0 {
-				after = rest
+				after = defaultRetryDelay
 			}
-			d.ended <- ended{id: r.ID, after: after}
+			e.undoEnds <- undoEnd{id: r.ID, retryAfter: after}
 		case core.Unusable:
-			d.took(r, flow.Useless, "no runner can use it")
+			e.reportUndo(r, flow.Unusable, "no runner can use it")
 		default:
-			d.took(r, flow.Maybe, "it failed, or had no answer in time")
+			e.reportUndo(r, flow.Uncertain, "it failed, or had no answer in time")
 		}
 	}))
 }
 
-func (d *Desk) took(r assignment.Run, o flow.Outcome, why string) {
-	if !d.put(word{statetable.Took, r.Tries, statetable.Word{ID: r.ID, N: r.N, Fence: r.Fence, Outcome: o, Why: why}}) {
-		d.ended <- ended{id: r.ID, after: rest}
+// reportUndo queues the outcome of an undo. If the queue is full the undo is run again later.
+func (e *Executor) reportUndo(r assignment.Run, o flow.Outcome, reason string) {
+	if !e.enqueue(pendingUpdate{statetable.EndUndos, r.Attempts, statetable.Update{ID: r.ID, Step: r.Step, FencingToken: r.FencingToken, Outcome: o, Reason: reason}}) {
+		e.undoEnds <- undoEnd{id: r.ID, retryAfter: defaultRetryDelay}
 	}
 }
 
-// answered takes a job's answer.
-type answered func(core.Response)
+// responseFunc receives the response of a job.
+type responseFunc func(core.Response)
 
-// Respond takes it; it does not block, as its ring has room for all that is under way.
-func (a answered) Respond(x core.Response) { a(x) }
+// Respond passes the response on. It does not block: undoEnds has room for all undos that run at
+// the same time.
+func (a responseFunc) Respond(x core.Response) { a(x) }
--- a/internal/dispatcher/fleet/workflow/executor/executor_test.go
+++ b/internal/dispatcher/fleet/workflow/executor/executor_test.go
@@ -13,78 +13,78 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// agreeing is a log that agrees to everything.
+// agreeing is a log that agrees to each entry.
 type agreeing struct {
-	wrote chan *statetable.Command
-	book  *statetable.Book
-	looks chan struct{}
+	proposed chan *statetable.Command
+	table    *statetable.Table
+	scans    chan struct{}
 }
 
 func (a agreeing) Propose(_ context.Context, e ledger.Entry) (ledger.Done, error) {
-	a.wrote <- e.Flow
+	a.proposed <- e.Flow
 	return ledger.Done{Changed: true, Index: 9}, nil
 }
-func (a agreeing) Flows(show func(*statetable.Book)) {
-	if a.book != nil {
-		show(a.book)
+func (a agreeing) Flows(show func(*statetable.Table)) {
+	if a.table != nil {
+		show(a.table)
 	}
 }
 func (a agreeing) Seen() uint64 {
-	if a.looks != nil {
-		a.looks <- struct{}{}
+	if a.scans != nil {
+		a.scans <- struct{}{}
 	}
 	return 8
 }
 func (agreeing) Now() time.Duration { return time.Hour }
 func (agreeing) Rank(string) int    { return 0 }
 
-// TestWordsOfOneFlow guards an undo from being run again: what became of it is marked by its own
-// tries, though a word on another step of its workflow is written beside it.
-func TestWordsOfOneFlow(t *testing.T) {
+// TestUpdatesOfOneFlow checks that an undo's outcome carries its own count of attempts, so that it
+// is not run again, even if an update of another step of its workflow is proposed at the same time.
+func TestUpdatesOfOneFlow(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	a := agreeing{wrote: make(chan *statetable.Command, 2)}
-	d := New(Config{Name: "d1", AtOnce: 4}, a, nil, logrus.NewEntry(log))
-	took := word{statetable.Took, 3, statetable.Word{ID: "w", N: 2, Fence: 7, Outcome: flow.OK}}
-	if !d.put(took) || !d.put(word{kind: statetable.Settle, Word: statetable.Word{ID: "w", N: 1, State: flow.Never}}) {
-		t.Fatal("there is no room")
+	a := agreeing{proposed: make(chan *statetable.Command, 2)}
+	executor := New(Config{Name: "d1", MaxConcurrent: 4}, a, nil, logrus.NewEntry(log))
+	undoOutcome := pendingUpdate{statetable.EndUndos, 3, statetable.Update{ID: "w", Step: 2, FencingToken: 7, Outcome: flow.Succeeded}}
+	if !executor.enqueue(undoOutcome) || !executor.enqueue(pendingUpdate{kind: statetable.EndSteps, Update: statetable.Update{ID: "w", Step: 1, State: flow.NoEffect}}) {
+		t.Fatal("the queue is full")
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go d.storeWords(ctx)
+	go executor.proposeUpdates(ctx)
 	for range 2 {
-		if c := <-a.wrote; len(c.Words) != 1 {
-			t.Errorf("%s with %d words", c.Kind, len(c.Words))
+		if c := <-a.proposed; len(c.Updates) != 1 {
+			t.Errorf("%s with %d words", c.Kind, len(c.Updates))
 		}
 	}
-	if e := <-d.ended; e.tries != 3 || e.wrote == nil || *e.wrote != took.Word {
+	if e := <-executor.undoEnds; e.attempts != 3 || e.agreed == nil || *e.agreed != undoOutcome.Update {
 		t.Errorf("it ended as %+v", e)
 	}
 }
 
-// TestStaleBook guards the log from a member whose copy stands still: what it has planned by an old
-// book is not said again before the log has brought it.
-func TestStaleBook(t *testing.T) {
+// TestStaleStateTable checks that a member whose copy of the log does not advance does not
+// propose again, from its stale table, what it has planned before its entry has arrived.
+func TestStaleStateTable(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	over := &flow.Flow{ID: "w", Phase: flow.Active, Deadline: 1, Lease: 1}
-	a := agreeing{make(chan *statetable.Command, 64), &statetable.Book{Live: map[string]*flow.Flow{"w": over}}, make(chan struct{})}
+	overdue := &flow.Flow{ID: "w", Phase: flow.Active, Deadline: 1, LeaseUntil: 1}
+	a := agreeing{make(chan *statetable.Command, 64), &statetable.Table{Live: map[string]*flow.Flow{"w": overdue}}, make(chan struct{})}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	d := New(Config{Name: "d1", AtOnce: 4}, a, nil, logrus.NewEntry(log))
-	go d.Run(ctx)
-	<-a.looks
-	if c := <-a.wrote; c.Kind != statetable.Expire {
-		t.Fatalf("it said %s", c.Kind)
+	executor := New(Config{Name: "d1", MaxConcurrent: 4}, a, nil, logrus.NewEntry(log))
+	go executor.Run(ctx)
+	<-a.scans
+	if c := <-a.proposed; c.Kind != statetable.Expire {
+		t.Fatalf("it proposed %s", c.Kind)
 	}
-	for range 2 { // a look may be under way while the word is written
-		<-a.looks
+	for range 2 { // a scan may be running while the command is proposed
+		<-a.scans
 	}
-	was := len(a.wrote)
+	was := len(a.proposed)
 	for range 5 {
-		<-a.looks
+		<-a.scans
 	}
-	if n := len(a.wrote) - was; n > 0 {
-		t.Errorf("it said the same %d times more", n)
+	if n := len(a.proposed) - was; n > 0 {
+		t.Errorf("it proposed the same %d times more", n)
 	}
 }
--- a/internal/dispatcher/fleet/workflow/executor/places.go
+++ b/internal/dispatcher/fleet/workflow/executor/places.go
@@ -12,64 +12,66 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// places has agreed on where one undo goes before it is sent there. It is the job's: there are no
-// more of them than undos under way.
-type places struct {
-	d   *Desk
-	run assignment.Run
-	by  time.Time // the job's own time
+// destinations has the log agree on each group of runners before one undo is sent there, so that
+// no other member can send it to a second group while it may run in the first. It belongs to the
+// undo's job, which calls it (core.Placements).
+type destinations struct {
+	executor *Executor
+	run      assignment.Run
+	deadline time.Time // of the job
 
-	mu   sync.Mutex
-	went map[core.OutcomeRecord]uint64 // groups of this run, and by which entry
+	mu      sync.Mutex
+	entries map[core.OutcomeRecord]uint64 // index of the entry for each group of this run
 }
 
-// Previous tells where the log has it that the undo may have run.
-func (p *places) Previous() (out []core.OutcomeRecord) {
-	now := p.d.log.Now()
-	for _, w := range p.run.Went {
-		out = append(out, core.OutcomeRecord{Zone: w.Zone, Cell: w.Cell, Age: max(now-time.Duration(w.At)*time.Millisecond, 0)})
+// Previous returns the groups in which the undo may have run according to the log.
+func (p *destinations) Previous() (out []core.OutcomeRecord) {
+	now := p.executor.log.Now()
+	for _, w := range p.run.Destinations {
+		out = append(out, core.OutcomeRecord{Zone: w.Zone, Cell: w.Cell, Age: max(now-time.Duration(w.FirstSentAt)*time.Millisecond, 0)})
 	}
 	return out
 }
 
-// Propose has the log say that it goes to a group. A group that this run has gone to, and that was
-// not taken back, needs no second word. An entry that comes to be after it was given up binds the undo
-// for its window, as nobody can tell it from one that was sent by.
-func (p *places) Propose(group core.OutcomeRecord, left time.Duration, send func(bool)) {
+// Propose proposes that the undo goes to a group for which left remains of the window, and calls
+// send with the outcome. A group that this run has proposed and not withdrawn needs no second
+// entry. If an entry is agreed on only after this call has given up, it binds the undo to the
+// group for its window, as it can't be told from the entry of an undo that was sent.
+func (p *destinations) Propose(group core.OutcomeRecord, left time.Duration, send func(bool)) {
 	p.mu.Lock()
-	_, there := p.went[group]
+	_, agreedBefore := p.entries[group]
 	p.mu.Unlock()
-	if there {
+	if agreedBefore {
 		send(true)
 		return
 	}
-	go func() { // it ends with the job's time at the latest
-		by := time.Now().Add(writeTime)
-		if p.by.Before(by) {
-			by = p.by
+	go func() { // ends at the job's deadline at the latest
+		deadline := time.Now().Add(proposeTimeout)
+		if p.deadline.Before(deadline) {
+			deadline = p.deadline
 		}
-		ctx, cancel := context.WithDeadline(context.Background(), by)
+		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
-		done, err := p.d.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: p.run.ID, Flow: &statetable.Command{Kind: statetable.Goes, ID: p.run.ID, N: p.run.N, Fence: p.run.Fence,
-			Place: flow.Place{Zone: group.Zone, Cell: group.Cell, Until: (p.d.log.Now() + left).Milliseconds()}}})
+		done, err := p.executor.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: p.run.ID, Flow: &statetable.Command{Kind: statetable.SendUndo, ID: p.run.ID, N: p.run.Step, FencingToken: p.run.FencingToken,
+			Destination: flow.Destination{Zone: group.Zone, Cell: group.Cell, Until: (p.executor.log.Now() + left).Milliseconds()}}})
 		agreed := err == nil && done.Refused == ""
 		if agreed {
 			p.mu.Lock()
-			p.went[group] = done.Index
+			p.entries[group] = done.Index
 			p.mu.Unlock()
 		}
 		send(agreed)
 	}()
 }
 
-// Withdraw takes the word back. One that finds no room stays: the undo is bound to the group for its
-// window.
-func (p *places) Withdraw(group core.OutcomeRecord) {
+// Withdraw withdraws the entry for a group in which the undo certainly never ran. If the queue is
+// full the entry stays, and the undo is bound to the group for its window.
+func (p *destinations) Withdraw(group core.OutcomeRecord) {
 	p.mu.Lock()
-	entry := p.went[group]
-	delete(p.went, group)
+	entry := p.entries[group]
+	delete(p.entries, group)
 	p.mu.Unlock()
 	if entry > 0 {
-		p.d.put(word{kind: statetable.Stays, Word: statetable.Word{ID: p.run.ID, N: p.run.N, Fence: p.run.Fence, Entry: entry}})
+		p.executor.enqueue(pendingUpdate{kind: statetable.WithdrawUndos, Update: statetable.Update{ID: p.run.ID, Step: p.run.Step, FencingToken: p.run.FencingToken, Entry: entry}})
 	}
 }
--- a/internal/dispatcher/fleet/workflow/executor/store.go
+++ b/internal/dispatcher/fleet/workflow/executor/store.go
@@ -9,95 +9,97 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// storePlans has what was chosen written.
-func (d *Desk) storePlans(ctx context.Context) {
+// proposePlans proposes the claims and expirations of plans.
+func (e *Executor) proposePlans(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-d.plans:
-			d.say(ctx, statetable.Expire, p.Expire)
-			d.say(ctx, statetable.Take, p.Take)
+		case p := <-e.plans:
+			e.proposeForAll(ctx, statetable.Expire, p.Expire)
+			e.proposeForAll(ctx, statetable.Claim, p.Claim)
 		}
 	}
 }
 
-func (d *Desk) say(ctx context.Context, kind statetable.Kind, ids []string) {
+// proposeForAll proposes one command about several workflows and remembers the entry's index.
+func (e *Executor) proposeForAll(ctx context.Context, kind statetable.Kind, ids []string) {
 	if len(ids) == 0 {
 		return
 	}
 	c := &statetable.Command{Kind: kind}
-	if kind == statetable.Take {
-		c.By, c.Until = d.cfg.Name, d.log.Now().Milliseconds()+assignment.LeaseFor
+	if kind == statetable.Claim {
+		c.By, c.Until = e.cfg.Name, e.log.Now().Milliseconds()+assignment.LeaseMillis
 	}
 	for _, id := range ids {
-		c.Words = append(c.Words, statetable.Word{ID: id})
+		c.Updates = append(c.Updates, statetable.Update{ID: id})
 	}
-	if index := d.write(ctx, c); index > 0 {
-		d.said.Store(&said{index, time.Now()})
+	if index := e.propose(ctx, c); index > 0 {
+		e.lastProposal.Store(&proposal{index, time.Now()})
 	}
 }
 
-// write has a command agreed on and returns the index of its entry, 0 where nobody knows.
-func (d *Desk) write(ctx context.Context, c *statetable.Command) (index uint64) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(writeTime))
+// propose returns the index of a command's entry, 0 if it is not known whether it was agreed on.
+func (e *Executor) propose(ctx context.Context, c *statetable.Command) (index uint64) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(proposeTimeout))
 	defer cancel()
-	done, err := d.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, Flow: c})
+	done, err := e.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, Flow: c})
 	if err != nil {
-		d.line.WithError(err).WithField("kind", c.Kind).Debug("a word on workflows was not written")
+		e.logger.WithError(err).WithField("kind", c.Kind).Debug("a word on workflows was not written")
 		return 0
 	}
 	return done.Index
 }
 
-// storeWords has what became of steps and undos written, several at a time.
-func (d *Desk) storeWords(ctx context.Context) {
+// proposeUpdates proposes the outcomes of steps and undos in batches, one entry for each kind.
+func (e *Executor) proposeUpdates(ctx context.Context) {
 	for {
-		var first word
+		var first pendingUpdate
 		select {
 		case <-ctx.Done():
 			return
-		case first = <-d.words:
+		case first = <-e.updates:
 		}
-		by := map[statetable.Kind][]word{first.kind: {first}}
-		wait := time.NewTimer(wordsWait)
+		byKind := map[statetable.Kind][]pendingUpdate{first.kind: {first}}
+		wait := time.NewTimer(batchDelay)
 	gather:
-		for n := 1; n < batch; n++ {
+		for n := 1; n < maxBatch; n++ {
 			select {
-			case w := <-d.words:
-				by[w.kind] = append(by[w.kind], w)
+			case update := <-e.updates:
+				byKind[update.kind] = append(byKind[update.kind], update)
 			case <-wait.C:
 				break gather
 			}
 		}
 		wait.Stop()
-		for kind, list := range by {
+		for kind, updates := range byKind {
 			c := &statetable.Command{Kind: kind}
-			for _, w := range list {
-				c.Words = append(c.Words, w.Word)
+			for _, update := range updates {
+				c.Updates = append(c.Updates, update.Update)
 			}
-			agreed := d.write(ctx, c) > 0
-			if kind != statetable.Took {
+			agreed := e.propose(ctx, c) > 0
+			if kind != statetable.EndUndos {
 				continue
 			}
-			for _, w := range list {
-				e := ended{id: w.ID, tries: w.tries}
-				if agreed { // the log may have it before it is applied here
-					e.wrote = &w.Word
+			for _, update := range updates {
+				end := undoEnd{id: update.ID, attempts: update.attempts}
+				if agreed { // it may not be applied here yet
+					end.agreed = &update.Update
 				}
-				d.ended <- e // there is room for as many as are under way
+				e.undoEnds <- end // never blocks: it has room for all running undos
 			}
 		}
 	}
 }
 
-func (d *Desk) put(w word) bool {
+// enqueue queues an update and reports whether there was room. It does not block.
+func (e *Executor) enqueue(update pendingUpdate) bool {
 	select {
-	case d.words <- w:
+	case e.updates <- update:
 		return true
 	default:
-		if n := d.lost.Add(1); n&(n-1) == 0 { // the 1st, 2nd, 4th, ...: guards the log
-			d.line.WithField("count", n).Warn("too much waits to be written about workflows; a word is lost")
+		if n := e.dropped.Add(1); n&(n-1) == 0 { // log only the 1st, 2nd, 4th, ...
+			e.logger.WithField("count", n).Warn("too much waits to be written about workflows; a word is lost")
 		}
 		return false
 	}
--- a/internal/dispatcher/fleet/workflow/flow/place.go
+++ b/internal/dispatcher/fleet/workflow/flow/place.go
@@ -2,81 +2,90 @@
 
 import "slices"
 
-// Place is a group of runners to which an undo was sent; they drop its repeats.
-type Place struct {
-	Zone  string `json:"zone,omitempty"` // empty for all runners
-	Cell  int    `json:"cell,omitempty"`
-	At    int64  `json:"at"`    // ms since 1970, of the first that may have run: its window begins
-	Until int64  `json:"until"` // and ends
-	// Entries are those of the log that said so and were not taken back; 0 for one that can't be.
+// Destination is a group of runners to which an undo was sent. The runners of one group drop
+// repeats of it within the group's deduplication window, so an undo may be sent again there but to
+// no other group until the window is over.
+type Destination struct {
+	Zone        string `json:"zone,omitempty"` // empty for all runners
+	Cell        int    `json:"cell,omitempty"`
+	FirstSentAt int64  `json:"at"`    // ms since 1970 when the window begins
+	Until       int64  `json:"until"` // ms since 1970 when the window ends
+	// Entries are the indexes of the log entries that sent the undo here and were not withdrawn.
+	// An index 0 stands for entries that are not kept any more and so can't be withdrawn.
 	Entries []uint64 `json:"entries"`
 }
 
-// mostEntries bounds how many of a place are told apart; past it the place stays for its window.
-const mostEntries = 8
+// maxEntries bounds how many entries of a destination are kept apart; with more of them the
+// destination stays until its window is over.
+const maxEntries = 8
 
-// MostPlaces bounds where an undo may have gone at a time. One more is not sent.
-const MostPlaces = 16
+// MaxDestinations bounds the destinations of one undo at a time; a further one is refused.
+const MaxDestinations = 16
 
-func (p *Place) same(o *Place) bool { return p.Zone == o.Zone && p.Cell == o.Cell }
+// sameGroup reports whether two destinations are the same group of runners.
+func (d *Destination) sameGroup(other *Destination) bool {
+	return d.Zone == other.Zone && d.Cell == other.Cell
+}
 
-// Goes takes in that the undo of a step is about to be sent to a group, by who has the workflow, and
-// the entry that says so. Guards what the undo does from being had in a second group: whoever takes
-// the workflow next has it from the log, however many that were told otherwise are gone.
-func (f *Flow) Goes(n int, fence, entry uint64, p Place, at int64) *Refusal {
-	s, no := f.next(n, fence, at)
-	if no != nil {
-		return no
+// SendUndo records, before it happens, that the holder with a fencing token sends the undo of step
+// n to a destination; entry is the index of the log entry that says so. The next holder learns the
+// destination from the log even if all members that saw the undo leave are down, so it never runs
+// the undo in a second group.
+func (f *Flow) SendUndo(n int, fencingToken, entry uint64, d Destination, at int64) *Refusal {
+	s, refusal := f.claimedStep(n, fencingToken, at)
+	if refusal != nil {
+		return refusal
 	}
-	s.Went = slices.DeleteFunc(s.Went, func(o Place) bool { return o.Until <= at }) // its window is over
-	if i := slices.IndexFunc(s.Went, func(o Place) bool { return o.same(&p) }); i >= 0 {
-		if w := &s.Went[i]; len(w.Entries) < mostEntries {
-			w.Entries = append(slices.Clip(w.Entries), entry) // clones share what they had
+	s.Destinations = slices.DeleteFunc(s.Destinations, func(other Destination) bool { return other.Until <= at }) // remove destinations whose window is over
+	if i := slices.IndexFunc(s.Destinations, func(other Destination) bool { return other.sameGroup(&d) }); i >= 0 {
+		if w := &s.Destinations[i]; len(w.Entries) < maxEntries {
+			w.Entries = append(slices.Clip(w.Entries), entry) // clip: clones share the old array
 		} else {
 			w.Entries = append([]uint64{0}, w.Entries[1:]...)
 		}
 		return nil
 	}
 	switch {
-	case p.Until <= at || len(p.Zone) > MostText:
-		return No(Bad, "where the undo of step %d goes can't be meant", n)
-	case len(s.Went) >= MostPlaces:
-		return No(Large, "the undo of step %d may be in %d groups already", n, MostPlaces)
+	case d.Until <= at || len(d.Zone) > MaxTextBytes:
+		return NewRefusal(Invalid, "where the undo of step %d goes can't be meant", n)
+	case len(s.Destinations) >= MaxDestinations:
+		return NewRefusal(TooLarge, "the undo of step %d may be in %d groups already", n, MaxDestinations)
 	}
-	p.At, p.Until, p.Entries = at, min(p.Until, at+longest), []uint64{entry}
-	s.Went = append(s.Went, p)
+	d.FirstSentAt, d.Until, d.Entries = at, min(d.Until, at+maxDuration), []uint64{entry}
+	s.Destinations = append(s.Destinations, d)
 	return nil
 }
 
-// Stays takes in that what an entry had said to go to a group surely never ran. What another entry says
-// of the group counts on. Guards an undo that may have run there in an earlier try: the one after it, which no
-// runner took, would set it free for another group.
-func (f *Flow) Stays(n int, fence, entry uint64, at int64) *Refusal {
-	s, no := f.next(n, fence, at)
-	if no != nil {
-		return no
+// WithdrawUndo records that the attempt which an entry sent to a destination certainly never ran.
+// The destination stays as long as another entry names it: the undo may have run there in an
+// earlier attempt, and only then is it free to go to another group.
+func (f *Flow) WithdrawUndo(n int, fencingToken, entry uint64, at int64) *Refusal {
+	s, refusal := f.claimedStep(n, fencingToken, at)
+	if refusal != nil {
+		return refusal
 	}
 	if entry == 0 {
-		return No(Bad, "no entry is named")
+		return NewRefusal(Invalid, "no entry is named")
 	}
-	for i := range s.Went {
-		s.Went[i].Entries = slices.DeleteFunc(slices.Clone(s.Went[i].Entries), func(e uint64) bool { return e == entry })
+	for i := range s.Destinations {
+		s.Destinations[i].Entries = slices.DeleteFunc(slices.Clone(s.Destinations[i].Entries), func(e uint64) bool { return e == entry })
 	}
-	s.Went = slices.DeleteFunc(s.Went, func(o Place) bool { return len(o.Entries) == 0 })
+	s.Destinations = slices.DeleteFunc(s.Destinations, func(other Destination) bool { return len(other.Entries) == 0 })
 	return nil
 }
 
-// next returns the step whose undo is next, where who speaks has the workflow.
-func (f *Flow) next(n int, fence uint64, at int64) (*Step, *Refusal) {
+// claimedStep returns step n if its undo is the next one, may begin by now, and the fencing token
+// is that of the present claim.
+func (f *Flow) claimedStep(n int, fencingToken uint64, at int64) (*Step, *Refusal) {
 	switch {
 	case f.Phase != Undoing:
-		return nil, No(Order, "the workflow is %s", f.Phase)
-	case fence != f.Fence:
-		return nil, No(Fenced, "it was taken by entry %d since", f.Fence)
-	case n != f.Next():
-		return nil, No(Order, "the undo of step %d is next", f.Next())
-	case at < f.Ready():
-		return nil, No(Order, "step %d is not settled yet", n)
+		return nil, NewRefusal(OutOfOrder, "the workflow is %s", f.Phase)
+	case fencingToken != f.FencingToken:
+		return nil, NewRefusal(Fenced, "it was taken by entry %d since", f.FencingToken)
+	case n != f.NextUndo():
+		return nil, NewRefusal(OutOfOrder, "the undo of step %d is next", f.NextUndo())
+	case at < f.UndoReadyAt():
+		return nil, NewRefusal(OutOfOrder, "step %d is not settled yet", n)
 	}
 	return &f.Steps[n-1], nil
 }
--- a/internal/dispatcher/fleet/workflow/flow/undo.go
+++ b/internal/dispatcher/fleet/workflow/flow/undo.go
@@ -4,122 +4,131 @@
 	"fmt"
 )
 
-// TakeBack has it undone.
-func (f *Flow) TakeBack(why string, at int64) *Refusal {
+// StartUndo begins to undo an active workflow, with a reason. It has no effect on one that is
+// being undone, undone or stuck already.
+func (f *Flow) StartUndo(reason string, at int64) *Refusal {
 	switch f.Phase {
 	case Active:
-		f.enter(Undoing, why, at)
+		f.setPhase(Undoing, reason, at)
 	case Undoing, Undone, Stuck:
 	default:
-		return No(Order, "the workflow is %s", f.Phase)
+		return NewRefusal(OutOfOrder, "the workflow is %s", f.Phase)
 	}
 	return nil
 }
 
-func (f *Flow) enter(p Phase, why string, at int64) {
-	f.Phase, f.Why, f.Since = p, why, at
-	if p == Undoing && f.Next() == 0 {
+// setPhase enters a phase, or Undone in place of Undoing if no undo is left. An ended workflow
+// drops its claim and its undos' bodies, keys and destinations to free their memory.
+func (f *Flow) setPhase(p Phase, reason string, at int64) {
+	f.Phase, f.Reason, f.Since = p, reason, at
+	if p == Undoing && f.NextUndo() == 0 {
 		f.Phase = Undone
 	}
 	if f.Phase.Ended() {
-		f.Holder, f.Held = "", 0
-		for i := range f.Steps { // what they held is given back
+		f.Holder, f.HeldUntil = "", 0
+		for i := range f.Steps { // keep what operators see, drop the rest
 			f.Steps[i].Undo = Undo{Class: f.Steps[i].Undo.Class, Path: f.Steps[i].Undo.Path}
-			f.Steps[i].Went = nil
+			f.Steps[i].Destinations = nil
 		}
 	}
 }
 
-// Next returns the step whose undo is next, the last that may have had an effect; 0 for none.
-func (f *Flow) Next() int {
+// NextUndo returns the number of the step that has to be undone next, the last one that may have
+// had an effect; 0 if there is none.
+func (f *Flow) NextUndo() int {
 	for i := len(f.Steps) - 1; i >= 0; i-- {
-		if s := f.Steps[i].State; s == Open || s == Done || s == Doubt {
+		if s := f.Steps[i].State; s == Open || s == Done || s == InDoubt {
 			return i + 1
 		}
 	}
 	return 0
 }
 
-// Ready returns from when on the next undo may begin: once its step can have no effect any more
-// that comes after it.
-func (f *Flow) Ready() int64 {
-	n := f.Next()
+// UndoReadyAt returns from when on the next undo may begin, in milliseconds since 1970: its
+// backoff is over and its step's job can have no effect after it any more. It returns 0 if no undo
+// is left.
+func (f *Flow) UndoReadyAt() int64 {
+	n := f.NextUndo()
 	if n == 0 {
 		return 0
 	}
 	s := &f.Steps[n-1]
 	if s.State == Done {
-		return s.Next
+		return s.NextAttemptAt
 	}
-	return max(s.Next, s.Until)
+	return max(s.NextAttemptAt, s.EffectUntil)
 }
 
-// Take gives it to a member until a time, by the entry's index. Who has it takes it on under the
-// same fence, so that an undo that is under way counts.
-func (f *Flow) Take(by string, index uint64, until, at int64) *Refusal {
+// Claim gives the workflow to a member until a time; index is that of the claim's log entry. A
+// member that renews its own claim in time keeps the fencing token, so that an undo that is
+// running still counts; any other claim replaces the token.
+func (f *Flow) Claim(member string, index uint64, until, at int64) *Refusal {
 	switch {
 	case f.Phase != Undoing:
-		return No(Order, "the workflow is %s", f.Phase)
-	case f.Holder != by && at < f.Held:
-		return No(Fenced, "%s has it", f.Holder)
+		return NewRefusal(OutOfOrder, "the workflow is %s", f.Phase)
+	case f.Holder != member && at < f.HeldUntil:
+		return NewRefusal(Fenced, "%s has it", f.Holder)
 	}
-	if f.Holder != by || at >= f.Held {
-		f.Fence = index
+	if f.Holder != member || at >= f.HeldUntil {
+		f.FencingToken = index
 	}
-	f.Holder, f.Held = by, until
+	f.Holder, f.HeldUntil = member, until
 	return nil
 }
 
-// Outcome is what became of an undo's job.
+// Outcome is the outcome of one attempt of an undo.
 type Outcome string
 
-// TookBack takes in what became of the undo of a step, by who has it.
-func (f *Flow) TookBack(n int, fence uint64, o Outcome, why string, at int64) *Refusal {
-	s, no := f.next(n, fence, at)
-	if no != nil {
-		return no
+// EndUndo records the outcome of an attempt of step n's undo by the holder with a fencing token. A
+// failed attempt is repeated after an exponential backoff. The workflow is stuck after Unusable,
+// after the last allowed attempt, and after an uncertain outcome of an undo that must not run
+// twice.
+func (f *Flow) EndUndo(n int, fencingToken uint64, outcome Outcome, reason string, at int64) *Refusal {
+	s, refusal := f.claimedStep(n, fencingToken, at)
+	if refusal != nil {
+		return refusal
 	}
-	if o == OK {
-		s.State, s.Why, s.Went = Taken, "", nil
-		if f.Next() == 0 {
-			f.enter(Undone, f.Why, at)
+	if outcome == Succeeded {
+		s.State, s.Reason, s.Destinations = Compensated, "", nil
+		if f.NextUndo() == 0 {
+			f.setPhase(Undone, f.Reason, at)
 		}
 		return nil
 	}
-	s.Tries, s.Why = s.Tries+1, why
-	s.Next = at + min(int64(firstWait)<<min(s.Tries-1, 20), mostWait)
-	if o == Useless || o == Maybe && s.Undo.Unsafe || s.Tries >= f.Tries {
-		f.enter(Stuck, fmt.Sprintf("the undo of step %d failed: %s", n, why), at)
+	s.Attempts, s.Reason = s.Attempts+1, reason
+	s.NextAttemptAt = at + min(int64(initialBackoff)<<min(s.Attempts-1, 20), maxBackoff)
+	if outcome == Unusable || outcome == Uncertain && s.Undo.Unsafe || s.Attempts >= f.MaxAttempts {
+		f.setPhase(Stuck, fmt.Sprintf("the undo of step %d failed: %s", n, reason), at)
 	}
 	return nil
 }
 
-// Skip has an operator pass over the undo that is stuck.
+// Skip lets an operator skip the undo of step n, at which the workflow is stuck.
 func (f *Flow) Skip(n int, at int64) *Refusal {
-	if f.Phase != Stuck || n != f.Next() {
-		return No(Order, "the undo of step %d is not stuck", n)
+	if f.Phase != Stuck || n != f.NextUndo() {
+		return NewRefusal(OutOfOrder, "the undo of step %d is not stuck", n)
 	}
-	f.Steps[n-1].State, f.Steps[n-1].Went = Skipped, nil
-	f.enter(Undoing, f.Why, at)
+	f.Steps[n-1].State, f.Steps[n-1].Destinations = Skipped, nil
+	f.setPhase(Undoing, f.Reason, at)
 	return nil
 }
 
-// Again has an operator try it again from where it is stuck.
-func (f *Flow) Again(at int64) *Refusal {
+// Retry lets an operator continue a stuck workflow with a fresh count of attempts.
+func (f *Flow) Retry(at int64) *Refusal {
 	if f.Phase != Stuck {
-		return No(Order, "the workflow is %s", f.Phase)
+		return NewRefusal(OutOfOrder, "the workflow is %s", f.Phase)
 	}
-	s := &f.Steps[f.Next()-1]
-	s.Tries, s.Next = 0, 0
-	f.enter(Undoing, f.Why, at)
+	s := &f.Steps[f.NextUndo()-1]
+	s.Attempts, s.NextAttemptAt = 0, 0
+	f.setPhase(Undoing, f.Reason, at)
 	return nil
 }
 
-// GiveUp has an operator leave it as it is.
+// GiveUp lets an operator end a stuck workflow as it is.
 func (f *Flow) GiveUp(at int64) *Refusal {
 	if f.Phase != Stuck {
-		return No(Order, "the workflow is %s", f.Phase)
+		return NewRefusal(OutOfOrder, "the workflow is %s", f.Phase)
 	}
-	f.enter(GivenUp, f.Why, at)
+	f.setPhase(GivenUp, f.Reason, at)
 	return nil
 }
--- a/internal/dispatcher/fleet/workflow/front/front_test.go
+++ b/internal/dispatcher/fleet/workflow/front/front_test.go
@@ -18,18 +18,18 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// log is one of a single member: what is said is agreed on at once.
+// log is the log of a single member, which agrees to each command at once.
 type log struct {
 	mu    sync.Mutex
 	index uint64
-	book  statetable.Book
+	table statetable.Table
 }
 
 func (l *log) Propose(_ context.Context, e ledger.Entry) (ledger.Done, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
-	_, no := l.book.Apply(l.index, l.Now().Milliseconds(), e.Flow)
+	_, no := l.table.Apply(l.index, l.Now().Milliseconds(), e.Flow)
 	d := ledger.Done{Entry: e, Index: l.index}
 	if no != nil {
 		d.Refused, d.Kind = no.Text, no.Kind
@@ -37,24 +37,23 @@
 	return d, nil
 }
 
-func (l *log) Flows(show func(*statetable.Book)) {
+func (l *log) Flows(show func(*statetable.Table)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	show(&l.book)
+	show(&l.table)
 }
 
 func (l *log) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 func (l *log) Rank(string) int    { return 0 }
 func (l *log) Seen() uint64       { return 1 << 62 }
 
-// TestCalls has every call that can't be meant answered by what is wrong, and nothing half
-// taken in.
+// TestCalls checks the status of each call, and that a refused call changes nothing.
 func TestCalls(t *testing.T) {
 	l := &log{}
-	d := executor.New(executor.Config{Name: "m", AtOnce: 1, Class: func(name string) (executor.Class, bool) {
+	e := executor.New(executor.Config{Name: "m", MaxConcurrent: 1, Class: func(name string) (executor.Class, bool) {
 		return executor.Class{Unsafe: name == "once"}, name == "once" || name == "release"
 	}}, l, nil, nil)
-	h := Handler(func() *executor.Desk { return d }, l.Now)
+	h := Handler(func() *executor.Executor { return e }, l.Now)
 	call := func(method, path, body string) (int, string) {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
@@ -63,7 +62,7 @@
 	step := func(n int, undo string) string {
 		return `{"id":"w","step":` + string(rune('0'+n)) + `,"undo":` + undo + `}`
 	}
-	big, _ := json.Marshal(flow.Undo{Class: "release", Path: "/x", Body: make([]byte, flow.MostBody+1)}) // plain values
+	big, _ := json.Marshal(flow.Undo{Class: "release", Path: "/x", Body: make([]byte, flow.MaxBodyBytes+1)}) // plain values
 	for _, tc := range []struct {
 		path, body string
 		want       int
@@ -77,13 +76,13 @@
 		{"commit", `{"id":"w","steps":2}`, 409}, {"skip", `{"id":"w","step":1}`, 409}, {"again", `{"id":"w"}`, 409}, {"give-up", `{"id":"w"}`, 409},
 		{"touch", `{"id":"w"}`, 200}, {"commit", `{"id":"w","steps":1}`, 200}, {"commit", `{"id":"w","steps":1}`, 200}, {"undo", `{"id":"w"}`, 409}, {"else", `{"id":"w"}`, 405},
 	} {
-		before := l.book.Bytes
+		before := l.table.Bytes
 		got, text := call("POST", "/api/workflow/"+tc.path, tc.body)
 		if got != tc.want {
 			t.Errorf("%s %.80s: %d %s, want %d", tc.path, tc.body, got, text, tc.want)
 		}
-		if got >= 400 && l.book.Bytes != before {
-			t.Errorf("%s %.80s was refused and changed the book", tc.path, tc.body)
+		if got >= 400 && l.table.Bytes != before {
+			t.Errorf("%s %.80s was refused and changed the table", tc.path, tc.body)
 		}
 	}
 	if code, text := call("GET", "/api/workflow/w", ""); code != 200 || !strings.Contains(text, "committed") {
@@ -92,7 +91,7 @@
 	if code, text := call("GET", "/api/workflow", ""); code != 200 || !strings.Contains(text, `"ended":1`) {
 		t.Errorf("list: %d %s", code, text)
 	}
-	none := Handler(func() *executor.Desk { return nil }, l.Now)
+	none := Handler(func() *executor.Executor { return nil }, l.Now)
 	w := httptest.NewRecorder()
 	none.ServeHTTP(w, httptest.NewRequest("GET", "/api/workflow", nil))
 	if w.Code != 503 || !strings.Contains(w.Body.String(), "[cluster]") {
@@ -107,14 +106,15 @@
 	}
 }
 
-// TestStep has a job's headers registered before it is sent, and its verdict settle it.
+// TestStep checks that a job's headers register its step before it is sent, and that the job's
+// verdict ends the step.
 func TestStep(t *testing.T) {
 	l := &log{}
-	d := executor.New(executor.Config{Name: "m", AtOnce: 1, Class: func(string) (executor.Class, bool) { return executor.Class{}, true }}, l, nil, nil)
+	e := executor.New(executor.Config{Name: "m", MaxConcurrent: 1, Class: func(string) (executor.Class, bool) { return executor.Class{}, true }}, l, nil, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go d.Run(ctx)
-	l.book.Apply(1, l.Now().Milliseconds(), &statetable.Command{Kind: statetable.Begin, ID: "w", Deadline: l.Now().Milliseconds() + 60_000, LeaseFor: 60_000})
+	go e.Run(ctx)
+	l.table.Apply(1, l.Now().Milliseconds(), &statetable.Command{Kind: statetable.Begin, ID: "w", Deadline: l.Now().Milliseconds() + 60_000, LeaseDuration: 60_000})
 	undo := base64.StdEncoding.EncodeToString([]byte(`{"class":"release","path":"/x"}`))
 	for _, tc := range []struct {
 		step, undo string
@@ -124,7 +124,7 @@
 		h.Set(HeaderFlow, "w")
 		h.Set(HeaderStep, tc.step)
 		h.Set(HeaderUndo, tc.undo)
-		code, text, settled := Steps{Of: func() *executor.Desk { return d }}.Begin(ctx, h, time.Now().Add(time.Second))
+		code, text, settled := Steps{Executor: func() *executor.Executor { return e }}.Begin(ctx, h, time.Now().Add(time.Second))
 		if code != tc.want || (settled != nil) != (code == 0) {
 			t.Errorf("step %q, undo %q: %d %s", tc.step, tc.undo, code, text)
 		}
@@ -132,19 +132,19 @@
 			settled(core.Failed)
 		}
 	}
-	for by := time.Now().Add(20 * time.Second); d.Find("w").Phase != flow.Undoing; {
+	for by := time.Now().Add(20 * time.Second); e.Find("w").Phase != flow.Undoing; {
 		if time.Now().After(by) {
-			t.Fatalf("a step that failed for good: %+v", d.Find("w"))
+			t.Fatalf("a step that failed for good: %+v", e.Find("w"))
 		}
 	}
 }
 
-// FuzzParse guards the headers: whatever comes is refused or makes sense.
+// FuzzParse checks that any headers are refused or parsed to a valid step number.
 func FuzzParse(f *testing.F) {
 	f.Add("1", base64.StdEncoding.EncodeToString([]byte(`{"class":"c","path":"/p","body":"YQ=="}`)))
 	f.Add("-1", "x")
 	f.Fuzz(func(t *testing.T, step, undo string) {
-		n, _, err := parse(http.Header{HeaderStep: {step}, HeaderUndo: {undo}})
+		n, _, err := parseStep(http.Header{HeaderStep: {step}, HeaderUndo: {undo}})
 		if err == nil && n < 1 {
 			t.Errorf("step %d", n)
 		}
--- a/internal/dispatcher/fleet/workflow/statetable/statetable.go
+++ b/internal/dispatcher/fleet/workflow/statetable/statetable.go
@@ -1,6 +1,12 @@
-// Package statetable is all workflows that a cluster's members agree on: each entry of the log is a
-// command, and equal commands in the same order lead to equal books. It bounds what they take.
-// It does no I/O and reads no clock.
+// Package statetable holds the workflows that a cluster's members agree on. It is the state
+// machine of the agreed log for workflows: each log entry is a command, and equal commands in the
+// same order lead to equal tables at all members. It bounds how many workflows there are and how
+// much memory they take.
+//
+// The package is pure: it does no I/O and reads no clock. Package quorum applies the entries and
+// serialises all calls; a Table is not safe for concurrent use. The JSON form of Table, Command
+// and Update is stored and sent between members, so their tags and the strings of Kind must not
+// change.
 package statetable
 
 import (
@@ -11,225 +17,232 @@
 	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
-// The bounds of a book.
+// Limits of a table. All members must have the same ones, as they decide what a command changes.
 const (
-	MostFlows = 10_000   // that have not ended; one more is refused
-	MostBytes = 32 << 20 // that their undos take; a step past it is refused
-	MostEnded = 4096     // that are remembered after their end; the oldest are forgotten
-	MostBatch = 256      // words in one command
+	MaxFlows = 10_000   // live workflows; a further one is refused
+	MaxBytes = 32 << 20 // taken by live workflows; a step that exceeds it is refused
+	MaxEnded = 4096     // ended workflows that are remembered; the oldest are dropped
+	MaxBatch = 256      // updates of one command
 )
 
 // Kind says what a command does.
 type Kind string
 
-// The kinds.
+// The kinds. Those with updates act on many workflows, the others on the one that ID names.
 const (
-	Begin  Kind = "begin"
-	Step   Kind = "step"
-	Settle Kind = "settle" // Words
-	Commit Kind = "commit"
-	Undo   Kind = "undo"   // by its client's or an operator's word
-	Expire Kind = "expire" // Words name workflows whose deadline or lease is over by the entry's time
-	Touch  Kind = "touch"
-	Take   Kind = "take"  // Words name workflows that By takes until Until
-	Took   Kind = "took"  // Words say what became of undos
-	Goes   Kind = "goes"  // the undo of step N is about to be sent to Place, under Fence
-	Stays  Kind = "stays" // Words say which entries' undos surely never ran
-	Skip   Kind = "skip"
-	Again  Kind = "again"
-	GiveUp Kind = "give-up"
+	Begin         Kind = "begin"
+	Step          Kind = "step"
+	EndSteps      Kind = "settle" // Updates are the outcomes of steps' jobs
+	Commit        Kind = "commit"
+	Undo          Kind = "undo"   // a client or an operator asks for it
+	Expire        Kind = "expire" // Updates name workflows that are overdue by the entry's time
+	RenewLease    Kind = "touch"
+	Claim         Kind = "take"  // Updates name workflows that member By claims until Until
+	EndUndos      Kind = "took"  // Updates are the outcomes of undos
+	SendUndo      Kind = "goes"  // the undo of step N is about to be sent to Destination, under FencingToken
+	WithdrawUndos Kind = "stays" // Updates name the entries of undos that certainly never ran
+	Skip          Kind = "skip"
+	Retry         Kind = "again"
+	GiveUp        Kind = "give-up"
 )
 
-// Word is one workflow's part of a command that is about many.
-type Word struct {
-	ID      string       `json:"id"`
-	N       int          `json:"n,omitempty"`
-	State   flow.State   `json:"state,omitempty"`
-	Failed  bool         `json:"failed,omitempty"`
-	Fence   uint64       `json:"fence,omitempty"`
-	Outcome flow.Outcome `json:"outcome,omitempty"`
-	Why     string       `json:"why,omitempty"`
-	Entry   uint64       `json:"entry,omitempty"` // that is taken back
+// Update is the part of a command with updates that concerns one workflow.
+type Update struct {
+	ID           string       `json:"id"`
+	Step         int          `json:"n,omitempty"`
+	State        flow.State   `json:"state,omitempty"`
+	Failed       bool         `json:"failed,omitempty"`
+	FencingToken uint64       `json:"fence,omitempty"`
+	Outcome      flow.Outcome `json:"outcome,omitempty"`
+	Reason       string       `json:"why,omitempty"`
+	Entry        uint64       `json:"entry,omitempty"` // index of the entry that is withdrawn
 }
 
-// Command is an entry of the log.
+// Command is an entry of the log about workflows. Which fields count depends on its kind; times
+// are in milliseconds since 1970, LeaseDuration is in milliseconds.
 type Command struct {
-	Kind     Kind       `json:"kind"`
-	ID       string     `json:"id,omitempty"`
-	N        int        `json:"n,omitempty"`
-	Deadline int64      `json:"deadline,omitempty"`
-	LeaseFor int64      `json:"lease_for,omitempty"`
-	Until    int64      `json:"until,omitempty"`
-	Tries    int        `json:"tries,omitempty"`
-	Undo     *flow.Undo `json:"undo,omitempty"`
-	By       string     `json:"by,omitempty"`
-	Why      string     `json:"why,omitempty"`
-	Words    []Word     `json:"words,omitempty"`
-	Fence    uint64     `json:"fence,omitempty"`
-	Place    flow.Place `json:"place,omitzero"`
+	Kind          Kind             `json:"kind"`
+	ID            string           `json:"id,omitempty"`
+	N             int              `json:"n,omitempty"`
+	Deadline      int64            `json:"deadline,omitempty"`
+	LeaseDuration int64            `json:"lease_for,omitempty"`
+	Until         int64            `json:"until,omitempty"`
+	MaxAttempts   int              `json:"tries,omitempty"`
+	Undo          *flow.Undo       `json:"undo,omitempty"`
+	By            string           `json:"by,omitempty"`
+	Reason        string           `json:"why,omitempty"`
+	Updates       []Update         `json:"words,omitempty"`
+	FencingToken  uint64           `json:"fence,omitempty"`
+	Destination   flow.Destination `json:"place,omitzero"`
 }
 
-// Book is the state. The zero value is empty.
-type Book struct {
-	Live  map[string]*flow.Flow `json:"live"`
-	Ended []*flow.Flow          `json:"ended"` // the oldest first
-	Bytes int                   `json:"bytes"`
-	past  map[string]*flow.Flow
+// Table is the state of all workflows. The zero value is empty. Bytes is the sum of Flow.Bytes
+// over Live.
+type Table struct {
+	Live      map[string]*flow.Flow `json:"live"`
+	Ended     []*flow.Flow          `json:"ended"` // ended workflows that are remembered, the oldest first
+	Bytes     int                   `json:"bytes"`
+	endedByID map[string]*flow.Flow // index of Ended, made on first use
 }
 
-// Apply takes in a command that is the log's entry at an index, said at a time in ms since
-// 1970. It tells whether anything changed, and of a command about one workflow why nothing did.
-func (b *Book) Apply(index uint64, at int64, c *Command) (changed bool, no *flow.Refusal) {
-	if b.Live == nil {
-		b.Live = map[string]*flow.Flow{}
+// Apply applies a command that is the log's entry at an index, with the entry's time in
+// milliseconds since 1970. It reports whether anything changed; for a command about one workflow
+// it also returns the refusal if nothing did. Refused updates of a command about many workflows
+// are skipped.
+func (t *Table) Apply(index uint64, at int64, c *Command) (changed bool, refusal *flow.Refusal) {
+	if t.Live == nil {
+		t.Live = map[string]*flow.Flow{}
 	}
-	if len(c.Words) > MostBatch {
-		return false, flow.No(flow.Many, "%d words in one entry, %d is the most", len(c.Words), MostBatch)
+	if len(c.Updates) > MaxBatch {
+		return false, flow.NewRefusal(flow.TooMany, "%d words in one entry, %d is the most", len(c.Updates), MaxBatch)
 	}
 	switch c.Kind {
 	case Begin:
-		return b.begin(at, c)
-	case Settle, Expire, Take, Took, Stays:
-		for i := range c.Words {
-			changed = b.word(index, at, c, &c.Words[i]) == nil || changed
+		return t.begin(at, c)
+	case EndSteps, Expire, Claim, EndUndos, WithdrawUndos:
+		for i := range c.Updates {
+			changed = t.applyUpdate(index, at, c, &c.Updates[i]) == nil || changed
 		}
 		return changed, nil
 	}
-	f := b.Live[c.ID]
+	f := t.Live[c.ID]
 	if f == nil {
-		return b.over(c)
+		return t.refuseEnded(c)
 	}
-	return b.do(f, func() *flow.Refusal {
+	return t.modify(f, func() *flow.Refusal {
 		switch c.Kind {
 		case Step:
-			if c.Undo != nil && c.N == len(f.Steps)+1 && b.Bytes+c.Undo.Bytes() > MostBytes {
-				return flow.No(flow.Many, "all undos together take %d bytes, %d is the most", b.Bytes, MostBytes)
+			if c.Undo != nil && c.N == len(f.Steps)+1 && t.Bytes+c.Undo.Bytes() > MaxBytes {
+				return flow.NewRefusal(flow.TooMany, "all undos together take %d bytes, %d is the most", t.Bytes, MaxBytes)
 			}
 			return f.Register(c.N, c.Undo, c.Until, at)
-		case Goes:
-			return f.Goes(c.N, c.Fence, index, c.Place, at)
+		case SendUndo:
+			return f.SendUndo(c.N, c.FencingToken, index, c.Destination, at)
 		case Commit:
 			return f.Commit(c.N, at)
 		case Undo:
-			return f.TakeBack(cmp.Or(c.Why, "its client said so"), at)
-		case Touch:
-			return f.Touch(at)
+			return f.StartUndo(cmp.Or(c.Reason, "its client said so"), at)
+		case RenewLease:
+			return f.RenewLease(at)
 		case Skip:
 			return f.Skip(c.N, at)
-		case Again:
-			return f.Again(at)
+		case Retry:
+			return f.Retry(at)
 		case GiveUp:
 			return f.GiveUp(at)
 		}
-		return flow.No(flow.Bad, "%q is no command of this build", c.Kind)
+		return flow.NewRefusal(flow.Invalid, "%q is no command of this build", c.Kind)
 	})
 }
 
-func (b *Book) begin(at int64, c *Command) (bool, *flow.Refusal) {
-	if b.Find(c.ID) != nil {
-		return false, flow.No(flow.Order, "there is a workflow %s already", c.ID)
+// begin adds a workflow.
+func (t *Table) begin(at int64, c *Command) (bool, *flow.Refusal) {
+	if t.Find(c.ID) != nil {
+		return false, flow.NewRefusal(flow.OutOfOrder, "there is a workflow %s already", c.ID)
 	}
-	if len(b.Live) >= MostFlows {
-		return false, flow.No(flow.Many, "%d workflows have not ended, that is the most", MostFlows)
+	if len(t.Live) >= MaxFlows {
+		return false, flow.NewRefusal(flow.TooMany, "%d workflows have not ended, that is the most", MaxFlows)
 	}
-	f, no := flow.Begin(c.ID, c.Deadline, c.LeaseFor, c.Tries, at)
-	if no != nil {
-		return false, no
+	f, refusal := flow.Begin(c.ID, c.Deadline, c.LeaseDuration, c.MaxAttempts, at)
+	if refusal != nil {
+		return false, refusal
 	}
-	b.Live[f.ID] = f
-	b.Bytes += f.Bytes()
+	t.Live[f.ID] = f
+	t.Bytes += f.Bytes()
 	return true, nil
 }
 
-// word carries out one workflow's part of a command about many.
-func (b *Book) word(index uint64, at int64, c *Command, w *Word) *flow.Refusal {
-	f := b.Live[w.ID]
+// applyUpdate applies one update of a command about many workflows.
+func (t *Table) applyUpdate(index uint64, at int64, c *Command, update *Update) *flow.Refusal {
+	f := t.Live[update.ID]
 	if f == nil {
-		return flow.No(flow.Unknown, "there is no workflow %s", w.ID)
+		return flow.NewRefusal(flow.NotFound, "there is no workflow %s", update.ID)
 	}
-	_, no := b.do(f, func() *flow.Refusal {
+	_, refusal := t.modify(f, func() *flow.Refusal {
 		switch c.Kind {
-		case Settle:
-			return f.Settle(w.N, w.State, w.Failed, at)
+		case EndSteps:
+			return f.EndStep(update.Step, update.State, update.Failed, at)
 		case Expire:
 			if why := f.Overdue(at); why != "" {
-				return f.TakeBack(why, at)
+				return f.StartUndo(why, at)
 			}
-			return flow.No(flow.Order, "it is not over")
-		case Take:
-			return f.Take(c.By, index, c.Until, at)
-		case Stays:
-			return f.Stays(w.N, w.Fence, w.Entry, at)
+			return flow.NewRefusal(flow.OutOfOrder, "it is not over")
+		case Claim:
+			return f.Claim(c.By, index, c.Until, at)
+		case WithdrawUndos:
+			return f.WithdrawUndo(update.Step, update.FencingToken, update.Entry, at)
 		}
-		return f.TookBack(w.N, w.Fence, w.Outcome, w.Why, at)
+		return f.EndUndo(update.Step, update.FencingToken, update.Outcome, update.Reason, at)
 	})
-	return no
+	return refusal
 }
 
-// do changes a workflow and keeps the book's sums right.
-func (b *Book) do(f *flow.Flow, change func() *flow.Refusal) (bool, *flow.Refusal) {
-	was := f.Bytes()
-	no := change()
-	b.Bytes += f.Bytes() - was
+// modify changes a live workflow, keeps Bytes equal to its sum, and retires the workflow if it has
+// ended.
+func (t *Table) modify(f *flow.Flow, change func() *flow.Refusal) (bool, *flow.Refusal) {
+	before := f.Bytes()
+	refusal := change()
+	t.Bytes += f.Bytes() - before
 	if f.Phase.Ended() {
-		b.end(f)
+		t.retire(f)
 	}
-	return no == nil, no
+	return refusal == nil, refusal
 }
 
-// end has a workflow only remembered from now on.
-func (b *Book) end(f *flow.Flow) {
-	b.Bytes -= f.Bytes()
-	delete(b.Live, f.ID)
-	b.Find("") // the index is there from here on
-	b.past[f.ID] = f
-	if b.Ended = append(b.Ended, f); len(b.Ended) > MostEnded {
-		delete(b.past, b.Ended[0].ID)
-		b.Ended = slices.Clone(b.Ended[1:])
+// retire moves a workflow from the live ones to the ended ones.
+func (t *Table) retire(f *flow.Flow) {
+	t.Bytes -= f.Bytes()
+	delete(t.Live, f.ID)
+	t.Find("") // makes the index if it is missing
+	t.endedByID[f.ID] = f
+	if t.Ended = append(t.Ended, f); len(t.Ended) > MaxEnded {
+		delete(t.endedByID, t.Ended[0].ID)
+		t.Ended = slices.Clone(t.Ended[1:])
 	}
 }
 
-// over answers a word on a workflow that is not live. What was said before and took effect is
-// said again without harm.
-func (b *Book) over(c *Command) (bool, *flow.Refusal) {
-	f := b.Find(c.ID)
+// refuseEnded answers a command about a workflow that is not live. Repeating a commit or an undo
+// that took effect before changes nothing and is not refused.
+func (t *Table) refuseEnded(c *Command) (bool, *flow.Refusal) {
+	f := t.Find(c.ID)
 	switch {
 	case f == nil:
-		return false, flow.No(flow.Unknown, "there is no workflow %s", c.ID)
+		return false, flow.NewRefusal(flow.NotFound, "there is no workflow %s", c.ID)
 	case c.Kind == Commit && f.Phase == flow.Committed, c.Kind == Undo && f.Phase == flow.Undone:
 		return false, nil
 	}
-	return false, flow.No(flow.Order, "the workflow is %s", f.Phase)
+	return false, flow.NewRefusal(flow.OutOfOrder, "the workflow is %s", f.Phase)
 }
 
-// Find returns a workflow, one that has ended too while it is remembered; nil for none.
-func (b *Book) Find(id string) *flow.Flow {
-	if f := b.Live[id]; f != nil {
+// Find returns a workflow, also one that has ended while it is remembered; nil if it is not known.
+func (t *Table) Find(id string) *flow.Flow {
+	if f := t.Live[id]; f != nil {
 		return f
 	}
-	if b.past == nil {
-		b.past = map[string]*flow.Flow{}
-		for _, f := range b.Ended {
-			b.past[f.ID] = f
+	if t.endedByID == nil {
+		t.endedByID = map[string]*flow.Flow{}
+		for _, f := range t.Ended {
+			t.endedByID[f.ID] = f
 		}
 	}
-	return b.past[id]
+	return t.endedByID[id]
 }
 
-// Clone returns a copy that shares nothing that changes.
-func (b *Book) Clone() *Book {
-	c := &Book{Live: make(map[string]*flow.Flow, len(b.Live)), Ended: slices.Clone(b.Ended), Bytes: b.Bytes}
-	for id, f := range b.Live {
+// Clone returns a copy that shares nothing that may change: ended workflows are final and are
+// shared.
+func (t *Table) Clone() *Table {
+	c := &Table{Live: make(map[string]*flow.Flow, len(t.Live)), Ended: slices.Clone(t.Ended), Bytes: t.Bytes}
+	for id, f := range t.Live {
 		c.Live[id] = f.Clone()
 	}
 	return c
 }
 
-// Parse reads a book as JSON has it.
-func Parse(text []byte) (*Book, error) {
-	var b Book
-	if err := json.Unmarshal(text, &b); err != nil {
+// Parse decodes a table from its JSON form.
+func Parse(text []byte) (*Table, error) {
+	var t Table
+	if err := json.Unmarshal(text, &t); err != nil {
 		return nil, err
 	}
-	return &b, nil
+	return &t, nil
 }
--- a/internal/dispatcher/gearman/admin.go
+++ b/internal/dispatcher/gearman/admin.go
@@ -15,22 +15,22 @@
 	}
 	switch strings.ToLower(words[0]) {
 	case "version":
-		x.say("OK frosttide\n")
+		x.sendLine("OK frosttide\n")
 	case "status":
-		x.server.box.Put(func(s *Server) { x.say(s.statusText()) })
+		x.server.mailbox.Put(func(s *Server) { x.sendLine(s.statusText()) })
 	case "workers":
-		x.server.box.Put(func(s *Server) { s.workersText(x) })
+		x.server.mailbox.Put(func(s *Server) { s.workersText(x) })
 	case "maxqueue":
-		x.say("OK\n") // nothing is queued here: what finds no place is refused
+		x.sendLine("OK\n") // nothing is queued here: a job without a free slot is rejected
 	case "shutdown":
-		x.say("ERR not_allowed shutting+down+is+the+service+manager's\n")
+		x.sendLine("ERR not_allowed shutting+down+is+the+service+manager's\n")
 	default:
-		x.say("ERR unknown_command Unknown+server+command\n")
+		x.sendLine("ERR unknown_command Unknown+server+command\n")
 	}
 }
 
-// statusText writes a line for each function: its name, the jobs there are, those that
-// run, and the workers that can do it.
+// statusText returns a line for each function: its name, its open jobs, those that run, and the
+// workers that have it.
 func (s *Server) statusText() string {
 	total, running := map[string]int{}, map[string]int{}
 	for _, j := range s.jobs {
@@ -54,8 +54,7 @@
 	return out.String() + ".\n"
 }
 
-// workersText writes a line for each connection: a number, its address, its id and what it
-// can do.
+// workersText sends a line for each connection: its number, address, id and functions.
 func (s *Server) workersText(to *session) {
 	var lines []string
 	s.mu.Lock()
@@ -65,5 +64,5 @@
 	}
 	s.mu.Unlock()
 	slices.Sort(lines)
-	to.say(strings.Join(lines, "") + ".\n")
+	to.sendLine(strings.Join(lines, "") + ".\n")
 }
--- a/internal/dispatcher/gearman/clients.go
+++ b/internal/dispatcher/gearman/clients.go
@@ -15,55 +15,58 @@
 	"frosttide/internal/dispatcher/gearman/proto"
 )
 
-// job is a client's job from its submission until the core has answered. Clients that
-// submit the same unique id of a function meanwhile wait for the one job, as the protocol
-// says.
+// job is a client's job from its submission until the core has responded. Clients that submit the
+// same unique id of a function meanwhile share the one job, as the protocol requires.
 type job struct {
-	server     *Server
-	handle     string
-	function   string
-	id         string // unique id as the client gave it
-	key        string // in Server.unique; empty for none
-	class      int
-	clients    []*session // who hears of it
-	background bool       // somebody wants it done whoever hears of it
-	core       *core.Job
-	running    bool
-	done, of   int64 // as the worker tells
+	server      *Server
+	handle      string
+	function    string
+	id          string // unique id as the client sent it
+	key         string // in Server.unique; empty for none
+	class       int
+	subscribers []*session // who gets its packets
+	background  bool       // somebody wants it done even if all subscribers leave
+	core        *core.Job
+	running     bool
+	done, of    int64 // progress as the worker reports it
 }
 
-// Respond takes the core's answer.
-func (j *job) Respond(a core.Response) { j.server.box.Put(func(s *Server) { s.answered(j, a) }) }
+// Respond passes the core's response to the server's actor.
+func (j *job) Respond(response core.Response) {
+	j.server.mailbox.Put(func(s *Server) { s.jobEnded(j, response) })
+}
 
-// Stream takes what a worker tells while it works.
-func (j *job) Stream(ev core.JobEvent) { j.server.box.Put(func(s *Server) { s.stream(j, ev) }) }
+// Stream passes an event of the running job to the server's actor.
+func (j *job) Stream(ev core.JobEvent) {
+	j.server.mailbox.Put(func(s *Server) { s.forwardEvent(j, ev) })
+}
 
-// submit reads a client's job.
+// submit checks a client's job and passes it to the server.
 func (x *session) submit(p *proto.Packet, background bool) error {
 	function, unique, body := string(p.Arg(0)), string(p.Arg(1)), bytes.Clone(p.Arg(2))
-	if len(function) > mostName || len(unique) > mostName {
-		x.wrong("too_long", fmt.Sprintf("a function's name and a unique id have at most %d bytes", mostName))
+	if len(function) > maxNameBytes || len(unique) > maxNameBytes {
+		x.sendError("too_long", fmt.Sprintf("a function's name and a unique id have at most %d bytes", maxNameBytes))
 		return nil
 	}
 	f, known := (*x.server.functions.Load())[function]
 	switch {
 	case !known:
-		x.wrong("unknown_function", "no class is set for the function "+strconv.Quote(function))
+		x.sendError("unknown_function", "no class is set for the function "+strconv.Quote(function))
 		return nil
 	case f.Keyed && (unique == "" || unique == "-"):
-		x.wrong("unique_missing", "the function needs a unique id, as it must not run twice")
+		x.sendError("unique_missing", "the function needs a unique id, as it must not run twice")
 		return nil
-	case len(x.open) >= mostOpen:
-		x.wrong("too_many_jobs", fmt.Sprintf("at most %d jobs may be open on a connection", mostOpen))
+	case len(x.openJobs) >= maxOpenJobs:
+		x.sendError("too_many_jobs", fmt.Sprintf("at most %d jobs may be open on a connection", maxOpenJobs))
 		return nil
 	}
-	came := time.Now()
-	x.server.box.Put(func(s *Server) { s.submitted(x, f, function, unique, body, background, came) })
+	arrivedAt := time.Now()
+	x.server.mailbox.Put(func(s *Server) { s.submitted(x, f, function, unique, body, background, arrivedAt) })
 	return nil
 }
 
-// submitted makes a job of it, or joins the one there is.
-func (s *Server) submitted(x *session, f Function, function, unique string, body []byte, background bool, came time.Time) {
+// submitted creates a job, or adds the client to the open one of the same unique id.
+func (s *Server) submitted(x *session, f Function, function, unique string, body []byte, background bool, arrivedAt time.Time) {
 	if unique == "-" { // source: gearmand takes it for "the workload is the unique id"
 		unique = strconv.FormatUint(hash(body), 16)
 	}
@@ -73,84 +76,85 @@
 	}
 	if j := s.unique[key]; key != "" && j != nil {
 		j.background = j.background || background
-		if !background && !slices.Contains(j.clients, x) {
-			j.clients = append(j.clients, x)
+		if !background && !slices.Contains(j.subscribers, x) {
+			j.subscribers = append(j.subscribers, x)
 		}
-		s.created(x, j, background)
+		s.sendCreated(x, j, background)
 		return
 	}
-	s.number++
-	j := &job{server: s, handle: fmt.Sprintf("H:%s:%d", "frosttide", s.number), function: function, id: unique, key: key,
+	s.lastJob++
+	j := &job{server: s, handle: fmt.Sprintf("H:%s:%d", "frosttide", s.lastJob), function: function, id: unique, key: key,
 		class: f.Class, background: background}
 	if !background {
-		j.clients = []*session{x}
+		j.subscribers = []*session{x}
 	}
-	by := s.leaving.Load()
+	shutdownBy := s.shutdownBy.Load()
 	switch {
-	case len(s.jobs) >= s.cfg.Jobs:
-		s.refuse(x, j, background, crowded)
+	case len(s.jobs) >= s.cfg.MaxJobs:
+		s.rejectJob(x, j, background, crowdedRetryAfter)
 		return
-	case by != nil && !time.Now().Before(*by):
-		s.refuse(x, j, background, 0)
+	case shutdownBy != nil && !time.Now().Before(*shutdownBy):
+		s.rejectJob(x, j, background, 0)
 		return
 	}
 	j.core = &core.Job{ID: jobID(unique), Method: "POST", Resource: "/" + f.Name + "/" + url.PathEscape(function), Body: body,
-		Class: f.Class, Slots: max(f.Slots, 1), Deadline: came.Add(f.GiveUp)}
+		Class: f.Class, Slots: max(f.Slots, 1), Deadline: arrivedAt.Add(f.Timeout)}
 	if f.Keyed {
 		j.core.Key = unique
 	}
-	if by != nil && by.Before(j.core.Deadline) {
-		j.core.Deadline, j.core.ProcessStopping = *by, true
+	if shutdownBy != nil && shutdownBy.Before(j.core.Deadline) {
+		j.core.Deadline, j.core.ProcessStopping = *shutdownBy, true
 	}
-	if story := s.stories.Begin(came, "", ""); story != nil {
-		story.Request, story.Class, story.Method, story.Value, story.Slots = j.core.ID, f.Name, "SUBMIT_JOB", f.Worth, j.core.Slots
-		story.Keyed, story.RetryWindow = f.Keyed, f.Repeats
+	if record := s.recorder.Begin(arrivedAt, "", ""); record != nil {
+		record.Request, record.Class, record.Method, record.Value, record.Slots = j.core.ID, f.Name, "SUBMIT_JOB", f.Value, j.core.Slots
+		record.Keyed, record.RetryWindow = f.Keyed, f.RetryWindow
 		if key != "" {
-			story.RetryKey = hash([]byte(key)) | 1
+			record.RetryKey = hash([]byte(key)) | 1
 		}
-		j.core.Record = story
+		j.core.Record = record
 	}
 	s.jobs[j.handle] = j
 	if key != "" {
 		s.unique[key] = j
 	}
-	s.counts.Pending(1)
-	s.created(x, j, background)
+	s.counters.Pending(1)
+	s.sendCreated(x, j, background)
 	s.core.Submit(j.core, j)
 }
 
-// created tells a client its job's handle. It comes before all else on the job.
-func (s *Server) created(x *session, j *job, background bool) {
+// sendCreated sends a client its job's handle, before any other packet about the job.
+func (s *Server) sendCreated(x *session, j *job, background bool) {
 	x.send(proto.JobCreated, []byte(j.handle))
 	if !background {
-		x.tell(func(x *session) { x.open[j.handle] = true })
+		x.post(func(x *session) { x.openJobs[j.handle] = true })
 	}
 }
 
-// refuse answers a job that the core never gets. The protocol has no refusal: the client
-// has its handle, a warning that tells when to come back, and the failure at once.
-func (s *Server) refuse(x *session, j *job, background bool, after time.Duration) {
-	s.counts.Rejected(j.class)
+// rejectJob answers a job that the core never gets. The protocol has no rejection: the client gets
+// a handle, a warning that says when to retry, and the failure at once.
+func (s *Server) rejectJob(x *session, j *job, background bool, after time.Duration) {
+	s.counters.Rejected(j.class)
 	x.send(proto.JobCreated, []byte(j.handle))
 	if !background {
-		x.send(proto.WorkWarning, []byte(j.handle), comeBack(after))
+		x.send(proto.WorkWarning, []byte(j.handle), rejectionText(after))
 		x.send(proto.WorkFail, []byte(j.handle))
 	}
 }
 
-// crowded is what a client is told to wait where too many jobs are open.
-const crowded = 500 * time.Millisecond
+// crowdedRetryAfter is the retry delay that a client is sent when too many jobs are open.
+const crowdedRetryAfter = 500 * time.Millisecond
 
-// comeBack words a refusal. Source: Retry-After's seconds, as the HTTP front gives them.
-func comeBack(after time.Duration) []byte {
+// rejectionText returns the text of the warning about a rejected job. Its seconds are those of the
+// HTTP front's Retry-After.
+func rejectionText(after time.Duration) []byte {
 	if after <= 0 {
 		return []byte("refused; trying again is harmless")
 	}
 	return []byte(fmt.Sprintf("refused; trying again is harmless; Retry-After: %.3f", after.Seconds()))
 }
 
-// jobID returns the id of a job: the unique id where it can go into a header and a path,
-// so that the same thing can't be open over both fronts at once.
+// jobID returns the id of a job: the unique id if it can be part of a header and a path, so that
+// the same job can't be open through both fronts at once.
 func jobID(unique string) string {
 	bad := strings.IndexFunc(unique, func(r rune) bool { return r <= ' ' || r >= 0x7f || r == '/' }) >= 0
 	switch {
@@ -162,37 +166,38 @@
 	return unique
 }
 
+// hash returns the FNV-1a hash of a text.
 func hash(text []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(text)
 	return h.Sum64()
 }
 
-// answered tells all who wait how a job ended.
-func (s *Server) answered(j *job, a core.Response) {
+// jobEnded sends the end of a job to its subscribers.
+func (s *Server) jobEnded(j *job, response core.Response) {
 	if s.jobs[j.handle] != j {
 		return
 	}
-	s.forget(j)
-	switch a.Verdict {
+	s.removeJob(j)
+	switch response.Verdict {
 	case core.Served:
-		s.counts.Completed(j.class)
+		s.counters.Completed(j.class)
 	case core.Rejected:
-		s.counts.Rejected(j.class)
+		s.counters.Rejected(j.class)
 	default:
-		s.counts.Failed(j.class)
+		s.counters.Failed(j.class)
 	}
 	handle := []byte(j.handle)
-	for _, x := range j.clients {
-		switch a.Verdict {
+	for _, x := range j.subscribers {
+		switch response.Verdict {
 		case core.Served:
-			last := a.Result
-			if a.Streamed {
-				last = a.Last
+			last := response.Result
+			if response.Streamed {
+				last = response.Last
 			}
 			x.send(proto.WorkComplete, handle, last)
 		case core.Rejected:
-			x.send(proto.WorkWarning, handle, comeBack(a.RetryAfter))
+			x.send(proto.WorkWarning, handle, rejectionText(response.RetryAfter))
 			x.send(proto.WorkFail, handle)
 		case core.Duplicate:
 			x.send(proto.WorkWarning, handle, []byte("a job of this id is open over another front"))
@@ -200,27 +205,27 @@
 		default:
 			x.send(proto.WorkFail, handle)
 		}
-		x.tell(func(x *session) { delete(x.open, j.handle) })
+		x.post(func(x *session) { delete(x.openJobs, j.handle) })
 	}
 }
 
-// forget gives back a job's handle and unique id; it is the one place where that happens.
-func (s *Server) forget(j *job) {
+// removeJob frees a job's handle and unique id; nothing else does.
+func (s *Server) removeJob(j *job) {
 	delete(s.jobs, j.handle)
 	if j.key != "" {
 		delete(s.unique, j.key)
 	}
-	s.counts.Pending(-1)
+	s.counters.Pending(-1)
 }
 
-// stream passes on what a worker tells.
-func (s *Server) stream(j *job, ev core.JobEvent) {
+// forwardEvent sends an event of a running job to its subscribers.
+func (s *Server) forwardEvent(j *job, ev core.JobEvent) {
 	if s.jobs[j.handle] != j {
 		return
 	}
 	j.running = true
 	handle := []byte(j.handle)
-	for _, x := range j.clients {
+	for _, x := range j.subscribers {
 		switch ev.State {
 		case core.JobRunning:
 			j.done, j.of = int64(ev.Share*100), 100
@@ -230,7 +235,7 @@
 		case core.JobWarning:
 			x.send(proto.WorkWarning, handle, ev.Result)
 		case core.JobException:
-			x.tell(func(x *session) {
+			x.post(func(x *session) {
 				if x.exceptions {
 					x.send(proto.WorkException, handle, ev.Result)
 				}
@@ -239,29 +244,30 @@
 	}
 }
 
-// left lets go of the jobs that nobody waits for any more.
-func (s *Server) left(x *session) {
+// clientLeft ends the jobs that nobody waits for any more after a client has left.
+func (s *Server) clientLeft(x *session) {
 	for _, j := range s.jobs {
-		i := slices.Index(j.clients, x)
+		i := slices.Index(j.subscribers, x)
 		if i < 0 {
 			continue
 		}
-		j.clients = slices.Delete(j.clients, i, i+1)
-		if len(j.clients) == 0 && !j.background {
-			s.forget(j)
-			s.counts.Failed(j.class)
+		j.subscribers = slices.Delete(j.subscribers, i, i+1)
+		if len(j.subscribers) == 0 && !j.background {
+			s.removeJob(j)
+			s.counters.Failed(j.class)
 			s.core.ClientLeft(j.core)
 		}
 	}
 }
 
-// status answers what is known of a job.
+// status answers GET_STATUS.
 func (s *Server) status(x *session, handle string) {
 	j := s.jobs[handle]
-	known, running, done, of := j.figures()
+	known, running, done, of := j.statusFields()
 	x.send(proto.StatusRes, []byte(handle), known, running, done, of)
 }
 
+// statusUnique answers GET_STATUS_UNIQUE.
 func (s *Server) statusUnique(x *session, unique string) {
 	var found *job
 	for _, j := range s.jobs {
@@ -269,16 +275,16 @@
 			found = j
 		}
 	}
-	known, running, done, of := found.figures()
+	known, running, done, of := found.statusFields()
 	clients := 0
 	if found != nil {
-		clients = len(found.clients)
+		clients = len(found.subscribers)
 	}
 	x.send(proto.StatusResUnique, []byte(unique), known, running, done, of, strconv.AppendInt(nil, int64(clients), 10))
 }
 
-// figures writes what a status tells; all is 0 of a job that is not there.
-func (j *job) figures() (known, running, done, of []byte) {
+// statusFields returns the fields of a status packet; all are 0 for a job that is not known.
+func (j *job) statusFields() (known, running, done, of []byte) {
 	bit := func(b bool) []byte {
 		if b {
 			return []byte("1")
--- a/internal/dispatcher/gearman/peer_test.go
+++ b/internal/dispatcher/gearman/peer_test.go
@@ -10,7 +10,7 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// raw is a worker's connection.
+// raw is the connection of a worker that a test scripts packet by packet.
 type raw struct {
 	net.Conn
 	in *proto.Reader
@@ -32,11 +32,11 @@
 	for i, a := range args {
 		parts[i] = []byte(a)
 	}
-	_, _ = p.Write(proto.AppendRequest(nil, kind, parts...)) // sync sees what is wrong
+	_, _ = p.Write(proto.AppendRequest(nil, kind, parts...)) // an error shows up in sync
 }
 
-// sync waits until all that was written has been acted on; it keeps the handle of a job that
-// was assigned.
+// sync waits until the server has handled all that was written, and stores the handle of a job that
+// was assigned meanwhile.
 func (p *raw) sync(t *rapid.T, handle *string) {
 	p.write(proto.EchoReq, "mark")
 	for {
