--- a/internal/dispatcher/gearman/proto/packet.go
+++ b/internal/dispatcher/gearman/proto/packet.go
@@ -1,8 +1,8 @@
-// Package proto reads and writes Gearman's binary protocol and its administrative one.
-// It holds no state beyond what a stream needs.
+// Package proto encodes and decodes Gearman's binary protocol and its administrative protocol. It
+// is used by the dispatcher's front and by clients in tests.
 //
-// Source: the protocol's description in the documents of gearmand (PROTOCOL), "Binary
-// Packet" and "Administrative Protocol".
+// Source: the protocol's description in the documents of gearmand (PROTOCOL), "Binary Packet" and
+// "Administrative Protocol". A Reader is not safe for concurrent use; the functions are.
 package proto
 
 import (
@@ -14,10 +14,10 @@
 	"io"
 )
 
-// Type is the kind of a packet.
+// Type is the type of a packet.
 type Type uint32
 
-// The kinds. A request goes to the job server, a response comes from it.
+// The types. A request goes to the job server, a response comes from it.
 const (
 	CanDo             Type = 1
 	CantDo            Type = 2
@@ -62,20 +62,20 @@
 	StatusResUnique   Type = 42
 )
 
-// form says what a kind of packet is.
-type form struct {
+// packetForm describes a type of packet.
+type packetForm struct {
 	name  string
-	magic uint8 // who sends it
-	args  int   // parts between NUL bytes; the last one may hold any bytes
+	magic uint8 // who sends it: request, response or both
+	args  int   // how many, separated by NUL; the last one may hold any bytes
 }
 
-// Who sends a kind of packet.
+// Who sends a type of packet.
 const (
 	request uint8 = 1 << iota
 	response
 )
 
-var forms = map[Type]form{
+var packetForms = map[Type]packetForm{
 	CanDo: {"CAN_DO", request, 1}, CantDo: {"CANT_DO", request, 1}, ResetAbilities: {"RESET_ABILITIES", request, 0},
 	PreSleep: {"PRE_SLEEP", request, 0}, Noop: {"NOOP", response, 0}, SubmitJob: {"SUBMIT_JOB", request, 3},
 	JobCreated: {"JOB_CREATED", response, 1}, GrabJob: {"GRAB_JOB", request, 0}, NoJob: {"NO_JOB", response, 0},
@@ -98,7 +98,7 @@
 
 // String returns the packet's name in the protocol.
 func (t Type) String() string {
-	if f, ok := forms[t]; ok {
+	if f, ok := packetForms[t]; ok {
 		return f.name
 	}
 	return fmt.Sprintf("packet %d", uint32(t))
@@ -108,12 +108,12 @@
 
 var magics = [...]string{request: "\x00REQ", response: "\x00RES"}
 
-// Packet is one packet, or a line of the administrative protocol. Args are valid until
-// the next one is read.
+// Packet is one packet, or one line of the administrative protocol. Args are valid until the next
+// packet is read.
 type Packet struct {
 	Type Type
 	Args [][]byte
-	Line string // of the administrative protocol; Type is 0
+	Line string // of the administrative protocol; Type is 0 then
 }
 
 // Arg returns an argument, nil if there is none.
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// The reasons for which a stream can't be read any further.
+// The errors after which a stream can't be read any further.
 var (
 	ErrMagic = errors.New("no packet begins there")
 	ErrLarge = errors.New("the packet is too large")
@@ -133,59 +133,59 @@
 	ErrLine  = errors.New("the line is too long")
 )
 
-// maxLine bounds a line of the administrative protocol.
+// maxLine bounds the bytes of a line of the administrative protocol.
 const maxLine = 512
 
-// Reader reads a stream of packets.
+// Reader decodes a stream of packets.
 type Reader struct {
-	in   *bufio.Reader
-	most int
-	from uint8
-	buf  []byte
-	args [][]byte
+	in        *bufio.Reader
+	maxBytes  int
+	direction uint8
+	buf       []byte
+	args      [][]byte
 }
 
-// NewReader reads what comes to a job server; no packet's data may be larger than most
-// bytes. Memory for a packet grows as its data comes, never by its header's word.
-func NewReader(in io.Reader, most int) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, 4<<10), most: most, from: request}
+// NewReader returns a reader of what is sent to a job server; a packet's data may have at most
+// maxBytes bytes. Memory for a packet grows as its data arrives, whatever size its header claims.
+func NewReader(in io.Reader, maxBytes int) *Reader {
+	return &Reader{in: bufio.NewReaderSize(in, 4<<10), maxBytes: maxBytes, direction: request}
 }
 
-// NewPeerReader reads what comes from a job server.
-func NewPeerReader(in io.Reader, most int) *Reader {
-	r := NewReader(in, most)
-	r.from = response
+// NewPeerReader returns a reader of what a job server sends.
+func NewPeerReader(in io.Reader, maxBytes int) *Reader {
+	r := NewReader(in, maxBytes)
+	r.direction = response
 	return r
 }
 
-// Next reads a packet or a line. After an error of this package nothing more can be read;
-// io.EOF comes between packets only.
+// Next reads a packet or a line. It returns io.EOF only between packets, and io.ErrUnexpectedEOF
+// inside one. After an error of this package nothing more can be read.
 func (r *Reader) Next() (Packet, error) {
 	first, err := r.in.Peek(1)
 	if err != nil {
 		return Packet{}, err
 	}
-	if first[0] != 0 && r.from == request {
-		return r.line()
+	if first[0] != 0 && r.direction == request {
+		return r.readLine()
 	}
 	header, err := r.in.Peek(headerSize)
 	if err != nil {
-		return Packet{}, cut(err)
+		return Packet{}, unexpectedEOF(err)
 	}
-	if string(header[:4]) != magics[r.from] {
+	if string(header[:4]) != magics[r.direction] {
 		return Packet{}, ErrMagic
 	}
 	kind, size := Type(binary.BigEndian.Uint32(header[4:])), binary.BigEndian.Uint32(header[8:])
-	f, known := forms[kind]
-	if !known || f.magic&r.from == 0 {
+	f, known := packetForms[kind]
+	if !known || f.magic&r.direction == 0 {
 		return Packet{}, fmt.Errorf("%w: %d", ErrType, uint32(kind))
 	}
-	if uint64(size) > uint64(r.most) {
+	if uint64(size) > uint64(r.maxBytes) {
 		return Packet{}, fmt.Errorf("%w: %s of %d bytes", ErrLarge, kind, size)
 	}
 	_, _ = r.in.Discard(headerSize) // it was peeked
-	if err := r.data(int(size)); err != nil {
-		return Packet{}, cut(err)
+	if err := r.readData(int(size)); err != nil {
+		return Packet{}, unexpectedEOF(err)
 	}
 	r.args = r.args[:0]
 	rest := r.buf
@@ -203,20 +203,21 @@
 	return Packet{Type: kind, Args: r.args}, nil
 }
 
-// cut names an end in the middle of a packet.
-func cut(err error) error {
+// unexpectedEOF replaces io.EOF, which came inside a packet, by io.ErrUnexpectedEOF.
+func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
 }
 
-// data reads so many bytes. Guards memory: a header may claim what never comes.
-func (r *Reader) data(size int) error {
-	const step = 32 << 10
+// readData reads size bytes in chunks, so that a header that claims data which never arrives does
+// not take memory.
+func (r *Reader) readData(size int) error {
+	const chunkSize = 32 << 10
 	r.buf = r.buf[:0]
 	for len(r.buf) < size {
-		n := min(size-len(r.buf), step)
+		n := min(size-len(r.buf), chunkSize)
 		at := len(r.buf)
 		r.buf = append(r.buf, make([]byte, n)...)
 		if _, err := io.ReadFull(r.in, r.buf[at:]); err != nil {
@@ -226,12 +227,13 @@
 	return nil
 }
 
-func (r *Reader) line() (Packet, error) {
+// readLine reads a line of the administrative protocol.
+func (r *Reader) readLine() (Packet, error) {
 	var line []byte
 	for {
 		b, err := r.in.ReadByte()
 		if err != nil {
-			return Packet{}, cut(err)
+			return Packet{}, unexpectedEOF(err)
 		}
 		if b == '\n' {
 			return Packet{Line: string(bytes.TrimSuffix(line, []byte{'\r'}))}, nil
@@ -242,24 +244,24 @@
 	}
 }
 
-// Append writes a packet behind what there is. Kinds that go both ways are written as
-// responses. Guards the packet's form: a NUL in any but its last argument would move the
-// others, so what follows it is left out.
+// Append appends a packet, as a response if its type goes both ways. A NUL in any but the last
+// argument would shift the others, so the argument ends there.
 func Append(to []byte, kind Type, args ...[]byte) []byte {
-	side := request
-	if forms[kind].magic&response != 0 {
-		side = response
+	direction := request
+	if packetForms[kind].magic&response != 0 {
+		direction = response
 	}
-	return appendAs(to, side, kind, args)
+	return appendPacket(to, direction, kind, args)
 }
 
-// AppendRequest writes a packet as clients and workers do.
+// AppendRequest appends a packet as clients and workers send it.
 func AppendRequest(to []byte, kind Type, args ...[]byte) []byte {
-	return appendAs(to, request, kind, args)
+	return appendPacket(to, request, kind, args)
 }
 
-func appendAs(to []byte, side uint8, kind Type, args [][]byte) []byte {
-	to = append(to, magics[side]...)
+// appendPacket appends a packet in one direction.
+func appendPacket(to []byte, direction uint8, kind Type, args [][]byte) []byte {
+	to = append(to, magics[direction]...)
 	to = binary.BigEndian.AppendUint32(to, uint32(kind))
 	at := len(to)
 	to = append(to, 0, 0, 0, 0)
--- a/internal/dispatcher/gearman/proto/packet_test.go
+++ b/internal/dispatcher/gearman/proto/packet_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// TestRoundTrip holds what is written against what is read, however it is cut.
+// TestRoundTrip checks that what is written is read back, however the stream is split.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
@@ -74,9 +74,9 @@
 			kind := rapid.SampledFrom([]Type{CanDo, SubmitJob, GrabJobUniq, WorkComplete, WorkStatus, SubmitJobSched, EchoReq}).Draw(t, "kind")
 			text := kind.String()
 			var args [][]byte
-			for i := range forms[kind].args {
+			for i := range packetForms[kind].args {
 				a := rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "arg")
-				if i < forms[kind].args-1 {
+				if i < packetForms[kind].args-1 {
 					a = bytes.ReplaceAll(a, []byte{0}, nil)
 				}
 				args = append(args, a)
@@ -91,8 +91,8 @@
 	})
 }
 
-// FuzzReader guards the job server against any stream: it ends with an error, and takes no
-// more memory than came.
+// FuzzReader checks that reading any stream ends with an error and takes no more memory than the
+// stream has bytes.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("status\n"))
 	f.Add(AppendRequest(nil, SubmitJob, []byte("cut"), []byte("u1"), []byte("x")))
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -1,6 +1,10 @@
-// Package gearman is a front for Gearman's clients and workers, beside the platform's. It
-// turns their packets into the core's terms and back, and decides nothing: a worker's grab
-// is the offer of a free slot, not the choice of its job.
+// Package gearman is the dispatcher's front for clients and workers of Gearman, in addition to the
+// platform's own protocol. It translates packets to the core's terms and back and makes no
+// scheduling decision: a worker's GRAB_JOB offers a free slot and does not choose a job.
+//
+// Each connection has a session, an actor that owns the state of its worker; the Server is the
+// actor that owns the clients' jobs. Actors talk by mailboxes, and none of them blocks the core.
+// The exported methods are safe for concurrent use.
 package gearman
 
 import (
@@ -24,7 +28,8 @@
 	"frosttide/internal/mailbox"
 )
 
-// Core takes what clients and workers say. None of its methods blocks.
+// Core takes what clients and workers report; the dispatcher's core implements it. None of its
+// methods blocks.
 type Core interface {
 	Submit(*core.Job, core.Ingress)
 	ClientLeft(*core.Job)
@@ -35,8 +40,8 @@
 	RoutesChanged([]core.Route)
 }
 
-// Counts takes note of how jobs end, by their class's number.
-type Counts interface {
+// Counters count how jobs end, by the number of their class.
+type Counters interface {
 	Completed(class int)
 	Rejected(class int)
 	Failed(class int)
@@ -44,67 +49,67 @@
 	Pending(change int)
 }
 
-// Stories begins the stories of jobs, and takes those that the core never gets.
-type Stories interface {
+// Recorder begins the span records of jobs, and takes those of jobs that the core never gets.
+type Recorder interface {
 	Begin(came time.Time, parent, state string) *trace.Record
 	Ended(*trace.Record)
 }
 
-// Function says what a Gearman function is here.
+// Function maps a Gearman function to a job class.
 type Function struct {
-	Class   int
-	Name    string // the class's
-	Keyed   bool   // its jobs need a unique id, which is their key
-	GiveUp  time.Duration
-	Worth   float64
-	Repeats time.Duration // how long one of the same unique id belongs to it
-	Slots   float64
+	Class       int
+	Name        string // of the class
+	Keyed       bool   // its jobs need a unique id, which is their key
+	Timeout     time.Duration
+	Value       float64
+	RetryWindow time.Duration // how long a job of the same unique id counts as a retry
+	Slots       float64
 }
 
-// Config holds the figures of the front.
+// Config is the configuration of the front.
 type Config struct {
-	Listen      string
-	Functions   map[string]Function
-	Zone, Kind  int // of the workers
-	ZoneName    string
-	Connections int // open at most; a further one is closed at once
-	Jobs        int // of clients, not ended, at most; a further one is refused
-	Packet      int // bytes of data at most
-	TLS         *tls.Config
+	Listen         string
+	Functions      map[string]Function
+	Zone, Kind     int // of the workers, by index
+	ZoneName       string
+	MaxConnections int // open at a time; a further one is closed at once
+	MaxJobs        int // open jobs of clients; a further one is rejected
+	MaxPacketBytes int // bytes of data in one packet
+	TLS            *tls.Config
 }
 
-// Sockets is how many descriptors the front takes at most.
-func (c *Config) Sockets() int { return c.Connections + 2 }
+// Sockets returns how many file descriptors the front uses at most.
+func (c *Config) Sockets() int { return c.MaxConnections + 2 }
 
-// Server is the actor that owns the clients' jobs. Make it with New, start it with Run.
+// Server accepts connections and owns the clients' jobs. Make it with New and start it with Run.
 type Server struct {
 	cfg       Config
 	core      Core
-	counts    Counts
-	stories   Stories
+	counters  Counters
+	recorder  Recorder
 	log       *logrus.Entry
 	listener  net.Listener
 	functions atomic.Pointer[map[string]Function]
-	box       *mailbox.Box[func(*Server)]
+	mailbox   *mailbox.Box[func(*Server)]
 
-	mu       sync.Mutex
-	sessions map[uint64]*session
-	names    map[string]bool // uids in use
-	last     uint64
-	leaving  atomic.Pointer[time.Time] // when all that is here has to be answered; nil before the planned end
+	mu          sync.Mutex
+	sessions    map[uint64]*session
+	uids        map[string]bool // uids in use
+	lastSession uint64
+	shutdownBy  atomic.Pointer[time.Time] // deadline of a graceful shutdown; nil before it begins
 
-	// The actor's own:
-	jobs   map[string]*job // by handle
-	unique map[string]*job // by function and unique id
-	number uint64
+	// Used by the goroutine of Run alone:
+	jobs    map[string]*job // by handle
+	unique  map[string]*job // by function and unique id
+	lastJob uint64
 }
 
-// New opens the address.
-func New(cfg Config, c Core, counts Counts, stories Stories, log *logrus.Entry) (*Server, error) {
-	s := &Server{cfg: cfg, core: c, counts: counts, stories: stories, log: log, box: mailbox.New[func(*Server)](),
-		sessions: map[uint64]*session{}, names: map[string]bool{}, jobs: map[string]*job{}, unique: map[string]*job{}}
-	s.Functions(cfg.Functions)
-	// Both processes of an upgrade listen for a while; the older one stops first.
+// New listens on the configured address. Errors are those of listening.
+func New(cfg Config, c Core, counts Counters, stories Recorder, log *logrus.Entry) (*Server, error) {
+	s := &Server{cfg: cfg, core: c, counters: counts, recorder: stories, log: log, mailbox: mailbox.New[func(*Server)](),
+		sessions: map[uint64]*session{}, uids: map[string]bool{}, jobs: map[string]*job{}, unique: map[string]*job{}}
+	s.SetFunctions(cfg.Functions)
+	// During an upgrade both processes listen for a while; the older one stops first.
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
 		var set error
 		err := raw.Control(func(fd uintptr) { set = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
@@ -121,10 +126,10 @@
 	return s, nil
 }
 
-// Functions sets what functions there are from now on. Jobs under way keep their class.
-func (s *Server) Functions(f map[string]Function) { s.functions.Store(&f) }
+// SetFunctions replaces the functions. Jobs that are open keep their class.
+func (s *Server) SetFunctions(f map[string]Function) { s.functions.Store(&f) }
 
-// Run works until the context ends.
+// Run works until the context ends and then closes all connections.
 func (s *Server) Run(ctx context.Context) {
 	go s.accept()
 	var mail []func(*Server)
@@ -133,9 +138,9 @@
 		case <-ctx.Done():
 			s.close()
 			return
-		case <-s.box.Ready():
+		case <-s.mailbox.Ready():
 		}
-		mail = s.box.Drain(mail[:0])
+		mail = s.mailbox.Drain(mail[:0])
 		for i, message := range mail {
 			message(s)
 			mail[i] = nil
@@ -143,22 +148,22 @@
 	}
 }
 
-// accept takes connections until the listener is closed. One past the bound is closed at
-// once: a worker or client of Gearman tries again by itself.
+// accept accepts connections until the listener is closed. One above the limit is closed at once;
+// Gearman's clients and workers reconnect by themselves.
 func (s *Server) accept() {
 	for {
 		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, or the other side has gone: not for ever
-			time.Sleep(acceptPause)
+		if err != nil { // out of descriptors, or the peer is gone: temporary
+			time.Sleep(acceptBackoff)
 			continue
 		}
 		s.mu.Lock()
-		full := len(s.sessions) >= s.cfg.Connections
-		s.last++
-		x := newSession(s, s.last, c)
+		full := len(s.sessions) >= s.cfg.MaxConnections
+		s.lastSession++
+		x := newSession(s, s.lastSession, c)
 		if !full {
 			s.sessions[x.number] = x
 		}
@@ -171,32 +176,33 @@
 	}
 }
 
-// acceptPause spares the core while connections can't be taken.
-const acceptPause = 10 * time.Millisecond
+// acceptBackoff is the pause after a failed accept, so that the loop does not spin.
+const acceptBackoff = 10 * time.Millisecond
 
-// Addr is where the front listens.
+// Addr returns the address that the front listens on.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// scheme begins the addresses of Gearman's workers in the route table.
+// scheme is the prefix of the addresses of Gearman's workers in the route table.
 const scheme = "gearman/"
 
-// Has tells whether an address is one of this front's workers.
+// Has reports whether an address is that of a Gearman worker.
 func Has(addr string) bool { return strings.HasPrefix(addr, scheme) }
 
-// Open returns the target of a worker; one that has gone meanwhile takes nothing.
+// Open returns the backend of a worker. Attempts at one that is not connected any more fail at
+// once.
 func (s *Server) Open(addr string) core.Backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, x := range s.sessions {
 		if x.addr() == addr {
-			return target{x}
+			return backend{x}
 		}
 	}
-	return target{&session{server: s, box: mailbox.New[func(*session)](), ended: true}}
+	return backend{&session{server: s, mailbox: mailbox.New[func(*session)](), ended: true}}
 }
 
-// name gives a worker a uid that no other has.
-func (s *Server) name(id string) string {
+// reserveUID returns a uid that no other worker has, made from a worker's id.
+func (s *Server) reserveUID(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for n := 1; ; n++ {
@@ -204,49 +210,50 @@
 		if n > 1 {
 			uid = fmt.Sprintf("%s#%d", id, n)
 		}
-		if !s.names[uid] {
-			s.names[uid] = true
+		if !s.uids[uid] {
+			s.uids[uid] = true
 			return uid
 		}
 	}
 }
 
-// freed gives back a worker's uid.
-func (s *Server) freed(uid string) {
+// releaseUID makes a worker's uid available again.
+func (s *Server) releaseUID(uid string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.names, uid)
+	delete(s.uids, uid)
 }
 
-// gone gives back a session's place.
-func (s *Server) gone(x *session) {
+// removeSession removes a session that has ended.
+func (s *Server) removeSession(x *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, x.number)
 }
 
-// Leave begins the planned end: no connection is taken any more, and no job has a later
-// deadline.
+// Leave begins a graceful shutdown: no connection is accepted any more, and no job has a deadline
+// after by.
 func (s *Server) Leave(by time.Time) {
-	s.leaving.Store(&by)
+	s.shutdownBy.Store(&by)
 	s.listener.Close()
 }
 
-// Idle tells whether no client's job is open. Any goroutine but the actor's may call it.
+// Idle reports whether no client's job is open; false if the answer takes until by. It must not be
+// called from the goroutine of Run.
 func (s *Server) Idle(by time.Time) bool {
 	idle := make(chan bool, 1)
-	s.box.Put(func(s *Server) { idle <- len(s.jobs) == 0 })
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
+	s.mailbox.Put(func(s *Server) { idle <- len(s.jobs) == 0 })
+	timeout := time.NewTimer(time.Until(by))
+	defer timeout.Stop()
 	select {
 	case yes := <-idle:
 		return yes
-	case <-late.C:
+	case <-timeout.C:
 		return false
 	}
 }
 
-// close ends all connections.
+// close closes the listener and all connections.
 func (s *Server) close() {
 	s.listener.Close()
 	s.mu.Lock()
--- a/internal/dispatcher/gearman/session.go
+++ b/internal/dispatcher/gearman/session.go
@@ -15,75 +15,77 @@
 )
 
 const (
-	// mostOut bounds what waits to be written to a connection. Guards memory against a
-	// peer that does not read: its connection is closed.
-	mostOut = 1 << 20
-	// writeTime is how long one write may take.
-	writeTime = 10 * time.Second
-	// mostFunctions bounds what a worker may claim to do.
-	mostFunctions = 1000
-	// mostOpen bounds the jobs that a client has open on one connection.
-	mostOpen = 1000
-	// mostName bounds a function's name, a unique id, and a client's id.
-	mostName = 256
+	// maxUnwrittenBytes bounds what waits to be written to a connection. A peer that does not read
+	// is disconnected, which protects memory.
+	maxUnwrittenBytes = 1 << 20
+	// writeTimeout bounds one write.
+	writeTimeout = 10 * time.Second
+	// maxFunctions bounds the abilities of one worker.
+	maxFunctions = 1000
+	// maxOpenJobs bounds the open jobs of a client on one connection.
+	maxOpenJobs = 1000
+	// maxNameBytes bounds a function's name, a unique id, and a client's id.
+	maxNameBytes = 256
 )
 
-// session is the actor of one connection, which may be a client's, a worker's or both. A
-// goroutine reads packets, one at a time, another writes.
+// session is the actor of one connection, which may be a client's, a worker's or both. One
+// goroutine runs the actor, another reads packets one at a time, a third writes.
 type session struct {
-	server *Server
-	number uint64
-	conn   net.Conn
-	box    *mailbox.Box[func(*session)]
-	read   chan proto.Packet // its arguments are the reader's until next is sent
-	next   chan struct{}
-	fails  chan error
-	over   bool // the actor has ended
+	server     *Server
+	number     uint64
+	conn       net.Conn
+	mailbox    *mailbox.Box[func(*session)]
+	read       chan proto.Packet // a packet's arguments are valid until readNext is sent
+	readNext   chan struct{}
+	readErrors chan error
+	stopped    bool // the actor has ended
 
 	endMu sync.Mutex // guards ended
-	ended bool       // nothing more is taken in
+	ended bool       // no message is accepted any more
 
-	outMu  sync.Mutex // guards out and broken, held for no I/O
-	out    []byte
-	broken bool
-	wakes  chan struct{}
+	outMu      sync.Mutex // guards out and broken; never held during I/O
+	out        []byte
+	broken     bool
+	writeReady chan struct{}
 
-	shown      atomic.Pointer[shown] // what others may see of the worker
-	exceptions bool                  // a client that wants WORK_EXCEPTION
-	open       map[string]bool       // a client's jobs, by handle
+	view       atomic.Pointer[workerView] // what other goroutines may see of the worker
+	exceptions bool                       // the client wants WORK_EXCEPTION
+	openJobs   map[string]bool            // of a client, by handle
 	worker     worker
 }
 
+// newSession returns the session of a connection; run starts it.
 func newSession(s *Server, number uint64, c net.Conn) *session {
-	return &session{server: s, number: number, conn: c, box: mailbox.New[func(*session)](), read: make(chan proto.Packet),
-		next: make(chan struct{}, 1), fails: make(chan error, 1), wakes: make(chan struct{}, 1), open: map[string]bool{},
-		worker: worker{can: map[string]bool{}}}
+	return &session{server: s, number: number, conn: c, mailbox: mailbox.New[func(*session)](), read: make(chan proto.Packet),
+		readNext: make(chan struct{}, 1), readErrors: make(chan error, 1), writeReady: make(chan struct{}, 1), openJobs: map[string]bool{},
+		worker: worker{functions: map[string]bool{}}}
 }
 
+// run is the loop of the actor; it ends with the connection and stops the other goroutines.
 func (x *session) run() {
 	stop := make(chan struct{})
-	go x.reading(stop)
-	go x.writing(stop)
+	go x.readLoop(stop)
+	go x.writeLoop(stop)
 	defer close(stop)
 	defer x.end()
 	var mail []func(*session)
 	for {
 		select {
 		case p := <-x.read:
-			err := x.packet(&p)
-			x.next <- struct{}{}
+			err := x.handlePacket(&p)
+			x.readNext <- struct{}{}
 			if err != nil {
 				return
 			}
-		case err := <-x.fails:
+		case err := <-x.readErrors:
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
 				x.server.log.WithError(err).WithField("peer", x.conn.RemoteAddr().String()).Debug("gearman connection ends")
 			}
 			return
-		case <-x.worker.timer():
-			x.late()
-		case <-x.box.Ready():
-			mail = x.box.Drain(mail[:0])
+		case <-x.worker.offerTimeout():
+			x.offerTimedOut()
+		case <-x.mailbox.Ready():
+			mail = x.mailbox.Drain(mail[:0])
 			for i, message := range mail {
 				message(x)
 				mail[i] = nil
@@ -92,14 +94,14 @@
 	}
 }
 
-// reading hands packets to the actor, the next one when that is done with the last: a peer
-// that floods waits for itself alone.
-func (x *session) reading(stop <-chan struct{}) {
-	in := proto.NewReader(x.conn, x.server.cfg.Packet)
+// readLoop passes packets to the actor, each after the actor is done with the one before, so that
+// a peer that floods slows down only itself.
+func (x *session) readLoop(stop <-chan struct{}) {
+	in := proto.NewReader(x.conn, x.server.cfg.MaxPacketBytes)
 	for {
 		p, err := in.Next()
 		if err != nil {
-			x.fails <- err
+			x.readErrors <- err
 			return
 		}
 		select {
@@ -108,17 +110,18 @@
 			return
 		}
 		select {
-		case <-x.next:
+		case <-x.readNext:
 		case <-stop:
 			return
 		}
 	}
 }
 
-func (x *session) writing(stop <-chan struct{}) {
+// writeLoop writes what is queued, and closes the connection after an error or an overflow.
+func (x *session) writeLoop(stop <-chan struct{}) {
 	for {
 		select {
-		case <-x.wakes:
+		case <-x.writeReady:
 		case <-stop:
 			return
 		}
@@ -131,48 +134,49 @@
 			x.conn.Close()
 			return
 		}
-		_ = x.conn.SetWriteDeadline(time.Now().Add(writeTime))
+		_ = x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := x.conn.Write(text); err != nil {
-			x.conn.Close() // the reader sees it too
+			x.conn.Close() // the read loop fails then and ends the session
 			return
 		}
 	}
 }
 
-// send writes a packet, later.
+// send queues a packet for writing.
 func (x *session) send(kind proto.Type, args ...[]byte) {
 	x.outMu.Lock()
-	if x.broken = x.broken || len(x.out) > mostOut; !x.broken {
+	if x.broken = x.broken || len(x.out) > maxUnwrittenBytes; !x.broken {
 		x.out = proto.Append(x.out, kind, args...)
 	}
 	x.outMu.Unlock()
-	x.wake()
+	x.signalWriter()
 }
 
-// say writes a line of the administrative protocol, within the same bound.
-func (x *session) say(line string) {
+// sendLine queues a line of the administrative protocol, within the same limit.
+func (x *session) sendLine(line string) {
 	x.outMu.Lock()
-	if x.broken = x.broken || len(x.out) > mostOut; !x.broken {
+	if x.broken = x.broken || len(x.out) > maxUnwrittenBytes; !x.broken {
 		x.out = append(x.out, line...)
 	}
 	x.outMu.Unlock()
-	x.wake()
+	x.signalWriter()
 }
 
-func (x *session) wake() {
+// signalWriter wakes the write loop.
+func (x *session) signalWriter() {
 	select {
-	case x.wakes <- struct{}{}:
+	case x.writeReady <- struct{}{}:
 	default:
 	}
 }
 
-// wrong answers what can't be done; the connection goes on.
-func (x *session) wrong(code, text string) { x.send(proto.Error, []byte(code), []byte(text)) }
+// sendError sends an ERROR packet; the connection stays open.
+func (x *session) sendError(code, text string) { x.send(proto.Error, []byte(code), []byte(text)) }
 
-var errBound = errors.New("a bound is passed")
+var errLimitExceeded = errors.New("a bound is passed")
 
-// packet acts on one packet. An error ends the connection.
-func (x *session) packet(p *proto.Packet) error {
+// handlePacket handles one packet. An error ends the connection.
+func (x *session) handlePacket(p *proto.Packet) error {
 	switch p.Type {
 	case 0:
 		x.admin(p.Line)
@@ -180,7 +184,7 @@
 		x.send(proto.EchoRes, p.Arg(0))
 	case proto.OptionReq:
 		if string(p.Arg(0)) != "exceptions" {
-			x.wrong("unknown_option", "only exceptions is known")
+			x.sendError("unknown_option", "only exceptions is known")
 			break
 		}
 		x.exceptions = true
@@ -191,58 +195,66 @@
 		return x.submit(p, true)
 	case proto.GetStatus:
 		handle := string(p.Arg(0))
-		x.server.box.Put(func(s *Server) { s.status(x, handle) })
+		x.server.mailbox.Put(func(s *Server) { s.status(x, handle) })
 	case proto.GetStatusUnique:
 		unique := string(p.Arg(0))
-		x.server.box.Put(func(s *Server) { s.statusUnique(x, unique) })
+		x.server.mailbox.Put(func(s *Server) { s.statusUnique(x, unique) })
 	case proto.SubmitJobSched, proto.SubmitJobEpoch, proto.SubmitReduceJob, proto.SubmitReduceJobBg:
-		x.wrong("not_supported", p.Type.String()+" is not supported")
-	case proto.AllYours: // it is the only server anyway
+		x.sendError("not_supported", p.Type.String()+" is not supported")
+	case proto.AllYours: // no effect: there is only this server
 	default:
-		return x.work(p)
+		return x.handleWorkerPacket(p)
 	}
 	return nil
 }
 
-// end gives back all that the connection holds; it is the one place where that happens.
+// end releases all that the connection holds; nothing else does.
 func (x *session) end() {
-	x.over = true
+	x.stopped = true
 	x.conn.Close()
-	x.lost()
-	x.server.gone(x)
-	x.server.box.Put(func(s *Server) { s.left(x) })
+	x.releaseWorker()
+	x.server.removeSession(x)
+	x.server.mailbox.Put(func(s *Server) { s.clientLeft(x) })
 	x.endMu.Lock()
 	x.ended = true
 	x.endMu.Unlock()
-	for _, message := range x.box.Drain(nil) {
-		message(x) // hops that were on their way are given back
+	for _, message := range x.mailbox.Drain(nil) {
+		message(x) // attempts that are still queued end here
 	}
 }
 
-// target is a worker as the core sees it.
-type target struct{ x *session }
+// backend is a worker as the core sees it; it implements core.Backend.
+type backend struct{ session *session }
 
-// tell hands a message to the session; it reports false if that has ended.
-func (x *session) tell(message func(*session)) bool {
+// post passes a message to the session; it returns false if that has ended.
+func (x *session) post(message func(*session)) bool {
 	x.endMu.Lock()
 	defer x.endMu.Unlock()
 	if !x.ended {
-		x.box.Put(message)
+		x.mailbox.Put(message)
 	}
 	return !x.ended
 }
 
-func (t target) Send(h core.Attempt) {
-	if !t.x.tell(func(x *session) { x.offer(h) }) {
-		t.x.server.core.AttemptEnded(h.Ref, decision.ConnectFailed, nil, core.Delivery{})
+// Send offers an attempt to the worker.
+func (b backend) Send(attempt core.Attempt) {
+	if !b.session.post(func(x *session) { x.offer(attempt) }) {
+		b.session.server.core.AttemptEnded(attempt.Ref, decision.ConnectFailed, nil, core.Delivery{})
 	}
 }
 
-func (t target) Cancel(h core.Attempt) {
-	if !t.x.tell(func(x *session) { x.giveUp(h) }) { // its jobs have ended with it
-		t.x.server.core.AttemptRecalled(h.Ref, true)
+// Cancel recalls an attempt. If the session has ended, its attempts have ended with it.
+func (b backend) Cancel(attempt core.Attempt) {
+	if !b.session.post(func(x *session) { x.cancelAttempt(attempt) }) {
+		b.session.server.core.AttemptRecalled(attempt.Ref, true)
 	}
 }
-func (t target) Probe(time.Time)   {} // a worker that is connected is up
-func (t target) SetAddress(string) {}
-func (t target) Close()            {}
+
+// Probe does nothing: a connected worker is up.
+func (b backend) Probe(time.Time) {}
+
+// SetAddress does nothing: the address is that of the connection.
+func (b backend) SetAddress(string) {}
+
+// Close does nothing: the session ends with its connection.
+func (b backend) Close() {}
--- a/internal/dispatcher/gearman/session_test.go
+++ b/internal/dispatcher/gearman/session_test.go
@@ -17,55 +17,55 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// ledger plays the core: it notes how each hop ends.
-type ledger struct {
+// recordingCore is a core that records how each attempt ends.
+type recordingCore struct {
 	mu     sync.Mutex
 	ends   map[core.AttemptRef][]string
 	taken  map[core.AttemptRef]bool
 	byID   map[string]core.AttemptRef
-	called map[core.AttemptRef]int // how often it was told that a hop is called off
+	called map[core.AttemptRef]int // how often each attempt was reported as recalled
 	routes chan core.Route
 }
 
-func (l *ledger) Submit(*core.Job, core.Ingress) {}
-func (l *ledger) ClientLeft(*core.Job)           {}
-func (l *ledger) AttemptAccepted(ref core.AttemptRef, _ core.Delivery) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.taken[ref] = true
+func (recorder *recordingCore) Submit(*core.Job, core.Ingress) {}
+func (recorder *recordingCore) ClientLeft(*core.Job)           {}
+func (recorder *recordingCore) AttemptAccepted(ref core.AttemptRef, _ core.Delivery) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.taken[ref] = true
 }
 
-func (l *ledger) AttemptEnded(ref core.AttemptRef, o decision.Outcome, _ []float32, _ core.Delivery) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.ends[ref] = append(l.ends[ref], fmt.Sprint("outcome ", o, " taken ", l.taken[ref]))
+func (recorder *recordingCore) AttemptEnded(ref core.AttemptRef, o decision.Outcome, _ []float32, _ core.Delivery) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.ends[ref] = append(recorder.ends[ref], fmt.Sprint("outcome ", o, " taken ", recorder.taken[ref]))
 }
 
-func (l *ledger) AttemptRecalled(ref core.AttemptRef, _ bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.called[ref]++
+func (recorder *recordingCore) AttemptRecalled(ref core.AttemptRef, _ bool) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	recorder.called[ref]++
 }
 
-func (l *ledger) Report(ev core.JobEvent, took func(bool)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (recorder *recordingCore) Report(ev core.JobEvent, took func(bool)) {
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
 	if ev.State == core.JobDone || ev.State == core.JobFailed {
-		l.ends[l.byID[ev.ID]] = append(l.ends[l.byID[ev.ID]], "reported")
+		recorder.ends[recorder.byID[ev.ID]] = append(recorder.ends[recorder.byID[ev.ID]], "reported")
 	}
 	took(true)
 }
 
-func (l *ledger) RoutesChanged(routes []core.Route) {
+func (recorder *recordingCore) RoutesChanged(routes []core.Route) {
 	for _, r := range routes {
-		l.routes <- r
+		recorder.routes <- r
 	}
 }
 
-// heard waits until the session has acted on all that it was told.
-func heard(to core.Backend) {
+// awaitSession waits until the session has handled all messages that were posted to it.
+func awaitSession(to core.Backend) {
 	done := make(chan struct{})
-	if to.(target).x.tell(func(*session) { close(done) }) {
+	if to.(backend).session.post(func(*session) { close(done) }) {
 		<-done
 	}
 }
@@ -80,14 +80,14 @@
 func (none) Begin(time.Time, string, string) *trace.Record { return nil }
 func (none) Ended(*trace.Record)                           {}
 
-// TestWorkerStates holds any order of a worker's packets, the core's sends and its giving
-// up against one law: each hop ends once, as one that never ran exactly where the worker was
-// not given it, and nothing is told of one that was given up.
+// TestWorkerStates checks one invariant under a random order of a worker's packets and the core's
+// sends and cancellations: each attempt ends once, as one that never ran exactly if the worker did
+// not grab it, and nothing is reported about one that was cancelled.
 func TestWorkerStates(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	l := &ledger{}
-	s, err := New(Config{Listen: "127.0.0.1:0", Functions: map[string]Function{"cut": {}}, Connections: 8, Jobs: 8, Packet: 64 << 10}, l,
+	recorder := &recordingCore{}
+	s, err := New(Config{Listen: "127.0.0.1:0", Functions: map[string]Function{"cut": {}}, MaxConnections: 8, MaxJobs: 8, MaxPacketBytes: 64 << 10}, recorder,
 		none{}, none{}, logrus.NewEntry(log))
 	if err != nil {
 		t.Fatal(err)
@@ -96,39 +96,39 @@
 	defer cancel()
 	go s.Run(ctx)
 	rapid.Check(t, func(t *rapid.T) {
-		l.mu.Lock()
-		l.ends, l.taken, l.byID = map[core.AttemptRef][]string{}, map[core.AttemptRef]bool{}, map[string]core.AttemptRef{}
-		l.called = map[core.AttemptRef]int{}
-		l.routes = make(chan core.Route, 1024)
-		l.mu.Unlock()
+		recorder.mu.Lock()
+		recorder.ends, recorder.taken, recorder.byID = map[core.AttemptRef][]string{}, map[core.AttemptRef]bool{}, map[string]core.AttemptRef{}
+		recorder.called = map[core.AttemptRef]int{}
+		recorder.routes = make(chan core.Route, 1024)
+		recorder.mu.Unlock()
 		p := dial(t, s.Addr())
 		defer p.Close()
 		p.write(proto.CanDo, "cut")
-		route := <-l.routes
+		route := <-recorder.routes
 		to := s.Open(route.Addr)
-		givenUp := map[core.AttemptRef]int{} // how many ends there were by then
-		var hops []core.Attempt
+		cancelledAt := map[core.AttemptRef]int{} // how many ends were recorded by then
+		var attempts []core.Attempt
 		handle := ""
 		for i := range rapid.IntRange(1, 25).Draw(t, "steps") {
 			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1:
-				h := core.Attempt{Ref: core.AttemptRef{Request: decision.RequestID(i + 1)}, Job: &core.Job{ID: fmt.Sprint("j", i), Resource: "/cut/cut"},
+				attempt := core.Attempt{Ref: core.AttemptRef{Request: decision.RequestID(i + 1)}, Job: &core.Job{ID: fmt.Sprint("j", i), Resource: "/cut/cut"},
 					Deadline: time.Now().Add(time.Hour)}
-				l.mu.Lock()
-				l.byID[h.Job.ID] = h.Ref
-				l.mu.Unlock()
-				hops = append(hops, h)
-				to.Send(h)
+				recorder.mu.Lock()
+				recorder.byID[attempt.Job.ID] = attempt.Ref
+				recorder.mu.Unlock()
+				attempts = append(attempts, attempt)
+				to.Send(attempt)
 			case 2:
-				if len(hops) > 0 {
-					h := hops[len(hops)-1]
-					to.Cancel(h)
-					heard(to) // from here on nothing is told of it
-					l.mu.Lock()
-					if _, twice := givenUp[h.Ref]; !twice {
-						givenUp[h.Ref] = len(l.ends[h.Ref])
+				if len(attempts) > 0 {
+					attempt := attempts[len(attempts)-1]
+					to.Cancel(attempt)
+					awaitSession(to) // from here on nothing may be reported about it
+					recorder.mu.Lock()
+					if _, twice := cancelledAt[attempt.Ref]; !twice {
+						cancelledAt[attempt.Ref] = len(recorder.ends[attempt.Ref])
 					}
-					l.mu.Unlock()
+					recorder.mu.Unlock()
 				}
 			case 3, 4:
 				p.write(rapid.SampledFrom([]proto.Type{proto.GrabJob, proto.GrabJobUniq, proto.GrabJobAll}).Draw(t, "grab"))
@@ -143,36 +143,36 @@
 			case 9:
 				p.write(proto.ResetAbilities)
 			}
-			heard(to)
+			awaitSession(to)
 			p.sync(t, &handle)
 		}
 		p.Close()
-		for gone := false; !gone; { // the last word of a session on its worker, if it is listed
+		for removed := false; !removed; { // the last route of a session removes its worker
 			select {
-			case r := <-l.routes:
-				gone = r.State == decision.Removed
+			case r := <-recorder.routes:
+				removed = r.State == decision.Removed
 			case <-time.After(10 * time.Second):
-				t.Fatal("the worker is never taken out of the list")
+				t.Fatal("the worker is never removed from the route table")
 			}
 		}
-		l.mu.Lock()
-		defer l.mu.Unlock()
-		for _, h := range hops {
-			ends := l.ends[h.Ref]
-			before, up := givenUp[h.Ref]
+		recorder.mu.Lock()
+		defer recorder.mu.Unlock()
+		for _, attempt := range attempts {
+			ends := recorder.ends[attempt.Ref]
+			before, cancelled := cancelledAt[attempt.Ref]
 			switch {
-			case up && l.called[h.Ref] == 0:
-				t.Fatalf("hop %v was given up, and nobody is told", h.Ref)
-			case up && len(ends) > before:
-				t.Fatalf("hop %v was given up, and then told %v", h.Ref, ends)
-			case !up && len(ends) != 1:
-				t.Fatalf("hop %v has the ends %v", h.Ref, ends)
+			case cancelled && recorder.called[attempt.Ref] == 0:
+				t.Fatalf("attempt %v was cancelled, and its recall was not reported", attempt.Ref)
+			case cancelled && len(ends) > before:
+				t.Fatalf("attempt %v was cancelled, and then ended as %v", attempt.Ref, ends)
+			case !cancelled && len(ends) != 1:
+				t.Fatalf("attempt %v has the ends %v", attempt.Ref, ends)
 			}
 			for _, e := range ends {
-				never := e == fmt.Sprint("outcome ", decision.ConnectFailed, " taken ", false) || e == fmt.Sprint("outcome ", decision.Rejected, " taken ", false)
-				may := e == fmt.Sprint("outcome ", decision.ConnReset, " taken ", true) || e == "reported" && l.taken[h.Ref]
-				if !never && !may {
-					t.Fatalf("hop %v ended %q", h.Ref, e)
+				neverRan := e == fmt.Sprint("outcome ", decision.ConnectFailed, " taken ", false) || e == fmt.Sprint("outcome ", decision.Rejected, " taken ", false)
+				mayHaveRun := e == fmt.Sprint("outcome ", decision.ConnReset, " taken ", true) || e == "reported" && recorder.taken[attempt.Ref]
+				if !neverRan && !mayHaveRun {
+					t.Fatalf("attempt %v ended %q", attempt.Ref, e)
 				}
 			}
 		}
--- a/internal/dispatcher/gearman/tls.go
+++ b/internal/dispatcher/gearman/tls.go
@@ -8,16 +8,17 @@
 	"sync/atomic"
 )
 
-// Certificates are the files of the front's TLS; all are PEM.
+// Certificates are the files of the front's TLS configuration, all in PEM.
 type Certificates struct {
 	Certificate, Key string
-	Clients          string // authorities of clients' certificates, which are then asked for; empty for none
+	Clients          string // authorities of client certificates, which are required then; empty for none
 }
 
-// TLS is a configuration whose certificates may be read anew while it serves.
-type TLS struct{ now atomic.Pointer[tls.Config] }
+// TLS is a TLS configuration whose certificates can be reloaded while it is in use. It is safe for
+// concurrent use.
+type TLS struct{ current atomic.Pointer[tls.Config] }
 
-// Read reads the files; after an error those read before stay in force.
+// Read reads the files. After an error the certificates that were read before stay in use.
 func (t *TLS) Read(files Certificates) error {
 	pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
@@ -34,12 +35,12 @@
 			return fmt.Errorf("gearman: client certificates: %s holds none", files.Clients)
 		}
 	}
-	t.now.Store(c)
+	t.current.Store(c)
 	return nil
 }
 
-// Config returns what a listener serves by.
+// Config returns the configuration of a listener; it uses the certificates that were read last.
 func (t *TLS) Config() *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS12,
-		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return t.now.Load(), nil }}
+		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) { return t.current.Load(), nil }}
 }
--- a/internal/testkit/compatibility/dispatcher/agreedlog_test.go
+++ b/internal/testkit/compatibility/dispatcher/agreedlog_test.go
@@ -199,7 +199,7 @@
 	s.await(t, entries[len(entries)-1].ID)
 	var flows json.RawMessage
 	var err error
-	q.Flows(func(b *statetable.Book) { flows, err = json.Marshal(b) })
+	q.Flows(func(b *statetable.Table) { flows, err = json.Marshal(b) })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testkit/lab/gangs/sim.go
+++ b/internal/testkit/lab/gangs/sim.go
@@ -173,7 +173,7 @@
 	}
 	for range s.Dispatchers {
 		x.slow = append(x.slow, map[string]time.Duration{})
-		x.boards = append(x.boards, board.New(board.Config{Every: tell, Look: every / 2, Copies: s.Way == Board}))
+		x.boards = append(x.boards, board.New(board.Config{ReportInterval: tell, CheckInterval: every / 2, CopiesAllowed: s.Way == Board}))
 	}
 	rate := use * float64(s.Runners*slots) / (mean * float64(s.Size))
 	next := time.Second
@@ -186,7 +186,7 @@
 		x.work()
 		for len(x.post) > 0 && x.post[0].at <= x.now {
 			m := heap.Pop(&x.post).(mail)
-			x.boards[m.to].Hear(m.fact)
+			x.boards[m.to].AddFact(m.fact)
 		}
 		x.judge()
 		x.open = slices.DeleteFunc(x.open, x.close)
@@ -214,7 +214,7 @@
 		x.result.Parts++
 		id := board.ID{Gang: g.id, N: n}
 		x.parts[id] = p
-		x.boards[p.by].Join(id, x.Size, p.hint, g.at+patience)
+		x.boards[p.by].AddPart(id, x.Size, p.hint, g.at+patience)
 		x.send(p)
 	}
 	x.open = append(x.open, g)
@@ -240,7 +240,7 @@
 	a := &attempt{p: p, n: len(p.attempts), runner: to}
 	p.attempts = append(p.attempts, a)
 	to.wait = append(to.wait, a)
-	x.boards[p.by].Sent(board.ID{Gang: p.g.id, N: p.n}, fmt.Sprint("s-", to.id), a.n, x.now)
+	x.boards[p.by].PartSent(board.ID{Gang: p.g.id, N: p.n}, fmt.Sprint("s-", to.id), a.n, x.now)
 }
 
 // work has all runners go on for a step.
@@ -251,7 +251,7 @@
 			r.wait = r.wait[1:]
 			a.begun, a.told = x.now, x.now+every
 			r.runs = append(r.runs, a)
-			x.boards[a.p.by].Started(board.ID{Gang: a.p.g.id, N: a.p.n}, a.n, x.now)
+			x.boards[a.p.by].PartStarted(board.ID{Gang: a.p.g.id, N: a.p.n}, a.n, x.now)
 		}
 		for _, a := range r.runs {
 			a.done += r.speed * step.Seconds()
@@ -266,7 +266,7 @@
 				slow := r.speed < 1.0/3+0.01
 				a.p.slow = a.p.slow || slow && a.n == 0 && x.now >= a.begun+3*every
 				if r.speed > 0 && !x.NoReports && x.rng.Float64() > lostTold {
-					x.boards[a.p.by].Reported(id, a.n, a.done/a.p.work, x.now)
+					x.boards[a.p.by].PartProgressed(id, a.n, a.done/a.p.work, x.now)
 				}
 			}
 		}
@@ -283,8 +283,8 @@
 	}
 	p.done = true
 	id := board.ID{Gang: p.g.id, N: p.n}
-	x.boards[p.by].Ended(id, a.n, true, x.now)
-	x.boards[p.by].Gone(id) // it has its answer, whichever attempt it came from
+	x.boards[p.by].PartEnded(id, a.n, true, x.now)
+	x.boards[p.by].RemovePart(id) // it has its answer, whichever attempt it came from
 	p.g.served = append(p.g.served, (x.now - a.begun).Seconds())
 	for _, o := range p.attempts {
 		if o != a && !o.over {
@@ -299,7 +299,7 @@
 // judge has each dispatcher look, and simpler ways decide.
 func (x *sim) judge() {
 	for i, b := range x.boards {
-		acts, facts := b.Look(x.now)
+		acts, facts := b.Check(x.now)
 		for _, f := range facts {
 			for to := range x.boards {
 				if to != i {
@@ -308,10 +308,10 @@
 			}
 		}
 		for _, a := range acts {
-			if a.Kind == board.Slow && x.Way == Board {
+			if a.Kind == board.MarkSlow && x.Way == Board {
 				x.slow[i][a.Worker] = x.now + time.Minute // the module goes round it by its pace
 			}
-			if a.Kind == board.Copy && x.Way == Board {
+			if a.Kind == board.StartCopy && x.Way == Board {
 				p := x.parts[a.Part]
 				x.result.Copies++
 				x.found(p)
@@ -402,7 +402,7 @@
 			}
 		}
 		id := board.ID{Gang: g.id, N: p.n}
-		x.boards[p.by].Gone(id)
+		x.boards[p.by].RemovePart(id)
 		delete(x.parts, id)
 	}
 	return true
