--- a/decision/affinity/affinity.go
+++ b/decision/affinity/affinity.go
@@ -5,8 +5,8 @@
 // The package has no state, so it is safe for concurrent use.
 package affinity
 
-// MinDispatchers is the number of dispatchers up to which there are no preferences, as each knows every worker well.
-const MinDispatchers = 16
+// MaxWithoutPreferences is the number of dispatchers up to which there are no preferences, as each knows every worker well.
+const MaxWithoutPreferences = 16
 
 // maxPremium is by what fraction the least preferred worker costs more than the most preferred.
 const maxPremium = 0.8
@@ -14,7 +14,7 @@
 // Factor returns the factor of a worker's cost at the dispatcher of a number: at least 1 and less than 1+maxPremium. It
 // is a hash of both numbers, so it never changes and has no pattern over workers and dispatchers.
 func Factor(dispatcher, dispatchers int, worker uint32) float64 {
-	if dispatchers <= MinDispatchers {
+	if dispatchers <= MaxWithoutPreferences {
 		return 1
 	}
 	hash := uint64(worker)*0x9e3779b97f4a7c15 + uint64(dispatcher)*0xbf58476d1ce4e5b9
--- a/decision/affinity/affinity_test.go
+++ b/decision/affinity/affinity_test.go
@@ -28,7 +28,7 @@
 			t.Errorf("worker %d is the first choice of %d dispatchers, among the best sixth of %d", w, first[w], among[w])
 		}
 	}
-	if Factor(3, MinDispatchers, 7) != 1 {
+	if Factor(3, MaxWithoutPreferences, 7) != 1 {
 		t.Error("few dispatchers have a preference")
 	}
 }
--- a/decision/driver_test.go
+++ b/decision/driver_test.go
@@ -16,14 +16,14 @@
 }
 
 // newDriver returns a driver of a new dispatcher that has got the list of workers.
-func newDriver(t *testing.T, cfg Config, list []Member) *driver {
+func newDriver(t *testing.T, cfg Config, workers []Member) *driver {
 	t.Helper()
 	d, err := New(cfg, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h := &driver{t: t, d: d, now: time.Hour, timers: map[uint32]time.Duration{}}
-	h.step(Event{Type: MembersReplaced, Members: list})
+	h.step(Event{Type: MembersReplaced, Members: workers})
 	return h
 }
 
@@ -94,24 +94,24 @@
 }
 
 // maxWithin returns how many of the times, which are in order, lie within a window at most.
-func maxWithin(at []time.Duration, window time.Duration) (most int) {
+func maxWithin(at []time.Duration, window time.Duration) (count int) {
 	first := 0
 	for i := range at {
 		for at[i]-at[first] > window {
 			first++
 		}
-		most = max(most, i-first+1)
+		count = max(count, i-first+1)
 	}
-	return most
+	return count
 }
 
 // membersInOneZone returns n ready workers in zone 0.
 func membersInOneZone(n int) []Member {
-	list := members(n)
-	for i := range list {
-		list[i].Zone = 0
+	workers := members(n)
+	for i := range workers {
+		workers[i].Zone = 0
 	}
-	return list
+	return workers
 }
 
 // testConfig is a deployment with every class effect and scope.
--- a/decision/eligibility_test.go
+++ b/decision/eligibility_test.go
@@ -26,8 +26,8 @@
 		}
 		return out
 	}
-	warm := Event{Type: MembersReplaced, Members: []Member{{Worker: 1}, {Worker: 2}}}
-	first := sends(start, warm, Event{Type: RequestArrived, Request: 1, Deadline: start + time.Minute})
+	warmList := Event{Type: MembersReplaced, Members: []Member{{Worker: 1}, {Worker: 2}}}
+	first := sends(start, warmList, Event{Type: RequestArrived, Request: 1, Deadline: start + time.Minute})
 	if len(first) != 1 || first[0].LatestStart != 0 {
 		t.Fatalf("a first attempt at a warm worker: %+v", first)
 	}
@@ -36,8 +36,8 @@
 		t.Errorf("a repeat of a keyed request: %+v, want it to begin by %v", again, want)
 	}
 	now := start + 5*time.Second
-	young := Event{Type: MembersReplaced, Members: []Member{{Worker: 3, StartedAt: now - 18*time.Second}}}
-	cold := sends(now, young, Event{Type: RequestArrived, Request: 2, Class: 1, Deadline: now + time.Minute})
+	warmingList := Event{Type: MembersReplaced, Members: []Member{{Worker: 3, StartedAt: now - 18*time.Second}}}
+	cold := sends(now, warmingList, Event{Type: RequestArrived, Request: 2, Class: 1, Deadline: now + time.Minute})
 	if len(cold) != 1 || cold[0].LatestStart != now+warmUpStartWithin {
 		t.Errorf("an attempt at a worker that warms up: %+v, want it to begin within %v", cold, warmUpStartWithin)
 	}
--- a/decision/forecast/forecast_test.go
+++ b/decision/forecast/forecast_test.go
@@ -140,8 +140,8 @@
 	if a, b := f.Pace(&slow, 2, now), f.Pace(&w, 2, now); a < 1.5*b {
 		t.Errorf("the slow one has a pace of %g, the other of %g", a, b)
 	}
-	if got, was := f.Pace(&slow, 2, now+5*time.Minute), f.Pace(&slow, 2, now); got > 0.8*was {
-		t.Errorf("its pace is %g minutes later, %g before", got, was)
+	if got, earlier := f.Pace(&slow, 2, now+5*time.Minute), f.Pace(&slow, 2, now); got > 0.8*earlier {
+		t.Errorf("its pace is %g minutes later, %g before", got, earlier)
 	}
 }
 
@@ -159,24 +159,24 @@
 		now += wait
 		f.RecordStart(&w, 0, &j, wait > 0, Own{InUse: 1, Running: 1}, now)
 	}
-	late := func() bool {
+	rejects := func() bool {
 		f.sentAt = now
 		f.RecordReport(&w, 0, Report{Free: 1, Queued: 30, InFlight: math.NaN()}, Own{}, now)
 		return f.ShouldReject(&w, 0, Own{}, &Job{Slots: 1, Work: 1, Target: 3, TargetAt: now + 3*time.Second}, 4, now)
 	}
-	if !late() {
+	if !rejects() {
 		t.Fatal("a queue of 30 jobs of a second is no reason to refuse one that has three")
 	}
 	for range 100 {
 		send(0)
 	}
-	if late() {
+	if rejects() {
 		t.Errorf("after 100 jobs that started at once it is still refused, for a wait of %g s", f.wait(&w, 0, Own{}, 1, now))
 	}
 	for range 100 {
 		send(10 * time.Second)
 	}
-	if !late() {
+	if !rejects() {
 		t.Error("after 100 jobs that did wait it is not refused")
 	}
 }
@@ -197,8 +197,8 @@
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			w := &workers[rapid.IntRange(0, 2).Draw(t, "worker")]
-			held := float64(rapid.IntRange(0, 9).Draw(t, "held"))
-			own := Own{InUse: held, Running: math.Floor(held / 2), Work: held}
+			inUse := float64(rapid.IntRange(0, 9).Draw(t, "held"))
+			own := Own{InUse: inUse, Running: math.Floor(inUse / 2), Work: inUse}
 			kind, class := rapid.IntRange(-1, 70).Draw(t, "kind"), rapid.IntRange(-1, 3).Draw(t, "class")
 			hint := time.Duration(rapid.IntRange(0, 5000).Draw(t, "hint")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
@@ -227,8 +227,8 @@
 			if more := f.TimeToFinish(w, kind, light, &j, now); more < needs-usual-rounding {
 				t.Fatalf("needs %g s, and %g behind one more job of a second: a job of the mean work is worth %g", needs, more, usual)
 			}
-			if hope := f.WaitUntil(w, kind, &j, now); hope < now || hope > j.TargetAt {
-				t.Fatalf("wait until %v, it is %v and the target at %v", hope, now, j.TargetAt)
+			if waitUntil := f.WaitUntil(w, kind, &j, now); waitUntil < now || waitUntil > j.TargetAt {
+				t.Fatalf("wait until %v, it is %v and the target at %v", waitUntil, now, j.TargetAt)
 			}
 			f.ShouldReject(w, kind, own, &j, 4, now)
 		}
@@ -253,9 +253,9 @@
 	if a, b := waits(full), waits(queue); b < a+1.5 {
 		t.Errorf("a job needs %.2f s behind 4 jobs in 4 slots and %.2f s behind 12, want 2 s more", a, b)
 	}
-	told := queue
-	told.Queued = 0
-	if a, b := waits(full), waits(told); math.Abs(a-b) > 1e-9 {
+	reported := queue
+	reported.Queued = 0
+	if a, b := waits(full), waits(reported); math.Abs(a-b) > 1e-9 {
 		t.Errorf("a job needs %.2f s where no queue is reported, want %.2f", b, a)
 	}
 }
--- a/decision/lifecycle_test.go
+++ b/decision/lifecycle_test.go
@@ -44,12 +44,12 @@
 	if out := h.end(other, Errored); len(out) != 1 || out[0].Type != Reject {
 		t.Errorf("past the lowered cap a request got %v, want a refusal", out)
 	}
-	held := 0
+	tokensInUse := 0
 	for _, w := range h.d.listed {
-		held += w.InUse
+		tokensInUse += w.InUse
 	}
-	if held != 2 {
-		t.Errorf("%d tokens are in use, want those of the two open attempts", held)
+	if tokensInUse != 2 {
+		t.Errorf("%d tokens are in use, want those of the two open attempts", tokensInUse)
 	}
 }
 
@@ -57,7 +57,7 @@
 // counts for what the request may still do.
 func TestAdopt(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
-	held := func() (n int) {
+	tokensInUse := func() (n int) {
 		for _, w := range h.d.listed {
 			n += w.InUse
 		}
@@ -72,7 +72,7 @@
 		return Action{Request: id, Worker: worker}
 	}
 	safe, unsafe, left := adopt(1, 0, 100), adopt(2, 4, 101), adopt(3, 0, 999)
-	if n := held(); n != 2 {
+	if n := tokensInUse(); n != 2 {
 		t.Errorf("%d tokens are in use, want those of the two attempts at listed workers", n)
 	}
 	if out := h.end(safe, Errored); len(out) != 1 || out[0].Type != Send || out[0].Worker != 101 || out[0].Attempt != 1 {
@@ -85,7 +85,7 @@
 		t.Errorf("its attempts are %+v", past)
 	}
 	h.end(left, Served)
-	if n := held(); n != 1 {
+	if n := tokensInUse(); n != 1 {
 		t.Errorf("%d tokens are in use at the end, want the second attempt's", n)
 	}
 }
--- a/decision/overload_test.go
+++ b/decision/overload_test.go
@@ -146,8 +146,8 @@
 		t.Fatal("nothing is shed after 40 late starts")
 	}
 	refused(50)
-	if late := refused(50); late > 0 {
-		t.Errorf("%d of 50 are still refused though every start was prompt", late)
+	if stillRejected := refused(50); stillRejected > 0 {
+		t.Errorf("%d of 50 are still refused though every start was prompt", stillRejected)
 	}
 }
 
--- a/decision/warmup_test.go
+++ b/decision/warmup_test.go
@@ -21,7 +21,7 @@
 		h.end(Action{Request: h.lastRequest, Worker: h.d.requests[h.lastRequest].attempts[0].worker.Worker}, Served)
 	}
 	h.advance(3 * time.Second)
-	got, inRow, most := 0, 0, 0
+	got, inRow, longestRun := 0, 0, 0
 	for range 160 {
 		a := h.arrive(0, 1)
 		if inRow++; a.Worker != 100 {
@@ -29,11 +29,11 @@
 		} else {
 			got++
 		}
-		most = max(most, inRow)
+		longestRun = max(longestRun, inRow)
 		h.end(a, Served)
 	}
-	if got < 8 || got > 32 || most > 3 {
-		t.Errorf("the returned worker got %d of 160 jobs and %d in a row, want about 16 and few", got, most)
+	if got < 8 || got > 32 || longestRun > 3 {
+		t.Errorf("the returned worker got %d of 160 jobs and %d in a row, want about 16 and few", got, longestRun)
 	}
 }
 
@@ -45,8 +45,8 @@
 	h := newDriver(t, cfg, append(membersInOneZone(1), Member{Worker: 7, StartedAt: time.Hour - 3*time.Second, Weight: 1}))
 	h.d.meanRun[0], h.d.meanRun[4] = 0.05, 5
 	h.advance(time.Second)
-	const share = 0.2 + 0.8*0.58 // at the end of what follows
-	budget, heavy := share*cfg.Rules.OverloadMultiple/2, 0
+	const capacity = 0.2 + 0.8*0.58 // at the end of what follows
+	budget, longJobs := capacity*cfg.Rules.OverloadMultiple/2, 0
 	var sent []time.Duration
 	for h.now < time.Hour+2800*time.Millisecond {
 		for range 4 {
@@ -55,7 +55,7 @@
 				if a.Type == Send && a.Worker == 7 {
 					sent = append(sent, h.now)
 					if work > 1 {
-						heavy++
+						longJobs++
 					}
 				}
 				h.end(a, Canceled)
@@ -63,10 +63,10 @@
 		}
 		h.advance(20 * time.Millisecond)
 	}
-	most := maxWithin(sent, cfg.Rules.OverloadWindow)
-	if heavy > 0 || len(sent) < 10 || float64(most)*0.05 > 2*budget {
-		t.Errorf("%d jobs, %d heavy, at most %.2f s of work in a window, want some light ones below %.2f s",
-			len(sent), heavy, float64(most)*0.05, 2*budget)
+	inWindow := maxWithin(sent, cfg.Rules.OverloadWindow)
+	if longJobs > 0 || len(sent) < 10 || float64(inWindow)*0.05 > 2*budget {
+		t.Errorf("%d jobs, %d long, at most %.2f s of work in a window, want some short ones below %.2f s",
+			len(sent), longJobs, float64(inWindow)*0.05, 2*budget)
 	}
 }
 
@@ -87,14 +87,14 @@
 			h := newDriver(t, cfg, tc.members)
 			h.d.meanRun[0], h.d.meanRun[4] = 0.05, 5
 			var sent []time.Duration
-			heavy, end := 0, time.Hour+cfg.Rules.OverloadWindow
+			longJobs, end := 0, time.Hour+cfg.Rules.OverloadWindow
 			for h.now < end {
 				for _, class := range []int{0, 0, 0, 0, 4} {
 					a := h.arrive(class, 1)
 					if a.Type == Send && a.Worker == 7 {
 						sent = append(sent, h.now)
 						if class == 4 {
-							heavy++
+							longJobs++
 						}
 					}
 					if a.Type == Send {
@@ -103,9 +103,9 @@
 				}
 				h.advance(20 * time.Millisecond)
 			}
-			bears := h.d.rules.Capacity(time.Hour, end) * cfg.Rules.OverloadMultiple / 2 * cfg.Rules.OverloadWindow.Seconds()
-			if work := float64(len(sent)) * 0.05; heavy > 0 || (len(sent) > 0) != tc.used || work > 2*bears {
-				t.Errorf("%d jobs, %d heavy, %.2f s of work in a window, %.2f s is its part", len(sent), heavy, work, bears)
+			budget := h.d.rules.Capacity(time.Hour, end) * cfg.Rules.OverloadMultiple / 2 * cfg.Rules.OverloadWindow.Seconds()
+			if work := float64(len(sent)) * 0.05; longJobs > 0 || (len(sent) > 0) != tc.used || work > 2*budget {
+				t.Errorf("%d jobs, %d long, %.2f s of work in a window, %.2f s is its part", len(sent), longJobs, work, budget)
 			}
 		})
 	}
@@ -129,11 +129,11 @@
 			t.Errorf("state %d, returned %t: %d workers are unavailable, want %d", m.state, m.returned, n, m.want)
 		}
 	}
-	for _, heavy := range []Event{{Class: 4}, {Class: 0, Slots: 2}, {Class: 0, Hint: time.Second}} {
+	for _, longJobs := range []Event{{Class: 4}, {Class: 0, Slots: 2}, {Class: 0, Hint: time.Second}} {
 		h.lastRequest++
-		heavy.Type, heavy.Request, heavy.Deadline = RequestArrived, h.lastRequest, h.now+5*time.Second
-		if out := h.step(heavy); len(out) != 1 || out[0].Worker == back.Worker {
-			t.Errorf("%+v went to the warming worker: %v", heavy, out)
+		longJobs.Type, longJobs.Request, longJobs.Deadline = RequestArrived, h.lastRequest, h.now+5*time.Second
+		if out := h.step(longJobs); len(out) != 1 || out[0].Worker == back.Worker {
+			t.Errorf("%+v went to the warming worker: %v", longJobs, out)
 		}
 	}
 	first := h.arrive(0, 1)
@@ -157,20 +157,20 @@
 // warming worker, and use it. Without sampling the part of one of eighty dispatchers would not hold a
 // request, and the worker would stay idle.
 func TestWarmingWorkersAmongManyDispatchers(t *testing.T) {
-	const many, work = 80, 0.05
+	const dispatchers, work = 80, 0.05
 	cfg := bucketOnlyConfig()
-	cfg.Instances = many
-	hosts := make([]*driver, many)
-	for i := range hosts {
+	cfg.Instances = dispatchers
+	drivers := make([]*driver, dispatchers)
+	for i := range drivers {
 		cfg.Instance = i
-		hosts[i] = newDriver(t, cfg, append(membersInOneZone(2), Member{Worker: 7, StartedAt: time.Hour, Weight: 1}))
-		h := hosts[i]
+		drivers[i] = newDriver(t, cfg, append(membersInOneZone(2), Member{Worker: 7, StartedAt: time.Hour, Weight: 1}))
+		h := drivers[i]
 		h.d.meanRun[0] = work
 		h.d.listed[0].Most = 4
 	}
 	var sent []time.Duration
-	for tick := 0; hosts[0].now < time.Hour+3*time.Second; tick++ { // 240 jobs a second, 12 s of work
-		for i, h := range hosts {
+	for tick := 0; drivers[0].now < time.Hour+3*time.Second; tick++ { // 240 jobs a second, 12 s of work
+		for i, h := range drivers {
 			if (tick+i)%33 == 0 {
 				a := h.arrive(0, 1)
 				if a.Worker == 7 {
@@ -182,11 +182,11 @@
 			h.advance(10 * time.Millisecond)
 		}
 	}
-	most := maxWithin(sent, cfg.Rules.OverloadWindow)
+	inWindow := maxWithin(sent, cfg.Rules.OverloadWindow)
 	budget := (0.2 + 0.8*0.3) * cfg.Rules.OverloadMultiple * 4 // at the end of these 3 s
-	if float64(most)*work > budget || len(sent) < 20 {
+	if float64(inWindow)*work > budget || len(sent) < 20 {
 		t.Errorf("%d jobs, at most %.2f s of work in a window; want 20 or more, and %.2f s at most",
-			len(sent), float64(most)*work, budget)
+			len(sent), float64(inWindow)*work, budget)
 	}
 }
 
--- a/decision/warmupbudget/flow_test.go
+++ b/decision/warmupbudget/flow_test.go
@@ -13,13 +13,13 @@
 
 // sampleTraffic returns a Traffic that has recorded requests of the given works at a rate for a while.
 func sampleTraffic(rng *rand.Rand, rate float64, works ...float64) (Traffic, time.Duration) {
-	var m Traffic
+	var traffic Traffic
 	now := time.Hour
 	for range 400 {
-		m.RecordArrival(works[rng.IntN(len(works))], now)
+		traffic.RecordArrival(works[rng.IntN(len(works))], now)
 		now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second))
 	}
-	return m, now
+	return traffic, now
 }
 
 // TestFlow checks that the flow to a warming worker keeps the mean of a window and its safety deviations
@@ -29,18 +29,18 @@
 		worker := WarmingWorker{Rate: rapid.Float64Range(0.01, 1e4).Draw(t, "rate"), StartedAt: time.Hour}
 		now := time.Hour + time.Duration(rapid.Int64Range(0, int64(30*time.Second)).Draw(t, "age"))
 		works := rapid.SliceOfN(rapid.Float64Range(0.001, 50), 1, 5).Draw(t, "works")
-		m, _ := sampleTraffic(rand.New(rand.NewPCG(1, 1)), 1, works...)
-		n := rules.Flow(&m, worker, now) * rules.OverloadWindow.Seconds()
+		traffic, _ := sampleTraffic(rand.New(rand.NewPCG(1, 1)), 1, works...)
+		n := rules.Flow(&traffic, worker, now) * rules.OverloadWindow.Seconds()
 		limit := WindowBound(rules.OverloadMultiple * worker.Rate * rules.Capacity(worker.StartedAt, now))
-		mean, meanSquare := m.passedWork/m.passFraction, m.passedWorkSquared/m.passFraction
+		mean, meanSquare := traffic.passedWork/traffic.passFraction, traffic.passedWorkSquared/traffic.passFraction
 		if worst := mean*n + safetyDeviations*math.Sqrt(meanSquare*n); !(worst <= limit*1.000001) {
 			t.Fatalf("%.2f requests in a window: %.2f of work, the limit is %.2f", n, worst, limit)
 		}
-		served, all := rules.minServedRate(worker, now), rules.Flow(&m, worker, now)
-		if all < 0 || all*m.passedWork/m.passFraction > busyFactor*served*1.000001 {
+		served, all := rules.minServedRate(worker, now), rules.Flow(&traffic, worker, now)
+		if all < 0 || all*traffic.passedWork/traffic.passFraction > busyFactor*served*1.000001 {
 			t.Fatalf("%.2f requests a second for a worker that serves %.2f", all, served)
 		}
-		if later := rules.Flow(&m, worker, now+time.Second); later < n*0.999999/rules.OverloadWindow.Seconds() {
+		if later := rules.Flow(&traffic, worker, now+time.Second); later < n*0.999999/rules.OverloadWindow.Seconds() {
 			t.Fatalf("the flow falls with age: %.3f, %.3f", n, later)
 		}
 	})
@@ -53,34 +53,34 @@
 	const dispatchers, over = 300, 200 * time.Second
 	rng := rand.New(rand.NewPCG(3, 3))
 	worker := WarmingWorker{Rate: 5, StartedAt: time.Hour}
-	went, meant, id := 0, 0.0, uint64(0)
-	heavy := false
+	sent, expected, id := 0, 0.0, uint64(0)
+	longSent := false
 	for i := range dispatchers {
 		rate := 0.2
 		if i%10 == 0 {
 			rate = 4
 		}
-		m, from := sampleTraffic(rng, rate, 0.2, 0.4, 3)
+		traffic, from := sampleTraffic(rng, rate, 0.2, 0.4, 3)
 		worker.StartedAt = from - 9*time.Second
-		meant += rules.Flow(&m, worker, from) * over.Seconds() / dispatchers
+		expected += rules.Flow(&traffic, worker, from) * over.Seconds() / dispatchers
 		for now := from; now < from+over; now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
 			worker.StartedAt = now - 9*time.Second // as old all the time
 			id++
 			work := []float64{0.2, 0.4, 3}[rng.IntN(3)]
-			m.RecordArrival(work, now)
+			traffic.RecordArrival(work, now)
 			peer := Peer{i, dispatchers}
-			goes := rules.MaySend(&m, peer, worker, 7, id, work, now)
-			if goes != rules.MaySend(&m, peer, worker, 7, id, work, now) {
+			sends := rules.MaySend(&traffic, peer, worker, 7, id, work, now)
+			if sends != rules.MaySend(&traffic, peer, worker, 7, id, work, now) {
 				t.Fatal("the same request may go and may not")
 			}
-			if goes {
-				went++
+			if sends {
+				sent++
 			}
-			heavy = heavy || rules.MaySend(&m, peer, worker, 7, id, 30, now)
+			longSent = longSent || rules.MaySend(&traffic, peer, worker, 7, id, 30, now)
 		}
 	}
-	if got := float64(went); got > meant || got < 0.65*meant || heavy {
-		t.Errorf("%d requests went, want %.0f; heavy ones %t", went, meant, heavy)
+	if got := float64(sent); got > expected || got < 0.65*expected || longSent {
+		t.Errorf("%d requests were sent, want %.0f; long ones %t", sent, expected, longSent)
 	}
 }
 
@@ -88,11 +88,11 @@
 // nothing to a warming worker, as a fleet of dispatchers may have just started.
 func TestNewDispatcherSendsNothing(t *testing.T) {
 	worker := WarmingWorker{Rate: 1e6, StartedAt: time.Hour}
-	var m Traffic
-	if rules.MaySend(&m, Peer{0, 300}, worker, 7, 1, 0.1, time.Hour) {
+	var traffic Traffic
+	if rules.MaySend(&traffic, Peer{0, 300}, worker, 7, 1, 0.1, time.Hour) {
 		t.Error("one that has met nothing sends")
 	}
-	if m.RecordArrival(0.1, time.Hour); rules.MaySend(&m, Peer{0, 300}, worker, 7, 1, 0.1, time.Hour) {
+	if traffic.RecordArrival(0.1, time.Hour); rules.MaySend(&traffic, Peer{0, 300}, worker, 7, 1, 0.1, time.Hour) {
 		t.Error("the first request may go")
 	}
 }
--- a/decision/warmupbudget/warmupbudget.go
+++ b/decision/warmupbudget/warmupbudget.go
@@ -1,6 +1,6 @@
 // Package warmupbudget divides among dispatchers what may be sent to a worker that has just started. A warming worker
 // that is sent more than a multiple of its present capacity within a window crashes, and no dispatcher knows what the
-// others send. So each keeps to a part of its own. Up to MinSampledPeers dispatchers have a leaky bucket each
+// others send. So each keeps to a part of its own. Up to MaxUnsampledPeers dispatchers have a leaky bucket each
 // (Rules.Allows). Of more dispatchers a part would not hold a single request: each lets a random sample of its
 // requests through (Rules.MaySend), and later joins for a part of the time (Rules.InRotation).
 //
@@ -11,8 +11,8 @@
 
 import "time"
 
-// MinSampledPeers is the number of peers above which a worker's budget is divided by sampling.
-const MinSampledPeers = 16
+// MaxUnsampledPeers is the number of peers above which a worker's budget is divided by sampling.
+const MaxUnsampledPeers = 16
 
 // Rules are the figures of warming workers. A worker's capacity rises from the fraction InitialCapacity, or more, at its
 // start to 1 after WarmUp at the latest. One that is sent more than OverloadMultiple times its present capacity for
@@ -28,7 +28,7 @@
 type Peer struct{ Number, Count int }
 
 // Sampled reports whether so many peers divide budgets by sampling.
-func (s Peer) Sampled() bool { return s.Count > MinSampledPeers }
+func (p Peer) Sampled() bool { return p.Count > MaxUnsampledPeers }
 
 // LeakyBucket is the work that a dispatcher has sent to a worker and that still counts against the budget. It drains at
 // the dispatcher's part of the rate that the worker can take (Rules.Allows). The zero value is empty.
--- a/decision/warmupbudget/warmupbudget_test.go
+++ b/decision/warmupbudget/warmupbudget_test.go
@@ -16,12 +16,12 @@
 }
 
 // sendGreedily has every peer send all that it may, one job of the given work after another.
-func sendGreedily(sharers int, work float64, start, span, skew time.Duration) (all []sending) {
-	bills := make([]LeakyBucket, sharers)
+func sendGreedily(peers int, work float64, start, span, skew time.Duration) (all []sending) {
+	bills := make([]LeakyBucket, peers)
 	for now := start; now < start+span; now += 10 * time.Millisecond {
 		for i := range bills {
 			own := now + skew*time.Duration(i%2)
-			for rules.Allows(&bills[i], Peer{i, sharers}, 4, start, own, work) {
+			for rules.Allows(&bills[i], Peer{i, peers}, 4, start, own, work) {
 				bills[i].Add(work)
 				all = append(all, sending{now, work})
 			}
@@ -34,11 +34,11 @@
 // buckets, and with clocks that differ.
 func TestFewPeersKeepToWindow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		sharers := rapid.IntRange(1, MinSampledPeers).Draw(t, "sharers")
+		peers := rapid.IntRange(1, MaxUnsampledPeers).Draw(t, "sharers")
 		work := rapid.Float64Range(0.01, 3).Draw(t, "work")
 		start := time.Duration(rapid.Int64Range(1, 1e6).Draw(t, "start")) * time.Millisecond
 		skew := time.Duration(rapid.IntRange(0, 40).Draw(t, "skew")) * time.Millisecond
-		all := sendGreedily(sharers, work, start, 6*time.Second, skew)
+		all := sendGreedily(peers, work, start, 6*time.Second, skew)
 		first, sum := 0, 0.0
 		for _, s := range all {
 			sum += s.work
@@ -47,9 +47,9 @@
 				first++
 			}
 			// The bill of few may begin with a window's budget and go on at the rate.
-			bears := 2 * rules.capacityAtAge(s.at-start) * 4 * rules.OverloadMultiple * rules.OverloadWindow.Seconds()
-			if sum > bears {
-				t.Fatalf("%d sharers sent %.2f s of work within a window, %.2f is too much", sharers, sum, bears)
+			limit := 2 * rules.capacityAtAge(s.at-start) * 4 * rules.OverloadMultiple * rules.OverloadWindow.Seconds()
+			if sum > limit {
+				t.Fatalf("%d peers sent %.2f s of work within a window, %.2f is too much", peers, sum, limit)
 			}
 		}
 	})
@@ -69,9 +69,9 @@
 				}
 			}
 		}
-		share := rules.capacityAtAge(age)
-		if got := float64(joined) / 1e4; got < share-0.03 || got > share+0.03 || len(ever) < 100 {
-			t.Errorf("after %v %.2f of the dispatchers join, %d ever, want %.2f and all", age, got, len(ever), share)
+		capacity := rules.capacityAtAge(age)
+		if got := float64(joined) / 1e4; got < capacity-0.03 || got > capacity+0.03 || len(ever) < 100 {
+			t.Errorf("after %v %.2f of the dispatchers are in the rotation, %d ever, want %.2f and all", age, got, len(ever), capacity)
 		}
 	}
 }
