--- a/decision/affinity/affinity.go
+++ b/decision/affinity/affinity.go
@@ -5,7 +5,8 @@
 // The package has no state, so it is safe for concurrent use.
 package affinity
 
-// MaxWithoutPreferences is the number of dispatchers up to which there are no preferences, as each knows every worker well.
+// MaxWithoutPreferences is the number of dispatchers up to which there are no preferences, as each one knows every
+// worker well.
 const MaxWithoutPreferences = 16
 
 // maxPremium is by what fraction the least preferred worker costs more than the most preferred.
--- a/decision/fairshare/fairshare.go
+++ b/decision/fairshare/fairshare.go
@@ -24,13 +24,14 @@
 type Quotas struct {
 	rates         []float64 // requests a second over all dispatchers; 0 for no limit
 	usage         []usage
-	localFraction float64
+	localFraction float64 // this dispatcher's fraction of the work that the fleet has in use
 	nextSampleAt  time.Duration
 }
 
+// usage is what a tenant has used of its quota and what has not drained yet.
 type usage struct {
-	requests float64 // that have not yet been made up for
-	at       time.Duration
+	requests float64
+	at       time.Duration // when requests was last drained
 }
 
 // SetRates takes over the tenants' rates, in requests per second over all dispatchers, 0 for no limit, and the
--- a/decision/forecast/pace.go
+++ b/decision/forecast/pace.go
@@ -72,8 +72,8 @@
 	return &f.estimates[class]
 }
 
-// runEstimate estimates how long jobs of a class take at a worker of mean pace: by their hints, unless the class's mean has
-// turned out to be the better estimate.
+// runEstimate estimates how long jobs of a class take at a worker of mean pace: by their hints, unless the class's mean
+// has turned out to be the better estimate.
 type runEstimate struct {
 	meanRun    float64 // seconds
 	hintRatio  float64 // mean logarithm of the ratio of run time to hint
--- a/decision/shedding/shedding.go
+++ b/decision/shedding/shedding.go
@@ -23,7 +23,9 @@
 // Shedder follows the fraction of late starts. The zero value rejects nothing.
 type Shedder struct {
 	meanValue, meanWork float64 // of recent requests; work in seconds
-	level               float64 // 0 to 1: fraction rejected of less valuable work; 1 to 2: all of that, and level-1 of the rest
+	// level is, up to 1, the fraction of less valuable work that is rejected; above 1, all of that is rejected and the
+	// fraction level-1 of the rest.
+	level float64
 }
 
 // RejectFraction records a new request, by its value and its seconds of work, and returns the fraction of such requests
--- a/decision/waittime/waittime.go
+++ b/decision/waittime/waittime.go
@@ -24,6 +24,7 @@
 // Waits are the mean waits of both groups. The zero value has recorded no wait.
 type Waits struct{ means [2]mean }
 
+// mean is the mean wait of a group, as of a time.
 type mean struct {
 	wait float64 // relative to the mean run time
 	at   time.Duration
