--- a/decision/event.go
+++ b/decision/event.go
@@ -104,7 +104,6 @@
 	PriorAttempts []AttemptRecord // RequestArrived: the attempts of an earlier process of this dispatcher
 	Health        Health
 	Settings      *Config // classes keep their indexes, and new ones come after them
-	Processes     int     // of this dispatcher, which divide its part of the warm-up budgets
 }
 
 // AttemptRecord is what a dispatcher knows of an attempt. Processes hand it to their successors as JSON, by
