--- a/internal/dispatcher/settings/fleet.go
+++ b/internal/dispatcher/settings/fleet.go
@@ -5,7 +5,8 @@
 	"slices"
 )
 
-// fleet reads what the names of zones and kinds lead to.
+// fleet reads what depends on the names of zones and kinds, and returns these names. It sets what the platform's form
+// needs beside the values of single keys.
 func (r *reader) fleet(tree map[string]any) (zones, kinds []any) {
 	zones, _ = r.own["fleet.zones"].([]any)
 	kinds, _ = r.own["fleet.kinds"].([]any)
@@ -17,28 +18,11 @@
 		settings["zone"] = max(i, 0)
 	}
 	settings["weights"] = "none"
-	many, named := r.own["fleet.dispatchers"].(int64)
-	if number, _ := r.own["fleet.number"].(int64); number >= max(many, 1) && (named || number > 0) {
-		r.addError("fleet.number", fmt.Sprintf("%d is not the number of one of %d dispatchers, which count from 0", number, max(many, 1)))
-	}
+	r.checkNumber()
 	if r.own["fleet.weights"] == true {
 		settings["weights"] = "listed"
 	}
-	columns, _ := r.own["probes.columns"].([]any)
-	family := settings["family-info"].(map[string]any)
-	free, named := r.own["probes.free_slots"].(string)
-	if named {
-		if !slices.Contains(columns, any(free)) {
-			r.addError("probes.free_slots", fmt.Sprintf("%q is not among probes.columns", free))
-		}
-		family["report-"+free] = "free slots"
-	}
-	if err := knownColumns(slices.DeleteFunc(slices.Clone(columns), func(c any) bool { return named && c == free })); err != nil {
-		r.addError("probes.columns", err.Error())
-	}
-	if r.own["probes.report"] != "none" && len(columns) == 0 {
-		r.addError("probes.report", "probes.columns does not say what the reports hold")
-	}
+	r.reports(settings["family-info"].(map[string]any))
 	settings["discovery"] = "none"
 	if _, found := lookup(tree, "discovery.address"); found {
 		settings["discovery"] = map[any]string{"asked": "on_request", "pushed": "pushed"}[r.own["discovery.list"]]
@@ -49,10 +33,39 @@
 	return zones, kinds
 }
 
+// checkNumber finds a number of this dispatcher that is past the number of dispatchers.
+func (r *reader) checkNumber() {
+	dispatchers, given := r.own["fleet.dispatchers"].(int64)
+	number, _ := r.own["fleet.number"].(int64)
+	if number >= max(dispatchers, 1) && (given || number > 0) {
+		r.addError("fleet.number", fmt.Sprintf("%d is not the number of one of %d dispatchers, which count from 0", number, max(dispatchers, 1)))
+	}
+}
+
+// reports reads what load reports hold.
+func (r *reader) reports(family map[string]any) {
+	columns, _ := r.own["probes.columns"].([]any)
+	freeSlots, given := r.own["probes.free_slots"].(string)
+	if given {
+		if !slices.Contains(columns, any(freeSlots)) {
+			r.addError("probes.free_slots", fmt.Sprintf("%q is not among probes.columns", freeSlots))
+		}
+		family["report-"+freeSlots] = "free slots"
+	}
+	others := slices.DeleteFunc(slices.Clone(columns), func(c any) bool { return given && c == freeSlots })
+	if err := knownColumns(others); err != nil {
+		r.addError("probes.columns", err.Error())
+	}
+	if r.own["probes.report"] != "none" && len(columns) == 0 {
+		r.addError("probes.report", "probes.columns does not say what the reports hold")
+	}
+}
+
+// classes reads [[class]].
 func (r *reader) classes(v any, kinds []any) {
 	settings := r.platform["settings"].(map[string]any)
 	family, _ := settings["family-info"].(map[string]any)
-	var list, ofKind, priorities []any
+	var list, kindNumbers, priorities []any
 	for i, tree := range r.tables("class", v) {
 		prefix, class := fmt.Sprintf("class[%d].", i), map[string]any{}
 		r.fields(classes, prefix, tree, class)
@@ -66,18 +79,18 @@
 			r.addError(prefix+"window", "a keyed class needs the time for which repeats are dropped")
 		}
 		r.checkUnique("class", "name", i)
-		list, ofKind, priorities = append(list, class), append(ofKind, kind), append(priorities, r.own[prefix+"priority"])
+		list, kindNumbers, priorities = append(list, class), append(kindNumbers, kind), append(priorities, r.own[prefix+"priority"])
 	}
 	if family == nil {
 		family = map[string]any{}
 		settings["family-info"] = family
 	}
 	if len(list) > 0 {
-		settings["request-classes"], family["class-kind"], family["class-priority"] = list, ofKind, priorities
+		settings["request-classes"], family["class-kind"], family["class-priority"] = list, kindNumbers, priorities
 	}
 }
 
-// tenants reads who shares the fleet, and what each one's share is.
+// tenants reads [[tenant]].
 func (r *reader) tenants(v any) {
 	list := []any{}
 	for i, tree := range r.tables("tenant", v) {
@@ -89,26 +102,17 @@
 	r.platform["settings"].(map[string]any)["tenants"] = list
 }
 
-// checkUnique finds a value of an item of a list that an earlier one has too.
-func (r *reader) checkUnique(list, key string, i int) {
-	at := func(j int) string { return fmt.Sprintf("%s[%d].%s", list, j, key) }
-	for j := range i {
-		if v := r.own[at(i)]; v != nil && v == r.own[at(j)] {
-			r.addError(at(i), fmt.Sprintf("%q is there twice", v))
-		}
-	}
-}
-
+// runners reads [[runner]], a fixed list.
 func (r *reader) runners(v any, zones, kinds []any) {
 	var list []any
 	for i, tree := range r.tables("runner", v) {
 		prefix, runner := fmt.Sprintf("runner[%d].", i), map[string]any{"state": "SERVING", "boot_ms": 0}
 		r.fields(runners, prefix, tree, runner)
 		for _, named := range []struct {
-			key  string
-			list []any
+			key   string
+			names []any
 		}{{"zone", zones}, {"kind", kinds}} {
-			if name := r.own[prefix+named.key]; name != nil && !slices.Contains(named.list, name) {
+			if name := r.own[prefix+named.key]; name != nil && !slices.Contains(named.names, name) {
 				r.addError(prefix+named.key, fmt.Sprintf("%q is not among fleet.%ss", name, named.key))
 			}
 		}
@@ -120,6 +124,16 @@
 	}
 }
 
+// checkUnique finds a value of a list's item that an earlier item has too.
+func (r *reader) checkUnique(list, key string, item int) {
+	at := func(i int) string { return fmt.Sprintf("%s[%d].%s", list, i, key) }
+	for i := range item {
+		if v := r.own[at(item)]; v != nil && v == r.own[at(i)] {
+			r.addError(at(item), fmt.Sprintf("%q is there twice", v))
+		}
+	}
+}
+
 // tables returns the items of [[key]].
 func (r *reader) tables(key string, v any) (out []map[string]any) {
 	list, ok := v.([]any)
@@ -127,11 +141,11 @@
 		r.addError(key, "it is written [["+key+"]], once for each")
 	}
 	for i, item := range list {
-		t, ok := item.(map[string]any)
+		table, ok := item.(map[string]any)
 		if !ok {
 			r.addError(fmt.Sprintf("%s[%d]", key, i), "it is no table")
 		}
-		out = append(out, t)
+		out = append(out, table)
 	}
 	return out
 }
--- a/internal/dispatcher/settings/schema.go
+++ b/internal/dispatcher/settings/schema.go
@@ -1,25 +1,22 @@
 package settings
 
-import (
-	"time"
-)
+import "time"
 
-// field is one key of the file: what it may hold, what it is without a word, and where
-// its value goes.
+// field is one key of the file.
 type field struct {
 	key         string
-	parse       func(any) (any, error) // from TOML's value to the platform's or our own
-	platformKey string                 // path in the platform's form; empty for ours
-	fallback    any                    // as TOML would have it; nil for none
+	parse       func(any) (any, error) // checks TOML's value and returns the platform's or this package's
+	platformKey string                 // dotted key of the platform's form; empty if that has none
+	fallback    any                    // the default, as TOML would have it; nil for none
 }
 
-// Times of the platform's form are microseconds.
+// microsecond is the unit of times in the platform's form.
 const microsecond = time.Microsecond
 
-// longest is the largest time that a key may hold; the platform's form has the same.
-const longest = time.Duration(1<<50) * time.Microsecond
+// maxDuration is the longest time that a key may hold. The platform's form has the same bound.
+const maxDuration = time.Duration(1<<50) * time.Microsecond
 
-// schema holds the keys outside of the lists of classes and runners.
+// schema holds all keys but those of the lists below.
 var schema = []field{
 	{"name", nonEmptyString, "name", "frosttide"},
 	{"seed", nonEmptyString, "seed", nil},
@@ -142,8 +139,8 @@
 	{"weight", number(0, 1e6), "capacity_hint", 1.0},
 }
 
-// secret are the keys whose values nobody is shown.
+// secret holds the keys whose values are not shown.
 var secret = map[string]bool{"telemetry.otlp.headers": true}
 
-// required are the keys that have no value without a word.
+// required holds the keys of lists that have to be set.
 var required = map[string]bool{"name": true, "wanted_within": true, "give_up": true, "id": true, "address": true}
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -1,10 +1,13 @@
-// Package settings reads the TOML file in which an installation says everything in
-// plain words and units. What the platform's JSON file can say too is brought into that
-// file's form, so that both go the same way from there; the rest is of this package's
-// own types. All mistakes are told at once, each with file, line, key and reason.
+// Package settings reads the TOML file in which operators configure an installation in plain words and units. Values that
+// the platform's JSON file can hold too are brought into that file's form, so that both are read in the same way from
+// there on; the others have types of this package. Package config calls it. It has no state and is safe for concurrent
+// use.
+//
+// All errors of a file are returned at once, each with file, line, key and reason.
 package settings
 
 import (
+	"cmp"
 	"errors"
 	"fmt"
 	"os"
@@ -15,27 +18,27 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// KeyError is one thing that is wrong with a file.
+// KeyError is one error of a file.
 type KeyError struct {
 	Path   string
-	Line   int // 0 where no line can be named
+	Line   int // 0 if none can be named
 	Key    string
 	Reason string
 }
 
-// Error returns the mistake with its place, as FILE:LINE: KEY: REASON, as far as these are known.
-func (m KeyError) Error() string {
-	at := m.Path
-	if m.Line > 0 {
-		at = fmt.Sprintf("%s:%d", m.Path, m.Line)
+// Error returns the error as FILE:LINE: KEY: REASON, without the line or the key if there is none.
+func (e KeyError) Error() string {
+	at := e.Path
+	if e.Line > 0 {
+		at = fmt.Sprintf("%s:%d", e.Path, e.Line)
 	}
-	if m.Key == "" {
-		return at + ": " + m.Reason
+	if e.Key == "" {
+		return at + ": " + e.Reason
 	}
-	return fmt.Sprintf("%s: %s: %s", at, m.Key, m.Reason)
+	return fmt.Sprintf("%s: %s: %s", at, e.Key, e.Reason)
 }
 
-// Read reads a file. Its error joins every Mistake there is.
+// Read reads a file. The error of its content joins all KeyErrors.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -44,76 +47,81 @@
 	return Parse(path, text)
 }
 
-// Parse reads a file's text; the path is only named in what it says.
+// Parse reads a file's content. The path is used in errors and sources only.
 func Parse(path string, text []byte) (*File, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
-		var at *toml.DecodeError
-		if errors.As(err, &at) {
-			line, _ := at.Position()
-			return nil, KeyError{Path: path, Line: line, Reason: strings.TrimPrefix(at.Error(), "toml: ")}
-		}
-		return nil, KeyError{Path: path, Reason: err.Error()}
+		return nil, syntaxError(path, err)
 	}
-	r := &reader{path: path, lines: keyLines(text), own: map[string]any{},
-		platform: map[string]any{}, knownKeys: map[string]bool{}}
+	r := &reader{path: path, lines: keyLines(text), own: map[string]any{}, platform: map[string]any{}, knownKeys: map[string]bool{}}
 	r.fields(schema, "", tree, r.platform)
 	zones, kinds := r.fleet(tree)
-	if g := r.gearman(); g.Listen != "" {
-		if len(g.Functions) == 0 {
-			r.addError("gearman.functions", "a front without functions serves nobody")
-		}
-		if (g.Certificate == "") != (g.Key == "") {
-			r.addError("gearman.key", "a certificate and its key go together")
-		}
-		for key, of := range map[string][]any{"zone": zones, "kind": kinds} {
-			if name := ownValue[string](r, "gearman."+key); name != "" && !slices.Contains(of, any(name)) {
-				r.addError("gearman."+key, fmt.Sprintf("%q is not among fleet.%ss", name, key))
-			}
-		}
-	}
-	if f, o, m := ownValue[time.Duration](r, "state.fresh"), ownValue[time.Duration](r, "state.old"), ownValue[time.Duration](r, "state.max_age"); f > o || o > m {
-		r.addError("state.old", "the ages fresh, old and max_age don't rise")
-	}
+	r.checkGearman(zones, kinds)
+	r.checkState()
 	r.checkCluster()
 	r.classes(tree["class"], kinds)
 	r.tenants(tree["tenant"])
 	r.runners(tree["runner"], zones, kinds)
 	r.findUnknownKeys("", tree)
-	if len(r.keyErrors) > 0 {
-		slices.SortStableFunc(r.keyErrors, func(a, b KeyError) int { return a.Line - b.Line })
-		var all []error
-		for _, m := range r.keyErrors {
-			all = append(all, m)
-		}
-		return nil, errors.Join(all...)
+	if err := r.err(); err != nil {
+		return nil, err
+	}
+	return &File{
+		Path:      path,
+		Platform:  r.platform,
+		Log:       Log{Level: ownValue[string](r, "log.level"), Format: ownValue[string](r, "log.format")},
+		State:     r.state(),
+		Cluster:   r.cluster(),
+		Gang:      r.gang(),
+		Gearman:   r.gearman(),
+		Telemetry: r.telemetry(),
+		Values:    r.values,
+	}, nil
+}
+
+// syntaxError returns the KeyError of a file that is no TOML.
+func syntaxError(path string, err error) error {
+	var at *toml.DecodeError
+	if errors.As(err, &at) {
+		line, _ := at.Position()
+		return KeyError{Path: path, Line: line, Reason: strings.TrimPrefix(at.Error(), "toml: ")}
 	}
-	return &File{Path: path, Platform: r.platform, Values: r.values, Telemetry: r.telemetry(), State: r.state(), Cluster: r.cluster(), Gang: r.gang(), Gearman: r.gearman(),
-		Log: Log{Level: ownValue[string](r, "log.level"), Format: ownValue[string](r, "log.format")}}, nil
+	return KeyError{Path: path, Reason: err.Error()}
 }
 
-// reader gathers what a file says and what is wrong with it.
+// reader collects a file's values and errors.
 type reader struct {
 	path      string
-	lines     map[string]int
-	platform  map[string]any
-	own       map[string]any
+	lines     map[string]int // of keys, from 1
+	platform  map[string]any // values in the platform's form
+	own       map[string]any // all values, by key
 	knownKeys map[string]bool
 	values    []Value
 	keyErrors []KeyError
 }
 
+// err returns the errors by line, nil if there is none.
+func (r *reader) err() error {
+	slices.SortStableFunc(r.keyErrors, func(a, b KeyError) int { return cmp.Compare(a.Line, b.Line) })
+	var all []error
+	for _, e := range r.keyErrors {
+		all = append(all, e)
+	}
+	return errors.Join(all...)
+}
+
+// addError adds an error of a key, with the line of the key or of the nearest table around it that has one.
 func (r *reader) addError(key, reason string) {
 	line := r.lines[key]
-	for at := key; line == 0 && at != ""; { // the nearest table that has a line
-		cut := strings.LastIndexAny(at, ".[")
-		at = at[:max(cut, 0)]
+	for at := key; line == 0 && at != ""; {
+		end := strings.LastIndexAny(at, ".[")
+		at = at[:max(end, 0)]
 		line = r.lines[at]
 	}
 	r.keyErrors = append(r.keyErrors, KeyError{Path: r.path, Line: line, Key: key, Reason: reason})
 }
 
-// fields reads the keys of one table, and gives those that are not there their default.
+// fields reads the keys of one table into own and the platform's form. A key that the table lacks has its default.
 func (r *reader) fields(of []field, prefix string, tree, platform map[string]any) {
 	for _, f := range of {
 		key := prefix + f.key
@@ -128,15 +136,15 @@
 			}
 			continue
 		}
-		out, err := f.parse(v)
+		parsed, err := f.parse(v)
 		if err != nil {
 			r.addError(key, err.Error())
 			continue
 		}
 		if f.platformKey != "" {
-			set(platform, f.platformKey, out)
+			set(platform, f.platformKey, parsed)
 		}
-		r.own[key] = out
+		r.own[key] = parsed
 		text := formatTOML(v)
 		if secret[key] {
 			text = "(not shown)"
@@ -144,3 +152,30 @@
 		r.values = append(r.values, Value{Key: key, Text: text, Source: source, PlatformKey: f.platformKey})
 	}
 }
+
+// checkGearman finds values of Gearman that contradict each other.
+func (r *reader) checkGearman(zones, kinds []any) {
+	g := r.gearman()
+	if g.Listen == "" {
+		return
+	}
+	if len(g.Functions) == 0 {
+		r.addError("gearman.functions", "a front without functions serves nobody")
+	}
+	if (g.Certificate == "") != (g.Key == "") {
+		r.addError("gearman.key", "a certificate and its key go together")
+	}
+	for key, names := range map[string][]any{"zone": zones, "kind": kinds} {
+		if name := ownValue[string](r, "gearman."+key); name != "" && !slices.Contains(names, any(name)) {
+			r.addError("gearman."+key, fmt.Sprintf("%q is not among fleet.%ss", name, key))
+		}
+	}
+}
+
+// checkState finds ages that do not rise.
+func (r *reader) checkState() {
+	fresh, old, maxAge := ownValue[time.Duration](r, "state.fresh"), ownValue[time.Duration](r, "state.old"), ownValue[time.Duration](r, "state.max_age")
+	if fresh > old || old > maxAge {
+		r.addError("state.old", "the ages fresh, old and max_age don't rise")
+	}
+}
--- a/internal/dispatcher/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -11,8 +11,7 @@
 
 const class = "[[class]]\nname = \"a\"\nwanted_within = \"1s\"\ngive_up = \"2s\"\n"
 
-// TestKeyErrors guards whoever writes the file: all that is wrong is told at once, each
-// with its line and key.
+// TestKeyErrors has all errors of a file returned at once, each with its line and key.
 func TestKeyErrors(t *testing.T) {
 	for _, tc := range []struct {
 		name, text string
@@ -65,20 +64,20 @@
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := Parse("f", []byte(tc.text))
 			if err == nil {
-				t.Fatal("it was taken")
+				t.Fatal("it was accepted")
 			}
 			got := strings.Split(err.Error(), "\n")
-			if tc.name == "syntax" { // the words are the library's
+			if tc.name == "syntax" { // the reason's text is the library's
 				got[0] = got[0][:min(len(got[0]), len(tc.want[0]))]
 			}
 			if diff := cmp.Diff(tc.want, got); diff != "" {
-				t.Errorf("mistakes (-want +got):\n%s", diff)
+				t.Errorf("errors (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestSample guards the sample: it is valid, and what it calls a default is one.
+// TestSample has the sample valid, and each value that it calls the default be the default.
 func TestSample(t *testing.T) {
 	f, err := Parse("sample", deploy.Sample)
 	if err != nil {
@@ -119,7 +118,7 @@
 	}
 }
 
-// TestUnits guards what plain words come to in the platform's form.
+// TestUnits has words and units converted to the platform's form.
 func TestUnits(t *testing.T) {
 	f, err := Parse("f", []byte("[discovery]\nlist=\"pushed\"\naddress=\"127.0.0.1:1\"\n[probes]\nreport=\"answers\"\ncolumns=[\"queue\",\"x0\"]\nfree_slots=\"x0\"\n"+
 		class+"[[tenant]]\nname=\"n\"\nper_second=3\n"))
@@ -146,7 +145,7 @@
 	}
 }
 
-// FuzzParse has no text end the program, and each that is not taken named with its file.
+// FuzzParse has any text lead to a file or to errors that name the file.
 func FuzzParse(f *testing.F) {
 	f.Add(deploy.Sample)
 	f.Add(deploy.Cluster)
@@ -158,12 +157,12 @@
 			t.Errorf("%v and %v", file, err)
 		}
 		if err != nil && !strings.HasPrefix(err.Error(), "f:") {
-			t.Errorf("a mistake without its file: %v", err)
+			t.Errorf("an error without its file: %v", err)
 		}
 	})
 }
 
-// TestClusterSample guards the sample of a cluster.
+// TestClusterSample has the sample of a cluster read as its comments say.
 func TestClusterSample(t *testing.T) {
 	f, err := Parse("sample", deploy.Cluster)
 	if err != nil {
--- a/internal/dispatcher/settings/tree.go
+++ b/internal/dispatcher/settings/toml.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lookup finds a dotted key.
+// lookup returns the value of a dotted key, and whether there is one.
 func lookup(tree map[string]any, key string) (any, bool) {
 	for {
 		first, rest, more := strings.Cut(key, ".")
@@ -23,7 +23,7 @@
 	}
 }
 
-// set puts a value at a dotted key.
+// set sets the value of a dotted key.
 func set(tree map[string]any, key string, v any) {
 	for {
 		first, rest, more := strings.Cut(key, ".")
@@ -40,7 +40,7 @@
 	}
 }
 
-// formatTOML writes a value as TOML would.
+// formatTOML returns a value as TOML has it; a table's members are separated by commas.
 func formatTOML(v any) string {
 	text, err := toml.Marshal(map[string]any{"v": v})
 	if err != nil {
@@ -53,29 +53,20 @@
 	return strings.TrimPrefix(out, "v = ")
 }
 
-// keyLines returns the line of each key. The text has been read before, so that it
-// holds no mistake.
+// keyLines returns the line of each key. Items of inline lists and tables have none. The text has to be valid TOML.
 func keyLines(text []byte) map[string]int {
-	lines, count := map[string]int{}, map[string]int{}
+	lines, count := map[string]int{}, map[string]int{} // count is of the items of [[key]]
 	var p unstable.Parser
 	p.Reset(text)
 	prefix := ""
 	for p.NextExpression() {
 		e := p.Expression()
-		key, line := "", 0
-		for it := e.Key(); it.Next(); {
-			n := it.Node()
-			if line == 0 {
-				line = p.Shape(n.Raw).Start.Line
-			}
-			key += "." + string(n.Data)
-			if it.IsLast() && e.Kind == unstable.ArrayTable {
-				key = strings.TrimPrefix(key, ".")
-				key = fmt.Sprintf("%s[%d]", key, count[key])
-				count[key[:strings.LastIndex(key, "[")]]++
-			}
+		key, line := expressionKey(&p, e)
+		if e.Kind == unstable.ArrayTable {
+			item := count[key]
+			count[key]++
+			key = fmt.Sprintf("%s[%d]", key, item)
 		}
-		key = strings.TrimPrefix(key, ".")
 		switch e.Kind {
 		case unstable.KeyValue:
 			key = prefix + key
@@ -85,7 +76,18 @@
 		if lines[key] == 0 {
 			lines[key] = line
 		}
-		// The items of inline lists and tables go by the line of what holds them.
 	}
 	return lines
 }
+
+// expressionKey returns the dotted key of an expression and its line.
+func expressionKey(p *unstable.Parser, e *unstable.Node) (key string, line int) {
+	for it := e.Key(); it.Next(); {
+		n := it.Node()
+		if line == 0 {
+			line = p.Shape(n.Raw).Start.Line
+		}
+		key += "." + string(n.Data)
+	}
+	return strings.TrimPrefix(key, "."), line
+}
--- a/internal/dispatcher/settings/strangers.go
+++ b/internal/dispatcher/settings/unknownkeys.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// findUnknownKeys finds the keys that nobody has read.
+// findUnknownKeys finds the keys of a table that are not in the schema. It is called after all keys have been read.
 func (r *reader) findUnknownKeys(prefix string, tree map[string]any) {
 	for _, name := range slices.Sorted(maps.Keys(tree)) {
 		key := prefix + name
@@ -38,7 +38,7 @@
 	}
 }
 
-// hasKnownKeys tells whether a key is a table that holds known keys.
+// hasKnownKeys reports whether a key is that of a table that holds known keys.
 func (r *reader) hasKnownKeys(key string) bool {
 	for known := range r.knownKeys {
 		if strings.HasPrefix(known, key+".") {
@@ -48,8 +48,7 @@
 	return false
 }
 
-// suggestion proposes a key that a stranger may have been meant as: one of the same table
-// that differs in at most two letters.
+// suggestion proposes the known key that an unknown one may be a misspelling of: one with a distance of at most two.
 func (r *reader) suggestion(key string) string {
 	best, closest := "", 3
 	for _, known := range slices.Sorted(maps.Keys(r.knownKeys)) {
@@ -63,8 +62,8 @@
 	return "; did you mean " + best + "?"
 }
 
-// distance returns how many letters have to be put in, taken out or changed to get from
-// one word to the other (Levenshtein).
+// distance returns how many bytes have to be inserted, removed or replaced to turn one text into the other
+// [Levenshtein 1966].
 func distance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
--- a/internal/dispatcher/settings/values.go
+++ b/internal/dispatcher/settings/values.go
@@ -12,8 +12,10 @@
 	"frosttide/internal/dispatcher/wire"
 )
 
+// wrongType returns the error of a value that is not of the wanted kind.
 func wrongType(want string, v any) error { return fmt.Errorf("%s is wanted, not %s", want, kindOf(v)) }
 
+// kindOf returns a value, or its kind if it is long, as errors show it.
 func kindOf(v any) string {
 	switch v := v.(type) {
 	case string:
@@ -27,6 +29,7 @@
 	}
 }
 
+// nonEmptyString checks a text that holds more than white space.
 func nonEmptyString(v any) (any, error) {
 	s, ok := v.(string)
 	if !ok {
@@ -38,6 +41,7 @@
 	return s, nil
 }
 
+// boolean checks a Boolean.
 func boolean(v any) (any, error) {
 	b, ok := v.(bool)
 	if !ok {
@@ -46,6 +50,7 @@
 	return b, nil
 }
 
+// stringList checks a list of different texts that are not empty.
 func stringList(v any) (any, error) {
 	list, ok := v.([]any)
 	if !ok {
@@ -61,7 +66,7 @@
 	return list, nil
 }
 
-// stringTable holds names with a text each.
+// stringTable checks a table whose values are texts.
 func stringTable(v any) (any, error) {
 	m, ok := v.(map[string]any)
 	if !ok {
@@ -78,6 +83,7 @@
 	return out, nil
 }
 
+// address checks a host and port.
 func address(v any) (any, error) {
 	s, ok := v.(string)
 	if !ok {
@@ -93,15 +99,17 @@
 	return s, nil
 }
 
-func oneOf(words ...string) func(any) (any, error) {
+// oneOf checks a text that is one of some.
+func oneOf(allowed ...string) func(any) (any, error) {
 	return func(v any) (any, error) {
-		if s, ok := v.(string); ok && slices.Contains(words, s) {
+		if s, ok := v.(string); ok && slices.Contains(allowed, s) {
 			return s, nil
 		}
-		return nil, fmt.Errorf("%s is none of %s", kindOf(v), strings.Join(words, ", "))
+		return nil, fmt.Errorf("%s is none of %s", kindOf(v), strings.Join(allowed, ", "))
 	}
 }
 
+// integer checks an integer within bounds.
 func integer(minimum, maximum int64) func(any) (any, error) {
 	return func(v any) (any, error) {
 		n, ok := v.(int64)
@@ -115,6 +123,7 @@
 	}
 }
 
+// number checks a number within bounds.
 func number(minimum, maximum float64) func(any) (any, error) {
 	return func(v any) (any, error) {
 		x, ok := v.(float64)
@@ -131,7 +140,7 @@
 	}
 }
 
-// duration reads a time such as "250ms".
+// duration reads a time such as "250ms", from a minimum to maxDuration.
 func duration(minimum time.Duration) func(any) (any, error) {
 	return func(v any) (any, error) {
 		s, ok := v.(string)
@@ -142,14 +151,14 @@
 		if err != nil {
 			return nil, fmt.Errorf(`%q is no time such as "10s" or "250ms"`, s)
 		}
-		if d < minimum || d > longest {
-			return nil, fmt.Errorf("%s is not from %s to %s", d, minimum, longest)
+		if d < minimum || d > maxDuration {
+			return nil, fmt.Errorf("%s is not from %s to %s", d, minimum, maxDuration)
 		}
 		return d, nil
 	}
 }
 
-// micros reads a time for the platform's form.
+// micros reads a time as microseconds, as the platform's form has it.
 func micros(minimum time.Duration) func(any) (any, error) {
 	read := duration(minimum)
 	return func(v any) (any, error) {
@@ -161,12 +170,13 @@
 	}
 }
 
+// units are those of sizes. B is last, as all others end with it.
 var units = []struct {
 	name  string
 	bytes int64
 }{{"KB", 1 << 10}, {"MB", 1 << 20}, {"GB", 1 << 30}, {"B", 1}}
 
-// size reads a number of bytes such as "4MB", in powers of 1,024.
+// size reads a number of bytes such as "4MB", in powers of 1,024, within bounds in bytes.
 func size(minimum, maximum int64) func(any) (any, error) {
 	return func(v any) (any, error) {
 		s, ok := v.(string)
@@ -191,6 +201,7 @@
 	}
 }
 
+// bytesText returns a size in the largest unit that it holds.
 func bytesText(n int64) string {
 	for _, u := range []int{2, 1, 0} {
 		if n >= units[u].bytes {
@@ -200,6 +211,7 @@
 	return fmt.Sprintf("%dB", n)
 }
 
+// megabytes reads a size as MiB, within bounds in MiB.
 func megabytes(minimum, maximum int64) func(any) (any, error) {
 	read := size(minimum<<20, maximum<<20)
 	return func(v any) (any, error) {
@@ -211,7 +223,7 @@
 	}
 }
 
-// knownColumns are the words that load reports may use for what they hold.
+// knownColumns returns an error for a column that load reports can't hold.
 func knownColumns(list []any) error {
 	for _, name := range list {
 		if !wire.KnownColumn(name.(string)) {
