--- a/internal/dispatcher/loadreport/loadreport.go
+++ b/internal/dispatcher/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport reads the load reports of runners, which come as JSON
-// objects or in a header.
+// Package loadreport reads the load reports of runners, which are JSON objects or the value of a header. The connections
+// to runners use it. It is safe for concurrent use.
 package loadreport
 
 import (
@@ -10,10 +10,9 @@
 	"strings"
 )
 
-// Parse reads a report written as a JSON object, or as in a header, and returns its
-// values in the order of columns, NaN for one that is missing; nil where there is no
-// report. Guards a runner that leaves a figure out from looking full or empty. Guards probes of runners that write the body of /_load as they write the
-// header: what they say would be lost.
+// Parse reads a report in the form of a JSON object or of the header, as some runners write the body of /_load, and
+// returns its values in the order of columns. A value that is missing is NaN, so that such a runner looks neither full
+// nor empty. It returns nil if there is no report or no column.
 func Parse(text []byte, columns []string) []float32 {
 	if bytes.HasPrefix(text, []byte(headerForm)) {
 		return ParseHeader(string(text), columns)
@@ -31,10 +30,10 @@
 	return load
 }
 
-// headerForm begins a report that is written as name=value pairs.
+// headerForm is the start of a report that is name=value pairs.
 const headerForm = "TEXT "
 
-// ParseHeader reads a report written as "TEXT name=value, name=value".
+// ParseHeader reads a report in the form "TEXT name=value, name=value" and returns it as Parse does.
 func ParseHeader(text string, columns []string) []float32 {
 	text, ok := strings.CutPrefix(text, headerForm)
 	if !ok || len(columns) == 0 {
@@ -53,7 +52,7 @@
 	return load
 }
 
-// unknownValues returns a report that says nothing.
+// unknownValues returns a report all of whose values are missing.
 func unknownValues(n int) []float32 {
 	load := make([]float32, n)
 	for i := range load {
--- a/internal/dispatcher/loadreport/loadreport_test.go
+++ b/internal/dispatcher/loadreport/loadreport_test.go
@@ -8,8 +8,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// TestParse guards what probes find out: runners write the body of /_load as an object or
-// as they write the header.
+// TestParse has reports read in both forms, and a missing value be NaN.
 func TestParse(t *testing.T) {
 	nan := float32(math.NaN())
 	columns := []string{"queue", "latency_ms", "x0"}
@@ -30,7 +29,7 @@
 	}
 }
 
-// FuzzParse has no report be longer than the columns, whatever a runner writes.
+// FuzzParse has any report return nil or as many values as there are columns.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"x0":3,"queue":1}`))
 	f.Add([]byte("TEXT queue=2, latency_ms=64.5, x0=3.5"))
--- a/internal/dispatcher/monotime/monotime_test.go
+++ b/internal/dispatcher/monotime/monotime_test.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// TestThere has a time come back as it went, and moments follow it.
-func TestThere(t *testing.T) {
+// TestRoundTrip has a time converted and converted back be the same, and conversions keep the order of times.
+func TestRoundTrip(t *testing.T) {
 	at := time.Now().Add(3 * time.Second)
 	if off := Time(Of(at)).Sub(at).Abs(); off > time.Second {
-		t.Errorf("a time came back %v off", off)
+		t.Errorf("a time is %v off when converted back", off)
 	}
 	if Of(at.Add(time.Minute))-Of(at) < 59*time.Second {
-		t.Error("moments do not follow their times")
+		t.Error("conversions do not keep the distance of times")
 	}
 	if previous := Now(); Now() < previous || previous <= 0 {
-		t.Error("moments go back")
+		t.Error("the time since the machine's start goes back")
 	}
 }
--- a/internal/dispatcher/neterr/listener.go
+++ b/internal/dispatcher/neterr/listener.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
+// The bounds of the wait before another accept, which doubles with each error.
 const (
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 160 * time.Millisecond
 )
 
-// Listener is a listener whose Accept ends with the listener only: it tries again, after a pause
-// that doubles up to a bound, whatever else accept says. Guards a server from ending for good by
-// an error that passes, as net/http's does by those that it does not know.
+// Listener is a listener whose Accept fails only when the listener itself has ended. It retries after all other errors,
+// while net/http's server would end for good by those that it does not know.
 type Listener struct {
 	net.Listener
-	// OnError is told of each error that is tried again; nil for nobody.
+	// OnError is called with each error that is retried, on the goroutine of Accept; nil for none.
 	OnError func(error)
 }
 
--- a/internal/dispatcher/neterr/neterr_test.go
+++ b/internal/dispatcher/neterr/neterr_test.go
@@ -13,7 +13,7 @@
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// TestClasses has each error that Linux documents for connect and accept in its class.
+// TestClasses has each error that Linux documents for connect and accept classified.
 func TestClasses(t *testing.T) {
 	for _, tc := range []struct {
 		errno                        syscall.Errno
@@ -49,7 +49,7 @@
 			t.Errorf("%v: local %t", tc.errno, got)
 		}
 		if got := Retryable(err); got != tc.retryable {
-			t.Errorf("%v: try again %t", tc.errno, got)
+			t.Errorf("%v: retryable %t", tc.errno, got)
 		}
 		if got := EndsListener(err); got != tc.endsAccept {
 			t.Errorf("%v: ends a listener %t", tc.errno, got)
@@ -57,7 +57,7 @@
 	}
 }
 
-// failing is a listener that fails by a list of errors and then closes.
+// failing is a listener whose Accept returns a list of errors, and then that it is closed.
 type failing struct {
 	net.Listener
 	errs []error
@@ -72,7 +72,7 @@
 	return nil, err
 }
 
-// TestListener has a listener outlive each error but its own end.
+// TestListener has a listener retry after each error but its own end.
 func TestListener(t *testing.T) {
 	errs := []error{wrapped("accept", syscall.ENOBUFS), wrapped("accept", syscall.EPROTO), wrapped("accept", syscall.ENETUNREACH)}
 	var retried []error
