--- a/internal/dispatcher/export/export_test.go
+++ b/internal/dispatcher/export/export_test.go
@@ -128,11 +128,24 @@
 // TestRetryAfter has the header's wait read in both forms, and bounded.
 func TestRetryAfter(t *testing.T) {
 	now := time.Date(2026, 1, 1, 12, 0, 0, 0, time.UTC)
-	for text, want := range map[string]time.Duration{"": 0, "2": 2 * time.Second, "-1": 0, "soon": 0, "99999999999": maxRetryAfter, "3600": maxRetryAfter,
-		"Thu, 01 Jan 2026 12:00:05 GMT": 5 * time.Second, "Thu, 01 Jan 2026 11:00:00 GMT": 0} {
-		if got := retryAfter(text, now); got != want {
-			t.Errorf("%q: %s, want %s", text, got, want)
-		}
+	for _, tc := range []struct {
+		name, text string
+		want       time.Duration
+	}{
+		{"none", "", 0},
+		{"seconds", "2", 2 * time.Second},
+		{"negative", "-1", 0},
+		{"malformed", "soon", 0},
+		{"too many digits", "99999999999", maxRetryAfter},
+		{"past the bound", "3600", maxRetryAfter},
+		{"date", "Thu, 01 Jan 2026 12:00:05 GMT", 5 * time.Second},
+		{"past date", "Thu, 01 Jan 2026 11:00:00 GMT", 0},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := retryAfter(tc.text, now); got != tc.want {
+				t.Errorf("it is %s, want %s", got, tc.want)
+			}
+		})
 	}
 }
 
--- a/internal/dispatcher/loadreport/loadreport_test.go
+++ b/internal/dispatcher/loadreport/loadreport_test.go
@@ -12,17 +12,22 @@
 func TestParse(t *testing.T) {
 	nan := float32(math.NaN())
 	columns := []string{"queue", "latency_ms", "x0"}
-	for text, want := range map[string][]float32{
-		`{"x0":3,"queue":1}`:                    {1, nan, 3},
-		"TEXT queue=2, latency_ms=64.5, x0=3.5": {2, 64.5, 3.5},
-		"TEXT x0=1,other=9":                     {nan, nan, 1},
-		"":                                      nil,
-		"ok":                                    nil,
-		`{}`:                                    nil,
+	for _, tc := range []struct {
+		name, text string
+		want       []float32
+	}{
+		{"object", `{"x0":3,"queue":1}`, []float32{1, nan, 3}},
+		{"header", "TEXT queue=2, latency_ms=64.5, x0=3.5", []float32{2, 64.5, 3.5}},
+		{"unknown column", "TEXT x0=1,other=9", []float32{nan, nan, 1}},
+		{"empty", "", nil},
+		{"another text", "ok", nil},
+		{"empty object", `{}`, nil},
 	} {
-		if diff := cmp.Diff(want, Parse([]byte(text), columns), cmpopts.EquateNaNs()); diff != "" {
-			t.Errorf("%q: %s", text, diff)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			if diff := cmp.Diff(tc.want, Parse([]byte(tc.text), columns), cmpopts.EquateNaNs()); diff != "" {
+				t.Errorf("(-want +got):\n%s", diff)
+			}
+		})
 	}
 	if got := Parse([]byte("TEXT queue=2"), nil); got != nil {
 		t.Errorf("without columns: %v, want nothing", got)
@@ -36,7 +41,7 @@
 	f.Add([]byte("TEXT x0=nan,queue=1e999,=,"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if got := Parse(text, []string{"queue", "x0"}); got != nil && len(got) != 2 {
-			t.Errorf("%q led to %v", text, got)
+			t.Errorf("%q leads to %v", text, got)
 		}
 	})
 }
--- a/internal/dispatcher/monotime/monotime_test.go
+++ b/internal/dispatcher/monotime/monotime_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRoundTrip has a time converted and converted back be the same, and conversions keep the order of times.
-func TestRoundTrip(t *testing.T) {
+// TestThere has a time converted and converted back be the same, and conversions keep the order of times.
+func TestThere(t *testing.T) {
 	at := time.Now().Add(3 * time.Second)
 	if off := Time(Of(at)).Sub(at).Abs(); off > time.Second {
 		t.Errorf("a time is %v off when converted back", off)
--- a/internal/dispatcher/neterr/neterr_test.go
+++ b/internal/dispatcher/neterr/neterr_test.go
@@ -44,16 +44,18 @@
 		{syscall.ENOTSOCK, false, false, true},
 		{syscall.EFAULT, false, false, true},
 	} {
-		err := wrapped("connect", tc.errno)
-		if got := Local(err); got != tc.local {
-			t.Errorf("%v: local %t", tc.errno, got)
-		}
-		if got := Retryable(err); got != tc.retryable {
-			t.Errorf("%v: retryable %t", tc.errno, got)
-		}
-		if got := EndsListener(err); got != tc.endsAccept {
-			t.Errorf("%v: ends a listener %t", tc.errno, got)
-		}
+		t.Run(tc.errno.Error(), func(t *testing.T) {
+			err := wrapped("connect", tc.errno)
+			if got := Local(err); got != tc.local {
+				t.Errorf("local %t", got)
+			}
+			if got := Retryable(err); got != tc.retryable {
+				t.Errorf("retryable %t", got)
+			}
+			if got := EndsListener(err); got != tc.endsAccept {
+				t.Errorf("ends a listener %t", got)
+			}
+		})
 	}
 }
 
--- a/internal/dispatcher/rosterpolicy/rosterpolicy_test.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy_test.go
@@ -19,11 +19,24 @@
 // TestAge has ages classed by the bounds, and confirmations from the future count as very old.
 func TestAge(t *testing.T) {
 	now := 20000 * day
-	for age, want := range map[time.Duration]Age{-day: VeryOld, -time.Second: Fresh, 0: Fresh, time.Minute: Fresh, time.Hour: Old,
-		2 * time.Hour: VeryOld, 2 * day: Unusable} {
-		if got := bounds.Age(now, now-age); got != want {
-			t.Errorf("%s: %s, want %s", age, got, want)
-		}
+	for _, tc := range []struct {
+		name string
+		age  time.Duration
+		want Age
+	}{
+		{"from the future", -day, VeryOld},
+		{"within the skew of clocks", -time.Second, Fresh},
+		{"just now", 0, Fresh},
+		{"a minute", time.Minute, Fresh},
+		{"an hour", time.Hour, Old},
+		{"two hours", 2 * time.Hour, VeryOld},
+		{"two days", 2 * day, Unusable},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := bounds.Age(now, now-tc.age); got != tc.want {
+				t.Errorf("it is %s, want %s", got, tc.want)
+			}
+		})
 	}
 }
 
@@ -66,80 +79,102 @@
 	}
 }
 
-// TestBook checks the invariants of the state table over random histories. Its name is that of the folder with
-// histories that once failed.
-func TestBook(t *testing.T) {
+// TestStateTable checks the invariants of the state table over random histories.
+func TestStateTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		now := 20000 * day
-		cfg := bounds
-		cfg.Dispatchers = rapid.IntRange(1, 8).Draw(t, "dispatchers")
-		cfg.Number = rapid.IntRange(0, cfg.Dispatchers-1).Draw(t, "number")
-		var stored []Stored
-		for i := range rapid.IntRange(1, 12).Draw(t, "n") {
-			stored = append(stored, Stored{UID: fmt.Sprint("s-", i), Addr: fmt.Sprint("a-", i), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
-				Confirmed: now - time.Duration(rapid.IntRange(-3600, 200000).Draw(t, "age"))*time.Second,
-				Barred:    rapid.Bool().Draw(t, "barred"), Failing: rapid.Bool().Draw(t, "failing")})
-		}
-		table := New(cfg, now, stored, rapid.Uint64().Draw(t, "seed"))
-		down := map[string]time.Duration{} // when it was last seen not to be up
-		probing := map[string]bool{}
-		startedAt := now
-		probes := 0
+		h := newHistory(t)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
-			uids, next := table.NextProbes(now, 5)
-			if len(uids) > 5 {
-				t.Fatalf("%d are asked at once", len(uids))
-			}
-			if len(uids) == 0 && next <= now {
-				t.Fatal("it is never asked, and never waited")
-			}
-			for _, uid := range uids {
-				if s, _, _ := table.Standing(uid); probing[uid] || s == Barred || s == Rejected {
-					t.Fatalf("%s is asked, though it is %s", uid, s)
-				}
-				probing[uid] = true
-				probes++
-			}
-			if limit := probeBurst + 1 + int(float64(now-startedAt)/float64(time.Second)*cfg.ProbeRate); probes > limit {
-				t.Fatalf("%d were asked in %s", probes, now-startedAt)
-			}
-			s := stored[rapid.IntRange(0, len(stored)-1).Draw(t, "who")]
+			h.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
+			h.probe(t)
+			s := h.stored[rapid.IntRange(0, len(h.stored)-1).Draw(t, "who")]
 			e := Evidence(rapid.IntRange(0, int(Impostor)).Draw(t, "evidence"))
-			previous, previousCold, _ := table.Standing(s.UID)
-			table.Observe(now, s.UID, e)
-			delete(probing, s.UID)
-			current, cold, reason := table.Standing(s.UID)
-			if !e.Good() && current == Withheld {
-				down[s.UID] = now
-			}
-			for _, uid := range func() []string { warm, _ := table.Tick(now); return warm }() {
-				if _, cold, _ := table.Standing(uid); table.Owned(uid) || now < cold+cfg.WarmUp || cold < down[uid] {
-					t.Fatalf("%s is taken for warm at %s, cold from %s", uid, now, cold)
-				}
-			}
-			switch {
-			case s.Barred && current != Barred:
-				t.Fatalf("%s was barred and is %s", s.UID, current)
-			case cfg.Age(startedAt, s.Confirmed) == Unusable && current == Used:
-				t.Fatal("one that is too old is used")
-			case previous == Withheld && current == Used && !table.Owned(s.UID):
-				t.Fatalf("%s is another's while it is cold", s.UID)
-			case e.Good() && previous == Waiting && current != Waiting, e.Good() && previous == Used && current != Used:
-				t.Fatalf("good evidence takes %s out: %s", s.UID, reason)
-			case e.Good() && previous == Used && cold != previousCold:
-				t.Fatal("good evidence makes it cold again")
-			case !e.Good() && current == Used && previous != Used:
-				t.Fatal("bad evidence puts it in")
-			case current == Used && cold < startedAt:
-				t.Fatal("it is taken for warm before anybody knows")
-			case current == Used && previous != Used && cold < down[s.UID]:
-				t.Fatal("it is taken for warmer than it can be")
-			}
+			h.observe(t, s, e)
 		}
 	})
 }
 
+// history is a state table and what has happened to it.
+type history struct {
+	cfg            Config
+	stored         []Stored
+	table          *StateTable
+	startedAt, now time.Duration
+	down           map[string]time.Duration // when a runner was last observed to be down
+	probing        map[string]bool
+	probes         int
+}
+
+func newHistory(t *rapid.T) *history {
+	h := &history{cfg: bounds, startedAt: 20000 * day, now: 20000 * day, down: map[string]time.Duration{}, probing: map[string]bool{}}
+	h.cfg.Dispatchers = rapid.IntRange(1, 8).Draw(t, "dispatchers")
+	h.cfg.Number = rapid.IntRange(0, h.cfg.Dispatchers-1).Draw(t, "number")
+	for i := range rapid.IntRange(1, 12).Draw(t, "n") {
+		h.stored = append(h.stored, Stored{UID: fmt.Sprint("s-", i), Addr: fmt.Sprint("a-", i), Zone: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "zone"),
+			Confirmed: h.now - time.Duration(rapid.IntRange(-3600, 200000).Draw(t, "age"))*time.Second,
+			Barred:    rapid.Bool().Draw(t, "barred"), Failing: rapid.Bool().Draw(t, "failing")})
+	}
+	h.table = New(h.cfg, h.now, h.stored, rapid.Uint64().Draw(t, "seed"))
+	return h
+}
+
+// probe starts the probes that the table asks for, which must keep to the limit, the rate and the standings.
+func (h *history) probe(t *rapid.T) {
+	t.Helper()
+	uids, next := h.table.NextProbes(h.now, 5)
+	if len(uids) > 5 {
+		t.Fatalf("%d are probed at once", len(uids))
+	}
+	if len(uids) == 0 && next <= h.now {
+		t.Fatal("no runner is probed, and there is nothing to wait for")
+	}
+	for _, uid := range uids {
+		if s, _, _ := h.table.Standing(uid); h.probing[uid] || s == Barred || s == Rejected {
+			t.Fatalf("%s is probed, though it is %s", uid, s)
+		}
+		h.probing[uid] = true
+		h.probes++
+	}
+	if limit := probeBurst + 1 + int(float64(h.now-h.startedAt)/float64(time.Second)*h.cfg.ProbeRate); h.probes > limit {
+		t.Fatalf("%d were probed in %s", h.probes, h.now-h.startedAt)
+	}
+}
+
+// observe has the table observe evidence of a runner, and checks what that and the time change.
+func (h *history) observe(t *rapid.T, s Stored, e Evidence) {
+	t.Helper()
+	previous, previousCold, _ := h.table.Standing(s.UID)
+	h.table.Observe(h.now, s.UID, e)
+	delete(h.probing, s.UID)
+	current, cold, reason := h.table.Standing(s.UID)
+	if !e.Good() && current == Withheld {
+		h.down[s.UID] = h.now
+	}
+	warmed, _ := h.table.Tick(h.now)
+	for _, uid := range warmed {
+		if _, cold, _ := h.table.Standing(uid); h.table.Owned(uid) || h.now < cold+h.cfg.WarmUp || cold < h.down[uid] {
+			t.Fatalf("%s counts as warm at %s, cold from %s", uid, h.now, cold)
+		}
+	}
+	switch {
+	case s.Barred && current != Barred:
+		t.Fatalf("%s was barred and is %s", s.UID, current)
+	case h.cfg.Age(h.startedAt, s.Confirmed) == Unusable && current == Used:
+		t.Fatal("a runner that is too old is used")
+	case previous == Withheld && current == Used && !h.table.Owned(s.UID):
+		t.Fatalf("%s is used while it is cold, though others own it", s.UID)
+	case e.Good() && previous == Waiting && current != Waiting, e.Good() && previous == Used && current != Used:
+		t.Fatalf("good evidence takes %s out of use: %s", s.UID, reason)
+	case e.Good() && previous == Used && cold != previousCold:
+		t.Fatal("good evidence makes a runner cold again")
+	case !e.Good() && current == Used && previous != Used:
+		t.Fatal("bad evidence brings a runner into use")
+	case current == Used && cold < h.startedAt:
+		t.Fatal("a runner counts as warm by what was stored alone")
+	case current == Used && previous != Used && cold < h.down[s.UID]:
+		t.Fatal("a runner counts as warmer than it can be")
+	}
+}
+
 // TestShares has dispatchers that do not communicate agree on the owners of each cold runner: each dispatcher owns
 // some, and no runner has more owners than its ration is divided by.
 func TestShares(t *testing.T) {
--- a/internal/dispatcher/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -11,56 +11,59 @@
 
 const class = "[[class]]\nname = \"a\"\nwanted_within = \"1s\"\ngive_up = \"2s\"\n"
 
+// wrongFiles are files with the errors that each leads to.
+var wrongFiles = []struct {
+	name, text string
+	want       []string
+}{
+	{"unknown keys", "nmae = \"a\"\n[attempts]\nmost = 3\nmots = 4\n[atempts]\n" + class, []string{
+		"f:1: nmae: there is no such key; did you mean name?",
+		"f:4: attempts.mots: there is no such key; did you mean attempts.most?",
+		"f:5: atempts: there is no such key"}},
+	{"wrong types and ranges", "[attempts]\nmost = \"three\"\nconnect_timeout = 250\n[limits]\nmemory = \"8MB\"\nsockets = 3\n[cold]\nstarts_at = 1.5\n" + class, []string{
+		`f:2: attempts.most: a whole number is wanted, not "three"`,
+		`f:3: attempts.connect_timeout: a time such as "10s" or "250ms" is wanted, not 250`,
+		"f:5: limits.memory: 8MB is not from 32MB to 1024GB",
+		"f:6: limits.sockets: 3 is not from 64 to 1048576",
+		"f:8: cold.starts_at: 1.5 is not from 0 to 1"}},
+	{"classes", class + "effect = \"keyed\"\nkind = \"x\"\n[[class]]\nname = \"a\"\nworht = 2\n", []string{
+		"f:1: class[0].window: a keyed class needs the time for which repeats are dropped",
+		`f:6: class[0].kind: "x" is not among fleet.kinds`,
+		"f:7: class[1].wanted_within: it is missing",
+		"f:7: class[1].give_up: it is missing",
+		`f:8: class[1].name: "a" is there twice`,
+		"f:9: class[1].worht: there is no such key; did you mean class[1].worth?"}},
+	{"runners beside discovery", class + "[discovery]\naddress = \"127.0.0.1:1\"\n[[runner]]\nid = \"a\"\naddress = \"nowhere\"\n", []string{
+		"f: runner: a fixed list goes without discovery; leave one of them out",
+		`f:9: runner[0].address: "nowhere" is no address such as 127.0.0.1:8081`}},
+	{"a number past the dispatchers", class + "[fleet]\ndispatchers = 80\nnumber = 80\n", []string{
+		"f:7: fleet.number: 80 is not the number of one of 80 dispatchers, which count from 0"}},
+	{"no dispatchers", class + "[fleet]\ndispatchers = 0\n", []string{"f:6: fleet.dispatchers: 0 is not from 1 to 65536"}},
+	{"tenants, reports and lists", class + "[discovery]\nlist = \"pulled\"\n[probes]\nreport = \"answers\"\ncolumns = [\"queue\"]\nfree_slots = \"x0\"\n" +
+		"[[tenant]]\nname = \"n\"\n[[tenant]]\nname = \"n\"\nper_second = -1\n[[tenant]]\n", []string{
+		`f:6: discovery.list: "pulled" is none of asked, pushed`,
+		`f:10: probes.free_slots: "x0" is not among probes.columns`,
+		`f:14: tenant[1].name: "n" is there twice`,
+		"f:15: tenant[1].per_second: -1 is not from 0 to 1e+09",
+		"f:16: tenant[2].name: it is missing"}},
+	{"a cluster", class + "[cluster]\nlisten = \"10.0.0.1:7946\"\njoin = [\"nowhere\"]\nvoters = [\"frosttide\", \"b\"]\n", []string{
+		"f:5: cluster.dir: it is missing, and \"frosttide\" votes: what it acknowledges has to be on disk",
+		"f:6: cluster.listen: members talk in plain text; say plain_text = true where that is meant",
+		`f:7: cluster.join: item 1: "nowhere" is no address such as 127.0.0.1:8081`,
+		"f:8: cluster.voters: 2 voters bear no more losses than 1; name an odd number"}},
+	{"a cluster that is everywhere", class + "[cluster]\nlisten = \"0.0.0.0:7946\"\nplain_text = true\n", []string{
+		"f:5: cluster.advertise: it has to say where others reach a dispatcher that listens everywhere",
+		"f:5: cluster.voters: it is missing; name one, three or five members"}},
+	{"a cluster without an address", class + "[cluster]\nvoters = [\"a\"]\n", []string{"f:5: cluster.listen: it is missing, and cluster.voters is there"}},
+	{"syntax", "name = \n", []string{"f:1: "}},
+	{"a table where a value is due", "[name]\nx = 1\n" + class, []string{"f:1: name: a text in quotes is wanted, not a table"}},
+	{"a value where a table is due", "listen = 3\n" + class, []string{"f:1: listen: it is written as a table, [listen]"}},
+	{"headers", class + "[telemetry.otlp]\nheaders = {a = 1}\n", []string{`f:6: telemetry.otlp.headers: its value of "a" is no text`}},
+}
+
 // TestKeyErrors has all errors of a file returned at once, each with its line and key.
 func TestKeyErrors(t *testing.T) {
-	for _, tc := range []struct {
-		name, text string
-		want       []string
-	}{
-		{"unknown keys", "nmae = \"a\"\n[attempts]\nmost = 3\nmots = 4\n[atempts]\n" + class, []string{
-			"f:1: nmae: there is no such key; did you mean name?",
-			"f:4: attempts.mots: there is no such key; did you mean attempts.most?",
-			"f:5: atempts: there is no such key"}},
-		{"wrong types and ranges", "[attempts]\nmost = \"three\"\nconnect_timeout = 250\n[limits]\nmemory = \"8MB\"\nsockets = 3\n[cold]\nstarts_at = 1.5\n" + class, []string{
-			`f:2: attempts.most: a whole number is wanted, not "three"`,
-			`f:3: attempts.connect_timeout: a time such as "10s" or "250ms" is wanted, not 250`,
-			"f:5: limits.memory: 8MB is not from 32MB to 1024GB",
-			"f:6: limits.sockets: 3 is not from 64 to 1048576",
-			"f:8: cold.starts_at: 1.5 is not from 0 to 1"}},
-		{"classes", class + "effect = \"keyed\"\nkind = \"x\"\n[[class]]\nname = \"a\"\nworht = 2\n", []string{
-			"f:1: class[0].window: a keyed class needs the time for which repeats are dropped",
-			`f:6: class[0].kind: "x" is not among fleet.kinds`,
-			"f:7: class[1].wanted_within: it is missing",
-			"f:7: class[1].give_up: it is missing",
-			`f:8: class[1].name: "a" is there twice`,
-			"f:9: class[1].worht: there is no such key; did you mean class[1].worth?"}},
-		{"runners beside discovery", class + "[discovery]\naddress = \"127.0.0.1:1\"\n[[runner]]\nid = \"a\"\naddress = \"nowhere\"\n", []string{
-			"f: runner: a fixed list goes without discovery; leave one of them out",
-			`f:9: runner[0].address: "nowhere" is no address such as 127.0.0.1:8081`}},
-		{"a number past the dispatchers", class + "[fleet]\ndispatchers = 80\nnumber = 80\n", []string{
-			"f:7: fleet.number: 80 is not the number of one of 80 dispatchers, which count from 0"}},
-		{"no dispatchers", class + "[fleet]\ndispatchers = 0\n", []string{"f:6: fleet.dispatchers: 0 is not from 1 to 65536"}},
-		{"tenants, reports and lists", class + "[discovery]\nlist = \"pulled\"\n[probes]\nreport = \"answers\"\ncolumns = [\"queue\"]\nfree_slots = \"x0\"\n" +
-			"[[tenant]]\nname = \"n\"\n[[tenant]]\nname = \"n\"\nper_second = -1\n[[tenant]]\n", []string{
-			`f:6: discovery.list: "pulled" is none of asked, pushed`,
-			`f:10: probes.free_slots: "x0" is not among probes.columns`,
-			`f:14: tenant[1].name: "n" is there twice`,
-			"f:15: tenant[1].per_second: -1 is not from 0 to 1e+09",
-			"f:16: tenant[2].name: it is missing"}},
-		{"a cluster", class + "[cluster]\nlisten = \"10.0.0.1:7946\"\njoin = [\"nowhere\"]\nvoters = [\"frosttide\", \"b\"]\n", []string{
-			"f:5: cluster.dir: it is missing, and \"frosttide\" votes: what it acknowledges has to be on disk",
-			"f:6: cluster.listen: members talk in plain text; say plain_text = true where that is meant",
-			`f:7: cluster.join: item 1: "nowhere" is no address such as 127.0.0.1:8081`,
-			"f:8: cluster.voters: 2 voters bear no more losses than 1; name an odd number"}},
-		{"a cluster that is everywhere", class + "[cluster]\nlisten = \"0.0.0.0:7946\"\nplain_text = true\n", []string{
-			"f:5: cluster.advertise: it has to say where others reach a dispatcher that listens everywhere",
-			"f:5: cluster.voters: it is missing; name one, three or five members"}},
-		{"a cluster without an address", class + "[cluster]\nvoters = [\"a\"]\n", []string{"f:5: cluster.listen: it is missing, and cluster.voters is there"}},
-		{"syntax", "name = \n", []string{"f:1: "}},
-		{"a table where a value is due", "[name]\nx = 1\n" + class, []string{"f:1: name: a text in quotes is wanted, not a table"}},
-		{"a value where a table is due", "listen = 3\n" + class, []string{"f:1: listen: it is written as a table, [listen]"}},
-		{"headers", class + "[telemetry.otlp]\nheaders = {a = 1}\n", []string{`f:6: telemetry.otlp.headers: its value of "a" is no text`}},
-	} {
+	for _, tc := range wrongFiles {
 		t.Run(tc.name, func(t *testing.T) {
 			_, err := Parse("f", []byte(tc.text))
 			if err == nil {
