--- a/internal/dispatcher/export/options.go
+++ b/internal/dispatcher/export/options.go
@@ -67,8 +67,9 @@
 		Batch:           min(env.positiveInt("OTEL_BSP_MAX_EXPORT_BATCH_SIZE", defaultBatch), maxBatch),
 		Queue:           int(cmp.Or(telemetry.Queue, defaultQueue)),
 		File:            telemetry.File,
-		Delta:           env.choice("OTEL_EXPORTER_OTLP_METRICS_TEMPORALITY_PREFERENCE", "cumulative", "cumulative", "delta", "lowmemory") != "cumulative",
-		Sampler:         env.sampler(telemetry.SampleRatio),
+		Delta: env.choice("OTEL_EXPORTER_OTLP_METRICS_TEMPORALITY_PREFERENCE", "cumulative",
+			"cumulative", "delta", "lowmemory") != "cumulative",
+		Sampler: env.sampler(telemetry.SampleRatio),
 	}
 	o.File.Size, o.File.Files = cmp.Or(o.File.Size, defaultSize), cmp.Or(o.File.Files, defaultFiles)
 	if o.Resource, err = resource(telemetry, name, getenv); err != nil {
--- a/internal/dispatcher/measures/instruments.go
+++ b/internal/dispatcher/measures/instruments.go
@@ -72,18 +72,14 @@
 // addExporterInstruments makes the instruments of the export itself.
 func (s *Set) addExporterInstruments(meter metric.Meter) error {
 	_, err := meter.Int64ObservableGauge("frosttide.export.queued", metric.WithUnit("{story}"),
-		metric.WithDescription("Stories that wait for their export."), metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
-			o.Observe(int64(s.exporter.Queued))
-			return nil
-		}))
+		metric.WithDescription("Stories that wait for their export."),
+		metric.WithInt64Callback(observe(func() int { return s.exporter.Queued })))
 	if err != nil {
 		return err
 	}
 	_, err = meter.Int64ObservableGauge("frosttide.export.queued.size", metric.WithUnit("By"),
-		metric.WithDescription("Memory that they take."), metric.WithInt64Callback(func(_ context.Context, o metric.Int64Observer) error {
-			o.Observe(int64(s.exporter.QueuedBytes))
-			return nil
-		}))
+		metric.WithDescription("Memory that they take."),
+		metric.WithInt64Callback(observe(func() int { return s.exporter.QueuedBytes })))
 	if err != nil {
 		return err
 	}
@@ -91,11 +87,14 @@
 		name, unit, text, label string
 		counts                  func() map[string]int64
 	}{
-		{"frosttide.export.sent", "{item}", "Spans and points that a collector took.", "signal", func() map[string]int64 { return s.exporter.Sent }},
-		{"frosttide.export.retried", "{call}", "Calls to a collector that were made again.", "signal", func() map[string]int64 { return s.exporter.Retried }},
-		{"frosttide.export.dropped", "{item}", "Stories and batches that were let go, by reason.", "reason", func() map[string]int64 { return s.exporter.Dropped }},
+		{"frosttide.export.sent", "{item}", "Spans and points that a collector took.", "signal",
+			func() map[string]int64 { return s.exporter.Sent }},
+		{"frosttide.export.retried", "{call}", "Calls to a collector that were made again.", "signal",
+			func() map[string]int64 { return s.exporter.Retried }},
+		{"frosttide.export.dropped", "{item}", "Stories and batches that were let go, by reason.", "reason",
+			func() map[string]int64 { return s.exporter.Dropped }},
 	} {
-		_, err := meter.Int64ObservableCounter(c.name, metric.WithUnit(c.unit), metric.WithDescription(c.text),
+		_, err = meter.Int64ObservableCounter(c.name, metric.WithUnit(c.unit), metric.WithDescription(c.text),
 			metric.WithInt64Callback(observeCounts(c.label, c.counts)))
 		if err != nil {
 			return err
@@ -104,6 +103,14 @@
 	return nil
 }
 
+// observe returns a callback that observes one figure.
+func observe(figure func() int) metric.Int64Callback {
+	return func(_ context.Context, o metric.Int64Observer) error {
+		o.Observe(int64(figure()))
+		return nil
+	}
+}
+
 // observeCounts returns a callback that observes counts by a label.
 func observeCounts(label string, counts func() map[string]int64) metric.Int64Callback {
 	return func(_ context.Context, o metric.Int64Observer) error {
--- a/internal/dispatcher/routetable/routetable_test.go
+++ b/internal/dispatcher/routetable/routetable_test.go
@@ -117,22 +117,23 @@
 	sink := &states{}
 	table := New(Config{Addr: "127.0.0.1:1", OnUpdate: func(x Update) { updates = append(updates, x) }}, quiet())
 	table.Load(update(40, true, "SERVING"), sink)
-	for i, step := range []struct {
+	for _, step := range []struct {
+		name string
 		do   func()
 		want decision.MemberState
 	}{
-		{func() { table.applyGossip(39, [][]byte{[]byte(entry("DRAINING"))}) }, decision.Ready},
-		{func() { table.applyGossip(43, [][]byte{[]byte(entry("DRAINING"))}) }, decision.Draining},
-		{func() { table.applyText(update(42, false, "SERVING")) }, decision.Draining},
-		{func() { table.applyText(update(42, true, "SERVING")) }, decision.Draining},
-		{func() { table.applyGossip(42, [][]byte{[]byte(entry("SERVING"))}) }, decision.Draining},
-		{func() { table.applyText(update(44, false, "SERVING")) }, decision.Ready},
-		{func() { table.applyGossip(50, [][]byte{[]byte(entry("DELETED")), []byte("{")}) }, decision.Removed},
-		{func() { table.applyText(update(3, true, "SERVING")) }, decision.Ready},
-		{func() { table.applyText(update(4, false, "SERVING")) }, decision.Ready},
+		{"gossip of an older version", func() { table.applyGossip(39, [][]byte{[]byte(entry("DRAINING"))}) }, decision.Ready},
+		{"gossip of a newer version", func() { table.applyGossip(43, [][]byte{[]byte(entry("DRAINING"))}) }, decision.Draining},
+		{"changes before that version", func() { table.applyText(update(42, false, "SERVING")) }, decision.Draining},
+		{"full list before that version", func() { table.applyText(update(42, true, "SERVING")) }, decision.Draining},
+		{"gossip of the version held", func() { table.applyGossip(42, [][]byte{[]byte(entry("SERVING"))}) }, decision.Draining},
+		{"changes past that version", func() { table.applyText(update(44, false, "SERVING")) }, decision.Ready},
+		{"gossip of a removal", func() { table.applyGossip(50, [][]byte{[]byte(entry("DELETED")), []byte("{")}) }, decision.Removed},
+		{"versions that count anew", func() { table.applyText(update(3, true, "SERVING")) }, decision.Ready},
+		{"changes after that", func() { table.applyText(update(4, false, "SERVING")) }, decision.Ready},
 	} {
 		if step.do(); sink.last != step.want {
-			t.Errorf("step %d leaves the runner in state %d, want %d", i, sink.last, step.want)
+			t.Errorf("%s leaves the runner in state %d, want %d", step.name, sink.last, step.want)
 		}
 	}
 	table.ApplyGossip("elsewhere", 60, [][]byte{[]byte(entry("DRAINING"))})
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -13,7 +13,6 @@
 	"os"
 	"slices"
 	"strings"
-	"time"
 
 	"github.com/pelletier/go-toml/v2"
 )
@@ -174,8 +173,8 @@
 
 // checkState finds ages that do not rise.
 func (r *reader) checkState() {
-	fresh, old, maxAge := ownValue[time.Duration](r, "state.fresh"), ownValue[time.Duration](r, "state.old"), ownValue[time.Duration](r, "state.max_age")
-	if fresh > old || old > maxAge {
+	s := r.state()
+	if s.Fresh > s.Old || s.Old > s.Max {
 		r.addError("state.old", "the ages fresh, old and max_age don't rise")
 	}
 }
--- a/internal/dispatcher/traceview/read.go
+++ b/internal/dispatcher/traceview/read.go
@@ -220,7 +220,8 @@
 		Ended:            timestamp(s.GetEndTimeUnixNano()),
 	}
 	for _, e := range s.GetEvents() {
-		attempt.Events = append(attempt.Events, Event{At: timestamp(e.GetTimeUnixNano()), Name: e.GetName(), Progress: otlp.Attributes(e.GetAttributes()).Number("frosttide.share")})
+		attempt.Events = append(attempt.Events, Event{At: timestamp(e.GetTimeUnixNano()), Name: e.GetName(),
+			Progress: otlp.Attributes(e.GetAttributes()).Number("frosttide.share")})
 	}
 	for _, l := range s.GetLinks() {
 		if otlp.Attributes(l.GetAttributes()).Text("frosttide.link") == "copy_of" {
--- a/internal/dispatcher/traceview/summary.go
+++ b/internal/dispatcher/traceview/summary.go
@@ -167,7 +167,8 @@
 // rank sorts the worst requests by lost value, then by duration, and drops those past MaxWorst.
 func (s *Summary) rank() {
 	slices.SortStableFunc(s.worst, func(a, b *Request) int {
-		return cmp.Or(cmp.Compare(lostValue(b), lostValue(a)), cmp.Compare(b.Ended.Sub(b.Received), a.Ended.Sub(a.Received)), a.Received.Compare(b.Received))
+		return cmp.Or(cmp.Compare(lostValue(b), lostValue(a)), cmp.Compare(b.Ended.Sub(b.Received), a.Ended.Sub(a.Received)),
+			a.Received.Compare(b.Received))
 	})
 	s.worst = s.worst[:min(len(s.worst), s.query.MaxWorst)]
 }
