--- a/internal/dispatcher/core/core_test.go
+++ b/internal/dispatcher/core/core_test.go
@@ -6,62 +6,24 @@
 	"testing"
 	"time"
 
-	"github.com/google/go-cmp/cmp"
 	"github.com/sirupsen/logrus"
 
 	"frosttide/decision"
 	"frosttide/internal/dispatcher/trace"
 )
 
-// emptyRouteTable is a route table that names nobody.
+// emptyRouteTable is a RouteTable without workers.
 type emptyRouteTable struct{}
 
 func (emptyRouteTable) Watch() {}
 func (emptyRouteTable) Fetch() {}
 
-// newTestCore makes a core that logs nothing and whose clock has been read.
-func newTestCore(t *testing.T) *Core {
-	t.Helper()
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	cfg := decision.Config{Classes: []decision.Class{{Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}}}
-	c, err := New(cfg, 1, openBackends{}, emptyRouteTable{}, func(int, int) {}, logrus.NewEntry(log))
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.now = c.moduleTime(time.Now())
-	return c
-}
-
-// TestRejectedRequestsAreRemoved guards the memory: nothing is left of requests that were refused
-// at once, however late their deadlines.
-func TestRejectedRequestsAreRemoved(t *testing.T) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	cfg := decision.Config{Classes: []decision.Class{{Objective: time.Second, ClientTimeout: time.Hour}}}
-	c, err := New(cfg, 1, nil, emptyRouteTable{}, func(int, int) {}, logrus.NewEntry(log))
-	if err != nil {
-		t.Fatal(err)
-	}
-	c.now = c.moduleTime(time.Now())
-	got := make(responses, 1)
-	for i := range 1000 {
-		c.handleArrival(&Job{ID: fmt.Sprint(i), Slots: 1, Deadline: time.Now().Add(time.Hour)}, got)
-		c.step()
-		if a := <-got; a.Verdict != Rejected {
-			t.Fatalf("answer %+v without a runner", a)
-		}
-	}
-	if len(c.timers) > 0 || len(c.requests) > 0 || len(c.byID) > 0 {
-		t.Errorf("%d reminders, %d requests and %d ids are left", len(c.timers), len(c.requests), len(c.byID))
-	}
-}
-
+// responses is an Ingress whose responses the test reads.
 type responses chan Response
 
-func (x responses) Respond(a Response) { x <- a }
+func (r responses) Respond(response Response) { r <- response }
 
-// openBackends remembers which targets are open.
+// openBackends remembers which backends are open.
 type openBackends map[string]bool
 
 func (o openBackends) Open(_ decision.WorkerID, uid, _ string) Backend {
@@ -69,6 +31,7 @@
 	return recordingBackend{o, uid}
 }
 
+// recordingBackend records that it is closed, and nothing else.
 type recordingBackend struct {
 	open openBackends
 	uid  string
@@ -78,53 +41,86 @@
 func (recordingBackend) Cancel(Attempt)    {}
 func (recordingBackend) Probe(time.Time)   {}
 func (recordingBackend) SetAddress(string) {}
-func (t recordingBackend) Close()          { delete(t.open, t.uid) }
+func (b recordingBackend) Close()          { delete(b.open, b.uid) }
 
-// TestWholeListKeepsOtherSources guards runners that discovery does not list against its whole lists, for the
-// core and for the module.
-func TestWholeListKeepsOtherSources(t *testing.T) {
+// newTestCore makes a core with one class that logs nothing and whose clock has been
+// read.
+func newTestCore(t *testing.T) *Core {
+	t.Helper()
+	return newTestCoreWith(t, decision.Class{Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}, openBackends{})
+}
+
+// newTestCoreWith does so with a class and backends.
+func newTestCoreWith(t *testing.T, class decision.Class, backends Backends) *Core {
+	t.Helper()
+	return newTestCoreOf(t, decision.Config{Classes: []decision.Class{class}}, backends)
+}
+
+// newTestCoreOf does so with whole settings.
+func newTestCoreOf(t *testing.T, cfg decision.Config, backends Backends) *Core {
+	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	cfg := decision.Config{Classes: []decision.Class{{Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}}}
-	open := openBackends{}
-	c, err := New(cfg, 1, open, emptyRouteTable{}, func(int, int) {}, logrus.NewEntry(log))
+	c, err := New(cfg, 1, backends, emptyRouteTable{}, func(int, int) {}, logrus.NewEntry(log))
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.now = c.moduleTime(time.Now())
-	c.updateMembers(decision.MembersChanged, []Route{{UID: "own", Addr: "x", Source: 1}})
-	c.updateMembers(decision.MembersReplaced, []Route{{UID: "a", Addr: "y"}, {UID: "b", Addr: "z"}})
-	c.updateMembers(decision.MembersReplaced, []Route{{UID: "b", Addr: "z"}})
-	c.step()
-	if !open["own"] || !open["b"] || open["a"] {
-		t.Errorf("open are %v", open)
+	return c
+}
+
+// deliverMail executes a core's mail.
+func deliverMail(c *Core) {
+	for _, message := range c.mailbox.Drain(nil) {
+		message(c)
+	}
+}
+
+// runTurns executes a core's mail and steps, as often as said: a message may cause
+// another.
+func runTurns(c *Core, turns int) {
+	for range turns {
+		deliverMail(c)
+		c.step()
+	}
+}
+
+// TestRejectedRequestsAreRemoved guards the memory: nothing is left of requests that
+// were rejected at once, however late their deadlines.
+func TestRejectedRequestsAreRemoved(t *testing.T) {
+	c := newTestCoreWith(t, decision.Class{Objective: time.Second, ClientTimeout: time.Hour}, nil)
+	got := make(responses, 1)
+	for i := range 1000 {
+		c.handleArrival(&Job{ID: fmt.Sprint(i), Slots: 1, Deadline: time.Now().Add(time.Hour)}, got)
+		c.step()
+		if response := <-got; response.Verdict != Rejected {
+			t.Fatalf("response %+v without a worker", response)
+		}
 	}
-	if held, limit := c.module.TokensInUse(c.workers["own"].number); held != 0 || limit == 0 {
-		t.Errorf("to the module the runner has %d tokens, %d at most", held, limit)
+	if len(c.timers) > 0 || len(c.requests) > 0 || len(c.byID) > 0 {
+		t.Errorf("%d timers, %d requests and %d IDs are left", len(c.timers), len(c.requests), len(c.byID))
 	}
 }
 
-// TestAttemptDoesNotStartBeforeItsRequest guards traces against a clock that was read before the
-// request came in the same batch: its hop would begin before it.
+// TestAttemptDoesNotStartBeforeItsRequest guards traces against a clock that was read
+// before the request came in the same batch: its attempt would start before it.
 func TestAttemptDoesNotStartBeforeItsRequest(t *testing.T) {
 	c := &Core{now: time.Second}
-	s := &trace.Record{Received: time.Second + time.Microsecond}
-	c.recordStart(s, nil)
-	if got := s.Attempts[0].Sent; got < s.Received {
-		t.Errorf("the hop begins at %v, its request at %v", got, s.Received)
+	record := &trace.Record{Received: time.Second + time.Microsecond}
+	c.recordStart(record, nil)
+	if got := record.Attempts[0].Sent; got < record.Received {
+		t.Errorf("the attempt starts at %v, its request at %v", got, record.Received)
 	}
 }
 
-// TestHintsCountUntilOwnFindings guards a newcomer from what others know already: what they found of a runner
-// counts, before it is listed and after, until a job from here has met it.
+// TestHintsCountUntilOwnFindings guards a new dispatcher: what others have found out
+// about a worker counts, before it is listed and after, until an attempt from here has
+// ended there.
 func TestHintsCountUntilOwnFindings(t *testing.T) {
 	c := newTestCore(t)
-	tell := func(uid string, failures int) {
+	hint := func(uid string, failures int) {
 		c.Hint(uid, decision.Health{Failures: failures, Failed: failures > 0, Pace: 1})
-		for _, message := range c.mailbox.Drain(nil) {
-			message(c)
-		}
-		c.step()
+		runTurns(c, 1)
 	}
 	want := func(uid string, failures int) {
 		t.Helper()
@@ -132,188 +128,20 @@
 			t.Errorf("%s counts as failed %d times, want %d", uid, got, failures)
 		}
 	}
-	tell("s-1", 3)
+	hint("s-1", 3)
 	c.updateMembers(decision.MembersChanged, []Route{{UID: "s-1", Addr: "x"}, {UID: "s-2", Addr: "y"}})
 	c.step()
 	want("s-1", 3)
 	want("s-2", 0)
-	tell("s-2", 2)
+	hint("s-2", 2)
 	want("s-2", 2)
 	c.workers["s-2"].hasEndedAttempt = true
-	tell("s-2", 0)
+	hint("s-2", 0)
 	want("s-2", 2)
 	found := -1
 	c.OwnFindings(func(all map[string]decision.Health) { found = len(all) })
-	for _, message := range c.mailbox.Drain(nil) {
-		message(c)
-	}
+	deliverMail(c)
 	if found != 1 {
-		t.Errorf("health of %d runners is told, want of the one that was met", found)
-	}
-}
-
-// fakeOutcomeStore is a memory of fates that the test answers.
-type fakeOutcomeStore struct {
-	lookedUp func([]OutcomeRecord)
-	neverRan int
-}
-
-func (r *fakeOutcomeStore) Lookup(_ *Job, told func([]OutcomeRecord))                         { r.lookedUp = told }
-func (r *fakeOutcomeStore) RecordNeverRan(*Job, OutcomeRecord)                                { r.neverRan++ }
-func (*fakeOutcomeStore) RecordSending(_ *Job, _ OutcomeRecord, _ time.Duration, send func()) { send() }
-func (*fakeOutcomeStore) RecordDone(_ *Job, _ OutcomeRecord, _ time.Duration, _ []byte)       {}
-
-// TestJobSentByAnotherDispatcher guards a job that another dispatcher has sent: its hop here is told in its
-// story at its own place, and one that was asked for while the process began to end has its
-// answer before that end.
-func TestJobSentByAnotherDispatcher(t *testing.T) {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	cfg := decision.Config{Classes: []decision.Class{{Effect: decision.Keyed, DedupScope: decision.ScopeAll, DedupWindow: time.Hour,
-		Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}}}
-	c, err := New(cfg, 1, openBackends{}, emptyRouteTable{}, func(int, int) {}, logrus.NewEntry(log))
-	if err != nil {
-		t.Fatal(err)
-	}
-	fates := &fakeOutcomeStore{}
-	c.SetOutcomeStore(fates)
-	c.SetRecordHook(func(*trace.Record) {})
-	c.now = c.moduleTime(time.Now())
-	drains := Route{UID: "s-3", Addr: "z"}
-	drains.State = decision.Draining
-	c.updateMembers(decision.MembersChanged, []Route{{UID: "s-1", Addr: "x"}, drains, {UID: "s-2", Addr: "y"}})
-	c.step()
-	work := func() {
-		for range 3 {
-			for _, message := range c.mailbox.Drain(nil) {
-				message(c)
-			}
-			c.step()
-		}
-	}
-	job := &Job{ID: "x", Key: "k", Slots: 1, Deadline: time.Now().Add(time.Hour), Record: &trace.Record{}}
-	c.Submit(job, make(responses, 1))
-	work()
-	by := time.Now().Add(time.Minute)
-	c.StopBy(by)
-	work()
-	fates.lookedUp([]OutcomeRecord{{}})
-	work()
-	r := c.byID["x"]
-	if r == nil || len(r.attempts) != 2 || len(r.record.Attempts) != 2 || r.record.Attempts[1].Ended != 0 || r.record.Attempts[0].Ended == 0 {
-		t.Fatalf("request %+v", r)
-	}
-	if got := r.record.Attempts[0].Backend; got != "s-3" {
-		t.Errorf("%s stands for the group, so that the job can't go there, and another gets none", got)
-	}
-	if r.deadline > c.moduleTime(by) {
-		t.Errorf("its deadline is %s after the process's end", r.deadline-c.moduleTime(by))
-	}
-}
-
-// TestNeverRanIsRecorded has others forget an attempt that surely never ran, and remember one that may have,
-// also where another of the same request never did.
-func TestNeverRanIsRecorded(t *testing.T) {
-	for name, tc := range map[string]struct {
-		ends []decision.Outcome
-		want int
-	}{
-		"never ran":            {[]decision.Outcome{decision.ConnectFailed}, 1},
-		"may have":             {[]decision.Outcome{decision.ConnReset}, 0},
-		"both never":           {[]decision.Outcome{decision.Rejected, decision.ConnectFailed}, 2},
-		"the first may have":   {[]decision.Outcome{decision.ConnReset, decision.ConnectFailed}, 0},
-		"the second may have":  {[]decision.Outcome{decision.Rejected, decision.ConnReset}, 1},
-		"it was given up here": {[]decision.Outcome{decision.Canceled}, 0},
-	} {
-		fates := &fakeOutcomeStore{}
-		c := &Core{cfg: decision.Config{Classes: []decision.Class{{Effect: decision.Keyed, DedupScope: decision.ScopeAll}}}, outcomeStore: fates}
-		r := &request{job: &Job{Key: "k"}}
-		for i, o := range tc.ends {
-			r.attempts = append(r.attempts, attemptState{worker: &worker{}, recorded: true})
-			r.attempts[i].neverRan = o.NeverRan()
-			c.recordNeverRan(r, i)
-		}
-		if fates.neverRan != tc.want {
-			t.Errorf("%s: %d words, want %d", name, fates.neverRan, tc.want)
-		}
-	}
-}
-
-// fakePlacements is what members agree on of one job: whether it may go, and where it went before.
-type fakePlacements struct {
-	previous  []OutcomeRecord
-	agrees    bool
-	proposed  []OutcomeRecord
-	withdrawn int
-}
-
-func (a *fakePlacements) Previous() []OutcomeRecord { return a.previous }
-func (a *fakePlacements) Withdraw(OutcomeRecord)    { a.withdrawn++ }
-func (a *fakePlacements) Propose(group OutcomeRecord, _ time.Duration, send func(bool)) {
-	a.proposed = append(a.proposed, group)
-	send(a.agrees)
-}
-
-// sendCounts counts what runners are sent.
-type sendCounts struct{ sent map[string]int }
-
-func (n sendCounts) Open(_ decision.WorkerID, uid, _ string) Backend {
-	return countingBackend{recordingBackend{openBackends{}, uid}, n.sent}
-}
-
-type countingBackend struct {
-	recordingBackend
-	sent map[string]int
-}
-
-func (n countingBackend) Send(Attempt) { n.sent[n.uid]++ }
-
-// TestPlacementsAreAgreedBeforeSending guards the effect of a job whose places are agreed on: it is sent nowhere before its
-// group is, and to no other group than it went to, however few of those told of it are left.
-func TestPlacementsAreAgreedBeforeSending(t *testing.T) {
-	for name, tc := range map[string]struct {
-		may    bool
-		before []OutcomeRecord
-		want   map[string]int
-	}{
-		"agreed":           {true, nil, map[string]int{"s-a": 1}},
-		"not agreed":       {false, nil, map[string]int{}},
-		"sent to the far":  {true, []OutcomeRecord{{Zone: "b"}}, map[string]int{"s-b2": 1}},
-		"its group is out": {true, []OutcomeRecord{{Zone: "c"}}, map[string]int{}},
-	} {
-		cfg := decision.Config{Zones: 2, Limits: decision.Limits{MaxAttempts: 3}, Classes: []decision.Class{{Effect: decision.Keyed, DedupScope: decision.ScopeZone, DedupWindow: time.Hour, Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}}}
-		to := sendCounts{map[string]int{}}
-		log := logrus.New()
-		log.SetOutput(io.Discard)
-		c, err := New(cfg, 1, to, emptyRouteTable{}, func(int, int) {}, logrus.NewEntry(log))
-		if err != nil {
-			t.Fatal(err)
-		}
-		fates := &fakeOutcomeStore{}
-		c.SetOutcomeStore(fates)
-		c.now = c.moduleTime(time.Now())
-		far := func(uid string, state decision.MemberState) Route {
-			return Route{UID: uid, Addr: uid, ZoneName: "b", Member: decision.Member{Zone: 1, State: state}}
-		}
-		c.updateMembers(decision.MembersChanged, []Route{{UID: "s-a", Addr: "x", ZoneName: "a"}, far("s-b1", decision.Draining), far("s-b2", decision.Ready)})
-		c.step()
-		a, got := &fakePlacements{previous: tc.before, agrees: tc.may}, make(responses, 1)
-		c.Submit(&Job{ID: "x", Key: "k", Slots: 1, Deadline: time.Now().Add(time.Hour), Placements: a}, got)
-		for range 6 {
-			for _, message := range c.mailbox.Drain(nil) {
-				message(c)
-			}
-			if told := fates.lookedUp; told != nil {
-				fates.lookedUp = nil
-				told(nil)
-			}
-			c.step()
-		}
-		if diff := cmp.Diff(tc.want, to.sent); diff != "" {
-			t.Errorf("%s: sent\n%s", name, diff)
-		}
-		if len(tc.want) == 0 && len(got) == 0 {
-			t.Errorf("%s: it has no answer", name)
-		}
+		t.Errorf("findings on %d workers, want on the one where an attempt has ended", found)
 	}
 }
--- a/internal/dispatcher/core/heldback_test.go
+++ b/internal/dispatcher/core/heldback_test.go
@@ -7,21 +7,13 @@
 	"frosttide/decision"
 )
 
-// TestHeldBackUntilDiscoveryAnswers guards a process that begins with a list which may be old: what comes before
-// discovery's first word is sent to nobody until then, and never for a client that has left. What
-// comes after is taken in at once.
+// TestHeldBackUntilDiscoveryAnswers guards a process that begins with a list which may
+// be old: jobs that come before discovery's first answer are sent to nobody until then,
+// and never for a client that has left. Jobs that come after are taken in at once.
 func TestHeldBackUntilDiscoveryAnswers(t *testing.T) {
 	c := newTestCore(t)
 	c.HoldBack()
 	c.updateMembers(decision.MembersChanged, []Route{{UID: "s-1", Addr: "x"}})
-	work := func() {
-		for range 3 {
-			for _, message := range c.mailbox.Drain(nil) {
-				message(c)
-			}
-			c.step()
-		}
-	}
 	deadline := time.Now().Add(time.Hour)
 	jobs := map[string]*Job{}
 	for _, id := range []string{"stays", "leaves", "after"} {
@@ -29,13 +21,13 @@
 	}
 	c.Submit(jobs["stays"], make(responses, 1))
 	c.Submit(jobs["leaves"], make(responses, 1))
-	work()
+	runTurns(c, 3)
 	if len(c.requests) > 0 {
-		t.Fatalf("%d jobs were taken in before discovery's first word", len(c.requests))
+		t.Fatalf("%d jobs were taken in before discovery's first answer", len(c.requests))
 	}
 	c.ClientLeft(jobs["leaves"])
 	c.ReleaseHeldBack()
-	work()
+	runTurns(c, 3)
 	if r := c.byID["stays"]; r == nil || len(r.attempts) != 1 {
 		t.Errorf("the job whose client waits has become %+v", r)
 	}
@@ -43,55 +35,51 @@
 		t.Error("the job of a client that has left is sent")
 	}
 	c.Submit(jobs["after"], make(responses, 1))
-	work()
+	runTurns(c, 3)
 	if r := c.byID["after"]; r == nil || len(r.attempts) != 1 {
 		t.Errorf("a job that comes after has become %+v", r)
 	}
 	if len(c.awaitingAdmission) > 0 || c.heldBack != nil {
-		t.Errorf("%d jobs wait still", len(c.awaitingAdmission))
+		t.Errorf("%d jobs still wait", len(c.awaitingAdmission))
 	}
 }
 
-// TestHeldBackJobsAreAnswered guards what is held back against having no answer: where its time is over before
-// discovery has spoken, and where the process is told to end.
+// TestHeldBackJobsAreAnswered guards held-back jobs against having no response: where
+// the deadline passes before discovery's answer, and where the process is told to stop.
 func TestHeldBackJobsAreAnswered(t *testing.T) {
 	c := newTestCore(t)
 	c.HoldBack()
-	work := func() {
-		for _, message := range c.mailbox.Drain(nil) {
-			message(c)
-		}
-		c.step()
-	}
-	refused := func(got responses) {
-		t.Helper()
-		late := time.After(5 * time.Second)
-		for {
-			select {
-			case a := <-got:
-				if a.Verdict != Rejected {
-					t.Errorf("answered %+v", a)
-				}
-				return
-			case <-c.mailbox.Ready():
-				work()
-			case <-late:
-				t.Fatal("a job that is held back has no answer")
-			}
-		}
-	}
 	short, long := make(responses, 1), make(responses, 1)
 	c.Submit(&Job{ID: "short", Slots: 1, Deadline: time.Now().Add(20 * time.Millisecond)}, short)
 	c.Submit(&Job{ID: "long", Slots: 1, Deadline: time.Now().Add(time.Hour)}, long)
-	refused(short)
+	awaitRejection(t, c, short)
 	if len(long) > 0 {
-		t.Error("a job that has time is refused too")
+		t.Error("a job whose deadline has not passed is rejected too")
 	}
 	c.StopBy(time.Now().Add(time.Minute))
-	refused(long)
+	awaitRejection(t, c, long)
 	c.ReleaseHeldBack()
-	work()
+	runTurns(c, 1)
 	if len(c.requests) > 0 || len(c.awaitingAdmission) > 0 {
 		t.Errorf("%d requests are taken in, %d wait", len(c.requests), len(c.awaitingAdmission))
 	}
 }
+
+// awaitRejection runs the core until a held-back job is rejected.
+func awaitRejection(t *testing.T, c *Core, got responses) {
+	t.Helper()
+	timeout := time.After(5 * time.Second)
+	for {
+		select {
+		case response := <-got:
+			if response.Verdict != Rejected {
+				t.Errorf("response %+v", response)
+			}
+			return
+		case <-c.mailbox.Ready():
+			runTurns(c, 1)
+		case <-timeout:
+			t.Fatal("a held-back job has no response")
+		}
+	}
+}
--- /dev/null
+++ b/internal/dispatcher/core/outcomes_test.go
@@ -0,0 +1,167 @@
+package core
+
+import (
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"frosttide/decision"
+	"frosttide/internal/dispatcher/trace"
+)
+
+// fakeOutcomeStore is an OutcomeStore whose lookups the test answers.
+type fakeOutcomeStore struct {
+	lookedUp func([]OutcomeRecord) // answers the last lookup; nil for none
+	neverRan int                   // calls of RecordNeverRan
+}
+
+func (s *fakeOutcomeStore) Lookup(_ *Job, found func([]OutcomeRecord)) { s.lookedUp = found }
+func (s *fakeOutcomeStore) RecordNeverRan(*Job, OutcomeRecord)         { s.neverRan++ }
+func (*fakeOutcomeStore) RecordSending(_ *Job, _ OutcomeRecord, _ time.Duration, send func()) {
+	send()
+}
+func (*fakeOutcomeStore) RecordDone(_ *Job, _ OutcomeRecord, _ time.Duration, _ []byte) {}
+
+// fakePlacements is what members agree on for one job: whether it may be sent, and
+// where it was before.
+type fakePlacements struct {
+	previous []OutcomeRecord
+	agrees   bool
+}
+
+func (p *fakePlacements) Previous() []OutcomeRecord { return p.previous }
+func (p *fakePlacements) Withdraw(OutcomeRecord)    {}
+func (p *fakePlacements) Propose(_ OutcomeRecord, _ time.Duration, decided func(bool)) {
+	decided(p.agrees)
+}
+
+// sendCounts makes backends that count what they are sent, by UID.
+type sendCounts struct{ sent map[string]int }
+
+func (s sendCounts) Open(_ decision.WorkerID, uid, _ string) Backend {
+	return countingBackend{recordingBackend{openBackends{}, uid}, s.sent}
+}
+
+// countingBackend counts what it is sent.
+type countingBackend struct {
+	recordingBackend
+	sent map[string]int
+}
+
+func (b countingBackend) Send(Attempt) { b.sent[b.uid]++ }
+
+// TestJobSentByAnotherDispatcher guards a job that another dispatcher has sent: its
+// attempt here has its own entry in the span record, and a job that is looked up while
+// the process begins to end has its response before that end.
+func TestJobSentByAnotherDispatcher(t *testing.T) {
+	c := newTestCoreWith(t, decision.Class{Effect: decision.Keyed, DedupScope: decision.ScopeAll, DedupWindow: time.Hour,
+		Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}, openBackends{})
+	store := &fakeOutcomeStore{}
+	c.SetOutcomeStore(store)
+	c.SetRecordHook(func(*trace.Record) {})
+	draining := Route{UID: "s-3", Addr: "z"}
+	draining.State = decision.Draining
+	c.updateMembers(decision.MembersChanged, []Route{{UID: "s-1", Addr: "x"}, draining, {UID: "s-2", Addr: "y"}})
+	c.step()
+	job := &Job{ID: "x", Key: "k", Slots: 1, Deadline: time.Now().Add(time.Hour), Record: &trace.Record{}}
+	c.Submit(job, make(responses, 1))
+	runTurns(c, 3)
+	end := time.Now().Add(time.Minute)
+	c.StopBy(end)
+	runTurns(c, 3)
+	store.lookedUp([]OutcomeRecord{{}})
+	runTurns(c, 3)
+	r := c.byID["x"]
+	if r == nil || len(r.attempts) != 2 || len(r.record.Attempts) != 2 {
+		t.Fatalf("request %+v", r)
+	}
+	if r.record.Attempts[1].Ended != 0 || r.record.Attempts[0].Ended == 0 {
+		t.Fatalf("span record %+v", r.record)
+	}
+	if got := r.record.Attempts[0].Backend; got != "s-3" {
+		t.Errorf("%s stands for the group, so that the job can't go there, and another gets none", got)
+	}
+	if r.deadline > c.moduleTime(end) {
+		t.Errorf("its deadline is %s after the end of the process", r.deadline-c.moduleTime(end))
+	}
+}
+
+// TestNeverRanIsRecorded has other dispatchers forget an attempt that surely never ran,
+// and remember one that may have, also where another of the same request never did.
+func TestNeverRanIsRecorded(t *testing.T) {
+	for name, tc := range map[string]struct {
+		ends []decision.Outcome
+		want int
+	}{
+		"never ran":           {[]decision.Outcome{decision.ConnectFailed}, 1},
+		"may have run":        {[]decision.Outcome{decision.ConnReset}, 0},
+		"both never ran":      {[]decision.Outcome{decision.Rejected, decision.ConnectFailed}, 2},
+		"the first may have":  {[]decision.Outcome{decision.ConnReset, decision.ConnectFailed}, 0},
+		"the second may have": {[]decision.Outcome{decision.Rejected, decision.ConnReset}, 1},
+		"canceled here":       {[]decision.Outcome{decision.Canceled}, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			store := &fakeOutcomeStore{}
+			class := decision.Class{Effect: decision.Keyed, DedupScope: decision.ScopeAll}
+			c := &Core{cfg: decision.Config{Classes: []decision.Class{class}}, outcomeStore: store}
+			r := &request{job: &Job{Key: "k"}}
+			for i, outcome := range tc.ends {
+				r.attempts = append(r.attempts, attemptState{worker: &worker{}, recorded: true})
+				r.attempts[i].neverRan = outcome.NeverRan()
+				c.recordNeverRan(r, i)
+			}
+			if store.neverRan != tc.want {
+				t.Errorf("%d records, want %d", store.neverRan, tc.want)
+			}
+		})
+	}
+}
+
+// TestPlacementsAreAgreedBeforeSending guards the effect of a job whose groups the
+// members agree on: it is sent nowhere before its group is agreed on, and to no other
+// group than it went to, however few of the members that know of it are left.
+func TestPlacementsAreAgreedBeforeSending(t *testing.T) {
+	for name, tc := range map[string]struct {
+		agrees   bool
+		previous []OutcomeRecord
+		want     map[string]int
+	}{
+		"agreed":                  {true, nil, map[string]int{"s-a": 1}},
+		"not agreed":              {false, nil, map[string]int{}},
+		"sent to the far zone":    {true, []OutcomeRecord{{Zone: "b"}}, map[string]int{"s-b2": 1}},
+		"its group is not listed": {true, []OutcomeRecord{{Zone: "c"}}, map[string]int{}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			class := decision.Class{Effect: decision.Keyed, DedupScope: decision.ScopeZone, DedupWindow: time.Hour,
+				Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}
+			backends := sendCounts{map[string]int{}}
+			c := newTestCoreOf(t, decision.Config{Zones: 2, Limits: decision.Limits{MaxAttempts: 3}, Classes: []decision.Class{class}}, backends)
+			store := &fakeOutcomeStore{}
+			c.SetOutcomeStore(store)
+			far := func(uid string, state decision.MemberState) Route {
+				return Route{UID: uid, Addr: uid, ZoneName: "b", Member: decision.Member{Zone: 1, State: state}}
+			}
+			c.updateMembers(decision.MembersChanged, []Route{{UID: "s-a", Addr: "x", ZoneName: "a"},
+				far("s-b1", decision.Draining), far("s-b2", decision.Ready)})
+			c.step()
+			got := make(responses, 1)
+			c.Submit(&Job{ID: "x", Key: "k", Slots: 1, Deadline: time.Now().Add(time.Hour),
+				Placements: &fakePlacements{previous: tc.previous, agrees: tc.agrees}}, got)
+			for range 6 {
+				deliverMail(c)
+				if found := store.lookedUp; found != nil {
+					store.lookedUp = nil
+					found(nil)
+				}
+				c.step()
+			}
+			if diff := cmp.Diff(tc.want, backends.sent); diff != "" {
+				t.Errorf("sent\n%s", diff)
+			}
+			if len(tc.want) == 0 && len(got) == 0 {
+				t.Error("it has no response")
+			}
+		})
+	}
+}
