--- a/internal/dispatcher/handover/listener_test.go
+++ b/internal/dispatcher/handover/listener_test.go
@@ -11,92 +11,113 @@
 	"time"
 )
 
-// TestCloseWhileBlocked guards the end of an older process: another holder of the shared socket
-// sets it blocking again and again and takes connections, until an accept here blocks, and
-// Close ends all the same. Multipath TCP does not heed the socket's own bound on that.
+// TestCloseWhileBlocked guards the end of an older process: another holder of the shared
+// socket makes it blocking again and again and accepts connections, until an accept here
+// blocks, and Close ends all the same. Multipath TCP ignores the socket's own bound on
+// that.
 func TestCloseWhileBlocked(t *testing.T) {
+	other, fd := sharedSocket(t)
+	l, err := Listen(fd)
+	if err != nil {
+		t.Fatal(err)
+	}
+	done, accepted := make(chan struct{}), make(chan error, 1)
+	go keepBlocking(other.raw, done)
+	go func() { accepted <- acceptAll(l) }()
+	for deadline := time.Now().Add(20 * time.Second); !blocked(t); {
+		if time.Now().After(deadline) {
+			t.Skip("no accept came to block")
+		}
+		if c, err := net.Dial("tcp", other.addr); err == nil {
+			c.Close()
+		}
+	}
+	close(done)
+	closed := make(chan error, 1)
+	go func() { closed <- l.Close() }()
+	for name, result := range map[string]chan error{"Close": closed, "Accept": accepted} {
+		select {
+		case err := <-result:
+			if name == "Close" && err != nil {
+				t.Error(err)
+			}
+		case <-time.After(20 * time.Second):
+			t.Fatalf("%s did not end", name)
+		}
+	}
+}
+
+// otherHolder is another process's copy of the shared socket.
+type otherHolder struct {
+	raw  syscall.RawConn
+	addr string
+}
+
+// sharedSocket opens a listening socket with multipath TCP, and returns another holder of
+// it and the descriptor of a copy.
+func sharedSocket(t *testing.T) (other otherHolder, fd int) {
+	t.Helper()
 	lc := net.ListenConfig{}
 	lc.SetMultipathTCP(true)
 	held, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer held.Close()
+	t.Cleanup(func() { held.Close() })
 	f, err := held.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer f.Close()
+	t.Cleanup(func() { f.Close() })
 	raw, err := f.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
-	fd := -1
+	fd = -1
 	if err := raw.Control(func(of uintptr) { fd, err = syscall.Dup(int(of)) }); err != nil || fd < 0 {
 		t.Fatal(err)
 	}
-	l, err := Listen(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	over, taken := make(chan struct{}), make(chan error, 1)
-	go func() { // the other holder
-		for {
-			select {
-			case <-over:
-				return
-			default:
-			}
-			_ = raw.Control(func(of uintptr) { _ = syscall.SetNonblock(int(of), false) })
-		}
-	}()
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				taken <- err
-				return
-			}
-			c.Close()
-		}
-	}()
-	for by := time.Now().Add(20 * time.Second); !blocked(t); {
-		if time.Now().After(by) {
-			t.Skip("no accept came to block")
-		}
-		if c, err := net.Dial("tcp", held.Addr().String()); err == nil {
-			c.Close()
+	return otherHolder{raw: raw, addr: held.Addr().String()}, fd
+}
+
+// keepBlocking makes a socket blocking again and again until done is closed.
+func keepBlocking(socket syscall.RawConn, done <-chan struct{}) {
+	for {
+		select {
+		case <-done:
+			return
+		default:
 		}
+		_ = socket.Control(func(of uintptr) { _ = syscall.SetNonblock(int(of), false) })
 	}
-	close(over)
-	closed := make(chan error, 1)
-	go func() { closed <- l.Close() }()
-	for name, of := range map[string]chan error{"Close": closed, "Accept": taken} {
-		select {
-		case err := <-of:
-			if name == "Close" && err != nil {
-				t.Error(err)
-			}
-		case <-time.After(20 * time.Second):
-			t.Fatalf("%s did not end", name)
+}
+
+// acceptAll accepts and closes connections until that fails.
+func acceptAll(l net.Listener) error {
+	for {
+		c, err := l.Accept()
+		if err != nil {
+			return err
 		}
+		c.Close()
 	}
 }
 
-// blocked tells whether a thread of this process is in accept4(2), at three looks in a row.
+// blocked reports whether a thread of this process is in accept4(2), at three looks in a
+// row.
 func blocked(t *testing.T) bool {
 	t.Helper()
-	in := func() bool {
+	inAccept := func() bool {
 		paths, _ := filepath.Glob("/proc/self/task/*/syscall")
-		for _, p := range paths {
-			if text, err := os.ReadFile(p); err == nil && strings.HasPrefix(string(text), "288 ") {
+		for _, path := range paths {
+			if text, err := os.ReadFile(path); err == nil && strings.HasPrefix(string(text), "288 ") {
 				return true
 			}
 		}
 		return false
 	}
 	for range 3 {
-		if !in() {
+		if !inAccept() {
 			return false
 		}
 	}
--- a/internal/dispatcher/ingress/conn_test.go
+++ b/internal/dispatcher/ingress/conn_test.go
@@ -24,124 +24,135 @@
 	return &scriptedConn{reading: make(chan struct{}, 8), returns: make(chan string, 8)}
 }
 
-func (h *scriptedConn) Read(p []byte) (int, error) {
-	h.reading <- struct{}{}
-	text := <-h.returns
+func (c *scriptedConn) Read(p []byte) (int, error) {
+	c.reading <- struct{}{}
+	text := <-c.returns
 	if text == "" {
 		return 0, os.ErrDeadlineExceeded
 	}
 	return copy(p, text), nil
 }
 
-func (h *scriptedConn) SetReadDeadline(t time.Time) error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.deadline = t
+func (c *scriptedConn) SetReadDeadline(t time.Time) error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.deadline = t
 	return nil
 }
 
-func (h *scriptedConn) Close() error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.closed = true
+func (c *scriptedConn) Close() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closed = true
 	return nil
 }
 
-func (h *scriptedConn) state() (deadline time.Time, closed bool) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.deadline, h.closed
+func (c *scriptedConn) state() (deadline time.Time, closed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.deadline, c.closed
 }
 
-// readResult is what a read of a connection came to.
+// readResult is the result of a read of a connection.
 type readResult struct {
 	n   int
 	err error
 }
 
-// TestRetiredConnAnswersOrEnds guards requests that cross the end of a resting connection: what has been read is
-// answered, and ends the connection with its answer; what has not is not read any more.
+// startRead reads from a connection in the background.
+func startRead(c *conn) <-chan readResult {
+	result := make(chan readResult, 1)
+	go func() {
+		n, err := c.Read(make([]byte, 64))
+		result <- readResult{n, err}
+	}()
+	return result
+}
+
+// TestRetiredConnAnswersOrEnds guards requests that cross the end of an idle connection:
+// what has been read is answered, and ends the connection with its response; what has
+// not is not read any more.
 func TestRetiredConnAnswersOrEnds(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		retire   func(*connListener)
-		newcomer bool
+		name   string
+		retire func(*connListener)
+		isNew  bool // nothing has been read from the connection before
 	}{
-		{"planned end", func(d *connListener) { d.retireIdle(true) }, false},
-		{"planned end of a newcomer", func(d *connListener) { d.retireIdle(true) }, true},
-		{"no place left", func(d *connListener) { d.setMaxOpen(0) }, false},
+		{"planned end", func(l *connListener) { l.retireIdle(true) }, false},
+		{"planned end of a new one", func(l *connListener) { l.retireIdle(true) }, true},
+		{"past the limit", func(l *connListener) { l.setMaxOpen(0) }, false},
 	} {
-		for _, crosses := range []bool{true, false} {
-			h := newScriptedConn()
-			d := &connListener{maxOpen: 1}
-			x := d.admit(h, nil, nil)
-			if !tc.newcomer {
-				x.becameIdle()
+		retired := func(t *testing.T) (*connListener, *scriptedConn, *conn, <-chan readResult) {
+			t.Helper()
+			scripted, l := newScriptedConn(), &connListener{maxOpen: 1}
+			c := l.admit(scripted, nil, nil)
+			if !tc.isNew {
+				c.becameIdle()
 			}
-			got := make(chan readResult, 1)
-			go func() {
-				n, err := x.Read(make([]byte, 64))
-				got <- readResult{n, err}
-			}()
-			<-h.reading
-			tc.retire(d)
-			if at, closed := h.state(); closed || !at.Equal(pastDeadline) {
-				t.Errorf("%s: closed %t under its reader, deadline %v", tc.name, closed, at)
+			result := startRead(c)
+			<-scripted.reading
+			tc.retire(l)
+			if at, closed := scripted.state(); closed || !at.Equal(pastDeadline) {
+				t.Errorf("closed %t under its reader, deadline %v", closed, at)
 			}
-			if !crosses {
-				h.returns <- ""
-				if e := <-got; e.n > 0 || !errors.Is(e.err, io.EOF) || x.endsWithResponse() {
-					t.Errorf("%s: a read of a resting connection ended with %d bytes, %v", tc.name, e.n, e.err)
-				}
-				if _, err := x.Read(make([]byte, 64)); !errors.Is(err, io.EOF) || len(h.reading) > 0 {
-					t.Errorf("%s: it was read again: %v", tc.name, err)
-				}
-				continue
+			return l, scripted, c, result
+		}
+		t.Run(tc.name+", no request crosses", func(t *testing.T) {
+			_, scripted, c, result := retired(t)
+			scripted.returns <- ""
+			if r := <-result; r.n > 0 || !errors.Is(r.err, io.EOF) || c.endsWithResponse() {
+				t.Errorf("a read of an idle connection ended with %d bytes, %v", r.n, r.err)
 			}
-			h.returns <- "POST"
-			if e := <-got; e.n != 4 || e.err != nil || !x.endsWithResponse() {
-				t.Errorf("%s: what had been read came to %d bytes, %v, the last request %t", tc.name, e.n, e.err, x.endsWithResponse())
+			if _, err := c.Read(make([]byte, 64)); !errors.Is(err, io.EOF) || len(scripted.reading) > 0 {
+				t.Errorf("it was read again: %v", err)
 			}
-			if at, _ := h.state(); time.Until(at) < requestTimeout/2 {
-				t.Errorf("%s: the rest of the request has until %v from now", tc.name, time.Until(at))
+		})
+		t.Run(tc.name+", a request crosses", func(t *testing.T) {
+			l, scripted, c, result := retired(t)
+			scripted.returns <- "POST"
+			if r := <-result; r.n != 4 || r.err != nil || !c.endsWithResponse() {
+				t.Errorf("the read ended with %d bytes, %v, the last request %t", r.n, r.err, c.endsWithResponse())
 			}
-			if begun := d.retireIdle(true); begun != 1 {
-				t.Errorf("%s: %d requests have begun, want 1", tc.name, begun)
+			if at, _ := scripted.state(); time.Until(at) < requestTimeout/2 {
+				t.Errorf("the rest of the request has until %v from now", time.Until(at))
 			}
-			if _, closed := h.state(); closed {
-				t.Errorf("%s: closed in the middle of a request", tc.name)
+			if partial := l.retireIdle(true); partial != 1 {
+				t.Errorf("%d requests have begun, want 1", partial)
 			}
-		}
+			if _, closed := scripted.state(); closed {
+				t.Error("closed within a request")
+			}
+		})
 	}
 }
 
-// TestRetiredConnsFreeTheirPlacesOnce has connections that are told to end give their places back once, whether they end or
-// have a request to answer.
+// TestRetiredConnsFreeTheirPlacesOnce has connections that are told to end give their
+// places back once, whether they end or have a request to answer.
 func TestRetiredConnsFreeTheirPlacesOnce(t *testing.T) {
-	d := &connListener{maxOpen: 2}
+	l := &connListener{maxOpen: 2}
 	var conns []*conn
 	for range 2 {
-		x := d.admit(newScriptedConn(), nil, nil)
-		x.becameIdle()
-		conns = append(conns, x)
+		c := l.admit(newScriptedConn(), nil, nil)
+		c.becameIdle()
+		conns = append(conns, c)
 	}
-	third := d.admit(newScriptedConn(), nil, nil) // the first makes room
-	if d.count() != 3 || d.retiring != 1 || !conns[0].isRetired() {
-		t.Fatalf("%d open, %d of them leave", d.count(), d.retiring)
+	third := l.admit(newScriptedConn(), nil, nil) // the first makes room
+	if l.count() != 3 || l.retiring != 1 || !conns[0].isRetired() {
+		t.Fatalf("%d open, %d of them retiring", l.count(), l.retiring)
 	}
-	conns[0].dataArrived(false) // it has a request after all
-	if d.retiring != 0 || !conns[0].endsWithResponse() {
-		t.Errorf("%d leave, want none", d.retiring)
+	conns[0].dataArrived(false) // a request has begun on it after all
+	if l.retiring != 0 || !conns[0].endsWithResponse() {
+		t.Errorf("%d are retiring, want none", l.retiring)
 	}
-	d.admit(newScriptedConn(), nil, nil)
-	if d.retiring != 2 || !conns[1].isRetired() || !third.isRetired() {
-		t.Errorf("%d leave, want the two that rest", d.retiring)
+	l.admit(newScriptedConn(), nil, nil)
+	if l.retiring != 2 || !conns[1].isRetired() || !third.isRetired() {
+		t.Errorf("%d are retiring, want the two idle ones", l.retiring)
 	}
-	for _, x := range append(conns, third) {
-		x.Close()
-		x.Close()
+	for _, c := range append(conns, third) {
+		c.Close()
+		c.Close()
 	}
-	if d.count() != 1 || d.retiring != 0 {
-		t.Errorf("%d open, %d leave at the end", d.count(), d.retiring)
+	if l.count() != 1 || l.retiring != 0 {
+		t.Errorf("%d open, %d retiring at the end", l.count(), l.retiring)
 	}
 }
--- a/internal/dispatcher/ingress/parse_test.go
+++ b/internal/dispatcher/ingress/parse_test.go
@@ -12,8 +12,8 @@
 	"frosttide/internal/dispatcher/monotime"
 )
 
-// TestTenant guards the shares: a job is its tenant's by name, as the settings in force have
-// them, and one of a name that they lack is nobody's.
+// TestTenant guards the quotas: a job belongs to its tenant by the name in the settings in
+// force, and one of a name that they lack to nobody.
 func TestTenant(t *testing.T) {
 	f := New(Config{Classes: []Class{{Name: "a"}}, Tenants: []string{"north", "south"}, MaxSlots: 8}, nil, nil, nil, logrus.NewEntry(logrus.New()))
 	tenant := func(name string) int {
@@ -40,31 +40,35 @@
 	}
 }
 
-// TestTransferDeadline guards clients that are handed over to a newer process at once with many others: how
-// long that may take ends with the job's own time or with this process, not before.
+// TestTransferDeadline guards clients that are handed over to a newer process at once
+// with many others: the time for that ends with the job's own deadline or with this
+// process, not before.
 func TestTransferDeadline(t *testing.T) {
 	f := New(Config{}, nil, nil, nil, logrus.NewEntry(logrus.New()))
 	now := time.Now()
 	end := now.Add(3 * time.Second)
 	f.handOverBy.Store(&end)
-	for _, c := range []struct{ deadline, want time.Time }{
-		{now.Add(time.Minute), end},
-		{now.Add(time.Second), now.Add(time.Second)},
+	for name, tc := range map[string]struct{ deadline, want time.Time }{
+		"the process ends first":        {now.Add(time.Minute), end},
+		"the job's deadline ends first": {now.Add(time.Second), now.Add(time.Second)},
 	} {
-		if by := f.transferDeadline(&core.MovedRequest{Deadline: monotime.Of(c.deadline)}); by.Sub(c.want).Abs() > 200*time.Millisecond {
-			t.Errorf("a job with %v left has to be there %v from now, want %v", c.deadline.Sub(now), by.Sub(now), c.want.Sub(now))
-		}
+		t.Run(name, func(t *testing.T) {
+			got := f.transferDeadline(&core.MovedRequest{Deadline: monotime.Of(tc.deadline)})
+			if got.Sub(tc.want).Abs() > 200*time.Millisecond {
+				t.Errorf("the job has to be there %v from now, want %v", got.Sub(now), tc.want.Sub(now))
+			}
+		})
 	}
 }
 
-// TestAdoptAll guards clients that are handed over faster than they are served: there is room for as
-// many as a process may have, and one more is told so.
+// TestAdoptAll guards clients that are handed over faster than they are served: there is
+// room for as many as a process may have, and one more is refused.
 func TestAdoptAll(t *testing.T) {
 	f := New(Config{MaxConnections: 200}, nil, nil, nil, logrus.NewEntry(logrus.New()))
 	for i := range 201 {
 		c, _ := net.Pipe()
-		if took := f.Adopt(c, nil, nil); took != (i < 200) {
-			t.Fatalf("connection %d: taken %t", i, took)
+		if adopted := f.Adopt(c, nil, nil); adopted != (i < 200) {
+			t.Fatalf("connection %d: adopted %t", i, adopted)
 		}
 	}
 }
