--- a/cmd/frosttide/clustercmd.go
+++ b/cmd/frosttide/clustercmd.go
@@ -20,9 +20,11 @@
 	"frosttide/internal/dispatcher/fleet/quorum"
 )
 
-// consoleWait bounds a call to a console.
-const consoleWait = 3 * time.Second
+// consoleTimeout bounds a call to a console.
+const consoleTimeout = 3 * time.Second
 
+// clusterCommand returns the command that asks a member of a cluster, or recovers one that
+// is stopped.
 func clusterCommand() *cobra.Command {
 	var at string
 	cmd := &cobra.Command{
@@ -81,9 +83,9 @@
 	return cmd
 }
 
-// consoleCall makes a call to a console and returns the answer's body.
+// consoleCall makes a call to the console at an address and returns the response's body.
 func consoleCall(method, at, path string, body any) ([]byte, error) {
-	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(consoleWait))
+	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(consoleTimeout))
 	defer cancel()
 	text, err := json.Marshal(body)
 	if err != nil {
@@ -111,6 +113,7 @@
 	return got, nil
 }
 
+// showMembers prints the members and their part in the agreed log.
 func showMembers(out io.Writer, r cluster.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tADDRESS\tLIFE\tSITE\tLOG\tBUILD")
@@ -134,6 +137,7 @@
 	w.Flush()
 }
 
+// showShared prints what the members share.
 func showShared(out io.Writer, r cluster.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "agreed up to\t%d\n", r.State.Index)
@@ -158,6 +162,7 @@
 	w.Flush()
 }
 
+// showLog prints the state of the agreed log and its last entries.
 func showLog(out io.Writer, r cluster.Report) {
 	l := r.Log
 	leader := l.Leader
@@ -185,20 +190,21 @@
 	w.Flush()
 }
 
-// beginAnew makes a member without a log the only voter of a new one.
-func beginAnew(out io.Writer, cfg config.Config, sure bool) error {
+// beginAnew makes a member without a log the only voter of a new one. Without confirmed it
+// only prints what it would do.
+func beginAnew(out io.Writer, cfg config.Config, confirmed bool) error {
 	if err := os.MkdirAll(cfg.Cluster.Dir, 0o700); err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
 	kept, err := cluster.BeginAnew(cluster.Config{Name: cfg.Name, Listen: cfg.Cluster.Listen, Advertise: cfg.Cluster.Advertise,
-		Dir: cfg.Cluster.Dir, Keep: cfg.Cluster.WatermarkDir}, sure)
+		Dir: cfg.Cluster.Dir, Keep: cfg.Cluster.WatermarkDir}, confirmed)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "the folder here holds no log; what was kept apart from it says that it went to entry %d\n", kept.Index)
 	fmt.Fprintf(out, "left out by it: %d runners: %s\n", len(kept.Out), strings.Join(kept.Out, " "))
 	fmt.Fprintln(out, "entries after that one, if there were any, are unknown")
-	if !sure {
+	if !confirmed {
 		fmt.Fprintln(out, "nothing was changed; say --yes to begin a new log with these runners left out")
 		return nil
 	}
@@ -206,8 +212,9 @@
 	return nil
 }
 
+// recoverCommand returns the command that recovers a stopped member.
 func recoverCommand() *cobra.Command {
-	var sure bool
+	var confirmed bool
 	cmd := &cobra.Command{
 		Use:   "recover",
 		Short: "Make a stopped member the log's only voter, after a majority is lost for good",
@@ -221,7 +228,7 @@
 		Args:    noArgs,
 	}
 	src := sourceFlags(cmd)
-	cmd.Flags().BoolVar(&sure, "yes", false, "do it; without, only what would happen is told")
+	cmd.Flags().BoolVar(&confirmed, "yes", false, "do it; without, only what would happen is told")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		cfg, err := config.Load(*src)
 		if err != nil {
@@ -235,9 +242,9 @@
 		if addr == "" {
 			addr = cfg.Cluster.Listen
 		}
-		found, err := quorum.Recover(cfg.Cluster.Dir, cfg.Name, addr, sure)
+		found, err := quorum.Recover(cfg.Cluster.Dir, cfg.Name, addr, confirmed)
 		if errors.Is(err, quorum.ErrEmpty) || errors.Is(err, os.ErrNotExist) {
-			return beginAnew(cmd.OutOrStdout(), cfg, sure)
+			return beginAnew(cmd.OutOrStdout(), cfg, confirmed)
 		}
 		if err != nil {
 			return err
@@ -246,7 +253,7 @@
 		fmt.Fprintf(out, "the log here goes to entry %d, of term %d; its voters were %s\n", found.Last, found.Term, strings.Join(found.Voters, " "))
 		fmt.Fprintf(out, "left out by it: %d runners\n", found.Out)
 		fmt.Fprintln(out, "acknowledged entries after that one, if the lost voters had any, are lost")
-		if !sure {
+		if !confirmed {
 			fmt.Fprintln(out, "nothing was changed; say --yes to go on")
 			return nil
 		}
--- a/cmd/frosttide/commands.go
+++ b/cmd/frosttide/commands.go
@@ -12,8 +12,8 @@
 	"frosttide/internal/dispatcher/config"
 )
 
-// commands returns the tree of commands. Without a sub-command the program serves as
-// the platform's environment says.
+// commands returns the tree of commands. Without a sub-command the program serves, with
+// the settings of the platform's environment.
 func commands(s signals) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "frosttide",
@@ -34,7 +34,7 @@
 	return root
 }
 
-// noArgs refuses arguments where there are none to give.
+// noArgs rejects all arguments with a usageError.
 func noArgs(cmd *cobra.Command, args []string) error {
 	if err := cobra.NoArgs(cmd, args); err != nil {
 		return usageError{err}
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// exactly wants as many arguments as there are names.
+// exactly requires as many arguments as there are names, and fails with a usageError.
 func exactly(names ...string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) < len(names) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// sourceFlags adds the flags that say where the configuration comes from.
+// sourceFlags adds the flags that tell where the configuration comes from.
 func sourceFlags(cmd *cobra.Command) *config.Source {
 	src := &config.Source{Getenv: os.Getenv}
 	f := cmd.Flags()
@@ -65,6 +65,7 @@
 	return src
 }
 
+// serveCommand returns the command that runs a dispatcher.
 func serveCommand(s signals) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "serve",
@@ -80,6 +81,7 @@
 	return cmd
 }
 
+// checkCommand returns the command that checks and prints a configuration.
 func checkCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "check",
@@ -108,6 +110,7 @@
 	return cmd
 }
 
+// versionCommand returns the command that prints the version.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "version",
@@ -118,7 +121,8 @@
 	}
 }
 
-// version returns what the build knows of the program's version.
+// version returns the program's version as the build recorded it: the module's version,
+// else the revision, else "devel"; "unknown" without build information.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/frosttide/demo.go
+++ b/cmd/frosttide/demo.go
@@ -18,14 +18,16 @@
 	"frosttide/internal/testkit/fakefleet"
 )
 
-// The addresses of the demonstration; those of the dispatcher stand in the sample.
+// The addresses of the demonstration. Those of the dispatcher are in the sample settings.
 const (
 	demoClients   = "127.0.0.1:8081"
 	demoDiscovery = "127.0.0.1:8500"
 )
 
+// demoRunners are the addresses of the workers.
 var demoRunners = []string{"127.0.0.1:9101", "127.0.0.1:9102"}
 
+// demoCommand returns the command of the demonstration.
 func demoCommand(s signals) *cobra.Command {
 	var jobs int
 	var keep bool
@@ -48,6 +50,8 @@
 // demoTime bounds the demonstration without --keep.
 const demoTime = time.Minute
 
+// demo starts the demonstration, submits jobs and prints their responses. With keep it
+// then goes on until a signal.
 func demo(out io.Writer, s signals, jobs int, keep bool) error {
 	if jobs < 1 || jobs > 100 {
 		return usageError{fmt.Errorf("--jobs %d is not from 1 to 100", jobs)}
@@ -59,7 +63,7 @@
 		return err
 	}
 	defer fleet.Close()
-	// The program is as it would be without an environment.
+	// The dispatcher sees no environment beside the format of its log.
 	src := config.Source{Path: "deploy/frosttide.toml", SettingsText: deploy.Sample, LogLevel: "warn",
 		Getenv: func(name string) string {
 			return map[string]string{"FROSTTIDE_LOG_FORMAT": os.Getenv("FROSTTIDE_LOG_FORMAT")}[name]
@@ -80,7 +84,8 @@
 	return <-ended
 }
 
-// demoJob submits a job until it is served; it is refused while the list is still coming.
+// demoJob submits a job until it is served. It is rejected while the list of workers is
+// still missing.
 func demoJob(out io.Writer, i int, by time.Time, ended <-chan error) error {
 	for try := 0; time.Now().Before(by); try++ {
 		req, err := http.NewRequest(http.MethodPost, "http://"+demoClients+"/preview-cut/goal-7", strings.NewReader("minute 88"))
--- a/cmd/frosttide/trace.go
+++ b/cmd/frosttide/trace.go
@@ -14,6 +14,7 @@
 	"frosttide/internal/dispatcher/traceview"
 )
 
+// traceCommand returns the command that reads files of traces.
 func traceCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "trace",
@@ -23,7 +24,13 @@
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return usageError{errors.New("say show or summary")} },
 	}
-	show := &cobra.Command{
+	cmd.AddCommand(traceShowCommand(), traceSummaryCommand())
+	return cmd
+}
+
+// traceShowCommand returns the command that prints one request.
+func traceShowCommand() *cobra.Command {
+	return &cobra.Command{
 		Use:   "show FILE ID",
 		Short: "Print the tree of a request",
 		Long:  `show prints what the requests of a trace went through. ID is a trace's, or the client's X-Trace-Id.`,
@@ -40,9 +47,13 @@
 			})
 		},
 	}
+}
+
+// traceSummaryCommand returns the command that prints a summary of many requests.
+func traceSummaryCommand() *cobra.Command {
 	var query traceview.Query
 	var from, to string
-	summary := &cobra.Command{
+	cmd := &cobra.Command{
 		Use:   "summary FILE",
 		Short: "Tell a peak: what was lost, to which cause, on which nodes",
 		Example: `  frosttide trace summary traces.jsonl
@@ -52,40 +63,48 @@
 			if !slices.Contains(traceview.Groups, query.GroupBy) {
 				return usageError{fmt.Errorf("--by is none of %s", strings.Join(traceview.Groups, ", "))}
 			}
-			for flag, text := range map[string]string{"from": from, "to": to} {
-				at, err := time.Parse(time.RFC3339, text)
-				if text != "" && err != nil {
-					return usageError{fmt.Errorf("--%s: %q is no time such as 2026-11-29T20:45:00Z", flag, text)}
-				}
-				if flag == "from" {
-					query.From = at
-				} else {
-					query.To = at
-				}
+			var err error
+			if query.From, err = parseTimeFlag("from", from); err != nil {
+				return err
 			}
-			return withFile(args[0], func(in io.Reader) error {
-				s := traceview.NewSummary(query)
-				unread, err := traceview.Read(in, s.Add)
-				if err != nil {
-					return err
-				}
-				if unread > 0 {
-					fmt.Fprintf(os.Stderr, "lines that could not be read: %d\n", unread)
-				}
-				return s.Write(cmd.OutOrStdout())
-			})
+			if query.To, err = parseTimeFlag("to", to); err != nil {
+				return err
+			}
+			return withFile(args[0], func(in io.Reader) error { return writeSummary(cmd.OutOrStdout(), in, query) })
 		},
 	}
-	f := summary.Flags()
+	f := cmd.Flags()
 	f.StringVar(&query.GroupBy, "by", "class", "rows of the first table: class, target or answer")
 	f.StringVar(&from, "from", "", "requests that came at this time or later (RFC 3339)")
 	f.StringVar(&to, "to", "", "requests that came before this time")
 	f.IntVar(&query.MaxWorst, "worst", 10, "how many of the worst requests are named")
-	cmd.AddCommand(show, summary)
 	return cmd
 }
 
-// withFile opens a file for reading and gives it back.
+// parseTimeFlag parses the time of a flag, the zero time for an empty one. It fails with
+// a usageError.
+func parseTimeFlag(flag, text string) (time.Time, error) {
+	at, err := time.Parse(time.RFC3339, text)
+	if text != "" && err != nil {
+		return time.Time{}, usageError{fmt.Errorf("--%s: %q is no time such as 2026-11-29T20:45:00Z", flag, text)}
+	}
+	return at, nil
+}
+
+// writeSummary writes the summary of the requests that a query selects.
+func writeSummary(out io.Writer, in io.Reader, query traceview.Query) error {
+	s := traceview.NewSummary(query)
+	unread, err := traceview.Read(in, s.Add)
+	if err != nil {
+		return err
+	}
+	if unread > 0 {
+		fmt.Fprintf(os.Stderr, "lines that could not be read: %d\n", unread)
+	}
+	return s.Write(out)
+}
+
+// withFile opens a file, reads it and closes it.
 func withFile(path string, read func(io.Reader) error) error {
 	in, err := traceview.Open(path)
 	if err != nil {
