--- a/cmd/frosttide/harness_test.go
+++ b/cmd/frosttide/harness_test.go
@@ -24,8 +24,8 @@
 	"frosttide/internal/dispatcher/monotime"
 )
 
-// The tests start the real program as a process, this test binary under another
-// hat, and talk to it as clients, runners and discovery would.
+// TestMain runs the tests, or the program itself: the tests start this test binary again as
+// the real program, and speak to it as clients, workers and discovery would.
 func TestMain(m *testing.M) {
 	if os.Getenv("FROSTTIDE_TEST_PROGRAM") != "" {
 		setClock(os.Getenv("FROSTTIDE_TEST_CLOCK"))
@@ -36,7 +36,7 @@
 	os.Exit(m.Run())
 }
 
-// setClock has the machine's clock be off by as many seconds as a file says, if there is one.
+// setClock shifts the program's wall clock by the seconds in a file, if there is one.
 func setClock(path string) {
 	machine := monotime.Wall
 	monotime.Wall = func() time.Duration {
@@ -46,10 +46,10 @@
 	}
 }
 
-// testTimeout bounds each wait for an event; no test waits for it to pass.
+// testTimeout bounds each wait for an event. No test waits for it to pass.
 const testTimeout = 20 * time.Second
 
-// testSettings has a class for each effect. The connect timeout is short of nothing
+// testSettings has a class for each effect. The connect timeout is longer than anything
 // that happens on loopback.
 const testSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"kinds":["m"],"discovery":"on_request",
 "request-classes":[
@@ -76,7 +76,7 @@
 	lastRaw atomic.Pointer[time.Time] // when raw opened its last connection; several may open at once
 }
 
-// discovery serves the list; the test writes the lines of each watch.
+// discovery is a fake discovery service. The test writes the lines of each watch.
 type discovery struct {
 	*httptest.Server
 	watches chan *watch
@@ -86,24 +86,26 @@
 	once    sync.Once
 }
 
-// discoveries are the stand-ins by URL.
+// discoveries are the running *discovery by URL.
 var discoveries sync.Map
 
-// unfinished ends what is not a whole line yet.
+// unfinished marks the end of what is not a whole line yet.
 const unfinished = "..."
 
+// watch is a call of the dispatcher to discovery.
 type watch struct {
 	query string
 	lines chan string // closed to end the watch
 	done  <-chan struct{}
 }
 
+// newDiscovery starts a discovery that ends with the test.
 func newDiscovery(t *testing.T) *discovery {
 	d := &discovery{watches: make(chan *watch, 64), closed: make(chan struct{})}
 	return d.serveAt(t, uniqueIP()+":0")
 }
 
-// serveAt opens it until the test ends.
+// serveAt serves at an address until the test ends.
 func (d *discovery) serveAt(t *testing.T, addr string) *discovery {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -117,8 +119,8 @@
 	return d
 }
 
-// Close ends it, with all calls. Guards a test from waiting for ever for a call that came after
-// the others were ended, or that nobody looks at: the server's own Close waits for each.
+// Close ends the service and all calls. The server's own Close would wait for each call, also
+// for one that came after the others were ended or that no test looks at.
 func (d *discovery) Close() {
 	d.once.Do(func() {
 		close(d.closed)
@@ -127,7 +129,7 @@
 	})
 }
 
-// handler answers each call as the test says.
+// handler responds to each call as the test says.
 func (d *discovery) handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if given := d.given.Load(); given != nil && r.URL.RawQuery == "" && !d.silent.Load() {
@@ -172,21 +174,21 @@
 	})
 }
 
-// entry is a line of the list.
+// entry returns an entry of the list.
 func entry(uid, addr, state string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":1,"state":%q,"capacity_hint":1,"boot_ms":0}`,
 		uid, addr, state)
 }
 
+// list returns a list, or with all false a change of one.
 func list(rev int, all bool, entries ...string) string {
 	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, rev, all, strings.Join(entries, ","))
 }
 
-// closed waits until addresses whose listeners have just been closed are free. A process that
-// is being started meanwhile holds copies of all descriptors until its program runs, and still
-// for a moment after the fork lock is given back: the kernel lets the parent go on before it
-// closes them. So they are tried, while nobody may start one. Guards addresses that are to be
-// opened again.
+// closed waits until addresses whose listeners have just been closed can be opened again. A
+// process that is being started meanwhile holds copies of all descriptors until its program
+// runs, and still for a moment after the fork lock is released: the kernel lets the parent go on
+// before it closes them. So closed tries the addresses while nobody may start a process.
 func closed(t *testing.T, addrs ...string) {
 	t.Helper()
 	syscall.ForkLock.Lock()
@@ -205,23 +207,24 @@
 	}
 }
 
-// uniqueIP is an IP address that nothing else in the tests has, neither a listener nor a connection
-// that leaves: those have 127.0.0.1. Guards a port between its choice and its use, and one that
-// is to be opened again.
+// uniqueIP returns an IP address that nothing else in the tests uses, neither a listener nor an
+// outgoing connection, as those use 127.0.0.1. So a port stays free between its choice and its
+// use, and until it is opened again.
 func uniqueIP() string {
 	n := started.Add(1)
 	return fmt.Sprintf("127.77.%d.%d", n/200, n%200+1)
 }
 
+// started counts the addresses of uniqueIP.
 var started atomic.Int32
 
-// start runs a dispatcher that knows the given entries.
+// start starts a dispatcher that is given the entries of a list.
 func start(t *testing.T, discoveryURL string, sockets int, known ...string) *dispatcher {
 	t.Helper()
 	return startWith(t, discoveryURL, sockets, known)
 }
 
-// startWith does so after the edits.
+// startWith does so after edits.
 func startWith(t *testing.T, discoveryURL string, sockets int, known []string, edit ...func(*dispatcher)) *dispatcher {
 	t.Helper()
 	ip := uniqueIP()
@@ -273,7 +276,7 @@
 			raced = raced || strings.Contains(in.Text(), "WARNING: DATA RACE")
 			select {
 			case lines <- in.Text():
-			default: // nobody reads them, and the process must not wait
+			default: // no test reads them, and the process must not wait
 			}
 		}
 		ended <- cmd.Wait()
@@ -288,11 +291,11 @@
 }
 
 // underRace is the environment of the started programs for the race detector, in builds that
-// have it: no second of sleep at the end, which would count as the program's, and an end at
-// the first report.
+// have it: without its second of sleep at the end, which would count as the program's, and with
+// an end at the first report.
 const underRace = "GORACE=atexit_sleep_ms=0 halt_on_error=1"
 
-// upgradable has the test hold the listening socket, as the platform does.
+// upgradable has the test hold the clients' listening socket, as the platform does.
 func upgradable(d *dispatcher) {
 	l, err := net.Listen("tcp", d.addr)
 	if err != nil {
@@ -308,8 +311,7 @@
 	d.cmd.Env = append(d.cmd.Env, "BALANCER_FD=3", "TMPDIR="+d.t.TempDir())
 }
 
-// successor starts the program once more beside the dispatcher, with a console of
-// its own.
+// successor starts a newer process of the dispatcher beside it, with a console of its own.
 func (d *dispatcher) successor() *dispatcher {
 	d.t.Helper()
 	other, err := net.Listen("tcp", strings.Split(d.addr, ":")[0]+":0")
@@ -326,7 +328,7 @@
 	return s
 }
 
-// call makes an operator's call and returns its status and text.
+// call makes an operator's call and returns the status and the text of the response.
 func (d *dispatcher) call(method, path, body string) (int, string) {
 	d.t.Helper()
 	req, err := http.NewRequest(method, "http://"+d.consoleAddr+path, strings.NewReader(body))
@@ -340,7 +342,7 @@
 	return a.Status, a.Body
 }
 
-// reload puts another configuration in the file's place and tells the program.
+// reload replaces the configuration file and signals the program.
 func (d *dispatcher) reload(cfg string) {
 	d.t.Helper()
 	if err := os.WriteFile(d.path+".new", []byte(cfg), 0o600); err != nil {
@@ -354,8 +356,8 @@
 	}
 }
 
-// program is the command that runs frosttide with a configuration file, and the
-// file's path.
+// program returns the command that runs frosttide with a configuration, and the path of the
+// configuration's file.
 func program(t *testing.T, cfg string) (*exec.Cmd, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -367,6 +369,7 @@
 	return cmd, path
 }
 
+// awaitLog waits for a log line with a text.
 func (d *dispatcher) awaitLog(text string) {
 	d.t.Helper()
 	over := time.After(testTimeout)
@@ -383,16 +386,16 @@
 	}
 }
 
-// response is what a client got, or why it got nothing.
+// response is what a client got, or the error in place of it.
 type response struct {
 	Status int
 	Body   string
 	Header http.Header
 	Err    error
-	Close  bool // the dispatcher told that it closes the connection
+	Close  bool // the dispatcher closes the connection
 }
 
-// job is a client's request, not yet sent.
+// job returns a client's request that is not sent yet.
 func (d *dispatcher) job(class, id string, edit ...func(*http.Request)) *http.Request {
 	req, err := http.NewRequest("POST", "http://"+d.addr+"/"+class+"/clip%2F7?q=a+b", strings.NewReader("frames of "+id))
 	if err != nil {
@@ -411,7 +414,7 @@
 	return req
 }
 
-// raw opens a connection and writes text to it.
+// raw opens a connection that ends with the test and writes text to it.
 func (d *dispatcher) raw(text string) net.Conn {
 	d.t.Helper()
 	c, err := net.Dial("tcp", d.addr)
@@ -434,6 +437,7 @@
 	return got
 }
 
+// do sends a request and reads the whole response.
 func do(c *http.Client, req *http.Request) response {
 	resp, err := c.Do(req)
 	if err != nil {
@@ -445,8 +449,8 @@
 	return response{Status: resp.StatusCode, Body: string(text), Header: resp.Header, Err: err, Close: resp.Close}
 }
 
-// report makes a runner's call-back, again until it is answered as runners do,
-// and returns its status.
+// report sends a worker's report, again until it has a response as workers do, and returns
+// the response's status.
 func (d *dispatcher) report(body string) int {
 	d.t.Helper()
 	var err error
@@ -462,12 +466,13 @@
 	return 0
 }
 
+// event returns a worker's report on a job.
 func event(id, from, state string) string {
 	text, _ := json.Marshal(map[string]any{"id": id, "from": from, "state": state, "result": "clip of " + id + " by " + from, "new": 1})
 	return string(text)
 }
 
-// await takes the next thing from a channel.
+// await takes the next value from a channel.
 func await[T any](t *testing.T, from <-chan T, what string) T {
 	t.Helper()
 	select {
@@ -479,8 +484,8 @@
 	}
 }
 
-// runner is a fake runner on a raw listener, so that it can do with connections
-// what no server would.
+// runner is a fake worker on a raw listener, so that it can do with connections what no HTTP
+// server would.
 type runner struct {
 	uid, addr string
 	listener  net.Listener
@@ -488,7 +493,7 @@
 	conns     sync.Map
 }
 
-// runnerRequest is a request at a runner; the test answers it.
+// runnerRequest is a request at a worker. The test responds to it.
 type runnerRequest struct {
 	*http.Request
 	body  string
@@ -496,6 +501,7 @@
 	ended chan struct{} // closed when the connection has ended
 }
 
+// newRunner starts a worker that ends with the test.
 func newRunner(t *testing.T, uid string) *runner {
 	t.Helper()
 	l, err := net.Listen("tcp", uniqueIP()+":0")
@@ -520,6 +526,7 @@
 	return r
 }
 
+// read passes on the requests of a connection until that ends.
 func (r *runner) read(c net.Conn) {
 	ended := make(chan struct{})
 	defer close(ended)
@@ -538,7 +545,7 @@
 
 func (h *runnerRequest) id() string { return h.Header.Get("X-Trace-Id") }
 
-// reply answers a hop; headers end with \r\n each.
+// reply responds to the request. Each header ends with \r\n.
 func (h *runnerRequest) reply(status int, headers string) {
 	fmt.Fprintf(h.conn, "HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), headers)
 }
