--- a/cmd/frosttide/begin_test.go
+++ b/cmd/frosttide/begin_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// at returns an entry that tells when its runner started.
+// at returns an entry with the start of its runner.
 func at(entry string, boot time.Time) string {
 	return strings.Replace(entry, `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, boot.UnixMilli()), 1)
 }
@@ -188,7 +188,7 @@
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], a.Port())
 }
 
-// TestToldTime guards the time that an attempt tells its runner: it is what is left to the client
+// TestToldTime guards the time that an attempt states to its runner: it is what is left to the client
 // once there is a connection, not what was left when the attempt was decided on.
 func TestToldTime(t *testing.T) {
 	t.Parallel()
@@ -455,7 +455,7 @@
 }
 
 // TestCutRequests guards against messages that end anywhere before their last byte: no job is sent, and no
-// call-back counts.
+// report counts.
 func TestCutRequests(t *testing.T) {
 	t.Parallel()
 	d, r := one(t)
--- a/cmd/frosttide/cli_test.go
+++ b/cmd/frosttide/cli_test.go
@@ -26,7 +26,7 @@
 	if in != nil {
 		cmd.Stdin = in
 	}
-	_ = cmd.Run() // the status tells
+	_ = cmd.Run() // the exit status is checked
 	if strings.Contains(e.String(), "WARNING: DATA RACE") {
 		t.Errorf("the race detector reported a race in the program:\n%s", e.String())
 	}
@@ -64,7 +64,7 @@
 }
 
 // TestSettingsFile guards a stand-alone installation: the file alone is enough, what is
-// wrong is told at once, and the platform's file goes before it.
+// wrong is reported at once, and the platform's file goes before it.
 func TestSettingsFile(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/cmd/frosttide/clients_test.go
+++ b/cmd/frosttide/clients_test.go
@@ -114,7 +114,7 @@
 
 func (readCloser) Close() error { return nil }
 
-// TestClientLeaves guards that the work of a client that has gone is given up:
+// TestClientLeaves guards that the work of a client that has left is canceled:
 // before the 202 by closing the connection, after it by recalling the job.
 func TestClientLeaves(t *testing.T) {
 	t.Parallel()
@@ -181,7 +181,7 @@
 
 // TestSockets guards the budget of descriptors: jobs past their share are refused
 // cleanly, and hundreds of connections that say nothing, or never come to an end,
-// keep neither call-backs nor the health check nor kept connections outside; they
+// keep neither reports nor the health check nor kept connections outside; they
 // are closed in time themselves.
 func TestSockets(t *testing.T) {
 	t.Parallel()
--- a/cmd/frosttide/commands.go
+++ b/cmd/frosttide/commands.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// sourceFlags adds the flags that tell where the configuration comes from.
+// sourceFlags adds the flags that say where the configuration comes from.
 func sourceFlags(cmd *cobra.Command) *config.Source {
 	src := &config.Source{Getenv: os.Getenv}
 	f := cmd.Flags()
--- a/cmd/frosttide/connerrors_test.go
+++ b/cmd/frosttide/connerrors_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// broken are the errors by which the system tells that a connection has ended.
+// broken are the errors by which the kernel reports that a connection has ended.
 var broken = []syscall.Errno{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENOBUFS}
 
 // withFault starts a dispatcher whose connections of one side meet the faults that a file names.
@@ -143,7 +143,7 @@
 			got := submit(d.job("render", "write"))
 			await(t, r.requests, "attempt").reply(202, "")
 			connFault{write: true, after: 9, errno: errno}.lay(t, path)
-			// The call-back's own answer may be what the fault strikes: it is made again.
+			// The report's own answer may be what the fault strikes: it is made again.
 			d.report(event("write", r.uid, "done"))
 			a := await(t, got, "end of the connection")
 			if _, err := os.Stat(path); err == nil {
--- a/cmd/frosttide/connfault_test.go
+++ b/cmd/frosttide/connfault_test.go
@@ -66,7 +66,7 @@
 	return c
 }
 
-// Read fails by a fault once something has come, which is then gone.
+// Read fails by a fault once something has come, which is then lost.
 func (c *faultyConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n == 0 || err != nil {
--- a/cmd/frosttide/daily_test.go
+++ b/cmd/frosttide/daily_test.go
@@ -20,8 +20,8 @@
 	"frosttide/internal/dispatcher/handover"
 )
 
-// TestConsole guards the operators' door: it answers each call within the second that
-// a caller waits, however many callers connect and say nothing, tells a bad call from
+// TestConsole guards the operators' console: it answers each call within the second that
+// a caller waits, however many callers connect and send nothing, distinguishes a bad call from
 // a good one, and says not ready once the process drains.
 func TestConsole(t *testing.T) {
 	t.Parallel()
@@ -153,7 +153,7 @@
 }
 
 // TestUpgrade guards the change of processes: the newer one knows what the older one
-// was told, by discovery and by operators; call-backs find the process that holds the
+// was told, by discovery and by operators; reports find the process that holds the
 // job, whichever they come to; and the older one takes nothing new, while the jobs that
 // it holds, and those that come on the connections that it keeps, go on in the newer.
 func TestUpgrade(t *testing.T) {
@@ -226,7 +226,7 @@
 					break
 				}
 			}
-			// Call-backs come to the newer process alone from here on.
+			// Reports come to the newer process alone from here on.
 			for next.report(event("x0", x.uid, "started")) != 204 { // repeated while the job is on its way
 			}
 			if code := next.report(event("nobodys", x.uid, "started")); code != 503 {
@@ -505,7 +505,7 @@
 // hearTime is within which the front hears a request to its end; it is told to clients.
 const hearTime = 2750 * time.Millisecond
 
-// slowJob writes a good job in pieces over more than 2 s on a new connection, while others fill the door: some ask
+// slowJob writes a good job in pieces over more than 2 s on a new connection, while others fill the listener: some ask
 // once and stay, some never finish. It returns the connection's answer, the ends of those that never finish, and whether
 // the machine was too busy for the job to be written within hearTime: the front may end it then, rightly.
 func slowJob(t *testing.T, d *dispatcher) (got <-chan response, ends []<-chan response, late bool) {
@@ -549,9 +549,9 @@
 	return got, ends, !written || took >= hearTime
 }
 
-// TestSlowClient guards a good job that is written slowly on a new connection while others fill the door; those that
+// TestSlowClient guards a good job that is written slowly on a new connection while others fill the listener; those that
 // never finish are ended in time. On a machine so busy that the job is not written within the time in which the front
-// hears a request, which is no matter of the door, it is written again.
+// hears a request, which the listener does not decide, it is written again.
 func TestSlowClient(t *testing.T) {
 	t.Parallel()
 	const tries = 5
@@ -628,7 +628,7 @@
 				t.Fatal(err)
 			}
 			old.awaitLog("frosttide drains")
-			if tc.signal == syscall.SIGKILL { // it lingers, for call-backs above all
+			if tc.signal == syscall.SIGKILL { // it lingers, for reports above all
 				if code := old.report(event("x1", r.uid, "done")); code != 204 {
 					t.Errorf("call-back after SIGTERM got %d", code)
 				}
--- a/cmd/frosttide/harness_test.go
+++ b/cmd/frosttide/harness_test.go
@@ -153,7 +153,7 @@
 			select {
 			case <-beat.C:
 				// A call for the whole list that a test leaves open once it has its answer
-				// stays so: it would be asked again, and the test take that for another's.
+				// stays so: it would be made again, and the test take that for another's.
 				if (r.URL.Query().Get("watch") == "1" || wrote) && whole && !d.silent.Load() {
 					fmt.Fprint(w, "\n")
 					w.(http.Flusher).Flush()
--- a/cmd/frosttide/inject_test.go
+++ b/cmd/frosttide/inject_test.go
@@ -22,7 +22,7 @@
 	envClientFault  = "FROSTTIDE_TEST_CLIENT_FAULT"  // a file: the same of a connection that was accepted
 )
 
-// waiting ends the name of the file that tells that a dial waits.
+// waiting ends the name of the file that shows that a dial waits.
 const waiting = ".waiting"
 
 // inject puts in the faults that the environment names.
@@ -53,7 +53,7 @@
 	}
 }
 
-// blockingDial dials once a file is gone, and says by another that it waits.
+// blockingDial dials once a file is removed, and shows by another that it waits.
 func blockingDial(path string) egress.Dial {
 	return func(network, addr string, deadline time.Time) (net.Conn, error) {
 		for {
--- a/cmd/frosttide/jobs_test.go
+++ b/cmd/frosttide/jobs_test.go
@@ -18,13 +18,13 @@
 
 // TestServed guards the way of a job: what a runner gets is what the client
 // sent, and the result reaches the client once whatever the order and number of
-// the call-backs.
+// the reports.
 func TestServed(t *testing.T) {
 	t.Parallel()
 	d, r := one(t)
 	for _, tc := range []struct {
 		name   string
-		report []string // states; "202" is the answer to the hop; "!" marks one from a stranger
+		report []string // states; "202" is the answer to the attempt; "!" marks one from a stranger
 	}{
 		{"done after the 202", []string{"202", "started", "running", "done"}},
 		{"done before the 202", []string{"started", "done", "202"}},
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestOutcomes guards rule 2: what a hop's end tells of its having run decides
+// TestOutcomes guards rule 2: what a attempt's end tells of its having run decides
 // what the client is told and whether another runner gets the job.
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
--- a/cmd/frosttide/lifecycle_test.go
+++ b/cmd/frosttide/lifecycle_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestDrain guards the planned restart: clients keep their connections for a while
-// and are then told to go elsewhere, everything has its answer before the platform ends the process, call-backs still come in, and the program ends once
+// and are then told to go elsewhere, everything has its answer before the platform ends the process, reports still come in, and the program ends once
 // all it has taken is answered, whoever is connected and says nothing.
 func TestDrain(t *testing.T) {
 	t.Parallel()
--- a/cmd/frosttide/main.go
+++ b/cmd/frosttide/main.go
@@ -1,7 +1,7 @@
 // Command frosttide is a dispatcher: it takes jobs from clients and has them run by
 // the workers that discovery lists.
 //
-// serve.go tells the order in which a dispatcher starts, process.go its components and
+// serve.go has the order in which a dispatcher starts, process.go its components and
 // how they are connected, reload.go what a new configuration changes, and shutdown.go
 // how it ends. peers.go, clusterevents.go and workflows.go connect it to a cluster. The
 // sub-commands have a file each. Every decision is made in package decision.
--- a/cmd/frosttide/peers.go
+++ b/cmd/frosttide/peers.go
@@ -168,7 +168,7 @@
 	p.table.Renew(func() { p.core.SetAdmission(admission.Wide, true, 0, stalls) })
 }
 
-// openMember opens the member; warm tells that this process has served before. It
+// openMember opens the member; warm says that this process has served before. It
 // does nothing once the part in the cluster has ended.
 func (p *peers) openMember(warm bool) error {
 	p.mu.Lock()
@@ -237,7 +237,7 @@
 // leave ends the part in the cluster for good.
 func (p *peers) leave() { p.close(true) }
 
-// close ends the member; farewell tells the other members that it will not come back.
+// close ends the member; farewell announces to the other members that it has left.
 func (p *peers) close(farewell bool) {
 	p.mu.Lock()
 	m, cancel := p.member, p.cancelRejoin
--- a/cmd/frosttide/process.go
+++ b/cmd/frosttide/process.go
@@ -49,7 +49,7 @@
 	front           *ingress.Front
 	listener        net.Listener // of clients
 
-	ready     atomic.Bool    // the process serves, and was not told to end
+	ready     atomic.Bool    // the process serves and does not drain
 	grace     atomic.Int64   // time.Duration that the process has after SIGTERM
 	telemetry export.Options // in force; owned by the goroutine that reloads
 
--- a/cmd/frosttide/restart_test.go
+++ b/cmd/frosttide/restart_test.go
@@ -123,10 +123,10 @@
 	}
 }
 
-// errUnread tells that the connection was closed before a byte of the answer.
+// errUnread is the error of a connection that was closed before a byte of the response.
 var errUnread = errors.New("closed without an answer")
 
-// exchange sends a request and reads its answer, and tells whether the connection ends with it.
+// exchange sends a request and reads its answer, and reports whether the connection ends with it.
 func exchange(c net.Conn, in *bufio.Reader, req *http.Request) (status int, last bool, err error) {
 	if err := req.Write(c); err != nil {
 		return 0, true, errUnread
--- a/cmd/frosttide/runners_test.go
+++ b/cmd/frosttide/runners_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// TestCallbacks guards the answers to call-backs: a runner repeats what is not
+// TestCallbacks guards the answers to reports: a runner repeats what is not
 // answered, so an unknown id is answered like any, and only nonsense is refused.
 func TestCallbacks(t *testing.T) {
 	t.Parallel()
@@ -93,8 +93,8 @@
 }
 
 // TestBreaksKept guards against a runner that breaks kept connections when the
-// next request comes: one such break costs one hop, not its rest, and from then on
-// each hop has a connection of its own.
+// next request comes: one such break costs one attempt, not its rest, and from then on
+// each attempt has a connection of its own.
 func TestBreaksKept(t *testing.T) {
 	t.Parallel()
 	d, r := one(t)
@@ -132,7 +132,7 @@
 
 // TestSilentRunner guards a job whose connection has fallen silent before the 202:
 // it goes to another runner long before its deadline, once the first has heard that it is given
-// up, as no second copy is allowed; but not if a call-back has told that the job has started. One that
+// up, as no second copy is allowed; but not if a report has told that the job has started. One that
 // does not hear of it may have the job yet: no other gets it, and the client may come again.
 func TestSilentRunner(t *testing.T) {
 	t.Parallel()
--- a/cmd/frosttide/serve.go
+++ b/cmd/frosttide/serve.go
@@ -138,7 +138,7 @@
 	return served
 }
 
-// announce tells an older process, the console and the log that this one serves.
+// announce announces to an older process, the console and the log that this one serves.
 func (p *process) announce() {
 	if p.cfg.ListenFD > 0 {
 		if err := p.link.Serve(); err != nil {
--- a/cmd/frosttide/state_test.go
+++ b/cmd/frosttide/state_test.go
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// snapshotNames tells whether a state has a runner in a state of discovery's.
+// snapshotNames reports whether a snapshot has a runner in a state of discovery's.
 func snapshotNames(s *rosterstore.Snapshot, uid, state string) bool {
 	for _, n := range s.Nodes {
 		if n.UID == uid && strings.Contains(string(n.Entry), state) {
@@ -130,7 +130,7 @@
 	if _, text := d.call("GET", "/api/telemetry", ""); !strings.Contains(text, "edge_balancer_stored_list_age_seconds") {
 		t.Error("the figures don't tell the list's age")
 	}
-	// A burst: cold runners get what they bear and no more, everybody an answer.
+	// A burst: warming runners get what they bear and no more, everybody an answer.
 	var burst []<-chan response
 	for i := range 60 {
 		burst = append(burst, submit(d.job("render", fmt.Sprint("burst-", i))))
--- a/cmd/frosttide/storedstate.go
+++ b/cmd/frosttide/storedstate.go
@@ -121,7 +121,7 @@
 	}
 }
 
-// storedListNote tells operators that the process serves from a stored list. It is
+// storedListNote returns what operators should know while the process serves from a stored list. It is
 // empty while that is discovery's list, and without a roster.
 func storedListNote(r *roster.Roster) string {
 	if r == nil {
--- a/cmd/frosttide/telemetry_test.go
+++ b/cmd/frosttide/telemetry_test.go
@@ -54,7 +54,7 @@
 	return c
 }
 
-// withTelemetry has a dispatcher tell a collector, soon; the edits come after.
+// withTelemetry has a dispatcher export to a collector, soon; the edits come after.
 func withTelemetry(addr string, env ...string) func(*dispatcher) {
 	return func(d *dispatcher) {
 		d.cmd.Env = append(d.cmd.Env, "OTEL_EXPORTER_OTLP_ENDPOINT=http://"+addr, "OTEL_BSP_SCHEDULE_DELAY=20",
@@ -98,7 +98,7 @@
 	return true
 }
 
-// reportEvent makes a call-back; nobody may be there to take it.
+// reportEvent sends a report, which nobody may be there to take.
 func (d *dispatcher) reportEvent(body string) {
 	resp, err := http.Post("http://"+d.addr+"/v1/job-events", "application/json", strings.NewReader(body))
 	if err == nil {
@@ -202,7 +202,7 @@
 			}
 			var events []string
 			for _, e := range h.Events().All() {
-				if e.Name() != "taken" { // a call-back may overtake the 202, which then is not noted
+				if e.Name() != "taken" { // a report may overtake the 202, which then is not noted
 					events = append(events, e.Name())
 				}
 			}
@@ -213,7 +213,7 @@
 	return out
 }
 
-// TestTraces guards the story that a trace tells: one request, however many hops, with
+// TestTraces guards what a trace shows: one request, however many attempts, with
 // who answered and why.
 func TestTraces(t *testing.T) {
 	t.Parallel()
@@ -457,7 +457,7 @@
 	}
 }
 
-// TestFullQueue guards the stories that will be asked for, and the memory: where there
+// TestFullQueue guards the records that will be asked for, and the memory: where there
 // is no room plain ones go first.
 func TestFullQueue(t *testing.T) {
 	t.Parallel()
@@ -627,7 +627,7 @@
 	spans(t, two, "still-0")
 }
 
-// TestUpgradeKeepsTrace guards the story of a job that an older process hands over: it
+// TestUpgradeKeepsTrace guards the record of a job that an older process hands over: it
 // goes on under the same request's span.
 func TestUpgradeKeepsTrace(t *testing.T) {
 	t.Parallel()
--- a/internal/dispatcher/console/console.go
+++ b/internal/dispatcher/console/console.go
@@ -1,4 +1,4 @@
-// Package console is the operators' HTTP server, at an address of its own. It tells
+// Package console is the operators' HTTP server, at an address of its own. It reports
 // whether the process is ready, returns its figures, and excludes and reinstates
 // workers. It takes one call per connection. cmd/frosttide makes one Console and
 // runs it.
--- a/internal/dispatcher/core/admission.go
+++ b/internal/dispatcher/core/admission.go
@@ -147,7 +147,7 @@
 func (c *Core) stalled() bool { return c.guard != nil && c.guard.admission.Level() == admission.Closed }
 
 // releaseAdmission records that a job no longer counts among those admitted.
-// Served tells whether a worker served it.
+// Served says whether a worker served it.
 func (c *Core) releaseAdmission(job *Job, served bool) {
 	if job.admissionCounted {
 		job.admissionCounted = false
--- a/internal/dispatcher/core/attempts.go
+++ b/internal/dispatcher/core/attempts.go
@@ -18,7 +18,7 @@
 	reported     bool // the worker has said that the job started or runs
 	accepted     bool // the worker has said that it has the job
 	recorded     bool // other dispatchers know of the attempt
-	recalled     bool // the worker is being told that the attempt is canceled
+	recalled     bool // the worker is being notified of the cancellation
 	unresponsive bool // the worker has said nothing in time
 	ended        bool
 	neverRan     bool // it has ended and surely never ran
--- a/internal/dispatcher/core/core.go
+++ b/internal/dispatcher/core/core.go
@@ -59,7 +59,7 @@
 	awaitingAdmission map[*Job]bool                    // jobs held back or looked up in the outcome store, whose clients are still there
 	heldBack          *heldBackJobs                    // nil once discovery has answered
 	releasing         map[*request]func(*MovedRequest) // requests that will go to another process
-	stopAt            time.Duration                    // when the process may be ended; 0 before it is told to stop
+	stopAt            time.Duration                    // when the process may be ended; 0 before StopBy
 
 	// Workers.
 	workers         map[string]*worker // by UID
--- a/internal/dispatcher/core/exclusions.go
+++ b/internal/dispatcher/core/exclusions.go
@@ -19,7 +19,7 @@
 
 // Exclude excludes a worker, or reinstates it with out false, and passes to done
 // whether anybody has the worker. From the deadline on it does nothing and does
-// not call done, because the caller has been told of the failure by then.
+// not call done, because its caller has reported the failure by then.
 func (c *Core) Exclude(uid string, out bool, deadline time.Time, done func(known bool)) {
 	c.mailbox.Put(func(c *Core) {
 		if time.Now().Before(deadline) {
--- a/internal/dispatcher/core/permit.go
+++ b/internal/dispatcher/core/permit.go
@@ -13,7 +13,7 @@
 // for concurrent use.
 type Permit struct {
 	revoked       atomic.Bool
-	clientLeft    func() bool // nil where nobody can tell
+	clientLeft    func() bool // nil where that is unknown
 	epoch         *epoch      // of the worker; nil for a worker that is not listed
 	decidedEpoch  uint64      // the worker's epoch when the attempt was decided on
 	latestStart   time.Time   // zero for no bound beside the deadline
--- a/internal/dispatcher/core/recall.go
+++ b/internal/dispatcher/core/recall.go
@@ -25,7 +25,7 @@
 	c.endAttempt(r, attempt, outcome, nil)
 }
 
-// recall tells the worker of an attempt that is out, once, that it is canceled.
+// recall notifies the worker of an attempt that is out, once, that it is canceled.
 // With confirm another attempt may follow when the worker knows.
 func (c *Core) recall(r *request, attempt int, confirm bool) {
 	a := &r.attempts[attempt]
--- a/internal/dispatcher/core/requests.go
+++ b/internal/dispatcher/core/requests.go
@@ -66,7 +66,7 @@
 }
 
 // StopBy sets when the process may be ended: every open request gets its response
-// by then. Otherwise clients would see a reset where they could have been told to
+// by then. Otherwise clients would see a reset in place of a rejection, which they may
 // retry.
 func (c *Core) StopBy(deadline time.Time) {
 	c.mailbox.Put(func(c *Core) {
@@ -151,7 +151,7 @@
 }
 
 // rejectDuplicate responds to a job whose ID is that of an open request: reports
-// of workers are matched by ID, so two open requests could not be told apart.
+// of workers are matched by ID, so two open requests would be confused.
 func (c *Core) rejectDuplicate(job *Job, ingress Ingress) {
 	c.releaseAdmission(job, false)
 	if job.Record != nil {
--- a/internal/dispatcher/egress/delivery.go
+++ b/internal/dispatcher/egress/delivery.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// expiryMargin is subtracted from the time that an attempt tells its worker,
+	// expiryMargin is subtracted from the time that an attempt states to its worker,
 	// because the process may be delayed between computing it and the write. Where
 	// little time is left, an eighth of that is subtracted.
 	expiryMargin = 50 * time.Millisecond
@@ -35,14 +35,14 @@
 	bodyTimeout = 250 * time.Millisecond
 )
 
-// exchange is the exchange of one attempt with a worker, up to the worker's word
+// exchange is the exchange of one attempt with a worker, up to the worker's statement
 // that it has the job.
 type exchange struct {
 	attempt    core.Attempt
 	log        *logrus.Entry
 	body       sentBody
 	header     http.Header
-	advertised time.Duration // time that the worker is told, known once there is a connection
+	advertised time.Duration // time that is stated to the worker, set in onConnected
 	conn       atomic.Pointer[conn]
 
 	writeFailed atomic.Bool           // the transport says that it could not write everything
@@ -62,7 +62,7 @@
 	return res
 }
 
-// deliverOnce sends an attempt on one connection. Unusable tells that a pooled one
+// deliverOnce sends an attempt on one connection. Unusable says that a pooled one
 // could not be used, so that nothing was written.
 func (b *backend) deliverOnce(ctx context.Context, transport *http.Transport, addr string, a core.Attempt) (res result, unusable bool) {
 	e := &exchange{attempt: a, log: b.log, body: sentBody{data: a.Job.Body}}
@@ -126,7 +126,7 @@
 
 // onConnected records that the transport has a connection for the attempt. It runs
 // before the transport's writer gets the request, so the header may still be set:
-// the worker is told the time that is left after the wait for a connection.
+// the time that is stated is what remains after the wait for a connection.
 func (e *exchange) onConnected(info httptrace.GotConnInfo) {
 	e.reused.Store(info.Reused)
 	remaining := time.Until(e.attempt.Deadline)
@@ -178,8 +178,8 @@
 		return result{outcome: decision.ConnectFailed, pooledConnBroke: e.reused.Load()}
 	}
 	// On a connection that has gone silent nothing would come before the deadline.
-	// The transport has closed it, which cancels the attempt. The kernel's own word
-	// that a connection has timed out is a break like others.
+	// The transport has closed it, which cancels the attempt. The kernel's own
+	// report that a connection has timed out is a break like others.
 	var timeout net.Error
 	if errors.As(err, &timeout) && timeout.Timeout() && !errors.Is(err, syscall.ETIMEDOUT) {
 		return result{outcome: decision.TimedOut, pooledConnBroke: e.reused.Load()}
--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -73,7 +73,7 @@
 }
 
 // Path returns the path of the unix socket where the processes of a dispatcher meet.
-// The address on which they listen for clients tells dispatchers apart that share
+// The address on which they listen for clients distinguishes dispatchers that share
 // the folder.
 func Path(dir, listen string) string {
 	name := fnv.New32a()
@@ -88,7 +88,7 @@
 }
 
 // address returns the address of a unix socket, and for a path that is too long for
-// one the open folder that the address goes by, else nil.
+// one the open folder that the address refers to, else nil.
 func address(path string) (*net.UnixAddr, *os.File, error) {
 	if len(path) <= maxPath {
 		return &net.UnixAddr{Name: path, Net: "unix"}, nil, nil
@@ -171,7 +171,7 @@
 	return nil
 }
 
-// Ready tells the older process that this one serves, and waits until it knows: its
+// Ready notifies the older process that this one serves, and waits until it knows: its
 // SIGTERM comes with the platform's next check.
 func (l *Link) Ready() {
 	if p := l.current(); p != nil && !p.request(message{Ready: true}, time.Now().Add(dialTimeout)) {
--- a/internal/dispatcher/ingress/conn.go
+++ b/internal/dispatcher/ingress/conn.go
@@ -139,7 +139,7 @@
 	}
 }
 
-// dataArrived records that a part of a request has come; behind tells that it came
+// dataArrived records that a part of a request has come; behind says that it came
 // behind one that waits for its response, and then the lookahead reads on. It sets
 // the read deadline of a request on a kept connection: net/http's own begins only
 // with the fourth byte, so a client could stop after the first.
--- a/internal/dispatcher/ingress/listener.go
+++ b/internal/dispatcher/ingress/listener.go
@@ -41,7 +41,7 @@
 	evicted   atomic.Int64 // connections evicted since the last summary
 	mu        sync.Mutex
 	open      int
-	retiring  int                        // those of them that were told to end and have not yet
+	retiring  int                        // those of them that were retired and have not ended yet
 	evictable [idleRunners + 1]list.List // of *conn by class, the longest quiet first
 }
 
