--- a/cmd/frosttide/clustercmd.go
+++ b/cmd/frosttide/clustercmd.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"cmp"
 	"context"
 	"encoding/json"
 	"errors"
@@ -23,10 +24,13 @@
 // consoleTimeout bounds a call to a console.
 const consoleTimeout = 3 * time.Second
 
+// errNoLogDir is the error of settings that name no folder of the agreed log.
+var errNoLogDir = errors.New("[cluster] names no folder of a log")
+
 // clusterCommand returns the command that asks a member of a cluster, or recovers one that
 // is stopped.
 func clusterCommand() *cobra.Command {
-	var at string
+	var console string
 	cmd := &cobra.Command{
 		Use:   "cluster",
 		Short: "Look at the dispatchers that know each other, and at what they share",
@@ -35,54 +39,75 @@
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
-	cmd.PersistentFlags().StringVar(&at, "console", "127.0.0.1:8090", "address of a member's console")
-	get := func(use, short string, show func(io.Writer, cluster.Report)) {
-		var asJSON bool
-		sub := &cobra.Command{Use: use, Short: short, Example: "  frosttide cluster " + use + " --console 127.0.0.1:8090", Args: noArgs,
-			RunE: func(cmd *cobra.Command, _ []string) error {
-				text, err := consoleCall(http.MethodGet, at, "/api/cluster", nil)
-				if err != nil {
-					return err
-				}
-				if asJSON {
-					_, err = cmd.OutOrStdout().Write(text)
-					return err
-				}
-				var r cluster.Report
-				if err := json.Unmarshal(text, &r); err != nil {
-					return fmt.Errorf("the console's answer: %w", err)
-				}
-				show(cmd.OutOrStdout(), r)
-				return nil
-			}}
-		sub.Flags().BoolVar(&asJSON, "json", false, "print all that the console tells")
-		cmd.AddCommand(sub)
-	}
-	get("members", "Print who is there, who is gone, and who leads", showMembers)
-	get("state", "Print what is shared: runners left out, copies and how far behind they are", showShared)
-	get("log", "Print how the log does and its last entries", showLog)
-	post := func(use, short, example, path, key string) {
-		args := noArgs
-		if key != "" {
-			args = exactly(strings.Fields(use)[1:]...)
-		}
-		cmd.AddCommand(&cobra.Command{Use: use, Short: short, Example: example, Args: args,
-			RunE: func(_ *cobra.Command, args []string) error {
-				body := map[string]string{}
-				if key != "" {
-					body[key] = args[0]
-				}
-				_, err := consoleCall(http.MethodPost, at, path, body)
+	cmd.PersistentFlags().StringVar(&console, "console", "127.0.0.1:8090", "address of a member's console")
+	cmd.AddCommand(
+		reportCommand("members", "Print who is there, who is gone, and who leads", &console, showMembers),
+		reportCommand("state", "Print what is shared: runners left out, copies and how far behind they are", &console, showShared),
+		reportCommand("log", "Print how the log does and its last entries", &console, showLog),
+		memberCommand("snapshot", "Have the member write its state down and cut its log short",
+			"  frosttide cluster snapshot", &console, "/api/cluster/snapshot", ""),
+		memberCommand("join ADDRESS", "Have the member join another at an address",
+			"  frosttide cluster join 127.0.0.2:7946", &console, "/api/cluster/join", "address"),
+		memberCommand("leave NAME", "Take a member that is gone for good out of the log; said to the leader",
+			"  frosttide cluster leave studio-3", &console, "/api/cluster/remove", "name"),
+		recoverCommand(),
+	)
+	return cmd
+}
+
+// reportCommand returns a command that prints a part of a member's report. The console's
+// address is read when the command runs.
+func reportCommand(use, short string, console *string, show func(io.Writer, cluster.Report)) *cobra.Command {
+	var asJSON bool
+	cmd := &cobra.Command{
+		Use:     use,
+		Short:   short,
+		Example: "  frosttide cluster " + use + " --console 127.0.0.1:8090",
+		Args:    noArgs,
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			text, err := consoleCall(http.MethodGet, *console, "/api/cluster", nil)
+			if err != nil {
+				return err
+			}
+			if asJSON {
+				_, err = cmd.OutOrStdout().Write(text)
 				return err
-			}})
+			}
+			var r cluster.Report
+			if err := json.Unmarshal(text, &r); err != nil {
+				return fmt.Errorf("the console's answer: %w", err)
+			}
+			show(cmd.OutOrStdout(), r)
+			return nil
+		},
 	}
-	post("snapshot", "Have the member write its state down and cut its log short", "  frosttide cluster snapshot", "/api/cluster/snapshot", "")
-	post("join ADDRESS", "Have the member join another at an address", "  frosttide cluster join 127.0.0.2:7946", "/api/cluster/join", "address")
-	post("leave NAME", "Take a member that is gone for good out of the log; said to the leader", "  frosttide cluster leave studio-3", "/api/cluster/remove", "name")
-	cmd.AddCommand(recoverCommand())
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print all that the console tells")
 	return cmd
 }
 
+// memberCommand returns a command that has a member do something. With a key it takes one
+// argument, which goes into the call's body under that key.
+func memberCommand(use, short, example string, console *string, path, key string) *cobra.Command {
+	args := noArgs
+	if key != "" {
+		args = exactly(strings.Fields(use)[1:]...)
+	}
+	return &cobra.Command{
+		Use:     use,
+		Short:   short,
+		Example: example,
+		Args:    args,
+		RunE: func(_ *cobra.Command, args []string) error {
+			body := map[string]string{}
+			if key != "" {
+				body[key] = args[0]
+			}
+			_, err := consoleCall(http.MethodPost, *console, path, body)
+			return err
+		},
+	}
+}
+
 // consoleCall makes a call to the console at an address and returns the response's body.
 func consoleCall(method, at, path string, body any) ([]byte, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(consoleTimeout))
@@ -235,30 +260,32 @@
 			fmt.Fprintln(os.Stderr, err)
 			return errReported
 		}
-		if cfg.Cluster.Listen == "" || cfg.Cluster.Dir == "" {
-			return fmt.Errorf("[cluster] names no folder of a log")
-		}
-		addr := cfg.Cluster.Advertise
-		if addr == "" {
-			addr = cfg.Cluster.Listen
-		}
-		found, err := quorum.Recover(cfg.Cluster.Dir, cfg.Name, addr, confirmed)
-		if errors.Is(err, quorum.ErrEmpty) || errors.Is(err, os.ErrNotExist) {
-			return beginAnew(cmd.OutOrStdout(), cfg, confirmed)
-		}
-		if err != nil {
-			return err
-		}
-		out := cmd.OutOrStdout()
-		fmt.Fprintf(out, "the log here goes to entry %d, of term %d; its voters were %s\n", found.Last, found.Term, strings.Join(found.Voters, " "))
-		fmt.Fprintf(out, "left out by it: %d runners\n", found.Out)
-		fmt.Fprintln(out, "acknowledged entries after that one, if the lost voters had any, are lost")
-		if !confirmed {
-			fmt.Fprintln(out, "nothing was changed; say --yes to go on")
-			return nil
-		}
-		fmt.Fprintf(out, "%s is the only voter now; start it, then the others with empty folders\n", cfg.Name)
-		return nil
+		return recoverMember(cmd.OutOrStdout(), cfg, confirmed)
 	}
 	return cmd
 }
+
+// recoverMember makes a stopped member the only voter of its log, or without a log of a new
+// one. Without confirmed it only prints what it would do.
+func recoverMember(out io.Writer, cfg config.Config, confirmed bool) error {
+	if cfg.Cluster.Listen == "" || cfg.Cluster.Dir == "" {
+		return errNoLogDir
+	}
+	addr := cmp.Or(cfg.Cluster.Advertise, cfg.Cluster.Listen)
+	found, err := quorum.Recover(cfg.Cluster.Dir, cfg.Name, addr, confirmed)
+	if errors.Is(err, quorum.ErrEmpty) || errors.Is(err, os.ErrNotExist) {
+		return beginAnew(out, cfg, confirmed)
+	}
+	if err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "the log here goes to entry %d, of term %d; its voters were %s\n", found.Last, found.Term, strings.Join(found.Voters, " "))
+	fmt.Fprintf(out, "left out by it: %d runners\n", found.Out)
+	fmt.Fprintln(out, "acknowledged entries after that one, if the lost voters had any, are lost")
+	if !confirmed {
+		fmt.Fprintln(out, "nothing was changed; say --yes to go on")
+		return nil
+	}
+	fmt.Fprintf(out, "%s is the only voter now; start it, then the others with empty folders\n", cfg.Name)
+	return nil
+}
--- a/cmd/frosttide/deployments_test.go
+++ b/cmd/frosttide/deployments_test.go
@@ -221,7 +221,7 @@
 	})
 }
 
-// TestReportsInAnswers has load reports count where reports carry them, and a report without the figures that matter say nothing.
+// TestReportsInAnswers has load reports count where reports on jobs carry them, and a report without the figures that matter say nothing.
 func TestReportsInAnswers(t *testing.T) {
 	t.Parallel()
 	eachDeployment(t, func(t *testing.T, dep *deployment) {
--- a/cmd/frosttide/jobs_test.go
+++ b/cmd/frosttide/jobs_test.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// TestOutcomes guards rule 2: what a attempt's end tells of its having run decides
+// TestOutcomes guards rule 2: what the end of an attempt says of its having run decides
 // what the client is told and whether another runner gets the job.
 func TestOutcomes(t *testing.T) {
 	t.Parallel()
