--- a/cmd/frosttide/clients_test.go
+++ b/cmd/frosttide/clients_test.go
@@ -19,7 +19,7 @@
 // time to come back.
 func TestRefused(t *testing.T) {
 	t.Parallel()
-	dead, err := net.Listen("tcp", "127.0.0.1:0")
+	dead, err := net.Listen("tcp", uniqueIP()+":0") // at 127.0.0.1 another test may be given the port
 	if err != nil {
 		t.Fatal(err)
 	}
