--- a/internal/dispatcher/fleet/cluster/clock.go
+++ b/internal/dispatcher/fleet/cluster/clock.go
@@ -8,8 +8,7 @@
 	"frosttide/internal/dispatcher/monotime"
 )
 
-// times is the member's clock: it runs on steadily whatever the machine's is set to, and is put
-// right by what most members agree on.
+// memberClock is the member's fleet time; see package fleetclock. It is safe for concurrent use.
 type memberClock struct {
 	mu        sync.Mutex
 	startedAt time.Time
@@ -22,29 +21,30 @@
 
 func (t *memberClock) steady() time.Duration { return time.Since(t.startedAt) }
 
-// now is the time since 1970.
+// now returns the fleet time since 1970.
 func (t *memberClock) now() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fleet.Now(t.steady())
 }
 
-// gone forgets a member's time. Guards the majority from members that are away.
+// forget drops the reading of a departed member, so that it does not count for the majority.
 func (t *memberClock) forget(member string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.fleet.Forget(member)
 }
 
-// now is the time as facts have it, in ms since 1970.
+// now returns the fleet time in ms since 1970, as facts use it.
 func (c *Cluster) now() int64 { return c.clock.now().Milliseconds() }
 
-// Now is the time since 1970 as the members have it.
+// Now returns the fleet time since 1970.
 func (c *Cluster) Now() time.Duration { return c.clock.now() }
 
-// heardClock takes in another's time, which it told between two of this member's steady ones.
+// observeClock records another member's fleet time, in ms since 1970, read between two readings of
+// this member's monotonic clock.
 func (c *Cluster) observeClock(member string, theirs int64, sentAt, receivedAt time.Duration) {
-	if theirs <= 0 { // of a build that does not tell
+	if theirs <= 0 { // from a build that does not send its time
 		return
 	}
 	c.clock.mu.Lock()
--- a/internal/dispatcher/fleet/cluster/cluster.go
+++ b/internal/dispatcher/fleet/cluster/cluster.go
@@ -1,7 +1,14 @@
-// Package cluster lets dispatchers that know each other share what matters: what operators
-// have said, by a log that a majority keeps, and what is seen of runners, by gossip and by
-// comparing copies. Its actor owns the soft copies; it knows the dispatcher only by the
-// interfaces declared here, and none of what it is told blocks.
+// Package cluster is a dispatcher's membership in a cluster. It shares two kinds of state with the
+// other dispatchers: operators' decisions and workflows through a replicated log that a majority
+// keeps (package quorum), and observations of runners, gangs and keyed jobs through gossip and
+// pairwise comparison of replicas (packages members and replica).
+//
+// The dispatcher's command opens one Cluster and implements Dispatcher, the only way in which the
+// package knows the core. Invariants: a runner that an operator has excluded stays excluded until
+// the log is known to include it again, and no callback blocks the actor.
+//
+// One goroutine, the actor, owns the replicas and the exclusions; other goroutines reach them
+// through its mailbox. All exported methods are safe for concurrent use.
 package cluster
 
 import (
@@ -24,49 +31,52 @@
 	"frosttide/internal/mailbox"
 )
 
-// Sockets is how many descriptors a cluster's member uses at most.
+// Sockets is the most file descriptors that a member uses.
 const Sockets = clusterport.Sockets + diskFiles + maxDials
 
-// diskFiles are the log's, a snapshot's and what is held while one is written.
+// diskFiles is the number of descriptors of the log, a snapshot, and the files open while one is
+// written.
 const diskFiles = 6
 
 const (
-	// compareEvery is how often a member compares its copies with another's, and soon how
-	// soon again while the last time did not bring everything.
+	// compareInterval is the interval between comparisons of replicas with another member, and
+	// hurriedInterval the one after a comparison that was incomplete.
 	compareInterval = time.Second
 	hurriedInterval = 100 * time.Millisecond
-	// expireEvery is how often what has ended is dropped.
+	// expireInterval is the interval at which expired facts are dropped.
 	expireInterval = time.Second
 )
 
-// Config says who the member is and what it shares.
+// Config configures a member.
 type Config struct {
 	Name         string
 	Site         string
 	Build        string
 	Listen       string
-	Advertise    string   // empty for the same
-	Join         []string // addresses of others
-	Voters       []string // names
-	Dir          string   // of the log; empty for none
-	WatermarkDir string   // a folder apart from it that keeps how far it had gone; empty for none
-	Source       string   // names whose versions the dispatcher's list counts by, until it tells
-	Excluded     []string // runners that the dispatcher leaves out at its start, by what it kept
+	Advertise    string   // address that others use; empty for the same
+	Join         []string // addresses of other members
+	Voters       []string // names of the voting members
+	Dir          string   // folder of the log; empty for none
+	WatermarkDir string   // another folder, for the log's watermark; empty for none
+	Source       string   // initial name of the discovery whose versions order the list of runners
+	Excluded     []string // runners that the dispatcher excludes at its start, from its own stored state
 }
 
-// Dispatcher is who the member works for. None of it may block.
+// Dispatcher is the dispatcher that the member serves. No method may block.
 type Dispatcher interface {
-	// Exclude carries out what operators have said, at whichever member.
+	// Exclude excludes a runner, or includes it again, as operators of any member have decided.
 	Exclude(uid string, out bool, at time.Time)
-	// Hear takes entries of the list that another's discovery told, in its form.
+	// ApplyRunners applies entries of the list of runners that another member's discovery sent, in
+	// its format.
 	ApplyRunners(source string, rev uint64, entries [][]byte)
-	// Hint brings what another has found of a runner, in the dispatcher's own form.
+	// ApplyHealth applies another member's measurement of a runner's health, in the dispatcher's
+	// format.
 	ApplyHealth(uid string, found []byte)
-	// HearGang brings what another tells of a part of a gang, in the dispatcher's own form.
+	// ApplyGang applies another member's report on a part of a gang, in the dispatcher's format.
 	ApplyGang(report []byte)
 }
 
-// Cluster is a dispatcher's membership. Open makes it.
+// Cluster is a dispatcher's membership; Open creates it.
 type Cluster struct {
 	cfg            Config
 	log            *logrus.Entry
@@ -82,53 +92,53 @@
 	goroutines     sync.WaitGroup
 	peers          map[string]*peer // by address
 	nameTaken      atomic.Bool      // another member had this one's name first
-	pendingUpdates atomic.Int64     // that wait for the actor
-	droppedUpdates atomic.Uint64    // that were dropped
+	pendingUpdates atomic.Int64     // received updates that wait for the actor
+	droppedUpdates atomic.Uint64    // updates dropped because too many were waiting
 	rejoinStatus   atomic.Pointer[func() rejoin.Status]
 	clock          *memberClock
 	unseenAddrs    refusedAddrs
-	informed       atomic.Bool   // copies were compared with who was there before, or with anybody where nobody was
-	compareNow     chan struct{} // has them compared at once
+	informed       atomic.Bool   // replicas were compared with an earlier member's, or with any member's if there was no earlier one
+	compareNow     chan struct{} // triggers a comparison
 
 	store            *replica.Store
-	source           string               // names whose versions the list counts by now
-	generation       uint64               // how often the source's versions have begun anew, as seen here
-	latestGeneration uint64               // and as anybody has seen it
-	ownRunners       map[string]ownRunner // the list as told here, by uid
+	source           string               // discovery whose versions order the list
+	generation       uint64               // restarts of the source's versions, as known here
+	latestGeneration uint64               // the most restarts known to any member
+	ownRunners       map[string]ownRunner // the list from the own discovery, by UID
 	excluded         map[string]bool
-	logIndex         uint64                  // the last entry on a runner that came by the log
-	agreedAhead      map[string]uint64       // entries that are agreed on and had not come by the log, by runner
-	startWatermark   *mark.Watermark         // what was kept apart from the log at the start; nil for nothing
-	undelivered      []replica.Fact          // taken in since the dispatcher was told
-	publishedHealth  map[string]healthReport // what this member has said of runners' health last
-	leaderLast       uint64                  // how far the leader's log went when it was asked; 0 for unknown
-	reconciled       bool                    // what was left out at the start has been held against the log
+	logIndex         uint64                  // last applied entry on a runner
+	agreedAhead      map[string]uint64       // committed entries that the log has not brought here yet, by runner
+	startWatermark   *mark.Watermark         // the watermark at the start; nil for none
+	undelivered      []replica.Fact          // facts merged since the dispatcher was last called
+	publishedHealth  map[string]healthReport // health that this member published last, by runner
+	leaderLast       uint64                  // last index of the leader's log when it was queried; 0 if unknown
+	reconciled       bool                    // the exclusions at the start were checked against the log
 	counts           counts
-	differingBuckets int // buckets that differed at the last comparison
+	differingBuckets int // at the last comparison
 	syncedAt         time.Time
 	startedAt        time.Time
 }
 
-// own is an entry of the list as this dispatcher's discovery told it.
+// ownRunner is an entry of the list from this dispatcher's discovery, with its version.
 type ownRunner struct {
 	Entry
 	rev uint64
 }
 
-// counts are of what the member has done.
+// counts are the member's counters.
 type counts struct {
 	Received, Accepted, Rejected, Conflicts, Compared, Failed uint64
 }
 
-// Open opens the member's address and folder and begins to take part. The context's end is
-// not the member's: Close is.
-func Open(cfg Config, to Dispatcher, log *logrus.Entry) (*Cluster, error) {
+// Open opens the member's address and folder, and starts its goroutines, which end with Close. Its
+// errors name what could not be opened.
+func Open(cfg Config, dispatcher Dispatcher, log *logrus.Entry) (*Cluster, error) {
 	port, err := clusterport.Open(cfg.Listen, cfg.Advertise, log)
 	if err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Cluster{cfg: cfg, log: log, dispatcher: to, port: port, mailbox: mailbox.New[func(*Cluster)](), ctx: ctx, cancel: cancel, source: cfg.Source, peers: map[string]*peer{},
+	c := &Cluster{cfg: cfg, log: log, dispatcher: dispatcher, port: port, mailbox: mailbox.New[func(*Cluster)](), ctx: ctx, cancel: cancel, source: cfg.Source, peers: map[string]*peer{},
 		store: replica.New(replica.DefaultBounds()), ownRunners: map[string]ownRunner{}, publishedHealth: map[string]healthReport{}, excluded: map[string]bool{}, agreedAhead: map[string]uint64{}, startedAt: time.Now(), clock: newMemberClock(),
 		unseenAddrs: refusedAddrs{refused: map[string]bool{}}, compareNow: make(chan struct{}, 1)}
 	meta := members.Meta{Site: cfg.Site, Build: cfg.Build, Epoch: uint64(c.startedAt.UnixMilli())}
@@ -164,8 +174,9 @@
 	return c, nil
 }
 
-// Close ends the membership. With farewell the others are told that the member goes;
-// without, its successor comes in its place at once.
+// Close ends the membership. With farewell the departure is announced to the others; without it a
+// successor process takes the member's place at once. Close takes up to about closeTimeout for
+// each part.
 func (c *Cluster) Close(farewell bool) {
 	c.cancel()
 	c.quorum.Close()
@@ -191,13 +202,14 @@
 	}
 }
 
-// closeTime bounds the end. Guards the process's own against a log that waits for its disk.
+// closeTimeout bounds the wait for the goroutines, so that a log that waits for its disk cannot
+// keep the process from ending.
 const closeTimeout = time.Second
 
-// Drains tells the others that the dispatcher is about to end.
+// SetDraining announces to the others that the dispatcher is draining.
 func (c *Cluster) SetDraining() { c.members.Update(func(m *members.Meta) { m.Draining = true }) }
 
-// run is the actor.
+// run is the actor: it executes the functions from the mailbox until ctx ends.
 func (c *Cluster) run(ctx context.Context) {
 	var mail []func(*Cluster)
 	expire := time.NewTicker(expireInterval)
@@ -220,7 +232,7 @@
 	}
 }
 
-// ask has the actor answer; false where it does not before the context ends.
+// query runs a function in the actor and returns its result; false if ctx ends first.
 func query[T any](ctx context.Context, c *Cluster, request func(*Cluster) T) (T, bool) {
 	got := make(chan T, 1)
 	c.mailbox.Put(func(c *Cluster) { got <- request(c) })
@@ -233,10 +245,10 @@
 	}
 }
 
-// answerWithin bounds an exchange with another member.
+// exchangeTimeout bounds an exchange with another member.
 const exchangeTimeout = 2 * time.Second
 
-// readAll reads a body up to a bound.
+// readAll reads a body of at most limit bytes; a longer one is an error.
 func readAll(r io.Reader, limit int64) ([]byte, error) {
 	b, err := io.ReadAll(io.LimitReader(r, limit+1))
 	if err != nil {
--- a/internal/dispatcher/fleet/cluster/console.go
+++ b/internal/dispatcher/fleet/cluster/console.go
@@ -14,39 +14,39 @@
 	"frosttide/internal/dispatcher/fleet/replica"
 )
 
-// Copies is what people may know of the soft copies.
+// ReplicaStatus describes the replicas, for operators.
 type ReplicaStatus struct {
 	Digest            string            `json:"digest"`
 	Stored            map[string]int    `json:"held"`
-	Dropped           map[string]uint64 `json:"dropped"` // for want of room
-	Behind            int               `json:"behind"`  // parts of 256 that differed when last compared
+	Dropped           map[string]uint64 `json:"dropped"` // facts dropped to keep the bounds
+	Behind            int               `json:"behind"`  // buckets that differed at the last comparison
 	Synced            float64           `json:"synced"`  // seconds since a comparison found no difference; -1 for never
-	QueuedUpdates     int               `json:"waiting"` // words not yet gossiped
+	QueuedUpdates     int               `json:"waiting"` // updates not gossiped yet
 	Received          uint64            `json:"heard"`
 	Accepted          uint64            `json:"took"`
 	Rejected          uint64            `json:"refused"`
 	Conflicts         uint64            `json:"conflicts"`
-	FailedComparisons uint64            `json:"not_compared"` // comparisons that failed
-	Sent              uint64            `json:"sent_bytes"`   // by UDP
-	Lost              uint64            `json:"lost_packets"` // and words, as nobody had time for them
+	FailedComparisons uint64            `json:"not_compared"`
+	Sent              uint64            `json:"sent_bytes"`   // bytes in UDP packets
+	Lost              uint64            `json:"lost_packets"` // packets and updates dropped because too many were waiting
 }
 
-// Report is all that the console tells.
+// Report is the member's status, for the console.
 type Report struct {
 	Name     string         `json:"name"`
 	Members  []members.Info `json:"members"`
 	Replicas ReplicaStatus  `json:"copies"`
 	Log      quorum.Status  `json:"log"`
 	State    ledger.State   `json:"state"`
-	Rejoin   *rejoin.Status `json:"back,omitempty"` // how far the dispatcher has come back
+	Rejoin   *rejoin.Status `json:"back,omitempty"` // rejoin progress; nil if there are no stages
 }
 
-// ToldBy names who tells how far the dispatcher has come back.
+// SetRejoinStatus sets the function that returns the rejoin progress.
 func (c *Cluster) SetRejoinStatus(status func() rejoin.Status) { c.rejoinStatus.Store(&status) }
 
 var kindNames = [replica.Kinds]string{replica.Runner: "runners", replica.Health: "health", replica.JobOutcome: "fates", replica.Gang: "gangs"}
 
-// Report gathers it; false where the context ends before.
+// Report returns the member's status; false if ctx ends first.
 func (c *Cluster) Report(ctx context.Context) (Report, bool) {
 	r := Report{Name: c.cfg.Name, Members: c.members.All(), Log: c.quorum.Status(), State: c.quorum.State()}
 	if status := c.rejoinStatus.Load(); status != nil {
@@ -81,16 +81,16 @@
 	return string(out)
 }
 
-// Runners returns what the copies say of runners, for people.
+// Runners returns the facts on runners; false if ctx ends first.
 func (c *Cluster) Runners(ctx context.Context) ([]replica.Fact, bool) {
 	return query(ctx, c, func(c *Cluster) []replica.Fact { return c.store.All(replica.Runner) })
 }
 
-// operatorTime bounds what operators ask for: whoever makes a call waits 1 s.
+// operatorTimeout bounds an operator's call; callers wait 1 s.
 const operatorTimeout = 800 * time.Millisecond
 
-// Operators is the console's part: GET /api/cluster, GET /api/cluster/runners, and
-// POST /api/cluster/snapshot, /join and /remove.
+// Operators returns the handler of the console's calls: GET /api/cluster and /api/cluster/runners,
+// and POST /api/cluster/snapshot, /join and /remove.
 func (c *Cluster) Operators() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/cluster", func(w http.ResponseWriter, r *http.Request) {
@@ -120,6 +120,7 @@
 
 func both[T any](v T, ok bool) (any, bool) { return v, ok }
 
+// respond writes a value as JSON, or 503 if it is not available in time.
 func (c *Cluster) respond(w http.ResponseWriter, r *http.Request, get func(context.Context) (any, bool)) {
 	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(operatorTimeout))
 	defer cancel()
@@ -131,10 +132,10 @@
 	w.Header().Set("Content-Type", "application/json")
 	out := json.NewEncoder(w)
 	out.SetIndent("", "  ")
-	_ = out.Encode(v) // a caller that has left hears nothing
+	_ = out.Encode(v) // the caller may have gone
 }
 
-// heard reads an operator's call.
+// readCall decodes an operator's call; it responds with 400 and returns false if that fails.
 func readCall(w http.ResponseWriter, r *http.Request, into any) bool {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 4<<10))
 	if err == nil {
@@ -147,20 +148,21 @@
 	return true
 }
 
+// respondError responds with 503 and the error, if there is one.
 func respondError(w http.ResponseWriter, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	}
 }
 
-// Alive returns how many members this one sees alive, itself included.
+// AliveCount returns the number of live members, including this one.
 func (c *Cluster) AliveCount() int { return len(c.members.Alive()) }
 
-// Sent returns how many bytes have been sent by UDP.
+// SentBytes returns the bytes sent in UDP packets.
 func (c *Cluster) SentBytes() uint64 {
 	sent, _, _ := c.port.Traffic()
 	return sent
 }
 
-// Waiting returns how many words wait to be gossiped.
+// QueuedUpdates returns the number of updates that wait to be gossiped.
 func (c *Cluster) QueuedUpdates() int { return c.members.Queued() }
--- a/internal/dispatcher/fleet/cluster/exclusionfile.go
+++ b/internal/dispatcher/fleet/cluster/exclusionfile.go
@@ -18,12 +18,12 @@
 	"frosttide/internal/dispatcher/fleet/recovery/mark"
 )
 
-// outFile holds which runners the log leaves out, as far as it was applied here. Guards those
-// runners between a member's start and the moment when it hears from a majority how far its
-// own log counts.
+// excludedFile holds the runners that the log excludes, as far as it was applied here. It keeps
+// them excluded between a member's start and the moment when it knows how far the log is
+// committed.
 const excludedFile = "out.json"
 
-// readOuts returns what was kept; nothing where there is none or it can't be read.
+// readUIDs returns the UIDs stored in a file; nil without a folder or file.
 func readUIDs(dir, name string) ([]string, error) {
 	if dir == "" {
 		return nil, nil
@@ -42,8 +42,8 @@
 	return uids, nil
 }
 
-// keepOuts writes it down in one step, beside the log and, with how far that has gone, in the
-// folder apart from it.
+// storeExclusions stores the exclusions atomically, beside the log and, with the log's index, in
+// the watermark's folder. A failure is logged only: the log has them.
 func (c *Cluster) storeExclusions(index uint64) {
 	uids := slices.Sorted(maps.Keys(c.excluded))
 	err := writeUIDs(c.cfg.Dir, excludedFile, uids)
@@ -55,6 +55,7 @@
 	}
 }
 
+// writeUIDs stores UIDs atomically in a file; it does nothing without a folder.
 func writeUIDs(dir, name string, uids []string) error {
 	if dir == "" {
 		return nil
@@ -69,8 +70,8 @@
 	return nil
 }
 
-// remember has the dispatcher leave out at its start what was left out at its end. It returns
-// what a log that begins anew here has to say first.
+// restoreExclusions excludes the stored runners at the dispatcher. It returns the initial entries
+// of a log that is started anew here.
 func (c *Cluster) restoreExclusions() ([]ledger.Entry, error) {
 	kept, err := readUIDs(c.cfg.Dir, excludedFile)
 	if err != nil {
@@ -91,7 +92,7 @@
 			c.dispatcher.Exclude(uid, true, time.Now())
 		}
 	}
-	// Guards what an operator wants back against a start that would pass it over.
+	// An operator's restart must not skip them: an unreadable file is an error.
 	again, err := readUIDs(c.cfg.Dir, restateFile)
 	if err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
@@ -103,10 +104,10 @@
 	return initial, nil
 }
 
-// restateFile holds the runners that a log which begins anew has to leave out first.
+// restateFile holds the runners that a log which is started anew excludes first.
 const restateFile = "restate.json"
 
-// restated takes in that it has.
+// removeRestateFile removes the file once the initial entries are committed.
 func (c *Cluster) removeRestateFile() {
 	if c.cfg.Dir == "" {
 		return
@@ -116,9 +117,9 @@
 	}
 }
 
-// BeginAnew makes a stopped member that has lost its log the only voter of a new one, which
-// says first what was kept apart from the old. It returns that, and changes nothing unless
-// sure is set. A crash in between leaves what was kept, and the same can be said again.
+// BeginAnew makes a stopped member that has lost its log the only voter of a new log, whose
+// initial entries restore the watermark's exclusions. It returns the watermark, and changes
+// nothing unless sure is set. After a crash it can be repeated: the watermark is removed last.
 func BeginAnew(cfg Config, sure bool) (*mark.Watermark, error) {
 	kept, err := mark.Read(cfg.WatermarkDir)
 	switch {
--- a/internal/dispatcher/fleet/cluster/exclusions.go
+++ b/internal/dispatcher/fleet/cluster/exclusions.go
@@ -14,29 +14,30 @@
 	"frosttide/internal/dispatcher/fleet/quorum"
 )
 
-// out carries out what was agreed on a runner, as it comes by the log.
+// applyExclusion applies a committed exclusion or inclusion that the log brings.
 func (c *Cluster) applyExclusion(d ledger.Done) {
 	c.logIndex = max(c.logIndex, d.Index)
 	if c.agreedAhead[d.UID] > d.Index {
-		return // a later word is in force already
+		return // a later entry is already in force
 	}
-	// What the log has passed binds nothing more, also a word that changed nothing, which does not
-	// come here: so these are no more than were told since the log's last word.
+	// Entries that the log has passed are obsolete, also those without effect, which are not
+	// reported here. So the map holds only entries ahead of the log's last one.
 	maps.DeleteFunc(c.agreedAhead, func(_ string, index uint64) bool { return index <= c.logIndex })
 	c.carryOut(d, d.Index)
 }
 
-// sooner carries out at once what an operator was told here to be agreed on. Guards rule 3: the
-// leader may stand still, or be cut off, before the log has brought it here, which goes so far.
+// applyAhead applies a committed entry on which this member's operator was just answered, before
+// the log has brought it here; applied is the index that the log has reached here. The leader may
+// stall or be partitioned in between, and the runner must receive no job meanwhile.
 func (c *Cluster) applyAhead(d ledger.Done, applied uint64) {
 	if d.Index <= max(c.logIndex, c.agreedAhead[d.UID]) {
 		return
 	}
 	c.agreedAhead[d.UID] = d.Index
-	c.carryOut(d, applied) // a mark past its own log would have its disk set aside
+	c.carryOut(d, applied) // a watermark past the own log would make the disk look outdated
 }
 
-// carry has the dispatcher act, and keeps that the log had gone so far.
+// carryOut changes the exclusion at the dispatcher, and stores it with the log's index.
 func (c *Cluster) carryOut(d ledger.Done, index uint64) {
 	out := d.Op == ledger.Exclude
 	if c.excluded[d.UID] == out {
@@ -51,8 +52,9 @@
 	c.dispatcher.Exclude(d.UID, out, time.UnixMilli(d.At))
 }
 
-// settle puts back, once the log is known here as far as it goes, what was left out at the
-// start and is not any more: that may have been agreed while the member was away.
+// reconcileExclusions includes the runners that were excluded at the start and are not any more,
+// once all of the log is known here: an operator may have included them while this member was
+// away.
 func (c *Cluster) reconcileExclusions() {
 	if c.reconciled {
 		return
@@ -77,22 +79,23 @@
 	c.storeExclusions(s.Applied)
 }
 
-// caughtUp tells whether all that was agreed on before the leader was asked is known here; reaches is how
-// far its log went, 0 for unknown. Guards rule 3 at a member that starts again behind the others: what
-// its operators were told, and its own log has not yet, would be put back until that comes. And before
-// the log has its name it may have to say yet what was kept of another.
-func caughtUp(s *quorum.Status, log string, reaches uint64) bool {
-	return s.Leader != "" && s.Contact >= 0 && reaches > 0 && s.Applied >= max(s.Last, reaches) && log != ""
+// caughtUp reports whether all entries committed before the leader was queried are applied here;
+// leaderLast is the last index of the leader's log then, 0 if unknown. A member that starts behind
+// the others must not include a runner that its operators were told is excluded. A log without a
+// name may still have to receive its initial entries.
+func caughtUp(s *quorum.Status, log string, leaderLast uint64) bool {
+	return s.Leader != "" && s.Contact >= 0 && leaderLast > 0 && s.Applied >= max(s.Last, leaderLast) && log != ""
 }
 
-// askHowFar has the leader asked how far its log goes; what it says comes before the next look.
+// queryLeaderLast asks the leader for the last index of its log. The result arrives before the
+// next call.
 func (c *Cluster) queryLeaderLast() {
 	_, addr := c.quorum.Leader()
 	if addr == "" {
 		return
 	}
 	c.goroutines.Add(1)
-	go func() { // one at a time, as it ends before the next look
+	go func() { // one at a time: it ends before the next call
 		defer c.goroutines.Done()
 		ctx, cancel := context.WithDeadline(c.ctx, time.Now().Add(expireInterval))
 		defer cancel()
@@ -107,7 +110,7 @@
 	}()
 }
 
-// left is what is left out here, as the log would have it.
+// exclusions returns the runners excluded here in the form of the log's state.
 func (c *Cluster) exclusions() map[string]ledger.Done {
 	out := map[string]ledger.Done{}
 	for uid := range c.excluded {
@@ -116,8 +119,9 @@
 	return out
 }
 
-// Propose has an entry written, by whoever leads. Its error says why it was not, or that
-// nobody knows; then the same entry can be proposed again.
+// Propose writes an entry through whichever member leads, waiting for a leader until ctx ends.
+// Errors: errNameTaken and quorum.ErrLost, wrapped, mean that nothing was written; after others
+// the entry may still be committed, and proposing it again under its ID is safe.
 func (c *Cluster) Propose(ctx context.Context, e ledger.Entry) (ledger.Done, error) {
 	if e.ID == "" {
 		e.ID = fmt.Sprintf("%s-%x-%x", c.cfg.Name, c.startedAt.UnixMilli(), rand.Uint64())
@@ -140,7 +144,7 @@
 		if err == nil || !errors.Is(err, quorum.ErrNoLeader) && !errors.Is(err, quorum.ErrForming) {
 			return d, err
 		}
-		select { // a leader may be chosen in time
+		select { // a leader may be elected in time
 		case <-ctx.Done():
 		case <-time.After(20 * time.Millisecond):
 		}
@@ -148,14 +152,14 @@
 	return ledger.Done{}, err
 }
 
-// errLate is told where nobody knows whether it is in force here yet.
+// errNotYetInForce is returned for a committed entry that is not known to be applied here.
 var errNotYetInForce = errors.New("it is agreed on, and not known to be in force here yet")
 
-// Exclude leaves a runner out at all members, or puts it back. Done is told before the
-// deadline or a little after it.
-func (c *Cluster) Exclude(uid string, out bool, why string, by time.Time, done func(error)) {
+// Exclude excludes a runner at all members, or includes it again, and calls done with the result
+// at about the deadline at the latest.
+func (c *Cluster) Exclude(uid string, out bool, why string, deadline time.Time, done func(error)) {
 	go func() {
-		ctx, cancel := context.WithDeadline(context.Background(), by)
+		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
 		op := ledger.Include
 		if out {
@@ -171,7 +175,7 @@
 	}()
 }
 
-// Out tells whether the log leaves a runner out.
+// IsExcluded reports whether the log excludes a runner.
 func (c *Cluster) IsExcluded(uid string) bool {
 	s := c.quorum.State()
 	_, out := s.Excluded[uid]
--- a/internal/dispatcher/fleet/cluster/exclusions_test.go
+++ b/internal/dispatcher/fleet/cluster/exclusions_test.go
@@ -9,7 +9,7 @@
 	"frosttide/internal/dispatcher/fleet/quorum"
 )
 
-// acting is a dispatcher that does as it is told.
+// acting is a dispatcher that records the exclusions.
 type acting struct {
 	Dispatcher
 	out map[string]bool
@@ -17,11 +17,10 @@
 
 func (a *acting) Exclude(uid string, out bool, _ time.Time) { a.out[uid] = out }
 
-// TestSooner guards rule 3 at a member whose operator was told that a runner is left out: it is
-// from then on, though the log brings that later, and older words after it; and words that came
-// since count before it.
+// TestApplyAhead checks that a runner is excluded from the moment at which the operator was
+// answered, although the log brings the entry, and older ones, later; and that a later entry wins.
 func TestApplyAhead(t *testing.T) {
-	// A word is where it comes from, its index, and what it says: log 7 out.
+	// An update is its origin, its index and its effect, as in: log 7 out.
 	for name, tc := range map[string]struct {
 		updates string
 		want    []bool // whether it is left out, after each
@@ -62,8 +61,8 @@
 	}
 }
 
-// TestAheadIsBounded has words that were told sooner be forgotten once the log has passed them,
-// though one that changed nothing never comes by it.
+// TestAheadIsBounded checks that entries applied ahead of the log are dropped once the log has
+// passed them, even those without effect, which the log never reports.
 func TestAheadIsBounded(t *testing.T) {
 	c := &Cluster{dispatcher: &acting{out: map[string]bool{}}, excluded: map[string]bool{}, agreedAhead: map[string]uint64{}}
 	for i := range uint64(100) {
@@ -75,7 +74,7 @@
 	}
 }
 
-// TestCaughtUp guards what operators were told from a member that starts again behind the others.
+// TestCaughtUp checks when a restarted member knows all that was committed.
 func TestCaughtUp(t *testing.T) {
 	at := func(leader string, contact float64, last, applied uint64) quorum.Status {
 		return quorum.Status{Leader: leader, Contact: contact, Last: last, Applied: applied}
--- a/internal/dispatcher/fleet/cluster/flows.go
+++ b/internal/dispatcher/fleet/cluster/flows.go
@@ -8,14 +8,14 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// Flows shows the workflows that members agree on; they must not be kept or changed.
+// Flows calls show with the committed workflows. show must neither keep nor change them.
 func (c *Cluster) Flows(show func(*statetable.Table)) { c.quorum.Flows(show) }
 
-// Seen is how far they go, as the index of an entry.
+// Seen returns the index of the last entry that Flows reflects.
 func (c *Cluster) Seen() uint64 { return c.quorum.Seen() }
 
-// Rank is this member's place among those that have come back in full, in an order that all
-// draw alike from a name; -1 where it has not itself.
+// Rank returns this member's position among the fully rejoined members in the order that all
+// members compute for a name (rendezvous hashing); -1 if it has not fully rejoined itself.
 func (c *Cluster) Rank(name string) int {
 	order := slices.DeleteFunc(c.members.Alive(), func(i members.Info) bool {
 		return i.Leaving || i.Draining || !stage.Stage(i.Stage).Rights().RunsWorkflows
--- a/internal/dispatcher/fleet/cluster/outcomes.go
+++ b/internal/dispatcher/fleet/cluster/outcomes.go
@@ -13,44 +13,46 @@
 )
 
 const (
-	// keepers is how many other members are told of a key before its job is sent, and asked
-	// before a job with it is taken in. Those told and those asked have one in common where
-	// members agree on who is alive: whoever tells is passed over in the same order.
+	// holderCount is how many other members hold the outcome records of a key: they are sent the
+	// record before the job is sent, and queried before a job with the key is accepted. Members
+	// that agree on who is alive compute the same order without the caller, so that the members
+	// that one records at and those that another queries have one in common.
 	holderCount = 2
-	// keeperTime is how long a job waits for them beside the way there. Guards clients against a
-	// member that stands still; what that one alone knew is missing then.
+	// holderTimeout is how long a job waits for the holders, beyond the round trips, so that a
+	// stalled member does not delay clients. Records that only that member has are missing then.
 	holderTimeout = 20 * time.Millisecond
-	// trips is how often a call goes there and back at most: to open a connection, and for itself.
+	// rttsPerCall is the most round trips of a call: one to open a connection and one for itself.
 	rttsPerCall = 2
-	// lazyFor is how long a word may wait for others to go with that nobody waits for.
+	// lazyDelay is how long a record that no job waits for may wait for others to share its call.
 	lazyDelay = 50 * time.Millisecond
-	// callTime bounds a call to one, and mostItems what goes in it and waits for it.
+	// callTimeout bounds a call to a member, maxBatchItems its items, and maxQueuedItems the items
+	// that wait for it.
 	callTimeout    = 200 * time.Millisecond
 	maxBatchItems  = 512
 	maxQueuedItems = 8192
 )
 
-// Fate names a job's key and the group that drops its repeats.
+// OutcomeKey identifies a keyed job and the group that deduplicates it.
 type OutcomeKey struct {
 	Name  string // class and key
 	Group string
 }
 
-// keepersOf returns the members that are told of a key, this one passed over: rendezvous
-// hashing, so that members agree without a word.
+// holdersOf returns the other members that hold a key's outcome records, chosen by rendezvous
+// hashing (Thaler & Ravishankar 1998) so that members agree without communicating.
 func (c *Cluster) holdersOf(name string) []members.Info {
 	order := c.rankedMembers(name)
 	return order[:min(len(order), holderCount)]
 }
 
-// askedOf returns the members that are asked for a key: those that are told of it, and in place
-// of each that came back lately, and may have forgotten, the next that did not.
+// queriedMembers returns the members that are queried for a key: its holders and, for each of them
+// that has not rejoined in full and may lack records, the next member that has.
 func (c *Cluster) queriedMembers(name string) []members.Info {
 	order := c.rankedMembers(name)
 	return order[:countQueried(order)]
 }
 
-// asked returns how many of some members, in their order, are asked for a key.
+// countQueried returns how many of the ranked members are queried for a key.
 func countQueried(order []members.Info) int {
 	know := 0
 	for i, m := range order {
@@ -64,40 +66,41 @@
 	return len(order)
 }
 
-// mostAsked bounds how many members are asked for a key.
+// maxQueried bounds the members that are queried for a key.
 const maxQueried = 5
 
+// rankedMembers returns the other live members in a name's order.
 func (c *Cluster) rankedMembers(name string) []members.Info {
 	alive := slices.DeleteFunc(c.members.Alive(), func(i members.Info) bool { return i.Name == c.cfg.Name || i.Leaving })
 	rankMembers(name, alive)
 	return alive
 }
 
-// sortFor brings members into a name's order, which all draw alike.
+// rankMembers sorts members into a name's order, which every member computes alike.
 func rankMembers(name string, list []members.Info) {
 	draw := func(i members.Info) uint64 {
 		var d xxhash.Digest
 		d.ResetWithSeed(xxhash.Sum64String(i.Name))
-		_, _ = d.WriteString(name) // to memory
+		_, _ = d.WriteString(name) // never fails
 		return d.Sum64()
 	}
 	slices.SortFunc(list, func(a, b members.Info) int { return cmp.Or(cmp.Compare(draw(b), draw(a)), cmp.Compare(a.Name, b.Name)) })
 }
 
-// Ask finds out where other members, or earlier processes of this one, have sent jobs with a
-// key. Told is called once, from any goroutine: when the keepers have answered, or once they
-// could have, and at the job's deadline at the latest, by what is known: the groups that it is
-// bound to, each in its fact's scope.
-func (c *Cluster) LookupOutcomes(name string, by time.Time, done func([]replica.Fact)) {
+// LookupOutcomes finds out which groups a key is bound to by jobs that other members, or earlier
+// processes of this one, have sent. done is called once, from any goroutine, with the groups in
+// the facts' scopes: when the holders have responded or could have, and at the deadline at the
+// latest.
+func (c *Cluster) LookupOutcomes(name string, deadline time.Time, done func([]replica.Fact)) {
 	c.mailbox.Put(func(c *Cluster) {
-		of := c.queriedMembers(name)
+		peers := c.queriedMembers(name)
 		finish := func() {
 			c.mailbox.Put(func(c *Cluster) {
 				done(replica.BoundGroups(c.store.Outcomes(name, c.now())))
 			})
 		}
-		g := newResponseWaiter(len(of), len(of), outcomeTimeout(of, time.Until(by)), finish)
-		for _, m := range of {
+		g := newResponseWaiter(len(peers), len(peers), outcomeTimeout(peers, time.Until(deadline)), finish)
+		for _, m := range peers {
 			c.peer(m.Addr).put(item{lookup: name, done: func(facts []replica.Fact, _ error) {
 				if len(facts) > 0 {
 					c.mailbox.Put(func(c *Cluster) {
@@ -106,15 +109,16 @@
 						}
 					})
 				}
-				g.responded(nil) // one that does not answer has nothing to say
+				g.responded(nil) // a member that does not respond contributes nothing
 			}})
 		}
 	})
 }
 
-// Tell makes a key's fate known. Then is called once, from any goroutine: when a keeper knows
-// it, or once one could, and at the job's deadline at the latest; nil for nobody who waits.
-func (c *Cluster) RecordOutcome(f OutcomeKey, state replica.State, window time.Duration, sum string, by time.Time, then func()) {
+// RecordOutcome records the state of a keyed job at its holders. then, which may be nil, is called
+// once, from any goroutine: when one holder has the record or could have it, and at the deadline
+// at the latest. window is the rest of the deduplication window.
+func (c *Cluster) RecordOutcome(f OutcomeKey, state replica.State, window time.Duration, sum string, deadline time.Time, then func()) {
 	c.mailbox.Put(func(c *Cluster) {
 		key := replica.OutcomeKey(f.Name, f.Group, c.cfg.Name, c.epoch())
 		var was *replica.Fact
@@ -137,46 +141,48 @@
 				c.countRejected(err)
 			}
 		}
-		of, lazy := c.holdersOf(f.Name), then == nil && state != replica.NeverRan // who is refused may come again at once
+		peers, lazy := c.holdersOf(f.Name), then == nil && state != replica.NeverRan // a rejected client may retry at once
 		if then == nil {
 			then = func() {}
 		}
-		if out != replica.Accepted || len(of) == 0 {
+		if out != replica.Accepted || len(peers) == 0 {
 			then()
 			return
 		}
-		g := newResponseWaiter(len(of), 1, outcomeTimeout(of, time.Until(by)), then)
-		for _, m := range of {
+		g := newResponseWaiter(len(peers), 1, outcomeTimeout(peers, time.Until(deadline)), then)
+		for _, m := range peers {
 			c.peer(m.Addr).put(item{record: &fact, lazy: lazy, done: func(_ []replica.Fact, err error) { g.responded(err) }})
 		}
 	})
 }
 
+// epoch returns the number of this process's incarnation of the member.
 func (c *Cluster) epoch() uint64 { return uint64(c.startedAt.UnixMilli()) }
 
-// patience is how long a job with so much time left waits for some members: the way to the
-// farthest counts beside keeperTime, up to what a call may take. Guards jobs of dispatchers whose
-// sites lie further apart than keeperTime: others would hear of each only after it is sent.
-func outcomeTimeout(of []members.Info, window time.Duration) time.Duration {
+// outcomeTimeout returns how long a job waits for some members: holderTimeout plus the round trips
+// to the farthest one, at most callTimeout and the job's remaining time. Without the round trips,
+// members at distant sites would learn of a job only after it was sent.
+func outcomeTimeout(peers []members.Info, window time.Duration) time.Duration {
 	far := time.Duration(0)
-	for _, m := range of {
+	for _, m := range peers {
 		far = max(far, m.RTT)
 	}
 	return min(holderTimeout+rttsPerCall*far, callTimeout, max(window, 0))
 }
 
-// gather calls a function once: when enough answers have come, when no more can, or after
-// its time. A call that failed is no answer: who was not reached knows nothing.
+// responseWaiter calls a function once: when enough members have responded, when no more can, or
+// after a time-out. A failed call is no response, since that member has not got the record.
 type responseWaiter struct {
 	mu          sync.Mutex
-	wanted      int // answers that are wanted still
-	outstanding int // calls that are out
+	wanted      int // responses still needed
+	outstanding int // calls in progress
 	then        func()
 	timer       *time.Timer
 }
 
-func newResponseWaiter(of, enough int, wait time.Duration, then func()) *responseWaiter {
-	g := &responseWaiter{wanted: min(of, enough), outstanding: of, then: then}
+// newResponseWaiter waits for enough of the responses of so many members, up to wait.
+func newResponseWaiter(peers, enough int, wait time.Duration, then func()) *responseWaiter {
+	g := &responseWaiter{wanted: min(peers, enough), outstanding: peers, then: then}
 	if g.wanted == 0 {
 		then()
 		return g
@@ -187,6 +193,7 @@
 	return g
 }
 
+// responded records the end of a call.
 func (g *responseWaiter) responded(err error) {
 	g.mu.Lock()
 	g.outstanding--
@@ -201,6 +208,7 @@
 	}
 }
 
+// finish calls the function unless it was called before.
 func (g *responseWaiter) finish() {
 	g.mu.Lock()
 	then := g.then
--- a/internal/dispatcher/fleet/cluster/outcomes_test.go
+++ b/internal/dispatcher/fleet/cluster/outcomes_test.go
@@ -9,8 +9,8 @@
 	"frosttide/internal/dispatcher/fleet/recovery/stage"
 )
 
-// TestGather guards keyed jobs from being sent as if others knew of them: a call that failed
-// is no answer, unless none can come any more.
+// TestResponseWaiter checks that a failed call does not count as a response, unless none can come
+// any more.
 func TestResponseWaiter(t *testing.T) {
 	failed := errors.New("not reached")
 	for name, tc := range map[string]struct {
@@ -39,45 +39,61 @@
 	}
 }
 
-// TestPatience has a job wait as long as the farthest of the members that it needs can take, and
-// no longer than a call may or its own time.
+// TestOutcomeTimeout checks that a job waits for the farthest of the members that it needs, and no
+// longer than a call may take or its own time allows.
 func TestOutcomeTimeout(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for _, tc := range []struct {
-		trips      []time.Duration
-		left, want time.Duration
+		name            string
+		rtts            []time.Duration
+		remaining, want time.Duration
 	}{
-		{nil, time.Second, holderTimeout},
-		{[]time.Duration{0, ms(1)}, time.Second, holderTimeout + ms(2)},
-		{[]time.Duration{ms(40), ms(1)}, time.Second, ms(100)},
-		{[]time.Duration{ms(90)}, time.Second, callTimeout},
-		{[]time.Duration{ms(40)}, ms(7), ms(7)},
-		{[]time.Duration{ms(40)}, -ms(7), 0},
+		{"no member", nil, time.Second, holderTimeout},
+		{"near members", []time.Duration{0, ms(1)}, time.Second, holderTimeout + ms(2)},
+		{"one distant member", []time.Duration{ms(40), ms(1)}, time.Second, ms(100)},
+		{"farther than a call may take", []time.Duration{ms(90)}, time.Second, callTimeout},
+		{"short deadline", []time.Duration{ms(40)}, ms(7), ms(7)},
+		{"deadline has passed", []time.Duration{ms(40)}, -ms(7), 0},
 	} {
-		var of []members.Info
-		for _, d := range tc.trips {
-			of = append(of, members.Info{RTT: d})
-		}
-		if got := outcomeTimeout(of, tc.left); got != tc.want {
-			t.Errorf("trips %v, %s left: it waits %s, want %s", tc.trips, tc.left, got, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			var peers []members.Info
+			for _, d := range tc.rtts {
+				peers = append(peers, members.Info{RTT: d})
+			}
+			if got := outcomeTimeout(peers, tc.remaining); got != tc.want {
+				t.Errorf("outcomeTimeout with %v and %s left = %s, want %s", tc.rtts, tc.remaining, got, tc.want)
+			}
+		})
 	}
 }
 
-// TestAsked has keys that members which came back lately may have forgotten asked of others too.
+// TestCountQueried checks that other members are queried in place of those that may lack records.
 func TestCountQueried(t *testing.T) {
 	for _, tc := range []struct {
-		stages string // f for one that is back, j for one that joins
+		name   string
+		stages string // f for a fully rejoined member, j for a joining one
 		want   int
-	}{{"", 0}, {"f", 1}, {"ff", 2}, {"fff", 2}, {"jff", 3}, {"jjff", 4}, {"fjjjjjf", maxQueried}, {"jjjjjj", maxQueried}, {"jf", 2}} {
-		var order []members.Info
-		for _, s := range tc.stages {
-			i := members.Info{}
-			i.Stage = map[rune]uint8{'f': uint8(stage.Full), 'j': uint8(stage.Joining)}[s]
-			order = append(order, i)
-		}
-		if got := countQueried(order); got != tc.want {
-			t.Errorf("%q: %d are asked, want %d", tc.stages, got, tc.want)
-		}
+	}{
+		{"no member", "", 0},
+		{"one member", "f", 1},
+		{"two full members", "ff", 2},
+		{"three full members", "fff", 2},
+		{"first is joining", "jff", 3},
+		{"first two are joining", "jjff", 4},
+		{"few full members", "fjjjjjf", maxQueried},
+		{"no full member", "jjjjjj", maxQueried},
+		{"only two, one joining", "jf", 2},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			var order []members.Info
+			for _, s := range tc.stages {
+				i := members.Info{}
+				i.Stage = map[rune]uint8{'f': uint8(stage.Full), 'j': uint8(stage.Joining)}[s]
+				order = append(order, i)
+			}
+			if got := countQueried(order); got != tc.want {
+				t.Errorf("countQueried(%q) = %d, want %d", tc.stages, got, tc.want)
+			}
+		})
 	}
 }
--- a/internal/dispatcher/fleet/cluster/peer.go
+++ b/internal/dispatcher/fleet/cluster/peer.go
@@ -12,23 +12,23 @@
 	"frosttide/internal/mailbox"
 )
 
-// item is what goes to a keeper: a question or a word.
+// item is a request to a holder of outcome records: a lookup or a record.
 type item struct {
 	lookup string
 	record *replica.Fact
-	lazy   bool // nobody waits for it
+	lazy   bool // no job waits for it
 	done   func([]replica.Fact, error)
 }
 
-// batch is a call's body, and its answer holds the facts for each question.
+// batch is the body of a call; the response holds the facts for each lookup.
 type batch struct {
 	Lookups []string       `json:"asks,omitempty"`
 	Records []replica.Fact `json:"tells,omitempty"`
 }
 
-// peer is the actor of another member: one call is under way at a time, and what comes
-// meanwhile goes in the next. So the connections between two members stay few however many
-// jobs there are.
+// peer is the actor that calls another member: one call is in progress at a time, and the requests
+// of the meantime share the next one. The number of connections between two members is therefore
+// independent of the number of jobs.
 type peer struct {
 	c       *Cluster
 	addr    string
@@ -40,7 +40,8 @@
 
 var errQueueFull = errors.New("too much waits for this member")
 
-// peer returns a member's actor, and starts it where there is none. The actor's alone.
+// peer returns a member's actor, and starts it if there is none. Only the cluster's actor calls
+// it.
 func (c *Cluster) peer(addr string) *peer {
 	if p := c.peers[addr]; p != nil {
 		return p
@@ -56,7 +57,7 @@
 	return p
 }
 
-// drop ends the actor of a member that is gone. What waited for it is told of by keeperTime.
+// dropPeer ends the actor of a departed member. Its pending requests run into their time-outs.
 func (c *Cluster) dropPeer(addr string) {
 	if p := c.peers[addr]; p != nil {
 		p.end()
@@ -64,6 +65,7 @@
 	}
 }
 
+// put queues an item; a full queue fails it with errQueueFull.
 func (p *peer) put(i item) {
 	p.mu.Lock()
 	full := p.queued >= maxQueuedItems
@@ -78,9 +80,10 @@
 	p.mailbox.Put(i)
 }
 
+// run sends the queued items until ctx ends.
 func (p *peer) run(ctx context.Context) {
 	var items []item
-	var flush <-chan time.Time // when lazy items go that are alone
+	var flush <-chan time.Time // when a batch of lazy items is sent
 	for {
 		due := false
 		select {
@@ -108,6 +111,7 @@
 	}
 }
 
+// send sends items in one call and completes each of them.
 func (p *peer) send(ctx context.Context, items []item) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(callTimeout))
 	defer cancel()
@@ -121,20 +125,20 @@
 	}
 	var got [][]replica.Fact
 	err := p.c.call(ctx, p.addr, "/v1/fates", b, &got)
-	n := 0
+	answered := 0
 	for _, i := range items {
 		var facts []replica.Fact
 		if i.record == nil {
-			if n < len(got) {
-				facts = got[n]
+			if answered < len(got) {
+				facts = got[answered]
 			}
-			n++
+			answered++
 		}
 		i.done(facts, err)
 	}
 }
 
-// fates answers another member's batch.
+// handleOutcomes responds to another member's batch.
 func (c *Cluster) handleOutcomes(w http.ResponseWriter, r *http.Request) {
 	var b batch
 	if !readJSON(w, r, &b) {
--- a/internal/dispatcher/fleet/cluster/sinks.go
+++ b/internal/dispatcher/fleet/cluster/sinks.go
@@ -9,20 +9,20 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// gossip is what the members' list tells; it comes from the list's goroutines.
+// membershipSink receives the membership's events from memberlist's goroutines.
 type membershipSink Cluster
 
-// Joined tells of a member that is new or back.
-func (g *membershipSink) Joined(i members.Info) { g.memberLog(i).Info("member joined") }
+// Joined logs a member that is new or has returned.
+func (s *membershipSink) Joined(i members.Info) { s.memberLog(i).Info("member joined") }
 
-// Changed tells that one says something else of itself.
-func (g *membershipSink) Changed(i members.Info) { g.memberLog(i).Debug("member changed") }
+// Changed logs a member's new metadata.
+func (s *membershipSink) Changed(i members.Info) { s.memberLog(i).Debug("member changed") }
 
-// Gone tells of one that is gone.
-func (g *membershipSink) Departed(i members.Info) {
-	g.clock.forget(i.Name)
-	g.mailbox.Put(func(c *Cluster) { c.dropPeer(i.Addr) })
-	l := g.memberLog(i)
+// Departed drops what is kept for a member that has left or failed.
+func (s *membershipSink) Departed(i members.Info) {
+	s.clock.forget(i.Name)
+	s.mailbox.Put(func(c *Cluster) { c.dropPeer(i.Addr) })
+	l := s.memberLog(i)
 	if i.Status == members.Departed {
 		l.Info("member left")
 		return
@@ -30,70 +30,70 @@
 	l.Warn("member lost")
 }
 
-func (g *membershipSink) memberLog(i members.Info) *logrus.Entry {
-	return g.log.WithFields(logrus.Fields{"member": i.Name, "addr": i.Addr, "site": i.Site, "build": i.Build})
+func (s *membershipSink) memberLog(i members.Info) *logrus.Entry {
+	return s.log.WithFields(logrus.Fields{"member": i.Name, "addr": i.Addr, "site": i.Site, "build": i.Build})
 }
 
-// Clash tells of two members of one name.
-func (g *membershipSink) NameConflict(mine, other members.Info) {
-	g.log.WithFields(logrus.Fields{"member": mine.Name, "addr": mine.Addr, "other": other.Addr}).Error("two members have the same name; the first keeps it")
-	if mine.Addr == g.port.Advertised() && mine.Epoch > other.Epoch {
-		g.nameTaken.Store(true)
+// NameConflict records whether this member is the later of two with one name.
+func (s *membershipSink) NameConflict(mine, other members.Info) {
+	s.log.WithFields(logrus.Fields{"member": mine.Name, "addr": mine.Addr, "other": other.Addr}).Error("two members have the same name; the first keeps it")
+	if mine.Addr == s.port.Advertised() && mine.Epoch > other.Epoch {
+		s.nameTaken.Store(true)
 	}
 }
 
-// errSecond is why a member whose name another has had before does not write.
+// errNameTaken is returned for proposals of a member whose name belongs to an earlier one.
 var errNameTaken = errors.New("another member had this name first; give this one a name of its own")
 
-// Heard brings a word.
-func (g *membershipSink) UpdateReceived(update []byte) {
-	if g.pendingUpdates.Add(1) > maxPendingUpdates { // it comes when copies are compared
-		g.pendingUpdates.Add(-1)
-		g.droppedUpdates.Add(1)
+// UpdateReceived passes a gossiped update to the actor.
+func (s *membershipSink) UpdateReceived(update []byte) {
+	if s.pendingUpdates.Add(1) > maxPendingUpdates { // it arrives when replicas are compared
+		s.pendingUpdates.Add(-1)
+		s.droppedUpdates.Add(1)
 		return
 	}
-	g.mailbox.Put(func(c *Cluster) {
+	s.mailbox.Put(func(c *Cluster) {
 		c.pendingUpdates.Add(-1)
 		c.receive(update)
 	})
 }
 
-// mostWords is how many words may wait for the actor; more are dropped and counted.
+// maxPendingUpdates is how many updates may wait for the actor; more are dropped and counted.
 const maxPendingUpdates = 4096
 
-// agreement is what the log tells; it comes from the engine's goroutine.
+// logSink receives the log's events.
 type logSink Cluster
 
-// Agreed tells of an entry that was applied.
-func (a *logSink) Applied(d ledger.Done) {
+// Applied logs an applied entry and passes exclusions to the actor.
+func (s *logSink) Applied(d ledger.Done) {
 	if d.Refused != "" && d.Op != ledger.Flow {
-		a.log.WithFields(logrus.Fields{"index": d.Index, "op": d.Op, "why": d.Refused}).Warn("an entry of the log had no effect")
+		s.log.WithFields(logrus.Fields{"index": d.Index, "op": d.Op, "why": d.Refused}).Warn("an entry of the log had no effect")
 	}
 	if !d.Changed || d.Op == ledger.Flow {
 		return
 	}
-	a.log.WithFields(logrus.Fields{"index": d.Index, "op": d.Op, "target": d.UID, "by": d.By, "why": d.Why}).Info("agreed")
-	a.mailbox.Put(func(c *Cluster) { c.applyExclusion(d) })
+	s.log.WithFields(logrus.Fields{"index": d.Index, "op": d.Op, "target": d.UID, "by": d.By, "why": d.Why}).Info("agreed")
+	s.mailbox.Put(func(c *Cluster) { c.applyExclusion(d) })
 }
 
-// Restored tells that a snapshot took the state's place.
-func (a *logSink) Restored(was, is ledger.State) {
-	a.log.WithField("index", is.Index).Info("the log's state came by a snapshot")
-	for _, d := range ledger.Differences(&was, &is) {
-		a.mailbox.Put(func(c *Cluster) { c.applyExclusion(d) })
+// Restored passes the differences that a snapshot made to the actor.
+func (s *logSink) Restored(previous, current ledger.State) {
+	s.log.WithField("index", current.Index).Info("the log's state came by a snapshot")
+	for _, d := range ledger.Differences(&previous, &current) {
+		s.mailbox.Put(func(c *Cluster) { c.applyExclusion(d) })
 	}
 }
 
-// Led tells who leads.
-func (a *logSink) LeaderChanged(leader string, term uint64) {
+// LeaderChanged logs the leader.
+func (s *logSink) LeaderChanged(leader string, term uint64) {
 	if leader == "" {
-		a.log.WithField("term", term).Warn("the log has no leader")
+		s.log.WithField("term", term).Warn("the log has no leader")
 		return
 	}
-	a.log.WithFields(logrus.Fields{"leader": leader, "term": term}).Info("the log has a leader")
+	s.log.WithFields(logrus.Fields{"leader": leader, "term": term}).Info("the log has a leader")
 }
 
-// Formed tells what this member's part is.
-func (a *logSink) LogOpened(disk string, begun bool) {
-	a.members.Update(func(m *members.Meta) { m.Disk, m.Log = disk, begun })
+// LogOpened publishes whether this member has a disk and a log.
+func (s *logSink) LogOpened(disk string, begun bool) {
+	s.members.Update(func(m *members.Meta) { m.Disk, m.Log = disk, begun })
 }
--- a/internal/dispatcher/fleet/cluster/state.go
+++ b/internal/dispatcher/fleet/cluster/state.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// knockEvery is how often addresses are tried at which nobody is seen, and knockTime how
-	// long an answer may take: what is silent for longer may be cut off.
+	// dialInterval is the interval at which addresses without a live member are dialled, and
+	// dialTimeout bounds the wait for a response: no response may mean a partition.
 	dialInterval = 500 * time.Millisecond
 	dialTimeout  = 250 * time.Millisecond
-	// mostKnocks bounds the addresses that are tried at a time.
+	// maxDials bounds the addresses dialled at a time.
 	maxDials = 16
 )
 
-// around is what is known of addresses at which nobody is seen.
+// refusedAddrs are the results of dialling addresses without a live member.
 type refusedAddrs struct {
 	mu      sync.Mutex
-	refused map[string]bool // by address; absent for not tried yet
+	refused map[string]bool // by address; absent if not dialled yet
 }
 
-// knock tries addresses at which nobody is seen, until the context ends. A machine that says
-// that nobody listens is evidence that its member does not work; silence is none.
+// dialUnseen dials the addresses without a live member until ctx ends. A refused connection is
+// evidence that the member does not run; no response is not.
 func (c *Cluster) dialUnseen(ctx context.Context) {
 	for {
 		dials := 0
@@ -60,8 +60,7 @@
 	}
 }
 
-// unseen returns the addresses of the settings, and of members that are lost, at which nobody
-// is alive.
+// unseen returns the addresses of the settings and of lost members at which no member is alive.
 func (c *Cluster) unseen() (out []string) {
 	seen := map[string]bool{c.port.Advertised(): true}
 	all := c.members.All()
@@ -82,7 +81,7 @@
 	}
 	c.unseenAddrs.mu.Lock()
 	defer c.unseenAddrs.mu.Unlock()
-	for addr := range c.unseenAddrs.refused { // who is back is not refused any more
+	for addr := range c.unseenAddrs.refused { // a returned member is not refused any more
 		if !slices.Contains(out, addr) {
 			delete(c.unseenAddrs.refused, addr)
 		}
@@ -90,7 +89,7 @@
 	return out
 }
 
-// refuses tells whether a machine answers that nobody listens at an address.
+// refuses reports whether the machine at an address refuses connections to it.
 func (c *Cluster) refuses(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(dialTimeout))
 	defer cancel()
@@ -99,7 +98,7 @@
 		defer conn.Close()
 		var one [1]byte
 		if err = conn.SetReadDeadline(time.Now().Add(dialTimeout)); err == nil {
-			_, err = conn.Read(one[:]) // a member would wait for our request
+			_, err = conn.Read(one[:]) // a member waits for the request
 		}
 	}
 	var netErr net.Error
@@ -109,20 +108,20 @@
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)
 }
 
-// Standing tells what is known of the others and of the log.
+// State returns what is known of the other members and of the log.
 func (c *Cluster) State(context.Context) (rejoin.FleetState, bool) {
 	s := rejoin.FleetState{ReplicasCompared: c.informed.Load(), NoPeers: true}
-	by := map[string]sharers.PeerState{}
+	states := map[string]sharers.PeerState{}
 	c.unseenAddrs.mu.Lock()
 	for addr, refused := range c.unseenAddrs.refused {
-		by[addr] = sharers.Unseen
+		states[addr] = sharers.Unseen
 		if refused {
-			by[addr] = sharers.Refused
+			states[addr] = sharers.Refused
 		}
 	}
 	c.unseenAddrs.mu.Unlock()
 	for _, addr := range c.cfg.Join {
-		if addr != c.port.Advertised() && by[addr] != sharers.Refused {
+		if addr != c.port.Advertised() && states[addr] != sharers.Refused {
 			s.NoPeers = false
 		}
 	}
@@ -130,22 +129,22 @@
 		switch {
 		case i.Name == c.cfg.Name || i.Addr == c.port.Advertised():
 		case i.Status == members.Alive && !i.Leaving:
-			by[i.Addr], s.PeerAlive = sharers.Alive, true
+			states[i.Addr], s.PeerAlive = sharers.Alive, true
 		case i.Status == members.Departed || i.Leaving:
-			by[i.Addr] = sharers.Departed
-		case by[i.Addr] != sharers.Refused:
-			by[i.Addr] = sharers.Unseen
+			states[i.Addr] = sharers.Departed
+		case states[i.Addr] != sharers.Refused:
+			states[i.Addr] = sharers.Unseen
 		}
 	}
-	for _, l := range by {
+	for _, l := range states {
 		s.Peers = append(s.Peers, l)
 	}
-	s.ReplicasCompared = s.ReplicasCompared || !s.PeerAlive // there is nobody to compare with
+	s.ReplicasCompared = s.ReplicasCompared || !s.PeerAlive // there is no member to compare with
 	s.Log = c.logState()
 	return s, true
 }
 
-// logStands tells how the agreed log stands here.
+// logState returns the state of the replicated log here.
 func (c *Cluster) logState() stage.Log {
 	if c.quorum.LostError() != nil {
 		return stage.LogLost
@@ -160,12 +159,12 @@
 	return stage.LogApplied
 }
 
-// Stage makes known how far this member has come back.
+// SetStage publishes this member's rejoin stage.
 func (c *Cluster) SetStage(s stage.Stage) {
 	c.members.Update(func(m *members.Meta) { m.Stage = uint8(s) })
 }
 
-// Compare has copies compared anew, soon.
+// CompareReplicas marks the replicas as uninformed and starts a comparison soon.
 func (c *Cluster) CompareReplicas() {
 	c.informed.Store(false)
 	select {
@@ -174,5 +173,5 @@
 	}
 }
 
-// recalls tells whether what a member remembers of keyed jobs is all that there was.
+// outcomesComplete reports whether a member's outcome records of keyed jobs are complete.
 func outcomesComplete(i members.Info) bool { return stage.Stage(i.Stage).Rights().OutcomesComplete }
--- a/internal/dispatcher/fleet/clusterport/port.go
+++ b/internal/dispatcher/fleet/clusterport/port.go
@@ -1,7 +1,10 @@
-// Package clusterport is the one address at which a dispatcher meets the others: gossip by
-// UDP, and by TCP gossip, the replicated log and calls, told apart by the first byte of each
-// connection. All that goes out leaves from the same address, so that what lies between two
-// members can tell whose it is. It is plain text.
+// Package clusterport is the one network address at which a dispatcher communicates with the
+// others: UDP for gossip; TCP for gossip, the replicated log and calls, distinguished by the first
+// byte of each connection. Outgoing traffic leaves from the same IP address, so that a firewall
+// between two members can recognise it. The traffic is not encrypted.
+//
+// Package cluster opens the Port; members, quorum and cluster use it. A Port is safe for
+// concurrent use. It never holds more than Sockets file descriptors.
 package clusterport
 
 import (
@@ -17,10 +20,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Use says what a connection is for; it is the first byte on it.
+// Use is the protocol of a connection, sent as its first byte.
 type Use byte
 
-// The uses of connections.
+// The protocols of connections.
 const (
 	Gossip Use = 'g'
 	Log    Use = 'l'
@@ -28,20 +31,20 @@
 )
 
 const (
-	// Sockets is how many descriptors a port uses at most: connections that came, about as
-	// many that go out, the listener and the packets' socket.
+	// Sockets is the most file descriptors that a port uses: accepted connections, about as many
+	// outgoing ones, the listener and the packet socket.
 	Sockets = 2*places + 2
 	places  = 64
-	// firstByte is how long a connection may take to say what it is for.
+	// firstByte bounds the wait for a connection's first byte.
 	firstByte = 2 * time.Second
-	// backlog is how many connections of a use may wait to be taken; more are closed.
+	// backlog is how many connections of a protocol may wait to be accepted; more are closed.
 	backlog = 16
-	// packets is how many packets may wait to be read; more are dropped, as UDP would.
+	// packets is how many packets may wait to be read; more are dropped, as UDP allows.
 	packets    = 1024
 	packetSize = 64 << 10
 )
 
-// Port is the address. Open makes it.
+// Port is an open address; Open creates it.
 type Port struct {
 	advertise string
 	listener  net.Listener
@@ -58,15 +61,15 @@
 	sent, received, dropped atomic.Uint64
 }
 
-// Packet is one that came.
+// Packet is a received UDP packet.
 type Packet struct {
 	Bytes []byte
 	From  net.Addr
 	At    time.Time
 }
 
-// Open opens an address for TCP and UDP. Advertise is where others reach it, empty for the
-// same.
+// Open opens listen for TCP and UDP. advertise is the address at which the other members reach it;
+// empty means the same.
 func Open(listen, advertise string, log *logrus.Entry) (*Port, error) {
 	l, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -91,10 +94,11 @@
 	return p, nil
 }
 
-// Advertised returns where others reach the port.
+// Advertised returns the address at which the other members reach the port.
 func (p *Port) Advertised() string { return p.advertise }
 
-// Host returns the advertised address in its parts.
+// Host returns the advertised IP address and port number, or an error if the address is not
+// numeric.
 func (p *Port) Host() (net.IP, int, error) {
 	host, port, err := net.SplitHostPort(p.advertise)
 	if err != nil {
@@ -108,8 +112,8 @@
 	return ip, n, nil
 }
 
-// Traffic returns the bytes of packets that went and came, and how many were dropped since
-// nobody read them.
+// Traffic returns the bytes sent and received in packets, and the number of packets dropped
+// because nothing read them in time.
 func (p *Port) Traffic() (sent, received, dropped uint64) {
 	return p.sent.Load(), p.received.Load(), p.dropped.Load()
 }
@@ -122,13 +126,13 @@
 			select {
 			case <-p.closing:
 				return
-			default: // out of descriptors, or a caller that left at once
+			default: // out of descriptors, or the peer has closed already
 				p.log.WithError(err).Warn("a member's connection was not taken")
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
 		}
-		if p.open.Add(1) > places { // guards the process's descriptors
+		if p.open.Add(1) > places { // protects the process's file descriptors
 			p.open.Add(-1)
 			c.Close()
 			continue
@@ -137,7 +141,7 @@
 	}
 }
 
-// sort reads what a connection is for.
+// sort reads a connection's protocol and queues it for that protocol's listener.
 func (p *Port) sort(c net.Conn) {
 	var first [1]byte
 	err := c.SetReadDeadline(time.Now().Add(firstByte))
@@ -170,7 +174,7 @@
 			select {
 			case <-p.closing:
 				return
-			default: // such as an answer that a port is closed
+			default: // for example an ICMP message that a port is closed
 				continue
 			}
 		}
@@ -183,7 +187,7 @@
 	}
 }
 
-// Packets yields what came by UDP.
+// Packets returns the received packets.
 func (p *Port) Packets() <-chan Packet { return p.packets }
 
 // WriteTo sends a packet.
@@ -200,7 +204,7 @@
 	return nil
 }
 
-// Dial connects to another member for a use, and says first what the use wants to be said.
+// Dial connects to another member with a protocol, and sends first as the protocol's preamble.
 func (p *Port) Dial(ctx context.Context, use Use, addr string, first ...byte) (net.Conn, error) {
 	d := net.Dialer{}
 	if !p.from.IsUnspecified() {
@@ -210,9 +214,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
-	by, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if ok {
-		err = c.SetWriteDeadline(by)
+		err = c.SetWriteDeadline(deadline)
 	}
 	if err == nil {
 		_, err = c.Write(append([]byte{byte(use)}, first...))
@@ -227,10 +231,10 @@
 	return c, nil
 }
 
-// Listener yields the connections that came for a use.
+// Listener returns the listener of a protocol. Closing it affects no other protocol.
 func (p *Port) Listener(use Use) net.Listener { return p.uses[use] }
 
-// Close closes the address and waits until nothing reads from it.
+// Close closes the address and waits until its goroutines have ended.
 func (p *Port) Close() {
 	p.once.Do(func() {
 		close(p.closing)
@@ -243,19 +247,20 @@
 	p.done.Wait()
 }
 
-// counted gives its place back when it is closed.
+// counted is an accepted connection that counts against places until it is closed.
 type counted struct {
 	net.Conn
 	port *Port
 	once sync.Once
 }
 
+// Close closes the connection.
 func (c *counted) Close() error {
 	c.once.Do(func() { c.port.open.Add(-1) })
 	return c.Conn.Close()
 }
 
-// listener yields the connections of one use.
+// listener accepts the connections of one protocol.
 type listener struct {
 	port   *Port
 	conns  chan net.Conn
@@ -265,6 +270,7 @@
 
 var errClosed = errors.New("cluster: the port is closed")
 
+// Accept waits for the next connection; errClosed after Close.
 func (l *listener) Accept() (net.Conn, error) {
 	select {
 	case c := <-l.conns:
@@ -274,9 +280,11 @@
 	}
 }
 
+// Close makes Accept return; it never fails.
 func (l *listener) Close() error {
 	l.once.Do(func() { close(l.closed) })
 	return nil
 }
 
+// Addr returns the port's listening address.
 func (l *listener) Addr() net.Addr { return l.port.listener.Addr() }
--- a/internal/dispatcher/fleet/clusterport/port_test.go
+++ b/internal/dispatcher/fleet/clusterport/port_test.go
@@ -22,8 +22,8 @@
 	return p
 }
 
-// TestUses has each use get its own connections, from the address of who calls, and packets
-// come through; a connection that says something else is closed.
+// TestUses checks that each protocol receives its own connections from the caller's address, that
+// packets arrive, and that a connection of an unknown protocol is closed.
 func TestUses(t *testing.T) {
 	a, b := open(t, "127.60.0.1:0"), open(t, "127.60.0.2:0")
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(20*time.Second))
@@ -71,8 +71,8 @@
 	}
 }
 
-// TestFlood guards descriptors: connections that say nothing take no more than their places,
-// and give them back when they end.
+// TestFlood checks that silent connections use no more than their places and release them when
+// they end.
 func TestFlood(t *testing.T) {
 	a, b := open(t, "127.60.0.3:0"), open(t, "127.60.0.4:0")
 	var all []net.Conn
--- a/internal/dispatcher/fleet/gang/board/board.go
+++ b/internal/dispatcher/fleet/gang/board/board.go
@@ -122,7 +122,13 @@
 
 // New makes an empty board.
 func New(cfg Config) *Board {
-	return &Board{cfg: cfg, gangs: map[string]*gang{}, slowReports: map[string]map[string]slowReport{}, markedSlowAt: map[string]time.Duration{}, inStepAt: map[string]time.Duration{}}
+	return &Board{
+		cfg:          cfg,
+		gangs:        map[string]*gang{},
+		slowReports:  map[string]map[string]slowReport{},
+		markedSlowAt: map[string]time.Duration{},
+		inStepAt:     map[string]time.Duration{},
+	}
 }
 
 // gang returns a gang and adds it if it is not known.
--- a/internal/dispatcher/fleet/gang/board/board_test.go
+++ b/internal/dispatcher/fleet/gang/board/board_test.go
@@ -74,19 +74,21 @@
 		{"most are slow", cfg, []float64{0.25, 0.25, 0.25, 0.25, 1}, 5, 15 * s, 200 * s, 0, 0, verdict.InStep},
 		{"more stragglers than may be copied", cfg, []float64{0.2, 0.2, 1, 1, 1, 1, 1}, 7, 9 * s, 200 * s, 1, 0, verdict.Straggler},
 	} {
-		b, actions := play(t, tc.cfg, tc.speeds, tc.ownParts, tc.until, tc.deadline)
-		copies := 0
-		for _, a := range actions {
-			if a.Kind == StartCopy {
-				copies++
-				if a.EndWithCopy >= a.EndWithoutCopy {
-					t.Errorf("%s: the copy ends at %s, the part at %s", tc.name, a.EndWithCopy, a.EndWithoutCopy)
+		t.Run(tc.name, func(t *testing.T) {
+			b, actions := play(t, tc.cfg, tc.speeds, tc.ownParts, tc.until, tc.deadline)
+			copies := 0
+			for _, a := range actions {
+				if a.Kind == StartCopy {
+					copies++
+					if a.EndWithCopy >= a.EndWithoutCopy {
+						t.Errorf("the copy ends at %s, the part at %s", a.EndWithCopy, a.EndWithoutCopy)
+					}
 				}
 			}
-		}
-		if got := b.State(ID{"g", 1}).State; copies != tc.copies || got != tc.state {
-			t.Errorf("%s: %d copies, %s", tc.name, copies, got)
-		}
+			if got := b.State(ID{"g", 1}).State; copies != tc.copies || got != tc.state {
+				t.Errorf("%d copies, %s", copies, got)
+			}
+		})
 	}
 }
 
@@ -161,45 +163,47 @@
 		{"at one that keeps step", "s-2", 90 * s, 0},
 		{"not for long", "s-1", 7 * s, 0},
 	} {
-		b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
-		const parts, waiting = 10, 10
-		for n := 1; n <= parts; n++ {
-			worker := fmt.Sprint("s-", n)
-			if n == waiting {
-				worker = tc.worker
-			}
-			b.AddPart(ID{"g", n}, parts, 20, 999*s)
-			b.PartSent(ID{"g", n}, worker, 0, s)
-			if n != waiting {
-				b.PartStarted(ID{"g", n}, 0, s)
-			}
-		}
-		copies := map[int]int{}
-		for now := 2 * s; now <= 40*s; now += s {
-			if now == s+tc.waits {
-				b.PartStarted(ID{"g", waiting}, 0, now)
-			}
-			for n := 2; n <= waiting; n++ { // the first hangs
-				begun := s
+		t.Run(tc.name, func(t *testing.T) {
+			b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
+			const parts, waiting = 10, 10
+			for n := 1; n <= parts; n++ {
+				worker := fmt.Sprint("s-", n)
 				if n == waiting {
-					begun += tc.waits
+					worker = tc.worker
 				}
-				if fraction := (now - begun).Seconds() / 20; fraction > 0 && fraction < 1 {
-					b.PartProgressed(ID{"g", n}, 0, fraction, now)
-				} else if fraction >= 1 {
-					b.PartEnded(ID{"g", n}, 0, true, now)
+				b.AddPart(ID{"g", n}, parts, 20, 999*s)
+				b.PartSent(ID{"g", n}, worker, 0, s)
+				if n != waiting {
+					b.PartStarted(ID{"g", n}, 0, s)
 				}
 			}
-			actions, _ := b.Check(now)
-			for _, a := range actions {
-				if a.Kind == StartCopy {
-					copies[a.Part.N]++
+			copies := map[int]int{}
+			for now := 2 * s; now <= 40*s; now += s {
+				if now == s+tc.waits {
+					b.PartStarted(ID{"g", waiting}, 0, now)
+				}
+				for n := 2; n <= waiting; n++ { // the first hangs
+					begun := s
+					if n == waiting {
+						begun += tc.waits
+					}
+					if fraction := (now - begun).Seconds() / 20; fraction > 0 && fraction < 1 {
+						b.PartProgressed(ID{"g", n}, 0, fraction, now)
+					} else if fraction >= 1 {
+						b.PartEnded(ID{"g", n}, 0, true, now)
+					}
+				}
+				actions, _ := b.Check(now)
+				for _, a := range actions {
+					if a.Kind == StartCopy {
+						copies[a.Part.N]++
+					}
 				}
 			}
-		}
-		if copies[1] != 1 || copies[waiting] != tc.copies {
-			t.Errorf("%s: copies %v, want one of the part that hangs and %d of the one that waits", tc.name, copies, tc.copies)
-		}
+			if copies[1] != 1 || copies[waiting] != tc.copies {
+				t.Errorf("copies %v, want one of the part that hangs and %d of the one that waits", copies, tc.copies)
+			}
+		})
 	}
 }
 
@@ -242,33 +246,35 @@
 		speed float64 // of the first copy
 		want  int
 	}{"the copy hangs too": {0, 2}, "the copy keeps step": {1, 1}} {
-		b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
-		const of = 12
-		id := func(n int) ID { return ID{"g", n} }
-		for n := 1; n <= of; n++ {
-			b.AddPart(id(n), of, 60, 999*s)
-			b.PartSent(id(n), fmt.Sprint("s-", n), 0, s)
-			b.PartStarted(id(n), 0, s)
-		}
-		copies, began := 0, s
-		for now := s; now <= 60*s; now += s {
-			for n := 2; n <= of && now%(2*s) == s; n++ {
-				b.PartProgressed(id(n), 0, (now-s).Seconds()/60, now)
-			}
-			if copies == 1 && tc.speed > 0 && now%(2*s) == s {
-				b.PartProgressed(id(1), 1, tc.speed*(now-began).Seconds()/60, now)
+		t.Run(name, func(t *testing.T) {
+			b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
+			const of = 12
+			id := func(n int) ID { return ID{"g", n} }
+			for n := 1; n <= of; n++ {
+				b.AddPart(id(n), of, 60, 999*s)
+				b.PartSent(id(n), fmt.Sprint("s-", n), 0, s)
+				b.PartStarted(id(n), 0, s)
 			}
-			actions, _ := b.Check(now)
-			for _, a := range actions {
-				if a.Kind == StartCopy && a.Part == id(1) {
-					copies, began = copies+1, now
-					b.PartSent(id(1), fmt.Sprint("t-", copies), copies, now)
-					b.PartStarted(id(1), copies, now)
+			copies, began := 0, s
+			for now := s; now <= 60*s; now += s {
+				for n := 2; n <= of && now%(2*s) == s; n++ {
+					b.PartProgressed(id(n), 0, (now-s).Seconds()/60, now)
+				}
+				if copies == 1 && tc.speed > 0 && now%(2*s) == s {
+					b.PartProgressed(id(1), 1, tc.speed*(now-began).Seconds()/60, now)
+				}
+				actions, _ := b.Check(now)
+				for _, a := range actions {
+					if a.Kind == StartCopy && a.Part == id(1) {
+						copies, began = copies+1, now
+						b.PartSent(id(1), fmt.Sprint("t-", copies), copies, now)
+						b.PartStarted(id(1), copies, now)
+					}
 				}
 			}
-		}
-		if copies != tc.want {
-			t.Errorf("%s: %d copies, want %d", name, copies, tc.want)
-		}
+			if copies != tc.want {
+				t.Errorf("%d copies, want %d", copies, tc.want)
+			}
+		})
 	}
 }
--- a/internal/dispatcher/fleet/gang/board/tell.go
+++ b/internal/dispatcher/fleet/gang/board/facts.go
@@ -55,7 +55,21 @@
 			continue
 		}
 		ended, _ := p.Finished()
-		f := Fact{Gang: name, N: n, Of: g.parts, Deadline: g.deadline, Worker: p.Worker, Speed: v, Work: p.Work, Bound: bound, Ended: ended, Wait: p.WaitTime(now).Seconds(), MissesDeadline: g.missesDeadline, InStep: p.inStep && !ended, At: now}
+		f := Fact{
+			Gang:           name,
+			N:              n,
+			Of:             g.parts,
+			Deadline:       g.deadline,
+			Worker:         p.Worker,
+			Speed:          v,
+			Work:           p.Work,
+			Bound:          bound,
+			Ended:          ended,
+			Wait:           p.WaitTime(now).Seconds(),
+			MissesDeadline: g.missesDeadline,
+			InStep:         p.inStep && !ended,
+			At:             now,
+		}
 		if (p.Verdict.State == verdict.Straggler || p.Verdict.State == verdict.Silent) && !p.Waiting() {
 			f.SlowFactor = slowFactor(p.Verdict.Evidence)
 		}
--- a/internal/dispatcher/fleet/gang/board/judge.go
+++ b/internal/dispatcher/fleet/gang/board/judge.go
@@ -28,7 +28,34 @@
 
 // judgeGang judges the parts of a gang that this dispatcher has sent.
 func (b *Board) judgeGang(name string, g *gang, now time.Duration, hintsTrusted bool) (actions []Action) {
-	var all []peerSpeed
+	all := b.peerSpeeds(g, now, hintsTrusted)
+	activeCopies := g.activeCopies()
+	for _, n := range slices.Sorted(maps.Keys(g.ownParts)) {
+		p := g.ownParts[n]
+		if over, _ := p.Finished(); over || p.Worker == "" {
+			continue
+		}
+		exactSpeeds := exactSpeedsExcept(all, n)
+		e, v := b.judgePart(p, n, all, exactSpeeds, hintsTrusted, now)
+		if p.Verdict.Observe(e, b.cfg.CheckInterval) && (p.Verdict.State == verdict.Straggler || p.Verdict.State == verdict.Silent) {
+			if !p.Waiting() { // the verdict on a wait rests on the worker's slowness already
+				b.recordSlow(p.Worker, name, slowFactor(e), now)
+			}
+		}
+		size := p.Work
+		if !hintsTrusted { // speeds are in parts per second then
+			size, v = 1, v*p.Work
+		}
+		if act, ok := b.proposeCopy(name, n, g, p, exactSpeeds, size, activeCopies, v, now); ok {
+			actions = append(actions, act)
+			activeCopies++
+		}
+	}
+	return append(actions, b.abandonUnstarted(name, g)...)
+}
+
+// peerSpeeds returns the known speeds of a gang's parts, at this dispatcher and at the others.
+func (b *Board) peerSpeeds(g *gang, now time.Duration, hintsTrusted bool) (all []peerSpeed) {
 	for n, p := range g.ownParts {
 		if v, bound, ok := b.speed(p, now, hintsTrusted); ok {
 			all = append(all, peerSpeed{n, v, bound, p.WaitTime(now).Seconds()})
@@ -44,52 +71,47 @@
 			all = append(all, peerSpeed{n, v, f.Bound, f.Wait})
 		}
 	}
-	activeCopies := 0
+	return all
+}
+
+// activeCopies returns how many own parts are not over and have a second copy, or have one requested.
+func (g *gang) activeCopies() (active int) {
 	for _, p := range g.ownParts {
 		if over, _ := p.Finished(); (p.copyRequested || p.copiesSent > 0) && !over {
-			activeCopies++
+			active++
 		}
 	}
-	for _, n := range slices.Sorted(maps.Keys(g.ownParts)) {
-		p := g.ownParts[n]
-		if over, _ := p.Finished(); over || p.Worker == "" {
-			continue
-		}
-		var exactSpeeds []float64
-		for _, k := range all {
-			if k.n != n && !k.bound {
-				exactSpeeds = append(exactSpeeds, k.speed)
-			}
-		}
-		e := verdict.Evidence{At: now, Heavy: b.partIsHeavy(p.Worker, now)}
-		v, bound, ok := b.speed(p, now, hintsTrusted)
-		if ok {
-			e.Standing, e.Known = peers.Compare(v, exactSpeeds)
-			// An upper bound above the peers' speed says nothing.
-			e.Known = e.Known && (!bound || e.Standing.Ratio < 1)
-		}
-		if p.inStep = e.Known && !bound && e.Standing.Ratio >= inStepRatio; p.inStep {
-			b.recordInStep(p.Worker, now)
-		}
-		if p.Waiting() {
-			e.Standing, e.Known = b.compareWaits(p, n, all, exactSpeeds, hintsTrusted, now)
-		}
-		e.Silent = p.ReportsOverdue(now, b.cfg.ReportInterval) && len(exactSpeeds) >= peers.MinPeers
-		if p.Verdict.Observe(e, b.cfg.CheckInterval) && (p.Verdict.State == verdict.Straggler || p.Verdict.State == verdict.Silent) {
-			if !p.Waiting() { // the verdict on a wait rests on the worker's slowness already
-				b.recordSlow(p.Worker, name, slowFactor(e), now)
-			}
-		}
-		size := p.Work
-		if !hintsTrusted { // speeds are in parts per second then
-			size, v = 1, v*p.Work
-		}
-		if act, ok := b.proposeCopy(name, n, g, p, exactSpeeds, size, activeCopies, v, now); ok {
-			actions = append(actions, act)
-			activeCopies++
+	return active
+}
+
+// exactSpeedsExcept returns the speeds of all parts but number n, without those that are only bounds.
+func exactSpeedsExcept(all []peerSpeed, n int) (speeds []float64) {
+	for _, k := range all {
+		if k.n != n && !k.bound {
+			speeds = append(speeds, k.speed)
 		}
 	}
-	return append(actions, b.abandonUnstarted(name, g)...)
+	return speeds
+}
+
+// judgePart returns the evidence on part n of this dispatcher, and its speed, 0 if it is unknown. It
+// records whether the part runs at its peers' speed.
+func (b *Board) judgePart(p *ownPart, n int, all []peerSpeed, exactSpeeds []float64, hintsTrusted bool, now time.Duration) (verdict.Evidence, float64) {
+	e := verdict.Evidence{At: now, Heavy: b.partIsHeavy(p.Worker, now)}
+	v, bound, ok := b.speed(p, now, hintsTrusted)
+	if ok {
+		e.Standing, e.Known = peers.Compare(v, exactSpeeds)
+		// An upper bound above the peers' speed says nothing.
+		e.Known = e.Known && (!bound || e.Standing.Ratio < 1)
+	}
+	if p.inStep = e.Known && !bound && e.Standing.Ratio >= inStepRatio; p.inStep {
+		b.recordInStep(p.Worker, now)
+	}
+	if p.Waiting() {
+		e.Standing, e.Known = b.compareWaits(p, n, all, exactSpeeds, hintsTrusted, now)
+	}
+	e.Silent = p.ReportsOverdue(now, b.cfg.ReportInterval) && len(exactSpeeds) >= peers.MinPeers
+	return e, v
 }
 
 // compareWaits compares how long a part has waited with how long its peers waited before they
@@ -143,7 +165,14 @@
 		return Action{}, false
 	}
 	p.copyRequested = true
-	return Action{Kind: StartCopy, Part: ID{name, n}, Worker: p.Worker, Verdict: p.Verdict, EndWithoutCopy: now + remaining, EndWithCopy: now + copyTime}, true
+	return Action{
+		Kind:           StartCopy,
+		Part:           ID{name, n},
+		Worker:         p.Worker,
+		Verdict:        p.Verdict,
+		EndWithoutCopy: now + remaining,
+		EndWithCopy:    now + copyTime,
+	}, true
 }
 
 // abandonUnstarted returns, once each, the parts that have not begun of a gang that can't meet its
--- a/internal/dispatcher/fleet/gang/part/part_test.go
+++ b/internal/dispatcher/fleet/gang/part/part_test.go
@@ -42,16 +42,18 @@
 		{"of an earlier attempt", 10, 2 * s, []report{{7, 0.9, 2 * s}, {0, 0.2, 2 * s}}, 2 * s, 1, false, 1, false},
 		{"no share at all", 10, 2 * s, []report{{0, math.NaN(), 1 * s}, {0, 1.5, 1 * s}, {0, -1, 1 * s}, {0, 0.2, 2 * s}}, 2 * s, 1, false, 3, false},
 	} {
-		p := Part{Work: tc.work}
-		p.Send("w", 0, 0)
-		p.Start(0, 0)
-		for _, r := range tc.reports {
-			p.Report(r.attempt, r.fraction, r.at)
-		}
-		v, bound, ok := p.Speed(tc.now, tc.interval)
-		if !ok || math.Abs(v-tc.v) > 1e-9 || bound != tc.bound || p.RejectedReports != tc.rejected || p.ReportsOverdue(tc.now, tc.interval) != tc.overdue {
-			t.Errorf("%s: %g, bound %t, known %t, %d passed over, silent %t", tc.name, v, bound, ok, p.RejectedReports, p.ReportsOverdue(tc.now, tc.interval))
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			p := Part{Work: tc.work}
+			p.Send("w", 0, 0)
+			p.Start(0, 0)
+			for _, r := range tc.reports {
+				p.Report(r.attempt, r.fraction, r.at)
+			}
+			v, bound, ok := p.Speed(tc.now, tc.interval)
+			if !ok || math.Abs(v-tc.v) > 1e-9 || bound != tc.bound || p.RejectedReports != tc.rejected || p.ReportsOverdue(tc.now, tc.interval) != tc.overdue {
+				t.Errorf("%g, bound %t, known %t, %d passed over, silent %t", v, bound, ok, p.RejectedReports, p.ReportsOverdue(tc.now, tc.interval))
+			}
+		})
 	}
 }
 
--- a/internal/dispatcher/fleet/gang/verdict/verdict_test.go
+++ b/internal/dispatcher/fleet/gang/verdict/verdict_test.go
@@ -42,14 +42,16 @@
 		{"silent", []Evidence{fine, silent}, Silent},
 		{"it speaks again", []Evidence{silent, fine}, InStep},
 	} {
-		var v Verdict
-		for i, e := range tc.checks {
-			e.At = time.Duration(i+1) * time.Second
-			v.Observe(e, time.Second)
-			v.Observe(Evidence{At: e.At + time.Millisecond, Silent: true}, time.Second) // too soon: ignored
-		}
-		if v.State != tc.want {
-			t.Errorf("%s: %s, want %s", tc.name, v.State, tc.want)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			var v Verdict
+			for i, e := range tc.checks {
+				e.At = time.Duration(i+1) * time.Second
+				v.Observe(e, time.Second)
+				v.Observe(Evidence{At: e.At + time.Millisecond, Silent: true}, time.Second) // too soon: ignored
+			}
+			if v.State != tc.want {
+				t.Errorf("%s, want %s", v.State, tc.want)
+			}
+		})
 	}
 }
--- a/internal/dispatcher/fleet/gang/watcher/watcher.go
+++ b/internal/dispatcher/fleet/gang/watcher/watcher.go
@@ -63,8 +63,14 @@
 
 // New returns a watcher; Run starts it.
 func New(cfg Config, dispatcher Dispatcher, log *logrus.Entry) *Watcher {
-	return &Watcher{cfg: cfg, dispatcher: dispatcher, log: log, events: make(chan func(*Watcher), queueSize), jobs: map[board.ID]string{},
-		board: board.New(board.Config{ReportInterval: cfg.ReportInterval, CheckInterval: cfg.CheckInterval, CopiesAllowed: cfg.CopiesAllowed})}
+	return &Watcher{
+		cfg:        cfg,
+		dispatcher: dispatcher,
+		log:        log,
+		events:     make(chan func(*Watcher), queueSize),
+		jobs:       map[board.ID]string{},
+		board:      board.New(board.Config{ReportInterval: cfg.ReportInterval, CheckInterval: cfg.CheckInterval, CopiesAllowed: cfg.CopiesAllowed}),
+	}
 }
 
 // enqueue queues an event for the goroutine of Run and drops it if the queue is full.
@@ -109,8 +115,16 @@
 		switch job := w.jobs[action.Part]; action.Kind {
 		case board.StartCopy:
 			w.counters.copies.Add(1)
-			logger.WithFields(logrus.Fields{"gang": action.Part.Gang, "part": action.Part.N, "id": job, "state": action.Verdict.State.String(), "ratio": action.Verdict.Evidence.Standing.Ratio,
-				"peers": action.Verdict.Evidence.Standing.Peers, "ends_in": (action.EndWithoutCopy - w.cfg.Now()).Round(time.Millisecond).String(), "with_a_copy": (action.EndWithCopy - w.cfg.Now()).Round(time.Millisecond).String()}).Info("a part of a gang straggles")
+			logger.WithFields(logrus.Fields{
+				"gang":        action.Part.Gang,
+				"part":        action.Part.N,
+				"id":          job,
+				"state":       action.Verdict.State.String(),
+				"ratio":       action.Verdict.Evidence.Standing.Ratio,
+				"peers":       action.Verdict.Evidence.Standing.Peers,
+				"ends_in":     (action.EndWithoutCopy - w.cfg.Now()).Round(time.Millisecond).String(),
+				"with_a_copy": (action.EndWithCopy - w.cfg.Now()).Round(time.Millisecond).String(),
+			}).Info("a part of a gang straggles")
 			w.dispatcher.Hedge(job)
 		case board.MarkSlow:
 			w.counters.slow.Add(1)
--- a/internal/dispatcher/fleet/ledger/ledger_test.go
+++ b/internal/dispatcher/fleet/ledger/ledger_test.go
@@ -3,6 +3,7 @@
 import (
 	"fmt"
 	"maps"
+	"slices"
 	"testing"
 
 	"github.com/google/go-cmp/cmp"
@@ -62,26 +63,27 @@
 func TestApply(t *testing.T) {
 	var s State
 	for i, tc := range []struct {
-		e       Entry
+		name    string
+		entry   Entry
 		changed bool
 		refused bool
 		out     []string
 	}{
-		{Entry{ID: "1", Op: Exclude, UID: "s-1"}, true, false, []string{"s-1"}},
-		{Entry{ID: "2", Op: Exclude, UID: "s-1"}, false, false, []string{"s-1"}},
-		{Entry{ID: "3", Op: Include, UID: "s-1"}, true, false, nil},
-		{Entry{ID: "1", Op: Exclude, UID: "s-1"}, false, false, nil}, // proposed again: an answer was lost
-		{Entry{ID: "4", Op: Include, UID: "s-2"}, false, false, nil},
-		{Entry{ID: "5", Op: "of tomorrow", UID: "s-1"}, false, true, nil},
-		{Entry{ID: "6", Op: Exclude}, false, true, nil},
-		{Entry{Op: Exclude, UID: "s-1"}, false, true, nil},
+		{"exclude", Entry{ID: "1", Op: Exclude, UID: "s-1"}, true, false, []string{"s-1"}},
+		{"exclude again", Entry{ID: "2", Op: Exclude, UID: "s-1"}, false, false, []string{"s-1"}},
+		{"include", Entry{ID: "3", Op: Include, UID: "s-1"}, true, false, nil},
+		{"repeated proposal", Entry{ID: "1", Op: Exclude, UID: "s-1"}, false, false, nil}, // its response was lost
+		{"include an included one", Entry{ID: "4", Op: Include, UID: "s-2"}, false, false, nil},
+		{"unknown operation", Entry{ID: "5", Op: "of tomorrow", UID: "s-1"}, false, true, nil},
+		{"no runner", Entry{ID: "6", Op: Exclude}, false, true, nil},
+		{"no ID", Entry{Op: Exclude, UID: "s-1"}, false, true, nil},
 	} {
-		d := s.Apply(uint64(i+1), tc.e)
+		d := s.Apply(uint64(i+1), tc.entry)
 		if d.Changed != tc.changed || (d.Refused != "") != tc.refused || len(s.Excluded) != len(tc.out) {
-			t.Errorf("%+v came to %+v, out %v", tc.e, d, maps.Keys(s.Excluded))
+			t.Errorf("%s: %+v came to %+v, excluded %v", tc.name, tc.entry, d, slices.Collect(maps.Keys(s.Excluded)))
 		}
 	}
 	if s.UnknownOps != 1 || s.Index != 8 {
-		t.Errorf("odd %d, index %d", s.UnknownOps, s.Index)
+		t.Errorf("unknown operations %d, index %d", s.UnknownOps, s.Index)
 	}
 }
--- a/internal/dispatcher/fleet/members/delegates.go
+++ b/internal/dispatcher/fleet/members/delegates.go
@@ -11,63 +11,63 @@
 
 func info(n *memberlist.Node, status Status) Info {
 	i := Info{Name: n.Name, Addr: n.Address(), Status: status}
-	_ = json.Unmarshal(n.Meta, &i.Meta) // of a build that says it otherwise nothing is known
+	_ = json.Unmarshal(n.Meta, &i.Meta) // the metadata of an incompatible build is left empty
 	return i
 }
 
-// broadcast is a word on its way.
+// broadcast is a queued update; it implements memberlist.NamedBroadcast.
 type broadcast struct {
 	key    string
 	update []byte
 }
 
-// Invalidates has a later word under the same key take the place of an earlier one.
+// Invalidates reports whether the update replaces another: a later one under the same key does.
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
 	o, ok := other.(*broadcast)
 	return ok && o.key == b.key
 }
 
-// Name is the key; memberlist keeps one word for each.
+// Name returns the key; memberlist keeps one update for each.
 func (b *broadcast) Name() string { return b.key }
 
-// Message is what goes out.
+// Message returns the update.
 func (b *broadcast) Message() []byte { return b.update }
 
-// Finished is called when the word is not sent any more.
+// Finished does nothing.
 func (b *broadcast) Finished() {}
 
-// delegate is what memberlist asks and tells.
+// delegate implements memberlist.Delegate.
 type delegate Members
 
-// NodeMeta says who the member is.
+// NodeMeta returns the member's metadata as JSON, nil if it does not fit.
 func (d *delegate) NodeMeta(limit int) []byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	text, err := json.Marshal(d.meta)
-	if err != nil || len(text) > min(limit, maxMetaSize) { // names in the settings are shorter
+	if err != nil || len(text) > min(limit, maxMetaSize) { // cannot happen: the settings limit the names
 		return nil
 	}
 	return text
 }
 
-// NotifyMsg brings a word.
+// NotifyMsg passes a received update to the sink.
 func (d *delegate) NotifyMsg(b []byte) { d.sink.UpdateReceived(slices.Clone(b)) }
 
-// GetBroadcasts gives words for a packet.
+// GetBroadcasts returns queued updates for a packet.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState is not used: what is missing is fetched in parts.
+// LocalState returns nothing: missing updates are fetched by comparing replicas.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState is not used.
+// MergeRemoteState does nothing.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// events are memberlist's.
+// events implements memberlist.EventDelegate.
 type events Members
 
-// NotifyJoin tells of a member that is new or back.
+// NotifyJoin records a member that is new or has returned.
 func (e *events) NotifyJoin(n *memberlist.Node) {
 	i := info(n, Alive)
 	e.mu.Lock()
@@ -77,7 +77,7 @@
 	e.sink.Joined(i)
 }
 
-// NotifyLeave tells of one that is gone.
+// NotifyLeave records a member that has left or failed.
 func (e *events) NotifyLeave(n *memberlist.Node) {
 	i := info(n, Dead)
 	if i.Leaving {
@@ -97,7 +97,7 @@
 	e.sink.Departed(i)
 }
 
-// NotifyUpdate tells that a member says something else of itself.
+// NotifyUpdate records a member's new metadata.
 func (e *events) NotifyUpdate(n *memberlist.Node) {
 	i := info(n, Alive)
 	e.mu.Lock()
@@ -106,18 +106,19 @@
 	e.sink.Changed(i)
 }
 
-// conflicts hears of two members of one name.
+// conflicts implements memberlist.ConflictDelegate.
 type conflicts Members
 
-// NotifyConflict tells of another who uses a name that is taken.
+// NotifyConflict reports another member that uses a name in use.
 func (c *conflicts) NotifyConflict(existing, other *memberlist.Node) {
 	c.sink.NameConflict(info(existing, Alive), info(other, Alive))
 }
 
-// said writes memberlist's lines to the log, at debug level: it repeats itself
-// while a member is away, and what matters is told to the sink.
+// debugWriter writes memberlist's log lines at debug level: they repeat while a member is away,
+// and the sink receives what matters.
 type debugWriter struct{ log *logrus.Entry }
 
+// Write logs one line; it never fails.
 func (s debugWriter) Write(message []byte) (int, error) {
 	s.log.Debug(strings.TrimSpace(string(message)))
 	return len(message), nil
--- a/internal/dispatcher/fleet/members/members.go
+++ b/internal/dispatcher/fleet/members/members.go
@@ -1,7 +1,11 @@
-// Package members knows which dispatchers of a cluster are alive, by gossip: those named in
-// the settings are joined and joined again after a cut, others are heard of, suspected when
-// they are silent and taken out when nobody reaches them. It carries small messages to all
-// in the gossip's own packets. Of what it learns it tells a sink, which must not block.
+// Package members maintains a dispatcher's view of which dispatchers of the cluster are alive, by
+// the SWIM protocol (Das, Gupta & Motivala 2002) as implemented by hashicorp/memberlist.
+// Configured seeds are joined, and joined again after a partition; the others are learned by
+// gossip, suspected when they do not respond, and removed when no member reaches them. Small
+// updates travel to all members in the gossip packets.
+//
+// Package cluster is the only user. What the package learns it reports to a Sink, from
+// memberlist's goroutines. All methods of Members are safe for concurrent use.
 package members
 
 import (
@@ -20,79 +24,80 @@
 )
 
 const (
-	// The pace of probing and gossip: a member that dies is known to be dead after about
-	// three probes, a word is with all fifteen members after some three rounds.
+	// The intervals of probing and gossip: a failed member is detected after about
+	// three probes, and an update reaches fifteen members after about three rounds.
 	probeInterval       = 500 * time.Millisecond
 	probeTimeout        = 200 * time.Millisecond
 	gossipInterval      = 50 * time.Millisecond
 	suspicionMultiplier = 3
-	// streamTime bounds a whole exchange by TCP.
+	// streamTimeout bounds a whole exchange over TCP.
 	streamTimeout = 2 * time.Second
-	// Packet is the most bytes that go in a packet.
+	// MaxPacketSize is the size limit of a UDP packet, in bytes.
 	MaxPacketSize = 1400
-	// Word is the most bytes of one message in a packet.
+	// MaxUpdateSize is the size limit of one update in a packet, in bytes.
 	MaxUpdateSize = 1200
-	// rejoinEvery is how often members named in the settings that are not alive are tried
-	// anew. Guards against a cut that lasts longer than the dead are remembered.
+	// rejoinInterval is the interval at which seeds and lost members that are not alive are tried
+	// again. memberlist forgets the dead; without this, a partition that lasts longer than that
+	// would be permanent.
 	rejoinInterval = 2 * time.Second
-	// leaveTime is how long a member that leaves waits for others to hear of it.
+	// leaveTimeout bounds how long a leaving member waits until others have learned of it.
 	leaveTimeout = 500 * time.Millisecond
-	// waiting is how many words may wait to be gossiped; more push out the oldest.
+	// maxQueued is how many updates may be queued for gossip; more replace the oldest.
 	maxQueued   = 512
 	maxMetaSize = 500
 )
 
-// Meta is what a member says of itself. Unknown fields of newer builds are passed over.
+// Meta is what a member publishes about itself. Unknown fields of newer builds are ignored.
 type Meta struct {
 	Site       string `json:"site,omitempty"`
 	Build      string `json:"build,omitempty"`
-	Epoch      uint64 `json:"epoch"`          // drawn at its start, higher than before
-	Disk       string `json:"disk,omitempty"` // names the log on its disk; empty for none
-	Log        bool   `json:"log,omitempty"`  // it has a log that has begun
-	KnownIndex uint64 `json:"knew,omitempty"` // how far it knew at its start that the log had gone
+	Epoch      uint64 `json:"epoch"`          // drawn at its start; higher than those before
+	Disk       string `json:"disk,omitempty"` // ID of the disk that holds its log; empty for none
+	Log        bool   `json:"log,omitempty"`  // its log has at least one entry
+	KnownIndex uint64 `json:"knew,omitempty"` // index that the log had reached, as known at its start
 	Draining   bool   `json:"drain,omitempty"`
-	Stage      uint8  `json:"stage,omitempty"` // how far it has come back (recovery/stage)
-	Leaving    bool   `json:"goes,omitempty"`  // it has said farewell: memberlist does not tell
+	Stage      uint8  `json:"stage,omitempty"` // its rejoin stage (recovery/stage)
+	Leaving    bool   `json:"goes,omitempty"`  // it is leaving; memberlist does not distinguish that from a failure
 }
 
-// Life is how a member does.
+// Status is whether a member is alive, and how it ended otherwise.
 type Status string
 
-// The lives of members.
+// The statuses of members.
 const (
 	Alive    Status = "alive"
 	Dead     Status = "dead"
 	Departed Status = "left"
 )
 
-// Info is a member as the others see it.
+// Info is a member as seen by this one.
 type Info struct {
 	Name   string `json:"name"`
 	Addr   string `json:"address"`
 	Status Status `json:"life"`
-	// Trip is what nearly every packet there and back takes at most, by probes from here; 0 where
-	// none is known.
+	// RTT is a bound that nearly every round trip to the member stays below, as probed from here;
+	// 0 if unknown.
 	RTT time.Duration `json:"trip,omitempty"`
 	Meta
 }
 
-// Sink is told what happens.
+// Sink receives the events of the membership, from several goroutines. No method may block.
 type Sink interface {
 	Joined(Info)
 	Changed(Info)
 	Departed(Info)
-	UpdateReceived(update []byte) // its own copy
+	UpdateReceived(update []byte) // the sink owns the slice
 	NameConflict(mine, other Info)
 }
 
-// Config says who the member is.
+// Config configures a member.
 type Config struct {
 	Name  string
-	Seeds []string // addresses
+	Seeds []string // addresses to join
 	Meta  Meta
 }
 
-// Members is one member's view of all. Make it with New.
+// Members is one member's view of the cluster; New creates it.
 type Members struct {
 	log        *logrus.Entry
 	cfg        Config
@@ -100,20 +105,20 @@
 	memberlist *memberlist.Memberlist
 	broadcasts *memberlist.TransmitLimitedQueue
 
-	announceMu sync.Mutex // held by the one that tells the others
+	announceMu sync.Mutex // held while the metadata is announced
 
 	mu       sync.Mutex
 	meta     Meta
-	alive    map[string]Info // who is alive, by name: memberlist's own list may change while it is read
-	departed map[string]Info // the last ones, by name, bounded by remembered
-	// trips are the ways to those who are alive, by name.
+	alive    map[string]Info // by name; memberlist's own list may change while it is read
+	departed map[string]Info // by name, at most maxDeparted
+	// rtts are the round-trip estimates of the live members, by name.
 	rtts map[string]*rttEstimate
 }
 
-// remembered is how many members that are gone are still listed.
+// maxDeparted is how many departed members are remembered.
 const maxDeparted = 64
 
-// New starts the gossip on a port.
+// New starts the gossip on a port. The caller closes the port after Leave or Close.
 func New(cfg Config, port *clusterport.Port, sink Sink, log *logrus.Entry) (*Members, error) {
 	m := &Members{log: log, cfg: cfg, sink: sink, meta: cfg.Meta, alive: map[string]Info{}, departed: map[string]Info{}, rtts: map[string]*rttEstimate{}}
 	ip, n, err := port.Host()
@@ -137,7 +142,7 @@
 	return m, nil
 }
 
-// Run joins those named in the settings, now and after each cut, until the context ends.
+// Run joins the seeds, at the start and after each partition, until ctx ends.
 func (m *Members) Run(ctx context.Context) {
 	wait := time.Duration(0)
 	for {
@@ -149,11 +154,11 @@
 		case <-t.C:
 		}
 		m.join()
-		wait = rejoinInterval/2 + rand.N(rejoinInterval) // so that all don't try at once
+		wait = rejoinInterval/2 + rand.N(rejoinInterval) // spread, so that not all members try at once
 	}
 }
 
-// join tries the seeds that are not alive, and members that have been lost.
+// join tries up to three of the seeds and lost members that are not alive.
 func (m *Members) join() {
 	alive := map[string]bool{}
 	m.mu.Lock()
@@ -182,7 +187,7 @@
 
 func (m *Members) count() int { return max(m.memberlist.NumMembers(), 1) }
 
-// Alive returns who is alive, the member itself included, ordered by name.
+// Alive returns the live members, including this one, ordered by name.
 func (m *Members) Alive() []Info {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -194,7 +199,7 @@
 	return out
 }
 
-// All returns who is alive and those who are gone, as far as they are remembered.
+// All returns the live and the remembered departed members, ordered by name.
 func (m *Members) All() []Info {
 	out := m.Alive()
 	m.mu.Lock()
@@ -208,7 +213,7 @@
 	return out
 }
 
-// Update changes what the member says of itself and tells the others.
+// Update changes the member's metadata and announces it to the others if it differs.
 func (m *Members) Update(change func(*Meta)) {
 	m.mu.Lock()
 	previous := m.meta
@@ -216,12 +221,12 @@
 	same := previous == m.meta
 	m.mu.Unlock()
 	if !same {
-		m.announce(time.Millisecond) // with 0 memberlist would wait until the word has gone out, for ever if need be
+		m.announce(time.Millisecond) // with 0 memberlist waits without a bound until the update is sent
 	}
 }
 
-// retell has the others hear what the member says of itself, and waits for that so long. Guards
-// memberlist, which reads the member's own entry beside its lock, from two that tell at once.
+// announce sends the member's metadata to the others and waits for that up to wait. Announcements
+// are serialised, because memberlist reads the member's own entry outside its lock.
 func (m *Members) announce(wait time.Duration) {
 	m.announceMu.Lock()
 	defer m.announceMu.Unlock()
@@ -230,8 +235,8 @@
 	}
 }
 
-// Say gossips a word under a key; a later one under the same key takes its place. A word
-// that is too long is not said and false is returned.
+// Broadcast gossips an update under a key; a later update under the same key replaces one that is
+// still queued. It returns false for an update over MaxUpdateSize, which is not sent.
 func (m *Members) Broadcast(key string, update []byte) bool {
 	if len(update) > MaxUpdateSize {
 		return false
@@ -243,10 +248,10 @@
 	return true
 }
 
-// Waiting returns how many words wait to be gossiped.
+// Queued returns the number of updates that wait to be gossiped.
 func (m *Members) Queued() int { return m.broadcasts.NumQueued() }
 
-// Leave tells the others that the member goes, and ends its gossip. It takes up to leaveTime.
+// Leave announces that the member is leaving, and ends its gossip. It takes up to leaveTimeout.
 func (m *Members) Leave() {
 	m.mu.Lock()
 	m.meta.Leaving = true
@@ -258,14 +263,14 @@
 	m.Close()
 }
 
-// Close ends the gossip without a word.
+// Close ends the gossip without an announcement.
 func (m *Members) Close() {
 	if err := m.memberlist.Shutdown(); err != nil {
 		m.log.WithError(err).Debug("gossip has ended already")
 	}
 }
 
-// Join tries an address that an operator names.
+// Join joins through an address that an operator names. Its error says why that failed.
 func (m *Members) Join(addr string) error {
 	if _, err := m.memberlist.Join([]string{addr}); err != nil {
 		return fmt.Errorf("cluster: %w", err)
--- a/internal/dispatcher/fleet/members/members_test.go
+++ b/internal/dispatcher/fleet/members/members_test.go
@@ -83,8 +83,8 @@
 
 func named(name string) func(Info) bool { return func(i Info) bool { return i.Name == name } }
 
-// TestMembers has members find each other, hear each other's words, tell a crash from a
-// farewell, and take back one that comes again at its old address.
+// TestMembers checks that members find each other and receive each other's updates, that a failure
+// is distinguished from a departure, and that a member may return at its old address.
 func TestMembers(t *testing.T) {
 	t.Parallel()
 	a := start(t, "a", "")
@@ -118,7 +118,8 @@
 	}
 }
 
-// TestClash guards against two members of one name: the first keeps it, and is told.
+// TestClash checks that the first of two members with one name keeps it and learns of the
+// conflict.
 func TestClash(t *testing.T) {
 	t.Parallel()
 	a := start(t, "a", "")
@@ -131,7 +132,7 @@
 	}
 }
 
-// TestGarbled guards members from packets and connections that make no sense.
+// TestGarbled checks that malformed packets and connections do no harm.
 func TestGarbled(t *testing.T) {
 	t.Parallel()
 	a := start(t, "a", "")
--- a/internal/dispatcher/fleet/members/rtt.go
+++ b/internal/dispatcher/fleet/members/rtt.go
@@ -6,8 +6,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// trip is how long a packet to another member and its answer take, as probes find it: mean and
-// mean deviation, as TCP reckons them (RFC 6298).
+// rttEstimate estimates the round-trip time to a member from memberlist's probes: the smoothed
+// mean and the mean deviation, computed as TCP does (RFC 6298, sec. 2).
 type rttEstimate struct{ mean, deviation time.Duration }
 
 func (t *rttEstimate) observe(d time.Duration) {
@@ -20,20 +20,20 @@
 	t.mean += (d - t.mean) / 8
 }
 
-// within is what nearly every one takes at most; 0 where none is known.
+// bound returns a time that nearly every round trip stays below; 0 if none was measured.
 func (t *rttEstimate) bound() time.Duration { return t.mean + 4*t.deviation }
 
-// pings are the probes that memberlist makes anyway.
+// pings implements memberlist.PingDelegate.
 type pings Members
 
-// AckPayload is not used.
+// AckPayload returns nothing.
 func (p *pings) AckPayload() []byte { return nil }
 
-// NotifyPingComplete tells how long one took.
+// NotifyPingComplete records the duration of a probe.
 func (p *pings) NotifyPingComplete(n *memberlist.Node, duration time.Duration, _ []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, ok := p.alive[n.Name]; !ok { // bounded by who is alive
+	if _, ok := p.alive[n.Name]; !ok { // keeps the estimates to the live members
 		return
 	}
 	t := p.rtts[n.Name]
@@ -44,7 +44,7 @@
 	t.observe(duration)
 }
 
-// far returns a member's entry with the way to it. The lock is held.
+// withRTT returns a member's entry with its round-trip time. The caller holds the lock.
 func (m *Members) withRTT(i Info) Info {
 	if t := m.rtts[i.Name]; t != nil {
 		i.RTT = t.bound()
--- a/internal/dispatcher/fleet/members/rtt_test.go
+++ b/internal/dispatcher/fleet/members/rtt_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestTrip has the way to a member be known by its first probe, and one that has become longer
-// by the next: a keyed job that is sent meanwhile waits for it.
+// TestRTTEstimate checks that one probe gives an estimate, and that a round trip that has become
+// longer is known after the next probe, since keyed jobs wait for it.
 func TestRTTEstimate(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for name, tc := range map[string]struct {
--- a/internal/dispatcher/fleet/members/transport.go
+++ b/internal/dispatcher/fleet/members/transport.go
@@ -10,7 +10,8 @@
 	"frosttide/internal/dispatcher/fleet/clusterport"
 )
 
-// transport lets memberlist use the port that the other uses share.
+// transport implements memberlist.NodeAwareTransport on the port that the cluster's other
+// protocols share.
 type transport struct {
 	port    *clusterport.Port
 	packets chan *memberlist.Packet
@@ -51,7 +52,7 @@
 	return t
 }
 
-// FinalAdvertiseAddr is memberlist's question for the address that others use.
+// FinalAdvertiseAddr returns the address that other members use.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) { return t.port.Host() }
 
 // WriteTo sends a packet.
@@ -64,25 +65,25 @@
 	return t.WriteTo(b, addr.Addr)
 }
 
-// PacketCh yields what comes by UDP.
+// PacketCh returns the received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// DialTimeout is memberlist's way to connect; the library has no deadlines.
+// DialTimeout connects to another member; memberlist passes a duration rather than a context.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(timeout))
 	defer cancel()
 	return t.port.Dial(ctx, clusterport.Gossip, addr)
 }
 
-// DialAddressTimeout connects.
+// DialAddressTimeout connects to another member.
 func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(addr.Addr, timeout)
 }
 
-// StreamCh yields the connections that come.
+// StreamCh returns the accepted connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown ends what the transport runs; the port is its owner's to close.
+// Shutdown ends the transport's goroutines. The port stays open; its owner closes it.
 func (t *transport) Shutdown() error {
 	close(t.closing)
 	return nil
--- a/internal/dispatcher/fleet/quorum/bootstrap.go
+++ b/internal/dispatcher/fleet/quorum/bootstrap.go
@@ -13,10 +13,10 @@
 	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
-// form begins the log. The first of the voters does it, and only where it sees all of them,
-// none of which has a log. Guards a log that there is from a second one beside it: a voter
-// that has lost its disk waits for the others, one alone can't know. Each is asked itself:
-// what gossip says of it may be from before its log began.
+// bootstrapIfReady starts the log. Only the first of the configured voters does so, and only while
+// it sees all of them and none has a log. This protects an existing log from a second one: a voter
+// that has lost its disk waits for the others, since it cannot know by itself. Each voter is asked
+// directly, because gossip about it may be older than its log.
 func (q *Quorum) bootstrapIfReady(ctx context.Context) {
 	voter := q.disk != nil && slices.Contains(q.cfg.Voters, q.cfg.Name)
 	begun := q.raft.LastIndex() > 0
@@ -47,8 +47,8 @@
 	}
 }
 
-// judge tells how the log stands by what members that are alive say of themselves, and has
-// that known where it is lost.
+// assess classifies the log by what the live members publish, and records and logs whether it is
+// lost.
 func (q *Quorum) assess() recovery.Verdict {
 	var alive []recovery.Member
 	for _, i := range q.alive() {
@@ -57,24 +57,24 @@
 		}
 	}
 	v := recovery.AssessLog(q.cfg.Voters, alive)
-	was, lost := q.lost.Load(), v.State == recovery.Lost && !q.ledAndNamed()
+	previous, lost := q.lost.Load(), v.State == recovery.Lost && !q.ledAndNamed()
 	switch {
-	case !lost && was != nil:
+	case !lost && previous != nil:
 		q.lost.Store(nil)
 		q.log.Info("the agreed log is found again")
-	case lost && (was == nil || *was != v.Why):
+	case lost && (previous == nil || *previous != v.Why):
 		q.lost.Store(&v.Why)
 		q.log.WithField("known", v.Why).Error("the agreed log is lost; nothing is written until an operator says what counts")
 	}
 	return v
 }
 
-// termKey is where the engine keeps the term that it is in.
+// termKey is the key under which Raft stores its current term.
 var termKey = []byte("CurrentTerm")
 
-// begin writes the log's first entry, by which this member is its only voter. Where a begin before it
-// has failed half way, or the process was ended in the middle of it, what that left is cleared: the
-// engine begins on empty stores only, and nobody has seen any of it.
+// bootstrap writes the log's first entry, which makes this member its only voter. It first clears
+// what a failed or interrupted bootstrap has left: Raft bootstraps empty stores only, and no other
+// member has seen any of it.
 func (q *Quorum) bootstrap() error {
 	first := raft.Configuration{Servers: []raft.Server{{ID: q.id, Address: q.addr}}}
 	err := q.raft.BootstrapCluster(first).Error()
--- a/internal/dispatcher/fleet/quorum/close.go
+++ b/internal/dispatcher/fleet/quorum/close.go
@@ -2,11 +2,12 @@
 
 import "time"
 
-// closeTime is how long the engine may take to end. Guards the process's end against one that
-// stands still.
+// closeTimeout bounds Raft's shutdown, so that a disk that does not respond cannot keep the
+// process from ending.
 const closeTimeout = time.Second
 
-// Close ends the member's part; a leader hands on the lead first where it can.
+// Close ends the member's part in the log; a leader first tries to transfer its leadership. It
+// takes up to closeTimeout.
 func (q *Quorum) Close() {
 	ended := make(chan struct{})
 	go func() {
--- a/internal/dispatcher/fleet/quorum/disk.go
+++ b/internal/dispatcher/fleet/quorum/disk.go
@@ -20,28 +20,30 @@
 	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
-// Names in the folder of a member.
+// Names in a member's folder.
 const (
 	logFile  = "log.db"
 	diskFile = "disk"
-	// snapshots is how many are kept, so that a torn one has another before it.
+	// keptSnapshots is how many snapshots are kept, so that an earlier one exists if the last is
+	// damaged.
 	keptSnapshots = 2
-	// lockWait is how long another process of the same member may hold the folder.
+	// lockTimeout bounds the wait for another process of the member to release the folder.
 	lockTimeout = time.Second
 )
 
-// disk is where a member keeps its part of the log. It has a name of its own, drawn when the
-// folder is made. Guards what was acknowledged against a member that comes back without its
-// disk: it is another voter then, whose word does not count for the one that was lost.
+// disk is a member's folder, with an ID drawn when the folder is created. A member that returns
+// without its disk has another ID and is another voter: its vote must not count for the one that
+// acknowledged entries on the lost disk.
 type disk struct {
 	id    string
 	logs  *boltdb.BoltStore
 	snaps raft.SnapshotStore
 }
 
-// openDisk opens a folder. What can't be read, or is from before what the member has
-// acknowledged, is set aside under another name and an empty one begun in its place; aside
-// names it. Guards what was acknowledged against a disk of last week that votes as it did then.
+// openDisk opens a folder. A folder that is damaged, or older than what the member has
+// acknowledged (its log ends before index known), is renamed and replaced by an empty one;
+// setAside is then the new path with the reason. An outdated disk must not vote, since it has
+// forgotten its votes and entries.
 func openDisk(dir string, known uint64, log hclog.Logger) (d *disk, setAside string, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, "", fmt.Errorf("cluster: %w", err)
@@ -68,12 +70,14 @@
 	return d, setAside + ": " + torn.Error(), err
 }
 
-// ErrInUse is told of a folder that another process of the member has yet.
+// ErrInUse is returned for a folder that another process of the member still holds.
 var ErrInUse = errors.New("it is in use by another process")
 
-// tornError is what a folder says that can't be read.
+// corruptError is the reason for which a folder cannot be used.
 type corruptError struct{ error }
 
+// openFolder opens a folder, creating its files if it is empty. A corruptError says that it is
+// damaged.
 func openFolder(dir string, log hclog.Logger) (*disk, error) {
 	id, err := diskID(dir)
 	if err != nil {
@@ -99,7 +103,7 @@
 	return &disk{id: id, logs: logs, snaps: snaps}, nil
 }
 
-// diskID reads the folder's name, and draws it where there is none.
+// diskID returns the folder's ID, and creates it if the folder is empty.
 func diskID(dir string) (string, error) {
 	path := filepath.Join(dir, diskFile)
 	text, err := os.ReadFile(path)
@@ -132,8 +136,9 @@
 	return id, nil
 }
 
-// checkLog reads the whole log file, which is small, before it is used. Guards the process
-// against a file that ends too early: the library maps it and would be killed by a fault.
+// checkLog reads the whole log file, which is small, before Raft uses it. The library maps the
+// file into memory, and a file that is too short would kill the process with a fault; here the
+// fault is caught.
 func checkLog(path string) (err error) {
 	if _, statErr := os.Stat(path); errors.Is(statErr, os.ErrNotExist) {
 		return nil
@@ -153,10 +158,10 @@
 	}
 	defer db.Close()
 	var all []byte
-	err = db.View(func(tx *bbolt.Tx) error { // not by tx.Check, whose own goroutine a fault would kill
+	err = db.View(func(tx *bbolt.Tx) error { // not by tx.Check: a fault in its own goroutine cannot be caught
 		return tx.ForEach(func(_ []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(_, v []byte) error {
-				all = append(all[:0], v...) // to the last byte
+				all = append(all[:0], v...) // read every byte
 				return nil
 			})
 		})
@@ -167,8 +172,8 @@
 	return nil
 }
 
-// checkSnapshots guards a log whose beginning is gone from being replayed without the
-// snapshot that held it.
+// checkSnapshots returns a corruptError if the log starts after the last readable snapshot, since
+// the entries between would be missing.
 func checkSnapshots(logs *boltdb.BoltStore, snaps raft.SnapshotStore) error {
 	first, err := logs.FirstIndex()
 	if err != nil {
@@ -182,7 +187,7 @@
 	for _, s := range list {
 		_, r, err := snaps.Open(s.ID)
 		if err != nil {
-			continue // torn: the one before it may do
+			continue // damaged: an earlier one may be readable
 		}
 		r.Close()
 		reached = max(reached, s.Index)
@@ -196,7 +201,7 @@
 	return nil
 }
 
-// current returns an error where the log is shorter than what the member kept elsewhere.
+// checkCurrent returns a corruptError if the log ends before index known.
 func (d *disk) checkCurrent(known uint64) error {
 	last, err := d.lastIndex()
 	if err != nil {
@@ -208,7 +213,7 @@
 	return nil
 }
 
-// last returns how far the log goes, its snapshots included.
+// lastIndex returns the last index of the log or its snapshots, 0 for an empty folder.
 func (d *disk) lastIndex() (uint64, error) {
 	last, err := d.logs.LastIndex()
 	if err != nil {
--- a/internal/dispatcher/fleet/quorum/machine.go
+++ b/internal/dispatcher/fleet/quorum/machine.go
@@ -13,20 +13,20 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// machine applies the log to the ledger. Raft calls it from one goroutine; State may be read
-// from any.
+// machine is the Raft state machine; it applies the log to a ledger.State. Raft calls it from one
+// goroutine; the state may be read from any.
 type machine struct {
 	mu      sync.Mutex
 	state   ledger.State
 	applied func(ledger.Done)
-	// replaced is told of the state before and after a snapshot.
-	restored func(was, is ledger.State)
+	// restored is called with the state before and after a snapshot was restored.
+	restored func(previous, current ledger.State)
 }
 
-// Apply takes in an entry.
+// Apply applies a committed entry.
 func (m *machine) Apply(l *raft.Log) any {
 	var e ledger.Entry
-	if err := json.Unmarshal(l.Data, &e); err != nil { // of another build; the index counts on
+	if err := json.Unmarshal(l.Data, &e); err != nil { // from another build: it changes nothing but the index
 		e = ledger.Entry{}
 	}
 	m.mu.Lock()
@@ -36,7 +36,7 @@
 	return d
 }
 
-// flows shows the workflows.
+// flows calls show with the workflows, under the lock.
 func (m *machine) flows(show func(*statetable.Table)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,13 +46,14 @@
 	show(m.state.Flows)
 }
 
+// read returns a copy of the state without the workflows.
 func (m *machine) read() ledger.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Clone()
 }
 
-// Snapshot takes the state as it is.
+// Snapshot returns the current state for Raft to persist.
 func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	s := m.state.Clone()
@@ -67,7 +68,7 @@
 	return snapshot(text), nil
 }
 
-// Restore takes over a snapshot.
+// Restore replaces the state by a snapshot's.
 func (m *machine) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	var text bytes.Buffer
@@ -79,20 +80,22 @@
 		return err
 	}
 	m.mu.Lock()
-	was := m.state
+	previous := m.state
 	m.state = next
-	is := m.state.Clone()
+	current := m.state.Clone()
 	m.mu.Unlock()
-	m.restored(was, is)
+	m.restored(previous, current)
 	return nil
 }
 
-// maxSnapshot bounds what is read of one: ledger.Most runners and the history.
+// maxSnapshot bounds the snapshot that is read, in bytes: it fits ledger.MaxExcluded runners and
+// the history.
 const maxSnapshot = 64 << 20
 
+// snapshot is an encoded state.
 type snapshot []byte
 
-// Persist writes the state down.
+// Persist writes the snapshot to Raft's sink.
 func (s snapshot) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		_ = sink.Cancel()
@@ -101,5 +104,5 @@
 	return sink.Close()
 }
 
-// Release gives nothing back.
+// Release does nothing.
 func (s snapshot) Release() {}
--- a/internal/dispatcher/fleet/quorum/namelog.go
+++ b/internal/dispatcher/fleet/quorum/namelog.go
@@ -10,8 +10,8 @@
 	"frosttide/internal/dispatcher/fleet/ledger"
 )
 
-// found gives a log that has begun its name, after what it has to say first. Until then
-// nothing else is written, so that whoever sees the name sees all of that.
+// nameLog gives a log that was just started its name, after its initial entries. Nothing else is
+// written before, so that a member that sees the name has all initial entries.
 func (q *Quorum) nameLog(ctx context.Context) {
 	if q.raft.State() != raft.Leader || q.machine.name() != "" {
 		return
@@ -19,7 +19,7 @@
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(rpcTimeout))
 	defer cancel()
 	if err := q.raft.Barrier(timeoutOf(ctx)).Error(); err != nil || q.machine.name() != "" {
-		return // an entry of before may name it yet
+		return // an earlier entry may still name it
 	}
 	say := append(q.cfg.InitialEntries[:len(q.cfg.InitialEntries):len(q.cfg.InitialEntries)], ledger.Entry{ID: "begin", Op: ledger.Begin, UID: rand.Text()})
 	for _, e := range say {
@@ -37,7 +37,7 @@
 	}
 }
 
-// name is the log's.
+// name returns the log's name, empty until it has one.
 func (m *machine) name() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/dispatcher/fleet/quorum/propose.go
+++ b/internal/dispatcher/fleet/quorum/propose.go
@@ -10,9 +10,10 @@
 	"frosttide/internal/dispatcher/fleet/ledger"
 )
 
-// Propose has an entry written by this member, which must lead. It returns once a majority
-// has the entry on disk and it is applied here. After an error that is not ErrNoLeader the
-// entry may yet come to be; proposing it again under its id is harmless.
+// Propose writes an entry; this member must be the leader. It returns once a majority of the
+// voters has the entry on disk and it is applied here. Errors: ErrNoLeader, ErrForming and ErrLost
+// mean that nothing was written. After any other error the entry may still be committed; proposing
+// it again under its ID is safe.
 func (q *Quorum) Propose(ctx context.Context, e ledger.Entry) (ledger.Done, error) {
 	if err := e.Validate(); err != nil {
 		return ledger.Done{}, err
@@ -29,7 +30,7 @@
 	return q.write(ctx, e)
 }
 
-// write has the leader write an entry.
+// write appends an entry to the log; this member must be the leader.
 func (q *Quorum) write(ctx context.Context, e ledger.Entry) (ledger.Done, error) {
 	text, err := json.Marshal(e)
 	if err != nil {
@@ -37,7 +38,7 @@
 	}
 	f := q.raft.Apply(text, timeoutOf(ctx))
 	got := make(chan error, 1)
-	go func() { got <- f.Error() }() // it ends with the leadership at the latest
+	go func() { got <- f.Error() }() // it ends at the latest when the leadership does
 	select {
 	case err = <-got:
 	case <-ctx.Done():
--- a/internal/dispatcher/fleet/quorum/quorum.go
+++ b/internal/dispatcher/fleet/quorum/quorum.go
@@ -1,10 +1,15 @@
-// Package quorum keeps the replicated log of a cluster: a few voters, named in the settings,
-// agree by Raft on the order of entries, and all other members follow. An entry is
-// acknowledged when a majority of the voters has it on disk. Without a majority nothing is
-// written and everyone goes on by what is known.
+// Package quorum runs a cluster's replicated log with Raft (Ongaro & Ousterhout 2014; the engine
+// is hashicorp/raft): a few configured voters agree on the order of the entries and all other
+// members follow as non-voters. An entry is acknowledged once a majority of the voters has it on
+// disk. Without a majority nothing is written, and every member continues with the state that it
+// has.
 //
-// Source of the algorithm: Ongaro and Ousterhout, "In Search of an Understandable Consensus
-// Algorithm"; the engine is hashicorp/raft.
+// Package cluster opens one Quorum for each member and proposes the entries; the entries' effects
+// are those of package ledger. Invariants: an acknowledged entry is never lost while a majority of
+// the disks survives, a member that returns without its disk is a new voter, and no log is started
+// while a member knows of one.
+//
+// The methods of Quorum are safe for concurrent use; Run and Close are called once each.
 package quorum
 
 import (
@@ -25,70 +30,73 @@
 )
 
 const (
-	// The engine's times: a leader that is silent for heartbeat is doubted, one that does
-	// not hear from a majority for lease steps down by itself, before another can be chosen.
+	// Raft's time-outs: followers start an election after heartbeatTimeout without a leader;
+	// a leader without a majority for leaderLease steps down, before another can be elected.
 	heartbeatTimeout = 500 * time.Millisecond
 	leaderLease      = 400 * time.Millisecond
 	commitTimeout    = 100 * time.Millisecond
-	// A snapshot is taken after so many entries, and as many are kept behind it for
-	// followers that are a little late.
+	// A snapshot is taken after snapshotThreshold entries; trailingLogs entries before it are
+	// kept for followers that are slightly behind.
 	snapshotThreshold = 1024
 	trailingLogs      = 512
 	snapshotInterval  = 5 * time.Second
 	rpcTimeout        = time.Second
-	// oneByOne has the engine send a follower nothing before it has answered the last: several entries
-	// go in one call all the same. Guards followers from a sender that stands still for good: where the
-	// engine sends ahead and a follower refuses one call (a full disk), its sender waits for room behind
-	// the next, which nobody reads any more (raft 1.7.3, netPipeline.AppendEntries and decodeResponses).
+	// maxRPCsInFlight of 1 disables pipelining: a follower is sent nothing before it has answered
+	// the last request, each of which still carries several entries. With pipelining, a follower
+	// that rejects one request (its disk is full) stops its sender for good: the sender waits for
+	// the response to the next one, which nothing reads any more (raft 1.7.3,
+	// netPipeline.AppendEntries and decodeResponses).
 	maxRPCsInFlight = 1
-	// lookEvery is how often the leader looks after who is in the log's configuration.
+	// reconcileInterval is the interval at which the leader compares the log's configuration with
+	// the live members.
 	reconcileInterval = 500 * time.Millisecond
-	// forgetAfter is how long a follower without a vote may be away before it is taken out;
-	// it comes in again when it is back.
+	// followerTimeout is how long a non-voter may be absent before it is removed; it is added
+	// again when it returns.
 	followerTimeout = time.Minute
 )
 
-// The reasons why nothing is written.
+// The reasons for which an entry is not written.
 var (
 	ErrNoLeader = errors.New("the log has no leader: no majority of its voters is reached")
 	ErrForming  = errors.New("the log has not begun: it needs all of its voters once")
-	// ErrLost comes with what is known of the log that is gone.
+	// ErrLost is wrapped with what is known of the lost log.
 	ErrLost = errors.New("the agreed log is lost")
 )
 
-// Sink is told what the log leads to, from one goroutine. It must not block.
+// Sink receives what the log leads to. No method may block.
 type Sink interface {
 	Applied(ledger.Done)                      // an entry was applied
-	Restored(was, is ledger.State)            // a snapshot took the state's place
-	LeaderChanged(leader string, term uint64) // who leads; empty for nobody
-	LogOpened(disk string, begun bool)        // what the member says of its log
+	Restored(previous, current ledger.State)  // a snapshot has replaced the state
+	LeaderChanged(leader string, term uint64) // empty for no leader
+	LogOpened(disk string, begun bool)        // the ID of the member's disk, empty for none, and whether its log has an entry
 }
 
-// Config says what a member's part in the log is.
+// Config configures a member's part in the log.
 type Config struct {
 	Name   string
-	Dir    string   // of the member's part; empty for none, which makes a follower in memory
-	Voters []string // names of members
-	// Ask has another member say by itself how far its log goes, 0 for none.
+	Dir    string   // folder of the member's log; empty for a follower in memory
+	Voters []string // names of the voting members
+	// LastIndex asks another member for the last index of its log, 0 for an empty log.
 	LastIndex func(ctx context.Context, addr string) (last uint64, err error)
-	// Kept is how far the log had gone by what the member keeps elsewhere; 0 for unknown.
+	// KnownIndex is the index that the log has reached according to the watermark that the member
+	// keeps elsewhere; 0 if unknown.
 	KnownIndex uint64
-	// Restate are entries that a log which begins anew here has to say first, by an operator's
-	// word; Restated is called once it has.
+	// InitialEntries are written first to a log that an operator starts anew here;
+	// OnInitialEntries is called once they are committed.
 	InitialEntries   []ledger.Entry
 	OnInitialEntries func()
 
-	wrapStores func(stores) stores // puts something between the engine and its disk; nil for nothing
+	wrapStores func(stores) stores // for tests: wraps the stores of the engine; nil for none
 }
 
-// stores are what the engine keeps.
+// stores are Raft's persistent stores.
 type stores struct {
 	logs   raft.LogStore
 	stable raft.StableStore
 	snaps  raft.SnapshotStore
 }
 
-// Quorum is a member's part in the log. Open makes it.
+// Quorum is a member's part in the log; Open creates it.
 type Quorum struct {
 	cfg         Config
 	log         *logrus.Entry
@@ -97,16 +105,17 @@
 	stores      stores
 	stable      *retryingStore
 	id          raft.ServerID
-	addr        raft.ServerAddress // where others reach it
+	addr        raft.ServerAddress // advertised to the other members
 	raft        *raft.Raft
 	transport   *raft.NetworkTransport
 	machine     *machine
 	alive       func() []members.Info
-	absentSince map[raft.ServerID]time.Time
-	lost        atomic.Pointer[string] // why the log is lost; nil where it is not
+	absentSince map[raft.ServerID]time.Time // non-voters that are not alive
+	lost        atomic.Pointer[string]      // why the log is lost; nil if it is not
 }
 
-// Open opens a member's part. Alive tells who is alive; it may be called from any goroutine.
+// Open opens a member's part in the log. alive returns the live members and is called from any
+// goroutine. It returns ErrInUse, wrapped, while another process of the member holds the folder.
 func Open(cfg Config, port *clusterport.Port, alive func() []members.Info, sink Sink, log *logrus.Entry) (*Quorum, error) {
 	q := &Quorum{cfg: cfg, log: log, sink: sink, alive: alive, absentSince: map[raft.ServerID]time.Time{}}
 	logger := engineLog(log)
@@ -147,7 +156,7 @@
 	return q, nil
 }
 
-// Run looks after the log's configuration until the context ends.
+// Run starts the log if needed and maintains its configuration, until ctx ends.
 func (q *Quorum) Run(ctx context.Context) {
 	observations := make(chan raft.Observation, 16)
 	o := raft.NewObserver(observations, false, func(o *raft.Observation) bool {
@@ -173,50 +182,52 @@
 	}
 }
 
-// leading is who led when it was last told.
+// leaderTerm is the leader that was last reported, with its term.
 type leaderTerm struct {
 	id   raft.ServerID
 	term uint64
 }
 
-// led tells who leads where that is another than was told, or the same anew. Guards a leader
-// that was there before anybody listened, and a change while the listener was busy: the engine
-// tells each change once.
-func (q *Quorum) reportLeader(was leaderTerm) leaderTerm {
+// reportLeader reports the leader to the sink if it, or its term, has changed. Raft announces each
+// change once only; comparing covers a leader elected before Run began to listen, and a change
+// while the listener was busy.
+func (q *Quorum) reportLeader(previous leaderTerm) leaderTerm {
 	_, id := q.raft.LeaderWithID()
-	is := leaderTerm{id, q.raft.CurrentTerm()}
-	if is.id == was.id && (is.term == was.term || id == "") {
-		return was
+	current := leaderTerm{id, q.raft.CurrentTerm()}
+	if current.id == previous.id && (current.term == previous.term || id == "") {
+		return previous
 	}
-	q.sink.LeaderChanged(memberName(id), is.term)
-	return is
+	q.sink.LeaderChanged(memberName(id), current.term)
+	return current
 }
 
-// nameOf is the member's name in an id.
+// memberName returns the member's name in a server ID.
 func memberName(id raft.ServerID) string {
 	name, _, _ := strings.Cut(string(id), "/")
 	return name
 }
 
-// until is what the engine takes in place of a deadline.
+// timeoutOf returns the time left before ctx's deadline, at least 1 ms, or rpcTimeout without a
+// deadline.
 func timeoutOf(ctx context.Context) time.Duration {
-	by, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
 		return rpcTimeout
 	}
-	return max(time.Until(by), time.Millisecond)
+	return max(time.Until(deadline), time.Millisecond)
 }
 
-// Leader returns the name and address of the leader, empty for none.
+// Leader returns the leader's name and address, empty for none.
 func (q *Quorum) Leader() (name, addr string) {
 	a, id := q.raft.LeaderWithID()
 	return memberName(id), withoutDisk(a)
 }
 
-// Leads tells whether this member leads.
+// IsLeader reports whether this member is the leader.
 func (q *Quorum) IsLeader() bool { return q.raft.State() == raft.Leader }
 
-// Lost returns what is known of a log that is lost; nil where it is not.
+// LostError returns ErrLost, wrapped with what is known of the lost log; nil if the log is not
+// lost.
 func (q *Quorum) LostError() error {
 	if why := q.lost.Load(); why != nil && !q.ledAndNamed() {
 		return fmt.Errorf("%w: %s", ErrLost, *why)
@@ -224,35 +235,36 @@
 	return nil
 }
 
-// inForce tells whether the log here has its name and somebody leads it. Guards a member that has
-// just joined a log begun anew against what gossip says yet of its voters, which is from before: by
-// that it would refuse what operators say for up to lookEvery. A follower that alone has a log
-// whose voters have lost it hears no leader.
+// ledAndNamed reports whether the log here has a leader and its name, which refutes an earlier
+// verdict that it is lost: a member that has just joined a log started anew may still hold older
+// gossip about its voters, and would reject operators' calls for up to reconcileInterval. A
+// follower that alone has a log whose voters have lost it has no leader.
 func (q *Quorum) ledAndNamed() bool {
 	leader, _ := q.Leader()
 	return leader != "" && q.machine.name() != ""
 }
 
-// LogName returns the log's name, empty where it has none yet.
+// LogName returns the log's name, empty until it has one.
 func (q *Quorum) LogName() string { return q.machine.name() }
 
-// State returns what the log has led to here.
+// State returns a copy of the state that the log has led to here, without the workflows.
 func (q *Quorum) State() ledger.State { return q.machine.read() }
 
-// Flows shows the workflows that the log has led to here; they must not be kept or changed.
+// Flows calls show with the workflows that the log has led to here. show must neither keep nor
+// change them.
 func (q *Quorum) Flows(show func(*statetable.Table)) { q.machine.flows(show) }
 
-// Seen returns the last entry that State and Flows rest on.
+// Seen returns the index of the last entry that State and Flows reflect.
 func (q *Quorum) Seen() uint64 {
 	q.machine.mu.Lock()
 	defer q.machine.mu.Unlock()
 	return q.machine.state.Index
 }
 
-// Last returns how far the log goes here, 0 for one that has not begun.
+// Last returns the last index of the log here, 0 for an empty log.
 func (q *Quorum) Last() uint64 { return q.raft.LastIndex() }
 
-// Snapshot has the state written down and the log cut short now.
+// Snapshot takes a snapshot and compacts the log now. Having nothing new is not an error.
 func (q *Quorum) Snapshot() error {
 	if err := q.raft.Snapshot().Error(); err != nil && !errors.Is(err, raft.ErrNothingNewToSnapshot) {
 		return fmt.Errorf("snapshot: %w", err)
--- a/internal/dispatcher/fleet/quorum/quorum_test.go
+++ b/internal/dispatcher/fleet/quorum/quorum_test.go
@@ -13,7 +13,7 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// told notes who was told to lead.
+// fakeSink records the leaders that are reported to it.
 type fakeSink struct{ led chan string }
 
 func (t fakeSink) Applied(ledger.Done)                   {}
@@ -21,9 +21,9 @@
 func (t fakeSink) LeaderChanged(leader string, _ uint64) { t.led <- leader }
 func (t fakeSink) LogOpened(string, bool)                {}
 
-// TestLedBeforeAnybodyListens guards operators and what waits for a leader on a busy machine: an
-// engine that finds its log again may lead before Run has begun to listen. And operators from a
-// verdict of before the log in force began: it does not outlive that.
+// TestLedBeforeAnybodyListens checks that the leader is reported even if it was elected before Run
+// began to listen, which happens on a busy machine, and that a verdict from before the log in
+// force began does not outlive it.
 func TestLedBeforeAnybodyListens(t *testing.T) {
 	dir, log := t.TempDir(), logrus.New()
 	log.SetOutput(io.Discard)
@@ -61,7 +61,7 @@
 				t.Fatal("the log has no name")
 			}
 		}
-		before := "no voter has it" // what was judged of voters that had not told of their logs yet
+		before := "no voter has it" // a verdict from before the voters had published their logs
 		q.lost.Store(&before)
 		if err := q.LostError(); err != nil {
 			t.Errorf("a log that is led and has its name is taken for lost: %v", err)
--- a/internal/dispatcher/fleet/quorum/recover.go
+++ b/internal/dispatcher/fleet/quorum/recover.go
@@ -11,16 +11,16 @@
 	"frosttide/internal/dispatcher/fleet/ledger"
 )
 
-// Found is what a folder holds.
+// Contents describes the log in a stopped member's folder.
 type Contents struct {
 	Last, Term uint64
 	Voters     []string
-	Out        int // runners that are left out by it
+	Out        int // number of excluded runners
 }
 
-// Recover makes a stopped member the only voter of the log in its folder, where sure, and
-// tells what the folder held. What only other voters had is lost, and what this one has
-// counts as agreed.
+// Recover makes a stopped member the only voter of the log in its folder, if sure is set, and
+// returns what the folder held. Entries that only other voters had are lost, and all of this
+// member's count as committed. It returns ErrEmpty for a folder without a log.
 func Recover(dir, name, addr string, sure bool) (Contents, error) {
 	var found Contents
 	if _, err := os.Stat(dir); err != nil {
@@ -67,11 +67,11 @@
 	return found, nil
 }
 
-// ErrEmpty is told of a folder that holds no log that has begun.
+// ErrEmpty is returned for a folder that holds no log.
 var ErrEmpty = errors.New("the folder holds no log that has begun")
 
-// BeginAnew makes an empty folder's member the only voter of a new log. It is for the one case
-// in which no voter has the log any more; what the new one has to say first is the caller's.
+// BeginAnew makes the member of an empty folder the only voter of a new log. It is meant for the
+// one case in which no voter has the log any more; the caller supplies the initial entries.
 func BeginAnew(dir, name, addr string) error {
 	quiet := hclog.NewNullLogger()
 	d, err := openFolder(dir, quiet)
--- a/internal/dispatcher/fleet/quorum/retryingstore.go
+++ b/internal/dispatcher/fleet/quorum/retryingstore.go
@@ -8,9 +8,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// patient is a store of the engine's that waits where the disk does not take a write. The
-// engine ends the process when its term or vote can't be written, and must not go on without
-// them: so it stands still, as to the others a stalled member does, until there is room.
+// retryingStore is Raft's stable store, which retries failed writes until they succeed. Raft ends
+// the process if its term or vote cannot be written, and must not continue without them (Ongaro &
+// Ousterhout 2014, sec. 5.2: one vote in a term). Retrying makes the member look stalled to the
+// others until the disk has room again.
 type retryingStore struct {
 	raft.StableStore
 	log    *logrus.Entry
@@ -18,11 +19,11 @@
 	once   sync.Once
 }
 
-// tryEvery is how often a write is tried again.
+// retryInterval is the interval between attempts to write.
 const retryInterval = 250 * time.Millisecond
 
-func newRetryingStore(s raft.StableStore, log *logrus.Entry) *retryingStore {
-	return &retryingStore{StableStore: s, log: log, closed: make(chan struct{})}
+func newRetryingStore(store raft.StableStore, log *logrus.Entry) *retryingStore {
+	return &retryingStore{StableStore: store, log: log, closed: make(chan struct{})}
 }
 
 // Set writes a value, however long it takes.
@@ -35,6 +36,7 @@
 	return p.retry(func() error { return p.StableStore.SetUint64(key, val) })
 }
 
+// retry calls write until it succeeds, or blocks for ever once the store is closed.
 func (p *retryingStore) retry(write func() error) error {
 	err := write()
 	if err == nil {
@@ -49,10 +51,10 @@
 				return nil
 			}
 		case <-p.closed:
-			select {} // the process ends; to go on unwritten could mean two votes in one term
+			select {} // the process is ending; continuing without the write could lead to two votes in one term
 		}
 	}
 }
 
-// close has writes that wait wait for ever.
+// close makes failing writes block for ever, instead of retrying.
 func (p *retryingStore) close() { p.once.Do(func() { close(p.closed) }) }
--- a/internal/dispatcher/fleet/quorum/status.go
+++ b/internal/dispatcher/fleet/quorum/status.go
@@ -7,21 +7,21 @@
 	"github.com/hashicorp/raft"
 )
 
-// Status is how a member's part does.
+// Status describes a member's part in the log, for operators.
 type Status struct {
 	ID        string   `json:"id"`
 	Role      string   `json:"role"`
 	Leader    string   `json:"leader"`
 	Term      uint64   `json:"term"`
-	Last      uint64   `json:"last"`    // the last entry that is here
-	Applied   uint64   `json:"applied"` // the last one that has had its effect
-	Contact   float64  `json:"contact"` // seconds since the leader was heard; -1 for never
+	Last      uint64   `json:"last"`    // index of the last entry here
+	Applied   uint64   `json:"applied"` // index of the last applied entry
+	Contact   float64  `json:"contact"` // seconds since the last contact with the leader; -1 for never
 	Voters    []string `json:"voters"`
 	Followers []string `json:"followers"`
-	Lost      string   `json:"lost,omitempty"` // what is known of a log that is lost
+	Lost      string   `json:"lost,omitempty"` // what is known of a lost log
 }
 
-// Status returns it.
+// Status returns the current status.
 func (q *Quorum) Status() Status {
 	s := Status{ID: string(q.id), Role: strings.ToLower(q.raft.State().String()), Term: q.raft.CurrentTerm(),
 		Last: q.raft.LastIndex(), Applied: q.raft.AppliedIndex(), Contact: -1}
--- a/internal/dispatcher/fleet/quorum/stream.go
+++ b/internal/dispatcher/fleet/quorum/stream.go
@@ -15,15 +15,15 @@
 	"frosttide/internal/dispatcher/fleet/clusterport"
 )
 
-// A member's address in the log names the disk that it is meant for, too: DISK@HOST:PORT. The
-// engine asks for votes by address alone, and a member that comes back with another disk has
-// the same one. Guards what was acknowledged against such a member, which would give its vote
-// to one who does not have it.
+// serverAddress returns a member's address in the log's configuration, DISK@HOST:PORT. Raft
+// requests votes by address alone, and a member that returns with another disk has the same host
+// and port. With the disk in the address, such a member cannot vote for a candidate in place of
+// the disk that acknowledged entries.
 func serverAddress(disk, addr string) raft.ServerAddress {
 	return raft.ServerAddress(disk + "@" + addr)
 }
 
-// plain is the address without the disk.
+// withoutDisk returns the host and port of a server address.
 func withoutDisk(a raft.ServerAddress) string {
 	if _, addr, ok := strings.Cut(string(a), "@"); ok {
 		return addr
@@ -31,17 +31,17 @@
 	return string(a)
 }
 
-// noDisk stands for that of a member without one.
+// noDiskID is the disk ID of a member without a disk.
 const noDiskID = "0000000000000000"
 
-// streams lets the engine use the port.
+// streamLayer implements raft.StreamLayer on the cluster's port.
 type streamLayer struct {
 	net.Listener
 	port *clusterport.Port
 	disk string
 }
 
-// Dial connects for the engine, which has no deadlines.
+// Dial connects to another member; Raft passes a duration rather than a context.
 func (s streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(timeout))
 	defer cancel()
@@ -52,7 +52,7 @@
 	return s.port.Dial(ctx, clusterport.Log, at, []byte(disk)...)
 }
 
-// Accept yields connections that are meant for this disk; the others end at their first byte.
+// Accept returns the next connection. One that is meant for another disk fails on its first read.
 func (s streamLayer) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return &diskConn{Conn: c, disk: s.disk}, nil
 }
 
-// meant is a connection that has to say first which disk it is meant for.
+// diskConn is an accepted connection whose preamble must name this member's disk.
 type diskConn struct {
 	net.Conn
 	disk string
@@ -71,24 +71,25 @@
 
 var errOtherDisk = errors.New("cluster: meant for another disk")
 
-// sayTime is how long a connection may take to say it.
+// preambleTimeout bounds the wait for the preamble.
 const preambleTimeout = 2 * time.Second
 
-func (m *diskConn) Read(b []byte) (int, error) {
-	m.once.Do(func() {
+// Read reads from the connection; errOtherDisk if its preamble names another disk.
+func (c *diskConn) Read(b []byte) (int, error) {
+	c.once.Do(func() {
 		preamble := make([]byte, len(noDiskID))
-		if m.err = m.SetReadDeadline(time.Now().Add(preambleTimeout)); m.err == nil {
-			_, m.err = io.ReadFull(m.Conn, preamble)
+		if c.err = c.SetReadDeadline(time.Now().Add(preambleTimeout)); c.err == nil {
+			_, c.err = io.ReadFull(c.Conn, preamble)
 		}
-		if m.err == nil {
-			m.err = m.SetReadDeadline(time.Time{})
+		if c.err == nil {
+			c.err = c.SetReadDeadline(time.Time{})
 		}
-		if m.err == nil && string(preamble) != m.disk {
-			m.err = errOtherDisk
+		if c.err == nil && string(preamble) != c.disk {
+			c.err = errOtherDisk
 		}
 	})
-	if m.err != nil {
-		return 0, m.err
+	if c.err != nil {
+		return 0, c.err
 	}
-	return m.Conn.Read(b)
+	return c.Conn.Read(b)
 }
--- a/internal/dispatcher/fleet/quorum/transport.go
+++ b/internal/dispatcher/fleet/quorum/transport.go
@@ -2,22 +2,22 @@
 
 import "github.com/hashicorp/raft"
 
-// transport is how the engine reaches the other members. It names the address that others reach rather
-// than the one listened on, and tells a follower to commit no further than a request verifies.
+// transport is Raft's network transport with two differences: it reports the advertised address
+// rather than the listening one, and it limits the commit index of each request; see verified.
 type transport struct {
 	*raft.NetworkTransport
 	addr raft.ServerAddress
 }
 
-// LocalAddr is where others reach the member.
+// LocalAddr returns the advertised address.
 func (t transport) LocalAddr() raft.ServerAddress { return t.addr }
 
-// AppendEntries sends a request.
+// AppendEntries sends a request with a limited commit index.
 func (t transport) AppendEntries(id raft.ServerID, target raft.ServerAddress, request *raft.AppendEntriesRequest, response *raft.AppendEntriesResponse) error {
 	return t.NetworkTransport.AppendEntries(id, target, verified(request), response)
 }
 
-// AppendEntriesPipeline opens a pipeline of requests.
+// AppendEntriesPipeline opens a pipeline of such requests.
 func (t transport) AppendEntriesPipeline(id raft.ServerID, target raft.ServerAddress) (raft.AppendPipeline, error) {
 	p, err := t.NetworkTransport.AppendEntriesPipeline(id, target)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return pipeline{p}, nil
 }
 
-// pipeline is a pipeline of requests to a follower.
+// pipeline is a pipeline of requests with limited commit indices.
 type pipeline struct{ raft.AppendPipeline }
 
 // AppendEntries adds a request to the pipeline.
@@ -34,11 +34,13 @@
 	return p.AppendPipeline.AppendEntries(verified(request), response)
 }
 
-// verified returns a request whose commit index is no further than the entries that it verifies: the one
-// before, and those that it carries. A follower of the engine's takes the lesser of the commit index and
-// its own last entry, where Raft has the last entry of the request. A leader that asks for how far its log goes,
-// appends and commits an entry, and only then fills in the commit index sends one that is ahead of the
-// entries. A follower that has another entry there, of a term in which it led, would commit and apply that one.
+// verified returns the request with a commit index that does not exceed the last entry that it
+// verifies: the previous entry plus those that it carries. Raft sets a follower's commit index to
+// min(leaderCommit, index of last new entry) (Ongaro & Ousterhout 2014, fig. 2), but the engine's
+// followers use their own last entry instead. The engine's leader reads its last index, may then
+// append and commit an entry, and only then fills in the commit index, which can so exceed the
+// entries sent. A follower with a different entry there, from a term in which it led, would commit
+// and apply that one.
 func verified(request *raft.AppendEntriesRequest) *raft.AppendEntriesRequest {
 	last := request.PrevLogEntry + uint64(len(request.Entries))
 	if request.LeaderCommitIndex <= last {
--- a/internal/dispatcher/fleet/quorum/writes_test.go
+++ b/internal/dispatcher/fleet/quorum/writes_test.go
@@ -21,14 +21,14 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// errDisk stands for what a disk says that takes no write: ENOSPC, EIO, a failed sync.
+// errDisk stands for the errors of a disk that accepts no write: ENOSPC, EIO, a failed sync.
 var errDisk = errors.New("injected: the disk does not take the write")
 
-// writes counts the writes of the engine to its disk, and has something happen at one of them.
+// writes counts Raft's writes to its disk and can replace each of them.
 type writes struct {
 	mu    sync.Mutex
 	count int
-	at    func(n int, do func() error) error // nil for nothing; it runs alone
+	at    func(n int, do func() error) error // nil for no replacement; calls are serialised
 }
 
 func (w *writes) write(do func() error) error {
@@ -106,13 +106,13 @@
 
 func (s watchedSink) Close() error { return s.by.write(s.SnapshotSink.Close) }
 
-// member is one that is the whole of its log's voters.
+// member is the only voter of its log.
 type member struct {
 	*Quorum
 	end func()
 }
 
-// lastPort has each member of the tests listen on an address of its own.
+// lastPort numbers the members, so that each listens on an address of its own.
 var lastPort atomic.Int32
 
 func openMember(t *testing.T, dir string, through func(stores) stores) (*member, error) {
@@ -143,10 +143,11 @@
 	}}, nil
 }
 
-// patience bounds each wait for an event.
+// eventTimeout bounds each wait for an event.
 const eventTimeout = 30 * time.Second
 
-// say has entries written, each again until it is acknowledged, and notes which are.
+// proposeAll writes entries, each repeated until it is acknowledged, and records the acknowledged
+// ones.
 func (m *member) proposeAll(t *testing.T, acknowledged *acks, uids ...string) {
 	t.Helper()
 	for _, uid := range uids {
@@ -166,7 +167,7 @@
 	}
 }
 
-// acks are the entries that were acknowledged.
+// acks are the acknowledged entries.
 type acks struct {
 	mu   sync.Mutex
 	uids []string
@@ -184,7 +185,7 @@
 	return append([]string(nil), a.uids...)
 }
 
-// awaitAll waits until the member's state has all of some entries.
+// awaitAll waits until the member's state contains all of the entries.
 func (m *member) awaitAll(t *testing.T, uids []string) {
 	t.Helper()
 	for by := time.Now().Add(eventTimeout); ; time.Sleep(5 * time.Millisecond) {
@@ -204,7 +205,7 @@
 	}
 }
 
-// life is what a member goes through: some entries, a snapshot, some more.
+// runLifetime runs a member through some entries, a snapshot and more entries.
 func (m *member) runLifetime(t *testing.T, acknowledged *acks) {
 	t.Helper()
 	m.proposeAll(t, acknowledged, "s-1", "s-2", "s-3")
@@ -216,7 +217,7 @@
 	m.proposeAll(t, acknowledged, "s-4", "s-5")
 }
 
-// lifeWrites is how many writes the disk sees in a life that nothing disturbs.
+// countLifetimeWrites returns the number of writes to disk in an undisturbed lifetime.
 func countLifetimeWrites(t *testing.T) int {
 	t.Helper()
 	var w writes
@@ -231,9 +232,9 @@
 	return w.count
 }
 
-// TestFailedWrites guards what was acknowledged against a disk that takes no write for a while, at each
-// write of the log, its terms and its snapshots, whether or not anything of the write is there
-// afterwards: the member goes on by itself, and a later process has all of it.
+// TestFailedWrites checks, at each write of the log, its terms and its snapshots, that a disk
+// which rejects writes for a while loses no acknowledged entry, whether or not the rejected write
+// took effect: the member continues by itself and a later process has all entries.
 func TestFailedWrites(t *testing.T) {
 	t.Parallel()
 	const lasts = 2 // writes in a row that fail
@@ -247,7 +248,7 @@
 						return do()
 					}
 					if there {
-						_ = do() // done, and said to have failed
+						_ = do() // done, but reported as failed
 					}
 					return errDisk
 				}
@@ -269,9 +270,8 @@
 	}
 }
 
-// TestKilledAtWrites guards what was acknowledged against a kill at each write: before it, in the
-// middle of its pages, in the middle of the page that makes them count, and behind it. A later process
-// has all that was acknowledged by then.
+// TestKilledAtWrites checks that no acknowledged entry is lost by a kill at any write: before it,
+// between its pages, within the page that commits it, and after it.
 func TestKilledAtWrites(t *testing.T) {
 	t.Parallel()
 	type image struct {
@@ -328,9 +328,9 @@
 	})
 }
 
-// torn makes the folder that a kill in the middle of a write to the log's file leaves: half of the pages
-// that it changes, or all of them and half of the first page that makes them count. It tells whether the
-// write changed that file.
+// torn creates the folder that a kill during a write to the log file leaves: half of the changed
+// pages, or all of them and half of the first changed meta page. It reports whether the write
+// changed the file.
 func torn(t *testing.T, before, after, dir string, meta bool) bool {
 	t.Helper()
 	was, err := os.ReadFile(filepath.Join(before, logFile))
--- a/internal/dispatcher/fleet/recovery/admission/limiter.go
+++ b/internal/dispatcher/fleet/recovery/admission/limiter.go
@@ -49,75 +49,75 @@
 // SetLevel sets the level at time now. A change to Limited from another level starts with a new
 // window of first jobs, but at least minWindow; first is the caller's estimate of what the runners
 // bear from each live member.
-func (d *Limiter) SetLevel(l Level, first int, now time.Duration) {
-	if l == Limited && d.level != Limited {
-		d.window, d.servedInRow, d.halvedAt, d.limitedAt = float64(max(first, minWindow)), 0, now, now
+func (l *Limiter) SetLevel(level Level, first int, now time.Duration) {
+	if level == Limited && l.level != Limited {
+		l.window, l.servedInRow, l.halvedAt, l.limitedAt = float64(max(first, minWindow)), 0, now, now
 	}
-	d.level = l
+	l.level = level
 }
 
 // Level returns the current level.
-func (d *Limiter) Level() Level { return d.level }
+func (l *Limiter) Level() Level { return l.level }
 
 // Admit decides on a job that arrives at time now. If counted is set, the caller must report the
 // job's end with JobEnded.
-func (d *Limiter) Admit(now time.Duration) (admitted, counted bool) {
+func (l *Limiter) Admit(now time.Duration) (admitted, counted bool) {
 	switch {
-	case d.level == Unlimited:
+	case l.level == Unlimited:
 		return true, false
-	case d.level == Limited && float64(d.inFlight) < d.window:
-		d.inFlight++
+	case l.level == Limited && float64(l.inFlight) < l.window:
+		l.inFlight++
 		return true, true
 	}
-	d.rotateCounts(now)
-	d.rejected++
-	d.servedInRow, d.limitedAt = 0, now
+	l.rotateCounts(now)
+	l.rejected++
+	l.servedInRow, l.limitedAt = 0, now
 	return false, false
 }
 
 // JobEnded records the end of a counted job. A served job widens the window by one.
-func (d *Limiter) JobEnded(served bool, now time.Duration) {
-	d.inFlight = max(d.inFlight-1, 0)
+func (l *Limiter) JobEnded(served bool, now time.Duration) {
+	l.inFlight = max(l.inFlight-1, 0)
 	if served {
-		d.rotateCounts(now)
-		d.served++
-		d.servedInRow++
-		d.window++
+		l.rotateCounts(now)
+		l.served++
+		l.servedInRow++
+		l.window++
 	}
 }
 
 // RunnerRejected records that a runner had no capacity for a job. The window is halved, at most
 // once in a tenth of countInterval, because jobs sent together are rejected together.
-func (d *Limiter) RunnerRejected(now time.Duration) {
-	if d.level == Limited && now-d.halvedAt >= countInterval/10 {
-		d.halvedAt, d.limitedAt, d.window = now, now, max(d.window/2, minWindow)
+func (l *Limiter) RunnerRejected(now time.Duration) {
+	if l.level == Limited && now-l.halvedAt >= countInterval/10 {
+		l.halvedAt, l.limitedAt, l.window = now, now, max(l.window/2, minWindow)
 	}
 }
 
 // Unrestricted reports whether the window has been wide enough for all arriving jobs: for
 // unrestrictedAfter served jobs in a row or, at a lower rate, for a whole countInterval.
-func (d *Limiter) Unrestricted(now time.Duration) bool {
-	return d.level == Limited && (d.servedInRow >= unrestrictedAfter || now-d.limitedAt >= countInterval)
+func (l *Limiter) Unrestricted(now time.Duration) bool {
+	return l.level == Limited && (l.servedInRow >= unrestrictedAfter || now-l.limitedAt >= countInterval)
 }
 
 // RetryAfter returns the delay after which a rejected client may retry: the time in which as many
-// jobs are served as were rejected with it, at the recent rate. The delay is spread by random, a
-// number in [0, 1), so that rejected clients do not all return at once. It is at least
+// jobs are served as were rejected with it, at the recent rate. The delay is scaled by spread, a
+// random number in [0, 1), so that rejected clients do not all return at once. It is at least
 // minRetryAfter and at most maxAfter.
-func (d *Limiter) RetryAfter(random float64, maxAfter, now time.Duration) time.Duration {
-	d.rotateCounts(now)
+func (l *Limiter) RetryAfter(spread float64, maxAfter, now time.Duration) time.Duration {
+	l.rotateCounts(now)
 	after := maxAfter
-	if d.served > 0 {
-		after = time.Duration(float64(countInterval) * float64(d.rejected) / float64(d.served))
+	if l.served > 0 {
+		after = time.Duration(float64(countInterval) * float64(l.rejected) / float64(l.served))
 	}
-	after = time.Duration(float64(min(after, maxAfter)) * (0.5 + random))
-	return min(max(after, time.Duration(float64(minRetryAfter)*(1+random))), maxAfter)
+	after = time.Duration(float64(min(after, maxAfter)) * (0.5 + spread))
+	return min(max(after, time.Duration(float64(minRetryAfter)*(1+spread))), maxAfter)
 }
 
 // rotateCounts starts a new count interval when the current one is over; the previous counts
 // continue at half their weight.
-func (d *Limiter) rotateCounts(now time.Duration) {
-	if now-d.countedFrom >= countInterval {
-		d.countedFrom, d.rejected, d.served = now, d.rejected/2, d.served/2
+func (l *Limiter) rotateCounts(now time.Duration) {
+	if now-l.countedFrom >= countInterval {
+		l.countedFrom, l.rejected, l.served = now, l.rejected/2, l.served/2
 	}
 }
--- a/internal/dispatcher/fleet/recovery/assess_test.go
+++ b/internal/dispatcher/fleet/recovery/assess_test.go
@@ -58,11 +58,21 @@
 // TestDiskOutdated distinguishes a restored older disk from an empty one and from the current one.
 func TestDiskOutdated(t *testing.T) {
 	for _, tc := range []struct {
+		name       string
 		kept, last uint64
 		want       bool
-	}{{0, 0, false}, {0, 5, false}, {7, 0, false}, {7, 5, true}, {7, 7, false}, {7, 9, false}} {
-		if got := DiskOutdated(tc.kept, tc.last); got != tc.want {
-			t.Errorf("kept %d, last %d: %v", tc.kept, tc.last, got)
-		}
+	}{
+		{"new member", 0, 0, false},
+		{"no watermark", 0, 5, false},
+		{"empty disk", 7, 0, false},
+		{"older disk", 7, 5, true},
+		{"current disk", 7, 7, false},
+		{"watermark is behind", 7, 9, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			if got := DiskOutdated(tc.kept, tc.last); got != tc.want {
+				t.Errorf("DiskOutdated(%d, %d) = %t, want %t", tc.kept, tc.last, got, tc.want)
+			}
+		})
 	}
 }
--- a/internal/dispatcher/fleet/rejoin/rejoin.go
+++ b/internal/dispatcher/fleet/rejoin/rejoin.go
@@ -116,8 +116,8 @@
 }
 
 // New creates an actor; it does nothing until Run is called.
-func New(cfg Config, fleet Fleet, to Dispatcher, runners RunnerTable, log *logrus.Entry) *Actor {
-	a := &Actor{cfg: cfg, fleet: fleet, dispatcher: to, runners: runners, log: log, stalls: cfg.Stalls, mailbox: mailbox.New[func(*Actor)](), startedAt: time.Now(), renewed: true,
+func New(cfg Config, fleet Fleet, dispatcher Dispatcher, runners RunnerTable, log *logrus.Entry) *Actor {
+	a := &Actor{cfg: cfg, fleet: fleet, dispatcher: dispatcher, runners: runners, log: log, stalls: cfg.Stalls, mailbox: mailbox.New[func(*Actor)](), startedAt: time.Now(), renewed: true,
 		machine: stage.Machine{Bounds: cfg.Bounds}, status: Status{Stage: stage.Empty.String(), Sharers: cfg.Dispatchers}}
 	if cfg.Warm {
 		a.progress = core.RejoinProgress{Listed: 1, Unrestricted: true}
@@ -178,10 +178,10 @@
 // evaluate advances the stages by what is known now. The core acts first: a member that learns of
 // a stage must find one that already acts by it.
 func (a *Actor) evaluate(s FleetState) {
-	e := stage.Evidence{AddressesOpen: true, PeerAlive: s.PeerAlive, NoPeers: s.NoPeers, Log: s.Log, ReplicasCompared: s.ReplicasCompared, Unrestricted: a.progress.Unrestricted || !a.cfg.Paced,
+	evidence := stage.Evidence{AddressesOpen: true, PeerAlive: s.PeerAlive, NoPeers: s.NoPeers, Log: s.Log, ReplicasCompared: s.ReplicasCompared, Unrestricted: a.progress.Unrestricted || !a.cfg.Paced,
 		RunnersKnown: a.progress.Listed > 0 && (a.renewed || s.ReplicasCompared && s.PeerAlive)} // the other members' discoveries may respond when this one's does not
-	transitions := a.machine.Step(a.now(), e)
-	a.apply(e)
+	transitions := a.machine.Step(a.now(), evidence)
+	a.apply(evidence)
 	a.report(transitions)
 	n := a.cfg.Dispatchers
 	if a.machine.Stage().Rights().CountsPeers {
@@ -193,22 +193,22 @@
 	if n != a.status.Sharers {
 		a.log.WithFields(logrus.Fields{"sharers": n, "were": a.status.Sharers}).Info("cold runners are shared by another number of dispatchers")
 	}
-	a.status.Sharers, a.status.WaitsFor = n, a.machine.WaitsFor(e)
+	a.status.Sharers, a.status.WaitsFor = n, a.machine.WaitsFor(evidence)
 }
 
 // report publishes and logs transitions.
 func (a *Actor) report(transitions []stage.Transition) {
-	for _, v := range transitions {
-		l := a.log.WithFields(logrus.Fields{"from": v.From.String(), "to": v.To.String(), "why": v.Why, "after": v.Elapsed.Round(time.Millisecond).String()})
-		if v.TimedOut {
+	for _, transition := range transitions {
+		l := a.log.WithFields(logrus.Fields{"from": transition.From.String(), "to": transition.To.String(), "why": transition.Why, "after": transition.Elapsed.Round(time.Millisecond).String()})
+		if transition.TimedOut {
 			l.Warn("coming back without it")
 		} else {
 			l.Info("coming back")
 		}
-		a.fleet.SetStage(v.To)
+		a.fleet.SetStage(transition.To)
 		a.mu.Lock()
-		a.status.Stage, a.stageStart = v.To.String(), a.now()
-		if v.To == stage.Full {
+		a.status.Stage, a.stageStart = transition.To.String(), a.now()
+		if transition.To == stage.Full {
 			a.status.Took = (a.now() - a.rejoinStart).Seconds()
 		}
 		a.mu.Unlock()
@@ -216,17 +216,17 @@
 }
 
 // apply puts the current rights in force at the core. A limited admission level keeps its window.
-func (a *Actor) apply(e stage.Evidence) {
-	r := a.machine.Rights(e)
-	if r == a.rights && !a.reapply {
+func (a *Actor) apply(evidence stage.Evidence) {
+	rights := a.machine.Rights(evidence)
+	if rights == a.rights && !a.reapply {
 		return
 	}
-	a.rights, a.reapply = r, false
-	level := map[stage.Admission]admission.Level{stage.AdmitNone: admission.Closed, stage.AdmitLimited: admission.Limited, stage.AdmitAll: admission.Unlimited}[r.Admission]
+	a.rights, a.reapply = rights, false
+	level := map[stage.Admission]admission.Level{stage.AdmitNone: admission.Closed, stage.AdmitLimited: admission.Limited, stage.AdmitAll: admission.Unlimited}[rights.Admission]
 	if level == admission.Limited && !a.cfg.Paced {
 		level = admission.Unlimited
 	}
-	a.dispatcher.SetAdmission(level, r.KeyedJobs, slotsPerRunner*a.progress.Listed/max(a.cfg.Dispatchers, 1), a.stalls)
+	a.dispatcher.SetAdmission(level, rights.KeyedJobs, slotsPerRunner*a.progress.Listed/max(a.cfg.Dispatchers, 1), a.stalls)
 }
 
 // Status returns the rejoin progress. It may be called from any goroutine.
--- a/internal/dispatcher/fleet/workflow/assignment/assignment_test.go
+++ b/internal/dispatcher/fleet/workflow/assignment/assignment_test.go
@@ -39,9 +39,11 @@
 		{"it is held on", []*flow.Flow{{ID: "a", Phase: flow.Active, Deadline: 9000, LeaseUntil: 2500}}, 0, "", 4, 2400, Plan{}},
 		{"stuck", []*flow.Flow{{ID: "a", Phase: flow.Stuck, Deadline: 9000, Steps: []flow.Step{{State: flow.Done}}}}, 0, "", 4, 9999, Plan{}},
 	} {
-		got := Choose(tc.live, "me", func(string) int { return tc.rank }, func(id string) bool { return id == tc.busy }, tc.freeSlots, 64, tc.now)
-		if diff := cmp.Diff(tc.want, got, cmpopts.EquateEmpty()); diff != "" {
-			t.Errorf("%s:\n%s", tc.name, diff)
-		}
+		t.Run(tc.name, func(t *testing.T) {
+			got := Choose(tc.live, "me", func(string) int { return tc.rank }, func(id string) bool { return id == tc.busy }, tc.freeSlots, 64, tc.now)
+			if diff := cmp.Diff(tc.want, got, cmpopts.EquateEmpty()); diff != "" {
+				t.Errorf("\n%s", diff)
+			}
+		})
 	}
 }
--- a/internal/dispatcher/fleet/workflow/executor/clients.go
+++ b/internal/dispatcher/fleet/workflow/executor/clients.go
@@ -2,9 +2,10 @@
 
 import (
 	"context"
-	"errors"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"frosttide/internal/dispatcher/core"
 	"frosttide/internal/dispatcher/fleet/ledger"
 	"frosttide/internal/dispatcher/fleet/workflow/flow"
--- a/internal/dispatcher/fleet/workflow/executor/places.go
+++ b/internal/dispatcher/fleet/workflow/executor/destinations.go
@@ -52,8 +52,7 @@
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
-		done, err := p.executor.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: p.run.ID, Flow: &statetable.Command{Kind: statetable.SendUndo, ID: p.run.ID, N: p.run.Step, FencingToken: p.run.FencingToken,
-			Destination: flow.Destination{Zone: group.Zone, Cell: group.Cell, Until: (p.executor.log.Now() + left).Milliseconds()}}})
+		done, err := p.executor.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: p.run.ID, Flow: p.sendCommand(group, left)})
 		agreed := err == nil && done.Refused == ""
 		if agreed {
 			p.mu.Lock()
@@ -64,6 +63,21 @@
 	}()
 }
 
+// sendCommand returns the command that the undo goes to a group for which left remains of the window.
+func (p *destinations) sendCommand(group core.OutcomeRecord, left time.Duration) *statetable.Command {
+	return &statetable.Command{
+		Kind:         statetable.SendUndo,
+		ID:           p.run.ID,
+		N:            p.run.Step,
+		FencingToken: p.run.FencingToken,
+		Destination: flow.Destination{
+			Zone:  group.Zone,
+			Cell:  group.Cell,
+			Until: (p.executor.log.Now() + left).Milliseconds(),
+		},
+	}
+}
+
 // Withdraw withdraws the entry for a group in which the undo certainly never ran. If the queue is
 // full the entry stays, and the undo is bound to the group for its window.
 func (p *destinations) Withdraw(group core.OutcomeRecord) {
@@ -72,6 +86,7 @@
 	delete(p.entries, group)
 	p.mu.Unlock()
 	if entry > 0 {
-		p.executor.enqueue(pendingUpdate{kind: statetable.WithdrawUndos, Update: statetable.Update{ID: p.run.ID, Step: p.run.Step, FencingToken: p.run.FencingToken, Entry: entry}})
+		update := statetable.Update{ID: p.run.ID, Step: p.run.Step, FencingToken: p.run.FencingToken, Entry: entry}
+		p.executor.enqueue(pendingUpdate{kind: statetable.WithdrawUndos, Update: update})
 	}
 }
--- a/internal/dispatcher/fleet/workflow/executor/executor.go
+++ b/internal/dispatcher/fleet/workflow/executor/executor.go
@@ -13,7 +13,6 @@
 import (
 	"context"
 	"fmt"
-	"maps"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -127,8 +126,16 @@
 
 // New returns an executor; Run starts it.
 func New(cfg Config, log Log, jobs Jobs, logger *logrus.Entry) *Executor {
-	return &Executor{cfg: cfg, log: log, jobs: jobs, logger: logger, updates: make(chan pendingUpdate, maxPendingUpdates), plans: make(chan assignment.Plan, 1),
-		undoEnds: make(chan undoEnd, cfg.MaxConcurrent), startedAt: time.Now()}
+	return &Executor{
+		cfg:       cfg,
+		log:       log,
+		jobs:      jobs,
+		logger:    logger,
+		updates:   make(chan pendingUpdate, maxPendingUpdates),
+		plans:     make(chan assignment.Plan, 1),
+		undoEnds:  make(chan undoEnd, cfg.MaxConcurrent),
+		startedAt: time.Now(),
+	}
 }
 
 // Run works until the context ends, and returns when all of its goroutines have ended.
@@ -149,10 +156,10 @@
 // UndosSent returns how many undos this member has run.
 func (e *Executor) UndosSent() uint64 { return e.undosSent.Load() }
 
-// decide scans the table, starts undos and hands plans on. It owns the set of undos that run here.
+// decide scans the table at an interval and takes the ends of undos. It owns the set of undos that
+// run here.
 func (e *Executor) decide(ctx context.Context) {
-	running, retryAt := map[string]bool{}, map[string]time.Time{}
-	agreed := map[string]undoAttempt{} // outcomes that are agreed on but perhaps not applied here yet
+	undos := newUndoSet()
 	tick := time.NewTicker(scanInterval)
 	defer tick.Stop()
 	for {
@@ -160,75 +167,53 @@
 		case <-ctx.Done():
 			return
 		case end := <-e.undoEnds:
-			delete(running, end.id)
-			if end.agreed != nil {
-				agreed[end.id] = undoAttempt{end.agreed.Step, end.agreed.FencingToken, end.attempts}
-			}
-			if end.retryAfter > 0 {
-				retryAt[end.id] = time.Now().Add(end.retryAfter)
-			}
-			continue
+			undos.end(end)
 		case <-tick.C:
-		}
-		if e.log.Rank("") < 0 { // not caught up after a restart
-			continue
-		}
-		if last := e.lastProposal.Load(); last != nil && e.log.Seen() < last.index && time.Since(last.at) < reproposeAfter {
-			continue // the last plan's entry has not arrived here
-		}
-		var live []*flow.Flow
-		now := e.log.Now().Milliseconds()
-		e.log.Flows(func(b *statetable.Table) {
-			for _, f := range b.Live {
-				if f.Phase == flow.Undoing || f.Overdue(now) != "" {
-					live = append(live, f.Clone())
-				}
-			}
-		})
-		for id, at := range retryAt {
-			if time.Now().After(at) {
-				delete(retryAt, id)
-			}
-		}
-		dropEnded(agreed, live)
-		if len(live) == 0 {
-			continue
-		}
-		p := assignment.Choose(live, e.cfg.Name, e.log.Rank, func(id string) bool { _, rests := retryAt[id]; return running[id] || rests },
-			e.cfg.MaxConcurrent-len(running), maxBatch, now)
-		for _, r := range p.Run {
-			if agreed[r.ID] == (undoAttempt{r.Step, r.FencingToken, r.Attempts}) {
-				continue
-			}
-			running[r.ID] = true
-			e.sendUndo(r)
-		}
-		if len(p.Expire)+len(p.Claim) > 0 {
-			select {
-			case e.plans <- p:
-			default: // the last plan is still being proposed
-			}
+			e.scan(undos)
 		}
 	}
 }
 
-// undoAttempt identifies one attempt of an undo within a workflow.
-type undoAttempt struct {
-	step         int
-	fencingToken uint64
-	attempts     int
-}
-
-// dropEnded removes the attempts of workflows that are not live any more.
-func dropEnded(agreed map[string]undoAttempt, live []*flow.Flow) {
-	if len(agreed) == 0 {
+// scan starts the undos that this member has to run now, and hands the rest of its plan on to be
+// proposed.
+func (e *Executor) scan(undos *undoSet) {
+	if e.log.Rank("") < 0 { // not caught up after a restart
+		return
+	}
+	if last := e.lastProposal.Load(); last != nil && e.log.Seen() < last.index && time.Since(last.at) < reproposeAfter {
+		return // the last plan's entry has not arrived here
+	}
+	now := e.log.Now().Milliseconds()
+	live := e.flowsToUndo(now)
+	undos.dropOld(live)
+	if len(live) == 0 {
 		return
 	}
-	there := map[string]bool{}
-	for _, f := range live {
-		there[f.ID] = true
+	p := assignment.Choose(live, e.cfg.Name, e.log.Rank, undos.busy, e.cfg.MaxConcurrent-len(undos.running), maxBatch, now)
+	for _, r := range p.Run {
+		if undos.start(r) {
+			e.sendUndo(r)
+		}
+	}
+	if len(p.Expire)+len(p.Claim) > 0 {
+		select {
+		case e.plans <- p:
+		default: // the last plan is still being proposed
+		}
 	}
-	maps.DeleteFunc(agreed, func(id string, _ undoAttempt) bool { return !there[id] })
+}
+
+// flowsToUndo returns copies of the workflows that are being undone or are overdue at a time, in
+// milliseconds since 1970.
+func (e *Executor) flowsToUndo(now int64) (live []*flow.Flow) {
+	e.log.Flows(func(table *statetable.Table) {
+		for _, f := range table.Live {
+			if f.Phase == flow.Undoing || f.Overdue(now) != "" {
+				live = append(live, f.Clone())
+			}
+		}
+	})
+	return live
 }
 
 // sendUndo runs an undo as a job. Its key is the same for all attempts and members, so that within
@@ -245,9 +230,18 @@
 		key = fmt.Sprintf("undo/%s/%d", r.ID, r.Step)
 	}
 	by := time.Now().Add(class.Timeout) // may be after the claim's end: the claim is renewed meanwhile
-	job := &core.Job{ID: fmt.Sprintf("%s.undo-%016x-%d-%x", e.cfg.Name, xxhash.Sum64String(r.ID), r.Step, time.Since(e.startedAt).Nanoseconds()), Method: "POST",
-		Resource: r.Undo.Path, Key: key, Body: r.Undo.Body, Class: class.Number, Slots: 1, Deadline: by, Compensating: true,
-		Placements: &destinations{executor: e, run: r, deadline: by, entries: map[core.OutcomeRecord]uint64{}}}
+	job := &core.Job{
+		ID:           fmt.Sprintf("%s.undo-%016x-%d-%x", e.cfg.Name, xxhash.Sum64String(r.ID), r.Step, time.Since(e.startedAt).Nanoseconds()),
+		Method:       "POST",
+		Resource:     r.Undo.Path,
+		Key:          key,
+		Body:         r.Undo.Body,
+		Class:        class.Number,
+		Slots:        1,
+		Deadline:     by,
+		Compensating: true,
+		Placements:   &destinations{executor: e, run: r, deadline: by, entries: map[core.OutcomeRecord]uint64{}},
+	}
 	e.jobs.Submit(job, responseFunc(func(a core.Response) {
 		switch a.Verdict {
 		case core.Served:
@@ -268,7 +262,8 @@
 
 // reportUndo queues the outcome of an undo. If the queue is full the undo is run again later.
 func (e *Executor) reportUndo(r assignment.Run, o flow.Outcome, reason string) {
-	if !e.enqueue(pendingUpdate{statetable.EndUndos, r.Attempts, statetable.Update{ID: r.ID, Step: r.Step, FencingToken: r.FencingToken, Outcome: o, Reason: reason}}) {
+	update := statetable.Update{ID: r.ID, Step: r.Step, FencingToken: r.FencingToken, Outcome: o, Reason: reason}
+	if !e.enqueue(pendingUpdate{kind: statetable.EndUndos, attempts: r.Attempts, Update: update}) {
 		e.undoEnds <- undoEnd{id: r.ID, retryAfter: defaultRetryDelay}
 	}
 }
--- a/internal/dispatcher/fleet/workflow/flow/place.go
+++ b/internal/dispatcher/fleet/workflow/flow/destination.go
@@ -36,7 +36,8 @@
 	if refusal != nil {
 		return refusal
 	}
-	s.Destinations = slices.DeleteFunc(s.Destinations, func(other Destination) bool { return other.Until <= at }) // remove destinations whose window is over
+	// Remove destinations whose window is over.
+	s.Destinations = slices.DeleteFunc(s.Destinations, func(other Destination) bool { return other.Until <= at })
 	if i := slices.IndexFunc(s.Destinations, func(other Destination) bool { return other.sameGroup(&d) }); i >= 0 {
 		if w := &s.Destinations[i]; len(w.Entries) < maxEntries {
 			w.Entries = append(slices.Clip(w.Entries), entry) // clip: clones share the old array
--- a/internal/dispatcher/fleet/workflow/flow/flow.go
+++ b/internal/dispatcher/fleet/workflow/flow/flow.go
@@ -139,7 +139,15 @@
 	case leaseDuration <= 0 || leaseDuration > maxDuration:
 		return nil, NewRefusal(Invalid, "the lease is not from 1 ms to a day")
 	}
-	return &Flow{ID: id, Phase: Active, MaxAttempts: cmp.Or(maxAttempts, DefaultAttempts), Deadline: deadline, LeaseDuration: leaseDuration, LeaseUntil: at + leaseDuration, Since: at}, nil
+	return &Flow{
+		ID:            id,
+		Phase:         Active,
+		MaxAttempts:   cmp.Or(maxAttempts, DefaultAttempts),
+		Deadline:      deadline,
+		LeaseDuration: leaseDuration,
+		LeaseUntil:    at + leaseDuration,
+		Since:         at,
+	}, nil
 }
 
 // Register adds step n, counted from 1, before its job is sent; effectUntil is when its job can
--- a/internal/dispatcher/fleet/workflow/front/front.go
+++ b/internal/dispatcher/fleet/workflow/front/front.go
@@ -9,7 +9,6 @@
 	"context"
 	"encoding/base64"
 	"encoding/json"
-	"errors"
 	"io"
 	"net/http"
 	"slices"
@@ -17,6 +16,8 @@
 	"strings"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"frosttide/internal/dispatcher/core"
 	"frosttide/internal/dispatcher/fleet/workflow/executor"
 	"frosttide/internal/dispatcher/fleet/workflow/flow"
@@ -57,6 +58,18 @@
 	Reason       string     `json:"why"`
 }
 
+// commandKinds are the kinds that clients and operators may call.
+var commandKinds = []statetable.Kind{
+	statetable.Begin,
+	statetable.Step,
+	statetable.Commit,
+	statetable.Undo,
+	statetable.RenewLease,
+	statetable.Skip,
+	statetable.Retry,
+	statetable.GiveUp,
+}
+
 // Handler answers GET /api/workflow (the list), GET /api/workflow/ID and POST /api/workflow/KIND,
 // where KIND is one of begin, step, commit, undo, touch, skip, again and give-up. Now is the
 // cluster's time since 1970.
@@ -73,7 +86,7 @@
 	}
 	mux.HandleFunc("GET /api/workflow", with(handleList))
 	mux.HandleFunc("GET /api/workflow/{id}", with(handleShow))
-	for _, kind := range []statetable.Kind{statetable.Begin, statetable.Step, statetable.Commit, statetable.Undo, statetable.RenewLease, statetable.Skip, statetable.Retry, statetable.GiveUp} {
+	for _, kind := range commandKinds {
 		mux.HandleFunc("POST /api/workflow/"+string(kind), with(func(w http.ResponseWriter, r *http.Request, e *executor.Executor) {
 			handleCommand(w, r, e, kind, now())
 		}))
@@ -111,12 +124,26 @@
 	if kind == statetable.Commit {
 		n = c.Steps
 	}
-	writeResult(w, e.Propose(ctx, &statetable.Command{Kind: kind, ID: c.ID, N: n, Reason: c.Reason, LeaseDuration: c.LeaseMS, MaxAttempts: c.UndoAttempts, Deadline: now.Milliseconds() + c.DeadlineMS}))
+	writeResult(w, e.Propose(ctx, &statetable.Command{
+		Kind:          kind,
+		ID:            c.ID,
+		N:             n,
+		Reason:        c.Reason,
+		LeaseDuration: c.LeaseMS,
+		MaxAttempts:   c.UndoAttempts,
+		Deadline:      now.Milliseconds() + c.DeadlineMS,
+	}))
 }
 
 // statusOfKind is the HTTP status for each kind of refusal.
-var statusOfKind = map[string]int{flow.NotFound: http.StatusNotFound, flow.OutOfOrder: http.StatusConflict, flow.TooLarge: http.StatusRequestEntityTooLarge,
-	flow.TooMany: http.StatusTooManyRequests, flow.Invalid: http.StatusBadRequest, flow.Fenced: http.StatusConflict}
+var statusOfKind = map[string]int{
+	flow.NotFound:   http.StatusNotFound,
+	flow.OutOfOrder: http.StatusConflict,
+	flow.TooLarge:   http.StatusRequestEntityTooLarge,
+	flow.TooMany:    http.StatusTooManyRequests,
+	flow.Invalid:    http.StatusBadRequest,
+	flow.Fenced:     http.StatusConflict,
+}
 
 // writeResult answers 200 for no error, the refusal's status and text, or 503 if the outcome is
 // unknown.
@@ -176,7 +203,15 @@
 // handleList answers with the list of live workflows.
 func handleList(w http.ResponseWriter, _ *http.Request, e *executor.Executor) {
 	live, ended, bytes := e.List()
-	out := flowList{Live: len(live), Ended: ended, Bytes: bytes, DroppedUpdates: e.DroppedUpdates(), UndosSent: e.UndosSent(), ByPhase: map[flow.Phase]int{}, Flows: []flowRow{}}
+	out := flowList{
+		Live:           len(live),
+		Ended:          ended,
+		Bytes:          bytes,
+		DroppedUpdates: e.DroppedUpdates(),
+		UndosSent:      e.UndosSent(),
+		ByPhase:        map[flow.Phase]int{},
+		Flows:          []flowRow{},
+	}
 	slices.SortFunc(live, func(a, b *flow.Flow) int {
 		stuck := func(f *flow.Flow) int { return map[bool]int{true: 0, false: 1}[f.Phase == flow.Stuck] }
 		return cmp.Or(cmp.Compare(stuck(a), stuck(b)), cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.ID, b.ID))
--- a/internal/dispatcher/fleet/workflow/statetable/statetable.go
+++ b/internal/dispatcher/fleet/workflow/statetable/statetable.go
@@ -109,30 +109,33 @@
 	if f == nil {
 		return t.refuseEnded(c)
 	}
-	return t.modify(f, func() *flow.Refusal {
-		switch c.Kind {
-		case Step:
-			if c.Undo != nil && c.N == len(f.Steps)+1 && t.Bytes+c.Undo.Bytes() > MaxBytes {
-				return flow.NewRefusal(flow.TooMany, "all undos together take %d bytes, %d is the most", t.Bytes, MaxBytes)
-			}
-			return f.Register(c.N, c.Undo, c.Until, at)
-		case SendUndo:
-			return f.SendUndo(c.N, c.FencingToken, index, c.Destination, at)
-		case Commit:
-			return f.Commit(c.N, at)
-		case Undo:
-			return f.StartUndo(cmp.Or(c.Reason, "its client said so"), at)
-		case RenewLease:
-			return f.RenewLease(at)
-		case Skip:
-			return f.Skip(c.N, at)
-		case Retry:
-			return f.Retry(at)
-		case GiveUp:
-			return f.GiveUp(at)
+	return t.modify(f, func() *flow.Refusal { return t.applyToFlow(f, index, at, c) })
+}
+
+// applyToFlow applies a command about one live workflow.
+func (t *Table) applyToFlow(f *flow.Flow, index uint64, at int64, c *Command) *flow.Refusal {
+	switch c.Kind {
+	case Step:
+		if c.Undo != nil && c.N == len(f.Steps)+1 && t.Bytes+c.Undo.Bytes() > MaxBytes {
+			return flow.NewRefusal(flow.TooMany, "all undos together take %d bytes, %d is the most", t.Bytes, MaxBytes)
 		}
-		return flow.NewRefusal(flow.Invalid, "%q is no command of this build", c.Kind)
-	})
+		return f.Register(c.N, c.Undo, c.Until, at)
+	case SendUndo:
+		return f.SendUndo(c.N, c.FencingToken, index, c.Destination, at)
+	case Commit:
+		return f.Commit(c.N, at)
+	case Undo:
+		return f.StartUndo(cmp.Or(c.Reason, "its client said so"), at)
+	case RenewLease:
+		return f.RenewLease(at)
+	case Skip:
+		return f.Skip(c.N, at)
+	case Retry:
+		return f.Retry(at)
+	case GiveUp:
+		return f.GiveUp(at)
+	}
+	return flow.NewRefusal(flow.Invalid, "%q is no command of this build", c.Kind)
 }
 
 // begin adds a workflow.
--- a/internal/dispatcher/fleet/workflow/statetable/statetable_test.go
+++ b/internal/dispatcher/fleet/workflow/statetable/statetable_test.go
@@ -81,25 +81,27 @@
 			}
 		})...), flow.Stuck, "done"},
 	} {
-		var table Table
-		for i, s := range tc.commands {
-			_, refusal := table.Apply(uint64(i+1), s.at, &s.c)
-			kind := ""
-			if refusal != nil {
-				kind = refusal.Kind
+		t.Run(tc.name, func(t *testing.T) {
+			var table Table
+			for i, s := range tc.commands {
+				_, refusal := table.Apply(uint64(i+1), s.at, &s.c)
+				kind := ""
+				if refusal != nil {
+					kind = refusal.Kind
+				}
+				if kind != s.want || refusal != nil && refusal.Text == "" {
+					t.Errorf("command %d, %s: refused as %q, want %q", i+1, s.c.Kind, kind, s.want)
+				}
 			}
-			if kind != s.want || refusal != nil && refusal.Text == "" {
-				t.Errorf("%s: command %d, %s: refused as %q, want %q", tc.name, i+1, s.c.Kind, kind, s.want)
+			f := table.Find("w")
+			var states []string
+			for _, s := range f.Steps {
+				states = append(states, string(s.State))
 			}
-		}
-		f := table.Find("w")
-		var states []string
-		for _, s := range f.Steps {
-			states = append(states, string(s.State))
-		}
-		if f.Phase != tc.phase || strings.Join(states, " ") != tc.steps {
-			t.Errorf("%s: it is %s with %v, want %s with %q", tc.name, f.Phase, states, tc.phase, tc.steps)
-		}
+			if f.Phase != tc.phase || strings.Join(states, " ") != tc.steps {
+				t.Errorf("it is %s with %v, want %s with %q", f.Phase, states, tc.phase, tc.steps)
+			}
+		})
 	}
 }
 
--- a/internal/dispatcher/gearman/clients.go
+++ b/internal/dispatcher/gearman/clients.go
@@ -75,11 +75,7 @@
 		key = function + "\x00" + unique
 	}
 	if j := s.unique[key]; key != "" && j != nil {
-		j.background = j.background || background
-		if !background && !slices.Contains(j.subscribers, x) {
-			j.subscribers = append(j.subscribers, x)
-		}
-		s.sendCreated(x, j, background)
+		s.join(x, j, background)
 		return
 	}
 	s.lastJob++
@@ -97,22 +93,8 @@
 		s.rejectJob(x, j, background, 0)
 		return
 	}
-	j.core = &core.Job{ID: jobID(unique), Method: "POST", Resource: "/" + f.Name + "/" + url.PathEscape(function), Body: body,
-		Class: f.Class, Slots: max(f.Slots, 1), Deadline: arrivedAt.Add(f.Timeout)}
-	if f.Keyed {
-		j.core.Key = unique
-	}
-	if shutdownBy != nil && shutdownBy.Before(j.core.Deadline) {
-		j.core.Deadline, j.core.ProcessStopping = *shutdownBy, true
-	}
-	if record := s.recorder.Begin(arrivedAt, "", ""); record != nil {
-		record.Request, record.Class, record.Method, record.Value, record.Slots = j.core.ID, f.Name, "SUBMIT_JOB", f.Value, j.core.Slots
-		record.Keyed, record.RetryWindow = f.Keyed, f.RetryWindow
-		if key != "" {
-			record.RetryKey = hash([]byte(key)) | 1
-		}
-		j.core.Record = record
-	}
+	j.core = newCoreJob(f, j, body, arrivedAt, shutdownBy)
+	s.beginRecord(j, f, arrivedAt)
 	s.jobs[j.handle] = j
 	if key != "" {
 		s.unique[key] = j
@@ -122,6 +104,43 @@
 	s.core.Submit(j.core, j)
 }
 
+// join adds a client to an open job of the unique id that it has submitted.
+func (s *Server) join(x *session, j *job, background bool) {
+	j.background = j.background || background
+	if !background && !slices.Contains(j.subscribers, x) {
+		j.subscribers = append(j.subscribers, x)
+	}
+	s.sendCreated(x, j, background)
+}
+
+// newCoreJob returns the core's job for a client's job of a function. During a graceful shutdown its
+// deadline is not after the shutdown's.
+func newCoreJob(f Function, j *job, body []byte, arrivedAt time.Time, shutdownBy *time.Time) *core.Job {
+	c := &core.Job{ID: jobID(j.id), Method: "POST", Resource: "/" + f.Name + "/" + url.PathEscape(j.function), Body: body,
+		Class: f.Class, Slots: max(f.Slots, 1), Deadline: arrivedAt.Add(f.Timeout)}
+	if f.Keyed {
+		c.Key = j.id
+	}
+	if shutdownBy != nil && shutdownBy.Before(c.Deadline) {
+		c.Deadline, c.ProcessStopping = *shutdownBy, true
+	}
+	return c
+}
+
+// beginRecord begins the span record of a job, if jobs are recorded.
+func (s *Server) beginRecord(j *job, f Function, arrivedAt time.Time) {
+	record := s.recorder.Begin(arrivedAt, "", "")
+	if record == nil {
+		return
+	}
+	record.Request, record.Class, record.Method, record.Value, record.Slots = j.core.ID, f.Name, "SUBMIT_JOB", f.Value, j.core.Slots
+	record.Keyed, record.RetryWindow = f.Keyed, f.RetryWindow
+	if j.key != "" {
+		record.RetryKey = hash([]byte(j.key)) | 1
+	}
+	j.core.Record = record
+}
+
 // sendCreated sends a client its job's handle, before any other packet about the job.
 func (s *Server) sendCreated(x *session, j *job, background bool) {
 	x.send(proto.JobCreated, []byte(j.handle))
--- a/internal/dispatcher/gearman/proto/packet.go
+++ b/internal/dispatcher/gearman/proto/packet.go
@@ -187,20 +187,29 @@
 	if err := r.readData(int(size)); err != nil {
 		return Packet{}, unexpectedEOF(err)
 	}
+	if err := r.splitArgs(f.args); err != nil {
+		return Packet{}, fmt.Errorf("%w: %s", err, kind)
+	}
+	return Packet{Type: kind, Args: r.args}, nil
+}
+
+// splitArgs splits the data that was read last into count arguments. It returns ErrArgs if there are
+// fewer.
+func (r *Reader) splitArgs(count int) error {
 	r.args = r.args[:0]
 	rest := r.buf
-	for i := range f.args {
-		if i == f.args-1 {
+	for i := range count {
+		if i == count-1 {
 			r.args = append(r.args, rest)
 			break
 		}
 		arg, more, found := bytes.Cut(rest, []byte{0})
 		if !found {
-			return Packet{}, fmt.Errorf("%w: %s", ErrArgs, kind)
+			return ErrArgs
 		}
 		r.args, rest = append(r.args, arg), more
 	}
-	return Packet{Type: kind, Args: r.args}, nil
+	return nil
 }
 
 // unexpectedEOF replaces io.EOF, which came inside a packet, by io.ErrUnexpectedEOF.
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -10,7 +10,6 @@
 import (
 	"context"
 	"crypto/tls"
-	"errors"
 	"fmt"
 	"net"
 	"strings"
@@ -19,6 +18,7 @@
 	"syscall"
 	"time"
 
+	"github.com/cockroachdb/errors"
 	"github.com/sirupsen/logrus"
 	"golang.org/x/sys/unix"
 
@@ -117,7 +117,7 @@
 	}}
 	l, err := lc.Listen(context.Background(), "tcp", cfg.Listen)
 	if err != nil {
-		return nil, fmt.Errorf("gearman: %w", err)
+		return nil, errors.Wrap(err, "gearman")
 	}
 	if cfg.TLS != nil {
 		l = tls.NewListener(l, cfg.TLS)
--- a/internal/dispatcher/gearman/session.go
+++ b/internal/dispatcher/gearman/session.go
@@ -1,13 +1,14 @@
 package gearman
 
 import (
-	"errors"
 	"io"
 	"net"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"github.com/cockroachdb/errors"
+
 	"frosttide/decision"
 	"frosttide/internal/dispatcher/core"
 	"frosttide/internal/dispatcher/gearman/proto"
--- a/internal/dispatcher/gearman/session_test.go
+++ b/internal/dispatcher/gearman/session_test.go
@@ -147,34 +147,50 @@
 			p.sync(t, &handle)
 		}
 		p.Close()
-		for removed := false; !removed; { // the last route of a session removes its worker
-			select {
-			case r := <-recorder.routes:
-				removed = r.State == decision.Removed
-			case <-time.After(10 * time.Second):
-				t.Fatal("the worker is never removed from the route table")
-			}
-		}
-		recorder.mu.Lock()
-		defer recorder.mu.Unlock()
+		awaitRemoval(t, recorder.routes)
 		for _, attempt := range attempts {
-			ends := recorder.ends[attempt.Ref]
 			before, cancelled := cancelledAt[attempt.Ref]
-			switch {
-			case cancelled && recorder.called[attempt.Ref] == 0:
-				t.Fatalf("attempt %v was cancelled, and its recall was not reported", attempt.Ref)
-			case cancelled && len(ends) > before:
-				t.Fatalf("attempt %v was cancelled, and then ended as %v", attempt.Ref, ends)
-			case !cancelled && len(ends) != 1:
-				t.Fatalf("attempt %v has the ends %v", attempt.Ref, ends)
-			}
-			for _, e := range ends {
-				neverRan := e == fmt.Sprint("outcome ", decision.ConnectFailed, " taken ", false) || e == fmt.Sprint("outcome ", decision.Rejected, " taken ", false)
-				mayHaveRun := e == fmt.Sprint("outcome ", decision.ConnReset, " taken ", true) || e == "reported" && recorder.taken[attempt.Ref]
-				if !neverRan && !mayHaveRun {
-					t.Fatalf("attempt %v ended %q", attempt.Ref, e)
-				}
-			}
+			recorder.requireOneEnd(t, attempt.Ref, before, cancelled)
 		}
 	})
 }
+
+// awaitRemoval waits for the last route of a session, which removes its worker.
+func awaitRemoval(t *rapid.T, routes <-chan core.Route) {
+	t.Helper()
+	for {
+		select {
+		case r := <-routes:
+			if r.State == decision.Removed {
+				return
+			}
+		case <-time.After(10 * time.Second):
+			t.Fatal("the worker is never removed from the route table")
+		}
+	}
+}
+
+// requireOneEnd fails the test unless an attempt ended exactly once and as what it was: one that was
+// grabbed or one that never ran. A cancelled attempt must have been reported as recalled and may have
+// no end beyond the first before of them.
+func (recorder *recordingCore) requireOneEnd(t *rapid.T, ref core.AttemptRef, before int, cancelled bool) {
+	t.Helper()
+	recorder.mu.Lock()
+	defer recorder.mu.Unlock()
+	ends := recorder.ends[ref]
+	switch {
+	case cancelled && recorder.called[ref] == 0:
+		t.Fatalf("attempt %v was cancelled, and its recall was not reported", ref)
+	case cancelled && len(ends) > before:
+		t.Fatalf("attempt %v was cancelled, and then ended as %v", ref, ends)
+	case !cancelled && len(ends) != 1:
+		t.Fatalf("attempt %v has the ends %v", ref, ends)
+	}
+	for _, e := range ends {
+		neverRan := e == fmt.Sprint("outcome ", decision.ConnectFailed, " taken ", false) || e == fmt.Sprint("outcome ", decision.Rejected, " taken ", false)
+		mayHaveRun := e == fmt.Sprint("outcome ", decision.ConnReset, " taken ", true) || e == "reported" && recorder.taken[ref]
+		if !neverRan && !mayHaveRun {
+			t.Fatalf("attempt %v ended %q", ref, e)
+		}
+	}
+}
--- a/internal/dispatcher/gearman/tls.go
+++ b/internal/dispatcher/gearman/tls.go
@@ -3,9 +3,10 @@
 import (
 	"crypto/tls"
 	"crypto/x509"
-	"fmt"
 	"os"
 	"sync/atomic"
+
+	"github.com/cockroachdb/errors"
 )
 
 // Certificates are the files of the front's TLS configuration, all in PEM.
@@ -22,17 +23,17 @@
 func (t *TLS) Read(files Certificates) error {
 	pair, err := tls.LoadX509KeyPair(files.Certificate, files.Key)
 	if err != nil {
-		return fmt.Errorf("gearman: certificate: %w", err)
+		return errors.Wrap(err, "gearman: certificate")
 	}
 	c := &tls.Config{MinVersion: tls.VersionTLS12, Certificates: []tls.Certificate{pair}}
 	if files.Clients != "" {
 		text, err := os.ReadFile(files.Clients)
 		if err != nil {
-			return fmt.Errorf("gearman: client certificates: %w", err)
+			return errors.Wrap(err, "gearman: client certificates")
 		}
 		c.ClientCAs, c.ClientAuth = x509.NewCertPool(), tls.RequireAndVerifyClientCert
 		if !c.ClientCAs.AppendCertsFromPEM(text) {
-			return fmt.Errorf("gearman: client certificates: %s holds none", files.Clients)
+			return errors.Newf("gearman: client certificates: %s holds none", files.Clients)
 		}
 	}
 	t.current.Store(c)
--- a/internal/testkit/lab/simulatedmembers/simulatedmembers.go
+++ b/internal/testkit/lab/simulatedmembers/simulatedmembers.go
@@ -160,13 +160,13 @@
 	m.news = make(chan struct{})
 }
 
-// Hear is not used here.
+// ApplyRunners is not used here.
 func (m *Member) ApplyRunners(string, uint64, [][]byte) {}
 
-// Hint is not used here.
+// ApplyHealth is not used here.
 func (m *Member) ApplyHealth(string, []byte) {}
 
-// HearGang is not used here.
+// ApplyGang is not used here.
 func (m *Member) ApplyGang([]byte) {}
 
 var errLate = errors.New("not told in time")
--- a/internal/testkit/lab/spread/spread.go
+++ b/internal/testkit/lab/spread/spread.go
@@ -35,11 +35,11 @@
 // Exclude is not used here.
 func (l *listener) Exclude(string, bool, time.Time) {}
 
-// Hint is not used here.
+// ApplyHealth is not used here.
 func (l *listener) ApplyHealth(string, []byte) {}
 func (l *listener) ApplyGang([]byte)           {}
 
-// Hear notes a version.
+// ApplyRunners notes a version.
 func (l *listener) ApplyRunners(_ string, rev uint64, _ [][]byte) {
 	l.mu.Lock()
 	l.heard[rev] = true
