--- a/internal/testkit/lab/mutate/checks.go
+++ b/internal/testkit/lab/mutate/checks.go
@@ -2,7 +2,7 @@
 
 const (
 	viewFile      = "internal/view/view.go"
-	agreementFile = "internal/control/replica/consensus.go"
+	consensusFile = "internal/control/replica/consensus.go"
 	chainFile     = "internal/control/replica/chain.go"
 	installFile   = "internal/control/replica/install.go"
 	transferFile  = "internal/control/replica/transfer.go"
@@ -12,7 +12,7 @@
 	schedulerFile = "internal/control/scheduler/scheduler.go"
 	leaseFile     = "internal/control/scheduler/lease.go"
 	requestsFile  = "internal/control/scheduler/requests.go"
-	companionFile = "internal/data/agent/machine.go"
+	agentFile     = "internal/data/agent/machine.go"
 	headFile      = "internal/data/agent/head.go"
 	memberFile    = "internal/control/member/member.go"
 )
@@ -28,12 +28,12 @@
 		"cmp.Or(0*cmp.Compare(class(a), class(b)), cmp.Compare(b.Index, a.Index),"},
 	{"the longest log becomes the head", viewFile, "cmp.Compare(b.Index, a.Index), ", ""},
 
-	{"a promise is synced before it is sent", agreementFile, "	m.afterSync(func() {\n		if m.promised != proposalNumber {", "	func(do func()) { do() }(func() {\n		if m.promised != proposalNumber {"},
-	{"a view is synced before its acceptance is sent", agreementFile, "	m.afterSync(func() {\n		reply(&protocol.Accepted{", "	func(do func()) { do() }(func() {\n		reply(&protocol.Accepted{"},
-	{"no promise below an earlier one", agreementFile, "if p.GetBallot() < m.promised {", "if false {"},
-	{"no view below a promise", agreementFile, "if proposalNumber < m.promised {", "if false {"},
-	{"a view that others may have accepted is built on", agreementFile, "a.GetEpoch() > proposal.base.GetEpoch()", "a.GetEpoch() > proposal.base.GetEpoch() && false"},
-	{"both majorities accept a view", agreementFile, "if !view.Quorum(proposal.base, has) || !view.Quorum(proposal.view, has) {", "if !view.Quorum(proposal.view, has) {"},
+	{"a promise is synced before it is sent", consensusFile, "	m.afterSync(func() {\n		if m.promised != proposalNumber {", "	func(do func()) { do() }(func() {\n		if m.promised != proposalNumber {"},
+	{"a view is synced before its acceptance is sent", consensusFile, "	m.afterSync(func() {\n		reply(&protocol.Accepted{", "	func(do func()) { do() }(func() {\n		reply(&protocol.Accepted{"},
+	{"no promise below an earlier one", consensusFile, "if p.GetBallot() < m.promised {", "if false {"},
+	{"no view below a promise", consensusFile, "if proposalNumber < m.promised {", "if false {"},
+	{"a view that others may have accepted is built on", consensusFile, "a.GetEpoch() > proposal.base.GetEpoch()", "a.GetEpoch() > proposal.base.GetEpoch() && false"},
+	{"both majorities accept a view", consensusFile, "if !view.Quorum(proposal.base, has) || !view.Quorum(proposal.view, has) {", "if !view.Quorum(proposal.view, has) {"},
 
 	{"entries of another epoch are dropped", chainFile, "if a.GetEpoch() != m.Epoch() || m.promised > a.GetEpoch() {", "if m.promised > a.GetEpoch() {"},
 	{"no entries of an epoch that a member has promised to leave", chainFile, "if a.GetEpoch() != m.Epoch() || m.promised > a.GetEpoch() {", "if a.GetEpoch() != m.Epoch() {"},
@@ -52,7 +52,7 @@
 	{"the state that was taken has the digest of the whole", transferFile, "store.CombineDigests(m.digestsWithReceived()) == r.GetDigest()", "int(r.GetNumber())+1 == int(r.GetCount())"},
 	{"no state is installed once another view is promised", transferFile, "if m.promised <= m.Epoch() && store.CombineDigests", "if store.CombineDigests"},
 	{"writes under way do not count for a state that replaced theirs", diskFile, "	m.durable = 0\n	for i := range m.disk.pending {\n		m.disk.pending[i].index = 0\n	}", "	_ = m.durable"},
-	{"what is installed counts once it is on disk", agreementFile, "InstalledEpoch: m.disk.installedEpoch,", "InstalledEpoch: m.installedEpoch,"},
+	{"what is installed counts once it is on disk", consensusFile, "InstalledEpoch: m.disk.installedEpoch,", "InstalledEpoch: m.installedEpoch,"},
 	{"after a failed write nothing on disk counts", diskFile, "	m.disk.failed = true\n", "	m.disk.failed = false\n"},
 
 	{"a read is confirmed by a majority", confirmFile, "for len(c.pendingReads) > 0 && c.pendingReads[0].confirmed && c.pendingReads[0].index", "for len(c.pendingReads) > 0 && c.pendingReads[0].index"},
@@ -74,9 +74,9 @@
 	{"orders of an earlier session are void", headFile, "if o.GetSession() < m.session {", "if false {"},
 	{"orders after a gap are not applied", headFile, "if !o.GetFull() && (!m.fullSyncDone || o.GetSequence() > m.appliedSequence+1) {", "if false {"},
 	{"a lease counts from the sending of its request", headFile, "at, ok := m.leaseRequestedAt[o.GetLeaseRound()]", "_, ok := m.leaseRequestedAt[o.GetLeaseRound()]\n	at := m.now"},
-	{"a run lease ends within the lease of its agent", companionFile, "response.RunLease = min(m.cfg.MaxRunLease, remaining)", "response.RunLease = m.cfg.MaxRunLease"},
-	{"a runner that deregisters has not ended", companionFile, "	m.runner.deregistered = true\n", "	m.removeRunner(m.runner)\n	return\n"},
+	{"a run lease ends within the lease of its agent", agentFile, "response.RunLease = min(m.cfg.MaxRunLease, remaining)", "response.RunLease = m.cfg.MaxRunLease"},
+	{"a runner that deregisters has not ended", agentFile, "	m.runner.deregistered = true\n", "	m.removeRunner(m.runner)\n	return\n"},
 	{"a silent runner's run leases have expired", headFile, "if m.now > r.runLeaseExpiry {", "if m.now > r.lastContact+time.Second {"},
-	{"a delayed heartbeat of a runner is ignored", companionFile, "if b.Sequence < r.sequence {", "if false {"},
-	{"one refused health check is not enough", companionFile, "if r.refusedChecks++; r.refusedChecks >= minRefusedChecks {", "if r.refusedChecks++; r.refusedChecks >= 1 {"},
+	{"a delayed heartbeat of a runner is ignored", agentFile, "if b.Sequence < r.sequence {", "if false {"},
+	{"one refused health check is not enough", agentFile, "if r.refusedChecks++; r.refusedChecks >= minRefusedChecks {", "if r.refusedChecks++; r.refusedChecks >= 1 {"},
 }
