--- a/decision/affinity/affinity.go
+++ b/decision/affinity/affinity.go
@@ -1,19 +1,20 @@
-// Package affinity has each of many dispatchers prefer some workers by a fixed random order. A dispatcher that seldom
-// uses a worker knows only the load that is its own; with preferences more of a worker's load is its own, while
-// together all dispatchers still use all workers. Package decision multiplies its costs by Factor.
+// Package affinity gives each of many dispatchers a fixed pseudo-random preference order of the workers. A dispatcher
+// that seldom uses a worker knows only its own share of that worker's load. With preferences each dispatcher concentrates
+// its requests on fewer workers and so accounts for more of their load, while all dispatchers together still use all
+// workers. Package decision multiplies its costs by Factor.
 //
 // The package has no state, so it is safe for concurrent use.
 package affinity
 
-// MaxWithoutPreferences is the number of dispatchers up to which there are no preferences, as each one knows every
-// worker well.
+// MaxWithoutPreferences is the largest number of dispatchers without preferences: each of so few dispatchers uses every
+// worker often enough to know its load.
 const MaxWithoutPreferences = 16
 
-// maxPremium is by what fraction the least preferred worker costs more than the most preferred.
+// maxPremium bounds the extra cost of the least preferred worker, as a fraction of the cost of the most preferred one.
 const maxPremium = 0.8
 
-// Factor returns the factor of a worker's cost at the dispatcher of a number: at least 1 and less than 1+maxPremium. It
-// is a hash of both numbers, so it never changes and has no pattern over workers and dispatchers.
+// Factor returns the factor, at least 1 and less than 1+maxPremium, by which the given dispatcher multiplies the cost of
+// the given worker. It is a hash of both numbers, so it never changes and has no pattern over workers and dispatchers.
 func Factor(dispatcher, dispatchers int, worker uint32) float64 {
 	if dispatchers <= MaxWithoutPreferences {
 		return 1
--- a/decision/affinity/affinity_test.go
+++ b/decision/affinity/affinity_test.go
@@ -2,33 +2,34 @@
 
 import "testing"
 
-// TestFirstChoicesSpread checks that of 60 workers none is the first choice of many of 80 dispatchers or among the
-// preferred ones of few, and that preferences never change.
+// TestFirstChoicesSpread checks with 80 dispatchers and 60 workers that no worker is the first choice of too many
+// dispatchers, that each worker is among the preferred sixth of enough dispatchers, and that preferences never change.
 func TestFirstChoicesSpread(t *testing.T) {
 	const dispatchers, workers = 80, 60
-	first, among := map[uint32]int{}, map[uint32]int{}
+	firstChoices, topSixths := map[uint32]int{}, map[uint32]int{}
 	for i := range dispatchers {
-		best, least := uint32(0), 9.0
+		best, lowest := uint32(0), 9.0
 		for w := range uint32(workers) {
 			f := Factor(i, dispatchers, w)
 			if f < 1 || f >= 1+maxPremium || f != Factor(i, dispatchers, w) {
-				t.Fatalf("factor %v of worker %d at %d", f, w, i)
+				t.Fatalf("factor %v of worker %d at dispatcher %d, want the same in [1, %v) each time", f, w, i, 1+maxPremium)
 			}
-			if f < least {
-				best, least = w, f
+			if f < lowest {
+				best, lowest = w, f
 			}
 			if f < 1+maxPremium/6 {
-				among[w]++
+				topSixths[w]++
 			}
 		}
-		first[best]++
+		firstChoices[best]++
 	}
 	for w := range uint32(workers) {
-		if first[w] > 6 || among[w] < 4 || among[w] > 26 {
-			t.Errorf("worker %d is the first choice of %d dispatchers, among the best sixth of %d", w, first[w], among[w])
+		if firstChoices[w] > 6 || topSixths[w] < 4 || topSixths[w] > 26 {
+			t.Errorf("worker %d is the first choice of %d dispatchers, want 6 at most, and in the preferred sixth of %d, want 4 to 26",
+				w, firstChoices[w], topSixths[w])
 		}
 	}
-	if Factor(3, MaxWithoutPreferences, 7) != 1 {
-		t.Error("few dispatchers have a preference")
+	if f := Factor(3, MaxWithoutPreferences, 7); f != 1 {
+		t.Errorf("factor %v with %d dispatchers, want 1", f, MaxWithoutPreferences)
 	}
 }
