--- a/decision/zones/zones_test.go
+++ b/decision/zones/zones_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestLostZone checks which histories of a zone protect a worker that the dispatcher has not used.
+// TestLostZone checks after which failures and successes in a zone its workers are unavailable.
 func TestLostZone(t *testing.T) {
 	const s = time.Second
 	fail := func(at time.Duration) func(*Zones) {
@@ -23,21 +23,21 @@
 	for name, c := range map[string]struct {
 		history     []func(*Zones)
 		at          time.Duration
-		startedAt   time.Duration // of the worker that is asked about
+		startedAt   time.Duration // last listed start of the worker
 		unavailable bool
 	}{
-		"nothing known":         {nil, 10 * s, 0, false},
-		"one alone":             {[]func(*Zones){fail(10 * s)}, 10 * s, 0, false},
-		"two in a row":          {[]func(*Zones){fail(9 * s), fail(10 * s)}, 11 * s, 0, true},
-		"the same one twice":    {[]func(*Zones){fail(9 * s), failAgain(10 * s)}, 11 * s, 0, false},
-		"the others once more":  {[]func(*Zones){fail(s), fail(s), failAgain(10 * s)}, 11 * s, 0, true},
-		"another zone's":        {[]func(*Zones){failElsewhere(0, 9*s), failElsewhere(2, 10*s)}, 11 * s, 0, false},
-		"one served between":    {[]func(*Zones){fail(8 * s), serve(8*s, 9*s), fail(10 * s)}, 10 * s, 0, false},
-		"sent before the loss":  {[]func(*Zones){fail(9 * s), fail(10 * s), serve(8*s, 11*s)}, 14 * s, 0, true},
-		"told of a new start":   {[]func(*Zones){fail(9 * s), fail(10 * s)}, 11 * s, 10500 * time.Millisecond, false},
-		"back just now":         {[]func(*Zones){fail(9 * s), fail(10 * s), serve(11*s, 12*s)}, 14 * s, 0, true},
-		"back for a while":      {[]func(*Zones){fail(9 * s), fail(10 * s), serve(11*s, 12*s)}, 16 * s, 0, false},
-		"told by now, or never": {[]func(*Zones){fail(9 * s), fail(10 * s)}, 17 * s, 0, false},
+		"no observations":                               {nil, 10 * s, 0, false},
+		"one worker failed":                             {[]func(*Zones){fail(10 * s)}, 10 * s, 0, false},
+		"two workers failed in a row":                   {[]func(*Zones){fail(9 * s), fail(10 * s)}, 11 * s, 0, true},
+		"the same worker failed twice":                  {[]func(*Zones){fail(9 * s), failAgain(10 * s)}, 11 * s, 0, false},
+		"two workers failed, one of them twice":         {[]func(*Zones){fail(s), fail(s), failAgain(10 * s)}, 11 * s, 0, true},
+		"failures in other zones":                       {[]func(*Zones){failElsewhere(0, 9*s), failElsewhere(2, 10*s)}, 11 * s, 0, false},
+		"a success between two failures":                {[]func(*Zones){fail(8 * s), serve(8*s, 9*s), fail(10 * s)}, 10 * s, 0, false},
+		"success of a request sent before the loss":     {[]func(*Zones){fail(9 * s), fail(10 * s), serve(8*s, 11*s)}, 14 * s, 0, true},
+		"start listed after the loss":                   {[]func(*Zones){fail(9 * s), fail(10 * s)}, 11 * s, 10500 * time.Millisecond, false},
+		"just recovered":                                {[]func(*Zones){fail(9 * s), fail(10 * s), serve(11*s, 12*s)}, 14 * s, 0, true},
+		"recovered for longer than the recovery period": {[]func(*Zones){fail(9 * s), fail(10 * s), serve(11*s, 12*s)}, 16 * s, 0, false},
+		"longer than notifiedWithin after the loss":     {[]func(*Zones){fail(9 * s), fail(10 * s)}, 17 * s, 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			var z Zones
@@ -51,8 +51,7 @@
 	}
 }
 
-// TestUsualStart checks that late starts do not count as usual, and that zone numbers out of range are
-// harmless.
+// TestUsualStart checks that the usual start is the shortest recent one, and that zone numbers out of range are clamped.
 func TestUsualStart(t *testing.T) {
 	var z Zones
 	z.RecordStart(0, 5*time.Millisecond)
@@ -63,6 +62,6 @@
 		t.Errorf("usual start %v, want the quickest, 4ms", got)
 	}
 	if len(z.all) > maxZones || z.UsualStart(1) != 0 {
-		t.Errorf("%d zones, usual start in one without any %v", len(z.all), z.UsualStart(1))
+		t.Errorf("%d zones, want %d at most; usual start %v in a zone without starts, want 0", len(z.all), maxZones, z.UsualStart(1))
 	}
 }
