--- a/decision/permit/permit.go
+++ b/decision/permit/permit.go
@@ -1,6 +1,6 @@
-// Package permit decides whether an attempt may still begin. Between the decision to send it and its first byte lie
-// mailboxes, a dial and the wait for a connection, and what the decision rested on may have changed meanwhile. The
-// egress calls Check directly before it writes the first byte.
+// Package permit decides whether an attempt may still begin. Between the decision to send an attempt and its first byte
+// come message queues, a dial and the wait for a connection, so the facts behind the decision may have changed. The egress
+// calls Check directly before it writes the first byte.
 //
 // The package is pure: it does no I/O and reads no clock. It has no state, so it is safe for concurrent use.
 package permit
@@ -12,42 +12,42 @@
 )
 
 const (
-	// MaxStall is how long a process may be stalled between reading its clock and writing. An attempt that must not
-	// begin after a given time is not begun later than MaxStall before it.
+	// MaxStall is the assumed longest stall of a process between reading its clock and writing. An attempt with a
+	// latest start is therefore begun at least MaxStall before it.
 	MaxStall = 150 * time.Millisecond
-	// DeadlineSlack is by how much the time that an attempt states may exceed the time that its client has left at
-	// the first byte. It is below what the protocol allows (150 ms), as the process may still be stalled before the
-	// write.
+	// DeadlineSlack is how much the remaining time stated in an attempt may exceed the time left until the client's
+	// deadline at the first byte. It is less than the 150 ms that the protocol allows, as the process may still stall
+	// before the write.
 	DeadlineSlack = 20 * time.Millisecond
 )
 
-// Reasons for which an attempt does not begin. All of them wrap ErrNotStarted and mean that the attempt never ran.
+// Reasons why an attempt does not begin. All of them wrap ErrNotStarted and mean that the attempt never ran.
 var (
-	ErrNotStarted         = errors.New("the attempt was not begun")
-	ErrRevoked            = fmt.Errorf("%w: it was given up", ErrNotStarted)
-	ErrClientDisconnected = fmt.Errorf("%w: the client has gone", ErrNotStarted)
+	ErrNotStarted         = errors.New("attempt not started")
+	ErrRevoked            = fmt.Errorf("%w: canceled by the dispatcher", ErrNotStarted)
+	ErrClientDisconnected = fmt.Errorf("%w: the client has disconnected", ErrNotStarted)
 	ErrDeadlineExceeded   = fmt.Errorf("%w: the deadline has passed", ErrNotStarted)
-	ErrLatestStartPassed  = fmt.Errorf("%w: the time to begin it has passed", ErrNotStarted)
-	ErrBackendChanged     = fmt.Errorf("%w: the worker drains, has left the list or has restarted", ErrNotStarted)
-	ErrProcessStalled     = fmt.Errorf("%w: the process has stood still since it was decided on", ErrNotStarted)
-	ErrStatedTimeTooLong  = fmt.Errorf("%w: the time that it tells is more than is left", ErrNotStarted)
-	ErrConnectionUnusable = fmt.Errorf("%w: the connection has ended or holds an answer that nobody asked for", ErrNotStarted)
+	ErrLatestStartPassed  = fmt.Errorf("%w: its latest start has passed", ErrNotStarted)
+	ErrBackendChanged     = fmt.Errorf("%w: the worker is draining, was removed from the list or has restarted", ErrNotStarted)
+	ErrProcessStalled     = fmt.Errorf("%w: the process stalled after the decision", ErrNotStarted)
+	ErrStatedTimeTooLong  = fmt.Errorf("%w: the remaining time that it states exceeds the time left", ErrNotStarted)
+	ErrConnectionUnusable = fmt.Errorf("%w: the connection is closed or has received an unsolicited response", ErrNotStarted)
 )
 
-// Facts are the facts at the time at which an attempt's first byte would be written.
+// Facts is the state on which Check decides, as of just before the write of an attempt's first byte.
 type Facts struct {
 	Now                time.Time
 	Deadline           time.Time     // of the request
-	LatestStart        time.Time     // the latest start that the decision allows; zero for the deadline
-	StatedTime         time.Duration // the time that the attempt tells its worker it has
+	LatestStart        time.Time     // latest start that the decision allows; zero if only the deadline limits it
+	StatedTime         time.Duration // remaining time that the attempt states to its worker
 	Revoked            bool          // the dispatcher has canceled the attempt
 	ClientDisconnected bool
-	BackendChanged     bool // the worker drains, has left the list or has restarted since the decision
-	ProcessStalled     bool // the process was stalled since the decision for so long that what it knew may be outdated
-	ConnectionUnusable bool // the connection has ended, or an unexpected answer has come on it
+	BackendChanged     bool // the worker is draining, was removed from the list or has restarted since the decision
+	ProcessStalled     bool // the process stalled after the decision for so long that its state may be outdated
+	ConnectionUnusable bool // the connection is closed, or has received an unsolicited response
 }
 
-// Check returns the first reason, in the order below, for which an attempt may not begin, and nil if it may.
+// Check returns the first reason, in the order below, why an attempt may not begin, and nil if it may.
 func Check(f Facts) error {
 	switch {
 	case f.Revoked:
