--- a/decision/forecast/forecast_test.go
+++ b/decision/forecast/forecast_test.go
@@ -10,8 +10,8 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestOwnJobsAreNotCountedTwice checks that the dispatcher's own jobs do not count twice, in a report and by
-// themselves, and that others' jobs decay.
+// TestOwnJobsAreNotCountedTwice checks that the dispatcher's own jobs are not counted both in the report and as its own
+// load, that the slots of other dispatchers' jobs decay, and that invalid reports change nothing.
 func TestOwnJobsAreNotCountedTwice(t *testing.T) {
 	var f Fleet
 	var w, other Worker
@@ -21,27 +21,27 @@
 	f.RecordReport(&w, 0, Report{Free: 4}, Own{}, now)
 	f.RecordReport(&w, 0, Report{Free: 0, Queued: 2, InFlight: math.NaN()}, Own{InUse: 3, Running: 3}, now)
 	if got := f.Others(&w, 0, now); math.Abs(got-3) > 1e-9 {
-		t.Errorf("others use %g slots, want the 3 of 6 that are not our own", got)
+		t.Errorf("others use %g slots, want 3: 6 less 3 of the dispatcher's own", got)
 	}
 	if got := f.Others(&w, 0, now+time.Minute); got > 0.1 {
-		t.Errorf("others use %g slots a minute later, want next to none", got)
+		t.Errorf("others use %g slots a minute later, want 0.1 at most", got)
 	}
 	busy := f.TimeToFinish(&w, 0, Own{InUse: 3, Running: 3, Work: 3}, &Job{Slots: 1, Work: 1}, now)
 	idle := f.TimeToFinish(&other, 0, Own{}, &Job{Slots: 1, Work: 1}, now)
 	if busy < idle+0.3 {
-		t.Errorf("a full worker needs %g s and an idle one %g s", busy, idle)
+		t.Errorf("a full worker needs %g s and an idle one %g s, want at least 0.3 s more at the full one", busy, idle)
 	}
 	before := f.Others(&w, 0, now)
 	for _, bad := range []float64{math.NaN(), math.Inf(1), -1, 1e30} {
 		f.RecordReport(&w, 0, Report{Free: bad, Queued: 1, InFlight: math.NaN()}, Own{}, now)
 	}
 	if got := f.Others(&w, 0, now); got != before {
-		t.Errorf("reports that mean nothing moved the others from %g to %g slots", before, got)
+		t.Errorf("invalid reports changed the slots of others from %g to %g, want no change", before, got)
 	}
 }
 
-// TestSize checks that noise of reports does not raise the size of a worker with four slots, and that the
-// size is at least what own jobs have used, though reports lag.
+// TestSize checks that noise in reports does not raise the size of a worker with four slots, and that the size is at least
+// the number of slots that own jobs have used at once, as reports lag.
 func TestSize(t *testing.T) {
 	var f Fleet
 	var w Worker
@@ -50,58 +50,60 @@
 		f.RecordReport(&w, 0, Report{Free: 4 * noise}, Own{}, time.Duration(i)*time.Second)
 	}
 	if got := f.size(&w, 0); got != 4 {
-		t.Errorf("it has %g slots, want 4", got)
+		t.Errorf("size %g after noisy reports, want 4", got)
 	}
 	f.RecordStart(&w, 0, &Job{}, false, Own{InUse: 6, Running: 6}, time.Hour)
 	if got := f.size(&w, 0); got != 6 {
-		t.Errorf("it has %g slots, want the 6 that we have had in use at once", got)
+		t.Errorf("size %g, want the 6 slots that own jobs have used at once", got)
 	}
 }
 
-// TestSizeOfKind checks the size of workers that look small because they are busy: one that was never seen
-// empty has as many slots as others of its kind, up to twice what it showed; one that showed nothing has the
-// fleet's mean; and what was learned outlives the process.
+// TestSizeOfKind checks the estimated size of workers that look small because they are busy: a worker that was never
+// observed empty has as many slots as others of its kind, up to twice its observed number, and a worker without an observed
+// free slot has the fleet's mean. It also checks that size and pace are restored from Learned after a restart, and that
+// invalid learned values do not lead to invalid forecasts.
 func TestSizeOfKind(t *testing.T) {
 	var f Fleet
-	var empty, busy, full, next Worker
+	var empty, busy, full, otherKind Worker
 	f.RecordReport(&empty, 3, Report{Free: 4}, Own{}, time.Hour)
 	f.RecordReport(&busy, 3, Report{Free: 2}, Own{InUse: 1, Running: 1}, time.Hour)
 	f.RecordReport(&full, 3, Report{Free: 0, Queued: 3, InFlight: math.NaN()}, Own{}, time.Hour)
-	f.RecordReport(&next, 4, Report{Free: 2}, Own{}, time.Hour)
+	f.RecordReport(&otherKind, 4, Report{Free: 2}, Own{}, time.Hour)
 	for _, tc := range []struct {
+		name string
 		w    *Worker
 		kind int
 		want float64
-	}{{&empty, 3, 4}, {&busy, 3, 4}, {&full, 3, f.meanSlots}, {&next, 4, 2}} {
+	}{{"empty", &empty, 3, 4}, {"busy", &busy, 3, 4}, {"full", &full, 3, f.meanSlots}, {"other kind", &otherKind, 4, 2}} {
 		if got := f.size(tc.w, tc.kind); got != tc.want {
-			t.Errorf("it has %g slots, want %g", got, tc.want)
+			t.Errorf("%s worker: size %g, want %g", tc.name, got, tc.want)
 		}
 	}
 	f.RecordRun(&empty, 3, 0, 0, 1, 2, time.Hour)
-	var later Fleet
+	var restarted Fleet
 	var w Worker
 	w.Restore(empty.Learned(), 2*time.Hour)
-	if got := later.size(&w, 3); got != 4 {
-		t.Errorf("after a start it has %g slots, want 4", got)
+	if got := restarted.size(&w, 3); got != 4 {
+		t.Errorf("size %g after a restart, want 4", got)
 	}
-	if got := later.Pace(&w, 3, 2*time.Hour); got < 1.1 {
-		t.Errorf("after a start its pace is %g, want one above 1", got)
+	if got := restarted.Pace(&w, 3, 2*time.Hour); got < 1.1 {
+		t.Errorf("pace %g after a restart, want 1.1 at least", got)
 	}
-	for _, odd := range []Learned{
+	for _, invalid := range []Learned{
 		{Slots: math.NaN(), Pace: math.NaN(), Jobs: 1},
 		{Slots: -1, Pace: 9, Jobs: 1},
 		{Slots: math.Inf(1), Jobs: math.Inf(1)},
 	} {
 		var w Worker
-		w.Restore(odd, time.Hour)
-		if got := later.TimeToFinish(&w, 3, Own{}, &Job{Slots: 1, Work: 1}, time.Hour); !(got >= 0) || math.IsInf(got, 0) {
-			t.Errorf("%+v leads to %g s", odd, got)
+		w.Restore(invalid, time.Hour)
+		if got := restarted.TimeToFinish(&w, 3, Own{}, &Job{Slots: 1, Work: 1}, time.Hour); !(got >= 0) || math.IsInf(got, 0) {
+			t.Errorf("%+v leads to a forecast of %g s, want a finite time of at least 0", invalid, got)
 		}
 	}
 }
 
-// TestHints checks that hints worse than the class's mean are ignored, and that others are used, whatever
-// multiple of the work they are.
+// TestHints checks that hints that are worse estimates than the class's mean are ignored, and that hints proportional to
+// the work are used, whatever their ratio to it is.
 func TestHints(t *testing.T) {
 	var good, bad runEstimate
 	for i := range 64 {
@@ -110,27 +112,27 @@
 		bad.record(time.Duration(float64(1+(i*7)%13)*float64(time.Second)), took)
 	}
 	if got := good.work(3*time.Second, 9); math.Abs(got-1) > 0.05 {
-		t.Errorf("a hint of three times the work leads to %g s, want 1", got)
+		t.Errorf("a hint of 3 s, at three times the work, leads to %g s, want 1", got)
 	}
 	if got := bad.work(13*time.Second, 9); got != bad.meanRun {
-		t.Errorf("a hint that says nothing leads to %g s, want the mean of %g", got, bad.meanRun)
+		t.Errorf("a hint unrelated to the work leads to %g s, want the class's mean of %g", got, bad.meanRun)
 	}
 	if got := new(runEstimate).work(0, 9); got != 9 {
-		t.Errorf("without anything known a job takes %g s, want what is usual", got)
+		t.Errorf("a job without a hint or recorded runs takes %g s, want the usual 9", got)
 	}
 }
 
-// TestPace checks that an unknown worker has the pace of its kind, that a worker's own jobs outweigh its
-// kind, and that a slow time is forgotten.
+// TestPace checks that a worker without recorded jobs has the pace of its kind, that a worker's own jobs outweigh its
+// kind's, and that a slow pace decays.
 func TestPace(t *testing.T) {
 	var f Fleet
-	var w, like Worker
+	var w, sameKind Worker
 	now := time.Hour
 	for range 20 {
 		f.RecordRun(&w, 2, 0, 0, 1, 2, now)
 	}
-	if got := f.Pace(&like, 2, now); got < 1.8 || got > 2.1 {
-		t.Errorf("one of its kind has a pace of %g, want about 2", got)
+	if got := f.Pace(&sameKind, 2, now); got < 1.8 || got > 2.1 {
+		t.Errorf("a worker of the same kind has a pace of %g, want 1.8 to 2.1", got)
 	}
 	var slow Worker
 	for range 20 {
@@ -138,15 +140,15 @@
 		f.RecordRun(&w, 2, 0, 0, 1, 2, now)
 	}
 	if a, b := f.Pace(&slow, 2, now), f.Pace(&w, 2, now); a < 1.5*b {
-		t.Errorf("the slow one has a pace of %g, the other of %g", a, b)
+		t.Errorf("the slow worker has a pace of %g, the other of %g, want a ratio of 1.5 at least", a, b)
 	}
 	if got, earlier := f.Pace(&slow, 2, now+5*time.Minute), f.Pace(&slow, 2, now); got > 0.8*earlier {
-		t.Errorf("its pace is %g minutes later, %g before", got, earlier)
+		t.Errorf("the pace is %g after five minutes, %g before, want 0.8 of that at most", got, earlier)
 	}
 }
 
-// TestReportConfidence checks that reports of full workers are trusted less with each job that starts at
-// once, and fully again once jobs do wait.
+// TestReportConfidence checks that jobs are no longer rejected because of reported queues after many jobs started at once
+// in spite of them, and are rejected again after many jobs waited.
 func TestReportConfidence(t *testing.T) {
 	var f Fleet
 	var w Worker
@@ -165,29 +167,29 @@
 		return f.ShouldReject(&w, 0, Own{}, &Job{Slots: 1, Work: 1, Target: 3, TargetAt: now + 3*time.Second}, 4, now)
 	}
 	if !rejects() {
-		t.Fatal("a queue of 30 jobs of a second is no reason to refuse one that has three")
+		t.Fatal("a job with a target of 3 s is not rejected behind a queue of 30 jobs of 1 s")
 	}
 	for range 100 {
 		send(0)
 	}
 	if rejects() {
-		t.Errorf("after 100 jobs that started at once it is still refused, for a wait of %g s", f.wait(&w, 0, Own{}, 1, now))
+		t.Errorf("a job is still rejected, for a wait of %g s, after 100 jobs that started at once", f.wait(&w, 0, Own{}, 1, now))
 	}
 	for range 100 {
 		send(10 * time.Second)
 	}
 	if !rejects() {
-		t.Error("after 100 jobs that did wait it is not refused")
+		t.Error("a job is not rejected after 100 jobs that waited for 10 s")
 	}
 }
 
-// rounding is how far two forecasts may be apart that are equal but for the arithmetic.
+// rounding is the allowed rounding error between two equal forecasts.
 const rounding = 1e-9
 
-// TestForecastsAreFinite checks that any history leads to forecasts that are finite and not negative, no
-// sooner with another own job of the mean work at the worker, and to a WaitUntil between now and the target.
-// An own job lighter than the mean may replace one that is only assumed, and so lower the expected work: by
-// less than a job of the mean work counts.
+// TestForecastsAreFinite checks for random histories that forecasts are finite and not negative, that another own job of
+// the mean work at the worker does not make a forecast earlier, and that WaitUntil is between now and the target. An own
+// job with less than the mean work may replace an assumed job of another dispatcher and so lower the expected work, but by
+// less than the contribution of a job of the mean work.
 func TestForecastsAreFinite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var f Fleet
@@ -215,31 +217,31 @@
 			j.Target, j.TargetAt = 2, now+2*time.Second
 			needs := f.TimeToFinish(w, kind, own, &j, now)
 			if !(needs >= 0) || math.IsInf(needs, 0) {
-				t.Fatalf("needs %g s", needs)
+				t.Fatalf("the job needs %g s, want a finite time of at least 0", needs)
 			}
-			mean, light := own, own // with another job of ours: a usual one, or one of a second
+			mean, light := own, own // own load with another job: of the mean work, or of one second
 			mean.InUse, mean.Work = own.InUse+1, own.Work+f.meanWork
 			light.InUse, light.Work = own.InUse+1, own.Work+1
 			if more := f.TimeToFinish(w, kind, mean, &j, now); more < needs-rounding {
-				t.Fatalf("needs %g s, and %g behind one more job of the mean work", needs, more)
+				t.Fatalf("the job needs %g s, and %g behind another own job of the mean work, want no less", needs, more)
 			}
-			usual := waitFactor * f.meanWork / f.size(w, kind) * f.Pace(w, kind, now)
-			if more := f.TimeToFinish(w, kind, light, &j, now); more < needs-usual-rounding {
-				t.Fatalf("needs %g s, and %g behind one more job of a second: a job of the mean work is worth %g", needs, more, usual)
+			meanJobWait := waitFactor * f.meanWork / f.size(w, kind) * f.Pace(w, kind, now)
+			if more := f.TimeToFinish(w, kind, light, &j, now); more < needs-meanJobWait-rounding {
+				t.Fatalf("the job needs %g s, and %g behind another own job of 1 s, want at most %g less", needs, more, meanJobWait)
 			}
 			if waitUntil := f.WaitUntil(w, kind, &j, now); waitUntil < now || waitUntil > j.TargetAt {
-				t.Fatalf("wait until %v, it is %v and the target at %v", waitUntil, now, j.TargetAt)
+				t.Fatalf("WaitUntil returned %v, want a time from now, %v, to the target, %v", waitUntil, now, j.TargetAt)
 			}
 			f.ShouldReject(w, kind, own, &j, 4, now)
 		}
 	})
 }
 
-// TestQueueFromInFlight checks that a queue is derived from the jobs in flight where no column reports it,
-// and that they are ignored where one does.
+// TestQueueFromInFlight checks that the queue is derived from the jobs in flight if the report has no queue length, and
+// that the jobs in flight are ignored if it has one.
 func TestQueueFromInFlight(t *testing.T) {
 	now := time.Hour
-	waits := func(r Report) float64 {
+	timeAfter := func(r Report) float64 {
 		var f Fleet
 		var w Worker
 		f.NewJob(0, 1, time.Second, 1)
@@ -250,18 +252,18 @@
 	full := Report{Free: 0, Queued: math.NaN(), InFlight: 4}
 	queue := full
 	queue.InFlight = 12
-	if a, b := waits(full), waits(queue); b < a+1.5 {
-		t.Errorf("a job needs %.2f s behind 4 jobs in 4 slots and %.2f s behind 12, want 2 s more", a, b)
+	if a, b := timeAfter(full), timeAfter(queue); b < a+1.5 {
+		t.Errorf("a job needs %.2f s behind 4 jobs in 4 slots and %.2f s behind 12, want at least 1.5 s more", a, b)
 	}
 	reported := queue
 	reported.Queued = 0
-	if a, b := waits(full), waits(reported); math.Abs(a-b) > 1e-9 {
-		t.Errorf("a job needs %.2f s where no queue is reported, want %.2f", b, a)
+	if a, b := timeAfter(full), timeAfter(reported); math.Abs(a-b) > 1e-9 {
+		t.Errorf("a job needs %.2f s where an empty queue is reported, want %.2f", b, a)
 	}
 }
 
-// TestQueueFromInFlightDecays checks that a queue derived from jobs in flight ends once it has run, however
-// seldom reports come, and that jobs in flight show the size of a worker where none waits.
+// TestQueueFromInFlightDecays checks that a queue derived from jobs in flight is assumed to shrink as its jobs run, even
+// without new reports, and that the size of a worker without waiting jobs includes its jobs in flight.
 func TestQueueFromInFlightDecays(t *testing.T) {
 	now := time.Hour
 	var f Fleet
@@ -269,17 +271,17 @@
 	f.NewJob(0, 1, time.Second, 1)
 	f.RecordReport(&w, 0, Report{Free: 1, Queued: math.NaN(), InFlight: 3}, Own{}, now)
 	if size := f.size(&w, 0); size != 4 {
-		t.Errorf("one free slot beside 3 jobs: taken for %g slots, want 4", size)
+		t.Errorf("size %g with one free slot and 3 jobs in flight, want 4", size)
 	}
 	f.RecordReport(&w, 0, Report{Free: 0, Queued: math.NaN(), InFlight: 8}, Own{}, now)
 	at, later := f.Others(&w, 0, now), f.Others(&w, 0, now+2*time.Second)
 	if at != 8 || later > 5 {
-		t.Errorf("others use %g slots and 2 s later %g, want 8 and hardly more than the 4 that there are", at, later)
+		t.Errorf("others use %g slots and 2 s later %g, want 8 and then 5 at most, as the worker has 4", at, later)
 	}
 }
 
-// TestRecordNoStart checks that a job canceled before its start shows the queue that it met: the next one
-// would wait at least as long, and this decays like a report.
+// TestRecordNoStart checks that a job canceled before its start reveals the queue before it: the next job is expected to
+// wait about as long, and this expectation decays like a report.
 func TestRecordNoStart(t *testing.T) {
 	now := time.Hour
 	var f Fleet
@@ -292,9 +294,9 @@
 	now += 2 * time.Second
 	f.RecordNoStart(&w, 0, &j, Own{InUse: 1}, now)
 	if after := f.TimeToFinish(&w, 0, Own{}, &next, now); after < before+1 {
-		t.Errorf("a job needs %.2f s after one has waited for 2 s in vain, %.2f s before", after, before)
+		t.Errorf("a job needs %.2f s after another was canceled after a wait of 2 s, %.2f s before, want at least 1 s more", after, before)
 	}
 	if later := f.TimeToFinish(&w, 0, Own{}, &next, now+10*decayTime); later > before+0.1 {
-		t.Errorf("long after it needs %.2f s, want %.2f", later, before)
+		t.Errorf("long after the cancellation a job needs %.2f s, want %.2f", later, before)
 	}
 }
--- a/decision/forecast/pace.go
+++ b/decision/forecast/pace.go
@@ -6,32 +6,33 @@
 )
 
 const (
-	// maxKinds bounds the kinds of workers that are told apart; kinds that are equal modulo it count as one.
+	// maxKinds bounds the number of distinct kinds of workers; kinds that are equal modulo maxKinds share their state.
 	maxKinds = 64
-	// maxClasses bounds the classes that are told apart; those beyond it count as the last one.
+	// maxClasses bounds the number of distinct classes; classes with higher numbers share the state of the last one.
 	maxClasses = 1 << 10
-	// paceMemory is the time constant with which a pace is forgotten.
+	// paceMemory is the time constant of the decay of a pace's weight.
 	paceMemory = 20 * time.Second
-	// maxPaceJobs bounds how many jobs a pace rests on, as the load of a machine by others changes.
+	// maxPaceJobs bounds the weight of a pace, in jobs, so that the pace follows changes of other load on the machine.
 	maxPaceJobs = 8
-	// kindWeight is how many jobs of a worker the pace of its kind counts for.
+	// kindWeight is the weight of the kind's pace, in jobs of the worker itself.
 	kindWeight = 3
-	// maxPaceDeviation bounds the logarithm of the pace of one job.
+	// maxPaceDeviation bounds the absolute value of the logarithm of a single job's pace.
 	maxPaceDeviation = 1.6
-	// minHintJobs is how many jobs with hints it takes before hints may be found worse than the class's mean.
+	// minHintJobs is the number of jobs with hints that must be recorded before hints may be ignored as worse than the
+	// class's mean.
 	minHintJobs = 8
 	// minWork is the least work in seconds, so that logarithms and quotients stay finite.
 	minWork = 1e-4
 )
 
-// pace is how long jobs take relative to the estimates, as a mean of logarithms that is forgotten with time.
+// pace is the ratio of jobs' run times to their estimates, as a mean of logarithms whose weight decays with time.
 type pace struct {
 	logarithm float64       // natural logarithm of the pace
-	jobs      float64       // how many jobs it rests on
+	jobs      float64       // weight at the time at, in jobs
 	at        time.Duration // when the last of them ended
 }
 
-// weight returns how many jobs the pace still counts for.
+// weight returns the weight of the pace, in jobs, after its decay since the last job.
 func (p *pace) weight(now time.Duration) float64 {
 	return p.jobs * math.Exp(-float64(now-p.at)/float64(paceMemory))
 }
@@ -53,8 +54,8 @@
 	return math.Exp((own*w.pace.logarithm + kindWeight*ofKind) / (own + kindWeight))
 }
 
-// RecordRun records that a job of a class took the given seconds at a worker, with its hint, 0 for none, and the work in
-// seconds that it was estimated at.
+// RecordRun records that a job of a class took the given seconds at a worker. hint is its hint, 0 for none, and work its
+// estimated work in seconds.
 func (f *Fleet) RecordRun(w *Worker, kind, class int, hint time.Duration, work, took float64, now time.Duration) {
 	took, work = max(took, minWork), max(work, minWork)
 	f.estimate(class).record(hint, took/f.Pace(w, kind, now))
@@ -73,16 +74,17 @@
 }
 
 // runEstimate estimates how long jobs of a class take at a worker of mean pace: by their hints, unless the class's mean
-// has turned out to be the better estimate.
+// has been the better estimate so far.
 type runEstimate struct {
 	meanRun    float64 // seconds
 	hintRatio  float64 // mean logarithm of the ratio of run time to hint
-	hintJobs   float64 // how many jobs hintRatio rests on
-	hintError  float64 // mean square of the logarithm by which the hint, times the ratio, was wrong
-	classError float64 // mean square of the logarithm by which the class's mean was wrong
+	hintJobs   float64 // number of jobs in hintRatio, bounded
+	hintError  float64 // mean squared logarithmic error of estimates by hint and hintRatio
+	classError float64 // mean squared logarithmic error of estimates by meanRun
 }
 
-// work returns the estimate of a job in seconds, by its hint, 0 for none; usual where nothing is known.
+// work returns the estimated seconds of a job with the given hint, 0 for none. It returns usual if there is neither a hint
+// nor a recorded job.
 func (e *runEstimate) work(hint time.Duration, usual float64) float64 {
 	switch {
 	case hint > 0 && (e.hintJobs < minHintJobs || e.hintError <= e.classError):
--- a/decision/forecast/report.go
+++ b/decision/forecast/report.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// Report is a load report. NaN is unknown.
+// Report is a worker's load report. NaN stands for unknown.
 type Report struct {
-	Free     float64 // slots that no job uses
-	Queued   float64 // jobs that wait
-	InFlight float64 // jobs that run or wait
+	Free     float64 // free slots
+	Queued   float64 // waiting jobs
+	InFlight float64 // running and waiting jobs
 }
 
-// size is about the most slots that reports have said to be free.
+// size estimates the number of slots of a worker as about the most free slots that were reported. It follows the high
+// reports slowly, as reports are noisy.
 type size float64
 
-// observe updates the size by a report of free slots.
-
+// observe updates the size from a report of free slots.
 func (s *size) observe(free float64) {
 	if old := float64(*s); free > old+1 || old < 0.5 && free > old {
 		*s = size(free)
@@ -25,15 +25,15 @@
 	}
 }
 
-// RecordReport records a load report of a worker of a kind at which the dispatcher has own attempts. A report without
-// valid free slots is ignored.
+// RecordReport records a load report of a worker of a kind; own is the load of the dispatcher's own attempts there. A
+// report without a valid number of free slots is ignored.
 func (f *Fleet) RecordReport(w *Worker, kind int, r Report, own Own, now time.Duration) {
 	if !(r.Free >= 0 && r.Free <= maxSlots) {
-		return // a full worker could not be told from an empty one
+		return // the worker could be full or empty
 	}
 	free, queued := r.Free, 0.0
-	empty := free                                         // the least size of the worker by this report
-	if free >= 1 && r.InFlight >= 0 && !(r.Queued >= 0) { // nothing waits, so the jobs in flight use the other slots
+	empty := free                                         // least size of the worker by this report
+	if free >= 1 && r.InFlight >= 0 && !(r.Queued >= 0) { // no job waits, so each job in flight uses at least one of the other slots
 		empty += min(r.InFlight, maxSlots)
 	}
 	w.reportedSize.observe(empty)
@@ -45,7 +45,7 @@
 	case r.InFlight >= 0 && free < 1: // running jobs use the slots that are not free
 		queued = max(min(r.InFlight, maxSlots)-(slots-free)/max(f.meanJobSlots, 1), 0)
 	}
-	if queued > 0 { // no job waits beside enough free slots
+	if queued > 0 { // no job would wait if there were enough free slots for it
 		free = min(free, max(f.meanJobSlots, 1))
 	}
 	w.others, w.updatedAt, w.known = max(slots-free+queued*max(f.meanJobSlots, 1)-own.InUse, 0), now, true
@@ -61,9 +61,10 @@
 	f.othersFill += (w.others/slots - f.othersFill) * meanGain
 }
 
-// size returns how many slots a worker has; the fleet's mean while less than one has been seen. A worker that was never
-// seen empty is assumed to have as many as others of its kind, up to twice what was seen. Otherwise jobs of many slots
-// would be rejected, after a start of the dispatcher above all, because all workers are busy and so look small.
+// size returns the estimated number of slots of a worker, or the fleet's mean while less than one slot has been observed.
+// A worker that was never observed empty is assumed to have as many slots as others of its kind, up to twice the observed
+// number. Otherwise jobs of many slots would be rejected, especially after a start of the dispatcher, because all workers
+// are busy and so look small.
 func (f *Fleet) size(w *Worker, kind int) float64 {
 	own := max(float64(w.reportedSize), w.maxUsed)
 	if own < 0.5 {
@@ -72,9 +73,9 @@
 	return max(math.Round(max(own, min(float64(f.kindSizes[uint(kind)%maxKinds]), 2*own))), 1)
 }
 
-// Others returns the slots that other dispatchers' jobs are likely to use at a worker. What was reported decays to the
-// fleet's mean, and the mean itself to 0, so that a dispatcher that rejects everything, and so gets no reports, does not
-// do so for good.
+// Others returns the expected number of slots that other dispatchers' jobs use at a worker. The reported number decays to
+// the fleet's mean, and the mean itself to 0. Otherwise a dispatcher that rejects every request, and so gets no reports,
+// would never stop rejecting.
 func (f *Fleet) Others(w *Worker, kind int, now time.Duration) float64 {
 	usual := f.othersFill * f.size(w, kind) * decay(now-f.updatedAt)
 	if !w.known {
@@ -84,5 +85,5 @@
 	return usual + max(w.others-done-usual, min(w.others-usual, 0))*decay(now-w.updatedAt)
 }
 
-// decay returns the fraction that is left, after an age, of what is forgotten with decayTime.
+// decay returns the fraction of a value that is left after an age, with the time constant decayTime.
 func decay(age time.Duration) float64 { return math.Exp(-float64(age) / float64(decayTime)) }
