--- a/decision/forecast/report.go
+++ b/decision/forecast/report.go
@@ -33,7 +33,7 @@
 	}
 	free, queued := r.Free, 0.0
 	empty := free                                         // least size of the worker by this report
-	if free >= 1 && r.InFlight >= 0 && !(r.Queued >= 0) { // no job waits, so each job in flight uses at least one of the other slots
+	if free >= 1 && r.InFlight >= 0 && !(r.Queued >= 0) { // no job waits, so jobs in flight use the other slots
 		empty += min(r.InFlight, maxSlots)
 	}
 	w.reportedSize.observe(empty)
--- a/decision/warmupbudget/flow_test.go
+++ b/decision/warmupbudget/flow_test.go
@@ -11,7 +11,8 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// sampleTraffic returns a Traffic that has recorded requests of the given works at a rate for a while.
+// sampleTraffic returns a Traffic with 400 recorded requests at the given mean rate, their work chosen at random from
+// works, and the time after the last one.
 func sampleTraffic(rng *rand.Rand, rate float64, works ...float64) (Traffic, time.Duration) {
 	var traffic Traffic
 	now := time.Hour
@@ -22,8 +23,8 @@
 	return traffic, now
 }
 
-// TestFlow checks that the flow to a warming worker keeps the mean of a window and its safety deviations
-// within the limit, and is no more than keeps the worker busy.
+// TestFlow checks that the flow to a warming worker keeps the mean work of a window plus the safety deviations within the
+// limit, is at most busyFactor times the served rate, and does not fall as the worker warms up.
 func TestFlow(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		worker := WarmingWorker{Rate: rapid.Float64Range(0.01, 1e4).Draw(t, "rate"), StartedAt: time.Hour}
@@ -34,21 +35,22 @@
 		limit := WindowBound(rules.OverloadMultiple * worker.Rate * rules.Capacity(worker.StartedAt, now))
 		mean, meanSquare := traffic.passedWork/traffic.passFraction, traffic.passedWorkSquared/traffic.passFraction
 		if worst := mean*n + safetyDeviations*math.Sqrt(meanSquare*n); !(worst <= limit*1.000001) {
-			t.Fatalf("%.2f requests in a window: %.2f of work, the limit is %.2f", n, worst, limit)
+			t.Fatalf("%.2f requests in a window: %.2f of work with the safety deviations, want %.2f at most", n, worst, limit)
 		}
-		served, all := rules.minServedRate(worker, now), rules.Flow(&traffic, worker, now)
-		if all < 0 || all*traffic.passedWork/traffic.passFraction > busyFactor*served*1.000001 {
-			t.Fatalf("%.2f requests a second for a worker that serves %.2f", all, served)
+		served, flow := rules.minServedRate(worker, now), rules.Flow(&traffic, worker, now)
+		if flow < 0 || flow*traffic.passedWork/traffic.passFraction > busyFactor*served*1.000001 {
+			t.Fatalf("flow of %.2f requests a second to a worker that serves %.2f, want at least 0 and at most %g times its rate", flow, served, busyFactor)
 		}
 		if later := rules.Flow(&traffic, worker, now+time.Second); later < n*0.999999/rules.OverloadWindow.Seconds() {
-			t.Fatalf("the flow falls with age: %.3f, %.3f", n, later)
+			t.Fatalf("flow of %.3f requests a second, %.3f a second later, want no decrease", n/rules.OverloadWindow.Seconds(), later)
 		}
 	})
 }
 
-// TestMaySendKeepsToFlow checks the sum of what many dispatchers send, each by its own rate alone: some have
-// twenty times as many requests as others, and together they come to the flow, but for long requests and for
-// dispatchers that seldom get a request.
+// TestMaySendKeepsToFlow checks that the requests sent by many dispatchers, each of which knows only its own rate, add up
+// to about the flow although some dispatchers have twenty times as many requests as others, and that very long requests are
+// never sent. The sum may be lower than the flow, as fewer long requests are sent and dispatchers with few requests
+// underuse their share.
 func TestMaySendKeepsToFlow(t *testing.T) {
 	const dispatchers, over = 300, 200 * time.Second
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -64,35 +66,35 @@
 		worker.StartedAt = from - 9*time.Second
 		expected += rules.Flow(&traffic, worker, from) * over.Seconds() / dispatchers
 		for now := from; now < from+over; now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
-			worker.StartedAt = now - 9*time.Second // as old all the time
+			worker.StartedAt = now - 9*time.Second // at a constant age
 			id++
 			work := []float64{0.2, 0.4, 3}[rng.IntN(3)]
 			traffic.RecordArrival(work, now)
 			peer := Peer{i, dispatchers}
-			sends := rules.MaySend(&traffic, peer, worker, 7, id, work, now)
-			if sends != rules.MaySend(&traffic, peer, worker, 7, id, work, now) {
-				t.Fatal("the same request may go and may not")
+			maySend := rules.MaySend(&traffic, peer, worker, 7, id, work, now)
+			if maySend != rules.MaySend(&traffic, peer, worker, 7, id, work, now) {
+				t.Fatal("MaySend returned different results for the same arguments")
 			}
-			if sends {
+			if maySend {
 				sent++
 			}
 			longSent = longSent || rules.MaySend(&traffic, peer, worker, 7, id, 30, now)
 		}
 	}
 	if got := float64(sent); got > expected || got < 0.65*expected || longSent {
-		t.Errorf("%d requests were sent, want %.0f; long ones %t", sent, expected, longSent)
+		t.Errorf("%d requests were sent, want %.0f to %.0f; long requests were sent: %t, want false", sent, 0.65*expected, expected, longSent)
 	}
 }
 
-// TestNewDispatcherSendsNothing checks that a dispatcher that does not know its request rate yet sends
-// nothing to a warming worker, as a fleet of dispatchers may have just started.
+// TestNewDispatcherSendsNothing checks that a dispatcher that does not know its request rate yet sends nothing to a warming
+// worker, as all dispatchers may have just started.
 func TestNewDispatcherSendsNothing(t *testing.T) {
 	worker := WarmingWorker{Rate: 1e6, StartedAt: time.Hour}
 	var traffic Traffic
 	if rules.MaySend(&traffic, Peer{0, 300}, worker, 7, 1, 0.1, time.Hour) {
-		t.Error("one that has met nothing sends")
+		t.Error("a request may be sent without any recorded arrival")
 	}
 	if traffic.RecordArrival(0.1, time.Hour); rules.MaySend(&traffic, Peer{0, 300}, worker, 7, 1, 0.1, time.Hour) {
-		t.Error("the first request may go")
+		t.Error("the first request may be sent")
 	}
 }
