--- a/internal/bucket/bucket.go
+++ b/internal/bucket/bucket.go
@@ -1,20 +1,20 @@
-// Package bucket keeps the order of free tokens by which both programs choose where work goes.
+// Package bucket keeps the order of free tokens by which the dispatcher and the scheduler choose where to place work.
 //
-// Owners (the dispatcher's workers, the scheduler's runners) have accounts of tokens, in proportion to the work that
-// they take at a time. Work acquires tokens of an owner and releases them when it ends. Free tokens lie in one ring in
-// the order in which they became free; whoever places work compares owners by their oldest free tokens, so that equal
+// Owners (the dispatcher's workers, the scheduler's runners) have accounts of tokens, in proportion to the work that they
+// can take at a time. Work acquires tokens of an owner and releases them when it ends. Free tokens are kept in one ring in
+// the order in which they became free. To place work, callers compare owners by their oldest free tokens, so that equal
 // owners take turns without a random choice. The package only keeps that order: package decision and package
-// control/placement decide which owners come into question.
+// control/placement decide which owners are eligible.
 //
 // Invariants after each call:
 //
 //   - Free is the number of an account's tokens in the ring.
-//   - Positions rise along the ring, so that two places in it are compared without walking it.
+//   - Positions rise along the ring, so that two elements can be compared without traversing the ring.
 //   - After Acquire, Release and SetLimit either Free + InUse is Limit, or more than Limit are in use and Free is 0. A
-//     caller that puts and removes tokens itself, as package decision does, keeps InUse and Limit itself.
+//     caller that calls Put, Insert and Remove itself, as package decision does, maintains InUse and Limit itself.
 //
-// Tokens that became free together are one element of the ring, so that an operation costs by the number of such
-// elements, not by the number of tokens. Nothing here is safe for concurrent use.
+// Tokens that became free together are one element of the ring, so that the cost of an operation depends on the number of
+// such elements, not on the number of tokens. The types are not safe for concurrent use.
 package bucket
 
 import "cmp"
@@ -24,24 +24,24 @@
 	Owner       Owner
 	count       int
 	prev, next  *Token[Owner] // in the ring
-	nextOfOwner *Token[Owner] // the element that became free next, in the order of the account
-	position    float64       // rises along the ring; only to be compared
+	nextOfOwner *Token[Owner] // next newer element of the same account
+	position    float64       // rises along the ring; only its order is meaningful
 }
 
-// Account is the tokens of an owner. The zero value is an owner without tokens. Free is changed by Bucket only.
+// Account holds the tokens of an owner. The zero value has no tokens. Only Bucket changes Free.
 type Account[Owner any] struct {
 	oldest, newest *Token[Owner]
 	Free           int // tokens in the ring
 	InUse          int // tokens that work has acquired
-	Limit          int // how many tokens the owner has
+	Limit          int // total number of tokens of the owner
 }
 
-// OldestPosition returns the position of the oldest free token in the ring. It is only to be compared with that of
-// other accounts, and only where there are free tokens.
+// OldestPosition returns the position of the account's oldest free token in the ring, for comparison with that of other
+// accounts. The account must have a free token.
 func (a *Account[Owner]) OldestPosition() float64 { return a.oldest.position }
 
-// Nth returns the element of the ring with the free token of a number, counted from 0 for the oldest, and nil where
-// there are not so many.
+// Nth returns the element of the ring that contains the account's free token of the given number, counted from 0 for the
+// oldest, or nil if the account has fewer free tokens.
 func (a *Account[Owner]) Nth(number int) *Token[Owner] {
 	for t := a.oldest; t != nil; t = t.nextOfOwner {
 		if number < t.count {
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// Compare orders tokens by their places in the ring; nil stands for its end.
+// Compare orders elements by their positions in the ring; nil stands for the end of the ring.
 func (t *Token[Owner]) Compare(other *Token[Owner]) int {
 	switch {
 	case t == other:
@@ -68,7 +68,7 @@
 
 // Bucket is the ring of the free tokens of all owners. New returns one; the zero value is not usable.
 type Bucket[Owner any] struct {
-	sentinel *Token[Owner] // its next is the head of the ring, its prev the end
+	sentinel *Token[Owner] // its next is the first element of the ring, its prev the last
 }
 
 // New returns an empty bucket.
@@ -81,13 +81,13 @@
 // Empty reports whether no owner has a free token.
 func (b *Bucket[Owner]) Empty() bool { return b.sentinel.next == b.sentinel }
 
-// Put adds free tokens of an owner at the end of the ring. It does nothing where count is not positive.
+// Put adds free tokens of an owner at the end of the ring. It does nothing if count is not positive.
 func (b *Bucket[Owner]) Put(a *Account[Owner], owner Owner, count int) {
 	b.Insert(a, owner, count, nil)
 }
 
-// Insert adds free tokens of an owner to the ring in front of next, or at its end where next is nil. They count as the
-// owner's newest. It does nothing where count is not positive.
+// Insert adds free tokens of an owner to the ring before next, or at the end of the ring if next is nil. They become the
+// owner's newest tokens. It does nothing if count is not positive.
 func (b *Bucket[Owner]) Insert(a *Account[Owner], owner Owner, count int, next *Token[Owner]) {
 	if count <= 0 {
 		return
@@ -107,8 +107,8 @@
 	a.Free += count
 }
 
-// assignPosition gives a new token a position between those of its neighbors. Once there is no number between these it
-// gives all tokens new positions.
+// assignPosition gives a new element a position between those of its neighbors. If there is no floating-point number
+// between them, it renumbers all elements.
 func (b *Bucket[Owner]) assignPosition(t *Token[Owner]) {
 	switch first, last := t.prev == b.sentinel, t.next == b.sentinel; {
 	case first && last:
@@ -125,7 +125,7 @@
 	}
 }
 
-// reassignPositions numbers the tokens from the head of the ring on.
+// reassignPositions numbers all elements in the order of the ring.
 func (b *Bucket[Owner]) reassignPositions() {
 	n := 0.0
 	for t := b.sentinel.next; t != b.sentinel; t = t.next {
@@ -134,8 +134,7 @@
 	}
 }
 
-// Remove removes tokens of an owner from the ring, those first that have been free longest, and fewer than count where
-// it has no more.
+// Remove removes the oldest free tokens of an owner from the ring: count tokens, or all if there are fewer.
 func (b *Bucket[Owner]) Remove(a *Account[Owner], count int) {
 	for count > 0 && a.oldest != nil {
 		t := a.oldest
@@ -154,20 +153,21 @@
 	}
 }
 
-// Acquire takes free tokens of an owner for work. Where it has fewer, more than its limit are in use afterwards.
+// Acquire marks tokens of an owner as in use and removes as many free tokens from the ring. If the owner has fewer than
+// count free tokens, more tokens than its limit are in use afterwards.
 func (b *Bucket[Owner]) Acquire(a *Account[Owner], count int) {
 	b.Remove(a, count)
 	a.InUse += count
 }
 
-// Release takes tokens back from work. They go to the end of the ring, but those beyond the limit are dropped.
+// Release returns tokens that were in use to the end of the ring. Tokens beyond the limit are dropped.
 func (b *Bucket[Owner]) Release(a *Account[Owner], owner Owner, count int) {
 	a.InUse -= count
 	b.Put(a, owner, a.Limit-a.Free-a.InUse)
 }
 
-// SetLimit changes how many tokens an owner has. New ones are added at the end of the ring; free ones beyond the limit
-// are dropped, those first that have been free longest.
+// SetLimit changes the total number of tokens of an owner. New tokens are added at the end of the ring; free tokens beyond
+// the limit are dropped, the oldest first.
 func (b *Bucket[Owner]) SetLimit(a *Account[Owner], owner Owner, limit int) {
 	a.Limit = limit
 	b.Remove(a, min(a.Free, a.Free+a.InUse-limit))
--- a/internal/bucket/bucket_test.go
+++ b/internal/bucket/bucket_test.go
@@ -13,7 +13,7 @@
 	account Account[*owner]
 }
 
-// referenceBucket is the reference for a bucket: a list of single tokens.
+// referenceBucket is a simple reference implementation of Bucket: a list of single tokens.
 type referenceBucket struct{ ring []*owner }
 
 func (ref *referenceBucket) put(o *owner, count int) {
@@ -22,15 +22,15 @@
 	}
 }
 
-func (ref *referenceBucket) take(o *owner, count int) {
+func (ref *referenceBucket) remove(o *owner, count int) {
 	for range count {
-		at := slices.Index(ref.ring, o)
-		ref.ring = slices.Delete(ref.ring, at, at+1)
+		oldest := slices.Index(ref.ring, o)
+		ref.ring = slices.Delete(ref.ring, oldest, oldest+1)
 	}
 }
 
-// TestMatchesSingleTokenReference compares a bucket with the reference over random calls: the numbers of free tokens agree,
-// and so does the order of the owners' oldest free tokens.
+// TestMatchesSingleTokenReference checks over random calls that a bucket and the reference have the same numbers of free
+// tokens and the same order of the owners' oldest free tokens.
 func TestMatchesSingleTokenReference(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -50,7 +50,7 @@
 				if a.Free > previousFree {
 					ref.put(o, a.Free-previousFree)
 				} else {
-					ref.take(o, previousFree-a.Free)
+					ref.remove(o, previousFree-a.Free)
 				}
 				require.True(t, a.Free+a.InUse <= max(limit, a.InUse), "free tokens beyond the limit")
 			case 1:
@@ -59,7 +59,7 @@
 				}
 				n := 1 + rng.IntN(a.Free)
 				b.Acquire(a, n)
-				ref.take(o, n)
+				ref.remove(o, n)
 			case 2:
 				if a.InUse == 0 {
 					continue
@@ -68,14 +68,14 @@
 				previousFree := a.Free
 				b.Release(a, o, n)
 				ref.put(o, a.Free-previousFree)
-				require.LessOrEqual(t, a.Free+a.InUse, max(a.Limit, a.InUse))
+				require.LessOrEqual(t, a.Free+a.InUse, max(a.Limit, a.InUse), "free tokens beyond the limit after Release")
 			}
 			requireSameOrder(t, owners, ref)
 		}
 	}
 }
 
-// requireSameOrder compares the free tokens of owners with the reference.
+// requireSameOrder requires the numbers of free tokens and the order of the owners' oldest ones to match the reference.
 func requireSameOrder(t *testing.T, owners []*owner, ref *referenceBucket) {
 	t.Helper()
 	var order []*owner
