--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -8,14 +8,15 @@
 )
 
 const (
-	// proposerBits is how many of the low bits of a proposal number are the proposer's number. It is part of the protocol.
+	// proposerBits is the number of low bits of a proposal number that hold the proposer's number. It is part of the
+	// protocol.
 	proposerBits = 16
-	// maxLagEntries is how many entries a member's state may lack of the head's to count as close to it. A chain member has
-	// to fetch what it lacks before the head can serve.
+	// maxLagEntries is the largest number of entries by which a member's state may lag behind the head's and still count as
+	// close to it. A chain member has to fetch the missing entries before the head can serve.
 	maxLagEntries = 1024
 )
 
-// NextProposalNumber returns the lowest number of a proposer that is above another proposal number.
+// NextProposalNumber returns the lowest proposal number of a proposer that is greater than the given proposal number.
 func NextProposalNumber(above uint64, proposer uint32) uint64 {
 	return (above>>proposerBits+1)<<proposerBits | uint64(proposer)
 }
@@ -23,14 +24,14 @@
 // Majority returns the smallest number of voters that is a majority of n.
 func Majority(n int) int { return n/2 + 1 }
 
-// ChainLength returns how many members keep every write: enough for the writes to survive the loss of the disks of as many
-// machines as there may be faults, while all other machines lose power, and enough that every majority of the voters
-// contains one of them.
+// ChainLength returns the number of members that store every write. It is large enough for the writes to survive the loss
+// of the disks of as many machines as the given faults while all other machines lose power, and for every majority of the
+// voters to contain a chain member.
 func ChainLength(voters, faults int) int {
 	return min(voters, max(faults+1, voters-Majority(voters)+1))
 }
 
-// Find returns the member with an identity, nil where there is none.
+// Find returns the member with the given identity, or nil if there is none.
 func Find(members []*protocol.Member, id uint64) *protocol.Member {
 	for _, m := range members {
 		if m.GetId() == id {
@@ -40,7 +41,7 @@
 	return nil
 }
 
-// Electorate returns the voters of a view and those before a change that still count, each once.
+// Electorate returns the voters of a view and the previous voters that still count, without duplicates.
 func Electorate(v *protocol.View) []*protocol.Member {
 	out := slices.Clone(v.GetVoters())
 	for _, m := range v.GetPrevious() {
@@ -51,13 +52,13 @@
 	return out
 }
 
-// Quorum reports whether the members for which has is true are a majority of a view's voters, and of those before a change
-// where there are any.
+// Quorum reports whether the members for which has is true are a majority of a view's voters and, if there are any, of its
+// previous voters.
 func Quorum(v *protocol.View, has func(id uint64) bool) bool {
 	return hasMajority(v.GetVoters(), has) && (len(v.GetPrevious()) == 0 || hasMajority(v.GetPrevious(), has))
 }
 
-// hasMajority reports whether a majority of voters has what is asked for.
+// hasMajority reports whether has is true for a majority of the voters.
 func hasMajority(voters []*protocol.Member, has func(id uint64) bool) bool {
 	count := 0
 	for _, m := range voters {
@@ -68,8 +69,8 @@
 	return count >= Majority(len(voters))
 }
 
-// Valid reports whether a view is well formed, as an agreed one always is: it has an epoch and a chain, its voters have
-// distinct identities and an address, and its chain consists of distinct voters. Messages with other views are dropped.
+// Valid reports whether a view is well formed, as every agreed view is: it has an epoch and a chain, its voters have
+// distinct identities and an address, and its chain consists of distinct voters. Messages with invalid views are dropped.
 func Valid(v *protocol.View) bool {
 	if v.GetEpoch() == 0 || len(v.GetChain()) == 0 {
 		return false
@@ -87,7 +88,7 @@
 	return true
 }
 
-// Head returns the identity of the chain's head, 0 where there is no chain.
+// Head returns the identity of the chain's head, or 0 if there is no chain.
 func Head(v *protocol.View) uint64 {
 	if len(v.GetChain()) == 0 {
 		return 0
@@ -95,7 +96,7 @@
 	return v.GetChain()[0]
 }
 
-// Tail returns the identity of the chain's tail, 0 where there is no chain.
+// Tail returns the identity of the chain's tail, or 0 if there is no chain.
 func Tail(v *protocol.View) uint64 {
 	if len(v.GetChain()) == 0 {
 		return 0
@@ -103,30 +104,30 @@
 	return v.GetChain()[len(v.GetChain())-1]
 }
 
-// ChainPosition returns a member's position in the chain, from 0 at the head, and -1 outside the chain.
+// ChainPosition returns a member's position in the chain, counted from 0 at the head, or -1 if it is not in the chain.
 func ChainPosition(v *protocol.View, id uint64) int { return slices.Index(v.GetChain(), id) }
 
-// MemberState is what a voter reports of its state with its promise.
+// MemberState is the state that a voter reports with its promise.
 type MemberState struct {
 	Member         uint64 // identity
-	InstalledEpoch uint64 // newest epoch whose state is on its disk
-	Index          uint64 // last entry it holds
-	DiskBad        bool   // slow, stalled or failed
+	InstalledEpoch uint64 // newest epoch whose state is on the voter's disk
+	Index          uint64 // index of the voter's last entry
+	DiskBad        bool   // the disk is slow, stalled or failed
 	Zone           string
 }
 
-// Change is a change of the voters; the zero value changes nothing.
+// Change is a change of the voters. The zero value is empty.
 type Change struct {
 	Add    []*protocol.Member // Next assigns their numbers
 	Remove []uint64           // identities
 }
 
-// Empty reports whether the change changes nothing.
+// Empty reports whether c neither adds nor removes voters.
 func (c Change) Empty() bool { return len(c.Add) == 0 && len(c.Remove) == 0 }
 
-// Next returns the view that follows base under a proposal number, given the states of the members that have promised, and
-// false where too few of them could keep the state. The preferred head becomes the head where its state is as new as any;
-// 0 prefers nobody. The caller must hold promises of a quorum of base.
+// Next returns the view that follows base under a proposal number, given the states of the members that have promised, or
+// false if these members cannot form a chain. The preferred head becomes the head if it has installed the newest epoch; 0
+// stands for no preference. The caller must have promises of a quorum of base.
 func Next(base *protocol.View, proposalNumber uint64, states []MemberState, faults int, preferredHead uint64, change Change) (*protocol.View, bool) {
 	next := &protocol.View{Epoch: proposalNumber, NextNumber: base.GetNextNumber()}
 	next.Voters, next.Previous = nextVoters(base, next, change)
@@ -140,9 +141,9 @@
 	return next, true
 }
 
-// nextVoters returns the voters after a change and those before it, and takes the numbers of new voters from next. Without
-// a change both stay. A change replaces the earlier previous voters: it is proposed only once a quorum of both sets has
-// agreed on base.
+// nextVoters returns the voters and the previous voters after a change, and takes the numbers of new voters from next. An
+// empty change keeps both sets. Any other change discards the previous voters of base: it is proposed only once a quorum
+// of both sets has agreed on base.
 func nextVoters(base, next *protocol.View, change Change) (voters, previous []*protocol.Member) {
 	if change.Empty() {
 		return base.GetVoters(), base.GetPrevious()
@@ -165,8 +166,8 @@
 	return voters, base.GetVoters()
 }
 
-// rankForHead orders the members that will be voters, the source of the state first. It returns nil where no member with
-// the newest state will be a voter.
+// rankForHead orders the members that will be voters from the best to the worst head; the first one is the source of the
+// state. It returns nil if no member with the newest state will be a voter.
 func rankForHead(next *protocol.View, states []MemberState, preferredHead uint64) []MemberState {
 	newest := uint64(0)
 	for _, s := range states {
@@ -194,8 +195,8 @@
 	return ranked
 }
 
-// pickSuccessors picks the chain members after the head: those with healthy disks first, then those whose state is close to
-// the head's, then those in zones that the chain does not have yet, then by rank.
+// pickSuccessors picks the chain members after the head. It prefers members with healthy disks, then members whose state is
+// close to the head's, then members in zones without a chain member, then members earlier in candidates.
 func pickSuccessors(head MemberState, candidates []MemberState, length int) (chain []uint64) {
 	candidates = slices.Clone(candidates)
 	zones := map[string]bool{head.Zone: true}
--- a/internal/view/view_test.go
+++ b/internal/view/view_test.go
@@ -10,15 +10,15 @@
 	"frosttide/internal/protocol"
 )
 
-// TestChainMeetsEveryMajority tries all chains and majorities of up to nine voters: each majority contains a member of
-// each chain, and a chain has more members than there are faults to tolerate.
+// TestChainMeetsEveryMajority checks for all chains and majorities of up to nine voters that each majority contains a
+// member of each chain, and that a chain has more members than the number of tolerated faults.
 func TestChainMeetsEveryMajority(t *testing.T) {
 	for n := 1; n <= 9; n++ {
 		for faults := range (n + 1) / 2 {
 			length := ChainLength(n, faults)
-			require.LessOrEqual(t, length, n)
+			require.LessOrEqual(t, length, n, "chain length with %d voters and %d faults", n, faults)
 			if n >= 2*faults+1 {
-				require.Greater(t, length, faults, "%d voters, %d faults", n, faults)
+				require.Greater(t, length, faults, "chain length with %d voters and %d faults", n, faults)
 			}
 			for chain := range uint(1) << n {
 				if bits.OnesCount(chain) != length {
@@ -34,7 +34,7 @@
 	}
 }
 
-// members returns members with the given identities, which are their numbers too.
+// members returns members whose identities and numbers are the given ones.
 func members(ids ...uint64) (out []*protocol.Member) {
 	for _, id := range ids {
 		out = append(out, &protocol.Member{Id: id, Number: uint32(id)})
@@ -42,7 +42,8 @@
 	return out
 }
 
-// TestProposalNumbersAreDistinct compares the numbers of two proposers.
+// TestProposalNumbersAreDistinct checks that two proposers have different proposal numbers, and that each next number is
+// greater than the number that it follows.
 func TestProposalNumbersAreDistinct(t *testing.T) {
 	a, b := NextProposalNumber(0, 1), NextProposalNumber(0, 2)
 	require.NotEqual(t, a, b)
@@ -50,7 +51,7 @@
 	require.Greater(t, NextProposalNumber(a, 1), a)
 }
 
-// TestQuorumOfBothSets requires majorities of the voters before and after a change.
+// TestQuorumOfBothSets checks that during a change a quorum needs majorities of the voters and of the previous voters.
 func TestQuorumOfBothSets(t *testing.T) {
 	v := &protocol.View{Voters: members(1, 2, 3), Previous: members(3, 4, 5)}
 	for _, tc := range []struct {
@@ -68,7 +69,7 @@
 	}
 }
 
-// TestNextChain requires the chain that follows from the states of the members that have promised.
+// TestNextChain checks which chain Next chooses from the states of the members that have promised.
 func TestNextChain(t *testing.T) {
 	slowNewest := []MemberState{
 		{Member: 1, InstalledEpoch: 7, Index: 10},
@@ -80,7 +81,7 @@
 		states        []MemberState
 		preferredHead uint64
 		change        Change
-		want          []uint64 // nil where there is no next view
+		want          []uint64 // nil if there is no next view
 	}{
 		{
 			name: "the newest epoch, then the longest log",
@@ -91,7 +92,7 @@
 			},
 			want: []uint64{3, 2},
 		},
-		{name: "the preferred head, and no unhealthy disk though its log is longer", states: slowNewest, preferredHead: 1, want: []uint64{1, 3}},
+		{name: "the preferred head, not the longer log on an unhealthy disk", states: slowNewest, preferredHead: 1, want: []uint64{1, 3}},
 		{name: "an unhealthy disk does not become the head", states: slowNewest, want: []uint64{1, 3}},
 		{name: "too few members for a chain", states: []MemberState{{Member: 1, InstalledEpoch: 7}}},
 		{
@@ -112,7 +113,8 @@
 	}
 }
 
-// TestChangeOfVotersIsJoint replaces a voter: the previous voters still count, and the new one gets a new number.
+// TestChangeOfVotersIsJoint checks that after the replacement of a voter the previous voters still count and the new voter
+// has a new number.
 func TestChangeOfVotersIsJoint(t *testing.T) {
 	base := &protocol.View{Epoch: 1, Voters: members(1, 2, 3), NextNumber: 4}
 	states := []MemberState{{Member: 1, InstalledEpoch: 7}, {Member: 2, InstalledEpoch: 7}, {Member: 9}}
@@ -125,7 +127,7 @@
 	require.Len(t, Electorate(next), 4)
 }
 
-// TestValid requires an agreed view to be valid, and everything else that a message might claim to be invalid.
+// TestValid checks that an agreed view is valid, and that malformed views from messages are not.
 func TestValid(t *testing.T) {
 	voters := []*protocol.Member{{Id: 1, Address: "a"}, {Id: 2, Address: "b"}}
 	for _, tc := range []struct {
