--- a/internal/control/event/event.go
+++ b/internal/control/event/event.go
@@ -1,8 +1,8 @@
-// Package event defines what the pure state machines of the control plane report for the log. A state machine returns
-// its events with its other output; the server that runs it writes each as one structured line. The messages are
-// constants, so that an operator can search for them; what varies stands in the keys and values.
+// Package event defines the log events of the control plane's pure state machines. A state machine returns its events
+// with its other output; the server that runs it writes each event as one structured log line. Messages are constants,
+// so that operators can search for them; variable data goes into the keys and values.
 //
-// Events are plain values: they are safe to pass between goroutines once nobody changes their values any more.
+// Events are plain values. They are safe to pass between goroutines as long as their values are not modified.
 package event
 
 import (
@@ -10,18 +10,18 @@
 	"strings"
 )
 
-// Event is one line for the log, at the level of information.
+// Event is one log line at info level.
 type Event struct {
 	Message       string // a constant, capitalised, without a full stop
-	KeysAndValues []any  // alternately a key in camel case, as a string, and its value
+	KeysAndValues []any  // alternating camel-case string keys and their values
 }
 
-// New returns an event with alternating keys and values, as klog.InfoS takes them.
+// New returns an event. keysAndValues alternates keys and values, in the convention of klog.InfoS.
 func New(message string, keysAndValues ...any) Event {
 	return Event{Message: message, KeysAndValues: keysAndValues}
 }
 
-// String returns the event as one line of text, for tests and traces of simulations.
+// String returns the event as one line of text, for tests and simulation traces.
 func (e Event) String() string {
 	var text strings.Builder
 	text.WriteString(e.Message)
@@ -31,7 +31,7 @@
 	return text.String()
 }
 
-// Value returns the value of a key, nil where the event has no such key.
+// Value returns the value of a key, or nil if the event does not have the key.
 func (e Event) Value(key string) any {
 	for i := 0; i+1 < len(e.KeysAndValues); i += 2 {
 		if e.KeysAndValues[i] == key {
