--- a/internal/control/wallclock/wallclock.go
+++ b/internal/control/wallclock/wallclock.go
@@ -1,21 +1,23 @@
-// Package wallclock is the time of day that the members of the control plane agree on.
+// Package wallclock computes the time of day that the members of the control plane agree on.
 //
-// Each member (internal/control/member) owns one Clock, passes it the clock readings in the other members' heartbeats and
-// gives the agreed time to its scheduler, which starts timed work by it. Time is counted on a member's own steady clock;
-// what is agreed on is the offset between that and the time of day, as the lower median of the voters' clocks. It is a pure
-// state machine with neither a clock nor a goroutine, and not safe for concurrent use.
+// Each member (internal/control/member) owns one Clock. It feeds the Clock the readings from the other members' heartbeats
+// and passes the agreed time to its scheduler, which uses it to start timed work. Elapsed time is measured on the member's
+// own steady clock; the members agree on the offset from the steady clock to the time of day, which is the lower median of
+// the voters' clocks. A Clock is a pure state machine: it reads no system clock and starts no goroutine. It is not safe for
+// concurrent use.
 //
 // # Invariants
 //
-//   - A minority's clocks do not move the agreed time, however far they are set.
-//   - The agreed time never jumps where a majority's clocks are set for a short while: it follows a small difference at
-//     driftSlewRate and a step at stepSlewRate, and adopts a step at once only after the majority has held it for
-//     stepAfter. The terms are those of the Network Time Protocol (RFC 5905, section 11.3), the rates are this system's.
-//   - A member that restarts adopts the time that others have agreed on, so that restarts do not move it.
-//   - Where all members restart at once, times before the newest one in the replicated state are ruled out. Nothing else
-//     tells which clocks are right: a majority of wrong ones wins.
+//   - Wrong clocks on a minority of the members do not change the agreed time, however large their error.
+//   - The agreed time does not jump when a majority's clocks are changed briefly: it slews by small differences at
+//     driftSlewRate and by steps at stepSlewRate, and jumps only after the majority has kept a step for stepAfter. The terms
+//     are those of the Network Time Protocol (RFC 5905, section 11.3); the rates are specific to this system.
+//   - A restarted member adopts the time that the others have agreed on, so that restarts do not change it.
+//   - If all members restart at once, clocks behind the newest time in the replicated state are ignored. There is no other
+//     check: if a majority of the clocks are wrong, the agreed time is wrong.
 //
-// All offsets and times are durations on the steady clock of the member that holds them; times of day are in ms since 1970.
+// All offsets and times are durations on the steady clock of the member that stores them; times of day are in milliseconds
+// since the Unix epoch.
 package wallclock
 
 import (
@@ -24,50 +26,51 @@
 )
 
 const (
-	// readingTTL is how long a member's readings count after its last one.
+	// readingTTL is how long a member's readings are used after its last reading.
 	readingTTL = 30 * time.Second
-	// maxSamples is how many of a member's newest readings are kept. The one with the largest offset counts, as it was on
-	// its way for the shortest time.
+	// maxSamples is the number of readings kept per member. The one with the largest offset is used, because it had the
+	// shortest network delay.
 	maxSamples = 8
-	// initialAgreementWindow is how long after the first agreement the time is chosen again when more members have been
-	// read: the first two of five may be those whose clocks are wrong.
+	// initialAgreementWindow is the time after the first agreement during which readings from further members cause the
+	// time to be chosen again: the first two of five members to be read may be the ones with wrong clocks.
 	initialAgreementWindow = 5 * time.Second
-	// stepThreshold is the difference above which a clock counts as set rather than as drifting.
+	// stepThreshold is the difference above which a clock is considered to have been set rather than to drift.
 	stepThreshold = time.Second
-	// driftSlewRate and stepSlewRate are the parts of the elapsed time by which a difference is reduced. A step that is
-	// taken back within a minute moves the time by less than the 250 ms that timed work may be early.
+	// driftSlewRate and stepSlewRate are the fractions of the elapsed time by which a difference is reduced. A step that is
+	// reverted within a minute changes the time by less than 250 ms, the amount by which timed work may start early.
 	driftSlewRate = 0.005
 	stepSlewRate  = 0.001
-	// candidateTolerance is how far the median may move and still count as the same step.
+	// candidateTolerance is the maximum change of the median that still counts as the same step.
 	candidateTolerance = 500 * time.Millisecond
-	// stepAfter is how long a majority has to hold a step until it is adopted at once.
+	// stepAfter is how long a majority has to keep a step before the agreed time jumps by it.
 	stepAfter = 10 * time.Minute
 )
 
-// Clock is one member's account of the time of day. The zero value is ready to use and knows none.
+// Clock is one member's estimate of the agreed time of day. The zero value is ready to use and has no readings.
 type Clock struct {
-	readings  map[uint64]*reading // by member, this one included
+	readings  map[uint64]*reading // by member ID, including this member
 	updatedAt time.Duration
 
 	hasAgreed       bool
-	agreedAt        time.Duration // when the first agreement was made, where this member took part in it
-	initialReadings int           // members whose clocks counted in the first agreement, 0 where it was adopted from others
-	offset          time.Duration // agreed time of day less the steady clock
+	agreedAt        time.Duration // when this member computed the first agreement, 0 if it adopted the others' time
+	initialReadings int           // number of clocks used in the first agreement, 0 if the others' time was adopted
+	offset          time.Duration // agreed time of day minus the steady clock
 	steppedAt       time.Duration // when the agreed time last jumped, 0 for never
 
-	candidateOffset time.Duration // of a step that the median shows
-	candidateSince  time.Duration // since when it has shown it, 0 where it shows none
+	candidateOffset time.Duration // median offset of a step that has not been adopted yet
+	candidateSince  time.Duration // when the median first showed the step, 0 for no step
 }
 
-// reading is what is known of a member's clocks.
+// reading holds the recent clock readings of a member.
 type reading struct {
 	lastContact   time.Duration
-	firstOffset   time.Duration   // of its own time of day, at the first reading
-	offsets       []time.Duration // of its own time of day, the newest last
-	agreedOffsets []time.Duration // of the time that it reports as agreed, the newest last; empty where it knows none
+	firstOffset   time.Duration   // offset of its own time of day at the first reading
+	offsets       []time.Duration // offsets of its own time of day, the newest last
+	agreedOffsets []time.Duration // offsets of its agreed time, the newest last; empty if it reports none
 }
 
-// Observe records a member's own time of day and the one that it reports as agreed, in ms since 1970; 0 stands for none.
+// Observe records a member's own time of day and the agreed time that it reports, in milliseconds since the Unix epoch; 0
+// means none.
 func (c *Clock) Observe(now time.Duration, member uint64, wallMs, agreedMs int64) {
 	if wallMs <= 0 {
 		return
@@ -89,19 +92,20 @@
 	}
 }
 
-// offsetOf returns the offset of a time of day to the steady clock.
+// offsetOf returns the offset from the steady clock to a time of day.
 func offsetOf(now time.Duration, ms int64) time.Duration {
 	return time.Duration(ms)*time.Millisecond - now
 }
 
-// appendSample appends an offset and drops those beyond maxSamples.
+// appendSample appends an offset and drops the oldest one beyond maxSamples.
 func appendSample(offsets []time.Duration, offset time.Duration) []time.Duration {
 	offsets = append(offsets, offset)
 	return offsets[max(0, len(offsets)-maxSamples):]
 }
 
-// Tick advances the time. self is this member and wallMs its own time of day; voters are the members whose clocks count;
-// floorMs is the newest time of day in the replicated state, 0 for none. Nothing changes without readings of a majority.
+// Tick advances the clock. self is this member's ID and wallMs its own time of day; voters are the IDs of the members whose
+// clocks are used; floorMs is the newest time of day in the replicated state, 0 for none. The offset does not change unless
+// there are readings from a majority of the voters.
 func (c *Clock) Tick(now time.Duration, self uint64, wallMs int64, voters []uint64, floorMs int64) {
 	c.Observe(now, self, wallMs, c.AgreedMs(now))
 	for id, r := range c.readings {
@@ -123,7 +127,7 @@
 	}
 }
 
-// adoptInitialTime adopts the time that others report as agreed, or else the median of the members' clocks.
+// adoptInitialTime adopts the agreed time that other members report or, if none reports one, the median of the clocks.
 func (c *Clock) adoptInitialTime(now time.Duration, self uint64, floorMs int64) {
 	var others []time.Duration
 	for id, r := range c.readings {
@@ -139,8 +143,8 @@
 	c.offset = c.initialMedian(now, floorMs)
 }
 
-// initialMedian returns the lower median of the members' first offsets, so that clocks that have been set since count as
-// they were. Clocks before the floor are left out, as time does not go back.
+// initialMedian returns the lower median of the members' first offsets, which ignores changes to the clocks since their
+// first reading. Clocks more than stepThreshold behind the floor are left out, because time must not go backwards.
 func (c *Clock) initialMedian(now time.Duration, floorMs int64) time.Duration {
 	floor := offsetOf(now, floorMs)
 	var offsets []time.Duration
@@ -164,14 +168,14 @@
 	return lowerMedian(offsets)
 }
 
-// lowerMedian returns the median, and of two middle offsets the lower one: timed work should rather be late than early. It
-// sorts the offsets in place.
+// lowerMedian returns the median or, for an even number of offsets, the lower of the two middle ones, because late timed
+// work is preferable to early timed work. It sorts the offsets in place.
 func lowerMedian(offsets []time.Duration) time.Duration {
 	slices.Sort(offsets)
 	return offsets[(len(offsets)-1)/2]
 }
 
-// followMedian moves the agreed time towards the median: slowly, or at once for a step held for stepAfter.
+// followMedian slews the agreed time towards the median. It jumps to the median if a step has lasted for stepAfter.
 func (c *Clock) followMedian(now, elapsed time.Duration) {
 	median := c.median()
 	difference := median - c.offset
@@ -190,14 +194,14 @@
 	c.slew(difference, elapsed, stepSlewRate)
 }
 
-// slew reduces a difference by at most a rate times the elapsed time.
+// slew changes the offset by the difference, limited to rate times the elapsed time.
 func (c *Clock) slew(difference, elapsed time.Duration, rate float64) {
 	maxChange := time.Duration(rate * float64(elapsed))
 	c.offset += max(-maxChange, min(maxChange, difference))
 }
 
-// NowMs returns the time of day in ms since 1970: the agreed one, before there is one the median of the members' clocks,
-// and 0 where nothing is known.
+// NowMs returns the time of day in milliseconds since the Unix epoch: the agreed time, the median of the members' clocks
+// before the first agreement, or 0 if there are no readings.
 func (c *Clock) NowMs(now time.Duration) int64 {
 	if c.hasAgreed {
 		return (now + c.offset).Milliseconds()
@@ -208,8 +212,8 @@
 	return (now + c.initialMedian(now, 0)).Milliseconds()
 }
 
-// AgreedMs returns the agreed time of day in ms since 1970, 0 before others may adopt it: within the initial window it may
-// still be chosen again.
+// AgreedMs returns the agreed time of day in milliseconds since the Unix epoch. It returns 0 before the first agreement
+// and during the initial agreement window, so that other members do not adopt a time that may still be chosen again.
 func (c *Clock) AgreedMs(now time.Duration) int64 {
 	if !c.hasAgreed || c.initialReadings > 0 && now-c.agreedAt < initialAgreementWindow {
 		return 0
@@ -217,5 +221,5 @@
 	return (now + c.offset).Milliseconds()
 }
 
-// SteppedAt returns when, on the steady clock, the agreed time last jumped, 0 for never.
+// SteppedAt returns the time on the steady clock of the last jump of the agreed time, 0 for never.
 func (c *Clock) SteppedAt() time.Duration { return c.steppedAt }
