--- a/internal/control/store/ranges.go
+++ b/internal/control/store/ranges.go
@@ -15,17 +15,17 @@
 // rangeOfKey returns the range that a key belongs to.
 func rangeOfKey(key string) int { return int(xxhash.Sum64String(key) % RangeCount) }
 
-// itemDigest returns what an item adds to the digest of its range. The key and the value are separated, so that moving a
-// byte from one to the other changes the digest.
+// itemDigest returns the digest of one item. A zero byte separates the key from the value, so that moving a byte from one to
+// the other changes the digest.
 func itemDigest(key string, value []byte) uint64 {
 	d := xxhash.New()
-	_, _ = d.WriteString(key) // a hash returns no errors
+	_, _ = d.WriteString(key) // a hash never returns an error
 	_, _ = d.Write([]byte{0})
 	_, _ = d.Write(value)
 	return d.Sum64()
 }
 
-// DigestItems returns the digest of a range that holds just the given items.
+// DigestItems returns the digest of a range that consists of the given items.
 func DigestItems(items []*protocol.Put) (digest uint64) {
 	for _, p := range items {
 		digest += itemDigest(p.GetKey(), p.GetValue())
@@ -33,7 +33,7 @@
 	return digest
 }
 
-// CombineDigests returns one digest of a complete state from those of its ranges, in their order.
+// CombineDigests returns the digest of a complete state. digests are those of all ranges, in order.
 func CombineDigests(digests []uint64) uint64 {
 	d := xxhash.New()
 	var encoded [8]byte
@@ -44,7 +44,7 @@
 	return d.Sum64()
 }
 
-// GroupByRange returns items by the number of the range that they belong to.
+// GroupByRange groups items by range number.
 func GroupByRange(items []*protocol.Put) map[uint32][]*protocol.Put {
 	out := make(map[uint32][]*protocol.Put)
 	for _, p := range items {
@@ -54,11 +54,11 @@
 	return out
 }
 
-// Digests returns a copy of the digests of all ranges, by the number of the range.
+// Digests returns a copy of the digests of all ranges, indexed by range number.
 func (s *Store) Digests() []uint64 { return slices.Clone(s.digests[:]) }
 
-// DifferingRanges returns the numbers of the ranges whose digests differ from another store's. Where the other has fewer
-// digests, the missing ones count as those of empty ranges.
+// DifferingRanges returns the numbers of the ranges whose digests differ from another store's digests. Missing digests are
+// treated as digests of empty ranges.
 func (s *Store) DifferingRanges(digests []uint64) (ranges []uint32) {
 	for r := range s.digests {
 		other := uint64(0)
@@ -72,7 +72,7 @@
 	return ranges
 }
 
-// ItemsInRange returns the items of a range in the order of their keys, nil where there is no such range.
+// ItemsInRange returns the items of a range sorted by key, or nil if the range does not exist.
 func (s *Store) ItemsInRange(r uint32) (items []*protocol.Put) {
 	if r >= RangeCount {
 		return nil
@@ -84,8 +84,8 @@
 	return items
 }
 
-// Repair returns the writes after which the given ranges of this store hold just the given items. The store itself is not
-// changed. The items have to belong to the ranges; ranges that do not exist are ignored.
+// Repair returns the writes that make the given ranges of this store equal to the given items. It does not change the
+// store. The items must belong to the ranges; ranges that do not exist are ignored.
 func (s *Store) Repair(ranges []uint32, items []*protocol.Put) (puts []*protocol.Put, deletes []string) {
 	wanted := make(map[string]struct{}, len(items))
 	for _, p := range items {
--- a/internal/control/store/store.go
+++ b/internal/control/store/store.go
@@ -7,10 +7,10 @@
 	"frosttide/internal/protocol"
 )
 
-// itemOverhead is approximately how many bytes the record of an item takes on disk beside its key and value.
+// itemOverhead is the approximate number of bytes that an item takes on disk in addition to its key and value.
 const itemOverhead = 8
 
-// Store is the table. New makes one; the zero value is not usable.
+// Store is a key-value table with a digest per key range. Use New; the zero value is not usable.
 type Store struct {
 	watch   func(key string, previous, current []byte)
 	items   map[string][]byte
@@ -22,8 +22,8 @@
 // New returns an empty store.
 func New() *Store { return &Store{items: make(map[string][]byte)} }
 
-// Watch calls f for every item, and from then on before every change. previous is nil for a new item and current for one
-// that is removed. There is one watcher: a second call replaces it. f must not change the store.
+// Watch calls f for every existing item, and then before every change. previous is nil for a new item; current is nil for a
+// deleted one. There is a single watcher: a second call replaces it. f must not change the store.
 func (s *Store) Watch(f func(key string, previous, current []byte)) {
 	for key, value := range s.items {
 		f(key, nil, value)
@@ -53,7 +53,7 @@
 	s.digests[r] += itemDigest(key, value)
 }
 
-// Delete removes an item. A key without an item is ignored.
+// Delete removes an item. It does nothing if the key does not exist.
 func (s *Store) Delete(key string) {
 	previous, ok := s.items[key]
 	if !ok {
@@ -69,7 +69,7 @@
 	delete(s.ranges[r], key)
 }
 
-// Apply carries out the writes of an entry: first those that set items, in order, then those that delete them.
+// Apply applies the writes of an entry: first the puts, in order, then the deletes.
 func (s *Store) Apply(puts []*protocol.Put, deletes []string) {
 	for _, p := range puts {
 		s.Put(p.GetKey(), p.GetValue())
@@ -79,7 +79,7 @@
 	}
 }
 
-// Get returns the value of an item, and false where there is none. The caller must not modify the value.
+// Get returns the value of an item, or false if the key does not exist. The caller must not modify the value.
 func (s *Store) Get(key string) ([]byte, bool) {
 	v, ok := s.items[key]
 	return v, ok
@@ -88,7 +88,7 @@
 // Len returns the number of items.
 func (s *Store) Len() int { return len(s.items) }
 
-// Bytes returns approximately how many bytes the items take on disk.
+// Bytes returns the approximate number of bytes that the items take on disk.
 func (s *Store) Bytes() int { return s.bytes }
 
 // Each calls f for all items, in no particular order. f must not change the store.
@@ -98,7 +98,7 @@
 	}
 }
 
-// All returns all items in the order of their keys.
+// All returns all items sorted by key.
 func (s *Store) All() []*protocol.Put {
 	out := make([]*protocol.Put, 0, len(s.items))
 	for k, v := range s.items {
--- a/internal/control/store/store_rapid_test.go
+++ b/internal/control/store/store_rapid_test.go
@@ -10,14 +10,14 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestDigestsFollowItems changes two stores at random. Their digests are equal just where their items are, a watcher has
-// seen every change, and the items of the differing ranges make the stores equal.
+// TestDigestsFollowItems changes two stores at random. It requires that their digests are equal if and only if their items
+// are, that a watcher sees every change, and that repairing the differing ranges makes the stores equal.
 func TestDigestsFollowItems(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		stores := [2]*Store{New(), New()}
 		watched := make(map[string]string)
 		stores[0].Watch(func(key string, previous, current []byte) {
-			require.Equal(t, watched[key], string(previous))
+			require.Equal(t, watched[key], string(previous), "previous value of %s", key)
 			if current == nil {
 				delete(watched, key)
 				return
@@ -38,8 +38,8 @@
 		require.Len(t, watched, stores[0].Len())
 		for key, value := range watched {
 			got, ok := stores[0].Get(key)
-			require.True(t, ok)
-			require.Equal(t, value, string(got))
+			require.True(t, ok, "item %s was deleted without calling the watcher", key)
+			require.Equal(t, value, string(got), "value of %s", key)
 		}
 		ranges := stores[1].DifferingRanges(stores[0].Digests())
 		require.Equal(t, equal, len(ranges) == 0)
--- a/internal/control/store/store_test.go
+++ b/internal/control/store/store_test.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// TestRepair makes a store that differs at random equal to another by the items of the differing ranges.
+// TestRepair changes a copy of a store at random and makes the two equal again with the items of the differing ranges.
 func TestRepair(t *testing.T) {
 	for seed := range uint64(50) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
@@ -47,7 +47,7 @@
 	}
 }
 
-// TestDigestsFollowContent requires equal content to have equal digests, whatever the writes that led to it.
+// TestDigestsFollowContent requires equal content to have equal digests, independent of the writes that produced it.
 func TestDigestsFollowContent(t *testing.T) {
 	a, b := New(), New()
 	a.Put("x", []byte("1"))
@@ -59,10 +59,10 @@
 	require.Equal(t, 1, a.Len())
 	b.Put("x", []byte("1"))
 	require.Len(t, a.DifferingRanges(b.Digests()), 1)
-	require.Len(t, a.DifferingRanges(nil), 1, "missing digests count as those of empty ranges")
+	require.Len(t, a.DifferingRanges(nil), 1, "missing digests are treated as digests of empty ranges")
 }
 
-// TestMissingItemsAndRanges deletes an item that does not exist and asks for a range that does not.
+// TestMissingItemsAndRanges deletes an item that does not exist and reads a range that does not exist.
 func TestMissingItemsAndRanges(t *testing.T) {
 	s := New()
 	s.Put("x", []byte("1"))
