--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -17,16 +17,17 @@
 	configPrefix = "c/" // protocol.ConfigItem
 )
 
-// ConfigView follows the configuration in a store by the changes of its items, so that a member that reads it often
-// does not have to walk the store. The zero value stands for an empty store. It is not safe for concurrent use.
+// ConfigView tracks the configuration in a store through the changes of its items, so that reading the configuration
+// often does not require iterating over the store. The zero value represents an empty store. It is not safe for
+// concurrent use.
 type ConfigView struct {
 	record []byte
 	items  map[string][]byte
-	table  *routeconfig.Table // nil where an item has changed since it was decoded
+	table  *routeconfig.Table // decoded configuration, nil if an item has changed since
 }
 
-// Update takes over a change of an item of the store; value is nil where the item is removed. Items of other kinds are
-// ignored.
+// Update applies the change of an item of the store; value is nil if the item was removed. Items that are not part of
+// the configuration are ignored.
 func (v *ConfigView) Update(key string, value []byte) {
 	name, isItem := strings.CutPrefix(key, configPrefix)
 	switch {
@@ -45,7 +46,7 @@
 	v.table = nil
 }
 
-// Table returns the configuration, and an error where an item can't be decoded.
+// Table returns the configuration, or an error if an item can't be decoded.
 func (v *ConfigView) Table() (*routeconfig.Table, error) {
 	if v.table != nil {
 		return v.table, nil
@@ -59,13 +60,13 @@
 		items[name] = item
 	}
 	if err != nil {
-		return nil, errors.Wrap(err, "scheduler: the stored configuration can't be read")
+		return nil, errors.Wrap(err, "scheduler: decode the stored configuration")
 	}
 	v.table = routeconfig.Load(&record, items)
 	return v.table, nil
 }
 
-// LoadConfig returns the configuration that a store holds, and an error where an item can't be decoded.
+// LoadConfig returns the configuration that a store holds, or an error if an item can't be decoded.
 func LoadConfig(state *store.Store) (*routeconfig.Table, error) {
 	var v ConfigView
 	state.Each(v.Update)
--- a/internal/control/scheduler/counters.go
+++ b/internal/control/scheduler/counters.go
@@ -2,23 +2,23 @@
 
 import "frosttide/internal/control/jobs"
 
-// Counters count what has become of a service's tasks since this head began to serve; each head counts from 0.
+// Counters count the tasks and runs of a service since this head began to serve. Each new head starts at 0.
 type Counters struct {
 	Ready   uint64            `json:"ready"`   // tasks that became ready to start
-	Blocked uint64            `json:"blocked"` // of these, that found no runner in the next cycle
-	Started uint64            `json:"started"` // runs
-	Ended   map[string]uint64 `json:"ended"`   // runs, by the reason of their end
+	Blocked uint64            `json:"blocked"` // of these, tasks that the next scheduling cycle did not start
+	Started uint64            `json:"started"` // runs started
+	Ended   map[string]uint64 `json:"ended"`   // runs ended, by end reason
 }
 
-// ServiceStatus is the state of a service's tasks.
+// ServiceStatus holds the counters of a service and the size and age of its queue.
 type ServiceStatus struct {
 	Counters
 	WaitingTasks int   `json:"waiting_tasks"`
 	WaitingSteps int   `json:"waiting_steps"`
-	OldestWaitMs int64 `json:"oldest_wait_ms"` // of the step that has waited longest
+	OldestWaitMs int64 `json:"oldest_wait_ms"` // wait of the step that has waited longest
 }
 
-// countersFor returns the counters of a service.
+// countersFor returns the counters of a service and creates them on first use.
 func (s *Scheduler) countersFor(service string) *Counters {
 	c := s.counters[service]
 	if c == nil {
@@ -28,22 +28,22 @@
 	return c
 }
 
-// endOther stands for all reasons that are not counted by themselves, so that a runner can't fill the counters with
-// reasons of its own.
+// endOther is the key under which unknown end reasons are counted, so that a runner that reports arbitrary reasons can't
+// grow the map without bound.
 const endOther = "other"
 
 // countEnd counts the end of a run.
 func (s *Scheduler) countEnd(step *jobs.Step, reason jobs.EndReason) {
-	kind := endOther
+	counted := endOther
 	switch reason {
 	case jobs.EndDone, jobs.EndFailed, jobs.EndStopped, jobs.EndRefused, jobs.EndLost:
-		kind = string(reason)
+		counted = string(reason)
 	}
-	s.countersFor(step.Job.Service).Ended[kind]++
+	s.countersFor(step.Job.Service).Ended[counted]++
 }
 
-// countBlocked counts the tasks of steps that became ready, and of these the ones that the cycle has not started.
-// added holds, for each step, how many tasks it added to its queue.
+// countBlocked counts the tasks of the steps that became ready, and how many of them the scheduling cycle did not start.
+// added holds, for each step, the number of tasks that it added to its queue.
 func (s *Scheduler) countBlocked(ready []*jobs.Step, added []int) {
 	for i, step := range ready {
 		c := s.countersFor(step.Job.Service)
@@ -54,7 +54,7 @@
 	}
 }
 
-// serviceStatuses returns the state of all services that have had tasks.
+// serviceStatuses returns the status of each service that has had tasks since this head began to serve.
 func (s *Scheduler) serviceStatuses() map[string]ServiceStatus {
 	out := make(map[string]ServiceStatus, len(s.counters))
 	for service, c := range s.counters {
--- a/internal/control/scheduler/cycle.go
+++ b/internal/control/scheduler/cycle.go
@@ -8,35 +8,36 @@
 	"frosttide/internal/control/placement"
 )
 
-// schedule runs one scheduling cycle: it queues the steps that have become ready and starts what can be started of all
-// services. It looks at a queue only where a step has been added, where time has passed, or where the fleet has changed
-// so that a blocked task may fit now. What depends on time alone waits for the next tick.
+// schedule runs one scheduling cycle: it queues the steps that have become ready and starts every task that can be
+// started. It visits a queue only if steps were added to it, if time has passed since the last cycle over all queues, or
+// if the fleet has changed, so that a blocked task may fit now. Decisions that depend on time alone wait for the next
+// tick.
 func (s *Scheduler) schedule() {
 	ready := s.jobs.TakeReady()
 	added := make([]int, len(ready))
 	for i, step := range ready {
 		added[i] = s.queue(step.Job.Service).add(s.newWaitingStep(step))
 	}
-	all := s.tickedSincePass || s.fleet.Changes() != s.changesAtLastPass
+	allQueues := s.tickedSincePass || s.fleet.Changes() != s.changesAtLastPass
 	for _, service := range slices.Sorted(maps.Keys(s.queues)) {
-		if q := s.queues[service]; all || q.hasNewSteps {
+		if q := s.queues[service]; allQueues || q.hasNewSteps {
 			s.scheduleQueue(q)
 		}
 	}
-	if all {
+	if allQueues {
 		s.tickedSincePass, s.changesAtLastPass = false, s.fleet.Changes()
 	}
 	s.countBlocked(ready, added)
 }
 
-// newWaitingStep returns a step that has become ready now, with what the queue orders it by.
+// newWaitingStep returns the queued form of a step that has just become ready, with its sort keys.
 func (s *Scheduler) newWaitingStep(step *jobs.Step) *waitingStep {
 	w := &waitingStep{step: step, request: placementRequest(step), priority: s.priority(step.Job), since: s.now, objective: s.objectiveFor(step)}
 	w.class = w.objective.class(s.wallMs)
 	return w
 }
 
-// queue returns the queue of a service.
+// queue returns the queue of a service and creates it on first use.
 func (s *Scheduler) queue(service string) *queue {
 	q := s.queues[service]
 	if q == nil {
@@ -46,7 +47,7 @@
 	return q
 }
 
-// scheduleQueue offers the runners of a service to its steps in order.
+// scheduleQueue runs a pass over the waiting steps of a service.
 func (s *Scheduler) scheduleQueue(q *queue) {
 	q.hasNewSteps = false
 	if s.tickedSincePass {
@@ -59,7 +60,8 @@
 	s.newPass(q).run()
 }
 
-// start records a run of a task and reserves its resources. The order to start it is sent once that is committed.
+// start records a new run of a task and reserves its resources. The order to start the run is sent once the record is
+// committed.
 func (s *Scheduler) start(step *jobs.Step, index int, run uint32, target *placement.Runner, checkpoint string) {
 	task := step.TaskID(index)
 	s.fleet.Reserve(target, task, demandOf(step.Stage), groupOf(step))
@@ -71,13 +73,14 @@
 	s.batch.addStart(target.ID, task)
 }
 
-// countRunning adds a number of runs, negative where they end, to what the priority of a step's job uses.
+// countRunning adds delta runs of a step's tasks to the running demand of the priority of the step's job. delta is
+// negative if runs have ended.
 func (s *Scheduler) countRunning(step *jobs.Step, delta int) {
 	q, priority := s.queue(step.Job.Service), s.priority(step.Job)
 	q.runningDemand[priority] = q.runningDemand[priority].Plus(demandOf(step.Stage).Times(delta))
 }
 
-// stopRuns orders the runs to be stopped whose jobs have ended.
+// stopRuns orders runners to stop the runs of jobs that have ended.
 func (s *Scheduler) stopRuns() {
 	for _, run := range s.jobs.TakeStops() {
 		s.batch.addDrop(run.Runner, run.Task, run.Number)
--- a/internal/control/scheduler/demand.go
+++ b/internal/control/scheduler/demand.go
@@ -6,7 +6,7 @@
 	"frosttide/internal/protocol"
 )
 
-// placementRequest returns what a runner must satisfy to take a task of a step.
+// placementRequest returns the placement request of a step's tasks: demand and placement constraints.
 func placementRequest(step *jobs.Step) *placement.Request {
 	return &placement.Request{
 		Service:      step.Job.Service,
@@ -19,12 +19,12 @@
 	}
 }
 
-// demandOf returns the resources that a task of a stage asks for.
+// demandOf returns the resources that each task of a stage requests.
 func demandOf(stage *protocol.Stage) placement.Resources {
 	return placement.Resources{CPU: stage.GetCpu(), MemMB: stage.GetMemMb(), GPUs: stage.GetGpus()}
 }
 
-// groupOf returns the group within which a step's tasks avoid each other.
+// groupOf returns the anti-affinity group of a step's tasks.
 func groupOf(step *jobs.Step) placement.Group {
 	return placement.Group{Job: step.Job.ID, Occurrence: step.Occurrence.Number, Step: step.Number}
 }
--- a/internal/control/scheduler/ends.go
+++ b/internal/control/scheduler/ends.go
@@ -6,8 +6,8 @@
 	"frosttide/internal/protocol"
 )
 
-// recordEnds records the ends of runs that a runner lists, each once: an agent lists an end, by a number that rises,
-// until it is acknowledged.
+// recordEnds records the run ends in a runner's report, each of them once. Ends are numbered in ascending order, and an
+// agent repeats an end in its reports until it is acknowledged.
 func (s *Scheduler) recordEnds(sess *session, ends []*protocol.RunEnd) {
 	r := s.runners[sess.runner]
 	if r == nil {
@@ -27,7 +27,7 @@
 	}
 }
 
-// recordEnd records the end of a run, releases what it had reserved, and counts its outcome for the runner's health.
+// recordEnd records the end of a run, releases its reservation and counts its outcome towards the runner's health.
 func (s *Scheduler) recordEnd(r *runner, end *protocol.RunEnd) {
 	name, ok := jobs.ParseTask(end.GetTask())
 	if !ok {
@@ -51,7 +51,7 @@
 	}
 }
 
-// recordRefusals records runs that a runner has refused and never starts.
+// recordRefusals ends the runs that a runner has refused to start, and will never start.
 func (s *Scheduler) recordRefusals(sess *session, refused []*protocol.RunRef) {
 	r := s.runners[sess.runner]
 	if r == nil || r.session != sess {
@@ -61,7 +61,7 @@
 		name, ok := jobs.ParseTask(ref.GetTask())
 		run, live := r.live[ref.GetTask()]
 		if !ok || !live || run.number != ref.GetRun() {
-			s.batch.addDrop(r.id, ref.GetTask(), ref.GetRun()) // recorded already: the agent may forget it
+			s.batch.addDrop(r.id, ref.GetTask(), ref.GetRun()) // its end is already recorded: the agent may forget it
 			continue
 		}
 		if run.pending {
@@ -73,14 +73,15 @@
 	}
 }
 
-// firstFailure reports whether a failure of a task now would be its first. Further failures say little of the runner,
-// as the task may be at fault; nor do those of long-running work, which may fail at any time.
+// firstFailure reports whether a failure of a task would be its first one, and so count against its runner. Further
+// failures say little about the runner, as the task itself may be at fault. Nor do failures of long-running work, which
+// may fail at any time.
 func (s *Scheduler) firstFailure(name jobs.TaskName) bool {
 	step := s.jobs.FindStep(name)
 	return step != nil && step.Tasks[name.Index].Failures == 0 && !step.Stage.GetLongRunning()
 }
 
-// defaultMaxAttempts holds for jobs whose queue is no longer configured.
+// defaultMaxAttempts is the maximum number of attempts for jobs whose queue is no longer configured.
 const defaultMaxAttempts = 2
 
 // maxAttempts returns how many failed runs a task of a job may have until the job fails.
--- a/internal/control/scheduler/evacuate.go
+++ b/internal/control/scheduler/evacuate.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// evacuationMargin is added to the time that a run still needs before it is compared with the time that its draining
-// runner has left.
+// evacuationMargin is added to the estimated remaining time of a run before comparing it with the time until its
+// draining runner shuts down.
 const evacuationMargin = 500 * time.Millisecond
 
-// evacuate stops the runs of a draining runner that would not end before it shuts down. They start elsewhere the
-// sooner for it, from their checkpoints where they have saved one. Runs that end in time go on.
+// evacuate stops the runs of a draining runner that would not end before the runner shuts down, so that their tasks
+// start sooner on other runners, from their checkpoints if they have saved any. Runs that will end in time continue.
 func (s *Scheduler) evacuate(r *runner, remaining time.Duration) {
 	for _, task := range slices.Sorted(maps.Keys(r.live)) {
 		run := r.live[task]
@@ -24,7 +24,7 @@
 	}
 }
 
-// outlasts reports whether a run is long-running, or by its estimate goes on for longer than a given time.
+// outlasts reports whether a run is long-running or is estimated to need more than the remaining time.
 func (s *Scheduler) outlasts(run liveRun, remaining time.Duration) bool {
 	if run.step.Stage.GetLongRunning() {
 		return true
--- a/internal/control/scheduler/fullsync.go
+++ b/internal/control/scheduler/fullsync.go
@@ -8,27 +8,27 @@
 	"frosttide/internal/protocol"
 )
 
-// fullSyncState is how far a session has got with a full sync: the transfer of the complete set of its runner's runs,
-// on which increments build.
+// fullSyncState is the progress of a session's full sync: the transfer of the complete set of its runner's runs, on
+// which incremental orders build.
 type fullSyncState int
 
-// The states of a full sync, in their order. Until it is sent, no increments go to the session.
+// The states of a full sync, in order. No incremental orders go to a session before its full sync is sent.
 const (
-	fullSyncNeeded    fullSyncState = iota // no entry has asked for it yet
-	fullSyncRequested                      // the entry that asks for it is not committed
-	fullSyncReady                          // it goes with the next orders
-	fullSyncSent                           // increments suffice
+	fullSyncNeeded    fullSyncState = iota // not yet part of an entry
+	fullSyncRequested                      // part of an entry that is not committed
+	fullSyncReady                          // included in the next orders
+	fullSyncSent                           // followed by incremental orders
 )
 
-// requestFullSync has a session sent the complete set of its runner's runs.
+// requestFullSync schedules a full sync for a session.
 func (s *Scheduler) requestFullSync(sess *session) {
 	sess.fullSync = fullSyncNeeded
 	s.fullSyncWanted = true
 }
 
-// enqueueFullSyncs adds to the next entry the sessions that need a full sync. It is sent once that entry, and so every
-// decision made until now, is committed: a set without a run whose end is not committed would have the agent stop
-// what may still be wanted.
+// enqueueFullSyncs adds the sessions that need a full sync to the batch of the next entry. The full syncs are sent once
+// that entry, and so every decision made until now, is committed: a set that omits a run whose end is not committed
+// would make the agent stop a run that may still be needed.
 func (s *Scheduler) enqueueFullSyncs() {
 	if !s.fullSyncWanted {
 		return
@@ -42,8 +42,7 @@
 	}
 }
 
-// sendFullSyncs sends the full syncs that a committed entry has asked for, but to sessions that have ended or need a
-// newer one.
+// sendFullSyncs sends the full syncs of a committed entry, except to sessions that have ended or need a newer full sync.
 func (s *Scheduler) sendFullSyncs(b *batch) {
 	for _, sess := range b.fullSyncs {
 		if s.sessions[sess.address] == sess && sess.fullSync == fullSyncRequested {
@@ -53,8 +52,8 @@
 	}
 }
 
-// fillFullSync makes orders the complete set for a runner: its wanted runs, and those to stop whose ends are still
-// to be reported. Runs whose start is not committed are left out.
+// fillFullSync turns orders into a full sync for a runner: the runs that it should have, and the runs to stop whose ends
+// are not recorded yet. Runs whose start is not committed are left out.
 func (s *Scheduler) fillFullSync(r *runner, orders *protocol.RunnerOrders) {
 	orders.Full, orders.Runs, orders.Drop = true, nil, nil
 	if r == nil {
--- a/internal/control/scheduler/gang.go
+++ b/internal/control/scheduler/gang.go
@@ -6,7 +6,8 @@
 	"frosttide/internal/control/placement"
 )
 
-// scheduleGang starts all tasks of a gang or none. A gang whose last run has not ended on every member waits for that.
+// scheduleGang starts all tasks of a gang or none. A gang is not started again before all members of its last run have
+// ended.
 func (p *pass) scheduleGang(w *waitingStep) {
 	step, request := w.step, w.request
 	if !step.GangIdle() {
@@ -33,8 +34,8 @@
 	}
 }
 
-// pickGang returns a runner for each member of a gang, nil where they do not all fit. A gang that asks for one rack is
-// spread over several where no rack has the capacity.
+// pickGang returns a runner for each member of a gang, or nil if they do not all fit. A gang that asks for a single rack
+// is spread over several if no rack has enough capacity.
 func (p *pass) pickGang(w *waitingStep, names []string) []*placement.Runner {
 	fleet, now := p.scheduler.fleet, p.scheduler.now
 	if w.step.Stage.GetSameRack() {
@@ -45,8 +46,8 @@
 	return fleet.PickGang(w.request, names, now)
 }
 
-// blockGang records that there is no capacity for a gang. Nothing is recorded where that says little of others: where
-// the gang avoids a runner that failed it, or is kept apart by its anti-affinity.
+// blockGang records a blockage for a gang that does not fit. It records nothing if the reason may be specific to this
+// gang: it avoids the runner on which it last failed, or has an anti-affinity.
 func (p *pass) blockGang(w *waitingStep) {
 	if p.anyDegraded && w.request.Avoid != "" || w.request.AntiAffinity > 0 {
 		return
--- a/internal/control/scheduler/jobstatus.go
+++ b/internal/control/scheduler/jobstatus.go
@@ -7,7 +7,7 @@
 	"frosttide/internal/control/jobs"
 )
 
-// JobStatus is a job as an operator sees it. Times are times of day in ms since 1970.
+// JobStatus is the state of a job as shown to operators. Times are times of day in ms since 1970.
 type JobStatus struct {
 	ID              string       `json:"id"`
 	Queue           string       `json:"queue"`
@@ -15,20 +15,20 @@
 	AcceptedMs      int64        `json:"accepted_ms,omitempty"`
 	EndedMs         int64        `json:"ended_ms,omitempty"`
 	OccurrenceCount int          `json:"times,omitempty"`
-	Steps           []StepStatus `json:"steps,omitempty"` // of the occurrences that have been released
+	Steps           []StepStatus `json:"steps,omitempty"` // steps of the occurrences that have been released
 	Waiting         []WaitStatus `json:"waiting,omitempty"`
 }
 
-// StepStatus is a step of one occurrence of a job.
+// StepStatus is the state of a step of one occurrence of a job.
 type StepStatus struct {
 	Occurrence int          `json:"time"`
 	Step       int          `json:"step"`
 	Ready      bool         `json:"ready"`
-	Waiting    int          `json:"waiting"` // tasks
+	Waiting    int          `json:"waiting"` // number of waiting tasks
 	Tasks      []TaskStatus `json:"tasks,omitempty"`
 }
 
-// TaskStatus is a task that has been started.
+// TaskStatus is the state of a task that has been started at least once.
 type TaskStatus struct {
 	Task     string `json:"task"`
 	Run      uint32 `json:"run"`
@@ -37,14 +37,14 @@
 	Failures int    `json:"failures,omitempty"`
 }
 
-// phases names the phases of tasks for operators.
-var phases = map[jobs.Phase]string{jobs.Waiting: "waiting", jobs.Live: "running", jobs.Done: "done", jobs.DoneLive: "done, its own end is not known"}
+// phaseNames holds the names of task phases as shown to operators.
+var phaseNames = map[jobs.Phase]string{jobs.Waiting: "waiting", jobs.Live: "running", jobs.Done: "done", jobs.DoneLive: "done, its own end is not known"}
 
-// maxListedJobs bounds the jobs that JobStatuses returns.
+// maxListedJobs bounds the number of jobs that JobStatuses returns.
 const maxListedJobs = 2000
 
-// JobStatuses returns the jobs without their steps, at most maxListedJobs: those that have not ended first, each group
-// in the order of acceptance.
+// JobStatuses returns at most maxListedJobs jobs, without their steps. Jobs that have not ended come first; within each
+// group jobs are in the order of acceptance.
 func (s *Scheduler) JobStatuses() []JobStatus {
 	var all []*jobs.Job
 	s.jobs.Each(func(j *jobs.Job) { all = append(all, j) })
@@ -57,7 +57,7 @@
 	return out
 }
 
-// compareForOperators orders jobs that have ended after all others.
+// compareForOperators orders jobs that have not ended before those that have, and then by acceptance.
 func compareForOperators(a, b *jobs.Job) int {
 	if a.State.Final() != b.State.Final() {
 		if a.State.Final() {
@@ -76,7 +76,8 @@
 	}
 }
 
-// JobDetails returns a job with its steps and why they wait, and false where the ID is not known.
+// JobDetails returns the state of a job with its steps and the reasons why they wait. It returns false if the ID is not
+// known.
 func (s *Scheduler) JobDetails(id string) (JobStatus, bool) {
 	j := s.jobs.Get(id)
 	if j == nil {
@@ -88,12 +89,12 @@
 	return out, true
 }
 
-// stepStatus returns the state of a step, with the tasks that have been started.
+// stepStatus returns the state of a step and of its tasks that have been started at least once.
 func stepStatus(step *jobs.Step) StepStatus {
 	status := StepStatus{Occurrence: step.Occurrence.Number, Step: step.Number, Ready: step.Ready(), Waiting: step.Waiting}
 	for i := range step.Tasks {
 		if t := &step.Tasks[i]; t.Run > 0 {
-			status.Tasks = append(status.Tasks, TaskStatus{Task: step.TaskID(i), Run: t.Run, Runner: t.Runner, Phase: phases[t.Phase], Failures: t.Failures})
+			status.Tasks = append(status.Tasks, TaskStatus{Task: step.TaskID(i), Run: t.Run, Runner: t.Runner, Phase: phaseNames[t.Phase], Failures: t.Failures})
 		}
 	}
 	return status
--- a/internal/control/scheduler/lease.go
+++ b/internal/control/scheduler/lease.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// maxClockDrift is the share by which a runner's clock may run slower than the head's. The operators' rules allow
-	// 2%; the rest is a margin.
+	// maxClockDrift is the fraction by which a runner's clock may run slower than the head's. The operators' rules
+	// allow 2%; the rest is a margin.
 	maxClockDrift = 0.03
-	// leaseMargin is added to the end of a lease for the delivery of messages and the stopping of runs.
+	// leaseMargin is added to the end of a lease to allow for message delivery and for stopping the runs.
 	leaseMargin = 300 * time.Millisecond
-	// sessionTimeout is how long an agent may be out of contact, beyond the end of its lease, until its session ends.
+	// sessionTimeout is how long an agent must be out of contact before its session ends. The session also outlives the
+	// agent's lease.
 	sessionTimeout = 1200 * time.Millisecond
-	// maxMissedReports is how many report intervals an agent may be out of contact, or leave orders unapplied, until
-	// its runner is assigned no more tasks.
+	// maxMissedReports is the number of report intervals for which an agent may be out of contact, or leave orders
+	// unapplied, before its runner is assigned no further tasks.
 	maxMissedReports = 2.5
-	// fullSyncRetryAfter is how long orders may stay unapplied until a full sync replaces them.
+	// fullSyncRetryAfter is how long orders may stay unapplied before a full sync replaces them.
 	fullSyncRetryAfter = 700 * time.Millisecond
-	// minReportInterval and maxReportInterval bound the time between two reports of an agent; maxReportsPerSecond is
-	// how many the head handles of all agents together.
+	// minReportInterval and maxReportInterval bound the time between two reports of an agent. maxReportsPerSecond is
+	// the target rate of reports from all agents together, from which the interval is computed.
 	minReportInterval   = 100 * time.Millisecond
 	maxReportInterval   = 500 * time.Millisecond
 	maxReportsPerSecond = 700
 )
 
-// renewLease replies to a report. Where the head's epoch is confirmed the reply grants a lease, counted from when that
-// confirmation was asked for: a newer head can't have begun to serve earlier than that.
+// renewLease replies to a report. If the head's epoch is confirmed, the reply grants a lease. The lease is counted from
+// the time at which the confirmation was requested: a newer head can't have begun to serve before that time.
 func (s *Scheduler) renewLease(sess *session, report *protocol.RunnerReport) {
 	if report.GetLeaseRound() == 0 {
 		return
@@ -45,25 +46,25 @@
 	s.sendOrders(sess, orders)
 }
 
-// leaseOverAt returns the time, on the head's clock, from which a runner surely no longer acts within a lease that
-// expires at a given time, however slow its clock.
+// leaseOverAt returns the time on the head's clock after which a lease that expires at a given time is also over on the
+// runner's clock, if that clock drifts by at most maxClockDrift.
 func (s *Scheduler) leaseOverAt(expiry time.Duration) time.Duration {
 	return expiry + time.Duration(maxClockDrift*float64(s.cfg.Lease)) + leaseMargin
 }
 
-// reportInterval returns the time between two reports of an agent. The fewer agents there are, the shorter it is, and
-// the sooner the head finds that one is out of contact.
+// reportInterval returns the time between two reports of an agent. It is shorter with fewer agents, so that the head
+// detects a loss of contact sooner.
 func (s *Scheduler) reportInterval() time.Duration {
 	return min(max(time.Duration(len(s.sessions))*time.Second/maxReportsPerSecond, minReportInterval), maxReportInterval)
 }
 
-// contactTimeout returns how long an agent may be out of contact, or leave orders unapplied, until its runner is
-// assigned no more tasks.
+// contactTimeout returns how long an agent may be out of contact, or leave orders unapplied, before its runner is
+// assigned no further tasks.
 func (s *Scheduler) contactTimeout() time.Duration {
 	return time.Duration(maxMissedReports * float64(s.reportInterval()))
 }
 
-// updateUsable decides whether the runner of a session may be assigned tasks.
+// updateUsable updates in the fleet whether the runner of a session may be assigned tasks.
 func (s *Scheduler) updateUsable(sess *session) {
 	r := s.runners[sess.runner]
 	if r == nil || r.session != sess {
@@ -75,8 +76,8 @@
 	s.fleet.SetUsable(r.fleetRunner, runnerReady && inContact && appliesOrders)
 }
 
-// expireSessions ends sessions that are out of contact, replaces orders that stay unapplied by a full sync, and
-// declares runners lost whose leases are over.
+// expireSessions ends sessions that are out of contact, requests full syncs to replace orders that stay unapplied, and
+// declares runners lost that have no session and whose leases are over.
 func (s *Scheduler) expireSessions() {
 	for _, address := range slices.Sorted(maps.Keys(s.sessions)) {
 		sess := s.sessions[address]
--- a/internal/control/scheduler/objective.go
+++ b/internal/control/scheduler/objective.go
@@ -5,29 +5,29 @@
 	"frosttide/internal/protocol"
 )
 
-// objective is by when one occurrence of a job should be done, from the estimates that came with the job and the
+// objective holds the deadlines of one occurrence of a job, as derived from the estimates submitted with the job and the
 // latency target of its queue. Times are times of day in ms since 1970.
 type objective struct {
-	softDeadlineMs int64 // done by then it meets its target
-	hardDeadlineMs int64 // done by then it is late, but of use
-	remainingMs    int64 // estimated work from the step on, along the critical path
-	unbounded      bool  // long-running work has no end that could meet a deadline
+	softDeadlineMs int64 // completion by this time meets the latency target
+	hardDeadlineMs int64 // completion by this time is late but still useful
+	remainingMs    int64 // estimated time along the critical path, from the step to the end of the job
+	unbounded      bool  // long-running work, which has no completion time to compare with a deadline
 }
 
-// deadlineClass is how a step stands to its objective; lower classes are served first.
+// deadlineClass tells which deadlines of its objective a step can still meet. Lower classes are served first.
 type deadlineClass int
 
-// The deadline classes. A step that can still be of use goes ahead of one that can't.
+// The deadline classes. Steps whose result can still be useful precede steps whose result can't.
 const (
 	onTime deadlineClass = iota
 	pastSoftDeadline
 	pastHardDeadline
 )
 
-// hardDeadlineFactor is how many times the allowed latency a job may take and still be of use, by the operators' rules.
+// hardDeadlineFactor is the multiple of the allowed latency within which a job is still useful by the operators' rules.
 const hardDeadlineFactor = 3
 
-// class returns how a step stands if it were started now.
+// class returns the deadline class of a step that would be started at wallMs.
 func (o objective) class(wallMs int64) deadlineClass {
 	switch {
 	case o.unbounded || wallMs+o.remainingMs <= o.softDeadlineMs:
@@ -58,10 +58,10 @@
 	}
 }
 
-// criticalPathMs returns the estimated time, in ms, of the longest chain of dependent stages from a stage on; from
-// stage 0 that is the critical path of the job.
+// criticalPathMs returns the estimated time, in ms, of the longest chain of dependent stages among the stages with an
+// index of at least from. With from = 0 that is the critical path of the job.
 func criticalPathMs(stages []*protocol.Stage, from int) (longest int64) {
-	finish := make([]int64, len(stages)) // of the longest chain that ends with each stage
+	finish := make([]int64, len(stages)) // by stage: time of the longest chain that ends with it
 	for i, stage := range stages {
 		if i < from {
 			continue
@@ -75,13 +75,13 @@
 	return longest
 }
 
-// lastPriority is that of jobs whose queue is no longer configured.
-const lastPriority = 1 << 20
+// lowestPriority is the priority of jobs whose queue is no longer configured.
+const lowestPriority = 1 << 20
 
-// priority returns the priority of a job by its queue; lower ones are served first.
+// priority returns the priority of a job's queue. Lower numbers are served first.
 func (s *Scheduler) priority(j *jobs.Job) int {
 	if r := s.config.Route(j.Queue); r != nil {
 		return r.Priority
 	}
-	return lastPriority
+	return lowestPriority
 }
--- a/internal/control/scheduler/orders.go
+++ b/internal/control/scheduler/orders.go
@@ -12,25 +12,26 @@
 // heartbeatIntervalMs is the time between two heartbeats of a runner to its agent, the shortest that runners use.
 const heartbeatIntervalMs = 50
 
-// batch is what one entry leads to once it is committed. Nothing of it is sent earlier.
+// batch holds the effects of one entry: the orders to send and the configuration to put in force. They take effect once
+// the entry is committed, never earlier.
 type batch struct {
-	index     uint64                  // of the entry
-	byRunner  map[string]*runnerBatch // by the runner's id
+	index     uint64                  // index of the entry
+	byRunner  map[string]*runnerBatch // by runner ID
 	config    *routeconfig.Table      // the configuration that the entry puts in force, nil where it changes none
-	fullSyncs []*session              // that a full sync is sent to
+	fullSyncs []*session              // sessions to send a full sync to
 }
 
-// runnerBatch is the orders of one entry to one runner.
+// runnerBatch holds the orders of one entry to one runner.
 type runnerBatch struct {
-	started         []string // tasks
-	dropped         []*protocol.RunRef
-	acknowledgedEnd uint64 // highest end that the entry records, 0 where it records none
+	started         []string           // tasks whose newest run is to be started
+	dropped         []*protocol.RunRef // runs to stop, or to forget if they have ended
+	acknowledgedEnd uint64             // highest number of the run ends that the entry records, 0 if it records none
 }
 
-// empty reports whether the entry leads to nothing.
+// empty reports whether the batch has no effects.
 func (b *batch) empty() bool { return len(b.byRunner) == 0 && b.config == nil && len(b.fullSyncs) == 0 }
 
-// forRunner returns the orders to a runner, and adds empty ones where there are none.
+// forRunner returns the orders to a runner and creates them on first use.
 func (b *batch) forRunner(runner string) *runnerBatch {
 	if b.byRunner == nil {
 		b.byRunner = make(map[string]*runnerBatch)
@@ -41,24 +42,24 @@
 	return b.byRunner[runner]
 }
 
-// addStart orders the newest run of a task to be started.
+// addStart adds the order to start the newest run of a task.
 func (b *batch) addStart(runner, task string) {
 	rb := b.forRunner(runner)
 	rb.started = append(rb.started, task)
 }
 
-// addDrop orders a run to be stopped, or forgotten where it has ended.
+// addDrop adds the order to stop a run, or to forget it if it has ended.
 func (b *batch) addDrop(runner, task string, run uint32) {
 	rb := b.forRunner(runner)
 	rb.dropped = append(rb.dropped, &protocol.RunRef{Task: task, Run: run})
 }
 
-// acknowledgeEnds acknowledges a runner's ends up to a number.
+// acknowledgeEnds acknowledges the run ends of a runner up to a number.
 func (b *batch) acknowledgeEnds(runner string, number uint64) {
 	b.forRunner(runner).acknowledgedEnd = number
 }
 
-// sendBatch sends the orders of an entry that is committed.
+// sendBatch puts the configuration of a committed entry in force and sends the entry's orders.
 func (s *Scheduler) sendBatch(b *batch) {
 	if b.config != nil {
 		s.committedConfig = b.config
@@ -71,8 +72,8 @@
 	s.sendFullSyncs(b)
 }
 
-// sendRunnerBatch sends a runner its orders of an entry that is committed. A run that was ordered to stop in the
-// meantime is not started any more.
+// sendRunnerBatch sends a runner its orders of a committed entry. It leaves out the start of a run that has been ordered
+// to stop in the meantime.
 func (s *Scheduler) sendRunnerBatch(r *runner, rb *runnerBatch) {
 	r.acknowledgedEnd = max(r.acknowledgedEnd, rb.acknowledgedEnd)
 	orders := &protocol.RunnerOrders{Drop: rb.dropped}
@@ -101,8 +102,9 @@
 	return &protocol.RunOrder{Task: task, Run: run.number, Spec: run.step.Job.Spec, Saved: run.checkpoint}
 }
 
-// sendOrders sends orders to a session's agent: with the complete set of runs where a full sync is ready, and without
-// runs while one is still to be committed. Orders that change what the agent runs take the next sequence number.
+// sendOrders sends orders to a session's agent. It replaces them by the complete set of runs if a full sync is ready, and
+// removes the runs from them while a full sync waits for its commit. Orders that change the set of runs take the next
+// sequence number.
 func (s *Scheduler) sendOrders(sess *session, orders *protocol.RunnerOrders) {
 	orders.Epoch, orders.Runner, orders.Companion, orders.Session = s.epoch, sess.runner, sess.incarnation, sess.number
 	orders.RetryMs, orders.ReportMs = heartbeatIntervalMs, uint32(s.reportInterval()/time.Millisecond)
--- a/internal/control/scheduler/overdue.go
+++ b/internal/control/scheduler/overdue.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// overdueAfter is how long a step may wait until it is logged why.
+	// overdueAfter is how long a step may wait before the reason for its wait is logged.
 	overdueAfter = 5 * time.Second
-	// overdueInterval is how often the oldest waiting step of each service is logged at most.
+	// overdueInterval is the shortest time between two reports of overdue steps.
 	overdueInterval = 5 * time.Second
-	// overdueRounding is the precision of the waits that are logged.
+	// overdueRounding is the precision of the logged waiting times.
 	overdueRounding = 100 * time.Millisecond
 )
 
-// reportOverdue reports, for each service, the step that has waited longest and why it waits.
+// reportOverdue adds an event for each service whose longest waiting step is overdue, with the reason for its wait.
 func (s *Scheduler) reportOverdue() {
 	if s.now < s.nextOverdueReport {
 		return
--- a/internal/control/scheduler/pass.go
+++ b/internal/control/scheduler/pass.go
@@ -7,41 +7,41 @@
 	"frosttide/internal/control/placement"
 )
 
-// taskResult is what became of a task in a pass.
+// taskResult is the result of trying to start a task in a pass.
 type taskResult int
 
-// The results of a task.
+// The results of trying to start a task.
 const (
 	taskStarted taskResult = iota
-	taskSkipped            // it can't be placed, but others of its step may
-	taskBlocked            // no runner has capacity for it or the others of its step
+	taskSkipped            // can't be placed, but other tasks of its step may be
+	taskBlocked            // no runner has capacity for it or for other tasks of its step
 )
 
 const (
-	// maxSkippedTasks is how many tasks of a step a pass considers that wait for runners in good health; the step's
-	// other tasks wait behind them.
+	// maxSkippedTasks is the number of skipped tasks after which a pass leaves a step; the step's other tasks wait
+	// behind them. Tasks are skipped if they wait for healthy runners.
 	maxSkippedTasks = 8
-	// headroomTimeout is how long a job that runs nothing leaves capacity free for more urgent work that has not
-	// arrived. By the operators' rules a job that fits runs something after 3 s.
+	// headroomTimeout is how long a job without runs leaves capacity free for more urgent work that has not arrived
+	// yet. By the operators' rules a job that fits has a run after 3 s.
 	headroomTimeout = 1500 * time.Millisecond
 )
 
-// pass goes once through the steps of a queue, in order, and starts what fits.
+// pass is one iteration over the steps of a queue, in order, that starts the tasks that fit.
 type pass struct {
 	scheduler   *Scheduler
 	queue       *queue
-	anyDegraded bool                // the newest outcomes of some runner of the service speak against it
-	maxFree     placement.Resources // of each resource, no runner has more free
+	anyDegraded bool                // some runner of the service is degraded by its recent outcomes
+	maxFree     placement.Resources // by resource: the most that any single runner has free
 	blockages   []blockage
 }
 
-// newPass returns a pass through a queue.
+// newPass returns a pass over a queue.
 func (s *Scheduler) newPass(q *queue) *pass {
 	return &pass{scheduler: s, queue: q, anyDegraded: s.fleet.AnyDegraded(q.service)}
 }
 
-// run offers the service's runners to the steps in order. It skips steps that ask for more than any runner has free
-// without looking into them, and removes those that have nothing left to start.
+// run schedules the steps of the queue in order and removes those that have no task left to start. Steps whose demand
+// exceeds the free capacity of every runner are skipped by a look at their entries alone.
 func (p *pass) run() {
 	p.maxFree = p.scheduler.fleet.MaxFree(p.queue.service)
 	entries, kept := p.queue.entries, 0
@@ -77,7 +77,8 @@
 	p.scheduleTasks(w)
 }
 
-// scheduleTasks starts a step's tasks one by one until one is blocked.
+// scheduleTasks starts a step's waiting tasks one by one until a task is blocked, too many tasks are skipped or the step
+// would use headroom.
 func (p *pass) scheduleTasks(w *waitingStep) {
 	skipped := 0
 	for i := w.firstWaiting(); i < len(w.step.Tasks); i++ {
@@ -97,8 +98,8 @@
 	}
 }
 
-// scheduleTask starts a task if it fits. It is blocked where no runner has capacity for a task like it, and skipped
-// where only this one has to wait: for another runner than the one that failed it, or for one in good health.
+// scheduleTask starts a task if it fits. The task is blocked if no runner has capacity for any task of its step. It is
+// skipped if only this task has to wait: for a runner other than the one on which it last failed, or for a healthy one.
 func (p *pass) scheduleTask(w *waitingStep, index int) taskResult {
 	step, request := w.step, w.request
 	request.Avoid, request.LastAttempt = step.Tasks[index].LastFailed, step.Failures(index)+1 >= p.scheduler.maxAttempts(step.Job.ID)
@@ -124,8 +125,8 @@
 	}
 }
 
-// blockStep records that no runner has capacity for a step's next task. Nothing is recorded where only this step is
-// blocked, as each runner that fits has as many of its tasks as its anti-affinity allows.
+// blockStep records that no runner has capacity for a step's next task. It records nothing if only the step's
+// anti-affinity is in the way: the runners with enough capacity have as many of its tasks as it allows.
 func (p *pass) blockStep(w *waitingStep) {
 	if w.request.AntiAffinity > 0 {
 		relaxed := *w.request
@@ -137,8 +138,8 @@
 	p.recordBlockage(blockageFor(w))
 }
 
-// preservesHeadroom reports whether a task of a step may take capacity without using what is kept free for more urgent
-// work. A job that runs nothing waits for that only so long.
+// preservesHeadroom reports whether a task of a step may be started without using the capacity that is kept free for more
+// urgent work. For a job without runs, that capacity is no obstacle after headroomTimeout.
 func (s *Scheduler) preservesHeadroom(q *queue, w *waitingStep) bool {
 	if w.step.Job.LiveRuns() == 0 && s.now-w.since > headroomTimeout {
 		return true
@@ -147,12 +148,13 @@
 	return headroom == (placement.Resources{}) || w.request.Demand.Plus(headroom).Fits(s.fleet.FreeCapacity(q.service))
 }
 
-// delaysForLocality reports whether a step's tasks should still wait for the rack where their data lies, for at most
-// half the time that they would take longer elsewhere. This is delay scheduling (Zaharia et al. 2010, section 3).
+// delaysForLocality reports whether a step's tasks should still wait for the rack that holds their data. They wait for at
+// most half the extra time that they would take in another rack. This is delay scheduling (Zaharia et al. 2010, section
+// 3).
 func (s *Scheduler) delaysForLocality(w *waitingStep) bool {
 	if w.request.Affinity == "" {
 		return false
 	}
-	longer := time.Duration((s.cfg.RemoteSlowdown - 1) * float64(w.step.Stage.GetEstimateMs()) * float64(time.Millisecond))
-	return s.now-w.since < longer/2 && s.fleet.HasEligibleRunner(w.request, w.request.Affinity)
+	extraTime := time.Duration((s.cfg.RemoteSlowdown - 1) * float64(w.step.Stage.GetEstimateMs()) * float64(time.Millisecond))
+	return s.now-w.since < extraTime/2 && s.fleet.HasEligibleRunner(w.request, w.request.Affinity)
 }
--- a/internal/control/scheduler/queue.go
+++ b/internal/control/scheduler/queue.go
@@ -9,22 +9,22 @@
 	"frosttide/internal/control/placement"
 )
 
-// queue holds the steps of a service that have tasks to start, in the order in which they are served.
+// queue holds the steps of a service that have tasks to start, in the order in which passes visit them.
 type queue struct {
 	service     string
 	entries     []entry                     // in the order of waitingStep.compare
-	steps       map[*jobs.Step]*waitingStep // the same steps
-	hasNewSteps bool                        // since the last pass
+	steps       map[*jobs.Step]*waitingStep // the same steps, for lookup
+	hasNewSteps bool                        // steps were added since the last pass
 
 	// Totals, kept up to date by recount and Scheduler.countRunning.
 	waitingTasks  int
 	waitingDemand map[int]placement.Resources // of waiting tasks, by priority
 	runningDemand map[int]placement.Resources // of runs, by priority
-	headroom      *placement.Headroom         // capacity kept for more urgent priorities
+	headroom      *placement.Headroom         // capacity to keep free for more urgent priorities
 }
 
-// entry is a step with the demand of its tasks. A pass goes over many steps that fit no runner; what it needs to know
-// of those lies side by side in memory.
+// entry is a step with a copy of the demand of each of its tasks. A pass visits many steps that fit no runner, and reads
+// only this copy for them: adjacent entries are contiguous in memory.
 type entry struct {
 	demand placement.Resources
 	*waitingStep
@@ -33,20 +33,20 @@
 // waitingStep is a step that has tasks to start.
 type waitingStep struct {
 	step    *jobs.Step
-	request *placement.Request // of its tasks; a pass sets the fields that differ between them
+	request *placement.Request // for its tasks; a pass sets the fields that differ between tasks
 
-	// What it is ordered by.
+	// Sort keys.
 	priority  int
 	class     deadlineClass
 	objective objective
 
 	since        time.Duration // when it became ready
-	scanFrom     int           // no task with a lower index waits
-	countedTasks int           // in the queue's totals
+	scanFrom     int           // no task with a lower index is waiting
+	countedTasks int           // number of its tasks that are included in the queue's totals
 }
 
-// compare orders steps by priority, then by deadline class, then by deadline. Steps of equal urgency go by the
-// acceptance of their jobs.
+// compare orders steps by priority, then by deadline class, then by soft deadline. Ties are broken by the order in which
+// the jobs were accepted.
 func (w *waitingStep) compare(other *waitingStep) int {
 	return cmp.Or(
 		cmp.Compare(w.priority, other.priority),
@@ -58,14 +58,14 @@
 	)
 }
 
-// compareEntries orders entries as their steps.
+// compareEntries orders entries in the order of their steps.
 func compareEntries(a, b entry) int { return a.compare(b.waitingStep) }
 
-// startable reports whether a step has tasks that may be started. The steps that it depends on stay done, so that only
-// the end of its job changes that.
+// startable reports whether a step has tasks that may be started. The steps that it depends on stay done, so only the end
+// of its job can prevent the start of its waiting tasks.
 func (w *waitingStep) startable() bool { return w.step.Waiting > 0 && !w.step.Job.State.Final() }
 
-// firstWaiting returns the index of the first of the step's tasks that may wait.
+// firstWaiting returns the index of the step's first waiting task, or the number of its tasks if none is waiting.
 func (w *waitingStep) firstWaiting() int {
 	for w.scanFrom < len(w.step.Tasks) && w.step.Tasks[w.scanFrom].Phase != jobs.Waiting {
 		w.scanFrom++
@@ -84,8 +84,8 @@
 	}
 }
 
-// add inserts a step by its order, and returns how many tasks that adds. A step that is in the queue already has got
-// further tasks to start; it keeps its order.
+// add inserts a step in order and returns the number of waiting tasks that it adds. A step that is already in the queue
+// has further tasks to start; it keeps its position.
 func (q *queue) add(w *waitingStep) int {
 	q.hasNewSteps = true
 	if existing := q.steps[w.step]; existing != nil {
@@ -99,7 +99,7 @@
 	return q.recount(w)
 }
 
-// recount brings the totals up to date with a step, and returns by how many its waiting tasks have grown.
+// recount updates the queue's totals for a step, and returns by how much its number of waiting tasks has grown.
 func (q *queue) recount(w *waitingStep) (grown int) {
 	tasks := 0
 	if w.startable() {
@@ -115,8 +115,8 @@
 	return max(0, delta)
 }
 
-// updateOrRemove brings the totals up to date with a step, and reports whether it has nothing to start any more. Then
-// it is no longer among the queue's steps, and the caller removes its entry.
+// updateOrRemove updates the queue's totals for a step. If the step has no task left to start, updateOrRemove deletes it
+// from steps and returns true; the caller then removes its entry.
 func (q *queue) updateOrRemove(w *waitingStep) (removed bool) {
 	q.recount(w)
 	if w.startable() {
@@ -126,8 +126,8 @@
 	return true
 }
 
-// reclassify removes the steps that have nothing to start, and reorders those whose deadline class has changed. Unlike
-// a pass it looks at every step.
+// reclassify updates the deadline classes of all steps, restores their order, and removes the steps that have no task
+// left to start. Unlike a pass it visits every step.
 func (q *queue) reclassify(wallMs int64) {
 	changed := false
 	q.entries = slices.DeleteFunc(q.entries, func(e entry) bool {
@@ -141,7 +141,7 @@
 	}
 }
 
-// updateHeadroom reports to the headroom what each priority uses and waits for.
+// updateHeadroom passes the running and waiting demand of each priority to the headroom estimator.
 func (q *queue) updateHeadroom(now time.Duration) {
 	for priority, waiting := range q.waitingDemand {
 		q.headroom.Observe(priority, q.runningDemand[priority], waiting, now)
@@ -153,7 +153,7 @@
 	}
 }
 
-// oldest returns the step that has waited longest, nil where none waits.
+// oldest returns the step that has waited longest, or nil if no step is waiting.
 func (q *queue) oldest() *waitingStep {
 	var oldest *waitingStep
 	for _, w := range q.steps {
--- a/internal/control/scheduler/requests.go
+++ b/internal/control/scheduler/requests.go
@@ -9,9 +9,9 @@
 	"frosttide/internal/routeconfig"
 )
 
-// HandleRequest evaluates a client's request. The reply goes into the next entry, and the tail of the chain sends it
-// once that entry is committed. This holds for requests that change nothing too: a head that has been replaced
-// without knowing it answers nothing.
+// HandleRequest evaluates a client's request. The reply becomes part of the next entry, and the tail of the chain sends
+// it once that entry is committed. This also applies to requests that change nothing, so that a head that has been
+// replaced without noticing answers no requests.
 func (s *Scheduler) HandleRequest(from string, r *protocol.ClientRequest) {
 	var status int
 	var body string
@@ -45,8 +45,8 @@
 	return http.StatusOK, ""
 }
 
-// resubmit answers a submission whose ID is known. The same job again is acknowledged again; another job under that ID
-// would never run and is rejected.
+// resubmit answers a submission whose job ID is known. A repeated submission is acknowledged again. A different job with
+// the same ID would never run and is rejected.
 func (s *Scheduler) resubmit(j *jobs.Job, submission *protocol.Submit) (int, string) {
 	switch {
 	case !s.accessibleFrom(j, submission.GetQueue()):
@@ -58,13 +58,14 @@
 	}
 }
 
-// accessibleFrom reports whether clients of a queue may refer to a job: those of the job's own queue or, where that is
-// no longer configured, of any. An operator names no queue.
+// accessibleFrom reports whether clients of a queue may refer to a job. Clients of the job's own queue may; if that queue
+// is no longer configured, clients of any queue may. Requests of operators have no queue and may refer to any job.
 func (s *Scheduler) accessibleFrom(j *jobs.Job, queue string) bool {
 	return queue == "" || queue == j.Queue || s.config.Route(j.Queue) == nil
 }
 
-// cancel ends a job and returns the HTTP status of the reply. A job of another queue is answered like an unknown one.
+// cancel cancels a job and returns the HTTP status of the reply. The reply for a job of another queue is the same as for
+// an unknown job.
 func (s *Scheduler) cancel(c *protocol.Cancel) int {
 	if j := s.jobs.Get(c.GetId()); j != nil && !s.accessibleFrom(j, c.GetQueue()) {
 		return http.StatusGone
@@ -76,8 +77,8 @@
 }
 
 // updateConfig evaluates an operator's update of the configuration and returns the HTTP status and body of the reply.
-// An update that was accepted earlier is acknowledged again. One on a version so old that its digest may have been
-// forgotten gets no definite answer, so that none that was accepted is ever rejected.
+// An update that was accepted earlier is acknowledged again. An update of a version so old that the update may have been
+// accepted and its digest removed gets no definite answer, so that no accepted update is ever rejected.
 func (s *Scheduler) updateConfig(c *protocol.ConfigOrder) (int, string) {
 	digest := updateDigest(c)
 	if s.updates.contains(digest) {
@@ -100,7 +101,7 @@
 	return http.StatusOK, ""
 }
 
-// writeConfig writes the items that a change of the configuration affects.
+// writeConfig adds the items that a change of the configuration affects to the next entry.
 func (s *Scheduler) writeConfig(change *routeconfig.Change) {
 	for name, item := range change.Items {
 		if item == nil {
--- a/internal/control/scheduler/runners.go
+++ b/internal/control/scheduler/runners.go
@@ -15,41 +15,41 @@
 	"frosttide/internal/protocol"
 )
 
-// runnerPrefix is the prefix of the keys of protocol.RunnerRecord.
+// runnerPrefix is the key prefix of the items that hold a protocol.RunnerRecord.
 const runnerPrefix = "r/"
 
-// runner is what the head knows of a runner, beside its capacity and reservations, which the fleet keeps.
+// runner is the head's state of a runner, except for its capacity and reservations, which are in the fleet.
 type runner struct {
 	id          string
 	fleetRunner *placement.Runner
-	live        map[string]liveRun // by task: runs that may be under way
+	live        map[string]liveRun // by task: runs whose end is not recorded
 
-	// What the store holds of it.
-	persisted       bool   // the store, or the next entry, has an item of it
-	agent           string // internal address of the agent on its machine
-	recordedEnd     uint64 // highest end in the store or the next entry
-	acknowledgedEnd uint64 // highest end whose entry is committed; only those are acknowledged
+	// State in the store.
+	persisted       bool   // the store or the next entry has an item for the runner
+	agent           string // internal address of the agent on the runner's machine
+	recordedEnd     uint64 // number of the newest run end in the store or the next entry
+	acknowledgedEnd uint64 // number of the newest run end whose entry is committed; only committed ends are acknowledged
 
-	// Its contact with this head.
+	// Contact with this head.
 	session    *session      // nil while no agent reports for it
 	registered bool          // its agent has registered it with this head
-	lostAfter  time.Duration // without a session: when its leases are over
+	lostAfter  time.Duration // without a session: time at which its leases are over
 }
 
-// liveRun is a run that may be under way: its end is not recorded.
+// liveRun is a run whose end is not recorded, so that it may still be running.
 type liveRun struct {
 	number     uint32
 	step       *jobs.Step
 	index      int           // of the task in its step
-	checkpoint string        // that it starts from
-	startedAt  time.Duration // or when this head took it over
-	pending    bool          // the entry of its start is not committed
+	checkpoint string        // checkpoint that it starts from, if any
+	startedAt  time.Duration // time of its start, or of its takeover by this head
+	pending    bool          // the entry that records its start is not committed
 	stopSent   bool          // the order to stop it has been sent
-	evacuating bool          // it is to be stopped as its runner drains
+	evacuating bool          // it is to be stopped because its runner is draining
 }
 
-// runner returns what is known of a runner. For one that is new to this head it assumes that an earlier head may just
-// have granted a lease.
+// runner returns the state of a runner and creates it on first use. For a new one it assumes that an earlier head may
+// have granted a lease just now.
 func (s *Scheduler) runner(id string) *runner {
 	r := s.runners[id]
 	if r == nil {
@@ -59,7 +59,7 @@
 	return r
 }
 
-// loadRunners takes over the runners that a store holds; the error is that of items that can't be decoded.
+// loadRunners loads the runners from a store. It returns an error if an item can't be decoded.
 func (s *Scheduler) loadRunners(state *store.Store) error {
 	var err error
 	state.Each(func(key string, value []byte) {
@@ -72,16 +72,16 @@
 		r := s.runner(id)
 		r.recordedEnd, r.acknowledgedEnd, r.persisted, r.agent = record.GetLastSeen(), record.GetLastSeen(), true, record.GetCompanion()
 	})
-	return errors.Wrap(err, "scheduler: the stored runners can't be read")
+	return errors.Wrap(err, "scheduler: decode the stored runners")
 }
 
-// writeRunner writes the item of a runner.
+// writeRunner adds the item of a runner to the next entry.
 func (s *Scheduler) writeRunner(r *runner) {
 	r.persisted = true
 	s.put(runnerPrefix+r.id, &protocol.RunnerRecord{LastSeen: r.recordedEnd, Companion: r.agent})
 }
 
-// releaseRun removes a run whose end is recorded, and what it had reserved.
+// releaseRun removes a run whose end is recorded and releases its reservation.
 func (s *Scheduler) releaseRun(r *runner, task string) {
 	s.batch.addDrop(r.id, task, r.live[task].number)
 	s.countRunning(r.live[task].step, -1)
@@ -89,19 +89,19 @@
 	s.fleet.Release(r.fleetRunner, task)
 }
 
-// declareOthersLost declares lost the runners that an agent's machine had earlier. A machine has one runner, which
-// comes back under another id after a crash and then runs nothing. As the store holds the agent's address, this covers
-// runners that have never registered with this head.
-func (s *Scheduler) declareOthersLost(agent, keep string) {
+// declareOthersLost declares lost all runners on an agent's machine except the one with the ID currentID. A machine has
+// one runner. A runner that restarts after a crash has a new ID and no runs. As the store holds the agent's address, this
+// also covers runners that have never registered with this head.
+func (s *Scheduler) declareOthersLost(agent, currentID string) {
 	for _, id := range slices.Sorted(maps.Keys(s.runners)) {
-		if s.runners[id].agent == agent && id != keep {
+		if s.runners[id].agent == agent && id != currentID {
 			s.declareLost(id)
 		}
 	}
 }
 
-// declareLost removes a runner that surely runs nothing any more: its leases are over, or its agent has reported it
-// gone. Its runs end as lost, so that their tasks may start elsewhere.
+// declareLost removes a runner that can't have any runs left: its leases are over, it has been replaced, or its agent has
+// reported it gone. Its runs are recorded as lost, so that their tasks may start on other runners.
 func (s *Scheduler) declareLost(id string) {
 	r := s.runners[id]
 	if r == nil {
@@ -127,7 +127,8 @@
 	delete(s.runners, id)
 }
 
-// rackOf returns the label that names a runner's rack, empty where it has none.
+// rackOf returns the first label that names a rack, or an empty string if there is none. A rack label starts with the
+// prefix and contains a hyphen.
 func rackOf(prefix string, labels []string) string {
 	for _, l := range labels {
 		if strings.HasPrefix(l, prefix) && strings.Contains(l, "-") {
--- a/internal/control/scheduler/scheduler.go
+++ b/internal/control/scheduler/scheduler.go
@@ -15,61 +15,61 @@
 
 // Config holds the settings of the placement role.
 type Config struct {
-	Lease           time.Duration // how long an agent may let its runner go on without contact to the head
+	Lease           time.Duration // how long an agent may let its runner keep running tasks without contact to the head
 	StatusRetention time.Duration // how long the state of a job that has ended is kept
 	RackPrefix      string        // prefix of the labels that name racks
-	RemoteSlowdown  float64       // factor by which work takes longer in another rack than its data
+	RemoteSlowdown  float64       // factor by which a task takes longer in another rack than that of its data
 }
 
-// Scheduler is the state of the head. The package comment says how it is used and which invariants it keeps. It is not
-// safe for concurrent use.
+// Scheduler is the state of the placement role on the head. The package comment describes its use and its invariants.
+// It is not safe for concurrent use.
 type Scheduler struct {
 	cfg Config
 
 	// Time and the log, as of the last call.
-	now         time.Duration // steady clock
+	now         time.Duration // monotonic clock
 	wallMs      int64         // agreed time of day
-	epoch       uint64        // that the head serves under; also the runners' fencing token
+	epoch       uint64        // epoch of the head; also the runners' fencing token
 	committed   uint64        // index of the newest committed entry
-	confirmedAt time.Duration // when the newest confirmation of the epoch was asked for
+	confirmedAt time.Duration // when the newest confirmation of the epoch was requested
 
-	// What the store holds, with the decisions that are not committed yet.
+	// State that the store holds, including decisions that are not committed yet.
 	config          *routeconfig.Table
-	committedConfig *routeconfig.Table // the newest that is committed
+	committedConfig *routeconfig.Table // newest committed configuration
 	updates         *updateLog
 	jobs            *jobs.Table
 	fleet           *placement.Fleet
 
-	// What only this head knows.
+	// State of this head that is not in the store.
 	queues         map[string]*queue // by service
 	runners        map[string]*runner
 	sessions       map[string]*session // by the agent's address
 	lastSession    uint64              // number of the newest session
-	fullSyncWanted bool                // by some session
+	fullSyncWanted bool                // some session is in the state fullSyncNeeded
 	counters       map[string]*Counters
 
-	// Output that waits to be taken, or to be committed.
-	writes  *jobs.Writes // of the next entry, beside those of jobs
+	// Output that the caller has not taken yet, or whose entry is not committed.
+	writes  *jobs.Writes // writes of the next entry, except those of jobs
 	replies []*protocol.Reply
 	batch   batch   // orders of the next entry
 	batches []batch // orders of appended entries, by index, until these are committed
 	sends   []protocol.Outbound
 	events  []event.Event
 
-	// When something is to be done next.
+	// Times of the next periodic actions.
 	nextCleanup       time.Duration
-	retainUntil       time.Duration // no job that has ended is forgotten earlier
-	nextClockWrite    time.Duration // the time of day goes into the first entry from then on
+	retainUntil       time.Duration // no ended job is removed before this time
+	nextClockWrite    time.Duration // the first entry from this time on includes the time of day
 	nextOverdueReport time.Duration
 
-	// What decides whether a scheduling cycle looks at all queues.
+	// Whether the next scheduling cycle must visit all queues.
 	changesAtLastPass uint64 // the fleet's change counter at the last cycle over all queues
 	tickedSincePass   bool   // time has passed since that cycle
 }
 
-// New returns the scheduler of a member that begins to serve as the head under an epoch. The store is the member's
-// replicated state up to index; all of it counts as committed. The error says which part of the state can't be
-// decoded; the member must not serve then.
+// New returns the scheduler of a member that begins to serve as the head under an epoch. state is the member's replicated
+// state up to index, all of which counts as committed. New returns an error if a part of the state can't be decoded; the
+// member must not serve in that case.
 func New(cfg Config, now time.Duration, wallMs int64, epoch, index uint64, state *store.Store) (*Scheduler, error) {
 	s := &Scheduler{
 		cfg: cfg, now: now, wallMs: wallMs, epoch: epoch, committed: index, confirmedAt: now,
@@ -99,7 +99,7 @@
 	return s, nil
 }
 
-// adoptRun takes over a run that an earlier head started and whose end is not recorded.
+// adoptRun takes over a run that an earlier head has started and whose end is not recorded.
 func (s *Scheduler) adoptRun(step *jobs.Step, index int) {
 	task, name := &step.Tasks[index], step.TaskID(index)
 	r := s.runner(task.Runner)
@@ -108,8 +108,8 @@
 	s.countRunning(step, 1)
 }
 
-// Continue has the scheduler go on under a newer epoch of the same head. All entries that it had appended are
-// committed by then: index is that of the newest.
+// Continue switches the scheduler to a newer epoch of the same head. All entries that the scheduler has produced must be
+// committed; index is that of the newest one.
 func (s *Scheduler) Continue(now time.Duration, epoch, index uint64) {
 	s.now, s.epoch = now, epoch
 	for _, sess := range s.sessions {
@@ -118,25 +118,25 @@
 	s.Committed(now, index)
 }
 
-// CommittedConfig returns the newest configuration that is committed.
+// CommittedConfig returns the newest committed configuration.
 func (s *Scheduler) CommittedConfig() *routeconfig.Table { return s.committedConfig }
 
-// Jobs returns the table of jobs; callers only read it.
+// Jobs returns the table of jobs, which callers must not modify.
 func (s *Scheduler) Jobs() *jobs.Table { return s.jobs }
 
-// ClockStepped reports that the time of day has jumped. How long ago a job ended can't be told by it for a while, so
-// that none is forgotten for as long as states are kept.
+// ClockStepped tells the scheduler that the time of day has jumped. The time of day then no longer tells how long ago a
+// job ended, so no ended job is removed for the next StatusRetention.
 func (s *Scheduler) ClockStepped(now time.Duration) { s.retainUntil = now + s.cfg.StatusRetention }
 
 const (
-	// cleanupInterval is how often jobs that have ended are looked through.
+	// cleanupInterval is the time between two removals of ended jobs.
 	cleanupInterval = time.Second
-	// maxExpiredPerEntry bounds how many jobs are forgotten in one entry.
+	// maxExpiredPerEntry bounds the number of jobs that one cleanup removes.
 	maxExpiredPerEntry = 200
 )
 
-// Tick lets time pass. wallMs is the agreed time of day in ms since 1970; confirmed is when the newest confirmation
-// that the epoch stands was asked for.
+// Tick advances the time and does the work that is due. wallMs is the agreed time of day in ms since 1970; confirmed is
+// the time at which the newest confirmation of the epoch was requested.
 func (s *Scheduler) Tick(now time.Duration, wallMs int64, confirmed time.Duration) {
 	s.now, s.wallMs, s.confirmedAt, s.tickedSincePass = now, wallMs, max(s.confirmedAt, confirmed), true
 	s.jobs.ReleaseOccurrences(wallMs)
@@ -150,8 +150,8 @@
 	}
 }
 
-// Entry assigns what can be assigned and returns the entry that is to be appended to the log, nil where nothing has
-// changed. The caller appends it and calls Appended before it calls Entry again.
+// Entry runs a scheduling cycle and returns the entry to append to the log, or nil if nothing has changed. The caller
+// appends the entry and calls Appended before it calls Entry again.
 func (s *Scheduler) Entry(now time.Duration) *protocol.Entry {
 	s.now = now
 	s.schedule()
@@ -173,7 +173,8 @@
 	return e
 }
 
-// Appended reports the index of the entry that Entry returned last. Its orders wait until that index is committed.
+// Appended tells the scheduler the index of the entry that Entry returned last. The entry's orders are sent once that
+// index is committed.
 func (s *Scheduler) Appended(index uint64) {
 	if s.batch.config == nil && s.config.Version > s.appendedConfigVersion() {
 		s.batch.config = s.config
@@ -195,7 +196,8 @@
 	return s.committedConfig.Version
 }
 
-// Committed reports the index of the newest committed entry, and sends the orders of the entries up to it.
+// Committed tells the scheduler the index of the newest committed entry. It adds the orders of the entries up to that
+// index to the messages to send.
 func (s *Scheduler) Committed(now time.Duration, index uint64) {
 	s.now = now
 	s.committed = max(s.committed, index)
@@ -205,14 +207,14 @@
 	}
 }
 
-// TakeSends returns the messages that are to be sent since the last call.
+// TakeSends returns the messages to send that were added since the last call.
 func (s *Scheduler) TakeSends() []protocol.Outbound {
 	sends := s.sends
 	s.sends = nil
 	return sends
 }
 
-// TakeEvents returns what is to be logged since the last call.
+// TakeEvents returns the events to log that were added since the last call.
 func (s *Scheduler) TakeEvents() []event.Event {
 	events := s.events
 	s.events = nil
--- a/internal/control/scheduler/sessions.go
+++ b/internal/control/scheduler/sessions.go
@@ -8,38 +8,38 @@
 	"frosttide/internal/protocol"
 )
 
-// session is what the head knows of the agent at an address, from its first report until it restarts, another head
-// takes over or the session expires.
+// session is the head's state of the agent at an address. It lasts from the agent's first report until the agent restarts,
+// another head takes over, or the session expires.
 type session struct {
 	// Identity.
 	address              string
-	number               uint64   // rises with each session of a head
-	incarnation          uint64   // of the agent
-	previousIncarnations []uint64 // of earlier agents at this address, the newest last
-	runner               string   // id of the agent's runner, empty before the agent has registered one
+	number               uint64   // increases with each session of a head
+	incarnation          uint64   // incarnation of the agent
+	previousIncarnations []uint64 // earlier incarnations at this address, the newest last
+	runner               string   // ID of the agent's runner, empty if none is registered
 
-	// The newest report.
-	reportNumber       uint64 // rises with each report of an incarnation
+	// State from the newest report.
+	reportNumber       uint64 // increases with each report of an incarnation
 	lastContact        time.Duration
-	runnerUnresponsive bool // the runner has missed its heartbeats to the agent
-	hasLease           bool // the runner acts within a lease that this agent has passed on
+	runnerUnresponsive bool // the runner has missed heartbeats to the agent
+	hasLease           bool // the runner holds a lease that this agent has passed on
 	draining           bool // the runner accepts no further runs
 
 	// The lease.
-	leaseExpiry time.Duration // of the newest lease that was granted
+	leaseExpiry time.Duration // expiry of the newest granted lease
 
-	// Orders: the agent applies them in the order of their sequence numbers, without a gap.
-	lastSequence    uint64        // of the newest orders sent
-	appliedSequence uint64        // of the newest orders that the agent has applied
-	unappliedSince  time.Duration // since when the oldest unapplied orders wait, or when some were last applied
+	// Orders, which the agent applies in the order of their sequence numbers, without gaps.
+	lastSequence    uint64        // sequence number of the newest orders sent
+	appliedSequence uint64        // sequence number of the newest orders that the agent has applied
+	unappliedSince  time.Duration // when the oldest unapplied orders were sent, or when any were last applied
 	fullSync        fullSyncState
 }
 
-// maxPreviousIncarnations bounds how many earlier incarnations of an agent are known.
+// maxPreviousIncarnations bounds the number of earlier incarnations that a session remembers.
 const maxPreviousIncarnations = 8
 
-// incarnationHistory returns the incarnations that a successor of a session must not accept reports of: the earlier
-// ones and the session's own. A nil session has none.
+// incarnationHistory returns the incarnations whose reports the successor of a session must ignore: the earlier ones and
+// the session's own. It returns nil for a nil session.
 func (sess *session) incarnationHistory() []uint64 {
 	if sess == nil {
 		return nil
@@ -48,17 +48,17 @@
 	return all[max(0, len(all)-maxPreviousIncarnations):]
 }
 
-// acknowledge records up to which sequence number an agent has applied its orders. Newer orders do not extend the time
-// that the oldest ones may stay unapplied, as an agent that misses one applies none after it.
+// acknowledge records the sequence number up to which an agent has applied its orders. Sending newer orders does not
+// extend the time for which the oldest ones may stay unapplied, as an agent that has missed orders applies no later ones.
 func (sess *session) acknowledge(now time.Duration, sequence uint64) {
 	if sequence > sess.appliedSequence {
 		sess.appliedSequence, sess.unappliedSince = sequence, now
 	}
 }
 
-// HandleReport takes over an agent's report and replies with a renewed lease. A report that arrives after a later one
-// is dropped. What the report says is applied in a fixed order: runners that are gone, the agent's own runner, orders
-// applied, ends, refusals, and only then whether the runner may be assigned tasks.
+// HandleReport applies an agent's report and replies with a renewed lease. A report that is older than one already
+// received is dropped. The parts of a report are applied in a fixed order: runners that are gone, the agent's own runner,
+// acknowledged orders, ends and refusals; whether the runner may be assigned tasks is decided last.
 func (s *Scheduler) HandleReport(now time.Duration, from string, report *protocol.RunnerReport) {
 	s.now = now
 	sess := s.sessions[from]
@@ -83,8 +83,8 @@
 	s.renewLease(sess, report)
 }
 
-// isStale reports whether a report is older than what is known of its sender: a report of the session's incarnation
-// that is not newer than its newest, or any of an earlier incarnation. The network may delay and repeat reports.
+// isStale reports whether a report is out of date: it is from the session's incarnation but not newer than the newest one
+// received, or it is from an earlier incarnation. The network may delay and repeat reports.
 func (sess *session) isStale(report *protocol.RunnerReport) bool {
 	switch {
 	case sess == nil:
@@ -96,8 +96,8 @@
 	}
 }
 
-// beginSession replaces the session of an address, nil where there was none, by one with a new incarnation of the
-// agent. It starts with a full sync.
+// beginSession replaces the previous session of an address, nil if there is none, by a session with a new incarnation of
+// the agent. The session starts with a full sync.
 func (s *Scheduler) beginSession(address string, previous *session, incarnation uint64) *session {
 	s.endSession(previous)
 	s.lastSession++
@@ -107,8 +107,8 @@
 	return sess
 }
 
-// endSession removes a session. Its runner is assigned nothing until an agent registers it again, and is lost unless
-// that happens before its leases have run out.
+// endSession removes a session. Its runner is assigned no tasks until an agent registers it again, and is declared lost if
+// that does not happen before its leases are over. A nil session is ignored.
 func (s *Scheduler) endSession(sess *session) {
 	if sess == nil {
 		return
@@ -121,8 +121,8 @@
 	delete(s.sessions, sess.address)
 }
 
-// registerRunner takes over which runner an agent reports for, with its capacity and labels. Reports leave them out
-// while they have not changed.
+// registerRunner applies a report's description of the agent's runner: its ID, capacity, labels and drain state. Agents
+// omit the description from reports while it is unchanged.
 func (s *Scheduler) registerRunner(sess *session, report *protocol.RunnerReport) {
 	account := report.GetAccount()
 	if account == nil {
--- a/internal/control/scheduler/status.go
+++ b/internal/control/scheduler/status.go
@@ -14,9 +14,9 @@
 	Epoch         uint64                   `json:"epoch"` // also the runners' fencing token
 	ConfigVersion uint64                   `json:"config_version"`
 	Jobs          map[string]int           `json:"jobs"`     // by state
-	Services      map[string]ServiceStatus `json:"services"` // that have had tasks, by name
+	Services      map[string]ServiceStatus `json:"services"` // by name; services that have had tasks
 	Runners       []RunnerStatus           `json:"runners"`
-	Waiting       []WaitStatus             `json:"waiting"` // steps with tasks that wait, in the order in which they are served
+	Waiting       []WaitStatus             `json:"waiting"` // steps with waiting tasks, by service, in the order in which passes visit them
 }
 
 // RunnerStatus is the state of a runner.
@@ -30,17 +30,17 @@
 	Draining         bool                `json:"draining,omitempty"`
 	Unresponsive     bool                `json:"silent,omitempty"`
 	InSession        bool                `json:"in_session"`
-	Ejected          bool                `json:"suspect,omitempty"` // it fails what it is given
+	Ejected          bool                `json:"suspect,omitempty"` // excluded from new work because of its failures
 	Capacity         placement.Resources `json:"capacity"`
 	Used             placement.Resources `json:"used"`
 	Runs             int                 `json:"runs"`
-	Tasks            []RunStatus         `json:"tasks,omitempty"`      // that have a reservation
-	LeaseRemainingMs int64               `json:"lease_ms"`             // until its lease expires
-	LostInMs         int64               `json:"lost_in_ms,omitempty"` // out of contact: until its runs count as lost
+	Tasks            []RunStatus         `json:"tasks,omitempty"`      // runs that have a reservation
+	LeaseRemainingMs int64               `json:"lease_ms"`             // time until its lease expires
+	LostInMs         int64               `json:"lost_in_ms,omitempty"` // without a session: time until it is declared lost
 	LastContactMsAgo int64               `json:"heard_ms_ago,omitempty"`
 }
 
-// State returns the state of a runner in a word or two, for operators.
+// State returns a short description of a runner's state for operators.
 func (r *RunnerStatus) State() string {
 	switch {
 	case !r.InSession:
@@ -58,23 +58,23 @@
 	}
 }
 
-// RunStatus is a run that may be under way on a runner.
+// RunStatus is the state of a run whose end is not recorded.
 type RunStatus struct {
 	Task     string `json:"task"`
 	Run      uint32 `json:"run"`
-	State    string `json:"state"` // of its job
+	State    string `json:"state"` // state of its job
 	Stopping bool   `json:"stopping,omitempty"`
-	ForMs    int64  `json:"for_ms"` // since it was started, or taken over by this head
+	ForMs    int64  `json:"for_ms"` // time since its start, or since its takeover by this head
 }
 
-// WaitStatus is a step with tasks that wait, and why.
+// WaitStatus describes a step with waiting tasks and the reason why they wait.
 type WaitStatus struct {
 	Job        string              `json:"job"`
 	Queue      string              `json:"queue"`
 	Service    string              `json:"service"`
 	Occurrence int                 `json:"time"`
 	Step       int                 `json:"step"`
-	Tasks      int                 `json:"tasks"` // that wait
+	Tasks      int                 `json:"tasks"` // number of waiting tasks
 	Gang       bool                `json:"gang,omitempty"`
 	Priority   int                 `json:"priority"`
 	ForMs      int64               `json:"for_ms"`
@@ -83,7 +83,7 @@
 	Reason     string              `json:"why"`
 }
 
-// maxListedWaiting bounds the waiting steps that a status holds.
+// maxListedWaiting bounds the number of waiting steps in a status.
 const maxListedWaiting = 200
 
 // Status returns the state of the placement role.
@@ -98,7 +98,8 @@
 	return status
 }
 
-// waitingSteps returns the waiting steps that match, in the order in which they are served, at most maxListedWaiting.
+// waitingSteps returns at most maxListedWaiting of the matching waiting steps, by service, in the order in which passes
+// visit them.
 func (s *Scheduler) waitingSteps(match func(*jobs.Step) bool) (out []WaitStatus) {
 	for _, service := range slices.Sorted(maps.Keys(s.queues)) {
 		q := s.queues[service]
@@ -114,11 +115,11 @@
 
 // runnerStatus returns the state of a runner.
 func (s *Scheduler) runnerStatus(r *runner) RunnerStatus {
-	placed := r.fleetRunner
+	fleetRunner := r.fleetRunner
 	status := RunnerStatus{
-		ID: r.id, Service: placed.Service, Agent: r.agent, Rack: placed.Rack, Labels: placed.Labels,
-		Usable: placed.Usable, InSession: r.session != nil, Ejected: placed.Ejected(s.now),
-		Capacity: placed.Capacity, Used: placed.Used(), Runs: placed.ReservationCount(),
+		ID: r.id, Service: fleetRunner.Service, Agent: r.agent, Rack: fleetRunner.Rack, Labels: fleetRunner.Labels,
+		Usable: fleetRunner.Usable, InSession: r.session != nil, Ejected: fleetRunner.Ejected(s.now),
+		Capacity: fleetRunner.Capacity, Used: fleetRunner.Used(), Runs: fleetRunner.ReservationCount(),
 	}
 	for _, task := range slices.Sorted(maps.Keys(r.live)) {
 		status.Tasks = append(status.Tasks, s.runStatus(task, r.live[task]))
@@ -133,7 +134,7 @@
 	return status
 }
 
-// runStatus returns the state of a run that may be under way.
+// runStatus returns the state of a run whose end is not recorded.
 func (s *Scheduler) runStatus(task string, run liveRun) RunStatus {
 	return RunStatus{
 		Task: task, Run: run.number, State: run.step.Job.State.String(),
@@ -141,7 +142,7 @@
 	}
 }
 
-// waitStatus returns a waiting step with the reason why it waits.
+// waitStatus returns the state of a waiting step with the reason why it waits.
 func (s *Scheduler) waitStatus(q *queue, w *waitingStep) WaitStatus {
 	step, request := w.step, placementRequest(w.step)
 	obstacles := s.fleet.Explain(request, s.now)
@@ -153,7 +154,7 @@
 	}
 }
 
-// waitReason returns in one line why a step waits.
+// waitReason returns a one-line explanation of why a step waits.
 func (s *Scheduler) waitReason(q *queue, w *waitingStep, obstacles placement.Obstacles) string {
 	reason := obstacles.String()
 	switch {
--- a/internal/control/scheduler/updatelog.go
+++ b/internal/control/scheduler/updatelog.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	// updatePrefix is the prefix of the keys of accepted updates, before their digests. The values are
-	// protocol.ConfigRecord with the version that an update led to.
+	// updatePrefix is the key prefix of accepted updates; the rest of the key is the digest. The value is a
+	// protocol.ConfigRecord with the version that the update created.
 	updatePrefix = "o/"
-	// horizonKey is the key of the protocol.ConfigRecord with the highest version whose update has been forgotten.
+	// horizonKey is the key of the protocol.ConfigRecord with the highest version whose update is no longer remembered.
 	horizonKey = "oh"
-	// maxKnownUpdates bounds how many updates are known by their digests.
+	// maxKnownUpdates bounds the number of updates whose digests are remembered.
 	maxKnownUpdates = 1024
 )
 
-// ConfigUpdate is an operator's update of the configuration that was accepted.
+// ConfigUpdate is an accepted update of the configuration by an operator.
 type ConfigUpdate struct {
-	Version uint64 `json:"version"` // of the configuration that it led to
-	Digest  string `json:"order"`   // SHA-256 of all that it says, in hex
+	Version uint64 `json:"version"` // version of the configuration that it created
+	Digest  string `json:"order"`   // SHA-256 of the whole update, in hex; see updateDigest
 }
 
-// updateLog knows the newest updates of the configuration that were accepted, by a digest that can't be made to
-// collide, so that one that arrives again is acknowledged again.
+// updateLog remembers the newest accepted updates of the configuration, so that a repeated update is acknowledged again.
+// It identifies updates by a collision-resistant digest.
 type updateLog struct {
 	digests  map[string]struct{}
 	accepted []ConfigUpdate // by version, the newest last
-	horizon  uint64         // highest version whose update has been forgotten
+	horizon  uint64         // highest version whose update is no longer remembered
 }
 
-// loadUpdates returns the updates that a store holds; the error is that of items that can't be decoded.
+// loadUpdates loads the update log from a store. It returns an error if an item can't be decoded.
 func loadUpdates(state *store.Store) (*updateLog, error) {
 	l := &updateLog{digests: make(map[string]struct{})}
 	var err error
@@ -61,34 +61,33 @@
 	slices.SortFunc(l.accepted, func(a, b ConfigUpdate) int {
 		return cmp.Or(cmp.Compare(a.Version, b.Version), cmp.Compare(a.Digest, b.Digest))
 	})
-	return l, errors.Wrap(err, "scheduler: the stored orders can't be read")
+	return l, errors.Wrap(err, "scheduler: decode the stored configuration updates")
 }
 
-// updateDigest returns the digest of all that an update says: the version that it builds on, whether it is a patch,
-// and its body.
+// updateDigest returns the digest of an update: of the version that it is based on, whether it is a patch, and its body.
 func updateDigest(c *protocol.ConfigOrder) string {
 	hash := sha256.New()
-	var fixed [9]byte
-	binary.LittleEndian.PutUint64(fixed[:], c.GetIfMatch())
+	var header [9]byte // version and patch flag
+	binary.LittleEndian.PutUint64(header[:], c.GetIfMatch())
 	if c.GetPatch() {
-		fixed[8] = 1
+		header[8] = 1
 	}
-	hash.Write(fixed[:])
+	hash.Write(header[:])
 	hash.Write(c.GetBody())
 	return hex.EncodeToString(hash.Sum(nil))
 }
 
-// contains reports whether an update was accepted and is still known.
+// contains reports whether an update was accepted and is still remembered.
 func (l *updateLog) contains(digest string) bool {
 	_, ok := l.digests[digest]
 	return ok
 }
 
-// mayHaveForgotten reports whether an update that builds on a version may have been accepted and forgotten since: it
-// led to a higher version.
+// mayHaveForgotten reports whether an update based on the version ifMatch may have been accepted and is no longer
+// remembered. Such an update created a version above ifMatch.
 func (l *updateLog) mayHaveForgotten(ifMatch uint64) bool { return ifMatch < l.horizon }
 
-// record adds an update that is accepted, writes it, and forgets the oldest beyond the bound.
+// record adds an accepted update to the log and to the writes w, and removes the oldest updates beyond maxKnownUpdates.
 func (l *updateLog) record(digest string, record *protocol.ConfigRecord, w *jobs.Writes) {
 	l.digests[digest] = struct{}{}
 	l.accepted = append(l.accepted, ConfigUpdate{Version: record.GetVersion(), Digest: digest})
@@ -103,7 +102,7 @@
 	}
 }
 
-// History returns the accepted updates that are known, the newest first.
+// History returns the remembered accepted updates, the newest first.
 func (s *Scheduler) History() []ConfigUpdate {
 	out := slices.Clone(s.updates.accepted)
 	slices.Reverse(out)
