--- a/internal/control/scheduler/blockage.go
+++ b/internal/control/scheduler/blockage.go
@@ -7,7 +7,7 @@
 type blockage struct {
 	demand      placement.Resources
 	requirement string
-	rack        string // where set, only the runners of this rack were considered
+	rack        string // if set, only the runners of this rack were considered
 	gang        int    // number of gang members that did not fit at the same time, 0 for a single task
 	lastAttempt bool   // only healthy runners were considered
 }
--- a/internal/control/scheduler/fullsync.go
+++ b/internal/control/scheduler/fullsync.go
@@ -23,17 +23,17 @@
 // requestFullSync schedules a full sync for a session.
 func (s *Scheduler) requestFullSync(sess *session) {
 	sess.fullSync = fullSyncNeeded
-	s.fullSyncWanted = true
+	s.anyFullSyncNeeded = true
 }
 
 // enqueueFullSyncs adds the sessions that need a full sync to the batch of the next entry. The full syncs are sent once
 // that entry, and so every decision made until now, is committed: a set that omits a run whose end is not committed
 // would make the agent stop a run that may still be needed.
 func (s *Scheduler) enqueueFullSyncs() {
-	if !s.fullSyncWanted {
+	if !s.anyFullSyncNeeded {
 		return
 	}
-	s.fullSyncWanted = false
+	s.anyFullSyncNeeded = false
 	for _, address := range slices.Sorted(maps.Keys(s.sessions)) {
 		if sess := s.sessions[address]; sess.fullSync == fullSyncNeeded {
 			sess.fullSync = fullSyncRequested
--- a/internal/control/scheduler/harness_test.go
+++ b/internal/control/scheduler/harness_test.go
@@ -14,30 +14,30 @@
 	"frosttide/internal/protocol"
 )
 
-// config has three queues of one service: "fast" is more urgent than "slow" and "once", and jobs of "once" have a
-// single attempt.
+// config has three queues of one service. Jobs of "fast" have priority over those of "slow" and "once", and tasks of
+// "once" have a single attempt.
 const config = `{"Version":1,"Routes":[{"Name":"fast","Host":"h","PathPrefix":"/f/","TimeoutMs":3000,"TargetLatencyMs":800,"Priority":0,"Service":"svc","MaxAttempts":2,"Stretch":1.5},` +
 	`{"Name":"slow","Host":"h","PathPrefix":"/s/","TimeoutMs":3000,"TargetLatencyMs":4000,"Priority":2,"Service":"svc","MaxAttempts":2,"Stretch":4},` +
 	`{"Name":"once","Host":"h","PathPrefix":"/o/","TimeoutMs":3000,"TargetLatencyMs":4000,"Priority":2,"Service":"svc","MaxAttempts":1,"Stretch":4}],"Services":[{"Name":"svc"}]}`
 
-// harness runs a scheduler on a log that commits when the test says so. It stands in for the member, the chain, the
-// agents and the clients.
+// harness runs a scheduler on a log whose commits the test controls. It simulates the member, the chain, the agents and
+// the clients.
 type harness struct {
 	t         testing.TB
 	scheduler *Scheduler
 	store     *store.Store
 	now       time.Duration
-	index     uint64 // of the newest entry
+	index     uint64 // index of the newest entry
 	epoch     uint64
 
 	lastRequest uint64
-	replies     map[uint64]*protocol.ClientReply // by request
+	replies     map[uint64]*protocol.ClientReply // by request ID
 
 	reportNumber uint64
-	orders       map[string][]*protocol.RunnerOrders // sent by this head, by agent
+	orders       map[string][]*protocol.RunnerOrders // orders that this head has sent, by agent
 }
 
-// newEmptyHarness returns a scheduler without a configuration.
+// newEmptyHarness returns a harness whose scheduler has no configuration.
 func newEmptyHarness(t testing.TB) *harness {
 	t.Helper()
 	h := &harness{t: t, store: store.New(), now: time.Hour, epoch: 1, replies: make(map[uint64]*protocol.ClientReply)}
@@ -45,7 +45,7 @@
 	return h
 }
 
-// newHarness returns a scheduler with the three queues of config.
+// newHarness returns a harness whose scheduler has the three queues of config.
 func newHarness(t testing.TB) *harness {
 	t.Helper()
 	h := newEmptyHarness(t)
@@ -53,7 +53,7 @@
 	return h
 }
 
-// elect replaces the scheduler by that of a new head, made from the store.
+// elect replaces the scheduler by that of a new head, which loads its state from the store.
 func (h *harness) elect() {
 	h.t.Helper()
 	h.epoch++
@@ -66,7 +66,7 @@
 // wall returns the time of day in ms.
 func (h *harness) wall() int64 { return 1_800_000_000_000 + h.now.Milliseconds() }
 
-// append appends the next entry after a tick, and reports whether there was one.
+// append ticks, appends the next entry, and reports whether there was one.
 func (h *harness) append() bool {
 	h.scheduler.Tick(h.now, h.wall(), h.now)
 	return h.appendEntry()
@@ -87,7 +87,7 @@
 	return true
 }
 
-// commit commits all entries, those too that follow from a commit.
+// commit appends and commits entries, including those that result from a commit, and collects the orders.
 func (h *harness) commit() {
 	for range 4 {
 		h.append()
@@ -96,7 +96,7 @@
 	}
 }
 
-// collect delivers what has been sent.
+// collect records the orders that the scheduler has sent.
 func (h *harness) collect() {
 	for _, s := range h.scheduler.TakeSends() {
 		h.orders[s.To] = append(h.orders[s.To], s.Message.GetRunnerOrders())
@@ -127,7 +127,7 @@
 	return &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: c}}
 }
 
-// submit submits a job that is accepted, and returns its ID.
+// submit submits a job, requires that it is accepted, and returns its ID.
 func (h *harness) submit(id int, queue string, stages ...*protocol.Stage) string {
 	h.t.Helper()
 	name := fmt.Sprintf("%016x", id)
@@ -142,7 +142,7 @@
 	return int(h.request(submitRequest(s)).GetStatus())
 }
 
-// cancel cancels a job that is known.
+// cancel cancels a job and requires that the job is known.
 func (h *harness) cancel(id string) {
 	h.t.Helper()
 	require.EqualValues(h.t, http.StatusOK, h.request(cancelRequest(id, "")).GetStatus())
@@ -154,7 +154,8 @@
 	return h.request(configRequest(&protocol.ConfigOrder{Patch: true, IfMatch: ifMatch, Body: []byte(body)})).GetStatus()
 }
 
-// report has an agent report for its runner, with all orders applied.
+// report delivers a report of an agent for its runner, with all orders applied. The changes are made to the report
+// beforehand.
 func (h *harness) report(agent, runner string, change ...func(*protocol.RunnerReport)) {
 	h.reportNumber++
 	report := &protocol.RunnerReport{Incarnation: 1, LeaseRound: h.reportNumber, Epoch: h.epoch, Holding: true,
@@ -168,7 +169,7 @@
 	h.scheduler.HandleReport(h.now, agent, report)
 }
 
-// register has an agent begin a session, with an empty full sync.
+// register begins a session of an agent and completes its full sync.
 func (h *harness) register(agent, runner string) {
 	h.report(agent, runner)
 	h.commit()
@@ -176,7 +177,7 @@
 	h.commit()
 }
 
-// ends adds ends with a reason to a report.
+// ends adds run ends with a reason to a report.
 func ends(reason string, refs ...*protocol.RunEnd) func(*protocol.RunnerReport) {
 	return func(report *protocol.RunnerReport) {
 		for _, e := range refs {
@@ -186,12 +187,12 @@
 	}
 }
 
-// refuses adds runs that the runner refuses to a report.
+// refuses sets the refused runs of a report.
 func refuses(refs ...*protocol.RunRef) func(*protocol.RunnerReport) {
 	return func(report *protocol.RunnerReport) { report.Refused = refs }
 }
 
-// started returns the runs that an agent is to have by the orders that it was sent, by task.
+// started returns the run numbers, by task, of the runs that an agent should have according to its orders.
 func (h *harness) started(agent string) map[string]uint32 {
 	out := make(map[string]uint32)
 	for _, o := range h.orders[agent] {
@@ -210,25 +211,25 @@
 	return out
 }
 
-// lastOrders returns the newest orders to an agent.
+// lastOrders returns the newest orders sent to an agent.
 func (h *harness) lastOrders(agent string) *protocol.RunnerOrders {
 	h.t.Helper()
 	require.NotEmpty(h.t, h.orders[agent])
 	return h.orders[agent][len(h.orders[agent])-1]
 }
 
-// runnersByTask returns the runner of each task that runs.
+// runnersByTask returns the runner of each task that has a live run.
 func (h *harness) runnersByTask() map[string]string {
-	runs := make(map[string]string)
+	runners := make(map[string]string)
 	for id, runner := range h.scheduler.runners {
 		for task := range runner.live {
-			runs[task] = id
+			runners[task] = id
 		}
 	}
-	return runs
+	return runners
 }
 
-// endFirst has a runner report the end of the first, by name, of its committed runs.
+// endFirst records the end of the first run of a runner, by task name, whose start is committed.
 func (h *harness) endFirst(id, reason string) {
 	runner := h.scheduler.runners[id]
 	for _, task := range slices.Sorted(maps.Keys(runner.live)) {
--- a/internal/control/scheduler/orders.go
+++ b/internal/control/scheduler/orders.go
@@ -17,7 +17,7 @@
 type batch struct {
 	index     uint64                  // index of the entry
 	byRunner  map[string]*runnerBatch // by runner ID
-	config    *routeconfig.Table      // the configuration that the entry puts in force, nil where it changes none
+	config    *routeconfig.Table      // the configuration that the entry puts in force, nil if it changes none
 	fullSyncs []*session              // sessions to send a full sync to
 }
 
--- a/internal/control/scheduler/orders_test.go
+++ b/internal/control/scheduler/orders_test.go
@@ -10,6 +10,8 @@
 	"frosttide/internal/protocol"
 )
 
+// TestStartsOnlyWhatIsCommitted checks that the order to start a run is sent only once the record of the start is
+// committed.
 func TestStartsOnlyWhatIsCommitted(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -19,12 +21,14 @@
 	h.scheduler.HandleRequest("client", request)
 	require.True(t, h.append())
 	h.collect()
-	require.Empty(t, h.started("c1"), "the runs are not committed")
+	require.Empty(t, h.started("c1"), "runs were ordered to start before their entry was committed")
 	h.scheduler.Committed(h.now, h.index)
 	h.collect()
 	require.Equal(t, map[string]uint32{"0000000000000001.0.0.0": 1, "0000000000000001.0.0.1": 1}, h.started("c1"))
 }
 
+// TestEndsAreAcknowledgedOnceCommitted checks that a run end is acknowledged only once it is committed, and that a
+// repeated end changes nothing.
 func TestEndsAreAcknowledgedOnceCommitted(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -35,18 +39,18 @@
 	h.report("c1", "i1", end())
 	require.True(t, h.append())
 	h.collect()
-	require.Zero(t, h.lastOrders("c1").GetLastSeen())
+	require.Zero(t, h.lastOrders("c1").GetLastSeen(), "the end was acknowledged before it was committed")
 	h.commit()
 	require.EqualValues(t, 1, h.lastOrders("c1").GetLastSeen())
 	require.Equal(t, jobs.Completed, h.scheduler.Jobs().Get(id).State)
 	previous := h.index
 	h.report("c1", "i1", end())
 	h.commit()
-	require.Equal(t, previous, h.index, "an end that is listed again changes nothing")
+	require.Equal(t, previous, h.index, "a repeated end led to an entry")
 }
 
-// TestFullSyncWaitsForCommit checks that a full sync without runs that an entry declares lost is sent only once that
-// entry is committed.
+// TestFullSyncWaitsForCommit checks that a full sync that omits lost runs is sent only once the entry that declares the
+// runs lost is committed.
 func TestFullSyncWaitsForCommit(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -58,24 +62,26 @@
 	h.append()
 	h.collect()
 	for _, o := range h.orders["c1"][previous:] {
-		require.False(t, o.GetFull())
+		require.False(t, o.GetFull(), "a full sync was sent before the entry was committed")
 	}
 	h.commit()
-	require.True(t, h.lastOrders("c1").GetFull())
+	require.True(t, h.lastOrders("c1").GetFull(), "no full sync was sent after the commit")
 }
 
+// TestCanceledJobIsStopped checks that the runs of a canceled job are stopped, and keep their reservations until they end.
 func TestCanceledJobIsStopped(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
 	id := h.submit(1, "fast", stage(2, 1000))
 	h.cancel(id)
 	require.Empty(t, h.started("c1"))
-	require.EqualValues(t, 2000, h.scheduler.runners["i1"].fleetRunner.Used().CPU, "what is being stopped still counts")
+	require.EqualValues(t, 2000, h.scheduler.runners["i1"].fleetRunner.Used().CPU, "runs that are being stopped keep their reservations")
 	h.report("c1", "i1", ends("stopped", &protocol.RunEnd{Number: 1, Task: id + ".0.0.0", Run: 1}, &protocol.RunEnd{Number: 2, Task: id + ".0.0.1", Run: 1}))
 	h.commit()
-	require.Zero(t, h.scheduler.runners["i1"].fleetRunner.Used().CPU)
+	require.Zero(t, h.scheduler.runners["i1"].fleetRunner.Used().CPU, "the reservations of stopped runs are not released")
 }
 
+// TestRefusedStartGoesElsewhere checks that a task whose run was refused gets a new run.
 func TestRefusedStartGoesElsewhere(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -85,6 +91,7 @@
 	require.Equal(t, uint32(2), h.started("c1")[id+".0.0.0"])
 }
 
+// TestUnappliedOrdersAreSentAgain checks that orders that an agent has lost are sent again.
 func TestUnappliedOrdersAreSentAgain(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -96,15 +103,15 @@
 		h.report("c1", "i1", func(report *protocol.RunnerReport) { report.OrdersSeen = lost[0].GetSequence() })
 		h.commit()
 	}
-	require.Len(t, h.started("c1"), 1)
+	require.Len(t, h.started("c1"), 1, "the lost start was not sent again")
 }
 
-// TestCancelOfUnsentRun checks that the reservation of a run is released whose job was canceled before its agent got a
-// full sync: the agent has never been sent the run and can list no end of it.
+// TestCancelOfUnsentRun checks that the reservation of a run is released if its job is canceled while the agent waits for
+// a full sync. The agent was never sent the run, so it can't report its end; it has to refuse the run.
 func TestCancelOfUnsentRun(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
-	h.report("c1", "i1", func(report *protocol.RunnerReport) { report.Incarnation = 2 }) // it needs a full sync
+	h.report("c1", "i1", func(report *protocol.RunnerReport) { report.Incarnation = 2 }) // a new incarnation needs a full sync
 	id := h.submit(1, "fast", stage(2, 1000))
 	h.cancel(id)
 	h.now += time.Second
@@ -118,14 +125,14 @@
 			dropped = o.GetDrop()
 		}
 	}
-	require.Len(t, dropped, 2, "the agent is to report their ends")
+	require.Len(t, dropped, 2, "the full sync does not ask the agent to drop the canceled runs")
 	require.Equal(t, 2, h.scheduler.runners["i1"].fleetRunner.ReservationCount())
 	tasks := h.scheduler.Status().Runners[0].Tasks
 	require.Len(t, tasks, 2)
-	require.Equal(t, RunStatus{Task: id + ".0.0.0", Run: 1, State: "canceled", Stopping: true}, tasks[0], "an operator sees what has the reservation")
+	require.Equal(t, RunStatus{Task: id + ".0.0.0", Run: 1, State: "canceled", Stopping: true}, tasks[0], "the status does not show the run that has a reservation")
 	h.report("c1", "i1", refuses(dropped...))
 	h.commit()
-	require.Zero(t, h.scheduler.runners["i1"].fleetRunner.ReservationCount())
+	require.Zero(t, h.scheduler.runners["i1"].fleetRunner.ReservationCount(), "the reservations of refused runs are not released")
 	previous := len(h.orders["c1"])
 	h.report("c1", "i1", refuses(dropped...))
 	h.commit()
@@ -133,13 +140,13 @@
 	for _, o := range h.orders["c1"][previous:] {
 		forgotten = append(forgotten, o.GetDrop()...)
 	}
-	require.Len(t, forgotten, 2, "the agent may forget them")
+	require.Len(t, forgotten, 2, "the agent was not told to forget the refused runs")
 	h.elect()
-	require.Zero(t, h.scheduler.runners["i1"].fleetRunner.ReservationCount(), "their ends are in the store")
+	require.Zero(t, h.scheduler.runners["i1"].fleetRunner.ReservationCount(), "a new head does not know that the runs have ended")
 }
 
-// TestLostOrdersUnderNewOnes checks that an agent that has missed orders gets a full sync though newer orders are sent
-// all the time.
+// TestLostOrdersUnderNewOnes checks that an agent that has missed orders gets a full sync even while newer orders are
+// sent to it continually.
 func TestLostOrdersUnderNewOnes(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -150,12 +157,12 @@
 	for i := range 20 {
 		h.now += 100 * time.Millisecond
 		h.submit(i+1, "fast", stage(1, 10))
-		h.report("c1", "i1", func(report *protocol.RunnerReport) { report.OrdersSeen = applied }) // the first was lost
+		h.report("c1", "i1", func(report *protocol.RunnerReport) { report.OrdersSeen = applied }) // the orders after applied were lost
 		h.commit()
 	}
-	again := false
+	resynced := false
 	for _, o := range h.orders["c1"][previous:] {
-		again = again || o.GetFull()
+		resynced = resynced || o.GetFull()
 	}
-	require.True(t, again)
+	require.True(t, resynced, "no full sync was sent to an agent that has missed orders")
 }
--- a/internal/control/scheduler/pass_test.go
+++ b/internal/control/scheduler/pass_test.go
@@ -15,8 +15,8 @@
 	"frosttide/internal/protocol"
 )
 
-// scheduleOneByOne is the reference for a scheduling cycle: it does the same without any shortcut, looking at each step
-// and trying each of its tasks by itself.
+// scheduleOneByOne is the reference implementation of a scheduling cycle. It takes no shortcuts: it visits every step and
+// tries each of its tasks independently.
 func scheduleOneByOne(s *Scheduler) {
 	for _, step := range s.jobs.TakeReady() {
 		s.queue(step.Job.Service).add(s.newWaitingStep(step))
@@ -29,7 +29,7 @@
 		}
 		q.updateHeadroom(s.now)
 		for _, e := range q.entries {
-			w, p := e.waitingStep, s.newPass(q) // a pass of its own has no blockages
+			w, p := e.waitingStep, s.newPass(q) // a new pass for each step has no blockages
 			if w.startable() && w.request.Gang {
 				p.scheduleStep(w)
 				continue
@@ -49,7 +49,7 @@
 	}
 }
 
-// randomStage returns a random stage: a gang, one with an affinity, an anti-affinity or a requirement, or none of these.
+// randomStage returns a random stage. It is a gang, has an affinity, an anti-affinity or a requirement, or is plain.
 func randomStage(rng *rand.Rand) *protocol.Stage {
 	s := &protocol.Stage{Count: 1 + uint32(rng.IntN(6)), Cpu: int64(500 * (1 + rng.IntN(4))), MemMb: int64(500 * rng.IntN(4)), EstimateMs: 3000}
 	switch rng.IntN(6) {
@@ -65,13 +65,13 @@
 	return s
 }
 
-// TestPassMatchesOneByOne compares a pass with the reference over random work.
+// TestPassMatchesOneByOne checks on random jobs that scheduling cycles place tasks exactly as scheduleOneByOne does.
 func TestPassMatchesOneByOne(t *testing.T) {
-	started := 0
+	compared := 0 // live runs, summed over all steps
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 4))
-		pair := []*harness{newHarness(t), newHarness(t)}
-		for _, h := range pair {
+		harnesses := []*harness{newHarness(t), newHarness(t)} // the second one uses the reference
+		for _, h := range harnesses {
 			h.reportAll()
 			h.commit()
 		}
@@ -82,9 +82,9 @@
 			}
 			queue := []string{"fast", "slow", "once"}[rng.IntN(3)]
 			runner, reason := runnerName(rng.IntN(passRunnerCount)), []string{"done", "done", "failed"}[rng.IntN(3)]
-			after := time.Duration(rng.IntN(1500)) * time.Millisecond
-			for _, h := range pair {
-				h.now += after
+			delay := time.Duration(rng.IntN(1500)) * time.Millisecond
+			for _, h := range harnesses {
+				h.now += delay
 				h.scheduler.Tick(h.now, h.wall(), h.now)
 				h.reportAll()
 				for i, stage := range stages {
@@ -94,21 +94,21 @@
 				}
 				h.endFirst(runner, reason)
 			}
-			scheduleOneByOne(pair[1].scheduler)
-			for _, h := range pair {
+			scheduleOneByOne(harnesses[1].scheduler)
+			for _, h := range harnesses {
 				h.commit()
 			}
-			require.Equal(t, pair[1].runnersByTask(), pair[0].runnersByTask(), "seed %d step %d", seed, step)
-			started += len(pair[0].runnersByTask())
+			require.Equal(t, harnesses[1].runnersByTask(), harnesses[0].runnersByTask(), "seed %d step %d", seed, step)
+			compared += len(harnesses[0].runnersByTask())
 		}
 	}
-	require.Greater(t, started, 5000)
+	require.Greater(t, compared, 5000, "the random jobs led to too few runs")
 }
 
-// passRunnerCount is how many runners TestPassMatchesOneByOne has, in three racks.
+// passRunnerCount is the number of runners in TestPassMatchesOneByOne. They are spread over three racks.
 const passRunnerCount = 6
 
-// reportAll has all agents report.
+// reportAll delivers a report of each of passRunnerCount agents.
 func (h *harness) reportAll() {
 	for i := range passRunnerCount {
 		labels := []string{fmt.Sprintf("r%d-1", i%3)}
@@ -119,8 +119,8 @@
 	}
 }
 
-// TestPassBetweenTicksLooksAtAll checks that a pass between two ticks starts the last of many steps once the fleet has
-// changed, though all steps ahead of it wait for a rack that is full.
+// TestPassBetweenTicksLooksAtAll checks that a pass between two ticks visits all steps once the fleet has changed: it
+// starts the last of many steps although all steps ahead of it wait for a rack that is full.
 func TestPassBetweenTicksLooksAtAll(t *testing.T) {
 	const waiting = 200
 	h := newHarness(t)
@@ -132,16 +132,17 @@
 		h.submit(2+i, "slow", &protocol.Stage{Count: 1, Cpu: 1000, MemMb: 1, EstimateMs: 600_000, Affinity: "r1-1"})
 	}
 	q := h.scheduler.queues["svc"]
-	require.Len(t, q.entries, waiting, "the rack is full, and they wait for it")
+	require.Len(t, q.entries, waiting, "steps were started although their rack is full")
 	last := q.entries[waiting-1]
-	last.since -= time.Hour // it waits for the rack no longer
-	require.Nil(t, h.scheduler.Entry(h.now), "nothing has changed")
+	last.since -= time.Hour // it has waited long enough to be started in another rack
+	require.Nil(t, h.scheduler.Entry(h.now), "an entry was returned although nothing has changed")
 	h.scheduler.fleet.RecordOutcome(h.scheduler.runners["w1"].fleetRunner, "j", placement.Success, h.now)
-	require.NotNil(t, h.scheduler.Entry(h.now))
+	require.NotNil(t, h.scheduler.Entry(h.now), "no entry was returned although the fleet has changed")
 	require.Equal(t, "w1", h.runnersByTask()[last.step.TaskID(0)])
 	require.Len(t, q.entries, waiting-1)
 }
 
+// TestUrgentQueueGoesFirst checks that jobs of a more urgent queue are started before jobs that were submitted earlier.
 func TestUrgentQueueGoesFirst(t *testing.T) {
 	h := newHarness(t)
 	slow := h.submit(1, "slow", stage(8, 1000))
@@ -154,7 +155,7 @@
 	require.Contains(t, started, slow+".0.0.0")
 }
 
-// TestOverdueJobsGoLast checks that jobs that can still meet their deadline go ahead of those that can't.
+// TestOverdueJobsGoLast checks that jobs that can still meet their deadline are started before jobs that can't.
 func TestOverdueJobsGoLast(t *testing.T) {
 	h := newHarness(t)
 	overdue := h.submit(1, "fast", stage(4, 1000))
@@ -168,21 +169,22 @@
 	require.Len(t, h.started("c1"), 4)
 }
 
+// TestGangAtOnceOrNotAtAll checks that no member of a gang is started before all of them fit.
 func TestGangAtOnceOrNotAtAll(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
 	gang := stage(2, 3000)
 	gang.Gang = true
 	h.submit(1, "fast", gang)
-	require.Empty(t, h.started("c1"))
+	require.Empty(t, h.started("c1"), "a part of the gang was started")
 	require.Contains(t, h.scheduler.Status().Waiting[0].Reason, "not for all")
 	h.register("c2", "i2")
 	require.Len(t, h.started("c1"), 1)
 	require.Len(t, h.started("c2"), 1)
 }
 
-// TestSchedulesWithoutTick checks that a blocked task is started in the very turn in which capacity is released, not
-// only once time has passed, and that a turn that changes nothing goes through no queue.
+// TestSchedulesWithoutTick checks that a blocked task is started in the same turn in which capacity is released, without
+// a tick, and that after a cycle without changes nothing asks the next one to visit all queues.
 func TestSchedulesWithoutTick(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
--- a/internal/control/scheduler/requests_test.go
+++ b/internal/control/scheduler/requests_test.go
@@ -12,11 +12,13 @@
 	"frosttide/internal/protocol"
 )
 
+// TestSameJobAndUnknownQueue checks that a repeated submission is accepted as one job, and that invalid requests are
+// rejected.
 func TestSameJobAndUnknownQueue(t *testing.T) {
 	h := newHarness(t)
 	h.submit(1, "fast", stage(1, 100))
 	h.submit(1, "fast", stage(1, 100))
-	require.Len(t, h.scheduler.JobStatuses(), 1)
+	require.Len(t, h.scheduler.JobStatuses(), 1, "the same job was accepted twice")
 	const unknown = "0000000000000002"
 	for _, tc := range []struct {
 		name    string
@@ -34,19 +36,21 @@
 	}
 }
 
+// TestOrdersOfTheOperator checks the replies to configuration updates: new, repeated, conflicting and with a version that
+// is not newer.
 func TestOrdersOfTheOperator(t *testing.T) {
 	h := newHarness(t)
 	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":3}`))
-	require.EqualValues(t, http.StatusPreconditionFailed, h.configure(1, `{"Version":4}`), "another was accepted on the same version")
-	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":3}`), "it was accepted earlier")
-	require.EqualValues(t, http.StatusBadRequest, h.configure(3, `{"Version":3}`), "not above the current version")
+	require.EqualValues(t, http.StatusPreconditionFailed, h.configure(1, `{"Version":4}`), "a different update of the same version was accepted before")
+	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":3}`), "a repeated update is acknowledged again")
+	require.EqualValues(t, http.StatusBadRequest, h.configure(3, `{"Version":3}`), "the new version is not above the current one")
 	require.EqualValues(t, http.StatusOK, h.configure(3, `{"Version":9}`))
 	h.elect()
-	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":3}`), "a new head knows it too")
+	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":3}`), "a new head acknowledges a repeated update")
 	require.EqualValues(t, 9, h.scheduler.CommittedConfig().Version)
 }
 
-// TestSameOrderTwiceInAnEntry checks that an update that arrives twice before anything is written is accepted once.
+// TestSameOrderTwiceInAnEntry checks that an update that arrives twice before the next entry gets two positive replies.
 func TestSameOrderTwiceInAnEntry(t *testing.T) {
 	h := newHarness(t)
 	for id := uint64(501); id <= 502; id++ {
@@ -59,8 +63,8 @@
 	require.EqualValues(t, http.StatusOK, h.replies[502].GetStatus())
 }
 
-// TestOneIDInTwoQueues checks that a job whose ID is that of another queue's job, or that has other content, is
-// rejected: it would never run.
+// TestOneIDInTwoQueues checks that a submission is rejected if its ID belongs to a job of another queue or with different
+// content: the submitted job would never run.
 func TestOneIDInTwoQueues(t *testing.T) {
 	h := newHarness(t)
 	const id = "00000000000000aa"
@@ -75,19 +79,19 @@
 		require.Equal(t, http.StatusOK, h.submitStatus(again), "the same job again")
 		require.Equal(t, http.StatusConflict, h.submitStatus(job("slow", "s")))
 		require.Equal(t, http.StatusConflict, h.submitStatus(job("fast", "other")))
-		require.EqualValues(t, http.StatusGone, h.request(cancelRequest(id, "slow")).GetStatus(), "it is a job of another queue")
+		require.EqualValues(t, http.StatusGone, h.request(cancelRequest(id, "slow")).GetStatus(), "a job of another queue must look unknown")
 	}
 	check()
 	h.elect()
 	check()
 	require.EqualValues(t, http.StatusOK, h.request(cancelRequest(id, "fast")).GetStatus())
-	check() // it has ended, and its steps are forgotten
+	check() // the job has ended and its steps are no longer stored
 	require.EqualValues(t, http.StatusOK, h.configure(1, `{"Version":2,"Remove":{"Routes":["fast"]}}`))
-	require.Equal(t, http.StatusOK, h.submitStatus(job("slow", "s")), "its own queue is no longer configured")
+	require.Equal(t, http.StatusOK, h.submitStatus(job("slow", "s")), "the queue of the job is no longer configured")
 }
 
-// TestOrdersAreKnownWithinABound accepts more updates than are known by their digests: the newest are acknowledged
-// again, older ones get no definite answer, and the state stays within the bound.
+// TestOrdersAreKnownWithinABound accepts more updates than maxKnownUpdates and repeats all of them: the newest are
+// acknowledged again, older ones get no definite answer, and no more than maxKnownUpdates are stored.
 func TestOrdersAreKnownWithinABound(t *testing.T) {
 	h := newHarness(t)
 	const changes = maxKnownUpdates + 50
@@ -104,31 +108,32 @@
 			}
 			require.EqualValues(t, want, h.configure(uint64(version-1), update(version)), "version %d", version)
 		}
-		require.EqualValues(t, http.StatusPreconditionFailed, h.configure(changes-1, `{"Version":5000}`), "another update of a version that is known")
+		require.EqualValues(t, http.StatusPreconditionFailed, h.configure(changes-1, `{"Version":5000}`), "a different update of a version whose update is remembered")
 		require.Len(t, h.scheduler.History(), maxKnownUpdates)
 	}
 	check()
 	h.elect()
 	check()
-	kept := 0
+	stored := 0
 	h.store.Each(func(key string, _ []byte) {
 		if strings.HasPrefix(key, updatePrefix) {
-			kept++
+			stored++
 		}
 	})
-	require.Equal(t, maxKnownUpdates, kept)
+	require.Equal(t, maxKnownUpdates, stored)
 }
 
-// TestEndedJobsOutliveClockSteps has the time of day jump by an hour: jobs that ended shortly before stay known.
+// TestEndedJobsOutliveClockSteps checks that jobs that have ended recently are retained if the time of day jumps ahead by
+// an hour, or if a new head takes over.
 func TestEndedJobsOutliveClockSteps(t *testing.T) {
 	h := newHarness(t)
 	id := h.submit(1, "fast", stage(1, 1000))
 	h.cancel(id)
-	h.now += 2 * time.Minute // the head has served for longer than states are kept
+	h.now += 2 * time.Minute // the head has served for longer than StatusRetention
 	h.append()
 	later := h.submit(2, "fast", stage(1, 1000))
 	h.cancel(later)
-	known := func(id string, ahead time.Duration) bool {
+	isRetained := func(id string, ahead time.Duration) bool {
 		for range 3 {
 			h.now += time.Second
 			h.scheduler.Tick(h.now, h.wall()+ahead.Milliseconds(), h.now)
@@ -136,12 +141,12 @@
 		}
 		return h.scheduler.Jobs().Get(id) != nil
 	}
-	require.False(t, known(id, 0))
-	require.True(t, known(later, 0))
+	require.False(t, isRetained(id, 0))
+	require.True(t, isRetained(later, 0))
 	h.scheduler.ClockStepped(h.now)
-	require.True(t, known(later, time.Hour))
+	require.True(t, isRetained(later, time.Hour), "the job was removed after the jump")
 	h.elect()
-	require.True(t, known(later, time.Hour), "a new head does not know how long ago it ended")
+	require.True(t, isRetained(later, time.Hour), "a new head can't tell how long ago the job ended")
 	h.now += time.Minute
-	require.False(t, known(later, time.Hour))
+	require.False(t, isRetained(later, time.Hour), "the job is still there after StatusRetention")
 }
--- a/internal/control/scheduler/scale_bench_test.go
+++ b/internal/control/scheduler/scale_bench_test.go
@@ -12,33 +12,33 @@
 	"frosttide/internal/protocol"
 )
 
-// fleetSize is the size of a fleet in a benchmark.
+// fleetSize is the size of a benchmark's fleet and of its load.
 type fleetSize struct {
 	runners int
-	running int // tasks
-	waiting int // tasks, in steps of tasksPerStep
+	running int // running tasks
+	waiting int // waiting tasks, in steps of tasksPerStep tasks
 }
 
-// sizes are a quarter, a half and all of the size expected in two years, so that growth shows.
+// sizes are a quarter, a half and all of the size expected in two years, to show how the cost grows with the size.
 var sizes = []fleetSize{{237, 3250, 25_000}, {475, 6500, 50_000}, {950, 13_000, 100_000}}
 
-// tasksPerStep is how many tasks a job of the benchmarks has, in its one step.
+// tasksPerStep is the number of tasks in the only step of each benchmark job.
 const tasksPerStep = 10
 
 func (s fleetSize) String() string {
 	return fmt.Sprintf("runners=%d/running=%d/waiting=%d", s.runners, s.running, s.waiting)
 }
 
-// busyFleet returns a scheduler whose runners are full while tasks wait. Where demands are uneven, hardly two jobs ask for
-// the same.
+// busyFleet returns a harness whose runners are full while tasks wait. If uneven is set, almost every job has a different
+// demand.
 func busyFleet(b *testing.B, size fleetSize, uneven bool) *harness {
 	b.Helper()
 	h := newHarness(b)
-	each := int64(size.running / size.runners)
+	tasksPerRunner := int64(size.running / size.runners)
 	reportAll := func() {
 		for i := range size.runners {
 			h.report(agentName(i), runnerName(i), func(report *protocol.RunnerReport) {
-				report.Account.Capacity = &protocol.Capacity{Cpu: 100 * each, MemMb: 1000 * each}
+				report.Account.Capacity = &protocol.Capacity{Cpu: 100 * tasksPerRunner, MemMb: 1000 * tasksPerRunner}
 			})
 		}
 	}
@@ -59,32 +59,32 @@
 	return h
 }
 
-// eachSize measures a step on a busy fleet of each size, with even and with uneven demands.
-func eachSize(b *testing.B, step func(h *harness, size fleetSize, i int)) {
+// benchmarkSizes measures an operation on a busy fleet of each size, with even and with uneven demands.
+func benchmarkSizes(b *testing.B, operation func(h *harness, size fleetSize, i int)) {
 	for _, uneven := range []bool{false, true} {
 		for _, size := range sizes {
 			b.Run(fmt.Sprintf("uneven=%v/%v", uneven, size), func(b *testing.B) {
 				h := busyFleet(b, size, uneven)
 				b.ResetTimer()
 				for i := 0; b.Loop(); i++ {
-					step(h, size, i)
+					operation(h, size, i)
 				}
 			})
 		}
 	}
 }
 
-// BenchmarkEndAndNextStart measures the end of a task and the start of the next one in its place, from the
-// report to the order.
+// BenchmarkEndAndNextStart measures the time from recording the end of a run to sending the order that starts the next
+// task in its place.
 func BenchmarkEndAndNextStart(b *testing.B) {
-	eachSize(b, func(h *harness, size fleetSize, i int) {
-		h.endOne(i % size.runners)
+	benchmarkSizes(b, func(h *harness, size fleetSize, i int) {
+		h.endAnyRun(i % size.runners)
 		h.now += time.Millisecond
 	})
 }
 
-// endOne has a runner report the end of one of its runs, and commits what follows.
-func (h *harness) endOne(i int) {
+// endAnyRun records the end of some run of a runner and commits the resulting entry.
+func (h *harness) endAnyRun(i int) {
 	runner := h.scheduler.runners[runnerName(i)]
 	for task, run := range runner.live {
 		sess := h.scheduler.sessions[agentName(i)]
@@ -98,20 +98,20 @@
 
 // BenchmarkTurnWithoutChange measures a turn in which nothing has changed.
 func BenchmarkTurnWithoutChange(b *testing.B) {
-	eachSize(b, func(h *harness, _ fleetSize, _ int) { h.scheduler.Entry(h.now) })
+	benchmarkSizes(b, func(h *harness, _ fleetSize, _ int) { h.scheduler.Entry(h.now) })
 }
 
-// BenchmarkTick measures a tick with the cycle over all queues that follows it.
+// BenchmarkTick measures a tick and the following scheduling cycle over all queues.
 func BenchmarkTick(b *testing.B) {
-	eachSize(b, func(h *harness, _ fleetSize, _ int) {
+	benchmarkSizes(b, func(h *harness, _ fleetSize, _ int) {
 		h.scheduler.Tick(h.now, h.wall(), h.now)
 		h.scheduler.Entry(h.now)
 	})
 }
 
-// BenchmarkViewChange measures what the head does when it goes on under a newer epoch.
+// BenchmarkViewChange measures the work of the head when it continues under a newer epoch.
 func BenchmarkViewChange(b *testing.B) {
-	eachSize(b, func(h *harness, _ fleetSize, _ int) {
+	benchmarkSizes(b, func(h *harness, _ fleetSize, _ int) {
 		h.epoch++
 		h.scheduler.Continue(h.now, h.epoch, h.index)
 		h.scheduler.Entry(h.now)
@@ -122,20 +122,20 @@
 	})
 }
 
-// BenchmarkTakeOver measures how long a new head needs to load the store.
+// BenchmarkTakeOver measures the time that a new head takes to load the store.
 func BenchmarkTakeOver(b *testing.B) {
-	eachSize(b, func(h *harness, _ fleetSize, _ int) { h.elect() })
+	benchmarkSizes(b, func(h *harness, _ fleetSize, _ int) { h.elect() })
 }
 
-// BenchmarkChanges evaluates changes of a configuration of 1,000 routes, one route at a time.
+// BenchmarkChanges measures configuration updates that each change one of 1,000 routes.
 func BenchmarkChanges(b *testing.B) {
 	const routes = 1000
 	h := newEmptyHarness(b)
-	var all []string
+	var routeConfigs []string
 	for i := range routes {
-		all = append(all, fmt.Sprintf(`{"Name":"r%d","Host":"h","PathPrefix":"/%d/","TimeoutMs":3000,"Service":"svc","MaxAttempts":2,"Stretch":4}`, i, i))
+		routeConfigs = append(routeConfigs, fmt.Sprintf(`{"Name":"r%d","Host":"h","PathPrefix":"/%d/","TimeoutMs":3000,"Service":"svc","MaxAttempts":2,"Stretch":4}`, i, i))
 	}
-	full := `{"Version":1,"Routes":[` + strings.Join(all, ",") + `],"Services":[{"Name":"svc"}]}`
+	full := `{"Version":1,"Routes":[` + strings.Join(routeConfigs, ",") + `],"Services":[{"Name":"svc"}]}`
 	require.EqualValues(b, http.StatusOK, h.request(configRequest(&protocol.ConfigOrder{Body: []byte(full)})).GetStatus())
 	version := uint64(1)
 	b.ResetTimer()
--- a/internal/control/scheduler/scheduler.go
+++ b/internal/control/scheduler/scheduler.go
@@ -40,13 +40,13 @@
 	jobs            *jobs.Table
 	fleet           *placement.Fleet
 
-	// State of this head that is not in the store.
-	queues         map[string]*queue // by service
-	runners        map[string]*runner
-	sessions       map[string]*session // by the agent's address
-	lastSession    uint64              // number of the newest session
-	fullSyncWanted bool                // some session is in the state fullSyncNeeded
-	counters       map[string]*Counters
+	// State that this head keeps in memory.
+	queues            map[string]*queue // by service
+	runners           map[string]*runner
+	sessions          map[string]*session // by the agent's address
+	lastSession       uint64              // number of the newest session
+	anyFullSyncNeeded bool                // some session is in the state fullSyncNeeded
+	counters          map[string]*Counters
 
 	// Output that the caller has not taken yet, or whose entry is not committed.
 	writes  *jobs.Writes // writes of the next entry, except those of jobs
--- a/internal/control/scheduler/sessions_test.go
+++ b/internal/control/scheduler/sessions_test.go
@@ -10,6 +10,8 @@
 	"frosttide/internal/protocol"
 )
 
+// TestLostRunnersTasksStartElsewhere checks that the task of a lost runner is started on another runner, but not before
+// the lost runner's lease is over.
 func TestLostRunnersTasksStartElsewhere(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -23,16 +25,18 @@
 		}
 	}
 	reportFor(11 * time.Second)
-	require.Empty(t, h.started("c2"), "the runner may run on for its lease")
+	require.Empty(t, h.started("c2"), "the task was started again while the lease of its runner may last")
 	reportFor(3 * time.Second)
 	require.Equal(t, map[string]uint32{id + ".0.0.0": 2}, h.started("c2"))
-	// It comes back and is ordered to run nothing; an end of its old run changes nothing.
+	// The lost runner reports again. It is sent no runs, and the end of its old run is ignored.
 	h.report("c1", "i1", ends("done", &protocol.RunEnd{Number: 1, Task: id + ".0.0.0", Run: 1}))
 	h.commit()
 	require.Empty(t, h.started("c1"))
 	require.Equal(t, jobs.Running, h.scheduler.Jobs().Get(id).State)
 }
 
+// TestNewRunnerIDLosesOldRuns checks that the runs of an agent's earlier runner are lost when the agent registers a runner
+// with a new ID, even if the earlier one has never registered with this head.
 func TestNewRunnerIDLosesOldRuns(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -42,7 +46,8 @@
 	require.Equal(t, map[string]uint32{id + ".0.0.0": 2}, h.started("c1"))
 }
 
-// TestNewHeadRestoresRuns checks that a new head wants what runs, and starts nothing twice.
+// TestNewHeadRestoresRuns checks that a new head takes over the live runs with their reservations, and starts no second
+// run of their tasks.
 func TestNewHeadRestoresRuns(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -51,15 +56,16 @@
 	h.register("c1", "i1")
 	require.Equal(t, map[string]uint32{id + ".0.0.0": 1, id + ".0.0.1": 1, id + ".0.0.2": 1}, h.started("c1"))
 	h.submit(2, "fast", stage(2, 1000))
-	require.Len(t, h.started("c1"), 4, "the reservations of the runs are known")
+	require.Len(t, h.started("c1"), 4, "a new head does not count the reservations of live runs")
 }
 
+// TestDrainingRunnerIsEmptied checks that a draining runner keeps only the runs that will end in time and gets no new ones.
 func TestDrainingRunnerIsEmptied(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
-	lasting, long, short := stage(1, 500), stage(1, 500), stage(1, 500)
-	lasting.LongRunning, long.EstimateMs, short.EstimateMs = true, 60000, 100
-	h.submit(1, "fast", lasting)
+	longRunning, long, short := stage(1, 500), stage(1, 500), stage(1, 500)
+	longRunning.LongRunning, long.EstimateMs, short.EstimateMs = true, 60000, 100
+	h.submit(1, "fast", longRunning)
 	h.submit(2, "slow", long)
 	id := h.submit(3, "fast", short)
 	h.report("c1", "i1", func(report *protocol.RunnerReport) { report.Account.Draining, report.Account.RemainingMs = true, 2000 })
@@ -69,8 +75,8 @@
 	require.NotContains(t, h.started("c1"), "0000000000000004.0.0.0")
 }
 
-// TestStaleReportsAreIgnored has reports arrive again after later ones: what they say of a runner that was there
-// earlier, or of runs that have ended, must not undo what the head has learned since.
+// TestStaleReportsAreIgnored checks that a report that arrives after a newer one is ignored. Otherwise the report of an
+// earlier runner on the machine would remove the present runner and its runs.
 func TestStaleReportsAreIgnored(t *testing.T) {
 	h := newHarness(t)
 	h.register("c1", "i1")
@@ -83,28 +89,28 @@
 		h.scheduler.HandleReport(h.now, "c1", &protocol.RunnerReport{Incarnation: incarnation, LeaseRound: reportNumber, Gone: []string{"i2"},
 			Account: &protocol.RunnerAccount{Id: "i1", Service: "svc"}})
 		h.commit()
-		require.Contains(t, h.scheduler.runners, "i2", "it is there and runs a task")
-		require.Contains(t, h.scheduler.runners["i2"].live, id+".0.0.0")
+		require.Contains(t, h.scheduler.runners, "i2", "a stale report has removed a runner that has a run")
+		require.Contains(t, h.scheduler.runners["i2"].live, id+".0.0.0", "a stale report has removed a run")
 	}
 	requireIgnored(stale, 1)
 	h.report("c1", "i2", func(report *protocol.RunnerReport) { report.Incarnation = 2 })
 	h.commit()
-	requireIgnored(h.reportNumber+1, 1) // of an earlier incarnation
+	requireIgnored(h.reportNumber+1, 1) // newer number, but an earlier incarnation
 }
 
-// TestLeaseCountsFromTheConfirmation has a head whose epoch was last confirmed some time ago grant a lease: it ends when one
-// granted at the confirmation would.
+// TestLeaseCountsFromTheConfirmation checks that a lease is counted from the last confirmation of the head's epoch, not
+// from the report that the lease answers.
 func TestLeaseCountsFromTheConfirmation(t *testing.T) {
 	h := newHarness(t)
 	h.register("a", "i1")
 	confirmed := h.now
-	const since = 5 * time.Second
-	h.now += since
+	const confirmationAge = 5 * time.Second
+	h.now += confirmationAge
 	h.scheduler.Tick(h.now, h.wall(), confirmed)
 	h.report("a", "i1")
 	h.collect()
 	granted := h.orders["a"][len(h.orders["a"])-1]
 	require.Positive(t, granted.GetLeaseMs())
-	require.LessOrEqual(t, time.Duration(granted.GetLeaseMs())*time.Millisecond, h.scheduler.cfg.Lease-since)
+	require.LessOrEqual(t, time.Duration(granted.GetLeaseMs())*time.Millisecond, h.scheduler.cfg.Lease-confirmationAge)
 	require.LessOrEqual(t, h.scheduler.sessions["a"].leaseExpiry, confirmed+h.scheduler.cfg.Lease)
 }
--- a/internal/control/scheduler/status_test.go
+++ b/internal/control/scheduler/status_test.go
@@ -9,7 +9,7 @@
 	"frosttide/internal/protocol"
 )
 
-// TestReportsLongestWaitingStep checks that the step that has waited longest is reported, once in each interval.
+// TestReportsLongestWaitingStep checks that the longest waiting step is reported once per overdueInterval.
 func TestReportsLongestWaitingStep(t *testing.T) {
 	h := newHarness(t)
 	h.register("c0", "w0")
@@ -30,17 +30,17 @@
 			reported++
 		}
 	}
-	require.Equal(t, 2, reported, "after 5 s and after 10 s")
+	require.Equal(t, 2, reported, "want one report after 5 s and one after 10 s")
 }
 
-// TestCounters checks what is counted of a service's tasks.
+// TestCounters checks the counters of a service over starts, failures, completions, unknown end reasons and lost runs.
 func TestCounters(t *testing.T) {
 	h := newHarness(t)
 	h.register("c0", "w0")
 	h.submit(1, "slow", &protocol.Stage{Count: 6, Cpu: 1000, MemMb: 1, EstimateMs: 60_000})
 	status := h.scheduler.Status().Services["svc"]
 	require.EqualValues(t, 6, status.Ready)
-	require.EqualValues(t, 2, status.Blocked, "four have room")
+	require.EqualValues(t, 2, status.Blocked, "four of the six tasks fit")
 	require.EqualValues(t, 4, status.Started)
 	require.Equal(t, 2, status.WaitingTasks)
 	require.Equal(t, 1, status.WaitingSteps)
@@ -48,11 +48,11 @@
 	h.endFirst("w0", "done")
 	h.commit()
 	status = h.scheduler.Status().Services["svc"]
-	require.EqualValues(t, 7, status.Ready, "the one that failed is to be started again")
+	require.EqualValues(t, 7, status.Ready, "the failed task becomes ready again")
 	require.EqualValues(t, 6, status.Started)
 	require.Equal(t, map[string]uint64{"failed": 1, "done": 1}, status.Ended)
 	require.Equal(t, 1, status.WaitingTasks)
-	h.endFirst("w0", "in a way of its own")
+	h.endFirst("w0", "unknown reason")
 	h.commit()
 	status = h.scheduler.Status().Services["svc"]
 	require.EqualValues(t, 1, status.Ended[endOther])
