--- a/decision/bucket.go
+++ b/decision/bucket.go
@@ -7,14 +7,14 @@
 	"frosttide/internal/bucket"
 )
 
-// tokens are those of a worker. Each is the right to send one slot's work to it, and is put into the bucket
-// by itself, so that other workers' tokens may be placed between any two.
+// tokens counts a worker's tokens. A token is the right to send one slot's work to the worker. Tokens enter
+// the bucket one at a time, so that other workers' tokens can lie between any two.
 type tokens = bucket.Account[*worker]
 
-// fill gives workers their tokens in an empty bucket, spread so that a worker's part of any stretch of the
-// bucket is its part of all tokens; with equal counts the first token of each worker precedes every second
-// one. The random offsets keep dispatchers from choosing workers in the same order.
-func (d *Dispatcher) fill(ready []*worker) {
+// fillBucket puts the workers' tokens into an empty bucket, spread evenly: a worker's share of any section
+// of the bucket equals its share of all tokens. With equal counts each worker's first token precedes every
+// second one. The random offsets keep dispatchers from choosing workers in the same order.
+func (d *Dispatcher) fillBucket(ready []*worker) {
 	total := 0
 	for _, w := range ready {
 		w.Limit = d.tokensFor(w)
@@ -35,29 +35,29 @@
 	}
 }
 
-// join gives a worker all its tokens and spreads the free ones over the bucket at random, so that it gets its
-// part of the traffic at once and no more. Tokens at one position would attract many requests in a row, and
-// overload a warming worker; tokens given one by one would leave its traffic to the others during a rolling
-// restart.
-func (d *Dispatcher) join(w *worker) {
+// insertTokens gives a worker all its tokens and spreads the free ones over the bucket at random, so that
+// it gets its share of the traffic at once and no more. Tokens at one position would attract many requests
+// in a row and overload a warming worker; adding them one by one would leave the worker's share to the
+// others during a rolling restart.
+func (d *Dispatcher) insertTokens(w *worker) {
 	w.Limit = 0
-	d.trim(w)
+	d.trimTokens(w)
 	w.Limit = d.tokensFor(w)
-	var anchors []*bucket.Token[*worker]
+	var points []*bucket.Token[*worker]
 	for range w.Limit - w.InUse {
-		anchors = append(anchors, d.anchor(w))
+		points = append(points, d.insertionPoint(w))
 	}
-	slices.SortFunc(anchors, (*bucket.Token[*worker]).Compare)
-	for _, next := range anchors {
+	slices.SortFunc(points, (*bucket.Token[*worker]).Compare)
+	for _, next := range points {
 		d.bucket.Insert(&w.tokens, w, 1, next)
 	}
 }
 
-// anchor returns a random free token of another worker of the zone, before which a token of the worker is
-// put, or nil for the back of the bucket. It draws a few workers, as walking the bucket of a large fleet
-// costs too much. Tokens of other zones are no anchors: they lie unused at the front where the own zone is
-// preferred, and a token among them would be the next one at every dispatcher.
-func (d *Dispatcher) anchor(w *worker) *bucket.Token[*worker] {
+// insertionPoint returns a random free token of another worker in w's zone, before which a token of w is
+// inserted, or nil for the back of the bucket. It samples a few workers, as walking the bucket of a large
+// fleet is too expensive. Tokens of other zones are skipped: where the local zone is preferred they lie
+// unused at the front, and a token inserted among them would be the next one at every dispatcher.
+func (d *Dispatcher) insertionPoint(w *worker) *bucket.Token[*worker] {
 	for range 8 * max(d.cfg.Zones, 1) { // nearly always enough to find one
 		other := d.listed[d.rng.IntN(len(d.listed))]
 		if other == w || other.Free == 0 || other.Zone != w.Zone {
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// tokensFor returns how many tokens a healthy worker has: in proportion to its weight, and enough for the
+// tokensFor returns the number of tokens of a healthy worker: proportional to its weight, and enough for the
 // request with the most slots.
 func (d *Dispatcher) tokensFor(w *worker) int {
 	if w.TokenLimit > 0 {
@@ -81,14 +81,14 @@
 	return max(n, d.maxRequestSlots)
 }
 
-// trim removes the worker's free tokens beyond its limit.
-func (d *Dispatcher) trim(w *worker) {
+// trimTokens removes the worker's free tokens beyond its limit.
+func (d *Dispatcher) trimTokens(w *worker) {
 	d.bucket.Remove(&w.tokens, min(w.Free, w.Free+w.InUse-w.Limit))
 }
 
-// release returns the tokens of an ended attempt, together, to the back of the bucket, but for those beyond
-// the worker's limit. No other function returns tokens.
-func (d *Dispatcher) release(w *worker, slots int) {
+// releaseTokens returns the tokens of an ended attempt to the back of the bucket, all at once, except those
+// beyond the worker's limit. No other function returns tokens.
+func (d *Dispatcher) releaseTokens(w *worker, slots int) {
 	w.InUse -= slots
 	for w.Free+w.InUse < w.Limit {
 		d.bucket.Put(&w.tokens, w, 1)
--- a/decision/eligibility.go
+++ b/decision/eligibility.go
@@ -7,7 +7,7 @@
 	"frosttide/decision/permit"
 )
 
-// mayAttempt reports whether the request may have another attempt at any worker.
+// mayAttempt reports whether another attempt of the request is permitted at all, at whichever worker.
 func (d *Dispatcher) mayAttempt(r *request) bool {
 	limits := &d.cfg.Limits
 	if r.closed || d.now >= r.deadline || (limits.MaxAttempts > 0 && len(r.attempts) >= limits.MaxAttempts) {
@@ -19,7 +19,7 @@
 	})
 }
 
-// allowed reports whether the invariants of the package let the request go to the worker now.
+// allowed reports whether the package's invariants permit sending the request to the worker now.
 func (d *Dispatcher) allowed(r *request, w *worker) bool {
 	c := r.class
 	wrongKind := c.WorkerKind >= 0 && w.Kind != c.WorkerKind ||
@@ -46,14 +46,14 @@
 	return true
 }
 
-// warmUpStartWithin is how long an attempt at a warming worker may take to begin. What such a worker gets in
-// a window is counted by when attempts are decided on; connections that come up late together would bring one
-// window the attempts of two.
+// warmUpStartWithin is how long an attempt at a warming worker may take to begin. The warm-up budget counts
+// attempts by the time of the decision; connections that are established late would put the attempts of two
+// windows into one.
 const warmUpStartWithin = 100 * time.Millisecond
 
-// latestStart returns the latest time at which an attempt decided on now may begin, 0 where the deadline
-// alone bounds it. It begins before the window closes in which workers drop repeats, even if the process
-// stalls meanwhile, and before the attempt would count against a later window of a warming worker's budget.
+// latestStart returns the latest time at which an attempt decided on now may begin; 0 if only the deadline
+// limits it. The attempt has to begin before the deduplication window closes, even if the process stalls in
+// between, and before it would count against a later window of a warming worker's budget.
 func (d *Dispatcher) latestStart(r *request, w *worker) (latest time.Duration) {
 	if d.warming(w) {
 		latest = d.now + warmUpStartWithin
@@ -72,13 +72,13 @@
 	return latest
 }
 
-// sameDedupScope reports whether two workers drop each other's repeats.
+// sameDedupScope reports whether two workers share their duplicate detection.
 func sameDedupScope(scope DedupScope, a, b *worker) bool {
 	return scope == ScopeAll || a.Zone == b.Zone && (scope == ScopeZone || a.Cell == b.Cell)
 }
 
-// send sends the request to the worker if that is allowed and the worker has the tokens. Every attempt passes
-// it.
+// send sends the request to the worker if that is allowed and the worker has enough tokens. All attempts go
+// through it.
 func (d *Dispatcher) send(r *request, w *worker) {
 	if !d.allowed(r, w) || w.Free < r.slots {
 		return
@@ -95,7 +95,7 @@
 	d.emit(Action{Type: Send, Request: r.id, Worker: w.Worker, Attempt: n, LatestStart: d.latestStart(r, w)})
 	if d.limitsWait(r) {
 		until := d.fleet.WaitUntil(&w.load, w.Kind, &r.job, d.now)
-		d.setTimer(until, timer{fire: (*Dispatcher).giveUpWaiting, request: r, attempt: n})
+		d.setTimer(until, timer{fire: (*Dispatcher).cancelLateAttempt, request: r, attempt: n})
 	}
 	if d.cfg.StartEvents {
 		wait := 2*d.zones.UsualStart(w.Zone) + r.class.Objective/startToleranceDivisor
--- a/decision/lifecycle.go
+++ b/decision/lifecycle.go
@@ -9,7 +9,7 @@
 	"frosttide/decision/shedding"
 )
 
-// handleArrival takes a request: it is sent, rejected, or taken over with the attempts of an earlier process.
+// handleArrival sends or rejects a new request, or takes it over with the attempts of an earlier process.
 func (d *Dispatcher) handleArrival(ev *Event) {
 	if d.requests[ev.Request] != nil {
 		return
@@ -25,7 +25,7 @@
 	}
 	d.retryCredit = min(d.retryCredit+retryCreditPerRequest, maxRetryCredit)
 	d.traffic.RecordArrival(d.relativeWork(r), d.now)
-	// Another dispatcher can serve the client, while here most requests of the class would be cut off.
+	// Another dispatcher can serve the client; here the stop would interrupt most requests of the class.
 	cutOff := ev.ProcessStopping && (r.deadline-d.now).Seconds() < minRunsBeforeStop*d.meanRun[r.classIndex]
 	switch {
 	case cutOff:
@@ -40,7 +40,7 @@
 	}
 }
 
-// newRequest returns the state of an arriving request, with its latency target, and adds it to the open
+// newRequest creates the state of an arriving request, with its latency target, and adds it to the open
 // requests.
 func (d *Dispatcher) newRequest(ev *Event) *request {
 	r := &request{id: ev.Request, classIndex: ev.Class, class: &d.cfg.Classes[ev.Class],
@@ -56,14 +56,14 @@
 	return r
 }
 
-// adoptAttempts takes over a request's attempts from an earlier process. Those that are open hold tokens from
-// now on; where none is, the request is sent anew.
+// adoptAttempts takes over a request's attempts from an earlier process. Open attempts hold tokens from now
+// on; if there are none, the request is sent again.
 func (d *Dispatcher) adoptAttempts(r *request, records []AttemptRecord) {
 	open := false
 	for _, record := range records {
 		w := d.workers[record.Worker]
 		if w == nil {
-			w = &worker{Member: Member{Worker: record.Worker, State: Removed}} // it has left the list
+			w = &worker{Member: Member{Worker: record.Worker, State: Removed}} // no longer listed
 		}
 		r.attempts = append(r.attempts, attempt{AttemptRecord: record, worker: w})
 		if record.Ended {
@@ -82,9 +82,9 @@
 	}
 }
 
-// markOverdue marks an attempt that has not started in the usual time; its worker is avoided until it starts
-// or ends. The request gets no second attempt for it: workers may still run what was canceled, so hedging
-// would do the work twice.
+// markOverdue marks an attempt that has not started in the usual time; its worker is avoided until the
+// attempt starts or ends. This leads to no second attempt: workers may still run a canceled attempt, so
+// hedging would do the work twice.
 func (d *Dispatcher) markOverdue(t timer) {
 	if a := &t.request.attempts[t.attempt]; !a.Ended && !a.Started {
 		a.overdue = true
@@ -92,9 +92,9 @@
 	}
 }
 
-// hedge sends a second attempt of a straggling request, out of the retry budget and by the same rules as a
-// retry [Dean & Barroso, "The Tail at Scale", 2013]. An Unsafe request is never hedged. Where the second
-// attempt straggles too, the first one is canceled, and its end leads to a third.
+// hedge sends a second attempt of a straggling request, charged to the retry budget and under the same
+// rules as a retry [Dean & Barroso, "The Tail at Scale", 2013]. An Unsafe request is never hedged. If the
+// second attempt straggles too, the first one is canceled, and its end triggers a third.
 func (d *Dispatcher) hedge(r *request) {
 	open, first := 0, 0
 	for i := range r.attempts {
@@ -119,7 +119,7 @@
 	}
 }
 
-// handleStart updates the attempt, its worker and what is known of waits when the worker has begun to run it.
+// handleStart updates the attempt, its worker and the wait statistics when the worker starts the attempt.
 func (d *Dispatcher) handleStart(r *request, a *attempt) {
 	a.Started, a.StartedAt = true, d.now
 	a.worker.runningSlots += r.slots
@@ -135,8 +135,7 @@
 	d.fleet.RecordStart(&a.worker.load, a.worker.Kind, &r.job, a.overdue, a.worker.ownLoad(), d.now)
 }
 
-// handleEnd takes the end of an attempt: the worker's state is updated, and the request is closed, retried or
-// finished.
+// handleEnd updates the worker's state at the end of an attempt and closes, retries or finishes the request.
 func (d *Dispatcher) handleEnd(r *request, a *attempt, ev *Event) {
 	d.endAttempt(r, a, ev)
 	switch {
@@ -145,10 +144,10 @@
 	case r.closed:
 		d.removeIfDone(r)
 	case ev.Outcome == Unusable:
-		d.retryCredit = max(d.retryCredit-retryCreditPerRequest, 0) // it earns no retries
+		d.retryCredit = max(d.retryCredit-retryCreditPerRequest, 0) // undo the arrival's credit
 		d.emit(Action{Type: Fail, Request: r.id, Reason: NoCapableWorker})
 		d.close(r)
-	case ev.CancelUnconfirmed: // another attempt could run beside it
+	case ev.CancelUnconfirmed: // the canceled attempt may still run beside a retry
 		d.finish(r, MayHaveRun)
 	case d.retryCredit >= 1 && d.dispatch(r): // the budget keeps retries from amplifying an overload
 		d.retryCredit--
@@ -157,7 +156,7 @@
 	}
 }
 
-// endAttempt updates the attempt, its worker's load, health and tokens, and the shedder by the attempt's end.
+// endAttempt records an attempt's end in the attempt, its worker's load, health and tokens, and the shedder.
 func (d *Dispatcher) endAttempt(r *request, a *attempt, ev *Event) {
 	a.Ended, a.Outcome = true, ev.Outcome
 	if a.Started {
@@ -169,16 +168,16 @@
 	if ev.Outcome == Served && a.Started {
 		d.recordRun(a.worker, r, d.now-a.StartedAt)
 	}
-	d.handleReport(a.worker, ev)
+	d.recordLoadReport(a.worker, ev)
 	a.worker.outstandingWork -= r.job.Slots * r.job.Work
 	d.updateHealth(r, a)
-	d.release(a.worker, r.slots)
-	if ev.Outcome == Rejected { // a full queue shows before the late starts in it
+	d.releaseTokens(a.worker, r.slots)
+	if ev.Outcome == Rejected { // a full queue is seen before its late starts are
 		d.shedder.RecordStart(shedding.Overdue)
 	}
 }
 
-// rejectReason returns why a request gets no further attempt.
+// rejectReason returns the reason for not giving a request another attempt.
 func (d *Dispatcher) rejectReason(r *request) Reason {
 	maxAttempts := d.cfg.Limits.MaxAttempts
 	mayHaveRun := slices.ContainsFunc(r.attempts, func(a attempt) bool { return !a.neverRan() })
@@ -197,8 +196,8 @@
 	return NoFreeToken
 }
 
-// finish ends a request that is not served: not before its last attempt has ended, with a Reject where
-// another try of the client does no harm, otherwise with a Fail.
+// finish ends an unserved request once its last attempt has ended: with a Reject if a retry by the client
+// does no harm, otherwise with a Fail.
 func (d *Dispatcher) finish(r *request, reason Reason) {
 	c := r.class
 	answer := Action{Type: Reject, Request: r.id, Reason: reason}
@@ -236,8 +235,8 @@
 	}
 }
 
-// cancel cancels an attempt if it is open and the deployment allows it; the attempt stays open until its end
-// is reported.
+// cancel cancels an attempt if it is open and the deployment allows canceling; the attempt remains open until
+// its end is reported.
 func (d *Dispatcher) cancel(r *request, attempt int) {
 	if d.cfg.Limits.CancelAllowed && !r.attempts[attempt].Ended {
 		d.emit(Action{Type: Cancel, Request: r.id, Attempt: attempt})
--- a/decision/machine.go
+++ b/decision/machine.go
@@ -18,32 +18,32 @@
 	"frosttide/internal/bucket"
 )
 
-// worker is what this dispatcher knows of a worker.
+// worker is this dispatcher's state of a worker.
 type worker struct {
 	Member
 	Health
 	tokens
-	allWarming      bool                     // all workers were warming up: it is used within its budget
-	untried         bool                     // it has been reinstated and sent nothing since
-	overdue         int                      // how many of its open attempts have an overdue start
-	excludedUntil   time.Duration            // it gets no attempts until then, as it warms up
-	budgetedUntil   time.Duration            // it gets no more than its warm-up budget until then
-	sentWork        warmupbudget.LeakyBucket // what counts against that budget
+	allWarming      bool                     // used within its budget, as all workers were warming up
+	untried         bool                     // reinstated and not sent any request since
+	overdue         int                      // number of its open attempts whose start is overdue
+	excludedUntil   time.Duration            // its warm-up excludes it until then, see Dispatcher.allowed
+	budgetedUntil   time.Duration            // end of the time in which its warm-up budget applies
+	sentWork        warmupbudget.LeakyBucket // work charged to the warm-up budget
 	load            forecast.Worker
-	outstandingWork float64 // slots times seconds that its open attempts are estimated at
+	outstandingWork float64 // estimated slot-seconds of its open attempts
 	runningSlots    int     // slots of its started attempts; Health.Most is their maximum so far
-	updateNumber    uint64  // the last update of the list that named it
-	listedWeight    float64 // what it adds to Dispatcher.totalWeight
+	updateNumber    uint64  // last update of the list that contained it
+	listedWeight    float64 // its part of Dispatcher.totalWeight
 }
 
-// attempt is one sending of a request. It holds tokens until it ends.
+// attempt is one Send of a request to a worker. It holds tokens until it ends.
 type attempt struct {
 	AttemptRecord
 	worker  *worker
-	overdue bool // it had not started when it should have
+	overdue bool // it had not started within the usual time
 }
 
-// request is a request that has no final answer yet, or still has open attempts.
+// request is the state of a request that has no final answer yet or still has open attempts.
 type request struct {
 	id           RequestID
 	classIndex   int
@@ -51,13 +51,13 @@
 	slots        int
 	hint         time.Duration
 	job          forecast.Job
-	missesTarget bool // no worker was likely to do it in time when it was last tried
+	missesTarget bool // at the last dispatch no worker was likely to meet its target
 	deadline     time.Duration
 	attempts     []attempt
 	closed       bool
 }
 
-// timer is what happens when a timer fires, and to which request, attempt and worker.
+// timer holds the function that runs when a timer fires and the request, attempt or worker that it concerns.
 type timer struct {
 	fire    func(d *Dispatcher, t timer)
 	request *request
@@ -65,25 +65,25 @@
 	worker  *worker
 }
 
-// Dispatcher is the state machine of one dispatcher; make it with New. It is not safe for concurrent use.
+// Dispatcher is the state machine of one dispatcher; create it with New. It is not safe for concurrent use.
 type Dispatcher struct {
 	cfg      Config
 	rules    warmupbudget.Rules
 	rng      *rand.Rand
 	now      time.Duration
-	actions  []Action // of the present Step
+	actions  []Action // of the current Step
 	requests map[RequestID]*request
 	timers   map[uint32]timer
 	timerSeq uint32
 
 	workers         map[WorkerID]*worker
-	listed          []*worker // the same in the order in which they were first listed
-	updates         uint64    // how many updates of the list there were
-	callPlanned     bool      // a timer for a Subscribe runs
-	failedCalls     int       // calls for the list that failed, in a row
+	listed          []*worker // the same workers, in the order of their first listing
+	updates         uint64    // number of updates of the list so far
+	callPlanned     bool      // a Subscribe timer is pending
+	failedCalls     int       // consecutive failed calls for the list
 	totalWeight     float64   // of the listed workers
 	meanWeight      float64
-	maxRequestSlots int // the most slots of a request that a worker has taken
+	maxRequestSlots int // largest number of slots of a request accepted by a worker
 
 	bucket *bucket.Bucket[*worker]
 
@@ -95,7 +95,7 @@
 	quotas      fairshare.Quotas
 	meanRun     []float64 // mean seconds from start to answer, by class
 	shedder     shedding.Shedder
-	retryCredit float64 // how many attempts after a failure the budget allows now
+	retryCredit float64 // attempts after a failure that the budget allows now
 }
 
 // ErrNoClasses is returned by New for a Config without classes.
@@ -106,13 +106,13 @@
 	Index int // into Config.Classes
 }
 
-// Error names the class.
+// Error returns a message with the index of the class.
 func (e *InvalidClassError) Error() string {
 	return fmt.Sprintf("decision: Config.Classes[%d] has a value out of range", e.Index)
 }
 
-// New makes a dispatcher that knows no workers. Equal configs, seeds and events lead to equal actions. It
-// returns ErrNoClasses or an *InvalidClassError for a Config that cannot be used.
+// New returns a dispatcher without workers. Equal configs, seeds and events lead to equal actions. The
+// error is ErrNoClasses or an *InvalidClassError if the Config is invalid.
 func New(cfg Config, seed uint64) (*Dispatcher, error) {
 	if len(cfg.Classes) == 0 {
 		return nil, ErrNoClasses
@@ -135,7 +135,7 @@
 	return d, nil
 }
 
-// configure takes over settings. What is known stays, and requests keep the class that they arrived with.
+// configure applies settings. Learned state is kept, and open requests keep the class they arrived with.
 func (d *Dispatcher) configure(cfg Config) {
 	d.cfg = cfg
 	d.cfg.Classes = slices.Clone(cfg.Classes)
@@ -151,9 +151,9 @@
 	}
 }
 
-// Step handles the events of one moment, in their order, appends the actions that they lead to to actions and
-// returns it. The time now is read from the clock that the dispatchers of a fleet share, as a duration since
-// its epoch; one that is earlier than that of the last Step counts as equal to it.
+// Step handles the events of one moment in order, appends the resulting actions to the slice actions and
+// returns it. The time now comes from the clock shared by the dispatchers of a fleet, as a duration since its
+// epoch. A time before that of the previous Step is replaced by it.
 func (d *Dispatcher) Step(now time.Duration, events []Event, actions []Action) []Action {
 	d.now, d.actions = max(now, d.now), actions
 	if d.timerSeq == 0 {
@@ -166,8 +166,8 @@
 	return actions
 }
 
-// handle passes an event to the file that decides on it. Events on unknown requests, workers, attempts and
-// timers change nothing.
+// handle passes an event to the function for its type. Events about unknown requests, workers, attempts and
+// timers are ignored.
 func (d *Dispatcher) handle(ev *Event) {
 	switch ev.Type {
 	case MembersReplaced, MembersChanged:
@@ -211,8 +211,8 @@
 	}
 }
 
-// openAttempt returns the open attempt that an event is about, and its request; nil for stale, repeated and
-// unknown events, which change nothing.
+// openAttempt returns the open attempt that an event refers to, and its request; nil for stale, duplicate and
+// unknown events, which are ignored.
 func (d *Dispatcher) openAttempt(ev *Event) (*request, *attempt) {
 	r := d.requests[ev.Request]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) {
@@ -225,10 +225,10 @@
 	return r, a
 }
 
-// emit appends an action to those of the present Step.
+// emit appends an action to those of the current Step.
 func (d *Dispatcher) emit(a Action) { d.actions = append(d.actions, a) }
 
-// setTimer has a timer fire at the given time.
+// setTimer schedules a timer for the given time.
 func (d *Dispatcher) setTimer(at time.Duration, t timer) {
 	d.timerSeq++
 	d.timers[d.timerSeq] = t
@@ -240,7 +240,7 @@
 	return time.Duration(d.rng.Float64() * float64(span))
 }
 
-// effectiveWeight returns the worker's weight, 1 where the list gives none that can be used.
+// effectiveWeight returns the worker's weight, or 1 if the listed weight is invalid.
 func (m *Member) effectiveWeight() float64 {
 	if m.Weight > 0 && !math.IsInf(m.Weight, 0) {
 		return m.Weight
@@ -248,10 +248,10 @@
 	return 1
 }
 
-// ownLoad returns what this dispatcher's own open attempts use at the worker.
+// ownLoad returns the load that this dispatcher's own open attempts put on the worker.
 func (w *worker) ownLoad() forecast.Own {
 	return forecast.Own{InUse: float64(w.InUse), Running: float64(w.runningSlots), Work: w.outstandingWork}
 }
 
-// neverRan reports whether it is proved that the attempt did not run.
+// neverRan reports whether the attempt has ended with an outcome that proves that it did not run.
 func (a *attempt) neverRan() bool { return a.Ended && a.Outcome.NeverRan() }
--- a/decision/membership.go
+++ b/decision/membership.go
@@ -7,9 +7,9 @@
 	"frosttide/decision/freshness"
 )
 
-// planSubscribe plans a Subscribe after a random wait that grows with each failed call in a row and, above
-// freshness.MaxUnspreadCallers, with the number of dispatchers. Calls of all dispatchers at once would
-// overload discovery, where a call that waits too long fails.
+// planSubscribe schedules a Subscribe after a random delay that grows with each consecutive failed call and,
+// above freshness.MaxUnspreadCallers, with the number of dispatchers. Simultaneous calls of all dispatchers
+// would overload discovery, where a call that waits too long fails.
 func (d *Dispatcher) planSubscribe() {
 	if !d.cfg.PullMembers || d.callPlanned {
 		return
@@ -22,8 +22,8 @@
 	}})
 }
 
-// updateMembers takes over a list of workers, or changes of it, and gives tokens to the workers that become
-// ready.
+// updateMembers applies a complete list of workers or changes of it, and gives tokens to the workers that
+// become ready.
 func (d *Dispatcher) updateMembers(ev *Event) {
 	d.failedCalls = 0
 	d.updates++
@@ -32,7 +32,7 @@
 	var ready []*worker
 	for i := range ev.Members {
 		m := &ev.Members[i]
-		w := d.member(m.Worker)
+		w := d.findOrAddWorker(m.Worker)
 		w.updateNumber = d.updates
 		d.totalWeight += m.effectiveWeight() - w.listedWeight
 		w.listedWeight = m.effectiveWeight()
@@ -46,17 +46,17 @@
 	}
 	d.meanWeight = d.totalWeight / float64(max(len(d.listed), 1))
 	if d.bucket.Empty() {
-		d.fill(ready)
+		d.fillBucket(ready)
 	} else {
 		for _, w := range ready {
-			d.join(w)
+			d.insertTokens(w)
 		}
 	}
-	d.fill(d.useAllWarming())
+	d.fillBucket(d.useAllWarming())
 }
 
-// member returns the worker of an ID, a new one where it is unknown.
-func (d *Dispatcher) member(id WorkerID) *worker {
+// findOrAddWorker returns the worker with an ID and adds it if it is unknown.
+func (d *Dispatcher) findOrAddWorker(id WorkerID) *worker {
 	w := d.workers[id]
 	if w == nil {
 		w = &worker{Member: Member{Worker: id, State: Removed}, Health: Health{Pace: 1}}
@@ -66,13 +66,13 @@
 	return w
 }
 
-// removeDeparted deletes the workers that have left the list; after a complete list, all that it does not
-// name. It visits every worker, which is too dear for each of the many changes of a large fleet's list.
+// removeDeparted deletes the removed workers and, after a complete list, those that it does not contain. It
+// visits every worker, which is too expensive for each of the many list changes of a large fleet.
 func (d *Dispatcher) removeDeparted(complete bool) {
 	d.totalWeight = 0
 	d.listed = slices.DeleteFunc(d.listed, func(w *worker) bool {
 		if complete && w.updateNumber != d.updates {
-			d.withdraw(w, Removed)
+			d.withdrawTokens(w, Removed)
 		}
 		if w.State == Removed {
 			delete(d.workers, w.Worker)
@@ -83,8 +83,9 @@
 	})
 }
 
-// useAllWarming returns the warming workers if there are no others, and has them used within their budgets
-// from now on. After a power cut clients would otherwise be rejected until a worker has warmed up enough.
+// useAllWarming returns the warming workers if there are no others, and makes them usable within their
+// budgets from now on. After a power cut clients would otherwise be rejected until a worker has warmed up
+// enough.
 func (d *Dispatcher) useAllWarming() (warming []*worker) {
 	for _, w := range d.listed {
 		if w.State == Ready && (d.now >= w.excludedUntil || w.Limit > 0) {
@@ -100,12 +101,12 @@
 	return warming
 }
 
-// updateMember takes over an entry of the list and reports whether the worker gets its tokens now. A worker
-// that warms up gets them by a timer.
+// updateMember applies an entry of the list and reports whether the worker gets its tokens now. A warming
+// worker gets them when a timer fires.
 func (d *Dispatcher) updateMember(w *worker, m *Member) bool {
 	becomesReady := m.State == Ready && (w.State != Ready || m.StartedAt > w.StartedAt)
 	if m.State != Ready || becomesReady {
-		d.withdraw(w, m.State)
+		d.withdrawTokens(w, m.State)
 	}
 	w.Member = *m
 	if !becomesReady {
@@ -127,18 +128,18 @@
 	return d.now >= w.excludedUntil || w.Reinstated || d.earlyWarmUp(w)
 }
 
-// grantTokens gives a worker its tokens once it may be used, and again, at new positions of the bucket, once
-// it has no budget any more: its tokens have come to the front meanwhile and would attract many requests in a
+// grantTokens gives a worker its tokens once it may be used, and again, at new positions in the bucket,
+// once its budget ends: by then its tokens have moved to the front and would attract many requests in a
 // row.
 func (d *Dispatcher) grantTokens(t timer) {
 	if w := t.worker; w.State == Ready && d.now >= w.excludedUntil && !w.Failed {
-		d.join(w)
+		d.insertTokens(w)
 	}
 }
 
-// withdraw removes a worker's free tokens from the bucket; those that attempts hold are dropped as they
-// return.
-func (d *Dispatcher) withdraw(w *worker, state MemberState) {
+// withdrawTokens removes a worker's free tokens from the bucket; tokens held by attempts are dropped when
+// they are returned.
+func (d *Dispatcher) withdrawTokens(w *worker, state MemberState) {
 	w.State, w.Limit = state, 0
-	d.trim(w)
+	d.trimTokens(w)
 }
--- a/decision/overload.go
+++ b/decision/overload.go
@@ -8,8 +8,8 @@
 	"frosttide/decision/warmupbudget"
 )
 
-// withinQuota reports whether another request of the tenant is within its quota, by this dispatcher's part of
-// the work that the fleet is known to have.
+// withinQuota reports whether another request of the tenant is within its quota, given this dispatcher's
+// share of the fleet's known work.
 func (d *Dispatcher) withinQuota(tenant int) bool {
 	if d.fleet.Known() && d.quotas.NeedsSample(d.now) {
 		var own, all float64
@@ -21,7 +21,7 @@
 	return d.quotas.Within(tenant, d.now)
 }
 
-// rejectsForOverload reports whether a new request is rejected because requests start late. A client's repeat
+// rejectsForOverload reports whether a new request is rejected because requests start late. A client's retry
 // has the value of a late answer.
 func (d *Dispatcher) rejectsForOverload(r *request, repeat bool) bool {
 	value := r.class.Value
@@ -31,17 +31,17 @@
 	return d.rng.Float64() < d.shedder.RejectFraction(value, d.meanRun[r.classIndex])
 }
 
-// startSlack returns how long a typical request can wait and still meet its latency target. It takes half the
+// startSlack returns how long a typical request can wait and still meet its latency target. It uses half the
 // mean run time, as run times are skewed and half of them are far below the mean.
 func (d *Dispatcher) startSlack(r *request) time.Duration {
 	c := r.class
 	return c.Objective + time.Duration(max(c.Stretch-1, 0)*d.meanRun[r.classIndex]/2*float64(time.Second))
 }
 
-// sampleStart records whether a request has started within its slack. One that ended without a start tells
-// nothing. Nor does a late start where many dispatchers use the workers: it tells about one queue only, met
-// by chance, and requests would be rejected while other workers are free. A worker that rejects as its queue
-// is full is recorded all the same, by endAttempt.
+// sampleStart records whether a request has started within its slack. Requests that ended without a start
+// are not recorded. With many dispatchers late starts are not either: each reflects a single queue, hit by
+// chance, and requests would be rejected while other workers are free. Rejections by a worker with a full
+// queue are recorded in any case, by endAttempt.
 func (d *Dispatcher) sampleStart(t timer) {
 	started := slices.ContainsFunc(t.request.attempts, func(a attempt) bool { return a.Started })
 	all := warmupbudget.Peer{Count: d.cfg.Instances}
@@ -53,15 +53,15 @@
 	}
 }
 
-// limitsWait reports whether attempts of the request are canceled once they cannot meet its latency target
-// any more.
+// limitsWait reports whether attempts of the request are canceled once they can no longer meet its latency
+// target.
 func (d *Dispatcher) limitsWait(r *request) bool {
 	return d.cfg.StartEvents && d.fleet.Known() && d.cfg.Limits.CancelAllowed && r.class.LateValue == 0
 }
 
-// giveUpWaiting cancels an attempt that has not started and cannot meet its latency target any more, where a
-// late answer has no value, so that its slots serve others. An Unsafe request fails.
-func (d *Dispatcher) giveUpWaiting(t timer) {
+// cancelLateAttempt cancels an attempt that has not started and can no longer meet the latency target, if a
+// late answer has no value, so that other requests can use its slots. An Unsafe request fails.
+func (d *Dispatcher) cancelLateAttempt(t timer) {
 	r := t.request
 	a := &r.attempts[t.attempt]
 	if a.Ended || a.Started || r.closed {
--- a/decision/selection.go
+++ b/decision/selection.go
@@ -2,19 +2,19 @@
 
 import "frosttide/decision/affinity"
 
-// healthFilter says which workers a selection considers.
+// healthFilter selects the workers that a selection considers.
 type healthFilter bool
 
 const (
-	healthyOnly healthFilter = false // those that neither rest nor start late nor lie in a lost zone
-	anyHealth   healthFilter = true  // all, those that rest only where no other is eligible
+	healthyOnly healthFilter = false // no resting worker, overdue start or unavailable zone
+	anyHealth   healthFilter = true  // all; resting ones only if no other is eligible
 )
 
-// selectWorker returns the eligible worker of the least cost, of equal ones that whose token has been free
-// longest; nil where there is none. The cost comes before the order of tokens as each of several dispatchers
-// sees little of a worker's load: the longest-free token may belong to a worker that runs requests of this
-// dispatcher while others run none. Workers that rest come last as otherwise, where all zones seem lost, the
-// one that has just failed would attract every request in a row.
+// selectWorker returns the eligible worker with the lowest cost, or nil if there is none. Among equal costs
+// the worker whose token has been free longest wins. Cost takes precedence because each of several
+// dispatchers sees little of a worker's load: the longest-free token may belong to a worker that is running
+// requests of this dispatcher while others are idle. Resting workers come last: if all zones seem
+// unavailable, the worker that has just failed would otherwise attract every request in a row.
 func (d *Dispatcher) selectWorker(r *request, filter healthFilter) (best *worker) {
 	if !d.mayAttempt(r) {
 		return nil
@@ -38,14 +38,14 @@
 	return best
 }
 
-// cost returns what the request costs at the worker; only costs of one moment may be compared. Where workers
-// report their load it is the forecast time to the answer in seconds, with a penalty for another zone.
-// Elsewhere it is the fraction of the worker's tokens that would be in use with the request, times the
-// worker's pace as far as it is remembered, times a factor for another zone. Both are multiplied by the
-// dispatcher's affinity to the worker. A reinstated worker that has got nothing yet, and one in its early
-// warm-up, cost less than all others.
+// cost returns the cost of sending the request to the worker; costs are comparable only within one moment.
+// If workers report their load, it is the forecast time to the answer in seconds, with a penalty for
+// another zone. Otherwise it is the fraction of the worker's tokens in use including the request, times the
+// worker's pace, whose influence fades with its age, times a factor for another zone. Both are multiplied
+// by the dispatcher's affinity to the worker. Reinstated workers without a request so far and workers in
+// their early warm-up cost less than all others.
 func (d *Dispatcher) cost(w *worker, r *request) float64 {
-	if w.untried || d.earlyWarmUp(w) { // of these the one with the highest capacity comes first
+	if w.untried || d.earlyWarmUp(w) { // among these the highest capacity comes first
 		return -d.rules.Capacity(w.StartedAt, d.now) / d.fleet.Pace(&w.load, w.Kind, d.now)
 	}
 	if d.fleet.Known() {
@@ -73,8 +73,8 @@
 	return w.Free >= r.slots && (healthy || filter == anyHealth) && d.allowed(r, w)
 }
 
-// dispatch sends the request to the best worker and reports whether it did. Where only unhealthy workers are
-// left it fails open and uses them. Where workers report their load and even the best one would miss the
+// dispatch sends the request to the best worker and reports whether it did. If only unhealthy workers are
+// left, it fails open and uses them. If workers report their load and even the best one would miss the
 // latency target, it sends nothing and sets missesTarget.
 func (d *Dispatcher) dispatch(r *request) bool {
 	w := d.selectWorker(r, healthyOnly)
