--- a/decision/allocations_test.go
+++ b/decision/allocations_test.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// TestAllocationsDoNotGrowWithWorkers checks that a request, and a change of the list, allocate no more with
-// 16 times the workers.
+// TestAllocationsDoNotGrowWithWorkers checks that the allocations per request and per change of the list do
+// not grow when the number of workers grows 16-fold.
 func TestAllocationsDoNotGrowWithWorkers(t *testing.T) {
 	request, change := allocations(t, 200)
 	manyRequest, manyChange := allocations(t, 3200)
 	if manyRequest > request+1 || manyChange > change+1 {
-		t.Errorf("with 200 workers a request allocates %g times and a change %g, with 3200 %g and %g",
-			request, change, manyRequest, manyChange)
+		t.Errorf("allocations per request and list change: %g and %g with 200 workers, %g and %g with 3200, "+
+			"want at most one more each", request, change, manyRequest, manyChange)
 	}
 }
 
-// allocations returns how often a request, and a change of the list, allocate with the given workers.
-func allocations(t *testing.T, workers int) (request, change float64) {
+// allocations returns the number of allocations per request and per list change with n workers.
+func allocations(t *testing.T, n int) (request, change float64) {
 	t.Helper()
 	cfg := Config{Instances: 300, Instance: 1, Zones: 1, Limits: Limits{MaxAttempts: 3},
 		Classes: []Class{{Objective: time.Second, ClientTimeout: time.Minute, WorkerKind: -1}}}
@@ -26,7 +26,7 @@
 		t.Fatal(err)
 	}
 	list := Event{Type: MembersReplaced}
-	for i := range workers {
+	for i := range n {
 		list.Members = append(list.Members, Member{Worker: WorkerID(i + 1)})
 	}
 	now := time.Hour
@@ -47,7 +47,7 @@
 			}
 		}
 		if to == 0 {
-			t.Fatal("a request found no worker")
+			t.Fatal("the request was not sent to any worker")
 		}
 		step(Event{Type: AttemptEnded, Request: id, Worker: to, Outcome: Served})
 	})
--- a/decision/bucket_test.go
+++ b/decision/bucket_test.go
@@ -13,16 +13,17 @@
 		for range 10 {
 			a := h.arrive(0, 1)
 			if a.Type != Send || seen[a.Worker] {
-				t.Fatalf("round %d: %v after %v, want each worker once", round, a, seen)
+				t.Fatalf("round %d: got %v after sends to %v, want one send to each worker", round, a, seen)
 			}
 			seen[a.Worker] = true
 		}
 	}
 }
 
-// TestSeedsShuffleTheBucket checks that dispatchers of different seeds start with different workers.
+// TestSeedsShuffleTheBucket checks that dispatchers with different seeds start with different workers, so
+// that they do not all choose workers in the same order.
 func TestSeedsShuffleTheBucket(t *testing.T) {
-	orders := map[WorkerID]bool{}
+	firstWorkers := map[WorkerID]bool{}
 	for seed := range uint64(20) {
 		d, err := New(bucketOnlyConfig(), seed)
 		if err != nil {
@@ -30,14 +31,14 @@
 		}
 		out := d.Step(time.Hour, []Event{{Type: MembersReplaced, Members: membersInOneZone(10)},
 			{Type: RequestArrived, Request: 1, Deadline: 2 * time.Hour}}, nil)
-		orders[out[0].Worker] = true
+		firstWorkers[out[0].Worker] = true
 	}
-	if len(orders) < 4 {
-		t.Errorf("20 seeds start at %d of 10 workers: dispatchers would march in step", len(orders))
+	if len(firstWorkers) < 4 {
+		t.Errorf("20 seeds start with only %d different workers of 10, want at least 4", len(firstWorkers))
 	}
 }
 
-// TestLongestFreeTokenGoesFirst checks the order of returned tokens.
+// TestLongestFreeTokenGoesFirst checks that returned tokens are used in the order of their return.
 func TestLongestFreeTokenGoesFirst(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
 	var sent []Action
@@ -47,25 +48,25 @@
 	h.end(sent[5], Served)
 	h.end(sent[1], Served)
 	if a := h.arrive(0, 1); a.Worker != sent[5].Worker {
-		t.Errorf("worker %d came first, want %d, whose token was back first", a.Worker, sent[5].Worker)
+		t.Errorf("first send to worker %d, want %d, whose token was returned first", a.Worker, sent[5].Worker)
 	}
 	if a := h.arrive(0, 1); a.Worker != sent[1].Worker {
-		t.Errorf("worker %d came second, want %d", a.Worker, sent[1].Worker)
+		t.Errorf("second send to worker %d, want %d", a.Worker, sent[1].Worker)
 	}
 }
 
-// TestNoTokenMeansPromptRefusal checks that a request without a free token is rejected at once, with a
+// TestNoFreeTokenRejectsAtOnce checks that a request without a free token is rejected at once, with a
 // retry-after.
-func TestNoTokenMeansPromptRefusal(t *testing.T) {
+func TestNoFreeTokenRejectsAtOnce(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(1))
 	for range defaultTokens {
 		if a := h.arrive(4, 1); a.Type != Send {
-			t.Fatalf("got %v with tokens left", a)
+			t.Fatalf("got %v while tokens are free, want a send", a)
 		}
 	}
 	a := h.arrive(4, 1)
 	if a.Type != Reject || a.After <= 0 || a.After > h.d.cfg.Limits.MaxRetryAfter {
-		t.Errorf("got %+v, want a refusal with a retry-after", a)
+		t.Errorf("got %+v, want a Reject with a retry-after of at most %v", a, h.d.cfg.Limits.MaxRetryAfter)
 	}
 }
 
@@ -76,19 +77,19 @@
 	first := h.arrive(0, 5)
 	second := h.arrive(0, 5)
 	if first.Worker == second.Worker {
-		t.Fatal("10 tokens of a worker that has 8 were used")
+		t.Fatalf("both requests of 5 slots went to worker %d, which has 8 tokens", first.Worker)
 	}
 	if a := h.arrive(0, 5); a.Type != Reject {
-		t.Errorf("got %v, want a refusal: 3 tokens are left at each worker", a)
+		t.Errorf("got %v, want a Reject: each worker has 3 free tokens", a)
 	}
 	h.end(first, Served)
 	if a := h.arrive(0, 5); a.Worker != first.Worker {
-		t.Errorf("got %v, want the worker whose 5 tokens came back together", a)
+		t.Errorf("got %v, want a send to the worker whose 5 tokens were returned", a)
 	}
 }
 
-// TestWideRequestAfterFailures checks that a failure leaves a worker tokens for one request, however many
-// slots that has, so that requests of many slots are not locked out.
+// TestWideRequestAfterFailures checks that a failed worker keeps enough tokens for one request of many slots,
+// so that such requests are not locked out.
 func TestWideRequestAfterFailures(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(1))
 	h.end(h.arrive(4, 4), Errored)
@@ -97,7 +98,7 @@
 		t.Errorf("got %v, want a send", a)
 	}
 	if a := h.arrive(4, 1); a.Type != Reject {
-		t.Errorf("got %v, want a refusal: one job at a time after a failure", a)
+		t.Errorf("got %v, want a Reject: one request at a time after a failure", a)
 	}
 }
 
@@ -117,14 +118,14 @@
 		}
 	}
 	if heavy < 26 || heavy > 34 {
-		t.Errorf("workers of three times the weight got %d of 40 jobs, want about 30", heavy)
+		t.Errorf("workers of three times the weight got %d of 40 requests, want 26 to 34", heavy)
 	}
 }
 
-// TestJoiningWorkerIsNotOverrun checks rule 4 after incident ie2a5c7: the front of the bucket holds unused
-// tokens of a zone that is not preferred, and a joining worker's token among them would be the next one at
-// every dispatcher.
-func TestJoiningWorkerIsNotOverrun(t *testing.T) {
+// TestJoiningWorkerIsNotOverloaded guards rule 4 against incident ie2a5c7: unused tokens of another zone
+// had collected at the front of the bucket, and a joining worker's token inserted among them was the next
+// one used at every dispatcher.
+func TestJoiningWorkerIsNotOverloaded(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers = false
 	got := 0
@@ -137,7 +138,7 @@
 		h := &driver{t: t, d: d, now: time.Hour, timers: map[uint32]time.Duration{}}
 		h.step(Event{Type: MembersReplaced, Members: list})
 		d.zones.RecordStart(0, time.Millisecond)
-		d.zones.RecordStart(1, 100*time.Millisecond) // starts in zone 1 take long
+		d.zones.RecordStart(1, 100*time.Millisecond) // starts in zone 1 are slow
 		for range 100 {
 			h.end(h.arrive(4, 1), Served)
 		}
@@ -152,6 +153,6 @@
 		}
 	}
 	if got > 20 {
-		t.Errorf("the joining worker got %d of 120 first jobs over 30 dispatchers, want about 6", got)
+		t.Errorf("the joining worker got %d of 120 requests at 30 dispatchers, want at most 20", got)
 	}
 }
--- a/decision/checker_test.go
+++ b/decision/checker_test.go
@@ -8,7 +8,7 @@
 // deadlineSlack is how long after the deadline a final answer still counts as on time.
 const deadlineSlack = 16 * time.Millisecond
 
-// sentAttempt is a Send as seen from outside.
+// sentAttempt is an attempt as derived from the events and actions.
 type sentAttempt struct {
 	worker  Member
 	at      time.Duration
@@ -18,24 +18,24 @@
 
 func (a *sentAttempt) mayHaveRun() bool { return !a.ended || !a.outcome.NeverRan() }
 
-// observedRequest is a request as seen from outside.
+// observedRequest is a request as derived from the events and actions.
 type observedRequest struct {
 	class    int
 	deadline time.Duration
 	attempts []sentAttempt
 	closed   bool
-	closedAt time.Duration // when an event closed it; 0 where the dispatcher did
+	closedAt time.Duration // when an event closed it; 0 if the dispatcher did
 }
 
-// recordEnd records that an event closes the request.
-func (r *observedRequest) recordEnd(now time.Duration) {
+// markClosed records that an event closes the request.
+func (r *observedRequest) markClosed(now time.Duration) {
 	if !r.closed {
 		r.closed, r.closedAt = true, now
 	}
 }
 
-// checker verifies the invariants of the package, by the numbers of the four rules in docs/design.md, from the events that
-// a dispatcher was given and the actions that it returned. It does not look at the dispatcher's state.
+// checker verifies the four rules of docs/design.md from the events passed to a dispatcher and the actions
+// that it returned, without access to the dispatcher's state. Violations name the number of the rule.
 type checker struct {
 	cfg              Config
 	requests         map[RequestID]*observedRequest
@@ -68,14 +68,14 @@
 			}
 		case RequestCanceled:
 			if r != nil {
-				r.recordEnd(now)
+				r.markClosed(now)
 			}
 		case AttemptEnded:
 			if r != nil && ev.Attempt >= 0 && ev.Attempt < len(r.attempts) && !r.attempts[ev.Attempt].ended &&
 				r.attempts[ev.Attempt].worker.Worker == ev.Worker {
 				r.attempts[ev.Attempt].ended, r.attempts[ev.Attempt].outcome = true, ev.Outcome
 				if ev.RequestClosed {
-					r.recordEnd(now)
+					r.markClosed(now)
 				}
 			}
 		case MembersReplaced, MembersChanged:
@@ -89,17 +89,17 @@
 	named := map[WorkerID]bool{}
 	for _, m := range ev.Members {
 		named[m.Worker] = true
-		_, told := c.unavailableSince[m.Worker]
+		_, unavailable := c.unavailableSince[m.Worker]
 		if m.State == Ready {
 			delete(c.unavailableSince, m.Worker)
-		} else if !told {
+		} else if !unavailable {
 			c.unavailableSince[m.Worker] = now
 		}
 		c.listed[m.Worker] = m
 	}
 	if ev.Type == MembersReplaced {
 		for id := range c.listed {
-			if _, told := c.unavailableSince[id]; !told && !named[id] {
+			if _, unavailable := c.unavailableSince[id]; !unavailable && !named[id] {
 				c.unavailableSince[id] = now
 			}
 		}
@@ -116,7 +116,7 @@
 		case Send:
 			c.sends++
 			if r == nil {
-				c.violate("send for request %d, which was never taken", a.Request)
+				c.violate("send for request %d, which never arrived", a.Request)
 				continue
 			}
 			c.checkSend(now, r, a)
@@ -145,25 +145,25 @@
 		c.violate("send to worker %d, which was never listed", a.Worker)
 	}
 	if r.closed && r.closedAt != now { // an event of this moment may close it after the send
-		c.violate("rule 1: send for request %d, which is over", a.Request)
+		c.violate("rule 1: send for request %d, which is closed", a.Request)
 	}
 	class := c.cfg.Classes[r.class]
 	for i := range r.attempts {
 		prior := &r.attempts[i]
 		if !prior.ended && !c.cfg.Limits.HedgingAllowed {
-			c.violate("two attempts of request %d are out at once", a.Request)
+			c.violate("request %d has two open attempts, though hedging is not allowed", a.Request)
 		}
 		if !prior.mayHaveRun() || class.Effect == Safe {
 			continue
 		}
-		same := class.DedupScope == ScopeAll || (prior.worker.Zone == w.Zone &&
+		sameScope := class.DedupScope == ScopeAll || (prior.worker.Zone == w.Zone &&
 			(class.DedupScope == ScopeZone || prior.worker.Cell == w.Cell))
-		if class.Effect == Unsafe || !same || now > prior.at+class.DedupWindow {
+		if class.Effect == Unsafe || !sameScope || now > prior.at+class.DedupWindow {
 			c.violate("rule 2: request %d sent again to worker %d though it may have run", a.Request, a.Worker)
 		}
 	}
-	if told, ok := c.unavailableSince[a.Worker]; ok && now > told+c.cfg.Rules.DrainGrace {
-		c.violate("rule 3: send to worker %d, told %v ago", a.Worker, now-told)
+	if since, ok := c.unavailableSince[a.Worker]; ok && now > since+c.cfg.Rules.DrainGrace {
+		c.violate("rule 3: send to worker %d, unavailable for %v", a.Worker, now-since)
 	}
 	if w.StartedAt > 0 {
 		age := float64(now-w.StartedAt) / float64(c.cfg.Rules.WarmUp)
@@ -174,13 +174,13 @@
 	}
 }
 
-// checkReject checks that a Reject is harmless by rule 2.
+// checkReject checks against rule 2 that a retry by the client after a Reject does no harm.
 func (c *checker) checkReject(r *observedRequest, a Action) {
 	class := c.cfg.Classes[r.class]
 	for i := range r.attempts {
-		harmless := class.Effect == Safe || (class.Effect == Keyed && class.DedupScope == ScopeAll)
-		if r.attempts[i].mayHaveRun() && !harmless {
-			c.violate("rule 2: request %d refused though it may have run", a.Request)
+		retrySafe := class.Effect == Safe || (class.Effect == Keyed && class.DedupScope == ScopeAll)
+		if r.attempts[i].mayHaveRun() && !retrySafe {
+			c.violate("rule 2: request %d rejected though it may have run", a.Request)
 		}
 	}
 }
--- a/decision/driver_test.go
+++ b/decision/driver_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// driver drives a dispatcher by hand and keeps what it asked for.
+// driver feeds a dispatcher with events and keeps its timers and latest actions.
 type driver struct {
 	t           *testing.T
 	d           *Dispatcher
@@ -15,7 +15,7 @@
 	lastActions []Action
 }
 
-// newDriver returns a driver of a new dispatcher that has got the list of workers.
+// newDriver returns a driver of a new dispatcher that has received the list of workers.
 func newDriver(t *testing.T, cfg Config, workers []Member) *driver {
 	t.Helper()
 	d, err := New(cfg, 1)
@@ -27,7 +27,7 @@
 	return h
 }
 
-// step brings events and returns the actions other than timers.
+// step delivers events and returns the actions other than timers.
 func (h *driver) step(events ...Event) []Action {
 	h.lastActions = h.lastActions[:0]
 	for _, a := range h.d.Step(h.now, events, nil) {
@@ -40,7 +40,7 @@
 	return h.lastActions
 }
 
-// advance lets time pass and fires the timers that expire meanwhile, in order; it returns the actions.
+// advance moves the time forward, fires the timers that expire on the way in order, and returns the actions.
 func (h *driver) advance(span time.Duration) (out []Action) {
 	end := h.now + span
 	for {
@@ -61,7 +61,7 @@
 	return out
 }
 
-// arrive brings a request and returns the action that it leads to.
+// arrive delivers a request and returns the resulting action.
 func (h *driver) arrive(class int, slots float64) Action {
 	h.t.Helper()
 	h.lastRequest++
@@ -79,21 +79,21 @@
 		RequestClosed: o == Served})
 }
 
-// serve starts an attempt at once and has it served 50 ms later.
+// serve reports the start of an attempt at once and its end as served 50 ms later.
 func (h *driver) serve(a Action) {
 	h.step(Event{Type: AttemptStarted, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt})
 	h.advance(50 * time.Millisecond)
 	h.end(a, Served)
 }
 
-// bucketOnlyConfig is a config with which only the bucket decides on the worker.
+// bucketOnlyConfig returns a config with which only the bucket determines the worker.
 func bucketOnlyConfig() Config {
 	cfg := testConfig()
 	cfg.StartEvents, cfg.PullMembers, cfg.Zones = false, false, 1
 	return cfg
 }
 
-// maxWithin returns how many of the times, which are in order, lie within a window at most.
+// maxWithin returns the maximum number of the sorted times that lie within one window.
 func maxWithin(at []time.Duration, window time.Duration) (count int) {
 	first := 0
 	for i := range at {
@@ -114,7 +114,7 @@
 	return workers
 }
 
-// testConfig is a deployment with every class effect and scope.
+// testConfig returns a config with classes of every effect and scope.
 func testConfig() Config {
 	class := func(e Effect, g DedupScope) Class {
 		return Class{Effect: e, DedupScope: g, DedupWindow: 3 * time.Second, Objective: 200 * time.Millisecond, Stretch: 2,
--- a/decision/eligibility_test.go
+++ b/decision/eligibility_test.go
@@ -7,8 +7,8 @@
 	"frosttide/decision/permit"
 )
 
-// TestLatestStart checks that an attempt begins before the window closes in which repeats are dropped and,
-// at a warming worker, before its part of the budget belongs to another window.
+// TestLatestStart checks that an attempt has to begin before the deduplication window closes and, at a
+// warming worker, before it would count against another window of the budget.
 func TestLatestStart(t *testing.T) {
 	start := 1000 * time.Hour
 	cfg := Config{Instances: 1, Classes: []Class{{Effect: Keyed, DedupWindow: 10 * time.Second, Objective: time.Second, WorkerKind: -1},
@@ -29,23 +29,23 @@
 	warmList := Event{Type: MembersReplaced, Members: []Member{{Worker: 1}, {Worker: 2}}}
 	first := sends(start, warmList, Event{Type: RequestArrived, Request: 1, Deadline: start + time.Minute})
 	if len(first) != 1 || first[0].LatestStart != 0 {
-		t.Fatalf("a first attempt at a warm worker: %+v", first)
+		t.Fatalf("a first attempt at a warm worker: got %+v, want one send without a latest start", first)
 	}
-	again := sends(start+2*time.Second, Event{Type: AttemptEnded, Request: 1, Worker: first[0].Worker, Outcome: ConnReset})
-	if want := start + 10*time.Second - permit.MaxStall; len(again) != 1 || again[0].LatestStart != want {
-		t.Errorf("a repeat of a keyed request: %+v, want it to begin by %v", again, want)
+	retry := sends(start+2*time.Second, Event{Type: AttemptEnded, Request: 1, Worker: first[0].Worker, Outcome: ConnReset})
+	if want := start + 10*time.Second - permit.MaxStall; len(retry) != 1 || retry[0].LatestStart != want {
+		t.Errorf("a retry of a keyed request: got %+v, want one send with the latest start %v", retry, want)
 	}
 	now := start + 5*time.Second
 	warmingList := Event{Type: MembersReplaced, Members: []Member{{Worker: 3, StartedAt: now - 18*time.Second}}}
-	cold := sends(now, warmingList, Event{Type: RequestArrived, Request: 2, Class: 1, Deadline: now + time.Minute})
-	if len(cold) != 1 || cold[0].LatestStart != now+warmUpStartWithin {
-		t.Errorf("an attempt at a worker that warms up: %+v, want it to begin within %v", cold, warmUpStartWithin)
+	warming := sends(now, warmingList, Event{Type: RequestArrived, Request: 2, Class: 1, Deadline: now + time.Minute})
+	if len(warming) != 1 || warming[0].LatestStart != now+warmUpStartWithin {
+		t.Errorf("an attempt at a warming worker: got %+v, want one send to begin within %v", warming, warmUpStartWithin)
 	}
 }
 
-// TestCancelUnconfirmed checks that no attempt follows one whose worker may not know of its cancel.
+// TestCancelUnconfirmed checks that a request is not retried if the worker may not have received the cancel.
 func TestCancelUnconfirmed(t *testing.T) {
-	for _, unsure := range []bool{false, true} {
+	for _, unconfirmed := range []bool{false, true} {
 		d, err := New(Config{Instances: 1, Classes: []Class{{Objective: time.Second, WorkerKind: -1}}, Limits: Limits{MaxAttempts: 3}}, 1)
 		if err != nil {
 			t.Fatal(err)
@@ -57,24 +57,25 @@
 				at = a.Worker
 			}
 		}
-		sent, refused := 0, 0
-		ended := Event{Type: AttemptEnded, Request: 1, Worker: at, Outcome: TimedOut, CancelUnconfirmed: unsure}
+		sent, rejected := 0, 0
+		ended := Event{Type: AttemptEnded, Request: 1, Worker: at, Outcome: TimedOut, CancelUnconfirmed: unconfirmed}
 		for _, a := range d.Step(time.Hour+time.Second, []Event{ended}, nil) {
 			switch a.Type {
 			case Send:
 				sent++
 			case Reject:
-				refused++
+				rejected++
 			}
 		}
-		if unsure && (sent != 0 || refused != 1) || !unsure && sent != 1 {
-			t.Errorf("unsure %t: %d attempts follow, %d refusals", unsure, sent, refused)
+		if unconfirmed && (sent != 0 || rejected != 1) || !unconfirmed && sent != 1 {
+			t.Errorf("cancel unconfirmed %t: %d retries and %d rejects, want one reject if unconfirmed, otherwise one retry",
+				unconfirmed, sent, rejected)
 		}
 	}
 }
 
-// TestNoAttemptPastTarget checks that no attempt is sent that would be canceled at once, as its request
-// cannot be in time any more and has no value later.
+// TestNoAttemptPastTarget checks that a request past its latency target, whose answer has no value any
+// more, gets no further attempt: the attempt would be canceled at once.
 func TestNoAttemptPastTarget(t *testing.T) {
 	cfg := Config{Instances: 1, StartEvents: true, Metrics: []Metric{MetricFreeSlots},
 		Classes: []Class{{Objective: time.Second, ClientTimeout: time.Minute, WorkerKind: -1}},
@@ -101,14 +102,14 @@
 		Event{Type: AttemptEnded, Request: 1, Worker: 1, Outcome: Served, LoadCount: 1, Load: report})
 	step(Event{Type: MembersReplaced, Members: []Member{{Worker: 1}, {Worker: 2}}})
 	if sent, _ := step(Event{Type: RequestArrived, Request: 2, Deadline: now + time.Minute}); sent != 1 {
-		t.Fatalf("%d attempts of a job in time", sent)
+		t.Fatalf("%d attempts of a request within its target, want 1", sent)
 	}
 	var to WorkerID
 	for id := range d.requests[2].attempts {
 		to = d.requests[2].attempts[id].worker.Worker
 	}
-	now += 5 * time.Second // past its second
+	now += 5 * time.Second // past the target of one second
 	if sent, ended := step(Event{Type: AttemptEnded, Request: 2, Worker: to, Outcome: Errored}); sent != 0 || ended != 1 {
-		t.Errorf("%d attempts and %d answers once it is too late, want its answer", sent, ended)
+		t.Errorf("past the target: %d attempts and %d final answers, want 0 and 1", sent, ended)
 	}
 }
--- a/decision/example_test.go
+++ b/decision/example_test.go
@@ -7,8 +7,8 @@
 	"frosttide/decision"
 )
 
-// A host brings a dispatcher its list of workers and a request, carries out the Send that follows, and
-// reports how the attempt ended.
+// A host delivers a list of workers and a request, carries out the resulting Send and reports the end of the
+// attempt.
 func Example() {
 	cfg := decision.Config{
 		Classes: []decision.Class{{Effect: decision.Safe, Objective: 200 * time.Millisecond, Value: 1,
--- a/decision/forecast_test.go
+++ b/decision/forecast_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// loadReportConfig is a config of a deployment whose workers report their load with answers.
+// loadReportConfig returns the config of a deployment whose workers report their load with answers.
 func loadReportConfig() Config {
 	cfg := bucketOnlyConfig()
 	cfg.Instances, cfg.StartEvents = 4, true
@@ -17,7 +17,7 @@
 	return cfg
 }
 
-// arriveFor brings a request of a tenant with a hint and returns the action that it leads to.
+// arriveFor delivers a request of a tenant with a hint and returns the resulting action.
 func (h *driver) arriveFor(class, tenant int, hint time.Duration) Action {
 	h.t.Helper()
 	h.lastRequest++
@@ -34,20 +34,20 @@
 	h.step(Event{Type: AttemptStarted, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt})
 }
 
-// serveWithLoad ends an attempt as served, with a load report of queued jobs and free slots.
+// serveWithLoad ends an attempt as served, with a load report of queued requests and free slots.
 func (h *driver) serveWithLoad(a Action, load [2]float32) {
 	h.step(Event{Type: AttemptEnded, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt, Outcome: Served,
 		RequestClosed: true, LoadCount: 3, Load: [MaxMetrics]float32{1, load[0], load[1]}})
 }
 
-// reportLoads has every worker serve a request and report its load: queued jobs and free slots.
+// reportLoads makes every worker serve a request and report its load: queued requests and free slots.
 func (h *driver) reportLoads(load map[WorkerID][2]float32) {
 	h.t.Helper()
 	out := map[WorkerID]Action{}
 	for n := 0; len(out) < len(load); n++ {
 		a := h.arriveFor(0, 0, 100*time.Millisecond)
 		if a.Type != Send || n > 20 {
-			h.t.Fatalf("%+v, want a job at each of %d workers", a, len(load))
+			h.t.Fatalf("got %+v, want a request at each of %d workers", a, len(load))
 		}
 		h.start(a)
 		out[a.Worker] = a
@@ -67,8 +67,8 @@
 	return h
 }
 
-// TestReportsSteer checks that workers without a queue get the work, however many of their tokens are in
-// use.
+// TestReportsSteer checks that requests go to workers that report no queue, however many of their tokens
+// are in use.
 func TestReportsSteer(t *testing.T) {
 	h := newIdleDriver(t, loadReportConfig())
 	h.reportLoads(map[WorkerID][2]float32{100: {9, 0}, 101: {9, 0}, 102: {9, 0}, 103: {0, 4}})
@@ -78,70 +78,70 @@
 		got[a.Worker]++
 	}
 	if got[103] != 3 {
-		t.Errorf("jobs went to %v, want all at 103, which alone has reported free slots", got)
+		t.Errorf("requests per worker: %v, want all 3 at 103, the only one that reported free slots", got)
 	}
 }
 
-// TestOverdueWorkIsRejected checks that a request that no worker can do in time is rejected at once, with a
-// retry-after: its answer would have no value, and it would lengthen the queue for others.
+// TestOverdueWorkIsRejected checks that a request that no worker can finish in time is rejected at once,
+// with a retry-after: its answer would have no value, and it would lengthen the queue for others.
 func TestOverdueWorkIsRejected(t *testing.T) {
 	h := newIdleDriver(t, loadReportConfig())
 	h.reportLoads(map[WorkerID][2]float32{100: {30, 0}, 101: {30, 0}, 102: {30, 0}, 103: {30, 0}})
 	for _, class := range []int{0, 1, 4} {
 		if a := h.arriveFor(class, 0, 100*time.Millisecond); a.Type != Reject || a.Reason != Overload || a.After <= 0 {
-			t.Errorf("class %d: %+v, want a refusal with a time to come back", class, a)
+			t.Errorf("class %d: got %+v, want a Reject with a retry-after", class, a)
 		}
 	}
 	h.advance(20 * time.Second)
 	if a := h.arriveFor(0, 0, 100*time.Millisecond); a.Type != Send {
-		t.Errorf("%+v, want a send: the reports are too old to reject anything", a)
+		t.Errorf("got %+v, want a send: the reports are too old to reject anything", a)
 	}
 }
 
-// TestLongWorkIsNotRejected checks that a request that is late by its own length alone is sent, as rejecting
-// it would help nobody.
+// TestLongWorkIsNotRejected checks that a request is sent if its own run time alone makes it late, as
+// rejecting it would not help other requests.
 func TestLongWorkIsNotRejected(t *testing.T) {
 	h := newIdleDriver(t, loadReportConfig())
 	if a := h.arriveFor(0, 0, 4*time.Second); a.Type != Send {
-		t.Errorf("%+v, want a send to an idle worker", a)
+		t.Errorf("got %+v, want a send to an idle worker", a)
 	}
 }
 
-// TestWaitPastTargetIsGivenUp checks that an attempt that waits and cannot be in time any more is canceled:
-// a request that may run again goes elsewhere, and an Unsafe one fails without another send.
+// TestWaitPastTargetIsGivenUp checks that a waiting attempt is canceled once it can no longer be in time: a
+// request that may run again goes to another worker, and an Unsafe one fails without another send.
 func TestWaitPastTargetIsGivenUp(t *testing.T) {
 	for class, unsafe := range map[int]bool{1: false, 4: true} {
 		h := newIdleDriver(t, loadReportConfig())
 		a := h.arriveFor(class, 0, 100*time.Millisecond)
-		out := h.advance(390 * time.Millisecond) // the aim is 200 ms and twice the run
+		out := h.advance(390 * time.Millisecond) // the target is 200 ms plus twice the run time
 		canceled, failed := false, false
 		for _, x := range out {
 			canceled = canceled || x.Type == Cancel && x.Attempt == a.Attempt
 			failed = failed || x.Type == Fail
 		}
 		if !canceled || failed != unsafe {
-			t.Errorf("class %d: %v, want the attempt called off, and a failure: %v", class, out, unsafe)
+			t.Errorf("class %d: got %v, want the attempt canceled, and a Fail: %v", class, out, unsafe)
 		}
 		after := h.end(a, Canceled)
 		if sent := len(after) == 1 && after[0].Type == Send && after[0].Worker != a.Worker; sent == unsafe {
-			t.Errorf("class %d: then %v", class, after)
+			t.Errorf("class %d: after the cancel got %v, want a send to another worker: %v", class, after, !unsafe)
 		}
 	}
 	h := newIdleDriver(t, loadReportConfig())
 	a := h.arriveFor(1, 0, 100*time.Millisecond)
 	h.start(a)
 	if out := h.advance(2 * time.Second); len(out) > 0 {
-		t.Errorf("a job that runs led to %v", out)
+		t.Errorf("a running request led to %v, want no actions", out)
 	}
 }
 
-// TestQuotaIsKept checks that while there is a queue a tenant beyond its quota is rejected and one within it
-// served.
+// TestQuotaIsKept checks that while workers have queues a tenant over its quota is rejected and one within
+// its quota is served.
 func TestQuotaIsKept(t *testing.T) {
 	h := newIdleDriver(t, loadReportConfig())
-	var served, refused [2]int
+	var served, rejected [2]int
 	h.reportLoads(map[WorkerID][2]float32{100: {3, 0}, 101: {3, 0}, 102: {3, 0}, 103: {3, 0}})
-	for i := range 140 { // tenant 0 sends 57 a second, tenant 1 ten; the part of each is ten
+	for i := range 140 { // tenant 0 sends 57 a second, tenant 1 ten; the quota of each is ten here
 		h.advance(15 * time.Millisecond)
 		tenant := 0
 		if i%7 == 0 {
@@ -149,28 +149,28 @@
 		}
 		a := h.arriveFor(0, tenant, 400*time.Millisecond)
 		if a.Type == Reject {
-			refused[tenant]++
+			rejected[tenant]++
 			continue
 		}
 		served[tenant]++
 		h.serveWithLoad(a, [2]float32{3, 0})
 	}
-	if served[1] < 4*refused[1] || refused[0] < 4*served[0] {
-		t.Errorf("served %v, refused %v: want the one past its share refused, the other served", served, refused)
+	if served[1] < 4*rejected[1] || rejected[0] < 4*served[0] {
+		t.Errorf("served %v, rejected %v: want tenant 0, over its quota, rejected and tenant 1 served", served, rejected)
 	}
 }
 
-// TestFalseLoadReports checks that rejections end where workers report that they are full though every
-// request starts at once.
+// TestFalseLoadReports checks that rejections end if workers report full queues though every request starts
+// at once.
 func TestFalseLoadReports(t *testing.T) {
 	h := newDriver(t, loadReportConfig(), membersInOneZone(4))
-	late := 0
+	rejected := 0
 	for i := range 1000 {
 		h.advance(50 * time.Millisecond)
 		a := h.arriveFor(0, 0, 100*time.Millisecond)
 		if a.Type != Send {
 			if i >= 900 {
-				late++
+				rejected++
 			}
 			continue
 		}
@@ -178,7 +178,7 @@
 		h.advance(100 * time.Millisecond)
 		h.serveWithLoad(a, [2]float32{60, 0})
 	}
-	if late > 10 {
-		t.Errorf("%d of the last 100 were refused", late)
+	if rejected > 10 {
+		t.Errorf("%d of the last 100 requests were rejected, want at most 10", rejected)
 	}
 }
--- a/decision/health_test.go
+++ b/decision/health_test.go
@@ -21,19 +21,19 @@
 		h.advance(10 * time.Millisecond)
 	}
 	if bad == 0 || bad > 6 {
-		t.Errorf("a worker that fails everything got %d of 200 jobs within 2 s", bad)
+		t.Errorf("a worker that fails every request got %d of 200 requests within 2 s, want 1 to 6", bad)
 	}
 }
 
-// TestOverdueStart checks that a worker with an overdue start is avoided, and that nobody gets a second
-// attempt of its request, as it may run what is canceled.
+// TestOverdueStart checks that a worker with an overdue start is avoided, and that its request gets no second
+// attempt, as the worker may still run a canceled one.
 func TestOverdueStart(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers = false
 	h := newDriver(t, cfg, members(12))
 	first := h.arrive(0, 1)
 	if out := h.advance(time.Second); len(out) != 0 {
-		t.Fatalf("a late start led to %v", out)
+		t.Fatalf("an overdue start led to %v, want no actions", out)
 	}
 	for range 22 {
 		if a := h.arrive(4, 1); a.Worker == first.Worker {
@@ -46,11 +46,11 @@
 			return
 		}
 	}
-	t.Error("the worker got nothing after it had started the job")
+	t.Error("the worker got none of 11 requests after it had started the overdue one")
 }
 
-// TestOccasionalConnectionReset checks that a worker rests only if a second connection breaks before a
-// request has started.
+// TestOccasionalConnectionReset checks that a worker rests only after two connection resets without a start
+// in between.
 func TestOccasionalConnectionReset(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(1))
 	for range 5 {
@@ -64,27 +64,28 @@
 	h.end(h.arrive(0, 1), ConnReset)
 	h.end(h.arrive(0, 1), ConnReset)
 	if w := h.d.listed[0]; w.RestUntil <= h.now || w.Limit != 1 {
-		t.Errorf("after two resets in a row the worker has %d tokens and no rest", w.Limit)
+		t.Errorf("after two resets in a row: token limit %d and rest until %v, want limit 1 and a rest", w.Limit, w.RestUntil)
 	}
 }
 
-// TestUnusableRequestChangesNoHealth checks that requests that no worker can use fail at once, and change
-// neither tokens nor the retry budget.
+// TestUnusableRequestChangesNoHealth checks that requests that no worker can run fail at once and change
+// neither the tokens nor the retry budget.
 func TestUnusableRequestChangesNoHealth(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
-	widest, retries := h.d.maxRequestSlots, h.d.retryCredit-1
+	maxSlots, retries := h.d.maxRequestSlots, h.d.retryCredit-1
 	h.d.retryCredit = retries
 	for range 5 * defaultTokens {
 		if a := h.end(h.arrive(0, 5), Unusable); len(a) != 1 || a[0].Type != Fail {
-			t.Fatalf("got %v, want the job to fail", a)
+			t.Fatalf("got %v, want one Fail", a)
 		}
 	}
-	if h.d.maxRequestSlots != widest || h.d.retryCredit > retries+retryCreditPerRequest/2 {
-		t.Errorf("widest %d and retries %g, want %d and %g", h.d.maxRequestSlots, h.d.retryCredit, widest, retries)
+	if h.d.maxRequestSlots != maxSlots || h.d.retryCredit > retries+retryCreditPerRequest/2 {
+		t.Errorf("maximum request slots %d and retry credit %g, want %d and about %g",
+			h.d.maxRequestSlots, h.d.retryCredit, maxSlots, retries)
 	}
 	for range 2 * defaultTokens {
 		if a := h.arrive(4, 1); a.Type != Send {
-			t.Fatalf("got %v with all tokens free", a)
+			t.Fatalf("got %v with all tokens free, want a send", a)
 		}
 	}
 }
--- a/decision/hedge_test.go
+++ b/decision/hedge_test.go
@@ -17,9 +17,9 @@
 		name  string
 		class Class
 		edit  func(*Config)
-		zone  int // of the other workers
-		twice bool
-		want  int // sends in all
+		zone  int  // of workers 2 and 3
+		twice bool // the request straggles again
+		want  int  // number of sends
 	}{
 		{"a second attempt", class, func(*Config) {}, 0, false, 2},
 		{"the first is canceled for a third", class, func(*Config) {}, 0, true, 3},
@@ -39,7 +39,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			h := hedging{d: d, sendsTo: map[WorkerID]int{}, workerOf: map[int]WorkerID{}}
+			h := hedgeDriver{d: d, sendsTo: map[WorkerID]int{}, workerOf: map[int]WorkerID{}}
 			h.step(time.Hour, Event{Type: MembersReplaced,
 				Members: []Member{{Worker: 1}, {Worker: 2, Zone: tc.zone}, {Worker: 3, Zone: tc.zone}}})
 			h.step(time.Hour, Event{Type: RequestArrived, Request: 1, Deadline: time.Hour + time.Minute, Slots: 1})
@@ -49,22 +49,22 @@
 				h.step(time.Hour+6*time.Second, Event{Type: RequestStraggling, Request: 1})
 			}
 			if h.sends != tc.want || h.sendsTo[1] > 1 || h.sendsTo[2] > 1 || h.sendsTo[3] > 1 {
-				t.Errorf("%d sends, %v, want %d, at most one to each worker", h.sends, h.sendsTo, tc.want)
+				t.Errorf("%d sends, by worker %v; want %d, at most one to each worker", h.sends, h.sendsTo, tc.want)
 			}
 		})
 	}
 }
 
-// hedging runs a dispatcher with one request, whose canceled attempts end at once, and counts its sends.
-type hedging struct {
+// hedgeDriver drives a dispatcher with one request, ends canceled attempts at once, and counts the sends.
+type hedgeDriver struct {
 	d        *Dispatcher
 	sends    int
 	sendsTo  map[WorkerID]int
 	workerOf map[int]WorkerID // by the number of the attempt
 }
 
-// step brings an event, and then the ends of the attempts that it cancels.
-func (h *hedging) step(now time.Duration, ev Event) {
+// step delivers an event and then the ends of the attempts that it cancels.
+func (h *hedgeDriver) step(now time.Duration, ev Event) {
 	for events := []Event{ev}; len(events) > 0; {
 		actions := h.d.Step(now, events, nil)
 		events = nil
--- a/decision/membership_test.go
+++ b/decision/membership_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// nextCall returns how long a dispatcher waits with its next call for the list after failures.
+// nextCall returns the delay until a dispatcher's next call for the list after a number of failed calls.
 func nextCall(t *testing.T, cfg Config, seed uint64, failures int) time.Duration {
 	t.Helper()
 	d, err := New(cfg, seed)
@@ -21,31 +21,31 @@
 	for _, at := range h.timers {
 		return at - h.now
 	}
-	t.Fatal("no call is planned")
+	t.Fatal("no timer for the next call is set")
 	return 0
 }
 
-// TestSubscribeSpreadAndBackoff checks that calls for the list are spread, and that their wait grows with
-// failures, as discovery cannot answer every dispatcher at once.
+// TestSubscribeSpreadAndBackoff checks that calls for the list are spread and that their delay grows with
+// failures, as discovery cannot answer all dispatchers at once.
 func TestSubscribeSpreadAndBackoff(t *testing.T) {
-	first := func(seed uint64, failures int) time.Duration { return nextCall(t, testConfig(), seed, failures) }
+	delay := func(seed uint64, failures int) time.Duration { return nextCall(t, testConfig(), seed, failures) }
 	mean := func(failures int) (sum time.Duration) {
 		for seed := range uint64(50) {
-			sum += first(seed, failures) / 50
+			sum += delay(seed, failures) / 50
 		}
 		return sum
 	}
-	if first(1, 0) == first(2, 0) {
-		t.Error("two dispatchers call at the same moment")
+	if delay(1, 0) == delay(2, 0) {
+		t.Error("two dispatchers call at the same time, want different delays")
 	}
-	calm, troubled := mean(0), mean(3)
-	if troubled < 3*calm || troubled > testConfig().Rules.MaxRefreshInterval {
-		t.Errorf("mean wait %v at first and %v after three failures", calm, troubled)
+	initial, afterFailures := mean(0), mean(3)
+	if afterFailures < 3*initial || afterFailures > testConfig().Rules.MaxRefreshInterval {
+		t.Errorf("mean delay %v at first and %v after three failures, want 3 times as much and at most %v",
+			initial, afterFailures, testConfig().Rules.MaxRefreshInterval)
 	}
 }
 
-// TestSubscribeAfterFailures checks that a complete list, like changes, ends the growing waits that failed
-// calls led to.
+// TestSubscribeAfterFailures checks that a complete list resets the delay that has grown with failed calls.
 func TestSubscribeAfterFailures(t *testing.T) {
 	cfg := bucketOnlyConfig()
 	cfg.PullMembers, cfg.Rules.MaxRefreshInterval = true, 16*time.Second
@@ -60,14 +60,14 @@
 		h.step(Event{Type: MembersReplaced, Members: membersInOneZone(1)})
 		h.step(Event{Type: MembersFailed})
 		if a := h.advance(2 * time.Second); len(a) != 1 || a[0].Type != Subscribe {
-			t.Fatalf("got %v within 2 s of the first failure, want a call", a)
+			t.Fatalf("got %v within 2 s of the first failure, want a Subscribe", a)
 		}
 	}
 }
 
-// TestManyDispatchersSpreadSubscribes checks that 80 dispatchers which start, or lose discovery, at the same
-// time call it over seconds, and within the refresh interval: discovery answers about ten calls a second and
-// fails those that wait for two seconds.
+// TestManyDispatchersSpreadSubscribes checks that 80 dispatchers that start, or lose discovery, at the same
+// time spread their calls over seconds, but within the refresh interval: discovery answers about ten calls
+// a second and fails calls that wait for two seconds.
 func TestManyDispatchersSpreadSubscribes(t *testing.T) {
 	cfg := testConfig()
 	cfg.Instances = 80
@@ -77,12 +77,12 @@
 			wait := nextCall(t, cfg, uint64(i), failures)
 			perSecond[wait/time.Second]++
 			if wait > cfg.Rules.MaxRefreshInterval {
-				t.Errorf("after %d failures a call comes after %v", failures, wait)
+				t.Errorf("after %d failures a call comes after %v, want at most %v", failures, wait, cfg.Rules.MaxRefreshInterval)
 			}
 		}
 		for second, n := range perSecond {
 			if n > 40>>min(failures, 1) {
-				t.Errorf("after %d failures %d calls come in second %d", failures, n, second)
+				t.Errorf("after %d failures %d calls come in second %d, want at most %d", failures, n, second, 40>>min(failures, 1))
 			}
 		}
 	}
--- a/decision/overload_test.go
+++ b/decision/overload_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRetryBudget checks that further attempts stay a small fraction where every attempt fails, so that
-// retries do not amplify an overload.
+// TestRetryBudget checks that retries remain a small fraction of the attempts even if every attempt fails, so
+// that they do not amplify an overload.
 func TestRetryBudget(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(30))
 	retries := 0
@@ -21,19 +21,19 @@
 		}
 	}
 	if most := maxRetryCredit + 200*retryCreditPerRequest; retries == 0 || float64(retries) > most {
-		t.Errorf("%d further attempts for 200 requests, want at most %v", retries, most)
+		t.Errorf("%d retries for 200 requests, want 1 to %v", retries, most)
 	}
 }
 
-// TestShedding checks that requests are rejected while queues are full and starts late, those of the least
-// value per second first, and taken again once starts are on time.
+// TestShedding checks that requests are rejected while starts are late, those with the lowest value per
+// second first, and accepted again once starts are on time.
 func TestShedding(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers = false
 	cfg.Classes = cfg.Classes[:2]
 	cfg.Classes[1].Value = 10
 	h := newDriver(t, cfg, membersInOneZone(40))
-	refused := func() (lesser, worthier int) {
+	rejected := func() (lowValue, highValue int) {
 		for range 20 {
 			for class := range 2 {
 				a := h.arrive(class, 1)
@@ -41,23 +41,24 @@
 					h.step(Event{Type: RequestCanceled, Request: a.Request})
 					h.end(a, Canceled)
 				} else if class == 0 {
-					lesser++
+					lowValue++
 				} else {
-					worthier++
+					highValue++
 				}
 			}
 		}
-		return lesser, worthier
+		return lowValue, highValue
 	}
-	if lesser, worthier := refused(); lesser+worthier > 0 {
-		t.Fatalf("%d and %d of 20 refused before any was late", lesser, worthier)
+	if lowValue, highValue := rejected(); lowValue+highValue > 0 {
+		t.Fatalf("%d low-value and %d high-value requests of 20 each rejected before any late start, want none", lowValue, highValue)
 	}
 	for range 6 {
 		h.arrive(1, 1)
 		h.advance(800 * time.Millisecond)
 	}
-	if lesser, worthier := refused(); lesser < 10 || worthier > 5 {
-		t.Errorf("%d lesser and %d worthier of 20 refused while starts are late", lesser, worthier)
+	if lowValue, highValue := rejected(); lowValue < 10 || highValue > 5 {
+		t.Errorf("%d low-value and %d high-value requests of 20 each rejected while starts are late, "+
+			"want at least 10 and at most 5", lowValue, highValue)
 	}
 	for range 60 {
 		if a := h.arrive(1, 1); a.Type == Send {
@@ -65,13 +66,14 @@
 		}
 		h.advance(800 * time.Millisecond)
 	}
-	if lesser, worthier := refused(); lesser+worthier > 0 {
-		t.Errorf("%d and %d of 20 still refused after starts were prompt again", lesser, worthier)
+	if lowValue, highValue := rejected(); lowValue+highValue > 0 {
+		t.Errorf("%d low-value and %d high-value requests of 20 each rejected after starts were on time again, want none",
+			lowValue, highValue)
 	}
 }
 
-// TestFullQueuesRaiseShedding checks that full queues lead to rejections before the first late starts in
-// them do, as in those seconds all queues of a slow fleet fill.
+// TestFullQueuesRaiseShedding checks that full queues lead to rejections before their late starts are seen,
+// as all queues of a slow fleet fill in these seconds.
 func TestFullQueuesRaiseShedding(t *testing.T) {
 	for _, instances := range []int{10, 300} {
 		cfg := testConfig()
@@ -80,20 +82,20 @@
 		for range 8 {
 			h.end(h.arrive(4, 1), Rejected)
 		}
-		refused := 0
+		rejected := 0
 		for range 20 {
 			if h.arrive(4, 1).Type == Reject {
-				refused++
+				rejected++
 			}
 		}
-		if refused < 10 {
-			t.Errorf("of %d dispatchers: %d of 20 refused after 8 full queues within one moment", instances, refused)
+		if rejected < 10 {
+			t.Errorf("one of %d dispatchers: %d of 20 requests rejected after 8 full queues, want at least 10", instances, rejected)
 		}
 	}
 }
 
 // TestOverdueStartsAmongManyDispatchersDoNotRaiseShedding checks that one of 300 dispatchers does not reject
-// because of late starts: it meets a full queue by chance, while most workers have capacity.
+// requests because of late starts: it hits a full queue by chance, while most workers have capacity.
 func TestOverdueStartsAmongManyDispatchersDoNotRaiseShedding(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers, cfg.Instances = false, 300
@@ -102,22 +104,22 @@
 		h.arrive(1, 1)
 		h.advance(800 * time.Millisecond)
 	}
-	refused := 0
+	rejected := 0
 	for range 40 {
 		if a := h.arrive(0, 1); a.Type != Send {
-			refused++
+			rejected++
 		} else {
 			h.step(Event{Type: RequestCanceled, Request: a.Request})
 			h.end(a, Canceled)
 		}
 	}
-	if refused > 0 {
-		t.Errorf("%d of 40 refused after 6 late starts of one of 300 dispatchers", refused)
+	if rejected > 0 {
+		t.Errorf("%d of 40 requests rejected after 6 late starts at one of 300 dispatchers, want none", rejected)
 	}
 }
 
-// TestSheddingEnds checks that a fraction of requests is always let in: a dispatcher that rejected
-// everything would see no start, and reject for good (incident i96cb58).
+// TestSheddingEnds checks that a fraction of requests is always accepted: a dispatcher that rejected
+// everything would see no starts and never stop rejecting (incident i96cb58).
 func TestSheddingEnds(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers = false
@@ -131,7 +133,7 @@
 	for _, a := range waiting {
 		h.end(a, Rejected)
 	}
-	refused := func(n int) (out int) {
+	rejected := func(n int) (out int) {
 		for range n {
 			if a := h.arrive(0, 1); a.Type == Reject {
 				out++
@@ -142,30 +144,31 @@
 		}
 		return out
 	}
-	if early := refused(10); early == 0 {
-		t.Fatal("nothing is shed after 40 late starts")
+	if early := rejected(10); early == 0 {
+		t.Fatal("none of 10 requests was rejected after 40 late starts")
 	}
-	refused(50)
-	if stillRejected := refused(50); stillRejected > 0 {
-		t.Errorf("%d of 50 are still refused though every start was prompt", stillRejected)
+	rejected(50)
+	if stillRejected := rejected(50); stillRejected > 0 {
+		t.Errorf("%d of 50 requests rejected though every start was on time, want none", stillRejected)
 	}
 }
 
-// TestStoppingProcessRejectsLongWork checks that a process that ends rejects a class whose requests would
-// mostly be cut off, that it serves the others, and that a short deadline of the client rejects nothing.
+// TestStoppingProcessRejectsLongWork checks that a stopping process rejects a class whose requests would
+// mostly be interrupted and serves the others, and that a short deadline set by the client leads to no
+// rejection.
 func TestStoppingProcessRejectsLongWork(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	h.d.meanRun[0], h.d.meanRun[4] = 0.3, 2.5
 	for _, tc := range []struct {
-		class  int
-		ending bool
-		want   ActionType
+		class    int
+		stopping bool
+		want     ActionType
 	}{{0, true, Send}, {4, true, Reject}, {4, false, Send}} {
 		h.lastRequest++
 		out := h.step(Event{Type: RequestArrived, Request: h.lastRequest, Class: tc.class,
-			ProcessStopping: tc.ending, Deadline: h.now + 2*time.Second})
+			ProcessStopping: tc.stopping, Deadline: h.now + 2*time.Second})
 		if len(out) != 1 || out[0].Type != tc.want {
-			t.Errorf("class %d, ending %t: got %v, want %v", tc.class, tc.ending, out, tc.want)
+			t.Errorf("class %d, stopping %t: got %v, want %v", tc.class, tc.stopping, out, tc.want)
 		}
 	}
 }
--- a/decision/rules_test.go
+++ b/decision/rules_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// TestRulesHoldOnRandomSequences checks all four rules from outside, with the settings of several deployments.
+// TestRulesHoldOnRandomSequences checks all four rules on random events, with the settings of several
+// deployments.
 func TestRulesHoldOnRandomSequences(t *testing.T) {
 	variants := map[string]func(*Config){
 		"as given":        func(*Config) {},
@@ -35,19 +36,19 @@
 				c := runSequence(cfg, seed, 1500, func(now time.Duration, events []Event) []Action {
 					return d.Step(now, events, nil)
 				})
-				for _, b := range c.violations {
-					t.Errorf("seed %d: %s", seed, b)
+				for _, v := range c.violations {
+					t.Errorf("seed %d: %s", seed, v)
 				}
 				if c.sends < 500 || c.responses < 50 {
-					t.Errorf("seed %d: only %d sends and %d answers: the sequence shows little", seed, c.sends, c.responses)
+					t.Errorf("seed %d: %d sends and %d answers, want at least 500 and 50", seed, c.sends, c.responses)
 				}
 			}
 		})
 	}
 }
 
-// TestCheckerCatchesBrokenRules checks that the checker can fail: each mutation changes the actions of a correct dispatcher
-// in one way.
+// TestCheckerCatchesBrokenRules checks that the checker can fail: each mutation changes the actions of a
+// correct dispatcher in one way.
 func TestCheckerCatchesBrokenRules(t *testing.T) {
 	mutations := map[string]func(time.Duration, []Event, []Action) []Action{
 		"answers twice": func(_ time.Duration, _ []Event, out []Action) []Action {
@@ -61,7 +62,7 @@
 		"drops answers": func(_ time.Duration, _ []Event, out []Action) []Action {
 			return slices.DeleteFunc(out, func(a Action) bool { return a.Type == Fail })
 		},
-		"refuses for fails": func(_ time.Duration, _ []Event, out []Action) []Action {
+		"rejects instead of failing": func(_ time.Duration, _ []Event, out []Action) []Action {
 			for i := range out {
 				if out[i].Type == Fail {
 					out[i].Type = Reject
@@ -97,13 +98,13 @@
 				return mutate(now, events, d.Step(now, events, nil))
 			})
 			if len(c.violations) == 0 {
-				t.Error("the checker saw nothing wrong")
+				t.Error("the checker reported no violation, want at least one")
 			}
 		})
 	}
 }
 
-// TestSameEventsSameActions guards determinism: nothing may hang on map order.
+// TestSameEventsSameActions checks that decisions are deterministic, for instance independent of map order.
 func TestSameEventsSameActions(t *testing.T) {
 	record := func() (out []Action) {
 		d, err := New(testConfig(), 7)
@@ -120,7 +121,7 @@
 	first := record()
 	for range 3 {
 		if !slices.Equal(first, record()) {
-			t.Fatal("the same events led to other actions")
+			t.Fatal("the same events and seed led to different actions")
 		}
 	}
 }
--- a/decision/selection_test.go
+++ b/decision/selection_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestAllUnwellFailsOpen checks that requests are sent though every worker has failed lately.
-func TestAllUnwellFailsOpen(t *testing.T) {
+// TestAllUnhealthyFailsOpen checks that requests are sent even if every worker has failed recently.
+func TestAllUnhealthyFailsOpen(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(3))
 	for range 3 {
 		h.end(h.arrive(4, 1), Errored)
@@ -17,12 +17,12 @@
 	}
 }
 
-// TestLeastCostFirst checks the order of eligible workers: by tokens in use, by pace while it is remembered,
-// and by zone.
+// TestLeastCostFirst checks that eligible workers are chosen by tokens in use, by pace while it is
+// remembered, and by zone.
 func TestLeastCostFirst(t *testing.T) {
 	h := newDriver(t, bucketOnlyConfig(), membersInOneZone(2))
 	slow := h.d.listed[0]
-	for range 40 { // both serve the same class, one takes three times as long
+	for range 40 { // both serve the same class, the slow one takes three times as long
 		a, b := h.arrive(0, 1), h.arrive(0, 1)
 		for _, x := range []Action{a, b} {
 			h.step(Event{Type: AttemptStarted, Request: x.Request, Worker: x.Worker})
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	jobs := func() (got [2]int) {
+	requests := func() (got [2]int) {
 		var sent []Action
 		for range 6 {
 			sent = append(sent, h.arrive(0, 1))
@@ -55,12 +55,12 @@
 		}
 		return got
 	}
-	if got := jobs(); got[1] != 4 {
-		t.Errorf("of 6 jobs the slow worker got %d and the other, of half its time, %d", got[0], got[1])
+	if got := requests(); got[1] != 4 {
+		t.Errorf("of 6 requests the slow worker got %d and the other %d, want 2 and 4", got[0], got[1])
 	}
 	h.advance(paceMemory)
-	if got := jobs(); got[1] != 3 {
-		t.Errorf("of 6 jobs %d and %d, want halves: the pace is long ago", got[0], got[1])
+	if got := requests(); got[1] != 3 {
+		t.Errorf("of 6 requests the workers got %d and %d, want 3 each: the pace is forgotten", got[0], got[1])
 	}
 
 	cfg := testConfig()
@@ -68,19 +68,19 @@
 	h = newDriver(t, cfg, members(4))
 	for i, own := range []bool{true, true, false, false} {
 		if a := h.arrive(0, 1); (a.Worker%2 == 0) != own {
-			t.Errorf("job %d went to worker %d, want the own zone first among idle ones: %v", i, a.Worker, own)
+			t.Errorf("request %d went to worker %d, want a worker of the local zone: %v", i, a.Worker, own)
 		}
 	}
 }
 
-// TestLostZoneOfManyDispatchers checks that two workers that cannot be reached tell one of many dispatchers
-// about all workers of their zone, and that work goes elsewhere until the list names a new start: they may
-// all warm up before discovery has listed that.
+// TestLostZoneOfManyDispatchers checks that with many dispatchers two unreachable workers make their whole
+// zone count as unavailable, and that work goes to other zones until the list contains a new start: the
+// zone's workers may all be warming up before discovery has listed that.
 func TestLostZoneOfManyDispatchers(t *testing.T) {
 	for _, instances := range []int{4, 80} {
 		cfg := bucketOnlyConfig()
 		cfg.Zones, cfg.Instances = 2, instances
-		list := members(12) // zone 0 is the own one
+		list := members(12) // zone 0 is the dispatcher's own
 		h := newDriver(t, cfg, list)
 		for range 20 {
 			for out := []Action{h.arrive(0, 1)}; len(out) == 1 && out[0].Type == Send; {
@@ -99,12 +99,12 @@
 					n++
 				}
 				h.step(Event{Type: AttemptStarted, Request: a.Request, Worker: a.Worker, Attempt: a.Attempt})
-				h.end(a, Canceled) // says nothing of the worker's pace
+				h.end(a, Canceled) // does not affect the worker's pace
 			}
 			return n
 		}
 		if n := own(); (n == 0) != (instances == 80) {
-			t.Errorf("%d dispatchers: %d of 20 jobs went to the lost zone", instances, n)
+			t.Errorf("%d dispatchers: %d of 20 requests went to the unavailable zone, want none only with 80 dispatchers", instances, n)
 		}
 		for i := range list {
 			list[i].StartedAt = h.now
@@ -112,13 +112,13 @@
 		h.step(Event{Type: MembersReplaced, Members: list})
 		h.advance(cfg.Rules.WarmUp + time.Second)
 		if n := own(); n == 0 {
-			t.Errorf("%d dispatchers: nothing goes to the zone long after its start was listed", instances)
+			t.Errorf("%d dispatchers: the zone got none of 20 requests after the new start was listed and the warm-up over", instances)
 		}
 	}
 }
 
-// TestAllZonesSeemLost checks that a worker that has just failed does not get every request in a row where
-// two workers of each zone did not connect, so that every zone counts as lost.
+// TestAllZonesSeemLost checks that a worker that has just failed does not get every request in a row if two
+// workers of each zone were unreachable, so that every zone counts as unavailable.
 func TestAllZonesSeemLost(t *testing.T) {
 	cfg := testConfig()
 	cfg.PullMembers, cfg.Instances, cfg.Instance, cfg.Zones, cfg.Zone = false, 300, 17, 3, 0
@@ -129,8 +129,8 @@
 	h := newDriver(t, cfg, list)
 	failed := map[WorkerID]bool{}
 	for zones, n := map[int]int{}, 0; len(zones) < 3 || zones[0] < 2 || zones[1] < 2 || zones[2] < 2; n++ {
-		if n == 100 { // guards the test: arrivals that are refused fail no runner
-			t.Fatalf("after 100 arrivals runners of %v zones had failed", zones)
+		if n == 100 { // limits the loop: rejected arrivals make no worker fail
+			t.Fatalf("failed workers by zone after 100 arrivals: %v, want 2 in each of 3 zones", zones)
 		}
 		a := h.arrive(0, 1)
 		for a.Type == Send {
@@ -145,7 +145,7 @@
 	for range 10 {
 		a := h.arrive(0, 1)
 		if a.Type != Send || failed[a.Worker] {
-			t.Fatalf("got %v while %d of 99 runners had failed", a, len(failed))
+			t.Fatalf("got %v after %d of 99 workers had failed, want a send to another worker", a, len(failed))
 		}
 		h.end(a, Canceled)
 	}
--- a/decision/sequence_test.go
+++ b/decision/sequence_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// sequence draws random events for one dispatcher, valid ones and invalid ones.
+// sequence generates random valid and invalid events for one dispatcher.
 type sequence struct {
 	rng     *rand.Rand
 	checker *checker
@@ -16,8 +16,8 @@
 	members []Member
 }
 
-// outstanding returns an event for each open attempt, in order, without a type.
-func (s *sequence) outstanding() (out []Event) {
+// openAttempts returns an event without a type for each open attempt, in order.
+func (s *sequence) openAttempts() (out []Event) {
 	for id := RequestID(1); id <= s.nextID; id++ {
 		r := s.checker.requests[id]
 		if r == nil {
@@ -32,7 +32,7 @@
 	return out
 }
 
-// arrival returns the arrival of a request, sometimes with slots that make no sense.
+// arrival returns the arrival of a request, sometimes with an invalid number of slots.
 func (s *sequence) arrival() Event {
 	s.nextID++
 	ev := Event{Type: RequestArrived, Request: s.nextID, Class: s.rng.IntN(len(s.checker.cfg.Classes)),
@@ -46,7 +46,7 @@
 	return ev
 }
 
-// addLoadReport adds a load report to an event where the settings have metrics: mostly a valid one.
+// addLoadReport adds a load report, mostly a valid one, to an event if the config has metrics.
 func (s *sequence) addLoadReport(ev *Event) {
 	for _, m := range s.checker.cfg.Metrics {
 		v := float32(s.rng.IntN(5))
@@ -63,14 +63,14 @@
 	}
 }
 
-// unknownEvent returns an event that is stale or names what the dispatcher does not know.
+// unknownEvent returns a stale event, or one about an unknown request, attempt, worker or timer.
 func (s *sequence) unknownEvent() Event {
 	return Event{Type: EventType(s.rng.IntN(int(TimerFired) + 3)), Request: RequestID(s.rng.IntN(int(s.nextID) + 50)),
 		Attempt: s.rng.IntN(9) - 2, Worker: WorkerID(s.rng.IntN(150)), Outcome: Outcome(s.rng.IntN(12)),
 		Class: s.rng.IntN(3) + 90, Tenant: 1 << 20, Token: s.rng.Uint32(), Progress: math.NaN(), LoadCount: 4}
 }
 
-// memberChange changes the list: a worker drains, is removed, restarts or stays.
+// memberChange changes the list: a worker drains, is removed, restarts or is ready.
 func (s *sequence) memberChange() Event {
 	m := &s.members[s.rng.IntN(len(s.members))]
 	switch s.rng.IntN(4) {
@@ -90,7 +90,7 @@
 	return Event{Type: MembersReplaced, Members: complete}
 }
 
-// next returns the events of the next moment, between 1 and 14 ms later.
+// next advances the time by 1 to 14 ms and returns the events of that moment.
 func (s *sequence) next() (events []Event) {
 	s.now += time.Duration(1+s.rng.IntN(14)) * time.Millisecond
 	if s.rng.IntN(15) == 0 {
@@ -105,13 +105,13 @@
 		events = append(events, Event{Type: MembersFailed})
 	}
 	for range s.rng.IntN(3) {
-		if ev := s.unknownEvent(); ev.Type != RequestArrived && ev.Type != MembersReplaced && s.changesNothing(ev) {
+		if ev := s.unknownEvent(); ev.Type != RequestArrived && ev.Type != MembersReplaced && s.mustBeIgnored(ev) {
 			events = append(events, ev)
 		}
 	}
 	if len(events) > 0 && s.rng.IntN(10) == 0 {
 		if last := events[len(events)-1]; last.Type == AttemptEnded {
-			events = append(events, last) // a repeated event
+			events = append(events, last) // a duplicate event
 		}
 	}
 	return events
@@ -129,9 +129,10 @@
 	return fired
 }
 
-// attemptEvents returns the ends of attempts past their deadline, and random starts and ends of other open attempts.
+// attemptEvents returns the ends of attempts past their deadline, and random starts and ends of other open
+// attempts.
 func (s *sequence) attemptEvents() (events []Event) {
-	for _, ev := range s.outstanding() {
+	for _, ev := range s.openAttempts() {
 		r := s.checker.requests[ev.Request]
 		switch n := s.rng.IntN(30); {
 		case s.now >= r.deadline:
@@ -152,8 +153,8 @@
 	return events
 }
 
-// changesNothing reports whether an invalid event must have no effect.
-func (s *sequence) changesNothing(ev Event) bool {
+// mustBeIgnored reports whether an invalid event must have no effect.
+func (s *sequence) mustBeIgnored(ev Event) bool {
 	r := s.checker.requests[ev.Request]
 	switch ev.Type {
 	case RequestCanceled, AttemptEnded, AttemptStarted, AttemptProgressed, AttemptAccepted:
