--- a/internal/control/jobs/load.go
+++ b/internal/control/jobs/load.go
@@ -21,7 +21,7 @@
 	var err error
 	tasks := make(map[string]*protocol.TaskRecord)
 	statuses := make(map[string]*protocol.StatusRecord)
-	state.Each(func(key string, value []byte) {
+	state.ForEach(func(key string, value []byte) {
 		switch {
 		case strings.HasPrefix(key, jobPrefix):
 			var r protocol.JobRecord
--- a/internal/control/jobs/pending_test.go
+++ b/internal/control/jobs/pending_test.go
@@ -57,7 +57,7 @@
 func pendingByQueue(t *testing.T, s *store.Store) map[string]int {
 	t.Helper()
 	pending := make(map[string]int)
-	s.Each(func(key string, value []byte) {
+	s.ForEach(func(key string, value []byte) {
 		if !strings.HasPrefix(key, statusPrefix) {
 			return
 		}
--- a/internal/control/journal/image.go
+++ b/internal/control/journal/image.go
@@ -36,7 +36,7 @@
 		items:          make([]*protocol.Put, 0, s.Store.Len()),
 		bytes:          s.Store.Bytes(),
 	}
-	s.Store.Each(func(key string, value []byte) { i.items = append(i.items, &protocol.Put{Key: key, Value: value}) })
+	s.Store.ForEach(func(key string, value []byte) { i.items = append(i.items, &protocol.Put{Key: key, Value: value}) })
 	return i
 }
 
--- a/internal/control/scheduler/config.go
+++ b/internal/control/scheduler/config.go
@@ -68,6 +68,6 @@
 // LoadConfig returns the configuration that a store holds, and an error where an item can't be decoded.
 func LoadConfig(state *store.Store) (*routeconfig.Table, error) {
 	var v ConfigView
-	state.Each(v.Update)
+	state.ForEach(v.Update)
 	return v.Table()
 }
--- a/internal/control/scheduler/requests_test.go
+++ b/internal/control/scheduler/requests_test.go
@@ -111,7 +111,7 @@
 	h.elect()
 	check()
 	kept := 0
-	h.store.Each(func(key string, _ []byte) {
+	h.store.ForEach(func(key string, _ []byte) {
 		if strings.HasPrefix(key, updatePrefix) {
 			kept++
 		}
--- a/internal/control/scheduler/runners.go
+++ b/internal/control/scheduler/runners.go
@@ -62,7 +62,7 @@
 // loadRunners takes over the runners that a store holds; the error is that of items that can't be decoded.
 func (s *Scheduler) loadRunners(state *store.Store) error {
 	var err error
-	state.Each(func(key string, value []byte) {
+	state.ForEach(func(key string, value []byte) {
 		id, isRunner := strings.CutPrefix(key, runnerPrefix)
 		if !isRunner {
 			return
--- a/internal/control/scheduler/updatelog.go
+++ b/internal/control/scheduler/updatelog.go
@@ -44,7 +44,7 @@
 func loadUpdates(state *store.Store) (*updateLog, error) {
 	l := &updateLog{digests: make(map[string]struct{})}
 	var err error
-	state.Each(func(key string, value []byte) {
+	state.ForEach(func(key string, value []byte) {
 		digest, isUpdate := strings.CutPrefix(key, updatePrefix)
 		if !isUpdate && key != horizonKey {
 			return
--- a/internal/control/store/store.go
+++ b/internal/control/store/store.go
@@ -91,8 +91,8 @@
 // Bytes returns the approximate number of bytes that the items take on disk.
 func (s *Store) Bytes() int { return s.bytes }
 
-// Each calls f for all items, in no particular order. f must not change the store.
-func (s *Store) Each(f func(key string, value []byte)) {
+// ForEach calls f for all items, in no particular order. f must not change the store.
+func (s *Store) ForEach(f func(key string, value []byte)) {
 	for k, v := range s.items {
 		f(k, v)
 	}
