--- a/internal/control/scheduler/requests_test.go
+++ b/internal/control/scheduler/requests_test.go
@@ -115,7 +115,7 @@
 	h.elect()
 	check()
 	stored := 0
-	h.store.Each(func(key string, _ []byte) {
+	h.store.ForEach(func(key string, _ []byte) {
 		if strings.HasPrefix(key, updatePrefix) {
 			stored++
 		}
