--- a/internal/control/replica/activation_test.go
+++ b/internal/control/replica/activation_test.go
@@ -38,9 +38,9 @@
 // knows what it has sent on.
 func TestRestartedChainMemberIsLost(t *testing.T) {
 	_, head, tail := servingChain(t)
-	require.Empty(t, head.lostChainMember())
+	require.Empty(t, head.lostMemberFault())
 	head.peers[tail.id].restarted = true
-	require.NotEmpty(t, head.lostChainMember())
+	require.NotEmpty(t, head.lostMemberFault())
 }
 
 // TestInstalledEpochIsReportedFromDisk requires promises and heartbeats to say what is on disk, not what is in memory.
--- a/internal/control/replica/chain.go
+++ b/internal/control/replica/chain.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// contactTimeout is how long the head accepts requests without a majority that confirms its epoch. What it accepts in
-	// that time may be lost with the epoch; no client gets a reply to it.
+	// contactTimeout is how long the head accepts requests after a majority last confirmed its epoch. Requests accepted in
+	// that time may be lost when the epoch ends; the clients of lost requests get no reply.
 	contactTimeout = 2 * time.Second
-	// maxUncommitted bounds the entries that are appended and not committed.
+	// maxUncommitted is the number of appended but uncommitted entries from which the head accepts no more requests.
 	maxUncommitted = 4096
 )
 
-// chain is this member's part in replicating the entries of the newest view.
+// chain holds this member's replication state in the newest view.
 type chain struct {
-	active    bool                         // at the head: all chain members have installed the state; at the others: an append of the epoch has arrived
-	following bool                         // outside the chain: this member has the tail's state and takes its entries
+	active    bool                         // at the head: all chain members have installed the state; at other chain members: an Append of the epoch has arrived
+	following bool                         // outside the chain: this member has the tail's state and appends its entries
 	committed uint64                       // index of the last entry that every chain member is known to have synced
 	log       deque.Deque[*protocol.Entry] // entries that the successor, a follower or a client may still need
 
@@ -38,8 +38,8 @@
 	nextResendAt     time.Duration     // when messages that may have been lost are repeated
 }
 
-// Append appends an entry at the serving head and returns its index, and false where CanAppend is false. The entry
-// belongs to the machine from then on.
+// Append appends an entry at the serving head and returns its index. It returns false if CanAppend does. The machine owns
+// the entry from then on.
 func (m *Machine) Append(now time.Duration, e *protocol.Entry) (uint64, Actions, bool) {
 	m.now = now
 	if !m.CanAppend() {
@@ -51,8 +51,8 @@
 	return e.GetIndex(), m.takeActions(), true
 }
 
-// CanAppend reports whether the member serves as the head, its disk takes writes and it has not promised a higher number.
-// While another member's proposal is under way, it may serve and be unable to append.
+// CanAppend reports whether the member serves as the head, its disk accepts writes and it has not promised a number above
+// its epoch. While another member's proposal is in progress, a serving head may be unable to append.
 func (m *Machine) CanAppend() bool {
 	return m.Serving() && !m.disk.failed && m.promised <= m.Epoch()
 }
@@ -92,7 +92,7 @@
 	return view.Find(m.view.GetVoters(), m.view.GetChain()[position-1])
 }
 
-// forwardEntries sends the entries not sent yet to the successor, or at the tail to the followers.
+// forwardEntries sends the unsent entries to the successor, or at the tail to the followers.
 func (m *Machine) forwardEntries() {
 	if successor := m.successor(); successor != nil {
 		if m.chain.sentIndex < m.index {
@@ -109,7 +109,7 @@
 	}
 }
 
-// sendEntries sends the entries after an index. A message without entries still shows the receiver whether it lacks any.
+// sendEntries sends the entries after an index. A message without entries still shows the receiver whether it is missing any.
 func (m *Machine) sendEntries(address string, after uint64) {
 	a := &protocol.Append{Epoch: m.Epoch(), First: after, Durable: m.prefixDurable()}
 	for i := range m.chain.log.Len() {
@@ -136,8 +136,8 @@
 	return min(m.durable, m.chain.suffixDurable)
 }
 
-// onAppend takes the entries that follow this member's last one and passes them on. A chain member takes them only with
-// the state of the view installed, a member outside the chain only while it follows the tail.
+// onAppend appends the entries that follow this member's last one and forwards them. A chain member appends entries only
+// after it has installed the state of the view, a member outside the chain only while it follows the tail.
 func (m *Machine) onAppend(from string, a *protocol.Append) {
 	if a.GetEpoch() != m.Epoch() || m.promised > a.GetEpoch() {
 		return // of another epoch, or this member has promised a higher number: the epoch is sealed here
@@ -151,7 +151,7 @@
 		if inChain {
 			m.requestResend(from)
 		} else {
-			m.chain.following = false // the state is transferred again
+			m.chain.following = false // entries are missing: tickSync requests the state again
 		}
 		return
 	}
@@ -178,7 +178,8 @@
 		Epoch: m.Epoch(), Durable: m.suffixDurable(), Index: m.index}}})
 }
 
-// onAppendAck records what the successor and all after it have synced, and resends entries that it lacks.
+// onAppendAck records the index up to which the successor and all members after it have synced, and resends entries that
+// the successor is missing.
 func (m *Machine) onAppendAck(from string, a *protocol.AppendAck) {
 	successor := m.successor()
 	if a.GetEpoch() != m.Epoch() || successor == nil || successor.GetAddress() != from {
@@ -192,8 +193,8 @@
 	m.advance()
 }
 
-// advance commits what all members of the chain have synced, informs the neighbors of what has been synced here, and completes the
-// reads that have waited for it.
+// advance commits the entries that all chain members have synced, sends the neighbors the synced indexes, and completes
+// reads that waited for a commit.
 func (m *Machine) advance() {
 	if m.chainPosition() < 0 || m.installedEpoch != m.Epoch() {
 		m.trimLog()
@@ -228,8 +229,9 @@
 	m.chain.commitProgressAt = m.now
 }
 
-// trimLog removes entries from the log that no member will request: those that the successor and all after it have synced and
-// that are committed, and at the tail those that have been replied to. A member outside the chain keeps none.
+// trimLog removes entries from the log that no member will request: committed entries that the successor and all members
+// after it have synced, and at the tail committed entries, which have been replied to. A member outside the chain keeps
+// none.
 func (m *Machine) trimLog() {
 	keepAfter := m.index
 	switch {
--- a/internal/control/replica/confirm.go
+++ b/internal/control/replica/confirm.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// confirmTimeout is how long a confirmation may take until it is requested again.
+	// confirmTimeout is the time after which a confirmation request without a majority is repeated.
 	confirmTimeout = 150 * time.Millisecond
-	// readTimeout is how long a read may be pending; its client has turned to another member by then.
+	// readTimeout is how long a read may be pending; by then its client has turned to another member.
 	readTimeout = 1500 * time.Millisecond
-	// maxPendingReads bounds the reads that are pending.
+	// maxPendingReads is the maximum number of pending reads.
 	maxPendingReads = 4096
 )
 
-// confirmations is how a member makes sure that its view is still the newest: a majority of the voters confirms that it
-// has promised no higher number. One confirmation serves all reads that arrived before it was requested.
+// confirmations tracks the requests by which a member checks that its view is still the newest: a majority of the voters
+// has to confirm that it has promised no higher number. One confirmation serves all reads that arrived before it was
+// requested.
 type confirmations struct {
 	sequence     uint64          // of the newest request
 	requestedAt  time.Duration   // when it was sent
-	inFlight     bool            // it has no majority yet
-	confirmedBy  map[uint64]bool // members that have confirmed it
-	confirmedAt  time.Duration   // when the newest request that a majority has confirmed was sent
+	inFlight     bool            // the newest request has no majority yet
+	confirmedBy  map[uint64]bool // members that have confirmed the newest request
+	confirmedAt  time.Duration   // send time of the newest request that a majority has confirmed
 	pendingReads []pendingRead   // in the order of their arrival
 }
 
-// pendingRead is a read whose value is not certain yet.
+// pendingRead is a read whose value may not be returned yet.
 type pendingRead struct {
 	arrivedAt time.Duration
 	token     uint64
@@ -36,8 +37,8 @@
 	confirmed bool
 }
 
-// Read starts to confirm a read of the store as it is now. The token is returned in ReadsReady once the value is certain
-// and in ReadsFailed where this member cannot make it so. Only the tail confirms such reads.
+// Read starts to confirm a read of the store as it is now. The token is returned in ReadsReady once the value may be
+// returned to the client, or in ReadsFailed if this member cannot confirm it. Only the tail confirms such reads.
 func (m *Machine) Read(now time.Duration, token uint64) Actions {
 	m.now = now
 	if m.isTail() && m.installedEpoch == m.Epoch() {
@@ -48,8 +49,8 @@
 	return m.takeActions()
 }
 
-// ReadAtHead starts to confirm a read of the state that the head has evaluated and appended, committed or not: it is ready
-// once all of that is committed. Only the serving head confirms such reads.
+// ReadAtHead starts to confirm a read of the head's state with all appended entries, committed or not: the read is ready
+// only once all of these entries are committed. Only the serving head confirms such reads.
 func (m *Machine) ReadAtHead(now time.Duration, token uint64) Actions {
 	m.now = now
 	if m.Serving() {
@@ -60,11 +61,11 @@
 	return m.takeActions()
 }
 
-// ConfirmedAt returns when the newest request that a majority has confirmed was sent. No later view can have been agreed
-// before that time, so that leases granted by this member may count from it.
+// ConfirmedAt returns the send time of the newest request that a majority has confirmed. No later view can have been
+// agreed before that time, so that leases granted by this member may count from it.
 func (m *Machine) ConfirmedAt() time.Duration { return m.confirmations.confirmedAt }
 
-// addRead adds a pending read, or fails it where too many are pending.
+// addRead adds a pending read, or fails it if too many are pending.
 func (m *Machine) addRead(token uint64) {
 	c := &m.confirmations
 	if len(c.pendingReads) >= maxPendingReads {
@@ -77,7 +78,7 @@
 	}
 }
 
-// failRead fails one read.
+// failRead returns the token of a read in ReadsFailed.
 func (m *Machine) failRead(token uint64) {
 	m.actions.ReadsFailed = append(m.actions.ReadsFailed, token)
 }
@@ -129,7 +130,7 @@
 	}
 }
 
-// failReads fails all pending reads: the members of a newer view serve them.
+// failReads fails all pending reads. Clients repeat them in the newer view.
 func (m *Machine) failReads() {
 	for _, r := range m.confirmations.pendingReads {
 		m.failRead(r.token)
@@ -146,8 +147,8 @@
 	}
 }
 
-// tickConfirmations requests a confirmation again whose replies were lost, and, at the serving head, one in each
-// ConfirmInterval.
+// tickConfirmations repeats a confirmation request that has got too few replies in time, and sends one per
+// ConfirmInterval at the serving head.
 func (m *Machine) tickConfirmations() {
 	c := &m.confirmations
 	if m.view == nil {
@@ -167,7 +168,7 @@
 	}
 }
 
-// postponeReads has the reads that the newest request would have confirmed wait for the next one.
+// postponeReads makes the reads that wait for the newest request wait for the next one instead.
 func (c *confirmations) postponeReads() {
 	for i := range c.pendingReads {
 		if c.pendingReads[i].sequence <= c.sequence && !c.pendingReads[i].confirmed {
--- a/internal/control/replica/consensus.go
+++ b/internal/control/replica/consensus.go
@@ -12,15 +12,15 @@
 type phase int
 
 const (
-	preparing phase = iota // gathers promises, phase 1 of Paxos
-	accepting              // has proposed a view and gathers acceptances, phase 2
+	preparing phase = iota // collects promises, phase 1 of Paxos
+	accepting              // has proposed a view and collects acceptances, phase 2
 )
 
-// intent says what a proposal is to achieve. Where a promise shows a newer view than the proposer's, change and
+// intent describes the purpose of a proposal. If a promise shows a newer view than the proposer's, change and
 // dropPrevious no longer apply.
 type intent struct {
 	reason        string // for the log
-	preferredHead uint64 // becomes the head where its state is as new as any, 0 for no preference
+	preferredHead uint64 // becomes the head if its state is as new as any, 0 for no preference
 	change        view.Change
 	dropPrevious  bool // ends a joint configuration: the voters before the last change no longer count
 }
@@ -40,12 +40,12 @@
 
 const (
 	// proposalBackoff and proposalJitter bound the random delay after an abandoned proposal; the jitter doubles with each
-	// failure in a row, up to maxBackoffDoublings times, so that competing proposers miss each other.
+	// failure in a row, up to maxBackoffDoublings times, so that competing proposers do not collide again.
 	proposalBackoff     = 40 * time.Millisecond
 	proposalJitter      = 80 * time.Millisecond
 	maxBackoffDoublings = 4
-	// prepareBackoff and prepareJitter bound the random delay that a member which has promised leaves the proposer to
-	// complete its proposal.
+	// prepareBackoff and prepareJitter bound the random delay after a promise in which a member starts no proposal, so
+	// that the proposer can complete its own.
 	prepareBackoff = 350 * time.Millisecond
 	prepareJitter  = 100 * time.Millisecond
 )
@@ -93,7 +93,7 @@
 }
 
 // grantPrepare promises a proposal number and replies once the promise is on disk. The reply says how recent the
-// member's state is, by what is synced, so that the proposer finds the newest.
+// member's synced state is, so that the proposer finds the newest state.
 func (m *Machine) grantPrepare(proposalNumber uint64, reply func(*protocol.Promise)) {
 	m.promised = proposalNumber
 	m.observeNumber(proposalNumber)
@@ -122,7 +122,7 @@
 		m.send(from, &protocol.Envelope{Body: &protocol.Envelope_Promise{Promise: p}})
 	}
 	if p.GetBallot() == m.promised {
-		return // a duplicate; where the reply to the first was lost, the proposer times out
+		return // a duplicate; if the reply to the first was lost, the proposer times out
 	}
 	if p.GetBallot() < m.promised {
 		reply(&protocol.Promise{Ballot: p.GetBallot(), Promised: m.promised, Member: m.selfID()})
@@ -135,8 +135,8 @@
 	m.grantPrepare(p.GetBallot(), reply)
 }
 
-// onPromise records a promise. Where it shows an accepted view newer than the proposal's base, that view may have been
-// agreed, so that the proposal has to follow it and needs promises of its voters too.
+// onPromise records a promise. If it shows an accepted view newer than the proposal's base, that view may have been
+// agreed, so that the proposal has to follow it and needs promises from its voters too.
 func (m *Machine) onPromise(p *protocol.Promise) {
 	m.observeNumber(p.GetPromised())
 	proposal := m.proposal
@@ -156,8 +156,8 @@
 	m.checkPrepareQuorum()
 }
 
-// checkPrepareQuorum goes on to phase 2 once a quorum has promised and the other voters have had time to do so: their
-// state may be newer, and more promises give the chain a wider choice.
+// checkPrepareQuorum starts phase 2 once a quorum has promised and the other voters have had time to do so: their state
+// may be newer, and more promises give more members to choose the chain from.
 func (m *Machine) checkPrepareQuorum() {
 	proposal := m.proposal
 	if proposal == nil || proposal.phase != preparing || !view.Quorum(proposal.base, func(id uint64) bool { return proposal.promises[id] != nil }) {
@@ -182,8 +182,8 @@
 	return true
 }
 
-// proposeView asks the voters to accept the next view. While the promises do not allow any, it waits for more until
-// GatherDelay has passed.
+// proposeView asks the voters to accept the next view. If the promises do not allow a view yet, it waits for more promises
+// until GatherDelay has passed.
 func (m *Machine) proposeView() {
 	proposal := m.proposal
 	next, ok := m.nextView()
@@ -198,7 +198,7 @@
 	m.acceptView(next, func(a *protocol.Accepted) { m.onAccepted(a) })
 }
 
-// nextView returns the view that the proposal's promises lead to, and false where they allow none.
+// nextView returns the view that follows from the proposal's promises, and false if they allow none.
 func (m *Machine) nextView() (*protocol.View, bool) {
 	proposal := m.proposal
 	states := make([]view.MemberState, 0, len(proposal.promises))
@@ -219,8 +219,8 @@
 	return view.Next(base, proposal.number, states, m.cfg.ToleratedFaults, proposal.preferredHead, proposal.change)
 }
 
-// recipients returns the members that have to learn of the proposed view: the voters of the base, of the view, and
-// those before a change of the base.
+// recipients returns the members that receive the proposed view: the voters of the base, the voters before the base's
+// change, and the voters of the view.
 func (p *proposal) recipients() []*protocol.Member {
 	return view.Electorate(&protocol.View{Voters: view.Electorate(p.base), Previous: p.view.GetVoters()})
 }
@@ -312,7 +312,7 @@
 	}
 }
 
-// zoneOf returns a member's zone by its heartbeats, empty while there has been none.
+// zoneOf returns the zone in a member's last heartbeat, empty before the first one.
 func (m *Machine) zoneOf(id uint64) string {
 	if id == m.selfID() {
 		return m.cfg.Self.GetZone()
--- a/internal/control/replica/disk.go
+++ b/internal/control/replica/disk.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// syncMeanWeight is the weight of a new sync in the exponentially weighted mean.
+	// syncMeanWeight is the weight of a new sync in the exponentially weighted mean of the sync times.
 	syncMeanWeight = 0.2
-	// syncMeanHalfLife is the time without a write after which the mean of earlier syncs is halved. Without it a disk that
-	// was slow once would count as slow for as long as nothing is written.
+	// syncMeanHalfLife is the time without a write after which the mean sync time is halved. Otherwise a disk that was
+	// slow once would count as slow for as long as nothing is written.
 	syncMeanHalfLife = time.Second
-	// minDiskRate is the rate, in bytes a second, that a healthy disk writes at least.
+	// minDiskRate is the minimum write rate of a healthy disk, in bytes per second.
 	minDiskRate = 16 << 20
-	// rewriteFactor is how many times the size of its live content the file may reach before it is rewritten.
+	// rewriteFactor is the ratio of the file's size to that of its live content above which the file is rewritten.
 	rewriteFactor = 4
 )
 
 // disk tracks the writes to this member's file: which have been submitted and which are synced.
 type disk struct {
-	buffer         []byte         // records not submitted yet
+	buffer         []byte         // encoded records not submitted yet
 	lastSequence   uint64         // of the last write submitted
 	pending        []pendingWrite // submitted and not finished, in order
 	callbacks      []syncCallback // run once their writes are synced, in order
@@ -35,15 +35,15 @@
 	failed   bool // after a failed write, until the complete file has been submitted again
 	retryAt  time.Duration
 	meanSync time.Duration // mean time of a sync, without the time for the bytes written
-	decayAt  time.Duration // when meanSync is halved, as nothing is written
+	decayAt  time.Duration // when meanSync is halved next, unless a write is pending
 }
 
 // pendingWrite is a write that has been submitted and not finished.
 type pendingWrite struct {
 	sequence       uint64
 	startedAt      time.Duration
-	index          uint64 // last entry that is synced with it
-	installedEpoch uint64 // installed epoch that is synced with it
+	index          uint64 // last entry that is synced once this write is
+	installedEpoch uint64 // installed epoch that is synced once this write is
 	bytes          int64
 	image          bool // it replaces the file
 }
@@ -59,12 +59,12 @@
 	return time.Duration(float64(bytes) / minDiskRate * float64(time.Second))
 }
 
-// stalled reports whether the oldest unfinished write takes longer than a time-out and the time for its bytes.
+// stalled reports whether the oldest unfinished write has taken longer than a timeout plus the time for its bytes.
 func (d *disk) stalled(now, timeout time.Duration) bool {
 	return len(d.pending) > 0 && now-d.pending[0].startedAt > timeout+writeTime(d.pending[0].bytes)
 }
 
-// lag returns the age of the oldest unfinished write, 0 where there is none.
+// lag returns the age of the oldest unfinished write, 0 if there is none.
 func (d *disk) lag(now time.Duration) time.Duration {
 	if len(d.pending) == 0 {
 		return 0
@@ -72,8 +72,8 @@
 	return now - d.pending[0].startedAt
 }
 
-// appendRecord adds a record to the next write. While the disk is failed it does nothing: the complete state is written once
-// the disk accepts writes again.
+// appendRecord adds a record to the next write. While the disk counts as failed it does nothing: the complete state is
+// written once the disk is retried.
 func (m *Machine) appendRecord(kind journal.Kind, body proto.Message) {
 	if m.disk.failed {
 		return
@@ -86,8 +86,8 @@
 	m.disk.buffer = buffer
 }
 
-// afterSync runs a function once everything recorded so far is synced, at once where it already is. Where the disk fails
-// before that, the function is never run.
+// afterSync runs a function once everything recorded so far is synced, immediately if it already is. If the disk fails
+// before that, the function never runs.
 func (m *Machine) afterSync(callback func()) {
 	if m.disk.failed {
 		return
@@ -99,7 +99,7 @@
 	}
 }
 
-// flush submits the records gathered, as one write, or rewrites the file where it has grown too large.
+// flush submits the buffered records as one write, or rewrites the file if it has grown too large.
 func (m *Machine) flush() {
 	if len(m.disk.buffer) == 0 || m.disk.failed {
 		return
@@ -113,7 +113,7 @@
 	m.disk.buffer = nil
 }
 
-// rewrite submits the complete state as a new file. It covers the records that were not submitted yet.
+// rewrite submits the complete state as a new file. It includes the records that were not submitted yet.
 func (m *Machine) rewrite() {
 	m.disk.buffer = nil
 	image := journal.NewImage(journal.State{
@@ -129,7 +129,7 @@
 	m.submitWrite(Write{Image: image}, m.disk.fileSize)
 }
 
-// submitWrite numbers a write and submits it.
+// submitWrite assigns a write its sequence and submits it.
 func (m *Machine) submitWrite(w Write, bytes int64) {
 	m.disk.lastSequence++
 	w.Sequence = m.disk.lastSequence
@@ -144,13 +144,13 @@
 	m.actions.Writes = append(m.actions.Writes, w)
 }
 
-// DiskDone handles the end of the write with a sequence and of all before it. size is the size of the file afterwards, in
-// bytes. After a failed write nothing in the file is trusted: the member acknowledges nothing until it has written its
-// complete state to a new file.
+// DiskDone reports that the write with the given sequence and all writes before it have finished, or have failed if err is
+// set. size is the size of the file afterwards, in bytes. After a failed write nothing in the file is trusted: the member
+// acknowledges nothing until it has written its complete state to a new file.
 func (m *Machine) DiskDone(now time.Duration, sequence uint64, size int64, err error) Actions {
 	m.now = now
 	if err != nil {
-		if len(m.disk.pending) > 0 && sequence >= m.disk.pending[0].sequence { // else it belongs to a file given up already
+		if len(m.disk.pending) > 0 && sequence >= m.disk.pending[0].sequence { // otherwise the write was dropped by an earlier failure
 			m.failDisk(err)
 		}
 		return m.takeActions()
@@ -172,8 +172,8 @@
 	return m.takeActions()
 }
 
-// resetDurable discards what is synced and what unfinished writes will sync: those entries are no longer part of the
-// state, as a snapshot has replaced it.
+// resetDurable resets the synced index and the indexes that unfinished writes would sync, because a snapshot has replaced
+// the state that those entries belonged to.
 func (m *Machine) resetDurable() {
 	m.durable = 0
 	for i := range m.disk.pending {
@@ -194,7 +194,7 @@
 	}
 }
 
-// failDisk marks the disk as failed and gives up everything that was to be written.
+// failDisk marks the disk as failed and drops the buffered records, the unfinished writes and their callbacks.
 func (m *Machine) failDisk(err error) {
 	if !m.disk.failed {
 		m.event("Disk failed, nothing is acknowledged until a write succeeds", "err", err)
@@ -204,7 +204,7 @@
 	m.disk.buffer, m.disk.pending, m.disk.callbacks = nil, nil, nil
 }
 
-// tickDisk lets the mean sync time decay, and writes the complete state to a new file some time after a failure.
+// tickDisk lets the mean sync time decay, and writes the complete state to a new file DiskRetryInterval after a failure.
 func (m *Machine) tickDisk() {
 	if len(m.disk.pending) > 0 {
 		m.disk.decayAt = m.now + syncMeanHalfLife
@@ -219,12 +219,12 @@
 	m.rewrite()
 }
 
-// diskBad reports whether the disk is unhealthy, so that others should hold the state instead of this member.
+// diskBad reports whether the disk is unhealthy, so that other members should hold the state instead.
 func (m *Machine) diskBad() bool {
 	return m.disk.failed || m.disk.stalled(m.now, m.cfg.Timing.DiskStallTimeout) || m.disk.meanSync > m.cfg.Timing.DiskSlowThreshold
 }
 
-// recordEntry adds an entry to the next write, without its replies: they are of use only while their clients wait.
+// recordEntry adds an entry to the next write, without its replies, which are needed only while their clients wait.
 func (m *Machine) recordEntry(e *protocol.Entry) {
 	m.appendRecord(journal.KindEntry, &protocol.Entry{Index: e.GetIndex(), Puts: e.GetPuts(), Deletes: e.GetDeletes()})
 }
--- a/internal/control/replica/election.go
+++ b/internal/control/replica/election.go
@@ -11,19 +11,21 @@
 const (
 	// rankDelay is how long a proposer waits for each voter that ranks before it as the next head.
 	rankDelay = 60 * time.Millisecond
-	// sealedTimeout is how long the head leaves the proposer of a higher number to complete its proposal.
+	// sealedTimeout is how long the head waits for the proposer of a higher number to complete its proposal before it
+	// proposes a view itself.
 	sealedTimeout = 250 * time.Millisecond
 	// handoverTimeout is how long a head with an unhealthy disk in a sealed epoch waits for the others to choose another
 	// head before it proposes a view itself.
 	handoverTimeout = 2 * time.Second
-	// confirmationLostAfter is how long the head goes on without a majority that confirms its epoch.
+	// confirmationLostAfter is the time since a majority last confirmed the epoch after which the head proposes another
+	// view.
 	confirmationLostAfter = time.Second
 	// slowDiskGrace is the minimum age of a view that is replaced because of a slow disk.
 	slowDiskGrace = 2 * time.Second
 )
 
-// considerProposal starts a proposal where a quorum agrees that the head is lost, or, at the head, where the chain or the
-// voters have to change.
+// considerProposal starts a proposal if a quorum agrees that the head is lost, or, at the head, if the chain or the voters
+// have to change.
 func (m *Machine) considerProposal() {
 	if m.proposal != nil || m.now < m.nextProposalAt || m.disk.failed || m.draining || !m.isVoter() {
 		return
@@ -46,11 +48,11 @@
 	}
 }
 
-// considerProposalAsHead starts a proposal of the head's own: a chain without a faulty member, the end of a joint
-// configuration, or a change of the voters, in this order.
+// considerProposalAsHead starts a proposal at the head, for the first of these that is needed: a chain without a faulty
+// member, the end of a joint configuration, or a change of the voters.
 func (m *Machine) considerProposalAsHead() {
 	if !m.majorityAlive() {
-		return // no view can be agreed, and higher numbers would only disturb the others once they are back
+		return // no view can be agreed, and higher numbers would only interrupt the others once they are reachable again
 	}
 	self := m.selfID()
 	if reason := m.chainFault(); reason != "" {
@@ -69,21 +71,21 @@
 	}
 }
 
-// headLost reports whether the head of the newest view has to be replaced, as far as this member can tell.
+// headLost reports whether the head of the newest view has to be replaced, judged by this member alone.
 func (m *Machine) headLost() bool {
 	id := view.Head(m.view)
-	if id == m.selfID() { // a head with an unhealthy disk reports itself lost, as the others need a quorum for it
+	if id == m.selfID() { // a head with an unhealthy disk reports itself lost, as its replacement needs a quorum of such reports
 		return m.chain.active && m.diskBad() && m.otherDiskHealthy(id)
 	}
 	if !m.alive(id) {
-		return m.now-m.adoptedAt > m.cfg.Timing.SuspectTimeout // this member may never have had a heartbeat of it
+		return m.now-m.adoptedAt > m.cfg.Timing.SuspectTimeout // before that, its first heartbeat may still be on the way
 	}
 	p := m.peers[id]
 	installing := m.now-m.installProgressAt < 2*m.cfg.Timing.InstallTimeout
 	return p.restarted || p.lastHeartbeat.GetDiskBad() && m.otherDiskHealthy(id) || !p.lastHeartbeat.GetServing() && !installing
 }
 
-// suspectedEpoch returns the epoch whose head this member takes for lost, 0 where there is none.
+// suspectedEpoch returns the epoch whose head this member considers lost, 0 if there is none.
 func (m *Machine) suspectedEpoch() uint64 {
 	if m.view == nil || !m.headLost() {
 		return 0
@@ -91,8 +93,8 @@
 	return m.view.GetEpoch()
 }
 
-// headLossAgreed reports whether a quorum of the voters suspects the head or knows no view. A member that alone cannot
-// reach the head does not interrupt the others.
+// headLossAgreed reports whether a quorum of the voters suspects the head or knows no view. A single member
+// that cannot reach the head therefore does not interrupt the others.
 func (m *Machine) headLossAgreed() bool {
 	return view.Quorum(m.accepted, func(id uint64) bool {
 		if id == m.selfID() {
@@ -106,7 +108,7 @@
 	})
 }
 
-// rank returns how many living voters would make better heads than this member.
+// rank returns how many live voters would make better heads than this member.
 func (m *Machine) rank() (better int) {
 	for _, v := range view.Electorate(m.accepted) {
 		id := v.GetId()
@@ -120,8 +122,8 @@
 	return better
 }
 
-// outranks reports whether another member would make a better head than this one: by a healthy disk, then by the
-// newest installed epoch, then by the longest log, then by the lower identity.
+// outranks reports whether another member would make a better head than this one. It compares the health of the disk,
+// then the installed epoch, then the length of the log, and then prefers the lower identity.
 func (m *Machine) outranks(h *protocol.Heartbeat) bool {
 	switch {
 	case h.GetDiskBad() != m.diskBad():
@@ -135,7 +137,7 @@
 	}
 }
 
-// chainFault returns why the head has to propose another chain, empty where the chain can go on.
+// chainFault returns the reason for which the head has to propose another chain, empty if the chain can continue.
 func (m *Machine) chainFault() string {
 	if m.awaitsHandover() {
 		return ""
@@ -143,7 +145,7 @@
 	if m.wasHeadInEarlierIncarnation() {
 		return "the head has restarted"
 	}
-	if reason := m.lostChainMember(); reason != "" {
+	if reason := m.lostMemberFault(); reason != "" {
 		return reason
 	}
 	switch {
@@ -156,18 +158,18 @@
 	case m.chain.active && m.now-m.confirmations.confirmedAt > confirmationLostAfter && m.majorityAlive():
 		return "the epoch is not confirmed"
 	}
-	return m.slowChainMember()
+	return m.slowDiskFault()
 }
 
-// awaitsHandover reports whether the head leaves it to the others to choose another head, as its own disk is unhealthy.
+// awaitsHandover reports whether the head waits for the others to choose another head, because its own disk is unhealthy.
 // In a sealed epoch it waits for handoverTimeout only: the others may be unable to complete a proposal without it.
 func (m *Machine) awaitsHandover() bool {
 	return m.chain.active && m.diskBad() && m.otherDiskHealthy(m.selfID()) && !(m.sealed() && m.now-m.highestNumberAt > handoverTimeout)
 }
 
-// lostChainMember returns why the chain has lost a member, empty where all are alive. A member that has restarted has
-// lost its unsynced entries, so that a new chain has to install the state.
-func (m *Machine) lostChainMember() string {
+// lostMemberFault returns how the chain has lost a member, empty if all are alive. A member that has restarted has lost
+// its unsynced entries, so that a new chain has to install the state.
+func (m *Machine) lostMemberFault() string {
 	for _, id := range m.view.GetChain() {
 		if id == m.selfID() {
 			continue
@@ -182,8 +184,9 @@
 	return ""
 }
 
-// slowChainMember returns that a chain member's disk is unhealthy where a spare one could take its position.
-func (m *Machine) slowChainMember() string {
+// slowDiskFault returns that a chain member's disk is unhealthy, empty if none is or no spare voter could take the
+// member's position.
+func (m *Machine) slowDiskFault() string {
 	for _, id := range m.view.GetChain()[1:] {
 		if p := m.peers[id]; p != nil && p.lastHeartbeat.GetDiskBad() && m.spareHealthyDisk() && m.now-m.adoptedAt > slowDiskGrace {
 			return "a chain member's disk is slow"
@@ -192,8 +195,8 @@
 	return ""
 }
 
-// sealed reports whether the epoch is at its end because this member or a chain member has promised a higher number: it
-// takes no more entries of this epoch.
+// sealed reports whether this member or another chain member has promised a higher number and so accepts no more entries
+// of the epoch.
 func (m *Machine) sealed() bool {
 	if m.promised > m.Epoch() {
 		return true
@@ -206,8 +209,8 @@
 	return false
 }
 
-// otherDiskHealthy reports whether a living chain member other than a given one has a healthy disk, so that it could
-// take over.
+// otherDiskHealthy reports whether a live chain member other than the given one has a healthy disk and could become the
+// head.
 func (m *Machine) otherDiskHealthy(except uint64) bool {
 	for _, id := range m.view.GetChain() {
 		switch {
@@ -223,7 +226,7 @@
 	return false
 }
 
-// spareHealthyDisk reports whether a living voter outside the chain has a healthy disk.
+// spareHealthyDisk reports whether a live voter outside the chain has a healthy disk.
 func (m *Machine) spareHealthyDisk() bool {
 	for _, v := range m.view.GetVoters() {
 		id := v.GetId()
--- a/internal/control/replica/heartbeat.go
+++ b/internal/control/replica/heartbeat.go
@@ -9,14 +9,14 @@
 	"frosttide/internal/view"
 )
 
-// peer is what this member knows of another one.
+// peer holds what this member knows about another one.
 type peer struct {
 	lastHeartbeat *protocol.Heartbeat
 	lastContact   time.Duration // when lastHeartbeat arrived
 	restarted     bool          // its incarnation has changed since the current view was adopted
 }
 
-// peerRetention is how long a member that is no voter is remembered after its last heartbeat.
+// peerRetention is how long a member that is not a voter is kept in peers after its last heartbeat.
 const peerRetention = time.Minute
 
 // sendHeartbeats announces this member's state to all members known: the voters of the newest views, those that ask to
@@ -46,8 +46,8 @@
 	}
 }
 
-// ownHeartbeat returns this member's state. It claims an installed epoch only once that is on disk, as the head serves
-// on the strength of that claim.
+// ownHeartbeat returns a heartbeat with this member's state. It reports an installed epoch only once that epoch is on
+// disk, because the head starts to serve based on these reports.
 func (m *Machine) ownHeartbeat() *protocol.Heartbeat {
 	return &protocol.Heartbeat{
 		Member:         m.cfg.Self,
@@ -69,14 +69,15 @@
 	}
 }
 
-// onHeartbeat records a member's state and sends it what it lacks: the newest view, a Prepare of this member's proposal.
+// onHeartbeat records a member's state. It sends that member a newer view or asks it for one, and repeats the Prepare of
+// this member's proposal if the member has not promised it.
 func (m *Machine) onHeartbeat(from string, h *protocol.Heartbeat) {
 	m.updatePeer(h)
 	m.observeNumber(max(h.GetPromised(), h.GetEpoch()))
 	if h.GetEpoch() > m.Epoch() {
 		m.send(from, &protocol.Envelope{Body: &protocol.Envelope_ViewQuery{ViewQuery: &protocol.ViewQuery{Epoch: m.Epoch()}}})
 	}
-	if h.GetEpoch() < m.Epoch() { // the proposer's announcement may have been lost, and the proposer with it
+	if h.GetEpoch() < m.Epoch() { // the Decided message may have been lost, and its proposer may have failed since
 		m.send(from, decidedMessage(m.view))
 	}
 	if m.isHead() {
@@ -86,7 +87,7 @@
 	m.resendPrepare(from, h)
 }
 
-// updatePeer records a heartbeat.
+// updatePeer records a heartbeat, and whether it shows a restart or progress in installing the state.
 func (m *Machine) updatePeer(h *protocol.Heartbeat) {
 	id := h.GetMember().GetId()
 	p := m.peers[id]
@@ -112,8 +113,8 @@
 	return previous.GetSyncProgress() != current.GetSyncProgress() || current.GetDiskLagMs() > 0 && !current.GetDiskBad()
 }
 
-// resendPrepare asks a voter again that has not promised this member's proposal: it may not have been running when the
-// proposal started.
+// resendPrepare sends the Prepare again to a member that has not promised this member's proposal: it may not have been
+// running when the proposal started.
 func (m *Machine) resendPrepare(from string, h *protocol.Heartbeat) {
 	proposal := m.proposal
 	if proposal == nil || proposal.phase != preparing || proposal.promises[h.GetMember().GetId()] != nil || h.GetPromised() >= proposal.number {
@@ -122,7 +123,7 @@
 	m.send(from, prepareMessage(proposal.number))
 }
 
-// alive reports whether a member has sent a heartbeat within SuspectTimeout and is not about to end.
+// alive reports whether a member has sent a heartbeat within SuspectTimeout and is not draining.
 func (m *Machine) alive(id uint64) bool {
 	if id == m.selfID() {
 		return !m.draining
@@ -131,10 +132,10 @@
 	return p != nil && m.now-p.lastContact < m.cfg.Timing.SuspectTimeout && !p.lastHeartbeat.GetLeaving()
 }
 
-// majorityAlive reports whether the living members are a quorum of the newest accepted view.
+// majorityAlive reports whether the live members are a quorum of the newest accepted view.
 func (m *Machine) majorityAlive() bool { return view.Quorum(m.accepted, m.alive) }
 
-// forgetPeers removes former members: each lost disk brings a new identity, so that they would add up.
+// forgetPeers removes former members. Each lost disk leads to a new identity, so that they would accumulate.
 func (m *Machine) forgetPeers() {
 	for id, p := range m.peers {
 		if m.now-p.lastContact > peerRetention && view.Find(view.Electorate(m.accepted), id) == nil && view.Find(m.view.GetVoters(), id) == nil {
--- a/internal/control/replica/install.go
+++ b/internal/control/replica/install.go
@@ -15,7 +15,7 @@
 // is rewritten.
 const maxInstallRecordBytes = 1 << 20
 
-// adoptView adopts an agreed view where it is newer than the one known, and starts to install its state.
+// adoptView adopts an agreed view if it is newer than the current one, and starts to install its state.
 func (m *Machine) adoptView(v *protocol.View) {
 	if v.GetEpoch() <= m.Epoch() {
 		return
@@ -46,7 +46,7 @@
 	m.sendHeartbeats()
 }
 
-// acceptAgreed accepts a view that was agreed without this member, and ends this member's proposal where it is older.
+// acceptAgreed accepts a view that was agreed without this member, and ends this member's proposal if its number is not higher.
 func (m *Machine) acceptAgreed(v *protocol.View) {
 	if m.accepted.GetEpoch() < v.GetEpoch() {
 		m.promised = max(m.promised, v.GetEpoch())
@@ -58,7 +58,7 @@
 	}
 }
 
-// resetForView resets what holds for one view only.
+// resetForView resets the state that belongs to a single view.
 func (m *Machine) resetForView() {
 	for _, p := range m.peers {
 		p.restarted = false
@@ -68,22 +68,22 @@
 	m.suspectedAt, m.failedProposals, m.nextProposalAt, m.transfer.retryAfter = 0, 0, 0, 0
 }
 
-// serveEarlySyncRequests serves the chain members that adopted the view before its head did. They would otherwise ask
-// again only after minSyncRetry, and nothing is committed until they have the state.
+// serveEarlySyncRequests serves the chain members that adopted the view before its head did. They would otherwise
+// repeat their requests only after minSyncRetry, and nothing is committed until they have the state.
 func (m *Machine) serveEarlySyncRequests() {
 	for _, from := range slices.Sorted(maps.Keys(m.earlySyncRequests)) {
 		m.onSyncRequest(from, m.earlySyncRequests[from])
 	}
 }
 
-// wasHeadInEarlierIncarnation reports whether this member may have served as the head of its view before the process started.
-// It no longer knows which entries it has sent, and could send others under the same indexes, so that it must not go on
-// in that view.
+// wasHeadInEarlierIncarnation reports whether this member may have served as the head of its view before the process
+// started. It no longer knows which entries it has sent, and could send different ones under the same indexes, so that it
+// must not serve in that view again.
 func (m *Machine) wasHeadInEarlierIncarnation() bool {
 	return m.isHead() && m.view.GetEpoch() <= m.bootEpoch
 }
 
-// becomeSource makes this member's state the one that the view starts with.
+// becomeSource makes this member's state the initial state of the view.
 func (m *Machine) becomeSource() {
 	m.installedEpoch = m.view.GetEpoch()
 	m.transfer.receivedRanges = nil
@@ -91,7 +91,7 @@
 	m.afterSync(func() { m.considerActivation() })
 }
 
-// installSnapshot replaces this member's state by the one received. For a chain member that is the state of the view;
+// installSnapshot replaces this member's state with the received one. For a chain member that is the state of the view;
 // a member outside the chain follows the tail from then on.
 func (m *Machine) installSnapshot(index uint64) {
 	puts, deletes := m.takeReceivedRanges()
@@ -116,8 +116,8 @@
 	m.event("Snapshot installed", "epoch", m.Epoch(), "index", index, "puts", len(puts), "deletes", len(deletes))
 }
 
-// recordSnapshot writes a snapshot's changes so that a crash leaves all of them or none: in one record, or as a new file
-// where they are large.
+// recordSnapshot writes a snapshot's changes so that a crash leaves all of them or none on disk: in one record, or as a
+// new file if they are large.
 func (m *Machine) recordSnapshot(puts []*protocol.Put, deletes []string) {
 	size := 0
 	for _, p := range puts {
--- a/internal/control/replica/machine.go
+++ b/internal/control/replica/machine.go
@@ -13,15 +13,15 @@
 	"frosttide/internal/view"
 )
 
-// Machine is the state machine of one member. New makes one; it is not safe for concurrent use.
+// Machine is the state machine of one member, created by New. It is not safe for concurrent use.
 type Machine struct {
 	cfg       Config
 	now       time.Duration // time of the current call, on the steady clock
 	startedAt time.Duration
 	wallMs    int64 // own time of day, in ms since 1970
-	agreedMs  int64 // time of day that the members agree on, in ms since 1970; 0 before there is one
+	agreedMs  int64 // time of day that the members agree on, in ms since 1970; 0 before they do
 	rng       *rand.Rand
-	actions   Actions // gathered during the current call
+	actions   Actions // collected during the current call
 
 	// Replicated state and its copy on disk.
 	store          *store.Store
@@ -35,10 +35,10 @@
 	accepted        *protocol.View // newest view accepted; its epoch is never above promised
 	highestNumber   uint64         // highest proposal number observed
 	highestNumberAt time.Duration
-	proposal        *proposal     // this member's own proposal, nil while it has none
-	failedProposals int           // abandoned in a row since the last agreed view
+	proposal        *proposal     // this member's own proposal, nil if there is none
+	failedProposals int           // proposals abandoned since the last agreed view
 	nextProposalAt  time.Duration // earliest start of the next proposal
-	suspectedAt     time.Duration // since when a quorum has agreed on the head's loss, 0 while none does
+	suspectedAt     time.Duration // since when a quorum has agreed that the head is lost, 0 while none does
 
 	// The newest agreed view and this member's part in it.
 	view              *protocol.View // nil before any is known
@@ -55,13 +55,13 @@
 	peers         map[uint64]*peer
 	joiners       map[uint64]*joiner
 	nextHeartbeat time.Duration
-	draining      bool // the process is about to end
+	draining      bool // the process is about to exit
 
 	droppedMessages uint64        // invalid messages since the start
-	nextDropEvent   time.Duration // earliest time of the next log event about them
+	nextDropEvent   time.Duration // earliest time of the next event about invalid messages
 }
 
-// New returns a member with the state that its disk holds. Begin has to be called first.
+// New returns a member with the state read from its disk. Begin has to be called before any other method.
 func New(cfg Config, now time.Duration, state journal.State) *Machine {
 	return &Machine{
 		cfg:               cfg,
@@ -100,7 +100,7 @@
 }
 
 // Receive handles a message from the process at an internal address. Messages may be lost, delayed, duplicated and
-// reordered; what is outdated or invalid has no effect.
+// reordered; outdated and invalid messages have no effect.
 func (m *Machine) Receive(now time.Duration, from string, envelope *protocol.Envelope) Actions {
 	m.now = now
 	switch body := envelope.GetBody().(type) {
@@ -135,7 +135,7 @@
 }
 
 // Tick advances the time. wallMs is this member's time of day and agreedMs the one that the members agree on, 0 before
-// there is one, both in ms since 1970. The machine puts both into its heartbeats and bases nothing else on them.
+// there is one, both in ms since 1970. The machine sends both in its heartbeats and uses them for nothing else.
 func (m *Machine) Tick(now time.Duration, wallMs, agreedMs int64) Actions {
 	m.now, m.wallMs, m.agreedMs = now, wallMs, agreedMs
 	m.tickDisk()
@@ -150,8 +150,8 @@
 	return m.takeActions()
 }
 
-// Drain announces that the process is about to end, so that the others move its duties elsewhere. The owner keeps the
-// member running until Drained or its own time-out.
+// Drain announces that the process is about to exit, so that the other members take over its roles. The owner keeps the
+// member running until Drained reports true or its own timeout expires.
 func (m *Machine) Drain(now time.Duration) Actions {
 	m.now = now
 	m.draining = true
@@ -188,14 +188,14 @@
 // Committed returns the index of the last entry that every chain member is known to have synced.
 func (m *Machine) Committed() uint64 { return m.chain.committed }
 
-// Store returns the member's replicated state. The caller must not modify it: only entries do.
+// Store returns the member's replicated state. The caller must not modify it: only applied entries do.
 func (m *Machine) Store() *store.Store { return m.store }
 
 // Serving reports whether the member is the head of an active chain.
 func (m *Machine) Serving() bool { return m.chain.active && m.isHead() }
 
-// takeActions returns the actions gathered during the current call. The records gathered become one write, so that a
-// call causes at most one sync beside a rewrite.
+// takeActions returns the actions collected during the current call. The buffered records become one write, so that a
+// call causes at most one sync besides a rewrite.
 func (m *Machine) takeActions() Actions {
 	m.flush()
 	out := m.actions
@@ -228,7 +228,7 @@
 // dropEventInterval is the minimum time between log events about invalid messages.
 const dropEventInterval = 10 * time.Second
 
-// dropMessage counts an invalid message.
+// dropMessage counts an invalid message and logs an event at most once per dropEventInterval.
 func (m *Machine) dropMessage(reason string) {
 	m.droppedMessages++
 	if m.now >= m.nextDropEvent {
@@ -240,7 +240,7 @@
 // selfID returns the member's identity.
 func (m *Machine) selfID() uint64 { return m.cfg.Self.GetId() }
 
-// isVoter reports whether the member votes, by the newest view that it has accepted.
+// isVoter reports whether the member votes according to the newest view that it has accepted.
 func (m *Machine) isVoter() bool {
 	return m.accepted != nil && view.Find(view.Electorate(m.accepted), m.selfID()) != nil
 }
--- a/internal/control/replica/membership.go
+++ b/internal/control/replica/membership.go
@@ -9,14 +9,14 @@
 	"frosttide/internal/view"
 )
 
-// joiner is a member that asks to become a voter by its heartbeats.
+// joiner is a member whose heartbeats ask the head to make it a voter.
 type joiner struct {
 	member      *protocol.Member
 	lastContact time.Duration
-	ready       bool // its state follows the tail's, so that it counts as soon as it votes
+	ready       bool // it follows the tail, so that its state is current as soon as it is a voter
 }
 
-// considerJoiner records at the head a member that is no voter yet.
+// considerJoiner records at the head a member that is not a voter yet, unless it is about to exit.
 func (m *Machine) considerJoiner(h *protocol.Heartbeat) {
 	id := h.GetMember().GetId()
 	if view.Find(view.Electorate(m.accepted), id) != nil || h.GetLeaving() {
@@ -29,10 +29,10 @@
 // minVoters returns how many voters are needed to tolerate the faults configured.
 func (m *Machine) minVoters() int { return 2*m.cfg.ToleratedFaults + 1 }
 
-// nextVoterChange returns the change of the voters that the head should propose, empty where there is none. Joiners
-// that are ready are added, each in the place of the voter at its address or else of one that has long been out of
-// contact. Lost voters are removed where the living ones could not tolerate the faults configured, and one that has been
-// out of contact for ForgetAfter is removed in any case while enough are left.
+// nextVoterChange returns the change of the voters that the head should propose, empty if there is none. Each ready joiner
+// is added and replaces the voter at its address, or else a voter that has been out of contact for ReplaceAfter. Lost
+// voters are removed if the live ones could not tolerate the configured number of faults. A voter that has been out of
+// contact for ForgetAfter is removed in any case while enough voters remain.
 func (m *Machine) nextVoterChange() view.Change {
 	c := &voterChange{machine: m, removed: make(map[uint64]bool)}
 	c.addJoiners()
@@ -53,8 +53,7 @@
 	removed map[uint64]bool
 }
 
-// addJoiners adds the joiners that are ready and removes the voters that they replace. Joiners out of contact are
-// forgotten.
+// addJoiners adds the ready joiners and removes the voters that they replace. It deletes joiners that are out of contact.
 func (c *voterChange) addJoiners() {
 	m := c.machine
 	for _, id := range slices.Sorted(maps.Keys(m.joiners)) {
@@ -88,7 +87,7 @@
 	return len(c.machine.view.GetVoters()) + len(c.change.Add) - len(c.change.Remove)
 }
 
-// aliveCount returns the number of living voters after the change.
+// aliveCount returns the number of live voters after the change.
 func (c *voterChange) aliveCount() int {
 	count := len(c.change.Add)
 	for _, v := range c.machine.view.GetVoters() {
@@ -99,9 +98,9 @@
 	return count
 }
 
-// removeLostVoters removes lost voters while the living ones would have no majority after the tolerated number of
-// further faults. A machine that was replaced for good is one of them: its successor's vote alone only makes the majority
-// larger.
+// removeLostVoters removes lost voters while the live ones would have no majority after the tolerated number of further
+// faults. A machine that was permanently replaced has to be removed this way: adding its replacement as a voter only
+// makes the required majority larger.
 func (c *voterChange) removeLostVoters() {
 	m := c.machine
 	for c.aliveCount()-m.cfg.ToleratedFaults < view.Majority(c.size()) && c.size() > m.minVoters() {
@@ -113,7 +112,7 @@
 	}
 }
 
-// lostVoter returns a voter that is about to end or has been out of contact for LostAfter, 0 where there is none.
+// lostVoter returns a voter that is about to exit or has been out of contact for LostAfter, 0 if there is none.
 func (c *voterChange) lostVoter() uint64 {
 	m := c.machine
 	for _, v := range m.view.GetVoters() {
@@ -124,7 +123,7 @@
 	return m.longestAbsent(c.removed, m.cfg.Timing.LostAfter)
 }
 
-// voterByAddress returns the voter with an address, 0 where there is none.
+// voterByAddress returns the voter with an address, 0 if there is none.
 func (m *Machine) voterByAddress(address string) uint64 {
 	for _, v := range m.view.GetVoters() {
 		if v.GetAddress() == address {
@@ -134,8 +133,8 @@
 	return 0
 }
 
-// longestAbsent returns the voter that has been out of contact for longest, and for at least a minimum time, 0 where
-// there is none. A voter that was never in contact counts from this member's start.
+// longestAbsent returns the voter that has been out of contact for longest, and for at least a minimum time, 0 if there
+// is none. The absence of a voter that was never in contact counts from this member's start.
 func (m *Machine) longestAbsent(excluded map[uint64]bool, minAbsence time.Duration) (id uint64) {
 	for _, v := range m.view.GetVoters() {
 		if v.GetId() == m.selfID() || excluded[v.GetId()] {
--- a/internal/control/replica/status.go
+++ b/internal/control/replica/status.go
@@ -12,7 +12,7 @@
 	Durable         uint64           `json:"durable"`
 	Committed       uint64           `json:"committed"`
 	Serving         bool             `json:"serving"`
-	Following       bool             `json:"following"` // outside the chain, with a state that follows the tail's
+	Following       bool             `json:"following"` // outside the chain, following the tail
 	DiskFailed      bool             `json:"disk_failed"`
 	DiskLagMs       int64            `json:"disk_lag_ms"` // age of the oldest unfinished write
 	DroppedMessages uint64           `json:"dropped"`     // invalid messages since the start
--- a/internal/control/replica/transfer.go
+++ b/internal/control/replica/transfer.go
@@ -10,13 +10,13 @@
 
 const (
 	// minSyncRetry and maxSyncRetry bound how long a member waits for a chunk until it sends its request again; the time
-	// doubles with each request that brings nothing.
+	// doubles with each request that no chunk answers.
 	minSyncRetry = 250 * time.Millisecond
 	maxSyncRetry = 500 * time.Millisecond
-	// maxChunkBytes bounds the items of one chunk, unless a single key range is larger.
+	// maxChunkBytes is the size of a chunk's items, in bytes, from which no further key range is added to the chunk.
 	maxChunkBytes = 32 << 10
-	// The window, in bytes, is doubled where all of it arrives within growWindowBelow and halved where it takes longer than
-	// shrinkWindowAbove, so that other messages on the link, heartbeats above all, are not delayed by more than that.
+	// The window, in bytes, is doubled if all of it arrives within growWindowBelow and halved if it takes longer than
+	// shrinkWindowAbove, so that other messages on the link, above all heartbeats, are not delayed by more than that.
 	minWindow         = 32 << 10
 	initialWindow     = 64 << 10
 	maxWindow         = 1 << 20
@@ -26,22 +26,22 @@
 	followTimeout = time.Second
 )
 
-// transfer is how a member fetches the state of another, its source.
+// transfer tracks how a member fetches the state of another member, its source.
 //
-// A request carries the digests of the key ranges that the member holds; the source replies with a window of the ranges
-// that differ, in numbered chunks. The member keeps the ranges of each chunk and requests what still differs. It installs
-// them all at once as a snapshot when the digest of what it holds equals that of the source's complete state. Received
-// ranges outlive views and sources, as digests alone decide whether they still fit: a transfer over a slow link goes on
-// where it was when the head changes.
+// A request carries the digests of the member's key ranges. The source replies with differing ranges, up to the requested
+// window, in numbered chunks. The member keeps the received ranges and requests those that still differ. It installs all
+// of them at once as a snapshot when the digest of its state with these ranges equals that of the source's complete state.
+// Received ranges are kept when the view or the source changes, because digests alone decide whether they still match: a
+// transfer over a slow link resumes after a change of the head.
 type transfer struct {
 	sequence       uint64                   // of the newest request
-	requestedAt    time.Duration            // when it was sent
-	lastActivity   time.Duration            // when it was sent, or the newest chunk arrived
-	retryAfter     time.Duration            // time without a chunk until it is sent again, at least minSyncRetry
+	requestedAt    time.Duration            // when the newest request was sent
+	lastActivity   time.Duration            // when the newest request was sent or the newest chunk arrived, whichever is later
+	retryAfter     time.Duration            // time without a chunk after which the request is repeated, at least minSyncRetry
 	window         int                      // bytes requested at once
 	arrivedChunks  map[uint32]bool          // chunks of the newest reply, by number
 	receivedRanges map[uint32]receivedRange // ranges to be installed, by number
-	progress       uint64                   // rises with each chunk that brings something new and each finished write
+	progress       uint64                   // increases with each chunk that has new ranges and each finished write
 }
 
 // receivedRange is the content of a key range at a source.
@@ -61,8 +61,8 @@
 	return view.Find(m.view.GetVoters(), id)
 }
 
-// needsState reports whether the member has to fetch a state: a chain member that of the view, a member outside the chain
-// that of the tail.
+// needsState reports whether the member has to fetch a state: the view's initial state at a chain member, the tail's state
+// at a member outside the chain.
 func (m *Machine) needsState() bool {
 	if m.chainPosition() >= 0 {
 		return m.chainPosition() > 0 && m.installedEpoch != m.Epoch()
@@ -97,10 +97,10 @@
 	return digests
 }
 
-// tickSync sends the request again where no chunk has arrived for a while, with a smaller window.
+// tickSync repeats the request with a smaller window if no chunk has arrived for a while.
 func (m *Machine) tickSync() {
 	if m.chain.following && m.now-m.chain.lastTailContact > followTimeout {
-		m.chain.following = false // the tail no longer counts this member among its followers
+		m.chain.following = false // the tail no longer has this member among its followers
 	}
 	t := &m.transfer
 	if !m.needsState() || m.now-t.lastActivity <= max(t.retryAfter, minSyncRetry) {
@@ -111,18 +111,19 @@
 	m.requestSync()
 }
 
-// onSyncRequest serves a request for state: as the head those of chain members, until all have installed the state of the
-// view, and as the tail of an active chain those of members outside. One who then holds the tail's state follows it.
+// onSyncRequest serves a request for state. The head serves chain members until all of them have installed the state of
+// the view, and the tail of an active chain serves members outside the chain. A member that holds the tail's state after
+// the reply becomes a follower.
 func (m *Machine) onSyncRequest(from string, r *protocol.SyncRequest) {
 	if r.GetEpoch() > m.Epoch() {
-		m.earlySyncRequests[from] = r // the agreed view is still on its way to this member
+		m.earlySyncRequests[from] = r // this member has not adopted the agreed view yet
 		return
 	}
 	if r.GetEpoch() != m.Epoch() || m.installedEpoch != m.Epoch() {
 		return
 	}
 	if r.GetInstall() != (m.isHead() && !m.chain.active) || !r.GetInstall() && (!m.isTail() || !m.chain.active) {
-		return // a chain member that has lost its state since it installed it needs another view
+		return // a chain member that has lost its state after installing it needs another view
 	}
 	chunks, complete := m.chunksFor(r)
 	m.sendChunks(from, r, chunks)
@@ -131,8 +132,8 @@
 	}
 }
 
-// chunksFor returns the key ranges that a requester lacks, in chunks and up to the window requested, and whether those are
-// all that it lacks. There is at least one chunk, which may be empty.
+// chunksFor returns the key ranges in which a requester's state differs, in chunks and up to the requested window, and
+// whether these are all such ranges. There is at least one chunk, which may be empty.
 func (m *Machine) chunksFor(r *protocol.SyncRequest) (chunks []*protocol.SyncReply, complete bool) {
 	window := min(max(int(r.GetWindow()), minWindow), maxWindow)
 	chunk := &protocol.SyncReply{}
@@ -208,8 +209,8 @@
 	}
 }
 
-// receiveChunk keeps the key ranges of a chunk, unless a newer state of the same epoch has them, and reports whether any
-// of them is new.
+// receiveChunk keeps the key ranges of a chunk, except those already received from a newer state of the same epoch, and
+// reports whether any of them is new.
 func (m *Machine) receiveChunk(r *protocol.SyncReply) (progressed bool) {
 	if m.transfer.receivedRanges == nil {
 		m.transfer.receivedRanges = make(map[uint32]receivedRange)
@@ -240,6 +241,6 @@
 		}
 	}
 	m.transfer.receivedRanges = nil
-	m.transfer.sequence++ // chunks still on their way belong to a request that is done
+	m.transfer.sequence++ // chunks still in transit belong to a completed request
 	return m.store.Repair(ranges, items)
 }
