--- a/internal/control/journal/file.go
+++ b/internal/control/journal/file.go
@@ -12,21 +12,21 @@
 
 const (
 	stateFile        = "state"
-	newStateFile     = "state.new"     // a rewritten file before it takes the place of the old one
-	damagedStateFile = "state.damaged" // a damaged file, kept for the investigation of the damage
+	newStateFile     = "state.new"     // a rewritten file before it replaces the old one
+	damagedStateFile = "state.damaged" // a damaged file, kept for inspection
 	fileMode         = 0o600
 	dirMode          = 0o700
 )
 
-// File is an open file of a member. Its methods block for the disk.
+// File is the open state file of a member. Its methods block on disk I/O.
 type File struct {
 	dir  string
 	file *os.File
 	size int64
 }
 
-// Load reads the file in a folder without changing anything, as of a member that may be running. It returns the errors
-// of Read.
+// Load reads the state file in a directory without changing it, so that the member may be running. It returns the errors of
+// Read.
 func Load(dir string) (State, error) {
 	data, err := os.ReadFile(filepath.Join(dir, stateFile))
 	if err != nil {
@@ -36,8 +36,8 @@
 	return state, err
 }
 
-// Create writes and syncs the file of a member that does not run yet. The folder is created where it is missing; it must
-// not hold a file already.
+// Create writes and syncs the state file of a new member. It creates the directory if necessary and returns an error if the
+// directory already contains a state file.
 func Create(dir string, content []byte) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return errors.Wrap(err, "journal: creating the folder")
@@ -51,9 +51,9 @@
 	return errors.Wrap(err, "journal: writing the state file")
 }
 
-// Open reads the file in a folder, creates it where it is missing, and cuts off what follows its valid records. A damaged
-// file is renamed; the File and the state returned are then empty, and the error is ErrDamaged: the member continues as one
-// that has lost its disk. With any other error the File is nil.
+// Open reads the state file in a directory, creates it if necessary, and truncates it after its valid records. If the file is
+// damaged, Open renames it and returns an empty File, an empty state and ErrDamaged, so that the member continues as if it
+// had lost its disk. With any other error the File is nil.
 func Open(dir string) (*File, State, error) {
 	empty, _, _ := Read(nil)
 	if err := os.MkdirAll(dir, dirMode); err != nil {
@@ -88,7 +88,7 @@
 // Size returns the length of the file, in bytes.
 func (f *File) Size() int64 { return f.size }
 
-// Write appends records and syncs them. After an error it is unknown how much of them is on disk.
+// Write appends records and syncs the file. After an error it is unknown how many of their bytes are on disk.
 func (f *File) Write(records []byte) error {
 	n, err := f.file.Write(records)
 	f.size += int64(n)
@@ -98,8 +98,8 @@
 	return errors.Wrap(f.file.Sync(), "journal: syncing the state file")
 }
 
-// Rewrite replaces the content of the file. The new content is written to another file and synced before that takes the
-// old one's name, so that a crash leaves one of the two.
+// Rewrite replaces the content of the file. It writes and syncs a new file and then renames it to the old one's name, so that
+// a crash leaves either the old content or the new.
 func (f *File) Rewrite(content io.WriterTo) error {
 	path := filepath.Join(f.dir, newStateFile)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_TRUNC, fileMode)
@@ -111,18 +111,18 @@
 		err = os.Rename(path, filepath.Join(f.dir, stateFile))
 	}
 	if err != nil {
-		file.Close() // its content does not matter
+		file.Close() // the incomplete new file is not used
 		return errors.Wrap(err, "journal: replacing the state file")
 	}
-	f.file.Close() // all of it that counts was synced
+	f.file.Close() // its error does not matter: the file has been replaced
 	f.file, f.size = file, size
 	return f.syncDir()
 }
 
-// Close closes the file. What was written is synced already.
+// Close closes the file. All records written have already been synced.
 func (f *File) Close() error { return f.file.Close() }
 
-// truncate shortens the file to its valid records, so that new ones follow them.
+// truncate truncates the file after its valid records, where new records are appended.
 func (f *File) truncate(validLength int64) error {
 	if err := f.file.Truncate(validLength); err != nil {
 		return errors.Wrap(err, "journal: cutting off the torn end of the state file")
@@ -137,7 +137,7 @@
 	return f.syncDir()
 }
 
-// syncDir syncs the folder, so that a new or renamed file is found under its name after a crash.
+// syncDir syncs the directory, so that the creation or renaming of a file survives a crash.
 func (f *File) syncDir() error {
 	dir, err := os.Open(f.dir)
 	if err != nil {
@@ -147,7 +147,7 @@
 	return errors.Wrap(dir.Sync(), "journal: syncing the folder")
 }
 
-// writeAndSync writes content to a file, syncs it and returns how many bytes it has written.
+// writeAndSync writes content to a file, syncs the file and returns the number of bytes written.
 func writeAndSync(file *os.File, content io.WriterTo) (int64, error) {
 	size, err := content.WriteTo(file)
 	if err != nil {
--- a/internal/control/journal/image.go
+++ b/internal/control/journal/image.go
@@ -10,11 +10,12 @@
 	"frosttide/internal/protocol"
 )
 
-// imageRecordBytes is approximately how many bytes of items one record of an image holds.
+// imageRecordBytes is the approximate number of bytes of items in one record of an image.
 const imageRecordBytes = 1 << 20
 
-// Image is a state at one moment, as the content of a new file. Taking it copies no values, which is quick for a large
-// state too; it may be written by another goroutine while the state changes, because values in a store are never modified.
+// Image is a point-in-time copy of a state, to be written as a new file. Taking an image copies no values and is therefore
+// fast even for a large state. Another goroutine may write the image while the state changes, because values in a store are
+// never modified in place.
 type Image struct {
 	identity       *protocol.IdentityRecord
 	accepted       *protocol.View
@@ -25,7 +26,7 @@
 	bytes          int
 }
 
-// NewImage takes the image of a state.
+// NewImage returns an image of a state.
 func NewImage(s State) *Image {
 	i := &Image{
 		identity:       &protocol.IdentityRecord{Id: s.ID, Founder: s.Founder, Format: Format},
@@ -40,20 +41,20 @@
 	return i
 }
 
-// Snapshot returns the content of a file that holds a state.
+// Snapshot encodes a state as the content of a file.
 func Snapshot(s State) ([]byte, error) { return NewImage(s).Encode() }
 
 // Bytes returns the approximate length of the file, in bytes.
 func (i *Image) Bytes() int { return i.bytes }
 
-// Encode returns the content of the file.
+// Encode returns the content of the file as bytes.
 func (i *Image) Encode() ([]byte, error) {
 	var out bytes.Buffer
 	_, err := i.WriteTo(&out)
 	return out.Bytes(), err
 }
 
-// WriteTo writes the content of the file and returns how many bytes it has written. It implements io.WriterTo.
+// WriteTo writes the content of the file and returns the number of bytes written. It implements io.WriterTo.
 func (i *Image) WriteTo(w io.Writer) (int64, error) {
 	out := recordWriter{w: w}
 	out.write(KindIdentity, i.identity)
@@ -65,8 +66,8 @@
 	return out.written, out.err
 }
 
-// writeItems writes the items in records of imageRecordBytes. The last record may have none: it sets the epoch and the
-// index in any case.
+// writeItems writes the items in records of approximately imageRecordBytes. The last record is written even without items,
+// because it sets the epoch and the index.
 func (i *Image) writeItems(out *recordWriter) {
 	record := &protocol.InstallRecord{Epoch: i.installedEpoch, Index: i.index}
 	size := 0
@@ -80,14 +81,14 @@
 	out.write(KindInstall, record)
 }
 
-// recordWriter writes records until the first error.
+// recordWriter writes records until an error occurs, which it keeps in err.
 type recordWriter struct {
 	w       io.Writer
 	written int64
 	err     error
 }
 
-// write writes one record, and nothing after an error.
+// write writes one record. It does nothing after an error.
 func (r *recordWriter) write(kind Kind, body proto.Message) {
 	if r.err != nil {
 		return
--- a/internal/control/journal/journal_bench_test.go
+++ b/internal/control/journal/journal_bench_test.go
@@ -10,7 +10,7 @@
 	"frosttide/internal/control/store"
 )
 
-// largeState returns a state of approximately a number of bytes, in items of 1,000 bytes.
+// largeState returns a state of approximately the given number of bytes, in items of 1,000 bytes.
 func largeState(bytes int) State {
 	const itemBytes = 1000
 	s := State{ID: 1, Store: store.New()}
@@ -22,7 +22,7 @@
 	return s
 }
 
-// BenchmarkRestart reads files of 1, 10 and 50 MB, as a restarted member does.
+// BenchmarkRestart reads files of 1, 10 and 50 MB, as a member does when it restarts.
 func BenchmarkRestart(b *testing.B) {
 	for _, megabytes := range []int{1, 10, 50} {
 		content, err := Snapshot(largeState(megabytes << 20))
@@ -37,7 +37,7 @@
 	}
 }
 
-// BenchmarkImage takes the image of a state, for which the member stops, and writes it, which another goroutine does.
+// BenchmarkImage measures taking an image, which blocks the member, and taking and writing one, which it does not wait for.
 func BenchmarkImage(b *testing.B) {
 	for _, megabytes := range []int{1, 10, 50} {
 		s := largeState(megabytes << 20)
--- a/internal/control/journal/journal_rapid_test.go
+++ b/internal/control/journal/journal_rapid_test.go
@@ -14,14 +14,14 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// drawnFile is a file with entries, of which some are known to be synced.
+// drawnFile is a random file with entries, some of which are known to be synced.
 type drawnFile struct {
 	data   []byte
 	synced int   // bytes known to be synced
-	ends   []int // offsets at which writes end; each write is synced before the next but one
+	ends   []int // end offset of each write; a write is synced before the second write after it
 }
 
-// drawFile draws a file.
+// drawFile draws a random file.
 func drawFile(t *rapid.T) drawnFile {
 	t.Helper()
 	data, err := Snapshot(State{ID: 7, Store: store.New()})
@@ -44,8 +44,8 @@
 	return f
 }
 
-// TestTornOrDamagedFileIsNotReadAsComplete tears or damages a file at any offset. What is read is the state after some of
-// the writes, among them all that were synced, or the file is reported as damaged.
+// TestTornOrDamagedFileIsNotReadAsComplete truncates or damages a file at a random offset. Read must report the damage or
+// return the state after a prefix of the writes that includes all synced writes.
 func TestTornOrDamagedFileIsNotReadAsComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFile(t)
@@ -57,7 +57,7 @@
 	})
 }
 
-// requireDamageFound damages one byte. Read reports the damage, unless no record says that this byte had been synced.
+// requireDamageFound damages one byte. Read must report the damage unless no record says that the byte had been synced.
 func requireDamageFound(t *rapid.T, f drawnFile) {
 	t.Helper()
 	damaged := bytes.Clone(f.data)
@@ -68,41 +68,42 @@
 		return
 	}
 	if offset < f.synced {
-		require.GreaterOrEqual(t, offset, lastRecordedSynced(f.data), "synced records are ignored")
+		require.GreaterOrEqual(t, offset, lastRecordedSynced(f.data), "damage at an offset that a record reports as synced was not found")
 	}
 	require.LessOrEqual(t, s.Index, uint64(len(f.ends)))
 	requireState(t, s)
 }
 
-// requireSyncedRecordsRead truncates the file to any length with which it keeps what was synced, and requires that to be read.
+// requireSyncedRecordsRead truncates the file at a random offset after its synced bytes and requires all synced writes to be
+// read.
 func requireSyncedRecordsRead(t *rapid.T, f drawnFile) {
 	t.Helper()
 	torn := f.data[:rapid.IntRange(f.synced, len(f.data)).Draw(t, "length")]
 	s, validLength, err := Read(torn)
-	require.NoError(t, err, "writes that were not synced may be torn")
+	require.NoError(t, err, "a torn write that was not synced was reported as an error")
 	require.LessOrEqual(t, validLength, len(torn))
 	requireState(t, s)
 	for i, end := range f.ends {
 		if end <= f.synced {
-			require.GreaterOrEqual(t, s.Index, uint64(i+1))
+			require.GreaterOrEqual(t, s.Index, uint64(i+1), "synced write %d was not read", i+1)
 		}
 	}
 }
 
 // lastRecordedSynced returns the length of a file that its own records report as synced.
 func lastRecordedSynced(data []byte) (synced int) {
-	for at := 0; at < len(data); {
-		h, _, ok := nextRecord(data[at:])
+	for offset := 0; offset < len(data); {
+		h, _, ok := nextRecord(data[offset:])
 		if !ok {
 			break
 		}
 		synced = max(synced, int(h.synced))
-		at += headerLength + h.length
+		offset += headerLength + h.length
 	}
 	return synced
 }
 
-// requireState requires a state to be that after the first writes, however many, without gaps.
+// requireState requires a state to consist of all writes up to its index, without gaps.
 func requireState(t *rapid.T, s State) {
 	t.Helper()
 	for i := range s.Index {
@@ -112,8 +113,8 @@
 	require.Equal(t, int(s.Index), s.Store.Len())
 }
 
-// TestImagesAreComplete takes the image of a random state, changes the state, and reads the image back unchanged. A
-// truncated image never yields more items than the state had.
+// TestImagesAreComplete takes the image of a random state, changes the state, and requires the image to decode to the
+// original state. A truncated image must not decode to more items than the state had.
 func TestImagesAreComplete(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := State{ID: 9, Index: 4, Store: store.New()}
@@ -126,12 +127,12 @@
 		s.Store.Delete("0")
 		content, err := image.Encode()
 		require.NoError(t, err)
-		back, validLength, err := Read(content)
+		decoded, validLength, err := Read(content)
 		require.NoError(t, err)
 		require.Equal(t, len(content), validLength)
-		require.Equal(t, want, store.CombineDigests(back.Store.Digests()))
+		require.Equal(t, want, store.CombineDigests(decoded.Store.Digests()))
 		partial, _, err := Read(content[:rapid.IntRange(0, len(content)).Draw(t, "cut")])
-		require.True(t, err == nil || errors.Is(err, ErrDamaged))
+		require.True(t, err == nil || errors.Is(err, ErrDamaged), "want no error or ErrDamaged, got %v", err)
 		require.LessOrEqual(t, partial.Store.Len(), items)
 	})
 }
--- a/internal/control/journal/journal_test.go
+++ b/internal/control/journal/journal_test.go
@@ -18,8 +18,8 @@
 	return &protocol.Entry{Index: index, Puts: []*protocol.Put{{Key: key, Value: []byte{byte(index)}}}}
 }
 
-// snapshotWithEntries returns a snapshot followed by entries, each of which says that everything before it was synced, and
-// the offsets at which the snapshot and each entry end.
+// snapshotWithEntries returns a snapshot followed by entries, and the end offsets of the snapshot and of each entry. Each entry
+// records that all bytes before it were synced.
 func snapshotWithEntries(t *testing.T, entries int) (data []byte, ends []int) {
 	t.Helper()
 	s := store.New()
@@ -35,7 +35,7 @@
 	return data, ends
 }
 
-// TestReadReturnsWrittenState reads a file back, and a snapshot of what was read.
+// TestReadReturnsWrittenState decodes a file, encodes the state as a snapshot and decodes that.
 func TestReadReturnsWrittenState(t *testing.T) {
 	data, _ := snapshotWithEntries(t, 3)
 	s, validLength, err := Read(data)
@@ -55,7 +55,7 @@
 	require.Equal(t, s.Index, reread.Index)
 }
 
-// TestTornEnd truncates a file at each byte: the records that are complete are read, the rest is ignored.
+// TestTornEnd truncates a file at each byte: the complete records are read, the rest is ignored.
 func TestTornEnd(t *testing.T) {
 	data, ends := snapshotWithEntries(t, 3)
 	for length := ends[0]; length < len(data); length++ {
@@ -68,22 +68,22 @@
 			}
 		}
 		require.Equal(t, want, validLength, "truncated to %d bytes", length)
-		require.Equal(t, index, s.Index)
+		require.Equal(t, index, s.Index, "truncated to %d bytes", length)
 	}
 }
 
-// TestDamageIsNotATornEnd flips bits of each byte of a record that had been synced: that is never taken for a torn end.
+// TestDamageIsNotATornEnd flips bits in each byte of a synced record: the damage is never treated as a torn end.
 func TestDamageIsNotATornEnd(t *testing.T) {
 	data, ends := snapshotWithEntries(t, 3)
 	for offset := ends[0]; offset < ends[1]; offset++ {
 		damaged := bytes.Clone(data)
 		damaged[offset] ^= 0x41
 		_, _, err := Read(damaged)
-		require.ErrorIs(t, err, ErrDamaged, "byte %d", offset)
+		require.ErrorIs(t, err, ErrDamaged, "damage at byte %d", offset)
 	}
 }
 
-// TestLastRecordMayBeTorn damages the last record, of which nothing says that it was synced.
+// TestLastRecordMayBeTorn damages the last record, which no later record reports as synced: it is treated as a torn end.
 func TestLastRecordMayBeTorn(t *testing.T) {
 	data, ends := snapshotWithEntries(t, 3)
 	data[ends[2]+20] ^= 1
@@ -93,8 +93,8 @@
 	require.EqualValues(t, 12, s.Index)
 }
 
-// TestNewerFormatIsRefused opens a file of a newer format: it is left unchanged.
-func TestNewerFormatIsRefused(t *testing.T) {
+// TestNewerFormatIsRejected opens a file of a newer format: it returns ErrFormat and leaves the file unchanged.
+func TestNewerFormatIsRejected(t *testing.T) {
 	content, err := Append(nil, KindIdentity, 0, &protocol.IdentityRecord{Id: 7, Format: Format + 1})
 	require.NoError(t, err)
 	dir := t.TempDir()
@@ -107,7 +107,7 @@
 	require.Equal(t, content, kept)
 }
 
-// TestFileSurvivesReopening writes a file, reopens it, leaves a torn end and reopens it again.
+// TestFileSurvivesReopening writes a file, reopens it, appends a torn record and reopens it again.
 func TestFileSurvivesReopening(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "data")
 	f, s, err := Open(dir)
@@ -128,10 +128,10 @@
 	require.NoError(t, f.Close())
 	info, err := os.Stat(filepath.Join(dir, stateFile))
 	require.NoError(t, err)
-	require.EqualValues(t, len(content), info.Size(), "the torn end is cut off")
+	require.EqualValues(t, len(content), info.Size(), "the torn end was not truncated")
 }
 
-// TestDamagedFileIsRenamed opens a damaged file: the member starts with an empty one and the damaged one is kept.
+// TestDamagedFileIsRenamed opens a damaged file: Open returns an empty file and keeps the damaged one under another name.
 func TestDamagedFileIsRenamed(t *testing.T) {
 	dir := t.TempDir()
 	data, ends := snapshotWithEntries(t, 3)
@@ -145,7 +145,7 @@
 	require.NoError(t, err)
 }
 
-// FuzzRead requires that no bytes make Read panic, and that the valid part of any bytes is read again with the same result.
+// FuzzRead requires that Read does not panic on any input, and that the valid prefix of an input decodes to the same state.
 func FuzzRead(f *testing.F) {
 	s := store.New()
 	s.Put("a", []byte("b"))
@@ -168,7 +168,8 @@
 		}
 		b, again, err := Read(data[:validLength])
 		if err != nil || again != validLength || a.Index != b.Index || a.ID != b.ID {
-			t.Fatalf("%d valid bytes are read as %d: %v", validLength, again, err)
+			t.Fatalf("reading the valid %d bytes again: got %d valid bytes, index %d, ID %d, error %v; want index %d, ID %d",
+				validLength, again, b.Index, b.ID, err, a.Index, a.ID)
 		}
 	})
 }
--- a/internal/control/journal/record.go
+++ b/internal/control/journal/record.go
@@ -11,25 +11,25 @@
 // Kind is the kind of a record, which determines the message of its body.
 type Kind uint8
 
-// The kinds of records. Their values are stored.
+// The kinds of records. Their values are part of the file format.
 const (
-	KindIdentity Kind = iota + 1 // protocol.IdentityRecord: the member's identity and the format of the file
+	KindIdentity Kind = iota + 1 // protocol.IdentityRecord: the member's identity and the version of the format
 	KindPromise                  // protocol.PromiseRecord: the highest proposal number promised
 	KindAccept                   // protocol.AcceptRecord: the newest view accepted
-	KindInstall                  // protocol.InstallRecord: changes that a snapshot brings, with its epoch and index
+	KindInstall                  // protocol.InstallRecord: changes from a snapshot, with its epoch and index
 	KindEntry                    // protocol.Entry: an entry of the chain, without its replies
 )
 
 const (
 	// headerLength is the length of a record's header, in bytes: length of the body, checksum, synced length, kind.
 	headerLength = 4 + 4 + 8 + 1
-	// maxBodyLength bounds the body of a record, in bytes, so that a damaged length is recognized.
+	// maxBodyLength is the maximum length of a record's body, in bytes. A greater length is treated as damage.
 	maxBodyLength = 1 << 28
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Append appends a record to a buffer and returns the extended buffer. synced is the length of the file, in bytes, that is
+// Append appends a record to a buffer and returns the extended buffer. synced is the number of bytes of the file that are
 // known to be synced.
 func Append(buf []byte, kind Kind, synced int64, body proto.Message) ([]byte, error) {
 	start := len(buf)
@@ -48,12 +48,12 @@
 
 // header is the decoded header of a record.
 type header struct {
-	length int // of the body
-	synced int64
+	length int   // length of the body, in bytes
+	synced int64 // length of the file known to be synced, in bytes
 	kind   Kind
 }
 
-// nextRecord decodes the record at the start of data; ok is false where there is no valid one.
+// nextRecord decodes the record at the start of data. ok is false if there is no valid record.
 func nextRecord(data []byte) (h header, body []byte, ok bool) {
 	if len(data) < headerLength {
 		return h, nil, false
@@ -71,11 +71,11 @@
 	return h, record[headerLength:], true
 }
 
-// syncedPast reports whether a valid record after an invalid one at an offset says that the invalid one had been synced.
-func syncedPast(data []byte, invalid int) bool {
+// wasSynced reports whether a valid record after the invalid record at an offset says that the invalid one had been synced.
+func wasSynced(data []byte, invalid int) bool {
 	for offset := invalid + 1; offset+headerLength <= len(data); offset++ {
 		if data[offset+16] < byte(KindIdentity) || data[offset+16] > byte(KindEntry) {
-			continue // not a kind: saves the checksum for most offsets
+			continue // not a valid kind; avoids computing a checksum for most offsets
 		}
 		if h, _, ok := nextRecord(data[offset:]); ok && h.synced > int64(invalid) {
 			return true
--- a/internal/control/journal/state.go
+++ b/internal/control/journal/state.go
@@ -8,19 +8,19 @@
 	"frosttide/internal/protocol"
 )
 
-// Format is the version of the file's format, which its first record holds. Files of newer formats are refused.
+// Format is the version of the file format, which is stored in the first record. Files of newer formats are rejected.
 const Format = 1
 
 var (
-	// ErrFormat is returned for a file of a newer format than this program reads. The file is left unchanged.
+	// ErrFormat is returned for a file whose format is newer than Format. The file is left unchanged.
 	ErrFormat = errors.New("journal: the file has a newer format")
-	// ErrDamaged is returned for a file with an invalid record that had been synced: its state is lost.
+	// ErrDamaged is returned for a file with an invalid record that had been synced. The state is lost.
 	ErrDamaged = errors.New("journal: a record that had been synced is invalid")
 )
 
-// State is the content of a file.
+// State is the decoded content of a file.
 type State struct {
-	ID             uint64 // the member's identity, 0 where it has none yet
+	ID             uint64 // the member's identity, 0 if it has none yet
 	Founder        bool   // the member has founded the control plane
 	Promised       uint64 // highest proposal number promised
 	Accepted       *protocol.View
@@ -29,9 +29,9 @@
 	Store          *store.Store
 }
 
-// Read decodes the bytes of a file. It returns the state and the length of the valid records, in bytes; what follows them
-// was not synced. It returns an error that is ErrDamaged where synced records are invalid, and one that is ErrFormat for a
-// newer format.
+// Read decodes the bytes of a file. It returns the state and the length of the valid records, in bytes. Without an error, the
+// bytes after them are a torn end. The error is ErrDamaged if a synced record is invalid and ErrFormat if the format is newer
+// than Format.
 func Read(data []byte) (State, int, error) {
 	s := State{Store: store.New()}
 	offset := 0
@@ -45,13 +45,13 @@
 		}
 		offset += headerLength + h.length
 	}
-	if syncedPast(data, offset) {
+	if wasSynced(data, offset) {
 		return s, offset, ErrDamaged
 	}
 	return s, offset, nil
 }
 
-// apply applies one record.
+// apply applies one record to the state.
 func (s *State) apply(kind Kind, body []byte) error {
 	switch kind {
 	case KindIdentity:
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// applyIdentity applies an identity record, and refuses one of a newer format.
+// applyIdentity applies an identity record. It returns ErrFormat for a newer format.
 func (s *State) applyIdentity(body []byte) error {
 	var r protocol.IdentityRecord
 	if err := decode(body, &r); err != nil {
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// decode decodes the body of a record. Its checksum was valid, so that an error means damage all the same.
+// decode decodes the body of a record. It reports an error as damage, although the record's checksum is valid.
 func decode(body []byte, m proto.Message) error {
 	if err := proto.Unmarshal(body, m); err != nil {
 		return errors.CombineErrors(ErrDamaged, err)
