--- a/internal/control/member/attempts.go
+++ b/internal/control/member/attempts.go
@@ -1,9 +1,9 @@
 package member
 
-// maxRecentAttempts bounds the attempts that are remembered, which is those of some seconds.
+// maxRecentAttempts is the number of attempts remembered, enough for several seconds.
 const maxRecentAttempts = 4096
 
-// attempt names one sending of a client's request.
+// attempt identifies one transmission of a client's request.
 type attempt struct {
 	id     uint64 // of the request
 	number uint32 // from 1
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -20,7 +20,7 @@
 	Scheduler scheduler.Config
 }
 
-// Output is what a turn has led to.
+// Output holds the writes, messages, outcomes and events that a turn produced.
 type Output struct {
 	Writes   []replica.Write // to be handed to the disk before anything is sent
 	Sends    []protocol.Outbound
@@ -40,7 +40,7 @@
 
 	// The placement role.
 	scheduler          *scheduler.Scheduler // nil where this member does not serve as the head
-	knownClockStep     time.Duration        // when the clock last jumped, as far as the scheduler knows
+	knownClockStep     time.Duration        // last clock jump that was reported to the scheduler
 	knownConfigVersion uint64               // newest version of the configuration that gossip has
 
 	// Time of day.
@@ -64,13 +64,13 @@
 	config  scheduler.ConfigView
 }
 
-// update takes a change of an item; nil stands for no item.
+// update applies the change of an item; a nil value means that there is no item.
 func (d *derivedState) update(key string, previous, current []byte) {
 	d.pending.Update(key, previous, current)
 	d.config.Update(key, current)
 }
 
-// New returns a member that goes on from the state that its disk holds.
+// New returns a member that continues from the state read from its disk.
 func New(cfg Config, now time.Duration, state journal.State) *Member {
 	m := &Member{
 		cfg:     cfg,
@@ -170,8 +170,8 @@
 	return m.client.Do(now, r, destination, now+timeout, now+timeout)
 }
 
-// Drain asks the other members to go on without this one, which is about to end. Replica().Drained reports when
-// they do.
+// Drain asks the other members to remove this one, which is about to shut down. Replica().Drained reports when they
+// have.
 func (m *Member) Drain(now time.Duration) { m.perform(now, m.replica.Drain(now)) }
 
 // Turn ends a turn: it appends the scheduler's decisions and returns everything that has to be carried out.
@@ -210,7 +210,7 @@
 	if e == nil {
 		return
 	}
-	index, actions, _ := m.replica.Append(now, e) // it succeeds where CanAppend holds
+	index, actions, _ := m.replica.Append(now, e) // cannot fail after CanAppend
 	m.scheduler.Appended(index)
 	m.perform(now, actions)
 }
--- a/internal/control/member/reads.go
+++ b/internal/control/member/reads.go
@@ -42,7 +42,7 @@
 	return r, ok
 }
 
-// readReply returns the reply to a read by the state as this member has it.
+// readReply returns the reply to a read of this member's state.
 func (m *Member) readReply(r *protocol.ClientRequest) *protocol.ClientReply {
 	out := &protocol.ClientReply{Id: r.GetId(), Status: http.StatusOK, ConfigVersion: m.gossip.Config().Version}
 	switch op := r.GetOp().(type) {
