--- a/internal/control/replica/activation_test.go
+++ b/internal/control/replica/activation_test.go
@@ -8,11 +8,12 @@
 	"frosttide/internal/protocol"
 )
 
-// TestWhatKeepsAHeadFromServing has a head that served consider serving once more, each time with one thing against it.
+// TestWhatKeepsAHeadFromServing deactivates a serving head and requires that it does not serve again while any one of the
+// conditions of considerActivation is not met.
 func TestWhatKeepsAHeadFromServing(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		change func(head *node, other *peer) // what is against it; nil for nothing
+		change func(head *node, other *peer) // violates the condition; nil for none
 		want   bool
 	}{
 		{"nothing", nil, true},
@@ -34,8 +35,8 @@
 	}
 }
 
-// TestRestartedChainMemberIsLost has the head hear of a chain member that has restarted within the view: it no longer
-// knows what it has sent on.
+// TestRestartedChainMemberIsLost requires the head to replace the chain when a chain member has restarted within the view:
+// the restarted member no longer knows which entries it has forwarded.
 func TestRestartedChainMemberIsLost(t *testing.T) {
 	_, head, tail := servingChain(t)
 	require.Empty(t, head.lostMemberFault())
@@ -43,9 +44,10 @@
 	require.NotEmpty(t, head.lostMemberFault())
 }
 
-// TestInstalledEpochIsReportedFromDisk requires promises and heartbeats to say what is on disk, not what is in memory.
+// TestInstalledEpochIsReportedFromDisk requires promises and heartbeats to report the installed epoch on disk, not the one in
+// memory.
 func TestInstalledEpochIsReportedFromDisk(t *testing.T) {
-	c, m := follower(t)
+	c, m := clusterWithVoter(t)
 	onDisk := m.disk.installedEpoch
 	m.installedEpoch++
 	require.Equal(t, onDisk, m.ownHeartbeat().GetInstalledEpoch())
@@ -56,9 +58,10 @@
 	require.Equal(t, onDisk, sent[0].GetPromise().GetInstalledEpoch())
 }
 
-// TestBothMajoritiesAcceptAView has a view that changes the voters be accepted by a majority of the new ones alone.
+// TestBothMajoritiesAcceptAView lets only a majority of the new voters accept a view that changes the voters: the view must
+// not be agreed without a majority of the old ones.
 func TestBothMajoritiesAcceptAView(t *testing.T) {
-	c, m := follower(t)
+	c, m := clusterWithVoter(t)
 	base := m.View()
 	number := numberAbove(m)
 	next := &protocol.View{Epoch: number, Voters: []*protocol.Member{base.GetVoters()[0], {Id: 77, Number: 77}, {Id: 78, Number: 78}}, Chain: []uint64{77, 78}}
@@ -67,16 +70,17 @@
 		accepted := &protocol.Accepted{Ballot: number, Ok: true, Promised: number, Member: id}
 		m.Receive(c.now, "joiner", &protocol.Envelope{Body: &protocol.Envelope_Accepted{Accepted: accepted}})
 	}
-	require.NotNil(t, m.proposal)
-	require.Less(t, m.Epoch(), number)
+	require.NotNil(t, m.proposal, "the proposal has ended without a majority of the old voters")
+	require.Less(t, m.Epoch(), number, "the view is agreed without a majority of the old voters")
 }
 
-// TestWritesOfAReplacedState has a write end whose entries a snapshot has replaced meanwhile: they do not count as synced.
+// TestWritesOfAReplacedState finishes a write whose entries a snapshot has replaced in the meantime: they do not count as
+// synced.
 func TestWritesOfAReplacedState(t *testing.T) {
 	c, head, tail := servingChain(t)
-	taken := tail.Receive(c.now, head.address, appendMessage(tail.Epoch(), tail.Index(), tail.Index()+1))
-	require.NotEmpty(t, taken.Writes)
+	appended := tail.Receive(c.now, head.address, appendMessage(tail.Epoch(), tail.Index(), tail.Index()+1))
+	require.NotEmpty(t, appended.Writes)
 	tail.resetDurable()
-	c.finish(tail, taken.Writes)
+	c.finish(tail, appended.Writes)
 	require.Zero(t, tail.durable)
 }
--- a/internal/control/replica/bounds_test.go
+++ b/internal/control/replica/bounds_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestHeadWithoutMajorityStopsAccepting isolates the head for 20 s while clients still reach it: it stops accepting
-// requests, its uncommitted entries stay bounded, and its reads fail. Regression: it went on appending entries.
+// requests, its uncommitted entries stay bounded, and its reads fail. Regression: the head continued to append entries.
 func TestHeadWithoutMajorityStopsAccepting(t *testing.T) {
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
 		c := newCluster(t, 600+seed, 5)
@@ -47,7 +47,8 @@
 	})
 }
 
-// TestUncommittedEntriesAreBounded has a tail that acknowledges nothing while a majority confirms the epoch.
+// TestUncommittedEntriesAreBounded appends entries that are never acknowledged: the head stops accepting requests at
+// maxUncommitted entries.
 func TestUncommittedEntriesAreBounded(t *testing.T) {
 	c := newCluster(t, 620, 3)
 	c.play(time.Second)
@@ -59,7 +60,7 @@
 	require.EqualValues(t, maxUncommitted, h.Index()-h.Committed())
 }
 
-// TestReadsAreBounded starts twice as many reads as may be pending.
+// TestReadsAreBounded starts twice as many reads as may be pending: those above maxPendingReads fail at once.
 func TestReadsAreBounded(t *testing.T) {
 	c := newCluster(t, 621, 3)
 	c.play(time.Second)
@@ -79,9 +80,9 @@
 	c.play(time.Second)
 	h := c.head()
 	c.do(h, h.ReadAtHead(c.now, 5))
-	require.False(t, c.reads[5])
+	require.False(t, c.reads[5], "the read is ready before a majority has confirmed the epoch")
 	c.play(50 * time.Millisecond)
-	require.True(t, c.reads[5])
+	require.True(t, c.reads[5], "the read is not ready after 50 ms")
 	other := c.memberOutsideChain()
 	require.Len(t, other.ReadAtHead(c.now, 6).ReadsFailed, 1)
 }
--- a/internal/control/replica/chain.go
+++ b/internal/control/replica/chain.go
@@ -21,7 +21,7 @@
 
 // chain holds this member's replication state in the newest view.
 type chain struct {
-	active    bool                         // at the head: all chain members have installed the state; at other chain members: an Append of the epoch has arrived
+	active    bool                         // all chain members have installed the state (head), or an Append of the epoch has arrived (other chain members)
 	following bool                         // outside the chain: this member has the tail's state and appends its entries
 	committed uint64                       // index of the last entry that every chain member is known to have synced
 	log       deque.Deque[*protocol.Entry] // entries that the successor, a follower or a client may still need
@@ -109,7 +109,8 @@
 	}
 }
 
-// sendEntries sends the entries after an index. A message without entries still shows the receiver whether it is missing any.
+// sendEntries sends the entries after an index. A message without entries still shows the receiver whether it is missing
+// any.
 func (m *Machine) sendEntries(address string, after uint64) {
 	a := &protocol.Append{Epoch: m.Epoch(), First: after, Durable: m.prefixDurable()}
 	for i := range m.chain.log.Len() {
--- a/internal/control/replica/chain_test.go
+++ b/internal/control/replica/chain_test.go
@@ -10,7 +10,7 @@
 	"frosttide/internal/view"
 )
 
-// servingChain returns a cluster of three with a committed write, its head and the chain's other member.
+// servingChain returns a cluster of three members with a committed write, its head and its tail.
 func servingChain(t *testing.T) (c *cluster, head, tail *node) {
 	t.Helper()
 	c = newCluster(t, 41, 3)
@@ -29,7 +29,8 @@
 	return c, head, tail
 }
 
-// appendMessage returns entries of an epoch after an index, with the first index given apart.
+// appendMessage returns an Append message of an epoch with entries at the given indexes. first is the index that the message
+// says its entries follow.
 func appendMessage(epoch, first uint64, indexes ...uint64) *protocol.Envelope {
 	a := &protocol.Append{Epoch: epoch, First: first}
 	for _, index := range indexes {
@@ -38,16 +39,16 @@
 	return &protocol.Envelope{Body: &protocol.Envelope_Append{Append: a}}
 }
 
-// TestEntriesThatAreNotTaken sends the tail entries that it must not take: its state stays as it is.
+// TestEntriesThatAreNotTaken sends the tail entries that it must not append: its state does not change.
 func TestEntriesThatAreNotTaken(t *testing.T) {
 	for _, tc := range []struct {
-		name       string
-		before     func(c *cluster, tail *node)
-		message    func(epoch, index uint64) *protocol.Envelope
-		wantTaken  bool
-		wantResend bool
+		name         string
+		before       func(c *cluster, tail *node)
+		message      func(epoch, index uint64) *protocol.Envelope
+		wantAppended bool
+		wantResend   bool
 	}{
-		{name: "the next entry", message: func(epoch, index uint64) *protocol.Envelope { return appendMessage(epoch, index, index+1) }, wantTaken: true},
+		{name: "the next entry", message: func(epoch, index uint64) *protocol.Envelope { return appendMessage(epoch, index, index+1) }, wantAppended: true},
 		{name: "an older epoch", message: func(epoch, index uint64) *protocol.Envelope { return appendMessage(epoch-1, index, index+1) }},
 		{name: "a newer epoch", message: func(epoch, index uint64) *protocol.Envelope { return appendMessage(epoch+1, index, index+1) }},
 		{
@@ -71,7 +72,7 @@
 			}
 			actions := tail.Receive(c.now, head.address, tc.message(epoch, index))
 			want := index
-			if tc.wantTaken {
+			if tc.wantAppended {
 				want++
 			}
 			require.Equal(t, want, tail.Index())
@@ -84,7 +85,8 @@
 	}
 }
 
-// TestFollowerTakesNoEntriesOfAnotherEpoch sends a member outside the chain the next entry in epochs that are not its own.
+// TestFollowerTakesNoEntriesOfAnotherEpoch sends a follower outside the chain the next entry: it appends the entry only if
+// the epoch is its own.
 func TestFollowerTakesNoEntriesOfAnotherEpoch(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
@@ -107,7 +109,8 @@
 	}
 }
 
-// TestAcknowledgementsThatDoNotCount sends the head acknowledgements of an entry that its successor has not synced.
+// TestAcknowledgementsThatDoNotCount sends the head acknowledgements of an uncommitted entry: only one from its successor
+// and of its epoch commits the entry.
 func TestAcknowledgementsThatDoNotCount(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
@@ -136,11 +139,11 @@
 	}
 }
 
-// TestHeadThatHasPromisedAppendsNothing has the head promise another proposer's number.
+// TestHeadThatHasPromisedAppendsNothing requires a head that has promised another proposer's number to append no entry.
 func TestHeadThatHasPromisedAppendsNothing(t *testing.T) {
 	c, head, _ := servingChain(t)
 	require.True(t, head.CanAppend())
 	head.Receive(c.now, proposer, prepareMessage(numberAbove(head)))
 	_, _, ok := head.Append(c.now, &protocol.Entry{})
-	require.False(t, ok)
+	require.False(t, ok, "the head appends an entry in an epoch that it has promised to leave")
 }
--- a/internal/control/replica/cluster_test.go
+++ b/internal/control/replica/cluster_test.go
@@ -21,7 +21,7 @@
 	itemBytes = 4000
 )
 
-// cluster runs members on a network with faults, in virtual time.
+// cluster simulates members on a faulty network in virtual time.
 type cluster struct {
 	t               testing.TB
 	rng             *rand.Rand
@@ -29,24 +29,24 @@
 	members         map[string]*node // by address
 	toleratedFaults int
 	events          []scheduledEvent
-	lastOrder       int // of the last event scheduled
+	lastOrder       int // order of the last event scheduled
 
 	// The network.
 	blocked        map[link]bool
 	lossRate       float64
-	drop           func(from, to string, e *protocol.Envelope) bool // tells which messages are lost, nil for none
-	linkRate       int                                              // bytes a second that each link carries, 0 for no bound
-	linkFreeAt     map[link]time.Duration                           // when a link with a rate has carried everything sent
+	drop           func(from, to string, e *protocol.Envelope) bool // reports whether a message is lost; nil for no loss
+	linkRate       int                                              // bytes per second that each link carries, 0 for no limit
+	linkFreeAt     map[link]time.Duration                           // when a link with a rate has delivered everything sent
 	stateBytesSent map[link]int
 
-	// What clients know.
+	// Results that clients have received.
 	itemsWritten int             // by fill
 	replies      map[uint64]int  // number of replies, by the ID of the write
 	reads        map[uint64]bool // reads that are ready, by token
 	failedReads  int
 
 	quiet          bool                     // members' events are not logged
-	longestReceive map[string]time.Duration // longest real time for one message, by member; nil where it is not measured
+	longestReceive map[string]time.Duration // longest real time for one message, by member; nil if it is not measured
 }
 
 // node is a member with its process and its disk.
@@ -68,7 +68,7 @@
 // link is one direction between two members, by their addresses.
 type link struct{ from, to string }
 
-// scheduledEvent is something that happens at a time; events of the same time happen in the order of their scheduling.
+// scheduledEvent runs a function at a time; events of the same time run in the order in which they were scheduled.
 type scheduledEvent struct {
 	at    time.Duration
 	order int
@@ -81,7 +81,7 @@
 	return newClusterTolerating(t, seed, founders, 1)
 }
 
-// newClusterTolerating starts a cluster of founders that tolerates a number of faults.
+// newClusterTolerating starts a cluster of founders that tolerates the given number of faults.
 func newClusterTolerating(t testing.TB, seed uint64, founders, faults int) *cluster {
 	t.Helper()
 	c := &cluster{
@@ -117,8 +117,8 @@
 	}
 }
 
-// newcomer starts a member with an empty disk, which asks to join.
-func (c *cluster) newcomer(address string) *node {
+// startJoiner starts a member with an empty disk, which asks to join.
+func (c *cluster) startJoiner(address string) *node {
 	c.t.Helper()
 	n := &node{address: address}
 	c.members[address] = n
@@ -158,11 +158,11 @@
 	c.after(time.Duration(c.rng.Int64N(int64(tick))), tickAgain)
 }
 
-// stop ends a member's process. With a loss of power, writes that were not synced may be lost.
-func (c *cluster) stop(n *node, power bool) {
+// stop ends a member's process. With losePower, writes that were not synced may be lost.
+func (c *cluster) stop(n *node, losePower bool) {
 	n.running = false
 	n.incarnation++
-	if power && len(n.file) > n.syncedSize {
+	if losePower && len(n.file) > n.syncedSize {
 		n.file = n.file[:n.syncedSize+c.rng.IntN(len(n.file)-n.syncedSize+1)]
 	}
 }
@@ -197,7 +197,7 @@
 	}
 }
 
-// startWrite writes everything that is queued and syncs it once.
+// startWrite writes all queued writes with a single sync.
 func (c *cluster) startWrite(n *node) {
 	if len(n.writeQueue) == 0 {
 		return
@@ -228,7 +228,7 @@
 	})
 }
 
-// encoded returns the content of the file that an image becomes.
+// encoded returns the file content for an image.
 func encoded(i *journal.Image) []byte {
 	content, err := i.Encode()
 	if err != nil {
@@ -242,19 +242,19 @@
 	if c.rng.Float64() < c.lossRate {
 		return
 	}
-	to, way := c.members[s.To], link{n.address, s.To}
-	if to == nil || c.blocked[way] {
+	to, path := c.members[s.To], link{n.address, s.To}
+	if to == nil || c.blocked[path] {
 		return
 	}
 	if s.Message.GetSyncReply() != nil {
-		c.stateBytesSent[way] += proto.Size(s.Message)
+		c.stateBytesSent[path] += proto.Size(s.Message)
 	}
 	if c.drop != nil && c.drop(n.address, s.To, s.Message) {
 		return
 	}
 	incarnation := to.incarnation
-	c.after(c.carry(way, s.Message), func() {
-		if to.running && to.incarnation == incarnation && !c.blocked[way] {
+	c.after(c.transmissionDelay(path, s.Message), func() {
+		if to.running && to.incarnation == incarnation && !c.blocked[path] {
 			began := time.Now()
 			a := to.Receive(c.now, n.address, s.Message)
 			if c.longestReceive != nil {
@@ -265,23 +265,23 @@
 	})
 }
 
-// carry returns how long a message takes. A link with a rate carries one after the other.
-func (c *cluster) carry(way link, e *protocol.Envelope) time.Duration {
+// transmissionDelay returns how long a message takes. A link with a rate transmits messages one after the other.
+func (c *cluster) transmissionDelay(path link, e *protocol.Envelope) time.Duration {
 	delay := time.Duration(1000+c.rng.IntN(1000)) * time.Microsecond
 	if c.linkRate == 0 {
 		return delay
 	}
-	c.linkFreeAt[way] = max(c.linkFreeAt[way], c.now) + transferTime(proto.Size(e), c.linkRate)
-	return c.linkFreeAt[way] - c.now + time.Millisecond
+	c.linkFreeAt[path] = max(c.linkFreeAt[path], c.now) + transferTime(proto.Size(e), c.linkRate)
+	return c.linkFreeAt[path] - c.now + time.Millisecond
 }
 
-// after schedules something.
+// after schedules a function.
 func (c *cluster) after(d time.Duration, do func()) {
 	c.lastOrder++
 	c.events = append(c.events, scheduledEvent{at: c.now + d, order: c.lastOrder, do: do})
 }
 
-// play advances the time.
+// play advances the virtual time and runs the events that are due.
 func (c *cluster) play(d time.Duration) {
 	until := c.now + d
 	for {
@@ -303,10 +303,10 @@
 	}
 }
 
-// block has a direction between two members lose everything.
+// block loses all messages in one direction between two members.
 func (c *cluster) block(from, to *node) { c.blocked[link{from.address, to.address}] = true }
 
-// unblockAll heals all partitions.
+// unblockAll ends all partitions.
 func (c *cluster) unblockAll() { clear(c.blocked) }
 
 // isolate blocks both directions between a member and all others.
@@ -317,7 +317,7 @@
 	}
 }
 
-// head returns the member that serves in the newest view, nil where there is none.
+// head returns the member that serves in the newest view, nil if there is none.
 func (c *cluster) head() (head *node) {
 	for _, n := range c.members {
 		if n.running && n.Serving() && (head == nil || n.Epoch() > head.Epoch()) {
@@ -327,13 +327,13 @@
 	return head
 }
 
-// awaitHead returns the serving head, once there is one: each change of the view takes a moment.
+// awaitHead waits up to a second for a serving head, which a change of the view interrupts, and returns it.
 func (c *cluster) awaitHead() *node {
 	c.t.Helper()
 	for until := c.now + time.Second; c.head() == nil && c.now < until; {
 		c.play(tick)
 	}
-	require.NotNil(c.t, c.head(), "no member serves for a second")
+	require.NotNil(c.t, c.head(), "no member serves after a second")
 	return c.head()
 }
 
@@ -361,7 +361,7 @@
 	return ok
 }
 
-// awaitWrite plays until a write has a reply and returns how long that took.
+// awaitWrite repeats a write until it has a reply and returns how long that took.
 func (c *cluster) awaitWrite(id uint64, within time.Duration) time.Duration {
 	c.t.Helper()
 	began := c.now
@@ -374,11 +374,11 @@
 			return c.now - began
 		}
 	}
-	c.t.Fatalf("no write has a reply within %v", within)
+	c.t.Fatalf("write %d has no reply within %v", id, within)
 	return 0
 }
 
-// fill writes items of itemBytes each, many to an entry, until the state has grown by approximately a number of bytes.
+// fill writes items of itemBytes each, many per entry, until the state has grown by approximately the given number of bytes.
 func (c *cluster) fill(bytes int) {
 	c.t.Helper()
 	const perEntry = 100
@@ -407,7 +407,7 @@
 	require.NotNil(c.t, h, "no member serves")
 	for id := range c.replies {
 		_, ok := h.Store().Get(fmt.Sprintf("k%d", id))
-		require.True(c.t, ok, "write %d had a reply and is lost at %s", id, h.address)
+		require.True(c.t, ok, "write %d has a reply but is missing at head %s", id, h.address)
 	}
 }
 
@@ -420,15 +420,15 @@
 
 // stateSentTo returns how many bytes of state were sent to a member.
 func (c *cluster) stateSentTo(address string) (bytes int) {
-	for way, sent := range c.stateBytesSent {
-		if way.to == address {
+	for path, sent := range c.stateBytesSent {
+		if path.to == address {
 			bytes += sent
 		}
 	}
 	return bytes
 }
 
-// transferTime returns how long a link with a rate in bytes a second takes for a number of bytes.
+// transferTime returns the time to transfer a number of bytes at a rate in bytes per second.
 func transferTime(bytes, rate int) time.Duration {
 	return time.Duration(float64(bytes) / float64(rate) * float64(time.Second))
 }
--- a/internal/control/replica/confirm.go
+++ b/internal/control/replica/confirm.go
@@ -130,7 +130,7 @@
 	}
 }
 
-// failReads fails all pending reads. Clients repeat them in the newer view.
+// failReads fails all pending reads, because only the members of the newer view can serve them.
 func (m *Machine) failReads() {
 	for _, r := range m.confirmations.pendingReads {
 		m.failRead(r.token)
--- a/internal/control/replica/consensus_test.go
+++ b/internal/control/replica/consensus_test.go
@@ -11,11 +11,11 @@
 	"frosttide/internal/view"
 )
 
-// proposer is the address from which the tests of this file send proposals.
+// proposer is the address from which tests send the messages of a proposer.
 const proposer = "proposer"
 
-// follower returns a cluster that serves, and a voter of it that is not its head.
-func follower(t *testing.T) (*cluster, *node) {
+// clusterWithVoter returns a serving cluster and one of its voters that is not its head.
+func clusterWithVoter(t *testing.T) (*cluster, *node) {
 	t.Helper()
 	c := newCluster(t, 40, 3)
 	c.play(time.Second)
@@ -24,17 +24,17 @@
 			return c, m
 		}
 	}
-	t.Fatal("there is no voter but the head")
+	t.Fatal("the cluster has no voter other than the head")
 	return nil, nil
 }
 
-// receive passes a message to a member and returns what it sends to the proposer, and its writes.
+// receive passes a message from the proposer to a member and returns the member's messages to the proposer and its writes.
 func (c *cluster) receive(m *node, e *protocol.Envelope) (sent []*protocol.Envelope, writes []Write) {
 	actions := m.Receive(c.now, proposer, e)
 	return toProposer(actions), actions.Writes
 }
 
-// toProposer returns the messages of actions that go to the proposer.
+// toProposer returns the messages that actions send to the proposer.
 func toProposer(actions Actions) (out []*protocol.Envelope) {
 	for _, s := range actions.Sends {
 		if s.To == proposer {
@@ -44,7 +44,7 @@
 	return out
 }
 
-// finish reports the end of writes to a member and returns what it then sends to the proposer.
+// finish reports writes as finished to a member and returns the messages that it then sends to the proposer.
 func (c *cluster) finish(m *node, writes []Write) (sent []*protocol.Envelope) {
 	for _, w := range writes {
 		sent = append(sent, toProposer(m.DiskDone(c.now, w.Sequence, int64(len(w.Data)), nil))...)
@@ -64,10 +64,10 @@
 	return view.NextProposalNumber(max(m.highestNumber, m.promised, m.Epoch()), 9)
 }
 
-// TestPromiseIsSyncedBeforeItIsSent requires a promise to be on disk before the proposer hears of it: after a loss of power
-// between the two the member would promise a lower number.
+// TestPromiseIsSyncedBeforeItIsSent requires a promise to be synced before it is sent: otherwise the member could promise a
+// lower number after a power loss between the two.
 func TestPromiseIsSyncedBeforeItIsSent(t *testing.T) {
-	c, m := follower(t)
+	c, m := clusterWithVoter(t)
 	number := numberAbove(m)
 	sent, writes := c.receive(m, prepareMessage(number))
 	require.Empty(t, sent)
@@ -78,9 +78,9 @@
 	require.Equal(t, number, sent[0].GetPromise().GetPromised())
 }
 
-// TestAcceptanceIsSyncedBeforeItIsSent requires the same of the acceptance of a view.
+// TestAcceptanceIsSyncedBeforeItIsSent requires the acceptance of a view to be synced before it is sent.
 func TestAcceptanceIsSyncedBeforeItIsSent(t *testing.T) {
-	c, m := follower(t)
+	c, m := clusterWithVoter(t)
 	number := numberAbove(m)
 	sent, writes := c.receive(m, acceptMessage(m.View(), number))
 	require.Empty(t, sent)
@@ -91,15 +91,15 @@
 	require.Equal(t, number, sent[0].GetAccepted().GetBallot())
 }
 
-// TestCrossingProposals sends the messages of two proposers, whose numbers cross, to one voter. Late and repeated
-// ones never lead to a promise or an acceptance below a promise.
+// TestCrossingProposals sends the messages of two concurrent proposals to one voter, in several orders. Late and repeated
+// messages never lead to a promise or an acceptance below an earlier promise.
 func TestCrossingProposals(t *testing.T) {
 	const low, high = 0, 1
 	type step struct {
 		accept bool // an Accept, otherwise a Prepare
 		number int  // low or high
 		wantOK bool
-		silent bool // it is answered by nothing
+		silent bool // the voter does not reply
 	}
 	for _, tc := range []struct {
 		name  string
@@ -114,7 +114,7 @@
 		{"a repeated accept", []step{{accept: true, number: low, wantOK: true}, {accept: true, number: low, wantOK: true}, {accept: true, number: high, wantOK: true}, {accept: true, number: low}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			c, m := follower(t)
+			c, m := clusterWithVoter(t)
 			base := m.View()
 			first := numberAbove(m)
 			numbers := []uint64{low: first, high: view.NextProposalNumber(first, 9)}
@@ -137,10 +137,10 @@
 	}
 }
 
-// TestProposalBuildsOnAcceptedView has a promise show a view that others may have agreed on: the proposal follows that one,
-// and is no longer what it was meant to be.
+// TestProposalBuildsOnAcceptedView sends a promise with an accepted view that others may have agreed on: the proposal has to
+// follow that view and drop its own change of the voters.
 func TestProposalBuildsOnAcceptedView(t *testing.T) {
-	c, m := follower(t)
+	c, m := clusterWithVoter(t)
 	accepted := proto.Clone(m.View()).(*protocol.View)
 	accepted.Epoch = numberAbove(m)
 	accepted.Voters = append(accepted.Voters, &protocol.Member{Id: 77, Number: 77, Address: "joiner"})
--- a/internal/control/replica/disk.go
+++ b/internal/control/replica/disk.go
@@ -150,7 +150,7 @@
 func (m *Machine) DiskDone(now time.Duration, sequence uint64, size int64, err error) Actions {
 	m.now = now
 	if err != nil {
-		if len(m.disk.pending) > 0 && sequence >= m.disk.pending[0].sequence { // otherwise the write was dropped by an earlier failure
+		if len(m.disk.pending) > 0 && sequence >= m.disk.pending[0].sequence { // otherwise an earlier failure has dropped the write
 			m.failDisk(err)
 		}
 		return m.takeActions()
--- a/internal/control/replica/disk_test.go
+++ b/internal/control/replica/disk_test.go
@@ -8,7 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestHeadWithFailedDiskIsReplaced fails the writes of the head: it acknowledges nothing and another head takes over.
+// TestHeadWithFailedDiskIsReplaced fails the writes of the head: it acknowledges nothing and another member becomes the
+// head.
 func TestHeadWithFailedDiskIsReplaced(t *testing.T) {
 	c := newCluster(t, 5, 3)
 	c.play(time.Second)
@@ -27,8 +28,8 @@
 	c.requireNoWriteLost()
 }
 
-// TestSyncedLengthDuringRewrite has a write finish while the file is being replaced. Records made meanwhile must not say
-// that this much of the new file was synced, or a torn end would count as damage.
+// TestSyncedLengthDuringRewrite finishes a write while the file is being replaced. Records added in the meantime must not
+// take the old file's size for the synced size of the new one, or a torn end of the new file would count as damage.
 func TestSyncedLengthDuringRewrite(t *testing.T) {
 	c := newCluster(t, 623, 3)
 	c.play(time.Second)
@@ -43,8 +44,8 @@
 	require.EqualValues(t, 5000, h.Machine.disk.syncedSize)
 }
 
-// TestSlowDiskOfTheHead slows the head's disk down for a second while one of three voters is gone. Regression: the head
-// alone could not be replaced, went on with a promise to its own proposal, and nothing was accepted any more.
+// TestSlowDiskOfTheHead slows the head's disk down for a second while one of three voters is lost. Regression: the head
+// could not be replaced, had sealed its epoch by promising its own proposal, and no request was accepted any more.
 func TestSlowDiskOfTheHead(t *testing.T) {
 	forEachSeed(t, 30, func(t *testing.T, seed uint64) {
 		c := newCluster(t, 640+seed, 3)
@@ -52,7 +53,7 @@
 		lost := c.memberOutsideChain()
 		c.stop(lost, true)
 		c.wipe(lost)
-		c.start(lost) // it asks to join, upon which the head starts a proposal
+		c.start(lost) // it asks to join, so that the head starts a proposal
 		c.play(time.Duration(seed) * 20 * time.Millisecond)
 		h := c.awaitHead()
 		h.diskDelay = 917 * time.Millisecond
--- a/internal/control/replica/drain_test.go
+++ b/internal/control/replica/drain_test.go
@@ -7,9 +7,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDrainsOnceOthersHoldFullState drains a chain member whose successor in the chain lacks the state. As soon as it is
-// drained its machine is lost for good, and a moment later, at each of many steps, so is the head's: no write with a reply
-// may be lost. Regression: it ended when it had learned of a view without it.
+// TestDrainsOnceOthersHoldFullState drains a chain member while the member that replaces it in the chain lacks the state. The
+// machine is permanently lost as soon as the member is drained, and so is the head's a varying number of ticks later: no
+// write with a reply may be lost. Regression: the member counted as drained once it knew a view without itself.
 func TestDrainsOnceOthersHoldFullState(t *testing.T) {
 	for step := range 25 {
 		c := newCluster(t, 700+uint64(step), 3)
@@ -32,7 +32,7 @@
 		for until := c.now + 20*time.Second; c.now < until && !drained.Drained(); {
 			c.play(tick)
 		}
-		require.True(t, drained.Drained())
+		require.True(t, drained.Drained(), "the member is not drained after 20 s")
 		c.requireSameState(c.head(), drained)
 		c.stop(drained, true)
 		delete(c.members, drained.address)
@@ -47,7 +47,7 @@
 		delete(c.members, departed.address)
 		require.Len(t, c.members, 1)
 		for _, n := range c.members {
-			require.Equal(t, c.itemsWritten+5, n.Store().Len(), "the only member left has all items")
+			require.Equal(t, c.itemsWritten+5, n.Store().Len(), "the only remaining member has all items")
 		}
 	}
 }
--- a/internal/control/replica/election.go
+++ b/internal/control/replica/election.go
@@ -93,8 +93,8 @@
 	return m.view.GetEpoch()
 }
 
-// headLossAgreed reports whether a quorum of the voters suspects the head or knows no view. A single member
-// that cannot reach the head therefore does not interrupt the others.
+// headLossAgreed reports whether a quorum of the voters suspects the head or knows no view. A single member that
+// cannot reach the head therefore does not interrupt the others.
 func (m *Machine) headLossAgreed() bool {
 	return view.Quorum(m.accepted, func(id uint64) bool {
 		if id == m.selfID() {
@@ -167,7 +167,7 @@
 	return m.chain.active && m.diskBad() && m.otherDiskHealthy(m.selfID()) && !(m.sealed() && m.now-m.highestNumberAt > handoverTimeout)
 }
 
-// lostMemberFault returns how the chain has lost a member, empty if all are alive. A member that has restarted has lost
+// lostMemberFault reports how the chain has lost a member, empty if all are alive. A member that has restarted has lost
 // its unsynced entries, so that a new chain has to install the state.
 func (m *Machine) lostMemberFault() string {
 	for _, id := range m.view.GetChain() {
@@ -184,8 +184,8 @@
 	return ""
 }
 
-// slowDiskFault returns that a chain member's disk is unhealthy, empty if none is or no spare voter could take the
-// member's position.
+// slowDiskFault reports an unhealthy disk of a chain member whose position a spare voter could take, empty if there is
+// none.
 func (m *Machine) slowDiskFault() string {
 	for _, id := range m.view.GetChain()[1:] {
 		if p := m.peers[id]; p != nil && p.lastHeartbeat.GetDiskBad() && m.spareHealthyDisk() && m.now-m.adoptedAt > slowDiskGrace {
--- a/internal/control/replica/explore_test.go
+++ b/internal/control/replica/explore_test.go
@@ -13,38 +13,38 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The explorer plays the members' state machines through every schedule that departs from a baseline in up to two steps. At
-// each step the baseline finishes a write, else delivers the oldest message, else advances the time. A departure loses,
+// The explorer runs the members' state machines through every schedule that deviates from a baseline in up to two steps. At
+// each step the baseline finishes a write, else delivers the oldest message, else advances the time. A deviation loses,
 // duplicates or delays the next message, fails or delays the next write, crashes a member with or without its unsynced
-// writes, wipes a disk, pauses a member or isolates it. A departure after which the state soon equals the baseline's again
-// is not combined with a second one: what that would lead to has been played already.
+// writes, wipes a disk, pauses a member or isolates it. A deviation after which the state soon equals the baseline's again
+// is not combined with a second one: the second one alone covers these schedules.
 //
-// CI plays a part of the schedules. All single departures and every 997th pair:
+// CI runs a part of the schedules. This command runs all single deviations and every 997th pair:
 //
 //	go test ./internal/control/replica -run TestExplore -v -explore.singles 1 -explore.pairs 997 -explore.workers 8 -timeout 0
 var (
-	exploreSingles = flag.Int("explore.singles", usualSingles, "play every n-th departure, 1 for all")
-	explorePairs   = flag.Int("explore.pairs", usualPairs, "play every n-th pair of departures, 1 for all")
-	exploreWorkers = flag.Int("explore.workers", 2, "schedules played at once; few, as other packages' tests depend on the time")
+	exploreSingles = flag.Int("explore.singles", defaultSinglesStride, "run every n-th deviation, 1 for all")
+	explorePairs   = flag.Int("explore.pairs", defaultPairsStride, "run every n-th pair of deviations, 1 for all")
+	exploreWorkers = flag.Int("explore.workers", 2, "schedules run in parallel; few, because tests of other packages depend on timing")
 )
 
 const (
 	exploreTick         = 50 * time.Millisecond
-	exploreSteps        = 420                    // steps in which departures happen
-	exploreHealTime     = 4 * time.Second        // time in which writes have replies again
+	exploreSteps        = 420                    // steps in which deviations happen
+	exploreHealTime     = 4 * time.Second        // time after the last step within which a write must have a reply again
 	exploreRestartDelay = 150 * time.Millisecond // time until a crashed member restarts
 	exploreStall        = 900 * time.Millisecond // duration of delays, pauses and partitions
-	// exploreMaxStepsPerInstant is how many steps there may be without the time advancing.
+	// exploreMaxStepsPerInstant is the maximum number of steps without an advance of the time.
 	exploreMaxStepsPerInstant = 2000
-	// exploreFoldAfter is how many steps after a departure its state is compared with the baseline's.
-	exploreFoldAfter = 160
+	// exploreCompareAfter is the number of steps after a deviation until the state is compared with the baseline's.
+	exploreCompareAfter = 160
 )
 
-// departureKind is how a schedule departs from the baseline at a step.
-type departureKind int
+// deviationKind is how a schedule deviates from the baseline at a step.
+type deviationKind int
 
 const (
-	loseMessage departureKind = iota
+	loseMessage deviationKind = iota
 	duplicateMessage
 	delayMessage
 	failWrite
@@ -56,27 +56,27 @@
 	isolateBoth
 	isolateInbound
 	isolateOutbound
-	departureKinds
+	deviationKinds
 )
 
-// departureNames are the names of the kinds, in their order.
-var departureNames = [...]string{"lose message", "duplicate message", "delay message", "fail write", "delay write", "crash, unsynced lost",
+// deviationNames are the names of the kinds, in their order.
+var deviationNames = [...]string{"lose message", "duplicate message", "delay message", "fail write", "delay write", "crash, unsynced lost",
 	"crash, unsynced kept", "wipe disk", "pause", "isolate", "isolate inbound", "isolate outbound"}
 
-// departure is one step in which a schedule departs from the baseline.
-type departure struct {
+// deviation is one step in which a schedule deviates from the baseline.
+type deviation struct {
 	step   int
-	kind   departureKind
+	kind   deviationKind
 	member int
 }
 
-// String returns the departure as reports of violations show it.
-func (d departure) String() string {
-	return fmt.Sprintf("step %d: %s at m%d", d.step, departureNames[d.kind], d.member+1)
+// String formats the deviation for reports of violations.
+func (d deviation) String() string {
+	return fmt.Sprintf("step %d: %s at m%d", d.step, deviationNames[d.kind], d.member+1)
 }
 
-// depart plays a departure. It returns false where the step of the baseline follows.
-func (x *exploration) depart(d departure, writer, message int) bool {
+// deviate runs a deviation in place of a step of the baseline, and returns false if the baseline's step still has to run.
+func (x *exploration) deviate(d deviation, writer, message int) bool {
 	n := x.members[d.member%len(x.members)]
 	switch d.kind {
 	case loseMessage:
@@ -104,7 +104,7 @@
 }
 
 // crash ends a member's process, which restarts after exploreRestartDelay.
-func (x *exploration) crash(n *exploredMember, kind departureKind) {
+func (x *exploration) crash(n *exploredMember, kind deviationKind) {
 	switch kind {
 	case crashAndKeep:
 		for _, w := range n.queue {
@@ -119,7 +119,7 @@
 }
 
 // isolate blocks a member's links, in one direction or both.
-func (x *exploration) isolate(member int, kind departureKind) {
+func (x *exploration) isolate(member int, kind deviationKind) {
 	for other := range x.members {
 		if kind != isolateOutbound {
 			x.blockedUntil[[2]int{other, member}] = x.now + exploreStall
@@ -130,59 +130,59 @@
 	}
 }
 
-// possible reports whether a departure has any effect in the current state. Departures of messages and writes apply to
-// the next one, whatever the member: they are listed for the first member only.
-func (x *exploration) possible(kind departureKind, member int) bool {
+// applicable reports whether a deviation has any effect in the current state. Deviations of messages and writes apply to
+// the next one of any member and are therefore listed for the first member only.
+func (x *exploration) applicable(kind deviationKind, member int) bool {
 	switch kind {
 	case loseMessage, duplicateMessage, delayMessage:
-		return member == 0 && x.writer() < 0 && x.message() >= 0
+		return member == 0 && x.nextWriter() < 0 && x.nextMessage() >= 0
 	case failWrite, delayWrite:
-		return member == 0 && x.writer() >= 0
+		return member == 0 && x.nextWriter() >= 0
 	default:
 		return x.members[member].running
 	}
 }
 
-// schedule plays the baseline with departures. It returns the first violation, and the fingerprint of the state after a
-// number of steps.
-func schedule(joiner bool, departures []departure, fold int) (violation string, folded uint64) {
+// runSchedule runs the baseline with deviations. It returns the first violation, and the fingerprint of the state after the
+// step compareAt.
+func runSchedule(joiner bool, deviations []deviation, compareAt int) (violation string, fingerprint uint64) {
 	x := newExploration(joiner)
 	for x.step < exploreSteps && x.violation == "" {
-		var d *departure
-		for i := range departures {
-			if departures[i].step == x.step && x.possible(departures[i].kind, departures[i].member) {
-				d = &departures[i]
+		var d *deviation
+		for i := range deviations {
+			if deviations[i].step == x.step && x.applicable(deviations[i].kind, deviations[i].member) {
+				d = &deviations[i]
 			}
 		}
-		x.playStep(d)
-		if x.step == fold {
-			folded = x.fingerprint()
+		x.runStep(d)
+		if x.step == compareAt {
+			fingerprint = x.fingerprint()
 		}
 	}
 	if x.violation == "" {
 		x.heal()
 	}
-	return x.violation, folded
+	return x.violation, fingerprint
 }
 
-// baseline plays the baseline and returns all departures from it, and the fingerprint of the state before each step.
-func baseline(joiner bool) (all []departure, states []uint64) {
+// runBaseline runs the baseline and returns all deviations from it, and the fingerprint of the state before each step.
+func runBaseline(joiner bool) (all []deviation, fingerprints []uint64) {
 	x := newExploration(joiner)
 	for x.step < exploreSteps {
-		states = append(states, x.fingerprint())
-		for kind := range departureKinds {
+		fingerprints = append(fingerprints, x.fingerprint())
+		for kind := range deviationKinds {
 			for member := range x.members {
-				if x.possible(kind, member) {
-					all = append(all, departure{step: x.step, kind: kind, member: member})
+				if x.applicable(kind, member) {
+					all = append(all, deviation{step: x.step, kind: kind, member: member})
 				}
 			}
 		}
-		x.playStep(nil)
+		x.runStep(nil)
 	}
-	return all, states
+	return all, fingerprints
 }
 
-// inParallel calls f with every number below n, exploreWorkers at once.
+// inParallel calls f with every number below n, with up to exploreWorkers calls at a time.
 func inParallel(n int, f func(i int)) {
 	var next atomic.Int64
 	var all sync.WaitGroup
@@ -196,64 +196,65 @@
 	all.Wait()
 }
 
-// everyNth returns every n-th departure.
-func everyNth(all []departure, n int) (out []departure) {
+// everyNth returns every n-th deviation, starting with the first.
+func everyNth(all []deviation, n int) (out []deviation) {
 	for i := 0; i < len(all); i += n {
 		out = append(out, all[i])
 	}
 	return out
 }
 
-// TestExplore plays schedules of three members, and of three with one that joins, with one departure and with two.
+// TestExplore runs schedules with one and with two deviations, on three members with and without a joiner, and requires that
+// none violates an invariant.
 func TestExplore(t *testing.T) {
 	for _, joiner := range []bool{false, true} {
 		t.Run(fmt.Sprintf("joiner %v", joiner), func(t *testing.T) {
 			began := time.Now()
-			all, states := baseline(joiner)
+			all, fingerprints := runBaseline(joiner)
 			require.NotEmpty(t, all)
 			all = everyNth(all, *exploreSingles)
-			firsts := playSingles(t, joiner, all, states)
-			played := playPairs(t, joiner, all, firsts)
-			t.Logf("%d steps, %d departures, of which %d have a lasting effect; %d pairs played of %d; %v",
-				exploreSteps, len(all), len(firsts), played, len(firsts)*len(all)/2, time.Since(began).Round(time.Second))
+			lasting := runSingles(t, joiner, all, fingerprints)
+			pairs := runPairs(t, joiner, all, lasting)
+			t.Logf("%d steps, %d deviations, of which %d have a lasting effect; %d of %d pairs run; %v",
+				exploreSteps, len(all), len(lasting), pairs, len(lasting)*len(all)/2, time.Since(began).Round(time.Second))
 		})
 	}
 }
 
-// playSingles plays schedules with one departure, and returns the departures with a lasting effect.
-func playSingles(t *testing.T, joiner bool, all []departure, states []uint64) (lasting []departure) {
+// runSingles runs schedules with one deviation, and returns the deviations with a lasting effect.
+func runSingles(t *testing.T, joiner bool, all []deviation, fingerprints []uint64) (lasting []deviation) {
 	t.Helper()
-	lasts := make([]bool, len(all))
+	isLasting := make([]bool, len(all))
 	inParallel(len(all), func(i int) {
-		fold := min(all[i].step+exploreFoldAfter, exploreSteps-1)
-		violation, state := schedule(joiner, all[i:i+1], fold)
-		lasts[i] = state != states[fold]
+		compareAt := min(all[i].step+exploreCompareAfter, exploreSteps-1)
+		violation, fingerprint := runSchedule(joiner, all[i:i+1], compareAt)
+		isLasting[i] = fingerprint != fingerprints[compareAt]
 		if violation != "" {
 			t.Errorf("%s\n  with %v", violation, all[i:i+1])
 		}
 	})
 	for i := range all {
-		if lasts[i] {
+		if isLasting[i] {
 			lasting = append(lasting, all[i])
 		}
 	}
 	return lasting
 }
 
-// playPairs plays schedules with two departures, the first of which has a lasting effect, and returns their number.
-func playPairs(t *testing.T, joiner bool, all, firsts []departure) int64 {
+// runPairs runs schedules with two deviations, the first of which has a lasting effect, and returns their number.
+func runPairs(t *testing.T, joiner bool, all, lasting []deviation) int64 {
 	t.Helper()
-	var played atomic.Int64
-	inParallel(len(firsts)*len(all) / *explorePairs, func(n int) {
+	var pairs atomic.Int64
+	inParallel(len(lasting)*len(all) / *explorePairs, func(n int) {
 		pair := n * *explorePairs
-		first, second := firsts[pair/len(all)], all[pair%len(all)]
+		first, second := lasting[pair/len(all)], all[pair%len(all)]
 		if t.Failed() || second.step <= first.step || first.kind == wipeDisk && second.kind == wipeDisk {
 			return
 		}
-		played.Add(1)
-		if violation, _ := schedule(joiner, []departure{first, second}, -1); violation != "" {
-			t.Errorf("%s\n  with %v", violation, []departure{first, second})
+		pairs.Add(1)
+		if violation, _ := runSchedule(joiner, []deviation{first, second}, -1); violation != "" {
+			t.Errorf("%s\n  with %v", violation, []deviation{first, second})
 		}
 	})
-	return played.Load()
+	return pairs.Load()
 }
--- a/internal/control/replica/explorer_test.go
+++ b/internal/control/replica/explorer_test.go
@@ -20,19 +20,19 @@
 	queue       []Write
 	incarnation int
 	running     bool
-	pausedUntil time.Duration // the process does nothing before
-	diskUntil   time.Duration // no write finishes before
+	pausedUntil time.Duration // the process does nothing before this time
+	diskUntil   time.Duration // no write finishes before this time
 	compared    comparedState
 }
 
-// comparedState is the digest of a member's state at an index, kept so that it is computed once only.
+// comparedState is the digest of a member's state at an index, cached so that it is computed only once.
 type comparedState struct {
 	incarnation  int
 	epoch, index uint64
 	digest       uint64
 }
 
-// exploredMessage is a message on its way.
+// exploredMessage is a message in flight.
 type exploredMessage struct {
 	from, to    int
 	incarnation int           // of the receiver when it was sent
@@ -40,7 +40,7 @@
 	message     *protocol.Envelope
 }
 
-// exploration is the state while a schedule is played.
+// exploration is the state of a running schedule.
 type exploration struct {
 	members          []*exploredMember
 	inFlight         []exploredMessage
@@ -50,22 +50,22 @@
 	stepsThisInstant int // since the time last advanced
 	nextRequests     time.Duration
 
-	// What clients know. Every write sets an item of its own and moves the register from one version to the next.
+	// Results that clients have received. Every write sets an item of its own and increments the register's version.
 	writes     uint64
 	replied    map[uint64]uint64 // epoch of the reply, by write
-	versions   map[uint64]uint64 // write that has a reply, by the version that it builds on
+	versions   map[uint64]uint64 // write that has a reply, by the register's version before the write
 	newest     uint64            // highest version in a reply
-	tokens     uint64            // of reads
+	tokens     uint64            // token of the last read
 	reads      map[uint64]uint64 // newest version in a reply when a read started, by token
 	readValues map[uint64]uint64 // version that the read shows, by token
 
-	violation string // the first one found, empty while there is none
+	violation string // the first violation found, empty if there is none
 }
 
-// registerKey is the item that all writes change.
+// registerKey is the key of the item that all writes change.
 const registerKey = "register"
 
-// newExploration returns a play of three founders, and of a fourth member that joins where wanted.
+// newExploration returns an exploration of three founders and, if joiner is set, a fourth member that joins.
 func newExploration(joiner bool) *exploration {
 	x := &exploration{
 		blockedUntil: make(map[[2]int]time.Duration),
@@ -98,7 +98,7 @@
 	n := x.members[i]
 	state, validLength, err := journal.Read(n.file)
 	if err != nil {
-		x.fail("m%d: its file is damaged: %v", i+1, err)
+		x.fail("m%d: the file is damaged: %v", i+1, err)
 		return
 	}
 	n.file = n.file[:validLength]
@@ -147,7 +147,7 @@
 	}
 }
 
-// recordReply records the reply to a write. Of the writes that build on one version only one may have a reply.
+// recordReply records the reply to a write. Of the writes based on the same version only one may have a reply.
 func (x *exploration) recordReply(epoch uint64, r *protocol.ClientReply) {
 	write, version := r.GetId(), r.GetConfigVersion()
 	x.replied[write] = epoch
@@ -158,7 +158,7 @@
 	x.newest = max(x.newest, version+1)
 }
 
-// issueRequests sends a write to every member that accepts them, on the version that its state shows, and a read to every
+// issueRequests sends a write to every member that accepts writes, based on the version in its state, and a read to every
 // tail.
 func (x *exploration) issueRequests() {
 	for i, n := range x.members {
@@ -181,7 +181,7 @@
 	}
 }
 
-// registerOf returns the version in a state.
+// registerOf returns the register's version in a state.
 func registerOf(s *store.Store) (version uint64) {
 	if value, ok := s.Get(registerKey); ok {
 		_, _ = fmt.Sscan(string(value), &version)
@@ -189,7 +189,7 @@
 	return version
 }
 
-// finishWrites ends the writes that a member has submitted, successfully or not.
+// finishWrites finishes all submitted writes of a member, or fails them if failure is set.
 func (x *exploration) finishWrites(i int, failure error) {
 	n := x.members[i]
 	queue := n.queue
@@ -206,15 +206,15 @@
 	x.do(i, n.machine.DiskDone(x.now, queue[len(queue)-1].Sequence, int64(len(n.file)), failure))
 }
 
-// writer returns a member with a write that may finish, -1 where there is none.
-func (x *exploration) writer() int {
+// nextWriter returns the first member with a write that may finish, -1 if there is none.
+func (x *exploration) nextWriter() int {
 	return slices.IndexFunc(x.members, func(n *exploredMember) bool {
 		return n.running && len(n.queue) > 0 && n.diskUntil <= x.now && n.pausedUntil <= x.now
 	})
 }
 
-// message returns the oldest message that may arrive, -1 where there is none.
-func (x *exploration) message() int {
+// nextMessage returns the position of the oldest message that may arrive, -1 if there is none.
+func (x *exploration) nextMessage() int {
 	return slices.IndexFunc(x.inFlight, func(m exploredMessage) bool { return m.at <= x.now && x.members[m.to].pausedUntil <= x.now })
 }
 
@@ -248,16 +248,16 @@
 	}
 }
 
-// playStep plays one step of the baseline, or a departure from it.
-func (x *exploration) playStep(d *departure) {
+// runStep runs one step of the baseline, or a deviation from it.
+func (x *exploration) runStep(d *deviation) {
 	x.step++
 	if x.stepsThisInstant++; x.stepsThisInstant > exploreMaxStepsPerInstant {
-		x.fail("messages cause further messages without end: %v", x.inFlight[0].message)
+		x.fail("messages cause further messages endlessly, the next is: %v", x.inFlight[0].message)
 		x.now += exploreTick
 		x.inFlight = nil
 	}
-	writer, message := x.writer(), x.message()
-	if d != nil && x.depart(*d, writer, message) {
+	writer, message := x.nextWriter(), x.nextMessage()
+	if d != nil && x.deviate(*d, writer, message) {
 		x.check()
 		return
 	}
@@ -272,8 +272,8 @@
 	x.check()
 }
 
-// check checks the invariants after a step: each epoch has one head, equal indexes of an epoch mean equal states, and the
-// head has every write that has a reply.
+// check checks the invariants after a step: each epoch has at most one head, members at the same index of an epoch have equal
+// states, and the head has every write with a reply.
 func (x *exploration) check() {
 	heads, states := make(map[uint64]int), make(map[logPosition]uint64)
 	for i, n := range x.members {
@@ -289,7 +289,7 @@
 // logPosition is an index of an epoch.
 type logPosition struct{ epoch, index uint64 }
 
-// checkHead checks that a serving head is the only one of its epoch, and adds it.
+// checkHead checks that a serving head is the only one of its epoch, and adds it to heads.
 func (x *exploration) checkHead(i int, heads map[uint64]int) {
 	m := x.members[i].machine
 	if !m.Serving() {
@@ -301,7 +301,7 @@
 	heads[m.Epoch()] = i
 }
 
-// checkState checks that a member's state equals those of the others at the same position, and adds it.
+// checkState checks that a member's state equals that of other members at the same position, and adds it to states.
 func (x *exploration) checkState(i int, states map[logPosition]uint64) {
 	n := x.members[i]
 	m := n.machine
@@ -313,7 +313,7 @@
 	}
 	at := logPosition{m.Epoch(), m.index}
 	if other, ok := states[at]; ok && other != n.compared.digest {
-		x.fail("m%d holds entry %d of epoch %d with another state", i+1, m.index, m.Epoch())
+		x.fail("the state of m%d differs from another member's at index %d of epoch %d", i+1, m.index, m.Epoch())
 	}
 	states[at] = n.compared.digest
 }
@@ -323,14 +323,14 @@
 	for epoch, i := range heads {
 		for write, replied := range x.replied {
 			if _, ok := x.members[i].machine.Store().Get(fmt.Sprint("k", write)); !ok && replied <= epoch {
-				x.fail("k%d had a reply in epoch %d and is not held by m%d, head of epoch %d", write, replied, i+1, epoch)
+				x.fail("k%d has a reply in epoch %d but is missing at m%d, the head of epoch %d", write, replied, i+1, epoch)
 				return
 			}
 		}
 	}
 }
 
-// heal ends all departures, and checks that writes have replies again.
+// heal ends all deviations, and checks that a write has a reply again.
 func (x *exploration) heal() {
 	for _, n := range x.members {
 		n.pausedUntil, n.diskUntil = min(n.pausedUntil, x.now+exploreRestartDelay), 0
@@ -339,9 +339,9 @@
 	replies := len(x.replied)
 	earliest := x.now + exploreStall
 	for until := x.now + exploreHealTime; x.now < until && x.violation == "" && (x.now < earliest || len(x.replied) <= replies); {
-		x.playStep(nil)
+		x.runStep(nil)
 	}
 	if x.violation == "" && len(x.replied) <= replies {
-		x.fail("no write has a reply though all faults have ended")
+		x.fail("no write has a reply after all deviations have ended")
 	}
 }
--- a/internal/control/replica/faults_test.go
+++ b/internal/control/replica/faults_test.go
@@ -22,14 +22,14 @@
 	faultKinds
 )
 
-// TestRandomFaults injects random faults, and requires after each that no write with a reply is lost and that service
-// returns.
+// TestRandomFaults injects random faults, and requires after each that no write with a reply is lost and that a member
+// serves again.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			c := newCluster(t, seed, 3)
-			c.newcomer("m4")
-			c.newcomer("m5")
+			c.startJoiner("m4")
+			c.startJoiner("m5")
 			c.play(3 * time.Second)
 			id := uint64(0)
 			for range 12 {
@@ -47,7 +47,7 @@
 	}
 }
 
-// injectFault injects one random fault, at the head every other time.
+// injectFault injects one random fault, with a probability of about one half at the head.
 func (c *cluster) injectFault() {
 	var all []*node
 	for i := range 5 {
@@ -88,7 +88,7 @@
 	}
 }
 
-// endFaults heals the network and the disks and starts all members.
+// endFaults ends all faults of the network and the disks and starts the stopped members.
 func (c *cluster) endFaults() {
 	c.unblockAll()
 	for _, n := range c.members {
--- a/internal/control/replica/fingerprint_test.go
+++ b/internal/control/replica/fingerprint_test.go
@@ -7,9 +7,9 @@
 	"reflect"
 )
 
-// fingerprint returns a digest of the complete state of a play: all members' state machines with their unexported fields,
-// their disks, and the messages on their way. Functions do not count, so that callbacks count by the sequence of their write
-// only.
+// fingerprint returns a digest of the complete state of an exploration: all members' state machines with their unexported
+// fields, their disks, and the messages in flight. Functions are ignored, so that a callback is represented only by the
+// sequence of its write.
 func (x *exploration) fingerprint() uint64 {
 	h := fnv.New64a()
 	visited := make(map[uintptr]bool)
@@ -20,14 +20,14 @@
 	return h.Sum64()
 }
 
-// hashNumber adds a number.
+// hashNumber adds a number to the digest.
 func hashNumber(h hash.Hash, n uint64) {
 	var b [8]byte
 	binary.LittleEndian.PutUint64(b[:], n)
 	h.Write(b[:])
 }
 
-// hashValue adds a value and everything that it refers to.
+// hashValue adds a value and everything that it refers to. Pointers that are being visited are not followed again.
 func hashValue(h hash.Hash, v reflect.Value, visited map[uintptr]bool) {
 	switch v.Kind() {
 	case reflect.Bool:
@@ -69,7 +69,8 @@
 	}
 }
 
-// skippedFields are the names of fields that are not part of the state: bookkeeping of messages' encoding, and a function.
+// skippedFields are the names of fields that are not part of the state: internal fields of protobuf messages, and a
+// function.
 var skippedFields = map[string]bool{"state": true, "sizeCache": true, "unknownFields": true, "watch": true}
 
 // hashSequence adds the elements of a slice or an array.
@@ -84,14 +85,14 @@
 	}
 }
 
-// hashMap adds the entries of a map, whatever their order.
+// hashMap adds the entries of a map, independent of their order.
 func hashMap(h hash.Hash, v reflect.Value, visited map[uintptr]bool) {
 	sum := uint64(v.Len())
 	for _, key := range v.MapKeys() {
-		one := fnv.New64a()
-		hashValue(one, key, visited)
-		hashValue(one, v.MapIndex(key), visited)
-		sum += one.Sum64()
+		entry := fnv.New64a()
+		hashValue(entry, key, visited)
+		hashValue(entry, v.MapIndex(key), visited)
+		sum += entry.Sum64()
 	}
 	hashNumber(h, sum)
 }
--- a/internal/control/replica/handover_bench_test.go
+++ b/internal/control/replica/handover_bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// BenchmarkHandOver has a newcomer fetch a state of 1, 10 and 50 MB from the tail over links of 1,000 Mbit/s. It reports the
-// virtual time until the newcomer follows, the megabytes sent, and the longest real time for which one message occupied the
+// BenchmarkHandOver lets a joiner fetch a state of 1, 10 and 50 MB from the tail over links of 1,000 Mbit/s. It reports the
+// virtual time until the joiner follows, the megabytes sent, and the longest real time for which one message occupied the
 // head or the tail.
 func BenchmarkHandOver(b *testing.B) {
 	for _, size := range []int{1, 10, 50} {
@@ -24,7 +24,7 @@
 				c.longestReceive = make(map[string]time.Duration)
 				began := c.now
 				b.StartTimer()
-				n := c.newcomer("m4")
+				n := c.startJoiner("m4")
 				for c.now-began < time.Minute && !n.chain.following {
 					c.play(tick)
 				}
@@ -40,7 +40,7 @@
 	}
 }
 
-// BenchmarkTakeOver loses the head's machine while a chain member lacks 10 MB of a state of 50 MB, over links of 1,000
+// BenchmarkTakeOver stops the head while a member outside the chain lacks 10 MB of a state of 50 MB, over links of 1,000
 // Mbit/s, and reports the virtual time until a write has a reply.
 func BenchmarkTakeOver(b *testing.B) {
 	for range b.N {
--- a/internal/control/replica/install.go
+++ b/internal/control/replica/install.go
@@ -46,7 +46,8 @@
 	m.sendHeartbeats()
 }
 
-// acceptAgreed accepts a view that was agreed without this member, and ends this member's proposal if its number is not higher.
+// acceptAgreed accepts a view that was agreed without this member, and ends this member's proposal if its number is not
+// higher.
 func (m *Machine) acceptAgreed(v *protocol.View) {
 	if m.accepted.GetEpoch() < v.GetEpoch() {
 		m.promised = max(m.promised, v.GetEpoch())
--- a/internal/control/replica/machine_test.go
+++ b/internal/control/replica/machine_test.go
@@ -9,7 +9,7 @@
 	"frosttide/internal/protocol"
 )
 
-// TestFoundingClusterCommitsWrites founds a cluster: it has a head within a second, and a write has a reply in 50 ms.
+// TestFoundingClusterCommitsWrites starts a new cluster: it has a head within a second, and a write has a reply within 50 ms.
 func TestFoundingClusterCommitsWrites(t *testing.T) {
 	c := newCluster(t, 1, 3)
 	c.play(time.Second)
@@ -19,7 +19,8 @@
 	require.Equal(t, 1, c.replies[1])
 }
 
-// TestWritesContinueAfterHeadLoss has the head lose power: another serves within 1.2 s, and the old one rejoins.
+// TestWritesContinueAfterHeadLoss stops the head with a power loss: another member serves within 1.2 s, and the old head
+// rejoins.
 func TestWritesContinueAfterHeadLoss(t *testing.T) {
 	c := newCluster(t, 2, 3)
 	c.play(time.Second)
@@ -38,7 +39,8 @@
 	c.requireNoWriteLost()
 }
 
-// TestIsolatedHeadRepliesToNothing isolates a head that then gets a write, and a read where it is the tail too.
+// TestIsolatedHeadRepliesToNothing isolates a head before it gets a write, and a read if it is the tail too: neither has a
+// result.
 func TestIsolatedHeadRepliesToNothing(t *testing.T) {
 	c := newCluster(t, 6, 3)
 	c.play(time.Second)
@@ -57,8 +59,8 @@
 	c.requireNoWriteLost()
 }
 
-// TestIsolatedHeadDoesNotDisturbNextView heals the partition of a head: it adopts the view that the others have agreed on
-// and does not interrupt it with a proposal of its own.
+// TestIsolatedHeadDoesNotDisturbNextView reconnects an isolated head: it adopts the view that the others have agreed on and
+// does not interrupt that view with a proposal.
 func TestIsolatedHeadDoesNotDisturbNextView(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
 		c := newCluster(t, 100+seed, 5)
@@ -73,12 +75,12 @@
 		c.unblockAll()
 		c.play(2 * time.Second)
 		require.Equal(t, next, c.head())
-		require.Equal(t, epoch, old.Epoch(), "it adopts the others' view")
+		require.Equal(t, epoch, old.Epoch(), "the reconnected head has to adopt the others' view")
 		c.requireNoWriteLost()
 	})
 }
 
-// TestInvalidViewsAreDropped sends messages with an invalid view: they change nothing but a count.
+// TestInvalidViewsAreDropped sends messages with an invalid view: they change only the count of dropped messages.
 func TestInvalidViewsAreDropped(t *testing.T) {
 	c := newCluster(t, 730, 3)
 	c.play(time.Second)
--- a/internal/control/replica/membership_test.go
+++ b/internal/control/replica/membership_test.go
@@ -7,10 +7,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestNewcomerJoins starts a member with an empty disk: it becomes a voter, and the change of the voters is completed.
-func TestNewcomerJoins(t *testing.T) {
+// TestJoinerBecomesVoter starts a member with an empty disk: it becomes a voter, and the change of the voters is completed.
+func TestJoinerBecomesVoter(t *testing.T) {
 	c := newCluster(t, 3, 3)
-	c.newcomer("m4")
+	c.startJoiner("m4")
 	c.play(3 * time.Second)
 	h := c.head()
 	require.NotNil(t, h)
@@ -18,7 +18,7 @@
 	require.Empty(t, h.View().GetPrevious())
 }
 
-// TestLostDiskIsReplaced wipes the disk of a member: it comes back with a new identity that replaces the old one.
+// TestLostDiskIsReplaced wipes a member's disk and restarts it: its new identity replaces the old one among the voters.
 func TestLostDiskIsReplaced(t *testing.T) {
 	c := newCluster(t, 4, 3)
 	c.play(time.Second)
@@ -39,8 +39,8 @@
 	}
 }
 
-// TestReplacedMachineIsRemovedFromVoters replaces a machine for good, and then wipes as many disks as are tolerated while all
-// other members lose power. If the old machine still voted beside its successor, no majority would be left.
+// TestReplacedMachineIsRemovedFromVoters permanently replaces a machine, and then wipes as many disks as are tolerated while
+// all other members lose power. If the old machine were still a voter besides its replacement, no majority would remain.
 func TestReplacedMachineIsRemovedFromVoters(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
 		c := newClusterTolerating(t, 200+seed, 5, 2)
@@ -50,7 +50,7 @@
 		c.stop(c.members["m5"], true)
 		delete(c.members, "m5")
 		c.play(time.Second)
-		c.newcomer("m6")
+		c.startJoiner("m6")
 		c.play(4 * time.Second)
 		require.True(t, c.write(2))
 		c.play(100 * time.Millisecond)
@@ -72,12 +72,12 @@
 	})
 }
 
-// TestDrainingMachineIsRemovedAfterItsSuccessorJoins drains a machine whose successor is a voter already: the voters have to
-// tolerate the faults as soon as it has gone.
+// TestDrainingMachineIsRemovedAfterItsSuccessorJoins drains a machine whose replacement already is a voter: the drained one
+// is removed from the voters, so that the rest tolerate the configured faults as soon as it has stopped.
 func TestDrainingMachineIsRemovedAfterItsSuccessorJoins(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
 		c := newClusterTolerating(t, 300+seed, 5, 2)
-		c.newcomer("m6")
+		c.startJoiner("m6")
 		c.play(4 * time.Second)
 		require.Len(t, c.head().View().GetVoters(), 6)
 		drained := c.members["m2"]
@@ -90,7 +90,8 @@
 	})
 }
 
-// TestLostVoterRejoins restarts a voter that was removed while it was out of contact: it joins again and counts.
+// TestLostVoterRejoins restarts a voter that was removed while it was out of contact: it becomes a voter again, and no
+// write is lost when the head then stops.
 func TestLostVoterRejoins(t *testing.T) {
 	forEachSeed(t, 20, func(t *testing.T, seed uint64) {
 		c := newClusterTolerating(t, 400+seed, 4, 1)
@@ -114,7 +115,8 @@
 	})
 }
 
-// TestDepartedPeersAreForgotten wipes the disk of a machine again and again: its earlier identities are forgotten.
+// TestDepartedPeersAreForgotten wipes the disk of a machine repeatedly: the head deletes the peers of its earlier
+// identities.
 func TestDepartedPeersAreForgotten(t *testing.T) {
 	c := newCluster(t, 731, 3)
 	c.play(time.Second)
--- a/internal/control/replica/norace_test.go
+++ b/internal/control/replica/norace_test.go
@@ -2,8 +2,8 @@
 
 package replica
 
-// Every n-th single departure and pair of departures is played by default.
+// By default every n-th single deviation and every n-th pair of deviations is run.
 const (
-	usualSingles = 7
-	usualPairs   = 20_011
+	defaultSinglesStride = 7
+	defaultPairsStride   = 20_011
 )
--- a/internal/control/replica/race_test.go
+++ b/internal/control/replica/race_test.go
@@ -2,9 +2,9 @@
 
 package replica
 
-// Every n-th single departure and pair of departures is played by default. With the race detector a schedule takes ten
-// times as long.
+// By default every n-th single deviation and every n-th pair of deviations is run. With the race detector a
+// schedule takes ten times as long.
 const (
-	usualSingles = 97
-	usualPairs   = 1_000_003
+	defaultSinglesStride = 97
+	defaultPairsStride   = 1_000_003
 )
--- a/internal/control/replica/transfer_test.go
+++ b/internal/control/replica/transfer_test.go
@@ -11,8 +11,8 @@
 	"frosttide/internal/view"
 )
 
-// TestLostChunkIsRequestedAgain loses chunks of the state on their way to a member that joins the chain. Regression: it
-// reported the state as installed with what had arrived, and as the head it then lost acknowledged writes.
+// TestLostChunkIsRequestedAgain loses chunks of the state that is sent to a member joining the chain. Regression: the member
+// reported an incomplete state as installed, and lost acknowledged writes when it became the head.
 func TestLostChunkIsRequestedAgain(t *testing.T) {
 	for lost := range 8 {
 		t.Run(fmt.Sprintf("chunk %d of 8", lost), func(t *testing.T) {
@@ -45,7 +45,7 @@
 }
 
 // TestFollowerHasNoGaps loses a quarter of all messages while a member outside the chain fetches the state: it reports that
-// it follows only with all of it.
+// it follows the tail only when its state is complete.
 func TestFollowerHasNoGaps(t *testing.T) {
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
 		c := newCluster(t, 520+seed, 3)
@@ -69,17 +69,17 @@
 	})
 }
 
-// TestSlowLinks has members fetch their state over links of all speeds: a newcomer, and a member that the chain needs.
-// Regression: the transfer started over where a chunk took longer than minSyncRetry or all of it longer than
+// TestSlowLinks transfers the state to a joiner and to a member that the chain needs, over links of different speeds.
+// Regression: the transfer started over if a chunk took longer than minSyncRetry or the whole transfer longer than
 // InstallTimeout.
 func TestSlowLinks(t *testing.T) {
 	for _, megabits := range []int{4, 8, 16, 100, 1000} {
-		t.Run(fmt.Sprintf("newcomer at %d Mbit/s", megabits), func(t *testing.T) {
+		t.Run(fmt.Sprintf("joiner at %d Mbit/s", megabits), func(t *testing.T) {
 			c := newCluster(t, 540, 3)
 			c.play(time.Second)
 			c.fill(2 * megabyte)
 			c.linkRate = megabits * megabit
-			c.newcomer("m4")
+			c.startJoiner("m4")
 			c.play(3*time.Second + 3*transferTime(2*megabyte, c.linkRate)/2)
 			require.Len(t, c.head().View().GetVoters(), 4)
 			c.requireSameState(c.head(), c.members["m4"])
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestTransferOutlivesViews changes the view in the middle of a transfer: what has arrived and still fits is not sent again.
+// TestTransferOutlivesViews changes the view during a transfer: received ranges that still match are not sent again.
 func TestTransferOutlivesViews(t *testing.T) {
 	c := newCluster(t, 560, 5)
 	c.play(2 * time.Second)
@@ -124,7 +124,8 @@
 	require.Less(t, c.stateSentTo(behind.address), 3*megabyte)
 }
 
-// TestTransferGrowsWithDifference restarts a member of a large state that lacks little of it, over a slow link.
+// TestTransferGrowsWithDifference restarts a member that lacks little of a large state, over a slow link: the bytes sent
+// depend on the difference, not on the size of the state.
 func TestTransferGrowsWithDifference(t *testing.T) {
 	c := newCluster(t, 561, 3)
 	c.play(time.Second)
@@ -143,8 +144,8 @@
 	require.Less(t, c.stateSentTo(behind.address), megabyte/2, "20 of 1,024 ranges differ")
 }
 
-// TestStaleMemberDoesNotBlockWrites loses the head's machine while a member is far behind: the others tolerate the faults
-// without it, so that writes continue before it has caught up.
+// TestStaleMemberDoesNotBlockWrites stops the head while a member is far behind: the other members tolerate the fault without
+// it, so that writes continue before it has caught up.
 func TestStaleMemberDoesNotBlockWrites(t *testing.T) {
 	const lagBeyondPreference = 1100 // entries; a member this far behind is chosen for the chain last
 	forEachSeed(t, 10, func(t *testing.T, seed uint64) {
@@ -163,14 +164,14 @@
 		c.unblockAll()
 		c.stop(c.head(), true)
 		require.Less(t, c.awaitWrite(1, 20*time.Second), 1500*time.Millisecond)
-		require.Negative(t, view.ChainPosition(c.head().View(), behind.id), "it would have to take the state first")
+		require.Negative(t, view.ChainPosition(c.head().View(), behind.id), "the stale member is in the chain and has to install the state first")
 		c.play(10 * time.Second)
 		c.requireNoWriteLost()
 	})
 }
 
-// TestEarlySyncRequestIsServed has a chain member request the state of a view that the head has not adopted yet: it is
-// served as soon as the head adopts the view, and not only when the member asks again after minSyncRetry.
+// TestEarlySyncRequestIsServed has a chain member request the state of a view that the head has not adopted yet: the
+// request is served as soon as the head adopts the view, not only when the member repeats it after minSyncRetry.
 func TestEarlySyncRequestIsServed(t *testing.T) {
 	c := newCluster(t, 7, 3)
 	c.play(time.Second)
