--- a/decision/shedding/shedding.go
+++ b/decision/shedding/shedding.go
@@ -15,8 +15,8 @@
 type Start int
 
 const (
-	OnTime  Start = iota
-	Overdue       // the request started late, or its worker's queue was full
+	OnTime  Start = iota // the request started on time
+	Overdue              // the request started late, or its worker's queue was full
 )
 
 // Shedder adapts the fraction of rejected requests to the fraction of late starts. The zero value rejects nothing.
