--- a/decision/eligibility.go
+++ b/decision/eligibility.go
@@ -98,7 +98,7 @@
 		d.setTimer(until, timer{fire: (*Dispatcher).cancelLateAttempt, request: r, attempt: n})
 	}
 	if d.cfg.StartEvents {
-		wait := 2*d.zones.UsualStart(w.Zone) + r.class.Objective/startToleranceDivisor
+		wait := 2*d.zones.QuickestStart(w.Zone) + r.class.Objective/startToleranceDivisor
 		d.setTimer(d.now+wait, timer{fire: (*Dispatcher).markOverdue, request: r, attempt: n})
 	}
 }
--- a/decision/zones/zones.go
+++ b/decision/zones/zones.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// UsualStart returns the shortest recent time from sending to start in a zone, 0 if none is known.
-func (z *Zones) UsualStart(n int) time.Duration { return z.at(n).quickestStart }
+// QuickestStart returns the shortest recent time from sending to start in a zone, 0 if none is known.
+func (z *Zones) QuickestStart(n int) time.Duration { return z.at(n).quickestStart }
 
 // RecordConnectFailure records a failure to connect to a worker of a zone; earlierFailures is the number of such failures
 // of the same worker in a row before this one. Only a worker's first failure in a row counts, so that a single worker
--- a/decision/zones/zones_test.go
+++ b/decision/zones/zones_test.go
@@ -51,17 +51,17 @@
 	}
 }
 
-// TestUsualStart checks that the usual start is the shortest recent one, and that zone numbers out of range are clamped.
-func TestUsualStart(t *testing.T) {
+// TestQuickestStart checks that the quickest start is the shortest recent one, and that zone numbers out of range are clamped.
+func TestQuickestStart(t *testing.T) {
 	var z Zones
 	z.RecordStart(0, 5*time.Millisecond)
 	z.RecordStart(0, time.Second)
 	z.RecordStart(1<<40, time.Second)
 	z.RecordStart(-1, 4*time.Millisecond)
-	if got := z.UsualStart(0); got != 4*time.Millisecond {
-		t.Errorf("usual start %v, want the quickest, 4ms", got)
+	if got := z.QuickestStart(0); got != 4*time.Millisecond {
+		t.Errorf("quickest start %v, want 4ms", got)
 	}
-	if len(z.all) > maxZones || z.UsualStart(1) != 0 {
-		t.Errorf("%d zones, want %d at most; usual start %v in a zone without starts, want 0", len(z.all), maxZones, z.UsualStart(1))
+	if len(z.all) > maxZones || z.QuickestStart(1) != 0 {
+		t.Errorf("%d zones, want %d at most; quickest start %v in a zone without starts, want 0", len(z.all), maxZones, z.QuickestStart(1))
 	}
 }
