--- a/decision/forecast/forecast.go
+++ b/decision/forecast/forecast.go
@@ -133,7 +133,7 @@
 	if !f.known {
 		return
 	}
-	others, free := f.Others(w, kind, now), max(f.size(w, kind)-own.Running, 0)
+	others, free := f.OthersInUse(w, kind, now), max(f.size(w, kind)-own.Running, 0)
 	if waited {
 		others = max(others, free)
 	} else {
@@ -152,6 +152,6 @@
 	free := max(f.size(w, kind)-own.Running, 0)
 	ahead := (now - job.sentAt).Seconds() * f.size(w, kind) / max(f.meanWork*f.Pace(w, kind, now), minWork)
 	waiting := max(own.InUse-own.Running, 0)
-	w.others = min(max(f.Others(w, kind, now), free+ahead-waiting), maxSlots)
+	w.others = min(max(f.OthersInUse(w, kind, now), free+ahead-waiting), maxSlots)
 	w.updatedAt, w.known, w.othersQueued = now, true, 0
 }
--- a/decision/forecast/forecast_test.go
+++ b/decision/forecast/forecast_test.go
@@ -20,10 +20,10 @@
 	f.RecordReport(&other, 0, Report{Free: 4}, Own{}, now)
 	f.RecordReport(&w, 0, Report{Free: 4}, Own{}, now)
 	f.RecordReport(&w, 0, Report{Free: 0, Queued: 2, InFlight: math.NaN()}, Own{InUse: 3, Running: 3}, now)
-	if got := f.Others(&w, 0, now); math.Abs(got-3) > 1e-9 {
+	if got := f.OthersInUse(&w, 0, now); math.Abs(got-3) > 1e-9 {
 		t.Errorf("others use %g slots, want 3: 6 less 3 of the dispatcher's own", got)
 	}
-	if got := f.Others(&w, 0, now+time.Minute); got > 0.1 {
+	if got := f.OthersInUse(&w, 0, now+time.Minute); got > 0.1 {
 		t.Errorf("others use %g slots a minute later, want 0.1 at most", got)
 	}
 	busy := f.TimeToFinish(&w, 0, Own{InUse: 3, Running: 3, Work: 3}, &Job{Slots: 1, Work: 1}, now)
@@ -31,11 +31,11 @@
 	if busy < idle+0.3 {
 		t.Errorf("a full worker needs %g s and an idle one %g s, want at least 0.3 s more at the full one", busy, idle)
 	}
-	before := f.Others(&w, 0, now)
+	before := f.OthersInUse(&w, 0, now)
 	for _, bad := range []float64{math.NaN(), math.Inf(1), -1, 1e30} {
 		f.RecordReport(&w, 0, Report{Free: bad, Queued: 1, InFlight: math.NaN()}, Own{}, now)
 	}
-	if got := f.Others(&w, 0, now); got != before {
+	if got := f.OthersInUse(&w, 0, now); got != before {
 		t.Errorf("invalid reports changed the slots of others from %g to %g, want no change", before, got)
 	}
 }
@@ -274,7 +274,7 @@
 		t.Errorf("size %g with one free slot and 3 jobs in flight, want 4", size)
 	}
 	f.RecordReport(&w, 0, Report{Free: 0, Queued: math.NaN(), InFlight: 8}, Own{}, now)
-	at, later := f.Others(&w, 0, now), f.Others(&w, 0, now+2*time.Second)
+	at, later := f.OthersInUse(&w, 0, now), f.OthersInUse(&w, 0, now+2*time.Second)
 	if at != 8 || later > 5 {
 		t.Errorf("others use %g slots and 2 s later %g, want 8 and then 5 at most, as the worker has 4", at, later)
 	}
--- a/decision/forecast/report.go
+++ b/decision/forecast/report.go
@@ -73,10 +73,10 @@
 	return max(math.Round(max(own, min(float64(f.kindSizes[uint(kind)%maxKinds]), 2*own))), 1)
 }
 
-// Others returns the expected number of slots that other dispatchers' jobs use at a worker. The reported number decays to
+// OthersInUse returns the expected number of slots that other dispatchers' jobs use at a worker. The reported number decays to
 // the fleet's mean, and the mean itself to 0. Otherwise a dispatcher that rejects every request, and so gets no reports,
 // would never stop rejecting.
-func (f *Fleet) Others(w *Worker, kind int, now time.Duration) float64 {
+func (f *Fleet) OthersInUse(w *Worker, kind int, now time.Duration) float64 {
 	usual := f.othersFill * f.size(w, kind) * decay(now-f.updatedAt)
 	if !w.known {
 		return usual
--- a/decision/forecast/wait.go
+++ b/decision/forecast/wait.go
@@ -21,7 +21,7 @@
 // where one of the dispatcher's own jobs waits.
 func (f *Fleet) reportedWait(w *Worker, kind int, own Own, slots float64, now time.Duration) float64 {
 	size := f.size(w, kind)
-	inUse := own.InUse + f.Others(w, kind, now)
+	inUse := own.InUse + f.OthersInUse(w, kind, now)
 	if own.InUse > own.Running {
 		inUse = max(inUse, size+own.InUse-own.Running)
 	}
--- a/decision/overload.go
+++ b/decision/overload.go
@@ -14,7 +14,7 @@
 	if d.fleet.Known() && d.quotas.NeedsSample(d.now) {
 		var own, all float64
 		for _, w := range d.listed {
-			own, all = own+float64(w.InUse), all+float64(w.InUse)+d.fleet.Others(&w.load, w.Kind, d.now)
+			own, all = own+float64(w.InUse), all+float64(w.InUse)+d.fleet.OthersInUse(&w.load, w.Kind, d.now)
 		}
 		d.quotas.Sample(own, all, d.now)
 	}
