--- a/internal/control/journal/file.go
+++ b/internal/control/journal/file.go
@@ -114,7 +114,7 @@
 		file.Close() // the incomplete new file is not used
 		return errors.Wrap(err, "journal: replacing the state file")
 	}
-	f.file.Close() // its error does not matter: the file has been replaced
+	f.file.Close() // its error does not matter: everything still needed was synced
 	f.file, f.size = file, size
 	return f.syncDir()
 }
