--- a/internal/control/member/attempts.go
+++ b/internal/control/member/attempts.go
@@ -9,8 +9,8 @@
 	number uint32 // from 1
 }
 
-// recentAttempts remembers the newest attempts, so that one that arrives twice is not both rejected and accepted. The
-// zero value is ready for use.
+// recentAttempts remembers the newest attempts, so that one that arrives twice is not both rejected
+// and accepted. The zero value is ready for use.
 type recentAttempts struct {
 	entries map[attempt]struct{}
 	ring    []attempt // in the order of arrival; a ring once it is full
--- a/internal/control/member/member.go
+++ b/internal/control/member/member.go
@@ -57,8 +57,8 @@
 	out        Output // of this turn
 }
 
-// derivedState is computed from the replicated items and kept up to date with each change of one, so that reads
-// of it cost the same however many items there are.
+// derivedState is computed from the replicated items and kept up to date with each change of one,
+// so that reads of it cost the same however many items there are.
 type derivedState struct {
 	pending jobs.PendingCounts
 	config  scheduler.ConfigView
@@ -92,7 +92,8 @@
 // Replica returns the replica, which callers may only read.
 func (m *Member) Replica() *replica.Machine { return m.replica }
 
-// Scheduler returns the scheduler, which callers may only read. It is nil unless the member serves as the head.
+// Scheduler returns the scheduler, which callers may only read. It is nil unless the member serves
+// as the head.
 func (m *Member) Scheduler() *scheduler.Scheduler { return m.scheduler }
 
 // Gossip returns the gossip, which callers may only read.
@@ -127,8 +128,8 @@
 	}
 }
 
-// DiskDone handles the end of a write to the disk and of all writes before it. size is the length of the file in
-// bytes after it; err is nil where all of them are synced.
+// DiskDone handles the end of a write to the disk and of all writes before it. size is the length
+// of the file in bytes after it; err is nil where all of them are synced.
 func (m *Member) DiskDone(now time.Duration, sequence uint64, size int64, err error) {
 	m.perform(now, m.replica.DiskDone(now, sequence, size, err))
 }
@@ -164,17 +165,19 @@
 	m.clock.Tick(now, self, wallMs, voters, scheduler.LoadClock(m.replica.Store()))
 }
 
-// Do sends a request of this process's own to the chain and returns the request's ID. read says that the tail can answer
-// it. An Output holds its outcome at the latest when the timeout has passed.
+// Do sends a request of this process itself to one end of the chain and returns the request's ID.
+// The outcome is in the Output of a later turn, at the latest after the first Tick past the
+// timeout.
 func (m *Member) Do(now time.Duration, r *protocol.ClientRequest, destination chainclient.Destination, timeout time.Duration) uint64 {
 	return m.client.Do(now, r, destination, now+timeout, now+timeout)
 }
 
-// Drain asks the other members to remove this one, which is about to shut down. Replica().Drained reports when they
-// have.
+// Drain asks the other members to remove this one, which is about to shut down. Replica().Drained
+// reports when they have.
 func (m *Member) Drain(now time.Duration) { m.perform(now, m.replica.Drain(now)) }
 
-// Turn ends a turn: it appends the scheduler's decisions and returns everything that has to be carried out.
+// Turn ends a turn: it appends the scheduler's decisions and returns everything that has to be
+// carried out.
 func (m *Member) Turn(now time.Duration) Output {
 	m.appendEntry(now)
 	m.publishCommitted(now)
@@ -215,7 +218,8 @@
 	m.perform(now, actions)
 }
 
-// publishCommitted sends the scheduler's orders whose entries are committed, and passes a committed configuration on.
+// publishCommitted sends the scheduler's orders whose entries are committed, and passes a committed
+// configuration on.
 func (m *Member) publishCommitted(now time.Duration) {
 	if m.scheduler == nil {
 		return
@@ -261,7 +265,7 @@
 		m.completeRead(token)
 	}
 	for _, token := range a.ReadsFailed {
-		m.abandonRead(token)
+		m.rejectRead(token)
 	}
 }
 
--- a/internal/control/member/reads.go
+++ b/internal/control/member/reads.go
@@ -29,8 +29,9 @@
 	}
 }
 
-// abandonRead rejects a read whose reply can't be confirmed, so that its client asks another member.
-func (m *Member) abandonRead(token uint64) {
+// rejectRead rejects a read whose reply can't be confirmed, so that its client asks another
+// member.
+func (m *Member) rejectRead(token uint64) {
 	if r, ok := m.takePending(token); ok {
 		m.sendReply(r.to, &protocol.ClientReply{Id: r.reply.GetId(), NotServing: true})
 	}
@@ -44,36 +45,36 @@
 
 // readReply returns the reply to a read of this member's state.
 func (m *Member) readReply(r *protocol.ClientRequest) *protocol.ClientReply {
-	out := &protocol.ClientReply{Id: r.GetId(), Status: http.StatusOK, ConfigVersion: m.gossip.Config().Version}
+	reply := &protocol.ClientReply{Id: r.GetId(), Status: http.StatusOK, ConfigVersion: m.gossip.Config().Version}
 	switch op := r.GetOp().(type) {
 	case *protocol.ClientRequest_ReadState:
-		m.readJobState(op.ReadState, out)
+		m.readJobState(op.ReadState, reply)
 	case *protocol.ClientRequest_ReadPending:
-		out.Body = []byte(`{"Pending":` + strconv.Itoa(m.derived.pending.Count(op.ReadPending.GetQueue())) + `}`)
+		reply.Body = []byte(`{"Pending":` + strconv.Itoa(m.derived.pending.Count(op.ReadPending.GetQueue())) + `}`)
 	case *protocol.ClientRequest_ReadConfig:
-		m.readConfig(out)
+		m.readConfig(reply)
 	}
-	return out
+	return reply
 }
 
-// readJobState fills in a job's state, or 410 where there is no such job. A job of another queue than the one asked for
-// is shown only while its own queue is not configured.
-func (m *Member) readJobState(r *protocol.ReadState, out *protocol.ClientReply) {
+// readJobState fills in a job's state, or 410 where there is no such job. A job of another queue
+// than the one asked for is shown only while its own queue is not configured.
+func (m *Member) readJobState(r *protocol.ReadState, reply *protocol.ClientReply) {
 	value, ok := m.replica.Store().Get(jobs.StatusKey(r.GetId()))
 	if !ok {
-		out.Status = http.StatusGone
+		reply.Status = http.StatusGone
 		return
 	}
 	item, err := jobs.ParseStatus(value)
 	if err != nil {
-		m.failRead(out, fmt.Sprintf("the state of job %s", r.GetId()), err)
+		m.failRead(reply, fmt.Sprintf("the state of job %s", r.GetId()), err)
 		return
 	}
 	if r.GetQueue() != item.Queue && m.isConfigured(item.Queue) {
-		out.Status = http.StatusGone
+		reply.Status = http.StatusGone
 		return
 	}
-	out.Body = []byte(`{"State":"` + item.State.String() + `"}`)
+	reply.Body = []byte(`{"State":"` + item.State.String() + `"}`)
 }
 
 // isConfigured reports whether a queue is in the configuration.
@@ -83,20 +84,20 @@
 }
 
 // readConfig fills in the configuration's document, or 404 before the first configuration.
-func (m *Member) readConfig(out *protocol.ClientReply) {
+func (m *Member) readConfig(reply *protocol.ClientReply) {
 	table, err := m.derived.config.Table()
 	switch {
 	case err != nil:
-		m.failRead(out, "the configuration", err)
+		m.failRead(reply, "the configuration", err)
 	case table.Version == 0:
-		out.Status = http.StatusNotFound
+		reply.Status = http.StatusNotFound
 	default:
-		out.Body = table.Document()
+		reply.Body = table.Document()
 	}
 }
 
 // failRead fills in the reply to a read of an item that can't be decoded.
-func (m *Member) failRead(out *protocol.ClientReply, what string, err error) {
-	out.Status = http.StatusInternalServerError
-	m.event("State unreadable, a read fails", "what", what, "err", err)
+func (m *Member) failRead(reply *protocol.ClientReply, subject string, err error) {
+	reply.Status = http.StatusInternalServerError
+	m.event("State unreadable, a read fails", "what", subject, "err", err)
 }
--- a/internal/control/member/requests.go
+++ b/internal/control/member/requests.go
@@ -7,7 +7,7 @@
 	"frosttide/internal/view"
 )
 
-// isRead reports whether a request changes nothing and is answered by the tail.
+// isRead reports whether a request only reads replicated items, so that the tail answers it.
 func isRead(r *protocol.ClientRequest) bool {
 	switch r.GetOp().(type) {
 	case *protocol.ClientRequest_ReadState, *protocol.ClientRequest_ReadConfig, *protocol.ClientRequest_ReadPending:
@@ -17,8 +17,9 @@
 	}
 }
 
-// handleRequest handles an attempt of a client's request: reads at the tail, everything else at the head. Any other
-// member rejects the attempt and sends the client the view, by which it finds the right one.
+// handleRequest handles one attempt of a client's request and ignores a repeated one. The tail
+// answers reads, the head everything else. Any other member rejects the attempt and sends the
+// client the newest view, which names the head and the tail.
 func (m *Member) handleRequest(now time.Duration, from string, r *protocol.ClientRequest) {
 	if r.GetAttempt() > 0 && m.attempts.record(attempt{id: r.GetId(), number: r.GetAttempt()}) {
 		return
@@ -37,8 +38,8 @@
 	}
 }
 
-// evaluate handles a request at the head. Reads of the scheduler's state wait for the end of the turn, when all
-// of its decisions are appended.
+// evaluate handles a request at the head. Reads of the scheduler's state are deferred to the end of
+// the turn, when all decisions of the turn have been appended.
 func (m *Member) evaluate(from string, r *protocol.ClientRequest) {
 	if r.GetReadStatus() != nil {
 		m.statusReads = append(m.statusReads, statusRead{from: from, request: r})
@@ -47,11 +48,12 @@
 	m.scheduler.HandleRequest(from, r)
 }
 
-// reject answers that this member has not executed an attempt of a request and never will.
+// reject replies that this member has not executed an attempt of a request and never will.
 func (m *Member) reject(to string, id uint64, attempt uint32) {
 	m.sendReply(to, &protocol.ClientReply{Id: id, NotServing: true, Attempt: attempt})
 }
 
+// sendReply sends a reply to the client at an internal address.
 func (m *Member) sendReply(to string, r *protocol.ClientReply) {
 	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_ClientReply{ClientReply: r}})
 }
--- a/internal/control/member/statusreads.go
+++ b/internal/control/member/statusreads.go
@@ -8,21 +8,24 @@
 	"frosttide/internal/protocol"
 )
 
-// Topics of the placement role's state that protocol.ReadStatus.What can name. An empty one asks for its summary.
+// Values of protocol.ReadStatus.What, which selects the part of the scheduler's state to read. Any
+// other value, such as the empty string, selects the summary.
 const (
-	TopicJobs    = "jobs"
-	TopicJob     = "job"
-	TopicHistory = "history"
+	TopicJobs    = "jobs"    // list of jobs
+	TopicJob     = "job"     // the job that protocol.ReadStatus.Id names
+	TopicHistory = "history" // recent updates of the configuration
 )
 
-// statusRead is an operator's read of the placement role's state.
+// statusRead is an operator's read of the scheduler's state that waits for the end of the turn.
 type statusRead struct {
 	from    string
 	request *protocol.ClientRequest
 }
 
-// processStatusReads computes the replies to this turn's reads of the placement role's state. The replica releases
-// each of them once a majority has confirmed the epoch and everything that the reply shows is committed.
+// processStatusReads computes the replies to this turn's reads of the scheduler's state. The
+// replica releases each reply once a majority has confirmed the epoch and all entries that the
+// reply reflects are committed. If this member has stopped being able to append, the reads are
+// rejected.
 func (m *Member) processStatusReads(now time.Duration) {
 	reads := m.statusReads
 	m.statusReads = nil
@@ -35,7 +38,8 @@
 	}
 }
 
-// readStatus returns the reply to a read of the placement role's state, as JSON.
+// readStatus returns the reply to a read of the scheduler's state: 200 with JSON, 404 if there is
+// no such job, or 500 if the result cannot be encoded.
 func (m *Member) readStatus(r *protocol.ClientRequest) *protocol.ClientReply {
 	var result any
 	switch read := r.GetReadStatus(); read.GetWhat() {
