--- a/internal/control/member/member_fuzz_test.go
+++ b/internal/control/member/member_fuzz_test.go
@@ -8,7 +8,8 @@
 	"frosttide/internal/protocol/protocoltest"
 )
 
-// FuzzReceive checks that no message of another process brings a serving member down or changes its identity.
+// FuzzReceive checks that no message from another process makes a serving member panic or changes
+// its identity.
 func FuzzReceive(f *testing.F) {
 	protocoltest.Fuzz(f, []*protocol.Envelope{
 		{Body: &protocol.Envelope_Heartbeat{Heartbeat: &protocol.Heartbeat{Member: &protocol.Member{Id: 9, Address: "other"}, Epoch: 1}}},
@@ -29,7 +30,7 @@
 			completeTurn(m, now)
 		}
 		if m.Replica().Status().Self != 7 {
-			t.Error("the member's identity has changed")
+			t.Error("own ID after the message: got another, want 7")
 		}
 	})
 }
--- a/internal/control/member/member_test.go
+++ b/internal/control/member/member_test.go
@@ -11,11 +11,12 @@
 
 const (
 	tickInterval = 20 * time.Millisecond
-	// servingAt is the time at which newServingMember's member serves.
+	// servingAt is the time by which the member of newServingMember serves as the head.
 	servingAt = 2 * time.Second
 )
 
-// newServingMember returns the only member of a control plane, which serves as the head.
+// newServingMember returns the only member of a control plane at servingAt, when it serves as the
+// head.
 func newServingMember(t testing.TB) *Member {
 	t.Helper()
 	self := &protocol.Member{Id: 7, Number: 1, Address: "self", Control: "self"}
@@ -39,12 +40,13 @@
 		completeTurn(m, now)
 	}
 	if m.Scheduler() == nil {
-		t.Fatal("the member does not serve")
+		t.Fatal("got no scheduler at servingAt, want the member to serve as the head")
 	}
 	return m
 }
 
-// completeTurn carries out a turn on a disk that syncs at once and returns the messages that it sends.
+// completeTurn ends the turn, reports its writes as synced until none are left, and returns the
+// messages to send.
 func completeTurn(m *Member, now time.Duration) (sends []protocol.Outbound) {
 	for {
 		out := m.Turn(now)
--- a/internal/control/member/reads_bench_test.go
+++ b/internal/control/member/reads_bench_test.go
@@ -10,8 +10,8 @@
 	"frosttide/internal/protocol"
 )
 
-// BenchmarkReads reads a queue's count and the configuration with more and more jobs in the store: neither may
-// cost more.
+// BenchmarkReads measures reads of a queue's count of pending jobs and of the configuration with
+// 100 to 100,000 jobs in the store. The time of neither may grow with the number of jobs.
 func BenchmarkReads(b *testing.B) {
 	for _, count := range []int{100, 10_000, 100_000} {
 		m := newServingMember(b)
@@ -31,7 +31,7 @@
 	}
 }
 
-// submitJobs configures the queue q and submits jobs to it, a thousand a turn.
+// submitJobs configures the queue q and submits a number of jobs to it, 1000 in each turn.
 func submitJobs(m *Member, now time.Duration, count int) {
 	const config = `{"Version":1,"Routes":[{"Name":"q","Host":"h","PathPrefix":"/q/","TimeoutMs":1,"Service":"s"}],"Services":[{"Name":"s"}]}`
 	m.Receive(now, "c", clientRequest(&protocol.ClientRequest{
