--- a/internal/control/placement/fleet.go
+++ b/internal/control/placement/fleet.go
@@ -8,12 +8,12 @@
 	"frosttide/internal/bucket"
 )
 
-// Fleet is all runners of a system. It is not safe for concurrent use.
+// Fleet holds all known runners, by service. It is not safe for concurrent use.
 type Fleet struct {
-	runners map[string]*Runner      // by id
+	runners map[string]*Runner      // by ID
 	pools   map[string]*pool        // by service
-	bucket  *bucket.Bucket[*Runner] // the ring of free tokens of all runners
-	changes uint64
+	bucket  *bucket.Bucket[*Runner] // the ring of the free tokens of all runners
+	changes uint64                  // see Changes
 }
 
 // NewFleet returns a fleet without runners.
@@ -21,11 +21,11 @@
 	return &Fleet{runners: make(map[string]*Runner), pools: make(map[string]*pool), bucket: bucket.New[*Runner]()}
 }
 
-// Changes returns a number that rises with every change that may let a blocked task fit. While it stays the same, and
-// no time passes, nothing fits that did not fit.
+// Changes returns a number that increases with every change that may let a blocked task fit. While
+// it stays the same and no time passes, a task that did not fit still does not fit.
 func (f *Fleet) Changes() uint64 { return f.changes }
 
-// SetUsable sets whether a runner may be assigned tasks now.
+// SetUsable sets whether tasks may be assigned to a runner now.
 func (f *Fleet) SetUsable(r *Runner, usable bool) {
 	if r.Usable != usable {
 		f.update(r, func() { r.Usable = usable })
@@ -33,8 +33,8 @@
 	}
 }
 
-// Add returns the runner with an id, and adds it without capacity where it is not known. Runs may be reserved on it
-// before UpdateRunner sets its capacity.
+// Add returns the runner with an ID. If the ID is not known, it adds a runner without service and
+// capacity; runs may be reserved on it before UpdateRunner sets these.
 func (f *Fleet) Add(id string) *Runner {
 	if r := f.runners[id]; r != nil {
 		return r
@@ -44,7 +44,8 @@
 	return r
 }
 
-// UpdateRunner sets what a runner reports of itself: its service, its rack, its labels and its capacity.
+// UpdateRunner sets the properties that a runner reports. New capacity changes the number of the
+// runner's tokens and of those that its reservations hold.
 func (f *Fleet) UpdateRunner(r *Runner, service, rack string, labels []string, capacity Resources) {
 	if r.Service == service && r.Rack == rack && r.Capacity == capacity && slices.Equal(r.Labels, labels) {
 		return
@@ -64,7 +65,9 @@
 	})
 }
 
-// recountTokens gives the reservations of a runner the tokens that its new capacity says.
+// recountTokens adjusts the tokens that a runner's reservations hold to the runner's new token
+// limit. It proceeds in the order of the task names, which makes the order of the ring
+// reproducible.
 func (f *Fleet) recountTokens(r *Runner) {
 	for _, task := range slices.Sorted(maps.Keys(r.reservations)) {
 		reservation := r.reservations[task]
@@ -75,7 +78,7 @@
 	}
 }
 
-// Remove removes a runner with its free tokens. It does nothing where the id is not known.
+// Remove removes a runner and its free tokens. It does nothing if the ID is not known.
 func (f *Fleet) Remove(id string) {
 	r := f.runners[id]
 	if r == nil {
@@ -88,7 +91,8 @@
 	delete(f.runners, id)
 }
 
-// Reserve reserves resources of a runner for the run of a task. It does nothing where the task has a reservation there.
+// Reserve reserves resources of a runner for the run of a task, without checking that they are
+// free. It does nothing if the task already has a reservation on the runner.
 func (f *Fleet) Reserve(r *Runner, task string, demand Resources, group Group) {
 	if r.hasReservation(task) {
 		return
@@ -102,7 +106,8 @@
 	r.groups[group]++
 }
 
-// Release gives back what the run of a task has reserved. It does nothing where the task has no reservation there.
+// Release releases the resources that the run of a task has reserved on a runner. It does nothing
+// if there is no such reservation.
 func (f *Fleet) Release(r *Runner, task string) {
 	reservation, ok := r.reservations[task]
 	if !ok {
@@ -119,7 +124,7 @@
 	}
 }
 
-// RecordOutcome records for a runner's health how a run of a job's task ended there.
+// RecordOutcome updates a runner's health with the outcome of a run of a job's task.
 func (f *Fleet) RecordOutcome(r *Runner, job string, outcome Outcome, now time.Duration) {
 	f.changes++
 	f.update(r, func() { r.health.recordOutcome(job, outcome, now) })
--- a/internal/control/placement/gang.go
+++ b/internal/control/placement/gang.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// PickGang returns a runner for each task of a gang, nil where they do not all fit at once. The caller gives the tasks'
-// names and reserves the runners; PickGang leaves nothing reserved.
+// PickGang returns a runner for each named task of a gang, or nil if they do not all fit at the
+// same time. It leaves no reservation behind: the caller reserves the resources with Reserve.
 func (f *Fleet) PickGang(req *Request, tasks []string, now time.Duration) []*Runner {
 	if !f.fitsAll(req, len(tasks), now) {
 		return nil
@@ -24,9 +24,10 @@
 	return picked
 }
 
-// PickGangInRack is PickGang with all runners in one rack, that of the data if the gang fits there.
+// PickGangInRack is like PickGang, but returns runners that are all in the same rack. It prefers
+// the rack of the tasks' data.
 func (f *Fleet) PickGangInRack(req *Request, tasks []string, now time.Duration) []*Runner {
-	for _, rack := range f.racks(req) {
+	for _, rack := range f.racksByPreference(req) {
 		rackRequest := *req
 		rackRequest.Rack = rack
 		if picked := f.PickGang(&rackRequest, tasks, now); picked != nil {
@@ -36,8 +37,9 @@
 	return nil
 }
 
-// racks returns the racks of a service by name, but that of the data first.
-func (f *Fleet) racks(req *Request) (racks []string) {
+// racksByPreference returns the racks of the request's service, first the rack of the
+// data, then the others by name.
+func (f *Fleet) racksByPreference(req *Request) (racks []string) {
 	for _, r := range f.ServiceRunners(req.Service) {
 		if !slices.Contains(racks, r.Rack) {
 			racks = append(racks, r.Rack)
@@ -49,8 +51,9 @@
 	return racks
 }
 
-// fitsAll reports whether a number of tasks of a request fit at once. It is asked first as a trial with reservations
-// would change the order of the free tokens even where it fails.
+// fitsAll reports whether a number of tasks of a request fit at the same time. PickGang calls it
+// before it reserves anything, because reserving and releasing changes the order of the free tokens
+// even if the gang does not fit.
 func (f *Fleet) fitsAll(req *Request, count int, now time.Duration) bool {
 	p := f.pools[req.Service]
 	if p == nil {
--- a/internal/control/placement/pool.go
+++ b/internal/control/placement/pool.go
@@ -2,27 +2,29 @@
 
 import "slices"
 
-// pool is the runners of a service. Beside them it keeps what every choice asks for, so that the cost of a choice
-// depends on the runners that have capacity free, not on all.
+// pool holds the runners of a service. It also keeps the totals and the available runners up to
+// date, so that the cost of a choice depends on the number of runners with free tokens, not on the
+// number of all runners, unless one of them is degraded.
 type pool struct {
-	all       []*Runner
-	available []*Runner // usable, with free tokens; in no order
-	free      Resources // of the usable ones together
-	degraded  int       // runners whose newest outcomes speak against them
+	runners   []*Runner
+	available []*Runner // usable runners with free tokens, in no particular order
+	free      Resources // sum over the usable runners
+	degraded  int       // number of degraded runners, see health.degraded
 }
 
-// notAvailable is the availableIndex of a runner that is not among the available ones of its pool.
+// notAvailable is the availableIndex of a runner that is not in pool.available.
 const notAvailable = -1
 
-// update applies a change to a runner and keeps the totals of its pool. Whatever the totals are made of changes only
-// here.
+// update applies a change to a runner and updates the totals of its pool. Every change of a value
+// that the totals are computed from must go through it.
 func (f *Fleet) update(r *Runner, mutate func()) {
 	f.removeFromTotals(r)
 	mutate()
 	f.addToTotals(r)
 }
 
-// removeFromTotals takes a runner out of the totals of its pool.
+// removeFromTotals subtracts a runner from the totals of its pool and removes it from the available
+// runners.
 func (f *Fleet) removeFromTotals(r *Runner) {
 	p := f.pools[r.Service]
 	if p == nil {
@@ -43,7 +45,8 @@
 	r.availableIndex = notAvailable
 }
 
-// addToTotals adds a runner to the totals of its pool.
+// addToTotals adds a runner to the totals of its pool and, if it has free tokens, to the available
+// runners.
 func (f *Fleet) addToTotals(r *Runner) {
 	p := f.pools[r.Service]
 	if p == nil {
@@ -61,38 +64,40 @@
 	}
 }
 
-// addToPool adds a runner to the pool of a service, and sets its service.
+// addToPool adds a runner to the pool of a service, which it creates if needed, and sets the
+// runner's service.
 func (f *Fleet) addToPool(r *Runner, service string) {
 	p := f.pools[service]
 	if p == nil {
 		p = &pool{}
 		f.pools[service] = p
 	}
-	p.all = append(p.all, r)
+	p.runners = append(p.runners, r)
 	r.Service = service
 }
 
-// removeFromPool removes a runner from the pool of its service, and the pool with its last runner.
+// removeFromPool removes a runner from the pool of its service, and the pool once it is empty.
 func (f *Fleet) removeFromPool(r *Runner) {
 	p := f.pools[r.Service]
 	if p == nil {
 		return
 	}
-	p.all = slices.DeleteFunc(p.all, func(o *Runner) bool { return o == r })
-	if len(p.all) == 0 {
+	p.runners = slices.DeleteFunc(p.runners, func(o *Runner) bool { return o == r })
+	if len(p.runners) == 0 {
 		delete(f.pools, r.Service)
 	}
 }
 
-// ServiceRunners returns the runners of a service; callers only read the slice.
+// ServiceRunners returns the runners of a service, usable or not. The caller must not modify the
+// slice.
 func (f *Fleet) ServiceRunners(service string) []*Runner {
 	if p := f.pools[service]; p != nil {
-		return p.all
+		return p.runners
 	}
 	return nil
 }
 
-// FreeCapacity returns what the usable runners of a service have free together.
+// FreeCapacity returns the total free capacity of the usable runners of a service.
 func (f *Fleet) FreeCapacity(service string) Resources {
 	if p := f.pools[service]; p != nil {
 		return p.free
@@ -100,7 +105,8 @@
 	return Resources{}
 }
 
-// MaxFree returns, of each resource by itself, the most that one available runner of a service has free.
+// MaxFree returns for each resource separately the most that any single runner of a service has
+// free. It considers the usable runners with free tokens.
 func (f *Fleet) MaxFree(service string) (largest Resources) {
 	p := f.pools[service]
 	if p == nil {
@@ -112,12 +118,13 @@
 	return largest
 }
 
-// HasEligibleRunner reports whether a usable runner of a rack could take a task if nothing else ran on it.
+// HasEligibleRunner reports whether a usable runner of a rack could take a task if it had no runs.
 func (f *Fleet) HasEligibleRunner(req *Request, rack string) bool {
 	return slices.ContainsFunc(f.ServiceRunners(req.Service), func(r *Runner) bool { return r.Usable && r.Rack == rack && r.eligible(req) })
 }
 
-// AnyDegraded reports whether the newest outcomes speak against some runner of a service.
+// AnyDegraded reports whether a runner of a service is degraded: its newest outcome was a failure,
+// or it is on probation.
 func (f *Fleet) AnyDegraded(service string) bool {
 	p := f.pools[service]
 	return p != nil && p.degraded > 0
--- a/internal/control/placement/pool_test.go
+++ b/internal/control/placement/pool_test.go
@@ -22,7 +22,7 @@
 			p = &pool{}
 			pools[r.Service] = p
 		}
-		p.all = append(p.all, r)
+		p.runners = append(p.runners, r)
 		if r.Usable {
 			p.free = p.free.Plus(r.Free())
 		}
@@ -35,7 +35,7 @@
 	}
 	require.Len(t, f.pools, len(pools))
 	for service, expected := range pools {
-		require.ElementsMatch(t, expected.all, f.ServiceRunners(service))
+		require.ElementsMatch(t, expected.runners, f.ServiceRunners(service))
 		require.ElementsMatch(t, expected.available, f.pools[service].available)
 		require.Equal(t, expected.free, f.FreeCapacity(service))
 		require.Equal(t, expected.degraded > 0, f.AnyDegraded(service))
--- a/internal/control/placement/rank.go
+++ b/internal/control/placement/rank.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// candidateRank orders the runners that fit a request; the first field that differs decides, and false or less is
-// better.
+// candidateRank orders the runners that fit a request. The first field that differs decides; false
+// is better than true and the smaller number better than the greater.
 type candidateRank struct {
-	avoided        bool // it failed this very task last
-	ejected        bool // it fails what it is given
-	risky          bool // its newest run failed, and the task has no further attempt
-	remote         bool // the data lies in another rack
-	recentlyFailed bool // its newest run failed
+	avoided        bool // the task last failed on this runner
+	ejected        bool // see health.ejected; matters only where ejection is not enforced
+	risky          bool // recentlyFailed, and this is the last attempt of the task
+	remote         bool // the task's data is in another rack
+	recentlyFailed bool // see health.recentlyFailed
 	fragmentation  int  // see Runner.fragmentation
 }
 
-// rank returns the rank of the runner for a request.
+// rank returns the rank of the runner for a request at a time.
 func (r *Runner) rank(req *Request, now time.Duration) candidateRank {
 	recentlyFailed := r.health.recentlyFailed(now)
 	return candidateRank{
@@ -29,8 +29,8 @@
 	}
 }
 
-// fragmentation returns 1 where a task with GPUs would break up a runner whose GPUs are all free, and 0 otherwise.
-// Runners whose GPUs are all free are kept for tasks that ask for all of them.
+// fragmentation returns 1 if the task needs some but not all GPUs of a runner whose GPUs are all
+// free, and 0 otherwise. It keeps such runners whole for tasks that need all GPUs of a runner.
 func (r *Runner) fragmentation(req *Request) int {
 	if req.Demand.GPUs == 0 || req.Demand.GPUs == r.Capacity.GPUs || r.used.GPUs > 0 {
 		return 0
@@ -38,7 +38,8 @@
 	return 1
 }
 
-// compare is negative where c is the better rank.
+// compare returns a negative number if c is better than o, 0 if they are equal and a positive one
+// if c is worse.
 func (c candidateRank) compare(o candidateRank) int {
 	return cmp.Or(
 		compareBool(c.avoided, o.avoided),
@@ -50,7 +51,7 @@
 	)
 }
 
-// compareBool orders false before true.
+// compareBool compares two values as cmp.Compare does, with false less than true.
 func compareBool(a, b bool) int {
 	switch {
 	case a == b:
@@ -62,8 +63,8 @@
 	}
 }
 
-// Pick returns the runner that a task goes to, nil where none is feasible: the best by rank, and of equal ones the one
-// with the token that has been free longest.
+// Pick returns the best feasible runner for a task, or nil if no runner is feasible. Among runners
+// of equal rank it returns the one with the token that has been free longest. It reserves nothing.
 func (f *Fleet) Pick(req *Request, now time.Duration) *Runner {
 	p := f.pools[req.Service]
 	if p == nil {
--- a/internal/control/placement/runner.go
+++ b/internal/control/placement/runner.go
@@ -6,32 +6,34 @@
 	"frosttide/internal/bucket"
 )
 
-// Group names the tasks that anti-affinity keeps apart: those of one step of one occurrence of a job.
+// Group identifies the tasks that anti-affinity spreads over runners: those of one step in one
+// occurrence of a job.
 type Group struct {
 	Job              string
 	Occurrence, Step int
 }
 
-// Reservation is what a run has of its runner until its end is known.
+// Reservation holds the resources that a run occupies on its runner until its end is known.
 type Reservation struct {
 	Demand Resources
 	Group  Group
-	tokens int
+	tokens int // of the runner
 }
 
-// Runner is a runner process as placement sees it. Its exported fields are changed by Fleet only.
+// Runner is the state of a runner process that placement depends on. Only Fleet changes its
+// exported fields.
 type Runner struct {
-	// What its agent reports.
+	// Reported by its agent.
 	ID       string
 	Service  string
-	Rack     string // the label that names its rack, empty where it has none
+	Rack     string // label that names its rack; empty if it has none
 	Labels   []string
 	Capacity Resources
 
-	Usable bool // it may be assigned tasks now
+	Usable bool // tasks may be assigned to it now
 
-	// What its runs have.
-	reservations map[string]Reservation // by the task's name
+	// Reserved by its runs.
+	reservations map[string]Reservation // by task name
 	groups       map[Group]int          // number of reservations by group
 	used         Resources              // sum of the reservations
 	tokens       bucket.Account[*Runner]
@@ -40,40 +42,42 @@
 	availableIndex int // in pool.available, or notAvailable
 }
 
-// Used returns the sum of what runs have reserved.
+// Used returns the resources that runs have reserved on the runner.
 func (r *Runner) Used() Resources { return r.used }
 
-// Free returns the capacity that no run has reserved. It is negative in a resource where an earlier head started more
-// than the capacity that the runner reports now.
+// Free returns the capacity that no run has reserved. A resource is negative if the runs that were
+// started need more of it than the capacity that the runner reports now, for example runs that an
+// earlier head started.
 func (r *Runner) Free() Resources { return r.Capacity.Minus(r.used) }
 
-// ReservationCount returns how many runs have a reservation.
+// ReservationCount returns the number of runs that have a reservation on the runner.
 func (r *Runner) ReservationCount() int { return len(r.reservations) }
 
-// hasReservation reports whether the run of a task has a reservation.
+// hasReservation reports whether a run of a task has a reservation on the runner.
 func (r *Runner) hasReservation(task string) bool {
 	_, ok := r.reservations[task]
 	return ok
 }
 
-// Ejected reports whether the runner is ejected as an outlier: it fails what it is given.
+// Ejected reports whether the runner is ejected as an outlier because its recent runs failed.
 func (r *Runner) Ejected(now time.Duration) bool { return r.health.ejected(now) }
 
 const (
-	// tokenCPU is the processor time that a token stands for, in thousandths of a core. It is below what the smallest
-	// tasks ask for, so that rounding wastes nothing.
+	// tokenCPU is the amount of CPU that a token stands for, in thousandths of a core. It is less
+	// than the smallest tasks ask for, so that rounding wastes nothing.
 	tokenCPU = 50
-	// minTokens and maxTokens bound the tokens of a runner.
+	// minTokens and maxTokens bound the number of tokens of a runner.
 	minTokens = 8
 	maxTokens = 4096
 )
 
-// tokensOf returns how many tokens a runner of a given capacity has.
+// tokensOf returns the number of tokens of a runner with a given capacity.
 func tokensOf(c Resources) int { return int(min(max(c.CPU/tokenCPU, minTokens), maxTokens)) }
 
-// tokensFor returns how many of the runner's tokens a demand takes, by its processor time, rounded down. Memory and
-// GPUs are accounted for exactly beside the tokens: counted in tokens too, tasks that ask for much of one resource and
-// tasks that ask for much of another would keep each other out of a runner that has both.
+// tokensFor returns how many of the runner's tokens a demand takes: at least 1, otherwise by its
+// CPU demand, rounded down, and at most all. Memory and GPUs are accounted for separately and
+// exactly. If tokens counted them too, a task that needs much of one resource and a task that needs
+// much of another would keep each other off a runner that has enough of both.
 func (r *Runner) tokensFor(demand Resources) int {
 	return min(max(1, int(demand.CPU/tokenCPU)), max(1, r.tokens.Limit))
 }
