--- a/internal/control/placement/explain.go
+++ b/internal/control/placement/explain.go
@@ -47,7 +47,7 @@
 	return o
 }
 
-// String returns the obstacles in one line for operators.
+// String returns the obstacles in one line, for the log and for operators.
 func (o Obstacles) String() string {
 	return fmt.Sprintf("of %d runners %d are unusable, %d lack the label, %d are too small, %d hold as many of the step as they may, %d are full, %d are suspect, %d have room; largest free: %d thousandths of a core, %d MB, %d GPUs",
 		o.Runners, o.Unusable, o.Label, o.TooSmall, o.AntiAffinity, o.Full, o.Ejected, o.Fitting, o.LargestFree.CPU, o.LargestFree.MemMB, o.LargestFree.GPUs)
--- a/internal/control/placement/headroom_test.go
+++ b/internal/control/placement/headroom_test.go
@@ -6,6 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestHeadroom checks that only work of less urgent priorities leaves headroom, and that the
+// headroom decays to about 1/e after headroomDecay.
 func TestHeadroom(t *testing.T) {
 	h := NewHeadroom()
 	h.Observe(0, Resources{CPU: 4000}, Resources{CPU: 6000}, 0)
--- a/internal/control/placement/pool_test.go
+++ b/internal/control/placement/pool_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requirePoolTotals compares the pools with sums over the runners.
+// requirePoolTotals checks that the totals of all pools equal those computed from the runners.
 func requirePoolTotals(t *testing.T, f *Fleet) {
 	t.Helper()
 	pools := make(map[string]*pool)
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestPoolTotalsMatchRunners checks the pools after each of many random changes of runners and reservations.
+// TestPoolTotalsMatchRunners applies random changes of runners and reservations, and checks the
+// totals of the pools after each change.
 func TestPoolTotalsMatchRunners(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 2))
--- a/internal/control/placement/rank_test.go
+++ b/internal/control/placement/rank_test.go
@@ -7,7 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestLongestFreeFirst checks that of equal runners the one is picked whose token has been free longest.
+// TestLongestFreeFirst checks that Pick chooses, among runners of equal rank, the runner whose
+// token has been free longest.
 func TestLongestFreeFirst(t *testing.T) {
 	f := newTestFleet(t, 3, bigRunner)
 	demand := taskRequest(1000).Demand
@@ -18,19 +19,22 @@
 		f.Reserve(r, fmt.Sprint("t", i), demand, Group{})
 		f.Release(r, fmt.Sprint("t", i))
 	}
-	// The oldest token of r0 is older than what was released, and than the tokens of the others.
+	// In the ring, the oldest token of r0 precedes the released tokens and those of the other
+	// runners.
 	require.Equal(t, []string{"r0", "r0", "r0", "r0", "r0", "r0"}, order)
 	for i := range 16 {
 		f.Reserve(f.runners["r0"], fmt.Sprint("x", i), demand, Group{})
 	}
-	require.Equal(t, "r1", f.Pick(taskRequest(1000), 0).ID, "the first is full")
+	require.Equal(t, "r1", f.Pick(taskRequest(1000), 0).ID, "runner picked while r0 is full")
 	for i := range 16 {
 		f.Release(f.runners["r0"], fmt.Sprint("x", i))
 	}
-	require.Equal(t, "r1", f.Pick(taskRequest(1000), 0).ID, "what was released lies at the end of the ring")
+	require.Equal(t, "r1", f.Pick(taskRequest(1000), 0).ID, "runner picked after all of r0's tokens have been released, which puts them at the end of the ring")
 }
 
-func TestCompatible(t *testing.T) {
+// TestPickConstraints checks which runner, if any, Pick returns for requests with different
+// constraints and preferences.
+func TestPickConstraints(t *testing.T) {
 	f := newTestFleet(t, 4, bigRunner)
 	for _, tc := range []struct {
 		name string
@@ -39,7 +43,7 @@
 	}{
 		{"label", taskRequest(100, func(r *Request) { r.Requirement = "b" }), "r1"},
 		{"rack of the data", taskRequest(100, func(r *Request) { r.Affinity = "rack1" }), "r2"},
-		{"too much processor time", taskRequest(17000), ""},
+		{"too much CPU", taskRequest(17000), ""},
 		{"no GPU", taskRequest(100, func(r *Request) { r.Demand.GPUs = 1 }), ""},
 		{"unknown service", &Request{Service: "none"}, ""},
 	} {
@@ -54,6 +58,8 @@
 	}
 }
 
+// TestAntiAffinity checks that a runner gets no more tasks of a group than the request's limit, and
+// that Explain counts the runners that are excluded for it.
 func TestAntiAffinity(t *testing.T) {
 	f := newTestFleet(t, 4, bigRunner)
 	req := taskRequest(100, func(r *Request) { r.AntiAffinity, r.Group = 1, Group{Job: "j"} })
@@ -64,12 +70,14 @@
 		used[r.ID] = true
 		f.Reserve(r, fmt.Sprint(i), req.Demand, req.Group)
 	}
-	require.Nil(t, f.Pick(req, 0), "each has one task of the group")
+	require.Nil(t, f.Pick(req, 0), "runner picked with one task of the group on each, want nil")
 	require.Equal(t, 4, f.Explain(req, 0).AntiAffinity)
 	f.SetUsable(f.runners["r0"], false)
 	require.Equal(t, 1, f.Explain(req, 0).Unusable)
 }
 
+// TestSmallTasksAvoidFragmentation checks that tasks that need one GPU share a runner, which keeps
+// the GPUs of the others free for a task that needs all eight.
 func TestSmallTasksAvoidFragmentation(t *testing.T) {
 	f := newTestFleet(t, 3, Resources{CPU: 32000, MemMB: 100000, GPUs: 8})
 	one := &Request{Service: "svc", Demand: Resources{CPU: 2800, MemMB: 8000, GPUs: 1}}
