--- a/internal/control/placement/pool_test.go
+++ b/internal/control/placement/pool_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// requirePoolTotals compares the pools with sums over the runners.
+// requirePoolTotals checks that the totals of all pools equal those computed from the runners.
 func requirePoolTotals(t *testing.T, f *Fleet) {
 	t.Helper()
 	pools := make(map[string]*pool)
@@ -22,7 +22,7 @@
 			p = &pool{}
 			pools[r.Service] = p
 		}
-		p.all = append(p.all, r)
+		p.runners = append(p.runners, r)
 		if r.Usable {
 			p.free = p.free.Plus(r.Free())
 		}
@@ -35,7 +35,7 @@
 	}
 	require.Len(t, f.pools, len(pools))
 	for service, expected := range pools {
-		require.ElementsMatch(t, expected.all, f.ServiceRunners(service))
+		require.ElementsMatch(t, expected.runners, f.ServiceRunners(service))
 		require.ElementsMatch(t, expected.available, f.pools[service].available)
 		require.Equal(t, expected.free, f.FreeCapacity(service))
 		require.Equal(t, expected.degraded > 0, f.AnyDegraded(service))
@@ -43,7 +43,8 @@
 	}
 }
 
-// TestPoolTotalsMatchRunners checks the pools after each of many random changes of runners and reservations.
+// TestPoolTotalsMatchRunners applies random changes of runners and reservations, and checks the
+// totals of the pools after each change.
 func TestPoolTotalsMatchRunners(t *testing.T) {
 	for seed := range uint64(60) {
 		rng := rand.New(rand.NewPCG(seed, 2))
