--- a/internal/control/jobs/validate.go
+++ b/internal/control/jobs/validate.go
@@ -7,24 +7,25 @@
 	"frosttide/internal/protocol"
 )
 
-// The bounds of a job.
+// Limits of a submission.
 const (
 	maxSpecLength  = 4000 // characters
 	maxStages      = 100
-	maxTasks       = 10_000 // of a stage
+	maxTasks       = 10_000 // per stage
 	maxOccurrences = 100_000
 )
 
-// idLength is the length of a job's ID in hex digits.
+// idLength is the length of a job ID in hex digits.
 const idLength = 16
 
-// ValidationError is why a submission is not valid. Its text is for the client that submitted it.
+// ValidationError explains why a submission is invalid. Its text is returned to the client that
+// submitted the job.
 type ValidationError struct {
-	Fields  string // of the submission, empty for its ID
+	Fields  string // invalid fields of the submission; empty for the job ID
 	Problem string
 }
 
-// Error returns the fields and the problem in one line.
+// Error returns the fields, if any, and the problem on one line.
 func (e *ValidationError) Error() string {
 	if e.Fields == "" {
 		return e.Problem
@@ -32,25 +33,26 @@
 	return e.Fields + ": " + e.Problem
 }
 
-// invalid returns a *ValidationError.
+// invalid returns a *ValidationError with a formatted problem.
 func invalid(fields, format string, args ...any) error {
 	return &ValidationError{Fields: fields, Problem: fmt.Sprintf(format, args...)}
 }
 
-// Validate returns a *ValidationError where a submission can't be accepted, nil otherwise. What is valid can be encoded
-// and its stages have no cycle, as each depends on earlier ones only.
+// Validate returns a *ValidationError if a submission is invalid, and nil otherwise. A valid
+// submission can be encoded, and its stages form no cycle because each depends only on earlier
+// ones.
 func Validate(s *protocol.Submit) error {
 	switch {
 	case !validID(s.GetId()):
 		return invalid("", "the job's ID is not %d hex digits", idLength)
 	case !utf8.ValidString(s.GetSpec()) || utf8.RuneCountInString(s.GetSpec()) > maxSpecLength:
-		return invalid("Spec", "it is longer than %d characters or no text", maxSpecLength)
+		return invalid("Spec", "longer than %d characters or not valid UTF-8", maxSpecLength)
 	case len(s.GetStages()) == 0 || len(s.GetStages()) > maxStages:
 		return invalid("Stages", "there are %d, 1 to %d are taken", len(s.GetStages()), maxStages)
 	case s.GetMaxRuns() > maxOccurrences:
 		return invalid("MaxRuns", "%d is more than %d", s.GetMaxRuns(), maxOccurrences)
 	case s.GetIntervalMs() < 0 || s.GetStartAtMs() < 0:
-		return invalid("StartAtMs, IntervalMs", "they are below 0")
+		return invalid("StartAtMs, IntervalMs", "must not be negative")
 	}
 	for i, stage := range s.GetStages() {
 		if err := validateStage(i, stage); err != nil {
@@ -60,26 +62,26 @@
 	return nil
 }
 
-// validateStage validates the stage of a number.
+// validateStage validates one stage; number is its index.
 func validateStage(number int, s *protocol.Stage) error {
-	in := func(fields string) string { return fmt.Sprintf("Stages[%d].%s", number, fields) }
+	field := func(names string) string { return fmt.Sprintf("Stages[%d].%s", number, names) }
 	switch {
 	case s.GetCount() == 0 || s.GetCount() > maxTasks:
-		return invalid(in("Count"), "%d is not 1 to %d", s.GetCount(), maxTasks)
+		return invalid(field("Count"), "%d is not 1 to %d", s.GetCount(), maxTasks)
 	case s.GetCpu() < 0 || s.GetMemMb() < 0 || s.GetGpus() < 0 || s.GetEstimateMs() < 0:
-		return invalid(in("Cpu, MemMb, Gpus, EstimateMs"), "one is below 0")
+		return invalid(field("Cpu, MemMb, Gpus, EstimateMs"), "must not be negative")
 	case !utf8.ValidString(s.GetRequirements()) || !utf8.ValidString(s.GetAffinity()):
-		return invalid(in("Requirements, Affinity"), "one is no text")
+		return invalid(field("Requirements, Affinity"), "must be valid UTF-8")
 	}
 	for _, d := range s.GetDependsOn() {
 		if int(d) >= number {
-			return invalid(in("DependsOn"), "step %d is not an earlier one", d)
+			return invalid(field("DependsOn"), "step %d is not an earlier one", d)
 		}
 	}
 	return nil
 }
 
-// validID reports whether a text is a job's ID.
+// validID reports whether id has the form of a job ID.
 func validID(id string) bool {
 	if len(id) != idLength {
 		return false
