--- a/internal/control/jobs/job.go
+++ b/internal/control/jobs/job.go
@@ -7,7 +7,8 @@
 	"frosttide/internal/protocol"
 )
 
-// State is a job's state as clients see it. Its values are stored.
+// State is the state of a job as reported to clients. Its numeric values are stored and must not
+// change.
 type State uint32
 
 // The states of a job. Completed, Failed and Canceled are final.
@@ -19,7 +20,7 @@
 	Canceled
 )
 
-// String returns the state as clients read it.
+// String returns the name of the state in replies to clients.
 func (s State) String() string {
 	switch s {
 	case Pending:
@@ -37,65 +38,66 @@
 	}
 }
 
-// Final reports whether a job in the state starts nothing more.
+// Final reports whether the job has ended. No run of a job in a final state is started.
 func (s State) Final() bool { return s >= Completed }
 
-// Phase is how far a task has got. Its values are stored.
+// Phase is the progress of a task. Its numeric values are stored and must not change.
 type Phase uint32
 
 // The phases of a task.
 const (
-	Waiting  Phase = iota // no run of it is under way
-	Live                  // a run of it may be under way
-	Done                  // it is done
-	DoneLive              // it is done by another member of its gang; its own run is not known to have ended
+	Waiting  Phase = iota // no run is in progress
+	Live                  // a run may be in progress
+	Done                  // done, and no run is in progress
+	DoneLive              // done by another gang member; the end of its own run is not known yet
 )
 
-// EndReason is why a run ended, in the words of the runners' protocol.
+// EndReason is the reason why a run ended, as the protocol with the runners spells it.
 type EndReason string
 
-// The reasons that runners report, and EndLost, which the head records for a run whose runner surely runs nothing any
-// more.
+// The reasons that runners report. EndLost is the exception: the head records it once the runner
+// can no longer be executing the run.
 const (
 	EndDone    EndReason = "done"
 	EndFailed  EndReason = "failed"
 	EndStopped EndReason = "stopped"
 	EndLapsed  EndReason = "lapsed"  // the runner's lease expired
-	EndBroken  EndReason = "broken"  // the runner stopped it as its gang had lost a member
-	EndAlone   EndReason = "alone"   // the runner stopped it as it did not meet its gang
-	EndRefused EndReason = "refused" // the runner never started it
+	EndBroken  EndReason = "broken"  // stopped by the runner because the gang lost a member
+	EndAlone   EndReason = "alone"   // stopped by the runner because the gang did not assemble
+	EndRefused EndReason = "refused" // rejected by the runner and never started
 	EndLost    EndReason = "lost"
 )
 
-// Job is a job that has been accepted.
+// Job is an accepted job with the progress of its occurrences.
 type Job struct {
-	// What its client submitted. Stages and Spec are forgotten once the job and all of its runs have ended.
+	// The client's submission. Stages and Spec are cleared once the job and all its runs have
+	// ended.
 	ID              string
 	Queue           string
 	Spec            string
 	Stages          []*protocol.Stage
-	OccurrenceCount int // how many times its stages run
-	StartAtMs       int64
-	IntervalMs      int64
-	ContentDigest   []byte // of all that the client sent
+	OccurrenceCount int    // how many times the stages run
+	StartAtMs       int64  // time of day of the first occurrence; 0 means at once
+	IntervalMs      int64  // between consecutive occurrences
+	ContentDigest   []byte // see contentDigest; empty if an earlier version accepted the job
 
-	// Its acceptance.
+	// Set on acceptance.
 	Service    string
-	Sequence   uint64 // order of acceptance
-	AcceptedMs int64
+	Sequence   uint64 // position in the order of acceptance
+	AcceptedMs int64  // time of day
 
 	State   State
-	EndedMs int64
+	EndedMs int64 // time of day; 0 while the job has not ended
 
-	occurrences         []*Occurrence // that have been released, by number
-	finishedOccurrences int           // of which all steps are done
-	liveRuns            int           // that may be under way
+	occurrences         []*Occurrence // released occurrences, indexed by number
+	finishedOccurrences int           // occurrences with all steps done
+	liveRuns            int           // tasks in phase Live or DoneLive
 }
 
-// String returns the state of the job and its steps, for traces of simulations.
+// String returns the state of the job and its steps on one line, for traces of simulations.
 func (j *Job) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "job %s of %s: %s, %d of %d times due, %d finished, %d runs may be under way",
+	fmt.Fprintf(&b, "job %s of %s: %s, %d of %d occurrences released, %d finished, %d runs may be in progress",
 		j.ID, j.Queue, j.State, len(j.occurrences), j.OccurrenceCount, j.finishedOccurrences, j.liveRuns)
 	j.EachStep(func(s *Step) {
 		fmt.Fprintf(&b, "; %d.%d: %d waiting, %d done of %d", s.Occurrence.Number, s.Number, s.Waiting, s.doneTasks, len(s.Tasks))
@@ -103,10 +105,11 @@
 	return b.String()
 }
 
-// LiveRuns returns how many of the job's runs may be under way.
+// LiveRuns returns the number of the job's runs that may be in progress.
 func (j *Job) LiveRuns() int { return j.liveRuns }
 
-// LongRunning reports whether the job runs until it is canceled.
+// LongRunning reports whether the job has a long-running stage, whose tasks are restarted until the
+// job is canceled.
 func (j *Job) LongRunning() bool {
 	for _, s := range j.Stages {
 		if s.GetLongRunning() {
@@ -116,7 +119,8 @@
 	return false
 }
 
-// ScheduledMs returns the scheduled time of an occurrence by its number, as a time of day in ms; 0 is at once.
+// ScheduledMs returns the scheduled time of the occurrence with the given number, as a time of day
+// in ms. 0 means at once.
 func (j *Job) ScheduledMs(number int) int64 {
 	if j.StartAtMs == 0 && j.IntervalMs == 0 {
 		return 0
@@ -124,7 +128,7 @@
 	return j.StartAtMs + int64(number)*j.IntervalMs
 }
 
-// EachStep calls visit with the steps of the occurrences that have been released.
+// EachStep calls visit for every step of the released occurrences, ordered by occurrence and stage.
 func (j *Job) EachStep(visit func(*Step)) {
 	for _, o := range j.occurrences {
 		for _, s := range o.Steps {
@@ -133,43 +137,44 @@
 	}
 }
 
-// Occurrence is one of the times that a job's stages run.
+// Occurrence is one execution of all stages of a job.
 type Occurrence struct {
 	Job       *Job
-	Number    int // from 0
-	Steps     []*Step
-	doneSteps int
+	Number    int     // counted from 0
+	Steps     []*Step // indexed by stage
+	doneSteps int     // kept by countDone
 }
 
-// Step is a stage of one occurrence of a job.
+// Step is the execution of one stage in one occurrence.
 type Step struct {
 	Job        *Job
 	Occurrence *Occurrence
-	Number     int // of its stage, from 0
+	Number     int // index of the stage
 	Stage      *protocol.Stage
 	Tasks      []Task
 
-	// Counts of its tasks by phase, kept by setPhase.
+	// Numbers of tasks by phase, kept by setPhase.
 	Waiting   int // in phase Waiting
 	doneTasks int // in phase Done or DoneLive
 
-	// Of a gang, whose members share the numbers of their runs.
-	maxRun        uint32 // highest run
-	gangFailures  int    // runs that had a failed member
-	lastFailedRun uint32 // the newest of these
+	// Used for gangs, whose members share run numbers.
+	maxRun        uint32 // highest run number of any task
+	gangFailures  int    // number of gang runs in which a member failed
+	lastFailedRun uint32 // number of the newest of these runs
 }
 
-// Task is a task of a step.
+// Task is one task of a step with the state of its newest run.
 type Task struct {
 	Phase      Phase
-	Run        uint32 // number of its newest run, 0 where it has not been started
-	Runner     string // of that run
-	Failures   int
-	Checkpoint string // the newest that a run has saved
-	LastFailed string // runner of its newest failure
+	Run        uint32 // number of the newest run; 0 if the task has never been started
+	Runner     string // ID of the runner of that run
+	Failures   int    // number of failed runs
+	Checkpoint string // newest checkpoint that a run has saved; empty if none
+	LastFailed string // ID of the runner of the newest failed run; empty if none
 }
 
-// Ready reports whether the step's tasks may be started: all steps that it depends on are done.
+// Ready reports whether tasks of the step may be started: the job has not ended, and all steps that
+// this one depends on are done.
 func (s *Step) Ready() bool {
 	if s.Job.State.Final() {
 		return false
@@ -185,7 +190,8 @@
 // done reports whether all tasks of the step are done.
 func (s *Step) done() bool { return s.doneTasks == len(s.Tasks) }
 
-// NextRun returns the number of a task's next run; the members of a gang share it.
+// NextRun returns the number for the next run of the task with the given index. All members of a
+// gang share the number.
 func (s *Step) NextRun(index int) uint32 {
 	if s.Stage.GetGang() {
 		return s.maxRun + 1
@@ -193,7 +199,8 @@
 	return s.Tasks[index].Run + 1
 }
 
-// Failures returns how many runs of a task have failed; of a member of a gang, how many of the gang.
+// Failures returns the number of failed runs of the task with the given index. For a member of a
+// gang it is at least the number of gang runs in which any member failed.
 func (s *Step) Failures(index int) int {
 	if s.Stage.GetGang() {
 		return max(s.gangFailures, s.Tasks[index].Failures)
@@ -201,10 +208,12 @@
 	return s.Tasks[index].Failures
 }
 
-// GangIdle reports whether a gang may be started: no run of a member may be under way.
+// GangIdle reports whether the gang can be started: all of its members wait, so none of their runs
+// can be in progress.
 func (s *Step) GangIdle() bool { return s.Waiting == len(s.Tasks) }
 
-// GangCheckpoint returns the newest checkpoint of a gang's members, which every member may start from.
+// GangCheckpoint returns the newest checkpoint that any member of the gang has saved, or "" if
+// there is none. Every member can resume from it.
 func (s *Step) GangCheckpoint() string {
 	checkpoint, run := "", uint32(0)
 	for i := range s.Tasks {
--- a/internal/control/jobs/load.go
+++ b/internal/control/jobs/load.go
@@ -14,8 +14,9 @@
 	"frosttide/internal/protocol"
 )
 
-// Load returns the table that a store holds. The error is that of records that can't be decoded. Steps that are ready
-// and runs that are to be stopped are among the first output, but nothing is to be written.
+// Load builds the table from the records in a store. It returns an error if a record can't be
+// decoded. Ready steps and runs that have to be stopped are in the first output of TakeReady and
+// TakeStops; there is nothing to write.
 func Load(state *store.Store) (*Table, error) {
 	t := NewTable()
 	var err error
@@ -48,7 +49,8 @@
 	return t, nil
 }
 
-// loadStatuses sets the states of jobs. Of a job that has ended and runs nothing only the state is stored.
+// loadStatuses sets the states of the jobs. It adds a job for a status without a job record: the
+// status is all that is stored of a job that has ended and has no runs left.
 func (t *Table) loadStatuses(statuses map[string]*protocol.StatusRecord) {
 	for id, r := range statuses {
 		j := t.jobs[id]
@@ -64,7 +66,8 @@
 	slices.SortFunc(t.ended, func(a, b *Job) int { return cmp.Compare(a.EndedMs, b.EndedMs) })
 }
 
-// loadTasks sets the tasks that have been started, with the occurrences that they belong to.
+// loadTasks restores the tasks that have been started, and creates the occurrences that they belong
+// to. Records of jobs without stages are ignored.
 func (t *Table) loadTasks(tasks map[string]*protocol.TaskRecord) {
 	for id, r := range tasks {
 		name, ok := ParseTask(id)
@@ -81,7 +84,7 @@
 	}
 }
 
-// loadTask sets a task from its record.
+// loadTask restores one task from its record.
 func (t *Table) loadTask(s *Step, index int, r *protocol.TaskRecord) {
 	s.gangFailures, s.lastFailedRun = max(s.gangFailures, int(r.GetGangFailures())), max(s.lastFailedRun, r.GetGangFailed())
 	s.maxRun = max(s.maxRun, r.GetRun())
@@ -92,8 +95,8 @@
 	task.Checkpoint = r.GetSaved()
 }
 
-// deriveState sets what is not stored, as it follows from the rest: what is finished, ready, scheduled and to be
-// stopped.
+// deriveState computes what is not stored: the counts of done steps and finished occurrences, the
+// ready steps, the schedule, and the runs to stop.
 func (t *Table) deriveState() {
 	for _, j := range t.sorted() {
 		if j.Stages == nil {
@@ -115,7 +118,7 @@
 	heap.Init(&t.schedule)
 }
 
-// sorted returns the jobs by ID.
+// sorted returns all jobs, ordered by ID, so that iteration is deterministic.
 func (t *Table) sorted() []*Job {
 	all := make([]*Job, 0, len(t.jobs))
 	for _, id := range slices.Sorted(maps.Keys(t.jobs)) {
--- a/internal/control/jobs/pending.go
+++ b/internal/control/jobs/pending.go
@@ -2,15 +2,15 @@
 
 import "strings"
 
-// PendingCounts counts, for each queue, the accepted jobs of which no task has been started. It follows the changes of
-// a store's items, so that a member that asks often does not have to walk the store. The zero value stands for an
-// empty store. It is not safe for concurrent use.
+// PendingCounts holds, for each queue, the number of accepted jobs without a started task. It is
+// updated with each change of a store's items, so that frequent queries do not have to scan the
+// store. The zero value corresponds to an empty store. It is not safe for concurrent use.
 type PendingCounts struct {
 	byQueue map[string]int
 }
 
-// Update takes over a change of an item of the store: oldValue is nil for a new item, newValue for one that is removed.
-// Items of other kinds are ignored.
+// Update applies the change of one item of the store: oldValue is nil for a new item, newValue for
+// a removed one. Items other than job states are ignored.
 func (p *PendingCounts) Update(key string, oldValue, newValue []byte) {
 	if !strings.HasPrefix(key, statusPrefix) {
 		return
@@ -19,7 +19,8 @@
 	p.add(newValue, 1)
 }
 
-// add adds to the count that the state item of a job belongs to; items that can't be decoded belong to none.
+// add adds delta to the count of a job's queue if the encoded status says that the job is pending.
+// A status that can't be decoded is ignored.
 func (p *PendingCounts) add(status []byte, delta int) {
 	if status == nil {
 		return
@@ -36,5 +37,5 @@
 	}
 }
 
-// Count returns the number of a queue's pending jobs.
+// Count returns the number of pending jobs in a queue.
 func (p *PendingCounts) Count(queue string) int { return p.byQueue[queue] }
--- a/internal/control/jobs/pending_test.go
+++ b/internal/control/jobs/pending_test.go
@@ -12,7 +12,8 @@
 	"frosttide/internal/protocol"
 )
 
-// TestPendingCounts compares the counts, kept by changes, with a walk over the store after each of many random changes.
+// TestPendingCounts compares the incrementally updated counts with a scan of the store after each
+// of many random changes, and checks that counts attached to a filled store start with its jobs.
 func TestPendingCounts(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	s, counts := store.New(), PendingCounts{}
@@ -28,18 +29,18 @@
 			cancelOrStart(rng, table, all[rng.IntN(len(all))], int64(i))
 		}
 		table.Expire(int64(i-500), 3)
-		flush(table, s)
+		applyWrites(table, s)
 		want := pendingByQueue(t, s)
 		require.Equal(t, want["a"], counts.Count("a"))
 		require.Equal(t, want["b"], counts.Count("b"))
 	}
 	require.Positive(t, counts.Count("a"))
-	var restarted PendingCounts
-	s.Watch(restarted.Update)
-	require.Equal(t, counts.Count("a"), restarted.Count("a"), "a store that was there already")
+	var attachedLate PendingCounts
+	s.Watch(attachedLate.Update)
+	require.Equal(t, counts.Count("a"), attachedLate.Count("a"), "counts attached to a filled store")
 }
 
-// cancelOrStart cancels a job, or starts the task of one that waits.
+// cancelOrStart cancels a job, or starts its task if that is waiting.
 func cancelOrStart(rng *rand.Rand, table *Table, j *Job, nowMs int64) {
 	if rng.IntN(3) == 0 {
 		table.Cancel(j.ID, nowMs)
@@ -53,7 +54,7 @@
 	}
 }
 
-// pendingByQueue counts the pending jobs in a store.
+// pendingByQueue counts the pending jobs of each queue by scanning the store.
 func pendingByQueue(t *testing.T, s *store.Store) map[string]int {
 	t.Helper()
 	pending := make(map[string]int)
--- a/internal/control/jobs/records.go
+++ b/internal/control/jobs/records.go
@@ -10,25 +10,26 @@
 	"frosttide/internal/protocol"
 )
 
-// The prefixes of the keys of a job's items in the store.
+// Prefixes of the keys under which the store holds a job.
 const (
-	jobPrefix    = "j/" // then the ID; protocol.JobRecord
-	statusPrefix = "s/" // then the ID; protocol.StatusRecord
-	taskPrefix   = "t/" // then the task's name; protocol.TaskRecord, for tasks that have been started
+	jobPrefix    = "j/" // followed by the job ID: protocol.JobRecord
+	statusPrefix = "s/" // followed by the job ID: protocol.StatusRecord
+	taskPrefix   = "t/" // followed by Step.TaskID: protocol.TaskRecord of a task that has been started
 )
 
-// Writes gathers what is to be written to the store. The newest write of a key counts. The zero value is empty. It is
-// not safe for concurrent use.
+// Writes collects changes to the store. The newest change of a key replaces earlier ones. The zero
+// value is empty. It is not safe for concurrent use.
 type Writes struct {
 	puts    map[string][]byte
 	deletes map[string]struct{}
 }
 
-// Put sets an item.
+// Put records that the item with the given key is set to body.
 func (w *Writes) Put(key string, body proto.Message) {
 	value, err := proto.Marshal(body)
 	if err != nil {
-		panic("jobs: a record can't be encoded: " + err.Error()) // only for invalid UTF-8, which Validate rules out
+		// Encoding fails only for invalid UTF-8, which Validate rejects.
+		panic("jobs: encode record: " + err.Error())
 	}
 	if w.puts == nil {
 		w.puts = make(map[string][]byte)
@@ -37,7 +38,7 @@
 	delete(w.deletes, key)
 }
 
-// Delete removes an item.
+// Delete records that the item with the given key is removed.
 func (w *Writes) Delete(key string) {
 	if w.deletes == nil {
 		w.deletes = make(map[string]struct{})
@@ -46,7 +47,7 @@
 	w.deletes[key] = struct{}{}
 }
 
-// Entry returns the writes as an entry of the log, by key, so that equal writes lead to equal entries.
+// Entry returns the writes as a log entry, sorted by key so that equal writes yield equal entries.
 func (w *Writes) Entry() *protocol.Entry {
 	e := &protocol.Entry{}
 	for _, key := range slices.Sorted(maps.Keys(w.puts)) {
@@ -56,12 +57,12 @@
 	return e
 }
 
-// putStatus writes the state of a job.
+// putStatus records the current state of a job.
 func (w *Writes) putStatus(j *Job) {
 	w.Put(statusPrefix+j.ID, &protocol.StatusRecord{State: uint32(j.State), EndedMs: j.EndedMs, Queue: j.Queue, Content: j.ContentDigest})
 }
 
-// putTask writes a task.
+// putTask records the current state of the step's task with the given index.
 func (w *Writes) putTask(s *Step, index int) {
 	t := &s.Tasks[index]
 	w.Put(taskPrefix+s.TaskID(index), &protocol.TaskRecord{
@@ -70,20 +71,21 @@
 	})
 }
 
-// StatusKey returns the key of the item that holds a job's state.
+// StatusKey returns the store key of a job's state.
 func StatusKey(id string) string { return statusPrefix + id }
 
-// StatusItem is what the item of a job's state says.
+// StatusItem is the decoded value of the item under StatusKey.
 type StatusItem struct {
 	State State
 	Queue string
 }
 
-// ParseStatus returns what the item of a job's state says, and an error where it can't be decoded.
+// ParseStatus decodes the value of the item under StatusKey. It returns an error if the value is
+// not a valid record.
 func ParseStatus(value []byte) (StatusItem, error) {
 	var r protocol.StatusRecord
 	if err := proto.Unmarshal(value, &r); err != nil {
-		return StatusItem{}, errors.Wrap(err, "jobs: a job's state can't be read")
+		return StatusItem{}, errors.Wrap(err, "jobs: decode job status")
 	}
 	return StatusItem{State: State(r.GetState()), Queue: r.GetQueue()}, nil
 }
--- a/internal/control/jobs/schedule.go
+++ b/internal/control/jobs/schedule.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// ReleaseOccurrences releases the occurrences whose scheduled times have come: their steps exist from then on, and
-// those without a dependency are ready.
+// ReleaseOccurrences releases the occurrences that are due at nowMs: it creates their steps, and
+// those without dependencies become ready.
 func (t *Table) ReleaseOccurrences(nowMs int64) {
 	for t.schedule.Len() > 0 {
 		j := t.schedule[0]
@@ -22,10 +22,10 @@
 	}
 }
 
-// nextScheduledMs returns the scheduled time of the first occurrence that has not been released.
+// nextScheduledMs returns the scheduled time of the first occurrence that is not released yet.
 func (j *Job) nextScheduledMs() int64 { return j.ScheduledMs(len(j.occurrences)) }
 
-// addOccurrence adds the next occurrence of a job, with a step for each stage.
+// addOccurrence appends the next occurrence of the job, with one step per stage.
 func (j *Job) addOccurrence() *Occurrence {
 	o := &Occurrence{Job: j, Number: len(j.occurrences)}
 	for i, stage := range j.Stages {
@@ -36,29 +36,30 @@
 	return o
 }
 
-// enqueueReady has TakeReady return a step that has tasks to start.
+// enqueueReady queues a step for TakeReady if it is ready and has waiting tasks.
 func (t *Table) enqueueReady(s *Step) {
 	if s.Waiting > 0 && s.Ready() {
 		t.ready = append(t.ready, s)
 	}
 }
 
-// scheduleHeap orders jobs by the scheduled times of their next occurrences. It implements heap.Interface.
+// scheduleHeap is a min-heap of jobs by the scheduled time of their next occurrence. It implements
+// heap.Interface.
 type scheduleHeap []*Job
 
-// Len is part of heap.Interface.
+// Len implements sort.Interface.
 func (h scheduleHeap) Len() int { return len(h) }
 
-// Less is part of heap.Interface.
+// Less implements sort.Interface.
 func (h scheduleHeap) Less(a, b int) bool { return h[a].nextScheduledMs() < h[b].nextScheduledMs() }
 
-// Swap is part of heap.Interface.
+// Swap implements sort.Interface.
 func (h scheduleHeap) Swap(a, b int) { h[a], h[b] = h[b], h[a] }
 
-// Push is part of heap.Interface.
+// Push implements heap.Interface.
 func (h *scheduleHeap) Push(x any) { *h = append(*h, x.(*Job)) }
 
-// Pop is part of heap.Interface.
+// Pop implements heap.Interface.
 func (h *scheduleHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
--- a/internal/control/jobs/table.go
+++ b/internal/control/jobs/table.go
@@ -6,62 +6,65 @@
 	"frosttide/internal/protocol"
 )
 
-// Table holds all jobs that are known. The package comment gives its invariants. It is not safe for concurrent use.
+// Table holds all known jobs. The package comment lists its invariants. It is not safe for
+// concurrent use.
 type Table struct {
 	jobs     map[string]*Job // by ID
-	sequence uint64          // of the newest job
-	schedule scheduleHeap    // jobs with occurrences that have not been released
-	ended    []*Job          // in the order of their ends
+	sequence uint64          // sequence number of the newest job
+	schedule scheduleHeap    // jobs that may have occurrences to release
+	ended    []*Job          // ended jobs, ordered by the time of their end
 
-	// Output that waits to be taken.
-	Writes *Writes  // what has changed
-	ready  []*Step  // steps that have got tasks to start
+	// Output that the caller has not taken yet.
+	Writes *Writes  // changed records
+	ready  []*Step  // steps that have tasks to start
 	toStop []RunRef // runs whose jobs have ended
 }
 
-// RunRef names a run of a task, with its runner.
+// RunRef identifies a run by its task (see Step.TaskID) and number, and names its runner.
 type RunRef struct {
 	Task   string
 	Number uint32
 	Runner string
 }
 
-// NewTable returns an empty table.
+// NewTable returns a table without jobs.
 func NewTable() *Table { return &Table{jobs: make(map[string]*Job), Writes: &Writes{}} }
 
-// TakeWrites returns what has changed since the last call, to be written to the store.
+// TakeWrites returns the changes since the last call, which the caller writes to the store.
 func (t *Table) TakeWrites() *Writes {
 	w := t.Writes
 	t.Writes = &Writes{}
 	return w
 }
 
-// TakeReady returns the steps that have got tasks to start since the last call. A step may be among them more than
-// once.
+// TakeReady returns the steps that have become ready, or got tasks to start again, since the last
+// call. A step may be listed more than once.
 func (t *Table) TakeReady() []*Step {
 	ready := t.ready
 	t.ready = nil
 	return ready
 }
 
-// TakeStops returns the runs that are to be stopped since the last call.
+// TakeStops returns the runs that have to be stopped because their jobs have ended since the last
+// call.
 func (t *Table) TakeStops() []RunRef {
 	stops := t.toStop
 	t.toStop = nil
 	return stops
 }
 
-// Get returns a job, nil where the ID is not known.
+// Get returns the job with the given ID, or nil if the ID is unknown.
 func (t *Table) Get(id string) *Job { return t.jobs[id] }
 
-// Each calls visit with every job, in no order.
+// Each calls visit for every job, in unspecified order.
 func (t *Table) Each(visit func(*Job)) {
 	for _, j := range t.jobs {
 		visit(j)
 	}
 }
 
-// FindStep returns the step of a task, nil where the job, occurrence, step or task is not known.
+// FindStep returns the step that a task belongs to, or nil if the job, occurrence, step or task is
+// unknown.
 func (t *Table) FindStep(name TaskName) *Step {
 	j := t.jobs[name.Job]
 	if j == nil || name.Occurrence >= len(j.occurrences) || name.Step >= len(j.Stages) {
@@ -74,7 +77,7 @@
 	return s
 }
 
-// EachLiveRun calls visit with the task of every run that may be under way, in the order of the jobs' IDs.
+// EachLiveRun calls visit for the task of every run that may be in progress, ordered by job ID.
 func (t *Table) EachLiveRun(visit func(s *Step, index int)) {
 	for _, j := range t.sorted() {
 		j.EachStep(func(s *Step) {
@@ -87,8 +90,8 @@
 	}
 }
 
-// Accept adds a job whose ID is not known and whose submission is valid, and releases the occurrences whose scheduled
-// times have come.
+// Accept adds a job and releases the occurrences that are already due. The submission must be valid
+// (see Validate) and its ID must be unknown to the table.
 func (t *Table) Accept(s *protocol.Submit, service string, nowMs int64) *Job {
 	t.sequence++
 	record := &protocol.JobRecord{Submit: s, Service: service, Sequence: t.sequence, AcceptedMs: nowMs}
@@ -102,7 +105,7 @@
 	return j
 }
 
-// newJob returns the job of a record, before any of it has run.
+// newJob returns the job that a record describes, pending and without occurrences.
 func newJob(r *protocol.JobRecord) *Job {
 	s := r.GetSubmit()
 	return &Job{
@@ -120,7 +123,8 @@
 	}
 }
 
-// Cancel ends a job as canceled, unless it has ended. It returns false where the ID is not known.
+// Cancel ends a job as canceled; a job that has already ended is left unchanged. It returns false
+// if the ID is unknown.
 func (t *Table) Cancel(id string, nowMs int64) bool {
 	j := t.jobs[id]
 	if j == nil {
@@ -130,8 +134,8 @@
 	return true
 }
 
-// Expire forgets jobs that ended before a cut-off and of which no run may be under way, the oldest ends first and at
-// most limit.
+// Expire removes jobs that ended before cutoffMs, in the order of their ends. It removes at most
+// limit jobs and stops at the first of which a run may be in progress.
 func (t *Table) Expire(cutoffMs int64, limit int) {
 	for ; limit > 0 && len(t.ended) > 0 && t.ended[0].EndedMs < cutoffMs && t.ended[0].liveRuns == 0; limit-- {
 		j := t.ended[0]
@@ -141,7 +145,8 @@
 	}
 }
 
-// setState is the one place where a job's state changes. A final state stops the job's runs.
+// setState sets the state of a job unless the job has already ended. No other function changes a
+// job's state. Entering a final state has the job's runs stopped.
 func (t *Table) setState(j *Job, s State, nowMs int64) {
 	if j.State.Final() {
 		return
@@ -156,7 +161,7 @@
 	t.pruneEnded(j)
 }
 
-// stopRuns has the runs of a job that has ended stopped.
+// stopRuns queues the runs of an ended job for TakeStops.
 func (t *Table) stopRuns(j *Job) {
 	j.EachStep(func(s *Step) {
 		for i := range s.Tasks {
@@ -167,7 +172,8 @@
 	})
 }
 
-// pruneEnded removes all but the state of a job that has ended and of which no run may be under way.
+// pruneEnded removes everything but the state of a job that has ended and has no run that may be in
+// progress.
 func (t *Table) pruneEnded(j *Job) {
 	if !j.State.Final() || j.liveRuns > 0 || j.Stages == nil {
 		return
--- a/internal/control/jobs/taskname.go
+++ b/internal/control/jobs/taskname.go
@@ -5,18 +5,19 @@
 	"strings"
 )
 
-// TaskName is the name of a task in its parts. In text they are joined by dots: JOB.OCCURRENCE.STEP.INDEX.
+// TaskName identifies a task. Its text form is JOB.OCCURRENCE.STEP.INDEX.
 type TaskName struct {
 	Job                     string
 	Occurrence, Step, Index int
 }
 
-// TaskID returns the name of a task of the step as text.
+// TaskID returns the text form of the name of the step's task with the given index.
 func (s *Step) TaskID(index int) string {
 	return s.Job.ID + "." + strconv.Itoa(s.Occurrence.Number) + "." + strconv.Itoa(s.Number) + "." + strconv.Itoa(index)
 }
 
-// ParseTask returns the parts of a task's name, and false where the text is none.
+// ParseTask parses the text form of a task's name. It returns false if the text is malformed. The
+// job's ID is not checked.
 func ParseTask(name string) (TaskName, bool) {
 	parts := strings.Split(name, ".")
 	if len(parts) != 4 {
--- a/internal/control/jobs/transitions.go
+++ b/internal/control/jobs/transitions.go
@@ -1,21 +1,22 @@
 package jobs
 
-// End is the end of a run, as its runner reports it or the head infers it.
+// End describes the end of a run, as reported by its runner or inferred by the head.
 type End struct {
 	Task       TaskName
 	Run        uint32
 	Runner     string
 	Reason     EndReason
-	Checkpoint string // that the run has left, empty for none
+	Checkpoint string // saved by the run; empty if none
 }
 
-// EndResult is what the end of a run meant for its task.
+// EndResult is the effect of RecordEnd.
 type EndResult struct {
-	Step    *Step // nil where the task is not known
-	Applied bool  // the end counted: it was that of the task's newest run
+	Step    *Step // step of the task; nil if the task is unknown
+	Applied bool  // whether the end took effect: the run was the task's newest and had not ended
 }
 
-// RecordStart records the start of a run of a waiting task. The run may be ordered only once that is committed.
+// RecordStart records the start of a run of a waiting task. The order to start the run may be sent
+// only once the record is committed.
 func (t *Table) RecordStart(s *Step, index int, run uint32, runner string, nowMs int64) {
 	t.setPhase(s, index, Live)
 	task := &s.Tasks[index]
@@ -27,8 +28,9 @@
 	}
 }
 
-// RecordEnd records the end of a run. An end of a run that is not the task's newest, or whose end is recorded already,
-// changes nothing. maxAttempts is how many failed runs a task may have until the job fails.
+// RecordEnd records the end of a run. It changes nothing if the run is not the task's newest, if it
+// was started on another runner, or if its end is already recorded. The job fails when a task that
+// is not long-running has maxAttempts failed runs.
 func (t *Table) RecordEnd(end End, maxAttempts int, nowMs int64) EndResult {
 	s, index := t.FindStep(end.Task), end.Task.Index
 	if s == nil {
@@ -58,7 +60,8 @@
 	return EndResult{Step: s, Applied: true}
 }
 
-// setPhase is the one place where a task's phase changes.
+// setPhase sets the phase of a task and updates the counts. No other function changes a task's
+// phase.
 func (t *Table) setPhase(s *Step, index int, to Phase) {
 	task := &s.Tasks[index]
 	if task.Phase == to {
@@ -69,7 +72,7 @@
 	task.Phase = to
 }
 
-// countPhase adds to the counts of the step and its job that a task in a phase belongs to.
+// countPhase adds delta to those counts of the step and its job that include tasks in phase p.
 func (s *Step) countPhase(p Phase, delta int) {
 	switch p {
 	case Waiting:
@@ -84,7 +87,8 @@
 	}
 }
 
-// completeGang has all members of a gang done with the first that is.
+// completeGang marks all members of a gang as done after the run of one member is done. Steps that
+// are not gangs are left unchanged.
 func (t *Table) completeGang(s *Step) {
 	if !s.Stage.GetGang() {
 		return
@@ -102,7 +106,8 @@
 	}
 }
 
-// countFailure counts a failed run of a task. A run of a gang counts once for all members.
+// countFailure counts a failed run of a task. A gang run counts once for the gang, even if several
+// members fail.
 func (s *Step) countFailure(index int, run uint32, runner string) {
 	s.Tasks[index].Failures++
 	s.Tasks[index].LastFailed = runner
@@ -112,8 +117,8 @@
 	}
 }
 
-// advance does what follows from the end of a task's run: the job fails, or the step is done, or the task is to be
-// started again.
+// advance applies the consequences of the end of a task's run: it fails the job, completes the
+// step, or queues the step so that the task is started again.
 func (t *Table) advance(s *Step, index, maxAttempts int, nowMs int64) {
 	j := s.Job
 	switch {
@@ -128,8 +133,8 @@
 	t.pruneEnded(j)
 }
 
-// completeStep makes ready what depends on a step that is done, or with the last step of the last occurrence completes
-// the job.
+// completeStep queues the steps of the occurrence that are now ready. After the last step of the
+// last unfinished occurrence it completes the job instead.
 func (t *Table) completeStep(s *Step, nowMs int64) {
 	o := s.Occurrence
 	o.countDone()
@@ -146,7 +151,7 @@
 	}
 }
 
-// countDone counts the steps of the occurrence that are done.
+// countDone recomputes the number of done steps of the occurrence.
 func (o *Occurrence) countDone() {
 	o.doneSteps = 0
 	for _, s := range o.Steps {
@@ -156,10 +161,10 @@
 	}
 }
 
-// finished reports whether all steps of the occurrence were done when they were counted.
+// finished reports whether all steps of the occurrence were done at the last countDone.
 func (o *Occurrence) finished() bool { return o.doneSteps == len(o.Steps) }
 
-// countFinished counts the occurrences of the job that are finished.
+// countFinished recomputes the number of finished occurrences of the job.
 func (j *Job) countFinished() {
 	j.finishedOccurrences = 0
 	for _, o := range j.occurrences {
