--- a/internal/control/server/api.go
+++ b/internal/control/server/api.go
@@ -19,22 +19,24 @@
 )
 
 const (
-	// responseTimeout bounds how long a call waits for the control plane; callers try another core machine after a second.
+	// responseTimeout bounds the time that a call waits for a reply of the control plane. It is
+	// shorter than the second after which callers try another core machine.
 	responseTimeout = 900 * time.Millisecond
-	// maxBodyBytes bounds the body of a call, which is a configuration.
+	// maxBodyBytes bounds the body of a call, which is a configuration or a patch of one.
 	maxBodyBytes = 16 << 20
-	// readTimeout bounds how long a call may take to arrive.
+	// readTimeout bounds the time for reading a request with its body.
 	readTimeout = 10 * time.Second
-	// retryAfterSeconds is the Retry-After of calls that the control plane has not answered.
+	// retryAfterSeconds is the value of Retry-After if the control plane does not reply in time.
 	retryAfterSeconds = "1"
 )
 
-// serveAPI serves the operator's API until the caller closes the listener.
+// serveAPI starts to serve the operator's API on address. The caller closes the returned listener.
 func (s *Server) serveAPI(address string) (*httpserver.Listener, error) {
 	listener, err := httpserver.Listen(address, &http.Server{Handler: s.apiHandler(), ReadTimeout: readTimeout})
-	return listener, errors.Wrap(err, "control: the operator's address can't be listened on")
+	return listener, errors.Wrap(err, "control: listen on the operator API address")
 }
 
+// apiHandler returns the handler of all paths of the operator's API.
 func (s *Server) apiHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/config", s.getConfig)
@@ -49,13 +51,13 @@
 	return mux
 }
 
-// getConfig answers with the newest configuration.
+// getConfig responds with the newest configuration, which it reads at the tail of the chain.
 func (s *Server) getConfig(w http.ResponseWriter, r *http.Request) {
 	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, chainclient.ToTail)
 }
 
-// changeConfig returns the handler of calls that replace or patch the configuration. Their If-Match names the version
-// that the change builds on.
+// changeConfig returns the handler that replaces the configuration or, if patch is true, patches
+// it. The If-Match header of the request holds the version that the change is based on.
 func (s *Server) changeConfig(patch bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		ifMatch, err := strconv.ParseUint(strings.Trim(r.Header.Get("If-Match"), `"`), 10, 64)
@@ -73,8 +75,8 @@
 	}
 }
 
-// getPlacement returns the handler of calls that read a topic of the placement role's state, be the role at this member
-// or at another one.
+// getPlacement returns the handler that reads one topic of the placement role's state. The request
+// goes to the head, which runs the placement role, whichever member that is.
 func (s *Server) getPlacement(topic string) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		read := &protocol.ReadStatus{What: topic, Id: r.PathValue("id")}
@@ -82,29 +84,29 @@
 	}
 }
 
-// cancelJob cancels a job of any queue.
+// cancelJob cancels the job with the ID in the path, in whichever queue it is.
 func (s *Server) cancelJob(w http.ResponseWriter, r *http.Request) {
 	s.respond(w, r, &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: r.PathValue("id")}}}, chainclient.ToHead)
 }
 
-// getMemberStatus answers with the state of this member, which it knows by itself.
+// getMemberStatus responds with the status of this member, without asking other members.
 func (s *Server) getMemberStatus(w http.ResponseWriter, r *http.Request) {
 	result := make(chan any, 1)
 	s.process.Post(func() { result <- s.member.Replica().Status() })
 	select {
 	case status := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status) // fails only where the caller has gone
+		_ = json.NewEncoder(w).Encode(status) // fails only if the client has disconnected
 	case <-r.Context().Done():
 	}
 }
 
-// respond sends a request to the control plane and answers the call with the reply. Without one the answer is 503 with
-// Retry-After: a change may or may not have been made then.
+// respond sends a request to the control plane and responds with its reply. If there is no reply in
+// time, it responds with status 503 and Retry-After; a change may or may not have been made then.
 func (s *Server) respond(w http.ResponseWriter, r *http.Request, request *protocol.ClientRequest, destination chainclient.Destination) {
 	outcome, ok := s.do(r.Context(), request, destination)
 	switch {
-	case !ok: // the caller has gone
+	case !ok: // the client has disconnected
 	case outcome.Reply == nil:
 		w.Header().Set("Retry-After", retryAfterSeconds)
 		http.Error(w, "the control plane does not answer", http.StatusServiceUnavailable)
@@ -114,11 +116,12 @@
 			w.Header().Set("Content-Type", "application/json")
 		}
 		w.WriteHeader(int(reply.GetStatus()))
-		_, _ = w.Write(reply.GetBody()) // fails only where the caller has gone
+		_, _ = w.Write(reply.GetBody()) // fails only if the client has disconnected
 	}
 }
 
-// do sends a request to the control plane and returns its outcome. It returns false if the context ends first.
+// do sends a request to the control plane and waits for the outcome, which is without a reply after
+// responseTimeout. It returns false if the context ends first.
 func (s *Server) do(ctx context.Context, r *protocol.ClientRequest, destination chainclient.Destination) (chainclient.Outcome, bool) {
 	result := make(chan chainclient.Outcome, 1)
 	s.process.Post(func() {
--- a/internal/control/server/founding.go
+++ b/internal/control/server/founding.go
@@ -10,8 +10,9 @@
 	"frosttide/internal/protocol"
 )
 
-// foundingMembers returns the members of view 0, which are the seeds of a system that starts for the first time. It
-// returns nil unless the settings name this process as one of them.
+// foundingMembers returns the members of view 0: the seeds of a system that is bootstrapped. It
+// returns nil if the settings don't ask for a bootstrap, if this process is not a seed, or if a
+// seed is not of the form host:port.
 func foundingMembers(settings *nodefile.File) (founders []*protocol.Member) {
 	if !settings.Bootstrap || !slices.Contains(settings.Seeds, settings.ListenAddrs.Control) {
 		return nil
@@ -31,6 +32,6 @@
 	return founders
 }
 
-// founderID returns the identity of a founder. It follows from the founder's Control address, so that all founders
-// agree on view 0 without a message.
+// founderID returns the identity of a founding member. It is derived from the member's Control
+// address so that all founding members agree on view 0 without communication.
 func founderID(control string) uint64 { return xxhash.Sum64String("founder " + control) }
--- a/internal/control/server/journalwriter.go
+++ b/internal/control/server/journalwriter.go
@@ -8,22 +8,23 @@
 	"frosttide/internal/mailbox"
 )
 
-// writerStopTimeout bounds how long stop waits for a write in progress: a disk that hangs must not keep the process
-// from ending.
+// writerStopTimeout bounds the time that stop waits for a write in progress: a hanging disk must
+// not keep the process from exiting.
 const writerStopTimeout = 100 * time.Millisecond
 
-// journalWriter writes the replica's records on a goroutine of its own: everything that is queued at once, with one
-// sync.
+// journalWriter writes the replica's records to the journal on its own goroutine. It writes all
+// queued records together and syncs once (group commit).
 type journalWriter struct {
 	file    *journal.File
 	queue   *mailbox.Box[replica.Write]
 	onDone  func(sequence uint64, size int64, err error)
 	stopped chan struct{} // closed by stop
-	ended   chan struct{} // closed when the goroutine has ended
+	ended   chan struct{} // closed when run returns
 }
 
-// startJournalWriter returns a running writer to a file. Its goroutine calls onDone after each sync with the sequence
-// number of the last write in it, the length of the file in bytes, and what has failed.
+// startJournalWriter starts a writer to a file. The writer's goroutine calls onDone after each
+// batch with the sequence number of the last write in the batch, the size of the file in bytes, and
+// the error of writing or syncing, or of an earlier failure that no rewrite has repaired yet.
 func startJournalWriter(file *journal.File, onDone func(sequence uint64, size int64, err error)) *journalWriter {
 	w := &journalWriter{
 		file:    file,
@@ -36,11 +37,12 @@
 	return w
 }
 
-// enqueue adds a write. It never blocks.
+// enqueue queues a write. It never blocks.
 func (w *journalWriter) enqueue(write replica.Write) { w.queue.Put(write) }
 
-// stop ends the goroutine after the write in progress, if there is one. Writes that are still queued are dropped, as
-// in a crash: what needs them on disk has not been acknowledged.
+// stop ends the goroutine after the write in progress, if any, or after writerStopTimeout gives up
+// waiting for it. Queued writes are dropped as in a crash: nothing that depends on them has been
+// acknowledged.
 func (w *journalWriter) stop() {
 	close(w.stopped)
 	select {
@@ -49,9 +51,10 @@
 	}
 }
 
+// run writes queued records in batches until stop is called.
 func (w *journalWriter) run() {
 	defer close(w.ended)
-	var failure error // of an earlier write, until a rewrite succeeds
+	var failure error // of an earlier write; cleared by a successful rewrite
 	var writes []replica.Write
 	for {
 		select {
@@ -65,12 +68,13 @@
 			failure = w.writeBatch(rest[:count], failure)
 			rest = rest[count:]
 		}
-		clear(writes) // lets go of the records
+		clear(writes) // releases the records to the garbage collector
 	}
 }
 
-// writeBatch writes a batch with one sync and returns why the journal can't be relied on, nil where it can. After a
-// failure only a rewrite of the whole journal is tried.
+// writeBatch writes a batch with one sync, unless an earlier write has failed and the batch is not
+// a rewrite of the whole journal. It returns the error that makes the journal unusable, nil if
+// there is none.
 func (w *journalWriter) writeBatch(batch []replica.Write, failure error) error {
 	switch {
 	case batch[0].Image != nil:
@@ -82,7 +86,8 @@
 	return failure
 }
 
-// batchLength returns how many writes, from the first, can share a sync. A rewrite stands alone.
+// batchLength returns the number of leading writes that can share one sync. A rewrite of the
+// journal is a batch of its own.
 func batchLength(writes []replica.Write) int {
 	if writes[0].Image != nil {
 		return 1
@@ -95,7 +100,7 @@
 	return len(writes)
 }
 
-// joinData returns the records of a batch one after the other.
+// joinData returns the concatenated records of a batch.
 func joinData(batch []replica.Write) []byte {
 	if len(batch) == 1 {
 		return batch[0].Data
--- a/internal/control/server/journalwriter_test.go
+++ b/internal/control/server/journalwriter_test.go
@@ -30,7 +30,8 @@
 	}
 }
 
-// TestJournalWriterAfterFailure has a write fail: nothing more is written until a rewrite succeeds.
+// TestJournalWriterAfterFailure checks that after a failed write nothing is written until a rewrite
+// of the journal succeeds.
 func TestJournalWriterAfterFailure(t *testing.T) {
 	file, state, err := journal.Open(t.TempDir())
 	require.NoError(t, err)
@@ -52,12 +53,12 @@
 	image := func() *journal.Image { return journal.NewImage(state) }
 
 	require.NoError(t, write(replica.Write{Sequence: 1, Image: image()}).err)
-	require.NoError(t, file.Close()) // as if the disk were gone
+	require.NoError(t, file.Close()) // makes the next write fail
 	require.Error(t, write(replica.Write{Sequence: 2, Data: []byte("record")}).err)
 	size := file.Size()
 	got := write(replica.Write{Sequence: 3, Data: []byte("record")})
 	require.Error(t, got.err)
-	require.Equal(t, size, got.size, "a write after a failure")
+	require.Equal(t, size, got.size, "size of the file after a write that follows a failed one")
 	require.NoError(t, write(replica.Write{Sequence: 4, Image: image()}).err)
 	got = write(replica.Write{Sequence: 5, Data: []byte("record")})
 	require.NoError(t, got.err)
--- a/internal/control/server/server.go
+++ b/internal/control/server/server.go
@@ -19,34 +19,37 @@
 )
 
 const (
-	// tickInterval is the interval between the member's ticks.
+	// tickInterval is the interval between calls of the member's Tick.
 	tickInterval = 20 * time.Millisecond
-	// openRetryInterval is the pause between attempts to open the journal on a disk that refuses.
+	// openRetryInterval is the delay before another attempt to open the journal after an error.
 	openRetryInterval = 500 * time.Millisecond
-	// drainFraction is the part of GraceS for which a process that ends waits until the other members have all
-	// that it has.
+	// drainFraction is the fraction of the GraceS setting that a terminating process may spend
+	// waiting until the other members hold its complete state.
 	drainFraction = 0.75
-	// minDrainTimeout is the least that it waits.
+	// minDrainTimeout is the lower bound of that wait.
 	minDrainTimeout = time.Second
-	// apiDrainTimeout is how long it then waits for the open calls of operators, which are answered within responseTimeout.
+	// apiDrainTimeout bounds the subsequent wait for open API calls, which are answered within
+	// responseTimeout.
 	apiDrainTimeout = responseTimeout + 100*time.Millisecond
-	// statusRetentionMargin is added to StatusS, the time for which the state of an ended job has to be known.
+	// statusRetentionMargin is added to the StatusS setting, the time for which the state of an
+	// ended job must remain known.
 	statusRetentionMargin = 10 * time.Second
-	// rackPrefix begins the labels of runners that name racks.
+	// rackPrefix is the prefix of runner labels that name a rack.
 	rackPrefix = "r"
 )
 
-// Server is a running member of the control plane. Its fields are used on the process's goroutine only, except for
-// process itself.
+// Server is a running member of the control plane. Its fields are used only on the event loop of
+// the process, except for the field process itself.
 type Server struct {
 	process *process.Process
 	member  *member.Member
 	journal *journalWriter
-	pending map[uint64]chan<- chainclient.Outcome // calls of the operator's API that wait, by request ID
+	pending map[uint64]chan<- chainclient.Outcome // unanswered API calls by request ID
 }
 
-// Run runs a member by the settings that were read from the file at path, until the context ends and the member is
-// drained. It returns an error if the settings lack a key, or if an address can't be listened on.
+// Run runs a member until the context ends and the member has been drained. settings are those that
+// were read from the file at path. Run returns an error if a required setting is missing, if an
+// address can't be listened on, or if the context ends before the journal could be opened.
 func Run(ctx context.Context, path string, settings *nodefile.File) error {
 	if settings.DataDir == "" {
 		return nodefile.MissingKey(path, "DataDir")
@@ -67,7 +70,7 @@
 	if err != nil {
 		return err
 	}
-	defer file.Close() // every acknowledged write is synced: an error says nothing more
+	defer file.Close() // the error is irrelevant: every acknowledged write is already synced
 	s.journal = startJournalWriter(file, func(sequence uint64, size int64, err error) {
 		p.Post(func() { s.member.DiskDone(p.Now(), sequence, size, err) })
 	})
@@ -88,12 +91,13 @@
 	return nil
 }
 
-// openJournal opens the journal, trying again until the disk lets it or the context ends.
+// openJournal opens the journal in dir and retries after errors until the context ends. A damaged
+// journal yields an empty state.
 func openJournal(ctx context.Context, dir string) (*journal.File, journal.State, error) {
 	for {
 		file, state, err := journal.Open(dir)
 		if errors.Is(err, journal.ErrDamaged) {
-			klog.ErrorS(err, "Journal is damaged and put aside; the member joins under a new identity", "dir", dir)
+			klog.ErrorS(err, "Journal is damaged and was moved aside; the member joins under a new identity", "dir", dir)
 			err = nil
 		}
 		if err == nil {
@@ -108,7 +112,8 @@
 	}
 }
 
-// startMember creates the member, under a new identity where the journal holds none.
+// startMember creates the member. If the journal holds no identity, the member gets a new one: that
+// of a founding member if the settings name it as such, otherwise a random one.
 func (s *Server) startMember(state journal.State) {
 	settings := s.process.Settings
 	self := &protocol.Member{Id: state.ID, Address: s.process.Address, Control: settings.ListenAddrs.Control, Zone: settings.Zone}
@@ -119,11 +124,11 @@
 			state = replica.FoundingState(self, founders)
 		}
 	}
-	klog.InfoS("Member begins", "id", self.GetId(), "address", self.GetAddress(), "index", state.Index, "epoch", state.Accepted.GetEpoch())
+	klog.InfoS("Starting member", "id", self.GetId(), "address", self.GetAddress(), "index", state.Index, "epoch", state.Accepted.GetEpoch())
 	s.member = member.New(s.memberConfig(self), s.process.Now(), state)
 }
 
-// memberConfig returns what the settings say of the member.
+// memberConfig returns the member's configuration according to the settings.
 func (s *Server) memberConfig(self *protocol.Member) member.Config {
 	settings := s.process.Settings
 	return member.Config{
@@ -144,9 +149,11 @@
 	}
 }
 
+// tick passes the current time to the member.
 func (s *Server) tick() { s.member.Tick(s.process.Now(), s.process.WallMs()) }
 
-// afterTurn carries out what a turn of the member has led to.
+// afterTurn ends a turn of the member and carries out its output: it logs the events, queues the
+// writes, sends the messages and answers the API calls.
 func (s *Server) afterTurn() {
 	out := s.member.Turn(s.process.Now())
 	for _, e := range out.Events {
@@ -161,13 +168,13 @@
 	for _, outcome := range out.Outcomes {
 		if caller := s.pending[outcome.ID]; caller != nil {
 			delete(s.pending, outcome.ID)
-			caller <- outcome // buffered
+			caller <- outcome // does not block: the channel has room for the only outcome
 		}
 	}
 }
 
-// drain returns once the other members go on without this one, or after the time that GraceS leaves for it, and the open calls of
-// operators are answered.
+// drain waits until the other members can continue without this one, or until the part of GraceS
+// reserved for it has passed, and then until the open API calls are answered.
 func (s *Server) drain(api *httpserver.Listener) {
 	timeout := make(chan time.Duration, 1)
 	s.process.Post(func() {
@@ -179,11 +186,11 @@
 		time.Sleep(tickInterval)
 	}
 	if err := api.Drain(apiDrainTimeout); err != nil {
-		klog.ErrorS(err, "Operators' calls are still open at the end")
+		klog.ErrorS(err, "API calls are still open after the drain timeout")
 	}
 }
 
-// drained asks the event loop whether the other members go on without this one.
+// drained asks the event loop whether the other members can continue without this one.
 func (s *Server) drained() bool {
 	result := make(chan bool, 1)
 	s.process.Post(func() { result <- s.member.Replica().Drained() })
