--- a/internal/control/metrics/families.go
+++ b/internal/control/metrics/families.go
@@ -2,21 +2,23 @@
 
 import "github.com/prometheus/client_golang/prometheus"
 
-// family is a metric with its labels.
+// family is a metric family: its name, help text and labels, and the type of its values.
 type family struct {
 	desc *prometheus.Desc
 	kind prometheus.ValueType
 }
 
+// newGauge returns a family of gauges; its name gets the prefix "frosttide_".
 func newGauge(name, help string, labels ...string) family {
 	return family{desc: prometheus.NewDesc("frosttide_"+name, help, labels, nil), kind: prometheus.GaugeValue}
 }
 
+// newCounter returns a family of counters; its name gets the prefix "frosttide_".
 func newCounter(name, help string, labels ...string) family {
 	return family{desc: prometheus.NewDesc("frosttide_"+name, help, labels, nil), kind: prometheus.CounterValue}
 }
 
-// The families. docs/metrics.md says what each of them shows.
+// Exported metric families. docs/metrics.md describes each of them.
 var (
 	memberUp       = newGauge("up", "Whether the member answers.", "member")
 	viewEpoch      = newGauge("view_epoch", "Epoch of the view that the member knows.", "member")
@@ -43,7 +45,7 @@
 	runsEnded      = newCounter("runs_ended_total", "Runs that have ended, since the head began.", "service", "how")
 )
 
-// families are all of them.
+// families lists all exported metric families, for Describe.
 var families = []family{
 	memberUp, viewEpoch, voterCount, chainLength, memberServing, newestEntry, committedEntry, diskLag, diskFailed,
 	fencingToken, configVersion, jobCount, runnerCount, runCount, cpuCores, memoryBytes, gpuCount,
--- a/internal/control/metrics/metrics_test.go
+++ b/internal/control/metrics/metrics_test.go
@@ -16,24 +16,26 @@
 	"frosttide/internal/protocol"
 )
 
-// newStubMember returns the address of an API that answers with given states. Without a placement role's state it refuses.
-func newStubMember(t *testing.T, status *replica.Status, placementRole *scheduler.Status) string {
+// newStubMember starts an API that responds with the given states, and returns its address. If
+// placementStatus is nil, the API responds to queries of the placement role with status 503.
+func newStubMember(t *testing.T, status *replica.Status, placementStatus *scheduler.Status) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/status", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(status) })
 	mux.HandleFunc("GET /v1/scheduler", func(w http.ResponseWriter, _ *http.Request) {
-		if placementRole == nil {
+		if placementStatus == nil {
 			http.Error(w, "the control plane does not answer", http.StatusServiceUnavailable)
 			return
 		}
-		_ = json.NewEncoder(w).Encode(placementRole)
+		_ = json.NewEncoder(w).Encode(placementStatus)
 	})
 	server := httptest.NewServer(mux)
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// gather scrapes members and returns the values by the name and the label values of each metric.
+// gather scrapes members and returns the value of each metric. The keys consist of the metric's
+// name without prefix and its label values, separated by spaces.
 func gather(t *testing.T, members ...string) map[string]float64 {
 	t.Helper()
 	registry := prometheus.NewPedanticRegistry()
@@ -120,6 +122,6 @@
 func TestScrapeWithoutPlacementRole(t *testing.T) {
 	member := newStubMember(t, &replica.Status{}, nil)
 	got := gather(t, member)
-	require.NotContains(t, got, "fencing_token", "nobody knows the placement role's state")
+	require.NotContains(t, got, "fencing_token", "no member can read the state of the placement role")
 	require.InDelta(t, 1, got["up "+member], 0)
 }
--- a/internal/control/metrics/scrape.go
+++ b/internal/control/metrics/scrape.go
@@ -7,68 +7,69 @@
 	"frosttide/internal/control/scheduler"
 )
 
-// Units of the states in those of the metrics.
+// Factors that convert the units of the API to the base units of the metrics.
 const (
 	millisecond = 1e-3    // in seconds
-	thousandth  = 1e-3    // of a core, in cores
+	millicore   = 1e-3    // in cores
 	megabyte    = 1 << 20 // in bytes
 )
 
-// scrape receives the metrics of one scrape. It is safe for concurrent use.
+// scrape sends the metrics of one scrape to a channel. It is safe for concurrent use.
 type scrape struct{ out chan<- prometheus.Metric }
 
-func (s scrape) put(f family, value float64, labels ...string) {
+// emit sends one metric. The label values are in the order of the labels of the family.
+func (s scrape) emit(f family, value float64, labels ...string) {
 	s.out <- prometheus.MustNewConstMetric(f.desc, f.kind, value, labels...)
 }
 
-// placement reports the placement role's state.
-func (s scrape) placement(status *scheduler.Status) {
-	s.put(fencingToken, float64(status.Epoch))
-	s.put(configVersion, float64(status.ConfigVersion))
+// collectPlacement reports the state of the placement role.
+func (s scrape) collectPlacement(status *scheduler.Status) {
+	s.emit(fencingToken, float64(status.Epoch))
+	s.emit(configVersion, float64(status.ConfigVersion))
 	for state, count := range status.Jobs {
-		s.put(jobCount, float64(count), state)
+		s.emit(jobCount, float64(count), state)
 	}
 	for service, total := range totalsByService(status.Runners) {
-		s.runners(service, total)
+		s.collectRunners(service, total)
 	}
-	for service, counters := range status.Services {
-		s.service(service, counters)
+	for service, serviceStatus := range status.Services {
+		s.collectService(service, serviceStatus)
 	}
 }
 
-// runners reports the totals of a service's runners.
-func (s scrape) runners(service string, total *serviceTotal) {
+// collectRunners reports the totals of a service's runners.
+func (s scrape) collectRunners(service string, total *serviceTotal) {
 	for state, count := range total.states {
-		s.put(runnerCount, float64(count), service, state)
+		s.emit(runnerCount, float64(count), service, state)
 	}
-	s.put(runCount, float64(total.runs), service)
+	s.emit(runCount, float64(total.runs), service)
 	for part, resources := range map[string]placement.Resources{"capacity": total.capacity, "used": total.used} {
-		s.put(cpuCores, float64(resources.CPU)*thousandth, service, part)
-		s.put(memoryBytes, float64(resources.MemMB)*megabyte, service, part)
-		s.put(gpuCount, float64(resources.GPUs), service, part)
+		s.emit(cpuCores, float64(resources.CPU)*millicore, service, part)
+		s.emit(memoryBytes, float64(resources.MemMB)*megabyte, service, part)
+		s.emit(gpuCount, float64(resources.GPUs), service, part)
 	}
 }
 
-// service reports a service's tasks and runs.
-func (s scrape) service(service string, status scheduler.ServiceStatus) {
-	s.put(waitingTasks, float64(status.WaitingTasks), service)
-	s.put(oldestWait, float64(status.OldestWaitMs)*millisecond, service)
-	s.put(tasksReady, float64(status.Ready), service)
-	s.put(tasksBlocked, float64(status.Blocked), service)
-	s.put(runsStarted, float64(status.Started), service)
-	for how, count := range status.Ended {
-		s.put(runsEnded, float64(count), service, how)
+// collectService reports the tasks and runs of a service.
+func (s scrape) collectService(service string, status scheduler.ServiceStatus) {
+	s.emit(waitingTasks, float64(status.WaitingTasks), service)
+	s.emit(oldestWait, float64(status.OldestWaitMs)*millisecond, service)
+	s.emit(tasksReady, float64(status.Ready), service)
+	s.emit(tasksBlocked, float64(status.Blocked), service)
+	s.emit(runsStarted, float64(status.Started), service)
+	for reason, count := range status.Ended {
+		s.emit(runsEnded, float64(count), service, reason)
 	}
 }
 
-// serviceTotal is what the runners of a service have together.
+// serviceTotal holds the totals over the runners of a service.
 type serviceTotal struct {
-	states         map[string]int
+	states         map[string]int // number of runners by state
 	runs           int
 	capacity, used placement.Resources
 }
 
-// totalsByService adds up runners by their service.
+// totalsByService returns the totals of all services, by service.
 func totalsByService(runners []scheduler.RunnerStatus) map[string]*serviceTotal {
 	totals := make(map[string]*serviceTotal)
 	for i := range runners {
@@ -85,7 +86,7 @@
 	return totals
 }
 
-// boolValue returns a flag as Prometheus shows it.
+// boolValue returns 1 for true and 0 for false, as is usual in Prometheus.
 func boolValue(b bool) float64 {
 	if b {
 		return 1
