--- a/internal/control/apiclient/apiclient_test.go
+++ b/internal/control/apiclient/apiclient_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// serve returns the address of an API that answers every call with a status and the call's method, path, If-Match and
-// body.
-func serve(t *testing.T, status int) string {
+// startEchoServer starts an API that responds to every request with the given status and with the
+// method, path, If-Match header and body of the request. It returns the API's address.
+func startEchoServer(t *testing.T, status int) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -25,14 +25,14 @@
 }
 
 func TestDo(t *testing.T) {
-	call := Call{Method: http.MethodPut, Address: serve(t, http.StatusOK), Path: "/v1/config", IfMatch: "7", Body: []byte("{}")}
+	call := Call{Method: http.MethodPut, Address: startEchoServer(t, http.StatusOK), Path: "/v1/config", IfMatch: "7", Body: []byte("{}")}
 	body, err := Do(t.Context(), call)
 	require.NoError(t, err)
 	require.Equal(t, "PUT /v1/config 7 {}\n", string(body))
 }
 
 func TestDoRefused(t *testing.T) {
-	_, err := Do(t.Context(), Call{Method: http.MethodDelete, Address: serve(t, http.StatusGone), Path: "/v1/jobs/x"})
+	_, err := Do(t.Context(), Call{Method: http.MethodDelete, Address: startEchoServer(t, http.StatusGone), Path: "/v1/jobs/x"})
 	var refused *RefusedError
 	require.True(t, errors.As(err, &refused), "%v", err)
 	require.Equal(t, http.StatusGone, refused.Status)
@@ -44,8 +44,8 @@
 	require.ErrorContains(t, err, "127.0.0.1:1 does not answer")
 }
 
-func TestGetOfWhatIsNoJSON(t *testing.T) {
+func TestGetMalformedJSON(t *testing.T) {
 	var target struct{}
-	_, err := Get(t.Context(), serve(t, http.StatusOK), "/v1/status", &target)
-	require.ErrorContains(t, err, "the answer can't be read")
+	_, err := Get(t.Context(), startEchoServer(t, http.StatusOK), "/v1/status", &target)
+	require.ErrorContains(t, err, "decode response")
 }
