--- a/internal/control/cli/demo.go
+++ b/internal/control/cli/demo.go
@@ -23,43 +23,44 @@
 	demoTimeout      = 30 * time.Second
 	demoPollInterval = 200 * time.Millisecond
 
-	// demoJob has two steps with demoTasks tasks together; the second step waits for the first.
+	// demoJob has two stages with demoTasks tasks in total; the second depends on the first.
 	demoJob   = `{"Spec":"sleep 1500ms","Stages":[{"Count":6,"Cpu":1000,"MemMb":100,"EstimateMs":1500},{"Count":3,"Cpu":2000,"MemMb":100,"EstimateMs":1500,"DependsOn":[0]}]}`
 	demoJobID = "00000000000000a1"
 	demoTasks = 9
-	// demoGang runs its tasks only together.
+	// demoGang is a gang, whose tasks start only together.
 	demoGang   = `{"Spec":"sleep 2s","Stages":[{"Count":4,"Cpu":3000,"MemMb":100,"EstimateMs":2000,"Gang":true}]}`
 	demoGangID = "00000000000000b2"
 )
 
-// errDemo is returned where the demonstration does not show what it should.
-var errDemo = errors.New("the demonstration fails")
+// errDemo is wrapped by the errors of a demonstration that did not go as expected.
+var errDemo = errors.New("the demonstration failed")
 
-// demoCommand starts a small system on loopback, runs jobs on it and kills the head in the middle.
+// demoCommand starts a small system on the loopback interface, runs jobs on it, and kills the head
+// while they run.
 func demoCommand(ctx context.Context, c *invocation) error {
 	var keep string
 	err := c.parseOnlyFlags("demo", func(f *flag.FlagSet) {
-		f.StringVar(&keep, "keep", "", "`folder` for settings, logs and disks, which is kept")
+		f.StringVar(&keep, "keep", "", "`directory` for settings, logs and disks, which is not removed at the end")
 	})
 	if err != nil {
 		return err
 	}
-	self, err := os.Executable()
+	controlProgram, err := os.Executable()
 	if err != nil {
-		return errors.Wrap(err, "the program can't find itself")
+		return errors.Wrap(err, "find the path of this program")
 	}
-	dir, remove, err := demoFolder(keep)
+	dir, remove, err := demoDirectory(keep)
 	if err != nil {
 		return err
 	}
 	defer remove()
-	data := filepath.Join(filepath.Dir(self), "frosttide-data")
-	if _, err := os.Stat(data); err != nil {
-		return errors.Wrap(err, "the data plane's program has to lie beside this one")
+	dataProgram := filepath.Join(filepath.Dir(controlProgram), "frosttide-data")
+	if _, err := os.Stat(dataProgram); err != nil {
+		return errors.Wrap(err, "the data plane's program must be in the same directory as this one")
 	}
-	return playDemo(ctx, c.out, devcluster.Config{
-		Control:  self,
-		Data:     data,
+	return runDemo(ctx, c.out, devcluster.Config{
+		Control:  controlProgram,
+		Data:     dataProgram,
 		Dir:      dir,
 		Cores:    demoCores,
 		Gateways: demoGateways,
@@ -67,18 +68,20 @@
 	})
 }
 
-// demoFolder creates the folder of the demonstration: the one to keep, or else one that remove removes.
-func demoFolder(keep string) (dir string, remove func(), err error) {
+// demoDirectory creates the directory of the demonstration: keep if it is not empty, otherwise a
+// temporary directory. remove deletes the directory if it is temporary.
+func demoDirectory(keep string) (dir string, remove func(), err error) {
 	if keep != "" {
-		return keep, func() {}, errors.Wrap(os.MkdirAll(keep, 0o700), "the folder can't be made")
+		return keep, func() {}, errors.Wrap(os.MkdirAll(keep, 0o700), "create directory")
 	}
 	dir, err = os.MkdirTemp("", "frosttide-demo-")
 	if err != nil {
-		return "", nil, errors.Wrap(err, "a folder can't be made")
+		return "", nil, errors.Wrap(err, "create temporary directory")
 	}
 	return dir, func() { os.RemoveAll(dir) }, nil
 }
 
+// demoRunnerConfigs returns the configurations of the fake runners, two per rack.
 func demoRunnerConfigs() (configs []fakerunner.Config) {
 	for i := range demoRunners {
 		configs = append(configs, fakerunner.Config{
@@ -93,8 +96,10 @@
 	return configs
 }
 
-// playDemo starts a cluster, submits the jobs, and kills the head once a task is done.
-func playDemo(ctx context.Context, out io.Writer, cfg devcluster.Config) error {
+// runDemo starts a cluster, submits the jobs, and kills the head after the first task is done. It
+// returns an error that wraps errDemo if the jobs do not complete in time, if the head could not be
+// killed, or if a task was not done exactly once.
+func runDemo(ctx context.Context, out io.Writer, cfg devcluster.Config) error {
 	cluster, err := devcluster.Start(cfg)
 	if err != nil {
 		return err
@@ -102,11 +107,11 @@
 	defer cluster.Close()
 	fmt.Fprintf(out, "%d control processes, %d carriers, %d companions and toy runners are started in %s\n", demoCores, demoGateways, demoRunners, cfg.Dir)
 	if !cluster.Configure(demoTimeout) {
-		return errors.Wrap(errDemo, "the configuration is not taken up")
+		return errors.Wrap(errDemo, "the configuration did not take effect in time")
 	}
 	fmt.Fprintln(out, "the configuration is in force everywhere")
 	if !cluster.Submit(0, "batches", demoJobID, demoJob) || !cluster.Submit(1, "previews", demoGangID, demoGang) {
-		return errors.Wrap(errDemo, "a job is not accepted")
+		return errors.Wrap(errDemo, "a job was not accepted")
 	}
 	fmt.Fprintln(out, "a job of two steps and a gang of four are accepted")
 	killed := false
@@ -123,12 +128,13 @@
 		return job == "completed" && gang == "completed"
 	})
 	if !done || !killed {
-		return errors.Wrap(errDemo, "the jobs do not end, or no head was found")
+		return errors.Wrap(errDemo, "the jobs did not complete in time, or no head was found")
 	}
 	return checkDoneOnce(out, cluster)
 }
 
-// killHead kills the head's process and starts it again on its disk. It returns false if there is no head.
+// killHead kills the process of the head and restarts it with its disk. It returns false if there
+// is no head at the moment.
 func killHead(out io.Writer, cluster *devcluster.Cluster) bool {
 	head := cluster.Head()
 	if head == nil {
@@ -142,7 +148,7 @@
 	return true
 }
 
-// describeRunning returns how many tasks run at each runner.
+// describeRunning returns the number of running tasks on each runner, as text.
 func describeRunning(cluster *devcluster.Cluster) string {
 	var parts []string
 	for i, r := range cluster.Runners {
@@ -151,7 +157,8 @@
 	return "running at " + strings.Join(parts, " ")
 }
 
-// countDone returns how often each of the job's tasks was done.
+// countDone returns how often each task of demoJob was done, by task name, according to the
+// runners.
 func countDone(cluster *devcluster.Cluster) map[string]int {
 	counts := make(map[string]int)
 	for _, r := range cluster.Runners {
@@ -164,17 +171,17 @@
 	return counts
 }
 
-// checkDoneOnce checks that each of the job's tasks was done exactly once.
+// checkDoneOnce returns an error unless each task of demoJob was done exactly once.
 func checkDoneOnce(out io.Writer, cluster *devcluster.Cluster) error {
 	counts := countDone(cluster)
 	for task, count := range counts {
 		if count != 1 {
-			return errors.Wrapf(errDemo, "%s is done %d times", task, count)
+			return errors.Wrapf(errDemo, "task %s was done %d times", task, count)
 		}
 	}
 	if len(counts) != demoTasks {
-		return errors.Wrapf(errDemo, "%d tasks of %d are done", len(counts), demoTasks)
+		return errors.Wrapf(errDemo, "%d of %d tasks were done", len(counts), demoTasks)
 	}
-	fmt.Fprintf(out, "both are completed; each of the job's %d tasks was done once\n", demoTasks)
+	fmt.Fprintf(out, "both jobs are completed; each of the job's %d tasks was done once\n", demoTasks)
 	return nil
 }
--- a/internal/control/cli/snapshot.go
+++ b/internal/control/cli/snapshot.go
@@ -19,14 +19,16 @@
 )
 
 const (
-	// snapshotMode is the mode of snapshot files: jobs may contain what is not for everybody.
-	snapshotMode = 0o600
-	// restoredEpochGap is how far the epochs of a restored system begin above those of its snapshot. Views that came
-	// after the snapshot have had higher epochs, which runners know as fencing tokens; they must stay below.
+	// snapshotFileMode is the mode of snapshot files. Jobs may contain confidential data.
+	snapshotFileMode = 0o600
+	// restoredEpochGap is the difference between the first epoch of a restored system and the
+	// newest epoch in its snapshot. Views that followed the snapshot had higher epochs, which
+	// runners know as fencing tokens; the epochs of the restored system must exceed them.
 	restoredEpochGap = 1 << 36
 )
 
-// snapshotCommand writes the state of a member's disk to a file, verifies such a file, or restores a disk from it.
+// snapshotCommand saves the state of a member's disk to a file, verifies such a file, or restores a
+// disk from it.
 func snapshotCommand(_ context.Context, c *invocation) error {
 	var settings string
 	rest, err := c.parseFlags("snapshot", func(f *flag.FlagSet) {
@@ -44,11 +46,12 @@
 	case len(rest) == 3 && rest[0] == "restore":
 		return restoreSnapshot(c.out, rest[1], rest[2], settings)
 	default:
-		return usageError("save DIR FILE, verify FILE or restore FILE DIR is wanted")
+		return usageError("expected save DIR FILE, verify FILE or restore FILE DIR")
 	}
 }
 
-// writeSnapshot writes the state in a member's folder, which may be in use, to a file.
+// writeSnapshot writes the state in the data directory of a member to the file at path. The member
+// may be running.
 func writeSnapshot(out io.Writer, dir, path string) error {
 	state, err := journal.Load(dir)
 	if err != nil {
@@ -58,32 +61,34 @@
 	if err != nil {
 		return err
 	}
-	if err := os.WriteFile(path, encoded, snapshotMode); err != nil {
-		return errors.Wrap(err, "the snapshot can't be written")
+	if err := os.WriteFile(path, encoded, snapshotFileMode); err != nil {
+		return errors.Wrap(err, "write snapshot")
 	}
 	return printSnapshot(out, &state)
 }
 
-// readSnapshot reads a snapshot file and prints what it holds. A torn write at its end is left out.
+// readSnapshot reads a snapshot file and prints a summary of it. An incomplete write at the end of
+// the file is ignored.
 func readSnapshot(out io.Writer, path string) (*journal.State, error) {
 	data, err := readFile(path)
 	if err != nil {
 		return nil, err
 	}
-	state, good, err := journal.Read(data)
+	state, validLength, err := journal.Read(data)
 	if err != nil {
 		return nil, errors.Wrap(err, path)
 	}
 	if state.ID == 0 {
-		return nil, errors.Newf("%s: it is no snapshot", path)
+		return nil, errors.Newf("%s: not a snapshot", path)
 	}
-	if good < len(data) {
-		fmt.Fprintf(out, "the last %d bytes are a write that was not finished; they count for nothing\n", len(data)-good)
+	if validLength < len(data) {
+		fmt.Fprintf(out, "the last %d bytes are an incomplete write and are ignored\n", len(data)-validLength)
 	}
 	return &state, printSnapshot(out, &state)
 }
 
-// printSnapshot prints what a state holds.
+// printSnapshot prints a one-line summary of a state. It returns an error if the jobs or the
+// configuration in the state can't be decoded.
 func printSnapshot(out io.Writer, state *journal.State) error {
 	table, err := jobs.Load(state.Store)
 	if err != nil {
@@ -95,15 +100,16 @@
 	}
 	counts := make(map[string]int)
 	table.Each(func(j *jobs.Job) { counts[j.State.String()]++ })
-	fmt.Fprintf(out, "form %d, entry %d of epoch %d, %d items, configuration %d, jobs:", journal.Format, state.Index, state.InstalledEpoch, state.Store.Len(), config.Version)
+	fmt.Fprintf(out, "format %d, entry %d of epoch %d, %d items, configuration %d, jobs:", journal.Format, state.Index, state.InstalledEpoch, state.Store.Len(), config.Version)
 	printJobCounts(out, counts)
 	return nil
 }
 
-// restoreSnapshot creates the folder of the first member of a system that goes on from a snapshot.
+// restoreSnapshot creates the data directory of the first member of a system that is restored from
+// a snapshot. settingsPath is the settings file of that member.
 func restoreSnapshot(out io.Writer, path, dir, settingsPath string) error {
 	if settingsPath == "" {
-		return usageError("--settings or %s has to name the settings file of the member", nodefile.PathVariable)
+		return usageError("--settings or %s must name the settings file of the member", nodefile.PathVariable)
 	}
 	settings, err := nodefile.Read(settingsPath)
 	if err != nil {
@@ -113,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	makeOnlyVoter(state, settings)
+	setSingleVoter(state, settings)
 	encoded, err := journal.Snapshot(*state)
 	if err != nil {
 		return err
@@ -130,8 +136,9 @@
 	return nil
 }
 
-// makeOnlyVoter gives a state a new identity on the machine of the settings, and a view with that member alone.
-func makeOnlyVoter(state *journal.State, settings *nodefile.File) {
+// setSingleVoter gives a state a new identity, with the addresses and the zone in the settings, and
+// a view whose only voter and chain member has that identity.
+func setSingleVoter(state *journal.State, settings *nodefile.File) {
 	self := &protocol.Member{
 		Id:      rand.Uint64() >> 1,
 		Number:  max(state.Accepted.GetNextNumber(), 1),
