--- a/internal/control/cli/check.go
+++ b/internal/control/cli/check.go
@@ -11,10 +11,11 @@
 	"frosttide/internal/nodefile"
 )
 
-// errMistakes is returned after the mistakes in files have been printed.
-var errMistakes = errors.New("there are mistakes")
+// errCheckFailed is returned after the errors in the checked files have been printed.
+var errCheckFailed = errors.New("the checked files contain errors")
 
-// checkCommand checks files without a running system, and prints the mistakes of all of them.
+// checkCommand checks a settings file, a configuration file or both without a running system, and
+// prints the errors in all of them.
 func checkCommand(_ context.Context, c *invocation) error {
 	var settings, config string
 	rest, err := c.parseFlags("check", func(f *flag.FlagSet) {
@@ -31,7 +32,7 @@
 	report := func(err error) {
 		if err != nil {
 			fmt.Fprintln(c.errOut, err)
-			failed = errMistakes
+			failed = errCheckFailed
 		}
 	}
 	if settings != "" {
@@ -47,6 +48,7 @@
 	return failed
 }
 
+// checkConfigFile returns the errors in the configuration file at path.
 func checkConfigFile(path string) error {
 	body, err := readFile(path)
 	if err != nil {
--- a/internal/control/cli/config.go
+++ b/internal/control/cli/config.go
@@ -17,16 +17,17 @@
 	"frosttide/internal/routeconfig"
 )
 
-// currentVersion, as the version that a change builds on, stands for the version in force.
+// currentVersion is the default of --if-match. It stands for the version in force when the change
+// is sent.
 const currentVersion = -1
 
-// configCommand reads, changes or compares the configuration.
+// configCommand prints, replaces or compares the configuration, or prints its history.
 func configCommand(ctx context.Context, c *invocation) error {
 	var address string
 	var ifMatch int64
 	rest, err := c.parseFlags("config", func(f *flag.FlagSet) {
 		f.StringVar(&address, "at", "", "`address` of a core machine, host:port")
-		f.Int64Var(&ifMatch, "if-match", currentVersion, "`version` that the change builds on; without it the current one")
+		f.Int64Var(&ifMatch, "if-match", currentVersion, "`version` that the change is based on; by default the current one")
 	})
 	if err != nil {
 		return err
@@ -48,11 +49,12 @@
 	case len(rest) == 2 && rest[0] == "diff":
 		return diffConfig(ctx, c, address, rest[1])
 	default:
-		return usageError("get, put FILE, diff FILE or history is wanted")
+		return usageError("expected get, put FILE, diff FILE or history")
 	}
 }
 
-// currentConfig returns the configuration in force and its version. Before the first these are an empty object and 0.
+// currentConfig returns the configuration in force as JSON, and its version. If there is none yet,
+// it returns an empty object and 0.
 func currentConfig(ctx context.Context, address string) ([]byte, uint64, error) {
 	body, err := apiclient.Do(ctx, apiclient.Call{Method: http.MethodGet, Address: address, Path: "/v1/config"})
 	var refused *apiclient.RefusedError
@@ -63,10 +65,10 @@
 		return nil, 0, err
 	}
 	var config struct{ Version uint64 }
-	return body, config.Version, errors.Wrap(json.Unmarshal(body, &config), "the configuration can't be read")
+	return body, config.Version, errors.Wrap(json.Unmarshal(body, &config), "decode configuration")
 }
 
-// printConfigHistory prints the newest changes by their versions and the digests of their orders.
+// printConfigHistory prints the versions of the newest changes and the digests of their requests.
 func printConfigHistory(ctx context.Context, c *invocation, address string) error {
 	var updates []scheduler.ConfigUpdate
 	if _, err := apiclient.Get(ctx, address, "/v1/config/history", &updates); err != nil {
@@ -78,7 +80,8 @@
 	return nil
 }
 
-// putConfig checks a file and puts it in force as the successor of a version.
+// putConfig checks the configuration file at path and puts it in force, provided that the version
+// in force is ifMatch. A negative ifMatch stands for the current version.
 func putConfig(ctx context.Context, c *invocation, address, path string, ifMatch int64) error {
 	body, err := readFile(path)
 	if err != nil {
@@ -101,13 +104,15 @@
 	return nil
 }
 
-// checkConfig returns the mistakes of a configuration that can be found without the one in force.
+// checkConfig returns the errors in a configuration that can be found without knowing the
+// configuration in force. path is the name of the file for the error.
 func checkConfig(path string, body []byte) error {
 	_, err := routeconfig.Empty().Apply(body, routeconfig.Document)
 	return errors.Wrap(err, path)
 }
 
+// readFile returns the content of the file at path. An error names the file.
 func readFile(path string) ([]byte, error) {
 	body, err := os.ReadFile(path)
-	return body, errors.Wrapf(err, "%s: it can't be read", path)
+	return body, errors.Wrapf(err, "%s can't be read", path)
 }
--- a/internal/control/cli/configdiff.go
+++ b/internal/control/cli/configdiff.go
@@ -10,7 +10,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// diffConfig prints how a file differs from the configuration in force, item by item.
+// diffConfig prints the items in which a configuration file differs from the configuration in
+// force: a line with "-" for the item in force and one with "+" for the item in the file.
 func diffConfig(ctx context.Context, c *invocation, address, path string) error {
 	proposedBody, err := readFile(path)
 	if err != nil {
@@ -20,15 +21,15 @@
 	if err != nil {
 		return err
 	}
-	current, err := itemsOf(currentBody)
+	current, err := configItems(currentBody)
 	if err != nil {
 		return errors.Wrap(err, "the configuration in force")
 	}
-	proposed, err := itemsOf(proposedBody)
+	proposed, err := configItems(proposedBody)
 	if err != nil {
 		return errors.Wrap(err, path)
 	}
-	for _, key := range keysOf(current, proposed) {
+	for _, key := range unionKeys(current, proposed) {
 		currentItem, proposedItem := current[key], proposed[key]
 		switch {
 		case currentItem == nil:
@@ -42,13 +43,13 @@
 	return nil
 }
 
-// keysOf returns the sorted keys of both maps, each once.
-func keysOf(a, b map[string]json.RawMessage) (keys []string) {
+// unionKeys returns the sorted union of the keys of two maps.
+func unionKeys(a, b map[string]json.RawMessage) (keys []string) {
 	for key := range a {
 		keys = append(keys, key)
 	}
 	for key := range b {
-		if _, both := a[key]; !both {
+		if _, inBoth := a[key]; !inBoth {
 			keys = append(keys, key)
 		}
 	}
@@ -56,12 +57,12 @@
 	return keys
 }
 
-// itemsOf returns the parts of a configuration as compact JSON: the items of its lists by kind and name, everything
-// else by its key.
-func itemsOf(body []byte) (map[string]json.RawMessage, error) {
+// configItems splits a configuration into items of compact JSON. The elements of lists have keys of
+// the form LIST/NAME; all other values have their own key.
+func configItems(body []byte) (map[string]json.RawMessage, error) {
 	var document map[string]json.RawMessage
 	if err := json.Unmarshal(body, &document); err != nil {
-		return nil, errors.Wrap(err, "it can't be read")
+		return nil, errors.Wrap(err, "decode JSON")
 	}
 	out := make(map[string]json.RawMessage)
 	for kind, value := range document {
@@ -81,7 +82,7 @@
 	return out, nil
 }
 
-// compact returns JSON without white space.
+// compact returns JSON without insignificant white space. Invalid JSON is returned unchanged.
 func compact(value json.RawMessage) json.RawMessage {
 	var out bytes.Buffer
 	if json.Compact(&out, value) != nil {
--- a/internal/control/cli/configdiff_test.go
+++ b/internal/control/cli/configdiff_test.go
@@ -15,10 +15,10 @@
 func TestDiffConfig(t *testing.T) {
 	const inForce = `{"Version":1,"Routes":[{"Name":"a","TimeoutMs":1},{"Name":"b","TimeoutMs":2}]}`
 	tests := []struct{ name, proposed, want string }{
-		{"the same in another order", `{"Routes":[{"Name":"b", "TimeoutMs":2},{"Name":"a", "TimeoutMs":1}], "Version":1}`, ""},
-		{"a changed item", `{"Version":1,"Routes":[{"Name":"a","TimeoutMs":3},{"Name":"b","TimeoutMs":2}]}`,
+		{"same items in another order", `{"Routes":[{"Name":"b", "TimeoutMs":2},{"Name":"a", "TimeoutMs":1}], "Version":1}`, ""},
+		{"changed item", `{"Version":1,"Routes":[{"Name":"a","TimeoutMs":3},{"Name":"b","TimeoutMs":2}]}`,
 			"- Routes/a {\"Name\":\"a\",\"TimeoutMs\":1}\n+ Routes/a {\"Name\":\"a\",\"TimeoutMs\":3}\n"},
-		{"a new item and a missing one", `{"Version":1,"Routes":[{"Name":"a","TimeoutMs":1},{"Name":"c"}]}`,
+		{"new item and removed item", `{"Version":1,"Routes":[{"Name":"a","TimeoutMs":1},{"Name":"c"}]}`,
 			"- Routes/b {\"Name\":\"b\",\"TimeoutMs\":2}\n+ Routes/c {\"Name\":\"c\"}\n"},
 		{"another version", strings.Replace(inForce, `"Version":1`, `"Version":2`, 1), "- Version 1\n+ Version 2\n"},
 	}
