--- a/internal/control/cli/arguments.go
+++ b/internal/control/cli/arguments.go
@@ -10,17 +10,19 @@
 	"frosttide/internal/nodefile"
 )
 
-// addressVariable is the environment variable that holds the address of a core machine's API.
+// addressVariable is the environment variable with the address of a core machine's API, host:port.
 const addressVariable = "FROSTTIDE_CONTROL"
 
-// invocation is one use of a command: its arguments and its outputs.
+// invocation holds the arguments and the output streams of a command.
 type invocation struct {
-	args   []string
+	args   []string // without the name of the command
 	out    io.Writer
 	errOut io.Writer
 }
 
-// parseFlags parses flags, which may stand before or after the other arguments, and returns the others.
+// parseFlags parses the flags of a command, which may precede, follow or be mixed with its other
+// arguments, and returns the other arguments. The error is flag.ErrHelp if help was requested, and
+// is marked with errUsage otherwise.
 func (c *invocation) parseFlags(name string, define func(*flag.FlagSet)) ([]string, error) {
 	flags := flag.NewFlagSet(name, flag.ContinueOnError)
 	flags.SetOutput(c.errOut)
@@ -43,7 +45,7 @@
 	return rest, nil
 }
 
-// parseOnlyFlags parses the flags of a command that takes nothing else.
+// parseOnlyFlags parses the flags of a command that takes no other arguments.
 func (c *invocation) parseOnlyFlags(name string, define func(*flag.FlagSet)) error {
 	rest, err := c.parseFlags(name, define)
 	if err != nil {
@@ -55,20 +57,23 @@
 	return nil
 }
 
-func errOnlyFlags() error { return usageError("it takes flags only") }
+// errOnlyFlags returns the usage error of a command that takes no arguments other than flags.
+func errOnlyFlags() error { return usageError("the command takes flags only") }
 
-// queryFlags are the flags of commands that show the state of a running system.
+// queryFlags are the flags of commands that query a running system.
 type queryFlags struct {
-	address string // of a core machine's API
-	json    bool
+	address string // of a core machine's API, host:port
+	json    bool   // print JSON instead of text
 }
 
+// define adds the flags to a flag set.
 func (q *queryFlags) define(f *flag.FlagSet) {
 	f.StringVar(&q.address, "at", "", "`address` of a core machine, host:port")
 	f.BoolVar(&q.json, "json", false, "print JSON")
 }
 
-// parseQuery parses the flags of a command that shows the state of a running system and takes nothing else.
+// parseQuery parses the flags of a command that queries a running system and takes no other
+// arguments. It sets the address to the default if the flag is missing.
 func (c *invocation) parseQuery(name string) (q queryFlags, err error) {
 	rest, err := c.parseFlags(name, q.define)
 	if err != nil {
@@ -83,11 +88,11 @@
 	return q, nil
 }
 
-// coreAddress returns the address of the core machine to ask: the one given, or else that of the environment, or else
-// the first seed of the settings file.
-func coreAddress(given string) (string, error) {
-	if given != "" {
-		return given, nil
+// coreAddress returns the address of the core machine to query: flagValue if it is not empty,
+// otherwise the value of addressVariable, otherwise the first seed in the settings file.
+func coreAddress(flagValue string) (string, error) {
+	if flagValue != "" {
+		return flagValue, nil
 	}
 	if address := os.Getenv(addressVariable); address != "" {
 		return address, nil
--- a/internal/control/cli/arguments_test.go
+++ b/internal/control/cli/arguments_test.go
@@ -15,10 +15,10 @@
 		rest []string
 		want queryFlags
 	}{
-		{"nothing", nil, nil, queryFlags{}},
+		{"no arguments", nil, nil, queryFlags{}},
 		{"flags first", []string{"--json", "--at", "a:1", "show", "x"}, []string{"show", "x"}, queryFlags{address: "a:1", json: true}},
 		{"flags last", []string{"show", "x", "--at", "a:1", "--json"}, []string{"show", "x"}, queryFlags{address: "a:1", json: true}},
-		{"flags in between", []string{"show", "--at=a:1", "x"}, []string{"show", "x"}, queryFlags{address: "a:1"}},
+		{"flags between arguments", []string{"show", "--at=a:1", "x"}, []string{"show", "x"}, queryFlags{address: "a:1"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/control/cli/cli.go
+++ b/internal/control/cli/cli.go
@@ -14,72 +14,73 @@
 	"frosttide/internal/nodefile"
 )
 
-// Exit statuses of the program.
+// Exit statuses of the program. Operators' scripts rely on them.
 const (
 	ExitOK     = 0
-	ExitFailed = 1 // what was asked for failed or was refused
-	ExitUsage  = 2 // the arguments are wrong
+	ExitFailed = 1 // the command failed or its request was refused
+	ExitUsage  = 2 // the arguments are invalid
 )
 
-// errUsage marks mistakes in arguments.
+// errUsage marks errors caused by invalid arguments, for which Main prints the usage.
 var errUsage = errors.New("usage")
 
-// usageError returns an error for a mistake in arguments.
+// usageError returns an error that is marked with errUsage.
 func usageError(format string, args ...any) error {
 	return errors.Mark(errors.Newf(format, args...), errUsage)
 }
 
-// command is a sub-command of the program.
+// command describes a subcommand of the program.
 type command struct {
 	name    string
-	args    string // as usage and help show them
-	summary string
+	args    string // synopsis of the arguments for usage and help
+	summary string // one line for the help
 	run     func(ctx context.Context, c *invocation) error
 }
 
-// commands returns all sub-commands in the order of the help.
+// commands returns all subcommands, in the order in which the help lists them.
 func commands() []command {
 	return []command{
 		{
 			name: "serve", run: serveCommand,
-			summary: "serves as a member of the control plane, by the file that " + nodefile.PathVariable + " names (the default)",
+			summary: "runs a member of the control plane with the settings file in " + nodefile.PathVariable + " (the default)",
 		},
 		{
 			name: "demo", args: "[--keep DIR]", run: demoCommand,
-			summary: "starts a whole small system on loopback, runs jobs, and kills the head",
+			summary: "starts a small system on the loopback interface, runs jobs and kills the head",
 		},
 		{
 			name: "status", args: "[--at ADDRESS] [--json]", run: statusCommand,
-			summary: "tells the view, the chain, the members, runners and what waits and why",
+			summary: "shows the view, the chain, the members, the runners, and which steps wait and why",
 		},
 		{
 			name: "jobs", args: "list|show ID|cancel ID [--at ADDRESS] [--json]", run: jobsCommand,
-			summary: "tells of jobs, or cancels one",
+			summary: "lists jobs, or shows or cancels one",
 		},
 		{
 			name: "runners", args: "[--at ADDRESS] [--json]", run: runnersCommand,
-			summary: "tells of runners",
+			summary: "lists the runners",
 		},
 		{
 			name: "config", args: "get|put FILE|diff FILE|history [--at ADDRESS] [--if-match N]", run: configCommand,
-			summary: "reads or changes the configuration",
+			summary: "shows, replaces or compares the configuration",
 		},
 		{
 			name: "check", args: "[--settings FILE] [--config FILE]", run: checkCommand,
-			summary: "checks a settings file and a configuration",
+			summary: "checks a settings file, a configuration file or both",
 		},
 		{
 			name: "snapshot", args: "save DIR FILE|verify FILE|restore FILE DIR", run: snapshotCommand,
-			summary: "keeps the state of a member's disk, looks at it, puts it back",
+			summary: "saves the state of a member's disk to a file, verifies or restores it",
 		},
 		{
 			name: "version", run: versionCommand,
-			summary: "tells the version",
+			summary: "prints the version",
 		},
 	}
 }
 
-// Main runs the program with its arguments, without the program's name, and returns its exit status.
+// Main runs the command that args name and returns the exit status of the program. args do not
+// include the program's name. Results are written to out, errors and usage to errOut.
 func Main(ctx context.Context, args []string, out, errOut io.Writer) int {
 	if len(args) == 0 {
 		args = []string{"serve"}
@@ -110,14 +111,14 @@
 	}
 }
 
-// printHelp answers a newcomer's first questions.
+// printHelp prints the purpose of the program, examples and a summary of all commands.
 func printHelp(out io.Writer) {
-	fmt.Fprint(out, `frosttide-control is the control plane of the cluster scheduler: it keeps the configuration and
-the jobs on the disks of a few core machines, and says which runner does what.
+	fmt.Fprint(out, `frosttide-control is the control plane of the cluster scheduler: it stores the configuration and
+the jobs on the disks of a few core machines, and assigns tasks to runners.
 
-To try it:          frosttide-control demo
-To see what it does: frosttide-control status --at HOST:PORT   (a core machine's Control address)
-Why a job waits:    frosttide-control jobs show ID --at HOST:PORT
+To try it:              frosttide-control demo
+To see its state:       frosttide-control status --at HOST:PORT   (a core machine's Control address)
+To see why a job waits: frosttide-control jobs show ID --at HOST:PORT
 
 Commands:
 `)
@@ -126,5 +127,5 @@
 		fmt.Fprintf(table, "  %s %s\t%s\n", c.name, c.args, c.summary)
 	}
 	table.Flush()
-	fmt.Fprintf(out, "\nExit status: %d done, %d refused or failed, %d arguments that can't be understood.\nWithout --at the address is that of %s, or of the settings file.\n", ExitOK, ExitFailed, ExitUsage, addressVariable)
+	fmt.Fprintf(out, "\nExit status: %d success, %d refused or failed, %d invalid arguments.\nWithout --at the address is taken from %s, or else from the settings file.\n", ExitOK, ExitFailed, ExitUsage, addressVariable)
 }
--- a/internal/control/cli/jobs.go
+++ b/internal/control/cli/jobs.go
@@ -29,11 +29,11 @@
 	case len(rest) == 2 && rest[0] == "cancel":
 		return cancelJob(ctx, c, q, rest[1])
 	default:
-		return usageError("list, show ID or cancel ID is wanted")
+		return usageError("expected list, show ID or cancel ID")
 	}
 }
 
-// printJobs prints the table of jobs.
+// printJobs prints all known jobs as a table or as JSON.
 func printJobs(ctx context.Context, c *invocation, q queryFlags) error {
 	var jobs []scheduler.JobStatus
 	body, err := apiclient.Get(ctx, q.address, "/v1/jobs", &jobs)
@@ -51,7 +51,7 @@
 	return table.Flush()
 }
 
-// printJob prints a job's steps and tasks and why it waits.
+// printJob prints the steps and tasks of a job and the reasons why steps wait, as text or as JSON.
 func printJob(ctx context.Context, c *invocation, q queryFlags, id string) error {
 	var job scheduler.JobStatus
 	body, err := apiclient.Get(ctx, q.address, "/v1/jobs/"+id, &job)
@@ -63,16 +63,16 @@
 	}
 	fmt.Fprintf(c.out, "%s of %s: %s, accepted %s\n", job.ID, job.Queue, job.State, formatTime(job.AcceptedMs))
 	for _, step := range job.Steps {
-		fmt.Fprintf(c.out, "time %d step %d: %d tasks wait, ready: %v\n", step.Occurrence, step.Step, step.Waiting, step.Ready)
+		fmt.Fprintf(c.out, "occurrence %d step %d: %d tasks waiting, ready: %v\n", step.Occurrence, step.Step, step.Waiting, step.Ready)
 		for _, task := range step.Tasks {
-			fmt.Fprintf(c.out, "  %s run %d at %s: %s, %d failures\n", task.Task, task.Run, task.Runner, task.Phase, task.Failures)
+			fmt.Fprintf(c.out, "  %s run %d on %s: %s, %d failures\n", task.Task, task.Run, task.Runner, task.Phase, task.Failures)
 		}
 	}
 	printWaiting(c.out, job.Waiting)
 	return nil
 }
 
-// cancelJob cancels a job of any queue.
+// cancelJob cancels the job with the given ID, in whichever queue it is.
 func cancelJob(ctx context.Context, c *invocation, q queryFlags, id string) error {
 	if _, err := apiclient.Do(ctx, apiclient.Call{Method: http.MethodDelete, Address: q.address, Path: "/v1/jobs/" + id}); err != nil {
 		return err
--- a/internal/control/cli/runners.go
+++ b/internal/control/cli/runners.go
@@ -11,7 +11,7 @@
 	"frosttide/internal/control/scheduler"
 )
 
-// runnersCommand prints the runners.
+// runnersCommand prints all runners as a table or as JSON.
 func runnersCommand(ctx context.Context, c *invocation) error {
 	q, err := c.parseQuery("runners")
 	if err != nil {
@@ -39,7 +39,8 @@
 	table.Flush()
 }
 
-// runnerState returns a runner's state. For one without a session it adds when its runs count as lost.
+// runnerState returns the state of a runner. For a runner without a session it adds the time until
+// its runs are considered lost.
 func runnerState(r *scheduler.RunnerStatus) string {
 	if !r.InSession {
 		return fmt.Sprintf("%s, lost in %v", r.State(), time.Duration(r.LostInMs)*time.Millisecond)
--- a/internal/control/cli/serve.go
+++ b/internal/control/cli/serve.go
@@ -9,7 +9,7 @@
 	"frosttide/internal/nodefile"
 )
 
-// serveCommand runs a member of the control plane until the context ends.
+// serveCommand runs a member of the control plane until the context ends and the member is drained.
 func serveCommand(ctx context.Context, c *invocation) error {
 	if err := c.parseOnlyFlags("serve", klog.InitFlags); err != nil {
 		return err
--- a/internal/control/cli/status.go
+++ b/internal/control/cli/status.go
@@ -15,7 +15,8 @@
 	"frosttide/internal/view"
 )
 
-// statusCommand prints the view, the members and the placement role's state.
+// statusCommand prints the view, the members and the state of the placement role. It does not fail
+// if only the state of the placement role can't be read.
 func statusCommand(ctx context.Context, c *invocation) error {
 	q, err := c.parseQuery("status")
 	if err != nil {
@@ -43,10 +44,11 @@
 	return nil
 }
 
-// printMember prints what a member knows of the view and the other members.
+// printMember prints the view of a member, its position in the log, and its contact with the
+// voters.
 func printMember(out io.Writer, m *replica.Status) {
 	if m.View == nil {
-		fmt.Fprintln(out, "view: none is known yet")
+		fmt.Fprintln(out, "view: not known yet")
 		return
 	}
 	fmt.Fprintf(out, "view: epoch %d, %d voters, chain of %d\n", m.View.GetEpoch(), len(m.View.GetVoters()), len(m.View.GetChain()))
@@ -57,13 +59,13 @@
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "MEMBER\tADDRESS\tCONTROL\tROLE\tHEARD")
 	for _, v := range m.View.GetVoters() {
-		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\n", v.GetNumber(), v.GetAddress(), v.GetControl(), roleOf(m.View, v), lastContact(m, v))
+		fmt.Fprintf(table, "%d\t%s\t%s\t%s\t%s\n", v.GetNumber(), v.GetAddress(), v.GetControl(), chainRole(m.View, v), lastContact(m, v))
 	}
 	table.Flush()
 }
 
-// roleOf returns the role of a member in a view's chain.
-func roleOf(v *protocol.View, m *protocol.Member) string {
+// chainRole returns the role of a member in the chain of a view, as text.
+func chainRole(v *protocol.View, m *protocol.Member) string {
 	switch position := view.ChainPosition(v, m.GetId()); {
 	case position == 0 && len(v.GetChain()) == 1:
 		return "head and tail"
@@ -78,7 +80,7 @@
 	}
 }
 
-// lastContact returns how long ago a member had contact with a voter.
+// lastContact returns, as text, the time since the member last had contact with a voter.
 func lastContact(m *replica.Status, v *protocol.Member) string {
 	if v.GetId() == m.Self {
 		return "this one"
@@ -90,7 +92,7 @@
 	return fmt.Sprintf("%v ago", time.Duration(ms)*time.Millisecond)
 }
 
-// printPlacement prints the placement role's state.
+// printPlacement prints the state of the placement role.
 func printPlacement(out io.Writer, p *scheduler.Status) {
 	fmt.Fprintf(out, "\nplacement: fencing token %d, configuration %d, jobs:", p.Epoch, p.ConfigVersion)
 	printJobCounts(out, p.Jobs)
@@ -102,7 +104,7 @@
 	}
 }
 
-// printWaiting prints which steps wait and why.
+// printWaiting prints the waiting steps, with the demand of each task and the reason for the wait.
 func printWaiting(out io.Writer, waiting []scheduler.WaitStatus) {
 	for _, w := range waiting {
 		fmt.Fprintf(out, "%s step %d waits for %v: %d tasks of %d thousandths of a core, %d MB, %d GPUs: %s\n", w.Job, w.Step, time.Duration(w.ForMs)*time.Millisecond, w.Tasks,
