--- a/internal/control/jobs/job.go
+++ b/internal/control/jobs/job.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Final reports whether the job has ended. No run of a job in a final state is started.
+// Final reports whether a job in this state has ended, so that no further run of it is started.
 func (s State) Final() bool { return s >= Completed }
 
 // Phase is the progress of a task. Its numeric values are stored and must not change.
