--- a/internal/control/jobs/validate.go
+++ b/internal/control/jobs/validate.go
@@ -46,13 +46,13 @@
 	case !validID(s.GetId()):
 		return invalid("", "the job's ID is not %d hex digits", idLength)
 	case !utf8.ValidString(s.GetSpec()) || utf8.RuneCountInString(s.GetSpec()) > maxSpecLength:
-		return invalid("Spec", "longer than %d characters or not valid UTF-8", maxSpecLength)
+		return invalid("Spec", "it is longer than %d characters or no text", maxSpecLength)
 	case len(s.GetStages()) == 0 || len(s.GetStages()) > maxStages:
 		return invalid("Stages", "there are %d, 1 to %d are taken", len(s.GetStages()), maxStages)
 	case s.GetMaxRuns() > maxOccurrences:
 		return invalid("MaxRuns", "%d is more than %d", s.GetMaxRuns(), maxOccurrences)
 	case s.GetIntervalMs() < 0 || s.GetStartAtMs() < 0:
-		return invalid("StartAtMs, IntervalMs", "must not be negative")
+		return invalid("StartAtMs, IntervalMs", "they are below 0")
 	}
 	for i, stage := range s.GetStages() {
 		if err := validateStage(i, stage); err != nil {
@@ -69,9 +69,9 @@
 	case s.GetCount() == 0 || s.GetCount() > maxTasks:
 		return invalid(field("Count"), "%d is not 1 to %d", s.GetCount(), maxTasks)
 	case s.GetCpu() < 0 || s.GetMemMb() < 0 || s.GetGpus() < 0 || s.GetEstimateMs() < 0:
-		return invalid(field("Cpu, MemMb, Gpus, EstimateMs"), "must not be negative")
+		return invalid(field("Cpu, MemMb, Gpus, EstimateMs"), "one is below 0")
 	case !utf8.ValidString(s.GetRequirements()) || !utf8.ValidString(s.GetAffinity()):
-		return invalid(field("Requirements, Affinity"), "must be valid UTF-8")
+		return invalid(field("Requirements, Affinity"), "one is no text")
 	}
 	for _, d := range s.GetDependsOn() {
 		if int(d) >= number {
