--- a/internal/control/cli/demo.go
+++ b/internal/control/cli/demo.go
@@ -182,6 +182,6 @@
 	if len(counts) != demoTasks {
 		return errors.Wrapf(errDemo, "%d of %d tasks were done", len(counts), demoTasks)
 	}
-	fmt.Fprintf(out, "both jobs are completed; each of the job's %d tasks was done once\n", demoTasks)
+	fmt.Fprintf(out, "both are completed; each of the job's %d tasks was done once\n", demoTasks)
 	return nil
 }
--- a/internal/control/cli/jobs.go
+++ b/internal/control/cli/jobs.go
@@ -63,9 +63,9 @@
 	}
 	fmt.Fprintf(c.out, "%s of %s: %s, accepted %s\n", job.ID, job.Queue, job.State, formatTime(job.AcceptedMs))
 	for _, step := range job.Steps {
-		fmt.Fprintf(c.out, "occurrence %d step %d: %d tasks waiting, ready: %v\n", step.Occurrence, step.Step, step.Waiting, step.Ready)
+		fmt.Fprintf(c.out, "time %d step %d: %d tasks wait, ready: %v\n", step.Occurrence, step.Step, step.Waiting, step.Ready)
 		for _, task := range step.Tasks {
-			fmt.Fprintf(c.out, "  %s run %d on %s: %s, %d failures\n", task.Task, task.Run, task.Runner, task.Phase, task.Failures)
+			fmt.Fprintf(c.out, "  %s run %d at %s: %s, %d failures\n", task.Task, task.Run, task.Runner, task.Phase, task.Failures)
 		}
 	}
 	printWaiting(c.out, job.Waiting)
--- a/internal/control/cli/snapshot.go
+++ b/internal/control/cli/snapshot.go
@@ -82,7 +82,7 @@
 		return nil, errors.Newf("%s: not a snapshot", path)
 	}
 	if validLength < len(data) {
-		fmt.Fprintf(out, "the last %d bytes are an incomplete write and are ignored\n", len(data)-validLength)
+		fmt.Fprintf(out, "the last %d bytes are a write that was not finished; they count for nothing\n", len(data)-validLength)
 	}
 	return &state, printSnapshot(out, &state)
 }
@@ -100,7 +100,7 @@
 	}
 	counts := make(map[string]int)
 	table.Each(func(j *jobs.Job) { counts[j.State.String()]++ })
-	fmt.Fprintf(out, "format %d, entry %d of epoch %d, %d items, configuration %d, jobs:", journal.Format, state.Index, state.InstalledEpoch, state.Store.Len(), config.Version)
+	fmt.Fprintf(out, "form %d, entry %d of epoch %d, %d items, configuration %d, jobs:", journal.Format, state.Index, state.InstalledEpoch, state.Store.Len(), config.Version)
 	printJobCounts(out, counts)
 	return nil
 }
--- a/internal/control/cli/status.go
+++ b/internal/control/cli/status.go
@@ -48,7 +48,7 @@
 // voters.
 func printMember(out io.Writer, m *replica.Status) {
 	if m.View == nil {
-		fmt.Fprintln(out, "view: not known yet")
+		fmt.Fprintln(out, "view: none is known yet")
 		return
 	}
 	fmt.Fprintf(out, "view: epoch %d, %d voters, chain of %d\n", m.View.GetEpoch(), len(m.View.GetVoters()), len(m.View.GetChain()))
--- a/internal/control/jobs/job.go
+++ b/internal/control/jobs/job.go
@@ -97,7 +97,7 @@
 // String returns the state of the job and its steps on one line, for traces of simulations.
 func (j *Job) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "job %s of %s: %s, %d of %d occurrences released, %d finished, %d runs may be in progress",
+	fmt.Fprintf(&b, "job %s of %s: %s, %d of %d times due, %d finished, %d runs may be under way",
 		j.ID, j.Queue, j.State, len(j.occurrences), j.OccurrenceCount, j.finishedOccurrences, j.liveRuns)
 	j.EachStep(func(s *Step) {
 		fmt.Fprintf(&b, "; %d.%d: %d waiting, %d done of %d", s.Occurrence.Number, s.Number, s.Waiting, s.doneTasks, len(s.Tasks))
