--- a/internal/dispatcher/core/core.go
+++ b/internal/dispatcher/core/core.go
@@ -1,21 +1,20 @@
-// Package core is the actor between the pure decision module and the network.
+// Package core is the dispatcher's event loop: an actor that connects the pure decision module
+// (package decision) to the network.
 //
-// It drains its mailbox into one Step of the module, executes the actions that
-// Step returns, and owns what the module does not: the open requests with their
-// attempts, the timers, and the one final response of each request. It knows no
-// protocol. Clients stand behind Ingress, workers behind Backend, discovery
-// behind RouteTable; packages ingress, gearman, egress and routetable implement
-// them, and cmd/frosttide connects everything.
+// In each turn of its loop it drains its mailbox, passes the collected events to one Step of the
+// decision module and executes the actions that Step returns. It owns the state that the decision
+// module does not have: the open requests and their attempts, the timers, and the delivery of the
+// one final response to each request. It is independent of protocols. Clients are reached through
+// Ingress, workers through Backend and discovery through RouteTable; packages ingress, gearman,
+// egress and routetable implement these interfaces, and cmd/frosttide wires them up.
 //
-// Invariants: each request gets exactly one final response unless its client
-// has left; each attempt ends exactly once, whatever its backend and its worker
-// report and in whatever order; nothing is sent after a stall of the process
-// until admission is opened anew.
+// Invariants: each request gets exactly one final response, unless its client has disconnected;
+// each attempt ends exactly once, whatever its backend and its worker report and in whatever order;
+// after a stall of the process (see Guard), nothing is sent until admission is reopened.
 //
-// All exported methods of Core are safe for concurrent use and never block; they
-// put a message into the mailbox that the goroutine of Run executes. The
-// exceptions are the Set... methods of hooks and observers, Guard and HoldBack,
-// which must be called before Run.
+// All exported methods of Core are safe for concurrent use and never block: they put a message into
+// the mailbox, which the goroutine of Run executes. The exceptions are Guard, HoldBack and those
+// Set... methods that install hooks and observers; they must be called before Run.
 package core
 
 import (
@@ -32,8 +31,8 @@
 	"frosttide/internal/mailbox"
 )
 
-// Core is the actor. Make it with New and start it with Run. Unless a comment
-// says otherwise its fields belong to the goroutine of Run.
+// Core is the actor. New makes it and Run runs it. Its fields belong to the goroutine of Run,
+// unless their comment says otherwise.
 type Core struct {
 	log        *logrus.Entry
 	cfg        decision.Config
@@ -42,61 +41,71 @@
 	routeTable RouteTable
 	mailbox    *mailbox.Box[func(*Core)] // safe for concurrent use
 
-	// The clock. Durations that are points in time count since 1970.
+	// The clock. A time.Duration that denotes a point in time is the time since 1970.
 	start     time.Time            // when the core was made
-	startWall time.Duration        // what the wall clock showed then
-	wall      func() time.Duration // the wall clock, which may be set at any time
-	now       time.Duration        // of the current turn of the loop
+	startWall time.Duration        // reading of the wall clock at start
+	wall      func() time.Duration // reads the wall clock, which may be set at any time
+	now       time.Duration        // time of the current turn of the loop
 
-	// Work of the current turn, and timers.
-	events []decision.Event // for the next Step
+	// Events of the current turn, and timers.
+	events []decision.Event // input of the next Step
 	timers timerHeap
 
 	// Requests.
-	requests          map[decision.RequestID]*request
-	byID              map[string]*request // by the client's name for the request
-	lastRequestID     decision.RequestID
-	awaitingAdmission map[*Job]bool                    // jobs held back or looked up in the outcome store, whose clients are still there
-	heldBack          *heldBackJobs                    // nil once discovery has answered
-	releasing         map[*request]func(*MovedRequest) // requests that will go to another process
-	released          map[string]bool                  // the IDs of those that have gone, at the end of this process
-	stopAt            time.Duration                    // when the process may be ended; 0 before StopBy
+	requests      map[decision.RequestID]*request
+	byID          map[string]*request // by Job.ID
+	lastRequestID decision.RequestID
+	// awaitingAdmission holds the jobs that are held back or being looked up in the outcome store,
+	// while their clients are connected.
+	awaitingAdmission map[*Job]bool
+	heldBack          *heldBackJobs // nil unless jobs are held back
+	// releasing holds the requests to be transferred to another process, with the callbacks of
+	// Release.
+	releasing map[*request]func(*MovedRequest)
+	// released holds the IDs of the requests that were transferred to another process.
+	released map[string]bool
+	stopAt   time.Duration // when the process may be terminated; 0 before StopBy
 
 	// Workers.
 	workers         map[string]*worker // by UID
 	workersByNumber map[decision.WorkerID]*worker
 	lastWorkerID    decision.WorkerID
-	excluded        map[string]bool            // UIDs that operators have excluded, whatever discovery lists
-	reinstated      map[string]time.Duration   // UIDs that operators have included again, and when
-	restoredHealth  map[string]decision.Health // of an earlier process, for workers not listed yet
-	restoredStarts  map[string]WorkerStart     // likewise
+	// excluded holds the UIDs of the workers that operators have excluded, regardless of their
+	// state in discovery's list.
+	excluded   map[string]bool
+	reinstated map[string]time.Duration // UIDs of reinstated workers, with the time
+	// restoredHealth and restoredStarts hold, by UID, what an earlier process or another dispatcher
+	// knew about workers that are not listed yet.
+	restoredHealth map[string]decision.Health
+	restoredStarts map[string]WorkerStart
 
 	// Other processes and other dispatchers.
-	processCount int    // processes of this dispatcher
-	warmUpPeers  int    // dispatchers that share warming workers, in place of the settings' number; 0 for that number
-	guard        *guard // nil for a dispatcher without a cluster
+	processCount int // number of processes of this dispatcher
+	// warmUpPeers is the number of dispatchers that share the workers that are warming up; 0 for
+	// the number in cfg.
+	warmUpPeers int
+	guard       *guard // nil if Guard was not called
 
 	// Observers. None of them may block.
-	onExclusion       func(Exclusion) // receives what operators decide at this process
+	onExclusion       func(Exclusion) // receives the operators' decisions made here
 	onMembers         MembersFunc
 	membersReportedAt time.Duration
-	onRecord          func(*trace.Record) // receives the span records of requests that have ended
-	onHoldings        func([]Holding)     // receives the tokens that each worker holds; nil for nobody
-	holdingsWanted    func() bool         // whether onHoldings is of use now
+	onRecord          func(*trace.Record) // receives the span records of completed requests
+	onHoldings        func([]Holding)     // receives the tokens in use; nil for none
+	holdingsWanted    func() bool         // reports whether onHoldings has a consumer now
 	observer          WorkerObserver      // nil for none
 	outcomeStore      OutcomeStore        // nil for none
 	gangs             GangObserver        // nil for none
 	summary           trafficCounts
 }
 
-// New makes a core that is not running yet. The seed is for the random numbers
-// of the decision module. It fails with the module's error for settings that the
-// module does not accept.
+// New returns a core; Run runs it. The seed initializes the random numbers of the decision module.
+// New fails if the decision module rejects cfg.
 func New(cfg decision.Config, seed uint64, backends Backends, routeTable RouteTable, onMembers MembersFunc,
 	log *logrus.Entry) (*Core, error) {
 	module, err := decision.New(cfg, seed)
 	if err != nil {
-		return nil, errors.Wrap(err, "making the module")
+		return nil, errors.Wrap(err, "create decision module")
 	}
 	return &Core{
 		log:        log,
@@ -127,14 +136,16 @@
 	}, nil
 }
 
-// Run works until the context ends.
+// Run runs the loop until ctx is done.
 func (c *Core) Run(ctx context.Context) {
 	var mail []func(*Core)
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	summary := time.NewTicker(summaryInterval)
 	defer summary.Stop()
-	refresh := time.NewTicker(refreshInterval) // a worker's rest ends by the passing of time alone
+	// Ensures a turn at least every refreshInterval: workers that were avoided for a while become
+	// available again without any message.
+	refresh := time.NewTicker(refreshInterval)
 	defer refresh.Stop()
 	for {
 		select {
@@ -164,28 +175,28 @@
 	}
 }
 
-// moduleTime converts a time into the decision module's: the time since 1970. It
-// follows the monotonic clock, so it never goes back within a process.
+// moduleTime converts t to the decision module's clock, the time since 1970. It is based on the
+// monotonic clock, so it never goes back within a process.
 func (c *Core) moduleTime(t time.Time) time.Duration {
 	return c.startWall + t.Sub(c.start)
 }
 
-// wallTime converts the decision module's time back.
+// wallTime converts a time of the decision module's clock to a time.Time.
 func (c *Core) wallTime(at time.Duration) time.Time {
 	return c.start.Add(at - c.startWall)
 }
 
-// ApplySettings puts new settings in force. Classes keep their numbers, and new
-// ones come after them. Jobs submitted from now on may be of those.
+// ApplySettings puts a new configuration into effect. Existing classes keep their indexes and new
+// ones are appended; jobs submitted after this call may belong to the new ones.
 func (c *Core) ApplySettings(cfg decision.Config) {
 	c.mailbox.Put(func(c *Core) {
-		c.step() // events that came before the new settings count by the old ones
+		c.step() // the queued events are decided under the old settings
 		c.cfg = cfg
 		c.applyConfig()
 	})
 }
 
-// applyConfig passes the settings in force to the decision module.
+// applyConfig passes the current configuration to the decision module.
 func (c *Core) applyConfig() {
 	cfg := c.cfg
 	cfg.Instances = max(cmp.Or(c.warmUpPeers, cfg.Instances), 1) * c.processCount
@@ -195,8 +206,8 @@
 // addEvent queues an event for the next Step.
 func (c *Core) addEvent(ev decision.Event) { c.events = append(c.events, ev) }
 
-// step has the decision module act on the queued events, and on those that
-// executing its actions causes, until none is left.
+// step runs the decision module on the queued events, and on the events that executing its actions
+// adds, until none is left.
 func (c *Core) step() {
 	var actions []decision.Action
 	for len(c.events) > 0 {
@@ -214,7 +225,7 @@
 	}
 }
 
-// execute carries out an action of the decision module.
+// execute performs one action of the decision module.
 func (c *Core) execute(a *decision.Action) {
 	switch a.Type {
 	case decision.Send:
@@ -242,6 +253,6 @@
 	case decision.Fetch:
 		c.routeTable.Fetch()
 	default:
-		c.log.WithField("action", a.Type).Error("the module asked for an action that the core does not know")
+		c.log.WithField("action", a.Type).Error("unknown action type from the decision module")
 	}
 }
