--- a/internal/dispatcher/core/admission.go
+++ b/internal/dispatcher/core/admission.go
@@ -10,31 +10,31 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// reasonRejoining is why a job is rejected or not sent while the dispatcher
-// rejoins its cluster. The word is part of span records.
+// reasonRejoining is the reason in span records of a job that is rejected or not sent while the
+// dispatcher rejoins its cluster.
 const reasonRejoining = "coming_back"
 
-// stallBound returns how long the process must have stalled for its knowledge to
-// be doubted: as long as work may be sent to a worker after it began to drain.
-// The loop of the core runs every refreshInterval by itself, so a shorter bound
-// would detect stalls where there are none.
+// stallBound returns the shortest gap between turns of the loop that counts as a stall. It is the
+// time for which work may be sent to a worker after its drain was announced: after a longer gap the
+// process's knowledge of the workers is outdated. The loop runs at least every refreshInterval, so
+// a bound close to that would report stalls where there are none.
 func stallBound(drainGrace time.Duration) time.Duration { return max(drainGrace, 2*refreshInterval) }
 
-// guard bounds what a dispatcher admits and sends while it rejoins its cluster,
-// and detects stalls of the process. A dispatcher without a cluster has none.
+// guard limits what a dispatcher admits and sends while it rejoins its cluster, and detects stalls
+// of the process. A dispatcher without staged rejoin has none.
 type guard struct {
 	admission   admission.Limiter
 	stallWatch  stall.Watch
-	stalls      int                        // detected so far
-	detector    stallDetector              // shows stalls to attempts on their way
-	admitsKeyed bool                       // jobs that must not run twice are admitted too
+	stalls      int                        // number of stalls detected by the loop
+	detector    stallDetector              // for attempts that are about to be sent
+	admitsKeyed bool                       // admit also jobs that must not run twice
 	onStall     func(length time.Duration) // must not block
 }
 
-// Guard has the core admit jobs gradually, none at first, and detect stalls of
-// the process: after one, nothing is admitted or sent until SetAdmission is
-// called with the new number of stalls. Each stall is passed to onStall, which
-// must not block. Guard must be called before Run.
+// Guard makes the core start with admission closed, to be opened by SetAdmission, and makes it
+// detect stalls of the process. After a stall nothing is admitted or sent until SetAdmission is
+// called with the new number of stalls. onStall is called with the length of each stall and must
+// not block. Guard must be called before Run.
 func (c *Core) Guard(onStall func(length time.Duration)) {
 	bound := stallBound(c.cfg.Rules.DrainGrace)
 	c.guard = &guard{
@@ -46,10 +46,10 @@
 	c.guard.admission.SetLevel(admission.Closed, 0, 0)
 }
 
-// SetAdmission sets how many jobs are admitted. At level Ajar, initial is how many
-// may be in flight to begin with; admitsKeyed admits jobs that must not run twice
-// too. Stalls is how many stalls the caller knows of: a call that was decided on
-// before the last stall changes nothing.
+// SetAdmission sets the admission level. initial is the number of jobs that may be in flight when
+// level changes to Limited. admitsKeyed allows jobs that must not run twice. stalls is the number
+// of stalls that the caller has been notified of; if another stall has occurred since, the call has
+// no effect, because the decision behind it is outdated.
 func (c *Core) SetAdmission(level admission.Level, admitsKeyed bool, initial, stalls int) {
 	c.mailbox.Put(func(c *Core) {
 		if c.guard != nil && stalls == c.guard.stalls {
@@ -59,14 +59,13 @@
 	})
 }
 
-// RejoinProgress is how far a dispatcher has rejoined, as its core knows it.
+// RejoinProgress is a dispatcher's progress in rejoining its cluster, as far as the core can tell.
 type RejoinProgress struct {
-	Listed       int  // workers in the list
-	Unrestricted bool // admission has been wide enough for all jobs that came
+	Listed       int  // number of workers in the list
+	Unrestricted bool // the admission window is wide enough for all arriving jobs
 }
 
-// RejoinProgress passes the progress to a function, which the core's goroutine
-// calls soon.
+// RejoinProgress calls to with the progress, later on the goroutine of Run.
 func (c *Core) RejoinProgress(to func(RejoinProgress)) {
 	c.mailbox.Put(func(c *Core) {
 		progress := RejoinProgress{Listed: len(c.workers)}
@@ -77,21 +76,21 @@
 	})
 }
 
-// SetWarmUpPeers has warming workers be shared among that many dispatchers, this
-// one included, in place of the number in the settings.
+// SetWarmUpPeers sets the number of dispatchers, including this one, that share the workers that
+// are warming up. It replaces the number in the settings.
 func (c *Core) SetWarmUpPeers(count int) {
 	c.mailbox.Put(func(c *Core) {
 		if c.warmUpPeers != count {
 			c.warmUpPeers = count
-			c.step() // events that came before count by the old number
+			c.step() // the queued events are decided under the old number
 			c.applyConfig()
 		}
 	})
 }
 
-// observe detects a stall before anything else is done in a turn of the loop. It
-// protects workers that were drained or replaced during the stall: what has
-// arrived on the process's sockets meanwhile is read in any order.
+// observe checks for a stall. The loop calls it first in each turn: workers may have been drained
+// or replaced during the stall, and the messages that announce it may be read after others that
+// arrived meanwhile. A stall closes admission before any of them is handled.
 func (g *guard) observe(now time.Duration) {
 	if g == nil {
 		return
@@ -105,7 +104,7 @@
 	g.detector.observe(now, length > 0)
 }
 
-// admit reports whether a job is admitted, and responds to it where it is not.
+// admit reports whether a job is admitted, and rejects it if not.
 func (c *Core) admit(job *Job, ingress Ingress) bool {
 	if c.guard == nil {
 		return true
@@ -114,7 +113,7 @@
 	if c.guard.admitsKeyed || c.cfg.Classes[job.Class].Effect == decision.Safe {
 		admitted, counted = c.guard.admission.Admit(c.now)
 	}
-	if job.Compensating { // no client would retry it
+	if job.Compensating { // its client would not retry it
 		admitted = admitted || c.guard.admission.Level() == admission.Limited
 	}
 	if admitted {
@@ -131,8 +130,8 @@
 	return false
 }
 
-// endRejectedRecord ends the span record, if there is one, of a job that was
-// rejected before it became a request.
+// endRejectedRecord completes the span record, if any, of a job that is rejected before it becomes
+// a request.
 func (c *Core) endRejectedRecord(job *Job, reason string) {
 	if job.Record == nil {
 		return
@@ -142,12 +141,11 @@
 	c.onRecord(job.Record)
 }
 
-// stalled reports whether nothing may be sent: the process has stalled, and has
-// not refreshed its knowledge of the workers since.
+// stalled reports whether nothing may be sent, because admission is closed: the process has stalled
+// or has just started, and its knowledge of the workers has not been refreshed since.
 func (c *Core) stalled() bool { return c.guard != nil && c.guard.admission.Level() == admission.Closed }
 
-// releaseAdmission records that a job no longer counts among those admitted.
-// Served says whether a worker served it.
+// releaseAdmission stops counting a job as in flight. served says whether a worker completed it.
 func (c *Core) releaseAdmission(job *Job, served bool) {
 	if job.admissionCounted {
 		job.admissionCounted = false
--- a/internal/dispatcher/core/attempts.go
+++ b/internal/dispatcher/core/attempts.go
@@ -6,27 +6,25 @@
 	"frosttide/decision"
 )
 
-// attemptState is one attempt of a request, in the order of the decision module's
-// numbers. The core ends it exactly once, whatever the backend and the worker
-// report and in whatever order.
+// attemptState is the state of one attempt of a request. Its index in request.attempts is the
+// number that the decision module uses for it.
 type attemptState struct {
-	workerNumber decision.WorkerID // as the decision module named it
-	worker       *worker           // nil if it has left the list
+	workerNumber decision.WorkerID // the number in the Send action
+	worker       *worker           // nil if the worker had left the list
 	deadline     time.Duration
-	permit       *Permit // nil where another process began the attempt
+	permit       *Permit // nil if the attempt was made by another process or dispatcher
 
-	reported     bool // the worker has said that the job started or runs
-	accepted     bool // the worker has said that it has the job
-	recorded     bool // other dispatchers know of the attempt
-	recalled     bool // the worker is being notified of the cancellation
-	unresponsive bool // the worker has said nothing in time
+	reported     bool // the worker has reported that the job started or is running
+	accepted     bool // the worker has confirmed that it has the job
+	recorded     bool // the attempt was announced to the outcome store
+	recalled     bool // the cancellation is being sent to the worker
+	unresponsive bool // the worker did not accept the job in time
 	delivery     Delivery
 	ended        bool
-	neverRan     bool // it has ended and surely never ran
+	neverRan     bool // it has ended and certainly never ran
 }
 
-// workerUID returns the UID of the attempt's worker, empty if that had left the
-// list before.
+// workerUID returns the UID of the attempt's worker, "" if the worker had left the list.
 func (a *attemptState) workerUID() string {
 	if a.worker == nil {
 		return ""
@@ -34,33 +32,32 @@
 	return a.worker.uid
 }
 
-// AttemptAccepted reports that the worker has the job. What becomes of it comes by
-// Report.
+// AttemptAccepted reports that the worker has accepted the job. The result follows by Report.
 func (c *Core) AttemptAccepted(ref AttemptRef, d Delivery) {
 	c.mailbox.Put(func(c *Core) {
 		if r := c.requests[ref.Request]; r != nil {
 			r.attempts[ref.Number].accepted = true
 			recordDelivery(r, ref.Number, d)
-			if r.record != nil && !r.attempts[ref.Number].ended { // a report may come before the worker's 202
+			// The report on the end of the job may arrive before the worker's 202 response.
+			if r.record != nil && !r.attempts[ref.Number].ended {
 				r.record.Attempts[ref.Number].Accepted = c.now
 			}
 		}
 	})
 }
 
-// AttemptEnded reports how an attempt ended without a report on its job.
+// AttemptEnded reports that an attempt ended without a report on its job.
 func (c *Core) AttemptEnded(ref AttemptRef, outcome decision.Outcome, load []float32, d Delivery) {
 	c.mailbox.Put(func(c *Core) {
 		r := c.requests[ref.Request]
 		if r == nil || outcome == decision.TimedOut && r.attempts[ref.Number].reported {
-			return // the worker has the job, as its report shows
+			return // the worker's report proves that it has the job
 		}
 		recordDelivery(r, ref.Number, d)
 		a := &r.attempts[ref.Number]
 		a.delivery = d
 		if outcome == decision.TimedOut && c.needsConfirmation(r) && !r.answered && !a.ended {
-			// Its connection is closed, which a worker that is stalled, or that nothing
-			// reaches by it, does not know.
+			// The connection was closed, but a stalled or unreachable worker does not know it.
 			a.unresponsive = true
 			c.recall(r, ref.Number, true)
 			return
@@ -71,7 +68,7 @@
 	})
 }
 
-// sendAttempt executes a Send action of the decision module.
+// sendAttempt performs a Send action of the decision module.
 func (c *Core) sendAttempt(action *decision.Action) {
 	r := c.requests[action.Request]
 	if r == nil {
@@ -110,8 +107,8 @@
 	w.backend.Send(c.newAttempt(r, attempt))
 }
 
-// newPermit makes the permit of an attempt that is decided on now and may start
-// until latestStart, 0 for its deadline.
+// newPermit returns the permit of an attempt that is decided on now. The attempt may start until
+// latestStart; 0 stands for its deadline.
 func (c *Core) newPermit(r *request, w *worker, latestStart time.Duration) *Permit {
 	p := &Permit{clientLeft: r.job.ClientLeft}
 	if c.guard != nil {
@@ -143,22 +140,22 @@
 	return a
 }
 
-// exclusive reports whether no attempt of the request may be out beside another,
-// or follow one that may have run.
+// exclusive reports whether the request may have only one open attempt at a time, and no further
+// attempt after one that may have run.
 func (c *Core) exclusive(r *request) bool {
 	return !c.cfg.Limits.HedgingAllowed || c.cfg.Classes[r.job.Class].Effect == decision.Unsafe
 }
 
-// needsConfirmation reports whether a worker has to know that an attempt is
-// canceled before another attempt follows. A job that must not run twice has no
-// other attempt.
+// needsConfirmation reports whether a worker must know that an attempt is canceled before the next
+// attempt is sent. This does not apply to jobs that must not run twice, as no attempt follows
+// theirs.
 func (c *Core) needsConfirmation(r *request) bool {
 	return !c.cfg.Limits.HedgingAllowed && c.cfg.Classes[r.job.Class].Effect != decision.Unsafe
 }
 
-// endAttempt is the one place where an attempt ends, and reports whether it has
-// done so. It ignores what comes later: a report that comes twice or after the
-// attempt was canceled, and a broken connection that is noticed after the report.
+// endAttempt is the only place where an attempt ends. It reports whether it ended the attempt, and
+// ignores an attempt that has ended already: a report may arrive twice or after a cancellation, and
+// a broken connection may be noticed after the report.
 func (c *Core) endAttempt(r *request, attempt int, outcome decision.Outcome, load []float32) bool {
 	if attempt < 0 || attempt >= len(r.attempts) || r.attempts[attempt].ended {
 		return false
@@ -171,9 +168,9 @@
 		span := &r.record.Attempts[attempt]
 		span.Ended, span.Outcome, span.MayHaveRun = c.now, outcomeNames[outcome], !outcome.NeverRan()
 	}
-	// The worker's number is the module's own, also for a worker that left in the
-	// same batch as the Send: with another number the module would not find the
-	// attempt, and hold the request until its deadline.
+	// Use the worker's number from the Send action even if the worker left the list in the same
+	// batch. With another number the module would not find the attempt and would hold the request
+	// until its deadline.
 	ev := decision.Event{
 		Type:          decision.AttemptEnded,
 		Request:       r.id,
@@ -187,7 +184,7 @@
 	return true
 }
 
-// observeEnd counts the end of an attempt and passes it to the observers.
+// observeEnd counts the end of an attempt and notifies the observers.
 func (c *Core) observeEnd(r *request, attempt int, outcome decision.Outcome) {
 	w := r.attempts[attempt].worker
 	c.summary.attempts[outcome]++
--- a/internal/dispatcher/core/permit.go
+++ b/internal/dispatcher/core/permit.go
@@ -7,22 +7,21 @@
 	"frosttide/decision/permit"
 )
 
-// Permit holds what may stop an attempt between its sending and its first byte.
-// The goroutines of the core and of the client's connection change it at once,
-// without a message; the backend reads it immediately before it writes. It is safe
-// for concurrent use.
+// Permit holds the conditions that may stop an attempt between the decision to send it and its
+// first byte. The goroutine of Run and that of the client's connection change them directly,
+// without a message, and the backend checks them immediately before it writes. It is safe for
+// concurrent use.
 type Permit struct {
 	revoked       atomic.Bool
-	clientLeft    func() bool // nil where that is unknown
-	epoch         *epoch      // of the worker; nil for a worker that is not listed
-	decidedEpoch  uint64      // the worker's epoch when the attempt was decided on
-	latestStart   time.Time   // zero for no bound beside the deadline
+	clientLeft    func() bool // nil if that is unknown
+	epoch         *epoch      // of the worker; nil if the worker was not listed
+	decidedEpoch  uint64      // the worker's epoch at the time of the decision
+	latestStart   time.Time   // zero if only the deadline limits the start
 	detector      *stallDetector
-	decidedStalls int64 // the detector's count when the attempt was decided on
+	decidedStalls int64 // the detector's count at the time of the decision
 }
 
-// Facts returns what holds for an attempt now, as far as the core knows. A nil
-// permit stops nothing.
+// Facts returns the conditions that hold for an attempt now. A nil Permit allows every attempt.
 func (p *Permit) Facts(now, deadline time.Time) permit.Facts {
 	f := permit.Facts{Now: now, Deadline: deadline}
 	if p == nil {
@@ -36,43 +35,44 @@
 	return f
 }
 
-// revoke stops the attempt if it has not started. A nil permit is left alone.
+// revoke prevents the attempt from starting, if it has not started yet. It accepts a nil Permit.
 func (p *Permit) revoke() {
 	if p != nil {
 		p.revoked.Store(true)
 	}
 }
 
-// epoch counts the events of a worker after which attempts that were decided on
-// before must not start any more: a drain, its leaving the list, a restart, a
-// change of its address.
+// epoch counts the changes of a worker that invalidate earlier decisions to send it an attempt: a
+// drain, its removal from the list, a restart or a change of its address.
 type epoch struct{ count atomic.Uint64 }
 
-// current returns the epoch.
+// current returns the current epoch.
 func (e *epoch) current() uint64 { return e.count.Load() }
 
-// advance begins a new epoch.
+// advance starts a new epoch.
 func (e *epoch) advance() { e.count.Add(1) }
 
-// stallDetector shows attempts on their way whether the process has stalled: the
-// core's loop, which would notice, may run only after them. A nil detector knows
-// of no stall.
+// stallDetector lets attempts that are about to be sent check whether the process has stalled. They
+// can't rely on the core's loop, whose next turn may come after the write. A nil detector reports
+// no stalls.
 type stallDetector struct {
-	clock   func(time.Time) time.Duration // the core's
-	bound   time.Duration                 // a longer time without a turn of the loop is a stall
-	stalls  atomic.Int64                  // stalls that the loop has noticed
-	lastRun atomic.Int64                  // when the loop last ran, by the core's clock
+	clock   func(time.Time) time.Duration // converts to the core's clock
+	bound   time.Duration                 // a gap between turns of this length or more is a stall
+	stalls  atomic.Int64                  // number of stalls detected by the loop
+	lastRun atomic.Int64                  // start of the last turn, by the core's clock
 }
 
-// observe records that the core's loop runs, and whether it has noticed a stall.
+// observe records that a turn of the loop has started, and whether it has detected a stall.
 func (d *stallDetector) observe(now time.Duration, stalled bool) {
 	if stalled {
-		d.stalls.Add(1) // before the time: whoever sees the new time sees the count
+		// Count before storing the time, so that whoever reads the new time also reads the new
+		// count.
+		d.stalls.Add(1)
 	}
 	d.lastRun.Store(int64(now))
 }
 
-// stallCount returns how many stalls the loop has noticed.
+// stallCount returns the number of stalls that the loop has detected.
 func (d *stallDetector) stallCount() int64 {
 	if d == nil {
 		return 0
@@ -80,8 +80,7 @@
 	return d.stalls.Load()
 }
 
-// stalledSince reports whether the process has stalled since the loop had noticed
-// that many stalls.
+// stalledSince reports whether the process has stalled since the loop's count of stalls was stalls.
 func (d *stallDetector) stalledSince(now time.Time, stalls int64) bool {
 	if d == nil {
 		return false
--- a/internal/dispatcher/core/recall.go
+++ b/internal/dispatcher/core/recall.go
@@ -2,9 +2,9 @@
 
 import "frosttide/decision"
 
-// handleCancel executes a Cancel action of the decision module. Where a request
-// may not have two copies out, the attempt ends only once its worker knows of the
-// cancellation: until then another attempt would be a second copy.
+// handleCancel performs a Cancel action of the decision module. If a request may not have two open
+// attempts, the attempt ends only when its worker knows of the cancellation: until then the worker
+// may still run the job, and another attempt would be a second copy.
 func (c *Core) handleCancel(r *request, attempt int) {
 	if r.answered || !c.needsConfirmation(r) {
 		c.cancelAttempt(r, attempt, decision.Canceled)
@@ -15,8 +15,7 @@
 	}
 }
 
-// cancelAttempt stops waiting for an attempt that is out and ends it with an
-// outcome.
+// cancelAttempt cancels an open attempt and ends it with the given outcome.
 func (c *Core) cancelAttempt(r *request, attempt int, outcome decision.Outcome) {
 	if attempt < 0 || attempt >= len(r.attempts) || r.attempts[attempt].ended {
 		return
@@ -25,8 +24,8 @@
 	c.endAttempt(r, attempt, outcome, nil)
 }
 
-// recall notifies the worker of an attempt that is out, once, that it is canceled.
-// With confirm another attempt may follow when the worker knows.
+// recall sends the cancellation of an open attempt to its worker, once. With confirm set, another
+// attempt may follow when the worker knows of it.
 func (c *Core) recall(r *request, attempt int, confirm bool) {
 	a := &r.attempts[attempt]
 	a.permit.revoke()
@@ -42,8 +41,8 @@
 	a.worker.backend.Cancel(canceled)
 }
 
-// AttemptRecalled reports that an attempt was canceled, and whether its worker
-// surely knows.
+// AttemptRecalled reports that an attempt was canceled, and whether its worker certainly knows of
+// it.
 func (c *Core) AttemptRecalled(ref AttemptRef, known bool) {
 	c.mailbox.Put(func(c *Core) {
 		r := c.requests[ref.Request]
--- a/internal/dispatcher/core/requests.go
+++ b/internal/dispatcher/core/requests.go
@@ -8,22 +8,22 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// request is a request from its arrival until it has its response and none of its
-// attempts is out.
+// request is the state of a request from its arrival until it has been answered and none of its
+// attempts is open.
 type request struct {
 	id       decision.RequestID
 	job      *Job
-	ingress  Ingress // nil once answered
+	ingress  Ingress // nil once answered is set
 	deadline time.Duration
-	answered bool // it has its response, or nothing more is owed to its client
-	unusable bool // a worker has said that the job can't be used
+	answered bool // it has its response, or its client has disconnected
+	unusable bool // a worker has reported that no worker can run the job
 	attempts []attemptState
 	timers   []*timerEntry
 	record   *trace.Record // nil for none
 }
 
-// Submit hands over a job. Its response goes to the ingress, unless ClientLeft
-// is called for the job before.
+// Submit submits a job. Its response is delivered to ingress, unless ClientLeft is called for the
+// job before.
 func (c *Core) Submit(job *Job, ingress Ingress) {
 	c.mailbox.Put(func(c *Core) {
 		switch {
@@ -36,8 +36,8 @@
 	})
 }
 
-// handleAdmitted takes in an admitted job, once the outcome store has been asked
-// where that is needed.
+// handleAdmitted processes an admitted job, after a lookup in the outcome store if that is
+// required.
 func (c *Core) handleAdmitted(job *Job, ingress Ingress) {
 	if c.recordsOutcome(job) {
 		c.lookUpOutcomes(job, ingress)
@@ -46,8 +46,7 @@
 	c.handleArrival(job, ingress)
 }
 
-// ClientLeft reports that the client of a job has left. Nothing is owed to it any
-// more.
+// ClientLeft reports that the client of a job has disconnected, so the job needs no response.
 func (c *Core) ClientLeft(job *Job) {
 	c.mailbox.Put(func(c *Core) {
 		if c.awaitingAdmission[job] {
@@ -65,12 +64,12 @@
 	})
 }
 
-// StopBy sets when the process may be ended: every open request gets its response
-// by then. Otherwise clients would see a reset in place of a rejection, which they may
+// StopBy sets the time at which the process may be terminated. Every open request gets a response
+// by then; otherwise its client would see a connection reset instead of a rejection, which it may
 // retry.
 func (c *Core) StopBy(deadline time.Time) {
 	c.mailbox.Put(func(c *Core) {
-		c.stopAt = c.moduleTime(deadline) // for jobs that still wait for the outcome store
+		c.stopAt = c.moduleTime(deadline) // for jobs still being looked up in the outcome store
 		c.rejectAllHeldBack()
 		for _, r := range c.requests {
 			if at := c.moduleTime(deadline); at < r.deadline {
@@ -81,7 +80,7 @@
 	})
 }
 
-// handleArrival makes the request of a job and passes it to the decision module.
+// handleArrival creates the request of a job and passes it to the decision module.
 func (c *Core) handleArrival(job *Job, ingress Ingress) {
 	if c.byID[job.ID] != nil {
 		c.rejectDuplicate(job, ingress)
@@ -90,15 +89,16 @@
 	c.addEvent(c.arrivalEvent(c.newRequest(job, ingress)))
 }
 
-// newRequest makes the request of a job.
+// newRequest creates the request of a job and the timer for its deadline.
 func (c *Core) newRequest(job *Job, ingress Ingress) *request {
 	c.lastRequestID++
-	for c.lastRequestID == 0 || c.requests[c.lastRequestID] != nil { // numbers may wrap around
+	for c.lastRequestID == 0 || c.requests[c.lastRequestID] != nil { // the numbers wrap around
 		c.lastRequestID++
 	}
 	r := &request{id: c.lastRequestID, job: job, ingress: ingress, deadline: c.moduleTime(job.Deadline), record: job.Record}
 	if clientTimeout := c.cfg.Classes[job.Class].ClientTimeout; clientTimeout > 0 {
-		// A client that claims to wait for days must not hold tokens and memory for so long.
+		// A client may state a deadline that is days away; its request must not hold tokens and
+		// memory for that long.
 		r.deadline = min(r.deadline, c.now+clientTimeout)
 	}
 	if c.stopAt > 0 {
@@ -115,7 +115,7 @@
 	return r
 }
 
-// arrivalEvent returns the decision module's event of a new request.
+// arrivalEvent returns the RequestArrived event of a request.
 func (c *Core) arrivalEvent(r *request) decision.Event {
 	job := r.job
 	return decision.Event{
@@ -134,8 +134,8 @@
 	}
 }
 
-// respond is the one place where a request gets its final response. A request that
-// is unknown or has its response is left alone.
+// respond delivers the final response to a request. It is the only function that does so once a job
+// has a request. It ignores requests that are unknown or have been answered.
 func (c *Core) respond(id decision.RequestID, response Response, reason string) {
 	r := c.requests[id]
 	if r == nil || r.answered {
@@ -150,8 +150,8 @@
 	c.closeRequest(r)
 }
 
-// rejectDuplicate responds to a job whose ID is that of an open request: reports
-// of workers are matched by ID, so two open requests would be confused.
+// rejectDuplicate rejects a job that has the ID of an open request. Workers' reports are matched to
+// requests by that ID, so two open requests must not share one.
 func (c *Core) rejectDuplicate(job *Job, ingress Ingress) {
 	c.releaseAdmission(job, false)
 	if job.Record != nil {
@@ -160,7 +160,7 @@
 	ingress.Respond(Response{Verdict: Duplicate})
 }
 
-// closeRequest marks a request whose client is owed nothing more.
+// closeRequest marks a request as answered, so that its client gets no further response.
 func (c *Core) closeRequest(r *request) {
 	if !r.answered && c.inObservedGang(r) {
 		c.gangs.Closed(r.job)
@@ -172,9 +172,9 @@
 	r.answered, r.ingress = true, nil
 }
 
-// removeIfDone frees the ID, the body and the timers of a request that is answered
-// and has no attempt out. The timers of a flood of requests that are rejected at
-// once would otherwise pile up until their deadlines.
+// removeIfDone removes an answered request without open attempts and frees its ID, body and timers.
+// Without that, the timers of requests rejected in an overload would accumulate until their
+// deadlines.
 func (c *Core) removeIfDone(r *request) {
 	if !r.answered || c.requests[r.id] != r {
 		return
@@ -196,9 +196,8 @@
 	}
 }
 
-// expire acts on a request whose deadline has come. Each attempt that is out times
-// out, also those of a request that has its response, and a request that the
-// decision module then still leaves open fails.
+// expire ends a request whose deadline has passed. Its open attempts time out, also if the request
+// has been answered, and the request fails if the decision module still leaves it unanswered.
 func (c *Core) expire(r *request) {
 	for i := range r.attempts {
 		c.cancelAttempt(r, i, decision.TimedOut)
@@ -207,8 +206,7 @@
 	if r.answered {
 		return
 	}
-	// Each request has its response by its deadline, also if the module should hold
-	// one without an attempt.
+	// Answer every request by its deadline, even one that the module holds without an attempt.
 	a := Attempt{Job: r.job}
 	if r.record != nil {
 		a.Parent = trace.Context{Trace: r.record.Trace, Span: r.record.Span}.Parent()
--- a/internal/dispatcher/core/timers.go
+++ b/internal/dispatcher/core/timers.go
@@ -8,22 +8,22 @@
 	"frosttide/decision"
 )
 
-// wholeRequest is the attempt of a timer that ends a request, not an attempt.
+// wholeRequest is the attempt number in the timer for a request's deadline.
 const wholeRequest = -1
 
-// timerEntry is one thing to do at a time: fire a timer of the decision module,
-// end the warm-up of a reinstated worker, end an attempt, or end a request.
+// timerEntry is one scheduled operation: it fires a timer of the decision module, ends the warm-up
+// of a reinstated worker, or times out an attempt or a request.
 type timerEntry struct {
 	at            time.Duration
 	token         uint32   // of the module's timer
-	reinstatedUID string   // a worker that has had its time to warm up since it was reinstated
-	request       *request // nil for a timer of the module
+	reinstatedUID string   // UID of the worker whose warm-up ends; "" for other timers
+	request       *request // nil for a timer of the module or of a worker
 	attempt       int      // number of the attempt, or wholeRequest
-	heapIndex     int      // in the heap; -1 once it has left it
+	heapIndex     int      // index in the heap; -1 after removal
 }
 
-// timerHeap implements heap.Interface with the earliest entry first. Each entry
-// knows its index, so that it can be removed.
+// timerHeap implements heap.Interface, earliest entry first. Each entry stores its index, so that
+// it can be removed.
 type timerHeap []*timerEntry
 
 // Len implements heap.Interface.
@@ -61,14 +61,14 @@
 	heap.Push(&c.timers, t)
 }
 
-// addRequestTimer adds an entry that leaves the heap with its request.
+// addRequestTimer adds an entry that is removed together with its request.
 func (c *Core) addRequestTimer(r *request, t timerEntry) {
 	t.request = r
 	r.timers = append(r.timers, &t)
 	c.addTimer(&t)
 }
 
-// runTimers does everything whose time has come.
+// runTimers runs the timers that are due.
 func (c *Core) runTimers() {
 	for len(c.timers) > 0 && c.timers[0].at <= c.now {
 		t := heap.Pop(&c.timers).(*timerEntry)
@@ -82,9 +82,9 @@
 			c.addEvent(decision.Event{Type: decision.TimerFired, Token: t.token})
 			continue
 		}
-		c.step() // what came before the deadline counts
+		c.step() // events from before the deadline take effect first
 		if r := t.request; c.requests[r.id] != r {
-			continue // removed in that step
+			continue // that step has removed the request
 		} else if t.attempt == wholeRequest {
 			c.expire(r)
 		} else {
