--- a/internal/dispatcher/core/exclusions.go
+++ b/internal/dispatcher/core/exclusions.go
@@ -8,18 +8,18 @@
 	"frosttide/decision"
 )
 
-// Exclusion is what operators decide on a worker: that it gets no work, whatever
-// discovery lists, or that it gets work again. Processes of one dispatcher and
-// members of a cluster exchange it.
+// Exclusion is an operator's decision on a worker: to exclude it from new work, regardless of its
+// state in discovery's list, or to reinstate it. Processes of one dispatcher and members of a
+// cluster exchange exclusions as JSON.
 type Exclusion struct {
 	UID string        `json:"uid"`
-	Out bool          `json:"out"`
-	At  time.Duration `json:"at"` // since 1970
+	Out bool          `json:"out"` // true to exclude, false to reinstate
+	At  time.Duration `json:"at"`  // time of the decision since 1970
 }
 
-// Exclude excludes a worker, or reinstates it with out false, and passes to done
-// whether anybody has the worker. From the deadline on it does nothing and does
-// not call done, because its caller has reported the failure by then.
+// Exclude excludes a worker, or reinstates it if out is false, and calls done with whether the
+// worker is listed or excluded. Once the deadline has passed it does nothing and does not call
+// done, because its caller has reported the failure by then.
 func (c *Core) Exclude(uid string, out bool, deadline time.Time, done func(known bool)) {
 	c.mailbox.Put(func(c *Core) {
 		if time.Now().Before(deadline) {
@@ -28,20 +28,20 @@
 	})
 }
 
-// IsKnown passes to known whether a worker is listed or excluded.
+// IsKnown calls known with whether a worker is listed or excluded.
 func (c *Core) IsKnown(uid string, known func(bool)) {
 	c.mailbox.Put(func(c *Core) { known(c.workers[uid] != nil || c.excluded[uid]) })
 }
 
-// SetExclusionHook sets who receives what operators decide at this process. It
-// must be called before Run, and the hook must not block.
+// SetExclusionHook sets the function that receives the decisions made through Exclude. It must be
+// called before Run, and the hook must not block.
 func (c *Core) SetExclusionHook(onExclusion func(Exclusion)) { c.onExclusion = onExclusion }
 
-// ApplyExclusion applies what operators decided elsewhere. The hook of
-// SetExclusionHook is not called.
+// ApplyExclusion applies a decision made at another process or member. It does not call the hook of
+// SetExclusionHook.
 func (c *Core) ApplyExclusion(e Exclusion) { c.mailbox.Put(func(c *Core) { c.applyExclusion(e) }) }
 
-// exclude excludes or reinstates a worker, and reports whether anybody has it.
+// exclude excludes or reinstates a worker, and reports whether the worker is listed or excluded.
 func (c *Core) exclude(uid string, out bool) bool {
 	w := c.workers[uid]
 	if w == nil && !c.excluded[uid] {
@@ -56,9 +56,9 @@
 	return true
 }
 
-// applyExclusion applies what operators have decided on a worker. A reinstated
-// worker counts as warming: operators restart workers that are excluded, and
-// discovery may not say when.
+// applyExclusion applies an operator's decision. A reinstated worker is treated as warming up,
+// because operators restart workers while these are excluded, and discovery may not report the time
+// of the restart.
 func (c *Core) applyExclusion(e Exclusion) {
 	if c.excluded[e.UID] == e.Out {
 		return
--- a/internal/dispatcher/core/gangs.go
+++ b/internal/dispatcher/core/gangs.go
@@ -2,19 +2,18 @@
 
 import "frosttide/decision"
 
-// reasonGangLate is why a part of a gang is abandoned. The word is part of span
-// records.
+// reasonGangLate is the reason in span records of a part that was abandoned because its gang will
+// miss its deadline.
 const reasonGangLate = "gang_late"
 
-// SetGangObserver sets who observes gangs; nil for nobody. It must be called
-// before Run.
+// SetGangObserver sets the observer of gangs; nil for none. It must be called before Run.
 func (c *Core) SetGangObserver(g GangObserver) { c.gangs = g }
 
-// inObservedGang reports whether a request is a part of a gang that is observed.
+// inObservedGang reports whether a request is part of a gang and gangs are observed.
 func (c *Core) inObservedGang(r *request) bool { return c.gangs != nil && r.job.Gang != nil }
 
-// Hedge has the decision module send a second copy of a job, where its rules and
-// its retry credit allow one. A job that has its response is left alone.
+// Hedge asks the decision module to send a second copy of a job, if its rules and the retry budget
+// allow one. It ignores a job that has been answered.
 func (c *Core) Hedge(jobID string) {
 	c.mailbox.Put(func(c *Core) {
 		if r := c.byID[jobID]; r != nil && !r.answered && !c.stalled() {
@@ -23,8 +22,8 @@
 	})
 }
 
-// MarkSlow has a worker count as that many times slower than others of its kind,
-// until jobs there show otherwise or the module forgets it.
+// MarkSlow records that a worker is slower than others of its kind by the factor times. This holds
+// until jobs at the worker show otherwise or the record expires.
 func (c *Core) MarkSlow(uid string, times float64) {
 	c.mailbox.Put(func(c *Core) {
 		w := c.workers[uid]
@@ -39,8 +38,8 @@
 	})
 }
 
-// Abandon ends a job that is of no use any more. It does so only for jobs that may
-// run more than once; others go on, as they may have run.
+// Abandon fails a job whose result is no longer needed. It applies only to jobs that may run more
+// than once; other jobs may have run already, so they continue.
 func (c *Core) Abandon(jobID string) {
 	c.mailbox.Put(func(c *Core) {
 		r := c.byID[jobID]
--- a/internal/dispatcher/core/handover.go
+++ b/internal/dispatcher/core/handover.go
@@ -9,40 +9,41 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// Snapshot is what the core passes to a newer process of its dispatcher. Points in
-// time are of the core's clock, since 1970. Workers are named by UID.
+// Snapshot is the state that the core passes to a newer process of its dispatcher, or has stored.
+// Workers are identified by UID, and points in time are since 1970 by the core's clock.
 type Snapshot struct {
-	Offset       time.Duration              `json:"offset,omitempty"` // of the core's clock to the machine's monotonic one; 0 for unknown
+	// Offset is how far the core's clock is ahead of the machine's monotonic clock; 0 for unknown.
+	Offset       time.Duration              `json:"offset,omitempty"`
 	Excluded     []string                   `json:"excluded"`
 	Reinstated   map[string]time.Duration   `json:"put_back"`
 	Health       map[string]decision.Health `json:"health"`
-	MeanRunTimes []time.Duration            `json:"runs"` // by the number of the class
+	MeanRunTimes []time.Duration            `json:"runs"` // by index of the class
 	Starts       map[string]WorkerStart     `json:"starts,omitempty"`
 }
 
-// WorkerStart is a worker's last start: Boot as it is listed, by the wall clock,
-// and At by the core's clock.
+// WorkerStart is the time of a worker's last start: Boot as listed, by the wall clock, and At by
+// the core's clock.
 type WorkerStart struct {
 	Boot time.Duration `json:"boot"`
 	At   time.Duration `json:"at"`
 }
 
-// MovedRequest is what another process of the dispatcher needs to go on with a
-// request. Its times are of the machine's monotonic clock, but for the record's.
+// MovedRequest is the state with which another process of the dispatcher continues a request. Its
+// times are by the machine's monotonic clock, except for those in Record.
 type MovedRequest struct {
 	Deadline time.Duration  `json:"deadline"`
 	Attempts []MovedAttempt `json:"hops"`
 	Record   *trace.Record  `json:"story,omitempty"`
 }
 
-// MovedAttempt is an attempt of a request that moves to another process.
+// MovedAttempt is an attempt of a request that is transferred to another process.
 type MovedAttempt struct {
 	UID    string                 `json:"uid"`
 	Record decision.AttemptRecord `json:"past"`
 }
 
-// Snapshot passes on what the core knows beside the list of workers. The core's
-// goroutine calls the function soon.
+// Snapshot calls to with the core's state, except for the list of workers, later on the goroutine
+// of Run.
 func (c *Core) Snapshot(to func(Snapshot)) {
 	c.mailbox.Put(func(c *Core) {
 		s := Snapshot{
@@ -65,7 +66,8 @@
 	})
 }
 
-// Restore takes over a snapshot. It must come before the first list of workers.
+// Restore takes over the state in a snapshot. It must be called before the first list of workers is
+// passed to the core.
 func (c *Core) Restore(s Snapshot) {
 	c.mailbox.Put(func(c *Core) {
 		for _, uid := range s.Excluded {
@@ -93,8 +95,8 @@
 	})
 }
 
-// SetProcessCount sets how many processes of this dispatcher share the work for
-// warming workers. The decision module sees them as that many instances.
+// SetProcessCount sets how many processes of this dispatcher share the workers that are warming up.
+// The decision module counts them as that many instances.
 func (c *Core) SetProcessCount(count int) {
 	c.mailbox.Put(func(c *Core) {
 		c.processCount = count
@@ -102,15 +104,16 @@
 	})
 }
 
-// clockOffset returns how far the core's clock is ahead of the machine's monotonic
-// clock, which another process reads as well. Times that are passed between
-// processes hold so even if the wall clock is set between the starts of the two.
+// clockOffset returns how far the core's clock is ahead of the machine's monotonic clock, which
+// other processes read as well. Times that are passed between processes are converted to the
+// latter, so that they are right even if the wall clock was set between the starts of the two
+// processes.
 func (c *Core) clockOffset() time.Duration { return c.moduleTime(time.Now()) - monotime.Now() }
 
-// Release gives a request up to another process once its workers have accepted all
-// attempts that are out; until then this process has to learn what becomes of
-// them. It passes on what the other process needs, or nil if the request has its
-// response and so was not released.
+// Release transfers a request to another process once its workers have accepted all open attempts;
+// before that, the outcome of an attempt is reported to this process only. It calls done with the
+// state that the other process needs, or with nil if the request has been answered and is therefore
+// not transferred.
 func (c *Core) Release(job *Job, done func(*MovedRequest)) {
 	c.mailbox.Put(func(c *Core) {
 		if r := c.byID[job.ID]; r != nil && r.job == job && !r.answered {
@@ -121,8 +124,8 @@
 	})
 }
 
-// releaseReady releases the requests that are ready for it. It recalls nothing:
-// their attempts go on.
+// releaseReady releases the requests that can be transferred now. It does not cancel their
+// attempts, which continue.
 func (c *Core) releaseReady() {
 	for r, done := range c.releasing {
 		if r.answered {
@@ -136,7 +139,7 @@
 		}
 		delete(c.releasing, r)
 		c.released[r.job.ID] = true
-		r.record = nil // the other process goes on with it
+		r.record = nil // the other process continues it
 		c.closeRequest(r)
 		c.addEvent(decision.Event{Type: decision.RequestCanceled, Request: r.id})
 		for i := range r.attempts {
@@ -148,8 +151,8 @@
 	}
 }
 
-// movedRequest returns a request in the form in which it moves, and whether it may
-// move now.
+// movedRequest returns the state with which a request is transferred, and whether it can be
+// transferred now.
 func (c *Core) movedRequest(r *request) (m *MovedRequest, ready bool) {
 	offset := c.clockOffset()
 	m = &MovedRequest{Deadline: r.deadline - offset, Record: r.record}
@@ -160,7 +163,7 @@
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		known := a.ended || a.accepted || a.reported
-		// A worker that is connected to this process reports to it alone.
+		// A worker that is connected to this process reports to this process only.
 		mayMove := a.ended || a.worker == nil || a.worker.source == 0
 		if !known || !mayMove {
 			return nil, false
@@ -170,7 +173,7 @@
 	return m, true
 }
 
-// Adopt goes on with a request that another process has released.
+// Adopt continues a request that another process has released.
 func (c *Core) Adopt(job *Job, m *MovedRequest, ingress Ingress) {
 	c.mailbox.Put(func(c *Core) {
 		if c.byID[job.ID] != nil {
@@ -200,8 +203,7 @@
 	})
 }
 
-// workerOrDeparted returns a listed worker, or one that stands for a worker that
-// has left the list.
+// workerOrDeparted returns a listed worker, or a placeholder for a worker that has left the list.
 func (c *Core) workerOrDeparted(uid string) *worker {
 	if w := c.workers[uid]; w != nil {
 		return w
@@ -210,7 +212,7 @@
 	return &worker{number: c.lastWorkerID, uid: uid, backend: departedBackend{}}
 }
 
-// shiftClock returns an attempt's record by a clock that is ahead by a duration.
+// shiftClock converts an attempt's record to a clock that is ahead by the given duration.
 func shiftClock(record decision.AttemptRecord, by time.Duration) decision.AttemptRecord {
 	record.SentAt += by
 	if record.Started {
@@ -219,8 +221,7 @@
 	return record
 }
 
-// departedBackend is the Backend of a worker that has left the list. It does
-// nothing.
+// departedBackend is the Backend of a worker that has left the list. Its methods do nothing.
 type departedBackend struct{}
 
 // Send implements Backend.
--- a/internal/dispatcher/core/heldback.go
+++ b/internal/dispatcher/core/heldback.go
@@ -2,28 +2,27 @@
 
 import "time"
 
-// reasonHeldBack is why a held-back job is rejected: its deadline, or the end of
-// the process, came before discovery's answer. The word is part of span records.
+// reasonHeldBack is the reason in span records of a held-back job that is rejected because its
+// deadline, or the end of the process, came before discovery's first answer.
 const reasonHeldBack = "discovery_not_heard"
 
-// heldBackJobs are the jobs that were submitted before the route table was known
-// to be discovery's own, in the order of their submission. Their number is
-// bounded by the ingress's limit on open jobs.
+// heldBackJobs holds the jobs submitted while the route table is not confirmed by discovery, in the
+// order of submission. Their number is bounded by the ingress's limit on open jobs.
 type heldBackJobs struct{ jobs []heldBackJob }
 
-// heldBackJob is a job that waits. Its client is there as long as
-// Core.awaitingAdmission holds it.
+// heldBackJob is one held-back job. Its client is connected as long as the job is in
+// Core.awaitingAdmission.
 type heldBackJob struct {
 	job     *Job
 	ingress Ingress
 }
 
-// HoldBack has the core hold back submitted jobs until ReleaseHeldBack. It must
-// be called before Run.
+// HoldBack makes the core hold back submitted jobs until ReleaseHeldBack. It must be called before
+// Run.
 func (c *Core) HoldBack() { c.heldBack = &heldBackJobs{} }
 
-// ReleaseHeldBack admits the jobs that were held back, and from now on every job
-// at once.
+// ReleaseHeldBack processes the jobs that were held back; later jobs are processed when they are
+// submitted.
 func (c *Core) ReleaseHeldBack() {
 	c.mailbox.Put(func(c *Core) {
 		if c.heldBack == nil {
@@ -40,8 +39,8 @@
 	})
 }
 
-// holdBack holds a job back. A job whose client leaves meanwhile is never taken
-// in; one whose deadline passes first is rejected then.
+// holdBack holds a job back. If its client disconnects meanwhile the job is dropped, and if its
+// deadline passes it is rejected.
 func (c *Core) holdBack(job *Job, ingress Ingress) {
 	c.awaitingAdmission[job] = true
 	c.heldBack.jobs = append(c.heldBack.jobs, heldBackJob{job, ingress})
@@ -58,7 +57,7 @@
 	})
 }
 
-// rejectHeldBack rejects a job that is still held back, which was sent to nobody.
+// rejectHeldBack rejects a job that is still held back. It was not sent to any worker.
 func (c *Core) rejectHeldBack(job *Job, ingress Ingress) {
 	if !c.awaitingAdmission[job] {
 		return
@@ -70,7 +69,7 @@
 	ingress.Respond(Response{Verdict: Rejected})
 }
 
-// rejectAllHeldBack rejects all held-back jobs because the process will end.
+// rejectAllHeldBack rejects all held-back jobs because the process is about to end.
 func (c *Core) rejectAllHeldBack() {
 	if c.heldBack == nil {
 		return
--- a/internal/dispatcher/core/hints.go
+++ b/internal/dispatcher/core/hints.go
@@ -5,12 +5,12 @@
 	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
-// maxHints bounds the hints kept for workers that are not listed yet. Further
-// ones are dropped.
+// maxHints bounds the number of records kept for workers that are not listed yet. Further ones are
+// dropped.
 const maxHints = 20_000
 
-// Hint takes what another dispatcher has found out about a worker. It counts until
-// an attempt of this dispatcher has ended there, which says more.
+// Hint takes over another dispatcher's health record of a worker. It is used until an attempt of
+// this dispatcher has ended at the worker, because own observations are more reliable.
 func (c *Core) Hint(uid string, health decision.Health) {
 	c.mailbox.Put(func(c *Core) {
 		health.Pace = recovery.JitteredPace(health.Pace, c.cfg.Instance, uid)
@@ -27,8 +27,8 @@
 	})
 }
 
-// OwnFindings passes on the health of the workers where an attempt of this
-// dispatcher has ended, by UID. The core's goroutine calls the function soon.
+// OwnFindings calls to with the health, by UID, of the workers at which an attempt of this
+// dispatcher has ended, later on the goroutine of Run.
 func (c *Core) OwnFindings(to func(map[string]decision.Health)) {
 	c.mailbox.Put(func(c *Core) {
 		findings := map[string]decision.Health{}
--- a/internal/dispatcher/core/holdings.go
+++ b/internal/dispatcher/core/holdings.go
@@ -1,14 +1,14 @@
 package core
 
-// Holding is how many tokens of a worker are in use, and how many may be.
+// Holding is the number of a worker's tokens that are in use, and their limit.
 type Holding struct {
 	Backend      string // the worker's UID
 	InUse, Limit int
 }
 
-// SetHoldingsHook sets who takes the tokens in use of all workers, every
-// refreshInterval while wanted returns true. It must be called before Run. The
-// hook must not block, and it may keep the slice.
+// SetHoldingsHook sets the function that receives the tokens in use of all workers, every
+// refreshInterval while wanted returns true. It must be called before Run. The hook must not block;
+// it may keep the slice.
 func (c *Core) SetHoldingsHook(wanted func() bool, onHoldings func([]Holding)) {
 	c.holdingsWanted, c.onHoldings = wanted, onHoldings
 }
--- a/internal/dispatcher/core/outcomes.go
+++ b/internal/dispatcher/core/outcomes.go
@@ -8,63 +8,61 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// Why a job that was sent before is not sent again. The words are part of span
-// records.
+// The reasons in span records why a job that was sent before is not sent again.
 const (
 	reasonAlreadySent    = "it was sent before, and it must not run twice"
 	reasonGroupNotListed = "it was sent before to runners that are not listed here"
 )
 
-// OutcomeRecord says that a job with the same key was sent to a group of workers
-// that drops repeats among themselves. Without an age it names the group alone.
+// OutcomeRecord states that a job with the same key was sent to a group of workers that share their
+// duplicate detection. Without Age it only identifies the group.
 type OutcomeRecord struct {
-	Zone string // of the group; empty for all workers
-	Cell int
+	Zone string        // zone of the group; "" if the group is all workers
+	Cell int           // cell of the group; 0 if the group is not a cell
 	Age  time.Duration // time since the job was sent
 }
 
-// OutcomeStore remembers, together with other dispatchers, where jobs with keys
-// were sent. None of its methods blocks.
+// OutcomeStore records, shared with other dispatchers, where jobs with keys were sent. Its methods
+// must not block.
 type OutcomeStore interface {
-	// Lookup finds where a job was sent, by this process too, and may have run.
-	// It calls found once, soon, from any goroutine; where other dispatchers don't
-	// answer in time, with what is known here.
+	// Lookup finds the groups where a job may have run, including those recorded by this process.
+	// It calls found exactly once, from any goroutine; if other dispatchers don't answer in time,
+	// with the local records alone.
 	Lookup(job *Job, found func([]OutcomeRecord))
-	// RecordSending records that a job is about to be sent to a group whose
-	// deduplication window ends after the given time. It calls send once, from any
-	// goroutine, when another dispatcher has the record, or soon where none answers.
+	// RecordSending records that a job is about to be sent to a group whose deduplication window
+	// ends after window. It calls send exactly once, from any goroutine: when another dispatcher
+	// has stored the record or, if none answers, after a short timeout.
 	RecordSending(job *Job, group OutcomeRecord, window time.Duration, send func())
-	// RecordNeverRan records that a job that was to be sent to a group surely never
-	// ran there.
+	// RecordNeverRan records that a job announced by RecordSending certainly never ran in the
+	// group.
 	RecordNeverRan(job *Job, group OutcomeRecord)
-	// RecordDone records that a group has done a job.
+	// RecordDone records that a group has completed a job, with its result.
 	RecordDone(job *Job, group OutcomeRecord, window time.Duration, result []byte)
 }
 
-// Placements remembers in the agreed log of the cluster where one job was sent.
-// None of its methods blocks.
+// Placements records in the cluster's replicated log where one job is sent. Its methods must not
+// block.
 type Placements interface {
 	// Previous returns the groups where the job may have run.
 	Previous() []OutcomeRecord
-	// Propose has the members agree that the job goes to a group whose deduplication
-	// window ends after the given time. It calls decided once, from any goroutine;
-	// the job is sent only if agreed is true.
+	// Propose proposes to the members that the job goes to a group whose deduplication window ends
+	// after window. It calls decided exactly once, from any goroutine; the job may be sent only if
+	// agreed is true.
 	Propose(group OutcomeRecord, window time.Duration, decided func(agreed bool))
-	// Withdraw takes back an agreed group where the job surely never ran.
+	// Withdraw removes a group where the job certainly never ran.
 	Withdraw(group OutcomeRecord)
 }
 
-// SetOutcomeStore sets the store of outcome records; nil for none. It must be
-// called before Run.
+// SetOutcomeStore sets the outcome store; nil for none. It must be called before Run.
 func (c *Core) SetOutcomeStore(store OutcomeStore) { c.outcomeStore = store }
 
-// recordsOutcome reports whether other dispatchers have to know of a job.
+// recordsOutcome reports whether the attempts of a job are recorded in the outcome store.
 func (c *Core) recordsOutcome(job *Job) bool {
 	return c.outcomeStore != nil && job.Key != "" && c.cfg.Classes[job.Class].Effect != decision.Safe
 }
 
-// lookUpOutcomes finds out where a job was sent before, and then takes it in. A
-// job whose client leaves meanwhile is not taken in.
+// lookUpOutcomes looks up where a job was sent before, and then admits it. The job is dropped if
+// its client disconnects meanwhile.
 func (c *Core) lookUpOutcomes(job *Job, ingress Ingress) {
 	c.awaitingAdmission[job] = true
 	c.outcomeStore.Lookup(job, func(records []OutcomeRecord) {
@@ -85,8 +83,8 @@
 	})
 }
 
-// mergeRecords adds records to others. Of two records of one group the older
-// counts, as its window ends first.
+// mergeRecords adds records to others. Of two records of the same group the older one counts,
+// because its deduplication window ends first.
 func mergeRecords(records, added []OutcomeRecord) []OutcomeRecord {
 	for _, a := range added {
 		i := slices.IndexFunc(records, func(r OutcomeRecord) bool { return r.Zone == a.Zone && r.Cell == a.Cell })
@@ -99,10 +97,10 @@
 	return records
 }
 
-// admitResent takes in a job that was sent before, by this or another dispatcher;
-// to the decision module its earlier attempts may have run. A job that must not
-// run twice fails. One that only a group without a listed worker would drop is
-// rejected, so that its client tries again.
+// admitResent admits a job that was sent before, by this or another dispatcher. The decision module
+// is told of the earlier attempts, which may have run. A job that must not run twice fails. If a
+// group where it may have run has no listed worker, the job is rejected for a later retry, because
+// no other group would detect the duplicate.
 func (c *Core) admitResent(job *Job, ingress Ingress, records []OutcomeRecord) {
 	r := c.newRequest(job, ingress)
 	ev := c.arrivalEvent(r)
@@ -123,9 +121,8 @@
 	c.addEvent(ev)
 }
 
-// addPriorAttempt adds an attempt of another dispatcher to a request and returns
-// it in the decision module's form. The span record has an entry for each attempt,
-// so it gets one too.
+// addPriorAttempt adds an attempt of another dispatcher to a request and returns it in the decision
+// module's form. It also adds an entry to the span record, which has one for each attempt.
 func (c *Core) addPriorAttempt(r *request, w *worker, sentAt time.Duration) decision.AttemptRecord {
 	r.attempts = append(r.attempts, attemptState{workerNumber: w.number, worker: w, deadline: r.deadline, accepted: true, ended: true})
 	if r.record != nil {
@@ -134,9 +131,9 @@
 	return decision.AttemptRecord{Worker: w.number, SentAt: sentAt, Ended: true, Outcome: decision.TimedOut}
 }
 
-// representative returns a worker that stands for a group, nil if none is listed.
-// It prefers one that gets no work, because the module never sends a job again to
-// a worker where it was, and among those the one listed first.
+// representative returns a listed worker of a group to stand for the group, nil if there is none.
+// The decision module never sends a job to the same worker twice, so a worker that gets no work is
+// preferred, then the one that was listed first.
 func (c *Core) representative(job *Job, record OutcomeRecord) (found *worker) {
 	better := func(a, b *worker) bool {
 		if x, y := a.member.State == decision.Ready, b.member.State == decision.Ready; x != y {
@@ -153,7 +150,7 @@
 	return found
 }
 
-// dedupGroup returns the group of a worker that drops repeats of a job.
+// dedupGroup returns the group of workers that detects duplicates of a job sent to w.
 func (c *Core) dedupGroup(job *Job, w *worker) OutcomeRecord {
 	switch c.cfg.Classes[job.Class].DedupScope {
 	case decision.ScopeZone:
@@ -164,9 +161,8 @@
 	return OutcomeRecord{}
 }
 
-// dedupWindow returns the deduplication window of a job whose first attempt is
-// sent now. A job that must not run twice is remembered for as long as its client
-// may retry it.
+// dedupWindow returns the deduplication window of a job whose first attempt is sent now. A job that
+// must not run twice is recorded for as long as its client may retry it.
 func (c *Core) dedupWindow(job *Job) time.Duration {
 	class := c.cfg.Classes[job.Class]
 	if class.Effect == decision.Unsafe {
@@ -175,8 +171,8 @@
 	return class.DedupWindow
 }
 
-// sendRecorded sends an attempt once the members have agreed on its group, where
-// that is needed, and another dispatcher has its record.
+// sendRecorded sends an attempt once another dispatcher has its record and, if the job has
+// Placements, the members have agreed on its group.
 func (c *Core) sendRecorded(r *request, attempt int, w *worker) {
 	r.attempts[attempt].recorded = true
 	group, window := c.dedupGroup(r.job, w), c.dedupWindow(r.job)
@@ -202,8 +198,8 @@
 	})
 }
 
-// sendAfterRecord sends an attempt that others know of, unless it has ended or the
-// process has stalled since it was decided on.
+// sendAfterRecord sends an attempt that is recorded, unless it has ended meanwhile or the process
+// has stalled.
 func (c *Core) sendAfterRecord(r *request, attempt int, w *worker) {
 	if c.requests[r.id] != r || r.attempts[attempt].ended {
 		return
@@ -215,10 +211,10 @@
 	w.backend.Send(c.newAttempt(r, attempt))
 }
 
-// recordNeverRan has other dispatchers forget an attempt that surely never ran,
-// unless another attempt of the request may have run in the same group. Otherwise
-// a client that is rejected, and so invited to retry, would be bound for a whole
-// window to workers that nothing reaches.
+// recordNeverRan withdraws the record of an attempt that certainly never ran, unless another
+// attempt of the request may have run in the same group. Otherwise a client that was rejected, and
+// may therefore retry, would be restricted for a whole deduplication window to workers that can't
+// be reached.
 func (c *Core) recordNeverRan(r *request, attempt int) {
 	a := &r.attempts[attempt]
 	if !a.recorded || !a.neverRan {
@@ -236,7 +232,7 @@
 	}
 }
 
-// recordDone records that an attempt has done its job.
+// recordDone records that an attempt has completed its job.
 func (c *Core) recordDone(r *request, a *attemptState, result []byte) {
 	if c.recordsOutcome(r.job) && a.worker != nil {
 		c.outcomeStore.RecordDone(r.job, c.dedupGroup(r.job, a.worker), c.dedupWindow(r.job), result)
--- a/internal/dispatcher/core/records.go
+++ b/internal/dispatcher/core/records.go
@@ -8,13 +8,11 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// This file writes the span records of requests. A request that is recorded
-// carries its record from Submit on; the core passes it on when it removes the
-// request. Nothing here is called for a request without a record, beside
-// recordDelivery, which checks.
+// This file writes the span records of requests. A traced request has a record from Submit on; the
+// core passes it to the hook when it removes the request. Except for recordDelivery, which checks
+// for it, these functions must not be called for a request without a record.
 
-// The reasons for the end of a request that the core gives itself. The words are
-// part of span records.
+// The core's own reasons for the end of a request, as written to span records.
 const (
 	reasonDone       = "done"
 	reasonHeld       = "held" // neither answered nor sent by its deadline
@@ -22,7 +20,7 @@
 	reasonDuplicate  = "duplicate"
 )
 
-// outcomeNames are the words of span records for how attempts end.
+// outcomeNames are the names of the outcomes of attempts in span records.
 var outcomeNames = [...]string{
 	decision.Served:        "served",
 	decision.Errored:       "errored",
@@ -35,7 +33,7 @@
 	decision.Unusable:      "unusable",
 }
 
-// jobStateNames are the words of span records for what workers report.
+// jobStateNames are the names of the workers' reports in span records.
 var jobStateNames = [...]string{
 	JobStarted:   "started",
 	JobRunning:   "running",
@@ -48,22 +46,23 @@
 	JobException: "exception",
 }
 
-// Delivery is what a backend knows of an attempt's way to its worker.
+// Delivery describes how a backend delivered an attempt to its worker.
 type Delivery struct {
-	Reused bool // it went out on a connection that was used before
-	Bytes  int  // bytes of the body; 0 if it was not sent whole
-	// NoConnection means that the worker did not answer the attempt to connect in time. It has refused nothing.
+	Reused bool // it was sent on a connection that had been used before
+	Bytes  int  // size of the body; 0 if it was not sent completely
+	// NoConnection means that the worker did not answer the attempt to connect in time. It has not
+	// refused the connection either.
 	NoConnection bool
 }
 
-// SetRecordHook sets who takes the span records of requests that have ended. It
-// must be called before Run, and the hook must not block.
+// SetRecordHook sets the function that receives the span records of completed requests. It must be
+// called before Run, and the hook must not block.
 func (c *Core) SetRecordHook(onRecord func(*trace.Record)) { c.onRecord = onRecord }
 
-// recordStart adds an attempt to a span record. It has the same index there as in
-// the request.
+// recordStart adds an attempt to a span record, at the same index as in the request.
 func (c *Core) recordStart(record *trace.Record, w *worker) {
-	span := trace.Attempt{Sent: max(c.now, record.Received)} // the clock was read before the request came in its batch
+	// c.now was read at the start of the turn, possibly before the request arrived.
+	span := trace.Attempt{Sent: max(c.now, record.Received)}
 	if w != nil {
 		span.Backend, span.Addr, span.Zone = w.uid, w.addr, w.zone
 		span.WarmingUp = w.member.StartedAt > 0 && c.now < w.member.StartedAt+c.cfg.Rules.WarmUp
@@ -71,14 +70,14 @@
 	record.StartAttempt(span)
 }
 
-// recordDelivery records how an attempt went out.
+// recordDelivery records how an attempt was delivered.
 func recordDelivery(r *request, attempt int, d Delivery) {
 	if r.record != nil {
 		r.record.Attempts[attempt].ReusedConnection, r.record.Attempts[attempt].Bytes = d.Reused, d.Bytes
 	}
 }
 
-// endRecord records the response to a request.
+// endRecord records the final response to a request.
 func (c *Core) endRecord(r *request, response Response, reason string) {
 	record := r.record
 	answer, by := trace.Failed, trace.ByModule
@@ -103,8 +102,8 @@
 	}
 }
 
-// recordServed records which worker served a request, and whether it missed the
-// latency target of its class.
+// recordServed records which worker served a request, and whether the request missed the latency
+// target of its class.
 func (c *Core) recordServed(r *request) {
 	record := r.record
 	for i := range record.Attempts {
@@ -121,15 +120,15 @@
 	}
 }
 
-// endDuplicateRecord ends the record of a job whose ID is that of an open request.
+// endDuplicateRecord completes the record of a job that has the ID of an open request.
 func (c *Core) endDuplicateRecord(record *trace.Record) {
 	record.Finish(c.now, trace.Invalid, trace.ByCore, reasonDuplicate)
 	record.Status = http.StatusConflict
 	c.onRecord(record)
 }
 
-// adoptRecord makes the record that came with a request from another process fit
-// its attempts. An older release may have written none of them.
+// adoptRecord completes the record of a request that another process has released: a process of an
+// older release may not have recorded its attempts.
 func (c *Core) adoptRecord(r *request, m *MovedRequest) {
 	record := r.record
 	record.HandedOver = true
--- a/internal/dispatcher/core/reports.go
+++ b/internal/dispatcher/core/reports.go
@@ -2,9 +2,9 @@
 
 import "frosttide/decision"
 
-// Report takes a worker's report on a job, and passes to held whether this process
-// holds the job. A report that names no attempt that is out, such as a
-// repeated one or one on a canceled attempt, changes nothing.
+// Report processes a worker's report on a job, and calls held with whether this process holds the
+// job. A report that matches no open attempt, such as a repeated one or one on a canceled attempt,
+// has no effect on the request.
 func (c *Core) Report(ev JobEvent, held func(ReportResult)) {
 	c.mailbox.Put(func(c *Core) {
 		held(c.reportResult(ev.ID))
@@ -12,7 +12,7 @@
 	})
 }
 
-// reportResult returns whether this process holds the job of a report.
+// reportResult returns whether this process holds the job.
 func (c *Core) reportResult(id string) ReportResult {
 	switch {
 	case c.byID[id] != nil:
@@ -23,7 +23,7 @@
 	return NotHeld
 }
 
-// handleReport finds the attempt that a report is on.
+// handleReport applies a report to the open attempt of the worker that sent it.
 func (c *Core) handleReport(ev JobEvent) {
 	r := c.byID[ev.ID]
 	if r == nil {
@@ -38,7 +38,7 @@
 	c.handleUnknownSender(r, ev)
 }
 
-// applyReport applies a report to the attempt that it is on.
+// applyReport applies a report to an attempt.
 func (c *Core) applyReport(r *request, attempt int, ev JobEvent) {
 	a := &r.attempts[attempt]
 	if r.record != nil {
@@ -65,7 +65,7 @@
 	}
 }
 
-// handleStarted applies the report that a job has started.
+// handleStarted handles the report that a job has started.
 func (c *Core) handleStarted(r *request, attempt int, ev JobEvent) {
 	a := &r.attempts[attempt]
 	a.reported = true
@@ -78,7 +78,7 @@
 	c.addEvent(decision.Event{Type: decision.AttemptStarted, Request: r.id, Attempt: attempt, Worker: a.workerNumber, Progress: ev.Share})
 }
 
-// handleProgress applies the report that a job runs.
+// handleProgress handles the report that a job is running.
 func (c *Core) handleProgress(r *request, attempt int, ev JobEvent) {
 	a := &r.attempts[attempt]
 	a.reported = true
@@ -88,9 +88,9 @@
 	c.addEvent(decision.Event{Type: decision.AttemptProgressed, Request: r.id, Attempt: attempt, Worker: a.workerNumber, Progress: ev.Share})
 }
 
-// handleUnknownSender handles a report on a job by a worker that it was not sent
-// to. While the job is out at one worker alone, that worker's address is another's
-// by now, and the observer learns of it.
+// handleUnknownSender handles a report by a worker that the job was not sent to. If the job has a
+// single attempt, another worker has taken over the address of that attempt's worker, and the
+// observer is notified.
 func (c *Core) handleUnknownSender(r *request, ev JobEvent) {
 	if c.observer == nil || ev.State != JobStarted || c.workers[ev.From] == nil {
 		return
--- a/internal/dispatcher/core/summary.go
+++ b/internal/dispatcher/core/summary.go
@@ -9,35 +9,33 @@
 )
 
 const (
-	// summaryInterval is the time between two logged summaries; one without any
-	// traffic is left out.
+	// summaryInterval is the interval of the logged summaries. A summary without any traffic is
+	// skipped.
 	summaryInterval = 10 * time.Second
-	// refreshInterval is the longest time between two updates of the figures on
-	// workers.
+	// refreshInterval is the longest interval between two updates of the member counts and of the
+	// tokens in use.
 	refreshInterval = 200 * time.Millisecond
-	// membersInterval is the least time between two updates of the member counts:
-	// each goes through all workers, and the core's loop turns many times for each
-	// job.
+	// membersInterval is the shortest interval between two updates of the member counts. Each
+	// update visits all workers, and the loop turns many times per job.
 	membersInterval = refreshInterval / 4
 )
 
-// reportMembers updates the member counts.
+// reportMembers updates the member counts if membersInterval has passed.
 func (c *Core) reportMembers() {
 	if c.now < c.membersReportedAt+membersInterval {
-		return // a turn of the loop after refreshInterval at the latest does it
+		return // the next turn, after refreshInterval at the latest, catches up
 	}
 	c.membersReportedAt = c.now
 	c.onMembers(len(c.workers), c.module.Unavailable(c.now))
 }
 
-// trafficCounts counts the responses and the ends of attempts since the last
-// summary.
+// trafficCounts counts the final responses and the ended attempts since the last summary.
 type trafficCounts struct {
 	responses [Unusable + 1]int
 	attempts  [decision.Unusable + 1]int
 }
 
-// logSummary logs the counts and begins new ones.
+// logSummary logs the counts and resets them.
 func (c *Core) logSummary() {
 	t := c.summary
 	c.summary = trafficCounts{}
--- a/internal/dispatcher/core/workers.go
+++ b/internal/dispatcher/core/workers.go
@@ -8,23 +8,24 @@
 	"frosttide/decision"
 )
 
-// worker is a worker of the route table as the core knows it.
+// worker is the core's state of a worker in the route table.
 type worker struct {
-	number          decision.WorkerID
-	uid             string
-	addr            string
-	zone            string // name of its zone
-	source          uint8  // who lists it, as in Route
-	backend         Backend
-	epoch           epoch           // advances when attempts on their way there must not start any more
-	boot            time.Duration   // its last start, by the wall clock of whoever lists it
-	member          decision.Member // as it is listed
-	reportedMember  decision.Member // as the decision module last learned it
-	hasEndedAttempt bool            // an attempt of this dispatcher has ended there
+	number  decision.WorkerID
+	uid     string
+	addr    string
+	zone    string // name of its zone
+	source  uint8  // who lists it; see Route.Source
+	backend Backend
+	// epoch advances when attempts that have been decided on must no longer start.
+	epoch epoch
+	// boot is the time of the worker's last start by the wall clock of whoever lists it.
+	boot            time.Duration
+	member          decision.Member // as listed
+	reportedMember  decision.Member // as last passed to the decision module
+	hasEndedAttempt bool            // an attempt of this dispatcher has ended at the worker
 }
 
-// SetWorkerObserver sets who learns what jobs show of workers. It must be called
-// before Run.
+// SetWorkerObserver sets the observer of workers; nil for none. It must be called before Run.
 func (c *Core) SetWorkerObserver(o WorkerObserver) { c.observer = o }
 
 // ProbeEnded reports the result of a probe.
@@ -36,7 +37,7 @@
 	})
 }
 
-// RoutesReplaced replaces the whole route table.
+// RoutesReplaced replaces the complete route table.
 func (c *Core) RoutesReplaced(routes []Route) {
 	c.mailbox.Put(func(c *Core) { c.updateMembers(decision.MembersReplaced, routes) })
 }
@@ -46,14 +47,13 @@
 	c.mailbox.Put(func(c *Core) { c.updateMembers(decision.MembersChanged, routes) })
 }
 
-// DiscoveryFailed reports that a call to discovery has failed or a watch has ended.
+// DiscoveryFailed reports that a request to discovery has failed or that a watch has ended.
 func (c *Core) DiscoveryFailed() {
 	c.mailbox.Put(func(c *Core) { c.addEvent(decision.Event{Type: decision.MembersFailed}) })
 }
 
-// updateMembers applies entries of the route table. The backend of a worker that
-// leaves is closed for new attempts at once, and the decision module learns of it
-// in the same turn.
+// updateMembers applies entries of the route table. The backend of a removed worker is closed to
+// new attempts at once, and the decision module learns of the removal in the same turn.
 func (c *Core) updateMembers(kind decision.EventType, routes []Route) {
 	ev := decision.Event{Type: kind}
 	var restored []decision.Event
@@ -84,7 +84,7 @@
 			case listed[uid]:
 			case w.source == 0:
 				c.removeWorker(w)
-			default: // the module takes a whole list as it is
+			default: // the module takes the list as complete, including other sources' workers
 				ev.Members = append(ev.Members, c.effectiveMember(w))
 			}
 		}
@@ -93,7 +93,7 @@
 	c.events = append(c.events, restored...)
 }
 
-// addWorker adds a worker that is listed for the first time.
+// addWorker adds a newly listed worker and opens its backend.
 func (c *Core) addWorker(route *Route) *worker {
 	c.lastWorkerID++
 	w := &worker{number: c.lastWorkerID, uid: route.UID, addr: route.Addr}
@@ -103,7 +103,7 @@
 	return w
 }
 
-// updateWorker applies an entry of the route table to its worker.
+// updateWorker applies an entry of the route table to a worker.
 func (c *Core) updateWorker(w *worker, route *Route) {
 	if route.Addr != "" && route.Addr != w.addr {
 		c.log.WithFields(logrus.Fields{"target": w.uid, "addr": route.Addr}).Info("egress target moved")
@@ -122,12 +122,11 @@
 	w.member.Worker, w.member.StartedAt = w.number, startedAt
 }
 
-// startedAt converts a worker's start by the wall clock into the core's time, when
-// it is first listed. The result is kept until another start is listed, also by a
-// newer process, so that setting the clock later changes nothing. Where the wall
-// clock was set between the start of this process and now, it gives two ages, and
-// the younger counts: a worker that is taken for older than it is would get more
-// work than it can bear.
+// startedAt converts a worker's start time, by the wall clock, to the core's clock. It is called
+// when a start is first listed; the result is kept, also by successor processes, until another
+// start is listed, so that setting the clock later has no effect. If the wall clock was set since
+// this process started, the two clocks give different ages. The lower one counts, because a worker
+// that is taken to be older than it is would get more work than it can handle while it warms up.
 func (c *Core) startedAt(uid string, boot time.Duration) time.Duration {
 	if boot == 0 {
 		return 0
@@ -141,9 +140,9 @@
 	return c.now - max(age, 0)
 }
 
-// effectiveMember returns a worker as the decision module is to see it: as it is
-// listed, but for what operators have decided, which holds against every later
-// list. It also advances the worker's epoch where attempts must not start any more.
+// effectiveMember returns a worker as the decision module should see it: as listed, except for
+// operators' exclusions and reinstatements, which take precedence over every later list. It
+// advances the worker's epoch if attempts that have been decided on must no longer start.
 func (c *Core) effectiveMember(w *worker) decision.Member {
 	m := w.member
 	if c.excluded[w.uid] && m.State == decision.Ready {
@@ -160,8 +159,8 @@
 	return m
 }
 
-// removeWorker removes a worker that has left the route table. Attempts that are
-// still out there are matched by its UID until they end.
+// removeWorker removes a worker that has left the route table. Reports on its open attempts are
+// still matched by its UID until these end.
 func (c *Core) removeWorker(w *worker) {
 	c.log.WithField("target", w.uid).Info("egress target gone from the list")
 	w.epoch.advance()
