--- a/internal/dispatcher/core/admission.go
+++ b/internal/dispatcher/core/admission.go
@@ -65,14 +65,14 @@
 	Unrestricted bool // the admission window is wide enough for all arriving jobs
 }
 
-// RejoinProgress calls to with the progress, later on the goroutine of Run.
-func (c *Core) RejoinProgress(to func(RejoinProgress)) {
+// RejoinProgress calls receive with the progress, later on the goroutine of Run.
+func (c *Core) RejoinProgress(receive func(RejoinProgress)) {
 	c.mailbox.Put(func(c *Core) {
 		progress := RejoinProgress{Listed: len(c.workers)}
 		if c.guard != nil {
 			progress.Unrestricted = c.guard.admission.Unrestricted(c.now)
 		}
-		to(progress)
+		receive(progress)
 	})
 }
 
--- a/internal/dispatcher/core/attempts.go
+++ b/internal/dispatcher/core/attempts.go
@@ -17,7 +17,7 @@
 	reported     bool // the worker has reported that the job started or is running
 	accepted     bool // the worker has confirmed that it has the job
 	recorded     bool // the attempt was announced to the outcome store
-	recalled     bool // the cancellation is being sent to the worker
+	cancelSent   bool // the cancellation is being sent to the worker
 	unresponsive bool // the worker did not accept the job in time
 	delivery     Delivery
 	ended        bool
--- a/internal/dispatcher/core/core.go
+++ b/internal/dispatcher/core/core.go
@@ -52,9 +52,9 @@
 	timers timerHeap
 
 	// Requests.
-	requests      map[decision.RequestID]*request
-	byID          map[string]*request // by Job.ID
-	lastRequestID decision.RequestID
+	requests        map[decision.RequestID]*request
+	requestsByJobID map[string]*request // by Job.ID
+	lastRequestID   decision.RequestID
 	// awaitingAdmission holds the jobs that are held back or being looked up in the outcome store,
 	// while their clients are connected.
 	awaitingAdmission map[*Job]bool
@@ -62,9 +62,9 @@
 	// releasing holds the requests to be transferred to another process, with the callbacks of
 	// Release.
 	releasing map[*request]func(*MovedRequest)
-	// released holds the IDs of the requests that were transferred to another process.
-	released map[string]bool
-	stopAt   time.Duration // when the process may be terminated; 0 before StopBy
+	// releasedIDs holds the IDs of the requests that were transferred to another process.
+	releasedIDs map[string]bool
+	stopAt      time.Duration // when the process may be terminated; 0 before StopBy
 
 	// Workers.
 	workers         map[string]*worker // by UID
@@ -120,10 +120,10 @@
 		wall:      monotime.Wall,
 
 		requests:          map[decision.RequestID]*request{},
-		byID:              map[string]*request{},
+		requestsByJobID:   map[string]*request{},
 		awaitingAdmission: map[*Job]bool{},
 		releasing:         map[*request]func(*MovedRequest){},
-		released:          map[string]bool{},
+		releasedIDs:       map[string]bool{},
 
 		workers:         map[string]*worker{},
 		workersByNumber: map[decision.WorkerID]*worker{},
--- a/internal/dispatcher/core/core_test.go
+++ b/internal/dispatcher/core/core_test.go
@@ -97,8 +97,8 @@
 			t.Fatalf("response %+v without a worker", response)
 		}
 	}
-	if len(c.timers) > 0 || len(c.requests) > 0 || len(c.byID) > 0 {
-		t.Errorf("%d timers, %d requests and %d IDs are left", len(c.timers), len(c.requests), len(c.byID))
+	if len(c.timers) > 0 || len(c.requests) > 0 || len(c.requestsByJobID) > 0 {
+		t.Errorf("%d timers, %d requests and %d IDs are left", len(c.timers), len(c.requests), len(c.requestsByJobID))
 	}
 }
 
--- a/internal/dispatcher/core/exclusions.go
+++ b/internal/dispatcher/core/exclusions.go
@@ -28,9 +28,9 @@
 	})
 }
 
-// IsKnown calls known with whether a worker is listed or excluded.
-func (c *Core) IsKnown(uid string, known func(bool)) {
-	c.mailbox.Put(func(c *Core) { known(c.workers[uid] != nil || c.excluded[uid]) })
+// IsKnown calls done with whether a worker is listed or excluded.
+func (c *Core) IsKnown(uid string, done func(bool)) {
+	c.mailbox.Put(func(c *Core) { done(c.workers[uid] != nil || c.excluded[uid]) })
 }
 
 // SetExclusionHook sets the function that receives the decisions made through Exclude. It must be
--- a/internal/dispatcher/core/gangs.go
+++ b/internal/dispatcher/core/gangs.go
@@ -16,23 +16,23 @@
 // allow one. It ignores a job that has been answered.
 func (c *Core) Hedge(jobID string) {
 	c.mailbox.Put(func(c *Core) {
-		if r := c.byID[jobID]; r != nil && !r.answered && !c.stalled() {
+		if r := c.requestsByJobID[jobID]; r != nil && !r.answered && !c.stalled() {
 			c.addEvent(decision.Event{Type: decision.RequestStraggling, Request: r.id})
 		}
 	})
 }
 
-// MarkSlow records that a worker is slower than others of its kind by the factor times. This holds
-// until jobs at the worker show otherwise or the record expires.
-func (c *Core) MarkSlow(uid string, times float64) {
+// MarkSlow records that a worker is slower than others of its kind by factor. This holds until jobs
+// at the worker show otherwise or the record expires.
+func (c *Core) MarkSlow(uid string, factor float64) {
 	c.mailbox.Put(func(c *Core) {
 		w := c.workers[uid]
 		if w == nil {
 			return
 		}
 		health := c.module.Health(w.number)
-		if times > health.Pace {
-			health.Pace, health.PaceAt = times, c.now
+		if factor > health.Pace {
+			health.Pace, health.PaceAt = factor, c.now
 			c.addEvent(decision.Event{Type: decision.HealthRestored, Worker: w.number, Health: health})
 		}
 	})
@@ -42,7 +42,7 @@
 // than once; other jobs may have run already, so they continue.
 func (c *Core) Abandon(jobID string) {
 	c.mailbox.Put(func(c *Core) {
-		r := c.byID[jobID]
+		r := c.requestsByJobID[jobID]
 		if r == nil || r.answered || c.cfg.Classes[r.job.Class].Effect != decision.Safe {
 			return
 		}
--- a/internal/dispatcher/core/handover.go
+++ b/internal/dispatcher/core/handover.go
@@ -42,9 +42,9 @@
 	Record decision.AttemptRecord `json:"past"`
 }
 
-// Snapshot calls to with the core's state, except for the list of workers, later on the goroutine
-// of Run.
-func (c *Core) Snapshot(to func(Snapshot)) {
+// Snapshot calls receive with the core's state, except for the list of workers, later on the
+// goroutine of Run.
+func (c *Core) Snapshot(receive func(Snapshot)) {
 	c.mailbox.Put(func(c *Core) {
 		s := Snapshot{
 			Offset:     c.clockOffset(),
@@ -62,7 +62,7 @@
 			}
 		}
 		s.MeanRunTimes = c.module.MeanRunTimes()
-		to(s)
+		receive(s)
 	})
 }
 
@@ -116,7 +116,7 @@
 // not transferred.
 func (c *Core) Release(job *Job, done func(*MovedRequest)) {
 	c.mailbox.Put(func(c *Core) {
-		if r := c.byID[job.ID]; r != nil && r.job == job && !r.answered {
+		if r := c.requestsByJobID[job.ID]; r != nil && r.job == job && !r.answered {
 			c.releasing[r] = done
 		} else {
 			done(nil)
@@ -138,7 +138,7 @@
 			continue
 		}
 		delete(c.releasing, r)
-		c.released[r.job.ID] = true
+		c.releasedIDs[r.job.ID] = true
 		r.record = nil // the other process continues it
 		c.closeRequest(r)
 		c.addEvent(decision.Event{Type: decision.RequestCanceled, Request: r.id})
@@ -162,10 +162,10 @@
 	}
 	for i := range r.attempts {
 		a := &r.attempts[i]
-		known := a.ended || a.accepted || a.reported
+		acceptedOrEnded := a.ended || a.accepted || a.reported
 		// A worker that is connected to this process reports to this process only.
-		mayMove := a.ended || a.worker == nil || a.worker.source == 0
-		if !known || !mayMove {
+		transferable := a.ended || a.worker == nil || a.worker.source == 0
+		if !acceptedOrEnded || !transferable {
 			return nil, false
 		}
 		m.Attempts = append(m.Attempts, MovedAttempt{UID: a.workerUID(), Record: shiftClock(prior[i], -offset)})
@@ -176,7 +176,7 @@
 // Adopt continues a request that another process has released.
 func (c *Core) Adopt(job *Job, m *MovedRequest, ingress Ingress) {
 	c.mailbox.Put(func(c *Core) {
-		if c.byID[job.ID] != nil {
+		if c.requestsByJobID[job.ID] != nil {
 			c.rejectDuplicate(job, ingress)
 			return
 		}
@@ -184,7 +184,7 @@
 		ev := c.arrivalEvent(r)
 		offset := c.clockOffset()
 		for _, moved := range m.Attempts {
-			w := c.workerOrDeparted(moved.UID)
+			w := c.workerOrPlaceholder(moved.UID)
 			record := shiftClock(moved.Record, offset)
 			record.Worker = w.number
 			ev.PriorAttempts = append(ev.PriorAttempts, record)
@@ -203,13 +203,14 @@
 	})
 }
 
-// workerOrDeparted returns a listed worker, or a placeholder for a worker that has left the list.
-func (c *Core) workerOrDeparted(uid string) *worker {
+// workerOrPlaceholder returns a listed worker, or a placeholder for a worker that has left the
+// list.
+func (c *Core) workerOrPlaceholder(uid string) *worker {
 	if w := c.workers[uid]; w != nil {
 		return w
 	}
 	c.lastWorkerID++
-	return &worker{number: c.lastWorkerID, uid: uid, backend: departedBackend{}}
+	return &worker{number: c.lastWorkerID, uid: uid, backend: noopBackend{}}
 }
 
 // shiftClock converts an attempt's record to a clock that is ahead by the given duration.
@@ -221,20 +222,20 @@
 	return record
 }
 
-// departedBackend is the Backend of a worker that has left the list. Its methods do nothing.
-type departedBackend struct{}
+// noopBackend is the Backend of a worker that has left the list. Its methods do nothing.
+type noopBackend struct{}
 
 // Send implements Backend.
-func (departedBackend) Send(Attempt) {}
+func (noopBackend) Send(Attempt) {}
 
 // Cancel implements Backend.
-func (departedBackend) Cancel(Attempt) {}
+func (noopBackend) Cancel(Attempt) {}
 
 // Probe implements Backend.
-func (departedBackend) Probe(time.Time) {}
+func (noopBackend) Probe(time.Time) {}
 
 // SetAddress implements Backend.
-func (departedBackend) SetAddress(string) {}
+func (noopBackend) SetAddress(string) {}
 
 // Close implements Backend.
-func (departedBackend) Close() {}
+func (noopBackend) Close() {}
--- a/internal/dispatcher/core/heldback_test.go
+++ b/internal/dispatcher/core/heldback_test.go
@@ -28,15 +28,15 @@
 	c.ClientLeft(jobs["leaves"])
 	c.ReleaseHeldBack()
 	runTurns(c, 3)
-	if r := c.byID["stays"]; r == nil || len(r.attempts) != 1 {
+	if r := c.requestsByJobID["stays"]; r == nil || len(r.attempts) != 1 {
 		t.Errorf("the job whose client waits has become %+v", r)
 	}
-	if c.byID["leaves"] != nil {
+	if c.requestsByJobID["leaves"] != nil {
 		t.Error("the job of a client that has left is sent")
 	}
 	c.Submit(jobs["after"], make(responses, 1))
 	runTurns(c, 3)
-	if r := c.byID["after"]; r == nil || len(r.attempts) != 1 {
+	if r := c.requestsByJobID["after"]; r == nil || len(r.attempts) != 1 {
 		t.Errorf("a job that comes after has become %+v", r)
 	}
 	if len(c.awaitingAdmission) > 0 || c.heldBack != nil {
--- a/internal/dispatcher/core/hints.go
+++ b/internal/dispatcher/core/hints.go
@@ -27,9 +27,9 @@
 	})
 }
 
-// OwnFindings calls to with the health, by UID, of the workers at which an attempt of this
+// OwnFindings calls receive with the health, by UID, of the workers at which an attempt of this
 // dispatcher has ended, later on the goroutine of Run.
-func (c *Core) OwnFindings(to func(map[string]decision.Health)) {
+func (c *Core) OwnFindings(receive func(map[string]decision.Health)) {
 	c.mailbox.Put(func(c *Core) {
 		findings := map[string]decision.Health{}
 		for uid, w := range c.workers {
@@ -37,6 +37,6 @@
 				findings[uid] = c.module.Health(w.number)
 			}
 		}
-		to(findings)
+		receive(findings)
 	})
 }
--- a/internal/dispatcher/core/holdings.go
+++ b/internal/dispatcher/core/holdings.go
@@ -20,8 +20,8 @@
 	}
 	holdings := make([]Holding, 0, len(c.workers))
 	for uid, w := range c.workers {
-		held, limit := c.module.TokensInUse(w.number)
-		holdings = append(holdings, Holding{Backend: uid, InUse: held, Limit: limit})
+		inUse, limit := c.module.TokensInUse(w.number)
+		holdings = append(holdings, Holding{Backend: uid, InUse: inUse, Limit: limit})
 	}
 	c.onHoldings(holdings)
 }
--- a/internal/dispatcher/core/outcomes.go
+++ b/internal/dispatcher/core/outcomes.go
@@ -74,7 +74,7 @@
 			if job.Placements != nil {
 				records = mergeRecords(records, job.Placements.Previous())
 			}
-			if len(records) == 0 || c.byID[job.ID] != nil {
+			if len(records) == 0 || c.requestsByJobID[job.ID] != nil {
 				c.handleArrival(job, ingress)
 				return
 			}
--- a/internal/dispatcher/core/outcomes_test.go
+++ b/internal/dispatcher/core/outcomes_test.go
@@ -72,7 +72,7 @@
 	runTurns(c, 3)
 	store.lookedUp([]OutcomeRecord{{}})
 	runTurns(c, 3)
-	r := c.byID["x"]
+	r := c.requestsByJobID["x"]
 	if r == nil || len(r.attempts) != 2 || len(r.record.Attempts) != 2 {
 		t.Fatalf("request %+v", r)
 	}
--- a/internal/dispatcher/core/recall.go
+++ b/internal/dispatcher/core/recall.go
@@ -29,10 +29,10 @@
 func (c *Core) recall(r *request, attempt int, confirm bool) {
 	a := &r.attempts[attempt]
 	a.permit.revoke()
-	if a.recalled {
+	if a.cancelSent {
 		return
 	}
-	a.recalled = true
+	a.cancelSent = true
 	if r.record != nil {
 		r.record.Attempts[attempt].Cancelled = c.now
 	}
@@ -43,7 +43,7 @@
 
 // AttemptRecalled reports that an attempt was canceled, and whether its worker certainly knows of
 // it.
-func (c *Core) AttemptRecalled(ref AttemptRef, known bool) {
+func (c *Core) AttemptRecalled(ref AttemptRef, confirmed bool) {
 	c.mailbox.Put(func(c *Core) {
 		r := c.requests[ref.Request]
 		if r == nil {
@@ -54,7 +54,7 @@
 			outcome = decision.TimedOut
 		}
 		if c.endAttempt(r, ref.Number, outcome, nil) {
-			c.events[len(c.events)-1].CancelUnconfirmed = !known
+			c.events[len(c.events)-1].CancelUnconfirmed = !confirmed
 		}
 	})
 }
--- a/internal/dispatcher/core/reports.go
+++ b/internal/dispatcher/core/reports.go
@@ -2,12 +2,12 @@
 
 import "frosttide/decision"
 
-// Report processes a worker's report on a job, and calls held with whether this process holds the
-// job. A report that matches no open attempt, such as a repeated one or one on a canceled attempt,
-// has no effect on the request.
-func (c *Core) Report(ev JobEvent, held func(ReportResult)) {
+// Report processes a worker's report on a job, and calls onResult with whether this process holds
+// the job. A report that matches no open attempt, such as a repeated one or one on a canceled
+// attempt, has no effect on the request.
+func (c *Core) Report(ev JobEvent, onResult func(ReportResult)) {
 	c.mailbox.Put(func(c *Core) {
-		held(c.reportResult(ev.ID))
+		onResult(c.reportResult(ev.ID))
 		c.handleReport(ev)
 	})
 }
@@ -15,9 +15,9 @@
 // reportResult returns whether this process holds the job.
 func (c *Core) reportResult(id string) ReportResult {
 	switch {
-	case c.byID[id] != nil:
+	case c.requestsByJobID[id] != nil:
 		return Held
-	case c.released[id]:
+	case c.releasedIDs[id]:
 		return Moving
 	}
 	return NotHeld
@@ -25,7 +25,7 @@
 
 // handleReport applies a report to the open attempt of the worker that sent it.
 func (c *Core) handleReport(ev JobEvent) {
-	r := c.byID[ev.ID]
+	r := c.requestsByJobID[ev.ID]
 	if r == nil {
 		return
 	}
--- a/internal/dispatcher/core/reports_test.go
+++ b/internal/dispatcher/core/reports_test.go
@@ -9,9 +9,9 @@
 // TestReportResult guards reports on jobs that are on their way to another process from being taken for unknown ones.
 func TestReportResult(t *testing.T) {
 	c := newTestCore(t)
-	c.byID["open"] = &request{}
-	c.byID["back"] = &request{}
-	c.released["gone"], c.released["back"] = true, true // the latter could not be handed over
+	c.requestsByJobID["open"] = &request{}
+	c.requestsByJobID["back"] = &request{}
+	c.releasedIDs["gone"], c.releasedIDs["back"] = true, true // the latter could not be handed over
 	got := map[string]ReportResult{}
 	for _, id := range []string{"open", "gone", "back", "unknown"} {
 		c.Report(JobEvent{ID: id, From: "s-1"}, func(r ReportResult) { got[id] = r })
--- a/internal/dispatcher/core/requests.go
+++ b/internal/dispatcher/core/requests.go
@@ -53,7 +53,7 @@
 			delete(c.awaitingAdmission, job)
 			c.releaseAdmission(job, false)
 		}
-		if r := c.byID[job.ID]; r != nil && r.job == job && !r.answered {
+		if r := c.requestsByJobID[job.ID]; r != nil && r.job == job && !r.answered {
 			c.closeRequest(r)
 			if r.record != nil {
 				r.record.Finish(c.now, trace.Abandoned, trace.ByCore, reasonClientLeft)
@@ -82,7 +82,7 @@
 
 // handleArrival creates the request of a job and passes it to the decision module.
 func (c *Core) handleArrival(job *Job, ingress Ingress) {
-	if c.byID[job.ID] != nil {
+	if c.requestsByJobID[job.ID] != nil {
 		c.rejectDuplicate(job, ingress)
 		return
 	}
@@ -107,7 +107,7 @@
 	if r.record != nil {
 		r.record.Deadline = r.deadline
 	}
-	c.requests[r.id], c.byID[job.ID] = r, r
+	c.requests[r.id], c.requestsByJobID[job.ID] = r, r
 	if c.inObservedGang(r) {
 		c.gangs.Joined(job, r.deadline-c.now)
 	}
@@ -185,7 +185,7 @@
 		}
 	}
 	delete(c.requests, r.id)
-	delete(c.byID, r.job.ID)
+	delete(c.requestsByJobID, r.job.ID)
 	if r.record != nil {
 		c.onRecord(r.record)
 	}
