--- a/internal/dispatcher/core/core_test.go
+++ b/internal/dispatcher/core/core_test.go
@@ -12,18 +12,18 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// emptyRouteTable is a RouteTable without workers.
+// emptyRouteTable is a RouteTable that never lists a worker.
 type emptyRouteTable struct{}
 
 func (emptyRouteTable) Watch() {}
 func (emptyRouteTable) Fetch() {}
 
-// responses is an Ingress whose responses the test reads.
+// responses is an Ingress that passes the responses to the test.
 type responses chan Response
 
 func (r responses) Respond(response Response) { r <- response }
 
-// openBackends remembers which backends are open.
+// openBackends makes backends and records which of them are open, by UID.
 type openBackends map[string]bool
 
 func (o openBackends) Open(_ decision.WorkerID, uid, _ string) Backend {
@@ -31,7 +31,7 @@
 	return recordingBackend{o, uid}
 }
 
-// recordingBackend records that it is closed, and nothing else.
+// recordingBackend is removed from openBackends when it is closed. Its other methods do nothing.
 type recordingBackend struct {
 	open openBackends
 	uid  string
@@ -43,21 +43,20 @@
 func (recordingBackend) SetAddress(string) {}
 func (b recordingBackend) Close()          { delete(b.open, b.uid) }
 
-// newTestCore makes a core with one class that logs nothing and whose clock has been
-// read.
+// newTestCore returns a core with a single class, no logging and its clock already read.
 func newTestCore(t *testing.T) *Core {
 	t.Helper()
-	return newTestCoreWith(t, decision.Class{Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}, openBackends{})
+	return newTestCoreWithClass(t, decision.Class{Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}, openBackends{})
 }
 
-// newTestCoreWith does so with a class and backends.
-func newTestCoreWith(t *testing.T, class decision.Class, backends Backends) *Core {
+// newTestCoreWithClass is newTestCore with the given class and backends.
+func newTestCoreWithClass(t *testing.T, class decision.Class, backends Backends) *Core {
 	t.Helper()
-	return newTestCoreOf(t, decision.Config{Classes: []decision.Class{class}}, backends)
+	return newTestCoreWithConfig(t, decision.Config{Classes: []decision.Class{class}}, backends)
 }
 
-// newTestCoreOf does so with whole settings.
-func newTestCoreOf(t *testing.T, cfg decision.Config, backends Backends) *Core {
+// newTestCoreWithConfig is newTestCore with the given configuration and backends.
+func newTestCoreWithConfig(t *testing.T, cfg decision.Config, backends Backends) *Core {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -69,15 +68,15 @@
 	return c
 }
 
-// deliverMail executes a core's mail.
+// deliverMail executes the messages in a core's mailbox.
 func deliverMail(c *Core) {
 	for _, message := range c.mailbox.Drain(nil) {
 		message(c)
 	}
 }
 
-// runTurns executes a core's mail and steps, as often as said: a message may cause
-// another.
+// runTurns delivers the mail and steps the decision module, the given number of times, because a
+// message may cause further ones.
 func runTurns(c *Core, turns int) {
 	for range turns {
 		deliverMail(c)
@@ -85,63 +84,64 @@
 	}
 }
 
-// TestRejectedRequestsAreRemoved guards the memory: nothing is left of requests that
-// were rejected at once, however late their deadlines.
+// TestRejectedRequestsAreRemoved guards against a memory leak: requests that are rejected at once
+// must leave nothing behind, however late their deadlines are.
 func TestRejectedRequestsAreRemoved(t *testing.T) {
-	c := newTestCoreWith(t, decision.Class{Objective: time.Second, ClientTimeout: time.Hour}, nil)
+	c := newTestCoreWithClass(t, decision.Class{Objective: time.Second, ClientTimeout: time.Hour}, nil)
 	got := make(responses, 1)
 	for i := range 1000 {
 		c.handleArrival(&Job{ID: fmt.Sprint(i), Slots: 1, Deadline: time.Now().Add(time.Hour)}, got)
 		c.step()
 		if response := <-got; response.Verdict != Rejected {
-			t.Fatalf("response %+v without a worker", response)
+			t.Fatalf("response without a worker = %+v, want Rejected", response)
 		}
 	}
 	if len(c.timers) > 0 || len(c.requests) > 0 || len(c.requestsByJobID) > 0 {
-		t.Errorf("%d timers, %d requests and %d IDs are left", len(c.timers), len(c.requests), len(c.requestsByJobID))
+		t.Errorf("%d timers, %d requests and %d job IDs remain, want none", len(c.timers), len(c.requests), len(c.requestsByJobID))
 	}
 }
 
-// TestAttemptDoesNotStartBeforeItsRequest guards traces against a clock that was read
-// before the request came in the same batch: its attempt would start before it.
+// TestAttemptDoesNotStartBeforeItsRequest guards against traces in which an attempt starts before
+// its request. The core's clock is read at the start of a turn, and a request of that turn may have
+// arrived after that.
 func TestAttemptDoesNotStartBeforeItsRequest(t *testing.T) {
 	c := &Core{now: time.Second}
 	record := &trace.Record{Received: time.Second + time.Microsecond}
 	c.recordStart(record, nil)
 	if got := record.Attempts[0].Sent; got < record.Received {
-		t.Errorf("the attempt starts at %v, its request at %v", got, record.Received)
+		t.Errorf("attempt sent at %v, before its request was received at %v", got, record.Received)
 	}
 }
 
-// TestHintsCountUntilOwnFindings guards a new dispatcher: what others have found out
-// about a worker counts, before it is listed and after, until an attempt from here has
-// ended there.
+// TestHintsCountUntilOwnFindings checks that a new dispatcher uses other dispatchers' health
+// records of a worker, whether received before or after the worker is listed, until one of its own
+// attempts has ended there.
 func TestHintsCountUntilOwnFindings(t *testing.T) {
 	c := newTestCore(t)
 	hint := func(uid string, failures int) {
 		c.Hint(uid, decision.Health{Failures: failures, Failed: failures > 0, Pace: 1})
 		runTurns(c, 1)
 	}
-	want := func(uid string, failures int) {
+	assertFailures := func(uid string, failures int) {
 		t.Helper()
 		if got := c.module.Health(c.workers[uid].number).Failures; got != failures {
-			t.Errorf("%s counts as failed %d times, want %d", uid, got, failures)
+			t.Errorf("%s: failures = %d, want %d", uid, got, failures)
 		}
 	}
 	hint("s-1", 3)
 	c.updateMembers(decision.MembersChanged, []Route{{UID: "s-1", Addr: "x"}, {UID: "s-2", Addr: "y"}})
 	c.step()
-	want("s-1", 3)
-	want("s-2", 0)
+	assertFailures("s-1", 3)
+	assertFailures("s-2", 0)
 	hint("s-2", 2)
-	want("s-2", 2)
+	assertFailures("s-2", 2)
 	c.workers["s-2"].hasEndedAttempt = true
 	hint("s-2", 0)
-	want("s-2", 2)
-	found := -1
-	c.OwnFindings(func(all map[string]decision.Health) { found = len(all) })
+	assertFailures("s-2", 2)
+	workers := -1
+	c.OwnFindings(func(all map[string]decision.Health) { workers = len(all) })
 	deliverMail(c)
-	if found != 1 {
-		t.Errorf("findings on %d workers, want on the one where an attempt has ended", found)
+	if workers != 1 {
+		t.Errorf("OwnFindings returned %d workers, want only the one where an attempt has ended", workers)
 	}
 }
--- a/internal/dispatcher/core/heldback_test.go
+++ b/internal/dispatcher/core/heldback_test.go
@@ -7,9 +7,9 @@
 	"frosttide/decision"
 )
 
-// TestHeldBackUntilDiscoveryAnswers guards a process that begins with a list which may
-// be old: jobs that come before discovery's first answer are sent to nobody until then,
-// and never for a client that has left. Jobs that come after are taken in at once.
+// TestHeldBackUntilDiscoveryAnswers guards a process that starts with a possibly outdated list of
+// workers: jobs submitted before discovery's first answer must not be sent until then, and never if
+// their client has disconnected. Jobs submitted afterwards are processed at once.
 func TestHeldBackUntilDiscoveryAnswers(t *testing.T) {
 	c := newTestCore(t)
 	c.HoldBack()
@@ -23,29 +23,29 @@
 	c.Submit(jobs["leaves"], make(responses, 1))
 	runTurns(c, 3)
 	if len(c.requests) > 0 {
-		t.Fatalf("%d jobs were taken in before discovery's first answer", len(c.requests))
+		t.Fatalf("%d requests exist before discovery's first answer, want none", len(c.requests))
 	}
 	c.ClientLeft(jobs["leaves"])
 	c.ReleaseHeldBack()
 	runTurns(c, 3)
 	if r := c.requestsByJobID["stays"]; r == nil || len(r.attempts) != 1 {
-		t.Errorf("the job whose client waits has become %+v", r)
+		t.Errorf("the job of a connected client: request = %+v, want one attempt", r)
 	}
 	if c.requestsByJobID["leaves"] != nil {
-		t.Error("the job of a client that has left is sent")
+		t.Error("the job of a disconnected client was processed")
 	}
 	c.Submit(jobs["after"], make(responses, 1))
 	runTurns(c, 3)
 	if r := c.requestsByJobID["after"]; r == nil || len(r.attempts) != 1 {
-		t.Errorf("a job that comes after has become %+v", r)
+		t.Errorf("a job submitted after the release: request = %+v, want one attempt", r)
 	}
 	if len(c.awaitingAdmission) > 0 || c.heldBack != nil {
-		t.Errorf("%d jobs still wait", len(c.awaitingAdmission))
+		t.Errorf("%d jobs still await admission, or jobs are still held back", len(c.awaitingAdmission))
 	}
 }
 
-// TestHeldBackJobsAreAnswered guards held-back jobs against having no response: where
-// the deadline passes before discovery's answer, and where the process is told to stop.
+// TestHeldBackJobsAreAnswered guards against held-back jobs that never get a response: because
+// their deadline passes before discovery answers, or because the process is told to stop.
 func TestHeldBackJobsAreAnswered(t *testing.T) {
 	c := newTestCore(t)
 	c.HoldBack()
@@ -54,18 +54,18 @@
 	c.Submit(&Job{ID: "long", Slots: 1, Deadline: time.Now().Add(time.Hour)}, long)
 	awaitRejection(t, c, short)
 	if len(long) > 0 {
-		t.Error("a job whose deadline has not passed is rejected too")
+		t.Error("a job was rejected before its deadline")
 	}
 	c.StopBy(time.Now().Add(time.Minute))
 	awaitRejection(t, c, long)
 	c.ReleaseHeldBack()
 	runTurns(c, 1)
 	if len(c.requests) > 0 || len(c.awaitingAdmission) > 0 {
-		t.Errorf("%d requests are taken in, %d wait", len(c.requests), len(c.awaitingAdmission))
+		t.Errorf("after the rejections: %d requests, %d jobs awaiting admission, want none", len(c.requests), len(c.awaitingAdmission))
 	}
 }
 
-// awaitRejection runs the core until a held-back job is rejected.
+// awaitRejection runs the core until a held-back job is rejected, for at most 5 s.
 func awaitRejection(t *testing.T, c *Core, got responses) {
 	t.Helper()
 	timeout := time.After(5 * time.Second)
@@ -73,13 +73,13 @@
 		select {
 		case response := <-got:
 			if response.Verdict != Rejected {
-				t.Errorf("response %+v", response)
+				t.Errorf("response = %+v, want Rejected", response)
 			}
 			return
 		case <-c.mailbox.Ready():
 			runTurns(c, 1)
 		case <-timeout:
-			t.Fatal("a held-back job has no response")
+			t.Fatal("a held-back job got no response within 5 s")
 		}
 	}
 }
--- a/internal/dispatcher/core/outcomes_test.go
+++ b/internal/dispatcher/core/outcomes_test.go
@@ -10,21 +10,21 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// fakeOutcomeStore is an OutcomeStore whose lookups the test answers.
+// fakeOutcomeStore is an OutcomeStore whose lookups are answered by the test.
 type fakeOutcomeStore struct {
-	lookedUp func([]OutcomeRecord) // answers the last lookup; nil for none
-	neverRan int                   // calls of RecordNeverRan
+	answerLookup func([]OutcomeRecord) // callback of the last Lookup; nil for none
+	neverRan     int                   // number of calls of RecordNeverRan
 }
 
-func (s *fakeOutcomeStore) Lookup(_ *Job, found func([]OutcomeRecord)) { s.lookedUp = found }
+func (s *fakeOutcomeStore) Lookup(_ *Job, found func([]OutcomeRecord)) { s.answerLookup = found }
 func (s *fakeOutcomeStore) RecordNeverRan(*Job, OutcomeRecord)         { s.neverRan++ }
 func (*fakeOutcomeStore) RecordSending(_ *Job, _ OutcomeRecord, _ time.Duration, send func()) {
 	send()
 }
 func (*fakeOutcomeStore) RecordDone(_ *Job, _ OutcomeRecord, _ time.Duration, _ []byte) {}
 
-// fakePlacements is what members agree on for one job: whether it may be sent, and
-// where it was before.
+// fakePlacements holds the groups that one job was sent to before, and whether further ones are
+// agreed on.
 type fakePlacements struct {
 	previous []OutcomeRecord
 	agrees   bool
@@ -36,14 +36,14 @@
 	decided(p.agrees)
 }
 
-// sendCounts makes backends that count what they are sent, by UID.
+// sendCounts makes backends that count the attempts sent to them, by UID.
 type sendCounts struct{ sent map[string]int }
 
 func (s sendCounts) Open(_ decision.WorkerID, uid, _ string) Backend {
 	return countingBackend{recordingBackend{openBackends{}, uid}, s.sent}
 }
 
-// countingBackend counts what it is sent.
+// countingBackend counts the attempts sent to it.
 type countingBackend struct {
 	recordingBackend
 	sent map[string]int
@@ -51,11 +51,11 @@
 
 func (b countingBackend) Send(Attempt) { b.sent[b.uid]++ }
 
-// TestJobSentByAnotherDispatcher guards a job that another dispatcher has sent: its
-// attempt here has its own entry in the span record, and a job that is looked up while
-// the process begins to end has its response before that end.
+// TestJobSentByAnotherDispatcher checks a job that another dispatcher has sent before: the attempt
+// of that dispatcher has its own entry in the span record, and a job whose lookup is pending when
+// the process is told to stop gets a deadline before the end of the process.
 func TestJobSentByAnotherDispatcher(t *testing.T) {
-	c := newTestCoreWith(t, decision.Class{Effect: decision.Keyed, DedupScope: decision.ScopeAll, DedupWindow: time.Hour,
+	c := newTestCoreWithClass(t, decision.Class{Effect: decision.Keyed, DedupScope: decision.ScopeAll, DedupWindow: time.Hour,
 		Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}, openBackends{})
 	store := &fakeOutcomeStore{}
 	c.SetOutcomeStore(store)
@@ -70,25 +70,26 @@
 	end := time.Now().Add(time.Minute)
 	c.StopBy(end)
 	runTurns(c, 3)
-	store.lookedUp([]OutcomeRecord{{}})
+	store.answerLookup([]OutcomeRecord{{}})
 	runTurns(c, 3)
 	r := c.requestsByJobID["x"]
 	if r == nil || len(r.attempts) != 2 || len(r.record.Attempts) != 2 {
-		t.Fatalf("request %+v", r)
+		t.Fatalf("request = %+v, want two attempts, also in its span record", r)
 	}
 	if r.record.Attempts[1].Ended != 0 || r.record.Attempts[0].Ended == 0 {
-		t.Fatalf("span record %+v", r.record)
+		t.Fatalf("span record = %+v, want only the first attempt ended", r.record)
 	}
 	if got := r.record.Attempts[0].Backend; got != "s-3" {
-		t.Errorf("%s stands for the group, so that the job can't go there, and another gets none", got)
+		t.Errorf("prior attempt at %s, want the draining worker: no job is sent twice to the same worker", got)
 	}
 	if r.deadline > c.moduleTime(end) {
-		t.Errorf("its deadline is %s after the end of the process", r.deadline-c.moduleTime(end))
+		t.Errorf("deadline is %s after the end of the process", r.deadline-c.moduleTime(end))
 	}
 }
 
-// TestNeverRanIsRecorded has other dispatchers forget an attempt that surely never ran,
-// and remember one that may have, also where another of the same request never did.
+// TestNeverRanIsRecorded checks that an attempt that certainly never ran is withdrawn from the
+// outcome store, and that one that may have run is kept, also if another attempt of the same
+// request never ran.
 func TestNeverRanIsRecorded(t *testing.T) {
 	for name, tc := range map[string]struct {
 		ends []decision.Outcome
@@ -97,8 +98,8 @@
 		"never ran":           {[]decision.Outcome{decision.ConnectFailed}, 1},
 		"may have run":        {[]decision.Outcome{decision.ConnReset}, 0},
 		"both never ran":      {[]decision.Outcome{decision.Rejected, decision.ConnectFailed}, 2},
-		"the first may have":  {[]decision.Outcome{decision.ConnReset, decision.ConnectFailed}, 0},
-		"the second may have": {[]decision.Outcome{decision.Rejected, decision.ConnReset}, 1},
+		"first may have run":  {[]decision.Outcome{decision.ConnReset, decision.ConnectFailed}, 0},
+		"second may have run": {[]decision.Outcome{decision.Rejected, decision.ConnReset}, 1},
 		"canceled here":       {[]decision.Outcome{decision.Canceled}, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -112,15 +113,16 @@
 				c.recordNeverRan(r, i)
 			}
 			if store.neverRan != tc.want {
-				t.Errorf("%d records, want %d", store.neverRan, tc.want)
+				t.Errorf("RecordNeverRan called %d times, want %d", store.neverRan, tc.want)
 			}
 		})
 	}
 }
 
-// TestPlacementsAreAgreedBeforeSending guards the effect of a job whose groups the
-// members agree on: it is sent nowhere before its group is agreed on, and to no other
-// group than it went to, however few of the members that know of it are left.
+// TestPlacementsAreAgreedBeforeSending guards against duplicate execution of a job whose placement
+// the members must agree on: it must not be sent before its group is agreed on, and not to any
+// group other than the one where it may have run, however few of the members that know of that
+// group are left.
 func TestPlacementsAreAgreedBeforeSending(t *testing.T) {
 	for name, tc := range map[string]struct {
 		agrees   bool
@@ -136,7 +138,7 @@
 			class := decision.Class{Effect: decision.Keyed, DedupScope: decision.ScopeZone, DedupWindow: time.Hour,
 				Objective: time.Second, ClientTimeout: time.Hour, WorkerKind: -1}
 			backends := sendCounts{map[string]int{}}
-			c := newTestCoreOf(t, decision.Config{Zones: 2, Limits: decision.Limits{MaxAttempts: 3}, Classes: []decision.Class{class}}, backends)
+			c := newTestCoreWithConfig(t, decision.Config{Zones: 2, Limits: decision.Limits{MaxAttempts: 3}, Classes: []decision.Class{class}}, backends)
 			store := &fakeOutcomeStore{}
 			c.SetOutcomeStore(store)
 			far := func(uid string, state decision.MemberState) Route {
@@ -150,17 +152,17 @@
 				Placements: &fakePlacements{previous: tc.previous, agrees: tc.agrees}}, got)
 			for range 6 {
 				deliverMail(c)
-				if found := store.lookedUp; found != nil {
-					store.lookedUp = nil
+				if found := store.answerLookup; found != nil {
+					store.answerLookup = nil
 					found(nil)
 				}
 				c.step()
 			}
 			if diff := cmp.Diff(tc.want, backends.sent); diff != "" {
-				t.Errorf("sent\n%s", diff)
+				t.Errorf("attempts by worker (-want +got):\n%s", diff)
 			}
 			if len(tc.want) == 0 && len(got) == 0 {
-				t.Error("it has no response")
+				t.Error("a job that can't be sent got no response")
 			}
 		})
 	}
