--- a/internal/dispatcher/wakedelay/wakedelay.go
+++ b/internal/dispatcher/wakedelay/wakedelay.go
@@ -1,5 +1,6 @@
-// Package wakedelay measures how late the goroutines of a process run on a busy machine. A process handles a signal about as
-// late as a timer.
+// Package wakedelay measures how late the goroutines of this process run when the machine is busy.
+// It measures the delay of timers; signals are handled about as late, so a process can estimate
+// from it how long ago a signal was sent that it has just received.
 package wakedelay
 
 import (
@@ -11,19 +12,20 @@
 const (
 	// interval is the time between two measurements.
 	interval = 100 * time.Millisecond
-	// remembered is how many measurements count: those of five seconds.
-	remembered = 50
+	// sampleCount is the number of measurements that count, those of the last five seconds.
+	sampleCount = 50
 )
 
-// Monitor measures while Run runs. Its zero value has measured nothing. It is safe for concurrent use.
+// Monitor records the delays that Run measures. Its zero value is ready to use. It is safe for
+// concurrent use.
 type Monitor struct {
 	mu     sync.Mutex
-	due    time.Time // of the measurement that is under way; zero for none
-	delays [remembered]time.Duration
-	next   int // place of the next measurement
+	due    time.Time // when the pending timer should fire; zero if none is pending
+	delays [sampleCount]time.Duration
+	next   int // index in delays of the next measurement
 }
 
-// Run measures until the context ends.
+// Run takes measurements until ctx is done.
 func (m *Monitor) Run(ctx context.Context) {
 	for {
 		m.begin(time.Now().Add(interval))
@@ -38,23 +40,24 @@
 	}
 }
 
-// begin begins a measurement that ends when a timer fires.
+// begin starts a measurement with a timer that is due at the given time.
 func (m *Monitor) begin(due time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.due = due
 }
 
-// finish ends a measurement.
+// finish completes the measurement when its timer has fired.
 func (m *Monitor) finish(now time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.delays[m.next] = now.Sub(m.due)
-	m.next = (m.next + 1) % remembered
+	m.next = (m.next + 1) % sampleCount
 	m.due = time.Time{}
 }
 
-// Longest returns the longest delay of the last five seconds, counting the one that is under way.
+// Longest returns the longest delay of the last five seconds, including that of a timer that is
+// overdue.
 func (m *Monitor) Longest(now time.Time) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
