--- a/internal/dispatcher/neterr/listener.go
+++ b/internal/dispatcher/neterr/listener.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// The bounds of the wait before another accept, which doubles with each error.
+// The delay before accept is retried doubles with each error in a row, between these bounds.
 const (
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 160 * time.Millisecond
 )
 
-// Listener is a listener whose Accept fails only when the listener itself has ended. It retries after all other errors,
-// while net/http's server would end for good by those that it does not know.
+// Listener wraps a net.Listener so that Accept fails only when the listener can't be used any more.
+// It retries after all other errors, whereas the server of net/http stops for good on those that it
+// does not know.
 type Listener struct {
 	net.Listener
-	// OnError is called with each error that is retried, on the goroutine of Accept; nil for none.
+	// OnError, if not nil, is called with each error before the retry, on the goroutine of Accept.
 	OnError func(error)
 }
 
-// Accept waits for the next connection.
+// Accept returns the next connection. It sleeps between retries.
 func (l Listener) Accept() (net.Conn, error) {
 	for backoff := minAcceptBackoff; ; backoff = min(2*backoff, maxAcceptBackoff) {
 		c, err := l.Listener.Accept()
--- a/internal/dispatcher/neterr/neterr.go
+++ b/internal/dispatcher/neterr/neterr.go
@@ -1,6 +1,7 @@
-// Package neterr classifies the errors of system calls on sockets by whether they are of the peer, of this machine or of
-// the one connection, as Linux documents them (accept(2), connect(2), ip(7), tcp(7)). The servers and the connections to
-// runners use it. It is safe for concurrent use.
+// Package neterr classifies the errors of socket system calls by their cause: the peer, this
+// machine, the network or the single connection. The classification follows the Linux manual pages
+// accept(2), connect(2), ip(7) and tcp(7). The servers and the connections to runners use it. All
+// functions are safe for concurrent use.
 package neterr
 
 import (
@@ -8,29 +9,33 @@
 	"syscall"
 )
 
-// localErrors are errors of this machine that end by themselves: it lacks descriptors, memory or ports, or a signal has
-// come. They say nothing of the peer.
+// localErrors are temporary errors of this machine: it is out of descriptors, memory or ports, or a
+// signal has interrupted the call. They say nothing about the peer.
 var localErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
 	syscall.EAGAIN, syscall.EINTR}
 
-// networkErrors are errors that a network, or a peer that is shutting down, may cause for a moment.
+// networkErrors are errors that the network, or a peer that is shutting down, may cause
+// temporarily.
 var networkErrors = []error{syscall.ECONNABORTED, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EPROTO}
 
-// listenerErrors are errors of a listener after which no accept succeeds.
+// listenerErrors are errors of a listener on which no further accept can succeed.
 var listenerErrors = []error{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EFAULT}
 
-// Local reports whether an error of socket or connect is this machine's and says nothing of the peer.
+// Local reports whether an error of socket or connect is caused by this machine, so that it says
+// nothing about the peer.
 func Local(err error) bool { return isAny(err, localErrors) }
 
-// Retryable reports whether a dial that has failed by an error may succeed a moment later.
+// Retryable reports whether a dial that failed with err may succeed a moment later.
 func Retryable(err error) bool { return isAny(err, localErrors) || isAny(err, networkErrors) }
 
-// EndsListener reports whether a listener can't be used any more after an error of accept. All other errors are to be
-// retried, among them those of the accepted connection, which accept(2) passes on.
+// EndsListener reports whether an error of accept means that the listener can't be used any more.
+// All other errors should be retried, including those of the accepted connection, which accept(2)
+// passes on.
 func EndsListener(err error) bool { return isAny(err, listenerErrors) }
 
-func isAny(err error, of []error) bool {
-	for _, e := range of {
+// isAny reports whether err wraps any of the candidates.
+func isAny(err error, candidates []error) bool {
+	for _, e := range candidates {
 		if errors.Is(err, e) {
 			return true
 		}
--- a/internal/dispatcher/neterr/neterr_test.go
+++ b/internal/dispatcher/neterr/neterr_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// wrapped is an error as the net package returns it.
-func wrapped(call string, errno syscall.Errno) error {
+// wrapErrno returns errno as the net package wraps it.
+func wrapErrno(call string, errno syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, errno)}
 }
 
-// TestClasses has each error that Linux documents for connect and accept classified.
+// TestClasses checks the classification of every error that Linux documents for connect and accept.
 func TestClasses(t *testing.T) {
 	for _, tc := range []struct {
 		errno                        syscall.Errno
@@ -45,27 +45,27 @@
 		{syscall.EFAULT, false, false, true},
 	} {
 		t.Run(tc.errno.Error(), func(t *testing.T) {
-			err := wrapped("connect", tc.errno)
+			err := wrapErrno("connect", tc.errno)
 			if got := Local(err); got != tc.local {
-				t.Errorf("local %t", got)
+				t.Errorf("Local = %t, want the opposite", got)
 			}
 			if got := Retryable(err); got != tc.retryable {
-				t.Errorf("retryable %t", got)
+				t.Errorf("Retryable = %t, want the opposite", got)
 			}
 			if got := EndsListener(err); got != tc.endsAccept {
-				t.Errorf("ends a listener %t", got)
+				t.Errorf("EndsListener = %t, want the opposite", got)
 			}
 		})
 	}
 }
 
-// failing is a listener whose Accept returns a list of errors, and then that it is closed.
-type failing struct {
+// failingListener is a listener whose Accept returns the given errors and then net.ErrClosed.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (f *failing) Accept() (net.Conn, error) {
+func (f *failingListener) Accept() (net.Conn, error) {
 	if len(f.errs) == 0 {
 		return nil, net.ErrClosed
 	}
@@ -74,15 +74,15 @@
 	return nil, err
 }
 
-// TestListener has a listener retry after each error but its own end.
+// TestListener checks that Accept retries after every error except the listener's own end.
 func TestListener(t *testing.T) {
-	errs := []error{wrapped("accept", syscall.ENOBUFS), wrapped("accept", syscall.EPROTO), wrapped("accept", syscall.ENETUNREACH)}
+	errs := []error{wrapErrno("accept", syscall.ENOBUFS), wrapErrno("accept", syscall.EPROTO), wrapErrno("accept", syscall.ENETUNREACH)}
 	var retried []error
-	l := Listener{Listener: &failing{errs: errs}, OnError: func(err error) { retried = append(retried, err) }}
+	l := Listener{Listener: &failingListener{errs: errs}, OnError: func(err error) { retried = append(retried, err) }}
 	if _, err := l.Accept(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("ended by %v", err)
+		t.Errorf("Accept: %v, want net.ErrClosed", err)
 	}
 	if len(retried) != len(errs) {
-		t.Errorf("%d errors were tried again, want %d", len(retried), len(errs))
+		t.Errorf("OnError called %d times, want %d", len(retried), len(errs))
 	}
 }
