--- a/internal/dispatcher/core/attempts.go
+++ b/internal/dispatcher/core/attempts.go
@@ -46,7 +46,8 @@
 	})
 }
 
-// AttemptEnded reports that an attempt ended without a report on its job.
+// AttemptEnded reports that an attempt ended without a report on its job. The values of load are in
+// the order of decision.Config.Metrics.
 func (c *Core) AttemptEnded(ref AttemptRef, outcome decision.Outcome, load []float32, d Delivery) {
 	c.mailbox.Put(func(c *Core) {
 		r := c.requests[ref.Request]
--- a/internal/dispatcher/core/handover.go
+++ b/internal/dispatcher/core/handover.go
@@ -9,8 +9,9 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// Snapshot is the state that the core passes to a newer process of its dispatcher, or has stored.
-// Workers are identified by UID, and points in time are since 1970 by the core's clock.
+// Snapshot is the state that the core passes to a newer process of its dispatcher; package roster
+// also stores parts of it. Workers are identified by UID, and points in time are since 1970 by the
+// core's clock.
 type Snapshot struct {
 	// Offset is how far the core's clock is ahead of the machine's monotonic clock; 0 for unknown.
 	Offset       time.Duration              `json:"offset,omitempty"`
--- a/internal/dispatcher/core/outcomes.go
+++ b/internal/dispatcher/core/outcomes.go
@@ -18,7 +18,7 @@
 // duplicate detection. Without Age it only identifies the group.
 type OutcomeRecord struct {
 	Zone string        // zone of the group; "" if the group is all workers
-	Cell int           // cell of the group; 0 if the group is not a cell
+	Cell int           // cell of the group; 0 if the class's scope is not a cell
 	Age  time.Duration // time since the job was sent
 }
 
@@ -29,9 +29,9 @@
 	// It calls found exactly once, from any goroutine; if other dispatchers don't answer in time,
 	// with the local records alone.
 	Lookup(job *Job, found func([]OutcomeRecord))
-	// RecordSending records that a job is about to be sent to a group whose deduplication window
-	// ends after window. It calls send exactly once, from any goroutine: when another dispatcher
-	// has stored the record or, if none answers, after a short timeout.
+	// RecordSending records that a job is about to be sent to a group, whose deduplication window
+	// lasts for window from now on. It calls send exactly once, from any goroutine: when another
+	// dispatcher has the record, or soon after the call if none answers.
 	RecordSending(job *Job, group OutcomeRecord, window time.Duration, send func())
 	// RecordNeverRan records that a job announced by RecordSending certainly never ran in the
 	// group.
@@ -45,9 +45,9 @@
 type Placements interface {
 	// Previous returns the groups where the job may have run.
 	Previous() []OutcomeRecord
-	// Propose proposes to the members that the job goes to a group whose deduplication window ends
-	// after window. It calls decided exactly once, from any goroutine; the job may be sent only if
-	// agreed is true.
+	// Propose proposes to the members that the job goes to a group, whose deduplication window
+	// lasts for window from now on. It calls decided exactly once, from any goroutine; the job may
+	// be sent only if agreed is true.
 	Propose(group OutcomeRecord, window time.Duration, decided func(agreed bool))
 	// Withdraw removes a group where the job certainly never ran.
 	Withdraw(group OutcomeRecord)
--- a/internal/dispatcher/core/workers.go
+++ b/internal/dispatcher/core/workers.go
@@ -28,7 +28,8 @@
 // SetWorkerObserver sets the observer of workers; nil for none. It must be called before Run.
 func (c *Core) SetWorkerObserver(o WorkerObserver) { c.observer = o }
 
-// ProbeEnded reports the result of a probe.
+// ProbeEnded reports the result of a probe. The values of load are in the order of
+// decision.Config.Metrics.
 func (c *Core) ProbeEnded(number decision.WorkerID, outcome decision.Outcome, load []float32) {
 	c.mailbox.Put(func(c *Core) {
 		ev := decision.Event{Type: decision.ProbeEnded, Worker: number, Outcome: outcome}
@@ -37,12 +38,12 @@
 	})
 }
 
-// RoutesReplaced replaces the complete route table.
+// RoutesReplaced replaces the complete list of discovery. Workers of other sources stay.
 func (c *Core) RoutesReplaced(routes []Route) {
 	c.mailbox.Put(func(c *Core) { c.updateMembers(decision.MembersReplaced, routes) })
 }
 
-// RoutesChanged changes entries of the route table.
+// RoutesChanged adds, changes or removes entries of the route table.
 func (c *Core) RoutesChanged(routes []Route) {
 	c.mailbox.Put(func(c *Core) { c.updateMembers(decision.MembersChanged, routes) })
 }
