--- a/internal/dispatcher/ingress/arrivals.go
+++ b/internal/dispatcher/ingress/arrivals.go
@@ -5,44 +5,45 @@
 	"sync"
 )
 
-// arrivals notifies reports when the core gets the job that they are on from another
-// process.
+// arrivals wakes pending report deliveries when this process's core adopts their job from
+// another process. The zero value is ready to use.
 type arrivals struct {
-	mu      sync.Mutex
-	waiting map[string][]chan struct{} // by the job's ID
+	mu          sync.Mutex
+	subscribers map[string][]chan struct{} // by job ID
 }
 
-// subscribe returns a channel that is closed once the core has got a job. The caller
-// has to unsubscribe.
+// subscribe returns a channel that is closed when the core adopts the job with this ID. The
+// caller must call unsubscribe when it is done.
 func (a *arrivals) subscribe(id string) (arrived <-chan struct{}, unsubscribe func()) {
 	channel := make(chan struct{})
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.waiting == nil {
-		a.waiting = map[string][]chan struct{}{}
+	if a.subscribers == nil {
+		a.subscribers = map[string][]chan struct{}{}
 	}
-	a.waiting[id] = append(a.waiting[id], channel)
+	a.subscribers[id] = append(a.subscribers[id], channel)
 	return channel, func() { a.unsubscribe(id, channel) }
 }
 
-// unsubscribe drops a channel, unless it was closed.
+// unsubscribe removes a channel. It does nothing if notify has already closed the channel.
 func (a *arrivals) unsubscribe(id string, channel chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	others := slices.DeleteFunc(a.waiting[id], func(c chan struct{}) bool { return c == channel })
-	if len(others) == 0 {
-		delete(a.waiting, id)
+	remaining := slices.DeleteFunc(a.subscribers[id], func(c chan struct{}) bool { return c == channel })
+	if len(remaining) == 0 {
+		delete(a.subscribers, id)
 		return
 	}
-	a.waiting[id] = others
+	a.subscribers[id] = remaining
 }
 
-// notify notifies the reports on a job that the core has it.
+// notify closes the channels of all subscribers to a job. It is called after the core has
+// adopted the job.
 func (a *arrivals) notify(id string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, channel := range a.waiting[id] {
+	for _, channel := range a.subscribers[id] {
 		close(channel)
 	}
-	delete(a.waiting, id)
+	delete(a.subscribers, id)
 }
--- a/internal/dispatcher/ingress/callbacks.go
+++ b/internal/dispatcher/ingress/callbacks.go
@@ -8,7 +8,7 @@
 	"frosttide/internal/dispatcher/loadreport"
 )
 
-// jobStates are the states that workers may report over HTTP.
+// jobStates maps the state names that workers may report over HTTP to the core's states.
 var jobStates = map[string]core.JobState{
 	"started":  core.JobStarted,
 	"running":  core.JobRunning,
@@ -18,36 +18,37 @@
 	"lost":     core.JobLost,
 }
 
-// handleJobEvent takes a worker's report on a job. It responds at once whatever
-// job the report names, as the worker would repeat the report otherwise; the core
-// applies it once.
+// handleJobEvent handles a worker's report on a job. It acknowledges a report even if the job
+// it names is unknown, because the worker would retry it otherwise; the core ignores
+// duplicates. It responds with 503, so that the worker retries, if no process holds the job
+// during a handover.
 func (f *Front) handleJobEvent(w http.ResponseWriter, r *http.Request, c *conn) {
-	text, ok := f.readBody(w, r, c)
+	body, ok := f.readBody(w, r, c)
 	if !ok {
 		return
 	}
-	var ev struct {
+	var event struct {
 		ID, From, State string
 		Share           float64
 		Result, Load    json.RawMessage
 	}
-	err := json.Unmarshal(text, &ev)
-	state, known := jobStates[ev.State]
-	if err != nil || !known || !validID(ev.ID) || ev.From == "" {
+	err := json.Unmarshal(body, &event)
+	state, known := jobStates[event.State]
+	if err != nil || !known || !validID(event.ID) || event.From == "" {
 		f.rejectMalformed(w, "the call-back is malformed", http.StatusBadRequest)
 		return
 	}
 	c.requestArrived(true)
 	report := core.JobEvent{
-		ID:     ev.ID,
-		From:   ev.From,
+		ID:     event.ID,
+		From:   event.From,
 		State:  state,
-		Share:  ev.Share,
-		Load:   loadreport.Parse(ev.Load, f.cfg.Columns),
-		Result: ev.Result,
+		Share:  event.Share,
+		Load:   loadreport.Parse(event.Load, f.cfg.Columns),
+		Result: event.Result,
 	}
 	var result string
-	if json.Unmarshal(ev.Result, &result) == nil {
+	if json.Unmarshal(event.Result, &result) == nil {
 		report.Result = []byte(result)
 	}
 	if f.deliverReport(report) {
--- a/internal/dispatcher/ingress/conn.go
+++ b/internal/dispatcher/ingress/conn.go
@@ -12,43 +12,43 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// backgroundReadSize is the size of the reads by which net/http looks for the end
-// of the client's side behind a request. All its other reads are larger.
+// backgroundReadSize is the size of the background read by which net/http detects that the
+// client disconnects while a request is being handled. All its other reads are larger.
 const backgroundReadSize = 1
 
-// pastDeadline is a deadline that has passed.
+// pastDeadline is a deadline in the past, set to interrupt a blocked read.
 var pastDeadline = time.Unix(1, 0)
 
-// errNoSocket is the error of peeking at a connection that is no socket.
-var errNoSocket = errors.New("the connection is no socket")
+// errNotSocket is returned by peek for a connection that is not backed by a socket.
+var errNotSocket = errors.New("the connection is not a socket")
 
-// conn is a connection of the ingress. It follows the requests on it, and gives its
-// place back when it is closed.
+// conn is a connection of the ingress. It tracks the state of the requests on it for
+// eviction, draining and handover, and updates the listener's counters when it is closed.
 type conn struct {
 	net.Conn
-	listener    *connListener
-	framing     framing
-	transferred *core.MovedRequest // what another process has done for the first request; nil for nothing
-	late        bool               // it was accepted as the listener closed, so that no report on a job of it can come
-	lookahead   lookahead
+	listener        *connListener
+	framing         framing
+	transferred     *core.MovedRequest // first request's state if handed over; else nil
+	acceptedAtClose bool               // accepted at close; workers can't report any more
+	lookahead       lookahead
 
-	// Guarded by the listener's lock.
-	element          *list.Element // in listener.evictable; nil while a whole request is on the connection
-	listIndex        int           // its class there
-	listedAt         time.Time     // when it came there
-	fromRunner       bool          // the last request on it was a worker's report
-	retired          bool          // it ends unless a request has begun on it
-	lastRequest      bool          // a request has begun after it was retired: it ends with the response
-	awaitingResponse bool          // a whole request is on it that has no response yet
-	pipelined        bool          // data has come behind the last request
-	nextBegun        bool          // the next request has begun; the time for its rest is not set yet
-	inTransit        bool          // its first request was sent to a worker, and this process's core does not have it yet
-	closed           bool
+	// Guarded by the listener's mutex.
+	element            *list.Element // in listener.evictable; nil while a request is being handled
+	class              int           // index of its list in listener.evictable
+	enqueuedAt         time.Time     // when it was added to that list
+	fromWorker         bool          // the last request on it was a worker's report
+	retired            bool          // it is closed unless a request has already begun to arrive
+	closeAfterResponse bool          // a request began to arrive after the connection was retired
+	awaitingResponse   bool          // a complete request has been read and has no response yet
+	pipelined          bool          // data has arrived after the last request
+	nextRequestStarted bool          // the next request has begun; its read deadline is not set yet
+	inTransit          bool          // first request is at a worker but not adopted by the core
+	closed             bool
 }
 
-// Read follows the requests that pass. What has been read counts as taken, so a
-// retired connection ends here, before anything is read: nobody else knows whether
-// something was.
+// Read implements net.Conn and tracks the requests that are read. Data that has been read
+// must be answered, so a retired connection returns io.EOF here, before anything is read:
+// only Read knows whether any data was.
 func (c *conn) Read(p []byte) (int, error) {
 	if c.isRetired() {
 		return 0, io.EOF
@@ -66,7 +66,7 @@
 	return n, err
 }
 
-// isRetired reports whether the connection was retired and no request has begun on
+// isRetired reports whether the connection was retired and no request has begun to arrive on
 // it since.
 func (c *conn) isRetired() bool {
 	c.listener.mu.Lock()
@@ -74,11 +74,10 @@
 	return c.retired
 }
 
-// retire has an idle connection end before the next request on it is read. It
-// closes a connection within a request at once. The caller holds the listener's
-// lock.
+// retire makes an idle connection end before the next request on it is read. It closes a
+// connection with a partial request immediately. The caller holds the listener's mutex.
 func (c *conn) retire() {
-	idle := c.element != nil && c.listIndex != partialRequests
+	idle := c.element != nil && c.class != partialRequests
 	c.dequeue()
 	if !idle {
 		c.closeLocked()
@@ -86,25 +85,27 @@
 	}
 	c.retired = true
 	c.listener.retiring++
-	_ = c.Conn.SetReadDeadline(pastDeadline) // wakes the reader
+	_ = c.Conn.SetReadDeadline(pastDeadline) // unblocks a pending Read
 }
 
-// SetReadDeadline is called by net/http with the deadline of an idle connection. Where
-// the next request has begun already, the rest of that has its own time.
+// SetReadDeadline implements net.Conn. net/http calls it with the idle deadline between two
+// requests. If the first byte of the next request has already been read, the rest of the
+// request gets requestTimeout instead.
 func (c *conn) SetReadDeadline(deadline time.Time) error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	if c.nextBegun {
-		c.nextBegun = false
+	if c.nextRequestStarted {
+		c.nextRequestStarted = false
 		deadline = time.Now().Add(requestTimeout)
 	}
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// NetConn returns the connection that this one wraps.
+// NetConn returns the underlying connection.
 func (c *conn) NetConn() net.Conn { return c.Conn }
 
-// CloseWrite lets net/http end a response before it stops reading.
+// CloseWrite closes the sending side if the underlying connection supports it. net/http uses
+// it to finish a response before it stops reading.
 func (c *conn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -112,14 +113,15 @@
 	return nil
 }
 
-// Close implements net.Conn. Its first call gives the connection's place back.
+// Close implements net.Conn. The first call removes the connection from the listener's
+// counters.
 func (c *conn) Close() error {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	return c.closeLocked()
 }
 
-// closeLocked closes the connection. The caller holds the listener's lock.
+// closeLocked is Close for callers that hold the listener's mutex.
 func (c *conn) closeLocked() error {
 	if !c.closed {
 		c.closed = true
@@ -131,8 +133,7 @@
 	return c.Conn.Close()
 }
 
-// unretire takes back that the connection ends. The caller holds the listener's
-// lock.
+// unretire reverts retire. The caller holds the listener's mutex.
 func (c *conn) unretire() {
 	if c.retired {
 		c.retired = false
@@ -140,15 +141,15 @@
 	}
 }
 
-// jobPassed records that the core has the job on the connection.
-func (c *conn) jobPassed() {
+// jobAdopted records that the core has adopted the job on the connection.
+func (c *conn) jobAdopted() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.endTransit()
 }
 
-// endTransit records that the job on the connection is no longer on its way to the
-// core. The caller holds the listener's lock.
+// endTransit records that no job on the connection is waiting for adoption by the core any
+// more. The caller holds the listener's mutex.
 func (c *conn) endTransit() {
 	if c.inTransit {
 		c.inTransit = false
@@ -156,44 +157,47 @@
 	}
 }
 
-// sentBefore reports whether another process has sent the request on the connection to
-// a worker.
-func (c *conn) sentBefore() bool { return c.transferred != nil && len(c.transferred.Attempts) > 0 }
+// alreadyDispatched reports whether another process has already sent the request on the
+// connection to a worker.
+func (c *conn) alreadyDispatched() bool {
+	return c.transferred != nil && len(c.transferred.Attempts) > 0
+}
 
-// enqueue adds the connection to a class of those that may be evicted. The caller
-// holds the listener's lock.
+// enqueue appends the connection to the list of evictable connections of a class. The caller
+// holds the listener's mutex.
 func (c *conn) enqueue(class int) {
-	c.element, c.listIndex, c.listedAt = c.listener.evictable[class].PushBack(c), class, time.Now()
+	c.element, c.class, c.enqueuedAt = c.listener.evictable[class].PushBack(c), class, time.Now()
 }
 
-// dequeue takes the connection out of its class, if it is in one. The caller holds
-// the listener's lock.
+// dequeue removes the connection from its list of evictable connections, if it is in one. The
+// caller holds the listener's mutex.
 func (c *conn) dequeue() {
 	if c.element != nil {
-		c.listener.evictable[c.listIndex].Remove(c.element)
+		c.listener.evictable[c.class].Remove(c.element)
 		c.element = nil
 	}
 }
 
-// dataArrived records that a part of a request has come; behind says that it came
-// behind one that waits for its response, and then the lookahead reads on. It sets
-// the read deadline of a request on a kept connection: net/http's own begins only
-// with the fourth byte, so a client could stop after the first.
-func (c *conn) dataArrived(behind bool) {
+// dataArrived records that a part of a request has been read. If pipelined is set, the data
+// follows a request that still awaits its response, and the lookahead continues to read.
+// Otherwise, on a kept-alive connection, dataArrived sets the read deadline of the new
+// request: net/http sets its own only after the fourth byte, so a client could stall after
+// the first.
+func (c *conn) dataArrived(pipelined bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	switch {
 	case c.closed:
 		return
-	case behind:
+	case pipelined:
 		c.pipelined = true
 		c.readAhead()
 		return
 	}
-	wasIdle := c.retired || c.element != nil && c.listIndex != partialRequests
+	wasIdle := c.retired || c.element != nil && c.class != partialRequests
 	if c.retired {
 		c.unretire()
-		c.lastRequest = true
+		c.closeAfterResponse = true
 	}
 	c.dequeue()
 	c.enqueue(partialRequests)
@@ -202,26 +206,27 @@
 	}
 }
 
-// requestArrived records that a whole request has come: the connection is not
-// evicted until it has its response.
-func (c *conn) requestArrived(fromRunner bool) {
+// requestArrived records that a complete request has been read. The connection can't be
+// evicted until the response is written.
+func (c *conn) requestArrived(fromWorker bool) {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
 	c.dequeue()
-	c.fromRunner, c.awaitingResponse = fromRunner, true
+	c.fromWorker, c.awaitingResponse = fromWorker, true
 	c.readAhead()
 }
 
-// readAhead reads on behind the request where net/http has stopped to. The caller
-// holds the listener's lock.
+// readAhead starts the lookahead if a request is being handled and pipelined data has
+// arrived, because net/http's background read has then returned and does not notice a
+// disconnect any more. The caller holds the listener's mutex.
 func (c *conn) readAhead() {
 	if c.awaitingResponse && c.pipelined {
 		c.lookahead.start(c.Conn)
 	}
 }
 
-// responseWritten records that the request on the connection has its response, or
-// never will.
+// responseWritten records that the response to the current request has been written, or that
+// there will be none, and stops the lookahead.
 func (c *conn) responseWritten() {
 	c.listener.mu.Lock()
 	c.awaitingResponse = false
@@ -229,35 +234,36 @@
 	c.lookahead.stop(c.Conn)
 }
 
-// endsWithResponse reports whether the connection ends with the response to the
-// request on it.
-func (c *conn) endsWithResponse() bool {
+// closesAfterResponse reports whether the connection must be closed after the response to the
+// current request.
+func (c *conn) closesAfterResponse() bool {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	return c.lastRequest
+	return c.closeAfterResponse
 }
 
-// becameIdle records that the connection is kept between requests. net/http has
-// stopped to read behind the last one. What it found there begins the next: it may
-// have come after the response, from a client that sends at once.
+// becameIdle records that the connection is idle between two requests. net/http has stopped
+// its background read. A byte that this read returned is the start of the next request: it may
+// have arrived after the response, from a client that sends its next request immediately.
 func (c *conn) becameIdle() {
 	c.listener.mu.Lock()
 	defer c.listener.mu.Unlock()
-	c.nextBegun, c.pipelined = c.pipelined, false
+	c.nextRequestStarted, c.pipelined = c.pipelined, false
 	c.dequeue()
 	switch {
 	case c.closed:
-	case c.nextBegun:
+	case c.nextRequestStarted:
 		c.enqueue(partialRequests)
-	case c.fromRunner:
-		c.enqueue(idleRunners)
+	case c.fromWorker:
+		c.enqueue(idleWorkers)
 	default:
 		c.enqueue(idleClients)
 	}
 }
 
-// hasData reports whether a request, or the next part of one, waits to be read.
-func (c *conn) hasData() bool {
+// hasUnreadData reports whether a request, or a further part of one, has arrived and has not
+// been read or handled yet.
+func (c *conn) hasUnreadData() bool {
 	if c.framing.hasHead() {
 		return true
 	}
@@ -265,11 +271,11 @@
 	return err == nil && n > 0
 }
 
-// clientLeft reports whether the client has ended the connection, as far as the
-// kernel knows now, also where nobody has read that yet.
+// clientLeft reports whether the client has closed or reset the connection. It asks the
+// kernel, so it also sees a disconnect that no Read has returned yet.
 func (c *conn) clientLeft() bool {
 	select {
-	case <-c.lookahead.clientEnded():
+	case <-c.lookahead.clientDisconnected():
 		return true
 	default:
 	}
@@ -284,29 +290,30 @@
 		errors.Is(err, syscall.EHOSTUNREACH)
 }
 
-// peek returns how many bytes, 1 at most, wait to be read, without blocking. No
-// byte and no error is the end of the client's side. It fails with errNoSocket,
-// with net.ErrClosed for a closed connection, and with errors of recvfrom(2).
+// peek returns the number of bytes, at most 1, that can be read without blocking; it leaves
+// them unread. 0 without an error means that the client has closed its side. It fails with
+// errNotSocket, with net.ErrClosed for a closed connection, or with an error of recvfrom(2).
 func (c *conn) peek() (n int, err error) {
 	s, ok := c.Conn.(syscall.Conn)
 	if !ok {
-		return 0, errNoSocket
+		return 0, errNotSocket
 	}
 	raw, err := s.SyscallConn()
 	if err != nil {
 		return 0, net.ErrClosed
 	}
-	var one [1]byte
+	var buf [1]byte
 	var peekErr error
 	if err := raw.Control(func(fd uintptr) {
-		n, _, peekErr = syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		n, _, peekErr = syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	}); err != nil {
 		return 0, net.ErrClosed
 	}
 	return n, peekErr
 }
 
-// connState follows net/http's view of a connection.
+// connState is the http.Server's ConnState hook. It tells a connection that net/http considers
+// it idle.
 func connState(c net.Conn, s http.ConnState) {
 	if s == http.StateIdle {
 		c.(*conn).becameIdle()
--- a/internal/dispatcher/ingress/conn_test.go
+++ b/internal/dispatcher/ingress/conn_test.go
@@ -76,7 +76,7 @@
 	for _, tc := range []struct {
 		name   string
 		retire func(*connListener)
-		isNew  bool // nothing has been read from the connection before
+		fresh  bool // nothing has been read from the connection before
 	}{
 		{"planned end", func(l *connListener) { l.retireIdle(time.Now()) }, false},
 		{"planned end of a new one", func(l *connListener) { l.retireIdle(time.Now()) }, true},
@@ -86,7 +86,7 @@
 			t.Helper()
 			scripted, l := newScriptedConn(), &connListener{maxOpen: 1}
 			c := l.admit(scripted, nil, nil)
-			if !tc.isNew {
+			if !tc.fresh {
 				c.becameIdle()
 			}
 			result := startRead(c)
@@ -100,7 +100,7 @@
 		t.Run(tc.name+", no request crosses", func(t *testing.T) {
 			_, scripted, c, result := retired(t)
 			scripted.returns <- ""
-			if r := <-result; r.n > 0 || !errors.Is(r.err, io.EOF) || c.endsWithResponse() {
+			if r := <-result; r.n > 0 || !errors.Is(r.err, io.EOF) || c.closesAfterResponse() {
 				t.Errorf("a read of an idle connection ended with %d bytes, %v", r.n, r.err)
 			}
 			if _, err := c.Read(make([]byte, 64)); !errors.Is(err, io.EOF) || len(scripted.reading) > 0 {
@@ -110,8 +110,8 @@
 		t.Run(tc.name+", a request crosses", func(t *testing.T) {
 			l, scripted, c, result := retired(t)
 			scripted.returns <- "POST"
-			if r := <-result; r.n != 4 || r.err != nil || !c.endsWithResponse() {
-				t.Errorf("the read ended with %d bytes, %v, the last request %t", r.n, r.err, c.endsWithResponse())
+			if r := <-result; r.n != 4 || r.err != nil || !c.closesAfterResponse() {
+				t.Errorf("the read ended with %d bytes, %v, the last request %t", r.n, r.err, c.closesAfterResponse())
 			}
 			if at, _ := scripted.state(); time.Until(at) < requestTimeout/2 {
 				t.Errorf("the rest of the request has until %v from now", time.Until(at))
@@ -141,7 +141,7 @@
 		t.Fatalf("%d open, %d of them retiring", l.count(), l.retiring)
 	}
 	conns[0].dataArrived(false) // a request has begun on it after all
-	if l.retiring != 0 || !conns[0].endsWithResponse() {
+	if l.retiring != 0 || !conns[0].closesAfterResponse() {
 		t.Errorf("%d are retiring, want none", l.retiring)
 	}
 	l.admit(newScriptedConn(), nil, nil)
--- a/internal/dispatcher/ingress/drain.go
+++ b/internal/dispatcher/ingress/drain.go
@@ -7,90 +7,91 @@
 )
 
 const (
-	// drainQuiet is how long nothing must have come in before the listener closes.
-	drainQuiet = 250 * time.Millisecond
-	// emptyQuiet is how long no connection must have been open before the listener closes:
-	// a client whose request has crossed a close connects anew at once.
-	emptyQuiet = 50 * time.Millisecond
-	// newConnWait is how long new connections have for their first request.
-	newConnWait = drainQuiet / 2
-	// drainPoll is the time between two looks at what is open.
-	drainPoll = drainQuiet / 25
-	// settleTime is how long before the end of a drain the listener closes at the latest:
-	// clients that have nowhere else to go connect anew after each response.
-	settleTime = 250 * time.Millisecond
-	// closeTimeout is how long connections may take to end once their responses are
-	// written: net/http's own wait for the client to read, and some more.
+	// drainQuietPeriod is how long no request may have been active before a drain closes the
+	// listener.
+	drainQuietPeriod = 250 * time.Millisecond
+	// emptyQuietPeriod is how long no connection may have been open before a drain closes the
+	// listener: a client whose request crossed the close of its connection reconnects at once.
+	emptyQuietPeriod = 50 * time.Millisecond
+	// newConnGrace is how long a drain waits for the first request on a new connection.
+	newConnGrace = drainQuietPeriod / 2
+	// drainPollInterval is the interval at which a drain checks connections and requests.
+	drainPollInterval = drainQuietPeriod / 25
+	// listenerCloseMargin is how long before the deadline of a drain the listener is closed at
+	// the latest: clients that have no other dispatcher reconnect after each response, so
+	// waiting for a quiet period alone might never end.
+	listenerCloseMargin = 250 * time.Millisecond
+	// closeTimeout is how long connections may take to close after their last response: the
+	// half second for which net/http waits for the client to read, plus a margin.
 	closeTimeout = 600 * time.Millisecond
 )
 
-// StopBy sets when the process may be ended. No job that is open or comes from now
-// on has a later deadline. A client whose job is rejected loses its connection, and
-// so goes elsewhere; all others may still use the connections that they have.
+// StopBy sets the time by which the process may be terminated. The deadlines of open and new
+// jobs are limited to it. From now on the connection of a client whose job is rejected is
+// closed, so that the client retries at another dispatcher; other connections stay usable.
 func (f *Front) StopBy(deadline time.Time) {
 	f.stopBy.Store(&deadline)
 	f.core.StopBy(deadline)
 }
 
-// HandOver leaves all jobs to a newer process, also those that come on the
-// connections that are open. The caller has closed the listener. It returns when no
-// connection is left, when the newer process has ended, or at the deadline; a
-// connection that is on its way then has until answered. A kept connection is
-// handed over with its next request, not before, so that no request crosses its
-// close.
-func (f *Front) HandOver(deadline, answered time.Time) {
-	f.answerBy.Store(&answered)
+// HandOver transfers all open jobs to a newer process, and those that still arrive on open
+// connections. The caller has closed the listener. HandOver returns when no connection is
+// left, when the newer process has ended, or at the deadline; transfers that are in progress
+// then may take until answerBy. An idle kept-alive connection is transferred with its next
+// request, not before, so that no request crosses the close of its connection.
+func (f *Front) HandOver(deadline, answerBy time.Time) {
+	f.answerBy.Store(&answerBy)
 	close(f.handingOver)
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
 	for f.listener.count() > 0 && time.Now().Before(deadline) && f.peer.Succeeded() {
 		<-tick.C
 	}
 }
 
-// Drain sends clients elsewhere, goes on serving, workers' reports above all, until
-// every request has its response, and only then closes the listener.
-// Server.Shutdown alone would close it first, and the reports could not come in any
-// more. When the context ends it closes what is open, and fails if a request has no
-// response then.
+// Drain shuts the server down gracefully. It keeps serving requests, above all workers'
+// reports, until every request has its response, and only then closes the listener.
+// http.Server.Shutdown would close the listener first, so that workers could not report any
+// more. When the context ends, Drain closes all remaining connections, and returns an error
+// if a request has no response by then.
 //
-// Connections close after each response from here on, and idle ones before their
-// next request is read, so an open one has a request on it or has just been made.
-// Drain ends when none has been open for a moment, or none has begun a request for a
-// while.
+// While draining, each response closes its connection, and idle connections are closed before
+// the next request is read, so an open connection either has a request on it or is new. The
+// listener is closed when no connection has been open for emptyQuietPeriod, when no request
+// has been active for drainQuietPeriod, or listenerCloseMargin before the context's deadline.
 func (f *Front) Drain(ctx context.Context) error {
 	f.draining.Store(true)
-	tick := time.NewTicker(drainPoll)
+	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
-	quietCtx, cancel := beforeDeadline(ctx, settleTime)
+	quietCtx, cancel := withEarlierDeadline(ctx, listenerCloseMargin)
 	defer cancel()
 	f.awaitQuiet(quietCtx, tick.C)
-	for _, c := range f.listener.closeListener() { // connections accepted before are still served
+	for _, c := range f.listener.closeListener() { // accepted by the kernel before the close
 		f.serveAdmitted(c)
 	}
 	f.adopted.refuse()
-	f.awaitClosed(ctx, tick.C)
-	_ = f.server.Close() // nothing comes on connections that are still open
+	f.awaitConnsClosed(ctx, tick.C)
+	_ = f.server.Close() // the remaining connections have no request, or the context has ended
 	if open := f.activeRequests.Load(); open > 0 {
 		return fmt.Errorf("%d requests have no response: %w", open, context.Cause(ctx))
 	}
 	return nil
 }
 
-// beforeDeadline returns a context that ends some time before another one's deadline,
-// if that has one.
-func beforeDeadline(ctx context.Context, by time.Duration) (context.Context, context.CancelFunc) {
+// withEarlierDeadline returns a child context that ends margin before its parent's deadline,
+// if the parent has one.
+func withEarlierDeadline(ctx context.Context, margin time.Duration) (context.Context, context.CancelFunc) {
 	if deadline, ok := ctx.Deadline(); ok {
-		return context.WithDeadline(ctx, deadline.Add(-by))
+		return context.WithDeadline(ctx, deadline.Add(-margin))
 	}
 	return context.WithCancel(ctx)
 }
 
-// awaitQuiet waits until no connection has been open for emptyQuiet, or none has begun
-// a request for drainQuiet, or the context ends.
+// awaitQuiet waits until no connection has been open for emptyQuietPeriod, or no request has
+// been active for drainQuietPeriod, or the context ends.
 func (f *Front) awaitQuiet(ctx context.Context, tick <-chan time.Time) {
 	for lastActive, lastOpen := time.Now(), time.Now(); ; {
-		partial := f.listener.retireIdle(newConnsSince(lastActive))
+		partial := f.listener.retireIdle(newConnCutoff(lastActive))
 		open := f.listener.count()
 		if f.activeRequests.Load() > 0 || partial > 0 {
 			lastActive = time.Now()
@@ -98,7 +99,7 @@
 		if open > 0 {
 			lastOpen = time.Now()
 		}
-		if time.Since(lastOpen) >= emptyQuiet || time.Since(lastActive) >= drainQuiet {
+		if time.Since(lastOpen) >= emptyQuietPeriod || time.Since(lastActive) >= drainQuietPeriod {
 			return
 		}
 		select {
@@ -109,21 +110,23 @@
 	}
 }
 
-// newConnsSince returns since when new connections must have sent nothing to be
-// retired: for newConnWait each, and none while there is activity on others.
-func newConnsSince(lastActive time.Time) time.Time {
-	if time.Since(lastActive) <= newConnWait {
+// newConnCutoff returns the time before which a connection must have been opened to be retired
+// if it has sent nothing: newConnGrace ago. While other connections have been active within
+// newConnGrace it returns the zero time, so that no new connection is retired.
+func newConnCutoff(lastActive time.Time) time.Time {
+	if time.Since(lastActive) <= newConnGrace {
 		return time.Time{}
 	}
-	return time.Now().Add(-newConnWait)
+	return time.Now().Add(-newConnGrace)
 }
 
-// awaitClosed waits until the requests on the last connections are answered and these
-// have ended, or the context ends. net/http keeps a connection half open for half a
-// second, so that a response that its client has not read yet is not lost to a reset.
-func (f *Front) awaitClosed(ctx context.Context, tick <-chan time.Time) {
+// awaitConnsClosed waits until the last requests are answered and all connections are closed,
+// at most closeTimeout after the last request, or until the context ends. net/http keeps a
+// connection half open for half a second, so that a reset does not discard a response that
+// the client has not read yet.
+func (f *Front) awaitConnsClosed(ctx context.Context, tick <-chan time.Time) {
 	for lastActive := time.Now(); f.listener.count() > 0 && time.Since(lastActive) < closeTimeout; {
-		f.listener.retireIdle(newConnsSince(lastActive))
+		f.listener.retireIdle(newConnCutoff(lastActive))
 		if f.activeRequests.Load() > 0 {
 			lastActive = time.Now()
 		}
--- a/internal/dispatcher/ingress/drain_test.go
+++ b/internal/dispatcher/ingress/drain_test.go
@@ -161,7 +161,7 @@
 	front := newDrainFront()
 	began := time.Now()
 	require.NoError(t, front.Drain(t.Context()))
-	require.GreaterOrEqual(t, time.Since(began), emptyQuiet)
+	require.GreaterOrEqual(t, time.Since(began), emptyQuietPeriod)
 }
 
 // TestDrainEndsWithItsContext guards the grace that the platform gives: a drain went on waiting for connections on which no
@@ -210,7 +210,7 @@
 func (c *delayedCore) Submit(_ *core.Job, in core.Ingress) {
 	go func() {
 		<-c.begun
-		time.Sleep(drainPoll + rand.N(drainPoll))
+		time.Sleep(drainPollInterval + rand.N(drainPollInterval))
 		in.Respond(core.Response{Verdict: core.Served, Result: []byte("result")})
 	}()
 }
@@ -240,7 +240,7 @@
 		})
 	}
 	require.Eventually(t, func() bool { return front.activeRequests.Load() == 8 }, 10*time.Second, time.Millisecond)
-	ctx, cancel := context.WithTimeout(t.Context(), 2*settleTime)
+	ctx, cancel := context.WithTimeout(t.Context(), 2*listenerCloseMargin)
 	defer cancel()
 	close(begun)
 	require.NoError(t, front.Drain(ctx))
@@ -261,8 +261,8 @@
 	listener.retireIdle(since)
 	require.True(t, first.isRetired())
 	require.False(t, second.isRetired())
-	require.Zero(t, newConnsSince(time.Now()))
-	require.WithinDuration(t, time.Now().Add(-newConnWait), newConnsSince(time.Now().Add(-drainQuiet)), newConnWait/2)
+	require.Zero(t, newConnCutoff(time.Now()))
+	require.WithinDuration(t, time.Now().Add(-newConnGrace), newConnCutoff(time.Now().Add(-drainQuietPeriod)), newConnGrace/2)
 }
 
 // TestDrainBeforeServing checks that a front that does not serve yet drains at once.
--- a/internal/dispatcher/ingress/handle.go
+++ b/internal/dispatcher/ingress/handle.go
@@ -10,25 +10,25 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// handle routes a request. There is no http.ServeMux, as it would redirect a job
-// whose path it finds unclean, and paths have to reach the worker unchanged.
+// handle routes a request. It does not use http.ServeMux, which would redirect requests whose
+// path is not clean: paths must reach the worker unchanged.
 func (f *Front) handle(w http.ResponseWriter, r *http.Request) {
 	f.activeRequests.Add(1)
 	defer f.activeRequests.Add(-1)
-	// net/http does not take away the write deadline of an earlier response on a kept
+	// net/http does not reset the write deadline that an earlier response set on a kept-alive
 	// connection.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 	c := r.Context().Value(connKey{}).(*conn)
 	defer c.responseWritten()
-	// A request may hide in another's body. So nothing is taken where the lengths
-	// disagree, and nothing more is read from the connection past a body whose end
-	// only net/http has seen.
-	framed := c.framing.takeHead()
-	if framed.endsConnection() || f.handsOver() || f.draining.Load() || c.endsWithResponse() {
+	// Request smuggling hides a request in the body of another one. Requests with contradictory
+	// lengths are therefore rejected, and a connection is closed after a request whose end only
+	// net/http knows.
+	requestHead := c.framing.takeHead()
+	if requestHead.unknownEnd() || f.handOverActive() || f.draining.Load() || c.closesAfterResponse() {
 		w.Header().Set("Connection", "close")
 	}
 	switch {
-	case framed.ambiguous():
+	case requestHead.ambiguous():
 		f.endRecord(f.beginRecord(r), trace.Invalid, "framing", http.StatusBadRequest)
 		f.rejectMalformed(w, "the length of the request is not clear", http.StatusBadRequest)
 	case r.URL.Path == "/_health" && (r.Method == http.MethodGet || r.Method == http.MethodHead):
@@ -42,22 +42,22 @@
 	}
 }
 
-// rejectMalformed responds to a malformed request and ends the connection: where
-// the next request begins may not be known, and whoever sends such requests must
-// not hold a place.
-func (f *Front) rejectMalformed(w http.ResponseWriter, text string, status int) {
+// rejectMalformed responds to a malformed request and closes the connection: the start of the
+// next request may be unknown, and clients that send such requests must not occupy
+// connections.
+func (f *Front) rejectMalformed(w http.ResponseWriter, message string, status int) {
 	f.malformed.Add(1)
 	w.Header().Set("Connection", "close")
-	http.Error(w, text, status)
+	http.Error(w, message, status)
 }
 
-// readBody reads a request's body of up to maxBody bytes, within the timeout of
-// the whole request. It responds to what is wrong itself, and then returns false.
+// readBody reads the body of a request, at most maxBody bytes, within requestTimeout of the
+// whole request. If that fails it writes the error response and returns false.
 func (f *Front) readBody(w http.ResponseWriter, r *http.Request, c *conn) ([]byte, bool) {
-	var text []byte
+	var body []byte
 	err := error(&http.MaxBytesError{Limit: maxBody})
-	if r.ContentLength <= maxBody { // a body that is announced as too large is not waited for
-		text, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
+	if r.ContentLength <= maxBody { // don't read a body that is announced as too large
+		body, err = io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	}
 	var tooLarge *http.MaxBytesError
 	switch {
@@ -68,12 +68,12 @@
 	case err != nil:
 		f.rejectMalformed(w, "the body could not be read", http.StatusBadRequest)
 	case c.framing.hasStrayData():
-		// A job whose body is longer than it says would run with a part of it.
+		// The job would run with a truncated body.
 		f.rejectMalformed(w, "the body is longer than its length", http.StatusBadRequest)
 	default:
-		// From here on a read only shows that the client leaves.
+		// Further reads only serve to detect that the client disconnects.
 		_ = http.NewResponseController(w).SetReadDeadline(time.Time{})
-		return text, true
+		return body, true
 	}
 	return nil, false
 }
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -1,12 +1,12 @@
-// Package ingress is the dispatcher's HTTP server for clients and workers: it takes
-// the jobs of clients, answers the health check, and takes the workers' reports on
-// jobs, all at one address. It converts HTTP into the core's terms and back, and
-// decides nothing. cmd/frosttide makes one Front and runs it.
+// Package ingress implements the dispatcher's HTTP server for clients and workers. On one
+// address it accepts clients' jobs, answers health checks, and receives workers' reports on
+// jobs. It translates between HTTP and the types of package core; all scheduling decisions are
+// made in the core. cmd/frosttide creates one Front and runs it.
 //
-// Invariants: nothing is taken from a request whose end two readers could see
-// differently; past the limit of connections one of them is evicted, so that a new
-// one is always accepted; a request whose first byte was read has a response, or
-// its client has left.
+// Invariants:
+//   - A request is rejected if two HTTP implementations could disagree on where it ends.
+//   - A new connection is always accepted; beyond the connection limit another one is evicted.
+//   - A request whose first byte has been read gets a response, unless its client disconnects.
 //
 // All methods of Front are safe for concurrent use.
 package ingress
@@ -29,109 +29,119 @@
 )
 
 const (
-	maxBody = 64 << 10 // bytes; the protocol's bound on any body
-	maxID   = 128      // bytes; a longer ID is none of this dispatcher
-	// requestTimeout is how long a request may take to arrive: from the opening of
-	// its connection, or from its first byte on a kept one, to its last byte. Valid
-	// ones may take more than 2 s; invalid ones have to end within 3 s.
+	maxBody = 64 << 10 // bytes; the protocol's limit for every body
+	maxID   = 128      // bytes; longer job and gang IDs are malformed
+	// requestTimeout is how long a request may take to arrive completely, counted from the
+	// opening of its connection, or from its first byte on a kept-alive connection. Valid
+	// requests may take more than 2 s; invalid ones must be ended within 3 s.
 	requestTimeout = 2750 * time.Millisecond
-	// responseTimeout is how long a client may take to read its response.
+	// responseTimeout is the write timeout of a job's response.
 	responseTimeout = 10 * time.Second
-	// idleTimeout is how long a connection may be idle between requests.
+	// idleTimeout is how long a kept-alive connection may be idle between two requests.
 	idleTimeout = 2 * time.Minute
-	// transitAllowance is subtracted from the time that a client gives, which counts
-	// from its sending: for the way here, and the response's way back.
+	// transitAllowance is subtracted from a job's time limit, which the client counts from the
+	// moment when it sends the request. It covers the network latency in both directions.
 	transitAllowance = 10 * time.Millisecond
-	// crowdedRetryAfter is when a client may retry that was rejected past the limit
-	// of open jobs.
-	crowdedRetryAfter = 500 * time.Millisecond
-	// reportTimeout is how long a report may wait for a process that holds its job. A
-	// worker repeats a report that is not taken, but only a few times.
+	// overLimitRetryAfter is the Retry-After time of jobs that are rejected because the limit
+	// of open jobs is reached.
+	overLimitRetryAfter = 500 * time.Millisecond
+	// reportTimeout is how long a report may wait for a process that holds its job. A worker
+	// retries a report that is not accepted, but only a few times.
 	reportTimeout = 2 * time.Second
-	// reportRetryInterval is the time between two attempts to deliver a report on a
-	// job that is on its way from one process to the other.
+	// reportRetryInterval is the interval between attempts to deliver a report on a job that
+	// is being handed over between processes.
 	reportRetryInterval = 100 * time.Millisecond
-	// rejectionTimeout is how long the response may take to a client that could not
-	// be handed over.
-	rejectionTimeout = 500 * time.Millisecond
-	// summaryInterval is the time between two logged summaries of what was turned
-	// away; one without anything is left out.
+	// failedTransferWriteTimeout is the write timeout of the error response to a client whose
+	// connection could not be handed over.
+	failedTransferWriteTimeout = 500 * time.Millisecond
+	// summaryInterval is the interval of the log lines that count rejected requests and evicted
+	// connections. Intervals without any are not logged.
 	summaryInterval = 10 * time.Second
 )
 
-// Core takes what the front has read; *core.Core implements it. None of its methods
-// blocks.
+// Core is the part of *core.Core that the ingress uses. None of its methods blocks.
 type Core interface {
+	// Submit submits a job. The core sends the response to the ingress, unless ClientLeft is
+	// called first.
 	Submit(*core.Job, core.Ingress)
+	// ClientLeft cancels a job whose client has disconnected.
 	ClientLeft(*core.Job)
+	// Release gives up a job so that another process can adopt it. It passes the job's state to
+	// done, or nil if the job already has its response.
 	Release(job *core.Job, done func(*core.MovedRequest))
+	// Adopt continues a job that another process has released.
 	Adopt(*core.Job, *core.MovedRequest, core.Ingress)
+	// Report applies a worker's report, and tells held whether this process holds the job.
 	Report(ev core.JobEvent, held func(core.ReportResult))
+	// StopBy sets the time by which the process may be terminated.
 	StopBy(deadline time.Time)
 }
 
-// Peer is the other process of the dispatcher, while there is one.
+// Peer is the dispatcher's other process during a planned restart, when an older and a newer
+// process run at the same time.
 type Peer interface {
-	// Linked reports whether there is another process.
+	// Linked reports whether another process is connected.
 	Linked() bool
-	// Succeeded reports whether the other process is newer, and serves.
+	// Succeeded reports whether the other process is newer and already serves.
 	Succeeded() bool
-	// ForwardReport passes a report on and returns whether the other process held its
-	// job, by a deadline.
+	// ForwardReport passes a report to the other process, and returns whether that holds the
+	// job. It returns by the deadline.
 	ForwardReport(ev core.JobEvent, deadline time.Time) core.ReportResult
-	// TransferConn passes a client's connection on, with what was read from it, and
-	// reports whether the other process serves it, by a deadline.
+	// TransferConn passes a client's connection and the request that was read from it to the
+	// other process, and reports whether that serves it. It returns by the deadline.
 	TransferConn(c net.Conn, request []byte, m *core.MovedRequest, deadline time.Time) bool
 }
 
-// Counts counts how jobs end, by the number of their class.
+// Counts counts the outcomes of jobs by class number.
 type Counts interface {
 	Completed(class int)
 	Rejected(class int)
 	Failed(class int)
-	// Pending adds to the number of open jobs.
+	// Pending adds change, which may be negative, to the number of open jobs.
 	Pending(change int)
 }
 
-// Recorder begins the span records of jobs, and takes those of jobs that the core
-// never gets.
+// Recorder creates the span records of jobs, and receives those of jobs that end in the
+// ingress without reaching the core.
 type Recorder interface {
-	// Begin returns nil where nothing is recorded.
+	// Begin starts a record; parent and state are the Traceparent and Tracestate headers. It
+	// returns nil if the job is not recorded.
 	Begin(received time.Time, parent, state string) *trace.Record
+	// Ended takes a finished record.
 	Ended(*trace.Record)
 }
 
-// Steps has jobs that are steps of workflows agreed on before they are sent.
+// Steps coordinates jobs that are steps of workflows: a step must be agreed on before it is
+// sent to a worker.
 type Steps interface {
-	// Begin returns the status and text of the response where a step can't begin,
-	// and otherwise who learns its verdict. For a job that is no step it returns
-	// zeros.
+	// Begin starts a step. If the step can't begin, it returns the HTTP status and the text of
+	// the response; otherwise status is 0, and onVerdict must be called with the job's verdict.
+	// For a job that is not a step, all results are zero.
 	Begin(ctx context.Context, h http.Header, deadline time.Time) (status int, text string, onVerdict func(core.Verdict))
 }
 
-// Class is what the ingress knows of a class of jobs.
+// Class holds the settings of a job class that the ingress needs.
 type Class struct {
 	Name        string
-	Keyed       bool          // its jobs carry an idempotency key
-	Removed     bool          // it takes no new jobs
-	Value       float64       // of a job, for span records
-	DedupWindow time.Duration // how long after a job a request for the same is a retry of it
+	Keyed       bool          // jobs must carry an idempotency key
+	Removed     bool          // new jobs are rejected
+	Value       float64       // value of one job, for span records
+	DedupWindow time.Duration // how long after a job an identical request counts as its retry
 }
 
 // Config holds the settings of the ingress.
 type Config struct {
-	Classes        []Class  // by their numbers
-	Tenants        []string // names by their numbers
-	Columns        []string // of load reports
-	MaxSlots       float64  // slots that one job may ask for
-	MaxJobs        int      // open jobs
-	MaxConnections int      // open connections; those beyond MaxJobs are for reports
+	Classes        []Class  // by class number
+	Tenants        []string // names by tenant number
+	Columns        []string // column names of load reports
+	MaxSlots       float64  // maximum slots of one job
+	MaxJobs        int      // maximum open jobs
+	MaxConnections int      // maximum open connections; those beyond MaxJobs are for reports
 	Recorder       Recorder
-	Steps          Steps // nil without workflows
+	Steps          Steps // nil if workflows are disabled
 }
 
-// Front is the server of clients and workers. Make it with New and run it with
-// Serve.
+// Front is the HTTP server for clients and workers. Create it with New and run it with Serve.
 type Front struct {
 	cfg      Config
 	core     Core
@@ -143,25 +153,25 @@
 	adopted  *adoptedListener
 	arrivals arrivals
 
-	// Settings that a reload may change.
+	// Settings that a configuration reload may change.
 	classes atomic.Pointer[[]Class]
 	tenants atomic.Pointer[[]string]
 	maxJobs atomic.Int64
 
 	// Load.
 	activeRequests atomic.Int64 // requests being handled, reports included
-	openJobs       atomic.Int64 // jobs that wait for the core's response
+	openJobs       atomic.Int64 // jobs that await a response
 	malformed      atomic.Int64 // requests rejected as malformed, since the last summary
-	crowded        atomic.Int64 // jobs rejected past maxJobs, since the last summary
+	overLimit      atomic.Int64 // jobs rejected past maxJobs, since the last summary
 
-	// The end of the process.
-	draining    atomic.Bool               // each response ends its connection
-	stopBy      atomic.Pointer[time.Time] // when everything has to be answered; nil before the planned end
-	handingOver chan struct{}             // closed when all jobs go to a newer process
-	answerBy    atomic.Pointer[time.Time] // until when each of them has an outcome; nil before
+	// Shutdown and handover.
+	draining    atomic.Bool               // each response closes its connection
+	stopBy      atomic.Pointer[time.Time] // limit of all job deadlines; nil until StopBy
+	handingOver chan struct{}             // closed when HandOver begins
+	answerBy    atomic.Pointer[time.Time] // deadline for all transfers; nil until HandOver
 }
 
-// New makes a front that does not serve yet.
+// New creates a front that accepts no connections before Serve is called.
 func New(cfg Config, c Core, peer Peer, counts Counts, log *logrus.Entry) *Front {
 	f := &Front{
 		cfg:         cfg,
@@ -172,9 +182,9 @@
 		listener:    &connListener{maxOpen: cfg.MaxConnections},
 		handingOver: make(chan struct{}),
 	}
-	// The channel has room for all connections that an older process may have: on a
-	// busy machine 200 handed over at once overran 64 places, and the jobs of those
-	// that found none failed.
+	// The channel holds as many connections as an older process may have: with a capacity of
+	// 64, 200 connections that were handed over at once on a busy machine overflowed it, and
+	// the jobs on the rejected connections failed.
 	f.adopted = &adoptedListener{
 		listener: f.listener,
 		conns:    make(chan net.Conn, max(cfg.MaxConnections, 1)),
@@ -196,10 +206,12 @@
 	return f
 }
 
-// connKey is the key of a request's *conn in its context.
+// connKey is the context key of a request's *conn.
 type connKey struct{}
 
-// Serve serves until the listener is closed. It returns nil if that was by Drain.
+// Serve serves connections from the listener, and those that an older process hands over,
+// until the listener is closed. It returns nil after Drain, else an error. Accept errors are
+// retried, and only the first one is logged.
 func (f *Front) Serve(l net.Listener) error {
 	var warn sync.Once
 	accepts := f.listener.startAccepting(neterr.Listener{Listener: l, OnError: func(err error) {
@@ -211,7 +223,7 @@
 	stop := make(chan struct{})
 	defer close(stop)
 	go f.logSummaries(stop)
-	go func() { _ = f.server.Serve(f.adopted) }() // ends with the server
+	go func() { _ = f.server.Serve(f.adopted) }() // returns when the server is closed
 	err := f.server.Serve(f.listener)
 	f.listener.accepting.Done()
 	if errors.Is(err, http.ErrServerClosed) || f.draining.Load() {
@@ -220,20 +232,21 @@
 	return fmt.Errorf("serving %s: %w", l.Addr(), err)
 }
 
-// SetClasses sets the classes of jobs that come from now on, by their numbers.
+// SetClasses replaces the classes, indexed by class number, for jobs that arrive from now on.
 func (f *Front) SetClasses(classes []Class) { f.classes.Store(&classes) }
 
-// SetTenants sets the names of the tenants, by their numbers.
+// SetTenants replaces the names of the tenants, in the order of their numbers.
 func (f *Front) SetTenants(names []string) { f.tenants.Store(&names) }
 
-// SetLimits sets the limits of open jobs and connections.
+// SetLimits sets the maximum numbers of open jobs and connections. Connections beyond the new
+// limit are evicted.
 func (f *Front) SetLimits(jobs, connections int) {
 	f.maxJobs.Store(int64(jobs))
 	f.listener.setMaxOpen(connections)
 }
 
-// logSummaries logs how much was turned away. Clients can cause as much of it as
-// they like, so it is not logged one by one.
+// logSummaries periodically logs the numbers of rejected requests and evicted connections.
+// They are not logged individually because clients could flood the log.
 func (f *Front) logSummaries(stop <-chan struct{}) {
 	tick := time.NewTicker(summaryInterval)
 	defer tick.Stop()
@@ -243,7 +256,7 @@
 			return
 		case <-tick.C:
 		}
-		malformed, crowded, evicted := f.malformed.Swap(0), f.crowded.Swap(0), f.listener.evicted.Swap(0)
+		malformed, crowded, evicted := f.malformed.Swap(0), f.overLimit.Swap(0), f.listener.evicted.Swap(0)
 		if malformed+crowded+evicted > 0 {
 			f.log.WithFields(logrus.Fields{"malformed": malformed, "crowded": crowded, "put_out": evicted,
 				"connections": f.listener.count()}).Info("turned away in the last 10 s")
--- a/internal/dispatcher/ingress/jobs.go
+++ b/internal/dispatcher/ingress/jobs.go
@@ -10,15 +10,15 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// pendingResponse is the client's side of one job: a channel with room for its one
-// response.
+// pendingResponse receives the response of one job. It implements core.Ingress, and must be a
+// channel with a buffer of 1.
 type pendingResponse chan core.Response
 
-// Respond takes the core's response. It never blocks, as there is one response.
+// Respond implements core.Ingress. It never blocks, because the core responds only once.
 func (p pendingResponse) Respond(response core.Response) { p <- response }
 
-// handleJob takes a client's job, has the core or a newer process run it, and
-// writes the response.
+// handleJob handles a client's job: it validates the request, passes the job to the core or,
+// during a handover, to the newer process, and writes the response.
 func (f *Front) handleJob(w http.ResponseWriter, r *http.Request, c *conn) {
 	record := f.beginRecord(r)
 	job, ok := f.readJob(w, r, c, record)
@@ -29,13 +29,13 @@
 	f.counts.Pending(1)
 	defer f.counts.Pending(-1)
 	defer f.openJobs.Add(-1)
-	if f.openJobs.Add(1) > f.maxJobs.Load() && !c.sentBefore() {
-		f.rejectCrowded(w, job.Class, record)
+	if f.openJobs.Add(1) > f.maxJobs.Load() && !c.alreadyDispatched() {
+		f.rejectOverLimit(w, job.Class, record)
 		return
 	}
 	job.ClientLeft = func() bool { return r.Context().Err() != nil || c.clientLeft() }
 	moved := takeMovedRequest(c, job, record)
-	if f.handsOver() {
+	if f.handOverActive() {
 		if moved.Deadline == 0 {
 			moved.Deadline = monotime.Of(job.Deadline)
 		}
@@ -43,12 +43,12 @@
 			return
 		}
 	}
-	if c.late {
-		f.rejectLate(w, job.Class, record)
+	if c.acceptedAtClose {
+		f.rejectAtClose(w, job.Class, record)
 		return
 	}
 	if stopBy := f.stopBy.Load(); stopBy != nil && stopBy.Before(job.Deadline) {
-		// A job that the end of the process finds without a response would be lost.
+		// A job without a response would be lost when the process is terminated.
 		job.Deadline, job.ProcessStopping = *stopBy, true
 	}
 	job.Record = moved.Record
@@ -62,18 +62,19 @@
 	} else {
 		f.core.Submit(job, response)
 	}
-	f.await(w, r, c, job, response, onVerdict)
+	f.awaitResponse(w, r, c, job, response, onVerdict)
 }
 
-// adoptJob has the core go on with a job that was sent to workers before.
+// adoptJob passes a job that has already been sent to workers to the core, and wakes the
+// deliveries of reports that wait for it.
 func (f *Front) adoptJob(c *conn, job *core.Job, moved *core.MovedRequest, response pendingResponse) {
 	f.core.Adopt(job, moved, response)
-	c.jobPassed()
+	c.jobAdopted()
 	f.arrivals.notify(job.ID)
 }
 
-// readJob reads the headers and the body of a job. It responds to what is
-// malformed itself, and then returns false.
+// readJob reads the headers and the body of a job. If they are malformed it writes the error
+// response and returns false.
 func (f *Front) readJob(w http.ResponseWriter, r *http.Request, c *conn, record *trace.Record) (*core.Job, bool) {
 	class, err := f.findClass(r.Header.Get("X-Qos"), r.URL.Path)
 	if err != nil {
@@ -99,27 +100,28 @@
 	return job, true
 }
 
-// rejectCrowded rejects a job past the limit of open jobs. It closes the
-// connection, so that the reports of workers still find sockets.
-func (f *Front) rejectCrowded(w http.ResponseWriter, class int, record *trace.Record) {
-	f.crowded.Add(1)
+// rejectOverLimit rejects a job because the limit of open jobs is reached. It closes the
+// connection, so that sockets remain available for workers' reports.
+func (f *Front) rejectOverLimit(w http.ResponseWriter, class int, record *trace.Record) {
+	f.overLimit.Add(1)
 	f.endRecord(record, trace.Refused, "crowded", http.StatusServiceUnavailable)
 	f.counts.Rejected(class)
 	w.Header().Set("Connection", "close")
-	writeRejection(w, crowdedRetryAfter)
+	writeRejection(w, overLimitRetryAfter)
 }
 
-// rejectLate rejects a job on whose end no worker can report any more, and ends the
-// connection.
-func (f *Front) rejectLate(w http.ResponseWriter, class int, record *trace.Record) {
+// rejectAtClose rejects a job on a connection that was accepted while the listener closed,
+// because workers can't report on it any more. It closes the connection.
+func (f *Front) rejectAtClose(w http.ResponseWriter, class int, record *trace.Record) {
 	f.endRecord(record, trace.Refused, "late", http.StatusServiceUnavailable)
 	f.counts.Rejected(class)
 	w.Header().Set("Connection", "close")
 	writeRejection(w, 0)
 }
 
-// takeMovedRequest returns what an older process has done for the job, an empty
-// request if none has begun it. The result carries the record of the job.
+// takeMovedRequest returns the state of a job that an older process has handed over, with the
+// deadline that was set there, or an empty request for a new job. The result includes the
+// job's record.
 func takeMovedRequest(c *conn, job *core.Job, record *trace.Record) *core.MovedRequest {
 	moved := &core.MovedRequest{}
 	if c.transferred != nil {
@@ -133,26 +135,26 @@
 	return moved
 }
 
-// beginStep has a job that is a step of a workflow agreed on before it is sent. It
-// returns who learns the verdict, nil for nobody, or false after it has rejected
-// the job.
+// beginStep starts the workflow step if the job is one. It returns the function that must be
+// called with the job's verdict, or nil if there is none. If the step can't begin it rejects
+// the job and returns false.
 func (f *Front) beginStep(w http.ResponseWriter, r *http.Request, job *core.Job, moved *core.MovedRequest) (onVerdict func(core.Verdict), ok bool) {
 	if f.cfg.Steps == nil || len(moved.Attempts) > 0 {
 		return nil, true
 	}
-	status, text, onVerdict := f.cfg.Steps.Begin(r.Context(), r.Header, job.Deadline)
+	status, message, onVerdict := f.cfg.Steps.Begin(r.Context(), r.Header, job.Deadline)
 	if status != 0 {
 		f.endRecord(moved.Record, trace.Refused, "workflow", status)
 		f.counts.Rejected(job.Class)
-		http.Error(w, text, status)
+		http.Error(w, message, status)
 		return nil, false
 	}
 	return onVerdict, true
 }
 
-// await waits for a job's response and writes it, unless the client leaves or the
-// job moves to a newer process.
-func (f *Front) await(w http.ResponseWriter, r *http.Request, c *conn, job *core.Job, pending pendingResponse, onVerdict func(core.Verdict)) {
+// awaitResponse waits for a job's response and writes it. It stops waiting if the client
+// disconnects or the job is transferred to a newer process.
+func (f *Front) awaitResponse(w http.ResponseWriter, r *http.Request, c *conn, job *core.Job, pending pendingResponse, onVerdict func(core.Verdict)) {
 	released := make(chan *core.MovedRequest, 1)
 	for handingOver := f.handingOver; ; {
 		select {
@@ -160,46 +162,46 @@
 			if onVerdict != nil {
 				onVerdict(response.Verdict)
 			}
-			f.finish(w, job, response)
+			f.respond(w, job, response)
 			return
 		case <-r.Context().Done():
 			f.abortForClient(job)
-		case <-c.lookahead.clientEnded():
+		case <-c.lookahead.clientDisconnected():
 			f.abortForClient(job)
 		case <-handingOver:
-			handingOver = nil // once
+			handingOver = nil // release the job only once
 			f.core.Release(job, func(m *core.MovedRequest) { released <- m })
 		case m := <-released:
 			if m == nil {
-				continue // its response is on the way
+				continue // not released: it already has a response
 			}
 			if f.transfer(w, r, m, job.Body) {
 				return
 			}
-			f.adoptJob(c, job, m, pending) // the newer process has ended
+			f.adoptJob(c, job, m, pending) // the newer process has ended: continue here
 		}
 	}
 }
 
-// finish writes the response to a job, and ends the connection where the client has
-// to go elsewhere.
-func (f *Front) finish(w http.ResponseWriter, job *core.Job, response core.Response) {
+// respond writes the response to a job. It closes the connection if the client should send
+// its next request to another process or dispatcher.
+func (f *Front) respond(w http.ResponseWriter, job *core.Job, response core.Response) {
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseTimeout))
-	if f.stopBy.Load() != nil && response.Verdict == core.Rejected || f.handsOver() || f.draining.Load() {
+	if f.stopBy.Load() != nil && response.Verdict == core.Rejected || f.handOverActive() || f.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	f.writeResponse(w, job.Class, response)
 }
 
-// abortForClient ends a job whose client has left, and its connection. It does not
-// return. A client that has closed only its own side would otherwise get an answer
-// from net/http that no worker made.
+// abortForClient cancels a job whose client has disconnected and aborts the connection. It
+// panics with http.ErrAbortHandler: after a normal return net/http would send an empty
+// response, which a client that has only closed its sending side would take for the result.
 func (f *Front) abortForClient(job *core.Job) {
 	f.core.ClientLeft(job)
 	panic(http.ErrAbortHandler)
 }
 
-// writeResponse counts and writes the response to a job.
+// writeResponse writes the response to a job and counts the job's outcome.
 func (f *Front) writeResponse(w http.ResponseWriter, class int, response core.Response) {
 	switch response.Verdict {
 	case core.Served:
@@ -212,7 +214,7 @@
 	switch response.Verdict {
 	case core.Served:
 		w.Header().Set("Content-Type", "application/octet-stream")
-		_, _ = w.Write(response.Result) // the request's context shows whether the client has left
+		_, _ = w.Write(response.Result) // the request's context reports a disconnect
 	case core.Rejected:
 		writeRejection(w, response.RetryAfter)
 	case core.Duplicate:
@@ -224,7 +226,8 @@
 	}
 }
 
-// writeRejection writes a rejection, and when to retry unless that is 0.
+// writeRejection writes a 503 response, with a Retry-After header in seconds unless retryAfter
+// is 0.
 func writeRejection(w http.ResponseWriter, retryAfter time.Duration) {
 	if retryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64))
--- a/internal/dispatcher/ingress/listener.go
+++ b/internal/dispatcher/ingress/listener.go
@@ -10,52 +10,50 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// The classes of connections that may be evicted, each without a whole request on
-// it.
+// The classes of evictable connections. None of them has a complete request on it.
 const (
-	newConns        = iota // nothing has been read from them
-	partialRequests        // a request has begun
-	idleClients            // kept between requests, last used by a client
-	idleRunners            // kept between requests, last used by a worker's report
+	newConns        = iota // no data has been read yet
+	partialRequests        // a request has arrived in part
+	idleClients            // idle between requests; the last one was a client's
+	idleWorkers            // idle between requests; the last one was a worker's report
 )
 
 const (
-	// maxPeeks bounds how many connections of a class are checked for unread data
-	// in search of one victim.
+	// maxPeeks limits how many connections of a class are checked for unread data to find one
+	// victim.
 	maxPeeks = 32
-	// evictionAge is how long a connection must have been quiet to be evicted
-	// before others. A client that is about to send its first request, or the rest
-	// of one, fails when its connection closes; one that had its response just
-	// connects again.
-	evictionAge = 500 * time.Millisecond
+	// evictionQuietPeriod is how long a connection must have been inactive to be a preferred
+	// victim. A client that is about to send its first request, or the rest of one, fails if
+	// its connection is closed; a client that already has its response simply reconnects.
+	evictionQuietPeriod = 500 * time.Millisecond
 )
 
-// connListener is the listener of the ingress and the owner of its connections. It
-// accepts every connection at once, and past its limit evicts another one. If it
-// waited for a free place instead, connections that send nothing, or never the end
-// of a request, would keep clients, workers' reports and the health check out.
+// connListener is the listener of the ingress and tracks its connections. It accepts every
+// connection immediately, and beyond its limit evicts another one. If it stopped accepting
+// instead, connections that send nothing, or never complete a request, would block clients,
+// workers' reports and health checks.
 type connListener struct {
 	net.Listener
 	maxOpen int
 
-	accepting sync.WaitGroup // the goroutine that accepts
-	evicted   atomic.Int64   // connections evicted since the last summary
+	accepting sync.WaitGroup // the goroutine that calls Accept
+	evicted   atomic.Int64   // since the last logged summary
 
 	mu        sync.Mutex
-	ended     bool // nothing more is accepted
-	open      int
-	retiring  int                        // those of them that were retired and have not ended yet
-	inTransit int                        // those of them with a job of another process that the core does not have yet
-	evictable [idleRunners + 1]list.List // of *conn by class, the longest quiet first
+	closing   bool                       // closeListener was called; nothing more is accepted
+	open      int                        // number of open connections
+	retiring  int                        // of these, retired and not closed yet
+	inTransit int                        // of these, with a job awaiting adoption by the core
+	evictable [idleWorkers + 1]list.List // lists of *conn by class, longest inactive first
 }
 
-// startAccepting has connections be accepted from a listener, until the caller tells
-// accepting that it has ended. It reports whether any are accepted: none once
-// closeListener was called.
+// startAccepting sets the listener to accept from, and adds the caller to the accepting wait
+// group; the caller must call accepting.Done when it stops calling Accept. It returns false,
+// and does nothing, if closeListener was called before.
 func (l *connListener) startAccepting(listener net.Listener) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended {
+	if l.closing {
 		return false
 	}
 	l.Listener = listener
@@ -63,29 +61,29 @@
 	return true
 }
 
-// closeListener closes the listener, if there is one yet, and waits until each
-// connection that was accepted is counted. It returns the connections that it has
-// accepted itself, as they were still pending.
+// closeListener closes the listener, if one is set, and waits until all accepted connections
+// are registered. It accepts the connections that are still pending in the listener's backlog
+// and returns them; the caller must serve them.
 func (l *connListener) closeListener() []*conn {
 	var pending []net.Conn
 	l.mu.Lock()
-	l.ended = true
+	l.closing = true
 	if l.Listener != nil {
 		pending = acceptPending(l.Listener)
-		_ = l.Listener.Close() // nothing is accepted any more in either case
+		_ = l.Listener.Close() // nothing more is accepted even if Close fails
 	}
 	l.mu.Unlock()
 	l.accepting.Wait()
 	var admitted []*conn
 	for _, c := range pending {
-		late := l.admit(c, nil, nil)
-		late.late = true
-		admitted = append(admitted, late)
+		accepted := l.admit(c, nil, nil)
+		accepted.acceptedAtClose = true
+		admitted = append(admitted, accepted)
 	}
 	return admitted
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. The connection is a *conn.
 func (l *connListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -94,9 +92,9 @@
 	return l.admit(c, nil, nil), nil
 }
 
-// admit takes a connection, past the limit in another one's place. What another
-// process has read from it comes first, and moved is what that process has done
-// for the request.
+// admit registers a connection, and evicts others if the limit is exceeded. For a connection
+// that another process hands over, read holds the data that was read from it there, which is
+// returned by the first reads, and moved the state of its request.
 func (l *connListener) admit(c net.Conn, read []byte, moved *core.MovedRequest) *conn {
 	admitted := &conn{Conn: c, listener: l, transferred: moved}
 	admitted.lookahead.prepend(read)
@@ -105,7 +103,7 @@
 	if len(read) == 0 {
 		admitted.enqueue(newConns)
 	}
-	if admitted.sentBefore() {
+	if admitted.alreadyDispatched() {
 		admitted.inTransit = true
 		l.inTransit++
 	}
@@ -114,8 +112,8 @@
 	return admitted
 }
 
-// evict ends connections past the limit. The newest, nil for none, is the last to
-// go. The caller holds the lock.
+// evict retires connections until the limit is met. The newest connection, which may be nil,
+// is evicted only if there is no other victim. The caller holds the mutex.
 func (l *connListener) evict(newest *conn) {
 	for l.open-l.retiring > l.maxOpen {
 		victim := l.selectVictim(newest)
@@ -130,34 +128,33 @@
 	}
 }
 
-// selectVictim selects the connection to evict: a new one that has sent nothing for
-// evictionAge, else a client's that has been idle for so long, else one that has
-// stopped for so long within a request; and if none has been quiet for so long, a
-// client's, a worker's, then any. It passes over connections with unread data, and
-// selects the newest if nothing else is left. So requests that are written slowly,
-// on new connections, survive while thousands of others connect, send one request
-// and stay.
+// selectVictim selects the connection to evict. It prefers, in this order, connections that
+// have been inactive for evictionQuietPeriod: new ones, idle clients, partial requests. If
+// there are none it selects any idle client, idle worker, new connection or partial request,
+// in this order. It skips connections with unread data, and returns newest if there is no
+// other. This way, slowly written requests on new connections survive while thousands of
+// other clients connect, send one request and stay connected.
 func (l *connListener) selectVictim(newest *conn) *conn {
-	settled := time.Now().Add(-evictionAge)
+	cutoff := time.Now().Add(-evictionQuietPeriod)
 	for _, pass := range [...]struct {
 		class      int
-		quietSince time.Time // zero for any
+		quietSince time.Time // zero for no limit
 	}{
-		{newConns, settled},
-		{idleClients, settled},
-		{partialRequests, settled},
+		{newConns, cutoff},
+		{idleClients, cutoff},
+		{partialRequests, cutoff},
 		{idleClients, time.Time{}},
-		{idleRunners, time.Time{}},
+		{idleWorkers, time.Time{}},
 		{newConns, time.Time{}},
 		{partialRequests, time.Time{}},
 	} {
 		peeks := 0
 		for e := l.evictable[pass.class].Front(); e != nil && peeks < maxPeeks; e = e.Next() {
 			c := e.Value.(*conn)
-			if !pass.quietSince.IsZero() && c.listedAt.After(pass.quietSince) {
+			if !pass.quietSince.IsZero() && c.enqueuedAt.After(pass.quietSince) {
 				break
 			}
-			if c != newest && !c.hasData() {
+			if c != newest && !c.hasUnreadData() {
 				return c
 			}
 			peeks++
@@ -166,7 +163,7 @@
 	return newest
 }
 
-// setMaxOpen sets the limit of open connections, and evicts those past it.
+// setMaxOpen sets the maximum number of open connections, and evicts those beyond it.
 func (l *connListener) setMaxOpen(maxOpen int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -174,20 +171,20 @@
 	l.evict(nil)
 }
 
-// retireIdle ends the connections that are idle between requests, and those that
-// have sent nothing since a time. It returns how many have begun a request that is
-// not whole.
-func (l *connListener) retireIdle(newSince time.Time) (partial int) {
+// retireIdle retires the connections that are idle between requests, and those that were
+// opened by the cutoff time and have sent nothing. It returns the number of connections with a
+// partial request.
+func (l *connListener) retireIdle(cutoff time.Time) (partial int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, class := range []int{idleClients, idleRunners} {
+	for _, class := range []int{idleClients, idleWorkers} {
 		for l.evictable[class].Len() > 0 {
 			l.evictable[class].Front().Value.(*conn).retire()
 		}
 	}
 	for e := l.evictable[newConns].Front(); e != nil; e = l.evictable[newConns].Front() {
 		c := e.Value.(*conn)
-		if c.listedAt.After(newSince) { // the longest quiet is first
+		if c.enqueuedAt.After(cutoff) { // the list is in order of time
 			break
 		}
 		c.retire()
@@ -195,37 +192,39 @@
 	return l.evictable[partialRequests].Len()
 }
 
-// count returns how many connections are open.
+// count returns the number of open connections.
 func (l *connListener) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open
 }
 
-// awaitsJobs reports whether a job that another process has sent to a worker is on
-// its way to the core.
-func (l *connListener) awaitsJobs() bool {
+// hasJobsInTransit reports whether a connection is open whose job another process has sent to a
+// worker, and the core has not adopted yet.
+func (l *connListener) hasJobsInTransit() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.inTransit > 0
 }
 
-// adoptedListener is the listener of the connections that another process hands
-// over, and of those that were pending when the listener closed.
+// adoptedListener is a net.Listener that returns connections which were not accepted by
+// connListener.Accept: those that another process hands over, and those that were pending when
+// the listener was closed.
 type adoptedListener struct {
 	listener *connListener
 	conns    chan net.Conn
 	closed   chan struct{}
 
-	mu      sync.Mutex
-	refuses bool // takes no more connections
+	mu       sync.Mutex
+	refusing bool // offer rejects all connections
 }
 
-// offer has a connection be served. It reports whether there is room for it.
+// offer queues a connection for Accept. It returns false if the queue is full or refuse was
+// called.
 func (a *adoptedListener) offer(c net.Conn) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.refuses {
+	if a.refusing {
 		return false
 	}
 	select {
@@ -236,14 +235,14 @@
 	}
 }
 
-// refuse has no more connections be taken. Those that were taken are still served.
+// refuse makes offer reject further connections. Queued ones are still served.
 func (a *adoptedListener) refuse() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.refuses = true
+	a.refusing = true
 }
 
-// Accept implements net.Listener.
+// Accept implements net.Listener. It returns net.ErrClosed after Close.
 func (a *adoptedListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-a.conns:
@@ -253,11 +252,11 @@
 	}
 }
 
-// Close implements net.Listener.
+// Close implements net.Listener. It may be called more than once.
 func (a *adoptedListener) Close() error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.refuses = true
+	a.refusing = true
 	select {
 	case <-a.closed:
 	default:
@@ -266,5 +265,5 @@
 	return nil
 }
 
-// Addr implements net.Listener.
+// Addr implements net.Listener with the address of the main listener.
 func (a *adoptedListener) Addr() net.Addr { return a.listener.Addr() }
--- a/internal/dispatcher/ingress/log.go
+++ b/internal/dispatcher/ingress/log.go
@@ -6,8 +6,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// stdLog returns a logger that writes net/http's messages about connections at
-// level debug: clients can cause as many of them as they like.
+// stdLog returns a logger for net/http's messages about connections. It logs them at level
+// debug, because clients can cause any number of them.
 func stdLog(to *logrus.Entry) *log.Logger { return log.New(debugWriter{to}, "", 0) }
 
 // debugWriter is an io.Writer that logs each line at level debug.
--- a/internal/dispatcher/ingress/lookahead.go
+++ b/internal/dispatcher/ingress/lookahead.go
@@ -8,76 +8,77 @@
 	"time"
 )
 
-// maxLookahead bounds the bytes that are read ahead of the response to a request.
-// Past it, the end of the client's side is noticed only after the response.
+// maxLookahead is the number of bytes after which the lookahead stops reading. A disconnect
+// after more data than this is noticed only after the response.
 const maxLookahead = 2 * maxBody
 
-// lookahead reads on behind a request that waits for its response, once data has
-// arrived there. net/http reads one byte there and no further, and so would not
-// notice a client that sends more and leaves. The zero value reads nothing.
+// lookahead reads pipelined data while a request awaits its response, to detect that the client
+// disconnects. net/http's background read stops after one byte, and so would not notice a client
+// that sends more data and then disconnects. The zero value is ready to use.
 type lookahead struct {
-	mu      sync.Mutex
-	bytes   []byte
-	err     error
-	reading chan struct{} // closed when the reader has ended; nil for no reader
-	end     chan struct{} // closed when the end of the client's side was seen; nil until asked for
+	mu           sync.Mutex
+	buffered     []byte
+	err          error
+	readerDone   chan struct{} // closed when the reader ends; nil if none runs
+	disconnected chan struct{} // closed at EOF or a read error; created on demand
 }
 
-// clientEnded returns a channel that is closed when the end of the client's side
-// has been read behind what the client sent.
-func (a *lookahead) clientEnded() <-chan struct{} {
+// clientDisconnected returns a channel that is closed when the reader finds that the client has
+// closed its side, or that the connection has failed.
+func (a *lookahead) clientDisconnected() <-chan struct{} {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.endChannel()
+	return a.disconnectedChannel()
 }
 
-// endChannel returns the channel of clientEnded. The caller holds the lock.
-func (a *lookahead) endChannel() chan struct{} {
-	if a.end == nil {
-		a.end = make(chan struct{})
+// disconnectedChannel returns the channel of clientDisconnected. The caller holds the mutex.
+func (a *lookahead) disconnectedChannel() chan struct{} {
+	if a.disconnected == nil {
+		a.disconnected = make(chan struct{})
 	}
-	return a.end
+	return a.disconnected
 }
 
-// prepend sets what another process has read of the connection already. It must be
-// called before any other use.
-func (a *lookahead) prepend(read []byte) { a.bytes = read }
+// prepend sets the data that another process has already read from the connection. It must be
+// called before any other method.
+func (a *lookahead) prepend(read []byte) { a.buffered = read }
 
-// take copies bytes that have been read ahead. Without any it returns the error
-// that ended the reading, nil for none.
+// take moves buffered data to p and returns the number of bytes. If nothing is buffered it
+// returns the error that ended the reader, if any.
 func (a *lookahead) take(p []byte) (int, error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if len(a.bytes) == 0 {
+	if len(a.buffered) == 0 {
 		return 0, a.err
 	}
-	n := copy(p, a.bytes)
-	a.bytes = a.bytes[n:]
+	n := copy(p, a.buffered)
+	a.buffered = a.buffered[n:]
 	return n, nil
 }
 
-// start starts the reader, unless it runs or the connection has ended.
+// start starts the reader, unless it is already running or the connection has failed.
 func (a *lookahead) start(c net.Conn) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.reading == nil && a.err == nil {
-		a.reading = make(chan struct{})
-		go a.read(c, a.reading)
+	if a.readerDone == nil && a.err == nil {
+		a.readerDone = make(chan struct{})
+		go a.read(c, a.readerDone)
 	}
 }
 
-// read reads until the connection ends, enough is read, or stop interrupts it.
+// read buffers data until the connection ends, maxLookahead bytes are buffered, or stop
+// interrupts it.
 func (a *lookahead) read(c net.Conn, done chan struct{}) {
 	defer close(done)
-	for part := make([]byte, 4<<10); ; {
-		n, err := c.Read(part)
+	for buf := make([]byte, 4<<10); ; {
+		n, err := c.Read(buf)
 		a.mu.Lock()
-		a.bytes = append(a.bytes, part[:n]...)
+		a.buffered = append(a.buffered, buf[:n]...)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			a.err = err
-			close(a.endChannel())
+			close(a.disconnectedChannel())
 		}
-		full := len(a.bytes) >= maxLookahead
+		full := len(a.buffered) >= maxLookahead
 		a.mu.Unlock()
 		if err != nil || full {
 			return
@@ -85,26 +86,26 @@
 	}
 }
 
-// rest takes all bytes that have been read ahead.
-func (a *lookahead) rest() []byte {
+// takeAll removes and returns all buffered data.
+func (a *lookahead) takeAll() []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	rest := a.bytes
-	a.bytes = nil
+	rest := a.buffered
+	a.buffered = nil
 	return rest
 }
 
-// stop ends the reader and waits for its end, so that the connection's own reader
-// can go on.
+// stop interrupts the reader and waits until it has ended, so that conn.Read can read from the
+// connection again.
 func (a *lookahead) stop(c net.Conn) {
 	a.mu.Lock()
-	reading := a.reading
-	a.reading = nil
+	done := a.readerDone
+	a.readerDone = nil
 	a.mu.Unlock()
-	if reading == nil {
+	if done == nil {
 		return
 	}
 	_ = c.SetReadDeadline(pastDeadline)
-	<-reading
+	<-done
 	_ = c.SetReadDeadline(time.Time{})
 }
--- a/internal/dispatcher/ingress/nextrequest_test.go
+++ b/internal/dispatcher/ingress/nextrequest_test.go
@@ -48,7 +48,7 @@
 	_, err = c.Read(make([]byte, 64))
 	require.NoError(t, err)
 	c.requestArrived(false)
-	require.Nil(t, c.lookahead.reading, "nothing has come behind the request")
+	require.Nil(t, c.lookahead.readerDone, "nothing has come behind the request")
 }
 
 // TestBackToBackJobs has clients send one job after the other without a pause: each has its answer, and none of them is
--- a/internal/dispatcher/ingress/parse.go
+++ b/internal/dispatcher/ingress/parse.go
@@ -14,22 +14,21 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// maxParts bounds the parts of a gang.
-const maxParts = 1 << 16
+// maxGangParts is the maximum number of parts of a gang.
+const maxGangParts = 1 << 16
 
-// What may be wrong with the headers of a job. The texts are the bodies of the
-// responses.
+// Errors in the headers of a job. Their texts are the bodies of the error responses.
 var (
-	errID       = errors.New("X-Trace-Id is missing or malformed")
-	errResource = errors.New("the request target is not a path")
-	errKey      = errors.New("Idempotency-Key is missing")
-	errExpiry   = errors.New("X-Expires-In-Ms is missing or malformed")
-	errGang     = errors.New("X-Gang or X-Gang-Part is malformed: a name, and a part as N/OF")
-	errClass    = errors.New("X-Qos and the path do not name one known class")
+	errInvalidTraceID = errors.New("X-Trace-Id is missing or malformed")
+	errInvalidTarget  = errors.New("the request target is not a path")
+	errMissingKey     = errors.New("Idempotency-Key is missing")
+	errInvalidExpiry  = errors.New("X-Expires-In-Ms is missing or malformed")
+	errInvalidGang    = errors.New("X-Gang or X-Gang-Part is malformed: a name, and a part as N/OF")
+	errUnknownClass   = errors.New("X-Qos and the path do not name one known class")
 )
 
-// parseJob parses a job's headers; received is when they arrived. It fails with one
-// of the errors above, or with one that names a malformed property.
+// parseJob parses a job's headers; received is when they arrived. It returns one of the errors
+// above, or an error that names an invalid property of X-Props.
 func (f *Front) parseJob(r *http.Request, class int, received time.Time) (*core.Job, error) {
 	h := r.Header
 	job := &core.Job{
@@ -42,28 +41,28 @@
 		Slots:    1,
 	}
 	if !validID(job.ID) || len(h["X-Trace-Id"]) > 1 {
-		return nil, errID
+		return nil, errInvalidTraceID
 	}
 	if !strings.HasPrefix(job.Resource, "/") {
-		return nil, errResource
+		return nil, errInvalidTarget
 	}
 	if (*f.classes.Load())[class].Keyed && job.Key == "" {
-		return nil, errKey
+		return nil, errMissingKey
 	}
 	ms, err := strconv.ParseInt(h.Get("X-Expires-In-Ms"), 10, 64)
 	if err != nil || ms <= 0 || ms > math.MaxInt32 {
-		return nil, errExpiry
+		return nil, errInvalidExpiry
 	}
 	job.Deadline = received.Add(time.Duration(ms)*time.Millisecond - transitAllowance)
 	if job.Gang, err = parseGang(h); err != nil {
 		return nil, err
 	}
 	job.Hint = parseHint(h)
-	if name := h.Get("X-Customer"); name != "" { // a name that is not in the settings has no quota
+	if name := h.Get("X-Customer"); name != "" { // jobs of unknown tenants have no quota
 		job.Tenant = slices.Index(*f.tenants.Load(), name) + 1
 	}
 	if c, err := r.Cookie("k"); err == nil {
-		subject := fnv.New64a() // only equality matters
+		subject := fnv.New64a() // only compared for equality
 		subject.Write([]byte(c.Value))
 		job.Subject = subject.Sum64()
 	}
@@ -73,8 +72,9 @@
 	return job, nil
 }
 
-// parseHint returns the size hint, 0 without a valid one: it is a rough estimate at
-// best, so a malformed one is ignored.
+// parseHint returns the client's estimate of the run time, from a header in microseconds. It
+// returns 0 if the header is missing or malformed: the hint is only a rough estimate, so
+// errors in it are ignored.
 func parseHint(h http.Header) time.Duration {
 	hint, err := strconv.ParseInt(h.Get("X-Size-Hint"), 10, 64)
 	if err != nil || hint <= 0 || hint >= math.MaxInt32 {
@@ -83,10 +83,11 @@
 	return time.Duration(hint) * time.Microsecond
 }
 
-// parseProperties sets the slots and the memory of a job from NAME=VALUE pairs
-// separated by commas. Unknown names are ignored.
-func (f *Front) parseProperties(job *core.Job, text string) error {
-	for pair := range strings.SplitSeq(text, ",") {
+// parseProperties sets the slots and the memory of a job from a comma-separated list of
+// NAME=VALUE pairs. Unknown names are ignored. It returns an error if a value is malformed or
+// the job needs more than the maximum number of slots.
+func (f *Front) parseProperties(job *core.Job, list string) error {
+	for pair := range strings.SplitSeq(list, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(pair), "=")
 		field := map[string]*float64{"slots": &job.Slots, "memory": &job.Memory}[name]
 		if field == nil {
@@ -103,24 +104,27 @@
 	return nil
 }
 
-// parseGang returns which part of a gang a job is: X-Gang names the gang,
-// X-Gang-Part is N/OF. It returns nil without X-Gang, and fails with errGang.
+// parseGang parses a job's membership in a gang: X-Gang is the ID of the gang, and X-Gang-Part
+// is N/OF for part N of OF parts. It returns nil if there is no X-Gang, and errInvalidGang if
+// a header is malformed.
 func parseGang(h http.Header) (*core.Gang, error) {
 	id := h.Get("X-Gang")
 	if id == "" {
 		return nil, nil
 	}
 	part, total, _ := strings.Cut(h.Get("X-Gang-Part"), "/")
-	n, errPart := strconv.Atoi(part)
-	of, errTotal := strconv.Atoi(total)
-	if len(id) > maxID || errPart != nil || errTotal != nil || n < 1 || n > of || of > maxParts {
-		return nil, errGang
+	partNumber, errPart := strconv.Atoi(part)
+	partCount, errTotal := strconv.Atoi(total)
+	if len(id) > maxID || errPart != nil || errTotal != nil ||
+		partNumber < 1 || partNumber > partCount || partCount > maxGangParts {
+		return nil, errInvalidGang
 	}
-	return &core.Gang{ID: id, N: n, Of: of}, nil
+	return &core.Gang{ID: id, N: partNumber, Of: partCount}, nil
 }
 
-// findClass returns the number of a job's class, which the header and the first
-// segment of the path name. It fails with errClass.
+// findClass returns the number of a job's class. The first segment of the path names the class;
+// name is the value of the X-Qos header, which must be equal to it or empty. It returns
+// errUnknownClass if they differ, or if the class is unknown or removed.
 func (f *Front) findClass(name, path string) (int, error) {
 	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
 	if name == "" {
@@ -131,10 +135,11 @@
 			return i, nil
 		}
 	}
-	return 0, errClass
+	return 0, errUnknownClass
 }
 
-// validID reports whether an ID can be passed on in a header and a path.
+// validID reports whether an ID is valid: 1 to maxID bytes that can be used in a header and in
+// a path segment.
 func validID(id string) bool {
 	if id == "" || len(id) > maxID {
 		return false
--- a/internal/dispatcher/ingress/pending.go
+++ b/internal/dispatcher/ingress/pending.go
@@ -9,16 +9,17 @@
 	"frosttide/internal/dispatcher/neterr"
 )
 
-// maxPending bounds the connections that are accepted as a listener closes: clients may
-// connect as fast as they are accepted.
-const maxPending = 1024
+// maxPendingConns limits the number of connections that are accepted while a listener closes,
+// because clients may connect as fast as connections are accepted.
+const maxPendingConns = 1024
 
-// acceptPending accepts the connections on a listener that nobody has accepted yet.
-// The kernel resets those that are left when the listener closes. A socket that the
-// platform holds keeps them for the next process, and is left alone.
+// acceptPending accepts the connections in a listener's backlog without blocking, because the
+// kernel resets those that are still there when the listener is closed. It does nothing for a
+// listener that does not expose its socket: such a socket is held open by the platform, and
+// keeps its backlog for the next process.
 func acceptPending(listener net.Listener) []net.Conn {
-	if retrying, ok := listener.(neterr.Listener); ok {
-		listener = retrying.Listener
+	if wrapped, ok := listener.(neterr.Listener); ok {
+		listener = wrapped.Listener
 	}
 	socket, ok := listener.(syscall.Conn)
 	if !ok {
@@ -29,11 +30,11 @@
 		return nil
 	}
 	var pending []net.Conn
-	_ = raw.Control(func(fd uintptr) { // fails only for a closed listener
-		for len(pending) < maxPending {
-			c, err := acceptNow(int(fd))
+	_ = raw.Control(func(fd uintptr) { // fails only if the listener is closed
+		for len(pending) < maxPendingConns {
+			c, err := acceptNonblocking(int(fd))
 			if errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR) {
-				continue // that client has left
+				continue // aborted by the client, or interrupted
 			}
 			if err != nil {
 				return
@@ -44,13 +45,14 @@
 	return pending
 }
 
-// acceptNow accepts a connection, and fails with EAGAIN where none waits.
-func acceptNow(listener int) (net.Conn, error) {
+// acceptNonblocking accepts a connection from a listening socket. It returns EAGAIN if none is
+// pending.
+func acceptNonblocking(listener int) (net.Conn, error) {
 	fd, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 	if err != nil {
 		return nil, err
 	}
 	f := os.NewFile(uintptr(fd), "")
-	defer f.Close() // the connection has a copy
+	defer f.Close() // net.FileConn duplicates the descriptor
 	return net.FileConn(f)
 }
--- a/internal/dispatcher/ingress/records.go
+++ b/internal/dispatcher/ingress/records.go
@@ -10,8 +10,8 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// beginRecord begins the span record of a job. It returns nil where nothing is
-// recorded; the other functions of this file then do nothing.
+// beginRecord begins the span record of a job. It returns nil if the job is not recorded; the
+// other methods in this file accept nil records and ignore them.
 func (f *Front) beginRecord(r *http.Request) *trace.Record {
 	record := f.cfg.Recorder.Begin(time.Now(), r.Header.Get("Traceparent"), strings.Join(r.Header["Tracestate"], ","))
 	if record != nil {
@@ -20,12 +20,13 @@
 	return record
 }
 
-// describeJob records what is asked for. The job is nil if it could not be parsed.
-func (f *Front) describeJob(record *trace.Record, r *http.Request, job *core.Job, number int) {
+// describeJob records the class and the properties of a job. The job is nil if it could not be
+// parsed.
+func (f *Front) describeJob(record *trace.Record, r *http.Request, job *core.Job, classIndex int) {
 	if record == nil {
 		return
 	}
-	class := (*f.classes.Load())[number]
+	class := (*f.classes.Load())[classIndex]
 	record.Class, record.Value, record.RetryWindow = class.Name, class.Value, class.DedupWindow
 	if job == nil {
 		return
@@ -34,9 +35,9 @@
 	record.RetryKey = retryKey(class.Name, r, job)
 }
 
-// retryKey returns a hash that all retries of one job have in common: of its
-// idempotency key, or else of what the job is about. The latter is a guess, which
-// counts only where the client says that it retries. It is never 0.
+// retryKey returns a hash that is equal for all retries of a job. It hashes the idempotency key
+// or, if there is none, the resource and the cookies; the latter is a heuristic, which is used
+// only if the client marks the request as a retry. It is never 0.
 func retryKey(class string, r *http.Request, job *core.Job) uint64 {
 	h := fnv.New64a()
 	parts := []string{class, "key", job.Key}
@@ -47,10 +48,11 @@
 		h.Write([]byte(part))
 		h.Write([]byte{0})
 	}
-	return h.Sum64() | 1 // 0 stands for none
+	return h.Sum64() | 1 // 0 means no key
 }
 
-// endRecord ends the record of a job that the core never gets, or has released.
+// endRecord finishes the record of a job that ends in the ingress: it never reached the core,
+// or the core has released it.
 func (f *Front) endRecord(record *trace.Record, result trace.Result, reason string, status int) {
 	if record == nil {
 		return
--- a/internal/dispatcher/ingress/transfer.go
+++ b/internal/dispatcher/ingress/transfer.go
@@ -12,13 +12,12 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// transferMargin is how long before the end of all answers a transfer without an outcome fails, so that its client still
-// gets a response.
+// transferMargin is how long before answerBy a transfer without an outcome fails, so that its
+// client still gets a response.
 const transferMargin = 100 * time.Millisecond
 
-// handOverBegun reports whether all jobs were to go to a newer process. That may have
-// ended since.
-func (f *Front) handOverBegun() bool {
+// handOverStarted reports whether HandOver was called. The newer process may have ended since.
+func (f *Front) handOverStarted() bool {
 	select {
 	case <-f.handingOver:
 		return true
@@ -27,58 +26,61 @@
 	}
 }
 
-// handsOver reports whether all jobs go to a newer process now.
-func (f *Front) handsOver() bool { return f.handOverBegun() && f.peer.Succeeded() }
+// handOverActive reports whether HandOver was called and the newer process is still running.
+func (f *Front) handOverActive() bool { return f.handOverStarted() && f.peer.Succeeded() }
 
-// transfer hands a client's connection and its request over to the newer process.
-// It reports whether nothing more is owed to the client here.
+// transfer hands a client's connection and its request over to the newer process. It returns
+// false if this process still has to respond to the request, which is the case if the newer
+// process is gone or the connection can't be hijacked.
 func (f *Front) transfer(w http.ResponseWriter, r *http.Request, m *core.MovedRequest, body []byte) bool {
 	if !f.peer.Succeeded() {
 		return false
 	}
 	c := r.Context().Value(connKey{}).(*conn)
-	c.responseWritten() // nobody else reads the connection from here on
+	c.responseWritten() // stops the lookahead, so that nothing else reads from the connection
 	hijacked, buffered, err := http.NewResponseController(w).Hijack()
 	if err != nil {
 		f.log.WithError(err).Warn("a connection could not be handed over")
 		return false
 	}
-	defer hijacked.Close() // this process's copy
+	defer hijacked.Close() // the newer process has its own descriptor
 	_ = hijacked.SetDeadline(time.Time{})
-	var text bytes.Buffer
-	writeRequest(&text, r, body)
+	var request bytes.Buffer
+	writeRequest(&request, r, body)
 	unread, _ := buffered.Reader.Peek(buffered.Reader.Buffered())
-	text.Write(unread)
-	text.Write(c.lookahead.rest())
-	if !f.peer.TransferConn(hijacked, text.Bytes(), m, f.transferDeadline(m)) {
-		f.respondToUntransferred(hijacked, m)
+	request.Write(unread)
+	request.Write(c.lookahead.takeAll())
+	if !f.peer.TransferConn(hijacked, request.Bytes(), m, f.transferDeadline(m)) {
+		f.respondAfterFailedTransfer(hijacked, m)
 	}
 	return true
 }
 
-// writeRequest writes a request as its client sent it.
-func writeRequest(text *bytes.Buffer, r *http.Request, body []byte) {
-	fmt.Fprintf(text, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", r.Method, r.RequestURI, r.Host, len(body))
-	_ = r.Header.WriteSubset(text, map[string]bool{"Content-Length": true}) // writes to memory
-	text.WriteString("\r\n")
-	text.Write(body)
+// writeRequest reconstructs the client's request, with its headers and body, for the newer
+// process to parse.
+func writeRequest(buf *bytes.Buffer, r *http.Request, body []byte) {
+	fmt.Fprintf(buf, "%s %s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n", r.Method, r.RequestURI, r.Host, len(body))
+	_ = r.Header.WriteSubset(buf, map[string]bool{"Content-Length": true}) // can't fail
+	buf.WriteString("\r\n")
+	buf.Write(body)
 }
 
-// respondToUntransferred responds on a hijacked connection that the newer process
-// did not take. A job with attempts may have run, so it fails; one that was never
-// sent may be retried.
-func (f *Front) respondToUntransferred(c net.Conn, m *core.MovedRequest) {
+// respondAfterFailedTransfer responds on a hijacked connection that the newer process did not
+// accept. A job with attempts may have run, so its client gets 502; a job that was never sent
+// to a worker can be retried, so its client gets 503.
+func (f *Front) respondAfterFailedTransfer(c net.Conn, m *core.MovedRequest) {
 	status, result := http.StatusBadGateway, trace.Failed
 	if len(m.Attempts) == 0 {
 		status, result = http.StatusServiceUnavailable, trace.Refused
 	}
 	f.endRecord(m.Record, result, "hand_over", status)
-	_ = c.SetWriteDeadline(time.Now().Add(rejectionTimeout))
+	_ = c.SetWriteDeadline(time.Now().Add(failedTransferWriteTimeout))
 	fmt.Fprintf(c, "HTTP/1.1 %d %s\r\nConnection: close\r\nContent-Length: 0\r\n\r\n", status, http.StatusText(status))
 }
 
-// transferDeadline returns when a job has to be at the newer process: before its own deadline, and while this process
-// can still respond to its client. A newer process that stalls ends the link.
+// transferDeadline returns the time by which the newer process must have accepted a job: by the
+// job's deadline, and early enough for this process to respond to the client if the transfer
+// fails. It needs no shorter timeout for a newer process that stalls: the link ends then.
 func (f *Front) transferDeadline(m *core.MovedRequest) time.Time {
 	deadline := f.answerBy.Load().Add(-transferMargin)
 	if jobDeadline := monotime.Time(m.Deadline); jobDeadline.Before(deadline) {
@@ -87,15 +89,15 @@
 	return deadline
 }
 
-// Adopt serves a client's connection that the older process hands over, beginning
-// with the request that was read from it there. It reports whether the connection
-// will be served; if not, it closes it.
+// Adopt serves a client's connection that an older process hands over, starting with the
+// request that was read from it there; m is the state of the request. It reports whether the
+// connection will be served, and closes it if not.
 func (f *Front) Adopt(c net.Conn, request []byte, m *core.MovedRequest) bool {
 	return f.serveAdmitted(f.listener.admit(c, request, m))
 }
 
-// serveAdmitted has a connection be served that the server has not accepted itself. It
-// reports whether that will be; if not, it closes the connection.
+// serveAdmitted queues a connection that was not accepted by the HTTP server itself to be
+// served. If the queue does not accept it, it closes the connection and returns false.
 func (f *Front) serveAdmitted(c *conn) bool {
 	if !f.adopted.offer(c) {
 		c.Close()
--- a/internal/dispatcher/ingress/transfer_test.go
+++ b/internal/dispatcher/ingress/transfer_test.go
@@ -271,7 +271,7 @@
 	results := make(chan core.ReportResult, 1)
 	front.ReportForwarded(core.JobEvent{ID: "one"}, func(result core.ReportResult) { results <- result })
 	require.Equal(t, core.NotHeld, <-results)
-	require.Empty(t, front.arrivals.waiting)
+	require.Empty(t, front.arrivals.subscribers)
 }
 
 // TestReportOnReturningJob guards a job that was released to a newer process, which has ended, and is not back yet: a report on
@@ -289,9 +289,9 @@
 	listener := &connListener{maxOpen: 8}
 	_, server := connpair.New(t)
 	adopted := listener.admit(server, []byte(oneJob), &core.MovedRequest{Attempts: []core.MovedAttempt{{UID: "s-1"}}})
-	require.True(t, listener.awaitsJobs())
+	require.True(t, listener.hasJobsInTransit())
 	adopted.Close()
-	require.False(t, listener.awaitsJobs())
+	require.False(t, listener.hasJobsInTransit())
 }
 
 // TestReportOnJobInTransit guards jobs whose runner reports while they are on their way to the newer process: the report
