--- a/internal/dispatcher/ingress/conn_test.go
+++ b/internal/dispatcher/ingress/conn_test.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// scriptedConn is a connection whose reads the test lets return.
+// scriptedConn is a net.Conn whose reads block until the test supplies their results.
 type scriptedConn struct {
 	net.Conn
-	reading  chan struct{} // a read has begun
-	returns  chan string   // what it returns; empty for the read deadline
-	mu       sync.Mutex
-	deadline time.Time
-	closed   bool
+	readStarted chan struct{} // receives a value when a read begins
+	results     chan string   // data for the next read; empty for a deadline error
+	mu          sync.Mutex
+	deadline    time.Time
+	closed      bool
 }
 
 func newScriptedConn() *scriptedConn {
-	return &scriptedConn{reading: make(chan struct{}, 8), returns: make(chan string, 8)}
+	return &scriptedConn{readStarted: make(chan struct{}, 8), results: make(chan string, 8)}
 }
 
 func (c *scriptedConn) Read(p []byte) (int, error) {
-	c.reading <- struct{}{}
-	text := <-c.returns
-	if text == "" {
+	c.readStarted <- struct{}{}
+	data := <-c.results
+	if data == "" {
 		return 0, os.ErrDeadlineExceeded
 	}
-	return copy(p, text), nil
+	return copy(p, data), nil
 }
 
 func (c *scriptedConn) SetReadDeadline(t time.Time) error {
@@ -53,13 +53,13 @@
 	return c.deadline, c.closed
 }
 
-// readResult is the result of a read of a connection.
+// readResult is what a read of a conn returned.
 type readResult struct {
 	n   int
 	err error
 }
 
-// startRead reads from a connection in the background.
+// startRead reads once from a connection in the background.
 func startRead(c *conn) <-chan readResult {
 	result := make(chan readResult, 1)
 	go func() {
@@ -69,20 +69,20 @@
 	return result
 }
 
-// TestRetiredConnAnswersOrEnds guards requests that cross the end of an idle connection:
-// what has been read is answered, and ends the connection with its response; what has
-// not is not read any more.
+// TestRetiredConnAnswersOrEnds guards requests that cross the close of a retired connection: a
+// request whose first bytes were read must be answered, and its response closes the
+// connection; otherwise nothing more may be read.
 func TestRetiredConnAnswersOrEnds(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		retire func(*connListener)
-		fresh  bool // nothing has been read from the connection before
+		fresh  bool // no request has been on the connection before
 	}{
 		{"planned end", func(l *connListener) { l.retireIdle(time.Now()) }, false},
 		{"planned end of a new one", func(l *connListener) { l.retireIdle(time.Now()) }, true},
 		{"past the limit", func(l *connListener) { l.setMaxOpen(0) }, false},
 	} {
-		retired := func(t *testing.T) (*connListener, *scriptedConn, *conn, <-chan readResult) {
+		startRetiredRead := func(t *testing.T) (*connListener, *scriptedConn, *conn, <-chan readResult) {
 			t.Helper()
 			scripted, l := newScriptedConn(), &connListener{maxOpen: 1}
 			c := l.admit(scripted, nil, nil)
@@ -90,45 +90,46 @@
 				c.becameIdle()
 			}
 			result := startRead(c)
-			<-scripted.reading
+			<-scripted.readStarted
 			tc.retire(l)
-			if at, closed := scripted.state(); closed || !at.Equal(pastDeadline) {
-				t.Errorf("closed %t under its reader, deadline %v", closed, at)
+			if deadline, closed := scripted.state(); closed || !deadline.Equal(pastDeadline) {
+				t.Errorf("after retiring: closed %t, read deadline %v, want false, pastDeadline", closed, deadline)
 			}
 			return l, scripted, c, result
 		}
 		t.Run(tc.name+", no request crosses", func(t *testing.T) {
-			_, scripted, c, result := retired(t)
-			scripted.returns <- ""
+			_, scripted, c, result := startRetiredRead(t)
+			scripted.results <- ""
 			if r := <-result; r.n > 0 || !errors.Is(r.err, io.EOF) || c.closesAfterResponse() {
-				t.Errorf("a read of an idle connection ended with %d bytes, %v", r.n, r.err)
+				t.Errorf("read of a retired connection = %d bytes, error %v, want 0 bytes, EOF", r.n, r.err)
 			}
-			if _, err := c.Read(make([]byte, 64)); !errors.Is(err, io.EOF) || len(scripted.reading) > 0 {
-				t.Errorf("it was read again: %v", err)
+			if _, err := c.Read(make([]byte, 64)); !errors.Is(err, io.EOF) || len(scripted.readStarted) > 0 {
+				t.Errorf("second read of a retired connection: error %v, want EOF without a read of the socket", err)
 			}
 		})
 		t.Run(tc.name+", a request crosses", func(t *testing.T) {
-			l, scripted, c, result := retired(t)
-			scripted.returns <- "POST"
+			l, scripted, c, result := startRetiredRead(t)
+			scripted.results <- "POST"
 			if r := <-result; r.n != 4 || r.err != nil || !c.closesAfterResponse() {
-				t.Errorf("the read ended with %d bytes, %v, the last request %t", r.n, r.err, c.closesAfterResponse())
+				t.Errorf("read = %d bytes, error %v, closes after response %t, want 4 bytes, nil, true",
+					r.n, r.err, c.closesAfterResponse())
 			}
-			if at, _ := scripted.state(); time.Until(at) < requestTimeout/2 {
-				t.Errorf("the rest of the request has until %v from now", time.Until(at))
+			if deadline, _ := scripted.state(); time.Until(deadline) < requestTimeout/2 {
+				t.Errorf("read deadline after the first bytes is in %v, want requestTimeout", time.Until(deadline))
 			}
 			if partial := l.retireIdle(time.Now()); partial != 1 {
-				t.Errorf("%d requests have begun, want 1", partial)
+				t.Errorf("retireIdle returned %d partial requests, want 1", partial)
 			}
 			if _, closed := scripted.state(); closed {
-				t.Error("closed within a request")
+				t.Error("the connection was closed during a request")
 			}
 		})
 	}
 }
 
-// TestRetiredConnsFreeTheirPlacesOnce has connections that are told to end give their
-// places back once, whether they end or have a request to answer.
-func TestRetiredConnsFreeTheirPlacesOnce(t *testing.T) {
+// TestRetiredConnsUpdateCountersOnce checks that retired connections update the listener's
+// counters only once, whether they are closed or still have a request to answer.
+func TestRetiredConnsUpdateCountersOnce(t *testing.T) {
 	l := &connListener{maxOpen: 2}
 	var conns []*conn
 	for range 2 {
@@ -136,23 +137,23 @@
 		c.becameIdle()
 		conns = append(conns, c)
 	}
-	third := l.admit(newScriptedConn(), nil, nil) // the first makes room
+	third := l.admit(newScriptedConn(), nil, nil) // retires the first one
 	if l.count() != 3 || l.retiring != 1 || !conns[0].isRetired() {
-		t.Fatalf("%d open, %d of them retiring", l.count(), l.retiring)
+		t.Fatalf("%d connections open, %d retiring, want 3, 1: the first one", l.count(), l.retiring)
 	}
-	conns[0].dataArrived(false) // a request has begun on it after all
+	conns[0].dataArrived(false) // a request arrived before the close
 	if l.retiring != 0 || !conns[0].closesAfterResponse() {
-		t.Errorf("%d are retiring, want none", l.retiring)
+		t.Errorf("%d retiring after a request arrived, want 0, and a close after its response", l.retiring)
 	}
 	l.admit(newScriptedConn(), nil, nil)
 	if l.retiring != 2 || !conns[1].isRetired() || !third.isRetired() {
-		t.Errorf("%d are retiring, want the two idle ones", l.retiring)
+		t.Errorf("%d retiring, want 2: both idle connections", l.retiring)
 	}
 	for _, c := range append(conns, third) {
 		c.Close()
 		c.Close()
 	}
 	if l.count() != 1 || l.retiring != 0 {
-		t.Errorf("%d open, %d retiring at the end", l.count(), l.retiring)
+		t.Errorf("after closing: %d open, %d retiring, want 1, 0", l.count(), l.retiring)
 	}
 }
--- a/internal/dispatcher/ingress/nextrequest_test.go
+++ b/internal/dispatcher/ingress/nextrequest_test.go
@@ -18,41 +18,43 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// TestFirstByteOfTheNextRequest has the first byte of a request be read while net/http still looks for the end of the client's
-// side behind the request before.
+// TestFirstByteOfTheNextRequest guards a request whose first byte is read by net/http's
+// background read of the request before.
 //
-// A dispatcher that neither ended nor was told to closed a client's connection 2 ms after a job had come, without an answer: it
-// took the client for gone. The client had sent its next request as soon as it had its answer, and net/http, not yet done with the
-// request before, read the first byte of it. That byte passed for one sent behind a request that waits for its response, so a
-// second reader began beside net/http's own with the job after. The end of that reader, by the read deadline, ended net/http's
-// with an error, and net/http cancels the context of all further requests of such a connection. TestDispatcherSignalSoak showed
-// it in 4 of 112 runs of seed 1; a trial build logged "ctx done reading=false stale=true" for the job.
+// A dispatcher that was not shutting down closed a client's connection 2 ms after a job had
+// arrived, without a response, because it took the client for disconnected. The client had sent
+// its next request as soon as it had its response, and net/http, still finishing the previous
+// request, read the first byte. That byte was taken for pipelined data, so the lookahead was
+// started beside net/http's own reader during the job after it. The lookahead is stopped by a
+// read deadline; this also ended net/http's reader with an error, and net/http then cancels the
+// context of all further requests on the connection. TestDispatcherSignalSoak showed it in 4 of
+// 112 runs of seed 1; a trial build logged "ctx done reading=false stale=true" for the job.
 func TestFirstByteOfTheNextRequest(t *testing.T) {
 	l := &connListener{maxOpen: 1}
 	scripted := newScriptedConn()
 	c := l.admit(scripted, nil, nil)
 	c.requestArrived(false)
 	c.responseWritten()
-	scripted.returns <- "P"
+	scripted.results <- "P"
 	n, err := c.Read(make([]byte, backgroundReadSize))
 	require.NoError(t, err)
 	require.Equal(t, 1, n)
 	c.becameIdle()
 	require.NoError(t, c.SetReadDeadline(time.Now().Add(idleTimeout))) // as net/http does
-	if at, _ := scripted.state(); time.Until(at) > requestTimeout {
-		t.Errorf("the rest of the request has until %v from now", time.Until(at))
+	if deadline, _ := scripted.state(); time.Until(deadline) > requestTimeout {
+		t.Errorf("read deadline of the next request is in %v, want at most requestTimeout", time.Until(deadline))
 	}
-	require.Equal(t, 1, l.retireIdle(time.Now()), "a request has begun")
-	require.False(t, c.isRetired(), "a request has begun")
-	scripted.returns <- "OST / HTTP/1.1\r\n\r\n"
+	require.Equal(t, 1, l.retireIdle(time.Now()), "the connection must count as a partial request")
+	require.False(t, c.isRetired(), "a connection with a partial request must not be retired")
+	scripted.results <- "OST / HTTP/1.1\r\n\r\n"
 	_, err = c.Read(make([]byte, 64))
 	require.NoError(t, err)
 	c.requestArrived(false)
-	require.Nil(t, c.lookahead.readerDone, "nothing has come behind the request")
+	require.Nil(t, c.lookahead.readerDone, "the lookahead must not run without pipelined data")
 }
 
-// TestBackToBackJobs has clients send one job after the other without a pause: each has its answer, and none of them is
-// taken for a client that has left.
+// TestBackToBackJobs checks that clients which send jobs without a pause between them get a
+// response to each, and that none of them is taken for disconnected.
 func TestBackToBackJobs(t *testing.T) {
 	const clients, jobs = 32, 300
 	servingCore := &immediateCore{}
@@ -62,21 +64,22 @@
 	require.NoError(t, err)
 	served := make(chan error, 1)
 	go func() { served <- front.Serve(listener) }()
-	var running sync.WaitGroup
+	var senders sync.WaitGroup
 	for client := range clients {
-		running.Go(func() {
+		senders.Go(func() {
 			if err := sendJobs(listener.Addr().String(), client, jobs); err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	running.Wait()
+	senders.Wait()
 	require.NoError(t, front.Drain(t.Context()))
 	require.NoError(t, <-served)
-	require.Zero(t, servingCore.left.Load(), "clients that were taken for gone")
+	require.Zero(t, servingCore.disconnects.Load(), "clients that were taken for disconnected")
 }
 
-// sendJobs sends jobs on one connection, each once the one before has its answer.
+// sendJobs sends jobs one after another on one connection, each after the previous response.
+// It returns an error if a response is missing or its status is not 200.
 func sendJobs(address string, client, jobs int) error {
 	conn, err := net.Dial("tcp4", address)
 	if err != nil {
@@ -103,19 +106,19 @@
 	return nil
 }
 
-// immediateCore serves each job at once.
+// immediateCore is a Core that serves each job immediately.
 type immediateCore struct {
 	Core
-	left atomic.Int64 // jobs whose clients were taken for gone
+	disconnects atomic.Int64 // calls of ClientLeft
 }
 
 func (c *immediateCore) Submit(_ *core.Job, in core.Ingress) {
 	go in.Respond(core.Response{Verdict: core.Served, Result: []byte("result")})
 }
 
-func (c *immediateCore) ClientLeft(*core.Job) { c.left.Add(1) }
+func (c *immediateCore) ClientLeft(*core.Job) { c.disconnects.Add(1) }
 
-// noPeer is the other process where there is none.
+// noPeer is the Peer of a dispatcher with a single process.
 type noPeer struct{ Peer }
 
 func (noPeer) Linked() bool    { return false }
@@ -123,7 +126,7 @@
 
 func (noPeer) ForwardReport(core.JobEvent, time.Time) core.ReportResult { return core.NotHeld }
 
-// noCounts counts nothing.
+// noCounts is a Counts that discards all counts.
 type noCounts struct{}
 
 func (noCounts) Completed(int) {}
@@ -131,7 +134,7 @@
 func (noCounts) Failed(int)    {}
 func (noCounts) Pending(int)   {}
 
-// noRecorder records nothing.
+// noRecorder is a Recorder that records no jobs.
 type noRecorder struct{}
 
 func (noRecorder) Begin(time.Time, string, string) *trace.Record { return nil }
--- a/internal/dispatcher/ingress/parse_test.go
+++ b/internal/dispatcher/ingress/parse_test.go
@@ -12,11 +12,11 @@
 	"frosttide/internal/dispatcher/monotime"
 )
 
-// TestTenant guards the quotas: a job belongs to its tenant by the name in the settings in
-// force, and one of a name that they lack to nobody.
-func TestTenant(t *testing.T) {
+// TestParseJobTenant guards the quotas of tenants: a job gets the number of the tenant named in
+// X-Customer under the current settings, and 0 if the name is unknown or missing.
+func TestParseJobTenant(t *testing.T) {
 	f := New(Config{Classes: []Class{{Name: "a"}}, Tenants: []string{"north", "south"}, MaxSlots: 8}, nil, nil, nil, logrus.NewEntry(logrus.New()))
-	tenant := func(name string) int {
+	parseTenant := func(name string) int {
 		r := httptest.NewRequest("POST", "/a", nil)
 		r.Header.Set("X-Trace-Id", "x")
 		r.Header.Set("X-Expires-In-Ms", "100")
@@ -30,45 +30,45 @@
 		return job.Tenant
 	}
 	for name, want := range map[string]int{"north": 1, "south": 2, "east": 0, "": 0} {
-		if got := tenant(name); got != want {
-			t.Errorf("%q is tenant %d, want %d", name, got, want)
+		if got := parseTenant(name); got != want {
+			t.Errorf("X-Customer %q: tenant %d, want %d", name, got, want)
 		}
 	}
 	f.SetTenants([]string{"south"})
-	if got := tenant("south"); got != 1 {
-		t.Errorf("after new settings it is tenant %d, want 1", got)
+	if got := parseTenant("south"); got != 1 {
+		t.Errorf("after SetTenants: tenant %d, want 1", got)
 	}
 }
 
-// TestTransferDeadline guards clients that are handed over to a newer process at once
-// with many others: the time for that ends with the job's own deadline or with this
-// process, not before.
+// TestTransferDeadline guards clients that are handed over at the same time as many others: a
+// transfer may take until the job's deadline or the end of this process, whichever is first,
+// and is not limited further.
 func TestTransferDeadline(t *testing.T) {
 	f := New(Config{}, nil, nil, nil, logrus.NewEntry(logrus.New()))
 	now := time.Now()
-	end := now.Add(3 * time.Second)
-	f.answerBy.Store(&end)
+	answerBy := now.Add(3 * time.Second)
+	f.answerBy.Store(&answerBy)
 	for name, tc := range map[string]struct{ deadline, want time.Time }{
-		"the process ends first":        {now.Add(time.Minute), end},
+		"the process ends first":        {now.Add(time.Minute), answerBy},
 		"the job's deadline ends first": {now.Add(time.Second), now.Add(time.Second)},
 	} {
 		t.Run(name, func(t *testing.T) {
 			got := f.transferDeadline(&core.MovedRequest{Deadline: monotime.Of(tc.deadline)})
 			if got.Sub(tc.want).Abs() > 200*time.Millisecond {
-				t.Errorf("the job has to be there %v from now, want %v", got.Sub(now), tc.want.Sub(now))
+				t.Errorf("transfer deadline in %v, want %v", got.Sub(now), tc.want.Sub(now))
 			}
 		})
 	}
 }
 
-// TestAdoptAll guards clients that are handed over faster than they are served: there is
-// room for as many as a process may have, and one more is refused.
-func TestAdoptAll(t *testing.T) {
+// TestAdoptCapacity guards clients that are handed over faster than they are served: Adopt must
+// accept MaxConnections connections, and reject one more.
+func TestAdoptCapacity(t *testing.T) {
 	f := New(Config{MaxConnections: 200}, nil, nil, nil, logrus.NewEntry(logrus.New()))
 	for i := range 201 {
 		c, _ := net.Pipe()
 		if adopted := f.Adopt(c, nil, nil); adopted != (i < 200) {
-			t.Fatalf("connection %d: adopted %t", i, adopted)
+			t.Fatalf("connection %d of MaxConnections = 200: adopted %t", i, adopted)
 		}
 	}
 }
