--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -256,9 +256,9 @@
 			return
 		case <-tick.C:
 		}
-		malformed, crowded, evicted := f.malformed.Swap(0), f.overLimit.Swap(0), f.listener.evicted.Swap(0)
-		if malformed+crowded+evicted > 0 {
-			f.log.WithFields(logrus.Fields{"malformed": malformed, "crowded": crowded, "put_out": evicted,
+		malformed, overLimit, evicted := f.malformed.Swap(0), f.overLimit.Swap(0), f.listener.evicted.Swap(0)
+		if malformed+overLimit+evicted > 0 {
+			f.log.WithFields(logrus.Fields{"malformed": malformed, "crowded": overLimit, "put_out": evicted,
 				"connections": f.listener.count()}).Info("turned away in the last 10 s")
 		}
 	}
