--- a/internal/dispatcher/routetable/olderlist_test.go
+++ b/internal/dispatcher/routetable/olderlist_test.go
@@ -17,7 +17,7 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// routesSink holds the states of the runners as the table has passed them on.
+// routesSink holds the state of each runner as the table has passed it on, by uid.
 type routesSink map[string]decision.MemberState
 
 func (s routesSink) RoutesReplaced(routes []core.Route) {
@@ -35,7 +35,8 @@
 
 func (s routesSink) DiscoveryFailed() {}
 
-// listText returns an update of discovery's. A runner is given as its uid, for a serving one, or as uid=state.
+// listText returns an update in discovery's format. A runner is given as its uid if it is serving,
+// otherwise as uid=state.
 func listText(version int, full bool, runners ...string) []byte {
 	var entries []string
 	for _, r := range runners {
@@ -46,39 +47,39 @@
 	return fmt.Appendf(nil, `{"rev":%d,"all":%t,"targets":[%s]}`, version, full, strings.Join(entries, ","))
 }
 
-// TestOlderFullList guards runners that serve from a discovery that sends an older full list, without them, as it ends or
-// begins: callers got 503 from every dispatcher.
+// TestOlderFullList guards against a discovery that, while it shuts down or starts, sends an older
+// full list without runners that serve: callers got 503 from every dispatcher.
 func TestOlderFullList(t *testing.T) {
 	const ready, draining = decision.Ready, decision.Draining
 	all := routesSink{"s-1": ready, "s-2": ready}
 	for _, tc := range []struct {
-		name   string
-		pushed bool
-		accept bool // the time within which an older list is not accepted has passed before the last update
-		sent   [][]byte
-		want   routesSink
+		name     string
+		pushed   bool
+		timedOut bool // olderListTimeout has passed before the last update
+		updates  [][]byte
+		want     routesSink
 	}{
-		{name: "without any runner", sent: [][]byte{listText(41, true)}, want: all},
-		{name: "without one of them", sent: [][]byte{listText(41, true, "s-2")}, want: all},
-		{name: "sent again at once", sent: [][]byte{listText(41, true), listText(41, true)}, want: all},
-		{name: "older still", sent: [][]byte{listText(41, true), listText(7, true)}, want: all},
-		{name: "of an agent", pushed: true, sent: [][]byte{listText(41, true)}, want: all},
-		{name: "followed by changes up to the version", sent: [][]byte{listText(41, true), listText(42, false, "s-1", "s-2")}, want: all},
-		{name: "followed by changes that lack one", sent: [][]byte{listText(41, true), listText(43, false, "s-2")}, want: routesSink{"s-2": ready}},
-		{name: "followed by a removal", sent: [][]byte{listText(40, true), listText(41, false, "s-1=DELETED")}, want: routesSink{"s-2": ready}},
-		{name: "confirmed later", accept: true, sent: [][]byte{listText(41, true), listText(41, true)}, want: routesSink{}},
-		{name: "with a runner that was drained since", sent: [][]byte{listText(43, false, "s-1=DRAINING"), listText(41, true, "s-1", "s-2")},
+		{name: "without any runner", updates: [][]byte{listText(41, true)}, want: all},
+		{name: "without one of them", updates: [][]byte{listText(41, true, "s-2")}, want: all},
+		{name: "sent again at once", updates: [][]byte{listText(41, true), listText(41, true)}, want: all},
+		{name: "older still", updates: [][]byte{listText(41, true), listText(7, true)}, want: all},
+		{name: "of an agent", pushed: true, updates: [][]byte{listText(41, true)}, want: all},
+		{name: "followed by changes up to the version", updates: [][]byte{listText(41, true), listText(42, false, "s-1", "s-2")}, want: all},
+		{name: "followed by changes that lack one", updates: [][]byte{listText(41, true), listText(43, false, "s-2")}, want: routesSink{"s-2": ready}},
+		{name: "followed by a removal", updates: [][]byte{listText(40, true), listText(41, false, "s-1=DELETED")}, want: routesSink{"s-2": ready}},
+		{name: "confirmed later", timedOut: true, updates: [][]byte{listText(41, true), listText(41, true)}, want: routesSink{}},
+		{name: "with a runner that was drained since", updates: [][]byte{listText(43, false, "s-1=DRAINING"), listText(41, true, "s-1", "s-2")},
 			want: routesSink{"s-1": draining, "s-2": ready}},
-		{name: "with a runner that is drained", sent: [][]byte{listText(41, true, "s-2=DRAINING")}, want: routesSink{"s-1": ready, "s-2": draining}},
-		{name: "newer, not older", sent: [][]byte{listText(43, true)}, want: routesSink{}},
-		{name: "of the same version", sent: [][]byte{listText(42, true, "s-2")}, want: routesSink{"s-2": ready}},
+		{name: "with a runner that is drained", updates: [][]byte{listText(41, true, "s-2=DRAINING")}, want: routesSink{"s-1": ready, "s-2": draining}},
+		{name: "newer, not older", updates: [][]byte{listText(43, true)}, want: routesSink{}},
+		{name: "of the same version", updates: [][]byte{listText(42, true, "s-2")}, want: routesSink{"s-2": ready}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sink := routesSink{}
-			table := New(Config{Addr: "127.0.0.1:1", AlwaysFull: true, Pushed: tc.pushed, DrainGrace: time.Hour}, quiet())
+			table := New(Config{Addr: "127.0.0.1:1", AlwaysFull: true, Pushed: tc.pushed, DrainGrace: time.Hour}, discardLogger())
 			table.Load(listText(42, true, "s-1", "s-2"), sink)
-			for i, text := range tc.sent {
-				if tc.accept && i == len(tc.sent)-1 {
+			for i, text := range tc.updates {
+				if tc.timedOut && i == len(tc.updates)-1 {
 					table.startedAt = table.startedAt.Add(-olderListTimeout)
 				}
 				table.applyJSON(text)
@@ -86,19 +87,20 @@
 			if diff := cmp.Diff(tc.want, sink); diff != "" {
 				t.Errorf("routes in force (-want +got):\n%s", diff)
 			}
-			if len(table.entries) != len(tc.want) { // what is stored and handed over
-				t.Errorf("held are %d entries, want %d", len(table.entries), len(tc.want))
+			if len(table.entries) != len(tc.want) { // the entries are stored and handed over
+				t.Errorf("table holds %d entries, want %d", len(table.entries), len(tc.want))
 			}
 		})
 	}
 }
 
-// TestOlderUpdates checks updates of calls that are older than the list in force: the first changes of a watch, which would
-// be applied to another list, end it, and a full list that comes beside a watch has no effect.
+// TestOlderUpdates checks updates that are older than the list in force. The first changes of a
+// watch end it, because they would be applied to a different list; a full list that arrives beside
+// a watch has no effect.
 func TestOlderUpdates(t *testing.T) {
 	for _, tc := range []struct {
 		name          string
-		watch         bool // the update is of the watch
+		watch         bool // the update comes from the watch
 		watchComplete bool // there is a watch that has sent everything
 		update        []byte
 		wantCanceled  bool
@@ -111,7 +113,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			sink := routesSink{}
-			table := New(Config{Addr: "127.0.0.1:1"}, quiet())
+			table := New(Config{Addr: "127.0.0.1:1"}, discardLogger())
 			table.Load(listText(42, true, "s-1"), sink)
 			table.watchComplete = tc.watchComplete
 			ctx, cancel := context.WithCancelCause(t.Context())
@@ -122,41 +124,42 @@
 			}
 			table.handleUpdate(c, update)
 			if canceled := ctx.Err() != nil; canceled != tc.wantCanceled || table.version != tc.wantVersion {
-				t.Errorf("canceled: %v, version %d; want %v, %d", canceled, table.version, tc.wantCanceled, tc.wantVersion)
+				t.Errorf("got canceled %v, version %d; want %v, %d", canceled, table.version, tc.wantCanceled, tc.wantVersion)
 			}
 			if sink["s-1"] != decision.Ready {
-				t.Errorf("the runner is in state %d", sink["s-1"])
+				t.Errorf("got state %d of the runner, want it ready", sink["s-1"])
 			}
 		})
 	}
 }
 
-// TestOlderListIsAskedFor has a discovery whose versions count anew be asked again, and believed then.
+// TestOlderListIsAskedFor checks that a discovery whose versions were reset is asked for its list
+// again, and that the second list is accepted.
 func TestOlderListIsAskedFor(t *testing.T) {
-	var asked []string
+	var queries []string
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked = append(asked, r.URL.RawQuery)
+		queries = append(queries, r.URL.RawQuery)
 		w.Write(listText(3, true, "s-2"))
 	}))
 	defer discovery.Close()
 	sink := routesSink{}
-	table := New(Config{Addr: strings.TrimPrefix(discovery.URL, "http://"), Pushed: true, DrainGrace: 2 * minRetryInterval}, quiet())
+	table := New(Config{Addr: strings.TrimPrefix(discovery.URL, "http://"), Pushed: true, DrainGrace: 2 * minRetryInterval}, discardLogger())
 	table.Load(listText(42, true, "s-1", "s-2"), sink)
 	table.applyJSON(listText(3, true, "s-2"))
 	if len(sink) != 2 {
-		t.Fatalf("in force at first: %v", sink)
+		t.Fatalf("got routes %v after the first older list, want both runners kept", sink)
 	}
 	for by := time.Now().Add(20 * time.Second); len(sink) != 1; {
 		select {
 		case <-table.box.Ready():
 		case <-time.After(time.Until(by)):
-			t.Fatal("the list is not asked for again")
+			t.Fatal("no second list was requested and accepted")
 		}
 		for _, message := range table.box.Drain(nil) {
 			message(table)
 		}
 	}
-	if !slices.Contains(asked, "") {
-		t.Errorf("asked for %q", asked)
+	if !slices.Contains(queries, "") {
+		t.Errorf("got requests with the queries %q, want one without a query", queries)
 	}
 }
