--- a/internal/dispatcher/roster/evidence_test.go
+++ b/internal/dispatcher/roster/evidence_test.go
@@ -10,8 +10,8 @@
 	"frosttide/internal/dispatcher/rosterpolicy"
 )
 
-// TestOutcomeEvidence checks what attempts that got no connection show of a runner: one that refuses it may be starting again,
-// one that does not answer in time is silent.
+// TestOutcomeEvidence checks what failed attempts show about a runner: one that refuses the
+// connection may be restarting, one that does not answer in time is silent.
 func TestOutcomeEvidence(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/dispatcher/roster/roster_test.go
+++ b/internal/dispatcher/roster/roster_test.go
@@ -18,33 +18,33 @@
 	"frosttide/internal/dispatcher/rosterstore"
 )
 
-// BenchmarkGatherAndEncode measures the cost of a write at 2,000 runners: gathering, which is done by the actor, and
-// encoding, which is done by the writer's goroutine.
+// BenchmarkGatherAndEncode measures the cost of a write with 2,000 runners: gathering runs on the
+// actor's goroutine, encoding on the writer's.
 func BenchmarkGatherAndEncode(b *testing.B) {
 	r := New(Config{Name: "n0", Classes: func() []string { return []string{"cut"} }}, nil, nil, nil, nil, nil, nil)
 	r.fullUpdates = rosterpolicy.NewFullUpdatePolicy(r.cfg.Policy, false)
-	known := core.Snapshot{Health: map[string]decision.Health{}, MeanRunTimes: []time.Duration{time.Second}}
+	coreState := core.Snapshot{Health: map[string]decision.Health{}, MeanRunTimes: []time.Duration{time.Second}}
 	var entries []string
 	for i := range 2000 {
 		uid := fmt.Sprintf("s-%08x", i*2654435761)
 		entries = append(entries, fmt.Sprintf(`{"uid":%q,"endpoint":"10.1.%d.%d:8081","az":"a","model":"m2","pod_group":3,"state":"SERVING","capacity_hint":1.0,"boot_ms":0}`,
 			uid, i/250, i%250))
 		r.routes[uid] = core.Route{UID: uid}
-		known.Health[uid] = decision.Health{Pace: 1, Most: 4}
+		coreState.Health[uid] = decision.Health{Pace: 1, Most: 4}
 	}
 	list := []byte(`{"rev":1,"all":true,"targets":[` + strings.Join(entries, ",") + `]}`)
 	if !json.Valid(list) {
-		b.Fatal("the list is no JSON")
+		b.Fatal("the list is not valid JSON")
 	}
 	b.Run("gather", func(b *testing.B) {
 		for b.Loop() {
-			if s := r.snapshot("d", list, known); len(s.Nodes) != 2000 {
-				b.Fatal("runners are missing")
+			if s := r.snapshot("d", list, coreState); len(s.Nodes) != 2000 {
+				b.Fatal("got a snapshot without all 2,000 runners")
 			}
 		}
 	})
 	b.Run("encode", func(b *testing.B) {
-		s := r.snapshot("d", list, known)
+		s := r.snapshot("d", list, coreState)
 		size := 0
 		for b.Loop() {
 			text, err := rosterstore.Encode(s)
@@ -57,27 +57,28 @@
 	})
 }
 
-// fakeCore records the full lists that it is passed. It has no other method of Core.
+// fakeCore records the full lists passed to it and ignores everything else.
 type fakeCore struct {
 	Core
 	lists [][]core.Route
 }
 
-func (c *fakeCore) RoutesReplaced(routes []core.Route) { c.lists = append(c.lists, routes) }
-func (c *fakeCore) RoutesChanged([]core.Route)         {}
-func (c *fakeCore) DiscoveryFailed()                   {}
-func (c *fakeCore) Restore(core.Snapshot)              {}
-func (c *fakeCore) Snapshot(to func(core.Snapshot))    { to(core.Snapshot{}) }
+func (c *fakeCore) RoutesReplaced(routes []core.Route)    { c.lists = append(c.lists, routes) }
+func (c *fakeCore) RoutesChanged([]core.Route)            {}
+func (c *fakeCore) DiscoveryFailed()                      {}
+func (c *fakeCore) Restore(core.Snapshot)                 {}
+func (c *fakeCore) Snapshot(callback func(core.Snapshot)) { callback(core.Snapshot{}) }
 
-// fakeTable is a table that holds one runner.
+// fakeTable is a table whose list holds one runner.
 type fakeTable struct{ Table }
 
-func (fakeTable) Snapshot(to func(discovery string, list []byte)) {
-	to("d", []byte(`{"rev":1,"all":true,"targets":[{"uid":"s-1"}]}`))
+func (fakeTable) Snapshot(callback func(discovery string, list []byte)) {
+	callback("d", []byte(`{"rev":1,"all":true,"targets":[{"uid":"s-1"}]}`))
 }
 
-// TestPlannedEndIsStoredAtItsBeginning has a process be killed before the last state of its planned end is written: what
-// was written when that began says that it is one.
+// TestPlannedEndIsStoredAtItsBeginning guards against a planned shutdown being taken for an
+// unplanned one when the process is killed before it writes its last state: the state written when
+// the shutdown begins is already marked as planned.
 func TestPlannedEndIsStoredAtItsBeginning(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -105,15 +106,16 @@
 			break
 		}
 		if time.Now().After(by) {
-			t.Fatalf("stored is %+v, %v", s, err)
+			t.Fatalf("got stored state %+v, error %v; want the state of a planned shutdown with one runner", s, err)
 		}
 	}
 	cancel()
 	writer.Close(time.Now().Add(20 * time.Second))
 }
 
-// TestPlannedEndIsStoredSoonAfterAWrite guards runners from being taken for cold when a planned shutdown begins within the
-// write interval of another write, and the process is killed before it ends.
+// TestPlannedEndIsStoredSoonAfterAWrite guards against runners being taken for cold when a planned
+// shutdown begins within the write interval after another write, and the process is killed before
+// the shutdown ends.
 func TestPlannedEndIsStoredSoonAfterAWrite(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -145,32 +147,34 @@
 	writer.Close(time.Now().Add(20 * time.Second))
 }
 
-// TestStartReplacesRoutes has the core of a process that starts from a stored list hold the list when Start returns,
-// before the first job comes and whenever the actor is scheduled.
+// TestStartReplacesRoutes checks that the core of a process that starts from a stored list has the
+// list when Start returns: before the first job arrives, and whenever the actor is scheduled.
 func TestStartReplacesRoutes(t *testing.T) {
-	var recorder fakeCore
+	var fake fakeCore
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	parse := func([]byte) (core.Route, error) {
 		return core.Route{UID: "s-1", Addr: "a", Member: decision.Member{State: decision.Ready}}, nil
 	}
-	r := New(Config{Policy: rosterpolicy.Config{Fresh: time.Hour, Old: time.Hour, Max: time.Hour}}, &recorder, nil, nil, nil, parse, logrus.NewEntry(log))
+	r := New(Config{Policy: rosterpolicy.Config{Fresh: time.Hour, Old: time.Hour, Max: time.Hour}}, &fake, nil, nil, nil, parse, logrus.NewEntry(log))
 	now := r.clock()
 	r.LoadStored(&rosterstore.Snapshot{Saved: now, Answered: now, Nodes: []rosterstore.Node{{UID: "s-1", Entry: json.RawMessage(`{}`), Confirmed: now, By: rosterstore.ByDiscovery}}}, 1)
-	r.RoutesReplaced([]core.Route{{UID: "s-2", Addr: "b", Member: decision.Member{State: decision.Ready}}}) // the platform's
+	r.RoutesReplaced([]core.Route{{UID: "s-2", Addr: "b", Member: decision.Member{State: decision.Ready}}}) // the platform's list
 	r.Start()
-	if len(recorder.lists) != 1 || len(recorder.lists[0]) != 2 {
-		t.Errorf("before the actor runs the core has been passed %v", recorder.lists)
+	if len(fake.lists) != 1 || len(fake.lists[0]) != 2 {
+		t.Errorf("got full lists %v before the actor runs, want one with two runners", fake.lists)
 	}
 }
 
-// TestConfirmedUntilDiscoveryFails has discovery fail an hour after it has listed a runner: until then its watch said that
-// nothing had changed, so the runner was confirmed until then.
+// TestConfirmedUntilDiscoveryFails checks that a runner counts as confirmed until discovery fails,
+// here an hour after discovery listed it: until then the watch showed that nothing had changed.
 //
-// A dispatcher that was restarted as planned during an outage of discovery took runners for cold that were warm, and refused
-// jobs: what it stored once discovery was down said that they had been confirmed for the last time when they were listed. In 42 of 64
-// runs of TestPlannedRestart on a busy machine that was more than the 5 s ago within which runners are taken to be as they were.
-// A trial build logged the refused jobs as "not_sent", reason "no_token", and four of five runners as started with the process.
+// Before the fix, a dispatcher that was restarted as planned during an outage of discovery took
+// warm runners for cold and refused jobs: the state stored once discovery was down said that the
+// runners were last confirmed when they were listed. In 42 of 64 runs of TestPlannedRestart on a
+// busy machine that was longer ago than the 5 s within which runners are assumed to be unchanged. A
+// trial build logged the refused jobs as "not_sent", reason "no_token", and four of five runners as
+// started with the process.
 func TestConfirmedUntilDiscoveryFails(t *testing.T) {
 	r := New(Config{Name: "n0", Classes: func() []string { return nil }}, &fakeCore{}, nil, nil, nil, nil, logrus.NewEntry(logrus.New()))
 	r.started = true
@@ -191,12 +195,12 @@
 	at(storedAt, func() {})
 	s := r.snapshot("d", []byte(`{"rev":1,"all":true,"targets":[{"uid":"s-1"}]}`), core.Snapshot{})
 	if len(s.Nodes) != 1 || s.Nodes[0].Confirmed != failedAt || s.Answered != failedAt {
-		t.Errorf("stored is %+v, answered at %v; want it confirmed and answered at %v, when discovery failed first", s.Nodes, s.Answered, failedAt)
+		t.Errorf("got stored nodes %+v, answered at %v; want both confirmed and answered at %v, the first failure of discovery", s.Nodes, s.Answered, failedAt)
 	}
 }
 
-// TestDiscoveryFailureConfirmsNothingStored checks that the runners of a stored list stay confirmed as they were when discovery
-// does not answer after the start.
+// TestDiscoveryFailureConfirmsNothingStored checks that the runners of a stored list keep their
+// confirmation times if discovery does not respond after the start.
 func TestDiscoveryFailureConfirmsNothingStored(t *testing.T) {
 	parse := func([]byte) (core.Route, error) {
 		return core.Route{UID: "s-1", Addr: "a", Member: decision.Member{State: decision.Ready}}, nil
@@ -211,11 +215,11 @@
 	}
 	s := r.snapshot("d", []byte(`{"rev":0,"targets":[]}`), core.Snapshot{})
 	if len(s.Nodes) != 1 || s.Nodes[0].Confirmed != confirmedAt || s.Answered != confirmedAt {
-		t.Errorf("stored is %+v, answered at %v; want %v", s.Nodes, s.Answered, confirmedAt)
+		t.Errorf("got stored nodes %+v, answered at %v; want both at %v", s.Nodes, s.Answered, confirmedAt)
 	}
 }
 
-// versionTable is a table whose list has a version of discovery "d".
+// versionTable is a table whose list has a version of the discovery "d".
 type versionTable struct {
 	Table
 	version uint64
@@ -223,8 +227,9 @@
 
 func (v *versionTable) Position() (discovery string, version uint64) { return "d", v.version }
 
-// TestOlderListAfterStart guards a runner from being removed after a start from the stored list by a discovery that is behind
-// that list: an older full list that lacked less than half of the runners was taken at once.
+// TestOlderListAfterStart guards against a runner being removed, after a start from the stored
+// list, by a discovery that is behind that list: an older full list that lacked less than half of
+// the runners was accepted at once.
 func TestOlderListAfterStart(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -234,10 +239,10 @@
 	parse := func(entry []byte) (core.Route, error) { return route(strings.Trim(string(entry), `"`)), nil }
 	for _, tc := range []struct {
 		name      string
-		discovery string // that the stored list is of
+		discovery string // source of the stored list
 		version   uint64 // of discovery's full list
 		after     time.Duration
-		want      int // runners that are known in the end
+		want      int // number of runners in the end
 	}{
 		{"older", "d", 41, time.Second, 3},
 		{"older, and still so when discovery had time to catch up", "d", 41, rosterpolicy.OlderListTimeout, 2},
@@ -267,7 +272,8 @@
 	}
 }
 
-// TestPlannedEndWithEmptyList guards runners from being taken for cold when discovery lists none as a planned shutdown begins.
+// TestPlannedEndWithEmptyList guards against runners being taken for cold when discovery sends an
+// empty list just before a planned shutdown.
 func TestPlannedEndWithEmptyList(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -303,6 +309,6 @@
 	}
 	s, err := reader.Load(func(string, error) {})
 	if err != nil || s == nil || !s.Ended || s.Saved != endedAt || len(s.Nodes) != 1 || s.Nodes[0].Confirmed != emptyAt {
-		t.Errorf("stored is %+v, %v; want a planned end at %v with a runner confirmed until %v", s, err, endedAt, emptyAt)
+		t.Errorf("got stored state %+v, error %v; want a planned shutdown at %v with a runner confirmed until %v", s, err, endedAt, emptyAt)
 	}
 }
