--- a/internal/dispatcher/routetable/routetable.go
+++ b/internal/dispatcher/routetable/routetable.go
@@ -97,7 +97,7 @@
 	pushed              bool               // the address is an agent's
 	clock               freshness.Clock
 	staleLogged         bool // it was logged that the list may lack binding changes
-	consecutiveFailures int  // calls in a row that have brought nothing
+	consecutiveFailures int  // failed calls since the last complete one
 	onUpdate            func(Update)
 
 	addressChanged bool                     // the address is new and has sent nothing yet
@@ -289,9 +289,9 @@
 	})
 }
 
-// FirstResult returns a channel that is closed once a call has brought something or has shown that
-// discovery is down. If lists are pushed, no work may be sent before that: everything the agent
-// holds counts as notified from the first moment.
+// FirstResult returns a channel that is closed once a call has brought the list up to date or has
+// shown that discovery is down. If lists are pushed, no work may be sent before that: everything
+// the agent holds counts as notified from the first moment.
 func (t *Table) FirstResult() <-chan struct{} { return t.firstResult }
 
 // LoadFixed applies a full list if the list is fixed and there is no discovery.
