--- a/internal/dispatcher/egress/acceptance.go
+++ b/internal/dispatcher/egress/acceptance.go
@@ -7,48 +7,50 @@
 	"time"
 )
 
-// acceptance limits the time until a worker responds to an attempt. Where the response
-// has come and this process is late to read it, the attempt goes on.
-type acceptance struct {
+// acceptTimer cancels the exchange of an attempt if the worker does not respond within
+// acceptTimeout. If the response has arrived in time and this process is only late to read it, the
+// exchange continues.
+type acceptTimer struct {
 	conn    *atomic.Pointer[conn]
-	cancel  context.CancelFunc // ends the exchange
-	expired atomic.Bool        // the worker has said nothing in time
+	cancel  context.CancelFunc // cancels the exchange
+	expired atomic.Bool        // the worker has not responded in time
 
-	mu    sync.Mutex
-	timer *time.Timer
-	ended bool // the exchange is over
+	mu      sync.Mutex
+	timer   *time.Timer
+	stopped bool // the exchange has ended
 }
 
-// newAcceptance makes an acceptance whose time has not begun.
-func newAcceptance(c *atomic.Pointer[conn], cancel context.CancelFunc) *acceptance {
-	a := &acceptance{conn: c, cancel: cancel}
-	a.timer = time.AfterFunc(time.Hour, a.expire)
+// newAcceptTimer returns a timer that does not run until start is called.
+func newAcceptTimer(c *atomic.Pointer[conn], cancel context.CancelFunc) *acceptTimer {
+	a := &acceptTimer{conn: c, cancel: cancel}
+	a.timer = time.AfterFunc(time.Hour, a.onExpiry)
 	a.timer.Stop()
 	return a
 }
 
-// begin begins the worker's time, once the request was written. The transport may say
-// so only after the response.
-func (a *acceptance) begin() {
+// start starts the timer once the request has been written, unless the exchange has ended: the
+// transport may report the write only after the response.
+func (a *acceptTimer) start() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if !a.ended {
+	if !a.stopped {
 		a.timer.Reset(acceptTimeout)
 	}
 }
 
-// end ends it with the exchange.
-func (a *acceptance) end() {
+// stop stops the timer for good at the end of the exchange.
+func (a *acceptTimer) stop() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.ended = true
+	a.stopped = true
 	a.timer.Stop()
 }
 
-// expire ends the exchange if nothing has come from the worker for acceptTimeout.
-func (a *acceptance) expire() {
-	if c := a.conn.Load(); c != nil && c.heardWithin(acceptTimeout) {
-		a.begin()
+// onExpiry cancels the exchange, or restarts the timer if the worker has sent something within
+// acceptTimeout or something on the connection is still unread.
+func (a *acceptTimer) onExpiry() {
+	if c := a.conn.Load(); c != nil && c.receivedWithin(acceptTimeout) {
+		a.start()
 		return
 	}
 	a.expired.Store(true)
--- a/internal/dispatcher/egress/acceptance_test.go
+++ b/internal/dispatcher/egress/acceptance_test.go
@@ -96,9 +96,9 @@
 // TestAcceptanceEnds guards against a timer that outlives its exchange, as the transport may report the write of a request after its
 // response: it began anew each second for as long as the connection was used.
 func TestAcceptanceEnds(t *testing.T) {
-	a := newAcceptance(&atomic.Pointer[conn]{}, func() {})
-	a.begin()
-	a.end()
-	a.begin()
+	a := newAcceptTimer(&atomic.Pointer[conn]{}, func() {})
+	a.start()
+	a.stop()
+	a.start()
 	require.False(t, a.timer.Stop(), "the timer runs")
 }
--- a/internal/dispatcher/egress/backend.go
+++ b/internal/dispatcher/egress/backend.go
@@ -14,94 +14,95 @@
 )
 
 const (
-	// minUnpooledTime is how long a worker that broke a pooled connection gets a new
-	// one for each attempt. It doubles each time that pooling fails again, up to
-	// maxUnpooledTime.
-	minUnpooledTime = 15 * time.Second
-	maxUnpooledTime = 2 * time.Minute
+	// minUnpooledPeriod is how long each attempt uses a new connection after a pooled connection
+	// to the worker has failed. It doubles each time that pooling fails again, up to
+	// maxUnpooledPeriod.
+	minUnpooledPeriod = 15 * time.Second
+	maxUnpooledPeriod = 2 * time.Minute
 )
 
-// backend is the actor of one worker. It implements core.Backend.
+// backend is the actor that talks to one worker. It implements core.Backend.
 type backend struct {
 	fleet   *Fleet
 	log     *logrus.Entry
 	worker  decision.WorkerID
 	mailbox *mailbox.Box[func(*backend)]
 
-	// Owned by the actor.
-	addr          string
-	pooled        *http.Transport               // reuses connections
-	unpooled      *http.Transport               // opens one for each request
-	inFlight      map[core.AttemptRef]*delivery // attempts that the worker has not accepted yet
-	openProbes    int
-	closed        bool
-	unpooledTime  time.Duration // how long connections were last not pooled
-	unpooledUntil time.Time     // none are pooled before
-
-	endMu sync.Mutex
-	ended bool // the actor has ended
+	// Accessed only by the actor.
+	addr           string
+	pooled         *http.Transport                      // keeps connections alive and reuses them
+	unpooled       *http.Transport                      // opens a connection for each request
+	inFlight       map[core.AttemptRef]*inFlightAttempt // attempts whose exchange has not ended
+	openProbes     int
+	closed         bool          // Close was called; the actor ends with its last attempt and probe
+	unpooledPeriod time.Duration // length of the current or last period without pooling
+	unpooledUntil  time.Time     // end of that period
+
+	stopMu  sync.Mutex
+	stopped bool // the actor has ended; post then executes messages itself
 }
 
-// delivery is an attempt on its way to the worker.
-type delivery struct {
-	cancel   context.CancelFunc
-	canceled bool
-	confirm  bool // another attempt may follow once the worker knows of the cancellation
+// inFlightAttempt is an attempt whose exchange with the worker has not ended.
+type inFlightAttempt struct {
+	cancel        context.CancelFunc
+	canceled      bool
+	confirmCancel bool // the worker must learn of the cancellation, as another attempt may follow
 }
 
-// result is how the exchange of an attempt ended.
+// result is the outcome of an exchange.
 type result struct {
-	accepted        bool
-	outcome         decision.Outcome // unless accepted
-	load            []float32
-	pooledConnBroke bool
-	ambiguous       bool // the response may be another request's: the worker may have the job
-	mayHaveLeft     bool // the last byte may have been sent
-	report          core.Delivery
+	accepted          bool
+	outcome           decision.Outcome // set unless accepted
+	load              []float32
+	pooledConnFailed  bool
+	ambiguousResponse bool // the response may be to the previous request; the worker may have the job
+	mayHaveBeenSent   bool // all bytes of the request may have been sent
+	report            core.Delivery
 }
 
-// run is the actor's loop.
+// run executes the messages of the mailbox until the backend is closed and no attempt, probe or
+// message is left.
 func (b *backend) run() {
-	var mail []func(*backend)
-	for ended := false; !ended; {
+	var messages []func(*backend)
+	for stopped := false; !stopped; {
 		<-b.mailbox.Ready()
-		mail = b.mailbox.Drain(mail[:0])
-		for i, message := range mail {
+		messages = b.mailbox.Drain(messages[:0])
+		for i, message := range messages {
 			message(b)
-			mail[i] = nil
+			messages[i] = nil
 		}
-		ended = b.closed && len(b.inFlight) == 0 && b.openProbes == 0 && b.tryEnd()
+		stopped = b.closed && len(b.inFlight) == 0 && b.openProbes == 0 && b.tryStop()
 	}
 	b.pooled.CloseIdleConnections()
 }
 
-// tryEnd ends the actor unless there is mail.
-func (b *backend) tryEnd() bool {
-	b.endMu.Lock()
-	defer b.endMu.Unlock()
+// tryStop marks the actor as ended unless its mailbox has messages. It reports whether it did.
+func (b *backend) tryStop() bool {
+	b.stopMu.Lock()
+	defer b.stopMu.Unlock()
 	select {
 	case <-b.mailbox.Ready():
-		b.mailbox.Put(func(*backend) {}) // the loop waits for the signal that was taken here
+		b.mailbox.Put(func(*backend) {}) // restores the signal that was received here, which run waits for
 	default:
-		b.ended = true
+		b.stopped = true
 	}
-	return b.ended
+	return b.stopped
 }
 
-// post sends the actor a message. Once the actor has ended the caller executes the
-// message: jobs that a worker has accepted outlive its place in the list, and are
-// recalled all the same.
+// post sends a message to the actor. Once the actor has ended, the caller's goroutine executes the
+// message: a job that the worker has accepted may still be recalled after the worker was removed
+// from the list.
 func (b *backend) post(message func(*backend)) {
-	b.endMu.Lock()
-	defer b.endMu.Unlock()
-	if b.ended {
+	b.stopMu.Lock()
+	defer b.stopMu.Unlock()
+	if b.stopped {
 		message(b)
 		return
 	}
 	b.mailbox.Put(message)
 }
 
-// transport returns the transport of the next request.
+// transport returns the transport to use for the next request.
 func (b *backend) transport() *http.Transport {
 	if time.Now().Before(b.unpooledUntil) {
 		return b.unpooled
@@ -109,18 +110,17 @@
 	return b.pooled
 }
 
-// suspendPooling stops pooling connections for a while. It protects attempts from a
-// worker, or something on the way there, that breaks a pooled connection when the
-// next request comes: a job written to one may have run, even though it surely did
-// not.
+// suspendPooling stops the reuse of connections for unpooledPeriod. It protects attempts from a
+// worker or middlebox that closes a pooled connection when the next request arrives: a job whose
+// request was written to such a connection counts as possibly run, although it did not run.
 func (b *backend) suspendPooling() {
 	if time.Now().Before(b.unpooledUntil) {
-		return // an attempt that began before
+		return // the attempt started before pooling was suspended
 	}
-	b.unpooledTime = min(max(2*b.unpooledTime, minUnpooledTime), maxUnpooledTime)
-	b.unpooledUntil = time.Now().Add(b.unpooledTime)
+	b.unpooledPeriod = min(max(2*b.unpooledPeriod, minUnpooledPeriod), maxUnpooledPeriod)
+	b.unpooledUntil = time.Now().Add(b.unpooledPeriod)
 	b.pooled.CloseIdleConnections()
-	b.log.WithField("for", b.unpooledTime.String()).Info("runner breaks kept connections; hops get new ones")
+	b.log.WithField("for", b.unpooledPeriod.String()).Info("runner breaks kept connections; each attempt gets a new one")
 }
 
 // Send implements core.Backend.
@@ -148,45 +148,46 @@
 	})
 }
 
-// send starts the exchange of an attempt. Its goroutine ends by the attempt's
-// deadline and closeGrace.
+// send starts the exchange of an attempt. Its goroutine ends at the latest closeGrace after the
+// attempt's deadline.
 func (b *backend) send(a core.Attempt) {
 	ctx, cancel := context.WithDeadline(context.Background(), a.Deadline.Add(closeGrace))
-	d := &delivery{cancel: cancel}
-	b.inFlight[a.Ref] = d
+	f := &inFlightAttempt{cancel: cancel}
+	b.inFlight[a.Ref] = f
 	transport, addr := b.transport(), b.addr
 	go func() {
 		res := b.deliver(ctx, transport, addr, a)
 		cancel()
-		b.post(func(b *backend) { b.handleResult(a, d, res) })
+		b.post(func(b *backend) { b.handleResult(a, f, res) })
 	}()
 }
 
-// handleResult is the one place where a delivery ends.
-func (b *backend) handleResult(a core.Attempt, d *delivery, res result) {
+// handleResult removes an attempt whose exchange has ended and reports its result to the core.
+// Every exchange ends here.
+func (b *backend) handleResult(a core.Attempt, f *inFlightAttempt, res result) {
 	delete(b.inFlight, a.Ref)
-	if res.pooledConnBroke && !d.canceled {
+	if res.pooledConnFailed && !f.canceled {
 		b.suspendPooling()
 	}
-	acceptedMeanwhile := d.canceled && res.accepted
+	acceptedDespiteCancel := f.canceled && res.accepted
 	switch {
-	case res.ambiguous, d.confirm && res.mayHaveLeft, acceptedMeanwhile:
+	case res.ambiguousResponse, f.confirmCancel && res.mayHaveBeenSent, acceptedDespiteCancel:
 		b.recall(a)
 	case res.accepted:
 		b.fleet.reporter.AttemptAccepted(a.Ref, res.report)
-	case d.canceled: // its connection was closed, or it had ended before
+	case f.canceled: // its connection was closed, or its exchange had failed before
 		b.fleet.reporter.AttemptRecalled(a.Ref, true)
 	default:
 		b.fleet.reporter.AttemptEnded(a.Ref, res.outcome, res.load, res.report)
 	}
 }
 
-// cancelAttempt ends the core's waiting for an attempt: before the worker's 202 by
-// closing the connection, after it by recalling the job.
+// cancelAttempt cancels an attempt: before the worker's 202 by closing the connection, after it by
+// recalling the job.
 func (b *backend) cancelAttempt(a core.Attempt) {
-	if d := b.inFlight[a.Ref]; d != nil {
-		d.canceled, d.confirm = true, a.Confirm
-		d.cancel()
+	if f := b.inFlight[a.Ref]; f != nil {
+		f.canceled, f.confirmCancel = true, a.Confirm
+		f.cancel()
 		return
 	}
 	b.recall(a)
--- a/internal/dispatcher/egress/delivery_test.go
+++ b/internal/dispatcher/egress/delivery_test.go
@@ -30,7 +30,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := &exchange{attempt: core.Attempt{Job: &core.Job{}}, log: logrus.NewEntry(log)}
-			e.acceptance = newAcceptance(&e.conn, func() {})
+			e.acceptTimer = newAcceptTimer(&e.conn, func() {})
 			got := e.handleError(c.err)
 			require.Equal(t, decision.ConnectFailed, got.outcome)
 			require.Equal(t, c.want, got.report.NoConnection)
--- a/internal/dispatcher/egress/dial.go
+++ b/internal/dispatcher/egress/dial.go
@@ -16,32 +16,35 @@
 	"frosttide/internal/dispatcher/neterr"
 )
 
-// initialBackoff is how long a dial waits after a retryable error. It doubles with
-// each.
+// initialBackoff is the wait after the first retryable error of a dial. It doubles with each
+// further one.
 const initialBackoff = 5 * time.Millisecond
 
-// tcpEstablished is the kernel's state of a TCP connection that both ends have agreed to.
+// tcpEstablished is TCP_ESTABLISHED, the state that TCP_INFO returns after a completed handshake.
 const tcpEstablished = 1
 
 var (
-	// errSocketBudget is the error of a dial past the limit of sockets.
+	// errSocketBudget is the error of a dial that would exceed the connection limit.
 	errSocketBudget = errors.New("the budget of sockets to runners is used up")
-	// errLocalDial is the error of a dial that failed because of this machine.
-	errLocalDial = errors.New("this machine could not dial")
+	// errLocalDial marks the error of a dial that failed for a local reason, which says nothing
+	// about the worker.
+	errLocalDial = errors.New("the dial failed for a local reason")
 )
 
-// Dial opens a connection by a deadline. Tests replace the net package's.
+// Dial opens a connection and fails if the handshake has not completed by the deadline. Tests
+// inject their own to simulate failures.
 type Dial func(network, addr string, deadline time.Time) (net.Conn, error)
 
-// dialNet is the Dial of the net package. A connection that was made by the deadline counts,
-// also where this process is late to notice.
+// dialNet implements Dial with the net package. A connection whose handshake completed by the
+// deadline succeeds even if this process is late to notice. A dial that misses
+// the deadline fails with os.ErrDeadlineExceeded.
 func dialNet(network, addr string, deadline time.Time) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	var socket atomic.Value // a syscall.RawConn
+	var rawConn atomic.Value // holds a syscall.RawConn
 	var expired atomic.Bool
 	timer := time.AfterFunc(time.Until(deadline), func() {
-		if raw, ok := socket.Load().(syscall.RawConn); ok && connected(raw) {
+		if raw, ok := rawConn.Load().(syscall.RawConn); ok && isConnected(raw) {
 			return
 		}
 		expired.Store(true)
@@ -49,7 +52,7 @@
 	})
 	defer timer.Stop()
 	dialer := net.Dialer{Control: func(_, _ string, raw syscall.RawConn) error {
-		socket.Store(raw)
+		rawConn.Store(raw)
 		return nil
 	}}
 	c, err := dialer.DialContext(ctx, network, addr)
@@ -59,8 +62,9 @@
 	return c, err
 }
 
-// connected reports whether a socket that was connecting is connected.
-func connected(raw syscall.RawConn) bool {
+// isConnected reports whether the TCP handshake of a socket has completed. It returns false for a
+// closed socket.
+func isConnected(raw syscall.RawConn) bool {
 	var state uint8
 	if err := raw.Control(func(fd uintptr) {
 		if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
@@ -72,25 +76,26 @@
 	return state == tcpEstablished
 }
 
-// dial opens a connection within the limit of sockets. It is bounded by the connect
-// timeout, not by the request that began it: another request may use the
-// connection, and a canceled request must not leave a worker a half-open one. It
-// fails with errSocketBudget, errLocalDial or the error of the last try.
+// dial opens a connection within the connection limit. It is bounded by the connect timeout and
+// ignores the context of the request that caused it: another request may use the connection, and a
+// canceled request must not leave a half-open connection at the worker. It fails with
+// errSocketBudget, errLocalDial or the error of the last try.
 func (f *Fleet) dial(_ context.Context, network, addr string) (net.Conn, error) {
-	if f.open.Add(1) > f.maxOpen.Load() {
-		f.open.Add(-1)
+	if f.openConns.Add(1) > f.maxOpenConns.Load() {
+		f.openConns.Add(-1)
 		return nil, errSocketBudget
 	}
-	c, err := f.connect(network, addr, time.Now().Add(f.cfg.ConnectTimeout))
+	c, err := f.dialWithRetry(network, addr, time.Now().Add(f.cfg.ConnectTimeout))
 	if err != nil {
-		f.open.Add(-1)
+		f.openConns.Add(-1)
 		return nil, fmt.Errorf("dialing %s: %w", addr, err)
 	}
-	return &conn{Conn: c, release: sync.OnceFunc(func() { f.open.Add(-1) })}, nil
+	return &conn{Conn: c, release: sync.OnceFunc(func() { f.openConns.Add(-1) })}, nil
 }
 
-// connect dials until the deadline, again after retryable errors.
-func (f *Fleet) connect(network, addr string, deadline time.Time) (net.Conn, error) {
+// dialWithRetry dials and retries retryable errors, with exponential backoff, until the deadline.
+// It joins errLocalDial to an error that neterr.Local reports.
+func (f *Fleet) dialWithRetry(network, addr string, deadline time.Time) (net.Conn, error) {
 	for backoff := initialBackoff; ; backoff *= 2 {
 		c, err := f.cfg.Dial(network, addr, deadline)
 		if err == nil {
--- a/internal/dispatcher/egress/dial_test.go
+++ b/internal/dispatcher/egress/dial_test.go
@@ -17,17 +17,17 @@
 	client, _ := connpair.New(t)
 	raw, err := client.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
-	require.True(t, connected(raw))
+	require.True(t, isConnected(raw))
 
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	unconnected := os.NewFile(uintptr(socket), "socket")
 	raw, err = unconnected.SyscallConn()
 	require.NoError(t, err)
-	require.False(t, connected(raw))
+	require.False(t, isConnected(raw))
 
 	require.NoError(t, unconnected.Close())
-	require.False(t, connected(raw))
+	require.False(t, isConnected(raw))
 }
 
 // TestDialDeadline checks that a dial nobody answers ends at its deadline, with an error of a time limit.
@@ -49,7 +49,7 @@
 			continue
 		}
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-		require.True(t, timedOut(err))
+		require.True(t, isTimeout(err))
 		require.GreaterOrEqual(t, time.Since(begun), timeout)
 		return
 	}
--- a/internal/dispatcher/egress/fleet.go
+++ b/internal/dispatcher/egress/fleet.go
@@ -1,14 +1,15 @@
-// Package egress sends attempts to workers over the platform's HTTP protocol. It
-// implements core.Backends and core.Backend; cmd/frosttide makes one Fleet.
+// Package egress sends attempts to workers over the platform's HTTP protocol. It implements
+// core.Backends and core.Backend; cmd/frosttide creates one Fleet.
 //
-// Each backend is an actor with a mailbox and an http.Transport of its own. It owns
-// an attempt from its sending until the worker has accepted the job or the attempt
-// has failed. It decides nothing: the outcome goes to the core.
+// Each backend is an actor with its own mailbox and http.Transports. It is responsible for an
+// attempt from sending it until the worker has accepted the job or the attempt has failed. It makes
+// no scheduling decisions: it reports the outcome to the core.
 //
-// Invariants: a request is written at most once, except on a fresh connection after
-// nothing was written to a pooled one; immediately before the first byte the
-// attempt's permit is checked; the connections to all workers together stay within
-// a limit.
+// Invariants:
+//   - A request is written at most once. An attempt is sent again, on a new connection, only if
+//     nothing was written to the pooled connection that was tried first.
+//   - The attempt's permit is checked immediately before its first byte is written.
+//   - The number of open connections to all workers stays within a limit.
 //
 // All exported methods are safe for concurrent use and do not block.
 package egress
@@ -27,55 +28,62 @@
 
 // Headers of the platform's protocol and of W3C Trace Context.
 const (
-	headerID       = "X-Trace-Id"
-	headerExpires  = "X-Expires-In-Ms"
-	headerKey      = "Idempotency-Key"
-	headerNeverRan = "X-Never-Ran"
-	headerLoad     = "Endpoint-Load-Metrics"
-	headerParent   = "Traceparent"
-	headerState    = "Tracestate"
+	headerTraceID        = "X-Trace-Id"
+	headerExpires        = "X-Expires-In-Ms"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerNeverRan       = "X-Never-Ran"
+	headerLoad           = "Endpoint-Load-Metrics"
+	headerTraceparent    = "Traceparent"
+	headerTracestate     = "Tracestate"
 )
 
 const (
-	maxBody = 64 << 10 // bytes; the protocol's bound on any body
-	// acceptTimeout is how long a worker may take to say that it has a job. It says
-	// so in milliseconds; one that says nothing is down, or its connection is.
+	maxBody = 64 << 10 // bytes; the protocol's limit for any body
+	// acceptTimeout is how long a worker may take to respond to an attempt. Workers respond within
+	// milliseconds; without a response the worker or its connection is down.
 	acceptTimeout = time.Second
-	// closeGrace is how long after its deadline an attempt's connection may still be
-	// open. The core gives up first; this only ends what nobody waits for.
+	// closeGrace is how long an exchange may last beyond the attempt's deadline, and how long a
+	// recall may take. By the deadline the core has stopped waiting; the limit only frees the
+	// connection.
 	closeGrace = time.Second
 )
 
-// Reporter takes what becomes of attempts and probes; *core.Core implements it. It
-// must not block.
+// Reporter receives the results of attempts and probes; *core.Core implements it. Its methods must
+// not block.
 type Reporter interface {
+	// AttemptAccepted reports that the worker has accepted the job.
 	AttemptAccepted(core.AttemptRef, core.Delivery)
+	// AttemptEnded reports why the worker has not accepted the job, with the load report of its
+	// response, if any.
 	AttemptEnded(core.AttemptRef, decision.Outcome, []float32, core.Delivery)
+	// AttemptRecalled reports the end of a canceled attempt. known is whether the worker
+	// certainly knows of the cancellation.
 	AttemptRecalled(ref core.AttemptRef, known bool)
+	// ProbeEnded reports the outcome of a probe, with the worker's load report, if any.
 	ProbeEnded(decision.WorkerID, decision.Outcome, []float32)
 }
 
-// Config holds the settings of the egress side.
+// Config holds the settings of a Fleet.
 type Config struct {
-	ConnectTimeout time.Duration   // a dial that has not succeeded by then has failed
-	IdleTimeout    time.Duration   // workers close connections that were idle for this long
-	MaxSockets     int             // connections to all workers together
-	Columns        []string        // of load reports
-	LoadReports    bool            // GET /_load returns a load report
-	OnSent         func(class int) // called for each attempt that has been written whole
-	Dial           Dial            // nil for the net package's
+	ConnectTimeout time.Duration   // limit for opening a connection, with retries
+	IdleTimeout    time.Duration   // after which workers close idle connections
+	MaxSockets     int             // limit of open connections to all workers together
+	Columns        []string        // column names of load reports
+	LoadReports    bool            // workers serve load reports at GET /_load; otherwise probes use /ping
+	OnSent         func(class int) // called after an attempt's whole request was written
+	Dial           Dial            // nil for the net package's dialer
 }
 
-// Fleet makes the backends and holds what they share: the limit of sockets.
+// Fleet creates the backends and enforces the limit of open connections that they share.
 type Fleet struct {
-	cfg      Config
-	reporter Reporter
-	log      *logrus.Entry
-	maxOpen  atomic.Int64 // connections that may be open
-	open     atomic.Int64
+	cfg          Config
+	reporter     Reporter
+	log          *logrus.Entry
+	maxOpenConns atomic.Int64 // limit of open connections
+	openConns    atomic.Int64
 }
 
-// NewFleet makes a fleet without backends.
+// NewFleet returns a fleet without backends. SetReporter must be called before Open.
 func NewFleet(cfg Config, log *logrus.Entry) *Fleet {
 	if cfg.Dial == nil {
 		cfg.Dial = dialNet
@@ -85,14 +93,15 @@
 	return f
 }
 
-// SetMaxSockets sets how many connections there may be from now on.
-func (f *Fleet) SetMaxSockets(sockets int) { f.maxOpen.Store(int64(sockets)) }
+// SetMaxSockets sets the limit of open connections to all workers together. Connections beyond a
+// lowered limit stay open; only new ones are refused.
+func (f *Fleet) SetMaxSockets(sockets int) { f.maxOpenConns.Store(int64(sockets)) }
 
-// SetReporter sets who takes the reports. It must be called before the first Open.
+// SetReporter sets the receiver of results. It must be called before the first Open.
 func (f *Fleet) SetReporter(reporter Reporter) { f.reporter = reporter }
 
-// Open makes and starts the backend of a worker. Its goroutine ends some time after
-// Close.
+// Open creates and starts the backend of a worker with the given UID and address. After Close, the
+// backend's goroutine ends once its last attempt and probe have ended.
 func (f *Fleet) Open(worker decision.WorkerID, uid, addr string) core.Backend {
 	b := &backend{
 		fleet:    f,
@@ -100,15 +109,15 @@
 		worker:   worker,
 		addr:     addr,
 		mailbox:  mailbox.New[func(*backend)](),
-		inFlight: map[core.AttemptRef]*delivery{},
+		inFlight: map[core.AttemptRef]*inFlightAttempt{},
 	}
 	b.pooled = &http.Transport{
 		DialContext:         f.dial,
 		Proxy:               nil,
 		DisableCompression:  true,
 		MaxIdleConnsPerHost: f.cfg.MaxSockets,
-		// The dispatcher closes an idle connection before the worker does: a request
-		// written at the moment when the worker closes would end as a reset.
+		// The dispatcher closes an idle connection before the worker does: a request written while
+		// the worker closes the connection would fail with a reset.
 		IdleConnTimeout:        f.cfg.IdleTimeout * 3 / 4,
 		MaxResponseHeaderBytes: 16 << 10,
 		ReadBufferSize:         2 << 10,
--- a/internal/dispatcher/egress/requests.go
+++ b/internal/dispatcher/egress/requests.go
@@ -13,11 +13,11 @@
 	"frosttide/internal/dispatcher/loadreport"
 )
 
-// errStatus is the error of a response whose status is not 2xx.
+// errStatus marks the error of a response whose status is not 2xx.
 var errStatus = errors.New("the runner answered with an error")
 
-// recall asks the worker to drop a job that it has accepted. Whatever the worker
-// responds, it knows of the cancellation from then on.
+// recall asks the worker to drop a job that it has or may have accepted. Any response, whatever its
+// status, means that the worker knows of the cancellation.
 func (b *backend) recall(a core.Attempt) {
 	transport, addr := b.transport(), b.addr
 	go func() {
@@ -31,18 +31,18 @@
 	}()
 }
 
-// probe asks the worker for a load report, or where it gives none whether it is
-// there.
+// probe requests a load report from the worker, or pings it if workers serve no load reports, and
+// reports the outcome to the core.
 func (b *backend) probe(transport *http.Transport, addr string, deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	ctx, cancelSilent := context.WithTimeout(ctx, acceptTimeout)
-	defer cancelSilent()
+	ctx, cancelAccept := context.WithTimeout(ctx, acceptTimeout)
+	defer cancelAccept()
 	path := "/ping"
 	if b.fleet.cfg.LoadReports {
 		path = "/_load"
 	}
-	text, err := b.roundTrip(ctx, transport, http.MethodGet, addr, path)
+	body, err := b.roundTrip(ctx, transport, http.MethodGet, addr, path)
 	outcome := decision.Served
 	switch {
 	case errors.Is(err, errStatus):
@@ -52,15 +52,15 @@
 	case err != nil:
 		outcome = decision.ConnReset
 	}
-	load := loadreport.Parse(text, b.fleet.cfg.Columns)
+	load := loadreport.Parse(body, b.fleet.cfg.Columns)
 	b.post(func(b *backend) {
 		b.openProbes--
 		b.fleet.reporter.ProbeEnded(b.worker, outcome, load)
 	})
 }
 
-// roundTrip sends a request without a body and returns the body of a 2xx response.
-// Another status is errStatus.
+// roundTrip sends a request without a body and returns the body of the response. For a status other
+// than 2xx it also returns an error that wraps errStatus.
 func (b *backend) roundTrip(ctx context.Context, transport *http.Transport, method, addr, path string) ([]byte, error) {
 	req, err := newRequest(ctx, method, addr, path)
 	if err != nil {
@@ -70,24 +70,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s %s: %w", method, path, err)
 	}
-	text := drainBody(resp)
+	body := drainBody(resp)
 	if resp.StatusCode/100 != 2 {
-		return text, fmt.Errorf("%s %s: status %d: %w", method, path, resp.StatusCode, errStatus)
+		return body, fmt.Errorf("%s %s: status %d: %w", method, path, resp.StatusCode, errStatus)
 	}
-	return text, nil
+	return body, nil
 }
 
-// newRequest makes a request to an address. The resource, path and query, passes
-// through with its escapes as they are.
+// newRequest returns a request to an address. The resource, which is a path with an optional query,
+// is sent with its escapes unchanged.
 func newRequest(ctx context.Context, method, addr, resource string) (*http.Request, error) {
 	u, err := url.ParseRequestURI(resource)
 	if err != nil {
-		return nil, fmt.Errorf("resource of a request to %s: %w", addr, err)
+		return nil, fmt.Errorf("parsing the resource of a request to %s: %w", addr, err)
 	}
 	u.Scheme, u.Host = "http", addr
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+addr, nil)
 	if err != nil {
-		return nil, fmt.Errorf("request to %s: %w", addr, err)
+		return nil, fmt.Errorf("creating a request to %s: %w", addr, err)
 	}
 	req.URL = u
 	req.Header["User-Agent"] = nil
