--- a/internal/dispatcher/egress/acceptance_test.go
+++ b/internal/dispatcher/egress/acceptance_test.go
@@ -15,7 +15,7 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// lateConn is a connection whose reader gets nothing before a time, whatever has come.
+// lateConn is a connection whose reads block until a given time, even if data has arrived before.
 type lateConn struct {
 	*net.TCPConn
 	readableAt time.Time
@@ -26,7 +26,7 @@
 	return c.TCPConn.Read(p)
 }
 
-// attemptRecorder records how one attempt goes on.
+// attemptRecorder is a Reporter that records whether one attempt is accepted or ends.
 type attemptRecorder struct {
 	Reporter
 	accepted chan struct{}
@@ -39,7 +39,8 @@
 	r.ended <- outcome
 }
 
-// sendLate sends an attempt to a worker, on a connection that is first read some time after it was made.
+// sendLate sends an attempt to a worker on a connection that is not read until delay after it was
+// opened.
 func sendLate(t *testing.T, worker http.HandlerFunc, delay time.Duration) attemptRecorder {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -66,18 +67,20 @@
 	return recorder
 }
 
-// TestAcceptanceReadLate guards a job whose runner has accepted it in time from failing because this process reads that late.
+// TestAcceptanceReadLate guards against a job that fails although its worker accepted it in time,
+// because this process reads the response only after acceptTimeout.
 func TestAcceptanceReadLate(t *testing.T) {
 	t.Parallel()
 	recorder := sendLate(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusAccepted) }, acceptTimeout*3/2)
 	select {
 	case <-recorder.accepted:
 	case outcome := <-recorder.ended:
-		t.Errorf("the attempt has ended with outcome %v", outcome)
+		t.Errorf("attempt ended with outcome %v, want it accepted", outcome)
 	}
 }
 
-// TestSilentWorker checks that an attempt ends where the worker says nothing in time.
+// TestSilentWorker checks that an attempt times out if the worker does not respond within
+// acceptTimeout.
 func TestSilentWorker(t *testing.T) {
 	t.Parallel()
 	over := make(chan struct{})
@@ -86,19 +89,20 @@
 	recorder := sendLate(t, func(http.ResponseWriter, *http.Request) { <-over }, 0)
 	select {
 	case <-recorder.accepted:
-		t.Error("the attempt is accepted")
+		t.Error("attempt was accepted, want it to time out")
 	case outcome := <-recorder.ended:
 		require.Equal(t, decision.TimedOut, outcome)
 		require.GreaterOrEqual(t, time.Since(began), acceptTimeout)
 	}
 }
 
-// TestAcceptanceEnds guards against a timer that outlives its exchange, as the transport may report the write of a request after its
-// response: it began anew each second for as long as the connection was used.
-func TestAcceptanceEnds(t *testing.T) {
+// TestAcceptTimerStops guards against a timer that outlives its exchange. The transport may report
+// the write of a request after its response; the timer then started after the exchange and
+// restarted each second for as long as the connection was used.
+func TestAcceptTimerStops(t *testing.T) {
 	a := newAcceptTimer(&atomic.Pointer[conn]{}, func() {})
 	a.start()
 	a.stop()
 	a.start()
-	require.False(t, a.timer.Stop(), "the timer runs")
+	require.False(t, a.timer.Stop(), "the timer runs after the end of the exchange")
 }
--- a/internal/dispatcher/egress/delivery_test.go
+++ b/internal/dispatcher/egress/delivery_test.go
@@ -14,7 +14,8 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// TestNoConnection checks which errors of an attempt that was not sent say that the worker did not answer in time.
+// TestNoConnection checks which errors of an attempt that was not sent set
+// core.Delivery.NoConnection: only timeouts of the connect do.
 func TestNoConnection(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -23,10 +24,10 @@
 		err  error
 		want bool
 	}{
-		{"the time to connect is over", &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}, true},
-		{"the kernel gave up", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ETIMEDOUT)}, true},
+		{"connect timeout", &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded}, true},
+		{"connect timeout of the kernel", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ETIMEDOUT)}, true},
 		{"refused", &net.OpError{Op: "dial", Err: os.NewSyscallError("connect", syscall.ECONNREFUSED)}, false},
-		{"reset while it was written", &net.OpError{Op: "write", Err: os.NewSyscallError("write", syscall.ECONNRESET)}, false},
+		{"reset during the write", &net.OpError{Op: "write", Err: os.NewSyscallError("write", syscall.ECONNRESET)}, false},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			e := &exchange{attempt: core.Attempt{Job: &core.Job{}}, log: logrus.NewEntry(log)}
--- a/internal/dispatcher/egress/dial_test.go
+++ b/internal/dispatcher/egress/dial_test.go
@@ -12,7 +12,8 @@
 	"frosttide/internal/testkit/connpair"
 )
 
-// TestConnected guards against a dial that fails although the connection was made in time and the process was late to notice.
+// TestConnected guards against a dial that fails although the handshake completed in time, because
+// the process was late to notice. It checks isConnected, which dialNet asks at the deadline.
 func TestConnected(t *testing.T) {
 	client, _ := connpair.New(t)
 	raw, err := client.(*net.TCPConn).SyscallConn()
@@ -30,27 +31,28 @@
 	require.False(t, isConnected(raw))
 }
 
-// TestDialDeadline checks that a dial nobody answers ends at its deadline, with an error of a time limit.
+// TestDialDeadline checks that a dial without a response from the peer fails at its deadline, with
+// a timeout error.
 func TestDialDeadline(t *testing.T) {
 	const timeout = 50 * time.Millisecond
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	t.Cleanup(func() { syscall.Close(socket) })
 	require.NoError(t, syscall.Bind(socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	require.NoError(t, syscall.Listen(socket, 0)) // a backlog of one connection
+	require.NoError(t, syscall.Listen(socket, 0)) // a backlog of one connection; further dials get no response
 	name, err := syscall.Getsockname(socket)
 	require.NoError(t, err)
 	address := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}
 	for {
-		begun := time.Now()
-		conn, err := dialNet("tcp", address.String(), begun.Add(timeout))
+		start := time.Now()
+		conn, err := dialNet("tcp", address.String(), start.Add(timeout))
 		if err == nil { // the backlog is not full yet
 			t.Cleanup(func() { conn.Close() })
 			continue
 		}
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 		require.True(t, isTimeout(err))
-		require.GreaterOrEqual(t, time.Since(begun), timeout)
+		require.GreaterOrEqual(t, time.Since(start), timeout)
 		return
 	}
 }
