--- a/internal/dispatcher/egress/backend.go
+++ b/internal/dispatcher/egress/backend.go
@@ -55,7 +55,7 @@
 	outcome           decision.Outcome // set unless accepted
 	load              []float32
 	pooledConnFailed  bool
-	ambiguousResponse bool // the response may be to the previous request; the worker may have the job
+	ambiguousResponse bool // it may answer the previous request; the worker may have the job
 	mayHaveBeenSent   bool // all bytes of the request may have been sent
 	report            core.Delivery
 }
@@ -82,7 +82,7 @@
 	defer b.stopMu.Unlock()
 	select {
 	case <-b.mailbox.Ready():
-		b.mailbox.Put(func(*backend) {}) // restores the signal that was received here, which run waits for
+		b.mailbox.Put(func(*backend) {}) // run waits for the signal that was received here
 	default:
 		b.stopped = true
 	}
--- a/internal/dispatcher/egress/conn.go
+++ b/internal/dispatcher/egress/conn.go
@@ -25,7 +25,7 @@
 	unsolicited     bool         // data was received that no request asked for
 	lastRead        time.Time    // when data was last received; zero for never
 	closed          bool
-	activity        chan struct{} // closed on data received, assignment or Close; nil if nobody waits
+	activity        chan struct{} // closed on received data, assignment and Close; nil if unused
 }
 
 // assign assigns the connection to an attempt, whose authorize is called before the next write. It
--- a/internal/dispatcher/egress/delivery.go
+++ b/internal/dispatcher/egress/delivery.go
@@ -45,9 +45,9 @@
 	conn        atomic.Pointer[conn]
 	acceptTimer *acceptTimer
 
-	writeFailed  atomic.Bool           // the transport reports that it could not write the whole request
+	writeFailed  atomic.Bool           // the transport reports that writing the request failed
 	reused       atomic.Bool           // the connection was used before
-	recentlyRead atomic.Bool           // the connection received data within quietPeriod before its assignment
+	recentlyRead atomic.Bool           // data was received within quietPeriod before the assignment
 	permitErr    atomic.Pointer[error] // why the permit stopped the write; nil if it did not
 }
 
@@ -234,7 +234,8 @@
 	timeout := time.AfterFunc(bodyTimeout, func() { resp.Body.Close() })
 	defer timeout.Stop()
 	defer resp.Body.Close()
-	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxBody+1)) // the status is valid even if the body is truncated
+	// The error is ignored, as the status is valid even if the body is truncated.
+	body, _ := io.ReadAll(io.LimitReader(resp.Body, maxBody+1))
 	return body
 }
 
--- a/internal/dispatcher/egress/dial_test.go
+++ b/internal/dispatcher/egress/dial_test.go
@@ -39,7 +39,7 @@
 	require.NoError(t, err)
 	t.Cleanup(func() { syscall.Close(socket) })
 	require.NoError(t, syscall.Bind(socket, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}))
-	require.NoError(t, syscall.Listen(socket, 0)) // a backlog of one connection; further dials get no response
+	require.NoError(t, syscall.Listen(socket, 0)) // a backlog of one connection
 	name, err := syscall.Getsockname(socket)
 	require.NoError(t, err)
 	address := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}
--- a/internal/dispatcher/egress/fleet.go
+++ b/internal/dispatcher/egress/fleet.go
@@ -69,7 +69,7 @@
 	IdleTimeout    time.Duration   // after which workers close idle connections
 	MaxSockets     int             // limit of open connections to all workers together
 	Columns        []string        // column names of load reports
-	LoadReports    bool            // workers serve load reports at GET /_load; otherwise probes use /ping
+	LoadReports    bool            // probes request GET /_load, which returns a load report
 	OnSent         func(class int) // called after an attempt's whole request was written
 	Dial           Dial            // nil for the net package's dialer
 }
