--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -1,15 +1,17 @@
-// Package handover connects two processes of one dispatcher while the platform puts
-// the newer in the older one's place.
+// Package handover connects two processes of one dispatcher while the platform replaces the older
+// one with the newer one.
 //
-// The processes share the clients' listening socket (Listen) and a Link over a unix
-// socket. On the link the older process passes its state, then both pass on what
-// operators decide and reports on jobs of the other, and the older one passes its
-// clients' connections with their requests. cmd/frosttide makes the Link; package
-// ingress uses it as its Peer.
+// The processes share the clients' listening socket (Listen) and a Link over a unix socket. On the
+// link the older process first sends its state. Then both forward operators' exclusions and reports
+// on jobs that the other one holds, and the older one transfers its clients' connections with their
+// requests. cmd/frosttide creates the Link; package ingress uses it as its Peer.
 //
-// Invariants: a process has at most one peer at a time; no wait on the peer is
-// without bound, and a peer that violates the protocol or says nothing for
-// silenceTimeout loses the link. All methods of Link are safe for concurrent use.
+// Invariants:
+//   - A process has at most one peer at a time.
+//   - Every wait for the peer has a timeout.
+//   - The link is closed if the peer violates the protocol or sends nothing for silenceTimeout.
+//
+// All methods of Link are safe for concurrent use.
 package handover
 
 import (
@@ -28,43 +30,47 @@
 )
 
 const (
-	// dialTimeout is how long the older process may take to accept the link, and
-	// stateTimeout is how long the newer one waits for its state: that has to be ready in
-	// 6 s, with the state or without.
+	// dialTimeout limits connecting to the older process and waiting for its response to Ready.
+	// stateTimeout limits waiting for its state: the newer process has to be ready within 6 s, with
+	// the state or without it.
 	dialTimeout  = time.Second
 	stateTimeout = 2 * time.Second
-	// transferAnswerTimeout is how long the newer process may take to say whether it
-	// serves a connection that it has been sent.
-	transferAnswerTimeout = time.Second
-	// maxPath is the longest path, in bytes, that surely fits into the address of a
-	// unix socket.
-	maxPath = 100
+	// transferResponseTimeout is how long the newer process may take to respond whether it serves a
+	// connection that it was sent.
+	transferResponseTimeout = time.Second
+	// maxSocketPath is the longest path, in bytes, that is used as the address of a unix socket. It
+	// is below the limit of the kernel.
+	maxSocketPath = 100
 )
 
-// Core is the core as the link uses it; *core.Core implements it. None of its
-// methods blocks.
+// Core is what the link uses of the core; *core.Core implements it. None of its methods blocks.
 type Core interface {
+	// Snapshot calls to with the state for a newer process, from another goroutine.
 	Snapshot(to func(core.Snapshot))
+	// Restore takes over the state of an older process.
 	Restore(core.Snapshot)
+	// ApplyExclusion applies an exclusion or reinstatement that was decided at the other process.
 	ApplyExclusion(core.Exclusion)
 }
 
-// RouteTable is the list of workers as the link uses it. It does not block.
+// RouteTable is what the link uses of the list of workers. It does not block.
 type RouteTable interface {
-	// Snapshot passes on where the list comes from, and the list in discovery's form.
+	// Snapshot calls to with the address of discovery and the list in discovery's format, from
+	// another goroutine.
 	Snapshot(to func(discovery string, list []byte))
 }
 
-// Adopt takes a client's connection over from the older process, with what was read
-// from it, and reports whether it will be served.
-type Adopt func(c net.Conn, request []byte, m *core.MovedRequest) bool
+// Adopt takes over a client's connection from the older process, with the bytes of the request that
+// were read from it and the state of that request. It reports whether the connection will be
+// served.
+type Adopt func(c net.Conn, request []byte, moved *core.MovedRequest) bool
 
-// Report takes a report that the other process has passed on, and passes to held whether
-// this one holds the job. It does not block.
-type Report func(ev core.JobEvent, held func(core.ReportResult))
+// Report handles a worker's report that the other process has forwarded, and calls result with
+// whether this process holds the job. It does not block.
+type Report func(ev core.JobEvent, result func(core.ReportResult))
 
-// Link is this process's side. Its peer is the older process at first and the newer
-// one later.
+// Link is this process's end of the connection to another process of the same dispatcher. Its peer
+// is first the older process, and after that one has ended the newer one.
 type Link struct {
 	core           Core
 	routeTable     RouteTable
@@ -76,49 +82,50 @@
 
 	mu       sync.Mutex
 	listener *net.UnixListener
-	peer     *peer // nil while there is none
+	peer     *peer // nil without another process
 }
 
-// Path returns the path of the unix socket where the processes of a dispatcher meet.
-// The address on which they listen for clients distinguishes dispatchers that share
-// the folder.
+// Path returns the path of the unix socket over which the processes of a dispatcher connect. It
+// contains a hash of the address on which they listen for clients, so that several dispatchers may
+// share the directory.
 func Path(dir, listen string) string {
 	name := fnv.New32a()
 	name.Write([]byte(listen))
 	return filepath.Join(dir, fmt.Sprintf("frosttide-%08x.sock", name.Sum32()))
 }
 
-// New makes a link without a peer. It calls onProcessCount with the number of
-// processes of the dispatcher, 1 or 2, whenever that changes.
+// New returns a link without a peer. It calls onProcessCount with the number of processes of the
+// dispatcher, 1 or 2, whenever that changes.
 func New(path string, c Core, routeTable RouteTable, onProcessCount func(processes int), adopt Adopt, report Report, log *logrus.Entry) *Link {
 	return &Link{core: c, routeTable: routeTable, onProcessCount: onProcessCount, adopt: adopt, report: report, log: log, path: path}
 }
 
-// address returns the address of a unix socket, and for a path that is too long for
-// one the open folder that the address refers to, else nil.
-func address(path string) (*net.UnixAddr, *os.File, error) {
-	if len(path) <= maxPath {
+// socketAddress returns the address of a unix socket. For a path longer than maxSocketPath it also
+// returns the open directory that the address refers to, which the caller closes after use;
+// otherwise that is nil.
+func socketAddress(path string) (*net.UnixAddr, *os.File, error) {
+	if len(path) <= maxSocketPath {
 		return &net.UnixAddr{Name: path, Net: "unix"}, nil, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "the link's folder")
+		return nil, nil, errors.Wrap(err, "opening the directory of the link's socket")
 	}
 	name := fmt.Sprintf("/proc/self/fd/%d/%s", dir.Fd(), filepath.Base(path))
 	return &net.UnixAddr{Name: name, Net: "unix"}, dir, nil
 }
 
-// Dial calls the older process, if there is one, and takes over its state: the
-// core's part goes to the core, and the whole is returned. It returns nil without an
-// older process, or with one that does not pass its state in time; with that the link
-// goes on, as jobs and reports have to find their process.
+// Dial connects to the older process, if there is one, and takes over its state: it restores the
+// core's part and returns the whole. It returns nil without an older process or if the state does
+// not arrive within stateTimeout. In the latter case the link stays open, as jobs and reports still
+// have to reach the process that they belong to.
 func (l *Link) Dial() *State {
-	addr, dir, err := address(l.path)
+	addr, dir, err := socketAddress(l.path)
 	if err != nil {
 		l.log.WithError(err).Warn("no state taken over")
 		return nil
 	}
-	defer dir.Close() // of nil, too
+	defer dir.Close() // dir may be nil
 	dialer := net.Dialer{Deadline: time.Now().Add(dialTimeout)}
 	c, err := dialer.Dial("unix", addr.Name)
 	if err != nil {
@@ -126,12 +133,12 @@
 		return nil
 	}
 	p := newPeer(l, c.(*net.UnixConn))
-	p.awaitsState.Store(true)
+	p.awaitingState.Store(true)
 	go p.writeLoop()
 	go p.readLoop()
 	state, err := p.awaitState(stateTimeout)
-	l.onProcessCount(2) // before the link, whose end sets it to 1
-	if !l.linkTo(p) {
+	l.onProcessCount(2) // before setPeer, as the end of the link sets it to 1
+	if !l.setPeer(p) {
 		l.onProcessCount(1)
 	}
 	if err != nil {
@@ -142,8 +149,8 @@
 	return state
 }
 
-// linkTo takes a peer, and reports whether its connection was still open.
-func (l *Link) linkTo(p *peer) bool {
+// setPeer sets the peer if its connection is still open, and reports whether it is.
+func (l *Link) setPeer(p *peer) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
@@ -155,26 +162,26 @@
 	}
 }
 
-// Serve takes the older process's place at the path, and waits for newer ones in a
-// goroutine that ends with Close.
+// Serve replaces the older process's socket at the path with its own, and accepts newer processes
+// in a goroutine that ends with Close.
 func (l *Link) Serve() error {
-	newPath := l.path + ".new"
-	if err := os.Remove(newPath); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return errors.Wrap(err, "the link's socket")
+	tempPath := l.path + ".new"
+	if err := os.Remove(tempPath); err != nil && !errors.Is(err, os.ErrNotExist) {
+		return errors.Wrap(err, "removing a leftover of the link's socket")
 	}
-	addr, dir, err := address(newPath)
+	addr, dir, err := socketAddress(tempPath)
 	if err != nil {
 		return err
 	}
 	defer dir.Close()
 	listener, err := net.ListenUnix("unix", addr)
 	if err != nil {
-		return errors.Wrap(err, "the link's socket")
+		return errors.Wrap(err, "listening on the link's socket")
 	}
-	listener.SetUnlinkOnClose(false) // the name may be a newer process's by then
-	if err := os.Rename(newPath, l.path); err != nil {
+	listener.SetUnlinkOnClose(false) // by then the path may belong to a newer process
+	if err := os.Rename(tempPath, l.path); err != nil {
 		listener.Close()
-		return errors.Wrap(err, "the link's socket")
+		return errors.Wrap(err, "renaming the link's socket")
 	}
 	l.mu.Lock()
 	l.listener = listener
@@ -191,36 +198,38 @@
 	return nil
 }
 
-// Ready notifies the older process that this one serves, and waits until it knows: its
-// SIGTERM comes with the platform's next check.
+// Ready notifies the older process that this one serves, and waits up to dialTimeout for its
+// confirmation. The older process has to know before its SIGTERM, which the platform sends with its
+// next check.
 func (l *Link) Ready() {
-	if p := l.current(); p != nil && p.request(message{Ready: true}, time.Now().Add(dialTimeout)) != taken {
-		l.log.Warn("the older process does not say that it knows of this one")
+	if p := l.currentPeer(); p != nil && p.request(message{Ready: true}, time.Now().Add(dialTimeout)) != accepted {
+		l.log.Warn("the older process did not confirm that this one serves")
 	}
 }
 
-// handleSuccessor takes a newer process as the peer, unless there is a peer already,
-// and passes the state to it.
+// handleSuccessor makes a newer process the peer and sends it the state. If there is a peer
+// already, it closes the new connection.
 func (l *Link) handleSuccessor(c *net.UnixConn) {
 	p := newPeer(l, c)
 	l.mu.Lock()
-	taken := l.peer != nil
-	if !taken {
-		l.peer = p // exclusions that come after the snapshot now follow it
+	alreadyLinked := l.peer != nil
+	if !alreadyLinked {
+		l.peer = p // set before the snapshot, so that all later exclusions are forwarded
 	}
 	l.mu.Unlock()
-	if taken {
-		l.log.Warn("a further process calls; one is linked already")
-		p.end()
+	if alreadyLinked {
+		l.log.Warn("connection of a further process closed; another one is linked already")
+		p.close()
 		return
 	}
 	l.onProcessCount(2)
-	l.passState(p)
+	l.sendState(p)
 }
 
-// passState passes the state to a peer and starts the peer's loops. The core and the
-// route table answer from their own goroutines.
-func (l *Link) passState(p *peer) {
+// sendState sends the state to a peer and starts the peer's loops. The core and the route table
+// provide their parts from their own goroutines; the link is closed if they take longer than
+// silenceTimeout.
+func (l *Link) sendState(p *peer) {
 	var s State
 	answers := make(chan struct{}, 2)
 	l.core.Snapshot(func(c core.Snapshot) {
@@ -238,49 +247,51 @@
 			select {
 			case <-answers:
 			case <-timer.C:
-				p.end()
+				p.close()
 				return
 			}
 		}
 		p.mailbox.Put(message{State: &s})
-		l.log.Info("state told to the newer process")
+		l.log.Info("state sent to the newer process")
 		go p.writeLoop()
 		p.readLoop()
 	}()
 }
 
-// current returns the peer, nil for none.
-func (l *Link) current() *peer {
+// currentPeer returns the peer, or nil if there is none.
+func (l *Link) currentPeer() *peer {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.peer
 }
 
-// Linked reports whether another process of the dispatcher runs.
-func (l *Link) Linked() bool { return l.current() != nil }
+// Linked reports whether the link to another process of the dispatcher is open.
+func (l *Link) Linked() bool { return l.currentPeer() != nil }
 
-// Succeeded reports whether a newer process serves.
+// Succeeded reports whether a newer process is linked and has announced that it serves.
 func (l *Link) Succeeded() bool {
-	p := l.current()
+	p := l.currentPeer()
 	return p != nil && p.serving.Load()
 }
 
-// Exclude passes to the other process, if there is one, what operators decided here.
+// Exclude forwards an exclusion or reinstatement that operators decided here to the other process,
+// if there is one.
 func (l *Link) Exclude(e core.Exclusion) {
-	if p := l.current(); p != nil {
+	if p := l.currentPeer(); p != nil {
 		p.mailbox.Put(message{Exclusion: &e})
 	}
 }
 
-// ForwardReport passes a report to the other process and returns whether that held the
-// job, by the deadline. What came from there is never passed back.
+// ForwardReport forwards a worker's report to the other process and returns whether that process
+// holds the job. It returns NotHeld without another process or without a response by the deadline.
+// Reports that were received from the other process must not be forwarded back.
 func (l *Link) ForwardReport(ev core.JobEvent, deadline time.Time) core.ReportResult {
-	p := l.current()
+	p := l.currentPeer()
 	if p == nil {
 		return core.NotHeld
 	}
 	switch p.request(message{Event: &ev}, deadline) {
-	case taken:
+	case accepted:
 		return core.Held
 	case moving:
 		return core.Moving
@@ -288,27 +299,28 @@
 	return core.NotHeld
 }
 
-// TransferConn passes a client's connection to the other process, with what has been
-// read from it, and reports whether that serves it, by the deadline. A connection that
-// the other process has been sent and does not answer for is its own as well if that has
-// been heard of since: it reads it later, also once this process has ended. The caller
-// still has to close its own copy.
-func (l *Link) TransferConn(c net.Conn, request []byte, m *core.MovedRequest, deadline time.Time) bool {
-	p := l.current()
+// TransferConn transfers a client's connection to the other process, with the bytes that were read
+// from it and the state of its request, and reports by the deadline whether that process serves it.
+// It also returns true without a response if the descriptor was sent and the other process has sent
+// something since: that process will read the descriptor later, even after this process has ended.
+// The caller still has to close its own copy.
+func (l *Link) TransferConn(c net.Conn, request []byte, moved *core.MovedRequest, deadline time.Time) bool {
+	p := l.currentPeer()
 	if p == nil {
 		return false
 	}
-	s, err := duplicate(c)
+	d, err := duplicate(c)
 	if err != nil {
 		l.log.WithError(err).Warn("a connection could not be handed over")
 		return false
 	}
-	defer func() { go s.close() }() // it waits for a write that is under way
-	result := p.request(message{Client: &client{Request: request, Moved: m}, socket: s}, deadline)
-	return result == taken || result == sent
+	defer func() { go d.close() }() // close waits for a write in progress
+	result := p.request(message{Transfer: &transfer{Request: request, Moved: moved}, descriptor: d}, deadline)
+	return result == accepted || result == sent
 }
 
-// Close ends the link. It removes the socket unless that is a newer process's.
+// Close closes the link. It removes the socket unless another process is linked, to which the path
+// may belong.
 func (l *Link) Close() {
 	l.mu.Lock()
 	p, listener := l.peer, l.listener
@@ -316,10 +328,10 @@
 	if listener != nil {
 		listener.Close()
 		if p == nil {
-			_ = os.Remove(l.path) // a leftover does no harm
+			_ = os.Remove(l.path) // a leftover socket does no harm
 		}
 	}
 	if p != nil {
-		p.end()
+		p.close()
 	}
 }
--- a/internal/dispatcher/handover/listener.go
+++ b/internal/dispatcher/handover/listener.go
@@ -11,65 +11,66 @@
 )
 
 const (
-	// maxAcceptBlock bounds, in microseconds, how long accept(2) may block if another
-	// holder makes the socket blocking between this process's setting and its call.
-	// Multipath TCP, which Go's listeners use where the kernel has it, ignores the
-	// bound.
-	maxAcceptBlock = 100_000
-	// wakeInterval and maxWakes bound how a blocked accept is woken at the end.
+	// maxAcceptBlockMicros limits, in microseconds, how long accept(2) may block if another process
+	// makes the shared socket blocking between this process's call to set it non-blocking and its
+	// accept. Multipath TCP, which Go's listeners use where the kernel supports it, ignores the
+	// limit.
+	maxAcceptBlockMicros = 100_000
+	// wakeInterval is the time between connections that wake a blocked accept on Close, and
+	// maxWakes how many are opened at most.
 	wakeInterval = 2 * time.Millisecond
 	maxWakes     = 250
 )
 
-// errBlocked is the error of closing a listener whose accept can't be woken.
-var errBlocked = errors.New("an accept on the shared socket blocks and can't be woken")
+// errAcceptBlocked is the error of closing a listener whose blocked accept could not be woken.
+var errAcceptBlocked = errors.New("an accept on the shared socket blocks and can't be woken")
 
-// Listen returns a listener on the listening socket that the platform holds for all
-// processes of the dispatcher, given by its descriptor. Closing the listener ends
-// this process's copy alone: shutdown(2) would end the socket for all.
+// Listen returns a listener on the listening socket, given by its file descriptor, that the
+// platform holds for all processes of the dispatcher. Closing the listener closes only this
+// process's copy and does not call shutdown(2), which would close the socket for all processes.
 func Listen(fd int) (net.Listener, error) {
 	if err := syscall.SetNonblock(fd, true); err != nil {
 		return nil, fmt.Errorf("$BALANCER_FD: %w", err)
 	}
 	syscall.CloseOnExec(fd)
-	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Usec: maxAcceptBlock}); err != nil {
+	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Usec: maxAcceptBlockMicros}); err != nil {
 		return nil, fmt.Errorf("$BALANCER_FD: %w", err)
 	}
 	f := os.NewFile(uintptr(fd), "$BALANCER_FD")
-	first, err := net.FileListener(f) // it must be a listening socket, and knows its address
+	probe, err := net.FileListener(f) // checks that the socket listens, and gets its address
 	if err != nil {
 		f.Close()
 		return nil, fmt.Errorf("$BALANCER_FD: %w", err)
 	}
-	defer first.Close()
+	defer probe.Close()
 	raw, err := f.SyscallConn()
 	if err != nil {
 		f.Close()
 		return nil, fmt.Errorf("$BALANCER_FD: %w", err)
 	}
-	return &listener{file: f, raw: raw, addr: first.Addr(), closed: make(chan struct{})}, nil
+	return &sharedListener{file: f, raw: raw, addr: probe.Addr(), closed: make(chan struct{})}, nil
 }
 
-// listener accepts from the shared socket. Another holder may make the socket
-// blocking, as starting a process with it may do. The net package's listener would
-// then be stuck in accept(2), and so would its Close, when another process takes the
-// connection.
-type listener struct {
+// sharedListener accepts connections from the shared socket. Another process may make the socket
+// blocking, for example by starting a process with it. The net package's listener, and its Close,
+// would then block in accept(2) if another process accepts the connection first.
+type sharedListener struct {
 	file *os.File
 	raw  syscall.RawConn
 	addr net.Addr
 
-	once   sync.Once
-	closed chan struct{} // closed once no accept is under way any more
-	err    error
+	closeOnce sync.Once
+	closed    chan struct{} // closed once the file is closed and no accept is in progress
+	err       error
 }
 
-// Accept implements net.Listener.
-func (l *listener) Accept() (net.Conn, error) {
+// Accept implements net.Listener. It skips connections that the client has closed before. After
+// Close it fails with net.ErrClosed.
+func (l *sharedListener) Accept() (net.Conn, error) {
 	for {
 		var fd int
 		var err error
-		closed := l.raw.Read(func(socket uintptr) bool {
+		readErr := l.raw.Read(func(socket uintptr) bool {
 			if err = syscall.SetNonblock(int(socket), true); err != nil {
 				return true
 			}
@@ -77,10 +78,10 @@
 			return !errors.Is(err, syscall.EAGAIN)
 		})
 		switch {
-		case closed != nil:
+		case readErr != nil:
 			return nil, fmt.Errorf("accepting: %w", net.ErrClosed)
 		case errors.Is(err, syscall.ECONNABORTED) || errors.Is(err, syscall.EINTR):
-			continue // that client has left
+			continue // the client has closed the connection, or a signal arrived
 		case err != nil:
 			return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.addr, Err: os.NewSyscallError("accept4", err)}
 		}
@@ -88,18 +89,18 @@
 		c, err := net.FileConn(f)
 		f.Close()
 		if err != nil {
-			continue // broken already
+			continue // the connection has failed already
 		}
 		return c, nil
 	}
 }
 
-// Close ends this process's copy of the socket. The file's own Close would wait for
-// an accept that blocks, and the process would not end; so the accept is woken by
-// connections of this process, which whoever accepts them drops as they send
-// nothing. It fails with errBlocked after maxWakes of them.
-func (l *listener) Close() error {
-	l.once.Do(func() {
+// Close closes this process's copy of the socket. The file's Close waits for an accept that blocks,
+// which would keep the process from ending. Close therefore wakes the accept with connections of
+// its own; whichever process accepts them drops them, as they send nothing. It fails with
+// errAcceptBlocked after maxWakes connections.
+func (l *sharedListener) Close() error {
+	l.closeOnce.Do(func() {
 		go func() {
 			l.err = l.file.Close()
 			close(l.closed)
@@ -121,9 +122,9 @@
 	case <-l.closed:
 		return l.err
 	default:
-		return errBlocked
+		return errAcceptBlocked
 	}
 }
 
-// Addr returns the socket's address.
-func (l *listener) Addr() net.Addr { return l.addr }
+// Addr implements net.Listener. It returns the shared socket's address.
+func (l *sharedListener) Addr() net.Addr { return l.addr }
--- a/internal/dispatcher/handover/socket.go
+++ b/internal/dispatcher/handover/socket.go
@@ -11,99 +11,100 @@
 	"syscall"
 )
 
-// errNoDescriptor is the error of a message that should have brought a connection.
-var errNoDescriptor = errors.New("no connection came along")
+// errNoDescriptor is the error of a transfer message that came without a descriptor.
+var errNoDescriptor = errors.New("the message came without a descriptor")
 
-// socket is a copy of a connection's descriptor on its way to another process. Its
-// maker closes it.
-type socket struct {
-	sent atomic.Bool // the other process gets it, unless it ends before it has read it
+// descriptor is a duplicate of a connection's file descriptor that is sent to another process. The
+// caller of duplicate closes it.
+type descriptor struct {
+	sent atomic.Bool // written to the link; the other process receives it unless it ends before
 
 	mu sync.Mutex // held during a write
-	fd int        // -1 when it is closed
+	fd int        // -1 once closed
 }
 
-// duplicate makes a copy of a connection's descriptor. The connection may be wrapped.
-func duplicate(c net.Conn) (*socket, error) {
+// duplicate duplicates a connection's file descriptor. The connection may be wrapped by one that
+// has a NetConn method.
+func duplicate(c net.Conn) (*descriptor, error) {
 	if w, ok := c.(interface{ NetConn() net.Conn }); ok {
 		c = w.NetConn()
 	}
-	s, ok := c.(syscall.Conn)
+	sc, ok := c.(syscall.Conn)
 	if !ok {
-		return nil, fmt.Errorf("a %T has no descriptor", c)
+		return nil, fmt.Errorf("a %T has no file descriptor", c)
 	}
-	raw, err := s.SyscallConn()
+	raw, err := sc.SyscallConn()
 	if err != nil {
-		return nil, fmt.Errorf("copying a connection: %w", err)
+		return nil, fmt.Errorf("duplicating a connection's descriptor: %w", err)
 	}
-	out, failed := &socket{fd: -1}, error(nil)
+	dup, dupErr := &descriptor{fd: -1}, error(nil)
 	err = raw.Control(func(fd uintptr) {
 		syscall.ForkLock.RLock()
 		defer syscall.ForkLock.RUnlock()
-		if out.fd, failed = syscall.Dup(int(fd)); failed == nil {
-			syscall.CloseOnExec(out.fd)
+		if dup.fd, dupErr = syscall.Dup(int(fd)); dupErr == nil {
+			syscall.CloseOnExec(dup.fd)
 		}
 	})
-	if err = errors.Join(err, failed); err != nil {
-		return nil, fmt.Errorf("copying a connection: %w", err)
+	if err = errors.Join(err, dupErr); err != nil {
+		return nil, fmt.Errorf("duplicating a connection's descriptor: %w", err)
 	}
-	return out, nil
+	return dup, nil
 }
 
-// send writes a line, with the descriptor beside its first byte. A closed socket is
-// not sent.
-func (s *socket) send(to *net.UnixConn, line []byte) error {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.fd < 0 {
-		return nil // nobody waits for it any more
+// send writes a line, with the descriptor as ancillary data of its first byte. If the descriptor is
+// closed, it writes nothing.
+func (d *descriptor) send(to *net.UnixConn, line []byte) error {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.fd < 0 {
+		return nil // the request has stopped waiting
 	}
-	n, _, err := to.WriteMsgUnix(line, syscall.UnixRights(s.fd), nil)
+	n, _, err := to.WriteMsgUnix(line, syscall.UnixRights(d.fd), nil)
 	if err == nil && n < len(line) {
 		_, err = to.Write(line[n:])
 	}
-	s.sent.Store(err == nil)
+	d.sent.Store(err == nil)
 	return err
 }
 
-// close closes the copy, which is not sent any more.
-func (s *socket) close() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.fd >= 0 {
-		syscall.Close(s.fd)
-		s.fd = -1
+// close closes the descriptor, which is not sent from then on. It waits for a send in progress.
+func (d *descriptor) close() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if d.fd >= 0 {
+		syscall.Close(d.fd)
+		d.fd = -1
 	}
 }
 
-// descriptorReader reads a link and keeps the descriptors that come beside the bytes,
-// in their order.
+// descriptorReader reads from a link's connection and queues the descriptors that arrive as
+// ancillary data.
 type descriptorReader struct {
 	conn *net.UnixConn
-	fds  []int
+	fds  []int // received and not returned yet, oldest first
 }
 
 // Read implements io.Reader.
 func (r *descriptorReader) Read(p []byte) (int, error) {
-	beside := make([]byte, syscall.CmsgSpace(4*4))
-	n, size, _, _, err := r.conn.ReadMsgUnix(p, beside)
-	messages, bad := syscall.ParseSocketControlMessage(beside[:size])
+	oob := make([]byte, syscall.CmsgSpace(4*4))
+	n, oobSize, _, _, err := r.conn.ReadMsgUnix(p, oob)
+	messages, parseErr := syscall.ParseSocketControlMessage(oob[:oobSize])
 	for i := range messages {
-		if fds, err := syscall.ParseUnixRights(&messages[i]); err == nil && bad == nil {
+		if fds, err := syscall.ParseUnixRights(&messages[i]); err == nil && parseErr == nil {
 			r.fds = append(r.fds, fds...)
 		}
 	}
 	switch {
 	case err != nil:
-		return max(n, 0), err // n is -1 after an error of the system
+		return max(n, 0), err // n is -1 if the system call failed
 	case n == 0:
 		return 0, io.EOF
 	}
 	return n, nil
 }
 
-// nextConn returns the connection that came first and has not been returned. Without
-// one it fails with errNoDescriptor.
+// nextConn removes the oldest descriptor from the queue and returns its connection. It fails with
+// errNoDescriptor if the queue is empty.
 func (r *descriptorReader) nextConn() (net.Conn, error) {
 	if len(r.fds) == 0 {
 		return nil, errNoDescriptor
@@ -113,7 +114,7 @@
 	defer f.Close()
 	c, err := net.FileConn(f)
 	if err != nil {
-		return nil, fmt.Errorf("a connection handed over: %w", err)
+		return nil, fmt.Errorf("opening a transferred connection: %w", err)
 	}
 	return c, nil
 }
--- a/internal/dispatcher/handover/state_test.go
+++ b/internal/dispatcher/handover/state_test.go
@@ -30,7 +30,7 @@
 	link, p := newTestLink(newer, nil)
 	c := recordingCore{calls: make(chan string, 4)}
 	link.core = c
-	p.awaitsState.Store(true)
+	p.awaitingState.Store(true)
 	go p.readLoop()
 	return p, c, older
 }
@@ -59,7 +59,7 @@
 	p, c, older := newerProcess(t)
 	_, err := p.awaitState(time.Millisecond)
 	require.ErrorIs(t, err, errNoState)
-	require.True(t, p.link.linkTo(p))
+	require.True(t, p.link.setPeer(p))
 	writeState(t, older)
 	require.Equal(t, "exclude s-1", <-c.calls)
 	require.Equal(t, "exclude s-2", <-c.calls)
@@ -72,5 +72,5 @@
 	require.NoError(t, older.Close())
 	_, err := p.awaitState(time.Minute)
 	require.ErrorIs(t, err, errNoState)
-	require.False(t, p.link.linkTo(p))
+	require.False(t, p.link.setPeer(p))
 }
