--- a/internal/dispatcher/handover/listener_test.go
+++ b/internal/dispatcher/handover/listener_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// TestCloseWhileBlocked guards the end of an older process: another holder of the shared
-// socket makes it blocking again and again and accepts connections, until an accept here
-// blocks, and Close ends all the same. Multipath TCP ignores the socket's own bound on
-// that.
+// TestCloseWhileBlocked guards against an older process that can't end because its accept blocks.
+// Another holder of the shared socket keeps making it blocking until an accept here blocks; Close
+// has to return nevertheless. The socket uses multipath TCP, which ignores the time limit that
+// Listen sets.
 func TestCloseWhileBlocked(t *testing.T) {
 	other, fd := sharedSocket(t)
 	l, err := Listen(fd)
@@ -22,11 +22,11 @@
 		t.Fatal(err)
 	}
 	done, accepted := make(chan struct{}), make(chan error, 1)
-	go keepBlocking(other.raw, done)
+	go keepSettingBlocking(other.raw, done)
 	go func() { accepted <- acceptAll(l) }()
-	for deadline := time.Now().Add(20 * time.Second); !blocked(t); {
+	for deadline := time.Now().Add(20 * time.Second); !acceptBlocked(t); {
 		if time.Now().After(deadline) {
-			t.Skip("no accept came to block")
+			t.Skip("no accept blocked within 20 s")
 		}
 		if c, err := net.Dial("tcp", other.addr); err == nil {
 			c.Close()
@@ -42,29 +42,29 @@
 				t.Error(err)
 			}
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%s did not end", name)
+			t.Fatalf("%s did not return within 20 s", name)
 		}
 	}
 }
 
-// otherHolder is another process's copy of the shared socket.
+// otherHolder is the copy of the shared socket that another process holds.
 type otherHolder struct {
 	raw  syscall.RawConn
 	addr string
 }
 
-// sharedSocket opens a listening socket with multipath TCP, and returns another holder of
-// it and the descriptor of a copy.
+// sharedSocket opens a listening socket with multipath TCP. It returns another holder of the socket
+// and a duplicate of its descriptor.
 func sharedSocket(t *testing.T) (other otherHolder, fd int) {
 	t.Helper()
 	lc := net.ListenConfig{}
 	lc.SetMultipathTCP(true)
-	held, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
+	listener, err := lc.Listen(context.Background(), "tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { held.Close() })
-	f, err := held.(*net.TCPListener).File()
+	t.Cleanup(func() { listener.Close() })
+	f, err := listener.(*net.TCPListener).File()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -74,25 +74,25 @@
 		t.Fatal(err)
 	}
 	fd = -1
-	if err := raw.Control(func(of uintptr) { fd, err = syscall.Dup(int(of)) }); err != nil || fd < 0 {
+	if err := raw.Control(func(socket uintptr) { fd, err = syscall.Dup(int(socket)) }); err != nil || fd < 0 {
 		t.Fatal(err)
 	}
-	return otherHolder{raw: raw, addr: held.Addr().String()}, fd
+	return otherHolder{raw: raw, addr: listener.Addr().String()}, fd
 }
 
-// keepBlocking makes a socket blocking again and again until done is closed.
-func keepBlocking(socket syscall.RawConn, done <-chan struct{}) {
+// keepSettingBlocking sets a socket to blocking mode in a loop until done is closed.
+func keepSettingBlocking(socket syscall.RawConn, done <-chan struct{}) {
 	for {
 		select {
 		case <-done:
 			return
 		default:
 		}
-		_ = socket.Control(func(of uintptr) { _ = syscall.SetNonblock(int(of), false) })
+		_ = socket.Control(func(fd uintptr) { _ = syscall.SetNonblock(int(fd), false) })
 	}
 }
 
-// acceptAll accepts and closes connections until that fails.
+// acceptAll accepts and closes connections until accepting fails, and returns that error.
 func acceptAll(l net.Listener) error {
 	for {
 		c, err := l.Accept()
@@ -103,9 +103,9 @@
 	}
 }
 
-// blocked reports whether a thread of this process is in accept4(2), at three looks in a
-// row.
-func blocked(t *testing.T) bool {
+// acceptBlocked reports whether a thread of this process is in accept4(2), which is system call 288
+// on amd64, at three checks in a row.
+func acceptBlocked(t *testing.T) bool {
 	t.Helper()
 	inAccept := func() bool {
 		paths, _ := filepath.Glob("/proc/self/task/*/syscall")
--- a/internal/dispatcher/handover/state_test.go
+++ b/internal/dispatcher/handover/state_test.go
@@ -11,7 +11,7 @@
 	"frosttide/internal/dispatcher/core"
 )
 
-// recordingCore records what a link tells the core.
+// recordingCore is a Core that records the calls of Restore and ApplyExclusion.
 type recordingCore struct{ calls chan string }
 
 // Snapshot implements Core.
@@ -23,8 +23,9 @@
 // ApplyExclusion implements Core.
 func (c recordingCore) ApplyExclusion(e core.Exclusion) { c.calls <- "exclude " + e.UID }
 
-// newerProcess returns the peer of a newer process that awaits its state, its core, and the older process's end.
-func newerProcess(t *testing.T) (*peer, recordingCore, *net.UnixConn) {
+// newAwaitingPeer returns the peer of a newer process that waits for the state, that process's
+// core, and the older process's end of the connection.
+func newAwaitingPeer(t *testing.T) (*peer, recordingCore, *net.UnixConn) {
 	t.Helper()
 	older, newer := linkPair(t)
 	link, p := newTestLink(newer, nil)
@@ -35,18 +36,19 @@
 	return p, c, older
 }
 
-// writeState has the older process pass its state and an exclusion that came later.
-func writeState(t *testing.T, older *net.UnixConn) {
+// writeStateAndExclusion writes a state and then an exclusion from the older process.
+func writeStateAndExclusion(t *testing.T, older *net.UnixConn) {
 	t.Helper()
 	encoder := json.NewEncoder(older)
 	require.NoError(t, encoder.Encode(message{State: &State{Core: core.Snapshot{Excluded: []string{"s-1"}}}}))
 	require.NoError(t, encoder.Encode(message{Exclusion: &core.Exclusion{UID: "s-2", Out: true}}))
 }
 
-// TestStateInTime checks that a state is restored before what the older process tells after it.
+// TestStateInTime checks that a state that arrives in time is restored before later messages of the
+// older process are handled.
 func TestStateInTime(t *testing.T) {
-	p, c, older := newerProcess(t)
-	writeState(t, older)
+	p, c, older := newAwaitingPeer(t)
+	writeStateAndExclusion(t, older)
 	state, err := p.awaitState(time.Minute)
 	require.NoError(t, err)
 	require.Equal(t, []string{"s-1"}, state.Core.Excluded)
@@ -54,21 +56,23 @@
 	require.Equal(t, "exclude s-2", <-c.calls)
 }
 
-// TestStateLate guards against two processes without a link: reports went to the newer one, whose jobs were the older one's.
+// TestStateLate guards against two processes without a link after the state arrived late: the newer
+// one then received reports on jobs that the older one held and could not forward them.
 func TestStateLate(t *testing.T) {
-	p, c, older := newerProcess(t)
+	p, c, older := newAwaitingPeer(t)
 	_, err := p.awaitState(time.Millisecond)
 	require.ErrorIs(t, err, errNoState)
 	require.True(t, p.link.setPeer(p))
-	writeState(t, older)
+	writeStateAndExclusion(t, older)
 	require.Equal(t, "exclude s-1", <-c.calls)
 	require.Equal(t, "exclude s-2", <-c.calls)
 	require.True(t, p.link.Linked())
 }
 
-// TestStateOfEndedProcess checks that a process whose older one has ended goes on without a link.
+// TestStateOfEndedProcess checks that the newer process continues without a link if the older one
+// ends before it has sent its state.
 func TestStateOfEndedProcess(t *testing.T) {
-	p, _, older := newerProcess(t)
+	p, _, older := newAwaitingPeer(t)
 	require.NoError(t, older.Close())
 	_, err := p.awaitState(time.Minute)
 	require.ErrorIs(t, err, errNoState)
--- a/internal/dispatcher/handover/transfer_test.go
+++ b/internal/dispatcher/handover/transfer_test.go
@@ -15,7 +15,7 @@
 	"frosttide/internal/testkit/connpair"
 )
 
-// linkPair returns the two ends of a link's connection, which are closed with the test.
+// linkPair returns the two ends of a link's connection, which are closed at the end of the test.
 func linkPair(t *testing.T) (older, newer *net.UnixConn) {
 	t.Helper()
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: filepath.Join(t.TempDir(), "link"), Net: "unix"})
@@ -33,7 +33,7 @@
 	return older, newer
 }
 
-// newTestLink returns a link over a connection, with the peer at its other end.
+// newTestLink returns a link whose peer is at the other end of a connection, and that peer.
 func newTestLink(c *net.UnixConn, adopt Adopt) (*Link, *peer) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -42,20 +42,21 @@
 	return l, l.peer
 }
 
-// transferTimeout is how long a transfer may take that has no answer.
+// transferTimeout is the deadline of transfers that may remain without a response.
 const transferTimeout = 100 * time.Millisecond
 
-// TestTransferReadLater guards a client whose connection the newer process reads only once the older one has ended: the
-// older one answered 502 on it, and the newer one then answered too.
+// TestTransferReadLater guards against two responses to one client. If the newer process read a
+// transferred connection only after the older one had ended, the older one had already answered 502
+// on it, and the newer one then answered as well.
 func TestTransferReadLater(t *testing.T) {
 	older, newer := linkPair(t)
 	link, peer := newTestLink(older, nil)
 	go peer.writeLoop()
 	go peer.readLoop()
 	client, server := connpair.New(t)
-	time.AfterFunc(transferTimeout/2, func() { _, _ = io.WriteString(newer, "{}\n") }) // a heartbeat
+	time.AfterFunc(transferTimeout/2, func() { _, _ = io.WriteString(newer, "{}\n") }) // heartbeat
 	require.True(t, link.TransferConn(server, []byte("request"), &core.MovedRequest{}, time.Now().Add(transferTimeout)))
-	server.Close() // this process's copy
+	server.Close() // the older process's copy
 	link.Close()
 
 	adopted := make(chan string, 1)
@@ -66,7 +67,7 @@
 		return err == nil
 	})
 	go newerPeer.writeLoop()
-	newerPeer.mailbox.Put(message{Ready: true}) // can't be written any more
+	newerPeer.mailbox.Put(message{Ready: true}) // can no longer be written
 	time.Sleep(transferTimeout)
 	newerPeer.readLoop()
 	require.Equal(t, "request", <-adopted)
@@ -75,21 +76,22 @@
 	require.Equal(t, "response\n", line)
 }
 
-// TestTransferFails checks that a connection stays with this process where the other one surely does not serve it.
+// TestTransferFails checks that a connection stays with this process if the other one certainly
+// does not serve it.
 func TestTransferFails(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		begin func(older *peer, newer *net.UnixConn)
+		start func(older *peer, newer *net.UnixConn)
 	}{
-		{"not written yet", func(*peer, *net.UnixConn) {}},
-		{"the other process says nothing any more", func(older *peer, _ *net.UnixConn) {
+		{"descriptor not written", func(*peer, *net.UnixConn) {}},
+		{"no message from the other process", func(older *peer, _ *net.UnixConn) {
 			go older.writeLoop()
 			go older.readLoop()
 		}},
 		{"the other process has ended", func(older *peer, newer *net.UnixConn) {
 			go older.writeLoop()
 			go func() {
-				_, _ = newer.Read(make([]byte, 1)) // the transfer has come
+				_, _ = newer.Read(make([]byte, 1)) // the transfer has arrived
 				newer.Close()
 				older.readLoop()
 			}()
@@ -108,7 +110,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			older, newer := linkPair(t)
 			link, peer := newTestLink(older, nil)
-			tc.begin(peer, newer)
+			tc.start(peer, newer)
 			_, server := connpair.New(t)
 			require.False(t, link.TransferConn(server, []byte("request"), &core.MovedRequest{}, time.Now().Add(transferTimeout)))
 		})
