--- a/cmd/frosttide/clusterevents.go
+++ b/cmd/frosttide/clusterevents.go
@@ -65,7 +65,7 @@
 func (p *peers) Exclude(uid string, out bool, at time.Time) {
 	e := core.Exclusion{UID: uid, Out: out, At: time.Duration(at.UnixNano())}
 	p.core.ApplyExclusion(e)
-	p.link.Exclude(e)
+	p.link.ForwardExclusion(e)
 	if p.roster != nil {
 		p.roster.Excluded(uid, out)
 	}
--- a/cmd/frosttide/process.go
+++ b/cmd/frosttide/process.go
@@ -227,7 +227,7 @@
 	p.link = handover.New(path, p.core, p.table, p.setProcessCount, adopt, report, p.part("handover"))
 	p.onClose(p.link.Close)
 	p.core.SetExclusionHook(func(e core.Exclusion) {
-		p.link.Exclude(e)
+		p.link.ForwardExclusion(e)
 		if p.roster != nil {
 			p.roster.Excluded(e.UID, e.Out)
 		}
--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -198,9 +198,9 @@
 	return nil
 }
 
-// Ready notifies the older process that this one serves, and waits up to dialTimeout for its
-// confirmation. The older process has to know before its SIGTERM, which the platform sends with its
-// next check.
+// Ready notifies the older process that this one serves, and waits up to dialTimeout for
+// its confirmation. The older process has to know before its SIGTERM, which the platform sends with
+// its next check.
 func (l *Link) Ready() {
 	if p := l.currentPeer(); p != nil && p.request(message{Ready: true}, time.Now().Add(dialTimeout)) != accepted {
 		l.log.Warn("the older process did not confirm that this one serves")
@@ -274,9 +274,9 @@
 	return p != nil && p.serving.Load()
 }
 
-// Exclude forwards an exclusion or reinstatement that operators decided here to the other process,
-// if there is one.
-func (l *Link) Exclude(e core.Exclusion) {
+// ForwardExclusion forwards an exclusion or reinstatement that operators decided here to the other
+// process, if there is one.
+func (l *Link) ForwardExclusion(e core.Exclusion) {
 	if p := l.currentPeer(); p != nil {
 		p.mailbox.Put(message{Exclusion: &e})
 	}
