--- a/cmd/frosttide/serve.go
+++ b/cmd/frosttide/serve.go
@@ -146,7 +146,7 @@
 		if err := p.link.Serve(); err != nil {
 			p.log.WithError(err).Warn("no newer process will take over the state")
 		}
-		p.link.Ready()
+		p.link.AnnounceReady()
 	}
 	p.ready.Store(true)
 	p.log.WithField("listen", p.cfg.Listen).Info("frosttide serves")
--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -30,9 +30,9 @@
 )
 
 const (
-	// dialTimeout limits connecting to the older process and waiting for its response to Ready.
-	// stateTimeout limits waiting for its state: the newer process has to be ready within 6 s, with
-	// the state or without it.
+	// dialTimeout limits connecting to the older process and waiting for its response to
+	// AnnounceReady. stateTimeout limits waiting for its state: the newer process has to be ready
+	// within 6 s, with the state or without it.
 	dialTimeout  = time.Second
 	stateTimeout = 2 * time.Second
 	// transferResponseTimeout is how long the newer process may take to respond whether it serves a
@@ -198,10 +198,10 @@
 	return nil
 }
 
-// Ready notifies the older process that this one serves, and waits up to dialTimeout for
+// AnnounceReady notifies the older process that this one serves, and waits up to dialTimeout for
 // its confirmation. The older process has to know before its SIGTERM, which the platform sends with
 // its next check.
-func (l *Link) Ready() {
+func (l *Link) AnnounceReady() {
 	if p := l.currentPeer(); p != nil && p.request(message{Ready: true}, time.Now().Add(dialTimeout)) != accepted {
 		l.log.Warn("the older process did not confirm that this one serves")
 	}
