--- a/internal/dispatcher/egress/acceptance.go
+++ b/internal/dispatcher/egress/acceptance.go
@@ -46,8 +46,8 @@
 	a.timer.Stop()
 }
 
-// onExpiry cancels the exchange, or restarts the timer if the worker has sent something within
-// acceptTimeout or something on the connection is still unread.
+// onExpiry cancels the exchange, or restarts the timer if the worker has sent part of the response
+// within acceptTimeout or the connection has unread data.
 func (a *acceptTimer) onExpiry() {
 	if c := a.conn.Load(); c != nil && c.receivedWithin(acceptTimeout) {
 		a.start()
--- a/internal/dispatcher/egress/acceptance_test.go
+++ b/internal/dispatcher/egress/acceptance_test.go
@@ -83,16 +83,16 @@
 // acceptTimeout.
 func TestSilentWorker(t *testing.T) {
 	t.Parallel()
-	over := make(chan struct{})
-	defer close(over)
-	began := time.Now()
-	recorder := sendLate(t, func(http.ResponseWriter, *http.Request) { <-over }, 0)
+	done := make(chan struct{})
+	defer close(done)
+	start := time.Now()
+	recorder := sendLate(t, func(http.ResponseWriter, *http.Request) { <-done }, 0)
 	select {
 	case <-recorder.accepted:
 		t.Error("attempt was accepted, want it to time out")
 	case outcome := <-recorder.ended:
 		require.Equal(t, decision.TimedOut, outcome)
-		require.GreaterOrEqual(t, time.Since(began), acceptTimeout)
+		require.GreaterOrEqual(t, time.Since(start), acceptTimeout)
 	}
 }
 
--- a/internal/dispatcher/egress/dial.go
+++ b/internal/dispatcher/egress/dial.go
@@ -36,8 +36,8 @@
 type Dial func(network, addr string, deadline time.Time) (net.Conn, error)
 
 // dialNet implements Dial with the net package. A connection whose handshake completed by the
-// deadline succeeds even if this process is late to notice. A dial that misses
-// the deadline fails with os.ErrDeadlineExceeded.
+// deadline succeeds even if this process is late to notice. A dial that misses the deadline fails
+// with os.ErrDeadlineExceeded.
 func dialNet(network, addr string, deadline time.Time) (net.Conn, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/dispatcher/egress/dial_test.go
+++ b/internal/dispatcher/egress/dial_test.go
@@ -13,7 +13,7 @@
 )
 
 // TestConnected guards against a dial that fails although the handshake completed in time, because
-// the process was late to notice. It checks isConnected, which dialNet asks at the deadline.
+// the process was late to notice. It checks isConnected, which dialNet calls at the deadline.
 func TestConnected(t *testing.T) {
 	client, _ := connpair.New(t)
 	raw, err := client.(*net.TCPConn).SyscallConn()
--- a/internal/dispatcher/egress/fleet.go
+++ b/internal/dispatcher/egress/fleet.go
@@ -56,8 +56,8 @@
 	// AttemptEnded reports why the worker has not accepted the job, with the load report of its
 	// response, if any.
 	AttemptEnded(core.AttemptRef, decision.Outcome, []float32, core.Delivery)
-	// AttemptRecalled reports the end of a canceled attempt. known is whether the worker
-	// certainly knows of the cancellation.
+	// AttemptRecalled reports the end of a canceled attempt. known is whether the worker certainly
+	// knows of the cancellation.
 	AttemptRecalled(ref core.AttemptRef, known bool)
 	// ProbeEnded reports the outcome of a probe, with the worker's load report, if any.
 	ProbeEnded(decision.WorkerID, decision.Outcome, []float32)
--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -45,7 +45,7 @@
 
 // Core is what the link uses of the core; *core.Core implements it. None of its methods blocks.
 type Core interface {
-	// Snapshot calls to with the state for a newer process, from another goroutine.
+	// Snapshot passes the state for a newer process to a callback that runs on another goroutine.
 	Snapshot(to func(core.Snapshot))
 	// Restore takes over the state of an older process.
 	Restore(core.Snapshot)
@@ -55,8 +55,8 @@
 
 // RouteTable is what the link uses of the list of workers. It does not block.
 type RouteTable interface {
-	// Snapshot calls to with the address of discovery and the list in discovery's format, from
-	// another goroutine.
+	// Snapshot passes the address of discovery, and the list in discovery's format, to a callback
+	// that runs on another goroutine.
 	Snapshot(to func(discovery string, list []byte))
 }
 
