--- a/cmd/frosttide/shutdown.go
+++ b/cmd/frosttide/shutdown.go
@@ -58,12 +58,12 @@
 func (p *process) drain(ctx context.Context, end time.Time) error {
 	deadline := end.Add(-answerMargin)
 	if p.peers != nil {
-		p.peers.announceDrain(p.link.Succeeded())
+		p.peers.announceDrain(p.link.SuccessorServes())
 	}
 	if p.gearman != nil {
 		p.gearman.Leave(deadline)
 	}
-	if p.link.Succeeded() {
+	if p.link.SuccessorServes() {
 		p.listener.Close()
 		p.front.HandOver(deadline.Add(-closeMargin), deadline)
 		p.front.StopBy(deadline)
--- a/internal/dispatcher/handover/link.go
+++ b/internal/dispatcher/handover/link.go
@@ -268,8 +268,8 @@
 // Linked reports whether the link to another process of the dispatcher is open.
 func (l *Link) Linked() bool { return l.currentPeer() != nil }
 
-// Succeeded reports whether a newer process is linked and has announced that it serves.
-func (l *Link) Succeeded() bool {
+// SuccessorServes reports whether a newer process is linked and has announced that it serves.
+func (l *Link) SuccessorServes() bool {
 	p := l.currentPeer()
 	return p != nil && p.serving.Load()
 }
--- a/internal/dispatcher/ingress/drain.go
+++ b/internal/dispatcher/ingress/drain.go
@@ -44,7 +44,7 @@
 	close(f.handingOver)
 	tick := time.NewTicker(drainPollInterval)
 	defer tick.Stop()
-	for f.listener.count() > 0 && time.Now().Before(deadline) && f.peer.Succeeded() {
+	for f.listener.count() > 0 && time.Now().Before(deadline) && f.peer.SuccessorServes() {
 		<-tick.C
 	}
 }
--- a/internal/dispatcher/ingress/ingress.go
+++ b/internal/dispatcher/ingress/ingress.go
@@ -82,8 +82,8 @@
 type Peer interface {
 	// Linked reports whether another process is connected.
 	Linked() bool
-	// Succeeded reports whether the other process is newer and already serves.
-	Succeeded() bool
+	// SuccessorServes reports whether the other process is newer and already serves.
+	SuccessorServes() bool
 	// ForwardReport passes a report to the other process, and returns whether that holds the
 	// job. It returns by the deadline.
 	ForwardReport(ev core.JobEvent, deadline time.Time) core.ReportResult
--- a/internal/dispatcher/ingress/nextrequest_test.go
+++ b/internal/dispatcher/ingress/nextrequest_test.go
@@ -121,8 +121,8 @@
 // noPeer is the Peer of a dispatcher with a single process.
 type noPeer struct{ Peer }
 
-func (noPeer) Linked() bool    { return false }
-func (noPeer) Succeeded() bool { return false }
+func (noPeer) Linked() bool          { return false }
+func (noPeer) SuccessorServes() bool { return false }
 
 func (noPeer) ForwardReport(core.JobEvent, time.Time) core.ReportResult { return core.NotHeld }
 
--- a/internal/dispatcher/ingress/transfer.go
+++ b/internal/dispatcher/ingress/transfer.go
@@ -27,13 +27,13 @@
 }
 
 // handOverActive reports whether HandOver was called and the newer process is still running.
-func (f *Front) handOverActive() bool { return f.handOverStarted() && f.peer.Succeeded() }
+func (f *Front) handOverActive() bool { return f.handOverStarted() && f.peer.SuccessorServes() }
 
 // transfer hands a client's connection and its request over to the newer process. It returns
 // false if this process still has to respond to the request, which is the case if the newer
 // process is gone or the connection can't be hijacked.
 func (f *Front) transfer(w http.ResponseWriter, r *http.Request, m *core.MovedRequest, body []byte) bool {
-	if !f.peer.Succeeded() {
+	if !f.peer.SuccessorServes() {
 		return false
 	}
 	c := r.Context().Value(connKey{}).(*conn)
--- a/internal/dispatcher/ingress/transfer_test.go
+++ b/internal/dispatcher/ingress/transfer_test.go
@@ -27,9 +27,9 @@
 	forwards int // number of ForwardReport calls
 }
 
-func (p *newerPeer) Linked() bool { return p.Succeeded() }
+func (p *newerPeer) Linked() bool { return p.SuccessorServes() }
 
-func (p *newerPeer) Succeeded() bool {
+func (p *newerPeer) SuccessorServes() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return !p.stopped
@@ -232,8 +232,8 @@
 // silentPeer is an older process that does not answer forwarded reports before their deadline.
 type silentPeer struct{ Peer }
 
-func (silentPeer) Linked() bool    { return true }
-func (silentPeer) Succeeded() bool { return false }
+func (silentPeer) Linked() bool          { return true }
+func (silentPeer) SuccessorServes() bool { return false }
 
 func (silentPeer) ForwardReport(_ core.JobEvent, deadline time.Time) core.ReportResult {
 	time.Sleep(time.Until(deadline))
