--- a/internal/dispatcher/egress/dial_test.go
+++ b/internal/dispatcher/egress/dial_test.go
@@ -12,25 +12,27 @@
 	"frosttide/internal/testkit/connpair"
 )
 
-// TestConnected guards against a dial that fails although the connection was made in time and the process was late to notice.
+// TestConnected guards against a dial that fails although the handshake completed in time, because
+// the process was late to notice. It checks isConnected, which dialNet calls at the deadline.
 func TestConnected(t *testing.T) {
 	client, _ := connpair.New(t)
 	raw, err := client.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
-	require.True(t, connected(raw))
+	require.True(t, isConnected(raw))
 
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	require.NoError(t, err)
 	unconnected := os.NewFile(uintptr(socket), "socket")
 	raw, err = unconnected.SyscallConn()
 	require.NoError(t, err)
-	require.False(t, connected(raw))
+	require.False(t, isConnected(raw))
 
 	require.NoError(t, unconnected.Close())
-	require.False(t, connected(raw))
+	require.False(t, isConnected(raw))
 }
 
-// TestDialDeadline checks that a dial nobody answers ends at its deadline, with an error of a time limit.
+// TestDialDeadline checks that a dial without a response from the peer fails at its deadline, with
+// a timeout error.
 func TestDialDeadline(t *testing.T) {
 	const timeout = 50 * time.Millisecond
 	socket, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -42,15 +44,15 @@
 	require.NoError(t, err)
 	address := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: name.(*syscall.SockaddrInet4).Port}
 	for {
-		begun := time.Now()
-		conn, err := dialNet("tcp", address.String(), begun.Add(timeout))
+		start := time.Now()
+		conn, err := dialNet("tcp", address.String(), start.Add(timeout))
 		if err == nil { // the backlog is not full yet
 			t.Cleanup(func() { conn.Close() })
 			continue
 		}
 		require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-		require.True(t, timedOut(err))
-		require.GreaterOrEqual(t, time.Since(begun), timeout)
+		require.True(t, isTimeout(err))
+		require.GreaterOrEqual(t, time.Since(start), timeout)
 		return
 	}
 }
