--- a/internal/dispatcher/rosterpolicy/warmup.go
+++ b/internal/dispatcher/rosterpolicy/warmup.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Owned reports whether this dispatcher may use a runner while the runner is cold. All dispatchers come to the same
-// owners by rendezvous hashing [Thaler & Ravishankar 1998], so that together they keep to the ration of a cold runner
-// without communicating.
+// Owned reports whether this dispatcher is one of a runner's owners, which may use it while it is
+// cold. All dispatchers compute the same owners by rendezvous hashing [Thaler & Ravishankar 1998],
+// so that together they keep to the warm-up budget of a runner without communicating.
 func (t *StateTable) Owned(uid string) bool {
 	own, higher := rendezvousWeight(uid, t.cfg.Number), 0
 	for i := range max(t.cfg.Dispatchers, 1) {
@@ -19,49 +19,57 @@
 	return higher < t.owners
 }
 
+// rendezvousWeight returns the weight of a dispatcher for a runner: the dispatchers with the
+// highest weights own it.
 func rendezvousWeight(uid string, number int) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(number) + 1)
-	_, _ = d.WriteString(uid) // can't fail: it writes to memory
+	_, _ = d.WriteString(uid) // never returns an error
 	return d.Sum64()
 }
 
-// WarmUpBudgetDivisor returns by what the ration of a cold runner is to be divided: twice the number of dispatchers that use
-// it. The decision module meters a ration by a leaky bucket as deep as it drains in a window, which lets up to twice
-// the ration through within one window; a runner that gets all its work from this ration would get twice what it can
-// take.
+// WarmUpBudgetDivisor returns the number by which each owner divides the warm-up budget of a cold
+// runner: twice the number of owners. The decision module enforces the budget by a leaky bucket
+// that holds as much as drains in one window, which admits up to twice the budget within a
+// window. A runner that gets all its work from the budget would otherwise get twice what it can
+// handle.
 func (t *StateTable) WarmUpBudgetDivisor() int { return 2 * t.owners }
 
-// isUnchanged reports whether a runner is taken to be as it was when a planned restart of the dispatcher began.
-func (t *StateTable) isUnchanged(c *candidate) bool {
+// presumedNotRestarted reports whether a runner is presumed not to have restarted while the
+// dispatcher was down: the dispatcher's shutdown was planned, and both its downtime and the time
+// since the runner was last confirmed are within plannedRestartWindow.
+func (t *StateTable) presumedNotRestarted(c *candidate) bool {
 	planned := t.cfg.PlannedDowntime > 0 && t.cfg.PlannedDowntime <= plannedRestartWindow
 	return planned && t.startedAt-c.Confirmed <= plannedRestartWindow
 }
 
-// doubt records what bad evidence says of a runner that was taken to be as before. One that starts again refuses or breaks
-// connections. Silence alone is that of a slow machine or link, and of a machine that was restarted if it lasts.
-func (c *candidate) doubt(now time.Duration, e Evidence) {
-	if c.timedOutSince == 0 {
-		c.timedOutSince = now
+// noteFailure records what bad evidence says about a restart of the runner. A runner that
+// restarts refuses or breaks connections. A timeout may also be due to a slow machine or link; it
+// indicates a restart only if it lasts, which noteSuccess checks.
+func (c *candidate) noteFailure(now time.Duration, e Evidence) {
+	if c.unhealthySince == 0 {
+		c.unhealthySince = now
 	}
 	if e == Refused || e == Broken {
-		c.unchanged = false
+		c.notRestarted = false
 	}
 }
 
-// believe ends a silence: after a long one the runner may have started meanwhile.
-func (c *candidate) believe(now time.Duration) {
-	if c.timedOutSince != 0 && now-c.timedOutSince > plannedRestartWindow {
-		c.unchanged = false
+// noteSuccess ends a period without success. If the period exceeded plannedRestartWindow, the
+// runner may have restarted meanwhile.
+func (c *candidate) noteSuccess(now time.Duration) {
+	if c.unhealthySince != 0 && now-c.unhealthySince > plannedRestartWindow {
+		c.notRestarted = false
 	}
-	c.timedOutSince = 0
+	c.unhealthySince = 0
 }
 
-// admit brings a runner into use: at once if this dispatcher owns it or it is warm, else when it has warmed up. Used
-// by all dispatchers at once, a cold runner would get more work than it can take.
+// admit brings a runner into use: at once if this dispatcher owns it or it is warm, otherwise
+// when it has warmed up. If all dispatchers used a cold runner, it would get more work than it
+// can handle.
 func (t *StateTable) admit(c *candidate, now time.Duration) {
-	c.warmingUpSince = now // it may have started at this moment
-	if c.unchanged {
+	c.warmingUpSince = now // it may have started just now
+	if c.notRestarted {
 		c.warmingUpSince = c.WarmingUpSince
 	}
 	switch {
@@ -70,6 +78,6 @@
 	case c.owned:
 		c.standing, c.reason = Used, c.age.String()+", possibly cold"
 	default:
-		c.standing, c.reason = Waiting, "others use it while it is cold"
+		c.standing, c.reason = Waiting, "used by other dispatchers until it has warmed up"
 	}
 }
