--- a/internal/dispatcher/rosterpolicy/rosterpolicy_test.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy_test.go
@@ -11,12 +11,12 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-var bounds = Config{Fresh: 2 * time.Minute, Old: time.Hour, Max: 24 * time.Hour, Zone: "a", ProbeRate: 100, Dispatchers: 1, WarmUp: 23 * time.Second,
+var defaultConfig = Config{Fresh: 2 * time.Minute, Old: time.Hour, Max: 24 * time.Hour, Zone: "a", ProbeRate: 100, Dispatchers: 1, WarmUp: 23 * time.Second,
 	Outage: 5 * time.Second, MaxMissing: 0.5, DoubtTimeout: 30 * time.Second}
 
 const day = 24 * time.Hour
 
-// TestAge has ages classed by the bounds, and confirmations from the future count as very old.
+// TestAge checks the bounds of the age classes, and that a confirmation from the future is VeryOld.
 func TestAge(t *testing.T) {
 	now := 20000 * day
 	for _, tc := range []struct {
@@ -25,7 +25,7 @@
 		want Age
 	}{
 		{"from the future", -day, VeryOld},
-		{"within the skew of clocks", -time.Second, Fresh},
+		{"within the clock skew", -time.Second, Fresh},
 		{"just now", 0, Fresh},
 		{"a minute", time.Minute, Fresh},
 		{"an hour", time.Hour, Old},
@@ -33,14 +33,14 @@
 		{"two days", 2 * day, Unusable},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := bounds.Age(now, now-tc.age); got != tc.want {
-				t.Errorf("it is %s, want %s", got, tc.want)
+			if got := defaultConfig.Age(now, now-tc.age); got != tc.want {
+				t.Errorf("Age = %s, want %s", got, tc.want)
 			}
 		})
 	}
 }
 
-// TestStandings has stored runners get work by their age and by what is observed of them.
+// TestStandings checks the standing of a stored runner by its age and a sequence of evidence.
 func TestStandings(t *testing.T) {
 	now := 20000 * day
 	for _, tc := range []struct {
@@ -68,44 +68,44 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.stored.UID = "s"
-			table := New(bounds, now, []Stored{tc.stored}, 1)
+			table := New(defaultConfig, now, []Stored{tc.stored}, 1)
 			for i, e := range tc.evidence {
 				table.Observe(now+time.Duration(i+1)*2*time.Second, "s", e)
 			}
 			if got, _, reason := table.Standing("s"); got != tc.want {
-				t.Errorf("it is %s (%s), want %s", got, reason, tc.want)
+				t.Errorf("standing = %s (%s), want %s", got, reason, tc.want)
 			}
 		})
 	}
 }
 
-// TestStateTable checks the invariants of the state table over random histories.
+// TestStateTable checks the invariants of the state table on random sequences of evidence.
 func TestStateTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHistory(t)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			h.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 			h.probe(t)
-			s := h.stored[rapid.IntRange(0, len(h.stored)-1).Draw(t, "who")]
+			s := h.stored[rapid.IntRange(0, len(h.stored)-1).Draw(t, "runner")]
 			e := Evidence(rapid.IntRange(0, int(Impostor)).Draw(t, "evidence"))
 			h.observe(t, s, e)
 		}
 	})
 }
 
-// history is a state table and what has happened to it.
+// history drives a state table with random events and tracks what the invariants are checked by.
 type history struct {
 	cfg            Config
 	stored         []Stored
 	table          *StateTable
 	startedAt, now time.Duration
-	down           map[string]time.Duration // when a runner was last observed to be down
-	probing        map[string]bool
-	probes         int
+	down           map[string]time.Duration // last time at which bad evidence left a runner withheld
+	probing        map[string]bool          // runners with a probe in flight
+	probes         int                      // probes started so far
 }
 
 func newHistory(t *rapid.T) *history {
-	h := &history{cfg: bounds, startedAt: 20000 * day, now: 20000 * day, down: map[string]time.Duration{}, probing: map[string]bool{}}
+	h := &history{cfg: defaultConfig, startedAt: 20000 * day, now: 20000 * day, down: map[string]time.Duration{}, probing: map[string]bool{}}
 	h.cfg.Dispatchers = rapid.IntRange(1, 8).Draw(t, "dispatchers")
 	h.cfg.Number = rapid.IntRange(0, h.cfg.Dispatchers-1).Draw(t, "number")
 	for i := range rapid.IntRange(1, 12).Draw(t, "n") {
@@ -117,102 +117,106 @@
 	return h
 }
 
-// probe starts the probes that the table asks for, which must keep to the limit, the rate and the standings.
+// probe starts the probes that the table requests. It fails the test if they exceed the limit or
+// the probe rate, or if a runner is probed that must not be.
 func (h *history) probe(t *rapid.T) {
 	t.Helper()
 	uids, next := h.table.NextProbes(h.now, 5)
 	if len(uids) > 5 {
-		t.Fatalf("%d are probed at once", len(uids))
+		t.Fatalf("NextProbes returned %d runners, want at most 5", len(uids))
 	}
 	if len(uids) == 0 && next <= h.now {
-		t.Fatal("no runner is probed, and there is nothing to wait for")
+		t.Fatal("NextProbes returned no runner and a next call that is not in the future")
 	}
 	for _, uid := range uids {
 		if s, _, _ := h.table.Standing(uid); h.probing[uid] || s == Barred || s == Rejected {
-			t.Fatalf("%s is probed, though it is %s", uid, s)
+			t.Fatalf("NextProbes returned %s, which is %s; want a runner without a probe in flight that is not barred or rejected", uid, s)
 		}
 		h.probing[uid] = true
 		h.probes++
 	}
 	if limit := probeBurst + 1 + int(float64(h.now-h.startedAt)/float64(time.Second)*h.cfg.ProbeRate); h.probes > limit {
-		t.Fatalf("%d were probed in %s", h.probes, h.now-h.startedAt)
+		t.Fatalf("%d probes started in %s, which exceeds the probe rate", h.probes, h.now-h.startedAt)
 	}
 }
 
-// observe has the table observe evidence of a runner, and checks what that and the time change.
+// observe passes evidence of a runner and the current time to the table. It fails the test if a
+// standing changes against the invariants of the package.
 func (h *history) observe(t *rapid.T, s Stored, e Evidence) {
 	t.Helper()
-	previous, previousCold, _ := h.table.Standing(s.UID)
+	previous, previousWarmingUpSince, _ := h.table.Standing(s.UID)
 	h.table.Observe(h.now, s.UID, e)
 	delete(h.probing, s.UID)
-	current, cold, reason := h.table.Standing(s.UID)
+	current, warmingUpSince, reason := h.table.Standing(s.UID)
 	if !e.Good() && current == Withheld {
 		h.down[s.UID] = h.now
 	}
 	warmed, _ := h.table.Tick(h.now)
 	for _, uid := range warmed {
-		if _, cold, _ := h.table.Standing(uid); h.table.Owned(uid) || h.now < cold+h.cfg.WarmUp || cold < h.down[uid] {
-			t.Fatalf("%s counts as warm at %s, cold from %s", uid, h.now, cold)
+		if _, warmingUpSince, _ := h.table.Standing(uid); h.table.Owned(uid) || h.now < warmingUpSince+h.cfg.WarmUp || warmingUpSince < h.down[uid] {
+			t.Fatalf("Tick returned %s as warm at %s, though it may be warming up since %s, was down later, or is owned", uid, h.now, warmingUpSince)
 		}
 	}
 	switch {
 	case s.Barred && current != Barred:
-		t.Fatalf("%s was barred and is %s", s.UID, current)
+		t.Fatalf("barred runner %s: standing = %s, want barred", s.UID, current)
 	case h.cfg.Age(h.startedAt, s.Confirmed) == Unusable && current == Used:
-		t.Fatal("a runner that is too old is used")
+		t.Fatal("a runner of unusable age is used")
 	case previous == Withheld && current == Used && !h.table.Owned(s.UID):
-		t.Fatalf("%s is used while it is cold, though others own it", s.UID)
+		t.Fatalf("runner %s is used while it is cold, though this dispatcher does not own it", s.UID)
 	case e.Good() && previous == Waiting && current != Waiting, e.Good() && previous == Used && current != Used:
-		t.Fatalf("good evidence takes %s out of use: %s", s.UID, reason)
-	case e.Good() && previous == Used && cold != previousCold:
-		t.Fatal("good evidence makes a runner cold again")
+		t.Fatalf("good evidence took runner %s out of use: %s", s.UID, reason)
+	case e.Good() && previous == Used && warmingUpSince != previousWarmingUpSince:
+		t.Fatal("good evidence changed the warm-up start of a runner in use")
 	case !e.Good() && current == Used && previous != Used:
-		t.Fatal("bad evidence brings a runner into use")
-	case current == Used && cold < h.startedAt:
-		t.Fatal("a runner counts as warm by what was stored alone")
-	case current == Used && previous != Used && cold < h.down[s.UID]:
-		t.Fatal("a runner counts as warmer than it can be")
+		t.Fatal("bad evidence brought a runner into use")
+	case current == Used && warmingUpSince < h.startedAt:
+		t.Fatal("a runner in use counts as warming up since before the table's start")
+	case current == Used && previous != Used && warmingUpSince < h.down[s.UID]:
+		t.Fatal("a runner came into use with a warm-up start before it was last down")
 	}
 }
 
-// TestShares has dispatchers that do not communicate agree on the owners of each cold runner: each dispatcher owns
-// some, and no runner has more owners than its ration is divided by.
-func TestShares(t *testing.T) {
+// TestColdRunnerOwners checks that dispatchers agree on the owners of each cold runner without
+// communicating: every dispatcher owns some, and each runner has as many owners as its warm-up
+// budget is divided for.
+func TestColdRunnerOwners(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all, n := rapid.IntRange(1, 20).Draw(t, "dispatchers"), rapid.IntRange(1, 200).Draw(t, "runners")
+		dispatchers, n := rapid.IntRange(1, 20).Draw(t, "dispatchers"), rapid.IntRange(1, 200).Draw(t, "runners")
 		var stored []Stored
 		for i := range n {
 			stored = append(stored, Stored{UID: fmt.Sprint("s-", i), Confirmed: day})
 		}
-		users, has := map[string]int{}, make([]int, all)
+		ownersOf, ownedBy := map[string]int{}, make([]int, dispatchers)
 		owners := 0
-		for number := range all {
-			cfg := bounds
-			cfg.Dispatchers, cfg.Number = all, number
+		for number := range dispatchers {
+			cfg := defaultConfig
+			cfg.Dispatchers, cfg.Number = dispatchers, number
 			table := New(cfg, day, stored, uint64(number))
 			owners = table.owners
 			for _, s := range stored {
 				if table.Owned(s.UID) {
-					users[s.UID]++
-					has[number]++
+					ownersOf[s.UID]++
+					ownedBy[number]++
 				}
 			}
 		}
 		for _, s := range stored {
-			if users[s.UID] != owners {
-				t.Fatalf("%s is used by %d, its ration is for %d", s.UID, users[s.UID], owners)
+			if ownersOf[s.UID] != owners {
+				t.Fatalf("runner %s has %d owners, want %d", s.UID, ownersOf[s.UID], owners)
 			}
 		}
-		for number, own := range has {
-			if own == 0 && n >= warmingUpPerDispatcher && owners < all && n*owners >= 8*all {
-				t.Fatalf("dispatcher %d of %d has none of %d, %d each", number, all, n, owners)
+		for number, own := range ownedBy {
+			if own == 0 && n >= warmingUpPerDispatcher && owners < dispatchers && n*owners >= 8*dispatchers {
+				t.Fatalf("dispatcher %d of %d owns none of %d runners with %d owners each", number, dispatchers, n, owners)
 			}
 		}
 	})
 }
 
-// TestOrder has a dispatcher probe its own zone and the youngest runners first, and not the same ones as all others.
-func TestOrder(t *testing.T) {
+// TestProbeOrder checks that a dispatcher first probes the runners of its own zone that were
+// confirmed most recently, and that dispatchers with different seeds start with different ones.
+func TestProbeOrder(t *testing.T) {
 	now := 20000 * day
 	var stored []Stored
 	for i := range 100 {
@@ -225,54 +229,57 @@
 		}
 		stored = append(stored, s)
 	}
-	firsts := map[string]bool{}
+	firstProbed := map[string]bool{}
 	for seed := range uint64(8) {
-		uids, next := New(bounds, now, stored, seed).NextProbes(now, 100)
+		uids, next := New(defaultConfig, now, stored, seed).NextProbes(now, 100)
 		if len(uids) != probeBurst+1 || next > now+time.Second {
-			t.Fatalf("%d are asked at first, the next after %s", len(uids), next-now)
+			t.Fatalf("NextProbes returned %d runners and a next call after %s, want probeBurst+1 runners and at most 1 s", len(uids), next-now)
 		}
 		for _, uid := range uids {
 			var i int
 			fmt.Sscanf(uid, "s-%d", &i)
 			if i >= 20 {
-				t.Errorf("%s is asked among the first", uid)
+				t.Errorf("%s is among the first probes, want one of s-0 to s-19", uid)
 			}
 		}
-		firsts[uids[0]] = true
+		firstProbed[uids[0]] = true
 	}
-	if len(firsts) < 4 {
-		t.Errorf("of 8 dispatchers all begin with one of %v", firsts)
+	if len(firstProbed) < 4 {
+		t.Errorf("the first runners that 8 dispatchers probe are %v, want at least 4 different ones", firstProbed)
 	}
 }
 
-// TestTakenAndBarred has a runner rejected whose address is another's, and one barred that operators have excluded.
-func TestTakenAndBarred(t *testing.T) {
-	table := New(bounds, day, []Stored{{UID: "s", Addr: "x", Confirmed: day}, {UID: "t", Addr: "y", Confirmed: day}}, 1)
+// TestRejectAddressAndSetExcluded checks that a runner is rejected when its address is
+// reassigned, and that one is barred while operators exclude it and used again once it is
+// reinstated and probed.
+func TestRejectAddressAndSetExcluded(t *testing.T) {
+	table := New(defaultConfig, day, []Stored{{UID: "s", Addr: "x", Confirmed: day}, {UID: "t", Addr: "y", Confirmed: day}}, 1)
 	if diff := cmp.Diff([]string{"s"}, table.RejectAddress("x", "u")); diff != "" {
 		t.Error(diff)
 	}
 	if s, _, _ := table.Standing("s"); s != Rejected {
-		t.Errorf("a runner whose address is another's is %s", s)
+		t.Errorf("standing after RejectAddress = %s, want rejected", s)
 	}
 	table.SetExcluded("t", true)
 	table.Observe(day, "t", Started)
 	if s, _, _ := table.Standing("t"); s != Barred {
-		t.Errorf("one that operators left out is %s", s)
+		t.Errorf("standing while excluded = %s, want barred", s)
 	}
 	table.SetExcluded("t", false)
 	table.Observe(day, "t", Answered)
 	if s, _, _ := table.Standing("t"); s != Used {
-		t.Errorf("one that they put back and that answers is %s", s)
+		t.Errorf("standing after reinstatement and a successful probe = %s, want used", s)
 	}
 	table.Remove("s")
 	table.Remove("t")
 	if remaining := table.UIDs(); len(remaining) > 0 {
-		t.Errorf("%v are left", remaining)
+		t.Errorf("runners after Remove: %v, want none", remaining)
 	}
 }
 
-// TestLists has a full list that lacks most runners after an outage doubted, and accepted where it is confirmed.
-func TestLists(t *testing.T) {
+// TestFullUpdatePolicy checks that a full list that lacks most runners is doubted after an outage,
+// and that the next one is accepted.
+func TestFullUpdatePolicy(t *testing.T) {
 	type step struct {
 		after          time.Duration
 		failed         bool
@@ -284,7 +291,7 @@
 		stored bool
 		steps  []step
 	}{
-		{"an ordinary day", false, []step{{0, false, 10, 10, Accepted}, {time.Hour, false, 10, 9, Accepted}}},
+		{"no outage", false, []step{{0, false, 10, 10, Accepted}, {time.Hour, false, 10, 9, Accepted}}},
 		{"a short outage", false, []step{{0, true, 0, 0, 0}, {time.Second, false, 10, 10, Accepted}}},
 		{"a long outage, then two empty lists", false, []step{{0, true, 0, 0, 0}, {time.Minute, false, 10, 10, Doubted}, {time.Second, false, 10, 10, Accepted}}},
 		{"a long outage, then half, then all", false, []step{{0, true, 0, 0, 0}, {time.Minute, false, 10, 6, Doubted}, {time.Second, false, 10, 0, Accepted},
@@ -295,15 +302,15 @@
 			{time.Minute, false, 10, 10, Accepted}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			l, now := NewFullUpdatePolicy(bounds, tc.stored), day
+			policy, now := NewFullUpdatePolicy(defaultConfig, tc.stored), day
 			for i, s := range tc.steps {
 				now += s.after
 				if s.failed {
-					l.Failed(now)
+					policy.Failed(now)
 					continue
 				}
-				if got := l.Judge(now, s.known, s.missing); got != s.want {
-					t.Errorf("step %d: %d, want %d", i, got, s.want)
+				if got := policy.Judge(now, s.known, s.missing); got != s.want {
+					t.Errorf("step %d: verdict = %d, want %d", i, got, s.want)
 				}
 			}
 		})
