--- a/internal/dispatcher/rosterstore/filesystem.go
+++ b/internal/dispatcher/rosterstore/filesystem.go
@@ -6,19 +6,22 @@
 	"os"
 )
 
-// fileSystem is the part of a file system that the store uses. Tests replace it by one that fails at any step.
+// fileSystem holds the file operations that the store uses. Tests inject faults through it.
 type fileSystem interface {
-	// List returns the names of a folder's files.
+	// List returns the names of the files in a directory.
 	List(dir string) ([]string, error)
-	// Read returns the content of a file, and fails for one that is larger than maxFileBytes or no regular file.
+	// Read returns the content of a file. It fails with ErrTooLarge if the file is larger than
+	// maxFileBytes, and with fs.ErrInvalid if it is not a regular file.
 	Read(path string) ([]byte, error)
-	// Create makes a new file and fails if the path exists.
+	// Create creates a file for writing. It fails with fs.ErrExist if the path exists.
 	Create(path string) (file, error)
-	// Link gives a file a further name and fails if the name exists.
+	// Link creates a hard link to a file. It fails with fs.ErrExist if the new path exists.
 	Link(from, to string) error
+	// Rename moves a file and replaces an existing file at the new path.
 	Rename(from, to string) error
+	// Remove deletes a file. It fails with fs.ErrNotExist if there is none.
 	Remove(path string) error
-	// SyncDir makes the names of a folder's files durable.
+	// SyncDir makes the directory entries of a directory durable.
 	SyncDir(dir string) error
 }
 
@@ -29,7 +32,7 @@
 	Close() error
 }
 
-// osFileSystem is the operating system's file system.
+// osFileSystem implements fileSystem by the operating system's files.
 type osFileSystem struct{}
 
 // List implements fileSystem.
@@ -55,11 +58,11 @@
 	if info, err := f.Stat(); err != nil || !info.Mode().IsRegular() {
 		return nil, &fs.PathError{Op: "read", Path: path, Err: fs.ErrInvalid}
 	}
-	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
-	if err == nil && len(text) > maxFileBytes {
+	data, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
+	if err == nil && len(data) > maxFileBytes {
 		err = ErrTooLarge
 	}
-	return text, err
+	return data, err
 }
 
 // Create implements fileSystem.
--- a/internal/dispatcher/rosterstore/generations.go
+++ b/internal/dispatcher/rosterstore/generations.go
@@ -14,62 +14,65 @@
 	"syscall"
 )
 
-// Dir is a folder with the generations of one dispatcher. Several dispatchers may share a folder, as may the two
-// processes of an upgrade. It is not safe for concurrent use within a process.
+// Dir accesses the generations of one dispatcher in a directory. Several dispatchers may share a
+// directory, and so may the old and the new process of one dispatcher during an upgrade. It is not
+// safe for concurrent use within a process.
 type Dir struct {
 	path           string
-	name           string // the dispatcher's; empty for any
-	retained       int    // generations that are kept
+	name           string // of the dispatcher; empty for any
+	maxGenerations int    // number of generations, and of corrupt files, that prune keeps
 	files          fileSystem
-	nextGeneration uint64 // the lowest number that a new generation may have
+	nextGeneration uint64 // lowest number that a new generation may get
 }
 
-// The parts of file names.
+// The parts of file names. A generation's file is named roster-HASH-NUMBER.state, where HASH is the
+// hash of the dispatcher's name.
 const (
 	prefix        = "roster-"
 	suffix        = ".state"
-	corruptSuffix = ".bad" // follows the name of a file that was set aside
-	draftSuffix   = ".new" // follows the stem and the process id of a file that is being written
+	corruptSuffix = ".bad" // appended to the name of a corrupt file
+	tempSuffix    = ".new" // of a temporary file, which is named roster-HASH-PID.new
 )
 
-// Open names the folder, which it makes if there is none, the dispatcher and how many generations are kept. It reads
-// nothing.
+// Open returns the Dir of a dispatcher at a path. It creates the directory if it does not exist and
+// reads no files. Save keeps the given number of generations.
 func Open(path, name string, retained int) (*Dir, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, fmt.Errorf("the folder of the state: %w", err)
+		return nil, fmt.Errorf("create state directory: %w", err)
 	}
-	return &Dir{path: path, name: name, retained: retained, files: osFileSystem{}}, nil
+	return &Dir{path: path, name: name, maxGenerations: retained, files: osFileSystem{}}, nil
 }
 
-// Rename changes the dispatcher whose generations are read and written from now on.
+// Rename selects another dispatcher, whose generations are read and written from now on. It renames
+// no files.
 func (d *Dir) Rename(name string) { d.name, d.nextGeneration = name, 0 }
 
-// StoredFile is a file of the folder and the result of reading it.
+// StoredFile is the file of a generation and the result of reading it.
 type StoredFile struct {
-	File       string // its name in the folder
-	Generation uint64
-	Snapshot   *Snapshot // nil if it can't be read
-	Err        error     // why it can't
+	File       string    // file name, without the directory
+	Generation uint64    // higher numbers are newer
+	Snapshot   *Snapshot // nil if the file could not be read
+	Err        error     // why the file could not be read
 }
 
-// stem returns how the names of this dispatcher's files begin. The dispatcher's name is hashed, as it may hold
-// characters that a file name can't.
-func (d *Dir) stem() string {
+// namePrefix returns the common prefix of the names of this dispatcher's files. The dispatcher's
+// name is hashed, as it may contain characters that are not allowed in file names.
+func (d *Dir) namePrefix() string {
 	h := fnv.New32a()
 	h.Write([]byte(d.name))
 	return fmt.Sprintf("%s%08x-", prefix, h.Sum32())
 }
 
-// generations returns the generations' files, the newest first, without reading them. They are ordered by number, not by
-// time: the clock may have been set back between two of them.
+// generations returns the files of the generations, newest first, without reading them. They are
+// ordered by number, not by time, as the clock may have been set back between two of them.
 func (d *Dir) generations() ([]StoredFile, error) {
 	names, err := d.files.List(d.path)
 	if err != nil {
-		return nil, fmt.Errorf("the folder of the state: %w", err)
+		return nil, fmt.Errorf("list state directory: %w", err)
 	}
 	var out []StoredFile
 	for _, name := range names {
-		digits, ok := strings.CutPrefix(strings.TrimSuffix(name, suffix), d.stem())
+		digits, ok := strings.CutPrefix(strings.TrimSuffix(name, suffix), d.namePrefix())
 		if d.name == "" { // of any dispatcher
 			_, digits, ok = strings.Cut(strings.TrimPrefix(strings.TrimSuffix(name, suffix), prefix), "-")
 		}
@@ -84,23 +87,25 @@
 	return out, nil
 }
 
-// ReadAll reads every generation, the newest first, and changes nothing.
+// ReadAll reads every generation and returns them, newest first. The error of a file that can't be
+// read is in its StoredFile. Unlike Load it changes no files.
 func (d *Dir) ReadAll() ([]StoredFile, error) {
 	files, err := d.generations()
 	for i := range files {
 		f := &files[i]
-		var text []byte
-		if text, f.Err = d.files.Read(filepath.Join(d.path, f.File)); f.Err == nil {
-			f.Snapshot, f.Err = Decode(text, d.name)
+		var data []byte
+		if data, f.Err = d.files.Read(filepath.Join(d.path, f.File)); f.Err == nil {
+			f.Snapshot, f.Err = Decode(data, d.name)
 		}
 	}
 	return files, err
 }
 
-// Load returns the newest generation that can be read, nil if there is none. A corrupt file is set aside under another
-// name; one of a newer version of the program stays, as that program may be started again. Skipped is called for each
-// file that can't be read.
-func (d *Dir) Load(skipped func(file string, reason error)) (*Snapshot, error) {
+// Load returns the newest generation that can be read, nil if there is none. It calls onSkipped for
+// each file that it skips as unreadable. A corrupt or too large file is renamed so that it is not
+// read again; a file of a newer program version stays, as that version may be started again. Load
+// also removes the temporary files that ended processes left behind.
+func (d *Dir) Load(onSkipped func(file string, reason error)) (*Snapshot, error) {
 	files, err := d.generations()
 	if err != nil {
 		return nil, err
@@ -108,93 +113,97 @@
 	for _, f := range files {
 		d.nextGeneration = max(d.nextGeneration, f.Generation+1)
 	}
-	d.removeDrafts()
+	d.removeStaleTempFiles()
 	for _, f := range files {
 		path := filepath.Join(d.path, f.File)
-		text, err := d.files.Read(path)
+		data, err := d.files.Read(path)
 		if err == nil {
-			f.Snapshot, err = Decode(text, d.name)
+			f.Snapshot, err = Decode(data, d.name)
 		}
 		if err == nil {
 			return f.Snapshot, nil
 		}
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // the other process of an upgrade has just removed it
+			continue // the other process of an upgrade removed it meanwhile
 		}
 		if errors.Is(err, ErrCorrupt) || errors.Is(err, ErrTooLarge) {
-			_ = d.files.Rename(path, path+corruptSuffix) // if that fails, it is skipped again next time
+			_ = d.files.Rename(path, path+corruptSuffix) // if this fails, Load skips it again next time
 		}
-		skipped(f.File, err)
+		onSkipped(f.File, err)
 	}
 	return nil, nil
 }
 
-// removeDrafts removes the drafts of processes that ended during a write.
-func (d *Dir) removeDrafts() {
+// removeStaleTempFiles removes the temporary files of processes that ended during a write.
+func (d *Dir) removeStaleTempFiles() {
 	names, err := d.files.List(d.path)
 	if err != nil {
 		return
 	}
 	for _, name := range names {
-		text, ok := strings.CutPrefix(strings.TrimSuffix(name, draftSuffix), d.stem())
-		pid, err := strconv.Atoi(text)
-		if ok && strings.HasSuffix(name, draftSuffix) && err == nil && pid > 0 && syscall.Kill(pid, 0) == syscall.ESRCH {
-			_ = d.files.Remove(filepath.Join(d.path, name)) // a draft that stays does no harm
+		pidText, ok := strings.CutPrefix(strings.TrimSuffix(name, tempSuffix), d.namePrefix())
+		pid, err := strconv.Atoi(pidText)
+		if ok && strings.HasSuffix(name, tempSuffix) && err == nil && pid > 0 && syscall.Kill(pid, 0) == syscall.ESRCH {
+			_ = d.files.Remove(filepath.Join(d.path, name)) // best effort: the file is never read
 		}
 	}
 }
 
-// maxNameAttempts bounds how often in a row the other process of an upgrade may take the next generation's name.
+// maxNameAttempts bounds how often in a row Save retries when the other process of an upgrade has
+// taken the next generation's name.
 const maxNameAttempts = 16
 
-// Save writes a further generation and removes those past the number that is kept. The generation is written to a draft,
-// which is synced, linked to its name, and the folder synced: whenever the process or the machine stops, each name stands
-// for a complete file. A link never replaces a file, so the two processes of an upgrade do not overwrite each other's.
+// Save writes a snapshot as the newest generation and removes the oldest generations beyond the
+// number that is kept. It writes a temporary file, syncs it, links it to the generation's name and
+// syncs the directory, so that every generation's file is complete whenever the process or the
+// machine stops. A link never replaces a file, so the two processes of an upgrade do not overwrite
+// each other's generations.
 func (d *Dir) Save(s *Snapshot) error {
-	text, err := Encode(s)
+	data, err := Encode(s)
 	if err != nil {
 		return err
 	}
-	draft := filepath.Join(d.path, fmt.Sprintf("%s%d%s", d.stem(), os.Getpid(), draftSuffix))
-	if err := d.files.Remove(draft); err != nil && !errors.Is(err, fs.ErrNotExist) {
-		return fmt.Errorf("an old draft: %w", err)
+	temp := filepath.Join(d.path, fmt.Sprintf("%s%d%s", d.namePrefix(), os.Getpid(), tempSuffix))
+	if err := d.files.Remove(temp); err != nil && !errors.Is(err, fs.ErrNotExist) {
+		return fmt.Errorf("remove old temporary state file: %w", err)
 	}
-	if err := d.write(draft, text); err != nil {
-		_ = d.files.Remove(draft) // makes room for the next one
-		return fmt.Errorf("writing the state: %w", err)
+	if err := d.write(temp, data); err != nil {
+		_ = d.files.Remove(temp) // frees the name for the next Save
+		return fmt.Errorf("write temporary state file: %w", err)
 	}
-	err = d.linkGeneration(draft)
-	_ = d.files.Remove(draft) // the content stays under the generation's name
+	err = d.linkGeneration(temp)
+	_ = d.files.Remove(temp) // the generation's link keeps the content
 	if err != nil {
-		return fmt.Errorf("naming the state: %w", err)
+		return fmt.Errorf("link state file: %w", err)
 	}
 	if err := d.files.SyncDir(d.path); err != nil {
-		return fmt.Errorf("syncing the folder of the state: %w", err)
+		return fmt.Errorf("sync state directory: %w", err)
 	}
 	return d.prune()
 }
 
-// write writes and syncs a new file.
-func (d *Dir) write(path string, text []byte) error {
+// write creates a file with the given content and syncs it.
+func (d *Dir) write(path string, data []byte) error {
 	f, err := d.files.Create(path)
 	if err != nil {
 		return err
 	}
-	_, err = f.Write(text)
+	_, err = f.Write(data)
 	if err == nil {
 		err = f.Sync()
 	}
 	return errors.Join(err, f.Close())
 }
 
-// linkGeneration gives a draft the name of the next generation that is free. Where the name is taken, the other process
-// may be many generations ahead: the next attempt follows the newest.
-func (d *Dir) linkGeneration(draft string) error {
+// linkGeneration links a temporary file to the name of the next free generation. If the name is
+// taken, the other process of an upgrade may be many generations ahead, so the next attempt uses
+// the number after the newest generation in the directory.
+func (d *Dir) linkGeneration(temp string) error {
 	var err error
 	for range maxNameAttempts {
 		number := d.nextGeneration
 		d.nextGeneration++
-		err = d.files.Link(draft, filepath.Join(d.path, fmt.Sprintf("%s%020d%s", d.stem(), number, suffix)))
+		err = d.files.Link(temp, filepath.Join(d.path, fmt.Sprintf("%s%020d%s", d.namePrefix(), number, suffix)))
 		if !errors.Is(err, fs.ErrExist) {
 			return err
 		}
@@ -209,7 +218,8 @@
 	return err
 }
 
-// prune removes generations past those that are kept, and files that were set aside past as many.
+// prune removes the oldest generations, and the oldest files that Load renamed as corrupt, beyond
+// maxGenerations of each.
 func (d *Dir) prune() error {
 	files, err := d.generations()
 	if err != nil {
@@ -221,18 +231,18 @@
 			failures = append(failures, err)
 		}
 	}
-	for _, f := range files[min(len(files), d.retained):] {
+	for _, f := range files[min(len(files), d.maxGenerations):] {
 		remove(f.File)
 	}
 	names, err := d.files.List(d.path)
 	if err != nil {
 		return errors.Join(append(failures, err)...)
 	}
-	corrupt := slices.DeleteFunc(names, func(name string) bool {
-		return !strings.HasPrefix(name, d.stem()) || !strings.HasSuffix(name, corruptSuffix)
+	corruptFiles := slices.DeleteFunc(names, func(name string) bool {
+		return !strings.HasPrefix(name, d.namePrefix()) || !strings.HasSuffix(name, corruptSuffix)
 	})
-	slices.Sort(corrupt)
-	for _, name := range corrupt[:max(len(corrupt)-d.retained, 0)] {
+	slices.Sort(corruptFiles)
+	for _, name := range corruptFiles[:max(len(corruptFiles)-d.maxGenerations, 0)] {
 		remove(name)
 	}
 	return errors.Join(failures...)
--- a/internal/dispatcher/rosterstore/rosterstore_test.go
+++ b/internal/dispatcher/rosterstore/rosterstore_test.go
@@ -26,7 +26,8 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// sample returns a snapshot each part of which holds its number, so that a mixture of two is detected.
+// sample returns a snapshot each part of which holds its number, so that a mixture of two is
+// detected.
 func sample(number, nodes int) *Snapshot {
 	s := &Snapshot{Name: "n0", Saved: time.Duration(number), Rev: uint64(number), Discovery: fmt.Sprint("d", number)}
 	for i := range nodes {
@@ -54,8 +55,8 @@
 	return text
 }
 
-// TestDecode has a file rejected that is truncated at any byte, changed in any bit, too long, of another version, or
-// another dispatcher's.
+// TestDecode has a file rejected that is truncated at any byte, changed in any bit, too long, of
+// another version, or another dispatcher's.
 func TestDecode(t *testing.T) {
 	good := encode(t, sample(7, 3))
 	s, err := Decode(good, "n0")
@@ -78,7 +79,7 @@
 		t.Errorf("longer: %v", err)
 	}
 	newer := bytes.Clone(good)
-	binary.BigEndian.PutUint32(newer[len(magic):], version+1)
+	binary.BigEndian.PutUint32(newer[len(magicNumber):], version+1)
 	if _, err := Decode(newer, ""); !errors.Is(err, ErrNewerVersion) {
 		t.Errorf("newer: %v", err)
 	}
@@ -99,8 +100,8 @@
 	})
 }
 
-// memory is a file system in memory that loses what was not synced when the power fails, and that fails at a given
-// step.
+// memory is a file system in memory that loses what was not synced when the power fails, and that
+// fails at a given step.
 type memory struct {
 	names  map[string]*inode // as programs see them
 	synced map[string]*inode // as they are on the disk
@@ -136,8 +137,8 @@
 	return nil
 }
 
-// crash simulates a power failure: names that were not synced may or may not exist, and the content of a file that was
-// not synced is truncated anywhere.
+// crash simulates a power failure: names that were not synced may or may not exist, and the
+// content of a file that was not synced is truncated anywhere.
 func (m *memory) crash(draw func(n int) int) {
 	all := map[string]bool{}
 	for name := range m.names {
@@ -274,12 +275,12 @@
 
 func (o *open) Close() error { return o.disk.step(false, false) }
 
-// TestBrokenDisk has a complete generation load whenever the disk or the power fails, and none that is older than the
-// last one that was saved without an error.
+// TestBrokenDisk has a complete generation load whenever the disk or the power fails, and none
+// that is older than the last one that was saved without an error.
 func TestBrokenDisk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMemory()
-		d := &Dir{path: "/s", name: "n0", retained: rapid.IntRange(2, 4).Draw(t, "keep"), files: m}
+		d := &Dir{path: "/s", name: "n0", maxGenerations: rapid.IntRange(2, 4).Draw(t, "keep"), files: m}
 		saved, number := 0, 0
 		for range rapid.IntRange(1, 6).Draw(t, "lives") {
 			m.how = rapid.SampledFrom([]string{"off", "full", "ro"}).Draw(t, "how")
@@ -294,7 +295,7 @@
 				m.crash(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") })
 			}
 			m.steps = -1
-			d = &Dir{path: "/s", name: "n0", retained: d.retained, files: m}
+			d = &Dir{path: "/s", name: "n0", maxGenerations: d.maxGenerations, files: m}
 			s, err := d.Load(func(string, error) {})
 			switch {
 			case err != nil:
@@ -310,14 +311,15 @@
 			if int(s.Rev) < saved || int(s.Rev) > number {
 				t.Fatalf("generation %d is there, %d was saved last", s.Rev, saved)
 			}
-			if files, _ := d.generations(); len(files) > d.retained+4 {
+			if files, _ := d.generations(); len(files) > d.maxGenerations+4 {
 				t.Fatalf("%d generations are kept", len(files))
 			}
 		}
 	})
 }
 
-// TestLoad has Load skip files that can't be read, and take the highest number whatever the times are.
+// TestLoad has Load skip files that can't be read, and take the highest number whatever the times
+// are.
 func TestLoad(t *testing.T) {
 	path := t.TempDir()
 	d, err := Open(path, "n0", 3)
@@ -341,7 +343,7 @@
 		}
 	}
 	newer := encode(t, sample(9, 1))
-	binary.BigEndian.PutUint32(newer[len(magic):], version+1)
+	binary.BigEndian.PutUint32(newer[len(magicNumber):], version+1)
 	write(0, newer)
 	write(1, []byte("torn"))
 	var skipped []string
@@ -367,7 +369,8 @@
 	}
 }
 
-// TestTwoProcesses has the two processes of an upgrade write into one folder without losing a generation of either.
+// TestTwoProcesses has the two processes of an upgrade write into one folder without losing a
+// generation of either.
 func TestTwoProcesses(t *testing.T) {
 	path := t.TempDir()
 	var dirs []*Dir
@@ -407,8 +410,8 @@
 	}
 }
 
-// TestFarBehindTheOtherProcess has a process write that knows of no generation while the other has written many more
-// than it would try names.
+// TestFarBehindTheOtherProcess has a process write that knows of no generation while the other
+// has written many more than it would try names.
 func TestFarBehindTheOtherProcess(t *testing.T) {
 	path := t.TempDir()
 	var dirs []*Dir
@@ -441,7 +444,7 @@
 
 // own returns the writer's name of a draft.
 func (d drafts) own(path string) string {
-	if strings.HasSuffix(path, draftSuffix) {
+	if strings.HasSuffix(path, tempSuffix) {
 		return path + strconv.Itoa(d.number)
 	}
 	return path
@@ -461,13 +464,13 @@
 	return h.memory.Create(path)
 }
 
-// TestHangingDisk has neither Put nor the shutdown wait for a disk that hangs, and only the newest snapshot written
-// afterwards.
+// TestHangingDisk has neither Put nor the shutdown wait for a disk that hangs, and only the
+// newest snapshot written afterwards.
 func TestHangingDisk(t *testing.T) {
 	m := hanging{newMemory(), make(chan struct{})}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	w := NewWriter(&Dir{path: "/s", name: "n0", retained: 3, files: m}, time.Millisecond, logrus.NewEntry(log))
+	w := NewWriter(&Dir{path: "/s", name: "n0", maxGenerations: 3, files: m}, time.Millisecond, logrus.NewEntry(log))
 	for n := range 1000 {
 		w.Put(sample(n, 1))
 	}
@@ -477,14 +480,14 @@
 	if n := w.Written(); n < 1 || n > 2 {
 		t.Errorf("%d generations were written for 1000 put at once", n)
 	}
-	s, err := (&Dir{path: "/s", name: "n0", retained: 3, files: m.memory}).Load(func(string, error) {})
+	s, err := (&Dir{path: "/s", name: "n0", maxGenerations: 3, files: m.memory}).Load(func(string, error) {})
 	if err != nil || s == nil || s.Rev != 999 {
 		t.Errorf("the last state is %+v, %v", s, err)
 	}
 }
 
-// TestKills has no generation lost or corrupt when the process is killed at random moments of writing. CI kills it a few
-// times; FROSTTIDE_KILLS sets another number.
+// TestKills has no generation lost or corrupt when the process is killed at random moments of
+// writing. CI kills it a few times; FROSTTIDE_KILLS sets another number.
 func TestKills(t *testing.T) {
 	if dir := os.Getenv("FROSTTIDE_KILL_DIR"); dir != "" {
 		writeUntilKilled(t, dir)
@@ -537,7 +540,8 @@
 	}
 }
 
-// killWriter starts a process that writes into a folder and kills it a while after it has begun to write.
+// killWriter starts a process that writes into a folder and kills it a while after it has begun
+// to write.
 func killWriter(t *testing.T, dir string, after time.Duration) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestKills$")
@@ -557,8 +561,8 @@
 	_ = cmd.Wait()
 }
 
-// checkGenerations fails the test if a generation is corrupt after a kill, or none is as new as the last one before. It
-// returns the newest.
+// checkGenerations fails the test if a generation is corrupt after a kill, or none is as new as
+// the last one before. It returns the newest.
 func checkGenerations(t *testing.T, dir string, kill int, last uint64) uint64 {
 	t.Helper()
 	d, err := Open(dir, "n0", 3)
--- a/internal/dispatcher/rosterstore/snapshot.go
+++ b/internal/dispatcher/rosterstore/snapshot.go
@@ -1,10 +1,11 @@
-// Package rosterstore stores on disk what a dispatcher knows of its runners, so that it can start while discovery is
-// down. Package roster hands snapshots to a Writer; the program loads the last one at its start, and the state commands
-// read and write them.
+// Package rosterstore persists a dispatcher's runner list and related state, so that the dispatcher
+// can start while discovery is down. Package roster passes snapshots to a Writer; the dispatcher
+// loads the newest one at its start, and the state commands read and write them.
 //
-// A folder holds several generations, each a file of its own. Invariants: each generation's name stands for a complete
-// file whenever the process or the machine stops; a file that is corrupt is never read as a snapshot; nothing that is
-// on the way of a job waits for the disk.
+// A directory holds several generations, each a file of its own. Invariants:
+//   - the file of a generation is complete whenever the process or the machine stops;
+//   - a corrupt file is never read as a snapshot;
+//   - dispatching jobs never waits for the disk.
 package rosterstore
 
 import (
@@ -19,50 +20,53 @@
 	"time"
 )
 
-// Snapshot is one generation. Times are since 1970 by the machine's clock, which may be set back.
+// Snapshot is the content of one generation. Times are offsets from the Unix epoch by the machine's
+// clock, which may be set back.
 type Snapshot struct {
 	Name      string        `json:"name"`            // of the dispatcher
 	Saved     time.Duration `json:"saved"`           // when it was written
-	Discovery string        `json:"discovery"`       // the address that the list is from
+	Discovery string        `json:"discovery"`       // address that the list is from
 	Rev       uint64        `json:"rev"`             // version of the list
-	Answered  time.Duration `json:"answered"`        // when discovery last sent anything
-	Ended     bool          `json:"ended,omitempty"` // it was written at a planned shutdown
+	Answered  time.Duration `json:"answered"`        // when discovery last sent a message
+	Ended     bool          `json:"ended,omitempty"` // whether it was written at a planned shutdown
 	Nodes     []Node        `json:"nodes"`
 
-	Excluded []string                 `json:"excluded,omitempty"` // uids that operators have excluded
-	PutBack  map[string]time.Duration `json:"put_back,omitempty"` // uids that they have reinstated, and when
-	Health   json.RawMessage          `json:"health,omitempty"`   // the decision module's findings, by uid
-	Runs     map[string]time.Duration `json:"runs,omitempty"`     // mean run times, by the class's name
+	Excluded []string                 `json:"excluded,omitempty"` // uids that operators excluded
+	PutBack  map[string]time.Duration `json:"put_back,omitempty"` // reinstatement times, by uid
+	Health   json.RawMessage          `json:"health,omitempty"`   // decision.Health, by uid
+	Runs     map[string]time.Duration `json:"runs,omitempty"`     // mean run times, by job class
 }
 
-// Node is what is known of a runner.
+// Node is the stored state of a runner.
 type Node struct {
 	UID            string          `json:"uid"`
-	Entry          json.RawMessage `json:"entry"`     // in discovery's form, as it was sent
-	Confirmed      time.Duration   `json:"confirmed"` // when discovery or the runner last confirmed it
+	Entry          json.RawMessage `json:"entry"`     // in the format of discovery, as received
+	Confirmed      time.Duration   `json:"confirmed"` // time of the last confirmation
 	By             string          `json:"by"`        // ByDiscovery or ByRunner
-	WarmingUpSince time.Duration   `json:"cold_from"` // it may have started then; 0 for long ago
+	WarmingUpSince time.Duration   `json:"cold_from"` // earliest possible start; 0 for long ago
 }
 
-// Who has confirmed a runner, as it is stored.
+// The stored values of Node.By, the source of a runner's last confirmation.
 const (
-	ByDiscovery = "discovery"
-	ByRunner    = "runner"
+	ByDiscovery = "discovery" // discovery listed the runner
+	ByRunner    = "runner"    // the runner reported that a job runs
 )
 
-// A file is a header and a payload. The header is the magic, the version, the payload's length and the SHA-256 sum of
-// the header so far and the payload; the payload is JSON compressed by gzip.
+// A file consists of a header and a payload. The header holds the magic number, the format
+// version, the payload's length, and the SHA-256 sum of these fields and the payload. Integers
+// are big-endian. The payload is gzip-compressed JSON.
 const (
-	magic      = "frosttid"
-	version    = 1
-	headerSize = len(magic) + 4 + 8 + sha256.Size
-	// maxFileBytes bounds a file, and MaxPlainBytes its JSON: 100 times what a fleet of 2,000 takes. A larger
-	// snapshot is not written, and a larger file not read.
+	magicNumber = "frosttid"
+	version     = 1
+	headerSize  = len(magicNumber) + 4 + 8 + sha256.Size
+	// maxFileBytes is the maximum size of a file, and MaxPlainBytes that of its JSON before
+	// compression: 100 times what a fleet of 2,000 runners needs. Larger snapshots are not written,
+	// and larger files are not read.
 	maxFileBytes  = 32 << 20
 	MaxPlainBytes = 128 << 20
 )
 
-// The reasons for which a file is not read, and ErrTooLarge also for which a snapshot is not written.
+// The reasons why a file is not read. ErrTooLarge is also the reason why a snapshot is not written.
 var (
 	ErrCorrupt         = errors.New("the file is cut short or changed")
 	ErrNewerVersion    = errors.New("the file is of a newer version of this program")
@@ -70,10 +74,11 @@
 	ErrTooLarge        = errors.New("the snapshot is too large")
 )
 
-// Encode returns a snapshot as the content of a file.
+// Encode returns the file content of a snapshot. It fails with ErrTooLarge if the file would be
+// larger than maxFileBytes.
 func Encode(s *Snapshot) ([]byte, error) {
-	var packed bytes.Buffer
-	z, err := gzip.NewWriterLevel(&packed, gzip.BestSpeed)
+	var compressed bytes.Buffer
+	z, err := gzip.NewWriterLevel(&compressed, gzip.BestSpeed)
 	if err != nil {
 		return nil, err
 	}
@@ -81,28 +86,29 @@
 		err = z.Close()
 	}
 	if err != nil {
-		return nil, fmt.Errorf("writing a snapshot: %w", err)
+		return nil, fmt.Errorf("encode snapshot: %w", err)
 	}
-	if packed.Len() > maxFileBytes-headerSize {
+	if compressed.Len() > maxFileBytes-headerSize {
 		return nil, ErrTooLarge
 	}
-	out := append(make([]byte, 0, headerSize+packed.Len()), magic...)
+	out := append(make([]byte, 0, headerSize+compressed.Len()), magicNumber...)
 	out = binary.BigEndian.AppendUint32(out, version)
-	out = binary.BigEndian.AppendUint64(out, uint64(packed.Len()))
+	out = binary.BigEndian.AppendUint64(out, uint64(compressed.Len()))
 	sum := sha256.New()
 	sum.Write(out)
-	sum.Write(packed.Bytes())
-	return append(sum.Sum(out), packed.Bytes()...), nil
+	sum.Write(compressed.Bytes())
+	return append(sum.Sum(out), compressed.Bytes()...), nil
 }
 
-// Decode returns the snapshot of a file's content. Name is the dispatcher's, empty for any. The error is, or wraps, one
-// of the reasons above.
+// Decode returns the snapshot of a file's content. The name is that of the dispatcher whose
+// snapshot is expected, empty for any. The error is or wraps ErrCorrupt, ErrNewerVersion,
+// ErrOtherDispatcher or ErrTooLarge.
 func Decode(file []byte, name string) (*Snapshot, error) {
 	payload, err := verify(file)
 	if err != nil {
 		return nil, err
 	}
-	plain, err := unpack(payload)
+	plain, err := decompress(payload)
 	if err != nil {
 		return nil, err
 	}
@@ -116,28 +122,29 @@
 	return &s, nil
 }
 
-// verify returns the payload of a file whose header and sum are right. The version is compared before the sum, as a
-// newer version may sum otherwise.
+// verify checks the header and the checksum of a file and returns its payload. The version is
+// checked before the checksum, as a newer version may compute it differently.
 func verify(file []byte) (payload []byte, err error) {
-	if len(file) < headerSize || string(file[:len(magic)]) != magic {
+	if len(file) < headerSize || string(file[:len(magicNumber)]) != magicNumber {
 		return nil, ErrCorrupt
 	}
-	if binary.BigEndian.Uint32(file[len(magic):]) != version {
+	if binary.BigEndian.Uint32(file[len(magicNumber):]) != version {
 		return nil, ErrNewerVersion
 	}
-	head, payload := file[:headerSize-sha256.Size], file[headerSize:]
+	header, payload := file[:headerSize-sha256.Size], file[headerSize:]
 	sum := sha256.New()
-	sum.Write(head)
+	sum.Write(header)
 	sum.Write(payload)
-	length := binary.BigEndian.Uint64(head[len(magic)+4:])
-	if !bytes.Equal(sum.Sum(nil), file[len(head):headerSize]) || length != uint64(len(payload)) {
+	length := binary.BigEndian.Uint64(header[len(magicNumber)+4:])
+	if !bytes.Equal(sum.Sum(nil), file[len(header):headerSize]) || length != uint64(len(payload)) {
 		return nil, ErrCorrupt
 	}
 	return payload, nil
 }
 
-// unpack returns the JSON of a payload, up to MaxPlainBytes.
-func unpack(payload []byte) ([]byte, error) {
+// decompress returns the JSON of a payload. It fails with ErrTooLarge if that is longer than
+// MaxPlainBytes.
+func decompress(payload []byte) ([]byte, error) {
 	z, err := gzip.NewReader(bytes.NewReader(payload))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrCorrupt, err)
--- a/internal/dispatcher/rosterstore/writer.go
+++ b/internal/dispatcher/rosterstore/writer.go
@@ -7,28 +7,30 @@
 	"github.com/sirupsen/logrus"
 )
 
-// slowWrite is how long a write may take before it is logged as slow: the disk may be failing.
+// slowWrite is the duration after which a write in progress is logged as slow, as the disk may be
+// failing.
 const slowWrite = 5 * time.Second
 
-// Writer writes snapshots on a goroutine of its own, one at a time. Of the snapshots that come during a write, or
-// within the interval after one, only the newest is written; one that is urgent ends the interval. Its methods may be
-// called from any goroutine, and none but Close blocks.
+// Writer writes snapshots in the background, one at a time. Of the snapshots that are put during a
+// write or within the interval after it, only the newest is written. An urgent snapshot ends the
+// interval early. The methods are safe for concurrent use, and only Close blocks.
 type Writer struct {
 	dir      *Dir
 	interval time.Duration
 	log      *logrus.Entry
 
 	mu      sync.Mutex // not held during a write
-	next    *Snapshot
+	pending *Snapshot  // the newest snapshot that is not being written yet; nil for none
 	closed  bool
-	written int
+	written int // generations written
 
-	wake   chan struct{} // holds one token if there is a snapshot, or the writer is closed
-	urgent chan struct{} // holds one token if the wait between two writes is to end
-	done   chan struct{} // closed when the goroutine has ended
+	wake   chan struct{} // capacity 1; holds a token if a snapshot is pending or Close was called
+	urgent chan struct{} // capacity 1; holds a token if the interval after a write is to end early
+	done   chan struct{} // closed when run returns
 }
 
-// NewWriter starts a writer that leaves at least an interval between two writes. It has to be closed.
+// NewWriter starts a writer that waits at least interval between two writes, except for urgent
+// ones. The caller must call Close.
 func NewWriter(dir *Dir, interval time.Duration, log *logrus.Entry) *Writer {
 	w := &Writer{
 		dir:      dir,
@@ -42,67 +44,70 @@
 	return w
 }
 
-// Put hands over a snapshot, which must not be changed any more.
+// Put schedules a snapshot to be written and replaces a pending one. The snapshot must not be
+// modified afterwards. After Close it is discarded.
 func (w *Writer) Put(s *Snapshot) {
 	w.mu.Lock()
 	if !w.closed {
-		w.next = s
+		w.pending = s
 	}
 	w.mu.Unlock()
-	signal(w.wake)
+	notify(w.wake)
 }
 
-// PutUrgent hands over a snapshot like Put, and has it written without waiting for the interval.
+// PutUrgent schedules a snapshot like Put, but to be written without waiting for the interval.
 func (w *Writer) PutUrgent(s *Snapshot) {
 	w.Put(s)
-	signal(w.urgent)
+	notify(w.urgent)
 }
 
-// Close has the last snapshot written and returns when it is, or at the deadline: a disk that hangs does not delay the
-// shutdown of the process.
+// Close writes the pending snapshot, if any, and stops the writer. It returns when that is done
+// or at the deadline, so that a hanging disk does not delay the shutdown of the process.
 func (w *Writer) Close(deadline time.Time) {
 	w.mu.Lock()
 	w.closed = true
 	w.mu.Unlock()
-	signal(w.wake)
-	signal(w.urgent)
+	notify(w.wake)
+	notify(w.urgent)
 	timer := time.NewTimer(time.Until(deadline))
 	defer timer.Stop()
 	select {
 	case <-w.done:
 	case <-timer.C:
-		w.log.Warn("the last state is not on disk; the disk hangs")
+		w.log.Warn("the last state was not written before the shutdown deadline; the disk hangs")
 	}
 }
 
-// signal puts a token into a channel that holds one at most.
-func signal(token chan<- struct{}) {
+// notify puts a token into a channel of capacity 1 unless it holds one already.
+func notify(token chan<- struct{}) {
 	select {
 	case token <- struct{}{}:
-	default: // there is one already
+	default:
 	}
 }
 
-// Written returns how many generations have been written.
+// Written returns how many generations the writer has written successfully.
 func (w *Writer) Written() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.written
 }
 
-func (w *Writer) take() (s *Snapshot, closed bool) {
+// takePending removes and returns the pending snapshot, nil for none, and whether Close was called.
+func (w *Writer) takePending() (s *Snapshot, closed bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	s, w.next = w.next, nil
+	s, w.pending = w.pending, nil
 	return s, w.closed
 }
 
+// run writes pending snapshots until the writer is closed.
 func (w *Writer) run() {
 	defer close(w.done)
 	failing := false
 	for {
 		<-w.wake
-		s, closed := w.take()
+		s, closed := w.takePending()
 		if s != nil {
 			failing = w.save(s, failing)
 		}
@@ -118,7 +123,8 @@
 	}
 }
 
-// save writes a generation and reports whether that failed. It logs the first failure and the first success after one.
+// save writes a generation and reports whether that failed. It logs only the first of consecutive
+// failures, and the first success after them.
 func (w *Writer) save(s *Snapshot, failing bool) (failed bool) {
 	warning := time.AfterFunc(slowWrite, func() { w.log.Warn("writing the state takes long; dispatching goes on") })
 	err := w.dir.Save(s)
