--- a/internal/dispatcher/rosterpolicy/candidate.go
+++ b/internal/dispatcher/rosterpolicy/candidate.go
@@ -97,7 +97,7 @@
 	successesNeeded int           // successes that are still required before it is used
 	lastSuccess     time.Duration // time of the last success that lowered successesNeeded
 	warmingUpSince  time.Duration // earliest time at which it may have started
-	notRestarted    bool          // no evidence of a restart since the dispatcher's planned shutdown
+	notRestarted    bool          // no sign of a restart since a planned shutdown of the dispatcher
 	unhealthySince  time.Duration // time of the first failure since the last success; 0 for none
 	proven          bool          // it has started a job since the table was created
 	failures        int           // consecutive failures
--- a/internal/dispatcher/rosterpolicy/rosterpolicy.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy.go
@@ -71,7 +71,7 @@
 	rng        *rand.Rand
 	candidates map[string]*candidate // by uid
 	probeOrder []*candidate          // may hold candidates that were removed
-	nextProbe  time.Duration         // when the rate limit, without its burst, allows the next probe
+	nextProbe  time.Duration         // when ProbeRate, without a burst, allows the next probe
 	startedAt  time.Duration         // when the table was created
 	owners     int                   // number of dispatchers that may use a runner while it is cold
 }
--- a/internal/dispatcher/rosterpolicy/rosterpolicy_test.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy_test.go
@@ -99,7 +99,7 @@
 	stored         []Stored
 	table          *StateTable
 	startedAt, now time.Duration
-	down           map[string]time.Duration // last time at which bad evidence left a runner withheld
+	down           map[string]time.Duration // when bad evidence last withheld a runner
 	probing        map[string]bool          // runners with a probe in flight
 	probes         int                      // probes started so far
 }
