--- a/internal/dispatcher/rosterstore/generations.go
+++ b/internal/dispatcher/rosterstore/generations.go
@@ -127,7 +127,7 @@
 			continue // the other process of an upgrade removed it meanwhile
 		}
 		if errors.Is(err, ErrCorrupt) || errors.Is(err, ErrTooLarge) {
-			_ = d.files.Rename(path, path+corruptSuffix) // if this fails, Load skips it again next time
+			_ = d.files.Rename(path, path+corruptSuffix) // on failure it is skipped again
 		}
 		onSkipped(f.File, err)
 	}
--- a/internal/dispatcher/rosterstore/rosterstore_test.go
+++ b/internal/dispatcher/rosterstore/rosterstore_test.go
@@ -26,9 +26,9 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// sample returns a snapshot each part of which holds its number, so that a mixture of two is
-// detected.
-func sample(number, nodes int) *Snapshot {
+// testSnapshot returns a snapshot every part of which holds the number, so that a mixture of two
+// snapshots is detected.
+func testSnapshot(number, nodes int) *Snapshot {
 	s := &Snapshot{Name: "n0", Saved: time.Duration(number), Rev: uint64(number), Discovery: fmt.Sprint("d", number)}
 	for i := range nodes {
 		uid := fmt.Sprintf("s-%d", i)
@@ -38,108 +38,110 @@
 	return s
 }
 
-// checkSample returns an error if a snapshot is not one that sample has returned.
-func checkSample(s *Snapshot) error {
-	if diff := cmp.Diff(sample(int(s.Rev), len(s.Nodes)), s); diff != "" {
-		return fmt.Errorf("a mixture (-want +got):\n%s", diff)
+// checkTestSnapshot returns an error if a snapshot differs from that of testSnapshot for its Rev
+// and number of nodes.
+func checkTestSnapshot(s *Snapshot) error {
+	if diff := cmp.Diff(testSnapshot(int(s.Rev), len(s.Nodes)), s); diff != "" {
+		return fmt.Errorf("snapshot differs from the one that was saved (-want +got):\n%s", diff)
 	}
 	return nil
 }
 
 func encode(t *testing.T, s *Snapshot) []byte {
 	t.Helper()
-	text, err := Encode(s)
+	data, err := Encode(s)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return text
+	return data
 }
 
-// TestDecode has a file rejected that is truncated at any byte, changed in any bit, too long, of
-// another version, or another dispatcher's.
+// TestDecode checks that Decode rejects a file that is truncated at any byte, has any bit
+// flipped, is too long, has a newer version, or belongs to another dispatcher.
 func TestDecode(t *testing.T) {
-	good := encode(t, sample(7, 3))
+	good := encode(t, testSnapshot(7, 3))
 	s, err := Decode(good, "n0")
-	if err != nil || checkSample(s) != nil {
-		t.Fatal(err, checkSample(s))
+	if err != nil || checkTestSnapshot(s) != nil {
+		t.Fatal(err, checkTestSnapshot(s))
 	}
 	for n := range good {
 		if _, err := Decode(good[:n], ""); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("cut at %d: %v", n, err)
+			t.Fatalf("file truncated to %d bytes: got %v, want ErrCorrupt", n, err)
 		}
 		for bit := range 8 {
 			bad := bytes.Clone(good)
 			bad[n] ^= 1 << bit
 			if _, err := Decode(bad, ""); err == nil {
-				t.Fatalf("bit %d of byte %d is changed, which is not detected", bit, n)
+				t.Fatalf("bit %d of byte %d flipped: got no error", bit, n)
 			}
 		}
 	}
 	if _, err := Decode(append(bytes.Clone(good), 0), ""); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("longer: %v", err)
+		t.Errorf("file with a trailing byte: got %v, want ErrCorrupt", err)
 	}
 	newer := bytes.Clone(good)
 	binary.BigEndian.PutUint32(newer[len(magicNumber):], version+1)
 	if _, err := Decode(newer, ""); !errors.Is(err, ErrNewerVersion) {
-		t.Errorf("newer: %v", err)
+		t.Errorf("file of a newer version: got %v, want ErrNewerVersion", err)
 	}
 	if _, err := Decode(good, "n1"); !errors.Is(err, ErrOtherDispatcher) {
-		t.Errorf("another's: %v", err)
+		t.Errorf("file of another dispatcher: got %v, want ErrOtherDispatcher", err)
 	}
 }
 
-// FuzzDecode has any file lead to a snapshot or an error.
+// FuzzDecode checks that Decode returns either a snapshot or an error for any input.
 func FuzzDecode(f *testing.F) {
-	good, _ := Encode(sample(7, 3))
+	good, _ := Encode(testSnapshot(7, 3))
 	f.Add(good)
 	f.Add(good[:headerSize])
 	f.Fuzz(func(t *testing.T, file []byte) {
 		if s, err := Decode(file, ""); (s == nil) == (err == nil) {
-			t.Errorf("%v and %v", s, err)
+			t.Errorf("got snapshot %v and error %v, want exactly one of them", s, err)
 		}
 	})
 }
 
-// memory is a file system in memory that loses what was not synced when the power fails, and that
-// fails at a given step.
-type memory struct {
-	names  map[string]*inode // as programs see them
-	synced map[string]*inode // as they are on the disk
-	steps  int               // until it fails; below 0 for never
-	how    string            // "off": all steps fail; "full": writes fail; "ro": changes fail
+// memFS is an in-memory file system that loses unsynced data in a crash and injects a fault at a
+// given step.
+type memFS struct {
+	names           map[string]*inode // as processes see them
+	synced          map[string]*inode // as they are on disk
+	stepsUntilFault int               // steps before the fault occurs; below 0 for never
+	fault           string            // steps that fail: "off": all; "full": writes; "ro": changes
 }
 
-// inode is a file's content: all that was written, and what was synced of it.
+// inode is the content of a file: everything that was written, and the synced part of it.
 type inode struct{ data, synced []byte }
 
-var errOff = errors.New("the power is off")
+var errPowerOff = errors.New("power is off")
 
-func newMemory() *memory {
-	return &memory{names: map[string]*inode{}, synced: map[string]*inode{}, steps: -1}
+func newMemFS() *memFS {
+	return &memFS{names: map[string]*inode{}, synced: map[string]*inode{}, stepsUntilFault: -1}
 }
 
-// step counts a step and returns its error.
-func (m *memory) step(writes, changes bool) error {
-	if m.steps > 0 {
-		m.steps--
+// step counts an operation and returns the error of the injected fault, if any. The operation
+// writes data if writes is set, and modifies the file system if changes is set.
+func (m *memFS) step(writes, changes bool) error {
+	if m.stepsUntilFault > 0 {
+		m.stepsUntilFault--
 	}
-	if m.steps != 0 {
+	if m.stepsUntilFault != 0 {
 		return nil
 	}
 	switch {
-	case m.how == "off":
-		return errOff
-	case m.how == "full" && writes:
+	case m.fault == "off":
+		return errPowerOff
+	case m.fault == "full" && writes:
 		return syscall.ENOSPC
-	case m.how == "ro" && changes:
+	case m.fault == "ro" && changes:
 		return syscall.EROFS
 	}
 	return nil
 }
 
-// crash simulates a power failure: names that were not synced may or may not exist, and the
-// content of a file that was not synced is truncated anywhere.
-func (m *memory) crash(draw func(n int) int) {
+// crash simulates a power failure: directory entries that were not synced may or may not exist,
+// and unsynced content is truncated anywhere.
+func (m *memFS) crash(draw func(n int) int) {
 	all := map[string]bool{}
 	for name := range m.names {
 		all[name] = true
@@ -163,7 +165,7 @@
 		}
 		remaining[name] = &inode{data: bytes.Clone(data), synced: bytes.Clone(data)}
 	}
-	m.names, m.synced, m.steps = remaining, map[string]*inode{}, -1
+	m.names, m.synced, m.stepsUntilFault = remaining, map[string]*inode{}, -1
 	for name, node := range remaining {
 		m.synced[name] = node
 	}
@@ -179,7 +181,7 @@
 	}
 }
 
-func (m *memory) List(string) ([]string, error) {
+func (m *memFS) List(string) ([]string, error) {
 	var out []string
 	for name := range m.names {
 		out = append(out, filepath.Base(name))
@@ -187,14 +189,14 @@
 	return out, m.step(false, false)
 }
 
-func (m *memory) Read(path string) ([]byte, error) {
+func (m *memFS) Read(path string) ([]byte, error) {
 	if n := m.names[path]; n != nil {
 		return bytes.Clone(n.data), m.step(false, false)
 	}
 	return nil, fs.ErrNotExist
 }
 
-func (m *memory) Create(path string) (file, error) {
+func (m *memFS) Create(path string) (file, error) {
 	if err := m.step(false, true); err != nil {
 		return nil, err
 	}
@@ -202,10 +204,10 @@
 		return nil, fs.ErrExist
 	}
 	m.names[path] = &inode{}
-	return &open{m, m.names[path]}, nil
+	return &memFile{m, m.names[path]}, nil
 }
 
-func (m *memory) Link(from, to string) error {
+func (m *memFS) Link(from, to string) error {
 	if err := m.step(false, true); err != nil {
 		return err
 	}
@@ -216,7 +218,7 @@
 	return nil
 }
 
-func (m *memory) Rename(from, to string) error {
+func (m *memFS) Rename(from, to string) error {
 	if err := m.step(false, true); err != nil {
 		return err
 	}
@@ -225,7 +227,7 @@
 	return nil
 }
 
-func (m *memory) Remove(path string) error {
+func (m *memFS) Remove(path string) error {
 	if m.names[path] == nil {
 		return fs.ErrNotExist
 	}
@@ -236,7 +238,7 @@
 	return nil
 }
 
-func (m *memory) SyncDir(string) error {
+func (m *memFS) SyncDir(string) error {
 	if err := m.step(false, false); err != nil {
 		return err
 	}
@@ -247,25 +249,25 @@
 	return nil
 }
 
-// open is a file of memory that is open for writing.
-type open struct {
-	disk *memory
+// memFile is a file of a memFS that is open for writing.
+type memFile struct {
+	disk *memFS
 	node *inode
 }
 
-func (o *open) Write(text []byte) (int, error) {
-	for i := 0; i < len(text); i += 64 { // a write may stop anywhere
-		part := text[i:min(i+64, len(text))]
+func (o *memFile) Write(data []byte) (int, error) {
+	for i := 0; i < len(data); i += 64 { // a write may stop anywhere
+		part := data[i:min(i+64, len(data))]
 		if err := o.disk.step(true, true); err != nil {
 			o.node.data = append(o.node.data, part[:len(part)/2]...)
 			return i + len(part)/2, err
 		}
 		o.node.data = append(o.node.data, part...)
 	}
-	return len(text), nil
+	return len(data), nil
 }
 
-func (o *open) Sync() error {
+func (o *memFile) Sync() error {
 	if err := o.disk.step(false, false); err != nil {
 		return err
 	}
@@ -273,53 +275,53 @@
 	return nil
 }
 
-func (o *open) Close() error { return o.disk.step(false, false) }
+func (o *memFile) Close() error { return o.disk.step(false, false) }
 
-// TestBrokenDisk has a complete generation load whenever the disk or the power fails, and none
-// that is older than the last one that was saved without an error.
+// TestBrokenDisk checks that after any disk fault or power failure Load returns a complete
+// generation that is not older than the last one saved without an error.
 func TestBrokenDisk(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newMemory()
+		m := newMemFS()
 		d := &Dir{path: "/s", name: "n0", maxGenerations: rapid.IntRange(2, 4).Draw(t, "keep"), files: m}
-		saved, number := 0, 0
-		for range rapid.IntRange(1, 6).Draw(t, "lives") {
-			m.how = rapid.SampledFrom([]string{"off", "full", "ro"}).Draw(t, "how")
-			m.steps = rapid.IntRange(1, 60).Draw(t, "steps")
+		lastSaved, number := 0, 0
+		for range rapid.IntRange(1, 6).Draw(t, "processes") {
+			m.fault = rapid.SampledFrom([]string{"off", "full", "ro"}).Draw(t, "fault")
+			m.stepsUntilFault = rapid.IntRange(1, 60).Draw(t, "steps")
 			for range 4 {
 				number++
-				if d.Save(sample(number, rapid.IntRange(0, 20).Draw(t, "nodes"))) == nil {
-					saved = number
+				if d.Save(testSnapshot(number, rapid.IntRange(0, 20).Draw(t, "nodes"))) == nil {
+					lastSaved = number
 				}
 			}
-			if m.how == "off" || rapid.Bool().Draw(t, "crash") {
+			if m.fault == "off" || rapid.Bool().Draw(t, "crash") {
 				m.crash(func(n int) int { return rapid.IntRange(0, n-1).Draw(t, "draw") })
 			}
-			m.steps = -1
+			m.stepsUntilFault = -1
 			d = &Dir{path: "/s", name: "n0", maxGenerations: d.maxGenerations, files: m}
 			s, err := d.Load(func(string, error) {})
 			switch {
 			case err != nil:
 				t.Fatal(err)
-			case s == nil && saved > 0:
-				t.Fatalf("generation %d was saved and nothing is there", saved)
+			case s == nil && lastSaved > 0:
+				t.Fatalf("generation %d was saved, but Load found none", lastSaved)
 			case s == nil:
 				continue
 			}
-			if err := checkSample(s); err != nil {
+			if err := checkTestSnapshot(s); err != nil {
 				t.Fatal(err)
 			}
-			if int(s.Rev) < saved || int(s.Rev) > number {
-				t.Fatalf("generation %d is there, %d was saved last", s.Rev, saved)
+			if int(s.Rev) < lastSaved || int(s.Rev) > number {
+				t.Fatalf("Load returned generation %d, want one from the last saved, %d, to the newest attempted", s.Rev, lastSaved)
 			}
 			if files, _ := d.generations(); len(files) > d.maxGenerations+4 {
-				t.Fatalf("%d generations are kept", len(files))
+				t.Fatalf("%d generations are kept, want at most maxGenerations+4", len(files))
 			}
 		}
 	})
 }
 
-// TestLoad has Load skip files that can't be read, and take the highest number whatever the times
-// are.
+// TestLoad checks that Load returns the readable generation with the highest number, regardless
+// of its time, that it skips unreadable files, and that it renames only the corrupt one.
 func TestLoad(t *testing.T) {
 	path := t.TempDir()
 	d, err := Open(path, "n0", 3)
@@ -327,7 +329,7 @@
 		t.Fatal(err)
 	}
 	for n := 1; n <= 4; n++ {
-		s := sample(n, 2)
+		s := testSnapshot(n, 2)
 		s.Saved = time.Duration(100 - n)
 		if err := d.Save(s); err != nil {
 			t.Fatal(err)
@@ -335,24 +337,24 @@
 	}
 	files, err := d.generations()
 	if err != nil || len(files) != 3 {
-		t.Fatalf("%d generations are kept, %v", len(files), err)
+		t.Fatalf("got %d generations, %v; want 3", len(files), err)
 	}
-	write := func(i int, text []byte) {
-		if err := os.WriteFile(filepath.Join(path, files[i].File), text, 0o600); err != nil {
+	write := func(i int, data []byte) {
+		if err := os.WriteFile(filepath.Join(path, files[i].File), data, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	newer := encode(t, sample(9, 1))
+	newer := encode(t, testSnapshot(9, 1))
 	binary.BigEndian.PutUint32(newer[len(magicNumber):], version+1)
 	write(0, newer)
 	write(1, []byte("torn"))
 	var skipped []string
 	s, err := d.Load(func(file string, reason error) { skipped = append(skipped, reason.Error()) })
 	if err != nil || s == nil || s.Rev != 2 {
-		t.Fatalf("loaded %+v, %v", s, err)
+		t.Fatalf("Load = %+v, %v; want Rev 2", s, err)
 	}
 	if diff := cmp.Diff([]string{ErrNewerVersion.Error(), ErrCorrupt.Error()}, skipped); diff != "" {
-		t.Errorf("skipped (-want +got):\n%s", diff)
+		t.Errorf("errors of skipped files (-want +got):\n%s", diff)
 	}
 	names, _ := os.ReadDir(path)
 	var remaining []string
@@ -360,18 +362,18 @@
 		remaining = append(remaining, strings.TrimPrefix(n.Name(), files[0].File[:len(files[0].File)-len("4.state")]))
 	}
 	if diff := cmp.Diff([]string{"1.state", "2.state.bad", "3.state"}, remaining); diff != "" {
-		t.Errorf("files (-want +got):\n%s", diff)
+		t.Errorf("files after Load (-want +got):\n%s", diff)
 	}
 	if other, err := Open(path, "n1", 3); err != nil {
 		t.Fatal(err)
 	} else if s, err := other.Load(func(string, error) {}); s != nil || err != nil {
-		t.Errorf("another dispatcher loads %v, %v", s, err)
+		t.Errorf("Load for another dispatcher = %v, %v; want nil, nil", s, err)
 	}
 }
 
-// TestTwoProcesses has the two processes of an upgrade write into one folder without losing a
-// generation of either.
-func TestTwoProcesses(t *testing.T) {
+// TestSaveByTwoProcesses checks that the two processes of an upgrade can save to one directory at
+// the same time without losing a generation of either.
+func TestSaveByTwoProcesses(t *testing.T) {
 	path := t.TempDir()
 	var dirs []*Dir
 	for range 2 {
@@ -379,14 +381,14 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		d.files = drafts{osFileSystem{}, len(dirs)}
+		d.files = writerFS{osFileSystem{}, len(dirs)}
 		dirs = append(dirs, d)
 	}
 	done := make(chan error, 2)
 	for i, d := range dirs {
 		go func() {
 			for n := range 20 {
-				if err := d.Save(sample(100*i+n, 5)); err != nil {
+				if err := d.Save(testSnapshot(100*i+n, 5)); err != nil {
 					done <- err
 					return
 				}
@@ -401,18 +403,18 @@
 	}
 	all, err := dirs[0].ReadAll()
 	if err != nil || len(all) != 40 {
-		t.Fatalf("%d generations, %v", len(all), err)
+		t.Fatalf("got %d generations, %v; want 40", len(all), err)
 	}
 	for _, f := range all {
-		if f.Err != nil || checkSample(f.Snapshot) != nil {
+		if f.Err != nil || checkTestSnapshot(f.Snapshot) != nil {
 			t.Errorf("%s: %v", f.File, f.Err)
 		}
 	}
 }
 
-// TestFarBehindTheOtherProcess has a process write that knows of no generation while the other
-// has written many more than it would try names.
-func TestFarBehindTheOtherProcess(t *testing.T) {
+// TestSaveFarBehindOtherProcess checks that Save succeeds in a process that knows of no
+// generation while the other process of an upgrade has written more than maxNameAttempts of them.
+func TestSaveFarBehindOtherProcess(t *testing.T) {
 	path := t.TempDir()
 	var dirs []*Dir
 	for range 2 {
@@ -423,71 +425,72 @@
 		dirs = append(dirs, d)
 	}
 	for n := range 2*maxNameAttempts + 1 {
-		if err := dirs[0].Save(sample(n, 5)); err != nil {
+		if err := dirs[0].Save(testSnapshot(n, 5)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := dirs[1].Save(sample(100, 5)); err != nil {
+	if err := dirs[1].Save(testSnapshot(100, 5)); err != nil {
 		t.Fatal(err)
 	}
 	all, err := dirs[0].ReadAll()
 	if err != nil || len(all) != 2*maxNameAttempts+2 || all[0].Generation != 2*maxNameAttempts+1 {
-		t.Fatalf("%d generations, the newest %d, %v", len(all), all[0].Generation, err)
+		t.Fatalf("got %d generations, the newest %d, %v; want all of them, and the new one as the newest", len(all), all[0].Generation, err)
 	}
 }
 
-// drafts gives each of two writers of one process its own name of drafts, as two processes have.
-type drafts struct {
+// writerFS gives each of two writers in one process its own names of temporary files, as two
+// processes have by their process IDs.
+type writerFS struct {
 	osFileSystem
 	number int
 }
 
-// own returns the writer's name of a draft.
-func (d drafts) own(path string) string {
+// tempPath returns the writer's own path for a temporary file, and other paths unchanged.
+func (d writerFS) tempPath(path string) string {
 	if strings.HasSuffix(path, tempSuffix) {
 		return path + strconv.Itoa(d.number)
 	}
 	return path
 }
-func (d drafts) Create(path string) (file, error) { return d.osFileSystem.Create(d.own(path)) }
-func (d drafts) Link(from, to string) error       { return d.osFileSystem.Link(d.own(from), to) }
-func (d drafts) Remove(path string) error         { return d.osFileSystem.Remove(d.own(path)) }
+func (d writerFS) Create(path string) (file, error) { return d.osFileSystem.Create(d.tempPath(path)) }
+func (d writerFS) Link(from, to string) error       { return d.osFileSystem.Link(d.tempPath(from), to) }
+func (d writerFS) Remove(path string) error         { return d.osFileSystem.Remove(d.tempPath(path)) }
 
-// hanging is a file system whose writes block until wait is closed.
-type hanging struct {
-	*memory
-	wait chan struct{}
+// blockedFS is a file system whose Create blocks until release is closed.
+type blockedFS struct {
+	*memFS
+	release chan struct{}
 }
 
-func (h hanging) Create(path string) (file, error) {
-	<-h.wait
-	return h.memory.Create(path)
+func (h blockedFS) Create(path string) (file, error) {
+	<-h.release
+	return h.memFS.Create(path)
 }
 
-// TestHangingDisk has neither Put nor the shutdown wait for a disk that hangs, and only the
-// newest snapshot written afterwards.
+// TestHangingDisk checks that neither Put nor Close waits for a hanging disk, and that only the
+// newest snapshot is written once the disk works again.
 func TestHangingDisk(t *testing.T) {
-	m := hanging{newMemory(), make(chan struct{})}
+	m := blockedFS{newMemFS(), make(chan struct{})}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	w := NewWriter(&Dir{path: "/s", name: "n0", maxGenerations: 3, files: m}, time.Millisecond, logrus.NewEntry(log))
 	for n := range 1000 {
-		w.Put(sample(n, 1))
+		w.Put(testSnapshot(n, 1))
 	}
 	w.Close(time.Now().Add(10 * time.Millisecond))
-	close(m.wait)
+	close(m.release)
 	<-w.done
 	if n := w.Written(); n < 1 || n > 2 {
-		t.Errorf("%d generations were written for 1000 put at once", n)
+		t.Errorf("%d generations written for 1000 snapshots put at once, want 1 or 2", n)
 	}
-	s, err := (&Dir{path: "/s", name: "n0", maxGenerations: 3, files: m.memory}).Load(func(string, error) {})
+	s, err := (&Dir{path: "/s", name: "n0", maxGenerations: 3, files: m.memFS}).Load(func(string, error) {})
 	if err != nil || s == nil || s.Rev != 999 {
-		t.Errorf("the last state is %+v, %v", s, err)
+		t.Errorf("Load = %+v, %v; want Rev 999", s, err)
 	}
 }
 
-// TestKills has no generation lost or corrupt when the process is killed at random moments of
-// writing. CI kills it a few times; FROSTTIDE_KILLS sets another number.
+// TestKills checks that no generation is lost or corrupt when a process is killed at random
+// moments while it saves. CI kills it only a few times; FROSTTIDE_KILLS sets another number.
 func TestKills(t *testing.T) {
 	if dir := os.Getenv("FROSTTIDE_KILL_DIR"); dir != "" {
 		writeUntilKilled(t, dir)
@@ -500,22 +503,23 @@
 	last := uint64(0)
 	for i := range kills {
 		within := 12_000
-		if last == 0 { // on a busy machine nothing has been written in that time yet
+		if last == 0 { // on a busy machine nothing may have been written so far
 			within *= 1 + i
 		}
 		killWriter(t, dir, time.Duration(rand.IntN(within))*time.Microsecond)
 		last = checkGenerations(t, dir, i, last)
 	}
 	if last == 0 {
-		t.Error("nothing was ever written")
+		t.Error("no process saved a generation before it was killed")
 	}
 	names, _ := os.ReadDir(dir)
 	if len(names) > 3+2 {
-		t.Errorf("%d files are left", len(names))
+		t.Errorf("%d files in the directory, want at most 3 generations and 2 others", len(names))
 	}
 }
 
-// writeUntilKilled is the process that TestKills kills: it saves one generation after another.
+// writeUntilKilled runs in the process that TestKills kills: it saves generations until the kill.
+// It prints "writes" as soon as there is a generation.
 func writeUntilKilled(t *testing.T, dir string) {
 	t.Helper()
 	d, err := Open(dir, "n0", 3)
@@ -529,19 +533,19 @@
 	n := 1
 	if last != nil {
 		n = int(last.Rev) + 1
-	} else if err := d.Save(sample(0, 200)); err != nil { // on a slow machine none would get so far
+	} else if err := d.Save(testSnapshot(0, 200)); err != nil { // so that a slow machine saves one
 		t.Fatal(err)
 	}
 	fmt.Println("writes")
 	for ; ; n++ {
-		if err := d.Save(sample(n, 200)); err != nil {
+		if err := d.Save(testSnapshot(n, 200)); err != nil {
 			t.Fatal(err)
 		}
 	}
 }
 
-// killWriter starts a process that writes into a folder and kills it a while after it has begun
-// to write.
+// killWriter starts a process that saves to a directory, and kills it the given time after it has
+// printed that it writes.
 func killWriter(t *testing.T, dir string, after time.Duration) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], "-test.run=^TestKills$")
@@ -556,14 +560,14 @@
 	if _, err := io.ReadFull(out, make([]byte, len("writes"))); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(after) // the moment is what is tested
+	time.Sleep(after) // random time of the kill
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
 }
 
-// checkGenerations fails the test if a generation is corrupt after a kill, or none is as new as
-// the last one before. It returns the newest.
-func checkGenerations(t *testing.T, dir string, kill int, last uint64) uint64 {
+// checkGenerations fails the test if a generation is corrupt after a kill, or if the newest one
+// is older than the newest before the kill. It returns the Rev of the newest.
+func checkGenerations(t *testing.T, dir string, kill int, newest uint64) uint64 {
 	t.Helper()
 	d, err := Open(dir, "n0", 3)
 	if err != nil {
@@ -577,15 +581,15 @@
 		if f.Err != nil {
 			t.Fatalf("kill %d: %s: %v", kill, f.File, f.Err)
 		}
-		if err := checkSample(f.Snapshot); err != nil {
+		if err := checkTestSnapshot(f.Snapshot); err != nil {
 			t.Fatalf("kill %d: %v", kill, err)
 		}
 	}
-	if len(all) == 0 && last > 0 || len(all) > 0 && all[0].Snapshot.Rev < last {
-		t.Fatalf("kill %d: generation %d is lost", kill, last)
+	if len(all) == 0 && newest > 0 || len(all) > 0 && all[0].Snapshot.Rev < newest {
+		t.Fatalf("kill %d: generation %d was saved before and is lost", kill, newest)
 	}
 	if len(all) > 0 {
-		last = all[0].Snapshot.Rev
+		newest = all[0].Snapshot.Rev
 	}
-	return last
+	return newest
 }
