--- a/internal/routeconfig/change.go
+++ b/internal/routeconfig/change.go
@@ -7,26 +7,28 @@
 	"frosttide/internal/protocol"
 )
 
-// maxTombstones bounds the removed items that are remembered for followers of older versions. A follower of a version
-// before the horizon gets the full configuration.
+// maxTombstones bounds the removed items that are remembered for followers of older versions. A
+// follower whose version is below the tombstone horizon gets the full configuration.
 const maxTombstones = 1024
 
-// Change is what an order does to a table.
+// Change is the result of applying an operator's update to a table.
 type Change struct {
-	Table *Table // after it
-	// Items holds the items that are set, or removed (tombstones), by key; a key with nil is dropped altogether.
+	Table *Table // the resulting table
+	// Items holds the changed items by key: items that were set, and tombstones of those that
+	// were removed. A nil value means that the tombstone of the key is dropped.
 	Items map[string]*protocol.ConfigItem
 }
 
-// What the body of an operator's order is, as the wire tells it by a flag.
+// The values of the argument patch of Apply, which state what the body of an operator's update
+// is. The update message between processes carries the same flag.
 const (
 	Document = false // the complete configuration
-	Patch    = true  // a change of parts of it
+	Patch    = true  // a change of parts of the configuration
 )
 
-// Apply evaluates an operator's order: a document, which replaces the whole configuration, or a patch. It returns an
-// error marked with ErrInvalid where the order cannot be read, its version is not above the table's, or the table after it
-// would not be valid.
+// Apply evaluates an operator's update: a document, which replaces the whole configuration, or a
+// patch. The error is marked with ErrInvalid if the body can't be parsed, if its version is not
+// above the table's, or if the resulting table would be invalid.
 func (t *Table) Apply(body []byte, patch bool) (*Change, error) {
 	d, err := parse(body, patch)
 	if err != nil {
@@ -42,18 +44,19 @@
 	return c, c.Table.validate()
 }
 
-// changedItems returns the items that a document sets or removes, and the highest position after it. A patch leaves
-// items in their positions and puts new ones last; a full document numbers all anew.
+// changedItems returns the items that a document or patch sets or removes, and the highest
+// position after it. A patch keeps the positions of existing items and appends new ones; a
+// document assigns all positions anew.
 func (t *Table) changedItems(d *document) (changed map[string]*protocol.ConfigItem, lastPosition uint64) {
 	changed = make(map[string]*protocol.ConfigItem)
 	lastPosition = t.lastPosition
-	if d.full {
+	if d.replacesAll {
 		lastPosition = 0
 	}
 	for _, item := range d.items {
 		current := t.items[item.key]
 		position := current.GetPosition()
-		if d.full || position == 0 || isTombstone(current) {
+		if d.replacesAll || position == 0 || isTombstone(current) {
 			lastPosition++
 			position = lastPosition
 		}
@@ -67,9 +70,10 @@
 	return changed, lastPosition
 }
 
-// removedBy returns the keys that a document may remove: for a full one all that there are.
+// removedBy returns the keys of the items that are removed unless they are also set: those that a
+// patch names, and all keys of the table for a document.
 func (t *Table) removedBy(d *document) (keys []string) {
-	if !d.full {
+	if !d.replacesAll {
 		return d.removedKeys
 	}
 	for key := range t.items {
@@ -78,8 +82,8 @@
 	return keys
 }
 
-// pruneTombstones makes a change drop the tombstones that exceed maxTombstones, the oldest first, and returns the horizon
-// after it.
+// pruneTombstones adds to a change that the oldest tombstones beyond maxTombstones are dropped,
+// and returns the tombstone horizon after it.
 func (t *Table) pruneTombstones(changed map[string]*protocol.ConfigItem) (horizon uint64) {
 	horizon = t.tombstoneHorizon
 	tombstones := t.tombstonesAfter(changed)
@@ -100,7 +104,7 @@
 	return horizon
 }
 
-// tombstonesAfter returns the keys of the tombstones that there are after a change.
+// tombstonesAfter returns the keys of the tombstones that exist after a change.
 func (t *Table) tombstonesAfter(changed map[string]*protocol.ConfigItem) (keys []string) {
 	for key, item := range t.items {
 		if _, replaced := changed[key]; !replaced && isTombstone(item) {
@@ -115,7 +119,8 @@
 	return keys
 }
 
-// withItems returns the table of a version with some items set, removed (tombstones) or dropped (nil).
+// withItems returns a table of the given version with some items set, replaced by tombstones, or
+// dropped (nil).
 func (t *Table) withItems(version, lastPosition uint64, changed map[string]*protocol.ConfigItem) *Table {
 	items := make(map[string]*protocol.ConfigItem, len(t.items)+len(changed))
 	for key, item := range t.items {
@@ -128,7 +133,7 @@
 		}
 		items[key] = item
 	}
-	next := build(version, lastPosition, items)
+	next := newTable(version, lastPosition, items)
 	next.tombstoneHorizon = t.tombstoneHorizon
 	return next
 }
--- a/internal/routeconfig/delta.go
+++ b/internal/routeconfig/delta.go
@@ -2,8 +2,9 @@
 
 import "frosttide/internal/protocol"
 
-// DeltaSince returns what makes the table of an older version this one. Where tombstones that the older one needs were
-// dropped, and for version 0, it is the full configuration, which builds on version 0.
+// DeltaSince returns the delta that turns the table of an older version into this one. For
+// version 0, and if tombstones that the older table needs were dropped, the delta is the full
+// configuration, which builds on version 0.
 func (t *Table) DeltaSince(version uint64) *protocol.ConfigDelta {
 	if version < t.tombstoneHorizon {
 		version = 0
@@ -17,9 +18,10 @@
 	return delta
 }
 
-// ApplyDelta returns the table after a delta of DeltaSince, and true. A delta of a version that is not newer changes
-// nothing. It returns false where the delta builds on a version that is not known here, or does not lead to the digest
-// that it names; the table is not to be used then, and the full configuration has to be requested.
+// ApplyDelta returns the table that results from a delta of DeltaSince, and true. A delta of a
+// version that is not newer has no effect. It returns false if the delta builds on a version that
+// is newer than the table's, or if the result does not have the digest that the delta names; the
+// caller must not use the returned table then, and has to request the full configuration.
 func (t *Table) ApplyDelta(delta *protocol.ConfigDelta) (*Table, bool) {
 	if delta.GetVersion() <= t.Version {
 		return t, true
--- a/internal/routeconfig/doc.go
+++ b/internal/routeconfig/doc.go
@@ -1,18 +1,22 @@
-// Package routeconfig holds the operator's configuration: an immutable table of items (routes, services and the other
-// members of the document) with the rules by which documents and patches change it.
+// Package routeconfig holds the operator's configuration: an immutable table of items (routes,
+// services and the other members of the configuration document), and the rules by which documents
+// and patches change it.
 //
-// Both planes use it. The head of the control plane evaluates an operator's order with Apply and stores the items that
-// it changes; every other process follows the versions by deltas (DeltaSince, ApplyDelta), which package gossip
-// carries. Gateways match requests to routes with Match.
+// Both the control plane and the data plane use it. The head of the control plane's replication
+// chain evaluates an operator's update with Apply and stores the changed items; all other
+// processes follow the versions by deltas (DeltaSince, ApplyDelta), which package gossip carries.
+// Gateways match requests to routes with Match.
 //
 // Invariants:
-//   - a Table never changes once it is made; a change makes a new one, so that tables are safe for concurrent use;
-//   - versions rise with each change;
-//   - the digest depends on the keys and the JSON of the items alone, not on their order, so that processes of different
-//     releases compare tables by it;
-//   - removed items stay as tombstones, at most maxTombstones of them, so that a delta from any version not below the
-//     tombstone horizon leads to the same table; older followers get the full configuration;
-//   - members that the programs do not know are kept and handed back as they came.
+//   - a Table is immutable, and therefore safe for concurrent use; a change creates a new one;
+//   - every change increases the version;
+//   - the digest depends only on the keys and the JSON of the items, not on their order, so that
+//     processes of different releases can compare tables by it;
+//   - removed items are kept as tombstones, at most maxTombstones of them, so that a delta from
+//     any version not below the tombstone horizon reproduces the same table; followers of older
+//     versions get the full configuration;
+//   - members of the document that are unknown to this release are stored and returned unchanged.
 //
-// Every reason for a refusal is marked with ErrInvalid; its text is written for operators.
+// Every error about an invalid configuration is marked with ErrInvalid, and its text is addressed
+// to operators.
 package routeconfig
--- a/internal/routeconfig/document.go
+++ b/internal/routeconfig/document.go
@@ -11,26 +11,26 @@
 	"github.com/valyala/fastjson"
 )
 
-// ErrInvalid marks every reason why a configuration is refused.
+// ErrInvalid marks every error that rejects a configuration as invalid.
 var ErrInvalid = errors.New("invalid configuration")
 
-// invalidf returns an error for operators that says why a configuration is refused.
+// invalidf returns an error marked with ErrInvalid. Operators see its text.
 func invalidf(format string, args ...any) error {
 	return errors.Mark(errors.Newf("configuration: "+format, args...), ErrInvalid)
 }
 
-// Kind is the list of a document that an item belongs to. It is the first part of the item's key, which is stored and
-// sent.
+// Kind is the kind of an item. It is the prefix of the item's key, which is stored and sent to
+// other processes.
 type Kind string
 
-// The kinds of items. Members of the document that are no lists of named items are kept in one piece each.
+// The kinds of items.
 const (
-	RouteKind   Kind = "route/"
-	ServiceKind Kind = "service/"
-	MemberKind  Kind = "member/"
+	RouteKind   Kind = "route/"   // an entry of the list Routes
+	ServiceKind Kind = "service/" // an entry of the list Services
+	MemberKind  Kind = "member/"  // any other member, as one item
 )
 
-// The members of a document and of a patch that have a meaning here.
+// The names of the members of a document and of a patch that this package interprets.
 const (
 	versionMember  = "Version"
 	routesMember   = "Routes"
@@ -39,42 +39,43 @@
 	removeMember   = "Remove"
 )
 
-// memberKinds are the kinds of the lists of named items, by the member's name.
-var memberKinds = map[string]Kind{routesMember: RouteKind, servicesMember: ServiceKind}
+// listKinds maps the members of a document that are lists of named items to the kinds of these
+// items.
+var listKinds = map[string]Kind{routesMember: RouteKind, servicesMember: ServiceKind}
 
-// documentItem is an item that a document sets.
+// documentItem is an item that a document or a patch sets.
 type documentItem struct {
 	key  string
 	json []byte
 }
 
-// document is an order of the operator as it was read.
+// document is a parsed document or patch.
 type document struct {
 	version     uint64
-	full        bool // it replaces the whole configuration
+	replacesAll bool // true for a document, false for a patch
 	items       []documentItem
-	removedKeys []string // of a patch
+	removedKeys []string // only of a patch
 }
 
-// parse reads a document or a patch. Its errors are marked with ErrInvalid.
+// parse parses a document or a patch. Its errors are marked with ErrInvalid.
 func parse(body []byte, patch bool) (*document, error) {
 	value, err := fastjson.ParseBytes(body)
 	if err != nil {
 		return nil, invalidf("it can't be read: %v", err)
 	}
-	if !json.Valid(body) { // fastjson does not check numbers and strings that nobody reads
+	if !json.Valid(body) { // fastjson validates numbers and strings only when they are read
 		return nil, invalidf("it can't be read: a number or a text in it is none")
 	}
 	top, err := value.Object()
 	if err != nil {
 		return nil, invalidf("it is no object")
 	}
-	d := &document{full: !patch}
-	number := value.Get(versionMember)
-	if number == nil {
+	d := &document{replacesAll: !patch}
+	versionValue := value.Get(versionMember)
+	if versionValue == nil {
 		return nil, invalidf("Version: it is missing")
 	}
-	if d.version, err = number.Uint64(); err != nil {
+	if d.version, err = versionValue.Uint64(); err != nil {
 		return nil, invalidf("Version: %v", err)
 	}
 	if patch {
@@ -83,7 +84,7 @@
 	return d, d.parseMembers(top, versionMember)
 }
 
-// parsePatch reads what a patch sets and removes.
+// parsePatch parses the items that a patch sets and the keys that it removes.
 func (d *document) parsePatch(value *fastjson.Value) error {
 	if upsert := value.GetObject(upsertMember); upsert != nil {
 		if err := d.parseMembers(upsert, ""); err != nil {
@@ -96,7 +97,7 @@
 	}
 	var err error
 	remove.Visit(func(name []byte, v *fastjson.Value) {
-		kind, ok := memberKinds[string(name)]
+		kind, ok := listKinds[string(name)]
 		if !ok || v.Type() != fastjson.TypeArray {
 			err = invalidf("Remove.%s: it is no list of names", name)
 			return
@@ -108,23 +109,23 @@
 	return err
 }
 
-// parseMembers reads the members that are set, but for one.
-func (d *document) parseMembers(members *fastjson.Object, except string) (err error) {
+// parseMembers adds the items of all members but the one to skip.
+func (d *document) parseMembers(members *fastjson.Object, skip string) (err error) {
 	members.Visit(func(name []byte, v *fastjson.Value) {
-		if err == nil && string(name) != except {
+		if err == nil && string(name) != skip {
 			err = d.parseMember(string(name), v)
 		}
 	})
 	return err
 }
 
-// parseMember reads a list of named items, or keeps another member as it is.
+// parseMember adds the items of a list of named items; any other member is stored as one item.
 func (d *document) parseMember(name string, v *fastjson.Value) error {
-	kind, ok := memberKinds[name]
+	kind, ok := listKinds[name]
 	if !ok {
 		var arena fastjson.Arena
 		if !json.Valid(arena.NewString(name).MarshalTo(nil)) {
-			return invalidf("%q: %v", name, errTextNotKept)
+			return invalidf("%q: %v", name, errUnencodableString)
 		}
 		return d.addItem(MemberKind, name, v)
 	}
@@ -146,21 +147,22 @@
 	return nil
 }
 
-// errTextNotKept is the reason for which an item is refused whose form would be no JSON: fastjson quotes texts with
-// control characters as Go does, and so writes escapes that JSON does not have.
-var errTextNotKept = errors.New("a text has characters that can't be kept")
+// errUnencodableString is the reason why an item or member is rejected whose serialization would
+// not be valid JSON: fastjson quotes strings with control characters like Go, with escapes that
+// JSON does not have.
+var errUnencodableString = errors.New("a text has characters that can't be kept")
 
-// addItem adds an item in the form in which it is kept.
+// addItem adds an item in its serialized form.
 func (d *document) addItem(kind Kind, name string, v *fastjson.Value) error {
 	text := v.MarshalTo(nil)
 	if !json.Valid(text) {
-		return invalidf("%q: %v", name, errTextNotKept)
+		return invalidf("%q: %v", name, errUnencodableString)
 	}
 	d.items = append(d.items, documentItem{key: string(kind) + name, json: text})
 	return nil
 }
 
-// Document returns the whole configuration as a document, which operators read and Apply takes.
+// Document returns the whole configuration as a JSON document, which Apply accepts.
 func (t *Table) Document() []byte {
 	var arena fastjson.Arena
 	top := arena.NewObject()
@@ -175,7 +177,7 @@
 	return top.MarshalTo(nil)
 }
 
-// itemArray returns the items of a kind as a list.
+// itemArray returns the items of a kind as a JSON array, by position.
 func (t *Table) itemArray(arena *fastjson.Arena, kind Kind) *fastjson.Value {
 	array := arena.NewArray()
 	for i, key := range t.keys(kind) {
@@ -186,7 +188,7 @@
 	return array
 }
 
-// keys returns the keys of a kind's items by position.
+// keys returns the keys of the items of a kind, sorted by position. Tombstones are excluded.
 func (t *Table) keys(kind Kind) (keys []string) {
 	for key, item := range t.items {
 		if strings.HasPrefix(key, string(kind)) && !isTombstone(item) {
--- a/internal/routeconfig/route.go
+++ b/internal/routeconfig/route.go
@@ -2,28 +2,29 @@
 
 import "github.com/valyala/fastjson"
 
-// Route is a queue: where clients reach it and how its jobs are run.
+// Route configures a queue: which requests it matches and how its jobs are run.
 type Route struct {
 	Name        string
-	Host        string // that clients ask for, without a port; its case does not matter
-	PathPrefix  string // that the path of a request begins with; the longest one of a host matches
+	Host        string // requested host, without a port; case-insensitive
+	PathPrefix  string // prefix of the request's path; the longest match of a host wins
 	Service     string // name of the service whose runners run the jobs
-	TimeoutMs   int64  // in which a client is answered
+	TimeoutMs   int64  // time within which a client gets a response
 	Priority    int    // lower numbers are placed first
-	MaxAttempts int    // of a task until its job fails, at least 1
+	MaxAttempts int    // attempts at a task until its job fails, at least 1
 
-	// A job should end within Stretch times the estimated time of its critical path, and TargetLatencyMs more.
+	// A job should end within Stretch times the estimated duration of its critical path, plus
+	// TargetLatencyMs.
 	TargetLatencyMs int64
 	Stretch         float64
 }
 
-// Limits bounds what clients may send; 0 where the configuration says nothing.
+// Limits bounds client requests. A limit that is not configured is 0.
 type Limits struct {
 	MaxHeaderBytes, MaxBodyBytes, HeaderTimeoutMs, IdleTimeoutMs int64
 }
 
-// parseRoute returns the route of an item. Items that were applied here are valid JSON; for others, which only a malformed
-// message holds, the route is empty.
+// parseRoute returns the route of an item. Items that Apply accepted are valid JSON; for invalid
+// JSON, which only a malformed message of another process can hold, the route is empty.
 func parseRoute(json []byte) *Route {
 	v, err := fastjson.ParseBytes(json)
 	if err != nil {
@@ -42,7 +43,7 @@
 	}
 }
 
-// parseLimits returns the limits of an item, none where it is no JSON.
+// parseLimits returns the limits of an item. For invalid JSON all limits are 0.
 func parseLimits(json []byte) Limits {
 	v, err := fastjson.ParseBytes(json)
 	if err != nil {
--- a/internal/routeconfig/table.go
+++ b/internal/routeconfig/table.go
@@ -13,26 +13,26 @@
 // limitsKey is the key of the item that holds the limits.
 const limitsKey = string(MemberKind) + "Limits"
 
-// Table is the configuration of one version. It is never changed once it is made, and safe for concurrent use.
+// Table is the configuration of one version. It is immutable and safe for concurrent use.
 type Table struct {
 	Version uint64
-	Digest  uint64 // of the keys and the JSON of all items, in whatever order
+	Digest  uint64 // of the keys and the JSON of all items, independent of their order
 
-	items            map[string]*protocol.ConfigItem // by key, tombstones (without JSON) included
-	lastPosition     uint64                          // highest position that an item has been given
-	tombstoneHorizon uint64                          // highest version of a tombstone that was dropped
+	items            map[string]*protocol.ConfigItem // by key, including tombstones
+	lastPosition     uint64                          // highest position assigned to an item
+	tombstoneHorizon uint64                          // highest version of dropped tombstones
 
-	// Derived from the items.
+	// The fields below are derived from the items.
 	routes map[string]*Route   // by name
-	hosts  map[string][]*Route // by host in lower case, longest prefix first
+	hosts  map[string][]*Route // by lower-case host, longest prefix first
 	limits Limits
 }
 
 // Empty returns the table before the first configuration: version 0, without items.
-func Empty() *Table { return build(0, 0, nil) }
+func Empty() *Table { return newTable(0, 0, nil) }
 
-// build makes the table of some items, tombstones included.
-func build(version, lastPosition uint64, items map[string]*protocol.ConfigItem) *Table {
+// newTable returns the table of the given items, which may include tombstones.
+func newTable(version, lastPosition uint64, items map[string]*protocol.ConfigItem) *Table {
 	t := &Table{Version: version, lastPosition: lastPosition, items: items, routes: make(map[string]*Route), hosts: make(map[string][]*Route)}
 	for key, item := range items {
 		if isTombstone(item) {
@@ -54,17 +54,18 @@
 	return t
 }
 
-// addRoute adds a route to the derived tables. Only build calls it, as a Table does not change later.
+// addRoute adds a route to the derived maps. Only newTable calls it, as a Table is immutable.
 func (t *Table) addRoute(r *Route) {
 	t.routes[r.Name] = r
 	host := strings.ToLower(r.Host)
 	t.hosts[host] = append(t.hosts[host], r)
 }
 
-// isTombstone reports whether an item, which may be nil, stands for one that was removed or never set.
+// isTombstone reports whether an item has no JSON: it was removed or, if it is nil, never set.
 func isTombstone(item *protocol.ConfigItem) bool { return len(item.GetJson()) == 0 }
 
-// itemDigest returns what an item adds to the digest. Sums of it do not depend on the order of the items.
+// itemDigest returns an item's contribution to the digest. The digest is the sum of these, so it
+// does not depend on the order of the items.
 func itemDigest(key string, item *protocol.ConfigItem) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(key)
@@ -73,23 +74,23 @@
 	return d.Sum64()
 }
 
-// Load returns the table of a stored record and its items.
+// Load returns the table of a stored record, which Record returned, and its items.
 func Load(record *protocol.ConfigRecord, items map[string]*protocol.ConfigItem) *Table {
-	t := build(record.GetVersion(), record.GetOrder(), items)
+	t := newTable(record.GetVersion(), record.GetOrder(), items)
 	t.tombstoneHorizon = record.GetHorizon()
 	return t
 }
 
-// Record returns what is stored beside the items; Load takes it.
+// Record returns the state of the table that is stored besides the items and passed to Load.
 func (t *Table) Record() *protocol.ConfigRecord {
 	return &protocol.ConfigRecord{Version: t.Version, Order: t.lastPosition, Horizon: t.tombstoneHorizon}
 }
 
-// Route returns the route of a name, nil if there is none. The caller does not change it.
+// Route returns the route with a name, nil if there is none. The caller must not modify it.
 func (t *Table) Route(name string) *Route { return t.routes[name] }
 
-// Match returns the route of a host, with or without a port, that has the longest prefix which the path begins with,
-// nil if there is none. The caller does not change it.
+// Match returns the route with the longest prefix of the path among those of the host, which may
+// include a port; nil if there is none. The caller must not modify it.
 func (t *Table) Match(host, path string) *Route {
 	if colon := strings.LastIndexByte(host, ':'); colon >= 0 {
 		host = host[:colon]
@@ -102,10 +103,10 @@
 	return nil
 }
 
-// Limits returns the bounds on what clients may send.
+// Limits returns the configured bounds on client requests.
 func (t *Table) Limits() Limits { return t.limits }
 
-// validate returns the reason why the table is not a valid configuration, nil if it is one.
+// validate returns the reason why the table is not a valid configuration, nil if it is valid.
 func (t *Table) validate() error {
 	routesByLocation := make(map[string]string, len(t.routes))
 	for name, r := range t.routes {
