--- a/internal/routeconfig/table_test.go
+++ b/internal/routeconfig/table_test.go
@@ -9,10 +9,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-const sample = `{"Version":5,"Routes":[{"Name":"b","Host":"H.example","PathPrefix":"/x/","TimeoutMs":3000,"Service":"s","MaxAttempts":2,"Odd":[1]},` +
+const testDocument = `{"Version":5,"Routes":[{"Name":"b","Host":"H.example","PathPrefix":"/x/","TimeoutMs":3000,"Service":"s","MaxAttempts":2,"Odd":[1]},` +
 	`{"Name":"a","Host":"h.example","PathPrefix":"/x/y/","TimeoutMs":3000,"Service":"s"}],"Services":[{"Name":"s","HealthPath":"/health"}],"Limits":{"MaxBodyBytes":100}}`
 
-// applyDocument returns the table after a document.
+// applyDocument returns the table that results from applying a document to a base table.
 func applyDocument(t *testing.T, base *Table, body string) *Table {
 	t.Helper()
 	change, err := base.Apply([]byte(body), Document)
@@ -20,7 +20,7 @@
 	return change.Table
 }
 
-// applyPatch returns the table after a patch.
+// applyPatch returns the table that results from applying a patch to a base table.
 func applyPatch(t *testing.T, base *Table, body string) *Table {
 	t.Helper()
 	change, err := base.Apply([]byte(body), Patch)
@@ -28,19 +28,20 @@
 	return change.Table
 }
 
+// TestDocumentRoundTrip checks that Document returns what was applied, including unknown members.
 func TestDocumentRoundTrip(t *testing.T) {
-	table := applyDocument(t, Empty(), sample)
-	require.JSONEq(t, sample, string(table.Document()))
+	table := applyDocument(t, Empty(), testDocument)
+	require.JSONEq(t, testDocument, string(table.Document()))
 	require.EqualValues(t, 100, table.Limits().MaxBodyBytes)
 }
 
 func TestMatch(t *testing.T) {
-	table := applyDocument(t, Empty(), sample)
+	table := applyDocument(t, Empty(), testDocument)
 	for _, c := range []struct{ name, host, path, want string }{
 		{"longest prefix", "h.example", "/x/y/1", "a"},
 		{"shorter prefix", "h.example", "/x/z", "b"},
 		{"host with a port", "h.example:80", "/x/y/1", "a"},
-		{"host in other letters", "H.EXAMPLE", "/x/y/1", "a"},
+		{"host in other case", "H.EXAMPLE", "/x/y/1", "a"},
 		{"other host", "other", "/x/z", ""},
 		{"other path", "h.example", "/z", ""},
 	} {
@@ -56,8 +57,10 @@
 	}
 }
 
+// TestPatch checks that a patch sets and removes routes, keeps their order, and ignores the
+// removal of a route that does not exist.
 func TestPatch(t *testing.T) {
-	table := applyDocument(t, Empty(), sample)
+	table := applyDocument(t, Empty(), testDocument)
 	table = applyPatch(t, table, `{"Version":9,"Upsert":{"Routes":[{"Name":"c","Host":"h.example","PathPrefix":"/c/","TimeoutMs":1,"Service":"s"}]},"Remove":{"Routes":["a","none"]}}`)
 	require.EqualValues(t, 9, table.Version)
 	require.Equal(t, "b", table.Match("h.example", "/x/y/1").Name)
@@ -65,25 +68,27 @@
 	require.Regexp(t, `"b".*"c"`, string(table.Document()))
 }
 
-func TestInvalid(t *testing.T) {
-	table := applyDocument(t, Empty(), sample)
+// TestApplyRejectsInvalid checks that Apply marks the errors of invalid documents and patches
+// with ErrInvalid.
+func TestApplyRejectsInvalid(t *testing.T) {
+	table := applyDocument(t, Empty(), testDocument)
 	for _, c := range []struct {
 		name, body string
 		patch      bool
 	}{
-		{"cut short", sample[:100], false},
-		{"no object", `[]`, false},
-		{"a number that is none", `{"Version":6,"Odd":{"a":00}}`, false},
-		{"a text that is none", `{"Version":6,"Odd":"\q"}`, false},
+		{"truncated", testDocument[:100], false},
+		{"not an object", `[]`, false},
+		{"malformed number", `{"Version":6,"Odd":{"a":00}}`, false},
+		{"malformed string", `{"Version":6,"Odd":"\q"}`, false},
 		{"no version", `{"Routes":[]}`, false},
-		{"version not above", sample, false},
-		{"fraction", strings.Replace(sample, `"Version":5`, `"Version":5.5`, 1), false},
-		{"unknown service", strings.NewReplacer(`"Version":5`, `"Version":6`, `"Service":"s"`, `"Service":"t"`).Replace(sample), false},
-		{"no time-out", strings.NewReplacer(`"Version":5`, `"Version":6`, `3000`, `0`).Replace(sample), false},
-		{"same location", strings.NewReplacer(`"Version":5`, `"Version":6`, `/x/y/`, `/x/`).Replace(sample), false},
-		{"name stands twice", strings.NewReplacer(`"Version":5`, `"Version":6`, `"Name":"a"`, `"Name":"b"`).Replace(sample), false},
-		{"routes are no list", `{"Version":6,"Routes":{}}`, false},
-		{"a service in use is removed", `{"Version":6,"Remove":{"Services":["s"]}}`, true},
+		{"version not greater", testDocument, false},
+		{"fraction", strings.Replace(testDocument, `"Version":5`, `"Version":5.5`, 1), false},
+		{"unknown service", strings.NewReplacer(`"Version":5`, `"Version":6`, `"Service":"s"`, `"Service":"t"`).Replace(testDocument), false},
+		{"zero timeout", strings.NewReplacer(`"Version":5`, `"Version":6`, `3000`, `0`).Replace(testDocument), false},
+		{"same location", strings.NewReplacer(`"Version":5`, `"Version":6`, `/x/y/`, `/x/`).Replace(testDocument), false},
+		{"duplicate name", strings.NewReplacer(`"Version":5`, `"Version":6`, `"Name":"a"`, `"Name":"b"`).Replace(testDocument), false},
+		{"routes not a list", `{"Version":6,"Routes":{}}`, false},
+		{"removal of a service in use", `{"Version":6,"Remove":{"Services":["s"]}}`, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := table.Apply([]byte(c.body), c.patch)
@@ -92,15 +97,17 @@
 	}
 }
 
-func TestDeltasLeadToTheSame(t *testing.T) {
-	table := applyDocument(t, Empty(), sample)
+// TestDeltasReproduceTable checks that the delta between any two versions reproduces the newer
+// table, and that a delta to an older version has no effect.
+func TestDeltasReproduceTable(t *testing.T) {
+	table := applyDocument(t, Empty(), testDocument)
 	versions := []*Table{Empty(), table}
 	for i := range 20 {
 		table = applyPatch(t, table, fmt.Sprintf(`{"Version":%d,"Upsert":{"Routes":[{"Name":"n%d","Host":"h","PathPrefix":"/n%d/","TimeoutMs":%d,"Service":"s"}]},"Remove":{"Routes":["n%d"]}}`,
 			10+3*i, i%7, i%7, i+1, (i+3)%7))
 		versions = append(versions, table)
 	}
-	versions = append(versions, applyDocument(t, table, strings.Replace(sample, `"Version":5`, `"Version":99`, 1)))
+	versions = append(versions, applyDocument(t, table, strings.Replace(testDocument, `"Version":5`, `"Version":99`, 1)))
 	for _, from := range versions {
 		for _, to := range versions {
 			got, ok := from.ApplyDelta(to.DeltaSince(from.Version))
@@ -114,31 +121,34 @@
 	}
 }
 
-func TestWrongDeltaIsNoticed(t *testing.T) {
-	table := applyDocument(t, Empty(), sample)
+// TestApplyDeltaRejectsWrongDigest checks that a delta is rejected whose result does not match
+// its digest.
+func TestApplyDeltaRejectsWrongDigest(t *testing.T) {
+	table := applyDocument(t, Empty(), testDocument)
 	delta := table.DeltaSince(0)
 	delta.Digest++
 	_, ok := Empty().ApplyDelta(delta)
 	require.False(t, ok)
 }
 
-// TestRemovedItemsAreBounded adds and removes routes again and again: the table stays within its bound, and those who
-// follow from any version get the same table.
+// TestRemovedItemsAreBounded adds and removes routes many times and checks that the table keeps
+// at most maxTombstones tombstones, and that followers of any version reproduce the same table by
+// a delta.
 func TestRemovedItemsAreBounded(t *testing.T) {
 	table := applyDocument(t, Empty(), `{"Version":1,"Routes":[],"Services":[{"Name":"s"}]}`)
-	early := table
-	var middle *Table
+	beforeHorizon := table
+	var afterHorizon *Table
 	for n := 2; n < 2+2*maxTombstones; n++ {
 		table = applyPatch(t, table, fmt.Sprintf(`{"Version":%d,"Upsert":{"Routes":[{"Name":"r%d","Host":"h","PathPrefix":"/%d/","TimeoutMs":1,"Service":"s"}]},"Remove":{"Routes":["r%d"]}}`, n, n, n, n-1))
 		if n == 2+maxTombstones+maxTombstones/2 {
-			middle = table
+			afterHorizon = table
 		}
 	}
 	require.LessOrEqual(t, len(table.items), maxTombstones+2)
 	for _, c := range []struct {
 		name string
 		from *Table
-	}{{"empty", Empty()}, {"before the horizon", early}, {"after the horizon", middle}, {"stored", Load(table.Record(), table.items)}} {
+	}{{"empty", Empty()}, {"before the horizon", beforeHorizon}, {"after the horizon", afterHorizon}, {"stored", Load(table.Record(), table.items)}} {
 		t.Run(c.name, func(t *testing.T) {
 			next, ok := c.from.ApplyDelta(table.DeltaSince(c.from.Version))
 			require.True(t, ok)
@@ -148,23 +158,24 @@
 	}
 }
 
-// FuzzApply applies any body as a document and as a patch of one: it is refused, or the document of the resulting table
-// leads to the same table.
+// FuzzApply checks that Apply either rejects a body with ErrInvalid or leads to a table whose
+// Document, applied to an empty table, reproduces the same configuration.
 func FuzzApply(f *testing.F) {
-	f.Add([]byte(strings.Replace(sample, `"Version":5`, `"Version":6`, 1)), false)
+	f.Add([]byte(strings.Replace(testDocument, `"Version":5`, `"Version":6`, 1)), false)
 	f.Add([]byte(`{"Version":9,"Upsert":{"Routes":[{"Name":"c","Host":"h.example","PathPrefix":"/c/","TimeoutMs":1,"Service":"s"}]},"Remove":{"Routes":["a","none"]}}`), true)
 	f.Add([]byte(`{"Version":18446744073709551616}`), false)
 	f.Add([]byte(`{"Version":9,"Routes":[{}],"Services":[null],"Limits":[]}`), false)
-	f.Add([]byte("{\"Version\":7,\"Upsert\":{\"Route\xb1.\xbe\xbc\\t\":[]}}"), true) // a name that was kept in a form that is no JSON
+	// A member name that was stored as invalid JSON.
+	f.Add([]byte("{\"Version\":7,\"Upsert\":{\"Route\xb1.\xbe\xbc\\t\":[]}}"), true)
 	f.Add([]byte(`{"Version":9,"Other":{"text":"\u0007"}}`), false)
 	f.Fuzz(func(t *testing.T, body []byte, patch bool) {
-		change, err := applyDocument(t, Empty(), sample).Apply(body, patch)
+		change, err := applyDocument(t, Empty(), testDocument).Apply(body, patch)
 		if err != nil {
 			require.True(t, errors.Is(err, ErrInvalid), "%v", err)
 			return
 		}
-		again, err := Empty().Apply(change.Table.Document(), Document)
+		reapplied, err := Empty().Apply(change.Table.Document(), Document)
 		require.NoError(t, err, "%s", change.Table.Document())
-		require.JSONEq(t, string(change.Table.Document()), string(again.Table.Document()))
+		require.JSONEq(t, string(change.Table.Document()), string(reapplied.Table.Document()))
 	})
 }
