--- a/internal/dispatcher/roster/gather.go
+++ b/internal/dispatcher/roster/gather.go
@@ -32,7 +32,7 @@
 		return
 	}
 	r.lastSnapshot = s
-	if s.Ended {
+	if s.PlannedShutdown {
 		r.writer.PutUrgent(s)
 	} else {
 		r.writer.Put(s)
@@ -47,7 +47,7 @@
 		return nil
 	}
 	s := *r.lastSnapshot
-	s.Saved, s.Ended = r.now, true
+	s.Saved, s.PlannedShutdown = r.now, true
 	return &s
 }
 
@@ -66,15 +66,15 @@
 		r.lastContact = r.now // a watch without an update confirms that nothing has changed
 	}
 	s := &rosterstore.Snapshot{
-		Name:      r.cfg.Name,
-		Saved:     r.now,
-		Ended:     r.shuttingDown,
-		Discovery: discovery,
-		Rev:       current.Rev,
-		Answered:  r.lastContact,
-		Nodes:     r.storedNodes(current.Targets),
-		Excluded:  coreState.Excluded,
-		PutBack:   coreState.Reinstated,
+		Name:            r.cfg.Name,
+		Saved:           r.now,
+		PlannedShutdown: r.shuttingDown,
+		Discovery:       discovery,
+		Rev:             current.Rev,
+		Answered:        r.lastContact,
+		Nodes:           r.storedNodes(current.Targets),
+		Excluded:        coreState.Excluded,
+		PutBack:         coreState.Reinstated,
 	}
 	slices.Sort(s.Excluded)
 	if len(s.Nodes) == 0 {
--- a/internal/dispatcher/roster/load.go
+++ b/internal/dispatcher/roster/load.go
@@ -29,10 +29,10 @@
 	r.lastContact, r.lastSnapshot = s.Answered, s
 	r.storedPosition = listPosition{s.Discovery, s.Rev}
 	policy := r.cfg.Policy
-	if downtime := r.now - s.Saved; s.Ended && downtime > 0 { // not above 0 if the wall clock was set back
+	if downtime := r.now - s.Saved; s.PlannedShutdown && downtime > 0 { // not above 0 if the wall clock was set back
 		policy.PlannedDowntime = downtime
 	}
-	if !s.Ended {
+	if !s.PlannedShutdown {
 		r.log.WithField("saved", (r.now - s.Saved).Round(time.Millisecond).String()).
 			Warn("the stored state is not from a planned shutdown: the process ended unexpectedly, or its disk was too slow; runners may be cold")
 	}
--- a/internal/dispatcher/roster/roster_test.go
+++ b/internal/dispatcher/roster/roster_test.go
@@ -102,7 +102,7 @@
 	}
 	for by := time.Now().Add(20 * time.Second); ; <-time.After(time.Millisecond) {
 		s, err := reader.Load(func(string, error) {})
-		if err == nil && s != nil && s.Ended && len(s.Nodes) == 1 {
+		if err == nil && s != nil && s.PlannedShutdown && len(s.Nodes) == 1 {
 			break
 		}
 		if time.Now().After(by) {
@@ -140,7 +140,7 @@
 	}
 	ended := func() bool {
 		s, err := reader.Load(func(string, error) {})
-		return err == nil && s != nil && s.Ended && len(s.Nodes) == 1
+		return err == nil && s != nil && s.PlannedShutdown && len(s.Nodes) == 1
 	}
 	require.Eventually(t, ended, 20*time.Second, time.Millisecond)
 	cancel()
@@ -308,7 +308,7 @@
 		t.Fatal(err)
 	}
 	s, err := reader.Load(func(string, error) {})
-	if err != nil || s == nil || !s.Ended || s.Saved != endedAt || len(s.Nodes) != 1 || s.Nodes[0].Confirmed != emptyAt {
+	if err != nil || s == nil || !s.PlannedShutdown || s.Saved != endedAt || len(s.Nodes) != 1 || s.Nodes[0].Confirmed != emptyAt {
 		t.Errorf("got stored state %+v, error %v; want a planned shutdown at %v with a runner confirmed until %v", s, err, endedAt, emptyAt)
 	}
 }
--- a/internal/dispatcher/rosterstore/snapshot.go
+++ b/internal/dispatcher/rosterstore/snapshot.go
@@ -23,13 +23,13 @@
 // Snapshot is the content of one generation. Times are offsets from the Unix epoch by the machine's
 // clock, which may be set back.
 type Snapshot struct {
-	Name      string        `json:"name"`            // of the dispatcher
-	Saved     time.Duration `json:"saved"`           // when it was written
-	Discovery string        `json:"discovery"`       // address that the list is from
-	Rev       uint64        `json:"rev"`             // version of the list
-	Answered  time.Duration `json:"answered"`        // when discovery last sent a message
-	Ended     bool          `json:"ended,omitempty"` // whether it was written at a planned shutdown
-	Nodes     []Node        `json:"nodes"`
+	Name            string        `json:"name"`            // of the dispatcher
+	Saved           time.Duration `json:"saved"`           // when it was written
+	Discovery       string        `json:"discovery"`       // address that the list is from
+	Rev             uint64        `json:"rev"`             // version of the list
+	Answered        time.Duration `json:"answered"`        // when discovery last sent a message
+	PlannedShutdown bool          `json:"ended,omitempty"` // whether it was written at a planned shutdown
+	Nodes           []Node        `json:"nodes"`
 
 	Excluded []string                 `json:"excluded,omitempty"` // uids that operators excluded
 	PutBack  map[string]time.Duration `json:"put_back,omitempty"` // reinstatement times, by uid
--- a/internal/testkit/compatibility/dispatcher/storedlist_test.go
+++ b/internal/testkit/compatibility/dispatcher/storedlist_test.go
@@ -31,7 +31,7 @@
 		t.Fatal(err)
 	}
 	return &rosterstore.Snapshot{
-		Name: name, Saved: at + 3, Discovery: "127.0.0.1:8500", Rev: rev, Answered: at + 4, Ended: true,
+		Name: name, Saved: at + 3, Discovery: "127.0.0.1:8500", Rev: rev, Answered: at + 4, PlannedShutdown: true,
 		Nodes: []rosterstore.Node{
 			{UID: "s-1", Entry: json.RawMessage(`{"uid":"s-1","endpoint":"127.0.0.1:9101","az":"a","state":"SERVING"}`), Confirmed: at + 5, By: rosterstore.ByDiscovery, WarmingUpSince: at + 6},
 			{UID: "s-2", Entry: json.RawMessage(`{"uid":"s-2","endpoint":"127.0.0.1:9102","az":"b","state":"DRAINING"}`), Confirmed: at + 7, By: rosterstore.ByRunner},
