--- a/internal/dispatcher/roster/gather.go
+++ b/internal/dispatcher/roster/gather.go
@@ -74,7 +74,7 @@
 		Answered:        r.lastContact,
 		Nodes:           r.storedNodes(current.Targets),
 		Excluded:        coreState.Excluded,
-		PutBack:         coreState.Reinstated,
+		Reinstated:      coreState.Reinstated,
 	}
 	slices.Sort(s.Excluded)
 	if len(s.Nodes) == 0 {
--- a/internal/dispatcher/roster/load.go
+++ b/internal/dispatcher/roster/load.go
@@ -20,7 +20,7 @@
 	if s == nil || len(s.Nodes) == 0 {
 		return
 	}
-	snapshot := core.Snapshot{Excluded: s.Excluded, Reinstated: s.PutBack}
+	snapshot := core.Snapshot{Excluded: s.Excluded, Reinstated: s.Reinstated}
 	if len(s.Health) > 0 && json.Unmarshal(s.Health, &snapshot.Health) != nil {
 		snapshot.Health = nil // the health of the runners is determined anew
 	}
--- a/internal/dispatcher/rosterstore/snapshot.go
+++ b/internal/dispatcher/rosterstore/snapshot.go
@@ -31,10 +31,10 @@
 	PlannedShutdown bool          `json:"ended,omitempty"` // whether it was written at a planned shutdown
 	Nodes           []Node        `json:"nodes"`
 
-	Excluded []string                 `json:"excluded,omitempty"` // uids that operators excluded
-	PutBack  map[string]time.Duration `json:"put_back,omitempty"` // reinstatement times, by uid
-	Health   json.RawMessage          `json:"health,omitempty"`   // decision.Health, by uid
-	Runs     map[string]time.Duration `json:"runs,omitempty"`     // mean run times, by job class
+	Excluded   []string                 `json:"excluded,omitempty"` // uids that operators excluded
+	Reinstated map[string]time.Duration `json:"put_back,omitempty"` // reinstatement times, by uid
+	Health     json.RawMessage          `json:"health,omitempty"`   // decision.Health, by uid
+	Runs       map[string]time.Duration `json:"runs,omitempty"`     // mean run times, by job class
 }
 
 // Node is the stored state of a runner.
--- a/internal/testkit/compatibility/dispatcher/storedlist_test.go
+++ b/internal/testkit/compatibility/dispatcher/storedlist_test.go
@@ -36,7 +36,7 @@
 			{UID: "s-1", Entry: json.RawMessage(`{"uid":"s-1","endpoint":"127.0.0.1:9101","az":"a","state":"SERVING"}`), Confirmed: at + 5, By: rosterstore.ByDiscovery, WarmingUpSince: at + 6},
 			{UID: "s-2", Entry: json.RawMessage(`{"uid":"s-2","endpoint":"127.0.0.1:9102","az":"b","state":"DRAINING"}`), Confirmed: at + 7, By: rosterstore.ByRunner},
 		},
-		Excluded: []string{"s-2"}, PutBack: map[string]time.Duration{"s-1": at + 8},
+		Excluded: []string{"s-2"}, Reinstated: map[string]time.Duration{"s-1": at + 8},
 		Health: health, Runs: map[string]time.Duration{"render": 1500 * time.Millisecond},
 	}
 }
