--- a/cmd/frosttide/statecmd.go
+++ b/cmd/frosttide/statecmd.go
@@ -120,7 +120,7 @@
 	if s.Name == "" || name != "" && name != s.Name {
 		return fmt.Errorf("standard input: the state is of the dispatcher %q", s.Name)
 	}
-	dir.Rename(s.Name)
+	dir.SetDispatcher(s.Name)
 	if _, err := dir.Load(func(string, error) {}); err != nil {
 		return err
 	}
--- a/internal/dispatcher/rosterstore/generations.go
+++ b/internal/dispatcher/rosterstore/generations.go
@@ -43,9 +43,9 @@
 	return &Dir{path: path, name: name, maxGenerations: retained, files: osFileSystem{}}, nil
 }
 
-// Rename selects another dispatcher, whose generations are read and written from now on. It renames
+// SetDispatcher selects another dispatcher, whose generations are read and written from now on. It renames
 // no files.
-func (d *Dir) Rename(name string) { d.name, d.nextGeneration = name, 0 }
+func (d *Dir) SetDispatcher(name string) { d.name, d.nextGeneration = name, 0 }
 
 // StoredFile is the file of a generation and the result of reading it.
 type StoredFile struct {
