--- a/internal/dispatcher/rosterpolicy/rosterpolicy.go
+++ b/internal/dispatcher/rosterpolicy/rosterpolicy.go
@@ -30,7 +30,7 @@
 	Zone        string        // runners of this zone are probed first
 	ProbeRate   float64       // maximum probes per second
 	Number      int           // index of this dispatcher, from 0
-	Dispatchers int           // number of dispatchers that start from such a list
+	Dispatchers int           // number of dispatchers that may start from such a list
 	WarmUp      time.Duration // time from a runner's start until it has its full capacity
 
 	// PlannedDowntime is the time since the planned shutdown of the previous process; 0 if that
@@ -266,9 +266,9 @@
 	c.successesNeeded, c.lastSuccess = max(c.successesNeeded, 1), 0
 }
 
-// SetExcluded bars a runner that operators exclude, or withholds a reinstated one until a probe
-// succeeds. It reports whether the standing has changed. A rejected or unknown runner stays as it
-// is.
+// SetExcluded bars a runner that operators exclude, or withholds a reinstated one until there is
+// enough good evidence. It reports whether the standing has changed. A rejected or unknown runner
+// is not changed.
 func (t *StateTable) SetExcluded(uid string, excluded bool) (changed bool) {
 	c := t.candidates[uid]
 	switch {
--- a/internal/dispatcher/rosterstore/generations.go
+++ b/internal/dispatcher/rosterstore/generations.go
@@ -43,8 +43,7 @@
 	return &Dir{path: path, name: name, maxGenerations: retained, files: osFileSystem{}}, nil
 }
 
-// SetDispatcher selects another dispatcher, whose generations are read and written from now on. It renames
-// no files.
+// SetDispatcher selects another dispatcher, whose generations are read and written from now on.
 func (d *Dir) SetDispatcher(name string) { d.name, d.nextGeneration = name, 0 }
 
 // StoredFile is the file of a generation and the result of reading it.
