--- a/internal/dispatcher/rosterpolicy/warmup.go
+++ b/internal/dispatcher/rosterpolicy/warmup.go
@@ -24,7 +24,7 @@
 func rendezvousWeight(uid string, number int) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(uint64(number) + 1)
-	_, _ = d.WriteString(uid) // never returns an error
+	_, _ = d.WriteString(uid) // never fails, as it writes to memory
 	return d.Sum64()
 }
 
--- a/internal/dispatcher/rosterstore/rosterstore_test.go
+++ b/internal/dispatcher/rosterstore/rosterstore_test.go
@@ -560,7 +560,7 @@
 	if _, err := io.ReadFull(out, make([]byte, len("writes"))); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(after) // random time of the kill
+	time.Sleep(after) // the random time of the kill is what is tested
 	_ = cmd.Process.Kill()
 	_ = cmd.Wait()
 }
