--- a/internal/transport/connect.go
+++ b/internal/transport/connect.go
@@ -11,10 +11,10 @@
 	"frosttide/internal/protocol"
 )
 
-// errNoHello ends a stream whose first message does not say who has opened it.
-var errNoHello = errors.New("transport: the first message is no hello")
+// errNoHello ends a stream whose first message is not a Hello, so that its sender is unknown.
+var errNoHello = errors.New("transport: first message on the stream is not a Hello")
 
-// dialLink connects a link and serves it until it breaks.
+// dialLink connects a link and serves it until the stream fails.
 func (t *Transport) dialLink(ctx context.Context, l *link) {
 	conn, err := t.cfg.Dial(ctx, l.address)
 	if err != nil {
@@ -33,15 +33,15 @@
 		t.removeUnreachable(l)
 		return
 	}
-	t.running.Go(func() { t.writeLoop(l, s) })
-	if from, err := t.receiveHello(l, s); err == nil {
-		t.readLoop(l, s, from)
+	t.goroutines.Go(func() { t.writeLoop(l, s) })
+	if peer, err := t.receiveHello(l, s); err == nil {
+		t.readLoop(l, s, peer)
 	}
 	t.removeLink(l)
 }
 
-// receiveHello receives the hello of the other end of a dialed link.
-func (t *Transport) receiveHello(l *link, s stream) (*inbound, error) {
+// receiveHello receives the peer's Hello on a dialed link and registers the reader of that link.
+func (t *Transport) receiveHello(l *link, s stream) (*inboundPeer, error) {
 	first, err := s.Recv()
 	if err != nil {
 		return nil, err
@@ -50,11 +50,11 @@
 	if hello == nil {
 		return nil, errNoHello
 	}
-	return t.openInbound(l, hello), nil
+	return t.registerReader(l, hello), nil
 }
 
-// attachConnection gives a dialed link its connection. It returns false where the link has ended meanwhile, or the other
-// process's own link has taken its place.
+// attachConnection assigns the dialed connection to its link. It returns false if the link was
+// terminated during the dial, or was replaced by a link that the peer opened.
 func (t *Transport) attachConnection(l *link, conn net.Conn) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,27 +62,29 @@
 		return false
 	}
 	l.dialing = false
-	return l.attach(func() { conn.Close() })
+	return l.addCloser(func() { conn.Close() })
 }
 
-// connectionNumberKey is the key of an accepted connection's number in the context of its stream.
+// connectionNumberKey is the context key under which a stream finds the number of its accepted
+// connection.
 type connectionNumberKey struct{}
 
-// withConnectionNumber returns a context that holds the number of an accepted connection.
+// withConnectionNumber returns a context that carries the number of an accepted connection.
 func withConnectionNumber(ctx context.Context, number uint64) context.Context {
 	return context.WithValue(ctx, connectionNumberKey{}, number)
 }
 
-// connectionNumber returns the number of the connection that a stream's context belongs to.
+// connectionNumber returns the connection number that a stream's context carries, 0 if none.
 func connectionNumber(ctx context.Context) uint64 {
 	number, _ := ctx.Value(connectionNumberKey{}).(uint64)
 	return number
 }
 
-// peerService is the transport as the drpc service.
+// peerService implements the drpc service Peer on a Transport.
 type peerService Transport
 
-// Exchange serves a stream that another process has opened, until it breaks.
+// Exchange serves a stream that another process opened, until the stream fails or its link is
+// superseded.
 func (s *peerService) Exchange(in protocol.DRPCPeer_ExchangeStream) error {
 	t := (*Transport)(s)
 	first, err := in.Recv()
@@ -96,21 +98,22 @@
 	l := newLink(hello.GetAddress())
 	l.connection = connectionNumber(in.Context())
 	l.closeConnection = func() { in.Close() }
-	from := t.openInbound(l, hello)
-	if !from.accepts(l) { // it was opened by an earlier process, or before the one that is read
-		t.closeInbound(from)
+	peer := t.registerReader(l, hello)
+	if !peer.mayDeliver(l) { // opened by an earlier process, or before the link that is read now
+		t.unregisterReader(peer)
 		return nil
 	}
-	t.adoptLink(l)
-	t.running.Go(func() { t.writeLoop(l, in) })
-	t.readLoop(l, in, from)
+	t.useForSending(l)
+	t.goroutines.Go(func() { t.writeLoop(l, in) })
+	t.readLoop(l, in, peer)
 	return nil
 }
 
-// adoptLink makes a link that another process has opened the one that messages to it are sent on, unless there is one
-// already to that process or to a later one at its address. A link that is still being dialed is replaced, and its queue
-// moves to the new one: the dial may have begun while the other machine was off, and would then wait until dialTimeout.
-func (t *Transport) adoptLink(l *link) {
+// useForSending makes a link that the peer opened the one for messages to that peer, unless there
+// already is a link to the same process or to a later one at its address. A link that is still
+// being dialed is replaced and its queue moves to the new link: the dial may have started while the
+// peer's machine was off, and would then block until dialTimeout.
+func (t *Transport) useForSending(l *link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if current := t.links[l.address]; current != nil {
@@ -120,12 +123,12 @@
 		case incarnation == 0 || incarnation == l.incarnation.Load() || l.connection < current.connection:
 			return
 		}
-		t.running.Go(current.terminate) // closing a connection may block, which the lock must not
+		t.goroutines.Go(current.terminate) // closing a connection may block, so not under the lock
 	}
-	t.sendOn(l)
+	t.setSendLink(l)
 }
 
-// removeLink terminates and forgets a link, so that the next message to its process starts another.
+// removeLink terminates and deletes a link, so that the next message to its peer dials a new one.
 func (t *Transport) removeLink(l *link) {
 	l.terminate()
 	t.mu.Lock()
@@ -133,20 +136,21 @@
 	t.deleteLink(l)
 }
 
-// removeUnreachable terminates and forgets a link that could not be made. Messages to its process are dropped for dialBackoff.
+// removeUnreachable terminates and deletes a link that could not be established. Messages to its
+// peer are dropped for dialBackoff.
 func (t *Transport) removeUnreachable(l *link) {
 	l.terminate()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.deleteLink(l) {
-		t.forgetDialFailures()
+		t.pruneDialFailures()
 		t.dialFailures[l.address] = time.Now()
 	}
 }
 
-// forgetDialFailures forgets the failures that are older than dialBackoff where many are known. The caller holds the
-// transport's lock.
-func (t *Transport) forgetDialFailures() {
+// pruneDialFailures deletes the dial failures older than dialBackoff once there are
+// maxRememberedPeers of them. The caller holds the transport's lock.
+func (t *Transport) pruneDialFailures() {
 	if len(t.dialFailures) < maxRememberedPeers {
 		return
 	}
@@ -157,7 +161,8 @@
 	}
 }
 
-// deleteLink forgets a link, and returns false if another has taken its place. The caller holds the transport's lock.
+// deleteLink deletes a link, and returns false if it had been replaced already. The caller holds
+// the transport's lock.
 func (t *Transport) deleteLink(l *link) bool {
 	if t.links[l.address] != l {
 		return false
--- a/internal/transport/inbound.go
+++ b/internal/transport/inbound.go
@@ -6,91 +6,96 @@
 	"frosttide/internal/protocol"
 )
 
-// maxRememberedPeers is the number of addresses above which those that have no link are forgotten.
+// maxRememberedPeers is the number of addresses from which on entries of addresses without a link
+// are pruned.
 const maxRememberedPeers = 4096
 
-// inbound decides which link from an address hands its messages over. It is one at a time: a process sends on one link
-// after the other, and the end of the earlier one may still be read here when the later one begins. From the first
-// message of a link on, nothing more is taken from those that its process has sent on before.
-type inbound struct {
-	readers int // links that are read; guarded by the transport's lock
+// inboundPeer decides which of the links from one address may deliver messages. Only one may at a
+// time: a process sends on one link after another, and the tail of the earlier link may still be
+// buffered here when the later one starts. Once a link has delivered its first message, messages on
+// the links before it are discarded.
+type inboundPeer struct {
+	readers int // number of links with a reader; guarded by the transport's lock
 
 	mu      sync.Mutex // held while a message is handled
-	current *link      // that has handed over last
+	current *link      // link that delivered the last message, nil before the first
 }
 
-// handOver calls handle unless a link that came after l has handed over before. It returns the link that l has replaced,
-// nil for none, and whether the message was handled.
-func (in *inbound) handOver(l *link, handle func()) (replaced *link, handled bool) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	if l != in.current {
-		if !in.succeeds(l) {
+// deliver calls handle unless a later link than l has already delivered a message. It returns the
+// link that l replaced as the current one, nil if there was none, and whether handle was called.
+func (p *inboundPeer) deliver(l *link, handle func()) (replaced *link, handled bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if l != p.current {
+		if !p.supersedesCurrent(l) {
 			return nil, false
 		}
-		replaced = in.current
+		replaced = p.current
 		if replaced != nil {
 			replaced.superseded = true
 		}
-		in.current = l
+		p.current = l
 	}
 	handle()
 	return replaced, true
 }
 
-// accepts reports whether messages of a link may still be handled.
-func (in *inbound) accepts(l *link) bool {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return l == in.current || in.succeeds(l)
+// mayDeliver reports whether messages of a link may still be handled.
+func (p *inboundPeer) mayDeliver(l *link) bool {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return l == p.current || p.supersedesCurrent(l)
 }
 
-// succeeds reports whether a link comes after the current one, in whatever order they are read here. Generations tell for
-// links of one process. For links of two, the order tells in which their connections were made here, as one process at a
-// time listens at an address and connects from it. A link that is refused by mistake is followed by another one.
-func (in *inbound) succeeds(l *link) bool {
+// supersedesCurrent reports whether a link is later than the current one, regardless of the order
+// in which the two are read. Links of one process are ordered by their generations. Links of two
+// processes are ordered by their connection numbers, because only one process at a time listens at
+// an address and connects from it. If a link is refused by mistake, its peer opens another one.
+func (p *inboundPeer) supersedesCurrent(l *link) bool {
 	if l.superseded {
 		return false
 	}
-	if in.current == nil {
+	if p.current == nil {
 		return true
 	}
-	if l.incarnation.Load() != in.current.incarnation.Load() {
-		return l.connection > in.current.connection
+	if l.incarnation.Load() != p.current.incarnation.Load() {
+		return l.connection > p.current.connection
 	}
-	return l.generation == 0 || l.generation > in.current.generation
+	return l.generation == 0 || l.generation > p.current.generation
 }
 
-// openInbound registers the reader of a link whose hello has come.
-func (t *Transport) openInbound(l *link, hello *protocol.Hello) *inbound {
+// registerReader registers the reader of a link after its Hello was received, and copies the peer's
+// incarnation and generation to the link.
+func (t *Transport) registerReader(l *link, hello *protocol.Hello) *inboundPeer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	l.incarnation.Store(hello.GetIncarnation())
 	l.generation = hello.GetGeneration()
-	in := t.inbound[l.address]
-	if in == nil {
-		t.forgetInbound()
-		in = &inbound{}
-		t.inbound[l.address] = in
+	peer := t.inbound[l.address]
+	if peer == nil {
+		t.pruneInbound()
+		peer = &inboundPeer{}
+		t.inbound[l.address] = peer
 	}
-	in.readers++
-	return in
+	peer.readers++
+	return peer
 }
 
-// closeInbound ends the registration of a reader.
-func (t *Transport) closeInbound(in *inbound) {
+// unregisterReader undoes one registerReader call.
+func (t *Transport) unregisterReader(peer *inboundPeer) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	in.readers--
+	peer.readers--
 }
 
-// forgetInbound forgets the addresses without a link where too many are known. The caller holds the transport's lock.
-func (t *Transport) forgetInbound() {
+// pruneInbound deletes the addresses without a reader once there are maxRememberedPeers of them.
+// The caller holds the transport's lock.
+func (t *Transport) pruneInbound() {
 	if len(t.inbound) < maxRememberedPeers {
 		return
 	}
-	for address, in := range t.inbound {
-		if in.readers == 0 {
+	for address, peer := range t.inbound {
+		if peer.readers == 0 {
 			delete(t.inbound, address)
 		}
 	}
--- a/internal/transport/link.go
+++ b/internal/transport/link.go
@@ -11,36 +11,37 @@
 const (
 	// idleTimeout is how long a link may be unused before it is closed.
 	idleTimeout = 20 * time.Second
-	// maxQueuedMessages bounds the messages that wait for a link.
+	// maxQueuedMessages bounds the send queue of a link.
 	maxQueuedMessages = 8192
 )
 
-// link is a stream to another process with the messages that wait for it. It ends once, by terminate.
+// link is a stream to another process and its send queue. It ends exactly once, in terminate.
 type link struct {
 	address     string        // internal address of the other process
-	incarnation atomic.Uint64 // of the other process, 0 before its hello
+	incarnation atomic.Uint64 // of the other process, 0 until its Hello is received
 	dialing     bool          // there is no connection yet; guarded by the transport's lock
-	connection  uint64        // rises in the order in which connections were accepted or begun to be dialed here
+	connection  uint64        // rises in the order in which connections are accepted or dials start
 
-	sendGeneration uint64 // counts the links that this process sends on, from 1; 0 for one that it only reads
-	generation     uint64 // the same of the other process, from its hello; used by the reader only
-	superseded     bool   // another link of the address has handed over after this one; guarded by inbound
+	sendGeneration uint64 // number among the links that this process sends on, from 1; 0 if read only
+	generation     uint64 // the peer's sendGeneration, from its Hello; used by the reader only
+	superseded     bool   // a later link has delivered a message; guarded by inboundPeer.mu
 
-	wakeup    chan struct{} // has an element where messages may be queued
+	wakeup    chan struct{} // holds an element while messages may be queued
 	done      chan struct{} // closed by terminate
 	closeOnce sync.Once
 
 	mu              sync.Mutex
 	queue           []*protocol.Envelope
 	lastUsed        time.Time
-	closeConnection func() // unblocks the link's goroutines with errors
+	closeConnection func() // makes the link's blocked goroutines return with errors
 }
 
 func newLink(address string) *link {
 	return &link{address: address, wakeup: make(chan struct{}, 1), done: make(chan struct{}), lastUsed: time.Now(), closeConnection: func() {}}
 }
 
-// enqueue queues a message. A link whose queue is full is terminated, so that the other end notices the loss.
+// enqueue queues a message. If the queue is full, it terminates the link, so that the peer notices
+// the loss.
 func (l *link) enqueue(e *protocol.Envelope) {
 	l.mu.Lock()
 	l.lastUsed = time.Now()
@@ -68,7 +69,8 @@
 	return queue
 }
 
-// terminate ends the link. Calls after the first have no effect.
+// terminate closes the link's connection and wakes its writer. Calls after the first have no
+// effect.
 func (l *link) terminate() {
 	l.closeOnce.Do(func() {
 		close(l.done)
@@ -78,8 +80,9 @@
 	})
 }
 
-// attach registers the function that closes a new connection, for terminate. It returns false if the link has ended before.
-func (l *link) attach(closeConnection func()) bool {
+// addCloser registers a further function that terminate calls to close the connection. It returns
+// false if the link has been terminated already.
+func (l *link) addCloser(closeConnection func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	select {
--- a/internal/transport/order_rapid_test.go
+++ b/internal/transport/order_rapid_test.go
@@ -13,7 +13,7 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// resettableDialer is a dialer whose connections can be reset.
+// resettableDialer dials TCP connections that the test can reset.
 type resettableDialer struct {
 	mu    sync.Mutex
 	conns []*net.TCPConn
@@ -29,7 +29,7 @@
 	return conn, err
 }
 
-// reset resets all connections, with what is in flight.
+// reset resets all connections, which discards the data in flight.
 func (r *resettableDialer) reset() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,12 +40,14 @@
 	r.conns = nil
 }
 
-// TestOrderAcrossResets sends messages and resets links in between, at random moments: what arrives is in the order in which
-// it was sent, nothing comes twice, and within a link nothing is missing between two that arrive.
+// TestOrderAcrossResets sends messages and resets the links at random points: messages arrive in
+// the order in which they were sent and at most once, and within a link none between two that
+// arrive is missing.
 //
-// What happened: beside other work a message arrived after one that was sent later ("out of order, or twice"). Why: each link has
-// a goroutine that reads it, and after a reset that of the old link went on handling what it had buffered beside that of the new one.
-// docs/incidents/links-read-beside-each-other.md.
+// It guards against a message that arrived after one sent later ("out of order, or twice"), seen
+// while the machine was busy with other work: each link has its own reader goroutine, and after a
+// reset the reader of the old link went on handling buffered messages concurrently with that of the
+// new one. See docs/incidents/links-read-beside-each-other.md.
 func TestOrderAcrossResets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var links resettableDialer
@@ -61,7 +63,7 @@
 		for range rapid.IntRange(1, 5).Draw(t, "bursts") {
 			for range rapid.IntRange(1, 200).Draw(t, "messages") {
 				id++
-				a.Send(address, message(id))
+				a.Send(address, newMessage(id))
 			}
 			if rapid.Bool().Draw(t, "reset") {
 				links.reset()
@@ -78,16 +80,16 @@
 			case r := <-got:
 				done = r.id >= last
 				arrived = append(arrived, r.id)
-			case <-resend.C: // a link that is reset loses what is in flight
+			case <-resend.C: // a link that is reset loses the messages in flight
 				id++
-				a.Send(address, message(last+id))
+				a.Send(address, newMessage(last+id))
 			case <-end:
-				t.Fatalf("nothing arrives any more")
+				t.Fatalf("no further message arrives within 20 s")
 			}
 		}
 		gaps := 0
 		for i := 1; i < len(arrived); i++ {
-			require.Greater(t, arrived[i], arrived[i-1], "out of order, or twice")
+			require.Greater(t, arrived[i], arrived[i-1], "messages arrive out of order, or twice")
 			if arrived[i] != arrived[i-1]+1 && arrived[i] < last {
 				gaps++
 			}
@@ -96,7 +98,8 @@
 	})
 }
 
-// receiver opens a transport that passes on what arrives.
+// receiver opens a transport that forwards received messages to a channel, and returns it with its
+// address and its Close function.
 func receiver(t *rapid.T, got chan received) (b *Transport, address string, stop func()) {
 	t.Helper()
 	address = freeAddress(t)
--- a/internal/transport/stream.go
+++ b/internal/transport/stream.go
@@ -8,41 +8,41 @@
 	"frosttide/internal/protocol"
 )
 
-// stream is either end of a drpc stream.
+// stream is the client's or the server's end of a drpc stream.
 type stream interface {
 	Send(*protocol.Envelope) error
 	Recv() (*protocol.Envelope, error)
 }
 
-// flusher is implemented by the library's streams that collect messages until they are flushed.
+// flusher is implemented by drpc streams that buffer messages until they are flushed.
 type flusher interface{ RawFlush() error }
 
-// readLoop passes the messages of a link whose hello has come to the handler, until its stream breaks or a later link of
-// the other process has taken its place.
-func (t *Transport) readLoop(l *link, s stream, from *inbound) {
+// readLoop passes the messages that follow the Hello on a link to the handler, until the stream
+// fails or a later link from the same address supersedes it.
+func (t *Transport) readLoop(l *link, s stream, peer *inboundPeer) {
 	defer t.removeLink(l)
-	defer t.closeInbound(from)
+	defer t.unregisterReader(peer)
 	for {
 		e, err := s.Recv()
 		if err != nil {
 			return
 		}
 		l.touch()
-		if e.GetHello() != nil { // the first one counts
+		if e.GetHello() != nil { // only the first Hello of a link is used
 			continue
 		}
-		replaced, handled := from.handOver(l, func() { t.cfg.Handle(l.address, e) })
+		replaced, handled := peer.deliver(l, func() { t.cfg.Handle(l.address, e) })
 		if !handled {
 			return
 		}
 		if replaced != nil {
-			t.running.Go(replaced.terminate) // closing a connection may block
+			t.goroutines.Go(replaced.terminate) // closing a connection may block
 		}
 	}
 }
 
-// writeLoop writes the hello and then what is queued, many messages with one flush, until the stream breaks or the link
-// ends or is idle.
+// writeLoop writes the Hello and then the queued messages, with one flush for each batch, until the
+// stream fails, the link is terminated, or it has been idle for idleTimeout.
 func (t *Transport) writeLoop(l *link, s stream) {
 	defer l.terminate()
 	if err := s.Send(&protocol.Envelope{Body: &protocol.Envelope_Hello{Hello: t.hello(l)}}); err != nil {
@@ -72,7 +72,7 @@
 	}
 }
 
-// hello returns the first message on a link.
+// hello returns the Hello that this process sends as the first message on a link.
 func (t *Transport) hello(l *link) *protocol.Hello {
 	return &protocol.Hello{
 		Address:     t.cfg.Address,
@@ -82,7 +82,7 @@
 	}
 }
 
-// flushFunc returns the function that flushes a stream; it does nothing for streams that send each message at once.
+// flushFunc returns a function that flushes a stream. It is a no-op for streams that do not buffer.
 func flushFunc(s stream) func() error {
 	if holder, ok := s.(interface{ GetStream() drpc.Stream }); ok {
 		if f, ok := holder.GetStream().(flusher); ok {
--- a/internal/transport/transport_test.go
+++ b/internal/transport/transport_test.go
@@ -14,14 +14,14 @@
 	"frosttide/internal/protocol"
 )
 
-// received is a message that has arrived.
+// received identifies a message passed to a handler.
 type received struct {
 	from string
 	id   uint64
 }
 
-// freeAddress returns an address of loopback that nobody listens on. The host is drawn at random: at 127.0.0.1 another
-// process may be given the port before the test listens on it.
+// freeAddress returns a loopback address that no process listens on. The host part is random: on
+// 127.0.0.1 the kernel may assign the port to another process before the test listens on it.
 func freeAddress(t require.TestingT) string {
 	if helper, ok := t.(interface{ Helper() }); ok {
 		helper.Helper()
@@ -33,7 +33,8 @@
 	return l.Addr().String()
 }
 
-// listen opens a transport, at a free address where none is given, and returns what arrives there.
+// listen opens a transport, on a free address if address is empty, and returns it with its address
+// and a channel of the messages that it receives.
 func listen(t *testing.T, address string) (*Transport, string, chan received) {
 	t.Helper()
 	return listenWith(t, Config{Address: address})
@@ -54,29 +55,29 @@
 	return tr, cfg.Address, got
 }
 
-// forwardTo returns a handler that passes on the rounds of what arrives.
+// forwardTo returns a handler that forwards the sender and the ID of each message to a channel.
 func forwardTo(got chan received) func(from string, e *protocol.Envelope) {
 	return func(from string, e *protocol.Envelope) { got <- received{from, e.GetConfirm().GetRound()} }
 }
 
-func message(id uint64) *protocol.Envelope {
+func newMessage(id uint64) *protocol.Envelope {
 	return &protocol.Envelope{Body: &protocol.Envelope_Confirm{Confirm: &protocol.Confirm{Round: id}}}
 }
 
-// largeMessage returns a message of 8 MB, which no buffer of a connection holds.
-func largeMessage() *protocol.Envelope {
+// newLargeMessage returns a message of 8 MB, which exceeds the buffers of a connection.
+func newLargeMessage() *protocol.Envelope {
 	entry := &protocol.Entry{Puts: []*protocol.Put{{Key: "k", Value: make([]byte, 8<<20)}}}
 	return &protocol.Envelope{Body: &protocol.Envelope_Append{Append: &protocol.Append{Entries: []*protocol.Entry{entry}}}}
 }
 
-// next returns what arrives next.
-func next(t *testing.T, got chan received) received {
+// awaitReceived returns the next received message.
+func awaitReceived(t *testing.T, got chan received) received {
 	t.Helper()
 	select {
 	case r := <-got:
 		return r
 	case <-time.After(10 * time.Second):
-		t.Fatal("nothing arrives")
+		t.Fatal("no message arrives within 10 s")
 		return received{}
 	}
 }
@@ -85,28 +86,29 @@
 	a, addressA, gotA := listen(t, "")
 	b, addressB, gotB := listen(t, "")
 	for i := range uint64(1000) {
-		a.Send(addressB, message(i))
+		a.Send(addressB, newMessage(i))
 	}
 	for i := range uint64(1000) {
-		require.Equal(t, received{addressA, i}, next(t, gotB))
+		require.Equal(t, received{addressA, i}, awaitReceived(t, gotB))
 	}
 	for i := range uint64(10) {
-		b.Send(addressA, message(i))
+		b.Send(addressA, newMessage(i))
 	}
 	for i := range uint64(10) {
-		require.Equal(t, received{addressB, i}, next(t, gotA))
+		require.Equal(t, received{addressB, i}, awaitReceived(t, gotA))
 	}
 	b.mu.Lock()
-	require.Len(t, b.links, 1, "the link that was opened from the other side serves both ways")
+	require.Len(t, b.links, 1, "number of links: the one that the peer opened carries both directions")
 	b.mu.Unlock()
 }
 
-// TestOtherProcessAtTheSameAddress checks that messages reach a process that has replaced an earlier one.
-func TestOtherProcessAtTheSameAddress(t *testing.T) {
+// TestReconnectsToRestartedProcess checks that messages reach a process that has replaced an
+// earlier one at the same address.
+func TestReconnectsToRestartedProcess(t *testing.T) {
 	a, _, _ := listen(t, "")
 	b, address, got := listen(t, "")
-	a.Send(address, message(1))
-	next(t, got)
+	a.Send(address, newMessage(1))
+	awaitReceived(t, got)
 	b.Close()
 	_, _, restarted := listen(t, address)
 	arrived := make(chan struct{})
@@ -117,31 +119,34 @@
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for i := uint64(2); ; i++ {
-		a.Send(address, message(i))
+		a.Send(address, newMessage(i))
 		select {
 		case <-arrived:
 			return
 		case <-tick.C:
-			require.Less(t, i, uint64(1000), "nothing reaches the new process")
+			require.Less(t, i, uint64(1000), "number of messages sent before one reaches the new process")
 		}
 	}
 }
 
-func TestNobodyThere(t *testing.T) {
+// TestSendToUnreachableAddress checks that messages to an address without a process are dropped with
+// their link.
+func TestSendToUnreachableAddress(t *testing.T) {
 	a, _, _ := listen(t, "")
 	address := freeAddress(t)
 	for i := range uint64(100) {
-		a.Send(address, message(i))
+		a.Send(address, newMessage(i))
 	}
 	require.Eventually(t, func() bool {
 		a.mu.Lock()
 		defer a.mu.Unlock()
 		return len(a.links) == 0
-	}, 10*time.Second, 5*time.Millisecond, "the messages are dropped")
+	}, 10*time.Second, 5*time.Millisecond, "the link to the unreachable address is not removed")
 }
 
-// TestLinkOfTheOtherWhileDialing checks that messages that are queued during a dial are sent on the link that the other
-// process opens meanwhile: a dial that began while the other machine was off would wait until its timeout.
+// TestLinkOfTheOtherWhileDialing checks that messages queued during a dial are sent on the link
+// that the peer opens meanwhile: a dial that began while the peer's machine was off would block
+// until its timeout.
 func TestLinkOfTheOtherWhileDialing(t *testing.T) {
 	dialed := make(chan struct{})
 	ended := make(chan struct{})
@@ -153,18 +158,19 @@
 	}})
 	b, address, got := listen(t, "")
 	startedAt := time.Now()
-	a.Send(address, message(1))
+	a.Send(address, newMessage(1))
 	<-dialed
-	b.Send(addressA, message(2))
-	require.Equal(t, received{addressA, 1}, next(t, got))
+	b.Send(addressA, newMessage(2))
+	require.Equal(t, received{addressA, 1}, awaitReceived(t, got))
 	<-ended
-	require.Less(t, time.Since(startedAt), dialTimeout, "the dial ends at once")
-	a.Send(address, message(3))
-	require.Equal(t, received{addressA, 3}, next(t, got))
+	require.Less(t, time.Since(startedAt), dialTimeout, "the dial is canceled before its timeout")
+	a.Send(address, newMessage(3))
+	require.Equal(t, received{addressA, 3}, awaitReceived(t, got))
 }
 
-// TestLinkEndsWhileDialed checks that a link that is terminated during its dial, by a full queue, leaves no dead entry.
-func TestLinkEndsWhileDialed(t *testing.T) {
+// TestQueueOverflowDuringDial checks that a link that is terminated by a full queue during its dial
+// is removed, so that later messages use a new link.
+func TestQueueOverflowDuringDial(t *testing.T) {
 	proceed := make(chan struct{})
 	a, _, _ := listenWith(t, Config{Dial: func(ctx context.Context, address string) (net.Conn, error) {
 		<-proceed
@@ -172,25 +178,26 @@
 	}})
 	_, address, got := listen(t, "")
 	for i := range uint64(maxQueuedMessages + 1) {
-		a.Send(address, message(i))
+		a.Send(address, newMessage(i))
 	}
 	close(proceed)
 	require.Eventually(t, func() bool {
-		a.Send(address, message(maxQueuedMessages+1))
+		a.Send(address, newMessage(maxQueuedMessages+1))
 		return len(got) > 0
-	}, 10*time.Second, 5*time.Millisecond, "a new link is made")
+	}, 10*time.Second, 5*time.Millisecond, "no message arrives on a new link")
 }
 
 func TestLargeMessage(t *testing.T) {
 	a, _, _ := listen(t, "")
 	_, address, got := listen(t, "")
-	a.Send(address, largeMessage())
-	a.Send(address, message(7))
-	next(t, got)
-	require.EqualValues(t, 7, next(t, got).id)
+	a.Send(address, newLargeMessage())
+	a.Send(address, newMessage(7))
+	awaitReceived(t, got)
+	require.EqualValues(t, 7, awaitReceived(t, got).id)
 }
 
-// TestCloseWaitsForHandlers closes a transport while a message is handled.
+// TestCloseWaitsForHandlers checks that Close waits for a handler that is running, and that
+// messages sent afterwards are dropped.
 func TestCloseWaitsForHandlers(t *testing.T) {
 	entered, release := make(chan struct{}), make(chan struct{})
 	var handled atomic.Bool
@@ -202,7 +209,7 @@
 	}})
 	require.NoError(t, err)
 	a, _, _ := listen(t, "")
-	a.Send(address, message(1))
+	a.Send(address, newMessage(1))
 	<-entered
 	closed := make(chan struct{})
 	go func() {
@@ -212,23 +219,23 @@
 	close(release)
 	<-closed
 	require.True(t, handled.Load())
-	b.Send(address, message(2)) // has no effect
+	b.Send(address, newMessage(2)) // dropped after Close
 	require.Empty(t, b.links)
 }
 
-// TestCloseWithAStalledPeer closes a transport whose writes wait for a process that reads nothing, on a link of either
-// direction.
+// TestCloseWithAStalledPeer checks that Close returns although the transport's writes are blocked
+// by a peer that does not read, on a dialed and on an accepted link.
 func TestCloseWithAStalledPeer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		connect func(t *testing.T, stalled, other *Transport, arrived chan received) // opens the link between the two
+		connect func(t *testing.T, stalled, other *Transport, arrived chan received) // opens the link
 	}{
 		{"dialed", func(_ *testing.T, stalled, other *Transport, _ chan received) {
-			other.Send(stalled.cfg.Address, message(1))
+			other.Send(stalled.cfg.Address, newMessage(1))
 		}},
 		{"accepted", func(t *testing.T, stalled, other *Transport, arrived chan received) {
-			stalled.Send(other.cfg.Address, message(1))
-			next(t, arrived)
+			stalled.Send(other.cfg.Address, newMessage(1))
+			awaitReceived(t, arrived)
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -241,7 +248,7 @@
 			other, _, arrived := listen(t, "")
 			c.connect(t, stalled, other, arrived)
 			for range 10 {
-				other.Send(stalled.cfg.Address, largeMessage())
+				other.Send(stalled.cfg.Address, newLargeMessage())
 			}
 			<-entered
 			closed := make(chan struct{})
@@ -252,7 +259,7 @@
 			select {
 			case <-closed:
 			case <-time.After(10 * time.Second):
-				t.Error("Close waits for the other process")
+				t.Error("Close is blocked by the stalled peer for 10 s")
 			}
 			close(release)
 			stalled.Close()
