--- a/internal/gossip/machine_test.go
+++ b/internal/gossip/machine_test.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	networkStep  = 5 * time.Millisecond
-	lossInverse  = 30 // one message in so many is lost
-	mixingTime   = 5 * time.Second
-	spreadTime   = 2 * time.Second
-	networkNodes = 60
+	networkStep     = 5 * time.Millisecond
+	messagesPerLoss = 30 // one message in this many is lost
+	mixingTime      = 5 * time.Second
+	spreadTime      = 2 * time.Second
+	networkNodes    = 60
 )
 
-// delivery is a message in flight.
+// delivery is a message in flight with its sender's address.
 type delivery struct {
 	from string
 	send protocol.Outbound
 }
 
-// network carries the messages of many machines on a simulated clock, and loses some.
+// network delivers the messages of many machines on a simulated clock, and drops some at random.
 type network struct {
 	rng       *rand.Rand
 	now       time.Duration
@@ -35,7 +35,7 @@
 	inFlight  []delivery
 }
 
-// newNetwork returns a network whose machines know three contacts only.
+// newNetwork returns a network of machines that initially know only three contacts.
 func newNetwork(seed uint64) *network {
 	n := &network{rng: rand.New(rand.NewPCG(seed, 1)), byAddress: make(map[string]*Machine)}
 	for i := range networkNodes {
@@ -47,13 +47,13 @@
 	return n
 }
 
-// run advances the simulated clock, step by step.
+// run advances the simulated clock by a duration, in steps of networkStep.
 func (n *network) run(d time.Duration) {
 	for until := n.now + d; n.now < until; n.now += networkStep {
 		arrived := n.inFlight
 		n.inFlight = nil
 		for _, a := range arrived {
-			if to := n.byAddress[a.send.To]; to != nil && n.rng.IntN(lossInverse) > 0 {
+			if to := n.byAddress[a.send.To]; to != nil && n.rng.IntN(messagesPerLoss) > 0 {
 				to.Receive(n.now, a.from, a.send.Message)
 			}
 		}
@@ -69,17 +69,18 @@
 // requirePartialView checks the invariants of a partial view.
 func requirePartialView(t *testing.T, m *Machine) {
 	t.Helper()
-	require.NotEmpty(t, m.Neighbors(), "%s knows nobody", m.cfg.Address)
+	require.NotEmpty(t, m.Neighbors(), "partial view of %s is empty", m.cfg.Address)
 	require.LessOrEqual(t, len(m.Neighbors()), partialViewSize)
 	addresses := map[string]bool{m.cfg.Address: true}
 	for _, n := range m.Neighbors() {
-		require.False(t, addresses[n.GetAddress()], "%s has itself or %s twice", m.cfg.Address, n.GetAddress())
+		require.False(t, addresses[n.GetAddress()], "partial view of %s contains itself, or %s twice", m.cfg.Address, n.GetAddress())
 		addresses[n.GetAddress()] = true
 	}
 }
 
-// TestSpreads checks that configurations and views reach every process although one message in thirty is lost.
-func TestSpreads(t *testing.T) {
+// TestDisseminationDespiteLoss checks that configurations and views reach every process although
+// one message in thirty is lost.
+func TestDisseminationDespiteLoss(t *testing.T) {
 	for seed := range uint64(20) {
 		t.Run(fmt.Sprintf("seed %d", seed), func(t *testing.T) {
 			n := newNetwork(seed)
@@ -95,22 +96,22 @@
 				n.machines[n.rng.IntN(3)].SetConfig(n.now, table)
 				n.run(spreadTime)
 				for _, m := range n.machines {
-					require.Equal(t, table.Version, m.Config().Version, "%s", m.cfg.Address)
-					require.Equal(t, table.Digest, m.Config().Digest, "%s", m.cfg.Address)
+					require.Equal(t, table.Version, m.Config().Version, "configuration version of %s", m.cfg.Address)
+					require.Equal(t, table.Digest, m.Config().Digest, "configuration digest of %s", m.cfg.Address)
 				}
 			}
 			view := &protocol.View{Epoch: 1, Voters: []*protocol.Member{{Id: 1, Address: "p0"}}, Chain: []uint64{1}}
 			n.machines[0].SetView(n.now, view)
 			n.run(spreadTime)
 			for _, m := range n.machines {
-				require.EqualValues(t, 1, m.View().GetEpoch(), "%s", m.cfg.Address)
+				require.EqualValues(t, 1, m.View().GetEpoch(), "view epoch of %s", m.cfg.Address)
 				requirePartialView(t, m)
 			}
 		})
 	}
 }
 
-// table returns a configuration of a version.
+// table returns a configuration with the given version and one service.
 func table(t *testing.T, version int) *routeconfig.Table {
 	t.Helper()
 	change, err := routeconfig.Empty().Apply(fmt.Appendf(nil, `{"Version":%d,"Services":[{"Name":"s%d"}]}`, version, version), false)
@@ -118,8 +119,9 @@
 	return change.Table
 }
 
-// TestReplies checks the replies of a process that has version 5 of the configuration and a view of epoch 5.
-func TestReplies(t *testing.T) {
+// TestReceiveReplies checks the replies to gossip messages of a process that has version 5 of the
+// configuration and a view of epoch 5.
+func TestReceiveReplies(t *testing.T) {
 	view := func(epoch uint64) *protocol.View {
 		return &protocol.View{Epoch: epoch, Voters: []*protocol.Member{{Id: 1, Address: "p0"}}, Chain: []uint64{1}}
 	}
@@ -129,26 +131,26 @@
 	pull := func(p *protocol.RumorPull) *protocol.Envelope {
 		return &protocol.Envelope{Body: &protocol.Envelope_RumorPull{RumorPull: p}}
 	}
-	wrong := table(t, 6).DeltaSince(0)
-	wrong.Digest++
-	wrongPart := table(t, 6).DeltaSince(5)
-	wrongPart.Digest++
+	corruptFull := table(t, 6).DeltaSince(0)
+	corruptFull.Digest++
+	corruptDelta := table(t, 6).DeltaSince(5)
+	corruptDelta.Digest++
 	for _, c := range []struct {
 		name    string
 		message *protocol.Envelope
 		want    func(t *testing.T, replies []protocol.Outbound)
 	}{
-		{"rumor of the same", rumor(&protocol.Rumor{ConfigVersion: 5, View: view(5)}), noReply},
+		{"rumor of the same versions", rumor(&protocol.Rumor{ConfigVersion: 5, View: view(5)}), noReply},
 		{"rumor of an older configuration", rumor(&protocol.Rumor{ConfigVersion: 4, View: view(5)}), rumorReply},
 		{"rumor of an older view", rumor(&protocol.Rumor{ConfigVersion: 5, View: view(4)}), rumorReply},
-		{"reply with the older", rumor(&protocol.Rumor{ConfigVersion: 4, View: view(4), Reply: true}), noReply},
+		{"reply with older versions", rumor(&protocol.Rumor{ConfigVersion: 4, View: view(4), Reply: true}), noReply},
 		{"rumor of a newer configuration", rumor(&protocol.Rumor{ConfigVersion: 6, View: view(5)}), pullReply(&protocol.RumorPull{HaveVersion: 5})},
 		{"rumor of a view that is not valid", rumor(&protocol.Rumor{ConfigVersion: 5, View: &protocol.View{Epoch: 6}}), noReply},
-		{"pull of the older", pull(&protocol.RumorPull{HaveVersion: 4}), deltaReply(4)},
-		{"pull in full", pull(&protocol.RumorPull{HaveVersion: 4, Whole: true}), deltaReply(0)},
-		{"pull of the same", pull(&protocol.RumorPull{HaveVersion: 5}), noReply},
-		{"delta with another digest", &protocol.Envelope{Body: &protocol.Envelope_ConfigDelta{ConfigDelta: wrongPart}}, pullReply(&protocol.RumorPull{HaveVersion: 5, Whole: true})},
-		{"full configuration with another digest", &protocol.Envelope{Body: &protocol.Envelope_ConfigDelta{ConfigDelta: wrong}}, pullReply(&protocol.RumorPull{HaveVersion: 5})},
+		{"pull from an older version", pull(&protocol.RumorPull{HaveVersion: 4}), deltaReply(4)},
+		{"pull of the full configuration", pull(&protocol.RumorPull{HaveVersion: 4, Whole: true}), deltaReply(0)},
+		{"pull from the same version", pull(&protocol.RumorPull{HaveVersion: 5}), noReply},
+		{"delta with a wrong digest", &protocol.Envelope{Body: &protocol.Envelope_ConfigDelta{ConfigDelta: corruptDelta}}, pullReply(&protocol.RumorPull{HaveVersion: 5, Whole: true})},
+		{"full configuration with a wrong digest", &protocol.Envelope{Body: &protocol.Envelope_ConfigDelta{ConfigDelta: corruptFull}}, pullReply(&protocol.RumorPull{HaveVersion: 5})},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := New(Config{Address: "self", Contacts: []string{"other"}, Seed: 1})
@@ -168,7 +170,7 @@
 	require.Empty(t, replies)
 }
 
-// onlyReply returns the one message that was sent to the other process.
+// onlyReply checks that one message was sent, to the other process, and returns it.
 func onlyReply(t *testing.T, replies []protocol.Outbound) *protocol.Envelope {
 	t.Helper()
 	require.Len(t, replies, 1)
--- a/internal/gossip/rumor.go
+++ b/internal/gossip/rumor.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	// rumorInterval is the interval between exchanges of versions with a random neighbor, which repair the loss of
+	// rumorInterval is the interval between rumors to a random neighbor, which repair the loss of
 	// messages (anti-entropy).
 	rumorInterval = 300 * time.Millisecond
-	// hotRumorInterval takes its place for hotRumorRounds exchanges after a new version (rumor mongering).
+	// hotRumorInterval replaces rumorInterval for hotRumorRounds rumors after a new version (rumor
+	// mongering).
 	hotRumorInterval = 60 * time.Millisecond
 	hotRumorRounds   = 3
-	// fanout is the number of neighbors that a new version is sent to at once.
+	// fanout is the number of neighbors to which a new version is sent immediately.
 	fanout = 3
-	// pullTimeout is how long a requested delta is awaited before another may be requested.
+	// pullTimeout is the time after which a requested delta may be requested again.
 	pullTimeout = 250 * time.Millisecond
 )
 
-// disseminate sends the versions to some neighbors at once, except to the process that they came from, and makes the next
-// periodic rumors hot.
+// disseminate sends a rumor to up to fanout neighbors at once, except to the process that the new
+// version came from, and shortens the interval of the next hotRumorRounds periodic rumors.
 func (m *Machine) disseminate(from string) {
 	m.hotRounds, m.nextRumor = hotRumorRounds, min(m.nextRumor, m.now+hotRumorInterval)
 	for _, n := range m.sample(fanout) {
@@ -30,7 +31,7 @@
 	}
 }
 
-// sendPeriodicRumor sends the versions to a random neighbor.
+// sendPeriodicRumor sends a rumor to a random neighbor and schedules the next one.
 func (m *Machine) sendPeriodicRumor() {
 	m.nextRumor = m.now + rumorInterval
 	if m.hotRounds > 0 {
@@ -42,7 +43,7 @@
 	}
 }
 
-// rumor returns the versions that this process has.
+// rumor returns a rumor with the versions that this process has.
 func (m *Machine) rumor() *protocol.Rumor {
 	return &protocol.Rumor{ConfigVersion: m.config.Version, ConfigDigest: m.config.Digest, View: m.view}
 }
@@ -51,23 +52,23 @@
 	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_Rumor{Rumor: r}})
 }
 
-// onRumor installs or requests what is newer at the sender, and replies if this process has anything newer. A reply gets no
-// reply.
+// onRumor adopts the sender's view and requests its configuration where they are newer, and replies
+// if this process has a newer one of either. A reply is not replied to.
 func (m *Machine) onRumor(from string, r *protocol.Rumor) {
 	senderIsBehind := r.GetConfigVersion() < m.config.Version || r.GetView().GetEpoch() < m.view.GetEpoch()
 	m.adoptView(r.GetView(), from)
 	m.ObserveVersion(m.now, from, r.GetConfigVersion())
 	if senderIsBehind && !r.GetReply() {
-		answer := m.rumor()
-		answer.Reply = true
-		m.sendRumor(from, answer)
+		reply := m.rumor()
+		reply.Reply = true
+		m.sendRumor(from, reply)
 	}
 }
 
-// requestDelta asks a process for the items that its configuration has beyond the one here.
+// requestDelta requests the items that changed since this process's version of the configuration.
 func (m *Machine) requestDelta(from string) { m.sendPull(from, &protocol.RumorPull{}) }
 
-// requestFull asks a process for its configuration in full.
+// requestFull requests the full configuration.
 func (m *Machine) requestFull(from string) { m.sendPull(from, &protocol.RumorPull{Whole: true}) }
 
 func (m *Machine) sendPull(to string, p *protocol.RumorPull) {
@@ -76,7 +77,8 @@
 	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_RumorPull{RumorPull: p}})
 }
 
-// onPull sends a process the items that it lacks.
+// onPull replies with the items that the sender lacks, or with the full configuration if the sender
+// asked for it. It ignores a sender that is not behind.
 func (m *Machine) onPull(from string, p *protocol.RumorPull) {
 	if p.GetHaveVersion() >= m.config.Version {
 		return
@@ -88,8 +90,9 @@
 	m.send(from, &protocol.Envelope{Body: &protocol.Envelope_ConfigDelta{ConfigDelta: m.config.DeltaSince(fromVersion)}})
 }
 
-// onDelta installs a newer configuration. A delta that does not lead to the digest that it names is dropped: the
-// configuration is requested in full then, or as a delta where it was a full one that failed.
+// onDelta applies a delta and adopts the result if it is newer. A delta whose result does not have
+// the digest that the delta names is dropped, and the full configuration is requested; if a full
+// configuration failed, a delta is requested.
 func (m *Machine) onDelta(from string, d *protocol.ConfigDelta) {
 	m.pullDeadline = 0
 	next, ok := m.config.ApplyDelta(d)
--- a/internal/gossip/shuffle.go
+++ b/internal/gossip/shuffle.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// partialViewSize is the number of neighbors that a process keeps at the most.
+	// partialViewSize is the maximum number of neighbors that a process keeps.
 	partialViewSize = 8
-	// shuffleSize is the number of neighbors that a shuffle exchanges, the sender itself included.
+	// shuffleSize is the number of entries in a shuffle message, including the sender's own.
 	shuffleSize = 4
-	// minShuffleInterval and maxShuffleInterval bound the interval between shuffles. It starts short, so that the partial
-	// views of a system that starts mix fast, and grows by shuffleIntervalGrowth with each shuffle.
+	// minShuffleInterval and maxShuffleInterval bound the interval between shuffles. It starts
+	// short, so that the partial views mix quickly while a system starts up, and is multiplied by
+	// shuffleIntervalGrowth with each shuffle.
 	minShuffleInterval    = 200 * time.Millisecond
 	maxShuffleInterval    = 2 * time.Second
 	shuffleIntervalGrowth = 1.25
-	// shufflesPerContact is the number of shuffles per one that goes to a contact as well.
+	// shufflesPerContact is the period, in shuffles, of the additional shuffle with a contact.
 	shufflesPerContact = 4
-	// bootstrapInterval is the interval between shuffles with a contact while no neighbor is known.
+	// bootstrapInterval is the interval between shuffles with a contact while the partial view is
+	// empty.
 	bootstrapInterval = 150 * time.Millisecond
 )
 
-// beginShuffle exchanges a part of the partial view with the neighbor that has been known for longest (Voulgaris,
-// Gavidia & van Steen 2005, enhanced shuffling). That neighbor is removed: while it lives, it comes back through others, so that
-// dead ones vanish without being detected.
+// beginShuffle exchanges a part of the partial view with the oldest neighbor (Voulgaris, Gavidia &
+// van Steen 2005, enhanced shuffling). That neighbor is removed: while it is alive, its entry
+// returns through other processes, so dead neighbors disappear without failure detection.
 func (m *Machine) beginShuffle() {
 	for _, n := range m.neighbors {
 		n.Age++
@@ -47,7 +49,8 @@
 	m.offerNeighbors(oldest.GetAddress(), m.offered)
 }
 
-// shuffleWithContact joins groups of processes that started from different contacts or were partitioned.
+// shuffleWithContact starts a shuffle with a random contact. This joins groups of processes that
+// started from different contacts or were partitioned.
 func (m *Machine) shuffleWithContact() {
 	if len(m.cfg.Contacts) == 0 {
 		return
@@ -57,7 +60,7 @@
 	}
 }
 
-// offerNeighbors begins a shuffle: it sends this process's own entry and some neighbors.
+// offerNeighbors starts a shuffle: it sends this process's own entry and the given neighbors.
 func (m *Machine) offerNeighbors(to string, neighbors []*protocol.Neighbor) {
 	self := &protocol.Neighbor{Address: m.cfg.Address, Role: m.cfg.Role}
 	m.sendShuffle(to, &protocol.Shuffle{Neighbors: cloneNeighbors(append([]*protocol.Neighbor{self}, neighbors...))})
@@ -67,7 +70,8 @@
 	m.send(to, &protocol.Envelope{Body: &protocol.Envelope_Shuffle{Shuffle: s}})
 }
 
-// cloneNeighbors returns copies of entries for a message, because the ages of those in the partial view go on rising.
+// cloneNeighbors copies entries for a message, because the ages of those in the partial view keep
+// increasing.
 func cloneNeighbors(neighbors []*protocol.Neighbor) []*protocol.Neighbor {
 	cloned := make([]*protocol.Neighbor, len(neighbors))
 	for i, n := range neighbors {
@@ -76,8 +80,8 @@
 	return cloned
 }
 
-// onShuffle handles either half of a shuffle. A process that knew nobody also exchanges versions with the sender at
-// once.
+// onShuffle handles a shuffle request or reply. If the partial view was empty, it also adds the
+// sender and sends it a rumor at once.
 func (m *Machine) onShuffle(from string, s *protocol.Shuffle) {
 	replaceable := m.offered
 	if !s.GetReply() {
@@ -92,8 +96,8 @@
 	}
 }
 
-// mergeNeighbors adds received entries to the partial view. Where it is full, they replace entries that the sender has
-// been given, and random ones once those are used up.
+// mergeNeighbors adds received entries to the partial view. If it is full, they replace the entries
+// in replaceable, which the sender was given, and random entries once those are used up.
 func (m *Machine) mergeNeighbors(received, replaceable []*protocol.Neighbor) {
 	for _, n := range received {
 		if n.GetAddress() == m.cfg.Address || m.isNeighbor(n.GetAddress()) {
@@ -126,13 +130,13 @@
 	return out[:min(limit, len(out))]
 }
 
-// maxDraws bounds how often a random neighbor is drawn again.
-const maxDraws = 4
+// maxNeighborDraws is how many times randomNeighbor draws until it finds an entry with an address.
+const maxNeighborDraws = 4
 
-// randomNeighbor returns the address of a random neighbor, and false where none is found. Entries without an address, as
-// only malformed messages have, are passed over.
+// randomNeighbor returns the address of a random neighbor, and false if none is found. It skips
+// entries without an address, which come only from malformed messages.
 func (m *Machine) randomNeighbor() (address string, ok bool) {
-	for range maxDraws {
+	for range maxNeighborDraws {
 		if len(m.neighbors) == 0 {
 			return "", false
 		}
