--- a/internal/chainclient/client.go
+++ b/internal/chainclient/client.go
@@ -10,43 +10,47 @@
 )
 
 const (
-	// resendAfter is how long a reply is awaited until the request is sent again. It is well above what a slow disk takes.
+	// resendAfter is the time without a reply after which a request is sent again. It is well above
+	// the latency of a slow disk.
 	resendAfter = 400 * time.Millisecond
-	// refusedBackoff is the delay after a refusal by a member that does not hold the role, and before another attempt to
-	// find a view.
+	// refusedBackoff is the delay before a request is retried after a refusal by a member that does
+	// not hold the required role, or while no view is known.
 	refusedBackoff = 25 * time.Millisecond
 	// viewQueryInterval is the minimum time between queries for a newer view.
 	viewQueryInterval = 60 * time.Millisecond
-	// viewSuspectAfter is the age of a request without a reply from which the view may be outdated.
-	viewSuspectAfter = 120 * time.Millisecond
-	// idBits is the number of low bits of a request ID that count requests; the bits above are the process's incarnation.
+	// viewStaleAfter is the age of a request without a reply from which the view is assumed to be
+	// possibly outdated.
+	viewStaleAfter = 120 * time.Millisecond
+	// idBits is the number of low bits of a request ID that hold the request counter; the bits
+	// above hold the process's incarnation.
 	idBits = 24
 )
 
-// Outcome is how a request has ended.
+// Outcome is the result of a request: its reply, or the end of its deadline.
 type Outcome struct {
 	ID              uint64
-	Reply           *protocol.ClientReply // nil where none came before the deadline
-	MayHaveExecuted bool                  // false where the control plane surely has not executed the request
+	Reply           *protocol.ClientReply // nil if none came before the deadline
+	MayHaveExecuted bool                  // false if the control plane certainly did not execute it
 	Elapsed         time.Duration         // since the start of the request
 }
 
-// Client is a process's access to the control plane. New makes one.
+// Client sends the requests of one process to the control plane; see the package comment. Use New
+// to create one.
 type Client struct {
 	incarnation   uint64
 	now           time.Duration // time of the current call
 	contacts      []string
-	contactIndex  int            // of the last process queried for a view
+	contactIndex  int            // counts view queries, to rotate through the processes queried
 	view          *protocol.View // nil before any is known
 	viewQueriedAt time.Duration
 	lastID        uint64
 	pending       map[uint64]*request
-	outcomes      []Outcome           // not taken yet
-	sends         []protocol.Outbound // not taken yet
+	outcomes      []Outcome           // since the last TakeOutcomes
+	sends         []protocol.Outbound // since the last TakeSends
 }
 
-// New returns a client that queries the processes at some internal addresses for the first view. The incarnation is drawn
-// when the process starts.
+// New returns a client that queries the processes at the contacts' internal addresses for the first
+// view. incarnation is the random number that the process drew when it started.
 func New(incarnation uint64, contacts []string) *Client {
 	return &Client{incarnation: incarnation, contacts: contacts, lastID: incarnation << idBits, pending: make(map[uint64]*request)}
 }
@@ -58,15 +62,16 @@
 	}
 }
 
-// View returns the newest view known, nil before any is.
+// View returns the newest known view, nil if none is known yet.
 func (c *Client) View() *protocol.View { return c.view }
 
 // Pending returns the number of requests without an outcome.
 func (c *Client) Pending() int { return len(c.pending) }
 
-// Do starts a request to one end of the chain and returns its ID. The request ends without a reply at the deadline, or at the
-// unsent deadline where no view was found by then to send it by. Do sets the ID and the incarnation of the message, which
-// belongs to the client from then on.
+// Do starts a request to one end of the chain and returns its ID. The request ends without a reply
+// at the deadline, or at unsentDeadline if it could not be sent by then because no view was known.
+// Both are times on the same clock as now. Do sets the ID and the incarnation of the message and
+// takes ownership of it.
 func (c *Client) Do(now time.Duration, r *protocol.ClientRequest, destination Destination, deadline, unsentDeadline time.Duration) uint64 {
 	c.now = now
 	c.lastID++
@@ -77,11 +82,11 @@
 	return r.GetId()
 }
 
-// Cancel forgets a request. It will have no outcome, and the control plane may execute it all the same.
+// Cancel drops a request: it gets no outcome, but the control plane may still execute it.
 func (c *Client) Cancel(id uint64) { delete(c.pending, id) }
 
-// UpdateView adopts a view where it is newer, and sends all pending requests again: what was sent to the earlier chain may
-// be lost with it.
+// UpdateView adopts a view if it is newer and has a chain, and resends all pending requests,
+// because those sent to the earlier chain may be lost.
 func (c *Client) UpdateView(now time.Duration, v *protocol.View) {
 	c.now = now
 	if v.GetEpoch() <= c.view.GetEpoch() || len(v.GetChain()) == 0 {
@@ -93,7 +98,8 @@
 	}
 }
 
-// Reply handles a reply. Those to requests that are not pending are ignored.
+// Reply handles a reply. A refusal schedules a retry; any other reply ends its request. Replies to
+// requests that are not pending are ignored.
 func (c *Client) Reply(now time.Duration, r *protocol.ClientReply) {
 	c.now = now
 	req := c.pending[r.GetId()]
@@ -109,11 +115,11 @@
 	c.outcomes = append(c.outcomes, Outcome{ID: r.GetId(), Reply: r, MayHaveExecuted: true, Elapsed: now - req.startedAt})
 }
 
-// Tick advances the time: requests reach their deadlines or are sent again, and a newer view is queried where requests
-// have no reply.
+// Tick advances the time: it ends requests whose deadline has passed, resends those that are due,
+// and queries a newer view if requests have gone without a reply or no view is known.
 func (c *Client) Tick(now time.Duration) {
 	c.now = now
-	viewSuspect := false
+	viewMayBeStale := false
 	for _, id := range slices.Sorted(maps.Keys(c.pending)) {
 		req := c.pending[id]
 		switch {
@@ -122,12 +128,12 @@
 			c.outcomes = append(c.outcomes, Outcome{ID: id, MayHaveExecuted: req.mayHaveExecuted(), Elapsed: now - req.startedAt})
 		case now >= req.resendAt:
 			c.send(req)
-			viewSuspect = true
+			viewMayBeStale = true
 		default:
-			viewSuspect = viewSuspect || now-req.startedAt > viewSuspectAfter
+			viewMayBeStale = viewMayBeStale || now-req.startedAt > viewStaleAfter
 		}
 	}
-	if (viewSuspect || c.view == nil) && now-c.viewQueriedAt >= viewQueryInterval {
+	if (viewMayBeStale || c.view == nil) && now-c.viewQueriedAt >= viewQueryInterval {
 		c.queryView()
 	}
 }
@@ -139,14 +145,15 @@
 	return out
 }
 
-// TakeSends returns the messages to be sent since the last call.
+// TakeSends returns the messages to be sent that were queued since the last call.
 func (c *Client) TakeSends() []protocol.Outbound {
 	out := c.sends
 	c.sends = nil
 	return out
 }
 
-// send sends a request to the member that the view names for it, and without a view tries again soon.
+// send sends a request to the head or tail of the view's chain. Without a view, it schedules a
+// retry after refusedBackoff.
 func (c *Client) send(req *request) {
 	if c.view == nil {
 		req.resendAt = c.now + refusedBackoff
@@ -162,7 +169,7 @@
 	c.sends = append(c.sends, protocol.Outbound{To: to.GetAddress(), Message: &protocol.Envelope{Body: &protocol.Envelope_ClientRequest{ClientRequest: message}}})
 }
 
-// queryView asks for a newer view, each time another one of the contacts and voters known.
+// queryView asks one of the contacts and known voters for a newer view, in rotation.
 func (c *Client) queryView() {
 	c.viewQueriedAt = c.now
 	addresses := slices.Clone(c.contacts)
--- a/internal/chainclient/client_test.go
+++ b/internal/chainclient/client_test.go
@@ -9,8 +9,9 @@
 	"frosttide/internal/protocol"
 )
 
-// chain returns a view of some members, from the head to the tail; member 1 has the address b, member 2 c, and so on.
-func chain(epoch uint64, ids ...uint64) *protocol.View {
+// newView returns a view whose chain consists of the given members, from the head to the tail.
+// Member 1 has the address b, member 2 c, and so on.
+func newView(epoch uint64, ids ...uint64) *protocol.View {
 	v := &protocol.View{Epoch: epoch, Chain: ids}
 	for _, id := range ids {
 		v.Voters = append(v.Voters, &protocol.Member{Id: id, Address: string(rune('a' + id))})
@@ -18,8 +19,8 @@
 	return v
 }
 
-// write returns a request that changes something.
-func write() *protocol.ClientRequest {
+// newWrite returns a write request.
+func newWrite() *protocol.ClientRequest {
 	return &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: "x"}}}
 }
 
@@ -33,8 +34,8 @@
 	return out
 }
 
-// TestWritesToTheHeadReadsFromTheTail starts a write and a read.
-func TestWritesToTheHeadReadsFromTheTail(t *testing.T) {
+// TestDestinations checks that a write is sent to the head of the chain and a read to its tail.
+func TestDestinations(t *testing.T) {
 	for _, tc := range []struct {
 		name        string
 		destination Destination
@@ -45,18 +46,18 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(1, []string{"contact"})
-			c.UpdateView(0, chain(1, 1, 2, 3))
-			c.Do(0, write(), tc.destination, time.Second, time.Second)
+			c.UpdateView(0, newView(1, 1, 2, 3))
+			c.Do(0, newWrite(), tc.destination, time.Second, time.Second)
 			require.Equal(t, []string{tc.want}, sentTo(c))
 		})
 	}
 }
 
-// TestRepliesOnce has a reply come twice: the request has one outcome.
-func TestRepliesOnce(t *testing.T) {
+// TestDuplicateReplyIsIgnored checks that a request whose reply arrives twice has one outcome.
+func TestDuplicateReplyIsIgnored(t *testing.T) {
 	c := New(1, nil)
-	c.UpdateView(0, chain(1, 1))
-	id := c.Do(0, write(), ToHead, time.Second, time.Second)
+	c.UpdateView(0, newView(1, 1))
+	id := c.Do(0, newWrite(), ToHead, time.Second, time.Second)
 	c.Reply(0, &protocol.ClientReply{Id: id, Status: 200})
 	c.Reply(0, &protocol.ClientReply{Id: id, Status: 200})
 	outcomes := c.TakeOutcomes()
@@ -65,31 +66,34 @@
 	require.Zero(t, c.Pending())
 }
 
-// TestIDsDifferBetweenIncarnations starts a request each of two incarnations of a process.
+// TestIDsDifferBetweenIncarnations checks that the first requests of two incarnations of a process
+// have different IDs.
 func TestIDsDifferBetweenIncarnations(t *testing.T) {
 	earlier, later := New(1, nil), New(2, nil)
-	require.NotEqual(t, earlier.Do(0, write(), ToHead, time.Second, time.Second), later.Do(0, write(), ToHead, time.Second, time.Second))
+	require.NotEqual(t, earlier.Do(0, newWrite(), ToHead, time.Second, time.Second), later.Do(0, newWrite(), ToHead, time.Second, time.Second))
 }
 
-// TestResendsToNewHead sends a pending request to the head of a newer view at once, and again after resendAfter.
+// TestResendsToNewHead checks that a pending request is sent to the head of a newer view at once,
+// and again after resendAfter.
 func TestResendsToNewHead(t *testing.T) {
 	c := New(1, nil)
-	c.UpdateView(0, chain(1, 1))
-	c.Do(0, write(), ToHead, 3*time.Second, time.Second)
+	c.UpdateView(0, newView(1, 1))
+	c.Do(0, newWrite(), ToHead, 3*time.Second, time.Second)
 	require.Equal(t, []string{"b"}, sentTo(c))
-	c.UpdateView(0, chain(2, 2))
+	c.UpdateView(0, newView(2, 2))
 	require.Equal(t, []string{"c"}, sentTo(c))
-	c.UpdateView(0, chain(1, 1))
-	require.Empty(t, sentTo(c), "an older view changes nothing")
+	c.UpdateView(0, newView(1, 1))
+	require.Empty(t, sentTo(c), "requests sent after an older view")
 	c.Tick(resendAfter)
 	require.Equal(t, []string{"c"}, sentTo(c))
 }
 
-// TestExpires ends a request that could not be sent and one without a reply.
+// TestExpires checks the outcomes at the deadlines of a request that could not be sent and of one
+// that got no reply.
 func TestExpires(t *testing.T) {
 	t.Run("not sent", func(t *testing.T) {
 		c := New(1, []string{"contact"})
-		c.Do(0, write(), ToHead, time.Second, 100*time.Millisecond)
+		c.Do(0, newWrite(), ToHead, time.Second, 100*time.Millisecond)
 		queried := false
 		for now := time.Duration(0); now <= 120*time.Millisecond; now += 20 * time.Millisecond {
 			c.Tick(now)
@@ -99,13 +103,13 @@
 		}
 		outcomes := c.TakeOutcomes()
 		require.Len(t, outcomes, 1)
-		require.False(t, outcomes[0].MayHaveExecuted, "nobody can have executed it")
+		require.False(t, outcomes[0].MayHaveExecuted, "an unsent request is reported as possibly executed")
 		require.True(t, queried)
 	})
 	t.Run("without a reply", func(t *testing.T) {
 		c := New(1, []string{"contact"})
-		c.UpdateView(0, chain(1, 1))
-		c.Do(time.Second, write(), ToHead, 2*time.Second, time.Second)
+		c.UpdateView(0, newView(1, 1))
+		c.Do(time.Second, newWrite(), ToHead, 2*time.Second, time.Second)
 		c.Tick(2 * time.Second)
 		outcomes := c.TakeOutcomes()
 		require.Len(t, outcomes, 1)
@@ -113,11 +117,12 @@
 	})
 }
 
-// TestNotServingReplyIsRetried has a member refuse a request: it is sent again after refusedBackoff.
+// TestNotServingReplyIsRetried checks that a request that a member refuses is sent again after
+// refusedBackoff.
 func TestNotServingReplyIsRetried(t *testing.T) {
 	c := New(1, nil)
-	c.UpdateView(0, chain(1, 1))
-	id := c.Do(0, write(), ToHead, time.Second, time.Second)
+	c.UpdateView(0, newView(1, 1))
+	id := c.Do(0, newWrite(), ToHead, time.Second, time.Second)
 	c.TakeSends()
 	c.Reply(0, &protocol.ClientReply{Id: id, NotServing: true})
 	require.Empty(t, c.TakeOutcomes())
@@ -125,20 +130,21 @@
 	require.Equal(t, []string{"b"}, sentTo(c))
 }
 
-// TestRefusedAttemptsAreNotExecuted reports a request as not executed just where each of its two attempts was refused.
+// TestRefusedAttemptsAreNotExecuted checks that a request of two attempts is reported as not
+// executed only if both attempts were refused.
 func TestRefusedAttemptsAreNotExecuted(t *testing.T) {
 	for _, tc := range []struct {
 		name            string
-		secondRefusal   uint32 // the attempt that the second refusal names
+		secondRefusal   uint32 // attempt that the second refusal names
 		mayHaveExecuted bool
 	}{
 		{name: "both attempts refused", secondRefusal: 2},
-		{name: "the first refusal comes twice", secondRefusal: 1, mayHaveExecuted: true},
+		{name: "the first refusal arrives twice", secondRefusal: 1, mayHaveExecuted: true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := New(1, nil)
-			c.UpdateView(0, chain(1, 1))
-			id := c.Do(0, write(), ToHead, 100*time.Millisecond, 100*time.Millisecond)
+			c.UpdateView(0, newView(1, 1))
+			id := c.Do(0, newWrite(), ToHead, 100*time.Millisecond, 100*time.Millisecond)
 			c.TakeSends()
 			c.Reply(0, &protocol.ClientReply{Id: id, NotServing: true, Attempt: 1})
 			c.Tick(refusedBackoff)
