--- a/internal/protocol/doc.go
+++ b/internal/protocol/doc.go
@@ -1,13 +1,15 @@
-// Package protocol holds the messages that the processes of the cluster scheduler exchange, and the bodies of the records
-// that they store.
+// Package protocol defines the messages that the processes of the cluster scheduler exchange, and
+// the encoding of the records that they store.
 //
-// protocol.proto is the source; generate.sh generates protocol.pb.go and protocol_drpc.pb.go, which are committed. Package
-// transport carries Envelope, the only message of the one service Peer; the other messages are its variants, the parts of
-// these, and the values that packages journal, jobs, scheduler and routeconfig store.
+// protocol.proto is the source; generate.sh generates protocol.pb.go and protocol_drpc.pb.go from
+// it, which are committed. Package transport carries Envelope, the only message type of the only
+// service, Peer; the other messages are the variants of Envelope, parts of these, and the values
+// that packages journal, jobs, scheduler and routeconfig store.
 //
-// Processes of different releases run one system during a rolling update, and a member reads what an earlier release
-// stored. So field numbers, types and the service path never change, removed numbers stay reserved, and a new field has a
-// zero value that means what its absence meant before; the package testkit/compatibility/scheduler pins the bytes.
+// During a rolling update, processes of different releases exchange messages, and a member reads
+// records that an earlier release stored. Therefore field numbers, types and the service path never
+// change, removed field numbers stay reserved, and the zero value of a new field means the same as
+// its absence did before. Package testkit/compatibility/scheduler pins the encoded bytes.
 //
-// Messages are plain data: a message that has been sent or handed over is not changed by anybody any more.
+// Messages are plain data: once a message has been sent or passed on, nobody may modify it.
 package protocol
--- a/internal/protocol/protocoltest/fuzz.go
+++ b/internal/protocol/protocoltest/fuzz.go
@@ -1,4 +1,5 @@
-// Package protocoltest helps to fuzz how processes handle each other's messages. Only tests use it; it keeps no state.
+// Package protocoltest supports fuzz tests of the handling of messages from other processes. Only
+// tests use it; it keeps no state.
 package protocoltest
 
 import (
@@ -9,8 +10,9 @@
 	"frosttide/internal/protocol"
 )
 
-// Fuzz calls handle with each input that can be decoded, beginning with some well-formed seeds. handle fails the test where
-// a process does not withstand the message.
+// Fuzz runs a fuzz test that calls handle with each input that decodes as an Envelope. The encoded
+// seeds are its seed corpus. handle must fail the test if the code under test mishandles the
+// message.
 func Fuzz(f *testing.F, seeds []*protocol.Envelope, handle func(t *testing.T, e *protocol.Envelope)) {
 	f.Helper()
 	for _, e := range seeds {
