--- a/internal/nodefile/nodefile.go
+++ b/internal/nodefile/nodefile.go
@@ -11,36 +11,37 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxPort is the highest port of TCP.
+// maxPort is the highest TCP port number.
 const maxPort = 65535
 
-// PathVariable is the environment variable that names the file.
+// PathVariable is the name of the environment variable that holds the path of the settings file.
 const PathVariable = "FROSTTIDE_NODE_FILE"
 
-// ErrSettings marks every error of this package. Its text is a line for operators that names the file, the key and the
-// reason.
+// ErrSettings marks every error of this package, for errors.Is. The text of a marked error is one
+// line for operators that names the file, the key and the reason.
 var ErrSettings = errors.New("settings")
 
-// File holds the content of a settings file. Its fields have the names of the file's keys where no tag says otherwise.
-// Keys that no program reads are there so that their type is checked.
+// File holds the content of a settings file. Its fields have the names of the file's keys unless a
+// tag says otherwise. Fields that no program uses exist so that the types of their keys are
+// checked.
 type File struct {
 	NodeName        string
 	Role            string
 	MachineClass    string
 	IP              string   `toml:"Ip"` // of the machine
 	Zone            string   // failure domain of the machine
-	PortRange       []int    // first and last port that internal addresses may have
+	PortRange       []int    // first and last port for internal addresses
 	Seeds           []string // operators' addresses of up to three core machines, host:port
-	Bootstrap       bool     // the system starts for the first time; its seeds are the founders
+	Bootstrap       bool     // first start of the system, whose initial members are the seeds
 	CountsForQuorum bool
-	DataDir         string // folder of a control member's journal
+	DataDir         string // directory of a control member's journal
 	HeartbeatMs     int64
 	Service         string
 	App             string `toml:"app"` // address of the runner on a side machine, host:port
 	ListenAddrs     struct {
 		Front     string // for clients
 		Readiness string // for the platform's health checks
-		Control   string // for operators or, on a side machine, its runner
+		Control   string // for operators or, on a side machine, for its runner
 	}
 	Limits struct {
 		MemoryMB int64 `toml:"MemoryMb"`
@@ -54,25 +55,26 @@
 	Bounds Bounds
 }
 
-// Bounds are the figures that the processes have to keep, in the unit that the end of the name says.
+// Bounds are the time limits and other figures that the processes must keep. The suffix of a name
+// is its unit: Ms for milliseconds, S for seconds, X for a factor.
 type Bounds struct {
 	ContactMs     float64
 	AckMs         float64
 	CatchUpS      float64
 	DrainMs       float64
-	GraceS        float64 // from the signal to terminate until the process is killed
+	GraceS        float64 // time from the termination signal until the process is killed
 	ConfigApplyMs float64
-	RecoveryS     float64 // for which running work outlives the loss of all core machines: the lease of agents
-	HoldMaxMs     float64 // longest lease that an agent gives its runner
+	RecoveryS     float64 // agents' lease: how long work survives the loss of all core machines
+	HoldMaxMs     float64 // longest lease that an agent grants its runner
 	GangMs        float64 `toml:"gang_ms"`
 	StopMs        float64 `toml:"stop_ms"`
-	StatusS       float64 `toml:"status_s"` // for which the state of an ended job can be read
-	FarX          float64 `toml:"far_x"`    // how many times as long work takes away from its data
+	StatusS       float64 `toml:"status_s"` // how long the state of an ended job can be read
+	FarX          float64 `toml:"far_x"`    // factor by which work takes longer away from its data
 	SaveS         float64 `toml:"save_s"`
 	RestoreMs     float64 `toml:"restore_ms"`
 }
 
-// Defaults of the bounds.
+// Defaults of the bounds that are missing from the file or not above 0.
 const (
 	defaultGraceS    = 6
 	defaultHoldMaxMs = 6000
@@ -82,7 +84,8 @@
 	defaultFarX      = 1.5
 )
 
-// Path returns the file's path, which PathVariable holds. Its error is marked with ErrSettings.
+// Path returns the path of the settings file from the environment variable PathVariable. It fails,
+// with an error marked with ErrSettings, if the variable is unset or empty.
 func Path() (string, error) {
 	path := os.Getenv(PathVariable)
 	if path == "" {
@@ -91,7 +94,8 @@
 	return path, nil
 }
 
-// Read reads and checks a file, and fills in the defaults. Its errors are marked with ErrSettings.
+// Read reads a settings file, fills in the defaults and validates it. Its errors are marked with
+// ErrSettings.
 func Read(path string) (*File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -108,7 +112,8 @@
 	return f, nil
 }
 
-// describeDecodeError returns the line, the key and the reason of a mistake in one line.
+// describeDecodeError formats a TOML decoding error as one line with the line number, the key and
+// the reason.
 func describeDecodeError(err error) string {
 	var decode *toml.DecodeError
 	if !errors.As(err, &decode) {
@@ -118,12 +123,12 @@
 	return "line " + strconv.Itoa(row) + ": " + strings.Join(decode.Key(), ".") + ": " + decode.Error()
 }
 
-// settingsErrorf returns an error for operators.
+// settingsErrorf formats an error with the prefix "settings: " and marks it with ErrSettings.
 func settingsErrorf(format string, args ...any) error {
 	return errors.Mark(errors.Newf("settings: "+format, args...), ErrSettings)
 }
 
-// applyDefaults fills in the bounds that the file leaves out.
+// applyDefaults sets the bounds that are missing or not above 0 to their defaults.
 func (f *File) applyDefaults() {
 	for _, bound := range []struct {
 		value        *float64
@@ -142,7 +147,8 @@
 	}
 }
 
-// validate returns the first mistake that keeps a process of any role from starting, nil if there is none.
+// validate returns an error for the first invalid setting among those that every role needs, nil if
+// there is none.
 func (f *File) validate(path string) error {
 	if net.ParseIP(f.IP) == nil {
 		return settingsErrorf("%s: Ip: %q is no address", path, f.IP)
@@ -173,7 +179,7 @@
 	return nil
 }
 
-// validateAddress returns an error unless the value of a key is an address with a port.
+// validateAddress returns an error unless the value of a key has the form host:port.
 func validateAddress(path, key, value string) error {
 	if _, _, err := net.SplitHostPort(value); err != nil {
 		return settingsErrorf("%s: %s: %q is no address with a port", path, key, value)
@@ -181,16 +187,17 @@
 	return nil
 }
 
-// MissingKey returns the error, marked with ErrSettings, of a file that leaves out a key which a role needs.
+// MissingKey returns the error, marked with ErrSettings, for a file that lacks a key that a role
+// requires.
 func MissingKey(path, key string) error { return settingsErrorf("%s: %s: it is missing", path, key) }
 
-// InternalAddress returns the internal address, host:port, of the process with a number, from 0, on the machine of an IP
-// address.
+// InternalAddress returns the internal address, host:port, of a process on the machine with an IP
+// address. Processes are numbered from 0 in the order of the ports of PortRange.
 func (f *File) InternalAddress(ip string, number int) string {
 	return net.JoinHostPort(ip, strconv.Itoa(f.PortRange[0]+number))
 }
 
-// Contacts returns the internal addresses of the seeds, host:port.
+// Contacts returns the internal addresses, host:port, of the first process on each seed machine.
 func (f *File) Contacts() (addresses []string) {
 	for _, seed := range f.Seeds {
 		if host, _, err := net.SplitHostPort(seed); err == nil {
@@ -200,8 +207,8 @@
 	return addresses
 }
 
-// Seconds returns the duration of a bound in seconds.
+// Seconds converts a bound in seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Milliseconds returns the duration of a bound in milliseconds.
+// Milliseconds converts a bound in milliseconds to a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
