--- a/internal/process/doc.go
+++ b/internal/process/doc.go
@@ -1,15 +1,18 @@
-// Package process is the runtime that every process of the cluster scheduler shares: its settings, its transport, its
-// clocks, and the event loop, the one goroutine on which all its state machines run.
+// Package process is the runtime that all processes of the cluster scheduler share: settings,
+// transport, clocks, and the event loop, the single goroutine on which a process's state machines
+// run.
 //
-// The servers of both planes (control/server, data/gateway, data/agent) make a Process with New, begin WatchSettings, and
-// give their own goroutine to Run until their context ends; then they call Close.
+// The servers of both planes (control/server, data/gateway, data/agent) create a Process with New
+// and call Serve, which starts WatchSettings and executes Run on the caller's goroutine until the
+// context ends and the role is drained; then they call Close.
 //
 // Invariants:
-//   - events run one after the other, in the order in which they were posted, so that state machines need no locks;
-//   - Post and Send never block, so that they may be called on the event loop as well;
-//   - a message to the process's own address is an event like any other, handled after the current one;
-//   - a settings file that cannot be used changes nothing.
+//   - Events run one at a time, in the order in which they were posted, so that state machines need
+//     no locks.
+//   - Post and Send never block, so that they may also be called on the event loop.
+//   - A message to the process's own address is an ordinary event, handled after the current one.
+//   - A settings file that cannot be read or is invalid leaves the settings unchanged.
 //
-// Post, Send, Now and WallMs are safe for concurrent use. Settings is replaced on the event loop alone, and is read there
-// once Run has begun.
+// Post, Send, Now and WallMs are safe for concurrent use. Settings is replaced only on the event
+// loop, and may be read only there once Run has started.
 package process
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -16,23 +16,24 @@
 	"frosttide/internal/transport"
 )
 
-// Process is a running process; see the package comment.
+// Process is the runtime of one process; see the package comment. Use New to create one.
 type Process struct {
-	Settings     *nodefile.File // the newest valid ones
-	SettingsPath string         // path of their file
+	Settings     *nodefile.File // last valid settings read
+	SettingsPath string         // path of the settings file
 	Role         string         // as in protocol.Hello
 	Incarnation  uint64         // drawn at random when the process starts
 	Address      string         // internal address, host:port
 
 	startedAt time.Time
-	mailbox   *mailbox.Box[func()] // events
+	mailbox   *mailbox.Box[func()] // queued events
 	transport *transport.Transport
 	receive   func(from string, e *protocol.Envelope)
 	watching  sync.WaitGroup // the goroutine of WatchSettings
 }
 
-// New opens a process's internal address: the first of its port range that is free. receive handles messages from the
-// processes at other internal addresses, as events. The error is that of the last port that was tried.
+// New creates a process that listens on the first free port of its port range at its internal
+// address. receive is called on the event loop with each message and the internal address of its
+// sender. If no port can be listened on, New returns the error of the last port tried.
 func New(path string, settings *nodefile.File, role string, receive func(from string, e *protocol.Envelope)) (*Process, error) {
 	p := &Process{
 		Settings: settings, SettingsPath: path, Role: role, Incarnation: rand.Uint64() >> 1,
@@ -42,7 +43,7 @@
 	var lastErr error
 	for number := range settings.PortRange[1] - settings.PortRange[0] + 1 {
 		p.Address = settings.InternalAddress(settings.IP, number)
-		p.transport, lastErr = transport.Listen(transport.Config{Address: p.Address, Role: role, Incarnation: p.Incarnation, Handle: p.handle})
+		p.transport, lastErr = transport.Listen(transport.Config{Address: p.Address, Role: role, Incarnation: p.Incarnation, Handle: p.postReceive})
 		if lastErr == nil {
 			return p, nil
 		}
@@ -53,32 +54,33 @@
 	return nil, lastErr
 }
 
-// handle posts the handling of a message.
-func (p *Process) handle(from string, e *protocol.Envelope) {
+// postReceive posts an event that passes a message to receive.
+func (p *Process) postReceive(from string, e *protocol.Envelope) {
 	p.mailbox.Put(func() { p.receive(from, e) })
 }
 
-// Now returns the time since the process started, on the steady clock.
+// Now returns the time since the process started, on the monotonic clock.
 func (p *Process) Now() time.Duration { return time.Since(p.startedAt) }
 
-// WallMs returns the time of day, in ms from 1970.
+// WallMs returns the wall-clock time in milliseconds since the Unix epoch.
 func (p *Process) WallMs() int64 { return time.Now().UnixMilli() }
 
-// Post schedules an event on the event loop and returns at once. Events that are posted after Run has ended never run.
+// Post queues an event for the event loop and returns at once. Events posted after Run has returned
+// never run.
 func (p *Process) Post(event func()) { p.mailbox.Put(event) }
 
-// Send sends a message to the process at an internal address, which may be this one. It may be lost; see package
-// transport.
+// Send sends a message to the process at an internal address, which may be this process's own. The
+// message may be lost; see package transport.
 func (p *Process) Send(to string, e *protocol.Envelope) {
 	if to == p.Address {
-		p.handle(to, e)
+		p.postReceive(to, e)
 		return
 	}
 	p.transport.Send(to, e)
 }
 
-// Run is the event loop: it runs the events, and tick at each interval, until the context ends. afterTurn follows each
-// turn, in which all queued events run.
+// Run executes the event loop until the context ends. Each turn of the loop calls tick if
+// tickInterval has passed, then runs all queued events, then calls afterTurn.
 func (p *Process) Run(ctx context.Context, tickInterval time.Duration, tick, afterTurn func()) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -95,23 +97,25 @@
 		for _, event := range events {
 			event()
 		}
-		clear(events) // releases the messages
+		clear(events) // lets the garbage collector free the messages
 		afterTurn()
 	}
 }
 
-// Role is what a role of the programs does in its process. The functions but for Drain run on the event loop.
+// Role holds the callbacks of the role that a process runs. All of them except Drain are called on
+// the event loop.
 type Role struct {
 	TickInterval  time.Duration
 	Tick          func()
-	AfterTurn     func() // follows each turn
+	AfterTurn     func() // called at the end of each turn
 	ApplySettings func(*nodefile.File)
-	// Drain is called once the process is to end, on a goroutine of its own. The event loop goes on until it returns, as
-	// the answers to what is still open come by it.
+	// Drain is called on its own goroutine when the process is to shut down. The event loop runs
+	// until Drain returns, because the responses to open requests pass through it.
 	Drain func()
 }
 
-// Serve runs a role on the event loop until the context has ended and the role is drained.
+// Serve runs a role on the event loop, and watches the settings file for it, until the context has
+// ended and the role's Drain has returned.
 func (p *Process) Serve(ctx context.Context, role Role) {
 	runCtx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -126,7 +130,8 @@
 	draining.Wait()
 }
 
-// Close closes the transport and waits for the process's goroutines. The context of WatchSettings must have ended before.
+// Close closes the transport and waits for the process's goroutines. The context of WatchSettings
+// must have ended before the call.
 func (p *Process) Close() {
 	p.transport.Close()
 	p.watching.Wait()
--- a/internal/process/process_test.go
+++ b/internal/process/process_test.go
@@ -15,12 +15,12 @@
 	"frosttide/internal/protocol"
 )
 
-// settingsText returns a settings file for loopback with a range of ports.
+// settingsText returns the text of a settings file for loopback with a port range.
 func settingsText(first, last int) string {
 	return fmt.Sprintf("Ip = \"127.0.0.1\"\nPortRange = [%d, %d]\n", first, last)
 }
 
-// writeSettings writes a settings file and returns its path and content.
+// writeSettings writes a settings file and returns its path and its parsed content.
 func writeSettings(t *testing.T, text string) (string, *nodefile.File) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "node.toml")
@@ -30,7 +30,7 @@
 	return path, settings
 }
 
-// freePort returns a port of loopback that nobody listens on.
+// freePort returns a loopback port that no process listens on.
 func freePort(t *testing.T) int {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -39,8 +39,8 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-// start makes a process at a free port.
-func start(t *testing.T, receive func(from string, e *protocol.Envelope)) *Process {
+// startProcess creates a process on a free port and closes it at the end of the test.
+func startProcess(t *testing.T, receive func(from string, e *protocol.Envelope)) *Process {
 	t.Helper()
 	port := freePort(t)
 	path, settings := writeSettings(t, settingsText(port, port))
@@ -50,7 +50,7 @@
 	return p
 }
 
-// runUntil runs the event loop until its events end it.
+// runUntil runs the event loop until afterTurn calls end. It fails the test after 10 s.
 func runUntil(t *testing.T, p *Process, afterTurn func(end func())) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -62,9 +62,11 @@
 			cancel()
 		})
 	})
-	require.True(t, ended, "the events do not run")
+	require.True(t, ended, "the event loop did not end within 10 s")
 }
 
+// TestNewTakesTheFirstFreePort checks that New skips a port in use, and fails if it is the only one
+// of the range.
 func TestNewTakesTheFirstFreePort(t *testing.T) {
 	taken, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -80,10 +82,12 @@
 	require.NotEqual(t, taken.Addr().String(), p.Address)
 }
 
+// TestEventsRunInOrder checks that events run in the order in which they were posted, including a
+// message that the process sends to itself.
 func TestEventsRunInOrder(t *testing.T) {
 	var order []int
 	var p *Process
-	p = start(t, func(from string, e *protocol.Envelope) {
+	p = startProcess(t, func(from string, e *protocol.Envelope) {
 		require.Equal(t, p.Address, from)
 		order = append(order, int(e.GetConfirm().GetRound()))
 	})
@@ -100,16 +104,18 @@
 	require.Equal(t, []int{1, 2, 3}, order)
 }
 
+// TestReloadSettings checks that a valid file replaces the settings and that an invalid one does
+// not.
 func TestReloadSettings(t *testing.T) {
 	for _, c := range []struct {
 		name, text string
 		zone       string
 	}{
 		{"changed", settingsText(1, 2) + "Zone = \"new\"\n", "new"},
-		{"cannot be used", "Ip = 7\n", ""},
+		{"invalid", "Ip = 7\n", ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			p := start(t, nil)
+			p := startProcess(t, nil)
 			require.NoError(t, os.WriteFile(p.SettingsPath, []byte(c.text), 0o600))
 			applied := ""
 			p.reloadSettings(func(settings *nodefile.File) { applied = settings.Zone })
@@ -121,12 +127,14 @@
 	}
 }
 
-func TestStampOf(t *testing.T) {
+// TestFileStamp checks that the stamp changes with the file, and is zero if the file does not
+// exist.
+func TestFileStamp(t *testing.T) {
 	path, _ := writeSettings(t, settingsText(1, 2))
-	before := stampOf(path)
-	require.Equal(t, before, stampOf(path))
+	before := statFileStamp(path)
+	require.Equal(t, before, statFileStamp(path))
 	require.NoError(t, os.WriteFile(path, []byte(settingsText(1, 20)), 0o600))
-	require.NotEqual(t, before, stampOf(path))
+	require.NotEqual(t, before, statFileStamp(path))
 	require.NoError(t, os.Remove(path))
-	require.Zero(t, stampOf(path))
+	require.Zero(t, statFileStamp(path))
 }
--- a/internal/process/settings.go
+++ b/internal/process/settings.go
@@ -12,43 +12,45 @@
 	"frosttide/internal/nodefile"
 )
 
-// settingsPollInterval is the interval between checks of the settings file, which may change without a signal.
+// settingsPollInterval is the interval at which the settings file is checked for changes that no
+// SIGHUP announces.
 const settingsPollInterval = time.Second
 
-// WatchSettings reads the settings file again when it has changed and on SIGHUP, until the context ends. apply is called
-// with the new settings on the event loop. A file that cannot be used is logged and changes nothing.
+// WatchSettings starts a goroutine that reloads the settings file when it changes and on SIGHUP,
+// until the context ends. apply is called on the event loop with the new settings. If the file
+// cannot be read or is invalid, that is logged and the settings stay as they are.
 func (p *Process) WatchSettings(ctx context.Context, apply func(*nodefile.File)) {
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
+	sighups := make(chan os.Signal, 1)
+	signal.Notify(sighups, syscall.SIGHUP)
 	p.watching.Go(func() {
-		defer signal.Stop(hangups)
+		defer signal.Stop(sighups)
 		poll := time.NewTicker(settingsPollInterval)
 		defer poll.Stop()
-		lastStamp := fileStamp{} // the file may have changed since it was read: it is read again once
+		lastStamp := fileStamp{} // forces one reload, as the file may have changed since it was read
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hangups:
+			case <-sighups:
 			case <-poll.C:
-				if stampOf(p.SettingsPath) == lastStamp {
+				if statFileStamp(p.SettingsPath) == lastStamp {
 					continue
 				}
 			}
-			lastStamp = stampOf(p.SettingsPath)
+			lastStamp = statFileStamp(p.SettingsPath)
 			p.reloadSettings(apply)
 		}
 	})
 }
 
-// fileStamp identifies one state of a file.
+// fileStamp identifies a version of a file by its modification time and size.
 type fileStamp struct {
 	modifiedAt time.Time
 	size       int64
 }
 
-// stampOf returns the stamp of a file, the zero value if the file cannot be examined.
-func stampOf(path string) fileStamp {
+// statFileStamp returns the stamp of a file, the zero value if stat fails.
+func statFileStamp(path string) fileStamp {
 	info, err := os.Stat(path)
 	if err != nil {
 		return fileStamp{}
@@ -56,7 +58,8 @@
 	return fileStamp{modifiedAt: info.ModTime(), size: info.Size()}
 }
 
-// reloadSettings reads the settings file and, if it is valid, posts the change of the settings.
+// reloadSettings reads the settings file and, if it is valid, posts an event that replaces Settings
+// and calls apply.
 func (p *Process) reloadSettings(apply func(*nodefile.File)) {
 	settings, err := nodefile.Read(p.SettingsPath)
 	if err != nil {
