--- a/internal/httpserver/connection.go
+++ b/internal/httpserver/connection.go
@@ -6,56 +6,60 @@
 	"time"
 )
 
-// backgroundReadSize is the size of the reads by which net/http looks for the end of the client's side behind a request. All
-// its other reads are larger.
+// backgroundReadSize is the buffer size, in bytes, of the background reads with which net/http
+// detects that the client has closed its side while a handler runs. All its other reads are larger.
 const backgroundReadSize = 1
 
-// pastDeadline is a deadline that has passed.
+// pastDeadline is a read deadline in the past, which makes reads fail at once.
 var pastDeadline = time.Unix(1, 0)
 
-// connection is a connection that was accepted. While it waits for a request it can be interrupted: its next read fails,
-// unless a byte has been read already. Closing it instead would drop a request that net/http reads at that moment.
+// connection is an accepted connection. While it waits for a request it can be interrupted, which
+// makes its next read fail unless a byte of the request has been read already. Closing it instead
+// would drop a request that net/http is reading at that moment.
 type connection struct {
 	net.Conn
 	owner *Listener
 
 	// Guarded by the owner's lock.
-	waiting      bool      // for the first byte of a request
-	nextBegun    bool      // the first byte of the next request was read before the response to the last one had ended
-	interrupted  bool      // reads fail while it waits
-	readDeadline time.Time // that net/http has set last
+	awaitingRequest    bool      // no byte of the next request has been read
+	nextRequestStarted bool      // a byte of the next request was read during the current one
+	interrupted        bool      // reads fail until a byte of a request is read
+	readDeadline       time.Time // last deadline that net/http set
 }
 
-// Read notes the beginning of a request.
+// Read implements net.Conn. It records the start of a request.
 func (c *connection) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
-		c.requestBegun(len(p) == backgroundReadSize)
+		c.requestStarted(len(p) == backgroundReadSize)
 	}
 	return n, err
 }
 
-// requestBegun notes that a byte of a request was read, behind one that has no response yet or not. The connection goes on,
-// even if it was interrupted meanwhile.
-func (c *connection) requestBegun(behind bool) {
+// requestStarted records that a byte of a request was read; pipelined tells whether that was while
+// the previous request had no response yet. If the connection was interrupted meanwhile, it stays
+// open.
+func (c *connection) requestStarted(pipelined bool) {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	c.waiting, c.nextBegun = false, behind
+	c.awaitingRequest, c.nextRequestStarted = false, pipelined
 	if c.interrupted {
 		c.interrupted = false
 		_ = c.Conn.SetReadDeadline(c.readDeadline) // fails only if the connection is closed
 	}
 }
 
-// interrupt has a connection that waits for a request close. The owner's lock is held.
+// interrupt makes net/http close the connection if it is waiting for a request. The caller holds
+// the owner's lock.
 func (c *connection) interrupt() {
-	if c.waiting {
+	if c.awaitingRequest {
 		c.interrupted = true
 		_ = c.Conn.SetReadDeadline(pastDeadline) // fails only if the connection is closed
 	}
 }
 
-// SetReadDeadline has no effect on a connection that is interrupted until a request has begun on it.
+// SetReadDeadline implements net.Conn. While the connection is interrupted, the deadline is only
+// recorded, and takes effect once a byte of a request is read.
 func (c *connection) SetReadDeadline(deadline time.Time) error {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
@@ -66,7 +70,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// CloseWrite lets net/http end an answer before it stops reading.
+// CloseWrite closes the write side, if the connection supports that. net/http uses it to finish a
+// response before it stops reading.
 func (c *connection) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
@@ -74,19 +79,19 @@
 	return nil
 }
 
-// Close takes the connection off the listener's list.
+// Close closes the connection and removes it from its owner's set.
 func (c *connection) Close() error {
 	c.owner.remove(c)
 	return c.Conn.Close()
 }
 
-// trackingListener lists the connections that it accepts with their owner.
+// trackingListener adds the connections that it accepts to the set of its owner.
 type trackingListener struct {
 	net.Listener
 	owner *Listener
 }
 
-// Accept waits for a connection.
+// Accept implements net.Listener.
 func (t trackingListener) Accept() (net.Conn, error) {
 	conn, err := t.Listener.Accept()
 	if err != nil {
@@ -95,37 +100,40 @@
 	return t.owner.add(conn), nil
 }
 
-// add lists a connection.
+// add wraps an accepted connection and adds it to the set of open connections.
 func (l *Listener) add(conn net.Conn) *connection {
-	c := &connection{Conn: conn, owner: l, waiting: true}
+	c := &connection{Conn: conn, owner: l, awaitingRequest: true}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.connections[c] = struct{}{}
 	return c
 }
 
-// remove takes a connection off the list.
+// remove removes a connection from the set, which completes the drain if it was the last one.
 func (l *Listener) remove(c *connection) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if _, listed := l.connections[c]; listed {
 		delete(l.connections, c)
-		l.checkDrained()
+		l.signalIfDrained()
 	}
 }
 
-// followState is the server's ConnState hook: an idle connection waits for its next request.
-func followState(conn net.Conn, state http.ConnState) {
+// trackState is the ConnState hook of the server: a connection that becomes idle has completed a
+// request.
+func trackState(conn net.Conn, state http.ConnState) {
 	if state == http.StateIdle {
 		conn.(*connection).requestEnded()
 	}
 }
 
-// requestEnded notes that the connection waits for the next request, unless that has begun already.
+// requestEnded records that the response to a request is complete, so that the connection waits for
+// the next request unless a byte of that has been read already. During a drain it interrupts the
+// connection.
 func (c *connection) requestEnded() {
 	c.owner.mu.Lock()
 	defer c.owner.mu.Unlock()
-	c.waiting, c.nextBegun = !c.nextBegun, false
+	c.awaitingRequest, c.nextRequestStarted = !c.nextRequestStarted, false
 	if c.owner.draining {
 		c.interrupt()
 	}
--- a/internal/httpserver/doc.go
+++ b/internal/httpserver/doc.go
@@ -1,10 +1,11 @@
-// Package httpserver runs the HTTP servers of the control and data planes' processes.
+// Package httpserver runs the HTTP servers of the processes of the control and data planes.
 //
-// A Listener owns the goroutine that accepts connections: whoever starts one closes it, and Close waits for the goroutine's
-// end. A Listener is safe for concurrent use.
+// A Listener owns the goroutine that accepts connections: the caller of Listen must call Close,
+// which waits for that goroutine. A Listener is safe for concurrent use.
 //
-// A server ends in three steps. EndKeepAlive has each answer tell its client that the connection closes with it. Drain stops
-// accepting connections, closes those without a request and waits for the answers to the others. Close breaks off what is
-// left. Drain keeps one promise that http.Server.Shutdown does not: a request of which a byte was read is answered. So a
-// client that loses its connection without an answer and finds that it was reset may send the request again.
+// A server shuts down in three steps. EndKeepAlive makes each response carry "Connection: close".
+// Drain stops accepting connections, closes those without a request, and waits for the responses on
+// the others. Close aborts the requests that remain. Drain gives one guarantee that
+// http.Server.Shutdown does not: a request of which at least one byte was read gets a response. So
+// a client whose connection is reset before a response may safely send the request again.
 package httpserver
--- a/internal/httpserver/drain.go
+++ b/internal/httpserver/drain.go
@@ -7,20 +7,21 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrRequestsOpen is the error of a drain that has ended before the last answer.
-var ErrRequestsOpen = errors.New("httpserver: requests are open at the end of the drain")
+// ErrRequestsOpen is the error of a drain that timed out before the last response was complete.
+var ErrRequestsOpen = errors.New("httpserver: drain timed out with requests still open")
 
-// EndKeepAlive has each answer from now on tell its client that the connection closes with it. Connections without a request
-// stay open: a request may be on its way on them.
+// EndKeepAlive makes each response from now on carry "Connection: close". Connections without a
+// request stay open, because a request may be in flight on them.
 func (l *Listener) EndKeepAlive() { l.endKeepAlive.Store(true) }
 
-// Drain closes the address and the connections without a request, and waits until the requests on the others are answered, for
-// a time at the most. Whatever has been read of a request is answered; connections that are reset had nothing read of their
-// last request. It fails with ErrRequestsOpen.
+// Drain stops listening, closes the connections without a request, and waits up to timeout for the
+// responses on the others. Every request of which at least one byte was read gets a response; no
+// byte was read of a request on a connection that is reset. If requests are still open after
+// timeout, Drain returns ErrRequestsOpen.
 func (l *Listener) Drain(timeout time.Duration) error {
 	l.EndKeepAlive()
-	_ = l.address.Close() // it may be closed already
-	<-l.ended             // from here on all connections are listed
+	_ = l.netListener.Close() // may be closed already
+	<-l.acceptDone            // from here on the set of connections is complete
 	l.interruptWaiting()
 	select {
 	case <-l.drained:
@@ -30,7 +31,8 @@
 	}
 }
 
-// interruptWaiting closes the connections without a request, now and as soon as they have none.
+// interruptWaiting starts the drain: it interrupts the connections that wait for a request. The
+// others are interrupted when their request ends.
 func (l *Listener) interruptWaiting() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -41,48 +43,50 @@
 	for c := range l.connections {
 		c.interrupt()
 	}
-	l.checkDrained()
+	l.signalIfDrained()
 }
 
-// checkDrained ends a drain that no connection is left of. The lock is held.
-func (l *Listener) checkDrained() {
+// signalIfDrained completes the drain once no connection is left. The caller holds the lock.
+func (l *Listener) signalIfDrained() {
 	if l.draining && len(l.connections) == 0 {
 		close(l.drained)
 	}
 }
 
-// closingHandler returns a handler whose answers end their connections once keep-alive has ended.
+// closingHandler wraps a handler so that its responses carry "Connection: close" once EndKeepAlive
+// was called.
 func (l *Listener) closingHandler(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer := &closingWriter{ResponseWriter: w, owner: l}
-		next.ServeHTTP(answer, r)
-		answer.endConnection()
+		writer := &closingWriter{ResponseWriter: w, owner: l}
+		next.ServeHTTP(writer, r)
+		writer.setConnectionClose()
 	})
 }
 
-// closingWriter writes an answer that tells whether its connection ends.
+// closingWriter is a ResponseWriter that adds "Connection: close" once EndKeepAlive was called.
 type closingWriter struct {
 	http.ResponseWriter
 	owner *Listener
 }
 
-// Unwrap returns the wrapped writer to http.ResponseController.
+// Unwrap returns the wrapped writer, for http.ResponseController.
 func (w *closingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
 // WriteHeader implements http.ResponseWriter.
 func (w *closingWriter) WriteHeader(status int) {
-	w.endConnection()
+	w.setConnectionClose()
 	w.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
 func (w *closingWriter) Write(p []byte) (int, error) {
-	w.endConnection()
+	w.setConnectionClose()
 	return w.ResponseWriter.Write(p)
 }
 
-// endConnection sets the header that ends the connection with the answer. It has no effect once the header is written.
-func (w *closingWriter) endConnection() {
+// setConnectionClose sets "Connection: close" if EndKeepAlive was called. It has no effect once the
+// header has been written.
+func (w *closingWriter) setConnectionClose() {
 	if w.owner.endKeepAlive.Load() {
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/httpserver/drain_test.go
+++ b/internal/httpserver/drain_test.go
@@ -17,16 +17,17 @@
 	"frosttide/internal/testkit/signalsoak"
 )
 
-// The parts of a request.
+// The head and the body of the request that the tests send.
 const (
 	requestHead = "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n"
 	requestBody = "body"
 )
 
-// drainTimeout is how long the tests let a drain take; none comes near it.
+// drainTimeout bounds the drains of the tests; none comes near it.
 const drainTimeout = 10 * time.Second
 
-// serveEcho returns a listener whose handler answers with the body of the request, and its address.
+// serveEcho returns a listener whose handler responds with the body of the request, and its
+// address.
 func serveEcho(t *testing.T) (*Listener, string) {
 	t.Helper()
 	listener, err := Listen("127.0.0.1:0", &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -36,10 +37,10 @@
 	})})
 	require.NoError(t, err)
 	t.Cleanup(listener.Close)
-	return listener, listener.address.Addr().String()
+	return listener, listener.netListener.Addr().String()
 }
 
-// dial opens a connection that is closed with the test.
+// dial opens a connection that is closed at the end of the test.
 func dial(t *testing.T, address string) net.Conn {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
@@ -56,7 +57,7 @@
 	require.NoError(t, err)
 }
 
-// requireResponse reads the whole answer to a request and returns whether the connection ends with it.
+// requireResponse reads a response, checks its body, and returns whether it closes the connection.
 func requireResponse(t *testing.T, reader *bufio.Reader) (closes bool) {
 	t.Helper()
 	response, err := http.ReadResponse(reader, nil)
@@ -67,66 +68,69 @@
 	return response.Close
 }
 
-// TestDrainAnswersWhatItHasRead has a request come in two parts, one before a drain and one after it has begun.
+// TestDrainAnswersWhatItHasRead sends a request in two parts, one before a drain starts and one
+// during it, and checks that the request gets a response.
 //
-// A gateway that was told to end closed a job's connection without an answer, though it had read the job: net/http looks
-// once more for Server.Shutdown when it has read the head of a request, and drops the request then. CI's TestSignalSoak showed it: a job
-// sent at 13.57 s was "closed after the request was read", and Shutdown was called 2.5 s after the SIGTERM of 11.07 s.
+// It guards against a gateway that, on shutdown, closed a job's connection without a response
+// although it had read the job: net/http checks for Server.Shutdown again after it has read the
+// head of a request, and then drops the request. CI's TestSignalSoak showed it: a job sent at 13.57
+// s was "closed after the request was read", and Shutdown was called 2.5 s after the SIGTERM of
+// 11.07 s.
 func TestDrainAnswersWhatItHasRead(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		first, rest string
-		kept        bool // the connection has had a request before
+		reused      bool // the connection has carried a request before
 	}{
 		{name: "in the head, on a new connection", first: requestHead[:20], rest: requestHead[20:] + requestBody},
-		{name: "in the head, on a kept connection", first: requestHead[:20], rest: requestHead[20:] + requestBody, kept: true},
-		{name: "after the first byte", first: requestHead[:1], rest: requestHead[1:] + requestBody, kept: true},
+		{name: "in the head, on a reused connection", first: requestHead[:20], rest: requestHead[20:] + requestBody, reused: true},
+		{name: "after the first byte", first: requestHead[:1], rest: requestHead[1:] + requestBody, reused: true},
 		{name: "in the body", first: requestHead + requestBody[:1], rest: requestBody[1:]},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			listener, address := serveEcho(t)
 			conn := dial(t, address)
 			reader := bufio.NewReader(conn)
-			if c.kept {
+			if c.reused {
 				send(t, conn, requestHead+requestBody)
 				require.False(t, requireResponse(t, reader))
 			}
 			send(t, conn, c.first)
-			time.Sleep(50 * time.Millisecond) // it is read
+			time.Sleep(50 * time.Millisecond) // until the server has read it
 			drained := make(chan error, 1)
 			go func() { drained <- listener.Drain(drainTimeout) }()
 			time.Sleep(50 * time.Millisecond)
 			send(t, conn, c.rest)
-			require.True(t, requireResponse(t, reader), "the answer tells that its connection is closed")
+			require.True(t, requireResponse(t, reader), "the response does not close its connection")
 			require.NoError(t, <-drained)
 		})
 	}
 }
 
-// TestDrainDropsNoRequestInBusyTraffic drains listeners while clients send requests without a pause: no request that was read
-// may stay without an answer.
+// TestDrainDropsNoRequestInBusyTraffic drains listeners while clients send requests continuously,
+// and checks that every request of which a byte was read gets a response.
 func TestDrainDropsNoRequestInBusyTraffic(t *testing.T) {
 	const rounds, clients = 30, 16
 	for range rounds {
 		listener, address := serveEcho(t)
 		ctx, stop := context.WithCancel(t.Context())
-		busy := make([]*signalsoak.Client, clients)
+		loadClients := make([]*signalsoak.Client, clients)
 		var running sync.WaitGroup
-		for i := range busy {
-			busy[i] = &signalsoak.Client{
+		for i := range loadClients {
+			loadClients[i] = &signalsoak.Client{
 				Timeout: drainTimeout,
 				Pick:    func() (int, string) { return 0, address },
 				Next: func(*signalsoak.Outcome) *signalsoak.Request {
 					return &signalsoak.Request{Text: []byte(requestHead + requestBody)}
 				},
 			}
-			running.Go(func() { busy[i].Run(ctx) })
+			running.Go(func() { loadClients[i].Run(ctx) })
 		}
 		time.Sleep(10 * time.Millisecond)
 		require.NoError(t, listener.Drain(drainTimeout))
 		stop()
 		running.Wait()
-		for _, client := range busy {
+		for _, client := range loadClients {
 			for _, outcome := range client.Outcomes {
 				require.Contains(t, []signalsoak.Ending{"", signalsoak.Unread}, outcome.Ending, "%v", outcome.Err)
 			}
@@ -134,8 +138,8 @@
 	}
 }
 
-// TestDrainAwaitsRequestBehindTheLast guards against dropping a request whose first byte net/http has read before it takes the
-// connection for idle.
+// TestDrainAwaitsRequestBehindTheLast guards against dropping a request whose first byte net/http
+// has read, by a background read, before it marks the connection as idle.
 func TestDrainAwaitsRequestBehindTheLast(t *testing.T) {
 	l := &Listener{connections: make(map[*connection]struct{}), drained: make(chan struct{})}
 	client, server := connpair.New(t)
@@ -155,11 +159,11 @@
 	read(buffer[1:])
 	conn.requestEnded()
 	_, err := conn.Read(buffer)
-	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a connection without a request ends")
+	require.ErrorIs(t, err, os.ErrDeadlineExceeded, "a connection without a request is not interrupted")
 }
 
-// TestDrainEndsIdleConnections checks that a drain does not wait for connections without a request, nor for a client that
-// has sent none yet, and that nothing is listened on afterwards.
+// TestDrainEndsIdleConnections checks that a drain closes connections that are idle or have not
+// carried a request yet, and that it closes the listening socket.
 func TestDrainEndsIdleConnections(t *testing.T) {
 	listener, address := serveEcho(t)
 	idle, unused := dial(t, address), dial(t, address)
@@ -174,11 +178,12 @@
 	require.Error(t, err)
 }
 
-// TestDrainTimeout checks that a drain gives up on a request that goes on for too long.
+// TestDrainTimeout checks that a drain returns ErrRequestsOpen if a request is not complete in
+// time.
 func TestDrainTimeout(t *testing.T) {
 	listener, address := serveEcho(t)
 	conn := dial(t, address)
 	send(t, conn, requestHead)
-	time.Sleep(50 * time.Millisecond) // it is read
+	time.Sleep(50 * time.Millisecond) // until the server has read it
 	require.ErrorIs(t, listener.Drain(100*time.Millisecond), ErrRequestsOpen)
 }
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -10,22 +10,22 @@
 	"k8s.io/klog/v2"
 )
 
-// Listener is a server that listens on an address.
+// Listener is an HTTP server on one address that can be drained; see the package comment.
 type Listener struct {
 	server       *http.Server
-	address      net.Listener
-	ended        chan struct{} // closed when the goroutine that accepts connections has ended
-	endKeepAlive atomic.Bool   // each answer tells that its connection closes
+	netListener  net.Listener
+	acceptDone   chan struct{} // closed when the goroutine that accepts connections has returned
+	endKeepAlive atomic.Bool   // set by EndKeepAlive
 
 	mu          sync.Mutex
-	connections map[*connection]struct{} // that are open
-	draining    bool                     // connections close instead of waiting for a request
-	drained     chan struct{}            // closed once the last connection has closed in a drain
+	connections map[*connection]struct{} // open connections
+	draining    bool                     // connections are closed instead of waiting for a request
+	drained     chan struct{}            // closed once a drain has no connection left
 }
 
-// Listen listens on an IPv4 address, host:port, and serves it until Close, or until it is drained. If accepting
-// connections fails in between, that is logged. The listener takes over the server: it wraps the handler and follows its
-// connections' states.
+// Listen listens on an IPv4 address, host:port, and serves it until Close or Drain. It returns the
+// error if the address cannot be listened on; a later failure to accept connections is logged. The
+// Listener takes ownership of the server: it wraps its handler and sets its ConnState hook.
 func Listen(address string, server *http.Server) (*Listener, error) {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -33,28 +33,29 @@
 	}
 	l := &Listener{
 		server:      server,
-		address:     listener,
-		ended:       make(chan struct{}),
+		netListener: listener,
+		acceptDone:  make(chan struct{}),
 		connections: make(map[*connection]struct{}),
 		drained:     make(chan struct{}),
 	}
 	server.Handler = l.closingHandler(server.Handler)
-	server.ConnState = followState
+	server.ConnState = trackState
 	go l.serve()
 	return l, nil
 }
 
-// serve accepts connections until the address is closed.
+// serve accepts connections until the listening socket is closed.
 func (l *Listener) serve() {
-	defer close(l.ended)
-	err := l.server.Serve(trackingListener{Listener: l.address, owner: l})
+	defer close(l.acceptDone)
+	err := l.server.Serve(trackingListener{Listener: l.netListener, owner: l})
 	if !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-		klog.ErrorS(err, "Listener has ended", "address", l.address.Addr())
+		klog.ErrorS(err, "Listener has ended", "address", l.netListener.Addr())
 	}
 }
 
-// Close ends the server with all connections that are left. Requests that are still open are broken off.
+// Close stops listening and closes all remaining connections, which aborts requests that are still
+// open.
 func (l *Listener) Close() {
-	_ = l.server.Close() // what was open is given up
-	<-l.ended
+	_ = l.server.Close() // open requests are aborted
+	<-l.acceptDone
 }
