--- a/internal/dispatcher/fleet/gang/part/part.go
+++ b/internal/dispatcher/fleet/gang/part/part.go
@@ -1,6 +1,6 @@
 // Package part estimates the speed of one part of a gang job from its worker's progress reports,
 // relative to the part's size. Package board holds a Part for each part that its dispatcher has
-// sent.
+// sent to a worker.
 //
 // The package is pure: it does no I/O and reads no clock; times are the cluster's time since 1970.
 // A Part is not safe for concurrent use.
@@ -8,37 +8,38 @@
 
 import "time"
 
-// reportWindow is how many of the last reports the speed is taken from: the present speed counts,
-// not that of the beginning.
+// reportWindow is the number of most recent reports that the speed is computed from, so that it
+// reflects the current speed and not the average since the start.
 const reportWindow = 3
 
-// Part is the present attempt of one part of a gang. The zero value has not been sent; set Work
-// before the first Send.
+// Part is the current attempt of one part of a gang. The zero value is a part that has not been
+// sent; set Work before the first Send.
 type Part struct {
-	Worker  string  // empty until it is sent
-	Work    float64 // expected run time in seconds at a typical worker, from the job's hint; 1 without a hint
-	Attempt int
-
-	sentAt, startedAt, endedAt time.Duration
-	started, finished, served  bool
-	reports                    [reportWindow + 1]progress // the last ones, among them the start; the newest last
-	reportCount                int
-	RejectedReports            int // events that were ignored, of all attempts
-	AcceptedReports            int // progress reports that counted
+	Worker  string  // empty until the part is sent
+	Work    float64 // expected run time in seconds on a typical worker, from the job's hint; 1 without a hint
+	Attempt int     // number of the current attempt
+
+	sentAt, startedAt, endedAt   time.Duration
+	started, finished, succeeded bool
+	reports                      [reportWindow + 1]progress // most recent progress, oldest first; the start counts as progress 0
+	reportCount                  int
+	RejectedReports              int // number of ignored events, over all attempts
+	AcceptedReports              int // number of progress reports used, in the current attempt
 }
 
-// progress is the fraction that was done at a time.
+// progress is the fraction of the work that was done at a point in time.
 type progress struct {
 	at       time.Duration
 	fraction float64
 }
 
-// Send begins a new attempt at a worker. Events of earlier attempts are ignored from now on.
+// Send begins a new attempt, which is sent to worker. From then on, events of earlier attempts are
+// ignored.
 func (p *Part) Send(worker string, attempt int, at time.Duration) {
 	*p = Part{Worker: worker, Work: p.Work, Attempt: attempt, sentAt: at, RejectedReports: p.RejectedReports}
 }
 
-// Start records that the worker began an attempt.
+// Start records that the worker has started an attempt.
 func (p *Part) Start(attempt int, at time.Duration) {
 	if attempt != p.Attempt || p.started || p.finished || p.Worker == "" {
 		p.RejectedReports++
@@ -48,15 +49,16 @@
 	p.record(progress{at, 0})
 }
 
-// Report records the fraction that an attempt has done. A report is ignored if it belongs to
-// another attempt, is older or smaller than the last one, or is not in [0, 1].
+// Report records the fraction of the work that an attempt has done. A report is ignored if it
+// belongs to another attempt or comes after the end, if its time or fraction is less than that of
+// the last one, or if the fraction is not in [0, 1].
 func (p *Part) Report(attempt int, fraction float64, at time.Duration) {
 	last := p.reports[max(p.reportCount-1, 0)]
 	if attempt != p.Attempt || p.finished || p.Worker == "" || !(fraction >= 0 && fraction <= 1) || p.reportCount > 0 && (at < last.at || fraction < last.fraction) {
 		p.RejectedReports++
 		return
 	}
-	if !p.started { // its start event was lost
+	if !p.started { // the start event was lost
 		p.started, p.startedAt = true, p.sentAt
 		p.record(progress{p.sentAt, 0})
 	}
@@ -64,35 +66,36 @@
 	p.AcceptedReports++
 }
 
-// record appends to the window and drops the oldest report if it is full.
-func (p *Part) record(m progress) {
+// record appends to the report window and drops the oldest entry if the window is full.
+func (p *Part) record(latest progress) {
 	if p.reportCount == len(p.reports) {
 		copy(p.reports[:], p.reports[1:])
 		p.reportCount--
 	}
-	p.reports[p.reportCount] = m
+	p.reports[p.reportCount] = latest
 	p.reportCount++
 }
 
-// End records that an attempt is over, and whether it succeeded.
-func (p *Part) End(attempt int, served bool, at time.Duration) {
+// End records that an attempt has ended, and whether it succeeded.
+func (p *Part) End(attempt int, succeeded bool, at time.Duration) {
 	if attempt != p.Attempt || p.finished {
 		p.RejectedReports++
 		return
 	}
-	p.finished, p.served, p.endedAt = true, served, at
+	p.finished, p.succeeded, p.endedAt = true, succeeded, at
 }
 
-// Finished reports whether the attempt is over, and whether it succeeded.
-func (p *Part) Finished() (finished, served bool) { return p.finished, p.served }
+// Finished reports whether the attempt has ended, and whether it succeeded.
+func (p *Part) Finished() (finished, succeeded bool) { return p.finished, p.succeeded }
 
-// Running reports whether a worker has begun the attempt and it is not over.
+// Running reports whether a worker has started the attempt and it has not ended.
 func (p *Part) Running() bool { return p.started && !p.finished }
 
-// Waiting reports whether the attempt was sent and no worker has begun it.
+// Waiting reports whether the attempt was sent but has neither started nor ended.
 func (p *Part) Waiting() bool { return p.Worker != "" && !p.started && !p.finished }
 
-// WaitTime returns how long the attempt waited before it began, or has waited until now.
+// WaitTime returns the time from sending the attempt until it started, or until now if it has not
+// started.
 func (p *Part) WaitTime(now time.Duration) time.Duration {
 	if p.started {
 		return p.startedAt - p.sentAt
@@ -100,10 +103,10 @@
 	return now - p.sentAt
 }
 
-// RunTime returns how long the attempt ran. It is meaningful only for one that has succeeded.
+// RunTime returns how long the attempt ran. It is meaningful only if the attempt has succeeded.
 func (p *Part) RunTime() time.Duration { return p.endedAt - p.startedAt }
 
-// Fraction returns the fraction that was done at the last report, 0 before the first.
+// Fraction returns the fraction of the work done as of the last report, 0 before the first one.
 func (p *Part) Fraction() float64 {
 	if p.reportCount == 0 {
 		return 0
@@ -111,19 +114,19 @@
 	return p.reports[p.reportCount-1].fraction
 }
 
-// Speed returns the work done per second, which is 1 at a typical worker with a good hint.
-// Interval is the interval between reports, 0 if workers report only start and end. Bound means
-// that v is only an upper bound: the last report is overdue, or there are no reports. ok is false
-// if nothing is known.
-func (p *Part) Speed(now, interval time.Duration) (speed float64, bound, ok bool) {
+// Speed returns the work done per second, which is 1 on a typical worker if the hint is accurate.
+// interval is the time between progress reports, 0 if workers report only the start and the end.
+// upperBound means that speed is only an upper bound, because the last report is overdue or there
+// is none. ok is false if the speed is unknown.
+func (p *Part) Speed(now, interval time.Duration) (speed float64, upperBound, ok bool) {
 	switch {
-	case p.finished && p.served && p.endedAt > p.startedAt:
+	case p.finished && p.succeeded && p.endedAt > p.startedAt:
 		return p.Work / (p.endedAt - p.startedAt).Seconds(), false, true
 	case !p.Running() || now <= p.startedAt:
 		return 0, false, false
 	}
 	first, last := p.reports[0], p.reports[p.reportCount-1]
-	maxSpeed := p.Work * (1 - first.fraction) / (now - first.at).Seconds() // as if all that was left were done by now
+	maxSpeed := p.Work * (1 - first.fraction) / (now - first.at).Seconds() // assumes that all remaining work has been done by now
 	if p.AcceptedReports == 0 {
 		return maxSpeed, true, true
 	}
@@ -137,19 +140,20 @@
 	return speed, false, true
 }
 
-// ReportsOverdue reports whether a worker that reports progress has not reported for two and a
-// half intervals.
+// ReportsOverdue reports whether the attempt is running and its last progress is more than two and
+// a half report intervals old. It is always false if workers do not report progress.
 func (p *Part) ReportsOverdue(now, interval time.Duration) bool {
 	return interval > 0 && p.Running() && p.reportCount > 0 && now-p.reports[p.reportCount-1].at > interval*5/2
 }
 
-// Remaining returns how long the attempt will probably still take at a speed.
+// Remaining returns the expected time until the attempt ends if it continues at speed, which is in
+// work per second; 0 if it has ended.
 func (p *Part) Remaining(now time.Duration, speed float64) time.Duration {
 	if p.finished {
 		return 0
 	}
 	remaining := p.Work * (1 - p.Fraction())
-	if p.reportCount > 0 { // subtract what was done since the last report
+	if p.reportCount > 0 { // subtract the estimated work since the last report
 		remaining -= speed * (now - p.reports[p.reportCount-1].at).Seconds()
 	}
 	return time.Duration(max(remaining, 0) / max(speed, 1e-3) * float64(time.Second))
