--- a/internal/dispatcher/fleet/gang/board/board_test.go
+++ b/internal/dispatcher/fleet/gang/board/board_test.go
@@ -13,14 +13,14 @@
 
 const s = time.Second
 
-// play runs a gang of parts at given speeds with a report every 2 s, the first ownParts of them on
-// one board and the others on a second board that publishes facts to it. It returns the first board
-// and all of its actions.
-func play(t *testing.T, cfg Config, speeds []float64, ownParts int, until, deadline time.Duration) (*Board, []Action) {
+// simulateGang runs a gang whose parts have the given speeds and report every 2 s. The first
+// ownParts of them are on one board and the others on a second board that publishes facts to it. It
+// returns the first board and all of its actions.
+func simulateGang(t *testing.T, cfg Config, speeds []float64, ownParts int, until, deadline time.Duration) (*Board, []Action) {
 	t.Helper()
 	b, other := New(cfg), New(cfg)
 	var actions []Action
-	of := func(n int) *Board {
+	boardOf := func(n int) *Board {
 		if n <= ownParts {
 			return b
 		}
@@ -28,14 +28,14 @@
 	}
 	for n := range speeds {
 		id := ID{"g", n + 1}
-		of(n+1).AddPart(id, len(speeds), 20, deadline)
-		of(n+1).PartSent(id, fmt.Sprint("s-", n+1), 0, s)
-		of(n+1).PartStarted(id, 0, s)
+		boardOf(n+1).AddPart(id, len(speeds), 20, deadline)
+		boardOf(n+1).PartSent(id, fmt.Sprint("s-", n+1), 0, s)
+		boardOf(n+1).PartStarted(id, 0, s)
 	}
 	for now := s; now <= until; now += s {
 		for n, v := range speeds {
 			if fraction := v * (now - s).Seconds() / 20; now%(2*s) == s && v > 0 && fraction <= 1 {
-				of(n+1).PartProgressed(ID{"g", n + 1}, 0, fraction, now)
+				boardOf(n+1).PartProgressed(ID{"g", n + 1}, 0, fraction, now)
 			}
 		}
 		_, facts := other.Check(now)
@@ -48,11 +48,11 @@
 	return b, actions
 }
 
-// TestCopies checks that a part is copied where a copy helps and is allowed, and only there.
+// TestCopies checks that a part is copied if a copy helps and is allowed, and only then.
 func TestCopies(t *testing.T) {
 	cfg := Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true}
-	off := cfg
-	off.CopiesAllowed = false
+	withoutCopies := cfg
+	withoutCopies.CopiesAllowed = false
 	for _, tc := range []struct {
 		name     string
 		cfg      Config
@@ -61,42 +61,42 @@
 		until    time.Duration
 		deadline time.Duration
 		copies   int
-		giveUps  int
+		abandons int
 		state    verdict.State // of part 1
 	}{
-		{"all keep step", cfg, []float64{1, 1, 0.9, 1.1, 1}, 5, 15 * s, 99 * s, 0, 0, verdict.InStep},
-		{"one is slow", cfg, []float64{0.25, 1, 0.9, 1.1, 1}, 5, 15 * s, 99 * s, 1, 0, verdict.Straggler},
-		{"one is slow, its peers are others'", cfg, []float64{0.25, 1, 0.9, 1.1, 1}, 1, 15 * s, 99 * s, 1, 0, verdict.Straggler},
-		{"one has hung", cfg, []float64{0, 1, 0.9, 1.1, 1}, 5, 15 * s, 99 * s, 1, 0, verdict.Silent},
-		{"a gang of two", cfg, []float64{0.25, 1}, 2, 15 * s, 99 * s, 0, 0, verdict.Unknown},
-		{"copies are not allowed", off, []float64{0.25, 1, 0.9, 1.1, 1}, 5, 15 * s, 99 * s, 0, 0, verdict.Straggler},
-		{"a copy would be late, and so is the part", cfg, []float64{0.25, 1, 0.9, 1.1, 1}, 5, 15 * s, 22 * s, 0, 0, verdict.Straggler},
-		{"most are slow", cfg, []float64{0.25, 0.25, 0.25, 0.25, 1}, 5, 15 * s, 200 * s, 0, 0, verdict.InStep},
-		{"more stragglers than may be copied", cfg, []float64{0.2, 0.2, 1, 1, 1, 1, 1}, 7, 9 * s, 200 * s, 1, 0, verdict.Straggler},
+		{"all parts are in step", cfg, []float64{1, 1, 0.9, 1.1, 1}, 5, 15 * s, 99 * s, 0, 0, verdict.InStep},
+		{"one part is slow", cfg, []float64{0.25, 1, 0.9, 1.1, 1}, 5, 15 * s, 99 * s, 1, 0, verdict.Straggler},
+		{"one part is slow, its peers belong to another dispatcher", cfg, []float64{0.25, 1, 0.9, 1.1, 1}, 1, 15 * s, 99 * s, 1, 0, verdict.Straggler},
+		{"one part hangs", cfg, []float64{0, 1, 0.9, 1.1, 1}, 5, 15 * s, 99 * s, 1, 0, verdict.Silent},
+		{"gang of two parts", cfg, []float64{0.25, 1}, 2, 15 * s, 99 * s, 0, 0, verdict.Unknown},
+		{"copies are not allowed", withoutCopies, []float64{0.25, 1, 0.9, 1.1, 1}, 5, 15 * s, 99 * s, 0, 0, verdict.Straggler},
+		{"both the part and a copy would miss the deadline", cfg, []float64{0.25, 1, 0.9, 1.1, 1}, 5, 15 * s, 22 * s, 0, 0, verdict.Straggler},
+		{"most parts are slow", cfg, []float64{0.25, 0.25, 0.25, 0.25, 1}, 5, 15 * s, 200 * s, 0, 0, verdict.InStep},
+		{"more stragglers than the gang may have copies", cfg, []float64{0.2, 0.2, 1, 1, 1, 1, 1}, 7, 9 * s, 200 * s, 1, 0, verdict.Straggler},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			b, actions := play(t, tc.cfg, tc.speeds, tc.ownParts, tc.until, tc.deadline)
+			b, actions := simulateGang(t, tc.cfg, tc.speeds, tc.ownParts, tc.until, tc.deadline)
 			copies := 0
 			for _, a := range actions {
 				if a.Kind == StartCopy {
 					copies++
 					if a.EndWithCopy >= a.EndWithoutCopy {
-						t.Errorf("the copy ends at %s, the part at %s", a.EndWithCopy, a.EndWithoutCopy)
+						t.Errorf("expected end with the copy is %s, want it before %s, the end without it", a.EndWithCopy, a.EndWithoutCopy)
 					}
 				}
 			}
 			if got := b.State(ID{"g", 1}).State; copies != tc.copies || got != tc.state {
-				t.Errorf("%d copies, %s", copies, got)
+				t.Errorf("got %d copies and state %s; want those of the test case", copies, got)
 			}
 		})
 	}
 }
 
-// TestSlowWorker checks that a worker is marked slow once it straggles in two gangs, here or at
-// another dispatcher, and only for a while.
+// TestSlowWorker checks that a worker is marked slow once it straggles in two gangs, by the facts
+// of another dispatcher, that it is not marked at each check, and that the reports expire.
 func TestSlowWorker(t *testing.T) {
 	b := New(Config{ReportInterval: 2 * s, CheckInterval: s})
-	slow := func() (n int) {
+	checkForMarks := func() (n int) {
 		actions, _ := b.Check(b.lastCheck + s)
 		for _, a := range actions {
 			if a.Kind == MarkSlow {
@@ -107,19 +107,20 @@
 	}
 	b.lastCheck = s
 	b.AddFact(Fact{Gang: "a", N: 1, Of: 4, Deadline: 99 * s, Worker: "w", Speed: 1, Work: 1, SlowFactor: 3, At: s})
-	if slow() != 0 {
-		t.Error("one gang is enough")
+	if checkForMarks() != 0 {
+		t.Error("worker is marked slow after one gang, want two gangs")
 	}
 	b.AddFact(Fact{Gang: "b", N: 1, Of: 4, Deadline: 99 * s, Worker: "w", Speed: 1, Work: 1, SlowFactor: 5, At: 2 * s})
-	if slow() != 1 || slow() != 0 {
-		t.Error("it is not marked, or marked at each check")
+	if checkForMarks() != 1 || checkForMarks() != 0 {
+		t.Error("worker is not marked slow, or is marked again at the next check; want it marked once")
 	}
-	if b.lastCheck = 2 * slowDuration; slow() != 0 || len(b.slowReports) != 0 {
-		t.Error("it is remembered for too long")
+	if b.lastCheck = 2 * slowDuration; checkForMarks() != 0 || len(b.slowReports) != 0 {
+		t.Error("reports on the worker have not expired after twice slowDuration")
 	}
 }
 
-// TestPartitionedDispatcher checks that the parts of a dispatcher that publishes nothing are unknown.
+// TestPartitionedDispatcher checks that outdated facts are not used: the parts of a dispatcher that
+// no longer publishes count as unknown.
 func TestPartitionedDispatcher(t *testing.T) {
 	b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
 	for n := 2; n <= 6; n++ {
@@ -131,12 +132,12 @@
 	for now := 22 * s; now < 40*s; now += s {
 		b.PartProgressed(ID{"g", 1}, 0, 0.1*(now-20*s).Seconds()/20, now)
 		if actions, _ := b.Check(now); len(actions) > 0 {
-			t.Fatalf("it is compared with facts that are %s old: %+v", now-s, actions)
+			t.Fatalf("got actions from a comparison with facts that are %s old: %+v, want none", now-s, actions)
 		}
 	}
 }
 
-// TestBounds checks that the board's size is bounded, whatever facts arrive.
+// TestBounds checks that a board never tracks more than MaxGangs gangs, whatever facts arrive.
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
@@ -144,24 +145,24 @@
 			b.AddFact(Fact{Gang: fmt.Sprint(i), N: rapid.IntRange(-1, 3).Draw(t, "n"), Of: 2, Worker: "w", Speed: rapid.Float64().Draw(t, "speed"), Work: rapid.Float64().Draw(t, "work"), Deadline: time.Duration(i) * s})
 		}
 		if b.Len() > MaxGangs {
-			t.Fatalf("%d gangs", b.Len())
+			t.Fatalf("got %d gangs, want at most MaxGangs", b.Len())
 		}
 		b.Check(s)
 	})
 }
 
 // TestWaitingParts checks that a part which waits at a straggling worker is copied once it has
-// waited far longer than its peers did, and that one which waits at another worker is not.
+// waited far longer than its peers did, and that one which waits at any other worker is not.
 func TestWaitingParts(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		worker string // of the part that waits
-		waits  time.Duration
+		wait   time.Duration
 		copies int
 	}{
-		{"at one that hangs", "s-1", 90 * s, 1},
-		{"at one that keeps step", "s-2", 90 * s, 0},
-		{"not for long", "s-1", 7 * s, 0},
+		{"long, at a worker that hangs", "s-1", 90 * s, 1},
+		{"long, at a worker in step", "s-2", 90 * s, 0},
+		{"briefly, at a worker that hangs", "s-1", 7 * s, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
@@ -179,15 +180,15 @@
 			}
 			copies := map[int]int{}
 			for now := 2 * s; now <= 40*s; now += s {
-				if now == s+tc.waits {
+				if now == s+tc.wait {
 					b.PartStarted(ID{"g", waiting}, 0, now)
 				}
-				for n := 2; n <= waiting; n++ { // the first hangs
-					begun := s
+				for n := 2; n <= waiting; n++ { // part 1 hangs
+					startedAt := s
 					if n == waiting {
-						begun += tc.waits
+						startedAt += tc.wait
 					}
-					if fraction := (now - begun).Seconds() / 20; fraction > 0 && fraction < 1 {
+					if fraction := (now - startedAt).Seconds() / 20; fraction > 0 && fraction < 1 {
 						b.PartProgressed(ID{"g", n}, 0, fraction, now)
 					} else if fraction >= 1 {
 						b.PartEnded(ID{"g", n}, 0, true, now)
@@ -201,24 +202,24 @@
 				}
 			}
 			if copies[1] != 1 || copies[waiting] != tc.copies {
-				t.Errorf("copies %v, want one of the part that hangs and %d of the one that waits", copies, tc.copies)
+				t.Errorf("got copies by part %v, want 1 of part 1, which hangs, and %d of the waiting part", copies, tc.copies)
 			}
 		})
 	}
 }
 
-// TestPoorHints checks that a part which hangs is copied also where hints are not trusted, and that
-// the end of its copy is then estimated in parts per second as well.
+// TestPoorHints checks that a part that hangs is copied even if hints are not trusted, and that the
+// expected end of its copy is then computed from speeds in parts per second.
 func TestPoorHints(t *testing.T) {
 	b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
-	for n := 1; n <= minHintSamples; n++ { // as long each, whatever their hints say
+	for n := 1; n <= minHintSamples; n++ { // equal run times with different hints
 		b.AddPart(ID{"before", n}, minHintSamples, float64(n*n), 99*s)
 		b.PartSent(ID{"before", n}, "s-0", 0, s)
 		b.PartStarted(ID{"before", n}, 0, s)
 		b.PartEnded(ID{"before", n}, 0, true, 21*s)
 	}
 	if b.hintsTrusted() {
-		t.Fatal("hints that say nothing are trusted")
+		t.Fatal("hints are trusted although they do not predict the run times")
 	}
 	for n := 1; n <= 6; n++ {
 		b.AddPart(ID{"g", n}, 6, 20, 99*s)
@@ -226,7 +227,7 @@
 		b.PartStarted(ID{"g", n}, 0, 21*s)
 	}
 	for now := 22 * s; now < 35*s; now += s {
-		for n := 2; n <= 6; n++ { // the first hangs
+		for n := 2; n <= 6; n++ { // part 1 hangs
 			b.PartProgressed(ID{"g", n}, 0, (now-21*s).Seconds()/20, now)
 		}
 		actions, _ := b.Check(now)
@@ -236,44 +237,44 @@
 			}
 		}
 	}
-	t.Error("the part that hangs was not copied")
+	t.Error("part 1, which hangs, was not copied, or the copy's expected end is too late")
 }
 
-// TestSecondCopy checks that a copy which hangs as well is copied, once, and that one which keeps up
-// with its peers is not.
+// TestSecondCopy checks that if the first copy hangs as well, one more copy is started, and none if
+// the first copy keeps up with its peers.
 func TestSecondCopy(t *testing.T) {
 	for name, tc := range map[string]struct {
 		speed float64 // of the first copy
 		want  int
-	}{"the copy hangs too": {0, 2}, "the copy keeps step": {1, 1}} {
+	}{"first copy hangs": {0, 2}, "first copy is in step": {1, 1}} {
 		t.Run(name, func(t *testing.T) {
 			b := New(Config{ReportInterval: 2 * s, CheckInterval: s, CopiesAllowed: true})
-			const of = 12
+			const parts = 12
 			id := func(n int) ID { return ID{"g", n} }
-			for n := 1; n <= of; n++ {
-				b.AddPart(id(n), of, 60, 999*s)
+			for n := 1; n <= parts; n++ {
+				b.AddPart(id(n), parts, 60, 999*s)
 				b.PartSent(id(n), fmt.Sprint("s-", n), 0, s)
 				b.PartStarted(id(n), 0, s)
 			}
-			copies, began := 0, s
+			copies, startedAt := 0, s
 			for now := s; now <= 60*s; now += s {
-				for n := 2; n <= of && now%(2*s) == s; n++ {
+				for n := 2; n <= parts && now%(2*s) == s; n++ {
 					b.PartProgressed(id(n), 0, (now-s).Seconds()/60, now)
 				}
 				if copies == 1 && tc.speed > 0 && now%(2*s) == s {
-					b.PartProgressed(id(1), 1, tc.speed*(now-began).Seconds()/60, now)
+					b.PartProgressed(id(1), 1, tc.speed*(now-startedAt).Seconds()/60, now)
 				}
 				actions, _ := b.Check(now)
 				for _, a := range actions {
 					if a.Kind == StartCopy && a.Part == id(1) {
-						copies, began = copies+1, now
+						copies, startedAt = copies+1, now
 						b.PartSent(id(1), fmt.Sprint("t-", copies), copies, now)
 						b.PartStarted(id(1), copies, now)
 					}
 				}
 			}
 			if copies != tc.want {
-				t.Errorf("%d copies, want %d", copies, tc.want)
+				t.Errorf("got %d copies, want %d", copies, tc.want)
 			}
 		})
 	}
--- a/internal/dispatcher/fleet/gang/board/judge.go
+++ b/internal/dispatcher/fleet/gang/board/judge.go
@@ -10,144 +10,151 @@
 	"frosttide/internal/dispatcher/fleet/gang/verdict"
 )
 
-// recordInStep records that a worker runs a part at its peers' speed.
+// recordInStep records that a worker ran a part at its peers' speed at time now.
 func (b *Board) recordInStep(worker string, now time.Duration) {
 	if len(b.inStepAt) >= maxSlowWorkers {
-		clear(b.inStepAt) // they are found again at the next checks
+		clear(b.inStepAt) // later checks fill it again
 	}
 	b.inStepAt[worker] = max(b.inStepAt[worker], now)
 }
 
-// peerSpeed is the speed of a part of a gang, and how many seconds it waited before it began.
-type peerSpeed struct {
-	n     int
-	speed float64
-	bound bool
-	wait  float64
+// partSpeed is the speed of a part of a gang, and how long the part waited before it started.
+type partSpeed struct {
+	n          int // number of the part
+	speed      float64
+	upperBound bool    // speed is only an upper bound
+	wait       float64 // in seconds
 }
 
-// judgeGang judges the parts of a gang that this dispatcher has sent.
-func (b *Board) judgeGang(name string, g *gang, now time.Duration, hintsTrusted bool) (actions []Action) {
-	all := b.peerSpeeds(g, now, hintsTrusted)
+// evaluateGang compares the unfinished parts of a gang that this dispatcher has sent with their
+// peers and returns the actions that follow.
+func (b *Board) evaluateGang(name string, g *gang, now time.Duration, hintsTrusted bool) (actions []Action) {
+	all := b.partSpeeds(g, now, hintsTrusted)
 	activeCopies := g.activeCopies()
 	for _, n := range slices.Sorted(maps.Keys(g.ownParts)) {
 		p := g.ownParts[n]
-		if over, _ := p.Finished(); over || p.Worker == "" {
+		if finished, _ := p.Finished(); finished || p.Worker == "" {
 			continue
 		}
 		exactSpeeds := exactSpeedsExcept(all, n)
-		e, v := b.judgePart(p, n, all, exactSpeeds, hintsTrusted, now)
+		e, v := b.evaluatePart(p, n, all, exactSpeeds, hintsTrusted, now)
 		if p.Verdict.Observe(e, b.cfg.CheckInterval) && (p.Verdict.State == verdict.Straggler || p.Verdict.State == verdict.Silent) {
-			if !p.Waiting() { // the verdict on a wait rests on the worker's slowness already
+			if !p.Waiting() { // the verdict on a waiting part is based on its worker's slowness already
 				b.recordSlow(p.Worker, name, slowFactor(e), now)
 			}
 		}
 		size := p.Work
-		if !hintsTrusted { // speeds are in parts per second then
+		if !hintsTrusted { // speeds are in parts per second
 			size, v = 1, v*p.Work
 		}
-		if act, ok := b.proposeCopy(name, n, g, p, exactSpeeds, size, activeCopies, v, now); ok {
-			actions = append(actions, act)
+		if action, ok := b.proposeCopy(name, n, g, p, exactSpeeds, size, activeCopies, v, now); ok {
+			actions = append(actions, action)
 			activeCopies++
 		}
 	}
 	return append(actions, b.abandonUnstarted(name, g)...)
 }
 
-// peerSpeeds returns the known speeds of a gang's parts, at this dispatcher and at the others.
-func (b *Board) peerSpeeds(g *gang, now time.Duration, hintsTrusted bool) (all []peerSpeed) {
+// partSpeeds returns the known speeds of a gang's parts, both of this dispatcher and of the others.
+// They are in parts per second if hints are not trusted.
+func (b *Board) partSpeeds(g *gang, now time.Duration, hintsTrusted bool) (all []partSpeed) {
 	for n, p := range g.ownParts {
-		if v, bound, ok := b.speed(p, now, hintsTrusted); ok {
-			all = append(all, peerSpeed{n, v, bound, p.WaitTime(now).Seconds()})
+		if v, upperBound, ok := b.speed(p, now, hintsTrusted); ok {
+			all = append(all, partSpeed{n, v, upperBound, p.WaitTime(now).Seconds()})
 		}
 	}
 	for n, f := range g.peerFacts {
-		// A partitioned dispatcher publishes nothing: its parts are unknown.
+		// An outdated fact is ignored: a partitioned dispatcher publishes nothing, so the speeds of
+		// its parts are unknown.
 		if f.Speed > 0 && (f.Ended || now-f.At < 3*max(b.cfg.ReportInterval, b.cfg.CheckInterval)) {
 			v := f.Speed
 			if !hintsTrusted {
 				v /= f.Work
 			}
-			all = append(all, peerSpeed{n, v, f.Bound, f.Wait})
+			all = append(all, partSpeed{n, v, f.Bound, f.Wait})
 		}
 	}
 	return all
 }
 
-// activeCopies returns how many own parts are not over and have a second copy, or have one requested.
+// activeCopies returns the number of this dispatcher's unfinished parts that have a second copy or
+// for which one was requested.
 func (g *gang) activeCopies() (active int) {
 	for _, p := range g.ownParts {
-		if over, _ := p.Finished(); (p.copyRequested || p.copiesSent > 0) && !over {
+		if finished, _ := p.Finished(); (p.copyRequested || p.copiesSent > 0) && !finished {
 			active++
 		}
 	}
 	return active
 }
 
-// exactSpeedsExcept returns the speeds of all parts but number n, without those that are only bounds.
-func exactSpeedsExcept(all []peerSpeed, n int) (speeds []float64) {
-	for _, k := range all {
-		if k.n != n && !k.bound {
-			speeds = append(speeds, k.speed)
+// exactSpeedsExcept returns the speeds of all parts except number n, without those that are only
+// upper bounds.
+func exactSpeedsExcept(all []partSpeed, n int) (speeds []float64) {
+	for _, other := range all {
+		if other.n != n && !other.upperBound {
+			speeds = append(speeds, other.speed)
 		}
 	}
 	return speeds
 }
 
-// judgePart returns the evidence on part n of this dispatcher, and its speed, 0 if it is unknown. It
-// records whether the part runs at its peers' speed.
-func (b *Board) judgePart(p *ownPart, n int, all []peerSpeed, exactSpeeds []float64, hintsTrusted bool, now time.Duration) (verdict.Evidence, float64) {
-	e := verdict.Evidence{At: now, Heavy: b.partIsHeavy(p.Worker, now)}
-	v, bound, ok := b.speed(p, now, hintsTrusted)
+// evaluatePart returns the evidence on part n of this dispatcher, and its speed, which is 0 if it
+// is unknown. It records whether the part runs at its peers' speed.
+func (b *Board) evaluatePart(p *ownPart, n int, all []partSpeed, exactSpeeds []float64, hintsTrusted bool, now time.Duration) (verdict.Evidence, float64) {
+	e := verdict.Evidence{At: now, WorkerInStep: b.workerInStep(p.Worker, now)}
+	v, upperBound, ok := b.speed(p, now, hintsTrusted)
 	if ok {
-		e.Standing, e.Known = peers.Compare(v, exactSpeeds)
-		// An upper bound above the peers' speed says nothing.
-		e.Known = e.Known && (!bound || e.Standing.Ratio < 1)
+		e.Comparison, e.Known = peers.Compare(v, exactSpeeds)
+		// An upper bound above the peers' speed carries no information.
+		e.Known = e.Known && (!upperBound || e.Comparison.Ratio < 1)
 	}
-	if p.inStep = e.Known && !bound && e.Standing.Ratio >= inStepRatio; p.inStep {
+	if p.inStep = e.Known && !upperBound && e.Comparison.Ratio >= inStepRatio; p.inStep {
 		b.recordInStep(p.Worker, now)
 	}
 	if p.Waiting() {
-		e.Standing, e.Known = b.compareWaits(p, n, all, exactSpeeds, hintsTrusted, now)
+		e.Comparison, e.Known = b.compareWaits(p, n, all, exactSpeeds, hintsTrusted, now)
 	}
 	e.Silent = p.ReportsOverdue(now, b.cfg.ReportInterval) && len(exactSpeeds) >= peers.MinPeers
 	return e, v
 }
 
 // compareWaits compares how long a part has waited with how long its peers waited before they
-// began, if its worker straggles in some gang: there are no reports of a part that has not begun,
-// yet it will be as late as those that run there. Half of a typical run time is added to each
-// wait, so that short waits do not differ. An unfinished wait is only a lower bound, so it never
-// counts in favour of the part.
-func (b *Board) compareWaits(p *ownPart, n int, all []peerSpeed, exactSpeeds []float64, hintsTrusted bool, now time.Duration) (peers.Standing, bool) {
+// started, if its worker straggles in some gang: a part that has not started has no progress
+// reports, yet it will be as late as the parts that run on that worker. Half of a typical run time
+// is added to each wait so that differences between short waits do not matter. An unfinished wait
+// is only a lower bound, so it never counts in favour of the part.
+func (b *Board) compareWaits(p *ownPart, n int, all []partSpeed, exactSpeeds []float64, hintsTrusted bool, now time.Duration) (peers.Comparison, bool) {
 	typical, ok := peers.Compare(0, exactSpeeds)
 	if !ok || typical.Median <= 0 || len(b.slowReports[p.Worker]) == 0 {
-		return peers.Standing{}, false
+		return peers.Comparison{}, false
 	}
-	run := 0.5 / typical.Median
+	halfRunTime := 0.5 / typical.Median
 	if hintsTrusted {
-		run *= p.Work
+		halfRunTime *= p.Work
 	}
-	var waits []float64
-	for _, k := range all {
-		if k.n != n {
-			waits = append(waits, 1/(k.wait+run))
+	var inverseWaits []float64
+	for _, other := range all {
+		if other.n != n {
+			inverseWaits = append(inverseWaits, 1/(other.wait+halfRunTime))
 		}
 	}
-	s, ok := peers.Compare(1/(p.WaitTime(now).Seconds()+run), waits)
-	return s, ok && s.Ratio < 1
+	c, ok := peers.Compare(1/(p.WaitTime(now).Seconds()+halfRunTime), inverseWaits)
+	return c, ok && c.Ratio < 1
 }
 
-// partIsHeavy reports whether a worker runs another part at its peers' speed. Then a slow part is
-// larger than its hint, and a copy would take as long.
-func (b *Board) partIsHeavy(worker string, now time.Duration) bool {
+// workerInStep reports whether a worker has run a part at its peers' speed in the last three report
+// or check intervals. A slow part of such a worker has more work than its hint says, and a copy of
+// it would take as long.
+func (b *Board) workerInStep(worker string, now time.Duration) bool {
 	at, ok := b.inStepAt[worker]
 	return ok && now-at < 3*max(b.cfg.ReportInterval, b.cfg.CheckInterval)
 }
 
-// proposeCopy returns the action that starts a second copy of a part, if one helps and the limits
-// allow it. ExactSpeeds are its peers' speeds that are not bounds, size is the part's size in the
-// same measure, and v is its own speed by its hint.
+// proposeCopy returns the action that starts a second copy of part n, if the part straggles, the
+// copy is expected to end early enough and the limits allow it. exactSpeeds are the peers' speeds
+// that are not upper bounds, size is the part's work in the unit of these speeds, and v is the
+// part's own speed relative to its hint.
 func (b *Board) proposeCopy(name string, n int, g *gang, p *ownPart, exactSpeeds []float64, size float64, activeCopies int, v float64, now time.Duration) (Action, bool) {
 	if !b.cfg.CopiesAllowed || p.copyRequested || p.Verdict.State != verdict.Straggler && p.Verdict.State != verdict.Silent || len(exactSpeeds) == 0 {
 		return Action{}, false
@@ -155,7 +162,7 @@
 	if p.Verdict.State == verdict.Silent {
 		v = 0
 	}
-	typical, _ := peers.Compare(0, exactSpeeds) // the verdict's evidence may be in another measure
+	typical, _ := peers.Compare(0, exactSpeeds) // not from the verdict, whose evidence may be in another unit
 	remaining := p.Remaining(now, v)
 	copyTime := copyStartChecks*b.cfg.CheckInterval + time.Duration(size/max(typical.Median, 1e-3)*float64(time.Second))
 	if now+copyTime > g.deadline && now+remaining > g.deadline {
@@ -175,15 +182,16 @@
 	}, true
 }
 
-// abandonUnstarted returns, once each, the parts that have not begun of a gang that can't meet its
-// deadline any more: one of its parts will be late with or without a copy.
+// abandonUnstarted returns the actions that abandon the unstarted parts of a gang that can no
+// longer meet its deadline, because one of its parts will be late with or without a copy. Each part
+// is returned once.
 func (b *Board) abandonUnstarted(name string, g *gang) (actions []Action) {
 	if !g.missesDeadline {
 		return nil
 	}
 	for _, n := range slices.Sorted(maps.Keys(g.ownParts)) {
 		p := g.ownParts[n]
-		if over, _ := p.Finished(); !over && !p.Running() && !p.abandoned {
+		if finished, _ := p.Finished(); !finished && !p.Running() && !p.abandoned {
 			p.abandoned = true
 			actions = append(actions, Action{Kind: Abandon, Part: ID{name, n}, Worker: p.Worker, Verdict: p.Verdict})
 		}
--- a/internal/dispatcher/fleet/gang/peers/peers.go
+++ b/internal/dispatcher/fleet/gang/peers/peers.go
@@ -1,6 +1,6 @@
 // Package peers compares one value with those of its peers by robust statistics, the median and
-// the median absolute deviation, which a few outliers do not move. It is pure, and its functions
-// are safe for concurrent use.
+// the median absolute deviation (MAD), which a few outliers hardly change. The package is pure, and
+// its functions are safe for concurrent use.
 package peers
 
 import (
@@ -9,56 +9,57 @@
 )
 
 const (
-	// minSpeed replaces smaller speeds, so that logarithms stay finite.
+	// minSpeed replaces smaller speeds so that their logarithms are finite.
 	minSpeed = 1e-6
-	// MinPeers is how many peers a comparison needs.
+	// MinPeers is the smallest number of peers that a comparison needs.
 	MinPeers = 3
-	// madScale turns a median absolute deviation into the standard deviation of a normal
+	// madScale converts a median absolute deviation into the standard deviation of a normal
 	// distribution.
 	madScale = 1.4826
-	// minSpread is the smallest spread of logarithms that is assumed, as sizes are known from
-	// hints that are off by about that much.
+	// minSpread is a lower bound for the standard deviation of the logarithms: sizes are known
+	// only from hints, which are off by about that much.
 	minSpread = 0.2
 )
 
-// Standing is how one value compares with those of its peers.
-type Standing struct {
-	Median float64
+// Comparison is the result of comparing one value with those of its peers.
+type Comparison struct {
+	Median float64 // of the peers' values
 	Ratio  float64 // own value / Median
-	Sigmas float64 // how far below the median, in standard deviations of the logarithm
-	Peers  int     // how many there are
+	Sigmas float64 // distance below the median, in standard deviations of the logarithm
+	Peers  int     // number of peers
 }
 
-// Compare compares a speed with those of others, which must not contain it. It returns false for
-// fewer than MinPeers others or a median of 0.
-func Compare(own float64, others []float64) (Standing, bool) {
-	s := Standing{Peers: len(others)}
+// Compare compares a speed with those of its peers; others must not contain the speed itself. It
+// returns false if there are fewer than MinPeers others or if their median is not positive.
+func Compare(own float64, others []float64) (Comparison, bool) {
+	c := Comparison{Peers: len(others)}
 	if len(others) < MinPeers {
-		return s, false
+		return c, false
 	}
-	s.Median = median(others)
-	if s.Median <= 0 {
-		return s, false
+	c.Median = median(others)
+	if c.Median <= 0 {
+		return c, false
 	}
-	// Logarithms, as sizes and paces are off by factors: three times slower is as far from the
-	// median as three times faster.
+	// Logarithms are compared because speeds differ by factors: a third of the median is as far
+	// from it as three times the median.
 	deviations := make([]float64, len(others))
 	for i, v := range others {
-		deviations[i] = math.Abs(math.Log(max(v, minSpeed) / s.Median))
+		deviations[i] = math.Abs(math.Log(max(v, minSpeed) / c.Median))
 	}
-	s.Ratio = own / s.Median
-	s.Sigmas = -math.Log(max(own, minSpeed)/s.Median) / max(madScale*median(deviations), minSpread)
-	return s, true
+	c.Ratio = own / c.Median
+	c.Sigmas = -math.Log(max(own, minSpeed)/c.Median) / max(madScale*median(deviations), minSpread)
+	return c, true
 }
 
-// Spread returns the spread of positive values: the median absolute deviation of their logarithms.
+// Spread returns the spread of positive values, which is the median absolute deviation of their
+// logarithms from that of the median; 0 for an empty list.
 func Spread(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
 	}
-	middle, deviations := median(values), make([]float64, len(values))
+	center, deviations := median(values), make([]float64, len(values))
 	for i, v := range values {
-		deviations[i] = math.Abs(math.Log(max(v, minSpeed) / max(middle, minSpeed)))
+		deviations[i] = math.Abs(math.Log(max(v, minSpeed) / max(center, minSpeed)))
 	}
 	return median(deviations)
 }
--- a/internal/dispatcher/fleet/gang/watcher/watcher.go
+++ b/internal/dispatcher/fleet/gang/watcher/watcher.go
@@ -120,8 +120,8 @@
 				"part":        action.Part.N,
 				"id":          job,
 				"state":       action.Verdict.State.String(),
-				"ratio":       action.Verdict.Evidence.Standing.Ratio,
-				"peers":       action.Verdict.Evidence.Standing.Peers,
+				"ratio":       action.Verdict.Evidence.Comparison.Ratio,
+				"peers":       action.Verdict.Evidence.Comparison.Peers,
 				"ends_in":     (action.EndWithoutCopy - w.cfg.Now()).Round(time.Millisecond).String(),
 				"with_a_copy": (action.EndWithCopy - w.cfg.Now()).Round(time.Millisecond).String(),
 			}).Info("a part of a gang straggles")
