--- a/internal/dispatcher/fleet/gang/watcher/watcher.go
+++ b/internal/dispatcher/fleet/gang/watcher/watcher.go
@@ -1,8 +1,8 @@
-// Package watcher watches a dispatcher's gang jobs: events of their parts come from the core
-// through a bounded queue, a goroutine of its own applies them to a board
-// (internal/dispatcher/fleet/gang/board) and checks it at an interval, and the resulting actions
-// go to the core and facts to the other members. No method blocks the core: if the queue is full
-// an event is dropped and counted. All methods are safe for concurrent use.
+// Package watcher detects stragglers among the parts of a dispatcher's gang jobs. The core reports
+// the parts' events through a bounded queue; the watcher's own goroutine applies them to a board
+// (internal/dispatcher/fleet/gang/board), checks the board at an interval, passes the resulting
+// actions to the core and publishes facts to the other members. No method blocks the core: if the
+// queue is full, the event is dropped and counted. All methods are safe for concurrent use.
 package watcher
 
 import (
@@ -18,50 +18,50 @@
 	"frosttide/internal/dispatcher/fleet/gang/board"
 )
 
-// queueSize bounds the events that wait. A dropped event makes the estimate for its part worse and
-// has no other effect.
+// queueSize bounds the queued events. A dropped event makes the speed estimate of its part worse
+// and has no other effect.
 const queueSize = 4096
 
-// maxJobs bounds the parts that are watched at a time; further ones are run like other jobs.
+// maxJobs bounds the parts that are tracked at a time; further ones run like jobs outside gangs.
 const maxJobs = 1 << 16
 
-// Dispatcher acts on stragglers; the core implements it. No method blocks.
+// Dispatcher carries out the watcher's actions; the core implements it. Its methods must not block.
 type Dispatcher interface {
-	Hedge(jobID string)                 // starts a second copy of a job
-	MarkSlow(uid string, times float64) // treats a runner as that many times slower for a while
-	Abandon(jobID string)               // gives up a job that has not begun
+	Hedge(jobID string)                  // starts a second copy of a job
+	MarkSlow(uid string, factor float64) // treats a runner as factor times slower for a while
+	Abandon(jobID string)                // ends a job that has not started
 }
 
-// Config says how gangs are watched.
+// Config configures a Watcher.
 type Config struct {
 	ReportInterval time.Duration // between a runner's progress reports; 0 for none
 	CheckInterval  time.Duration // between checks of the board
 	CopiesAllowed  bool          // second copies may be started
 	// Now returns the cluster's time since 1970.
 	Now func() time.Duration
-	// Publish sends a fact, in JSON, to the other members; nil for a member without others. It
+	// Publish sends a fact, in JSON, to the other members under a name; nil if there are none. It
 	// must not block.
 	Publish func(name string, fact []byte)
 }
 
-// Watcher watches the gang jobs of one dispatcher. New makes it and Run starts it. Only the
-// goroutine of Run uses board and jobs.
+// Watcher detects stragglers among the gang parts of one dispatcher. New creates it, and Run
+// processes its events. Only the goroutine of Run uses board and jobs.
 type Watcher struct {
 	cfg        Config
 	dispatcher Dispatcher
 	log        *logrus.Entry
 	events     chan func(*Watcher)
-	dropped    atomic.Uint64
+	dropped    atomic.Uint64 // events dropped because the queue was full
 
 	board    *board.Board
-	jobs     map[board.ID]string // the open job of each part
+	jobs     map[board.ID]string // ID of each part's open job
 	counters counters
 }
 
-// counters count the actions.
+// counters count the actions passed to the dispatcher, by kind.
 type counters struct{ copies, slow, abandoned atomic.Uint64 }
 
-// New returns a watcher; Run starts it.
+// New returns a watcher; it processes no events until Run is called.
 func New(cfg Config, dispatcher Dispatcher, log *logrus.Entry) *Watcher {
 	return &Watcher{
 		cfg:        cfg,
@@ -73,18 +73,18 @@
 	}
 }
 
-// enqueue queues an event for the goroutine of Run and drops it if the queue is full.
+// enqueue queues an event for the goroutine of Run, or drops it if the queue is full.
 func (w *Watcher) enqueue(event func(*Watcher)) {
 	select {
 	case w.events <- event:
 	default:
-		if n := w.dropped.Add(1); n&(n-1) == 0 { // log only the 1st, 2nd, 4th, ...
-			w.log.WithField("count", n).Warn("too much is told of gangs; some of it is dropped")
+		if n := w.dropped.Add(1); n&(n-1) == 0 { // log only the 1st, 2nd, 4th, 8th, ...
+			w.log.WithField("count", n).Warn("gang event queue is full; events are dropped")
 		}
 	}
 }
 
-// Run works until the context ends.
+// Run processes events and checks the board until the context is cancelled.
 func (w *Watcher) Run(ctx context.Context) {
 	tick := time.NewTicker(w.cfg.CheckInterval)
 	defer tick.Stop()
@@ -100,13 +100,13 @@
 	}
 }
 
-// check checks the board, publishes the new facts and carries out the actions.
+// check checks the board, publishes the new facts and passes the actions to the dispatcher.
 func (w *Watcher) check() {
 	actions, facts := w.board.Check(w.cfg.Now())
 	if w.cfg.Publish != nil {
 		for i := range facts {
-			if text, err := json.Marshal(&facts[i]); err == nil { // fails for NaN and infinities
-				w.cfg.Publish(factName(facts[i].Gang, facts[i].N), text)
+			if data, err := json.Marshal(&facts[i]); err == nil { // NaN and infinities cannot be encoded; such a fact is skipped
+				w.cfg.Publish(factName(facts[i].Gang, facts[i].N), data)
 			}
 		}
 	}
@@ -132,21 +132,21 @@
 			w.dispatcher.MarkSlow(action.Worker, action.SlowFactor)
 		case board.Abandon:
 			w.counters.abandoned.Add(1)
-			logger.WithFields(logrus.Fields{"gang": action.Part.Gang, "part": action.Part.N, "id": job}).Info("a gang can't be in time any more; a part that has not begun is given up")
+			logger.WithFields(logrus.Fields{"gang": action.Part.Gang, "part": action.Part.N, "id": job}).Info("gang can no longer meet its deadline; abandoning a part that has not started")
 			w.dispatcher.Abandon(job)
 		}
 	}
 }
 
-// idOf returns the id of the part that a job is.
-func idOf(job *core.Job) board.ID { return board.ID{Gang: job.Gang.ID, N: job.Gang.N} }
+// partID returns the board's ID of a gang part's job.
+func partID(job *core.Job) board.ID { return board.ID{Gang: job.Gang.ID, N: job.Gang.N} }
 
-// Joined adds a job that is a part; deadline is the time until its deadline.
-func (w *Watcher) Joined(job *core.Job, deadline time.Duration) {
-	left, hint := deadline, job.Hint.Seconds()
+// Joined adds a job that is a gang part; timeLeft is the time until its deadline.
+func (w *Watcher) Joined(job *core.Job, timeLeft time.Duration) {
+	remaining, hint := timeLeft, job.Hint.Seconds()
 	w.enqueue(func(w *Watcher) {
-		if len(w.jobs) < maxJobs && w.board.AddPart(idOf(job), job.Gang.Of, hint, w.cfg.Now()+left) {
-			w.jobs[idOf(job)] = job.ID
+		if len(w.jobs) < maxJobs && w.board.AddPart(partID(job), job.Gang.Of, hint, w.cfg.Now()+remaining) {
+			w.jobs[partID(job)] = job.ID
 		}
 	})
 }
@@ -154,68 +154,70 @@
 // Sent records that an attempt was sent to a runner.
 func (w *Watcher) Sent(job *core.Job, attempt int, uid string) {
 	at := w.cfg.Now()
-	w.enqueue(func(w *Watcher) { w.board.PartSent(idOf(job), uid, attempt, at) })
+	w.enqueue(func(w *Watcher) { w.board.PartSent(partID(job), uid, attempt, at) })
 }
 
-// Started records that a runner began an attempt.
+// Started records that a runner has started an attempt.
 func (w *Watcher) Started(job *core.Job, attempt int) {
 	at := w.cfg.Now()
-	w.enqueue(func(w *Watcher) { w.board.PartStarted(idOf(job), attempt, at) })
+	w.enqueue(func(w *Watcher) { w.board.PartStarted(partID(job), attempt, at) })
 }
 
-// Progressed records the fraction that an attempt has done.
-func (w *Watcher) Progressed(job *core.Job, attempt int, share float64) {
+// Progressed records the fraction of the work that an attempt has done.
+func (w *Watcher) Progressed(job *core.Job, attempt int, fraction float64) {
 	at := w.cfg.Now()
-	w.enqueue(func(w *Watcher) { w.board.PartProgressed(idOf(job), attempt, share, at) })
+	w.enqueue(func(w *Watcher) { w.board.PartProgressed(partID(job), attempt, fraction, at) })
 }
 
-// Ended records that an attempt is over, and whether it succeeded.
-func (w *Watcher) Ended(job *core.Job, attempt int, served bool) {
+// Ended records that an attempt has ended, and whether it succeeded.
+func (w *Watcher) Ended(job *core.Job, attempt int, succeeded bool) {
 	at := w.cfg.Now()
-	w.enqueue(func(w *Watcher) { w.board.PartEnded(idOf(job), attempt, served, at) })
+	w.enqueue(func(w *Watcher) { w.board.PartEnded(partID(job), attempt, succeeded, at) })
 }
 
-// Closed removes a job that has its answer or whose client has left.
+// Closed removes a job that was answered or whose client has disconnected.
 func (w *Watcher) Closed(job *core.Job) {
 	w.enqueue(func(w *Watcher) {
-		if w.jobs[idOf(job)] == job.ID {
-			delete(w.jobs, idOf(job))
-			w.board.RemovePart(idOf(job))
+		if w.jobs[partID(job)] == job.ID {
+			delete(w.jobs, partID(job))
+			w.board.RemovePart(partID(job))
 		}
 	})
 }
 
-// AddFact adds a fact that another member has published. One that can't be decoded comes from
-// another build and is ignored.
-func (w *Watcher) AddFact(text []byte) {
+// AddFact adds a fact, in JSON, that another member has published. One that cannot be decoded comes
+// from another build and is ignored.
+func (w *Watcher) AddFact(data []byte) {
 	var f board.Fact
-	if err := json.Unmarshal(text, &f); err != nil {
-		w.log.WithError(err).Debug("what another member tells of a gang can't be read")
+	if err := json.Unmarshal(data, &f); err != nil {
+		w.log.WithError(err).Debug("failed to decode a gang fact from another member")
 		return
 	}
 	w.enqueue(func(w *Watcher) { w.board.AddFact(f) })
 }
 
-// Status is the JSON form of the counters that operators see.
+// Status holds the counters that operators see. Its JSON form is a response to operators, so the
+// tags must not change.
 type Status struct {
-	Gangs     int    `json:"gangs"`
+	Gangs     int    `json:"gangs"` // tracked now; the others count since the start
 	Copies    uint64 `json:"copies"`
 	Slow      uint64 `json:"slow_runners"`
 	Abandoned uint64 `json:"parts_given_up"`
 	Dropped   uint64 `json:"dropped"`
 }
 
-// Status returns the counters, false if the context ends first.
+// Status returns the counters. It returns false if the context is cancelled before the goroutine of
+// Run responds.
 func (w *Watcher) Status(ctx context.Context) (Status, bool) {
-	got := make(chan int, 1)
-	w.enqueue(func(w *Watcher) { got <- w.board.Len() })
+	gangs := make(chan int, 1)
+	w.enqueue(func(w *Watcher) { gangs <- w.board.Len() })
 	select {
-	case n := <-got:
+	case n := <-gangs:
 		return Status{n, w.counters.copies.Load(), w.counters.slow.Load(), w.counters.abandoned.Load(), w.dropped.Load()}, true
 	case <-ctx.Done():
 		return Status{}, false
 	}
 }
 
-// factName is the name under which members share the fact of a part.
+// factName returns the name under which members publish the fact about a part.
 func factName(gang string, n int) string { return gang + "/" + strconv.Itoa(n) }
