--- a/internal/dispatcher/fleet/recovery/assess.go
+++ b/internal/dispatcher/fleet/recovery/assess.go
@@ -1,10 +1,10 @@
 // Package recovery decides what a fleet may do while its members rejoin after most of them have
-// restarted or lost their disks. Decisions rest on evidence (what the members have on disk, and
-// the highest log index that they know of), never on elapsed time.
+// restarted or lost their disks. Its decisions are based on evidence (what the members have on
+// disk, and the highest log index that they know of), never on elapsed time.
 //
-// The quorum package assesses the replicated log with it, the cluster package chooses a donor, and
-// the core uses it for run times reported by other members. Invariant: no new log is started while
-// any member has the previous one or knows of it.
+// Package quorum assesses the replicated log with it, package cluster chooses the member to fetch
+// shared state from, and the core adjusts the run times that other members report. Invariant: no
+// new log is started while any live member has the previous one or knows of it.
 //
 // The package is pure: it does no I/O, reads no clock, and all its functions are safe for
 // concurrent use.
@@ -20,9 +20,9 @@
 // Member is the recovery information that a live member publishes about itself.
 type Member struct {
 	Name       string
-	Disk       bool   // it keeps its log on a disk
+	Disk       bool   // it stores its log on a disk
 	Log        bool   // its log has at least one entry
-	KnownIndex uint64 // index that it knows the log to have reached; 0 if unknown
+	KnownIndex uint64 // highest index that it knows the log to have reached; 0 if it knows none
 }
 
 // LogState classifies the replicated log as seen from one member.
@@ -30,7 +30,7 @@
 
 // The states of the replicated log.
 const (
-	Undecided    LogState = iota // a voter has the log, or too few voters are present to tell: Raft decides
+	Undecided    LogState = iota // a voter has the log, or not every voter is present with a disk: Raft decides
 	MayBootstrap                 // all voters are present and no member knows of a log
 	Lost                         // all voters are present without a log and some member knows of one: an operator decides
 )
@@ -38,17 +38,17 @@
 // Verdict is a log state with the evidence for it.
 type Verdict struct {
 	State      LogState
-	Why        string   // for Lost: an explanation for operators
+	Why        string   // for Lost: an explanation for operators, with the next step
 	KnownIndex uint64   // for Lost: the log had reached at least this index
 	Holders    []string // for Lost: members that have the log or know of it, highest index first
 }
 
-// AssessLog classifies the log from the configured voters' names and the members that are alive.
-// It protects committed entries from a second log that would be started beside or in place of the
-// first: a fleet whose voters all return with empty disks looks like a new fleet, except for what
-// other members, or the voters' own watermarks, still know.
+// AssessLog classifies the log by the names of the configured voters and the members that are
+// alive. It prevents the loss of committed entries by a second log that is started beside or in
+// place of the first: a fleet whose voters all return with empty disks looks like a new fleet, and
+// only the other members, or the voters' own watermarks, still know of the log.
 func AssessLog(voters []string, alive []Member) Verdict {
-	present := 0
+	presentVoters := 0
 	var holders []Member
 	for _, m := range alive {
 		if slices.Contains(voters, m.Name) {
@@ -56,14 +56,14 @@
 				return Verdict{}
 			}
 			if m.Disk {
-				present++
+				presentVoters++
 			}
 		}
 		if m.Log || m.KnownIndex > 0 {
 			holders = append(holders, m)
 		}
 	}
-	if len(voters) == 0 || present < len(voters) {
+	if len(voters) == 0 || presentVoters < len(voters) {
 		return Verdict{}
 	}
 	if len(holders) == 0 {
@@ -84,7 +84,7 @@
 	return v
 }
 
-// DiskOutdated reports whether a disk is older than what its member has acknowledged: its log ends
-// at index last, before the index kept elsewhere. An empty disk (last is 0) is new and not
-// outdated.
-func DiskOutdated(kept, last uint64) bool { return last > 0 && last < kept }
+// DiskOutdated reports whether a disk is older than what its member has acknowledged, as after the
+// restore of an old copy: the log on it ends at index last, which is less than the watermark that
+// is stored elsewhere. An empty disk (last is 0) is new and not outdated.
+func DiskOutdated(watermark, last uint64) bool { return last > 0 && last < watermark }
--- a/internal/dispatcher/fleet/recovery/donor_test.go
+++ b/internal/dispatcher/fleet/recovery/donor_test.go
@@ -7,19 +7,19 @@
 func TestDonor(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		mine   uint64
+		own    uint64
 		epochs []uint64
 		want   int
 	}{
 		{"no other member", 5, nil, -1},
-		{"one is older", 5, []uint64{9, 3, 7}, 1},
-		{"all are younger", 5, []uint64{9, 6}, -1},
-		{"equally old", 5, []uint64{5}, -1},
-		{"two are the oldest", 5, []uint64{4, 1, 1}, 1},
+		{"one older member", 5, []uint64{9, 3, 7}, 1},
+		{"all others are younger", 5, []uint64{9, 6}, -1},
+		{"other member is equally old", 5, []uint64{5}, -1},
+		{"two oldest members, the first is chosen", 5, []uint64{4, 1, 1}, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			if got := Donor(tc.mine, tc.epochs); got != tc.want {
-				t.Errorf("Donor(%d, %v) = %d, want %d", tc.mine, tc.epochs, got, tc.want)
+			if got := Donor(tc.own, tc.epochs); got != tc.want {
+				t.Errorf("Donor(%d, %v) = %d, want %d", tc.own, tc.epochs, got, tc.want)
 			}
 		})
 	}
