--- a/internal/dispatcher/fleet/recovery/mark/mark_test.go
+++ b/internal/dispatcher/fleet/recovery/mark/mark_test.go
@@ -8,12 +8,12 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// TestWatermark checks that a watermark is read as written, that a missing one is nil, and that a
-// truncated, empty or garbled file is an error.
+// TestWatermark checks that a watermark is read as it was written, that a missing one is nil, that
+// an empty, truncated or corrupt file is an error, and that Drop can be repeated.
 func TestWatermark(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keep")
 	if m, err := Read(dir); m != nil || err != nil {
-		t.Fatalf("of nothing: %v, %v", m, err)
+		t.Fatalf("Read of a missing file = %v, %v, want nil, nil", m, err)
 	}
 	want := Watermark{Log: "l1", Index: 7, Out: []string{"s-1"}}
 	if err := Write(dir, want); err != nil {
@@ -24,14 +24,14 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(&want, got); diff != "" {
-		t.Errorf("(-want +got):\n%s", diff)
+		t.Errorf("watermark differs from the one written (-want +got):\n%s", diff)
 	}
 	for _, text := range []string{"", `{"log":"l1","ind`, "\x00\xff"} {
 		if err := os.WriteFile(filepath.Join(dir, fileName), []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if m, err := Read(dir); m != nil || err == nil {
-			t.Errorf("of %q: %v, %v", text, m, err)
+			t.Errorf("Read of a file with %q = %v, %v, want nil and an error", text, m, err)
 		}
 	}
 	for range 2 {
