--- a/internal/dispatcher/fleet/recovery/sharers/sharers.go
+++ b/internal/dispatcher/fleet/recovery/sharers/sharers.go
@@ -1,10 +1,11 @@
 // Package sharers counts the dispatchers that currently share the warm-up capacity of a runner.
-// Dividing by the configured number alone would leave most of it unused while most dispatchers are
-// down; dividing by those seen alive would spend it twice during a network partition. A dispatcher
-// that is not seen therefore counts until there is evidence that it has ended.
+// Dividing it by the configured number alone would leave most of it unused while most dispatchers
+// are down; dividing it by the number seen alive would allocate it twice during a network
+// partition. A dispatcher that is not seen therefore counts until there is evidence that it has
+// ended.
 //
-// Package rejoin calls it with the states that package cluster observes. The package is pure and
-// safe for concurrent use.
+// Package rejoin calls it with the states that package cluster observes. The package is pure, and
+// its function is safe for concurrent use.
 package sharers
 
 // PeerState is what is known of another dispatcher.
@@ -12,19 +13,20 @@
 
 // The states of a peer.
 const (
-	Unseen   PeerState = iota // no contact: it may be down, or partitioned and working
+	Unseen   PeerState = iota // no contact: it may be down, or partitioned and still working
 	Alive                     // it responds
-	Departed                  // it has announced its end
-	Refused                   // its machine refuses connections to its address
+	Departed                  // it has announced that it is leaving
+	Refused                   // its host refuses connections to its address, so the process has ended
 )
 
-// Count returns the number of dispatchers that share the capacity, at least 1, from the configured
-// number and the states of the other dispatchers known. A configured dispatcher that was never
-// seen counts as working, and so do live ones beyond the configured number.
-func Count(configured int, others []PeerState) int {
+// Count returns the number of dispatchers that share the capacity, this one included, from the
+// configured number of dispatchers and the states of the known others. A configured dispatcher
+// that was never seen counts as working, and so do live ones beyond the configured number. The
+// result is at least 1.
+func Count(configured int, peers []PeerState) int {
 	working, departed := 1, 0
-	for _, l := range others {
-		switch l {
+	for _, state := range peers {
+		switch state {
 		case Departed, Refused:
 			departed++
 		default:
--- a/internal/dispatcher/fleet/recovery/sharers/sharers_test.go
+++ b/internal/dispatcher/fleet/recovery/sharers/sharers_test.go
@@ -8,59 +8,59 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestCount checks the number of sharers for each kind of peer.
+// TestCount checks the number of sharers for peers in each state.
 func TestCount(t *testing.T) {
 	for _, tc := range []struct {
-		name     string
-		settings int
-		others   []PeerState
-		want     int
+		name       string
+		configured int
+		peers      []PeerState
+		want       int
 	}{
 		{"alone", 1, nil, 1},
-		{"nobody is heard of yet", 5, nil, 5},
-		{"all are here", 5, []PeerState{Alive, Alive, Alive, Alive}, 5},
-		{"three are killed", 5, []PeerState{Alive, Refused, Refused, Refused}, 2},
-		{"one has left", 5, []PeerState{Alive, Alive, Alive, Departed}, 4},
-		{"three are cut off", 5, []PeerState{Alive, Unseen, Unseen, Unseen}, 5},
-		{"more than the settings say", 2, []PeerState{Alive, Alive, Alive}, 4},
-		{"all are gone", 3, []PeerState{Refused, Departed}, 1},
+		{"no peer seen yet", 5, nil, 5},
+		{"all alive", 5, []PeerState{Alive, Alive, Alive, Alive}, 5},
+		{"three have crashed", 5, []PeerState{Alive, Refused, Refused, Refused}, 2},
+		{"one has departed", 5, []PeerState{Alive, Alive, Alive, Departed}, 4},
+		{"three are partitioned", 5, []PeerState{Alive, Unseen, Unseen, Unseen}, 5},
+		{"more alive than configured", 2, []PeerState{Alive, Alive, Alive}, 4},
+		{"all peers have ended", 3, []PeerState{Refused, Departed}, 1},
 	} {
-		if got := Count(tc.settings, tc.others); got != tc.want {
-			t.Errorf("%s: %d, want %d", tc.name, got, tc.want)
+		if got := Count(tc.configured, tc.peers); got != tc.want {
+			t.Errorf("%s: got %d sharers, want %d", tc.name, got, tc.want)
 		}
 	}
 }
 
-// TestNeverSpentTwice checks, for any partition of a fleet, that the shares of the working members
-// add up to at most the whole.
-func TestNeverSpentTwice(t *testing.T) {
+// TestSharesNeverExceedCapacity checks, for any network partition of a fleet, that the shares of
+// the working members add up to at most the whole capacity.
+func TestSharesNeverExceedCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 15).Draw(t, "members")
-		side := make([]int, n) // 0 for dead; members of one side see each other
-		for i := range side {
-			side[i] = rapid.IntRange(0, 3).Draw(t, "side")
+		partition := make([]int, n) // by member: 0 if it is down; members of one partition see each other
+		for i := range partition {
+			partition[i] = rapid.IntRange(0, 3).Draw(t, "side")
 		}
 		sum := 0.0
-		for i := range side {
-			if side[i] == 0 {
+		for i := range partition {
+			if partition[i] == 0 {
 				continue
 			}
-			var others []PeerState
-			for j := range side {
+			var peers []PeerState
+			for j := range partition {
 				switch {
 				case j == i:
-				case side[j] == side[i]:
-					others = append(others, Alive)
-				case side[j] > 0: // cut off: it may be seen as dead, but nothing refuses
-					others = append(others, Unseen)
+				case partition[j] == partition[i]:
+					peers = append(peers, Alive)
+				case partition[j] > 0: // in another partition: it may look down, but nothing refuses connections
+					peers = append(peers, Unseen)
 				default:
-					others = append(others, rapid.SampledFrom([]PeerState{Unseen, Refused, Departed}).Draw(t, "dead"))
+					peers = append(peers, rapid.SampledFrom([]PeerState{Unseen, Refused, Departed}).Draw(t, "dead"))
 				}
 			}
-			sum += 1 / float64(Count(n, others))
+			sum += 1 / float64(Count(n, peers))
 		}
 		if sum > 1.0000001 {
-			t.Fatalf("shares come to %.3f with sides %v", sum, side)
+			t.Fatalf("shares add up to %.3f, want at most 1, with partitions %v", sum, partition)
 		}
 	})
 }
