--- a/internal/dispatcher/fleet/recovery/admission/limiter.go
+++ b/internal/dispatcher/fleet/recovery/admission/limiter.go
@@ -1,8 +1,8 @@
-// Package admission limits how many jobs a member that has just rejoined has in flight, growing
-// the limit as fast as the runners serve what it sends. At that point the member knows neither how
-// full the runners are nor what other rejoining members send. A window that grows by one with each
-// served job, and is halved when a runner rejects one (additive increase, multiplicative
-// decrease), finds the capacity without overflowing a runner's queue.
+// Package admission limits how many jobs a member that has just rejoined has in flight, and raises
+// the limit as fast as the runners serve the jobs. At that point the member knows neither the load
+// of the runners nor what other rejoining members send. A window that grows by one with each served
+// job and is halved when a runner rejects one (additive increase, multiplicative decrease) finds
+// the capacity without overflowing a runner's queue.
 //
 // The dispatcher's core owns a Limiter and package rejoin sets its level. The package is pure: it
 // does no I/O and reads no clock; times are durations on the caller's monotonic clock. A Limiter
@@ -12,46 +12,47 @@
 import "time"
 
 const (
-	// minWindow is the smallest window, in jobs in flight.
+	// minWindow is the smallest window, in concurrent jobs.
 	minWindow = 4
-	// unrestrictedAfter is how many jobs in a row have to be served, with none rejected by the
-	// limiter, before the window counts as wide enough.
+	// unrestrictedAfter is the number of jobs that have to be served without a rejection by the
+	// limiter in between before the window counts as wide enough.
 	unrestrictedAfter = 32
-	// countInterval is the period over which rejected and served jobs are counted.
+	// countInterval is the period over which rejected and served jobs are counted, and the time
+	// after which a window that was never too narrow counts as wide enough.
 	countInterval = time.Second
-	// minRetryAfter is the shortest delay that a rejected client is given.
+	// minRetryAfter is the shortest retry delay that is given to a rejected client.
 	minRetryAfter = 50 * time.Millisecond
 )
 
-// Level is the limiter's mode.
+// Level is the mode of a Limiter.
 type Level uint8
 
 // The levels of a Limiter.
 const (
-	Unlimited Level = iota // admit every job; nothing is counted
+	Unlimited Level = iota // admit every job without counting it
 	Limited                // admit as many jobs as the window holds
 	Closed                 // admit no job
 )
 
-// Limiter is one member's admission limiter. The zero value is Unlimited.
+// Limiter is one member's admission limiter. The zero value has the level Unlimited.
 type Limiter struct {
 	level       Level
-	window      float64
-	inFlight    int // admitted under Limited and not ended
-	servedInRow int // served since the last rejection by the limiter
-	halvedAt    time.Duration
+	window      float64       // in concurrent jobs
+	inFlight    int           // jobs admitted at the level Limited that have not ended
+	servedInRow int           // jobs served since the last rejection by the limiter
+	halvedAt    time.Duration // when the window was last halved, or the level became Limited
 	limitedAt   time.Duration // when the window was last too narrow, or the level became Limited
 	countedFrom time.Duration // start of the current count interval
-	rejected    int
-	served      int
+	rejected    int           // by the limiter, in the count interval
+	served      int           // in the count interval
 }
 
 // SetLevel sets the level at time now. A change to Limited from another level starts with a new
-// window of first jobs, but at least minWindow; first is the caller's estimate of what the runners
-// bear from each live member.
-func (l *Limiter) SetLevel(level Level, first int, now time.Duration) {
+// window of initialWindow jobs, but at least minWindow; initialWindow is the caller's estimate of
+// how many concurrent jobs of each live member the runners can serve.
+func (l *Limiter) SetLevel(level Level, initialWindow int, now time.Duration) {
 	if level == Limited && l.level != Limited {
-		l.window, l.servedInRow, l.halvedAt, l.limitedAt = float64(max(first, minWindow)), 0, now, now
+		l.window, l.servedInRow, l.halvedAt, l.limitedAt = float64(max(initialWindow, minWindow)), 0, now, now
 	}
 	l.level = level
 }
@@ -59,8 +60,8 @@
 // Level returns the current level.
 func (l *Limiter) Level() Level { return l.level }
 
-// Admit decides on a job that arrives at time now. If counted is set, the caller must report the
-// job's end with JobEnded.
+// Admit decides whether to admit a job that arrives at time now. If counted is true, the caller
+// must report the job's end with JobEnded.
 func (l *Limiter) Admit(now time.Duration) (admitted, counted bool) {
 	switch {
 	case l.level == Unlimited:
@@ -86,8 +87,8 @@
 	}
 }
 
-// RunnerRejected records that a runner had no capacity for a job. The window is halved, at most
-// once in a tenth of countInterval, because jobs sent together are rejected together.
+// RunnerRejected records that a runner had no capacity for a job. It halves the window, but at most
+// once in a tenth of countInterval, because jobs that are sent together are rejected together.
 func (l *Limiter) RunnerRejected(now time.Duration) {
 	if l.level == Limited && now-l.halvedAt >= countInterval/10 {
 		l.halvedAt, l.limitedAt, l.window = now, now, max(l.window/2, minWindow)
@@ -95,27 +96,27 @@
 }
 
 // Unrestricted reports whether the window has been wide enough for all arriving jobs: for
-// unrestrictedAfter served jobs in a row or, at a lower rate, for a whole countInterval.
+// unrestrictedAfter served jobs in a row or, if jobs arrive more slowly, for a whole countInterval.
 func (l *Limiter) Unrestricted(now time.Duration) bool {
 	return l.level == Limited && (l.servedInRow >= unrestrictedAfter || now-l.limitedAt >= countInterval)
 }
 
-// RetryAfter returns the delay after which a rejected client may retry: the time in which as many
-// jobs are served as were rejected with it, at the recent rate. The delay is scaled by spread, a
-// random number in [0, 1), so that rejected clients do not all return at once. It is at least
-// minRetryAfter and at most maxAfter.
-func (l *Limiter) RetryAfter(spread float64, maxAfter, now time.Duration) time.Duration {
+// RetryAfter returns the delay after which a rejected client may retry: the time in which, at the
+// recent rate, as many jobs are served as were rejected recently. The delay is scaled by 0.5 plus
+// random, a random number in [0, 1), so that rejected clients do not all return at once. It is at
+// least minRetryAfter and at most maxAfter.
+func (l *Limiter) RetryAfter(random float64, maxAfter, now time.Duration) time.Duration {
 	l.rotateCounts(now)
 	after := maxAfter
 	if l.served > 0 {
 		after = time.Duration(float64(countInterval) * float64(l.rejected) / float64(l.served))
 	}
-	after = time.Duration(float64(min(after, maxAfter)) * (0.5 + spread))
-	return min(max(after, time.Duration(float64(minRetryAfter)*(1+spread))), maxAfter)
+	after = time.Duration(float64(min(after, maxAfter)) * (0.5 + random))
+	return min(max(after, time.Duration(float64(minRetryAfter)*(1+random))), maxAfter)
 }
 
-// rotateCounts starts a new count interval when the current one is over; the previous counts
-// continue at half their weight.
+// rotateCounts starts a new count interval if the current one has ended. The new counts start at
+// half of the previous ones.
 func (l *Limiter) rotateCounts(now time.Duration) {
 	if now-l.countedFrom >= countInterval {
 		l.countedFrom, l.rejected, l.served = now, l.rejected/2, l.served/2
--- a/internal/dispatcher/fleet/recovery/admission/limiter_test.go
+++ b/internal/dispatcher/fleet/recovery/admission/limiter_test.go
@@ -9,126 +9,129 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestLimiter follows one limiter from Closed to Unlimited.
+// TestLimiter checks one limiter through its levels: its window grows with served jobs, is halved
+// when runners reject jobs, and ends unrestricted.
 func TestLimiter(t *testing.T) {
-	var d Limiter
-	if in, counted := d.Admit(0); !in || counted {
-		t.Fatal("a door that nobody set is in the way")
+	var l Limiter
+	if admitted, counted := l.Admit(0); !admitted || counted {
+		t.Fatal("zero limiter rejects or counts a job, want it admitted and not counted")
 	}
-	d.SetLevel(Closed, 0, 0)
-	if in, _ := d.Admit(0); in {
-		t.Fatal("somebody came in at a closed door")
+	l.SetLevel(Closed, 0, 0)
+	if admitted, _ := l.Admit(0); admitted {
+		t.Fatal("closed limiter admits a job, want it rejected")
 	}
-	d.SetLevel(Limited, 4, 0)
-	in := 0
+	l.SetLevel(Limited, 4, 0)
+	admitted := 0
 	for range 10 {
-		if ok, _ := d.Admit(0); ok {
-			in++
+		if ok, _ := l.Admit(0); ok {
+			admitted++
 		}
 	}
-	if in != 4 {
-		t.Fatalf("%d came in, the window is 4", in)
+	if admitted != 4 {
+		t.Fatalf("got %d admitted jobs, want 4, the window", admitted)
 	}
 	for range 4 {
-		d.JobEnded(true, time.Millisecond)
+		l.JobEnded(true, time.Millisecond)
 	}
 	for range 10 {
-		if ok, _ := d.Admit(0); ok {
-			in++
+		if ok, _ := l.Admit(0); ok {
+			admitted++
 		}
 	}
-	if in != 4+8 {
-		t.Fatalf("%d came in after four were served, want 12: the window doubles with a round", in)
+	if admitted != 4+8 {
+		t.Fatalf("got %d admitted jobs after four were served, want 12: the window doubles per round", admitted)
 	}
-	d.RunnerRejected(time.Second)
-	d.RunnerRejected(time.Second + time.Millisecond)
-	if d.window != 4 {
-		t.Errorf("the window is %g after a round was turned away, want 4", d.window)
+	l.RunnerRejected(time.Second)
+	l.RunnerRejected(time.Second + time.Millisecond)
+	if l.window != 4 {
+		t.Errorf("got window %g after two rejections by runners in quick succession, want 4", l.window)
 	}
-	for d.inFlight > 0 {
-		d.JobEnded(true, time.Second)
+	for l.inFlight > 0 {
+		l.JobEnded(true, time.Second)
 	}
 	for i := range unrestrictedAfter {
-		if bears := d.Unrestricted(time.Second); bears != (i >= unrestrictedAfter-8) { // eight were served above without a refusal between
-			t.Fatalf("it bears what comes: %t after %d more", bears, i)
+		if unrestricted := l.Unrestricted(time.Second); unrestricted != (i >= unrestrictedAfter-8) { // eight were served above without a rejection by the limiter in between
+			t.Fatalf("got unrestricted %t after %d more served jobs, want the opposite", unrestricted, i)
 		}
-		d.Admit(time.Second)
-		d.JobEnded(true, time.Second)
+		l.Admit(time.Second)
+		l.JobEnded(true, time.Second)
 	}
 }
 
-// TestIdle checks that a limiter which rejected nothing for a whole interval counts as
-// unrestricted.
+// TestIdle checks that a limiter that has rejected nothing for a whole count interval counts as
+// unrestricted, even without served jobs.
 func TestIdle(t *testing.T) {
-	var d Limiter
-	d.SetLevel(Limited, 4, time.Second)
+	var l Limiter
+	l.SetLevel(Limited, 4, time.Second)
 	for _, tc := range []struct {
 		at   time.Duration
 		want bool
 	}{{time.Second, false}, {2*time.Second - 1, false}, {2 * time.Second, true}} {
-		if got := d.Unrestricted(tc.at); got != tc.want {
-			t.Errorf("after %s: %t", tc.at-time.Second, got)
+		if got := l.Unrestricted(tc.at); got != tc.want {
+			t.Errorf("after %s: got unrestricted %t, want the opposite", tc.at-time.Second, got)
 		}
 	}
 }
 
-// TestNeverPastItsWindow checks, for any sequence of arrivals and ends, that the jobs in flight
-// never exceed the window, and that the window never exceeds its start plus the served jobs.
-func TestNeverPastItsWindow(t *testing.T) {
+// TestWindowBounds checks, for any sequence of arrivals, ends and rejections, that a job is
+// admitted only if fewer jobs than the window are in flight, that the window never exceeds its
+// start plus the served jobs, and that retry delays stay within their bounds.
+func TestWindowBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var d Limiter
-		first := rapid.IntRange(0, 20).Draw(t, "first")
-		d.SetLevel(Limited, first, 0)
-		now, open, served := time.Duration(0), 0, 0
+		var l Limiter
+		initialWindow := rapid.IntRange(0, 20).Draw(t, "first")
+		l.SetLevel(Limited, initialWindow, 0)
+		now, inFlight, served := time.Duration(0), 0, 0
 		for range rapid.IntRange(1, 200).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond
 			switch rapid.IntRange(0, 3).Draw(t, "event") {
 			case 0, 1:
-				room := float64(open) < d.window
-				in, _ := d.Admit(now)
-				if in != room {
-					t.Fatalf("in %t with %d under way of %g", in, open, d.window)
+				hasRoom := float64(inFlight) < l.window
+				admitted, _ := l.Admit(now)
+				if admitted != hasRoom {
+					t.Fatalf("got admitted %t with %d jobs in flight and window %g, want the opposite", admitted, inFlight, l.window)
 				}
-				if in {
-					open++
+				if admitted {
+					inFlight++
 				}
 			case 2:
-				if open > 0 {
-					open--
-					ok := rapid.Bool().Draw(t, "served")
-					if ok {
+				if inFlight > 0 {
+					inFlight--
+					succeeded := rapid.Bool().Draw(t, "served")
+					if succeeded {
 						served++
 					}
-					d.JobEnded(ok, now)
+					l.JobEnded(succeeded, now)
 				}
 			case 3:
-				d.RunnerRejected(now)
+				l.RunnerRejected(now)
 			}
-			if d.window < minWindow || d.window > float64(max(first, minWindow)+served) {
-				t.Fatalf("the window is %g after %d were served", d.window, served)
+			if l.window < minWindow || l.window > float64(max(initialWindow, minWindow)+served) {
+				t.Fatalf("got window %g after %d served jobs, want at least minWindow and at most the start plus the served jobs", l.window, served)
 			}
-			most := 2 * time.Second
-			if after := d.RetryAfter(rapid.Float64Range(0, 1).Draw(t, "random"), most, now); after < minRetryAfter || after > most {
-				t.Fatalf("a client is told to come back after %s", after)
+			maxAfter := 2 * time.Second
+			if after := l.RetryAfter(rapid.Float64Range(0, 1).Draw(t, "random"), maxAfter, now); after < minRetryAfter || after > maxAfter {
+				t.Fatalf("got retry delay %s, want at least minRetryAfter and at most maxAfter", after)
 			}
 		}
 	})
 }
 
-// TestAfter has clients come back spread over the time in which as many are served.
-func TestAfter(t *testing.T) {
-	var d Limiter
-	d.SetLevel(Limited, 10, 0)
+// TestRetryAfter checks that the retry delays of rejected clients spread around the time in which
+// as many jobs are served.
+func TestRetryAfter(t *testing.T) {
+	var l Limiter
+	l.SetLevel(Limited, 10, 0)
 	for range 10 {
-		d.Admit(0)
-		d.JobEnded(true, 0)
+		l.Admit(0)
+		l.JobEnded(true, 0)
 	}
-	d.SetLevel(Closed, 0, 0)
+	l.SetLevel(Closed, 0, 0)
 	for range 20 {
-		d.Admit(0)
+		l.Admit(0)
 	}
-	lo, hi := d.RetryAfter(0, 10*time.Second, 0), d.RetryAfter(1, 10*time.Second, 0)
-	if lo != time.Second || hi != 3*time.Second {
-		t.Errorf("twenty refused and ten served a second: from %s to %s, want 1 s to 3 s", lo, hi)
+	shortest, longest := l.RetryAfter(0, 10*time.Second, 0), l.RetryAfter(1, 10*time.Second, 0)
+	if shortest != time.Second || longest != 3*time.Second {
+		t.Errorf("twenty rejected and ten served jobs: got retry delays from %s to %s, want 1 s to 3 s", shortest, longest)
 	}
 }
