--- a/internal/dispatcher/fleet/recovery/stage/stage_test.go
+++ b/internal/dispatcher/fleet/recovery/stage/stage_test.go
@@ -10,88 +10,89 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestStep checks that each stage is left on its evidence, or without it at its bound, and that
-// the list of runners is never skipped.
+// TestStep checks that each stage is left when its evidence is there or when its timeout has
+// passed, and that the member never advances without a list of runners.
 func TestStep(t *testing.T) {
 	all := Evidence{AddressesOpen: true, PeerAlive: true, Log: LogApplied, RunnersKnown: true, ReplicasCompared: true, Unrestricted: true}
 	for _, tc := range []struct {
-		name  string
-		after time.Duration
-		edit  func(*Evidence)
-		want  Stage
-		lacks bool // the last move was without evidence
+		name         string
+		after        time.Duration // since the start
+		edit         func(*Evidence)
+		want         Stage
+		wantTimedOut bool // of the last transition
 	}{
-		{"all at once", 0, func(*Evidence) {}, Full, false},
-		{"nothing is open", time.Hour, func(e *Evidence) { e.AddressesOpen = false }, Empty, false},
-		{"nobody has answered yet", time.Second, func(e *Evidence) { e.PeerAlive = false }, Listening, false},
-		{"nobody answers", 3 * time.Second, func(e *Evidence) { e.PeerAlive, e.Unrestricted = false, false }, Probation, false},
-		{"nobody is there", 0, func(e *Evidence) { e.PeerAlive, e.NoPeers = false, true }, Full, false},
-		{"the log's leader is not known yet", time.Second, func(e *Evidence) { e.Log = LogUnknown }, Joining, false},
-		{"the log has none", 3 * time.Second, func(e *Evidence) { e.Log, e.Unrestricted = LogUnknown, false }, Probation, false},
-		{"the log is behind", 4 * time.Second, func(e *Evidence) { e.Log = LogBehind }, CatchingUp, false},
-		{"the log stays behind", 6 * time.Second, func(e *Evidence) { e.Log, e.Unrestricted = LogBehind, false }, Probation, true},
-		{"the log is lost", 0, func(e *Evidence) { e.Log = LogLost }, Full, false},
-		{"nobody tells of runners", time.Hour, func(e *Evidence) { e.RunnersKnown = false }, CatchingUp, false},
-		{"copies are not compared", 4 * time.Second, func(e *Evidence) { e.ReplicasCompared = false }, CatchingUp, false},
-		{"the door is narrow", 9 * time.Second, func(e *Evidence) { e.Unrestricted = false }, Probation, false},
-		{"the door stays narrow", 11 * time.Second, func(e *Evidence) { e.Unrestricted = false }, Full, true},
+		{"all evidence at once", 0, func(*Evidence) {}, Full, false},
+		{"listeners are not open", time.Hour, func(e *Evidence) { e.AddressesOpen = false }, Empty, false},
+		{"no member has answered yet", time.Second, func(e *Evidence) { e.PeerAlive = false }, Listening, false},
+		{"no member answers until the timeout", 3 * time.Second, func(e *Evidence) { e.PeerAlive, e.Unrestricted = false, false }, Probation, false},
+		{"no other member exists", 0, func(e *Evidence) { e.PeerAlive, e.NoPeers = false, true }, Full, false},
+		{"state of the log is not known yet", time.Second, func(e *Evidence) { e.Log = LogUnknown }, Joining, false},
+		{"log has no leader until the timeout", 3 * time.Second, func(e *Evidence) { e.Log, e.Unrestricted = LogUnknown, false }, Probation, false},
+		{"log is behind", 4 * time.Second, func(e *Evidence) { e.Log = LogBehind }, CatchingUp, false},
+		{"log is behind until the timeout", 6 * time.Second, func(e *Evidence) { e.Log, e.Unrestricted = LogBehind, false }, Probation, true},
+		{"log is lost", 0, func(e *Evidence) { e.Log = LogLost }, Full, false},
+		{"no list of runners", time.Hour, func(e *Evidence) { e.RunnersKnown = false }, CatchingUp, false},
+		{"replicas are not compared", 4 * time.Second, func(e *Evidence) { e.ReplicasCompared = false }, CatchingUp, false},
+		{"admission window is too narrow", 9 * time.Second, func(e *Evidence) { e.Unrestricted = false }, Probation, false},
+		{"admission window is too narrow until the timeout", 11 * time.Second, func(e *Evidence) { e.Unrestricted = false }, Full, true},
 	} {
 		m, e := Machine{Bounds: Defaults()}, all
 		tc.edit(&e)
-		moves := append(m.Step(0, e), m.Step(tc.after, e)...)
+		transitions := append(m.Step(0, e), m.Step(tc.after, e)...)
 		if m.Stage() != tc.want {
-			t.Errorf("%s: %s, want %s", tc.name, m.Stage(), tc.want)
+			t.Errorf("%s: got stage %s, want %s", tc.name, m.Stage(), tc.want)
 		}
-		if n := len(moves); n > 0 && moves[n-1].TimedOut != tc.lacks {
-			t.Errorf("%s: the last move was %+v", tc.name, moves[n-1])
+		if n := len(transitions); n > 0 && transitions[n-1].TimedOut != tc.wantTimedOut {
+			t.Errorf("%s: got last transition %+v with an unexpected TimedOut", tc.name, transitions[n-1])
 		}
 		if (m.WaitsFor(e) == "") != (tc.want == Full) {
-			t.Errorf("%s: it waits for %q", tc.name, m.WaitsFor(e))
+			t.Errorf("%s: got WaitsFor %q, want it empty only at the stage Full", tc.name, m.WaitsFor(e))
 		}
 	}
 }
 
-// TestOrder checks, for any sequence of evidence and stalls, that stages follow one by one and
-// that a stalled process returns to CatchingUp.
+// TestOrder checks, for any sequence of evidence and stalls, that the machine advances one stage at
+// a time and only with the necessary evidence, and that a stalled process returns to CatchingUp.
 func TestOrder(t *testing.T) {
 	flag := rapid.Bool()
 	rapid.Check(t, func(t *rapid.T) {
 		m, now := Machine{Bounds: Defaults()}, time.Duration(0)
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now += time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond
-			was := m.Stage()
+			previous := m.Stage()
 			if rapid.IntRange(0, 9).Draw(t, "stall") == 0 {
-				if m.ProcessStalled(now); m.Stage() != min(was, CatchingUp) {
-					t.Fatalf("it woke %s as %s", was, m.Stage())
+				if m.ProcessStalled(now); m.Stage() != min(previous, CatchingUp) {
+					t.Fatalf("stage after a stall at %s is %s, want the earlier of that and CatchingUp", previous, m.Stage())
 				}
 				continue
 			}
 			e := Evidence{AddressesOpen: flag.Draw(t, "open"), PeerAlive: flag.Draw(t, "met"), NoPeers: flag.Draw(t, "nobody"), RunnersKnown: flag.Draw(t, "list"),
 				ReplicasCompared: flag.Draw(t, "copies"), Unrestricted: flag.Draw(t, "bears"), Log: Log(rapid.IntRange(0, int(LogLost)).Draw(t, "log"))}
-			for i, v := range m.Step(now, e) {
-				if v.From != was+Stage(i) || v.To != v.From+1 || v.Why == "" {
-					t.Fatalf("a move %+v from %s", v, was)
+			for i, transition := range m.Step(now, e) {
+				if transition.From != previous+Stage(i) || transition.To != transition.From+1 || transition.Why == "" {
+					t.Fatalf("got transition %+v from %s, want a reason and one stage at a time", transition, previous)
 				}
-				if r := m.Rights(e); !e.RunnersKnown && m.Stage() <= CatchingUp && r.Admission != AdmitNone {
-					t.Fatalf("without a list it may %+v", r)
+				if rights := m.Rights(e); !e.RunnersKnown && m.Stage() <= CatchingUp && rights.Admission != AdmitNone {
+					t.Fatalf("got rights %+v without a list of runners, want no admission", rights)
 				}
-				if v.From == Empty && !e.AddressesOpen || v.From == CatchingUp && !e.RunnersKnown {
-					t.Fatalf("%+v on %+v", v, e)
+				if transition.From == Empty && !e.AddressesOpen || transition.From == CatchingUp && !e.RunnersKnown {
+					t.Fatalf("got transition %+v without its evidence: %+v", transition, e)
 				}
 			}
-			if m.Stage() < was {
-				t.Fatalf("from %s back to %s", was, m.Stage())
+			if m.Stage() < previous {
+				t.Fatalf("stage went back from %s to %s", previous, m.Stage())
 			}
 		}
 	})
 }
 
-// TestRights checks that rights only grow from stage to stage.
+// TestRights checks that no right is lost from one stage to the next, and that Full has all of
+// them.
 func TestRights(t *testing.T) {
 	for s := Empty; s < Full; s++ {
 		a, b := s.Rights(), (s + 1).Rights()
 		if a.Admission > b.Admission || a.KeyedJobs && !b.KeyedJobs || a.OutcomesComplete && !b.OutcomesComplete || a.CountsPeers && !b.CountsPeers || a.RunsWorkflows && !b.RunsWorkflows {
-			t.Errorf("%s may %+v, %s %+v", s, a, s+1, b)
+			t.Errorf("stage %s has rights %+v, %s only %+v", s, a, s+1, b)
 		}
 	}
 	if diff := cmp.Diff(Rights{Admission: AdmitAll, KeyedJobs: true, OutcomesComplete: true, CountsPeers: true, RunsWorkflows: true}, Full.Rights()); diff != "" {
