--- a/internal/dispatcher/fleet/recovery/stage/stage.go
+++ b/internal/dispatcher/fleet/recovery/stage/stage.go
@@ -18,7 +18,7 @@
 
 // The stages, in order.
 const (
-	Empty      Stage = iota // its listeners are not open yet
+	Starting   Stage = iota // its listeners are not open yet
 	Listening               // its listeners are open; no other member is known
 	Joining                 // another member is alive, or there is none; the state of the log is unknown
 	CatchingUp              // it fetches the shared state from other members
@@ -58,7 +58,7 @@
 // Rights returns the rights in a stage if the list of runners is current; see Machine.Rights.
 func (s Stage) Rights() Rights {
 	switch s {
-	case Empty:
+	case Starting:
 		return Rights{}
 	case Probation:
 		return Rights{Admission: AdmitLimited, KeyedJobs: true, OutcomesComplete: true, CountsPeers: true}
@@ -164,7 +164,7 @@
 func (m *Machine) next(now time.Duration, e Evidence) (why string, timedOut, ok bool) {
 	timedOutAfter := func(timeout time.Duration) bool { return timeout > 0 && now-m.entered >= timeout }
 	switch m.stage {
-	case Empty:
+	case Starting:
 		return "its addresses are open", false, e.AddressesOpen
 	case Listening:
 		switch {
@@ -218,7 +218,7 @@
 // part of responses to operators and must not change.
 func (m *Machine) WaitsFor(e Evidence) string {
 	switch m.stage {
-	case Empty:
+	case Starting:
 		return "its addresses are not open"
 	case Listening:
 		return "no other member has answered"
--- a/internal/dispatcher/fleet/recovery/stage/stage_test.go
+++ b/internal/dispatcher/fleet/recovery/stage/stage_test.go
@@ -22,7 +22,7 @@
 		wantTimedOut bool // of the last transition
 	}{
 		{"all evidence at once", 0, func(*Evidence) {}, Full, false},
-		{"listeners are not open", time.Hour, func(e *Evidence) { e.AddressesOpen = false }, Empty, false},
+		{"listeners are not open", time.Hour, func(e *Evidence) { e.AddressesOpen = false }, Starting, false},
 		{"no member has answered yet", time.Second, func(e *Evidence) { e.PeerAlive = false }, Listening, false},
 		{"no member answers until the timeout", 3 * time.Second, func(e *Evidence) { e.PeerAlive, e.Unrestricted = false, false }, Probation, false},
 		{"no other member exists", 0, func(e *Evidence) { e.PeerAlive, e.NoPeers = false, true }, Full, false},
@@ -75,7 +75,7 @@
 				if rights := m.Rights(e); !e.RunnersKnown && m.Stage() <= CatchingUp && rights.Admission != AdmitNone {
 					t.Fatalf("got rights %+v without a list of runners, want no admission", rights)
 				}
-				if transition.From == Empty && !e.AddressesOpen || transition.From == CatchingUp && !e.RunnersKnown {
+				if transition.From == Starting && !e.AddressesOpen || transition.From == CatchingUp && !e.RunnersKnown {
 					t.Fatalf("got transition %+v without its evidence: %+v", transition, e)
 				}
 			}
@@ -89,7 +89,7 @@
 // TestRights checks that no right is lost from one stage to the next, and that Full has all of
 // them.
 func TestRights(t *testing.T) {
-	for s := Empty; s < Full; s++ {
+	for s := Starting; s < Full; s++ {
 		a, b := s.Rights(), (s + 1).Rights()
 		if a.Admission > b.Admission || a.KeyedJobs && !b.KeyedJobs || a.OutcomesComplete && !b.OutcomesComplete || a.CountsPeers && !b.CountsPeers || a.RunsWorkflows && !b.RunsWorkflows {
 			t.Errorf("stage %s has rights %+v, %s only %+v", s, a, s+1, b)
--- a/internal/dispatcher/fleet/rejoin/rejoin.go
+++ b/internal/dispatcher/fleet/rejoin/rejoin.go
@@ -118,7 +118,7 @@
 // New creates an actor; it does nothing until Run is called.
 func New(cfg Config, fleet Fleet, dispatcher Dispatcher, runners RunnerTable, log *logrus.Entry) *Actor {
 	a := &Actor{cfg: cfg, fleet: fleet, dispatcher: dispatcher, runners: runners, log: log, stalls: cfg.Stalls, mailbox: mailbox.New[func(*Actor)](), startedAt: time.Now(), renewed: true,
-		machine: stage.Machine{Bounds: cfg.Bounds}, status: Status{Stage: stage.Empty.String(), Sharers: cfg.Dispatchers}}
+		machine: stage.Machine{Bounds: cfg.Bounds}, status: Status{Stage: stage.Starting.String(), Sharers: cfg.Dispatchers}}
 	if cfg.Warm {
 		a.progress = core.RejoinProgress{Listed: 1, Unrestricted: true}
 		a.report(a.machine.Step(0, stage.Evidence{AddressesOpen: true, PeerAlive: true, Log: stage.LogApplied, RunnersKnown: true, ReplicasCompared: true, Unrestricted: true}))
--- a/internal/testkit/lab/faults/await.go
+++ b/internal/testkit/lab/faults/await.go
@@ -319,7 +319,7 @@
 		if s.String() == is {
 			return true
 		}
-		if s.String() == want || s == stage.Empty {
+		if s.String() == want || s == stage.Starting {
 			return s.String() == want && is == want
 		}
 	}
