--- a/internal/dispatcher/fleet/recovery/stage/stage.go
+++ b/internal/dispatcher/fleet/recovery/stage/stage.go
@@ -18,7 +18,7 @@
 
 // The stages, in order.
 const (
-	Starting   Stage = iota // its listeners are not open yet
+	Starting   Stage = iota // its listeners are not open yet; reported as "empty"
 	Listening               // its listeners are open; no other member is known
 	Joining                 // another member is alive, or there is none; the state of the log is unknown
 	CatchingUp              // it fetches the shared state from other members
