--- a/internal/dispatcher/fleet/replica/outcome.go
+++ b/internal/dispatcher/fleet/replica/outcome.go
@@ -6,25 +6,27 @@
 	"strings"
 )
 
-// Outcome records of keyed jobs: each has a single writer, one process of a member, and its scope
-// names the group that deduplicates the job together with that process. The records of several
-// dispatchers on one key therefore coexist, and a process whose own attempt has certainly not run
-// retracts its record without touching another's.
+// This file builds the outcome records of keyed jobs. Each record has a single writer, namely one
+// process of a member: the record's scope names that process and the group that deduplicates the
+// job. The records of several dispatchers on one job therefore coexist, and a process whose own
+// attempt certainly did not run can retract its record without touching another's.
 
-// OutcomeKey returns the key of the record that one process of a member keeps on a job and a
-// group.
+// OutcomeKey returns the key of the outcome record that a process writes for a job and a group.
+// name is the job's class and key, by the member's name and epoch the process's incarnation number.
 func OutcomeKey(name, group, by string, epoch uint64) Key {
-	return Key{JobOutcome, name, group + writer(by, epoch)}
+	return Key{JobOutcome, name, group + writerSuffix(by, epoch)}
 }
 
-func writer(by string, epoch uint64) string { return fmt.Sprintf("@%s/%x", by, epoch) }
+// writerSuffix returns the part of a record's scope that names its writer.
+func writerSuffix(by string, epoch uint64) string { return fmt.Sprintf("@%s/%x", by, epoch) }
 
-// Group returns the group that an outcome record is about.
-func (f *Fact) Group() string { return strings.TrimSuffix(f.Scope, writer(f.By, f.Epoch)) }
+// Group returns the group of an outcome record: its scope without the writer.
+func (f *Fact) Group() string { return strings.TrimSuffix(f.Scope, writerSuffix(f.By, f.Epoch)) }
 
-// RecordSending returns the record that a process writes before it sends a job; previous is its
-// current record, nil for none. The deduplication window, of window ms, begins with the first
-// attempt that may have run; Rev counts the attempts that rely on the record.
+// RecordSending returns the record that a process writes before it sends a job. previous is its
+// current record, nil for none; now is a Unix time in ms. The deduplication window lasts window ms
+// from the first attempt that may have run. Rev counts the attempts that rely on the record. A
+// record that is Done is returned as it is until its window ends.
 func RecordSending(previous *Fact, key Key, by string, epoch uint64, now, window int64) Fact {
 	f := Fact{Key: key, State: Sent, Rev: 1, At: now, Until: now + window, By: by, Epoch: epoch}
 	switch {
@@ -39,9 +41,9 @@
 	return f
 }
 
-// RecordNeverRan returns the record that a process writes when the attempt it sent has certainly
-// not run. It returns false if that is not certain of all attempts that rely on the previous
-// record.
+// RecordNeverRan returns the record that a process writes when its attempt certainly did not run,
+// which retracts the previous record. It returns false if there is no Sent record to retract, or if
+// another attempt, which may have run, relies on that record as well.
 func RecordNeverRan(previous *Fact) (Fact, bool) {
 	if previous == nil || previous.State != Sent || previous.Rev != 1 {
 		return Fact{}, false
@@ -51,8 +53,8 @@
 	return f, true
 }
 
-// RecordDone returns the record that a process writes when a job has run, with a digest of its
-// result.
+// RecordDone returns the record that a process writes when a job has run. sum is a digest of the
+// result; the other arguments are those of RecordSending. A record that is already Done is kept.
 func RecordDone(previous *Fact, key Key, by string, epoch uint64, now, window int64, sum string) Fact {
 	f := RecordSending(previous, key, by, epoch, now, window)
 	if f.State != Done {
@@ -61,8 +63,9 @@
 	return f
 }
 
-// BoundGroups returns the groups that a key is bound to according to its records, each as a fact
-// whose Scope is the group and whose At and Until are the earliest of the group's windows.
+// BoundGroups returns the groups in which a job may have run according to its outcome records, and
+// to which its retries are therefore bound. Each group is returned once, as a fact whose Scope is
+// the group and whose At and Until are the earliest of the group's records.
 func BoundGroups(facts []Fact) (out []Fact) {
 	for _, f := range facts {
 		if f.State == NeverRan {
