--- a/internal/dispatcher/fleet/members/delegates.go
+++ b/internal/dispatcher/fleet/members/delegates.go
@@ -9,34 +9,36 @@
 	"github.com/sirupsen/logrus"
 )
 
+// info returns a member's Info from memberlist's node.
 func info(n *memberlist.Node, status Status) Info {
 	i := Info{Name: n.Name, Addr: n.Address(), Status: status}
-	_ = json.Unmarshal(n.Meta, &i.Meta) // the metadata of an incompatible build is left empty
+	_ = json.Unmarshal(n.Meta, &i.Meta) // metadata of an incompatible build is ignored
 	return i
 }
 
-// broadcast is a queued update; it implements memberlist.NamedBroadcast.
+// broadcast is an update queued for gossip; it implements memberlist.NamedBroadcast.
 type broadcast struct {
 	key    string
 	update []byte
 }
 
-// Invalidates reports whether the update replaces another: a later one under the same key does.
+// Invalidates reports whether the update replaces an earlier one, which holds if their keys are
+// equal.
 func (b *broadcast) Invalidates(other memberlist.Broadcast) bool {
 	o, ok := other.(*broadcast)
 	return ok && o.key == b.key
 }
 
-// Name returns the key; memberlist keeps one update for each.
+// Name returns the update's key; memberlist queues one update per key.
 func (b *broadcast) Name() string { return b.key }
 
-// Message returns the update.
+// Message returns the update's bytes, which memberlist appends to a gossip packet.
 func (b *broadcast) Message() []byte { return b.update }
 
-// Finished does nothing.
+// Finished is called when the update is no longer queued, and does nothing.
 func (b *broadcast) Finished() {}
 
-// delegate implements memberlist.Delegate.
+// delegate implements memberlist.Delegate, which supplies metadata and updates to gossip.
 type delegate Members
 
 // NodeMeta returns the member's metadata as JSON, nil if it does not fit.
@@ -44,31 +46,33 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	text, err := json.Marshal(d.meta)
-	if err != nil || len(text) > min(limit, maxMetaSize) { // cannot happen: the settings limit the names
+	if err != nil || len(text) > min(limit, maxMetaSize) { // unreachable: settings limit the names
 		return nil
 	}
 	return text
 }
 
-// NotifyMsg passes a received update to the sink.
+// NotifyMsg passes a copy of a received update to the sink, as memberlist reuses the buffer.
 func (d *delegate) NotifyMsg(b []byte) { d.sink.UpdateReceived(slices.Clone(b)) }
 
-// GetBroadcasts returns queued updates for a packet.
+// GetBroadcasts returns queued updates for a packet: up to limit bytes, counting overhead bytes for
+// each update.
 func (d *delegate) GetBroadcasts(overhead, limit int) [][]byte {
 	return d.broadcasts.GetBroadcasts(overhead, limit)
 }
 
-// LocalState returns nothing: missing updates are fetched by comparing replicas.
+// LocalState adds no state to memberlist's push/pull exchanges: package cluster finds missing
+// updates by comparing replicas.
 func (d *delegate) LocalState(bool) []byte { return nil }
 
-// MergeRemoteState does nothing.
+// MergeRemoteState does nothing, as LocalState sends nothing.
 func (d *delegate) MergeRemoteState([]byte, bool) {}
 
-// events implements memberlist.EventDelegate.
-type events Members
+// eventDelegate implements memberlist.EventDelegate, which reports changes of the membership.
+type eventDelegate Members
 
-// NotifyJoin records a member that is new or has returned.
-func (e *events) NotifyJoin(n *memberlist.Node) {
+// NotifyJoin records a member that is new or has returned, and reports it to the sink.
+func (e *eventDelegate) NotifyJoin(n *memberlist.Node) {
 	i := info(n, Alive)
 	e.mu.Lock()
 	delete(e.departed, n.Name)
@@ -77,8 +81,9 @@
 	e.sink.Joined(i)
 }
 
-// NotifyLeave records a member that has left or failed.
-func (e *events) NotifyLeave(n *memberlist.Node) {
+// NotifyLeave records a member that has left or failed, and reports it to the sink. Beyond
+// maxDeparted, an arbitrary earlier one is forgotten.
+func (e *eventDelegate) NotifyLeave(n *memberlist.Node) {
 	i := info(n, Dead)
 	if i.Leaving {
 		i.Status = Departed
@@ -97,8 +102,8 @@
 	e.sink.Departed(i)
 }
 
-// NotifyUpdate records a member's new metadata.
-func (e *events) NotifyUpdate(n *memberlist.Node) {
+// NotifyUpdate records a member's new metadata, and reports it to the sink.
+func (e *eventDelegate) NotifyUpdate(n *memberlist.Node) {
 	i := info(n, Alive)
 	e.mu.Lock()
 	e.alive[n.Name] = i
@@ -106,20 +111,20 @@
 	e.sink.Changed(i)
 }
 
-// conflicts implements memberlist.ConflictDelegate.
-type conflicts Members
+// conflictDelegate implements memberlist.ConflictDelegate, which reports duplicate names.
+type conflictDelegate Members
 
-// NotifyConflict reports another member that uses a name in use.
-func (c *conflicts) NotifyConflict(existing, other *memberlist.Node) {
+// NotifyConflict reports to the sink that another member uses the name of an existing one.
+func (c *conflictDelegate) NotifyConflict(existing, other *memberlist.Node) {
 	c.sink.NameConflict(info(existing, Alive), info(other, Alive))
 }
 
-// debugWriter writes memberlist's log lines at debug level: they repeat while a member is away,
-// and the sink receives what matters.
+// debugWriter writes memberlist's log lines at debug level: they repeat while a member is
+// unreachable, and the events that matter reach the sink.
 type debugWriter struct{ log *logrus.Entry }
 
-// Write logs one line; it never fails.
-func (s debugWriter) Write(message []byte) (int, error) {
-	s.log.Debug(strings.TrimSpace(string(message)))
+// Write logs one line. It always succeeds.
+func (w debugWriter) Write(message []byte) (int, error) {
+	w.log.Debug(strings.TrimSpace(string(message)))
 	return len(message), nil
 }
--- a/internal/dispatcher/fleet/members/rtt.go
+++ b/internal/dispatcher/fleet/members/rtt.go
@@ -6,10 +6,11 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// rttEstimate estimates the round-trip time to a member from memberlist's probes: the smoothed
-// mean and the mean deviation, computed as TCP does (RFC 6298, sec. 2).
+// rttEstimate estimates the round-trip time to a member from memberlist's probes. It keeps a
+// smoothed mean and a mean deviation as TCP does (RFC 6298, sec. 2). The zero value has no samples.
 type rttEstimate struct{ mean, deviation time.Duration }
 
+// observe adds the duration of one probe.
 func (t *rttEstimate) observe(d time.Duration) {
 	d = max(d, 1)
 	if t.mean == 0 {
@@ -20,34 +21,34 @@
 	t.mean += (d - t.mean) / 8
 }
 
-// bound returns a time that nearly every round trip stays below; 0 if none was measured.
-func (t *rttEstimate) bound() time.Duration { return t.mean + 4*t.deviation }
+// upperBound returns a time that nearly all round trips stay below; 0 if there are no samples.
+func (t *rttEstimate) upperBound() time.Duration { return t.mean + 4*t.deviation }
 
-// pings implements memberlist.PingDelegate.
-type pings Members
+// pingDelegate implements memberlist.PingDelegate, which reports the durations of probes.
+type pingDelegate Members
 
-// AckPayload returns nothing.
-func (p *pings) AckPayload() []byte { return nil }
+// AckPayload adds nothing to the acknowledgements of probes.
+func (p *pingDelegate) AckPayload() []byte { return nil }
 
-// NotifyPingComplete records the duration of a probe.
-func (p *pings) NotifyPingComplete(n *memberlist.Node, duration time.Duration, _ []byte) {
+// NotifyPingComplete updates a live member's estimate with the duration of a probe.
+func (p *pingDelegate) NotifyPingComplete(n *memberlist.Node, duration time.Duration, _ []byte) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if _, ok := p.alive[n.Name]; !ok { // keeps the estimates to the live members
+	if _, ok := p.alive[n.Name]; !ok { // estimates are kept for live members only
 		return
 	}
-	t := p.rtts[n.Name]
-	if t == nil {
-		t = &rttEstimate{}
-		p.rtts[n.Name] = t
+	estimate := p.rtts[n.Name]
+	if estimate == nil {
+		estimate = &rttEstimate{}
+		p.rtts[n.Name] = estimate
 	}
-	t.observe(duration)
+	estimate.observe(duration)
 }
 
-// withRTT returns a member's entry with its round-trip time. The caller holds the lock.
+// withRTT returns a member's Info with its round-trip time. The caller holds m.mu.
 func (m *Members) withRTT(i Info) Info {
-	if t := m.rtts[i.Name]; t != nil {
-		i.RTT = t.bound()
+	if estimate := m.rtts[i.Name]; estimate != nil {
+		i.RTT = estimate.upperBound()
 	}
 	return i
 }
--- a/internal/dispatcher/fleet/members/transport.go
+++ b/internal/dispatcher/fleet/members/transport.go
@@ -10,8 +10,8 @@
 	"frosttide/internal/dispatcher/fleet/clusterport"
 )
 
-// transport implements memberlist.NodeAwareTransport on the port that the cluster's other
-// protocols share.
+// transport implements memberlist.NodeAwareTransport on the cluster port, which other protocols use
+// as well.
 type transport struct {
 	port    *clusterport.Port
 	packets chan *memberlist.Packet
@@ -19,6 +19,8 @@
 	closing chan struct{}
 }
 
+// newTransport returns a transport that forwards the port's packets and gossip connections to
+// memberlist until Shutdown.
 func newTransport(p *clusterport.Port) *transport {
 	t := &transport{port: p, packets: make(chan *memberlist.Packet), streams: make(chan net.Conn), closing: make(chan struct{})}
 	go func() {
@@ -52,38 +54,40 @@
 	return t
 }
 
-// FinalAdvertiseAddr returns the address that other members use.
+// FinalAdvertiseAddr returns the port's advertised address; the configured one is ignored.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) { return t.port.Host() }
 
-// WriteTo sends a packet.
+// WriteTo sends a packet to an address and returns the time of sending.
 func (t *transport) WriteTo(b []byte, addr string) (time.Time, error) {
 	return time.Now(), t.port.WriteTo(b, addr)
 }
 
-// WriteToAddress sends a packet.
+// WriteToAddress sends a packet to a member's address; its name is ignored.
 func (t *transport) WriteToAddress(b []byte, addr memberlist.Address) (time.Time, error) {
 	return t.WriteTo(b, addr.Addr)
 }
 
-// PacketCh returns the received packets.
+// PacketCh returns the channel of received packets.
 func (t *transport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 
-// DialTimeout connects to another member; memberlist passes a duration rather than a context.
+// DialTimeout opens a gossip connection to an address. memberlist passes a duration instead of a
+// context.
 func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(timeout))
 	defer cancel()
 	return t.port.Dial(ctx, clusterport.Gossip, addr)
 }
 
-// DialAddressTimeout connects to another member.
+// DialAddressTimeout opens a gossip connection to a member's address; its name is ignored.
 func (t *transport) DialAddressTimeout(addr memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(addr.Addr, timeout)
 }
 
-// StreamCh returns the accepted connections.
+// StreamCh returns the channel of accepted gossip connections.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// Shutdown ends the transport's goroutines. The port stays open; its owner closes it.
+// Shutdown stops forwarding packets and connections. The port stays open; the goroutine that
+// accepts connections ends once its owner closes it, or with the next connection.
 func (t *transport) Shutdown() error {
 	close(t.closing)
 	return nil
