--- a/internal/dispatcher/fleet/members/members_test.go
+++ b/internal/dispatcher/fleet/members/members_test.go
@@ -15,68 +15,74 @@
 
 const eventTimeout = 20 * time.Second
 
+// fakeSink passes the events on to channels.
 type fakeSink struct {
 	joined, departed, changed chan Info
 	updates                   chan string
 	conflicts                 chan [2]Info
 }
 
-func (h *fakeSink) Joined(i Info)                 { h.joined <- i }
-func (h *fakeSink) Changed(i Info)                { h.changed <- i }
-func (h *fakeSink) Departed(i Info)               { h.departed <- i }
-func (h *fakeSink) UpdateReceived(update []byte)  { h.updates <- string(update) }
-func (h *fakeSink) NameConflict(mine, other Info) { h.conflicts <- [2]Info{mine, other} }
+func (s *fakeSink) Joined(i Info)                 { s.joined <- i }
+func (s *fakeSink) Changed(i Info)                { s.changed <- i }
+func (s *fakeSink) Departed(i Info)               { s.departed <- i }
+func (s *fakeSink) UpdateReceived(update []byte)  { s.updates <- string(update) }
+func (s *fakeSink) NameConflict(mine, other Info) { s.conflicts <- [2]Info{mine, other} }
 
+// member is a running member with its sink and port.
 type member struct {
 	*Members
 	sink *fakeSink
 	port *clusterport.Port
-	end  context.CancelFunc
+	stop context.CancelFunc
 }
 
-var next atomic.Int32
+// lastHost is the last octet of the latest loopback address that start chose, in 127.61.0.0/24.
+var lastHost atomic.Int32
 
+// start runs a member at addr, or at a loopback address of its own if addr is empty.
 func start(t *testing.T, name, addr string, seeds ...string) *member {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	if addr == "" {
-		addr = fmt.Sprintf("127.61.0.%d:0", next.Add(1))
+		addr = fmt.Sprintf("127.61.0.%d:0", lastHost.Add(1))
 	}
 	port, err := clusterport.Open(addr, "", logrus.NewEntry(log))
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &fakeSink{joined: make(chan Info, 64), departed: make(chan Info, 64), changed: make(chan Info, 64), updates: make(chan string, 4096), conflicts: make(chan [2]Info, 64)}
-	m, err := New(Config{Name: name, Seeds: seeds, Meta: Meta{Site: "a", Epoch: 1}}, port, h, logrus.NewEntry(log))
+	sink := &fakeSink{joined: make(chan Info, 64), departed: make(chan Info, 64), changed: make(chan Info, 64), updates: make(chan string, 4096), conflicts: make(chan [2]Info, 64)}
+	m, err := New(Config{Name: name, Seeds: seeds, Meta: Meta{Site: "a", Epoch: 1}}, port, sink, logrus.NewEntry(log))
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	go m.Run(ctx)
-	x := &member{Members: m, sink: h, port: port, end: cancel}
-	t.Cleanup(x.kill)
+	x := &member{Members: m, sink: sink, port: port, stop: cancel}
+	t.Cleanup(x.crash)
 	return x
 }
 
-// kill ends a member as a crash would.
-func (m *member) kill() {
-	m.end()
+// crash stops a member without announcing that.
+func (m *member) crash() {
+	m.stop()
 	m.Close()
 	m.port.Close()
 }
 
-func await[T any](t *testing.T, from <-chan T, what string, ok func(T) bool) T {
+// await returns the first event on a channel that matches; it fails the test if none comes within
+// eventTimeout. what describes the event.
+func await[T any](t *testing.T, events <-chan T, what string, matches func(T) bool) T {
 	t.Helper()
 	timeout := time.After(eventTimeout)
 	for {
 		select {
-		case v := <-from:
-			if ok(v) {
+		case v := <-events:
+			if matches(v) {
 				return v
 			}
 		case <-timeout:
-			t.Fatalf("no %s", what)
+			t.Fatalf("event not received within the timeout: %s", what)
 		}
 	}
 }
@@ -84,7 +90,8 @@
 func named(name string) func(Info) bool { return func(i Info) bool { return i.Name == name } }
 
 // TestMembers checks that members find each other and receive each other's updates, that a failure
-// is distinguished from a departure, and that a member may return at its old address.
+// is distinguished from an announced departure, and that a failed member can rejoin at its old
+// address.
 func TestMembers(t *testing.T) {
 	t.Parallel()
 	a := start(t, "a", "")
@@ -92,57 +99,57 @@
 	c := start(t, "c", "", a.port.Advertised())
 	for _, m := range []*member{a, b, c} {
 		seen := map[string]bool{}
-		await(t, m.sink.joined, "all three joined", func(i Info) bool { seen[i.Name] = true; return len(seen) == 3 })
+		await(t, m.sink.joined, "all three members joined", func(i Info) bool { seen[i.Name] = true; return len(seen) == 3 })
 	}
 	if !a.Broadcast("k", []byte("one")) || a.Broadcast("k", make([]byte, MaxUpdateSize+1)) {
-		t.Error("a short word was not said, or one that is too long was")
+		t.Error("Broadcast must accept a short update and reject one over MaxUpdateSize")
 	}
-	await(t, c.sink.updates, "word", func(w string) bool { return w == "one" })
+	await(t, c.sink.updates, "update from a", func(u string) bool { return u == "one" })
 	b.Update(func(m *Meta) { m.Draining = true })
-	if i := await(t, c.sink.changed, "change", named("b")); !i.Draining || i.Site != "a" {
-		t.Errorf("b is heard of as %+v", i)
+	if i := await(t, c.sink.changed, "metadata change of b", named("b")); !i.Draining || i.Site != "a" {
+		t.Errorf("got b's metadata as %+v, want draining at site a", i)
 	}
 	at := b.port.Advertised()
-	b.kill()
-	if i := await(t, a.sink.departed, "end of b", named("b")); i.Status != Dead {
-		t.Errorf("after a crash b is %s", i.Status)
+	b.crash()
+	if i := await(t, a.sink.departed, "failure of b", named("b")); i.Status != Dead {
+		t.Errorf("after a crash: got b's status %q, want dead", i.Status)
 	}
 	start(t, "b", at, c.port.Advertised())
-	await(t, a.sink.joined, "b back", named("b"))
+	await(t, a.sink.joined, "b rejoined", named("b"))
 	c.Leave()
-	if i := await(t, a.sink.departed, "farewell of c", named("c")); i.Status != Departed {
-		t.Errorf("after its farewell c is %s", i.Status)
+	if i := await(t, a.sink.departed, "departure of c", named("c")); i.Status != Departed {
+		t.Errorf("after Leave: got c's status %q, want left", i.Status)
 	}
 	if all := a.All(); len(all) != 3 || all[2].Status != Departed {
-		t.Errorf("a lists %+v", all)
+		t.Errorf("got members %+v, want three, the last with status left", all)
 	}
 }
 
-// TestClash checks that the first of two members with one name keeps it and learns of the
-// conflict.
-func TestClash(t *testing.T) {
+// TestNameConflict checks that of two members with one name the first keeps it, and that a name
+// conflict is reported.
+func TestNameConflict(t *testing.T) {
 	t.Parallel()
 	a := start(t, "a", "")
 	b := start(t, "b", "", a.port.Advertised())
-	await(t, a.sink.joined, "b", named("b"))
+	await(t, a.sink.joined, "b joined", named("b"))
 	other := start(t, "b", "", a.port.Advertised())
-	clash := await(t, a.sink.conflicts, "clash", func([2]Info) bool { return true })
-	if clash[0].Addr != b.port.Advertised() || clash[1].Addr != other.port.Advertised() {
-		t.Errorf("told of %+v", clash)
+	conflict := await(t, a.sink.conflicts, "name conflict", func([2]Info) bool { return true })
+	if conflict[0].Addr != b.port.Advertised() || conflict[1].Addr != other.port.Advertised() {
+		t.Errorf("got name conflict %+v, want b's address and then the other member's", conflict)
 	}
 }
 
-// TestGarbled checks that malformed packets and connections do no harm.
-func TestGarbled(t *testing.T) {
+// TestMalformedTraffic checks that a member keeps working after malformed packets and connections.
+func TestMalformedTraffic(t *testing.T) {
 	t.Parallel()
 	a := start(t, "a", "")
-	odd := start(t, "odd", "")
+	sender := start(t, "sender", "")
 	for _, text := range []string{"", "\x00", "\xff\xff\xff", "\x08\x00\x00\x00", string(make([]byte, 1300)), "{\"k\":1}"} {
-		if err := odd.port.WriteTo([]byte(text), a.port.Advertised()); err != nil {
+		if err := sender.port.WriteTo([]byte(text), a.port.Advertised()); err != nil {
 			t.Fatal(err)
 		}
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(eventTimeout))
-		c, err := odd.port.Dial(ctx, clusterport.Gossip, a.port.Advertised())
+		c, err := sender.port.Dial(ctx, clusterport.Gossip, a.port.Advertised())
 		cancel()
 		if err != nil {
 			t.Fatal(err)
@@ -153,5 +160,5 @@
 		c.Close()
 	}
 	start(t, "b", "", a.port.Advertised())
-	await(t, a.sink.joined, "b, after all that", named("b"))
+	await(t, a.sink.joined, "b joined after malformed traffic", named("b"))
 }
