--- a/internal/dispatcher/fleet/clusterport/port_test.go
+++ b/internal/dispatcher/fleet/clusterport/port_test.go
@@ -10,6 +10,7 @@
 	"github.com/sirupsen/logrus"
 )
 
+// open opens a port that is closed at the end of the test.
 func open(t *testing.T, listen string) *Port {
 	t.Helper()
 	log := logrus.New()
@@ -22,14 +23,15 @@
 	return p
 }
 
-// TestUses checks that each protocol receives its own connections from the caller's address, that
-// packets arrive, and that a connection of an unknown protocol is closed.
-func TestUses(t *testing.T) {
+// TestProtocols checks that each protocol's listener receives its own connections, that connections
+// and packets come from the sending port's IP address, and that a connection with an unknown
+// protocol byte is closed.
+func TestProtocols(t *testing.T) {
 	a, b := open(t, "127.60.0.1:0"), open(t, "127.60.0.2:0")
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(20*time.Second))
 	defer cancel()
-	for _, use := range []Use{Gossip, Log, Calls} {
-		c, err := a.Dial(ctx, use, b.Advertised())
+	for _, protocol := range []Protocol{Gossip, Log, Calls} {
+		c, err := a.Dial(ctx, protocol, b.Advertised())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,17 +39,17 @@
 		if _, err := c.Write([]byte("hello")); err != nil {
 			t.Fatal(err)
 		}
-		got, err := b.Listener(use).Accept()
+		got, err := b.Listener(protocol).Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer got.Close()
 		var text [5]byte
 		if _, err := io.ReadFull(got, text[:]); err != nil || string(text[:]) != "hello" {
-			t.Errorf("%c: read %q, %v", use, text, err)
+			t.Errorf("protocol %c: read %q, error %v; want hello", protocol, text, err)
 		}
 		if host, _, _ := net.SplitHostPort(got.RemoteAddr().String()); host != "127.60.0.1" {
-			t.Errorf("%c: the call comes from %s", use, host)
+			t.Errorf("protocol %c: connection comes from %s, want 127.60.0.1", protocol, host)
 		}
 	}
 	if err := a.WriteTo([]byte("packet"), b.Advertised()); err != nil {
@@ -56,27 +58,28 @@
 	select {
 	case p := <-b.Packets():
 		if string(p.Bytes) != "packet" || p.From.(*net.UDPAddr).IP.String() != "127.60.0.1" {
-			t.Errorf("packet %q from %v", p.Bytes, p.From)
+			t.Errorf("got packet %q from %v, want \"packet\" from 127.60.0.1", p.Bytes, p.From)
 		}
 	case <-ctx.Done():
-		t.Fatal("no packet")
+		t.Fatal("packet not received within the timeout")
 	}
-	odd, err := a.Dial(ctx, 'x', b.Advertised())
+	unknown, err := a.Dial(ctx, 'x', b.Advertised())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer odd.Close()
-	if _, err := odd.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection of no known use is kept")
+	defer unknown.Close()
+	if _, err := unknown.Read(make([]byte, 1)); err == nil {
+		t.Error("a connection with an unknown protocol byte was not closed")
 	}
 }
 
-// TestFlood checks that silent connections use no more than their places and release them when
-// they end.
-func TestFlood(t *testing.T) {
+// TestConnectionLimit checks that connections without a protocol byte count towards maxConns, that
+// a connection beyond that limit is closed, and that the places of closed connections are available
+// again.
+func TestConnectionLimit(t *testing.T) {
 	a, b := open(t, "127.60.0.3:0"), open(t, "127.60.0.4:0")
 	var all []net.Conn
-	for range places {
+	for range maxConns {
 		c, err := net.Dial("tcp", b.Advertised())
 		if err != nil {
 			t.Fatal(err)
@@ -84,20 +87,20 @@
 		defer c.Close()
 		all = append(all, c)
 	}
-	for b.open.Load() < places { // they are taken one after the other
+	for b.openConns.Load() < maxConns { // accepted one after the other
 	}
-	over, err := net.Dial("tcp", b.Advertised())
+	excess, err := net.Dial("tcp", b.Advertised())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer over.Close()
-	if _, err := over.Read(make([]byte, 1)); err == nil {
-		t.Error("one more than the places is kept")
+	defer excess.Close()
+	if _, err := excess.Read(make([]byte, 1)); err == nil {
+		t.Error("a connection beyond maxConns was not closed")
 	}
 	for _, c := range all {
 		c.Close()
 	}
-	for b.open.Load() > 0 { // their ends are noticed
+	for b.openConns.Load() > 0 { // the port reads the end of each
 	}
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(20*time.Second))
 	defer cancel()
