--- a/internal/dispatcher/fleet/rejoin/rejoin_test.go
+++ b/internal/dispatcher/fleet/rejoin/rejoin_test.go
@@ -14,55 +14,56 @@
 	"frosttide/internal/dispatcher/fleet/recovery/stage"
 )
 
-// member fakes the fleet, the core and the table of a member that receives all evidence at once.
-type member struct {
+// fakeMember fakes the fleet, the core and the runner table of a member for which all evidence is
+// available at once.
+type fakeMember struct {
 	t      *testing.T
 	mu     sync.Mutex
 	level  admission.Level
 	keyed  bool
-	stages chan stage.Stage
+	stages chan stage.Stage // the published stages
 }
 
-func (m *member) State(context.Context) (FleetState, bool) {
+func (m *fakeMember) State(context.Context) (FleetState, bool) {
 	return FleetState{PeerAlive: true, Log: stage.LogApplied, ReplicasCompared: true}, true
 }
 
-// SetStage checks a published stage against what the core was told before.
-func (m *member) SetStage(s stage.Stage) {
+// SetStage checks that the core was given the rights of a stage before the stage is published.
+func (m *fakeMember) SetStage(s stage.Stage) {
 	m.mu.Lock()
 	level, keyed := m.level, m.keyed
 	m.mu.Unlock()
 	if s.Rights().KeyedJobs && !keyed || s.Rights().Admission == stage.AdmitAll && level != admission.Unlimited {
-		m.t.Errorf("it says that it is at %q, its core has a door at %v and keyed jobs %t", s, level, keyed)
+		m.t.Errorf("published stage %q while the core has admission level %v and keyed jobs %t; want the stage's rights applied first", s, level, keyed)
 	}
 	m.stages <- s
 }
 
-func (m *member) SetAdmission(level admission.Level, keyed bool, _, _ int) {
+func (m *fakeMember) SetAdmission(level admission.Level, keyed bool, _, _ int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.level, m.keyed = level, keyed
 }
 
-func (m *member) RejoinProgress(to func(core.RejoinProgress)) {
-	to(core.RejoinProgress{Listed: 4, Unrestricted: true})
+func (m *fakeMember) RejoinProgress(receive func(core.RejoinProgress)) {
+	receive(core.RejoinProgress{Listed: 4, Unrestricted: true})
 }
-func (m *member) SetWarmUpPeers(int) {}
-func (m *member) CompareReplicas()   {}
-func (m *member) Renew(done func())  { done() }
+func (m *fakeMember) SetWarmUpPeers(int) {}
+func (m *fakeMember) CompareReplicas()   {}
+func (m *fakeMember) Renew(done func())  { done() }
 
-// TestStageIsTrue protects the clients of a rejoined member: one that has seen the published stage
-// and sends it a keyed job must not be rejected because the core does not act by the stage yet.
+// TestStageIsTrue checks that a stage is published only after the core was given its rights.
+// Otherwise the core could reject a keyed job of a client that has seen the published stage.
 func TestStageIsTrue(t *testing.T) {
-	m := &member{t: t, level: admission.Closed, stages: make(chan stage.Stage, 16)}
+	m := &fakeMember{t: t, level: admission.Closed, stages: make(chan stage.Stage, 16)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	a := New(Config{Dispatchers: 3, Paced: true, Bounds: stage.Defaults()}, m, m, m, logrus.NewEntry(log))
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(10*time.Second))
 	defer cancel()
-	over := make(chan struct{})
+	runEnded := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(runEnded)
 		a.Run(ctx)
 	}()
 	seen := map[stage.Stage]bool{}
@@ -70,13 +71,13 @@
 		select {
 		case s := <-m.stages:
 			seen[s] = true
-		case <-over:
-			t.Fatalf("it has come as far as %v", seen)
+		case <-runEnded:
+			t.Fatalf("Run ended before the full stage was published; published: %v", seen)
 		}
 	}
 	cancel()
-	<-over
+	<-runEnded
 	if !seen[stage.Probation] {
-		t.Errorf("it was never at probation: %v", seen)
+		t.Errorf("got published stages %v, want probation among them", seen)
 	}
 }
