--- a/internal/dispatcher/fleet/cluster/calls.go
+++ b/internal/dispatcher/fleet/cluster/calls.go
@@ -47,14 +47,14 @@
 	go func() { _ = c.calls.Serve(c.port.Listener(clusterport.Calls)) }()
 }
 
-// call posts a value to another member as JSON and decodes its response. A response other than 200
-// is a *statusError.
-func (c *Cluster) call(ctx context.Context, addr, path string, body, into any) error {
-	text, err := json.Marshal(body)
+// call posts body to another member as JSON and decodes the response into result, which may be nil.
+// A response with a status other than 200 is returned as a *statusError.
+func (c *Cluster) call(ctx context.Context, addr, path string, body, result any) error {
+	encoded, err := json.Marshal(body)
 	if err != nil {
 		return fmt.Errorf("call: %w", err)
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(encoded))
 	if err != nil {
 		return fmt.Errorf("call: %w", err)
 	}
@@ -63,42 +63,43 @@
 		return fmt.Errorf("call: %w", err)
 	}
 	defer resp.Body.Close()
-	got, err := readAll(resp.Body, maxBodySize)
+	content, err := readAll(resp.Body, maxBodySize)
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return &statusError{resp.StatusCode, string(bytes.TrimSpace(got))}
+		return &statusError{resp.StatusCode, string(bytes.TrimSpace(content))}
 	}
-	if into == nil {
+	if result == nil {
 		return nil
 	}
-	if err := json.Unmarshal(got, into); err != nil {
+	if err := json.Unmarshal(content, result); err != nil {
 		return fmt.Errorf("call: %w", err)
 	}
 	return nil
 }
 
-// statusError is a response other than 200.
+// statusError is the error for a response with a status other than 200.
 type statusError struct {
-	status int
-	why    string
+	status  int
+	message string
 }
 
 // Error returns the response's body.
-func (r *statusError) Error() string { return r.why }
+func (r *statusError) Error() string { return r.message }
 
-// writeJSON writes a response.
+// writeJSON writes a value as a JSON response.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // the caller may have gone
+	_ = json.NewEncoder(w).Encode(v) // it fails only if the caller has disconnected
 }
 
-// readJSON decodes a request's body; it responds with 400 and returns false if that fails.
-func readJSON(w http.ResponseWriter, r *http.Request, into any) bool {
+// readJSON decodes a request's body into value; it responds with 400 and returns false if that
+// fails.
+func readJSON(w http.ResponseWriter, r *http.Request, value any) bool {
 	text, err := readAll(r.Body, maxBodySize)
 	if err == nil {
-		err = json.Unmarshal(text, into)
+		err = json.Unmarshal(text, value)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -107,9 +108,9 @@
 	return true
 }
 
-// forward lets the leader write an entry. It returns quorum.ErrNoLeader, possibly wrapped, if the
-// leader is unknown, was not reached or does not lead any more; an error wraps ledger.ErrUnclear if the
-// leader may have written the entry.
+// forward has the leader write an entry. It returns quorum.ErrNoLeader, possibly wrapped, if the
+// leader is unknown, could not be reached or is not the leader any more. An error wraps
+// ledger.ErrUnclear if the leader may have written the entry.
 func (c *Cluster) forward(ctx context.Context, e ledger.Entry) (ledger.Done, error) {
 	_, addr := c.quorum.Leader()
 	if addr == "" || addr == c.port.Advertised() {
@@ -117,15 +118,15 @@
 	}
 	var d ledger.Done
 	err := c.call(ctx, addr, "/v1/propose", e, &d)
-	var no *statusError
+	var rejected *statusError
 	switch {
 	case err == nil:
 		return d, nil
-	case errors.As(err, &no) && no.status == http.StatusMisdirectedRequest:
+	case errors.As(err, &rejected) && rejected.status == http.StatusMisdirectedRequest:
 		return d, quorum.ErrNoLeader
-	case errors.As(err, &no) && no.status == http.StatusPreconditionFailed:
+	case errors.As(err, &rejected) && rejected.status == http.StatusPreconditionFailed:
 		return d, err
-	case !errors.As(err, &no) && ctx.Err() == nil:
+	case !errors.As(err, &rejected) && ctx.Err() == nil:
 		return d, fmt.Errorf("%w: %w: the last one is not reached", ledger.ErrUnclear, quorum.ErrNoLeader)
 	}
 	return d, fmt.Errorf("%w: %w", ledger.ErrUnclear, err)
@@ -152,8 +153,9 @@
 	return index, err
 }
 
-// handlePropose writes another member's entry. It responds with 421 if this member does not lead,
-// with 412 if the entry was not written for another reason, and with 503 if it may be committed.
+// handlePropose writes an entry for another member. It responds with 421 if this member is not the
+// leader, with 412 if the entry was not written for another reason, and with 503 if it may be
+// committed.
 func (c *Cluster) handlePropose(w http.ResponseWriter, r *http.Request) {
 	var e ledger.Entry
 	if !readJSON(w, r, &e) {
--- a/internal/dispatcher/fleet/cluster/clock.go
+++ b/internal/dispatcher/fleet/cluster/clock.go
@@ -8,7 +8,8 @@
 	"frosttide/internal/dispatcher/monotime"
 )
 
-// memberClock is the member's fleet time; see package fleetclock. It is safe for concurrent use.
+// memberClock is the clock of the member's fleet time; see package fleetclock. It is safe for
+// concurrent use.
 type memberClock struct {
 	mu        sync.Mutex
 	startedAt time.Time
@@ -19,13 +20,14 @@
 	return &memberClock{startedAt: time.Now(), fleet: fleetclock.New(monotime.Wall(), 0)}
 }
 
-func (t *memberClock) steady() time.Duration { return time.Since(t.startedAt) }
+// monotonic returns the time since the start on the monotonic clock.
+func (t *memberClock) monotonic() time.Duration { return time.Since(t.startedAt) }
 
 // now returns the fleet time since 1970.
 func (t *memberClock) now() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fleet.Now(t.steady())
+	return t.fleet.Now(t.monotonic())
 }
 
 // forget drops the reading of a departed member, so that it does not count for the majority.
@@ -48,9 +50,9 @@
 		return
 	}
 	c.clock.mu.Lock()
-	by := c.clock.fleet.Observe(member, time.Duration(theirs)*time.Millisecond, sentAt, receivedAt)
+	correction := c.clock.fleet.Observe(member, time.Duration(theirs)*time.Millisecond, sentAt, receivedAt)
 	c.clock.mu.Unlock()
-	if by != 0 {
-		c.log.WithField("by", by.Round(time.Millisecond).String()).Warn("this machine's clock is wrong, by what most members agree on; the member goes by theirs")
+	if correction != 0 {
+		c.log.WithField("by", correction.Round(time.Millisecond).String()).Warn("this machine's clock is wrong, by what most members agree on; using their time")
 	}
 }
--- a/internal/dispatcher/fleet/cluster/cluster.go
+++ b/internal/dispatcher/fleet/cluster/cluster.go
@@ -3,8 +3,8 @@
 // keeps (package quorum), and observations of runners, gangs and keyed jobs through gossip and
 // pairwise comparison of replicas (packages members and replica).
 //
-// The dispatcher's command opens one Cluster and implements Dispatcher, the only way in which the
-// package knows the core. Invariants: a runner that an operator has excluded stays excluded until
+// The dispatcher's command opens one Cluster and implements Dispatcher, the package's only
+// interface to the core. Invariants: a runner that an operator has excluded stays excluded until
 // the log is known to include it again, and no callback blocks the actor.
 //
 // One goroutine, the actor, owns the replicas and the exclusions; other goroutines reach them
@@ -31,18 +31,18 @@
 	"frosttide/internal/mailbox"
 )
 
-// Sockets is the most file descriptors that a member uses.
+// Sockets is the maximum number of file descriptors that a member uses.
 const Sockets = clusterport.Sockets + diskFiles + maxDials
 
-// diskFiles is the number of descriptors of the log, a snapshot, and the files open while one is
-// written.
+// diskFiles is the number of file descriptors of the log, of a snapshot, and of the files that are
+// open while a snapshot is written.
 const diskFiles = 6
 
 const (
 	// compareInterval is the interval between comparisons of replicas with another member, and
-	// hurriedInterval the one after a comparison that was incomplete.
+	// catchUpInterval the one at the start and after an incomplete comparison.
 	compareInterval = time.Second
-	hurriedInterval = 100 * time.Millisecond
+	catchUpInterval = 100 * time.Millisecond
 	// expireInterval is the interval at which expired facts are dropped.
 	expireInterval = time.Second
 )
@@ -53,13 +53,13 @@
 	Site         string
 	Build        string
 	Listen       string
-	Advertise    string   // address that others use; empty for the same
+	Advertise    string   // address at which the others reach this member; empty for Listen
 	Join         []string // addresses of other members
 	Voters       []string // names of the voting members
-	Dir          string   // folder of the log; empty for none
-	WatermarkDir string   // another folder, for the log's watermark; empty for none
+	Dir          string   // folder of the log; empty for a member without a log
+	WatermarkDir string   // another folder, for the log's watermark; empty for no watermark
 	Source       string   // initial name of the discovery whose versions order the list of runners
-	Excluded     []string // runners that the dispatcher excludes at its start, from its own stored state
+	Excluded     []string // runners that the dispatcher excludes already, from its own stored state
 }
 
 // Dispatcher is the dispatcher that the member serves. No method may block.
@@ -76,7 +76,7 @@
 	ApplyGang(report []byte)
 }
 
-// Cluster is a dispatcher's membership; Open creates it.
+// Cluster is a dispatcher's membership in a cluster; Open creates it.
 type Cluster struct {
 	cfg            Config
 	log            *logrus.Entry
@@ -91,29 +91,31 @@
 	cancel         context.CancelFunc
 	goroutines     sync.WaitGroup
 	peers          map[string]*peer // by address
-	nameTaken      atomic.Bool      // another member had this one's name first
-	pendingUpdates atomic.Int64     // received updates that wait for the actor
-	droppedUpdates atomic.Uint64    // updates dropped because too many were waiting
+	nameTaken      atomic.Bool      // an earlier member has the same name
+	pendingUpdates atomic.Int64     // received updates that are queued for the actor
+	droppedUpdates atomic.Uint64    // updates dropped because too many were queued
 	rejoinStatus   atomic.Pointer[func() rejoin.Status]
 	clock          *memberClock
 	unseenAddrs    refusedAddrs
-	informed       atomic.Bool   // replicas were compared with an earlier member's, or with any member's if there was no earlier one
-	compareNow     chan struct{} // triggers a comparison
+	// replicasCompared is set once the replicas were compared with an earlier member's, or with any
+	// member's if there was no earlier one.
+	replicasCompared atomic.Bool
+	compareNow       chan struct{} // triggers a comparison
 
 	store            *replica.Store
-	source           string               // discovery whose versions order the list
+	source           string               // discovery whose versions order the list of runners
 	generation       uint64               // restarts of the source's versions, as known here
-	latestGeneration uint64               // the most restarts known to any member
-	ownRunners       map[string]ownRunner // the list from the own discovery, by UID
+	latestGeneration uint64               // highest generation that any member has published
+	ownRunners       map[string]ownRunner // runners that the own discovery has listed, by UID
 	excluded         map[string]bool
 	exclusionFiles   *exclusionWriter
-	logIndex         uint64                  // last applied entry on a runner
-	agreedAhead      map[string]uint64       // committed entries that the log has not brought here yet, by runner
+	logIndex         uint64                  // index of the last applied entry on a runner
+	appliedAhead     map[string]uint64       // indexes of entries applied ahead of the local log, by runner
 	startWatermark   *mark.Watermark         // the watermark at the start; nil for none
 	undelivered      []replica.Fact          // facts merged since the dispatcher was last called
 	publishedHealth  map[string]healthReport // health that this member published last, by runner
-	leaderLast       uint64                  // last index of the leader's log when it was queried; 0 if unknown
-	reconciled       bool                    // the exclusions at the start were checked against the log
+	leaderLast       uint64                  // last index of the leader's log as queried; 0 if unknown
+	reconciled       bool                    // exclusions at the start were reconciled with the log
 	counts           counts
 	differingBuckets int // at the last comparison
 	syncedAt         time.Time
@@ -131,8 +133,8 @@
 	Received, Accepted, Rejected, Conflicts, Compared, Failed uint64
 }
 
-// Open opens the member's address and folder, and starts its goroutines, which end with Close. Its
-// errors name what could not be opened.
+// Open opens the member's address and folder, and starts its goroutines, which end with Close. An
+// error names what could not be opened.
 func Open(cfg Config, dispatcher Dispatcher, log *logrus.Entry) (*Cluster, error) {
 	port, err := clusterport.Open(cfg.Listen, cfg.Advertise, log)
 	if err != nil {
@@ -140,9 +142,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Cluster{cfg: cfg, log: log, dispatcher: dispatcher, port: port, mailbox: mailbox.New[func(*Cluster)](), ctx: ctx, cancel: cancel, source: cfg.Source, peers: map[string]*peer{},
-		store: replica.New(replica.DefaultBounds()), ownRunners: map[string]ownRunner{}, publishedHealth: map[string]healthReport{}, excluded: map[string]bool{}, exclusionFiles: newExclusionWriter(cfg.Dir, cfg.WatermarkDir, log), agreedAhead: map[string]uint64{}, startedAt: time.Now(), clock: newMemberClock(),
+		store: replica.New(replica.DefaultBounds()), ownRunners: map[string]ownRunner{}, publishedHealth: map[string]healthReport{}, excluded: map[string]bool{}, exclusionFiles: newExclusionWriter(cfg.Dir, cfg.WatermarkDir, log), appliedAhead: map[string]uint64{}, startedAt: time.Now(), clock: newMemberClock(),
 		unseenAddrs: refusedAddrs{refused: map[string]bool{}}, compareNow: make(chan struct{}, 1)}
-	restate, err := c.restoreExclusions()
+	initialEntries, err := c.restoreExclusions()
 	if err != nil {
 		cancel()
 		port.Close()
@@ -163,7 +165,7 @@
 		return nil, err
 	}
 	quorumConfig := quorum.Config{Name: cfg.Name, Disk: disk, Voters: cfg.Voters, Seeds: cfg.Join, KnownIndex: c.knownIndexOf, Refuses: c.refuses,
-		InitialEntries: restate, OnInitialEntries: c.removeRestateFile}
+		InitialEntries: initialEntries, OnInitialEntries: c.removeInitialExclusions}
 	if c.quorum, err = quorum.Open(quorumConfig, port, c.members.Alive, (*logSink)(c), log); err != nil {
 		cancel()
 		c.members.Close()
@@ -182,8 +184,8 @@
 	return c, nil
 }
 
-// openDisk opens the disk of the member's log, nil for a member that keeps none, and returns what the member publishes
-// about itself from its first message on.
+// openDisk opens the disk of the member's log, nil for a member without a log, and returns the
+// metadata that the member publishes from its first message on.
 func (c *Cluster) openDisk() (disk *quorum.Disk, meta members.Meta, err error) {
 	meta = members.Meta{Site: c.cfg.Site, Build: c.cfg.Build, Epoch: uint64(c.startedAt.UnixMilli())}
 	if c.startWatermark != nil {
@@ -203,13 +205,13 @@
 	return disk, meta, nil
 }
 
-// Close ends the membership. With farewell the departure is announced to the others; without it a
-// successor process takes the member's place at once. Close takes up to about closeTimeout for
-// each part.
-func (c *Cluster) Close(farewell bool) {
+// Close ends the membership. With announce it tells the other members that this one leaves; without
+// it a successor process takes the member's place at once. Close takes up to about closeTimeout for
+// each component.
+func (c *Cluster) Close(announce bool) {
 	c.cancel()
 	c.quorum.Close()
-	if farewell {
+	if announce {
 		c.members.Leave()
 	} else {
 		c.members.Close()
@@ -217,22 +219,22 @@
 	_ = c.calls.Close()
 	c.http.CloseIdleConnections()
 	c.port.Close()
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
 		c.goroutines.Wait()
-		close(ended)
+		close(done)
 	}()
 	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
-	case <-ended:
+	case <-done:
 	case <-timer.C:
-		c.log.Warn("a part of the member stands still and is left")
+		c.log.Warn("goroutines of the cluster member are blocked; closing without waiting for them")
 	}
 }
 
-// closeTimeout bounds the wait for the goroutines, so that a log that waits for its disk cannot
-// keep the process from ending.
+// closeTimeout bounds the wait for the goroutines, so that a log whose disk is blocked cannot keep
+// the process from exiting.
 const closeTimeout = time.Second
 
 // SetDraining announces to the others that the dispatcher is draining.
@@ -240,7 +242,7 @@
 
 // run is the actor: it executes the functions from the mailbox until ctx ends.
 func (c *Cluster) run(ctx context.Context) {
-	var mail []func(*Cluster)
+	var messages []func(*Cluster)
 	expire := time.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
@@ -252,29 +254,29 @@
 			c.store.Expire(c.now())
 			c.reconcileExclusions()
 		}
-		mail = c.mailbox.Drain(mail[:0])
-		for i, message := range mail {
+		messages = c.mailbox.Drain(messages[:0])
+		for i, message := range messages {
 			message(c)
-			mail[i] = nil
+			messages[i] = nil
 		}
 		c.deliver()
 	}
 }
 
-// query runs a function in the actor and returns its result; false if ctx ends first.
-func query[T any](ctx context.Context, c *Cluster, request func(*Cluster) T) (T, bool) {
-	got := make(chan T, 1)
-	c.mailbox.Put(func(c *Cluster) { got <- request(c) })
+// query runs f in the actor and returns its result; false if ctx ends first.
+func query[T any](ctx context.Context, c *Cluster, f func(*Cluster) T) (T, bool) {
+	result := make(chan T, 1)
+	c.mailbox.Put(func(c *Cluster) { result <- f(c) })
 	select {
-	case v := <-got:
+	case v := <-result:
 		return v, true
 	case <-ctx.Done():
-		var none T
-		return none, false
+		var zero T
+		return zero, false
 	}
 }
 
-// exchangeTimeout bounds an exchange with another member.
+// exchangeTimeout bounds a comparison with another member, and a call that another member makes.
 const exchangeTimeout = 2 * time.Second
 
 // readAll reads a body of at most limit bytes; a longer one is an error.
--- a/internal/dispatcher/fleet/cluster/compare.go
+++ b/internal/dispatcher/fleet/cluster/compare.go
@@ -14,9 +14,9 @@
 	"frosttide/internal/dispatcher/fleet/replica"
 )
 
-// compare compares the replicas with another member's periodically until ctx ends.
+// compare periodically compares the replicas with those of another member until ctx ends.
 func (c *Cluster) compare(ctx context.Context) {
-	wait := hurriedInterval
+	wait := catchUpInterval
 	for {
 		t := time.NewTimer(jitter(wait))
 		select {
@@ -32,44 +32,44 @@
 		if len(others) == 0 {
 			continue
 		}
-		informed := c.informed.Load()
-		with, complete := c.donor(others, informed)
-		more, err := c.compareWith(ctx, with)
+		compared := c.replicasCompared.Load()
+		other, complete := c.donor(others, compared)
+		more, err := c.compareWith(ctx, other)
 		if err != nil {
 			c.mailbox.Put(func(c *Cluster) { c.counts.Failed++ })
-			c.log.WithError(err).WithField("member", with.Name).Debug("copies were not compared")
+			c.log.WithError(err).WithField("member", other.Name).Debug("comparing copies with another member failed")
 		}
-		if !informed && complete && err == nil && !more {
-			c.informed.Store(true)
+		if !compared && complete && err == nil && !more {
+			c.replicasCompared.Store(true)
 		}
-		if more || !informed && err != nil {
-			wait = hurriedInterval
+		if more || !compared && err != nil {
+			wait = catchUpInterval
 		}
 	}
 }
 
-// donor returns the member to compare replicas with next: a random one once this member is
-// informed. Before, it is the one that has run longest among the members that have rejoined in
-// full, or else among those that started before this one. complete is set if the replicas of the
-// returned member are complete.
-func (c *Cluster) donor(others []members.Info, informed bool) (with members.Info, complete bool) {
-	with = others[rand.IntN(len(others))]
-	if informed {
-		return with, true
-	}
-	pool := slices.DeleteFunc(slices.Clone(others), func(i members.Info) bool { return !outcomesComplete(i) })
-	mine := ^uint64(0) // any rejoined member knows more than this one
-	if len(pool) == 0 {
-		pool, mine = others, c.epoch()
-	}
-	epochs := make([]uint64, len(pool))
-	for i, o := range pool {
+// donor returns the member to compare replicas with next. Once this member's replicas have been
+// compared, it is a random one. Before, it is the one that has run longest among the members that
+// have fully rejoined, or else among those that started before this one. complete is set if the
+// replicas of the returned member are complete.
+func (c *Cluster) donor(others []members.Info, compared bool) (donor members.Info, complete bool) {
+	donor = others[rand.IntN(len(others))]
+	if compared {
+		return donor, true
+	}
+	candidates := slices.DeleteFunc(slices.Clone(others), func(i members.Info) bool { return !outcomesComplete(i) })
+	epochLimit := ^uint64(0) // any rejoined member has more complete replicas than this one
+	if len(candidates) == 0 {
+		candidates, epochLimit = others, c.epoch()
+	}
+	epochs := make([]uint64, len(candidates))
+	for i, o := range candidates {
 		epochs[i] = o.Epoch
 	}
-	if at := recovery.Donor(mine, epochs); at >= 0 {
-		return pool[at], true
+	if at := recovery.Donor(epochLimit, epochs); at >= 0 {
+		return candidates[at], true
 	}
-	return with, true // all members restarted together
+	return donor, true // all members restarted together
 }
 
 // comparison is the response to a digest: the responder's facts in the buckets that differ, up to
@@ -84,26 +84,26 @@
 
 // handleCompare responds to a digest.
 func (c *Cluster) handleCompare(w http.ResponseWriter, r *http.Request) {
-	var theirs replica.Digest
-	if !readJSON(w, r, &theirs) {
+	var digest replica.Digest
+	if !readJSON(w, r, &digest) {
 		return
 	}
-	got, ok := query(r.Context(), c, func(c *Cluster) comparison {
-		a := comparison{Differ: c.store.DifferingBuckets(theirs, c.now()), Digest: c.store.Digest(), Now: c.now()}
-		a.Sent, a.Facts = c.selectBuckets(a.Differ)
-		return a
+	response, ok := query(r.Context(), c, func(c *Cluster) comparison {
+		result := comparison{Differ: c.store.DifferingBuckets(digest, c.now()), Digest: c.store.Digest(), Now: c.now()}
+		result.Sent, result.Facts = c.selectBuckets(result.Differ)
+		return result
 	})
 	if !ok {
 		return
 	}
-	writeJSON(w, got)
+	writeJSON(w, response)
 }
 
 // factSize returns the approximate size of a fact as JSON, in bytes.
 func factSize(f *replica.Fact) int { return 160 + len(f.Name) + len(f.Scope) + len(f.Entry) }
 
 // selectBuckets returns as many of the buckets, with their facts, as fit into an exchange. Each
-// exchange starts with another bucket, so that none is left out for ever.
+// exchange starts with another bucket, so that none is starved.
 func (c *Cluster) selectBuckets(buckets []int) (sent []int, out []replica.Fact) {
 	size := 0
 	for i := range buckets {
@@ -123,8 +123,8 @@
 	return sent, out
 }
 
-// firstBucket returns the position at which an exchange of n buckets starts; it is constant within
-// an exchange.
+// firstBucket returns the index at which an exchange of n buckets starts; it is constant within an
+// exchange.
 func (c *Cluster) firstBucket(n int) int { return int(c.counts.Compared*31) % n }
 
 // handleFacts merges facts that another member sends.
@@ -144,51 +144,51 @@
 	}
 }
 
-// compareWith reconciles the replicas with another member's, as far as one exchange goes; more is
-// set if it did not suffice.
-func (c *Cluster) compareWith(ctx context.Context, with members.Info) (more bool, err error) {
+// compareWith reconciles the replicas with those of another member, as far as the size of one
+// exchange allows; more is set if differences remain.
+func (c *Cluster) compareWith(ctx context.Context, other members.Info) (more bool, err error) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(exchangeTimeout))
 	defer cancel()
-	mine, ok := query(ctx, c, func(c *Cluster) replica.Digest { c.counts.Compared++; return c.store.Digest() })
+	digest, ok := query(ctx, c, func(c *Cluster) replica.Digest { c.counts.Compared++; return c.store.Digest() })
 	if !ok {
 		return false, ctx.Err()
 	}
-	var a comparison
-	asked := c.clock.steady()
-	if err := c.call(ctx, with.Addr, "/v1/compare", mine, &a); err != nil {
+	var response comparison
+	sentAt := c.clock.monotonic()
+	if err := c.call(ctx, other.Addr, "/v1/compare", digest, &response); err != nil {
 		return false, err
 	}
-	c.observeClock(with.Name, a.Now, asked, c.clock.steady())
-	back, ok := query(ctx, c, func(c *Cluster) []replica.Fact { return c.mergeComparison(a, with.Name) })
+	c.observeClock(other.Name, response.Now, sentAt, c.clock.monotonic())
+	missing, ok := query(ctx, c, func(c *Cluster) []replica.Fact { return c.mergeComparison(response, other.Name) })
 	if !ok {
 		return false, ctx.Err()
 	}
 	n, size := 0, 0
-	for n < len(back) && size < maxExchangeSize {
-		size += factSize(&back[n])
+	for n < len(missing) && size < maxExchangeSize {
+		size += factSize(&missing[n])
 		n++
 	}
-	more = len(a.Sent) < len(a.Differ) || n < len(back)
+	more = len(response.Sent) < len(response.Differ) || n < len(missing)
 	if n == 0 {
 		return more, nil
 	}
-	return more, c.call(ctx, with.Addr, "/v1/facts", back[:n], nil)
+	return more, c.call(ctx, other.Addr, "/v1/facts", missing[:n], nil)
 }
 
-// mergeComparison merges the facts of a comparison and returns the own facts that the other member
-// lacks in the buckets that it sent. Only the actor calls it.
-func (c *Cluster) mergeComparison(a comparison, with string) []replica.Fact {
-	theirs := map[replica.Key]replica.Fact{}
-	for _, f := range a.Facts {
-		theirs[f.Key] = f
+// mergeComparison merges the facts of a comparison and returns this member's facts that the other
+// member lacks, or has in another version, in the buckets that it sent. Only the actor calls it.
+func (c *Cluster) mergeComparison(received comparison, member string) []replica.Fact {
+	remote := map[replica.Key]replica.Fact{}
+	for _, f := range received.Facts {
+		remote[f.Key] = f
 		c.merge(f)
 	}
-	c.store.DifferingBuckets(replica.Digest{Floors: a.Digest.Floors}, c.now())
-	c.comparisonDone(len(a.Differ), with)
+	c.store.DifferingBuckets(replica.Digest{Floors: received.Digest.Floors}, c.now())
+	c.comparisonDone(len(received.Differ), member)
 	var out []replica.Fact
-	for _, b := range a.Sent {
+	for _, b := range received.Sent {
 		for _, f := range c.store.Bucket(b) {
-			if t, ok := theirs[f.Key]; !ok || replica.Compare(&f, &t) != 0 {
+			if t, ok := remote[f.Key]; !ok || replica.Compare(&f, &t) != 0 {
 				out = append(out, f)
 			}
 		}
@@ -196,23 +196,23 @@
 	return out
 }
 
-// manyBuckets is how many buckets have to differ for the member to log that its replicas are
-// behind.
-const manyBuckets = replica.Buckets / 8
+// behindThreshold is the number of differing buckets from which on the member logs that its
+// replicas are behind.
+const behindThreshold = replica.Buckets / 8
 
 // comparisonDone records how many buckets differed in a comparison.
-func (c *Cluster) comparisonDone(differ int, with string) {
-	if differ >= manyBuckets && c.differingBuckets < manyBuckets {
-		c.log.WithFields(logrus.Fields{"member": with, "parts": differ, "of": replica.Buckets}).Info("copies are behind; they are fetched")
+func (c *Cluster) comparisonDone(differing int, member string) {
+	if differing >= behindThreshold && c.differingBuckets < behindThreshold {
+		c.log.WithFields(logrus.Fields{"member": member, "parts": differing, "of": replica.Buckets}).Info("copies are behind; fetching what differs")
 	}
-	if differ < manyBuckets && (c.differingBuckets >= manyBuckets || c.syncedAt.IsZero()) {
-		c.log.WithFields(logrus.Fields{"member": with, "after": time.Since(c.startedAt).Round(time.Millisecond).String()}).Info("copies have caught up")
+	if differing < behindThreshold && (c.differingBuckets >= behindThreshold || c.syncedAt.IsZero()) {
+		c.log.WithFields(logrus.Fields{"member": member, "after": time.Since(c.startedAt).Round(time.Millisecond).String()}).Info("copies have caught up")
 	}
-	c.differingBuckets = differ
-	if differ == 0 {
+	c.differingBuckets = differing
+	if differing == 0 {
 		c.syncedAt = time.Now()
 	}
 }
 
-// jitter returns a random duration around d, so that members do not call each other in step.
+// jitter returns a random duration in [d/2, 3d/2), so that the members' calls do not synchronise.
 func jitter(d time.Duration) time.Duration { return d/2 + rand.N(d) }
--- a/internal/dispatcher/fleet/cluster/console.go
+++ b/internal/dispatcher/fleet/cluster/console.go
@@ -18,20 +18,20 @@
 type ReplicaStatus struct {
 	Digest            string            `json:"digest"`
 	Stored            map[string]int    `json:"held"`
-	Dropped           map[string]uint64 `json:"dropped"` // facts dropped to keep the bounds
+	Dropped           map[string]uint64 `json:"dropped"` // facts dropped to stay within the store's bounds
 	Behind            int               `json:"behind"`  // buckets that differed at the last comparison
 	Synced            float64           `json:"synced"`  // seconds since a comparison found no difference; -1 for never
-	QueuedUpdates     int               `json:"waiting"` // updates not gossiped yet
+	QueuedUpdates     int               `json:"waiting"` // updates queued for gossip
 	Received          uint64            `json:"heard"`
 	Accepted          uint64            `json:"took"`
 	Rejected          uint64            `json:"refused"`
 	Conflicts         uint64            `json:"conflicts"`
 	FailedComparisons uint64            `json:"not_compared"`
 	Sent              uint64            `json:"sent_bytes"`   // bytes in UDP packets
-	Lost              uint64            `json:"lost_packets"` // packets and updates dropped because too many were waiting
+	Lost              uint64            `json:"lost_packets"` // packets and updates dropped because a queue was full
 }
 
-// Report is the member's status, for the console.
+// Report is the member's status, as the operators' console shows it.
 type Report struct {
 	Name     string         `json:"name"`
 	Members  []members.Info `json:"members"`
@@ -44,6 +44,7 @@
 // SetRejoinStatus sets the function that returns the rejoin progress.
 func (c *Cluster) SetRejoinStatus(status func() rejoin.Status) { c.rejoinStatus.Store(&status) }
 
+// kindNames are the names of the kinds of facts in a ReplicaStatus; kinds without one are left out.
 var kindNames = [replica.Kinds]string{replica.Runner: "runners", replica.Health: "health", replica.JobOutcome: "fates", replica.Gang: "gangs"}
 
 // Report returns the member's status; false if ctx ends first.
@@ -55,23 +56,24 @@
 	}
 	var ok bool
 	r.Replicas, ok = query(ctx, c, func(c *Cluster) ReplicaStatus {
-		k := ReplicaStatus{Digest: digestText(c.store.Digest()), Stored: map[string]int{}, Dropped: map[string]uint64{}, Behind: c.differingBuckets, Synced: -1,
+		status := ReplicaStatus{Digest: digestText(c.store.Digest()), Stored: map[string]int{}, Dropped: map[string]uint64{}, Behind: c.differingBuckets, Synced: -1,
 			QueuedUpdates: c.members.Queued(), Received: c.counts.Received, Accepted: c.counts.Accepted, Rejected: c.counts.Rejected, Conflicts: c.counts.Conflicts, FailedComparisons: c.counts.Failed}
 		for kind, name := range kindNames {
 			if name != "" {
-				k.Stored[name], k.Dropped[name] = c.store.Len(replica.Kind(kind))
+				status.Stored[name], status.Dropped[name] = c.store.Len(replica.Kind(kind))
 			}
 		}
 		if !c.syncedAt.IsZero() {
-			k.Synced = time.Since(c.syncedAt).Seconds()
+			status.Synced = time.Since(c.syncedAt).Seconds()
 		}
-		k.Sent, _, k.Lost = c.port.Traffic()
-		k.Lost += c.droppedUpdates.Load()
-		return k
+		status.Sent, _, status.Lost = c.port.Traffic()
+		status.Lost += c.droppedUpdates.Load()
+		return status
 	})
 	return r, ok
 }
 
+// digestText returns the checksum of a digest as 16 hex digits.
 func digestText(d replica.Digest) string {
 	const hex = "0123456789abcdef"
 	out, sum := make([]byte, 16), d.Checksum()
@@ -86,7 +88,7 @@
 	return query(ctx, c, func(c *Cluster) []replica.Fact { return c.store.All(replica.Runner) })
 }
 
-// operatorTimeout bounds an operator's call; callers wait 1 s.
+// operatorTimeout bounds the handling of an operator's call; callers wait for 1 s.
 const operatorTimeout = 800 * time.Millisecond
 
 // Operators returns the handler of the console's calls: GET /api/cluster and /api/cluster/runners,
@@ -94,10 +96,10 @@
 func (c *Cluster) Operators() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/cluster", func(w http.ResponseWriter, r *http.Request) {
-		c.respond(w, r, func(ctx context.Context) (any, bool) { return both(c.Report(ctx)) })
+		c.respond(w, r, func(ctx context.Context) (any, bool) { return toAny(c.Report(ctx)) })
 	})
 	mux.HandleFunc("GET /api/cluster/runners", func(w http.ResponseWriter, r *http.Request) {
-		c.respond(w, r, func(ctx context.Context) (any, bool) { return both(c.Runners(ctx)) })
+		c.respond(w, r, func(ctx context.Context) (any, bool) { return toAny(c.Runners(ctx)) })
 	})
 	mux.HandleFunc("POST /api/cluster/snapshot", func(w http.ResponseWriter, _ *http.Request) { respondError(w, c.quorum.Snapshot()) })
 	mux.HandleFunc("POST /api/cluster/join", func(w http.ResponseWriter, r *http.Request) {
@@ -118,13 +120,14 @@
 	return mux
 }
 
-func both[T any](v T, ok bool) (any, bool) { return v, ok }
+// toAny converts the results of a query to those that respond expects.
+func toAny[T any](v T, ok bool) (any, bool) { return v, ok }
 
 // respond writes a value as JSON, or 503 if it is not available in time.
-func (c *Cluster) respond(w http.ResponseWriter, r *http.Request, get func(context.Context) (any, bool)) {
+func (c *Cluster) respond(w http.ResponseWriter, r *http.Request, report func(context.Context) (any, bool)) {
 	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(operatorTimeout))
 	defer cancel()
-	v, ok := get(ctx)
+	v, ok := report(ctx)
 	if !ok {
 		http.Error(w, "not done, try again", http.StatusServiceUnavailable)
 		return
@@ -132,14 +135,15 @@
 	w.Header().Set("Content-Type", "application/json")
 	out := json.NewEncoder(w)
 	out.SetIndent("", "  ")
-	_ = out.Encode(v) // the caller may have gone
+	_ = out.Encode(v) // it fails only if the caller has disconnected
 }
 
-// readCall decodes an operator's call; it responds with 400 and returns false if that fails.
-func readCall(w http.ResponseWriter, r *http.Request, into any) bool {
+// readCall decodes an operator's call of at most 4 KiB into value; it responds with 400 and returns
+// false if that fails.
+func readCall(w http.ResponseWriter, r *http.Request, value any) bool {
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, 4<<10))
 	if err == nil {
-		err = json.Unmarshal(text, into)
+		err = json.Unmarshal(text, value)
 	}
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
@@ -164,5 +168,5 @@
 	return sent
 }
 
-// QueuedUpdates returns the number of updates that wait to be gossiped.
+// QueuedUpdates returns the number of updates that are queued for gossip.
 func (c *Cluster) QueuedUpdates() int { return c.members.Queued() }
--- a/internal/dispatcher/fleet/cluster/exclusionfile.go
+++ b/internal/dispatcher/fleet/cluster/exclusionfile.go
@@ -18,12 +18,12 @@
 	"frosttide/internal/dispatcher/fleet/recovery/mark"
 )
 
-// excludedFile holds the runners that the log excludes, as far as it was applied here. It keeps
-// them excluded between a member's start and the moment when it knows how far the log is
-// committed.
+// excludedFile holds the runners that the log excludes, as far as it was applied here. With it they
+// stay excluded between a member's start and the moment when the member knows the log's commit
+// index.
 const excludedFile = "out.json"
 
-// readUIDs returns the UIDs stored in a file; nil without a folder or file.
+// readUIDs returns the UIDs stored in a file; nil if dir is empty or the file does not exist.
 func readUIDs(dir, name string) ([]string, error) {
 	if dir == "" {
 		return nil, nil
@@ -42,8 +42,8 @@
 	return uids, nil
 }
 
-// storeExclusions has the exclusions stored with the log's index. A failure is logged only: the log
-// has them.
+// storeExclusions queues the exclusions, with the log's index, to be written to disk. A failed
+// write is only logged and retried, because the log has them too.
 func (c *Cluster) storeExclusions(index uint64) {
 	state := mark.Watermark{Index: index, Out: slices.Sorted(maps.Keys(c.excluded))}
 	if c.cfg.WatermarkDir != "" {
@@ -52,7 +52,7 @@
 	c.exclusionFiles.put(state)
 }
 
-// writeUIDs stores UIDs atomically in a file; it does nothing without a folder.
+// writeUIDs stores UIDs atomically in a file; it does nothing if dir is empty.
 func writeUIDs(dir, name string, uids []string) error {
 	if dir == "" {
 		return nil
@@ -68,72 +68,74 @@
 }
 
 // restoreExclusions excludes the stored runners at the dispatcher. It returns the initial entries
-// of a log that is started anew here.
+// of the new log if BeginAnew was called here; nil otherwise.
 func (c *Cluster) restoreExclusions() ([]ledger.Entry, error) {
-	kept, err := readUIDs(c.cfg.Dir, excludedFile)
+	stored, err := readUIDs(c.cfg.Dir, excludedFile)
 	if err != nil {
-		c.log.WithError(err).Warn("which runners were left out can't be read; the log will tell")
+		c.log.WithError(err).Warn("cannot read the stored exclusions; they are taken from the log")
 	}
 	if c.startWatermark, err = mark.Read(c.cfg.WatermarkDir); err != nil {
-		c.log.WithError(err).Error("how far the log had gone can't be read; if its own folder is lost too, that is unknown")
+		c.log.WithError(err).Error("cannot read the log's watermark; if the log's folder is lost too, its last index is unknown")
 	}
-	if c.startWatermark != nil && len(kept) == 0 {
-		kept = c.startWatermark.Out
+	if c.startWatermark != nil && len(stored) == 0 {
+		stored = c.startWatermark.Out
 	}
 	for _, uid := range c.cfg.Excluded {
 		c.excluded[uid] = true
 	}
-	for _, uid := range kept {
+	for _, uid := range stored {
 		if !c.excluded[uid] {
 			c.excluded[uid] = true
 			c.dispatcher.Exclude(uid, true, time.Now())
 		}
 	}
-	// An operator's restart must not skip them: an unreadable file is an error.
-	again, err := readUIDs(c.cfg.Dir, restateFile)
+	// A new log must not begin without its initial entries: an unreadable file is an error.
+	initialUIDs, err := readUIDs(c.cfg.Dir, initialExclusionsFile)
 	if err != nil {
 		return nil, fmt.Errorf("cluster: %w", err)
 	}
-	var initial []ledger.Entry
-	for _, uid := range again {
-		initial = append(initial, ledger.Entry{ID: "restate-" + uid, Op: ledger.Exclude, UID: uid, Why: "kept of the log that is lost"})
+	var entries []ledger.Entry
+	for _, uid := range initialUIDs {
+		entries = append(entries, ledger.Entry{ID: "restate-" + uid, Op: ledger.Exclude, UID: uid, Why: "kept of the log that is lost"})
 	}
-	return initial, nil
+	return entries, nil
 }
 
-// restateFile holds the runners that a log which is started anew excludes first.
-const restateFile = "restate.json"
+// initialExclusionsFile holds the runners that the first entries of a new log exclude; see
+// BeginAnew.
+const initialExclusionsFile = "restate.json"
 
-// removeRestateFile removes the file once the initial entries are committed.
-func (c *Cluster) removeRestateFile() {
+// removeInitialExclusions removes the file once the initial entries are committed.
+func (c *Cluster) removeInitialExclusions() {
 	if c.cfg.Dir == "" {
 		return
 	}
-	if err := os.Remove(filepath.Join(c.cfg.Dir, restateFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
-		c.log.WithError(err).Warn("what was said again is said once more at the next start, to no effect")
+	if err := os.Remove(filepath.Join(c.cfg.Dir, initialExclusionsFile)); err != nil && !errors.Is(err, os.ErrNotExist) {
+		c.log.WithError(err).Warn("cannot remove the file of initial exclusions; they are proposed again at the next start, without effect")
 	}
 }
 
 // BeginAnew makes a stopped member that has lost its log the only voter of a new log, whose
 // initial entries restore the watermark's exclusions. It returns the watermark, and changes
-// nothing unless sure is set. After a crash it can be repeated: the watermark is removed last.
-func BeginAnew(cfg Config, sure bool) (*mark.Watermark, error) {
-	kept, err := mark.Read(cfg.WatermarkDir)
+// nothing unless confirmed is set. After a crash it can be repeated: the watermark is removed last.
+// The error wraps quorum.ErrEmpty if there is no watermark.
+func BeginAnew(cfg Config, confirmed bool) (*mark.Watermark, error) {
+	watermark, err := mark.Read(cfg.WatermarkDir)
 	switch {
 	case err != nil:
 		return nil, err
-	case kept == nil:
-		return nil, fmt.Errorf("cluster: %w, and nothing was kept apart from it (recovery.keep)", quorum.ErrEmpty)
-	case !sure:
-		return kept, nil
+	case watermark == nil:
+		return nil, fmt.Errorf("cluster: %w, and there is no watermark to restore from (recovery.keep)", quorum.ErrEmpty)
+	case !confirmed:
+		return watermark, nil
 	}
-	for _, name := range []string{restateFile, excludedFile} {
-		if err := writeUIDs(cfg.Dir, name, kept.Out); err != nil {
+	for _, name := range []string{initialExclusionsFile, excludedFile} {
+		if err := writeUIDs(cfg.Dir, name, watermark.Out); err != nil {
 			return nil, fmt.Errorf("cluster: %w", err)
 		}
 	}
 	if err := quorum.BeginAnew(cfg.Dir, cfg.Name, cmp.Or(cfg.Advertise, cfg.Listen)); err != nil {
 		return nil, err
 	}
-	return kept, mark.Drop(cfg.WatermarkDir)
+	return watermark, mark.Drop(cfg.WatermarkDir)
 }
--- a/internal/dispatcher/fleet/cluster/exclusions.go
+++ b/internal/dispatcher/fleet/cluster/exclusions.go
@@ -15,31 +15,32 @@
 	"frosttide/internal/dispatcher/fleet/quorum"
 )
 
-// applyExclusion applies a committed exclusion or inclusion that the log brings.
+// applyExclusion applies a committed exclusion or inclusion that the local log delivers.
 func (c *Cluster) applyExclusion(d ledger.Done) {
 	c.logIndex = max(c.logIndex, d.Index)
-	if c.agreedAhead[d.UID] > d.Index {
-		return // a later entry is already in force
+	if c.appliedAhead[d.UID] > d.Index {
+		return // a later entry was already applied
 	}
-	// Entries that the log has passed are obsolete, also those without effect, which are not
-	// reported here. So the map holds only entries ahead of the log's last one.
-	maps.DeleteFunc(c.agreedAhead, func(_ string, index uint64) bool { return index <= c.logIndex })
-	c.carryOut(d, d.Index)
+	// Indexes that the log has passed are obsolete, also those of entries without effect, which
+	// are not delivered here. The map therefore holds only entries ahead of the log's last one.
+	maps.DeleteFunc(c.appliedAhead, func(_ string, index uint64) bool { return index <= c.logIndex })
+	c.setExclusion(d, d.Index)
 }
 
-// applyAhead applies a committed entry on which this member's operator was just answered, before
-// the log has brought it here; applied is the index that the log has reached here. The leader may
-// stall or be partitioned in between, and the runner must receive no job meanwhile.
+// applyAhead applies the committed entry of an order to this member before the local log delivers
+// it; applied is the last index applied here. The leader may stall or be partitioned after it has
+// acknowledged the order, and an excluded runner must not receive a job meanwhile.
 func (c *Cluster) applyAhead(d ledger.Done, applied uint64) {
-	if d.Index <= max(c.logIndex, c.agreedAhead[d.UID]) {
+	if d.Index <= max(c.logIndex, c.appliedAhead[d.UID]) {
 		return
 	}
-	c.agreedAhead[d.UID] = d.Index
-	c.carryOut(d, applied) // a watermark past the own log would make the disk look outdated
+	c.appliedAhead[d.UID] = d.Index
+	c.setExclusion(d, applied) // a watermark beyond the local log would make the disk look outdated
 }
 
-// carryOut changes the exclusion at the dispatcher, and has it stored with the log's index.
-func (c *Cluster) carryOut(d ledger.Done, index uint64) {
+// setExclusion excludes or includes a runner at the dispatcher, and has the exclusions stored with
+// the log's index.
+func (c *Cluster) setExclusion(d ledger.Done, index uint64) {
 	out := d.Op == ledger.Exclude
 	if c.excluded[d.UID] == out {
 		return
@@ -53,50 +54,50 @@
 	c.storeExclusions(index)
 }
 
-// reconcileExclusions includes the runners that were excluded at the start and are not any more,
-// once all of the log is known here: an operator may have included them while this member was
-// away.
+// reconcileExclusions includes the runners that were excluded at the start and are not excluded by
+// the log, once all of the log is known here: an operator may have included them while this member
+// was down.
 func (c *Cluster) reconcileExclusions() {
 	if c.reconciled {
 		return
 	}
-	s := c.quorum.Status()
+	status := c.quorum.Status()
 	state := c.quorum.State()
 	c.queryLeaderLast()
-	if !caughtUp(&s, state.Log, c.leaderLast) {
+	if !caughtUp(&status, state.Log, c.leaderLast) {
 		return
 	}
 	c.reconciled = true
-	other := c.startWatermark != nil && c.startWatermark.Log != "" && c.startWatermark.Log != state.Log
+	newLog := c.startWatermark != nil && c.startWatermark.Log != "" && c.startWatermark.Log != state.Log
 	for _, d := range ledger.Differences(&ledger.State{Excluded: c.exclusions()}, &state) {
-		if c.agreedAhead[d.UID] > s.Applied {
+		if c.appliedAhead[d.UID] > status.Applied {
 			continue
 		}
-		if other && d.Op == ledger.Include {
-			c.log.WithFields(logrus.Fields{"target": d.UID, "lost": c.startWatermark.Log, "log": state.Log}).Warn("left out by the log that is lost, and not by the one in force: it is put back")
+		if newLog && d.Op == ledger.Include {
+			c.log.WithFields(logrus.Fields{"target": d.UID, "lost": c.startWatermark.Log, "log": state.Log}).Warn("runner was excluded by the lost log and is not by the current one; including it again")
 		}
 		c.applyExclusion(d)
 	}
-	c.storeExclusions(s.Applied)
+	c.storeExclusions(status.Applied)
 }
 
-// caughtUp reports whether all entries committed before the leader was queried are applied here;
-// leaderLast is the last index of the leader's log then, 0 if unknown. A member that starts behind
-// the others must not include a runner that its operators were told is excluded. A log without a
-// name may still have to receive its initial entries.
-func caughtUp(s *quorum.Status, log string, leaderLast uint64) bool {
-	return s.Leader != "" && s.Contact >= 0 && leaderLast > 0 && s.Applied >= max(s.Last, leaderLast) && log != ""
+// caughtUp reports whether all entries that were committed before the leader was queried are
+// applied here; leaderLast is the last index of the leader's log at that time, 0 if unknown. A
+// member that starts behind the others must not include a runner whose exclusion was acknowledged
+// to an operator. A log without a name may still have to receive its initial entries.
+func caughtUp(status *quorum.Status, logName string, leaderLast uint64) bool {
+	return status.Leader != "" && status.Contact >= 0 && leaderLast > 0 && status.Applied >= max(status.Last, leaderLast) && logName != ""
 }
 
-// queryLeaderLast asks the leader for the last index of its log. The result arrives before the
-// next call.
+// queryLeaderLast asks the leader for the last index of its log, and stores it in leaderLast before
+// the next call.
 func (c *Cluster) queryLeaderLast() {
 	_, addr := c.quorum.Leader()
 	if addr == "" {
 		return
 	}
 	c.goroutines.Add(1)
-	go func() { // one at a time: it ends before the next call
+	go func() { // bounded by expireInterval, the interval of the calls: one query at a time
 		defer c.goroutines.Done()
 		ctx, cancel := context.WithDeadline(c.ctx, time.Now().Add(expireInterval))
 		defer cancel()
@@ -111,7 +112,7 @@
 	}()
 }
 
-// exclusions returns the runners excluded here in the form of the log's state.
+// exclusions returns the runners excluded here, as in ledger.State.Excluded but without details.
 func (c *Cluster) exclusions() map[string]ledger.Done {
 	out := map[string]ledger.Done{}
 	for uid := range c.excluded {
@@ -120,9 +121,9 @@
 	return out
 }
 
-// Propose writes an entry through whichever member leads, waiting for a leader until ctx ends. After
-// an error that wraps ledger.ErrUnclear the entry may still be committed; after any other nothing was
-// written, nor will be.
+// Propose has the current leader, which may be any member, write an entry; it waits for a leader
+// until ctx ends. After an error that wraps ledger.ErrUnclear the entry may still be committed;
+// after any other error it was not written and will not be.
 func (c *Cluster) Propose(ctx context.Context, e ledger.Entry) (ledger.Done, error) {
 	if e.ID == "" {
 		e.ID = c.newEntryID()
@@ -134,7 +135,7 @@
 		return ledger.Done{}, err
 	}
 	e.By, e.At = c.cfg.Name, c.now()
-	var unclear error // of the first attempt after which the entry may be committed
+	var unclear error // error of the first attempt after which the entry may be committed
 	err := error(quorum.ErrNoLeader)
 	for ctx.Err() == nil {
 		var d ledger.Done
@@ -148,7 +149,7 @@
 		if !errors.Is(err, quorum.ErrNoLeader) && !errors.Is(err, quorum.ErrForming) {
 			break
 		}
-		select { // a leader may be elected in time
+		select { // a leader may be elected before the deadline
 		case <-ctx.Done():
 		case <-time.After(proposeInterval):
 		}
@@ -156,10 +157,10 @@
 	return ledger.Done{}, cmp.Or(unclear, err)
 }
 
-// proposeInterval is the interval between attempts to have an entry written.
+// proposeInterval is the interval between attempts to propose an entry.
 const proposeInterval = 20 * time.Millisecond
 
-// proposeOnce proposes an entry here if this member leads, else at the leader.
+// proposeOnce proposes an entry locally if this member is the leader, otherwise at the leader.
 func (c *Cluster) proposeOnce(ctx context.Context, e ledger.Entry) (ledger.Done, error) {
 	if !c.quorum.IsLeader() {
 		return c.forward(ctx, e)
@@ -167,27 +168,27 @@
 	return c.quorum.Propose(ctx, e)
 }
 
-// newEntryID draws an ID that no other entry has.
+// newEntryID returns a unique ID for an entry: the member's name, its start and a random number.
 func (c *Cluster) newEntryID() string {
 	return fmt.Sprintf("%s-%x-%x", c.cfg.Name, c.startedAt.UnixMilli(), rand.Uint64())
 }
 
-// orderIDPrefix begins the IDs of entries whose rest an operator has chosen.
+// orderIDPrefix is the prefix of the IDs of entries that write an order; the order's ID follows.
 const orderIDPrefix = "order/"
 
-// Order is what an operator asks for.
+// Order is an operator's request to exclude a runner or to include it again.
 type Order struct {
-	Runner string // its UID
-	Out    bool   // exclude it; otherwise include it again
-	Why    string
-	// ID names the order: sent again under its ID it has its effect once, at whichever member.
-	// One is drawn where it is empty.
+	Runner string // UID of the runner
+	Out    bool   // true to exclude the runner, false to include it again
+	Why    string // the operator's reason
+	// ID makes the order idempotent: an order that is repeated with its ID, at any member, takes
+	// effect once. If it is empty, a unique one is chosen.
 	ID string
 }
 
 // Exclude excludes a runner at all members, or includes it again, and calls done with the result at
-// about the deadline at the latest. After an error that wraps ledger.ErrUnclear the order
-// may be in force; it can be sent again under its ID.
+// about the deadline at the latest. After an error that wraps ledger.ErrUnclear the order may be in
+// force; it can be repeated with its ID.
 func (c *Cluster) Exclude(order Order, deadline time.Time, done func(error)) {
 	if order.ID == "" {
 		order.ID = c.newEntryID()
@@ -199,14 +200,15 @@
 	}()
 }
 
-// The reasons for which a committed order is not acknowledged.
+// The errors of orders that are committed and could not be acknowledged before the deadline.
 var (
 	errNotYetInForce = fmt.Errorf("%w: it is agreed on, and not known to be in force here yet", ledger.ErrUnclear)
 	errNotYetStored  = fmt.Errorf("%w: it is agreed on and in force here, and not kept on this member's disk yet", ledger.ErrUnclear)
 )
 
-// execute executes an order: it is committed, in force here, and kept here so that it is in force
-// from the next start on.
+// execute executes an order. It returns nil once the order is committed, applied here and written
+// to this member's disk, from which the next start restores it. A failed write counts as done,
+// since the log has the order too.
 func (c *Cluster) execute(ctx context.Context, order Order) error {
 	op := ledger.Include
 	if order.Out {
--- a/internal/dispatcher/fleet/cluster/exclusions_test.go
+++ b/internal/dispatcher/fleet/cluster/exclusions_test.go
@@ -35,7 +35,7 @@
 		"told again, nothing since": {"told 7 out told 7 out", []bool{true, true}},
 	} {
 		to := &acting{out: map[string]bool{}}
-		c := &Cluster{dispatcher: to, excluded: map[string]bool{}, agreedAhead: map[string]uint64{}, exclusionFiles: newExclusionWriter("", "", nil)}
+		c := &Cluster{dispatcher: to, excluded: map[string]bool{}, appliedAhead: map[string]uint64{}, exclusionFiles: newExclusionWriter("", "", nil)}
 		var from, verb string
 		var index uint64
 		rest := tc.updates
@@ -64,13 +64,13 @@
 // TestAheadIsBounded checks that entries applied ahead of the log are dropped once the log has
 // passed them, even those without effect, which the log never reports.
 func TestAheadIsBounded(t *testing.T) {
-	c := &Cluster{dispatcher: &acting{out: map[string]bool{}}, excluded: map[string]bool{}, agreedAhead: map[string]uint64{}, exclusionFiles: newExclusionWriter("", "", nil)}
+	c := &Cluster{dispatcher: &acting{out: map[string]bool{}}, excluded: map[string]bool{}, appliedAhead: map[string]uint64{}, exclusionFiles: newExclusionWriter("", "", nil)}
 	for i := range uint64(100) {
 		c.applyAhead(ledger.Done{Entry: ledger.Entry{Op: ledger.Exclude, UID: fmt.Sprint(i)}, Index: 10 + i}, 0)
 	}
 	c.applyExclusion(ledger.Done{Entry: ledger.Entry{Op: ledger.Exclude, UID: "x"}, Index: 200, Changed: true})
-	if len(c.agreedAhead) > 0 {
-		t.Errorf("%d are kept", len(c.agreedAhead))
+	if len(c.appliedAhead) > 0 {
+		t.Errorf("%d are kept", len(c.appliedAhead))
 	}
 }
 
--- a/internal/dispatcher/fleet/cluster/exclusionwriter.go
+++ b/internal/dispatcher/fleet/cluster/exclusionwriter.go
@@ -11,29 +11,31 @@
 	"frosttide/internal/dispatcher/fleet/recovery/mark"
 )
 
-// exclusionWriter stores the exclusions on a goroutine of its own, so that a slow disk delays neither the actor nor what
-// operators have decided, but only the answers that wait for the files. Of the states that come during a write only
-// the newest is written. The zero value holds nothing; put and stored may be called from any goroutine.
+// exclusionWriter stores the exclusions on a goroutine of its own. A slow disk therefore delays
+// neither the actor nor the exclusions themselves, but only the acknowledgements that wait for the
+// files. Of the states that are put during a write, only the newest is written. put and stored may
+// be called from any goroutine.
 type exclusionWriter struct {
-	dir          string // of the log; empty for none
-	watermarkDir string // empty for none
+	dir          string // folder of the log; empty for none
+	watermarkDir string // folder of the watermark; empty for none
 	log          *logrus.Entry
 
 	mu      sync.Mutex // not held during a write
 	next    mark.Watermark
-	pending chan struct{} // closed once next is stored; nil for no next
-	writing chan struct{} // closed at the end of the write in progress; nil for none
+	pending chan struct{} // closed once next is stored; nil if there is no next
+	writing chan struct{} // closed at the end of the write in progress; nil if there is none
 	wake    chan struct{} // holds one token if there is a next
 
-	failed *mark.Watermark // the newest state, if its write has failed; used by run only
+	failed *mark.Watermark // the newest state if its write failed, otherwise nil; used by run only
 }
 
-// newExclusionWriter returns a writer to the folders; its run method has to be called.
+// newExclusionWriter returns a writer to the two folders; its run method has to be called.
 func newExclusionWriter(dir, watermarkDir string, log *logrus.Entry) *exclusionWriter {
 	return &exclusionWriter{dir: dir, watermarkDir: watermarkDir, log: log, wake: make(chan struct{}, 1)}
 }
 
-// put hands over the exclusions, with the log's index; they must not be changed any more.
+// put queues the exclusions, with the log's index, for writing. The caller must not modify
+// state.Out afterwards.
 func (w *exclusionWriter) put(state mark.Watermark) {
 	w.mu.Lock()
 	w.next = state
@@ -47,7 +49,8 @@
 	}
 }
 
-// stored returns a channel that is closed once everything that was handed over is on disk, or its write has failed.
+// stored returns a channel that is closed once every state that was put before is on disk, or its
+// write has failed.
 func (w *exclusionWriter) stored() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -57,12 +60,13 @@
 	case w.writing != nil:
 		return w.writing
 	}
-	nothing := make(chan struct{})
-	close(nothing)
-	return nothing
+	closed := make(chan struct{})
+	close(closed)
+	return closed
 }
 
-// run writes until ctx ends, and then what is left. What could not be written is tried again.
+// run writes the states that are put until ctx ends, then the one that is still pending, if any. It
+// retries failed writes.
 func (w *exclusionWriter) run(ctx context.Context) {
 	for {
 		var retry <-chan time.Time
@@ -76,16 +80,16 @@
 		case <-w.wake:
 			w.writeNext()
 		case <-retry:
-			w.writeAgain()
+			w.retryFailed()
 		}
 	}
 }
 
-// exclusionRetryInterval is the interval between attempts to store the exclusions.
+// exclusionRetryInterval is the interval between retries of a failed write.
 const exclusionRetryInterval = 250 * time.Millisecond
 
-// writeNext writes the newest state, if there is one that was not written. Those who wait for it go on where that
-// fails: the log has it.
+// writeNext writes the pending state, if there is one. The callers that wait for it proceed even if
+// the write fails, because the log has the state too.
 func (w *exclusionWriter) writeNext() {
 	w.mu.Lock()
 	state, done := w.next, w.pending
@@ -95,7 +99,7 @@
 		return
 	}
 	if err := w.write(state); err != nil {
-		w.log.WithError(err).Warn("which runners are left out was not kept on disk; the log has it, and it is tried again")
+		w.log.WithError(err).Warn("storing the exclusions failed; the log has them, and the write is retried")
 		w.failed = &state
 	} else {
 		w.failed = nil
@@ -106,15 +110,16 @@
 	close(done)
 }
 
-// writeAgain writes the state whose write has failed last.
-func (w *exclusionWriter) writeAgain() {
+// retryFailed retries the last failed write.
+func (w *exclusionWriter) retryFailed() {
 	if w.write(*w.failed) == nil {
-		w.log.Info("which runners are left out is kept on disk again")
+		w.log.Info("the exclusions are stored on disk again")
 		w.failed = nil
 	}
 }
 
-// write stores the exclusions atomically, beside the log and, with the log's index, in the watermark's folder.
+// write atomically replaces the file of exclusions in the log's folder, and the watermark, which
+// also has the log's index, in the watermark's folder.
 func (w *exclusionWriter) write(state mark.Watermark) error {
 	err := writeUIDs(w.dir, excludedFile, state.Out)
 	if w.watermarkDir != "" {
--- a/internal/dispatcher/fleet/cluster/exclusionwriter_test.go
+++ b/internal/dispatcher/fleet/cluster/exclusionwriter_test.go
@@ -53,7 +53,7 @@
 	require.True(t, isClosed(waits))
 	require.NotNil(t, w.failed)
 	require.NoError(t, os.Remove(dir))
-	w.writeAgain()
+	w.retryFailed()
 	require.Nil(t, w.failed)
 	kept, err := mark.Read(dir)
 	require.NoError(t, err)
--- a/internal/dispatcher/fleet/cluster/flows.go
+++ b/internal/dispatcher/fleet/cluster/flows.go
@@ -8,18 +8,19 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// Flows calls show with the committed workflows. show must neither keep nor change them.
-func (c *Cluster) Flows(show func(*statetable.Table)) { c.quorum.Flows(show) }
+// Flows calls view with the committed workflows; view must neither retain nor modify them.
+func (c *Cluster) Flows(view func(*statetable.Table)) { c.quorum.Flows(view) }
 
-// Seen returns the index of the last entry that Flows reflects.
+// Seen returns the index of the last log entry that Flows reflects.
 func (c *Cluster) Seen() uint64 { return c.quorum.Seen() }
 
-// Rank returns this member's position among the fully rejoined members in the order that all
-// members compute for a name (rendezvous hashing); -1 if it has not fully rejoined itself.
+// Rank returns this member's position, from 0, in the order of the members that may run workflows,
+// which all members compute alike for a name (rendezvous hashing); -1 if it may not run workflows,
+// because it is leaving, draining or has not fully rejoined.
 func (c *Cluster) Rank(name string) int {
-	order := slices.DeleteFunc(c.members.Alive(), func(i members.Info) bool {
+	eligible := slices.DeleteFunc(c.members.Alive(), func(i members.Info) bool {
 		return i.Leaving || i.Draining || !stage.Stage(i.Stage).Rights().RunsWorkflows
 	})
-	rankMembers(name, order)
-	return slices.IndexFunc(order, func(i members.Info) bool { return i.Name == c.cfg.Name })
+	rankMembers(name, eligible)
+	return slices.IndexFunc(eligible, func(i members.Info) bool { return i.Name == c.cfg.Name })
 }
--- a/internal/dispatcher/fleet/cluster/merge.go
+++ b/internal/dispatcher/fleet/cluster/merge.go
@@ -10,7 +10,7 @@
 	"frosttide/internal/dispatcher/fleet/replica"
 )
 
-// receive merges a gossiped fact. Malformed ones, such as those of other builds, are counted and
+// receive merges a gossiped fact. Malformed facts, such as those of other builds, are counted and
 // dropped.
 func (c *Cluster) receive(text []byte) {
 	c.counts.Received++
@@ -20,30 +20,31 @@
 		return
 	}
 	if c.merge(f) {
-		c.broadcast(f) // once only, as it is new here
+		c.broadcast(f) // forwarded once only, when it is new here
 	}
 }
 
-// countRejected counts a rejected fact, and logs the 1st, 2nd, 4th and so on to bound the log.
+// countRejected counts a rejected fact, and logs only the 1st, 2nd, 4th and so on to bound the
+// volume of the log.
 func (c *Cluster) countRejected(err error) {
 	if c.counts.Rejected++; c.counts.Rejected&(c.counts.Rejected-1) == 0 {
-		c.log.WithError(err).WithField("count", c.counts.Rejected).Warn("a member's word was not taken")
+		c.log.WithError(err).WithField("count", c.counts.Rejected).Warn("rejected a fact from another member")
 	}
 }
 
 // merge merges another member's fact and reports whether it was new.
 func (c *Cluster) merge(f replica.Fact) bool {
 	previous, _ := c.store.Get(f.Key)
-	out, conflict, err := c.store.Merge(f, c.now())
+	result, conflict, err := c.store.Merge(f, c.now())
 	if err != nil {
 		c.countRejected(err)
 		return false
 	}
 	if conflict {
 		c.counts.Conflicts++
-		c.log.WithFields(logrus.Fields{"fact": f.Name, "scope": f.Scope, "here": previous.By, "there": f.By, "took": out == replica.Accepted}).Warn("members contradict each other")
+		c.log.WithFields(logrus.Fields{"fact": f.Name, "scope": f.Scope, "here": previous.By, "there": f.By, "took": result == replica.Accepted}).Warn("members have published contradicting facts")
 	}
-	if out != replica.Accepted {
+	if result != replica.Accepted {
 		return false
 	}
 	c.counts.Accepted++
@@ -64,8 +65,8 @@
 	return true
 }
 
-// redeliver has the serving runners that a member has reported be delivered, now that it is known to be alive: deliver
-// has passed over what was merged before.
+// redeliver queues the serving runners that a member has reported for delivery again, once the
+// member is known to be alive. deliver skips those that are merged before that.
 func (c *Cluster) redeliver(member string) {
 	for _, f := range c.store.All(replica.Runner) {
 		if f.By == member && f.Scope == c.source && f.State == replica.Serving {
@@ -76,7 +77,7 @@
 
 // deliver passes newly merged facts on runners to the dispatcher. Draining and removed runners are
 // passed on at any age; a serving runner only if the member that reported it is alive, because the
-// report may otherwise be obsolete. Those of a member that becomes alive later come by redeliver.
+// report may otherwise be obsolete. If that member becomes alive later, redeliver queues it again.
 func (c *Cluster) deliver() {
 	if len(c.undelivered) == 0 {
 		return
@@ -88,13 +89,13 @@
 		if len(c.ownRunners) == 0 {
 			c.generation = c.latestGeneration
 		}
-		if f.Gen != c.generation { // versions of another generation cannot be compared with the own ones
+		if f.Gen != c.generation { // versions are comparable only within a generation
 			continue
 		}
-		text := []byte(f.Entry)
+		entry := []byte(f.Entry)
 		switch f.State {
 		case replica.Deleted:
-			text, _ = json.Marshal(map[string]any{"uid": f.Name, "state": "DELETED", "boot_ms": f.Boot})
+			entry, _ = json.Marshal(map[string]any{"uid": f.Name, "state": "DELETED", "boot_ms": f.Boot})
 		case replica.Serving:
 			if alive == nil {
 				alive = c.members.Alive()
@@ -103,8 +104,8 @@
 				continue
 			}
 		}
-		if len(text) > 0 {
-			byRev[f.Rev] = append(byRev[f.Rev], text)
+		if len(entry) > 0 {
+			byRev[f.Rev] = append(byRev[f.Rev], entry)
 		}
 	}
 	c.undelivered = c.undelivered[:0]
--- a/internal/dispatcher/fleet/cluster/state.go
+++ b/internal/dispatcher/fleet/cluster/state.go
@@ -19,21 +19,21 @@
 
 const (
 	// dialInterval is the interval at which addresses without a live member are dialled, and
-	// dialTimeout bounds the wait for a response: no response may mean a partition.
+	// dialTimeout bounds the wait for a response. A missing response may mean a partition.
 	dialInterval = 500 * time.Millisecond
 	dialTimeout  = 250 * time.Millisecond
-	// maxDials bounds the addresses dialled at a time.
+	// maxDials bounds the addresses that are dialled at each interval.
 	maxDials = 16
 )
 
-// refusedAddrs are the results of dialling addresses without a live member.
+// refusedAddrs holds the results of dialling addresses without a live member.
 type refusedAddrs struct {
 	mu      sync.Mutex
 	refused map[string]bool // by address; absent if not dialled yet
 }
 
-// dialUnseen dials the addresses without a live member until ctx ends. A refused connection is
-// evidence that the member does not run; no response is not.
+// dialUnseen periodically dials the addresses without a live member until ctx ends. A refused
+// connection is evidence that the member is not running; a missing response is not.
 func (c *Cluster) dialUnseen(ctx context.Context) {
 	for {
 		dials := 0
@@ -60,7 +60,8 @@
 	}
 }
 
-// unseen returns the addresses of the settings and of lost members at which no member is alive.
+// unseen returns the configured addresses and those of known members at which no member is alive.
+// It also drops the dial results of all other addresses.
 func (c *Cluster) unseen() (out []string) {
 	seen := map[string]bool{c.port.Advertised(): true}
 	all := c.members.All()
@@ -81,7 +82,7 @@
 	}
 	c.unseenAddrs.mu.Lock()
 	defer c.unseenAddrs.mu.Unlock()
-	for addr := range c.unseenAddrs.refused { // a returned member is not refused any more
+	for addr := range c.unseenAddrs.refused { // the member is alive again
 		if !slices.Contains(out, addr) {
 			delete(c.unseenAddrs.refused, addr)
 		}
@@ -89,16 +90,17 @@
 	return out
 }
 
-// refuses reports whether the machine at an address refuses connections to it.
+// refuses reports whether connections to an address are refused, or closed without a response, so
+// that no member runs there. A time-out or another error is not a refusal.
 func (c *Cluster) refuses(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(dialTimeout))
 	defer cancel()
 	conn, err := c.port.Dial(ctx, clusterport.Calls, addr)
 	if err == nil {
 		defer conn.Close()
-		var one [1]byte
+		var buf [1]byte
 		if err = conn.SetReadDeadline(time.Now().Add(dialTimeout)); err == nil {
-			_, err = conn.Read(one[:]) // a member waits for the request
+			_, err = conn.Read(buf[:]) // a running member waits for a request
 		}
 	}
 	var netErr net.Error
@@ -108,9 +110,10 @@
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE) || errors.Is(err, io.EOF)
 }
 
-// State returns what is known of the other members and of the log.
+// State returns what this member knows of the other members and of the log. It never fails; the
+// signature is that of rejoin.Fleet.
 func (c *Cluster) State(context.Context) (rejoin.FleetState, bool) {
-	s := rejoin.FleetState{ReplicasCompared: c.informed.Load(), NoPeers: true}
+	s := rejoin.FleetState{ReplicasCompared: c.replicasCompared.Load(), NoPeers: true}
 	states := map[string]sharers.PeerState{}
 	c.unseenAddrs.mu.Lock()
 	for addr, refused := range c.unseenAddrs.refused {
@@ -136,24 +139,25 @@
 			states[i.Addr] = sharers.Unseen
 		}
 	}
-	for _, l := range states {
-		s.Peers = append(s.Peers, l)
+	for _, state := range states {
+		s.Peers = append(s.Peers, state)
 	}
-	s.ReplicasCompared = s.ReplicasCompared || !s.PeerAlive // there is no member to compare with
+	// Without a live peer there is nothing to compare with.
+	s.ReplicasCompared = s.ReplicasCompared || !s.PeerAlive
 	s.Log = c.logState()
 	return s, true
 }
 
-// logState returns the state of the replicated log here.
+// logState returns the state of this member's replica of the log.
 func (c *Cluster) logState() stage.Log {
 	if c.quorum.LostError() != nil {
 		return stage.LogLost
 	}
-	q := c.quorum.Status()
+	status := c.quorum.Status()
 	switch {
-	case q.Leader == "" || q.Contact < 0 || c.quorum.LogName() == "":
+	case status.Leader == "" || status.Contact < 0 || c.quorum.LogName() == "":
 		return stage.LogUnknown
-	case q.Last == 0 || q.Applied < q.Last:
+	case status.Last == 0 || status.Applied < status.Last:
 		return stage.LogBehind
 	}
 	return stage.LogApplied
@@ -164,14 +168,15 @@
 	c.members.Update(func(m *members.Meta) { m.Stage = uint8(s) })
 }
 
-// CompareReplicas marks the replicas as uninformed and starts a comparison soon.
+// CompareReplicas marks the replicas as not compared and starts a comparison soon.
 func (c *Cluster) CompareReplicas() {
-	c.informed.Store(false)
+	c.replicasCompared.Store(false)
 	select {
 	case c.compareNow <- struct{}{}:
 	default:
 	}
 }
 
-// outcomesComplete reports whether a member's outcome records of keyed jobs are complete.
+// outcomesComplete reports whether a member's rejoin stage implies that its outcome records of
+// keyed jobs are complete.
 func outcomesComplete(i members.Info) bool { return stage.Stage(i.Stage).Rights().OutcomesComplete }
