--- a/internal/dispatcher/fleet/cluster/exclusionwriter_test.go
+++ b/internal/dispatcher/fleet/cluster/exclusionwriter_test.go
@@ -11,7 +11,7 @@
 	"frosttide/internal/dispatcher/fleet/recovery/mark"
 )
 
-// isClosed reports whether a channel is closed.
+// isClosed reports whether a channel, on which nothing is sent, is closed.
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
@@ -21,11 +21,12 @@
 	}
 }
 
-// TestExclusionWriter checks when an answer may say that the exclusions are on disk.
+// TestExclusionWriter checks that the channels of stored are closed once the newest exclusions are
+// on disk, which is when orders are acknowledged.
 func TestExclusionWriter(t *testing.T) {
 	dir := t.TempDir()
 	w := newExclusionWriter("", dir, logrus.NewEntry(logrus.New()))
-	require.True(t, isClosed(w.stored()), "there is nothing to store")
+	require.True(t, isClosed(w.stored()), "stored must be closed while nothing is pending")
 	w.put(mark.Watermark{Log: "l", Index: 1, Out: []string{"a"}})
 	first := w.stored()
 	w.put(mark.Watermark{Log: "l", Index: 2, Out: []string{"a", "b"}})
@@ -36,26 +37,27 @@
 	require.True(t, isClosed(first))
 	require.True(t, isClosed(second))
 	require.True(t, isClosed(w.stored()))
-	kept, err := mark.Read(dir)
+	stored, err := mark.Read(dir)
 	require.NoError(t, err)
-	require.Equal(t, &mark.Watermark{Log: "l", Index: 2, Out: []string{"a", "b"}}, kept, "only the newest is written")
+	require.Equal(t, &mark.Watermark{Log: "l", Index: 2, Out: []string{"a", "b"}}, stored, "only the newest state must be written")
 }
 
-// TestExclusionWriterRetries checks that a write that fails holds no answer up, and is made up for.
+// TestExclusionWriterRetries checks that a failed write does not block the callers that wait for
+// it, and that it is retried.
 func TestExclusionWriterRetries(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "folder")
-	require.NoError(t, os.WriteFile(dir, nil, 0o600)) // a file where the folder is to be
+	require.NoError(t, os.WriteFile(dir, nil, 0o600)) // a file in place of the folder makes the write fail
 	w := newExclusionWriter("", dir, logrus.NewEntry(logrus.New()))
 	state := mark.Watermark{Log: "l", Index: 1, Out: []string{"a"}}
 	w.put(state)
-	waits := w.stored()
+	done := w.stored()
 	w.writeNext()
-	require.True(t, isClosed(waits))
+	require.True(t, isClosed(done))
 	require.NotNil(t, w.failed)
 	require.NoError(t, os.Remove(dir))
 	w.retryFailed()
 	require.Nil(t, w.failed)
-	kept, err := mark.Read(dir)
+	stored, err := mark.Read(dir)
 	require.NoError(t, err)
-	require.Equal(t, &state, kept)
+	require.Equal(t, &state, stored)
 }
--- a/internal/dispatcher/fleet/cluster/firstmeta_test.go
+++ b/internal/dispatcher/fleet/cluster/firstmeta_test.go
@@ -16,19 +16,20 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// firstMetas is a member's view of the others that records what it hears first of each start.
-type firstMetas struct {
+// firstMetaSink is a members.Sink that records the first metadata received of each start of the
+// voter.
+type firstMetaSink struct {
 	members.Sink
 	mu    sync.Mutex
 	first map[uint64]members.Meta // by the epoch of the start
 }
 
 // Joined records a member that is new or has returned.
-func (f *firstMetas) Joined(i members.Info) { f.Changed(i) }
+func (f *firstMetaSink) Joined(i members.Info) { f.Changed(i) }
 
-// Changed records a member's metadata, unless some of the same start are recorded.
-func (f *firstMetas) Changed(i members.Info) {
-	if i.Name != "voter" { // it hears of itself too
+// Changed records the voter's metadata unless earlier metadata of the same start are recorded.
+func (f *firstMetaSink) Changed(i members.Info) {
+	if i.Name != "voter" { // the listener itself
 		return
 	}
 	f.mu.Lock()
@@ -39,37 +40,38 @@
 }
 
 // Departed does nothing.
-func (f *firstMetas) Departed(members.Info) {}
+func (f *firstMetaSink) Departed(members.Info) {}
 
 // UpdateReceived does nothing.
-func (f *firstMetas) UpdateReceived([]byte) {}
+func (f *firstMetaSink) UpdateReceived([]byte) {}
 
-// starts returns how many starts were heard of.
-func (f *firstMetas) starts() int {
+// startCount returns the number of starts of which metadata were received.
+func (f *firstMetaSink) startCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.first)
 }
 
-// networks counts the loopback networks that tests have taken.
-var networks atomic.Uint32
+// usedNetworks is the number of loopback networks (127.81.N.0/24) that tests have taken.
+var usedNetworks atomic.Uint32
 
-// TestFirstMetaNamesTheDisk restarts a voter again and again beside a member that listens. What happens where it fails: the
-// voter is heard of before it has opened its disk, so that its first metadata name none; the leader of the log takes that
-// for a voter that came back without its log ("a member came back without its log; it joins as a new one", quorum.reconcile)
-// and removes it until it is heard of again, so that for some seconds a loss more leaves no majority. Why: the membership was
-// opened before the log. TestForce failed by it now and then.
+// TestFirstMetaNamesTheDisk restarts a voter repeatedly and checks that the first metadata that
+// another member receives of each start name the voter's disk. It guards against a fault in which
+// the membership was opened before the log: the first metadata then named no disk, the leader of
+// the log took the voter for one that had come back without its log (quorum.reconcile) and removed
+// it until its next metadata arrived. For some seconds, the loss of one more voter left no majority.
+// TestForce failed sporadically because of it.
 func TestFirstMetaNamesTheDisk(t *testing.T) {
 	t.Parallel()
 	const starts = 20
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
-	log := logrus.NewEntry(quiet)
-	network := 1 + networks.Add(1)
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	log := logrus.NewEntry(logger)
+	network := 1 + usedNetworks.Add(1)
 	port, err := clusterport.Open(fmt.Sprintf("127.81.%d.1:7946", network), "", log)
 	require.NoError(t, err)
-	heard := &firstMetas{first: map[uint64]members.Meta{}}
-	listener, err := members.New(members.Config{Name: "listener", Meta: members.Meta{Epoch: 1}}, port, heard, log)
+	sink := &firstMetaSink{first: map[uint64]members.Meta{}}
+	listener, err := members.New(members.Config{Name: "listener", Meta: members.Meta{Epoch: 1}}, port, sink, log)
 	require.NoError(t, err)
 	defer func() {
 		listener.Close()
@@ -81,14 +83,14 @@
 			Source: "one", Join: []string{port.Advertised()}}
 		voter, err := cluster.Open(cfg, nil, log)
 		require.NoError(t, err)
-		require.Eventually(t, func() bool { return heard.starts() > n }, 20*time.Second, time.Millisecond)
+		require.Eventually(t, func() bool { return sink.startCount() > n }, 20*time.Second, time.Millisecond)
 		voter.Close(true)
 	}
 	withoutDisk := 0
-	for _, meta := range heard.first {
+	for _, meta := range sink.first {
 		if meta.Disk == "" {
 			withoutDisk++
 		}
 	}
-	require.Zero(t, withoutDisk, "of %d starts were heard of without a disk", starts)
+	require.Zero(t, withoutDisk, "number of starts, of %d, whose first metadata named no disk", starts)
 }
--- a/internal/dispatcher/fleet/cluster/merge_test.go
+++ b/internal/dispatcher/fleet/cluster/merge_test.go
@@ -8,8 +8,8 @@
 	"frosttide/internal/dispatcher/fleet/replica"
 )
 
-// TestRedeliver checks which reports are delivered once their member is known to be alive: those on serving runners of the
-// own discovery, which had been passed over.
+// TestRedeliver checks which facts are queued for delivery again once the member that reported them
+// is known to be alive: those on serving runners of the own discovery, which deliver had skipped.
 func TestRedeliver(t *testing.T) {
 	c := &Cluster{store: replica.New(replica.DefaultBounds()), source: "one"}
 	for _, f := range []replica.Fact{
--- a/internal/dispatcher/fleet/cluster/outcomes_test.go
+++ b/internal/dispatcher/fleet/cluster/outcomes_test.go
@@ -9,38 +9,38 @@
 	"frosttide/internal/dispatcher/fleet/recovery/stage"
 )
 
-// TestResponseWaiter checks that a failed call does not count as a response, unless none can come
-// any more.
+// TestResponseWaiter checks that the callback is called once: after enough responses, not counting
+// failed calls, or when all calls have ended.
 func TestResponseWaiter(t *testing.T) {
-	failed := errors.New("not reached")
+	errUnreachable := errors.New("member unreachable")
 	for name, tc := range map[string]struct {
-		of, enough int
-		answers    []error
-		after      int // how many of them until the function is called
+		peers, wanted int
+		responses     []error
+		calledAfter   int // number of responses after which the callback is called
 	}{
-		"one of two":            {2, 1, []error{nil, nil}, 1},
-		"the first fails":       {2, 1, []error{failed, nil}, 2},
-		"both fail":             {2, 1, []error{failed, failed}, 2},
-		"both are wanted":       {2, 2, []error{nil, nil}, 2},
-		"nobody to be asked":    {0, 1, nil, 0},
-		"fewer than are wanted": {1, 2, []error{nil}, 1},
+		"one of two":              {2, 1, []error{nil, nil}, 1},
+		"the first call fails":    {2, 1, []error{errUnreachable, nil}, 2},
+		"both calls fail":         {2, 1, []error{errUnreachable, errUnreachable}, 2},
+		"two of two":              {2, 2, []error{nil, nil}, 2},
+		"no peers":                {0, 1, nil, 0},
+		"fewer peers than wanted": {1, 2, []error{nil}, 1},
 	} {
 		called := make(chan bool, 2)
-		g := newResponseWaiter(tc.of, tc.enough, time.Hour, func() { called <- true })
-		for i, err := range tc.answers {
-			if done := len(called) > 0; done != (i >= tc.after) {
-				t.Errorf("%s: after %d answers it was called: %t", name, i, done)
+		w := newResponseWaiter(tc.peers, tc.wanted, time.Hour, func() { called <- true })
+		for i, err := range tc.responses {
+			if done := len(called) > 0; done != (i >= tc.calledAfter) {
+				t.Errorf("%s: after %d responses: callback called = %t, want the opposite", name, i, done)
 			}
-			g.responded(err)
+			w.responded(err)
 		}
 		if len(called) != 1 {
-			t.Errorf("%s: it was called %d times", name, len(called))
+			t.Errorf("%s: callback called %d times, want 1", name, len(called))
 		}
 	}
 }
 
-// TestOutcomeTimeout checks that a job waits for the farthest of the members that it needs, and no
-// longer than a call may take or its own time allows.
+// TestOutcomeTimeout checks that a job waits for the round trips to the farthest member, but no
+// longer than callTimeout and its own remaining time.
 func TestOutcomeTimeout(t *testing.T) {
 	ms := func(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 	for _, tc := range []struct {
@@ -67,7 +67,8 @@
 	}
 }
 
-// TestCountQueried checks that other members are queried in place of those that may lack records.
+// TestCountQueried checks that further members are queried in addition to holders that may lack
+// records.
 func TestCountQueried(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
