--- a/internal/dispatcher/fleet/cluster/clock.go
+++ b/internal/dispatcher/fleet/cluster/clock.go
@@ -43,14 +43,14 @@
 // Now returns the fleet time since 1970.
 func (c *Cluster) Now() time.Duration { return c.clock.now() }
 
-// observeClock records another member's fleet time, in ms since 1970, read between two readings of
-// this member's monotonic clock.
-func (c *Cluster) observeClock(member string, theirs int64, sentAt, receivedAt time.Duration) {
-	if theirs <= 0 { // from a build that does not send its time
+// observeClock records another member's fleet time, in ms since 1970, that was read between two
+// readings of this member's monotonic clock. It logs a correction of this member's fleet time.
+func (c *Cluster) observeClock(member string, memberTime int64, sentAt, receivedAt time.Duration) {
+	if memberTime <= 0 { // from a build that does not send its time
 		return
 	}
 	c.clock.mu.Lock()
-	correction := c.clock.fleet.Observe(member, time.Duration(theirs)*time.Millisecond, sentAt, receivedAt)
+	correction := c.clock.fleet.Observe(member, time.Duration(memberTime)*time.Millisecond, sentAt, receivedAt)
 	c.clock.mu.Unlock()
 	if correction != 0 {
 		c.log.WithField("by", correction.Round(time.Millisecond).String()).Warn("this machine's clock is wrong, by what most members agree on; using their time")
--- a/internal/dispatcher/fleet/cluster/cluster.go
+++ b/internal/dispatcher/fleet/cluster/cluster.go
@@ -49,10 +49,10 @@
 
 // Config configures a member.
 type Config struct {
-	Name         string
-	Site         string
-	Build        string
-	Listen       string
+	Name         string   // unique in the cluster
+	Site         string   // published to the other members
+	Build        string   // the program's version, published to the other members
+	Listen       string   // address that the member opens
 	Advertise    string   // address at which the others reach this member; empty for Listen
 	Join         []string // addresses of other members
 	Voters       []string // names of the voting members
--- a/internal/dispatcher/fleet/cluster/merge.go
+++ b/internal/dispatcher/fleet/cluster/merge.go
@@ -28,7 +28,7 @@
 // volume of the log.
 func (c *Cluster) countRejected(err error) {
 	if c.counts.Rejected++; c.counts.Rejected&(c.counts.Rejected-1) == 0 {
-		c.log.WithError(err).WithField("count", c.counts.Rejected).Warn("rejected a fact from another member")
+		c.log.WithError(err).WithField("count", c.counts.Rejected).Warn("rejected an invalid fact")
 	}
 }
 
--- a/internal/dispatcher/fleet/cluster/state.go
+++ b/internal/dispatcher/fleet/cluster/state.go
@@ -82,7 +82,7 @@
 	}
 	c.unseenAddrs.mu.Lock()
 	defer c.unseenAddrs.mu.Unlock()
-	for addr := range c.unseenAddrs.refused { // the member is alive again
+	for addr := range c.unseenAddrs.refused { // a member that has returned is not refused any more
 		if !slices.Contains(out, addr) {
 			delete(c.unseenAddrs.refused, addr)
 		}
