--- a/internal/dispatcher/fleet/quorum/bootstrap.go
+++ b/internal/dispatcher/fleet/quorum/bootstrap.go
@@ -11,21 +11,22 @@
 	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
-// bootstrapIfReady starts the log. Only the first of the configured voters does so, and only while
-// it sees all of them and no member has a log or knows of one. This protects an existing log from a
-// second one: a voter that has lost its disk waits for the others, since it cannot know by itself.
+// bootstrapIfReady bootstraps the log. Only the first of the configured voters does so, and only
+// while all of them are alive and no member has a log or knows of one. This prevents a second log
+// beside an existing one: a voter that has lost its disk cannot tell by itself whether there is a
+// log, so it waits for the others.
 func (q *Quorum) bootstrapIfReady(ctx context.Context) {
-	begun := q.raft.LastIndex() > 0
-	q.sink.LogOpened(q.diskID(), begun)
+	started := q.raft.LastIndex() > 0
+	q.sink.LogOpened(q.diskID(), started)
 	ready := q.assess().State == recovery.MayBootstrap
-	if begun || !ready || q.disk == nil || len(q.cfg.Voters) == 0 || q.cfg.Voters[0] != q.cfg.Name {
+	if started || !ready || q.disk == nil || len(q.cfg.Voters) == 0 || q.cfg.Voters[0] != q.cfg.Name {
 		return
 	}
-	if addr, err := q.findLog(ctx); err != nil {
-		q.logWithheld(addr, err)
+	if addr, err := q.findExistingLog(ctx); err != nil {
+		q.logBootstrapBlocked(addr, err)
 		return
 	}
-	if q.assess().State != recovery.MayBootstrap { // a member has joined meanwhile
+	if q.assess().State != recovery.MayBootstrap { // a member that may know of a log has joined meanwhile
 		return
 	}
 	q.log.Info("the log begins here")
@@ -34,7 +35,7 @@
 	}
 }
 
-// diskID returns the ID of the member's disk, empty for none.
+// diskID returns the ID of the member's disk, empty for a member without one.
 func (q *Quorum) diskID() string {
 	if q.disk == nil {
 		return ""
@@ -42,21 +43,21 @@
 	return q.disk.id
 }
 
-// errLogKnown is the error for a member that knows of a log.
+// errLogKnown is returned, wrapped, if a member knows of an existing log.
 var errLogKnown = errors.New("a member knows of a log")
 
-// findLog asks the other voters and every configured address for a log, and returns the first
-// address that knows of one, or does not say. Each is asked directly: gossip about a voter may be
-// older than its log, and other members may be alive without being known here yet. An address that
-// refuses connections has no member.
-func (q *Quorum) findLog(ctx context.Context) (addr string, err error) {
+// findExistingLog asks the other voters and every configured address whether they know of a log,
+// and returns the first address that does, or that does not answer, with the reason. Each is asked
+// directly: gossip about a voter may be older than its log, and other members may be alive without
+// being known here yet. No member runs at an address that refuses connections.
+func (q *Quorum) findExistingLog(ctx context.Context) (addr string, err error) {
 	for _, voter := range q.voterAddrs() {
-		if err := q.askForLog(ctx, voter); err != nil {
+		if err := q.checkNoLogAt(ctx, voter); err != nil {
 			return voter, err
 		}
 	}
 	for _, seed := range q.cfg.Seeds {
-		if err := q.askForLog(ctx, seed); err != nil && !q.cfg.Refuses(ctx, seed) {
+		if err := q.checkNoLogAt(ctx, seed); err != nil && !q.cfg.Refuses(ctx, seed) {
 			return seed, err
 		}
 	}
@@ -73,11 +74,12 @@
 	return addrs
 }
 
-// askForLog returns nil if the member at an address says that it knows of no log.
-func (q *Quorum) askForLog(ctx context.Context, addr string) error {
-	call, cancel := context.WithTimeout(ctx, rpcTimeout)
+// checkNoLogAt asks the member at addr whether it knows of a log, and returns nil only if it
+// answers that it does not.
+func (q *Quorum) checkNoLogAt(ctx context.Context, addr string) error {
+	callCtx, cancel := context.WithTimeout(ctx, rpcTimeout)
 	defer cancel()
-	index, err := q.cfg.KnownIndex(call, addr)
+	index, err := q.cfg.KnownIndex(callCtx, addr)
 	if err != nil {
 		return err
 	}
@@ -87,17 +89,18 @@
 	return nil
 }
 
-// logWithheld logs why the log does not begin, once for each address in a row.
-func (q *Quorum) logWithheld(addr string, why error) {
-	if q.withheldBy == addr {
+// logBootstrapBlocked logs why the log is not bootstrapped, unless the same address prevented the
+// previous attempt.
+func (q *Quorum) logBootstrapBlocked(addr string, reason error) {
+	if q.bootstrapBlockedBy == addr {
 		return
 	}
-	q.withheldBy = addr
-	q.log.WithError(why).WithField("addr", addr).Info("the log does not begin here: a member knows of one, or does not say")
+	q.bootstrapBlockedBy = addr
+	q.log.WithError(reason).WithField("addr", addr).Info("the log does not begin here: a member knows of one, or does not say")
 }
 
-// assess classifies the log by what the live members publish, and records and logs whether it is
-// lost.
+// assess classifies the log from what the live members publish about themselves, records whether it
+// is lost, and logs when that changes.
 func (q *Quorum) assess() recovery.Verdict {
 	var alive []recovery.Member
 	for _, i := range q.alive() {
@@ -105,28 +108,28 @@
 			alive = append(alive, recovery.Member{Name: i.Name, Disk: i.Disk != "", Log: i.Log, KnownIndex: i.KnownIndex})
 		}
 	}
-	v := recovery.AssessLog(q.cfg.Voters, alive)
-	previous, lost := q.lost.Load(), v.State == recovery.Lost && !q.ledAndNamed()
+	verdict := recovery.AssessLog(q.cfg.Voters, alive)
+	previous, lost := q.lostReason.Load(), verdict.State == recovery.Lost && !q.hasNamedLeader()
 	switch {
 	case !lost && previous != nil:
-		q.lost.Store(nil)
+		q.lostReason.Store(nil)
 		q.log.Info("the agreed log is found again")
-	case lost && (previous == nil || *previous != v.Why):
-		q.lost.Store(&v.Why)
-		q.log.WithField("known", v.Why).Error("the agreed log is lost; nothing is written until an operator says what counts")
+	case lost && (previous == nil || *previous != verdict.Why):
+		q.lostReason.Store(&verdict.Why)
+		q.log.WithField("known", verdict.Why).Error("the agreed log is lost; nothing is written until an operator says what counts")
 	}
-	return v
+	return verdict
 }
 
 // termKey is the key under which Raft stores its current term.
 var termKey = []byte("CurrentTerm")
 
-// bootstrap writes the log's first entry, which makes this member its only voter. It first clears
-// what a failed or interrupted bootstrap has left: Raft bootstraps empty stores only, and no other
-// member has seen any of it.
+// bootstrap writes the log's first entry, which makes this member its only voter. If a failed or
+// interrupted bootstrap left an entry or a term, it is deleted first: Raft bootstraps only empty
+// stores, and no other member has received any of it.
 func (q *Quorum) bootstrap() error {
-	first := raft.Configuration{Servers: []raft.Server{{ID: q.id, Address: q.addr}}}
-	err := q.raft.BootstrapCluster(first).Error()
+	initial := raft.Configuration{Servers: []raft.Server{{ID: q.id, Address: q.addr}}}
+	err := q.raft.BootstrapCluster(initial).Error()
 	if !errors.Is(err, raft.ErrCantBootstrap) {
 		return err
 	}
@@ -145,5 +148,5 @@
 	if err := q.stable.SetUint64(termKey, 0); err != nil {
 		return fmt.Errorf("what an earlier begin has left: %w", err)
 	}
-	return q.raft.BootstrapCluster(first).Error()
+	return q.raft.BootstrapCluster(initial).Error()
 }
--- a/internal/dispatcher/fleet/quorum/bootstrap_test.go
+++ b/internal/dispatcher/fleet/quorum/bootstrap_test.go
@@ -13,7 +13,8 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// TestLogAwaitsSeeds guards against a second log beside one that a member knows of whose gossip has not arrived yet.
+// TestLogAwaitsSeeds guards against a second log beside one that a member knows of whose gossip has
+// not arrived yet.
 func TestLogAwaitsSeeds(t *testing.T) {
 	const seed = "127.78.250.1:7946"
 	for name, c := range map[string]struct {
@@ -39,7 +40,8 @@
 	}
 }
 
-// TestLogAwaitsMemberThatJoins guards against a second log where a member joins while the seeds are asked.
+// TestLogAwaitsMemberThatJoins guards against a second log where a member joins while the seeds are
+// asked.
 func TestLogAwaitsMemberThatJoins(t *testing.T) {
 	joined := false
 	q := openAlone(t, Config{
--- a/internal/dispatcher/fleet/quorum/close.go
+++ b/internal/dispatcher/fleet/quorum/close.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// closeTimeout bounds Raft's shutdown, so that a disk that does not respond cannot keep the
-// process from ending.
+// closeTimeout limits the wait for Raft's shutdown, so that a disk that does not respond cannot
+// prevent the process from ending.
 const closeTimeout = time.Second
 
-// Close ends the member's part in the log; a leader first tries to transfer its leadership. It
-// takes up to closeTimeout.
+// Close stops Raft and closes the member's connections and disk; a leader first tries to transfer
+// its leadership. If Raft does not stop within closeTimeout, Close returns and leaves connections
+// and disk open.
 func (q *Quorum) Close() {
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(stopped)
 		if q.IsLeader() {
 			if err := q.raft.LeadershipTransfer().Error(); err != nil {
 				q.log.WithError(err).Debug("the lead was not handed on")
@@ -25,7 +26,7 @@
 	timer := time.NewTimer(closeTimeout)
 	defer timer.Stop()
 	select {
-	case <-ended:
+	case <-stopped:
 	case <-timer.C:
 		q.stable.close()
 		q.log.Warn("the log stands still and is left as it is; its file is whole")
--- a/internal/dispatcher/fleet/quorum/configuration.go
+++ b/internal/dispatcher/fleet/quorum/configuration.go
@@ -13,18 +13,18 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// servers returns the log's configuration, nil if it is not known.
+// servers returns the servers in Raft's latest configuration, or nil if it is not available.
 func (q *Quorum) servers() []raft.Server {
-	f := q.raft.GetConfiguration()
-	if f.Error() != nil {
+	future := q.raft.GetConfiguration()
+	if future.Error() != nil {
 		return nil
 	}
-	return f.Configuration().Servers
+	return future.Configuration().Servers
 }
 
-// reconcile makes the leader adapt the log's configuration to the live members, one change at a
-// time (single-server changes; Ongaro 2014, sec. 4.1): it adds members that are new or have
-// another disk or address, and removes non-voters that have been absent for followerTimeout.
+// reconcile adapts Raft's configuration to the live members if this member is the leader, one
+// change at a time (single-server changes; Ongaro 2014, sec. 4.1). It adds members that are new or
+// have another disk or address, and removes non-voters that have been absent for followerTimeout.
 func (q *Quorum) reconcile() {
 	if q.raft.State() != raft.Leader {
 		clear(q.absentSince)
@@ -40,27 +40,28 @@
 	q.removeAbsent(servers, alive)
 }
 
-// reconcileMember adapts the configuration to one live member and reports whether it tried a change.
-func (q *Quorum) reconcileMember(i members.Info, servers []raft.Server) bool {
-	id, addr, votes := raft.ServerID(i.Name), serverAddress(cmp.Or(i.Disk, noDiskID), i.Addr), i.Disk != "" && slices.Contains(q.cfg.Voters, i.Name)
-	if i.Disk != "" {
-		id = raft.ServerID(i.Name + "/" + i.Disk)
+// reconcileMember adapts the configuration to one live member and reports whether it attempted a
+// change.
+func (q *Quorum) reconcileMember(info members.Info, servers []raft.Server) bool {
+	id, addr, isVoter := raft.ServerID(info.Name), serverAddress(cmp.Or(info.Disk, noDiskID), info.Addr), info.Disk != "" && slices.Contains(q.cfg.Voters, info.Name)
+	if info.Disk != "" {
+		id = raft.ServerID(info.Name + "/" + info.Disk)
 	}
-	at := slices.IndexFunc(servers, func(s raft.Server) bool { return memberName(s.ID) == i.Name })
-	if at >= 0 && servers[at].ID != id {
-		q.log.WithFields(logrus.Fields{"member": i.Name, "was": servers[at].ID, "is": id}).Warn("a member came back without its log; it joins as a new one")
-		q.change("taken out", q.raft.RemoveServer(servers[at].ID, 0, rpcTimeout), servers[at].ID)
+	index := slices.IndexFunc(servers, func(s raft.Server) bool { return memberName(s.ID) == info.Name })
+	if index >= 0 && servers[index].ID != id {
+		q.log.WithFields(logrus.Fields{"member": info.Name, "was": servers[index].ID, "is": id}).Warn("a member came back without its log; it joins as a new one")
+		q.awaitChange("taken out", q.raft.RemoveServer(servers[index].ID, 0, rpcTimeout), servers[index].ID)
 		return true
 	}
-	if at >= 0 && (servers[at].Suffrage == raft.Voter) == votes && servers[at].Address == addr {
+	if index >= 0 && (servers[index].Suffrage == raft.Voter) == isVoter && servers[index].Address == addr {
 		return false
 	}
 	switch {
-	case votes:
-		q.change("votes", q.raft.AddVoter(id, addr, 0, rpcTimeout), id)
-	case at < 0 || servers[at].Suffrage != raft.Voter || servers[at].Address != addr:
-		q.change("follows", q.raft.AddNonvoter(id, addr, 0, rpcTimeout), id)
-	default: // no longer configured as a voter: only an operator removes a vote
+	case isVoter:
+		q.awaitChange("votes", q.raft.AddVoter(id, addr, 0, rpcTimeout), id)
+	case index < 0 || servers[index].Suffrage != raft.Voter || servers[index].Address != addr:
+		q.awaitChange("follows", q.raft.AddNonvoter(id, addr, 0, rpcTimeout), id)
+	default: // no longer configured as a voter: only an operator removes a voter
 		return false
 	}
 	return true
@@ -70,8 +71,8 @@
 func (q *Quorum) removeAbsent(servers []raft.Server, alive []members.Info) {
 	now := time.Now()
 	for _, s := range servers {
-		here := slices.ContainsFunc(alive, func(i members.Info) bool { return i.Name == memberName(s.ID) })
-		if here || s.Suffrage == raft.Voter {
+		isAlive := slices.ContainsFunc(alive, func(i members.Info) bool { return i.Name == memberName(s.ID) })
+		if isAlive || s.Suffrage == raft.Voter {
 			delete(q.absentSince, s.ID)
 			continue
 		}
@@ -80,23 +81,23 @@
 		}
 		if now.Sub(q.absentSince[s.ID]) > followerTimeout {
 			delete(q.absentSince, s.ID)
-			q.change("forgotten", q.raft.RemoveServer(s.ID, 0, rpcTimeout), s.ID)
+			q.awaitChange("forgotten", q.raft.RemoveServer(s.ID, 0, rpcTimeout), s.ID)
 			return
 		}
 	}
 }
 
-// change waits for a configuration change and logs its result.
-func (q *Quorum) change(what string, f raft.IndexFuture, id raft.ServerID) {
-	if err := f.Error(); err != nil {
+// awaitChange waits for a configuration change and logs its result; action describes the change.
+func (q *Quorum) awaitChange(action string, future raft.IndexFuture, id raft.ServerID) {
+	if err := future.Error(); err != nil {
 		q.log.WithError(err).WithField("member", id).Warn("the log's members could not be changed")
 		return
 	}
-	q.log.WithField("member", id).Info("the log's members have changed: it " + what)
+	q.log.WithField("member", id).Info("the log's members have changed: it " + action)
 }
 
-// Remove removes a member, also a voter, from the log's configuration. It returns ErrNoLeader
-// unless this member leads, and an error while the member to remove is alive.
+// Remove removes a member from Raft's configuration, even if it is a voter. It returns ErrNoLeader
+// unless this member is the leader, and an error if the named member is alive or unknown.
 func (q *Quorum) Remove(ctx context.Context, name string) error {
 	if q.raft.State() != raft.Leader {
 		return ErrNoLeader
@@ -114,9 +115,9 @@
 	return fmt.Errorf("%s is not in the log", name)
 }
 
-// formed reports whether the configuration has a majority of the configured voters. Before that, a
-// majority of it could be a single member.
-func (q *Quorum) formed() bool {
+// hasVoterMajority reports whether a majority of the configured voters have joined Raft's
+// configuration. Until then, a single member could be a majority of that configuration.
+func (q *Quorum) hasVoterMajority() bool {
 	voters := 0
 	for _, s := range q.servers() {
 		if s.Suffrage == raft.Voter {
--- a/internal/dispatcher/fleet/quorum/disk.go
+++ b/internal/dispatcher/fleet/quorum/disk.go
@@ -21,69 +21,71 @@
 	"frosttide/internal/dispatcher/fleet/recovery"
 )
 
-// Names in a member's folder.
+// The files in a member's folder, and limits for the folder.
 const (
-	logFile  = "log.db"
-	diskFile = "disk"
-	// keptSnapshots is how many snapshots are kept, so that an earlier one exists if the last is
+	logFile    = "log.db"
+	diskIDFile = "disk"
+	// keptSnapshots is how many snapshots are kept: an earlier one is needed if the latest is
 	// damaged.
 	keptSnapshots = 2
 	// lockTimeout bounds the wait for another process of the member to release the folder.
 	lockTimeout = time.Second
 )
 
-// Disk is a member's folder, with an ID drawn when the folder is created. A member that returns
-// without its disk has another ID and is another voter: its vote must not count for the one that
-// acknowledged entries on the lost disk.
+// Disk is a member's folder for Raft's log and snapshots. It has a random ID that is generated when
+// the folder is created. A member that returns without its disk gets another ID and is another
+// voter: its vote must not count as that of the voter that acknowledged entries on the lost disk.
 //
-// A member opens its disk before it is heard of, so that the first that others hear of it says
-// which disk it has: they judge its vote by that.
+// A member opens its disk before it joins the gossip, so that its first published metadata contains
+// the disk's ID: the leader decides by that ID whether the member is still the same voter.
 type Disk struct {
 	id    string
 	logs  *boltdb.BoltStore
 	snaps raft.SnapshotStore
 }
 
-// OpenDisk opens a member's folder; known is the index that its log has reached according to the
-// watermark that the member keeps elsewhere, 0 if unknown. The caller passes the disk to Open or
-// closes it. It returns ErrInUse, wrapped, while another process of the member holds the folder.
-func OpenDisk(dir string, known uint64, log *logrus.Entry) (*Disk, error) {
-	d, aside, err := openDisk(dir, known, engineLog(log))
+// OpenDisk opens a member's folder. knownIndex is the index that its log has reached according to
+// the watermark that the member stores in another folder, 0 if unknown. A folder that is damaged or
+// ends before knownIndex is renamed and replaced by an empty one. The caller passes the disk to
+// Open or closes it. OpenDisk returns ErrInUse, wrapped, while another process of the member has
+// the folder open.
+func OpenDisk(dir string, knownIndex uint64, log *logrus.Entry) (*Disk, error) {
+	d, setAside, err := openDisk(dir, knownIndex, engineLog(log))
 	if err != nil {
 		return nil, err
 	}
-	if aside != "" {
-		log.WithField("aside", aside).Error("this member's log can't be used; it is set aside and the member joins as a new one")
+	if setAside != "" {
+		log.WithField("aside", setAside).Error("this member's log can't be used; it is set aside and the member joins as a new one")
 	}
 	return d, nil
 }
 
-// ID returns the disk's ID.
+// ID returns the disk's ID, 16 hex digits.
 func (d *Disk) ID() string { return d.id }
 
-// Begun reports whether the disk's log has an entry.
+// Begun reports whether the disk holds a log entry or a snapshot.
 func (d *Disk) Begun() (bool, error) {
 	last, err := d.lastIndex()
 	return last > 0, err
 }
 
-// openDisk opens a folder. A folder that is damaged, or older than what the member has
-// acknowledged (its log ends before index known), is renamed and replaced by an empty one;
-// setAside is then the new path with the reason. An outdated disk must not vote, since it has
-// forgotten its votes and entries.
-func openDisk(dir string, known uint64, log hclog.Logger) (d *Disk, setAside string, err error) {
+// openDisk opens a folder. A folder that is damaged, or outdated (its log ends before knownIndex,
+// up to which the member has acknowledged entries), is renamed and replaced by an empty one;
+// setAside is then the new path with the reason. A member must not vote with an outdated disk,
+// which lacks votes and entries that it has acknowledged.
+func openDisk(dir string, knownIndex uint64, log hclog.Logger) (d *Disk, setAside string, err error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, "", fmt.Errorf("cluster: %w", err)
 	}
-	d, err = openFolder(dir, log)
+	d, err = openDiskFiles(dir, log)
 	if err == nil {
-		err = d.checkCurrent(known)
+		err = d.checkNotOutdated(knownIndex)
 		if err != nil {
 			d.logs.Close()
 		}
 	}
-	var torn corruptError
-	if !errors.As(err, &torn) {
+	var corrupt corruptError
+	if !errors.As(err, &corrupt) {
 		return d, "", err
 	}
 	setAside = dir + ".torn-" + time.Now().UTC().Format("20060102T150405.000000000")
@@ -93,20 +95,20 @@
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, "", fmt.Errorf("cluster: %w", err)
 	}
-	d, err = openFolder(dir, log)
-	return d, setAside + ": " + torn.Error(), err
+	d, err = openDiskFiles(dir, log)
+	return d, setAside + ": " + corrupt.Error(), err
 }
 
-// ErrInUse is returned for a folder that another process of the member still holds.
+// ErrInUse is returned for a folder that another process of the member still has open.
 var ErrInUse = errors.New("it is in use by another process")
 
-// corruptError is the reason for which a folder cannot be used.
+// corruptError wraps the reason why a folder is damaged or outdated and must be replaced.
 type corruptError struct{ error }
 
-// openFolder opens a folder, creating its files if it is empty. A corruptError says that it is
-// damaged.
-func openFolder(dir string, log hclog.Logger) (*Disk, error) {
-	id, err := diskID(dir)
+// openDiskFiles opens the files of a folder and creates them if it is empty. It returns a
+// corruptError if the folder is damaged.
+func openDiskFiles(dir string, log hclog.Logger) (*Disk, error) {
+	id, err := loadOrCreateDiskID(dir)
 	if err != nil {
 		return nil, err
 	}
@@ -130,9 +132,10 @@
 	return &Disk{id: id, logs: logs, snaps: snaps}, nil
 }
 
-// diskID returns the folder's ID, and creates it if the folder is empty.
-func diskID(dir string) (string, error) {
-	path := filepath.Join(dir, diskFile)
+// loadOrCreateDiskID returns the folder's ID, and generates and stores one if the folder is empty.
+// It returns a corruptError if the stored ID is malformed, or is missing next to an existing log.
+func loadOrCreateDiskID(dir string) (string, error) {
+	path := filepath.Join(dir, diskIDFile)
 	text, err := os.ReadFile(path)
 	if err == nil {
 		if id := strings.TrimSpace(string(text)); len(id) == 16 {
@@ -163,9 +166,9 @@
 	return id, nil
 }
 
-// checkLog reads the whole log file, which is small, before Raft uses it. The library maps the
-// file into memory, and a file that is too short would kill the process with a fault; here the
-// fault is caught.
+// checkLog reads the whole log file, which is small, before Raft uses it. bbolt maps the file into
+// memory, so that reading a truncated file would end the process with a memory fault; here the
+// fault becomes a panic, which is recovered and returned as a corruptError.
 func checkLog(path string) (err error) {
 	if _, statErr := os.Stat(path); errors.Is(statErr, os.ErrNotExist) {
 		return nil
@@ -184,11 +187,11 @@
 		return corruptError{fmt.Errorf("%s: %w", path, err)}
 	}
 	defer db.Close()
-	var all []byte
-	err = db.View(func(tx *bbolt.Tx) error { // not by tx.Check: a fault in its own goroutine cannot be caught
+	var buf []byte
+	err = db.View(func(tx *bbolt.Tx) error { // not tx.Check: a panic in the goroutine that it starts could not be recovered
 		return tx.ForEach(func(_ []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(_, v []byte) error {
-				all = append(all[:0], v...) // read every byte
+				buf = append(buf[:0], v...) // read every byte
 				return nil
 			})
 		})
@@ -199,8 +202,8 @@
 	return nil
 }
 
-// checkSnapshots returns a corruptError if the log starts after the last readable snapshot, since
-// the entries between would be missing.
+// checkSnapshots returns a corruptError if no snapshot is readable although there are some, or if
+// the log starts after the latest readable snapshot, so that the entries between them are missing.
 func checkSnapshots(logs *boltdb.BoltStore, snaps raft.SnapshotStore) error {
 	first, err := logs.FirstIndex()
 	if err != nil {
@@ -210,37 +213,37 @@
 	if err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
-	reached := uint64(0)
+	lastReadable := uint64(0)
 	for _, s := range list {
 		_, r, err := snaps.Open(s.ID)
 		if err != nil {
 			continue // damaged: an earlier one may be readable
 		}
 		r.Close()
-		reached = max(reached, s.Index)
+		lastReadable = max(lastReadable, s.Index)
 	}
-	if len(list) > 0 && reached == 0 {
+	if len(list) > 0 && lastReadable == 0 {
 		return corruptError{errors.New("no snapshot can be read")}
 	}
-	if first > reached+1 {
-		return corruptError{fmt.Errorf("the log begins at %d and the snapshots that can be read end at %d", first, reached)}
+	if first > lastReadable+1 {
+		return corruptError{fmt.Errorf("the log begins at %d and the snapshots that can be read end at %d", first, lastReadable)}
 	}
 	return nil
 }
 
-// checkCurrent returns a corruptError if the log ends before index known.
-func (d *Disk) checkCurrent(known uint64) error {
+// checkNotOutdated returns a corruptError if the log ends before knownIndex.
+func (d *Disk) checkNotOutdated(knownIndex uint64) error {
 	last, err := d.lastIndex()
 	if err != nil {
 		return err
 	}
-	if recovery.DiskOutdated(known, last) {
-		return corruptError{fmt.Errorf("the log ends at entry %d, and this member had acknowledged entry %d", last, known)}
+	if recovery.DiskOutdated(knownIndex, last) {
+		return corruptError{fmt.Errorf("the log ends at entry %d, and this member had acknowledged entry %d", last, knownIndex)}
 	}
 	return nil
 }
 
-// lastIndex returns the last index of the log or its snapshots, 0 for an empty folder.
+// lastIndex returns the last index of the log and its snapshots, 0 for an empty folder.
 func (d *Disk) lastIndex() (uint64, error) {
 	last, err := d.logs.LastIndex()
 	if err != nil {
@@ -252,5 +255,5 @@
 	return last, nil
 }
 
-// Close closes the folder's files.
+// Close closes the log file, so that another process can open the folder.
 func (d *Disk) Close() error { return d.logs.Close() }
--- a/internal/dispatcher/fleet/quorum/engine.go
+++ b/internal/dispatcher/fleet/quorum/engine.go
@@ -8,7 +8,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// engineConfig returns Raft's configuration for a member.
+// engineConfig returns the settings of a member's Raft node.
 func engineConfig(id raft.ServerID, logger hclog.Logger) *raft.Config {
 	c := raft.DefaultConfig()
 	c.LocalID, c.Logger = id, logger
@@ -18,16 +18,17 @@
 	return c
 }
 
-// engineLog returns a logger that writes Raft's lines at debug level: while a member is absent
-// they repeat several times a second. This package logs what matters.
+// engineLog returns a logger that writes all of Raft's log lines at debug level, since Raft repeats
+// them several times a second while a member is absent. This package logs the relevant events
+// itself.
 func engineLog(log *logrus.Entry) hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Debug, DisableTime: true, Output: debugWriter{log}})
 }
 
-// debugWriter writes Raft's log lines at debug level.
+// debugWriter is an io.Writer that logs each line at debug level.
 type debugWriter struct{ log *logrus.Entry }
 
-// Write logs one line; it never fails.
+// Write logs b as one line. It never returns an error.
 func (l debugWriter) Write(b []byte) (int, error) {
 	l.log.Debug(strings.TrimSpace(string(b)))
 	return len(b), nil
--- a/internal/dispatcher/fleet/quorum/machine.go
+++ b/internal/dispatcher/fleet/quorum/machine.go
@@ -13,48 +13,48 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// machine is the Raft state machine; it applies the log to a ledger.State. Raft calls it from one
-// goroutine; the state may be read from any.
-type machine struct {
-	mu      sync.Mutex
-	state   ledger.State
-	applied func(ledger.Done)
-	// restored is called with the state before and after a snapshot was restored.
-	restored func(previous, current ledger.State)
+// fsm is Raft's state machine: it applies committed entries to a ledger.State. Raft calls it from
+// one goroutine; the state may be read from any.
+type fsm struct {
+	mu        sync.Mutex
+	state     ledger.State
+	onApplied func(ledger.Done)
+	// onRestored is called with the states before and after a snapshot is restored.
+	onRestored func(previous, current ledger.State)
 }
 
-// Apply applies a committed entry.
-func (m *machine) Apply(l *raft.Log) any {
-	var e ledger.Entry
-	if err := json.Unmarshal(l.Data, &e); err != nil { // from another build: it changes nothing but the index
-		e = ledger.Entry{}
+// Apply applies a committed entry and returns its ledger.Done.
+func (m *fsm) Apply(entry *raft.Log) any {
+	var parsed ledger.Entry
+	if err := json.Unmarshal(entry.Data, &parsed); err != nil { // from another build: only the index advances
+		parsed = ledger.Entry{}
 	}
 	m.mu.Lock()
-	d := m.state.Apply(l.Index, e)
+	d := m.state.Apply(entry.Index, parsed)
 	m.mu.Unlock()
-	m.applied(d)
+	m.onApplied(d)
 	return d
 }
 
-// flows calls show with the workflows, under the lock.
-func (m *machine) flows(show func(*statetable.Table)) {
+// withWorkflows calls visit with the workflows while holding the lock.
+func (m *fsm) withWorkflows(visit func(*statetable.Table)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.state.Flows == nil {
 		m.state.Flows = &statetable.Table{}
 	}
-	show(m.state.Flows)
+	visit(m.state.Flows)
 }
 
-// read returns a copy of the state without the workflows.
-func (m *machine) read() ledger.State {
+// stateCopy returns a copy of the state without the workflows.
+func (m *fsm) stateCopy() ledger.State {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Clone()
 }
 
-// Snapshot returns the current state for Raft to persist.
-func (m *machine) Snapshot() (raft.FSMSnapshot, error) {
+// Snapshot encodes the current state for Raft to persist.
+func (m *fsm) Snapshot() (raft.FSMSnapshot, error) {
 	m.mu.Lock()
 	s := m.state.Clone()
 	if m.state.Flows != nil {
@@ -65,14 +65,14 @@
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
-	return snapshot(text), nil
+	return encodedState(text), nil
 }
 
-// Restore replaces the state by a snapshot's.
-func (m *machine) Restore(r io.ReadCloser) error {
+// Restore replaces the state with the one in a snapshot.
+func (m *fsm) Restore(r io.ReadCloser) error {
 	defer r.Close()
 	var text bytes.Buffer
-	if _, err := io.Copy(&text, io.LimitReader(r, maxSnapshot)); err != nil {
+	if _, err := io.Copy(&text, io.LimitReader(r, maxSnapshotBytes)); err != nil {
 		return fmt.Errorf("snapshot: %w", err)
 	}
 	next, err := ledger.Parse(text.Bytes())
@@ -84,19 +84,19 @@
 	m.state = next
 	current := m.state.Clone()
 	m.mu.Unlock()
-	m.restored(previous, current)
+	m.onRestored(previous, current)
 	return nil
 }
 
-// maxSnapshot bounds the snapshot that is read, in bytes: it fits ledger.MaxExcluded runners and
-// the history.
-const maxSnapshot = 64 << 20
+// maxSnapshotBytes limits how much of a snapshot is read. It is large enough for
+// ledger.MaxExcluded runners and the history.
+const maxSnapshotBytes = 64 << 20
 
-// snapshot is an encoded state.
-type snapshot []byte
+// encodedState is an encoded ledger.State; it implements raft.FSMSnapshot.
+type encodedState []byte
 
 // Persist writes the snapshot to Raft's sink.
-func (s snapshot) Persist(sink raft.SnapshotSink) error {
+func (s encodedState) Persist(sink raft.SnapshotSink) error {
 	if _, err := sink.Write(s); err != nil {
 		_ = sink.Cancel()
 		return fmt.Errorf("snapshot: %w", err)
@@ -104,5 +104,5 @@
 	return sink.Close()
 }
 
-// Release does nothing.
-func (s snapshot) Release() {}
+// Release does nothing: the encoded state holds no resources.
+func (s encodedState) Release() {}
--- a/internal/dispatcher/fleet/quorum/namelog.go
+++ b/internal/dispatcher/fleet/quorum/namelog.go
@@ -10,19 +10,20 @@
 	"frosttide/internal/dispatcher/fleet/ledger"
 )
 
-// nameLog gives a log that was just started its name, after its initial entries. Nothing else is
-// written before, so that a member that sees the name has all initial entries.
+// nameLog writes the initial entries of a new log and then its name, if this member is the leader.
+// No other entry is accepted before the name, so that a member that has the name has all initial
+// entries.
 func (q *Quorum) nameLog(ctx context.Context) {
-	if q.raft.State() != raft.Leader || q.machine.name() != "" {
+	if q.raft.State() != raft.Leader || q.fsm.name() != "" {
 		return
 	}
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(rpcTimeout))
 	defer cancel()
-	if err := q.raft.Barrier(timeoutOf(ctx)).Error(); err != nil || q.machine.name() != "" {
-		return // an earlier entry may still name it
+	if err := q.raft.Barrier(timeoutOf(ctx)).Error(); err != nil || q.fsm.name() != "" {
+		return // earlier entries are not applied yet, or one of them names the log
 	}
-	say := append(q.cfg.InitialEntries[:len(q.cfg.InitialEntries):len(q.cfg.InitialEntries)], ledger.Entry{ID: "begin", Op: ledger.Begin, UID: rand.Text()})
-	for _, e := range say {
+	entries := append(q.cfg.InitialEntries[:len(q.cfg.InitialEntries):len(q.cfg.InitialEntries)], ledger.Entry{ID: "begin", Op: ledger.Begin, UID: rand.Text()})
+	for _, e := range entries {
 		e.By, e.At = q.cfg.Name, time.Now().UnixMilli()
 		if _, err := q.write(ctx, e); err != nil {
 			q.log.WithError(err).Warn("the log has no name yet; it is tried again")
@@ -38,7 +39,7 @@
 }
 
 // name returns the log's name, empty until it has one.
-func (m *machine) name() string {
+func (m *fsm) name() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Log
--- a/internal/dispatcher/fleet/quorum/quorum_test.go
+++ b/internal/dispatcher/fleet/quorum/quorum_test.go
@@ -66,7 +66,7 @@
 			}
 		}
 		before := "no voter has it" // a verdict from before the voters had published their logs
-		q.lost.Store(&before)
+		q.lostReason.Store(&before)
 		if err := q.LostError(); err != nil {
 			t.Errorf("a log that is led and has its name is taken for lost: %v", err)
 		}
--- a/internal/dispatcher/fleet/quorum/recover.go
+++ b/internal/dispatcher/fleet/quorum/recover.go
@@ -13,77 +13,79 @@
 
 // Contents describes the log in a stopped member's folder.
 type Contents struct {
-	Last, Term uint64
-	Voters     []string
-	Out        int // number of excluded runners
+	Last, Term uint64   // index of the last entry, and Raft's current term
+	Voters     []string // names of the voters
+	Out        int      // number of excluded runners
 }
 
-// Recover makes a stopped member the only voter of the log in its folder, if sure is set, and
-// returns what the folder held. Entries that only other voters had are lost, and all of this
-// member's count as committed. It returns ErrEmpty for a folder without a log.
-func Recover(dir, name, addr string, sure bool) (Contents, error) {
-	var found Contents
+// Recover makes a stopped member the only voter of the log in its folder and returns what the
+// folder contained. Unless confirmed is set, the log is left unchanged. Entries that only other
+// voters had are lost, and all entries of this member count as committed. Recover returns ErrEmpty
+// for a folder without a log, and an error that wraps os.ErrNotExist for a missing folder.
+func Recover(dir, name, addr string, confirmed bool) (Contents, error) {
+	var contents Contents
 	if _, err := os.Stat(dir); err != nil {
-		return found, fmt.Errorf("cluster: %w", err)
+		return contents, fmt.Errorf("cluster: %w", err)
 	}
 	quiet := hclog.NewNullLogger()
-	d, err := openFolder(dir, quiet)
+	d, err := openDiskFiles(dir, quiet)
 	if err != nil {
-		return found, err
+		return contents, err
 	}
 	defer d.Close()
 	id := raft.ServerID(name + "/" + d.id)
-	m := &machine{applied: func(ledger.Done) {}, restored: func(_, _ ledger.State) {}}
-	addrs, trans := raft.NewInmemTransport(serverAddress(d.id, addr))
+	m := &fsm{onApplied: func(ledger.Done) {}, onRestored: func(_, _ ledger.State) {}}
+	localAddr, trans := raft.NewInmemTransport(serverAddress(d.id, addr))
 	defer trans.Close()
 	conf, err := raft.GetConfiguration(engineConfig(id, quiet), m, d.logs, d.logs, d.snaps, trans)
 	if err != nil {
-		return found, fmt.Errorf("cluster: %w", err)
+		return contents, fmt.Errorf("cluster: %w", err)
 	}
 	for _, s := range conf.Servers {
 		if s.Suffrage == raft.Voter {
-			found.Voters = append(found.Voters, memberName(s.ID))
+			contents.Voters = append(contents.Voters, memberName(s.ID))
 		}
 	}
-	if found.Last, err = d.lastIndex(); err != nil {
-		return found, err
+	if contents.Last, err = d.lastIndex(); err != nil {
+		return contents, err
 	}
-	if found.Last == 0 {
-		return found, ErrEmpty
+	if contents.Last == 0 {
+		return contents, ErrEmpty
 	}
-	if found.Term, err = d.logs.GetUint64([]byte("CurrentTerm")); err != nil {
-		return found, fmt.Errorf("cluster: the folder holds no log that has begun: %w", err)
+	if contents.Term, err = d.logs.GetUint64([]byte("CurrentTerm")); err != nil {
+		return contents, fmt.Errorf("cluster: the folder holds no log that has begun: %w", err)
 	}
-	found.Out = len(m.state.Excluded)
-	if !sure {
-		return found, nil
+	contents.Out = len(m.state.Excluded)
+	if !confirmed {
+		return contents, nil
 	}
-	only := raft.Configuration{Servers: []raft.Server{{ID: id, Address: addrs}}}
-	m = &machine{applied: m.applied, restored: m.restored}
-	if err := raft.RecoverCluster(engineConfig(id, quiet), m, d.logs, d.logs, d.snaps, trans, only); err != nil {
-		return found, fmt.Errorf("cluster: %w", err)
+	soleVoter := raft.Configuration{Servers: []raft.Server{{ID: id, Address: localAddr}}}
+	m = &fsm{onApplied: m.onApplied, onRestored: m.onRestored}
+	if err := raft.RecoverCluster(engineConfig(id, quiet), m, d.logs, d.logs, d.snaps, trans, soleVoter); err != nil {
+		return contents, fmt.Errorf("cluster: %w", err)
 	}
-	found.Out = len(m.state.Excluded)
-	return found, nil
+	contents.Out = len(m.state.Excluded)
+	return contents, nil
 }
 
-// ErrEmpty is returned for a folder that holds no log.
+// ErrEmpty is returned for a folder whose log has no entries.
 var ErrEmpty = errors.New("the folder holds no log that has begun")
 
-// BeginAnew makes the member of an empty folder the only voter of a new log. It is meant for the
-// one case in which no voter has the log any more; the caller supplies the initial entries.
+// BeginAnew bootstraps a new log in the empty folder of a stopped member, with that member as its
+// only voter. It is only for the case that no voter has the log any more. The caller supplies what
+// is left of the earlier state as Config.InitialEntries when the member starts.
 func BeginAnew(dir, name, addr string) error {
 	quiet := hclog.NewNullLogger()
-	d, err := openFolder(dir, quiet)
+	d, err := openDiskFiles(dir, quiet)
 	if err != nil {
 		return err
 	}
 	defer d.Close()
 	id := raft.ServerID(name + "/" + d.id)
-	at, trans := raft.NewInmemTransport(serverAddress(d.id, addr))
+	localAddr, trans := raft.NewInmemTransport(serverAddress(d.id, addr))
 	defer trans.Close()
-	only := raft.Configuration{Servers: []raft.Server{{ID: id, Address: at}}}
-	if err := raft.BootstrapCluster(engineConfig(id, quiet), d.logs, d.logs, d.snaps, trans, only); err != nil {
+	soleVoter := raft.Configuration{Servers: []raft.Server{{ID: id, Address: localAddr}}}
+	if err := raft.BootstrapCluster(engineConfig(id, quiet), d.logs, d.logs, d.snaps, trans, soleVoter); err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
 	return nil
--- a/internal/dispatcher/fleet/quorum/retryingstore.go
+++ b/internal/dispatcher/fleet/quorum/retryingstore.go
@@ -8,10 +8,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// retryingStore is Raft's stable store, which retries failed writes until they succeed. Raft ends
+// retryingStore is a stable store for Raft that retries failed writes until they succeed. Raft ends
 // the process if its term or vote cannot be written, and must not continue without them (Ongaro &
-// Ousterhout 2014, sec. 5.2: one vote in a term). Retrying makes the member look stalled to the
-// others until the disk has room again.
+// Ousterhout 2014, sec. 5.2: at most one vote per term). While a write is being retried, for
+// example because the disk is full, the member looks stalled to the others.
 type retryingStore struct {
 	raft.StableStore
 	log    *logrus.Entry
@@ -19,24 +19,24 @@
 	once   sync.Once
 }
 
-// retryInterval is the interval between attempts to write.
+// retryInterval is the interval between attempts to repeat a failed write.
 const retryInterval = 250 * time.Millisecond
 
 func newRetryingStore(store raft.StableStore, log *logrus.Entry) *retryingStore {
 	return &retryingStore{StableStore: store, log: log, closed: make(chan struct{})}
 }
 
-// Set writes a value, however long it takes.
+// Set stores a value under key and blocks until the write succeeds.
 func (p *retryingStore) Set(key, val []byte) error {
 	return p.retry(func() error { return p.StableStore.Set(key, val) })
 }
 
-// SetUint64 writes a number, however long it takes.
+// SetUint64 stores a number under key and blocks until the write succeeds.
 func (p *retryingStore) SetUint64(key []byte, val uint64) error {
 	return p.retry(func() error { return p.StableStore.SetUint64(key, val) })
 }
 
-// retry calls write until it succeeds, or blocks for ever once the store is closed.
+// retry calls write until it succeeds. Once the store is closed, a failing write blocks forever.
 func (p *retryingStore) retry(write func() error) error {
 	err := write()
 	if err == nil {
@@ -51,10 +51,10 @@
 				return nil
 			}
 		case <-p.closed:
-			select {} // the process is ending; continuing without the write could lead to two votes in one term
+			select {} // the process is ending; continuing without the write could allow two votes in one term
 		}
 	}
 }
 
-// close makes failing writes block for ever, instead of retrying.
+// close makes failing writes block forever instead of being retried.
 func (p *retryingStore) close() { p.once.Do(func() { close(p.closed) }) }
--- a/internal/dispatcher/fleet/quorum/slowdisk_test.go
+++ b/internal/dispatcher/fleet/quorum/slowdisk_test.go
@@ -121,8 +121,8 @@
 	return 0, fmt.Errorf("nobody is at %s", addr)
 }
 
-// propose has the leader, whoever that is, write an entry, again until it is acknowledged. Each call has as long as an
-// operator waits for its answer. It returns how many calls it took.
+// propose has the leader, whoever that is, write an entry, again until it is acknowledged. Each
+// call has as long as an operator waits for its answer. It returns how many calls it took.
 func (g *group) propose(t *testing.T, e ledger.Entry) (calls int) {
 	t.Helper()
 	const answerTimeout = 600 * time.Millisecond
@@ -152,8 +152,9 @@
 	return newest
 }
 
-// TestOrdersOnSlowDisks has operators' orders meet disks that pause. Each order is repeated under its ID until it is
-// acknowledged; every member then has it once, and the pauses don't cost the leader its place over and over.
+// TestOrdersOnSlowDisks has operators' orders meet disks that pause. Each order is repeated under
+// its ID until it is acknowledged; every member then has it once, and the pauses don't cost the
+// leader its place over and over.
 func TestOrdersOnSlowDisks(t *testing.T) {
 	t.Parallel()
 	const (
--- a/internal/dispatcher/fleet/quorum/stream.go
+++ b/internal/dispatcher/fleet/quorum/stream.go
@@ -15,44 +15,45 @@
 	"frosttide/internal/dispatcher/fleet/clusterport"
 )
 
-// serverAddress returns a member's address in the log's configuration, DISK@HOST:PORT. Raft
-// requests votes by address alone, and a member that returns with another disk has the same host
-// and port. With the disk in the address, such a member cannot vote for a candidate in place of
-// the disk that acknowledged entries.
+// serverAddress returns a member's address in Raft's configuration, DISK@HOST:PORT. Raft requests
+// votes by address alone, and a member that returns with another disk has the same host and port.
+// With the disk ID in the address, such a member cannot vote in place of the disk that acknowledged
+// entries.
 func serverAddress(disk, addr string) raft.ServerAddress {
 	return raft.ServerAddress(disk + "@" + addr)
 }
 
-// withoutDisk returns the host and port of a server address.
-func withoutDisk(a raft.ServerAddress) string {
+// hostPort returns a server address without the disk ID.
+func hostPort(a raft.ServerAddress) string {
 	if _, addr, ok := strings.Cut(string(a), "@"); ok {
 		return addr
 	}
 	return string(a)
 }
 
-// noDiskID is the disk ID of a member without a disk.
+// noDiskID is the disk ID in the address of a member without a disk. All disk IDs have its length.
 const noDiskID = "0000000000000000"
 
-// streamLayer implements raft.StreamLayer on the cluster's port.
+// streamLayer implements raft.StreamLayer on the cluster port, which also carries other protocols.
+// Each connection starts with a preamble that contains the disk ID of the member that is dialed.
 type streamLayer struct {
 	net.Listener
 	port *clusterport.Port
 	disk string
 }
 
-// Dial connects to another member; Raft passes a duration rather than a context.
+// Dial connects to the member at addr, DISK@HOST:PORT. Raft passes a timeout rather than a context.
 func (s streamLayer) Dial(addr raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(timeout))
 	defer cancel()
-	disk, at, ok := strings.Cut(string(addr), "@")
+	disk, addrPort, ok := strings.Cut(string(addr), "@")
 	if !ok || len(disk) != len(noDiskID) {
 		return nil, fmt.Errorf("cluster: %q names no disk", addr)
 	}
-	return s.port.Dial(ctx, clusterport.Log, at, []byte(disk)...)
+	return s.port.Dial(ctx, clusterport.Log, addrPort, []byte(disk)...)
 }
 
-// Accept returns the next connection. One that is meant for another disk fails on its first read.
+// Accept returns the next connection. Its first read fails if it is addressed to another disk.
 func (s streamLayer) Accept() (net.Conn, error) {
 	c, err := s.Listener.Accept()
 	if err != nil {
@@ -61,7 +62,7 @@
 	return &diskConn{Conn: c, disk: s.disk}, nil
 }
 
-// diskConn is an accepted connection whose preamble must name this member's disk.
+// diskConn is an accepted connection whose preamble must contain the ID of this member's disk.
 type diskConn struct {
 	net.Conn
 	disk string
@@ -69,12 +70,14 @@
 	err  error
 }
 
+// errOtherDisk is returned for a connection that is addressed to another disk of this member.
 var errOtherDisk = errors.New("cluster: meant for another disk")
 
-// preambleTimeout bounds the wait for the preamble.
+// preambleTimeout is how long the first read waits for the preamble.
 const preambleTimeout = 2 * time.Second
 
-// Read reads from the connection; errOtherDisk if its preamble names another disk.
+// Read reads from the connection. The first call reads and checks the preamble; if that fails, Read
+// keeps returning its error, which is errOtherDisk for the ID of another disk.
 func (c *diskConn) Read(b []byte) (int, error) {
 	c.once.Do(func() {
 		preamble := make([]byte, len(noDiskID))
--- a/internal/dispatcher/fleet/quorum/transport_test.go
+++ b/internal/dispatcher/fleet/quorum/transport_test.go
@@ -42,7 +42,8 @@
 	return trans
 }
 
-// staleFollower returns a member that led in term 1 and whose log ends with entry 7, which no other has.
+// staleFollower returns a member that led in term 1 and whose log ends with entry 7, which no other
+// has.
 func staleFollower(t *testing.T) (*raft.Raft, *applied, *raft.NetworkTransport) {
 	t.Helper()
 	trans, store, machine := loopback(t), raft.NewInmemStore(), &applied{}
@@ -67,9 +68,9 @@
 		Term: 2, PrevLogEntry: 6, PrevLogTerm: 1, LeaderCommitIndex: 7}
 }
 
-// TestStaleEntryIsNotCommitted plays what made the logs of two members differ for good: a member that led
-// wakes with an entry that no other has, and the first request of the new leader commits that index before the
-// new leader's own entry has come.
+// TestStaleEntryIsNotCommitted plays what made the logs of two members differ for good: a member
+// that led wakes with an entry that no other has, and the first request of the new leader commits
+// that index before the new leader's own entry has come.
 func TestStaleEntryIsNotCommitted(t *testing.T) {
 	for _, piped := range []bool{false, true} {
 		t.Run(fmt.Sprint("piped=", piped), func(t *testing.T) {
@@ -115,9 +116,9 @@
 		{Term: 2, PrevLogEntry: 6, LeaderCommitIndex: 6},
 		{Term: 2, PrevLogEntry: 6, LeaderCommitIndex: 7, Entries: []*raft.Log{{Index: 7}}},
 	} {
-		require.Same(t, request, verified(request))
+		require.Same(t, request, limitCommitIndex(request))
 	}
 	request := &raft.AppendEntriesRequest{Term: 2, PrevLogEntry: 6, LeaderCommitIndex: 9, Entries: []*raft.Log{{Index: 7}}}
-	require.EqualValues(t, 7, verified(request).LeaderCommitIndex)
+	require.EqualValues(t, 7, limitCommitIndex(request).LeaderCommitIndex)
 	require.EqualValues(t, 9, request.LeaderCommitIndex, "the engine's own is left alone")
 }
