--- a/internal/dispatcher/fleet/quorum/bootstrap.go
+++ b/internal/dispatcher/fleet/quorum/bootstrap.go
@@ -31,7 +31,7 @@
 	}
 	q.log.Info("the log begins here")
 	if err := q.bootstrap(); err != nil {
-		q.log.WithError(err).Error("the log could not begin")
+		q.log.WithError(err).Error("bootstrapping the log failed")
 	}
 }
 
@@ -44,7 +44,7 @@
 }
 
 // errLogKnown is returned, wrapped, if a member knows of an existing log.
-var errLogKnown = errors.New("a member knows of a log")
+var errLogKnown = errors.New("a member knows of an existing log")
 
 // findExistingLog asks the other voters and every configured address whether they know of a log,
 // and returns the first address that does, or that does not answer, with the reason. Each is asked
@@ -84,7 +84,7 @@
 		return err
 	}
 	if index > 0 {
-		return fmt.Errorf("%w: entry %d", errLogKnown, index)
+		return fmt.Errorf("%w, up to entry %d", errLogKnown, index)
 	}
 	return nil
 }
@@ -96,7 +96,7 @@
 		return
 	}
 	q.bootstrapBlockedBy = addr
-	q.log.WithError(reason).WithField("addr", addr).Info("the log does not begin here: a member knows of one, or does not say")
+	q.log.WithError(reason).WithField("addr", addr).Info("not bootstrapping the log: a member knows of an existing log or does not answer")
 }
 
 // assess classifies the log from what the live members publish about themselves, records whether it
@@ -113,10 +113,10 @@
 	switch {
 	case !lost && previous != nil:
 		q.lostReason.Store(nil)
-		q.log.Info("the agreed log is found again")
+		q.log.Info("the agreed log is no longer lost")
 	case lost && (previous == nil || *previous != verdict.Why):
 		q.lostReason.Store(&verdict.Why)
-		q.log.WithField("known", verdict.Why).Error("the agreed log is lost; nothing is written until an operator says what counts")
+		q.log.WithField("known", verdict.Why).Error("the agreed log is lost; no entry is written until an operator recovers it or starts a new one")
 	}
 	return verdict
 }
@@ -135,18 +135,18 @@
 	}
 	last, err := q.stores.logs.LastIndex()
 	if err != nil {
-		return fmt.Errorf("what an earlier begin has left: %w", err)
+		return fmt.Errorf("reading the log of an earlier bootstrap: %w", err)
 	}
 	if last > 1 {
-		return fmt.Errorf("what an earlier begin has left: %d entries, 1 is the most: %w", last, raft.ErrCantBootstrap)
+		return fmt.Errorf("an earlier bootstrap left %d entries, want at most 1: %w", last, raft.ErrCantBootstrap)
 	}
 	if last > 0 {
 		if err := q.stores.logs.DeleteRange(last, last); err != nil {
-			return fmt.Errorf("what an earlier begin has left: %w", err)
+			return fmt.Errorf("deleting the entry of an earlier bootstrap: %w", err)
 		}
 	}
 	if err := q.stable.SetUint64(termKey, 0); err != nil {
-		return fmt.Errorf("what an earlier begin has left: %w", err)
+		return fmt.Errorf("resetting the term of an earlier bootstrap: %w", err)
 	}
 	return q.raft.BootstrapCluster(initial).Error()
 }
--- a/internal/dispatcher/fleet/quorum/close.go
+++ b/internal/dispatcher/fleet/quorum/close.go
@@ -15,12 +15,12 @@
 		defer close(stopped)
 		if q.IsLeader() {
 			if err := q.raft.LeadershipTransfer().Error(); err != nil {
-				q.log.WithError(err).Debug("the lead was not handed on")
+				q.log.WithError(err).Debug("transferring the leadership failed")
 			}
 		}
 		q.stable.close()
 		if err := q.raft.Shutdown().Error(); err != nil {
-			q.log.WithError(err).Warn("the log did not end cleanly")
+			q.log.WithError(err).Warn("Raft's shutdown failed")
 		}
 	}()
 	timer := time.NewTimer(closeTimeout)
@@ -29,13 +29,13 @@
 	case <-stopped:
 	case <-timer.C:
 		q.stable.close()
-		q.log.Warn("the log stands still and is left as it is; its file is whole")
+		q.log.Warn("Raft did not shut down in time; the log file is left open and is intact")
 		return
 	}
 	q.transport.Close()
 	if q.disk != nil {
 		if err := q.disk.Close(); err != nil {
-			q.log.WithError(err).Warn("the log's file was not closed")
+			q.log.WithError(err).Warn("closing the log file failed")
 		}
 	}
 }
--- a/internal/dispatcher/fleet/quorum/configuration.go
+++ b/internal/dispatcher/fleet/quorum/configuration.go
@@ -50,7 +50,7 @@
 	index := slices.IndexFunc(servers, func(s raft.Server) bool { return memberName(s.ID) == info.Name })
 	if index >= 0 && servers[index].ID != id {
 		q.log.WithFields(logrus.Fields{"member": info.Name, "was": servers[index].ID, "is": id}).Warn("a member came back without its log; it joins as a new one")
-		q.awaitChange("taken out", q.raft.RemoveServer(servers[index].ID, 0, rpcTimeout), servers[index].ID)
+		q.awaitChange("server with the previous disk removed", q.raft.RemoveServer(servers[index].ID, 0, rpcTimeout), servers[index].ID)
 		return true
 	}
 	if index >= 0 && (servers[index].Suffrage == raft.Voter) == isVoter && servers[index].Address == addr {
@@ -58,9 +58,9 @@
 	}
 	switch {
 	case isVoter:
-		q.awaitChange("votes", q.raft.AddVoter(id, addr, 0, rpcTimeout), id)
+		q.awaitChange("voter added or updated", q.raft.AddVoter(id, addr, 0, rpcTimeout), id)
 	case index < 0 || servers[index].Suffrage != raft.Voter || servers[index].Address != addr:
-		q.awaitChange("follows", q.raft.AddNonvoter(id, addr, 0, rpcTimeout), id)
+		q.awaitChange("non-voter added or updated", q.raft.AddNonvoter(id, addr, 0, rpcTimeout), id)
 	default: // no longer configured as a voter: only an operator removes a voter
 		return false
 	}
@@ -81,7 +81,7 @@
 		}
 		if now.Sub(q.absentSince[s.ID]) > followerTimeout {
 			delete(q.absentSince, s.ID)
-			q.awaitChange("forgotten", q.raft.RemoveServer(s.ID, 0, rpcTimeout), s.ID)
+			q.awaitChange("absent non-voter removed", q.raft.RemoveServer(s.ID, 0, rpcTimeout), s.ID)
 			return
 		}
 	}
@@ -90,10 +90,10 @@
 // awaitChange waits for a configuration change and logs its result; action describes the change.
 func (q *Quorum) awaitChange(action string, future raft.IndexFuture, id raft.ServerID) {
 	if err := future.Error(); err != nil {
-		q.log.WithError(err).WithField("member", id).Warn("the log's members could not be changed")
+		q.log.WithError(err).WithField("member", id).Warn("the log's configuration could not be changed")
 		return
 	}
-	q.log.WithField("member", id).Info("the log's members have changed: it " + action)
+	q.log.WithField("member", id).Info("the log's configuration has changed: " + action)
 }
 
 // Remove removes a member from Raft's configuration, even if it is a voter. It returns ErrNoLeader
--- a/internal/dispatcher/fleet/quorum/disk.go
+++ b/internal/dispatcher/fleet/quorum/disk.go
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	if setAside != "" {
-		log.WithField("aside", setAside).Error("this member's log can't be used; it is set aside and the member joins as a new one")
+		log.WithField("aside", setAside).Error("this member's log is damaged or outdated; it is set aside and the member joins as a new one")
 	}
 	return d, nil
 }
@@ -141,13 +141,13 @@
 		if id := strings.TrimSpace(string(text)); len(id) == 16 {
 			return id, nil
 		}
-		return "", corruptError{fmt.Errorf("%s holds no name", path)}
+		return "", corruptError{fmt.Errorf("%s contains no valid disk ID", path)}
 	}
 	if !errors.Is(err, os.ErrNotExist) {
 		return "", fmt.Errorf("cluster: %w", err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, logFile)); err == nil {
-		return "", corruptError{fmt.Errorf("%s is gone and the log is there", path)}
+		return "", corruptError{fmt.Errorf("%s is missing although the log exists", path)}
 	}
 	var b [8]byte
 	if _, err := rand.Read(b[:]); err != nil {
@@ -176,7 +176,7 @@
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
 		if r := recover(); r != nil {
-			err = corruptError{fmt.Errorf("%s can't be read: %v", path, r)}
+			err = corruptError{fmt.Errorf("reading %s failed: %v", path, r)}
 		}
 	}()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{Timeout: lockTimeout, ReadOnly: true, PreLoadFreelist: true})
@@ -223,10 +223,10 @@
 		lastReadable = max(lastReadable, s.Index)
 	}
 	if len(list) > 0 && lastReadable == 0 {
-		return corruptError{errors.New("no snapshot can be read")}
+		return corruptError{errors.New("no snapshot is readable")}
 	}
 	if first > lastReadable+1 {
-		return corruptError{fmt.Errorf("the log begins at %d and the snapshots that can be read end at %d", first, lastReadable)}
+		return corruptError{fmt.Errorf("the log starts at entry %d, and the latest readable snapshot ends at entry %d", first, lastReadable)}
 	}
 	return nil
 }
--- a/internal/dispatcher/fleet/quorum/namelog.go
+++ b/internal/dispatcher/fleet/quorum/namelog.go
@@ -26,12 +26,12 @@
 	for _, e := range entries {
 		e.By, e.At = q.cfg.Name, time.Now().UnixMilli()
 		if _, err := q.write(ctx, e); err != nil {
-			q.log.WithError(err).Warn("the log has no name yet; it is tried again")
+			q.log.WithError(err).Warn("writing the log's initial entries or name failed; retrying")
 			return
 		}
 	}
 	if len(q.cfg.InitialEntries) > 0 {
-		q.log.WithField("entries", len(q.cfg.InitialEntries)).Warn("the log has begun anew by an operator's word, with what was kept")
+		q.log.WithField("entries", len(q.cfg.InitialEntries)).Warn("the log has begun anew on an operator's request, with its initial entries")
 	}
 	if q.cfg.OnInitialEntries != nil {
 		q.cfg.OnInitialEntries()
--- a/internal/dispatcher/fleet/quorum/recover.go
+++ b/internal/dispatcher/fleet/quorum/recover.go
@@ -53,7 +53,7 @@
 		return contents, ErrEmpty
 	}
 	if contents.Term, err = d.logs.GetUint64([]byte("CurrentTerm")); err != nil {
-		return contents, fmt.Errorf("cluster: the folder holds no log that has begun: %w", err)
+		return contents, fmt.Errorf("cluster: reading the log's current term: %w", err)
 	}
 	contents.Out = len(m.state.Excluded)
 	if !confirmed {
@@ -69,7 +69,7 @@
 }
 
 // ErrEmpty is returned for a folder whose log has no entries.
-var ErrEmpty = errors.New("the folder holds no log that has begun")
+var ErrEmpty = errors.New("the folder contains no log entries")
 
 // BeginAnew bootstraps a new log in the empty folder of a stopped member, with that member as its
 // only voter. It is only for the case that no voter has the log any more. The caller supplies what
--- a/internal/dispatcher/fleet/quorum/retryingstore.go
+++ b/internal/dispatcher/fleet/quorum/retryingstore.go
@@ -42,12 +42,12 @@
 	if err == nil {
 		return nil
 	}
-	p.log.WithError(err).Error("the log can't be written to disk; this member takes no part in it until it can")
+	p.log.WithError(err).Error("writing Raft's term or vote failed; this member does not participate in the log until a retry succeeds")
 	for {
 		select {
 		case <-time.After(retryInterval):
 			if err = write(); err == nil {
-				p.log.Info("the log can be written again")
+				p.log.Info("writing Raft's term or vote succeeds again")
 				return nil
 			}
 		case <-p.closed:
--- a/internal/dispatcher/fleet/quorum/stream.go
+++ b/internal/dispatcher/fleet/quorum/stream.go
@@ -48,7 +48,7 @@
 	defer cancel()
 	disk, addrPort, ok := strings.Cut(string(addr), "@")
 	if !ok || len(disk) != len(noDiskID) {
-		return nil, fmt.Errorf("cluster: %q names no disk", addr)
+		return nil, fmt.Errorf("cluster: server address %q has no valid disk ID", addr)
 	}
 	return s.port.Dial(ctx, clusterport.Log, addrPort, []byte(disk)...)
 }
@@ -71,7 +71,7 @@
 }
 
 // errOtherDisk is returned for a connection that is addressed to another disk of this member.
-var errOtherDisk = errors.New("cluster: meant for another disk")
+var errOtherDisk = errors.New("cluster: the connection is addressed to another disk")
 
 // preambleTimeout is how long the first read waits for the preamble.
 const preambleTimeout = 2 * time.Second
