--- a/cmd/frosttide/clustercmd.go
+++ b/cmd/frosttide/clustercmd.go
@@ -280,7 +280,7 @@
 		return err
 	}
 	fmt.Fprintf(out, "the log here goes to entry %d, of term %d; its voters were %s\n", found.Last, found.Term, strings.Join(found.Voters, " "))
-	fmt.Fprintf(out, "left out by it: %d runners\n", found.Out)
+	fmt.Fprintf(out, "left out by it: %d runners\n", found.Excluded)
 	fmt.Fprintln(out, "acknowledged entries after that one, if the lost voters had any, are lost")
 	if !confirmed {
 		fmt.Fprintln(out, "nothing was changed; say --yes to go on")
--- a/internal/dispatcher/fleet/quorum/recover.go
+++ b/internal/dispatcher/fleet/quorum/recover.go
@@ -15,7 +15,7 @@
 type Contents struct {
 	Last, Term uint64   // index of the last entry, and Raft's current term
 	Voters     []string // names of the voters
-	Out        int      // number of excluded runners
+	Excluded   int      // number of excluded runners
 }
 
 // Recover makes a stopped member the only voter of the log in its folder and returns what the
@@ -55,7 +55,7 @@
 	if contents.Term, err = d.logs.GetUint64([]byte("CurrentTerm")); err != nil {
 		return contents, fmt.Errorf("cluster: reading the log's current term: %w", err)
 	}
-	contents.Out = len(m.state.Excluded)
+	contents.Excluded = len(m.state.Excluded)
 	if !confirmed {
 		return contents, nil
 	}
@@ -64,7 +64,7 @@
 	if err := raft.RecoverCluster(engineConfig(id, quiet), m, d.logs, d.logs, d.snaps, trans, soleVoter); err != nil {
 		return contents, fmt.Errorf("cluster: %w", err)
 	}
-	contents.Out = len(m.state.Excluded)
+	contents.Excluded = len(m.state.Excluded)
 	return contents, nil
 }
 
--- a/internal/testkit/compatibility/dispatcher/agreedlog_test.go
+++ b/internal/testkit/compatibility/dispatcher/agreedlog_test.go
@@ -218,7 +218,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	compareGoldenJSON(t, "agreedlog/recover.golden.json", map[string]any{"last": found.Last, "term": found.Term, "voters": found.Voters, "leftOut": found.Out})
+	compareGoldenJSON(t, "agreedlog/recover.golden.json", map[string]any{"last": found.Last, "term": found.Term, "voters": found.Voters, "leftOut": found.Excluded})
 }
 
 // TestCompatibilityMark has the file that is kept apart from the log read, and written in the same bytes.
