--- a/internal/dispatcher/fleet/quorum/quorum_test.go
+++ b/internal/dispatcher/fleet/quorum/quorum_test.go
@@ -13,62 +13,62 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// fakeSink records the leaders that are reported to it.
-type fakeSink struct{ led chan string }
+// leaderRecorder is a Sink that sends each reported leader to a channel and ignores other events.
+type leaderRecorder struct{ leaders chan string }
 
-func (t fakeSink) Applied(ledger.Done)                   {}
-func (t fakeSink) Restored(ledger.State, ledger.State)   {}
-func (t fakeSink) LeaderChanged(leader string, _ uint64) { t.led <- leader }
-func (t fakeSink) LogOpened(string, bool)                {}
+func (t leaderRecorder) Applied(ledger.Done)                   {}
+func (t leaderRecorder) Restored(ledger.State, ledger.State)   {}
+func (t leaderRecorder) LeaderChanged(leader string, _ uint64) { t.leaders <- leader }
+func (t leaderRecorder) LogOpened(string, bool)                {}
 
-// TestLedBeforeAnybodyListens checks that the leader is reported even if it was elected before Run
-// began to listen, which happens on a busy machine, and that a verdict from before the log in
-// force began does not outlive it.
-func TestLedBeforeAnybodyListens(t *testing.T) {
+// TestLeaderElectedBeforeRun checks that the leader is reported even if it was elected before Run
+// registered its observer, which happens on a busy machine, and that an earlier verdict that the
+// log is lost does not apply to a log with a leader and a name.
+func TestLeaderElectedBeforeRun(t *testing.T) {
 	dir, log := t.TempDir(), logrus.New()
 	log.SetOutput(io.Discard)
-	for _, again := range []bool{false, true} {
+	for _, restarted := range []bool{false, true} {
 		port, err := clusterport.Open("127.78.0.1:0", "", logrus.NewEntry(log))
 		if err != nil {
 			t.Fatal(err)
 		}
-		sink := fakeSink{make(chan string, 64)}
-		alone := func() []members.Info {
+		sink := leaderRecorder{make(chan string, 64)}
+		onlySelf := func() []members.Info {
 			return []members.Info{{Name: "m", Addr: port.Advertised(), Meta: members.Meta{Disk: "d"}}}
 		}
 		disk, err := OpenDisk(dir, 0, logrus.NewEntry(log))
 		if err != nil {
 			t.Fatal(err)
 		}
-		q, err := Open(Config{Name: "m", Disk: disk, Voters: []string{"m"}}, port, alone, sink, logrus.NewEntry(log))
+		q, err := Open(Config{Name: "m", Disk: disk, Voters: []string{"m"}}, port, onlySelf, sink, logrus.NewEntry(log))
 		if err != nil {
 			t.Fatal(err)
 		}
-		for by := time.Now().Add(10 * time.Second); again && !q.IsLeader(); {
-			if time.Now().After(by) {
-				t.Fatal("a log of one voter has no leader")
+		for deadline := time.Now().Add(10 * time.Second); restarted && !q.IsLeader(); {
+			if time.Now().After(deadline) {
+				t.Fatal("the only voter was not elected leader within 10 s")
 			}
 		}
 		ctx, stop := context.WithCancel(context.Background())
 		done := make(chan struct{})
 		go func() { defer close(done); q.Run(ctx) }()
 		select {
-		case leader := <-sink.led:
+		case leader := <-sink.leaders:
 			if leader != "m" {
-				t.Errorf("%q leads", leader)
+				t.Errorf("reported leader: got %q, want \"m\"", leader)
 			}
 		case <-time.After(10 * time.Second):
-			t.Errorf("nobody was told of the leader; again: %t", again)
+			t.Errorf("no leader was reported within 10 s; restarted: %t", restarted)
 		}
-		for by := time.Now().Add(10 * time.Second); q.LogName() == ""; {
-			if time.Now().After(by) {
-				t.Fatal("the log has no name")
+		for deadline := time.Now().Add(10 * time.Second); q.LogName() == ""; {
+			if time.Now().After(deadline) {
+				t.Fatal("the log was not named within 10 s")
 			}
 		}
-		before := "no voter has it" // a verdict from before the voters had published their logs
-		q.lostReason.Store(&before)
+		staleReason := "no voter has it" // from before the voters published that they have a log
+		q.lostReason.Store(&staleReason)
 		if err := q.LostError(); err != nil {
-			t.Errorf("a log that is led and has its name is taken for lost: %v", err)
+			t.Errorf("LostError() of a log with a leader and a name: got %v, want nil", err)
 		}
 		stop()
 		<-done
--- a/internal/dispatcher/fleet/quorum/slowdisk_test.go
+++ b/internal/dispatcher/fleet/quorum/slowdisk_test.go
@@ -18,28 +18,28 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// Durations of a disk's syncs as they were seen beside many writers.
+// Durations of a disk's syncs, as observed while many processes wrote to the disk.
 const (
 	medianSync  = 300 * time.Microsecond
-	longSync    = 120 * time.Millisecond // one of 100 takes longer
-	longestSync = 650 * time.Millisecond
-	stalledSync = 2 * time.Second // once
+	p99Sync     = 120 * time.Millisecond // 1 of 100 syncs takes longer
+	maxSync     = 650 * time.Millisecond
+	stalledSync = 2 * time.Second // once for each disk
 )
 
-// slowDisk delays writes by times that are drawn from a seed.
+// slowDisk delays writes by sync times from a seeded random distribution.
 type slowDisk struct {
 	mu        sync.Mutex
 	rng       *rand.Rand
 	writes    int
-	stalledAt int // the write that takes stalledSync
+	stalledAt int // number of the write that takes stalledSync
 }
 
-// syncTime draws how long the next sync takes.
+// syncTime returns a random duration for the next sync.
 func (d *slowDisk) syncTime() time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.writes++
-	between := func(lower, upper time.Duration) time.Duration { // on a logarithmic scale
+	between := func(lower, upper time.Duration) time.Duration { // log-uniform
 		ratio := float64(upper) / float64(lower)
 		return time.Duration(float64(lower) * math.Pow(ratio, d.rng.Float64()))
 	}
@@ -49,39 +49,39 @@
 	case quantile < 0.5:
 		return medianSync
 	case quantile < 0.99:
-		return between(medianSync, longSync)
+		return between(medianSync, p99Sync)
 	}
-	return between(longSync, longestSync)
+	return between(p99Sync, maxSync)
 }
 
-// through returns stores whose writes take as long as the disk's syncs.
-func (d *slowDisk) through(s stores) stores {
-	w := &writes{at: func(_ int, do func() error) error {
+// wrapStores returns stores that delay each write to s by a sync of the disk.
+func (d *slowDisk) wrapStores(s stores) stores {
+	interceptor := &writeInterceptor{intercept: func(_ int, do func() error) error {
 		<-time.After(d.syncTime())
 		return do()
 	}}
-	return w.through(s)
+	return interceptor.wrap(s)
 }
 
-// group is a log with several voters, each with a disk of its own.
-type group struct {
+// voterGroup contains the voters of one log, each with its own disk.
+type voterGroup struct {
 	quorums []*Quorum
 	infos   []members.Info
 }
 
-// openGroup opens three voters of one log, whose disks are slow.
-func openGroup(t *testing.T, seed uint64) *group {
+// openVoterGroup opens and runs three voters of one log with slow disks.
+func openVoterGroup(t *testing.T, seed uint64) *voterGroup {
 	t.Helper()
 	const voters = 3
-	g := &group{}
+	g := &voterGroup{}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	var names []string
 	var ports []*clusterport.Port
 	var disks []*Disk
-	network := lastPort.Add(1) % 250
+	octet := addrCount.Add(1) % 250
 	for i := range voters {
-		port, err := clusterport.Open(fmt.Sprintf("127.78.%d.%d:0", 2+i, 1+network), "", logrus.NewEntry(log))
+		port, err := clusterport.Open(fmt.Sprintf("127.78.%d.%d:0", 2+i, 1+octet), "", logrus.NewEntry(log))
 		require.NoError(t, err)
 		disk, err := OpenDisk(t.TempDir(), 0, logrus.NewEntry(log))
 		require.NoError(t, err)
@@ -90,19 +90,19 @@
 	}
 	for i := range voters {
 		slow := &slowDisk{rng: rand.New(rand.NewPCG(seed, uint64(i))), stalledAt: 20 + 10*i}
-		cfg := Config{Name: names[i], Disk: disks[i], Voters: names, KnownIndex: g.lastIndex, wrapStores: slow.through}
-		q, err := Open(cfg, ports[i], func() []members.Info { return g.infos }, fakeSink{make(chan string, 1024)}, logrus.NewEntry(log))
+		cfg := Config{Name: names[i], Disk: disks[i], Voters: names, KnownIndex: g.lastIndex, wrapStores: slow.wrapStores}
+		q, err := Open(cfg, ports[i], func() []members.Info { return g.infos }, leaderRecorder{make(chan string, 1024)}, logrus.NewEntry(log))
 		require.NoError(t, err)
 		g.quorums = append(g.quorums, q)
 	}
-	var ended sync.WaitGroup
-	ctx, stop := context.WithCancel(context.Background())
+	var running sync.WaitGroup
+	ctx, cancel := context.WithCancel(context.Background())
 	for _, q := range g.quorums {
-		ended.Go(func() { q.Run(ctx) })
+		running.Go(func() { q.Run(ctx) })
 	}
 	t.Cleanup(func() {
-		stop()
-		ended.Wait()
+		cancel()
+		running.Wait()
 		for i, q := range g.quorums {
 			q.Close()
 			ports[i].Close()
@@ -112,79 +112,80 @@
 }
 
 // lastIndex returns the last index of the log of the member at an address.
-func (g *group) lastIndex(_ context.Context, addr string) (uint64, error) {
+func (g *voterGroup) lastIndex(_ context.Context, addr string) (uint64, error) {
 	for i, info := range g.infos {
 		if info.Addr == addr {
 			return g.quorums[i].Last(), nil
 		}
 	}
-	return 0, fmt.Errorf("nobody is at %s", addr)
+	return 0, fmt.Errorf("no member has the address %s", addr)
 }
 
-// propose has the leader, whoever that is, write an entry, again until it is acknowledged. Each
-// call has as long as an operator waits for its answer. It returns how many calls it took.
-func (g *group) propose(t *testing.T, e ledger.Entry) (calls int) {
+// propose proposes an entry to the current leader, again until it is acknowledged, and returns the
+// number of calls. Each call's deadline is the time for which an operator waits for a response.
+func (g *voterGroup) propose(t *testing.T, e ledger.Entry) (calls int) {
 	t.Helper()
-	const answerTimeout = 600 * time.Millisecond
-	for by := time.Now().Add(eventTimeout); ; {
+	const proposeTimeout = 600 * time.Millisecond
+	for deadline := time.Now().Add(eventTimeout); ; {
 		for _, q := range g.quorums {
 			if !q.IsLeader() {
 				continue
 			}
 			calls++
-			ctx, cancel := context.WithTimeout(t.Context(), answerTimeout)
+			ctx, cancel := context.WithTimeout(t.Context(), proposeTimeout)
 			_, err := q.Propose(ctx, e)
 			cancel()
 			if err == nil {
 				return calls
 			}
 		}
-		require.Less(t, time.Now(), by, "%s is never written", e.ID)
+		require.Less(t, time.Now(), deadline, "entry %s was not acknowledged in time", e.ID)
 		<-time.After(5 * time.Millisecond)
 	}
 }
 
-// terms returns the newest term: each election begins one.
-func (g *group) terms() (newest uint64) {
+// newestTerm returns the highest term of any voter. Each election starts a new term.
+func (g *voterGroup) newestTerm() (newest uint64) {
 	for _, q := range g.quorums {
 		newest = max(newest, q.Status().Term)
 	}
 	return newest
 }
 
-// TestOrdersOnSlowDisks has operators' orders meet disks that pause. Each order is repeated under
-// its ID until it is acknowledged; every member then has it once, and the pauses don't cost the
-// leader its place over and over.
+// TestOrdersOnSlowDisks guards against orders that are lost or applied twice, and against repeated
+// elections, while the voters' disks are slow to sync. Each order is proposed again under its ID
+// until it is acknowledged; every member must then have it exactly once.
 func TestOrdersOnSlowDisks(t *testing.T) {
 	t.Parallel()
 	const (
-		orders   = 40
-		maxTerms = 10 // the first election takes two or three; a pause of one disk is to take none
+		orders = 40
+		// The first election takes two or three terms; a slow sync of one disk should cause none.
+		maxTerms = 10
 	)
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
-			g := openGroup(t, seed)
+			g := openVoterGroup(t, seed)
 			calls := 0
 			for i := range orders {
 				calls += g.propose(t, ledger.Entry{ID: fmt.Sprint("order/", i), Op: ledger.Exclude, UID: fmt.Sprint("s-", i)})
 			}
-			t.Logf("%d calls, %d terms", calls, g.terms())
-			require.LessOrEqual(t, g.terms(), uint64(maxTerms))
+			t.Logf("%d calls, %d terms", calls, g.newestTerm())
+			require.LessOrEqual(t, g.newestTerm(), uint64(maxTerms))
 			for _, q := range g.quorums {
 				require.Eventually(t, func() bool { return len(q.State().Excluded) == orders }, eventTimeout, 5*time.Millisecond)
-				requireOnce(t, q.State())
+				requireNoDuplicates(t, q.State())
 			}
 		})
 	}
 }
 
-// requireOnce checks that no entry is in a state twice.
-func requireOnce(t *testing.T, s ledger.State) {
+// requireNoDuplicates checks that the state's recent entries have distinct IDs.
+func requireNoDuplicates(t *testing.T, s ledger.State) {
 	t.Helper()
-	there := map[string]bool{}
+	seen := map[string]bool{}
 	for _, d := range s.Recent {
-		require.False(t, there[d.ID], "%s is there twice", d.ID)
-		there[d.ID] = true
+		require.False(t, seen[d.ID], "entry %s is in the state twice", d.ID)
+		seen[d.ID] = true
 	}
 }
--- a/internal/dispatcher/fleet/quorum/writes_test.go
+++ b/internal/dispatcher/fleet/quorum/writes_test.go
@@ -21,109 +21,114 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// errDisk stands for the errors of a disk that accepts no write: ENOSPC, EIO, a failed sync.
-var errDisk = errors.New("injected: the disk does not take the write")
+// errDisk simulates the errors of a disk that rejects writes: ENOSPC, EIO, a failed sync.
+var errDisk = errors.New("injected: the disk rejects the write")
 
-// writes counts Raft's writes to its disk and can replace each of them.
-type writes struct {
+// writeInterceptor counts the writes of Raft to its stores and can replace each of them.
+type writeInterceptor struct {
 	mu    sync.Mutex
 	count int
-	at    func(n int, do func() error) error // nil for no replacement; calls are serialised
+	// intercept replaces write n, counted from 1, which do would execute; nil to only count. Calls
+	// are serialised.
+	intercept func(n int, do func() error) error
 }
 
-func (w *writes) write(do func() error) error {
+// write counts a write and runs it through intercept.
+func (w *writeInterceptor) write(do func() error) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.count++
-	if w.at != nil {
-		return w.at(w.count, do)
+	if w.intercept != nil {
+		return w.intercept(w.count, do)
 	}
 	return do()
 }
 
-func (w *writes) through(s stores) stores {
-	return stores{watchedLogs{s.logs, w}, watchedStable{s.stable, w}, watchedSnaps{s.snaps, w}}
+// wrap returns stores that pass each write to s through the interceptor.
+func (w *writeInterceptor) wrap(s stores) stores {
+	return stores{interceptedLogs{s.logs, w}, interceptedStable{s.stable, w}, interceptedSnaps{s.snaps, w}}
 }
 
-type watchedLogs struct {
+type interceptedLogs struct {
 	raft.LogStore
-	by *writes
+	interceptor *writeInterceptor
 }
 
-func (s watchedLogs) StoreLog(l *raft.Log) error {
-	return s.by.write(func() error { return s.LogStore.StoreLog(l) })
+func (s interceptedLogs) StoreLog(l *raft.Log) error {
+	return s.interceptor.write(func() error { return s.LogStore.StoreLog(l) })
 }
 
-func (s watchedLogs) StoreLogs(l []*raft.Log) error {
-	return s.by.write(func() error { return s.LogStore.StoreLogs(l) })
+func (s interceptedLogs) StoreLogs(l []*raft.Log) error {
+	return s.interceptor.write(func() error { return s.LogStore.StoreLogs(l) })
 }
 
-func (s watchedLogs) DeleteRange(from, to uint64) error {
-	return s.by.write(func() error { return s.LogStore.DeleteRange(from, to) })
+func (s interceptedLogs) DeleteRange(from, to uint64) error {
+	return s.interceptor.write(func() error { return s.LogStore.DeleteRange(from, to) })
 }
 
-type watchedStable struct {
+type interceptedStable struct {
 	raft.StableStore
-	by *writes
+	interceptor *writeInterceptor
 }
 
-func (s watchedStable) Set(key, val []byte) error {
-	return s.by.write(func() error { return s.StableStore.Set(key, val) })
+func (s interceptedStable) Set(key, val []byte) error {
+	return s.interceptor.write(func() error { return s.StableStore.Set(key, val) })
 }
 
-func (s watchedStable) SetUint64(key []byte, val uint64) error {
-	return s.by.write(func() error { return s.StableStore.SetUint64(key, val) })
+func (s interceptedStable) SetUint64(key []byte, val uint64) error {
+	return s.interceptor.write(func() error { return s.StableStore.SetUint64(key, val) })
 }
 
-type watchedSnaps struct {
+type interceptedSnaps struct {
 	raft.SnapshotStore
-	by *writes
+	interceptor *writeInterceptor
 }
 
-func (s watchedSnaps) Create(version raft.SnapshotVersion, index, term uint64, c raft.Configuration, ci uint64, t raft.Transport) (sink raft.SnapshotSink, err error) {
-	err = s.by.write(func() error {
+func (s interceptedSnaps) Create(version raft.SnapshotVersion, index, term uint64, c raft.Configuration, ci uint64, t raft.Transport) (sink raft.SnapshotSink, err error) {
+	err = s.interceptor.write(func() error {
 		sink, err = s.SnapshotStore.Create(version, index, term, c, ci, t)
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
-	return watchedSink{sink, s.by}, nil
+	return interceptedSink{sink, s.interceptor}, nil
 }
 
-type watchedSink struct {
+type interceptedSink struct {
 	raft.SnapshotSink
-	by *writes
+	interceptor *writeInterceptor
 }
 
-func (s watchedSink) Write(p []byte) (n int, err error) {
-	err = s.by.write(func() error {
+func (s interceptedSink) Write(p []byte) (n int, err error) {
+	err = s.interceptor.write(func() error {
 		n, err = s.SnapshotSink.Write(p)
 		return err
 	})
 	return n, err
 }
 
-func (s watchedSink) Close() error { return s.by.write(s.SnapshotSink.Close) }
+func (s interceptedSink) Close() error { return s.interceptor.write(s.SnapshotSink.Close) }
 
 // member is the only voter of its log.
 type member struct {
 	*Quorum
-	end func()
+	stop func() // ends Run and closes the member and its port
 }
 
-// lastPort numbers the members, so that each listens on an address of its own.
-var lastPort atomic.Int32
+// addrCount counts the opened members, so that each listens on a different address.
+var addrCount atomic.Int32
 
-func openMember(t *testing.T, dir string, through func(stores) stores) (*member, error) {
+// openMember opens and runs the only voter of the log in dir. wrapStores may be nil.
+func openMember(t *testing.T, dir string, wrapStores func(stores) stores) (*member, error) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	port, err := clusterport.Open(fmt.Sprintf("127.78.1.%d:0", 1+lastPort.Add(1)%250), "", logrus.NewEntry(log))
+	port, err := clusterport.Open(fmt.Sprintf("127.78.1.%d:0", 1+addrCount.Add(1)%250), "", logrus.NewEntry(log))
 	if err != nil {
 		return nil, err
 	}
-	alone := func() []members.Info {
+	onlySelf := func() []members.Info {
 		return []members.Info{{Name: "m", Addr: port.Advertised(), Meta: members.Meta{Disk: "d"}}}
 	}
 	disk, err := OpenDisk(dir, 0, logrus.NewEntry(log))
@@ -131,33 +136,32 @@
 		port.Close()
 		return nil, err
 	}
-	q, err := Open(Config{Name: "m", Disk: disk, Voters: []string{"m"}, wrapStores: through}, port, alone,
-		fakeSink{make(chan string, 1024)}, logrus.NewEntry(log))
+	q, err := Open(Config{Name: "m", Disk: disk, Voters: []string{"m"}, wrapStores: wrapStores}, port, onlySelf,
+		leaderRecorder{make(chan string, 1024)}, logrus.NewEntry(log))
 	if err != nil {
 		port.Close()
 		return nil, err
 	}
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); q.Run(ctx) }()
 	return &member{q, func() {
-		stop()
+		cancel()
 		<-done
 		q.Close()
 		port.Close()
 	}}, nil
 }
 
-// eventTimeout bounds each wait for an event.
+// eventTimeout limits each wait for an event.
 const eventTimeout = 30 * time.Second
 
-// proposeAll writes entries, each repeated until it is acknowledged, and records the acknowledged
-// ones.
-func (m *member) proposeAll(t *testing.T, acknowledged *acks, uids ...string) {
+// proposeAll proposes an entry for each UID, again until it is acknowledged, and records it.
+func (m *member) proposeAll(t *testing.T, acknowledged *ackRecorder, uids ...string) {
 	t.Helper()
 	for _, uid := range uids {
-		e := ledger.Entry{ID: "say-" + uid, Op: ledger.Exclude, UID: uid}
-		for by := time.Now().Add(eventTimeout); ; time.Sleep(5 * time.Millisecond) {
+		e := ledger.Entry{ID: "entry-" + uid, Op: ledger.Exclude, UID: uid}
+		for deadline := time.Now().Add(eventTimeout); ; time.Sleep(5 * time.Millisecond) {
 			ctx, cancel := context.WithDeadline(t.Context(), time.Now().Add(time.Second))
 			_, err := m.Propose(ctx, e)
 			cancel()
@@ -165,111 +169,111 @@
 				acknowledged.add(uid)
 				break
 			}
-			if time.Now().After(by) {
-				t.Fatalf("%s is never written: %v", uid, err)
+			if time.Now().After(deadline) {
+				t.Fatalf("entry for %s was not acknowledged in time: %v", uid, err)
 			}
 		}
 	}
 }
 
-// acks are the acknowledged entries.
-type acks struct {
+// ackRecorder records the UIDs of acknowledged entries.
+type ackRecorder struct {
 	mu   sync.Mutex
 	uids []string
 }
 
-func (a *acks) add(uid string) {
+func (a *ackRecorder) add(uid string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.uids = append(a.uids, uid)
 }
 
-func (a *acks) all() []string {
+func (a *ackRecorder) all() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return append([]string(nil), a.uids...)
 }
 
-// awaitAll waits until the member's state contains all of the entries.
+// awaitAll waits until the member's state contains the entries of all UIDs.
 func (m *member) awaitAll(t *testing.T, uids []string) {
 	t.Helper()
-	for by := time.Now().Add(eventTimeout); ; time.Sleep(5 * time.Millisecond) {
-		out := m.State().Excluded
+	for deadline := time.Now().Add(eventTimeout); ; time.Sleep(5 * time.Millisecond) {
+		excluded := m.State().Excluded
 		missing := ""
 		for _, uid := range uids {
-			if _, ok := out[uid]; !ok {
+			if _, ok := excluded[uid]; !ok {
 				missing = uid
 			}
 		}
 		if missing == "" {
 			return
 		}
-		if time.Now().After(by) {
-			t.Fatalf("%s was acknowledged and is lost", missing)
+		if time.Now().After(deadline) {
+			t.Fatalf("entry for %s was acknowledged but is not in the state", missing)
 		}
 	}
 }
 
 // runLifetime runs a member through some entries, a snapshot and more entries.
-func (m *member) runLifetime(t *testing.T, acknowledged *acks) {
+func (m *member) runLifetime(t *testing.T, acknowledged *ackRecorder) {
 	t.Helper()
 	m.proposeAll(t, acknowledged, "s-1", "s-2", "s-3")
-	for by := time.Now().Add(eventTimeout); m.Snapshot() != nil; time.Sleep(5 * time.Millisecond) {
-		if time.Now().After(by) {
-			t.Fatal("no snapshot is taken")
+	for deadline := time.Now().Add(eventTimeout); m.Snapshot() != nil; time.Sleep(5 * time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal("no snapshot was taken in time")
 		}
 	}
 	m.proposeAll(t, acknowledged, "s-4", "s-5")
 }
 
-// countLifetimeWrites returns the number of writes to disk in an undisturbed lifetime.
+// countLifetimeWrites returns the number of writes to disk in a lifetime without failures.
 func countLifetimeWrites(t *testing.T) int {
 	t.Helper()
-	var w writes
-	m, err := openMember(t, t.TempDir(), w.through)
+	var w writeInterceptor
+	m, err := openMember(t, t.TempDir(), w.wrap)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.runLifetime(t, &acks{})
-	m.end()
+	m.runLifetime(t, &ackRecorder{})
+	m.stop()
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.count
 }
 
-// TestFailedWrites checks, at each write of the log, its terms and its snapshots, that a disk
-// which rejects writes for a while loses no acknowledged entry, whether or not the rejected write
-// took effect: the member continues by itself and a later process has all entries.
+// TestFailedWrites checks that no acknowledged entry is lost if the disk rejects writes
+// temporarily, at each write of the log, its terms and its snapshots, whether or not the rejected
+// write took effect: the member recovers without a restart, and a later process has all entries.
 func TestFailedWrites(t *testing.T) {
 	t.Parallel()
-	const lasts = 2 // writes in a row that fail
+	const failures = 2 // number of consecutive writes that fail
 	for first := 1; first <= countLifetimeWrites(t); first++ {
-		for _, there := range []bool{false, true} {
-			t.Run(fmt.Sprintf("from %d, there afterwards %t", first, there), func(t *testing.T) {
+		for _, tookEffect := range []bool{false, true} {
+			t.Run(fmt.Sprintf("from write %d, took effect %t", first, tookEffect), func(t *testing.T) {
 				t.Parallel()
-				w := &writes{}
-				w.at = func(n int, do func() error) error {
-					if n < first || n >= first+lasts {
+				w := &writeInterceptor{}
+				w.intercept = func(n int, do func() error) error {
+					if n < first || n >= first+failures {
 						return do()
 					}
-					if there {
-						_ = do() // done, but reported as failed
+					if tookEffect {
+						_ = do() // takes effect, but is reported as failed
 					}
 					return errDisk
 				}
-				dir, said := t.TempDir(), &acks{}
-				m, err := openMember(t, dir, w.through)
+				dir, acked := t.TempDir(), &ackRecorder{}
+				m, err := openMember(t, dir, w.wrap)
 				if err != nil {
 					t.Fatal(err)
 				}
-				m.runLifetime(t, said)
-				m.awaitAll(t, said.all())
-				m.end()
+				m.runLifetime(t, acked)
+				m.awaitAll(t, acked.all())
+				m.stop()
 				if m, err = openMember(t, dir, nil); err != nil {
 					t.Fatal(err)
 				}
-				m.awaitAll(t, said.all())
-				m.end()
+				m.awaitAll(t, acked.all())
+				m.stop()
 			})
 		}
 	}
@@ -280,42 +284,42 @@
 func TestKilledAtWrites(t *testing.T) {
 	t.Parallel()
 	type image struct {
-		name string
-		dir  string
-		said []string
+		name         string
+		dir          string
+		acknowledged []string
 	}
 	var images []image
-	live, all, said := t.TempDir(), t.TempDir(), &acks{}
-	keep := func(name string) string {
-		dir := filepath.Join(all, name)
+	live, imagesDir, acked := t.TempDir(), t.TempDir(), &ackRecorder{}
+	saveImage := func(name string) string {
+		dir := filepath.Join(imagesDir, name)
 		if err := os.CopyFS(dir, os.DirFS(live)); err != nil {
 			t.Error(err)
 		}
-		images = append(images, image{name, dir, said.all()})
+		images = append(images, image{name, dir, acked.all()})
 		return dir
 	}
-	w := &writes{at: func(n int, do func() error) error {
-		before := keep(fmt.Sprintf("%d-before", n))
-		acknowledged := said.all()
+	w := &writeInterceptor{intercept: func(n int, do func() error) error {
+		before := saveImage(fmt.Sprintf("%d-before", n))
+		acknowledged := acked.all()
 		err := do()
-		after := keep(fmt.Sprintf("%d-after", n))
-		for _, cut := range []string{"pages", "meta"} {
-			name := fmt.Sprintf("%d-in-its-%s", n, cut)
-			dir := filepath.Join(all, name)
-			if torn(t, before, after, dir, cut == "meta") {
+		after := saveImage(fmt.Sprintf("%d-after", n))
+		for _, tornPart := range []string{"pages", "meta"} {
+			name := fmt.Sprintf("%d-torn-%s", n, tornPart)
+			dir := filepath.Join(imagesDir, name)
+			if writeTornImage(t, before, after, dir, tornPart == "meta") {
 				images = append(images, image{name, dir, acknowledged})
 			}
 		}
 		return err
 	}}
-	m, err := openMember(t, live, w.through)
+	m, err := openMember(t, live, w.wrap)
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.runLifetime(t, said)
-	m.end()
-	if len(images) < 20 || len(said.all()) != 5 {
-		t.Fatalf("%d images of %d entries", len(images), len(said.all()))
+	m.runLifetime(t, acked)
+	m.stop()
+	if len(images) < 20 || len(acked.all()) != 5 {
+		t.Fatalf("got %d images and %d acknowledged entries, want at least 20 and exactly 5", len(images), len(acked.all()))
 	}
 	t.Run("images", func(t *testing.T) {
 		for _, i := range images {
@@ -325,56 +329,57 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				m.awaitAll(t, i.said)
-				m.proposeAll(t, &acks{}, "s-9") // and it goes on
-				m.end()
+				m.awaitAll(t, i.acknowledged)
+				m.proposeAll(t, &ackRecorder{}, "s-9") // the member accepts further entries
+				m.stop()
 			})
 		}
 	})
 }
 
-// torn creates the folder that a kill during a write to the log file leaves: half of the changed
-// pages, or all of them and half of the first changed meta page. It reports whether the write
-// changed the file.
-func torn(t *testing.T, before, after, dir string, meta bool) bool {
+// writeTornImage creates in dir the folder that a kill during a write to the log file leaves: half
+// of the changed data pages, or with tornMeta all of them and half of the first changed meta page.
+// It reports whether the write changed the file.
+func writeTornImage(t *testing.T, before, after, dir string, tornMeta bool) bool {
 	t.Helper()
-	was, err := os.ReadFile(filepath.Join(before, logFile))
+	oldFile, err := os.ReadFile(filepath.Join(before, logFile))
 	if err != nil {
-		return false // not there yet
+		return false // the log file does not exist yet
 	}
-	is, err := os.ReadFile(filepath.Join(after, logFile))
-	if err != nil || bytes.Equal(was, is) {
+	newFile, err := os.ReadFile(filepath.Join(after, logFile))
+	if err != nil || bytes.Equal(oldFile, newFile) {
 		return false
 	}
-	size := os.Getpagesize()
-	mixed := make([]byte, len(is))
-	copy(mixed, was)
-	var pages, metas []int // offsets of those that changed
-	for at := 0; at < len(is); at += size {
-		if at < len(was) && bytes.Equal(was[at:at+size], is[at:at+size]) {
+	pageSize := os.Getpagesize()
+	tornFile := make([]byte, len(newFile))
+	copy(tornFile, oldFile)
+	var pages, metas []int // offsets of the changed data and meta pages
+	for offset := 0; offset < len(newFile); offset += pageSize {
+		if offset < len(oldFile) && bytes.Equal(oldFile[offset:offset+pageSize], newFile[offset:offset+pageSize]) {
 			continue
 		}
-		if at < 2*size {
-			metas = append(metas, at)
+		if offset < 2*pageSize {
+			metas = append(metas, offset)
 		} else {
-			pages = append(pages, at)
+			pages = append(pages, offset)
 		}
 	}
-	if !meta {
+	if !tornMeta {
 		pages = pages[:len(pages)/2]
 	}
-	for _, at := range pages {
-		copy(mixed[at:at+size], is[at:at+size])
+	for _, offset := range pages {
+		copy(tornFile[offset:offset+pageSize], newFile[offset:offset+pageSize])
 	}
-	if meta && len(metas) > 0 {
-		half := metas[0] + 48 // its fields have 64 bytes behind the page's 16, the checksum last
-		copy(mixed[metas[0]:half], is[metas[0]:half])
+	if tornMeta && len(metas) > 0 {
+		// The page header has 16 bytes and the fields 64, with the checksum last.
+		half := metas[0] + 48
+		copy(tornFile[metas[0]:half], newFile[metas[0]:half])
 	}
 	if err := os.CopyFS(dir, os.DirFS(before)); err != nil {
 		t.Error(err)
 		return false
 	}
-	if err := os.WriteFile(filepath.Join(dir, logFile), mixed, 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, logFile), tornFile, 0o600); err != nil {
 		t.Error(err)
 		return false
 	}
