--- a/internal/dispatcher/fleet/quorum/bootstrap.go
+++ b/internal/dispatcher/fleet/quorum/bootstrap.go
@@ -26,7 +26,8 @@
 		q.logBootstrapBlocked(addr, err)
 		return
 	}
-	if q.assess().State != recovery.MayBootstrap { // a member that may know of a log has joined meanwhile
+	// A member that knows of a log may have joined meanwhile.
+	if q.assess().State != recovery.MayBootstrap {
 		return
 	}
 	q.log.Info("the log begins here")
--- a/internal/dispatcher/fleet/quorum/disk.go
+++ b/internal/dispatcher/fleet/quorum/disk.go
@@ -188,7 +188,8 @@
 	}
 	defer db.Close()
 	var buf []byte
-	err = db.View(func(tx *bbolt.Tx) error { // not tx.Check: a panic in the goroutine that it starts could not be recovered
+	// Not tx.Check: a panic in the goroutine that it starts could not be recovered.
+	err = db.View(func(tx *bbolt.Tx) error {
 		return tx.ForEach(func(_ []byte, b *bbolt.Bucket) error {
 			return b.ForEach(func(_, v []byte) error {
 				buf = append(buf[:0], v...) // read every byte
--- a/internal/dispatcher/fleet/quorum/machine.go
+++ b/internal/dispatcher/fleet/quorum/machine.go
@@ -26,7 +26,8 @@
 // Apply applies a committed entry and returns its ledger.Done.
 func (m *fsm) Apply(entry *raft.Log) any {
 	var parsed ledger.Entry
-	if err := json.Unmarshal(entry.Data, &parsed); err != nil { // from another build: only the index advances
+	if err := json.Unmarshal(entry.Data, &parsed); err != nil {
+		// The entry comes from another build: only the index advances.
 		parsed = ledger.Entry{}
 	}
 	m.mu.Lock()
--- a/internal/dispatcher/fleet/quorum/propose.go
+++ b/internal/dispatcher/fleet/quorum/propose.go
@@ -42,7 +42,8 @@
 	}
 	future := q.raft.Apply(encoded, timeoutOf(ctx))
 	result := make(chan error, 1)
-	go func() { result <- future.Error() }() // returns at the latest when this member loses leadership
+	// The goroutine ends at the latest when this member loses leadership.
+	go func() { result <- future.Error() }()
 	select {
 	case err = <-result:
 	case <-ctx.Done():
--- a/internal/dispatcher/fleet/quorum/quorum.go
+++ b/internal/dispatcher/fleet/quorum/quorum.go
@@ -120,8 +120,8 @@
 	transport          *raft.NetworkTransport
 	fsm                *fsm
 	alive              func() []members.Info
-	absentSince        map[raft.ServerID]time.Time // when each absent non-voter was first found absent
-	bootstrapBlockedBy string                      // address that prevented the last bootstrap attempt
+	absentSince        map[raft.ServerID]time.Time // since when a non-voter is absent
+	bootstrapBlockedBy string                      // address that prevented the last attempt
 	lostReason         atomic.Pointer[string]      // why the log is lost; nil if it is not
 }
 
--- a/internal/dispatcher/fleet/quorum/retryingstore.go
+++ b/internal/dispatcher/fleet/quorum/retryingstore.go
@@ -51,7 +51,8 @@
 				return nil
 			}
 		case <-p.closed:
-			select {} // the process is ending; continuing without the write could allow two votes in one term
+			// The process is ending. Returning without the write could allow two votes in one term.
+			select {}
 		}
 	}
 }
--- a/internal/dispatcher/fleet/quorum/status.go
+++ b/internal/dispatcher/fleet/quorum/status.go
@@ -9,16 +9,16 @@
 
 // Status describes a member's replica of the log, for operators.
 type Status struct {
-	ID        string   `json:"id"`      // Raft's server ID: NAME/DISK, or NAME for a member without a disk
+	ID        string   `json:"id"`      // server ID, NAME/DISK, or NAME without a disk
 	Role      string   `json:"role"`    // Raft's state: follower, candidate, leader or shutdown
 	Leader    string   `json:"leader"`  // name of the leader, empty for none
 	Term      uint64   `json:"term"`    // Raft's current term
 	Last      uint64   `json:"last"`    // index of the last entry of this member's log
 	Applied   uint64   `json:"applied"` // index of the last applied entry
-	Contact   float64  `json:"contact"` // seconds since the last contact with the leader; -1 for never
+	Contact   float64  `json:"contact"` // seconds since contact with the leader; -1 for never
 	Voters    []string `json:"voters"`
 	Followers []string `json:"followers"`      // names of the non-voters
-	Lost      string   `json:"lost,omitempty"` // what is known of a lost log; empty if it is not lost
+	Lost      string   `json:"lost,omitempty"` // what is known of a lost log, empty for none
 }
 
 // Status returns the current status of this member's replica.
