--- a/internal/dispatcher/fleet/quorum/bootstrap.go
+++ b/internal/dispatcher/fleet/quorum/bootstrap.go
@@ -67,9 +67,9 @@
 
 // voterAddrs returns the addresses of the other live voters.
 func (q *Quorum) voterAddrs() (addrs []string) {
-	for _, i := range q.alive() {
-		if i.Name != q.cfg.Name && slices.Contains(q.cfg.Voters, i.Name) {
-			addrs = append(addrs, i.Addr)
+	for _, info := range q.alive() {
+		if info.Name != q.cfg.Name && slices.Contains(q.cfg.Voters, info.Name) {
+			addrs = append(addrs, info.Addr)
 		}
 	}
 	return addrs
@@ -104,9 +104,9 @@
 // is lost, and logs when that changes.
 func (q *Quorum) assess() recovery.Verdict {
 	var alive []recovery.Member
-	for _, i := range q.alive() {
-		if !i.Leaving {
-			alive = append(alive, recovery.Member{Name: i.Name, Disk: i.Disk != "", Log: i.Log, KnownIndex: i.KnownIndex})
+	for _, info := range q.alive() {
+		if !info.Leaving {
+			alive = append(alive, recovery.Member{Name: info.Name, Disk: info.Disk != "", Log: info.Log, KnownIndex: info.KnownIndex})
 		}
 	}
 	verdict := recovery.AssessLog(q.cfg.Voters, alive)
--- a/internal/dispatcher/fleet/quorum/configuration.go
+++ b/internal/dispatcher/fleet/quorum/configuration.go
@@ -32,8 +32,8 @@
 	}
 	servers := q.servers()
 	alive := q.alive()
-	for _, i := range alive {
-		if !i.Leaving && q.reconcileMember(i, servers) {
+	for _, info := range alive {
+		if !info.Leaving && q.reconcileMember(info, servers) {
 			return
 		}
 	}
@@ -71,7 +71,7 @@
 func (q *Quorum) removeAbsent(servers []raft.Server, alive []members.Info) {
 	now := time.Now()
 	for _, s := range servers {
-		isAlive := slices.ContainsFunc(alive, func(i members.Info) bool { return i.Name == memberName(s.ID) })
+		isAlive := slices.ContainsFunc(alive, func(info members.Info) bool { return info.Name == memberName(s.ID) })
 		if isAlive || s.Suffrage == raft.Voter {
 			delete(q.absentSince, s.ID)
 			continue
@@ -102,8 +102,8 @@
 	if q.raft.State() != raft.Leader {
 		return ErrNoLeader
 	}
-	for _, i := range q.alive() {
-		if i.Name == name && !i.Leaving {
+	for _, info := range q.alive() {
+		if info.Name == name && !info.Leaving {
 			return fmt.Errorf("%s is alive and would come in again; end it first", name)
 		}
 	}
--- a/internal/dispatcher/fleet/quorum/machine.go
+++ b/internal/dispatcher/fleet/quorum/machine.go
@@ -31,10 +31,10 @@
 		parsed = ledger.Entry{}
 	}
 	m.mu.Lock()
-	d := m.state.Apply(entry.Index, parsed)
+	done := m.state.Apply(entry.Index, parsed)
 	m.mu.Unlock()
-	m.onApplied(d)
-	return d
+	m.onApplied(done)
+	return done
 }
 
 // withWorkflows calls visit with the workflows while holding the lock.
--- a/internal/dispatcher/fleet/quorum/quorum.go
+++ b/internal/dispatcher/fleet/quorum/quorum.go
@@ -35,13 +35,16 @@
 	// can be elected.
 	heartbeatTimeout = 500 * time.Millisecond
 	leaderLease      = 400 * time.Millisecond
-	commitTimeout    = 100 * time.Millisecond
-	// A snapshot is taken after snapshotThreshold entries; the log keeps trailingLogs entries
-	// before it, so that a follower that is slightly behind needs no snapshot.
+	// The leader sends its commit index to the followers after commitTimeout without a new entry.
+	commitTimeout = 100 * time.Millisecond
+	// A snapshot is taken after snapshotThreshold entries, which Raft checks at intervals of
+	// snapshotInterval to twice that. The log keeps trailingLogs entries before the snapshot, so
+	// that a follower that is slightly behind needs no snapshot.
 	snapshotThreshold = 1024
 	trailingLogs      = 512
 	snapshotInterval  = 5 * time.Second
-	rpcTimeout        = time.Second
+	// rpcTimeout limits Raft's network I/O, configuration changes and calls to other members.
+	rpcTimeout = time.Second
 	// maxRPCsInFlight of 1 disables pipelining: the next request is sent to a follower only after
 	// it has answered the last one. A request still carries several entries. With pipelining, a
 	// follower that rejects one request (its disk is full) blocks its sender permanently: the
