--- a/internal/data/gateway/gateway.go
+++ b/internal/data/gateway/gateway.go
@@ -10,26 +10,27 @@
 	"frosttide/internal/protocol"
 )
 
-// tickInterval is the interval between the state machines' ticks.
+// tickInterval is the interval between ticks of the state machine.
 const tickInterval = 20 * time.Millisecond
 
-// Gateway is a running gateway.
+// Gateway connects the state machine of a gateway to the network and to its HTTP handlers.
 type Gateway struct {
 	process  *process.Process
-	node     *Node                                 // used on the process's goroutine only
-	pending  map[uint64]chan<- chainclient.Outcome // handlers that wait, by request ID; likewise
+	node     *Node                                 // used only on the process's goroutine
+	pending  map[uint64]chan<- chainclient.Outcome // waiting handlers by request ID; likewise
 	frontend *frontend
 }
 
-// call is a request to the control plane on behalf of a client.
+// call is a request to the control plane on behalf of a client, and how to send it.
 type call struct {
 	request     *protocol.ClientRequest
-	destination chainclient.Destination // the tail for what changes nothing
+	destination chainclient.Destination // the tail for read-only requests
 	timeout     time.Duration
 }
 
-// Run runs a gateway by the settings that were read from the file at path, until the context ends and the open
-// requests are answered. It returns an error if the settings lack a key, or if an address can't be listened on.
+// Run runs a gateway with the settings that were read from the file at path. It returns after the
+// context has ended and the open requests are answered or GraceS has passed. It returns an error if
+// the settings lack a required key or if it can't listen on an address.
 func Run(ctx context.Context, path string, settings *nodefile.File) error {
 	if settings.ListenAddrs.Front == "" {
 		return nodefile.MissingKey(path, "ListenAddrs.Front")
@@ -62,9 +63,11 @@
 	return nil
 }
 
+// tick passes the current time to the node.
 func (g *Gateway) tick() { g.node.Tick(g.process.Now()) }
 
-// afterTurn carries out what a turn of the node has led to.
+// afterTurn publishes the configuration, sends the node's messages and hands the outcomes of
+// completed requests to the handlers that wait for them.
 func (g *Gateway) afterTurn() {
 	sends, outcomes := g.node.Turn(g.process.Now())
 	g.frontend.table.Store(g.node.Table())
@@ -74,12 +77,13 @@
 	for _, outcome := range outcomes {
 		if caller := g.pending[outcome.ID]; caller != nil {
 			delete(g.pending, outcome.ID)
-			caller <- outcome // buffered
+			caller <- outcome // never blocks: the channel is buffered
 		}
 	}
 }
 
-// do sends a request to the control plane and returns its outcome. It returns false if the context ends first.
+// do sends a request to the control plane and returns its outcome. It returns false if the context
+// ends first.
 func (g *Gateway) do(ctx context.Context, c call) (chainclient.Outcome, bool) {
 	result := make(chan chainclient.Outcome, 1)
 	g.process.Post(func() {
--- a/internal/data/gateway/handler.go
+++ b/internal/data/gateway/handler.go
@@ -13,17 +13,19 @@
 )
 
 const (
-	// defaultTimeout is how long an answer may take where neither the client nor the route bounds it.
+	// defaultTimeout limits how long a request may take if neither the client nor the route sets a
+	// limit.
 	defaultTimeout = 3 * time.Second
-	// responseMargin is the part of a client's time that is left for the way of the answer.
+	// responseMargin is the part of the client's timeout that is reserved for sending the response.
 	responseMargin = 60 * time.Millisecond
-	// defaultMaxBodyBytes bounds a body where the configuration does not.
+	// defaultMaxBodyBytes limits the size of a request body if the configuration sets no limit.
 	defaultMaxBodyBytes = 256 << 10
-	// retryAfterSeconds is the Retry-After of requests that were certainly not executed.
+	// retryAfterSeconds is the Retry-After header of requests that were certainly not executed or
+	// are read-only.
 	retryAfterSeconds = "1"
 )
 
-// serveClient answers a client's request to a queue.
+// serveClient routes a client's request to its queue and answers it.
 func (f *frontend) serveClient(w http.ResponseWriter, r *http.Request) {
 	table := f.table.Load()
 	if table.Version == 0 {
@@ -56,23 +58,27 @@
 	}
 }
 
+// readPending returns the request for the number of pending jobs of a queue.
 func readPending(queue string) *protocol.ClientRequest {
 	return &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadPending{ReadPending: &protocol.ReadPending{Queue: queue}}}
 }
 
+// readState returns the request for the state of a job.
 func readState(queue, id string) *protocol.ClientRequest {
 	return &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadState{ReadState: &protocol.ReadState{Id: id, Queue: queue}}}
 }
 
+// cancelJob returns the request that cancels a job.
 func cancelJob(queue, id string) *protocol.ClientRequest {
 	return &protocol.ClientRequest{Op: &protocol.ClientRequest_Cancel{Cancel: &protocol.Cancel{Id: id, Queue: queue}}}
 }
 
+// submitJob returns the request that submits a job.
 func submitJob(submit *protocol.Submit) *protocol.ClientRequest {
 	return &protocol.ClientRequest{Op: &protocol.ClientRequest_Submit{Submit: submit}}
 }
 
-// maxBodyBytes returns the bound of a job's body.
+// maxBodyBytes returns the maximum size of a job's body.
 func maxBodyBytes(table *routeconfig.Table) int64 {
 	if limit := table.Limits().MaxBodyBytes; limit > 0 {
 		return limit
@@ -80,7 +86,8 @@
 	return defaultMaxBodyBytes
 }
 
-// readSubmit reads and parses a job's body. It answers the client itself and returns false where that fails.
+// readSubmit reads and parses a job's body. If that fails, it responds to the client with 400 and
+// returns false.
 func readSubmit(w http.ResponseWriter, r *http.Request, maxBytes int64) (*protocol.Submit, bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err != nil {
@@ -95,8 +102,8 @@
 	return submit, true
 }
 
-// requestTimeout returns how long the control plane may take: what the client waits, by its X-Deadline-Ms header and
-// by the route, without the time for the way of the answer.
+// requestTimeout returns how long the control plane may take to reply: the smaller of the route's
+// timeout and the client's X-Deadline-Ms header, less responseMargin for sending the response.
 func requestTimeout(r *http.Request, route *routeconfig.Route) time.Duration {
 	timeout := defaultTimeout
 	if route.TimeoutMs > 0 {
@@ -108,11 +115,12 @@
 	return max(timeout-responseMargin, responseMargin)
 }
 
-// respond sends a request to the control plane and answers the client with the reply, or with what is known without one.
+// respond sends a request to the control plane and returns the reply to the client. Without a
+// reply, it answers 504 if a write may have been executed and 503 otherwise.
 func (f *frontend) respond(w http.ResponseWriter, r *http.Request, c call) {
 	outcome, ok := f.gateway.do(r.Context(), c)
 	switch {
-	case !ok: // the client has gone
+	case !ok: // the client has disconnected
 	case outcome.Reply != nil:
 		writeReply(w, outcome.Reply)
 	case outcome.MayHaveExecuted && c.destination == chainclient.ToHead:
@@ -122,7 +130,7 @@
 	}
 }
 
-// writeReply passes the control plane's reply on.
+// writeReply writes the control plane's reply to the client. Retry-After is rounded up to seconds.
 func writeReply(w http.ResponseWriter, reply *protocol.ClientReply) {
 	if reply.GetRetryAfterMs() > 0 {
 		w.Header().Set("Retry-After", strconv.Itoa(int(reply.GetRetryAfterMs()+999)/1000))
@@ -131,10 +139,11 @@
 		w.Header().Set("Content-Type", "application/json")
 	}
 	w.WriteHeader(int(reply.GetStatus()))
-	_, _ = w.Write(reply.GetBody()) // fails only where the client has gone
+	_, _ = w.Write(reply.GetBody()) // fails only if the client has disconnected
 }
 
-// reject answers that a request was certainly not executed, and when to try again.
+// reject answers 503 with Retry-After: the request was certainly not executed or is read-only, and
+// the client can retry it.
 func reject(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", retryAfterSeconds)
 	http.Error(w, reason, http.StatusServiceUnavailable)
--- a/internal/data/gateway/handler_test.go
+++ b/internal/data/gateway/handler_test.go
@@ -60,7 +60,7 @@
 	}
 }
 
-func TestWithoutConfiguration(t *testing.T) {
+func TestUnavailableWithoutConfiguration(t *testing.T) {
 	f := newFrontend(nil, time.Second)
 	w := httptest.NewRecorder()
 	f.clientServer.Handler.ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/q/", nil))
--- a/internal/data/gateway/job_test.go
+++ b/internal/data/gateway/job_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// FuzzParseJob checks that no body brings the parser or the validation down.
+// FuzzParseJob checks that no body makes the parser or the validation of the control plane panic.
 func FuzzParseJob(f *testing.F) {
 	f.Add([]byte(sampleJob))
 	f.Add([]byte(`{"Stages":[null,1,{"DependsOn":[-1]}]}`))
--- a/internal/data/gateway/node_fuzz_test.go
+++ b/internal/data/gateway/node_fuzz_test.go
@@ -9,7 +9,8 @@
 	"frosttide/internal/protocol/protocoltest"
 )
 
-// FuzzReceive checks that a gateway with a pending request ends it exactly once, whatever message another process sends.
+// FuzzReceive checks that a gateway reports exactly one outcome of a pending request, whatever
+// message another process sends.
 func FuzzReceive(f *testing.F) {
 	protocoltest.Fuzz(f, []*protocol.Envelope{
 		{Body: &protocol.Envelope_ClientReply{ClientReply: &protocol.ClientReply{Id: 1, Status: 200, ConfigVersion: 3}}},
@@ -22,19 +23,19 @@
 	}, func(t *testing.T, e *protocol.Envelope) {
 		n := NewNode("self", 1, []string{"core"})
 		id := n.Do(0, &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}, chainclient.ToTail, time.Second)
-		ended := 0
+		outcomeCount := 0
 		for now := time.Duration(0); now < 3*time.Second; now += 300 * time.Millisecond {
 			n.Receive(now, "other", e)
 			n.Tick(now)
 			_, outcomes := n.Turn(now)
 			for _, o := range outcomes {
 				if o.ID == id {
-					ended++
+					outcomeCount++
 				}
 			}
 		}
-		if ended != 1 {
-			t.Errorf("the request has ended %d times", ended)
+		if outcomeCount != 1 {
+			t.Errorf("got %d outcomes of the request, want 1", outcomeCount)
 		}
 	})
 }
