--- a/internal/data/agent/head.go
+++ b/internal/data/agent/head.go
@@ -8,8 +8,9 @@
 	"frosttide/internal/protocol"
 )
 
-// SetView takes over a newer view of the control plane by its epoch and the internal address of its head. The agent
-// reports to that head from now on, and waits for a full sync from it.
+// SetView switches to a newer view of the control plane, given by its epoch and the internal
+// address of its head. From then on the agent reports to that head and waits for a full sync from
+// it. Views that are not newer are ignored.
 func (m *Machine) SetView(now time.Duration, epoch uint64, head string) {
 	m.now = now
 	if epoch <= m.epoch {
@@ -21,14 +22,16 @@
 	m.nextReport = 0
 }
 
-// SetContacts replaces the core machines to ask for a view. An empty list changes nothing.
+// SetContacts replaces the addresses of the core machines that are queried for a view. An empty
+// list is ignored.
 func (m *Machine) SetContacts(contacts []string) {
 	if len(contacts) > 0 {
 		m.cfg.Contacts = contacts
 	}
 }
 
-// Tick handles the passing of time: it sends the reports that are due and removes what has expired.
+// Tick advances the time: it sends the reports and view queries that are due, and removes expired
+// state.
 func (m *Machine) Tick(now time.Duration) {
 	m.now = now
 	m.expire()
@@ -49,7 +52,7 @@
 	}
 }
 
-// queryView asks the next core machine for a newer view.
+// queryView queries the next core machine, in rotation, for a newer view.
 func (m *Machine) queryView() {
 	if len(m.cfg.Contacts) == 0 {
 		return
@@ -59,11 +62,13 @@
 		&protocol.Envelope{Body: &protocol.Envelope_ViewQuery{ViewQuery: &protocol.ViewQuery{Epoch: m.epoch}}})
 }
 
+// send queues a message to an internal address until TakeSends.
 func (m *Machine) send(to string, e *protocol.Envelope) {
 	m.sends = append(m.sends, protocol.Outbound{To: to, Message: e})
 }
 
-// expire drops what the head need not know any more, and removes a timed-out runner whose run leases have ended.
+// expire forgets removed runners and unanswered lease requests after removedRetention, and removes
+// a timed-out runner whose run leases have all expired.
 func (m *Machine) expire() {
 	for id, removedAt := range m.removed {
 		if m.now-removedAt > removedRetention {
@@ -84,7 +89,7 @@
 	}
 }
 
-// report sends the head the runner's state and asks it to renew the lease.
+// report sends the runner's state to the head, along with a request to renew the lease.
 func (m *Machine) report() {
 	m.lastLeaseRequest++
 	m.leaseRequestedAt[m.lastLeaseRequest] = m.now
@@ -110,11 +115,12 @@
 	m.send(m.headAddress, &protocol.Envelope{Body: &protocol.Envelope_RunnerReport{RunnerReport: report}})
 }
 
-// HandleOrders handles orders that the head has sent from an internal address.
+// HandleOrders handles orders of the head, whose internal address is from. It renews the lease, and
+// applies the changes to the desired runs if they are for this runner and the next in sequence.
 func (m *Machine) HandleOrders(now time.Duration, from string, o *protocol.RunnerOrders) {
 	m.now = now
 	if o.GetEpoch() < m.epoch || o.GetCompanion() != m.incarnation {
-		return // of a deposed head, or for an earlier process of this agent
+		return // from a deposed head, or for an earlier incarnation of this agent
 	}
 	if o.GetEpoch() > m.epoch {
 		m.SetView(now, o.GetEpoch(), from)
@@ -126,20 +132,21 @@
 		return
 	}
 	m.updateIntervals(o)
-	m.acknowledge(r, o.GetLastSeen())
-	if m.accept(o) {
+	m.acknowledgeEnds(r, o.GetLastSeen())
+	if m.shouldApply(o) {
 		m.appliedSequence = o.GetSequence()
 		m.updateDesired(r, o)
 	}
 }
 
-// renewLease extends the lease, counted from the sending of the request that the orders answer.
+// renewLease extends the lease. It counts from the time when the request was sent that these orders
+// answer.
 func (m *Machine) renewLease(o *protocol.RunnerOrders) {
-	at, ok := m.leaseRequestedAt[o.GetLeaseRound()]
+	requestedAt, ok := m.leaseRequestedAt[o.GetLeaseRound()]
 	if !ok {
 		return
 	}
-	m.leaseExpiry = max(m.leaseExpiry, at+time.Duration(o.GetLeaseMs())*time.Millisecond)
+	m.leaseExpiry = max(m.leaseExpiry, requestedAt+time.Duration(o.GetLeaseMs())*time.Millisecond)
 	for request := range m.leaseRequestedAt {
 		if request <= o.GetLeaseRound() {
 			delete(m.leaseRequestedAt, request)
@@ -147,7 +154,8 @@
 	}
 }
 
-// updateIntervals takes over how often the runner sends heartbeats and the agent reports.
+// updateIntervals sets the intervals of the runner's heartbeats and of the agent's reports, as far
+// as the orders contain them.
 func (m *Machine) updateIntervals(o *protocol.RunnerOrders) {
 	if o.GetRetryMs() > 0 {
 		m.heartbeatInterval = time.Duration(o.GetRetryMs()) * time.Millisecond
@@ -157,8 +165,8 @@
 	}
 }
 
-// acknowledge drops the ends up to a number, which the head has recorded.
-func (m *Machine) acknowledge(r *runner, upTo uint64) {
+// acknowledgeEnds forgets the ends of runs up to a number, which the head has recorded.
+func (m *Machine) acknowledgeEnds(r *runner, upTo uint64) {
 	if upTo <= r.acknowledged {
 		return
 	}
@@ -170,8 +178,9 @@
 	}
 }
 
-// accept reports whether orders are the next ones to apply. Newer sessions begin without a full sync.
-func (m *Machine) accept(o *protocol.RunnerOrders) bool {
+// shouldApply reports whether orders are the next ones to apply. It switches to the session of the
+// orders if that is newer; a new session begins without a full sync.
+func (m *Machine) shouldApply(o *protocol.RunnerOrders) bool {
 	if o.GetSession() < m.session {
 		return false // the head has ended that session
 	}
@@ -179,35 +188,38 @@
 		m.session, m.appliedSequence, m.fullSyncDone = o.GetSession(), 0, false
 	}
 	if !o.GetFull() && len(o.GetRuns()) == 0 && len(o.GetDrop()) == 0 {
-		return false // only the lease is renewed; the sequence is that of the newest orders, which may have been lost
+		// The orders only renew the lease. Their sequence is that of the newest orders with
+		// changes, which may have been lost.
+		return false
 	}
 	if !o.GetFull() && (!m.fullSyncDone || o.GetSequence() > m.appliedSequence+1) {
-		return false // the head sends a full sync, as the next report does not acknowledge these
+		return false // the next report does not acknowledge these orders, so the head sends a full sync
 	}
 	if o.GetSequence() <= m.appliedSequence {
-		return false // a repetition: these or later ones are applied
+		return false // a duplicate: these or later orders have been applied
 	}
 	return true
 }
 
-// updateDesired applies a change of the desired runs, or all of them in a full sync.
+// updateDesired applies orders to the set of desired runs: a full sync replaces the set, other
+// orders change it.
 func (m *Machine) updateDesired(r *runner, o *protocol.RunnerOrders) {
 	if o.GetFull() {
 		m.beginFullSync(r, len(o.GetRuns()))
 	}
 	for _, ref := range o.GetDrop() {
-		m.drop(r, ref, o.GetFull())
+		m.dropRun(r, ref, o.GetFull())
 	}
 	for _, order := range o.GetRuns() {
-		if !m.ended(r, order.GetTask(), order.GetRun()) {
+		if !m.hasPendingEnd(r, order.GetTask(), order.GetRun()) {
 			r.desired[order.GetTask()] = order
 			delete(r.blockedRuns, order.GetTask())
 		}
 	}
 }
 
-// beginFullSync empties the set of desired runs. Starts of them may be on their way to the runner, so that those which
-// are not desired again are blocked.
+// beginFullSync clears the set of desired runs. Starts of these runs may be in flight to the
+// runner, so that the runs are blocked unless the full sync lists them again.
 func (m *Machine) beginFullSync(r *runner, runs int) {
 	previous := r.desired
 	r.desired = make(map[string]*protocol.RunOrder, runs)
@@ -218,9 +230,11 @@
 	}
 }
 
-// drop takes a run, and earlier ones of its task, out of the desired set. A full sync also drops runs that this
-// agent has never known and whose end the head waits for.
-func (m *Machine) drop(r *runner, ref *protocol.RunRef, fullSync bool) {
+// dropRun removes a run, or an earlier run of its task, from the set of desired runs and blocks it.
+// A full sync also drops runs that this agent does not know and whose end the head waits for; these
+// are blocked as well, unless their end is pending. Dropping a refused run acknowledges the
+// refusal.
+func (m *Machine) dropRun(r *runner, ref *protocol.RunRef, fullSync bool) {
 	task, run := ref.GetTask(), ref.GetRun()
 	if r.refused[task] <= run {
 		delete(r.refused, task)
@@ -229,14 +243,14 @@
 		r.blockedRuns[task] = &blockedRun{run: order.GetRun()}
 		delete(r.desired, task)
 	}
-	if fullSync && !m.ended(r, task, run) {
+	if fullSync && !m.hasPendingEnd(r, task, run) {
 		r.blockedRuns[task] = &blockedRun{run: run}
 	}
 }
 
-// ended reports whether the runner has listed the end of a run, or of a later one of its task, that the head has not
-// acknowledged yet.
-func (m *Machine) ended(r *runner, task string, run uint32) bool {
+// hasPendingEnd reports whether the runner has listed an end of this or a later run of the task
+// that the head has not acknowledged yet.
+func (m *Machine) hasPendingEnd(r *runner, task string, run uint32) bool {
 	for _, end := range r.pendingEnds {
 		if end.GetTask() == task && end.GetRun() >= run {
 			return true
--- a/internal/data/agent/heartbeat.go
+++ b/internal/data/agent/heartbeat.go
@@ -10,15 +10,17 @@
 	"frosttide/internal/protocol"
 )
 
-// ErrHeartbeat marks every error of a heartbeat's body that can't be parsed.
+// ErrHeartbeat marks the errors of parsing a heartbeat's body; test for it with errors.Is.
 var ErrHeartbeat = errors.New("heartbeat")
 
+// heartbeatError returns an error that is marked with ErrHeartbeat.
 func heartbeatError(format string, args ...any) error {
 	return errors.Mark(errors.Newf("heartbeat: "+format, args...), ErrHeartbeat)
 }
 
-// parseHeartbeat parses the body of a heartbeat of the runner with an ID. Members that it does not know are passed
-// over, and those that are missing or of another type read as zero.
+// parseHeartbeat parses the JSON body of a heartbeat. id is the ID of the runner, which is part of
+// the request's path. Unknown members are ignored; members that are missing or of the wrong type
+// read as the zero value, except for malformed entries of Running and Finished, which are errors.
 func parseHeartbeat(id string, body []byte) (*Heartbeat, error) {
 	v, err := fastjson.ParseBytes(body)
 	if err != nil {
@@ -45,6 +47,7 @@
 	return heartbeat, nil
 }
 
+// parseAccount parses the members of a heartbeat that describe the runner.
 func parseAccount(id string, v *fastjson.Value) *protocol.RunnerAccount {
 	capacity := v.Get("Capacity")
 	account := &protocol.RunnerAccount{
@@ -69,12 +72,14 @@
 	return account
 }
 
-// stringField returns a member as valid UTF-8, which the protocol's strings have to be.
+// stringField returns a string member with invalid UTF-8 replaced by "?": strings of protocol
+// messages have to be valid UTF-8.
 func stringField(v *fastjson.Value, name string) string {
 	return strings.ToValidUTF8(string(v.GetStringBytes(name)), "?")
 }
 
-// parseProgress parses an entry [task, run, checkpoint, percent] of Running, whose last two may be missing.
+// parseProgress parses an entry [task, run, checkpoint, percent] of Running. The last two elements
+// are optional.
 func parseProgress(entry *fastjson.Value) (*protocol.RunProgress, error) {
 	fields, err := entry.Array()
 	if err != nil || len(fields) < 2 {
@@ -87,7 +92,8 @@
 	return progress, nil
 }
 
-// parseEnd parses an entry [number, task, run, how, checkpoint] of Finished, whose last may be missing.
+// parseEnd parses an entry [number, task, run, how, checkpoint] of Finished. The last element is
+// optional.
 func parseEnd(entry *fastjson.Value) (*protocol.RunEnd, error) {
 	fields, err := entry.Array()
 	if err != nil || len(fields) < 4 {
@@ -105,7 +111,7 @@
 	return end, nil
 }
 
-// encode returns the response's body.
+// encode returns the JSON body of the response.
 func (r *HeartbeatResponse) encode() []byte {
 	out := make([]byte, 0, 256)
 	out = append(out, `{"LastSeen":`...)
@@ -132,7 +138,8 @@
 	return append(out, '}')
 }
 
-// appendStarts appends an entry [task, run, spec, checkpoint] for each run to start.
+// appendStarts appends a JSON array [task, run, spec, checkpoint] for each run to start, separated
+// by commas.
 func appendStarts(out []byte, arena *fastjson.Arena, starts []*protocol.RunOrder) []byte {
 	for i, start := range starts {
 		if i > 0 {
@@ -151,7 +158,7 @@
 	return out
 }
 
-// appendStops appends an entry [task, run] for each run to stop.
+// appendStops appends a JSON array [task, run] for each run to stop, separated by commas.
 func appendStops(out []byte, arena *fastjson.Arena, stops []*protocol.RunRef) []byte {
 	for i, stop := range stops {
 		if i > 0 {
--- a/internal/data/agent/heartbeat_test.go
+++ b/internal/data/agent/heartbeat_test.go
@@ -79,14 +79,15 @@
 	}
 }
 
-// FuzzParseHeartbeat checks that no body brings the parser down.
+// FuzzParseHeartbeat checks that no body makes the parser panic, and that each parsed heartbeat has
+// an account.
 func FuzzParseHeartbeat(f *testing.F) {
 	f.Add([]byte(sampleHeartbeat))
 	f.Add([]byte(`{"Running":[[]],"Finished":[["x",1,2,3]]}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
 		b, err := parseHeartbeat("i1", body)
 		if err == nil && b.Account == nil {
-			t.Fatal("a heartbeat without an account")
+			t.Fatal("got a heartbeat without an account")
 		}
 	})
 }
--- a/internal/data/agent/machine.go
+++ b/internal/data/agent/machine.go
@@ -8,87 +8,90 @@
 	"frosttide/internal/protocol"
 )
 
-// Config holds what the settings say of an agent.
+// Config holds the parameters of an agent.
 type Config struct {
-	Incarnation uint64        // of the process
-	MaxRunLease time.Duration // longest run lease that runners take
-	Contacts    []string      // core machines to ask for the first view
-	Seed        uint64        // of the gossip's random numbers
+	Incarnation uint64        // distinguishes this process from earlier ones of the agent
+	MaxRunLease time.Duration // longest run lease that runners accept
+	Contacts    []string      // internal addresses of the core machines to query for the first view
+	Seed        uint64        // seeds the random numbers of the gossip
 }
 
-// Heartbeat is what the runner reports.
+// Heartbeat is a periodic report of the runner: its account and the state of its runs.
 type Heartbeat struct {
 	Account  *protocol.RunnerAccount
-	Sequence uint64 // rises with each heartbeat of a runner
-	Running  []*protocol.RunProgress
-	Finished []*protocol.RunEnd // ends that were not acknowledged
+	Sequence uint64                  // increases with each heartbeat of a runner
+	Running  []*protocol.RunProgress // runs that are running
+	Finished []*protocol.RunEnd      // ends of runs that were not acknowledged yet
 }
 
-// HeartbeatResponse is the answer to a heartbeat.
+// HeartbeatResponse is the response to a heartbeat. It tells the runner what to start and to stop
+// and for how long it may continue its runs.
 type HeartbeatResponse struct {
-	RunLease          time.Duration // 0 gives none
+	RunLease          time.Duration // 0 grants no run lease
 	Acknowledged      uint64        // ends up to this number need not be listed again
-	FencingToken      uint64        // the runner passes over responses with a lower one
+	FencingToken      uint64        // the runner ignores responses with a lower one
 	Start             []*protocol.RunOrder
 	Stop              []*protocol.RunRef
-	HeartbeatInterval time.Duration // until the next heartbeat
+	HeartbeatInterval time.Duration // delay until the next heartbeat
 }
 
-// Machine is an agent as a pure state machine. It is not safe for concurrent use.
+// Machine is the state machine of an agent. It handles the heartbeats of the runner and the orders
+// of the head; see the package comment for its invariants. It performs no I/O and is not safe for
+// concurrent use.
 type Machine struct {
 	cfg   Config
 	now   time.Duration
 	sends []protocol.Outbound
 
-	// The runner.
-	runner            *runner                  // nil where there is none
-	removed           map[string]time.Duration // since when, by ID: runners that run nothing any more
+	// State of the runner.
+	runner            *runner                  // nil if there is none
+	removed           map[string]time.Duration // removal times by runner ID; these have no runs left
 	heartbeatInterval time.Duration
 
-	// The head and the view that names it.
-	headAddress     string // empty where no head is known
+	// The head and the view in which it is the head.
+	headAddress     string // empty if no head is known
 	epoch           uint64
 	lastHeadContact time.Duration
-	nextContact     int // index of the contact that was queried last
+	nextContact     int // counts view queries, to rotate through the contacts
 
 	// Orders of the head.
-	incarnation     uint64 // rises with each removed runner, which voids the orders given until then
+	incarnation     uint64 // increases with each removed runner, which voids earlier orders
 	session         uint64
-	appliedSequence uint64 // of the newest orders applied in the session
+	appliedSequence uint64 // sequence of the newest orders applied in the session
 	fullSyncDone    bool   // a full sync has been applied in the session
 
-	// Reports and the lease that their answers renew.
+	// Reports, and the lease that the orders in response renew.
 	nextReport       time.Duration
 	reportInterval   time.Duration
 	leaseExpiry      time.Duration
 	lastLeaseRequest uint64
-	leaseRequestedAt map[uint64]time.Duration // by number: requests without an answer
+	leaseRequestedAt map[uint64]time.Duration // send times of unanswered lease requests by number
 }
 
-// runner is what the agent knows of its runner.
+// runner is the state that the agent keeps about its runner.
 type runner struct {
 	account      *protocol.RunnerAccount
-	sequence     uint64 // of the newest heartbeat
+	sequence     uint64 // sequence of the newest heartbeat
 	lastContact  time.Duration
-	deregistered bool // it ends, now or many seconds later
+	deregistered bool // the runner is about to exit, now or many seconds later
 
-	// Runs, by task: the number of the task's run, or what is kept of it.
+	// Runs by task; a number is the number of the task's run.
 	desired       map[string]*protocol.RunOrder
-	running       map[string]uint32        // as listed in the newest heartbeat
-	startAttempts map[string]*startAttempt // starts that were sent and have not been listed
-	blockedRuns   map[string]*blockedRun   // no longer desired, not listed, and not yet sure never to start
-	refused       map[string]uint32        // sure never to start, until the head acknowledges it
+	running       map[string]uint32        // listed in the newest heartbeat
+	startAttempts map[string]*startAttempt // starts that were sent while the run was not listed
+	blockedRuns   map[string]*blockedRun   // no longer desired and not listed, but may still start
+	refused       map[string]uint32        // certainly never start; kept until the head acknowledges
 
-	// Ends of runs, by their number.
-	pendingEnds  map[uint64]*protocol.RunEnd // listed by the runner and not acknowledged by the head
+	// Ends of runs by their number.
+	pendingEnds  map[uint64]*protocol.RunEnd // listed by the runner, not acknowledged by the head
 	acknowledged uint64                      // highest number that the head has acknowledged
 
-	runLeaseExpiry time.Duration // when the newest run lease has ended on the slowest clock
-	healthChecks   int           // in this time-out
-	refusedChecks  int           // of these, the newest in a row
+	runLeaseExpiry time.Duration // when all run leases have expired even on the slowest clock
+	healthChecks   int           // health checks during the current time-out
+	refusedChecks  int           // consecutive refused health checks, up to the newest
 }
 
-// New returns an agent that knows neither a runner nor a view.
+// New returns a Machine that knows neither a runner nor a view.
 func New(cfg Config, now time.Duration) *Machine {
 	return &Machine{
 		cfg:               cfg,
@@ -101,66 +104,72 @@
 	}
 }
 
-// TakeSends returns the messages to send since the last call.
+// TakeSends returns the messages to send that were queued since the last call.
 func (m *Machine) TakeSends() []protocol.Outbound {
 	out := m.sends
 	m.sends = nil
 	return out
 }
 
-// HandleHeartbeat handles a heartbeat of the runner and returns the response.
-func (m *Machine) HandleHeartbeat(now time.Duration, b *Heartbeat) HeartbeatResponse {
+// HandleHeartbeat handles a heartbeat of the runner and returns the response. The first heartbeat
+// of a new runner registers it. A heartbeat that is older than the newest one, or that comes from a
+// runner which was replaced, changes nothing and gets neither a run lease nor orders.
+func (m *Machine) HandleHeartbeat(now time.Duration, heartbeat *Heartbeat) HeartbeatResponse {
 	m.now = now
 	r := m.runner
-	if r == nil || r.account.GetId() != b.Account.GetId() {
-		if r != nil && m.isReplaced(b) {
+	if r == nil || r.account.GetId() != heartbeat.Account.GetId() {
+		if r != nil && m.isReplaced(heartbeat) {
 			return HeartbeatResponse{HeartbeatInterval: m.heartbeatInterval}
 		}
-		r = m.register(b)
+		r = m.register(heartbeat)
 	}
-	if b.Sequence < r.sequence { // delayed: its lists are out of date
+	if heartbeat.Sequence < r.sequence { // delayed: its lists of runs are outdated
 		return HeartbeatResponse{Acknowledged: r.acknowledged, HeartbeatInterval: m.heartbeatInterval}
 	}
-	r.sequence, r.lastContact, r.healthChecks, r.refusedChecks = b.Sequence, now, 0, 0
-	m.updateAccount(r, b.Account)
-	m.updateRuns(r, b)
+	r.sequence, r.lastContact, r.healthChecks, r.refusedChecks = heartbeat.Sequence, now, 0, 0
+	m.updateAccount(r, heartbeat.Account)
+	m.updateRuns(r, heartbeat)
 	return m.respond(r)
 }
 
-// isReplaced reports whether a heartbeat is of a runner that another one has replaced here.
-func (m *Machine) isReplaced(b *Heartbeat) bool {
-	_, removed := m.removed[b.Account.GetId()]
+// isReplaced reports whether a heartbeat comes from a runner that was removed. The caller checks
+// that another runner has taken its place.
+func (m *Machine) isReplaced(heartbeat *Heartbeat) bool {
+	_, removed := m.removed[heartbeat.Account.GetId()]
 	return removed
 }
 
-// register takes the sender of a heartbeat for the runner. One that was here under another ID runs nothing any more.
-func (m *Machine) register(b *Heartbeat) *runner {
+// register makes the sender of a heartbeat the runner of this agent. A previous runner, which had
+// another ID, is removed: it has no running runs any more.
+func (m *Machine) register(heartbeat *Heartbeat) *runner {
 	if m.runner != nil {
 		m.removed[m.runner.account.GetId()] = m.now
 	}
 	m.runner = &runner{
-		account:       b.Account,
+		account:       heartbeat.Account,
 		desired:       make(map[string]*protocol.RunOrder),
 		running:       make(map[string]uint32),
 		startAttempts: make(map[string]*startAttempt),
 		blockedRuns:   make(map[string]*blockedRun),
 		refused:       make(map[string]uint32),
 		pendingEnds:   make(map[uint64]*protocol.RunEnd),
-		// An earlier process of this agent may just have given the longest run lease.
+		// An earlier process of this agent may just have granted the longest run lease.
 		runLeaseExpiry: m.now + m.allowForDrift(m.cfg.MaxRunLease),
 	}
 	m.fullSyncDone = false
-	delete(m.removed, b.Account.GetId())
+	delete(m.removed, heartbeat.Account.GetId())
 	m.nextReport = 0
 	return m.runner
 }
 
-// allowForDrift returns how long a run lease lasts at the most, on the slowest clock.
+// allowForDrift returns the longest time that a run lease may last by the agent's clock, if the
+// runner's clock is the slowest one allowed.
 func (m *Machine) allowForDrift(runLease time.Duration) time.Duration {
 	return runLease + time.Duration(maxClockDrift*float64(runLease)) + runLeaseMargin
 }
 
-// updateAccount replaces the runner's account and reports a change of what the head places runs by at once.
+// updateAccount replaces the runner's account. If a member has changed by which the head places
+// runs, it makes a report due immediately.
 func (m *Machine) updateAccount(r *runner, account *protocol.RunnerAccount) {
 	previous, current := r.account.GetCapacity(), account.GetCapacity()
 	if r.account.GetDraining() != account.GetDraining() || r.account.GetService() != account.GetService() ||
@@ -170,13 +179,14 @@
 	r.account = account
 }
 
-// updateRuns takes over which runs the runner lists as running and as ended. New ends are reported at once.
-func (m *Machine) updateRuns(r *runner, b *Heartbeat) {
+// updateRuns records which runs the runner lists as running and as ended. New ends make a report
+// due immediately.
+func (m *Machine) updateRuns(r *runner, heartbeat *Heartbeat) {
 	clear(r.running)
-	for _, progress := range b.Running {
+	for _, progress := range heartbeat.Running {
 		r.running[progress.GetTask()] = progress.GetRun()
 	}
-	for _, end := range b.Finished {
+	for _, end := range heartbeat.Finished {
 		if end.GetNumber() <= r.acknowledged || r.pendingEnds[end.GetNumber()] != nil {
 			continue
 		}
@@ -192,8 +202,9 @@
 	}
 }
 
-// respond returns what the runner has to start and stop, and its run lease. Without a lease of the head, or before
-// the first full sync, it gets neither: what it runs may be desired.
+// respond returns the response to a heartbeat: the run lease and the runs to start and to stop.
+// While the agent has no lease of the head, or before the first full sync, the response contains
+// neither, since the runs on the runner may be desired ones.
 func (m *Machine) respond(r *runner) HeartbeatResponse {
 	response := HeartbeatResponse{Acknowledged: r.acknowledged, FencingToken: m.epoch, HeartbeatInterval: m.heartbeatInterval}
 	remaining := m.leaseExpiry - m.now
@@ -217,9 +228,10 @@
 	return response
 }
 
-// Deregister handles that the runner says it is about to end. It may go on for many seconds and send delayed heartbeats
-// meanwhile, so that this says nothing of what it runs: it gets nothing more to start, and is removed as any
-// other runner is.
+// Deregister handles the runner's announcement that it is about to exit. The runner may continue
+// for many seconds and send delayed heartbeats meanwhile, so that the announcement does not mean
+// that its runs have ended. The runner gets no more runs to start, and is removed under the same
+// conditions as any other runner.
 func (m *Machine) Deregister(now time.Duration, id string) {
 	m.now = now
 	if m.runner == nil || m.runner.account.GetId() != id {
@@ -229,13 +241,13 @@
 	m.nextReport = 0
 }
 
-// timedOut reports whether a runner's heartbeats are overdue.
+// timedOut reports whether a runner's next heartbeat is overdue; see runnerTimeout.
 func (m *Machine) timedOut(r *runner) bool {
 	return m.now-r.lastContact > min(maxRunnerTimeout, runnerTimeout+time.Duration(len(r.running))*runnerTimeoutPerRun)
 }
 
-// NextHealthCheck returns the ID of the runner if it is timed out and its address is to be checked now. The caller
-// passes the result to HealthCheckDone.
+// NextHealthCheck returns the ID of the runner if it has timed out and a health check of its
+// address is due. The caller passes the result of the check to HealthCheckDone.
 func (m *Machine) NextHealthCheck(now time.Duration) (id string, ok bool) {
 	m.now = now
 	r := m.runner
@@ -253,8 +265,9 @@
 	return r.account.GetId(), true
 }
 
-// HealthCheckDone handles the result of a health check: whether a connection to the runner's address was refused. A
-// machine on which nothing listens there, several times in a row while the runner is timed out, has no runner any more.
+// HealthCheckDone handles the result of a health check: whether a connection to the runner's
+// address was refused. The runner is removed after minRefusedChecks consecutive refusals while it
+// is timed out, since nothing listens at its address any more.
 func (m *Machine) HealthCheckDone(now time.Duration, id string, refused bool) {
 	m.now = now
 	r := m.runner
@@ -270,8 +283,9 @@
 	}
 }
 
-// removeRunner handles that the runner certainly runs nothing any more. What the head has ordered before it knows that is
-// void, should the runner send a heartbeat again.
+// removeRunner removes a runner that certainly has no running runs. The new incarnation voids the
+// orders that the head sends before it learns of the removal, in case the runner sends a heartbeat
+// again.
 func (m *Machine) removeRunner(r *runner) {
 	m.removed[r.account.GetId()] = m.now
 	m.runner = nil
--- a/internal/data/agent/machine_test.go
+++ b/internal/data/agent/machine_test.go
@@ -9,69 +9,70 @@
 	"frosttide/internal/protocol"
 )
 
-const head = "head"
+const headAddress = "head" // internal address of the head
 
 const (
 	testEpoch = 5
 	testLease = 12 * time.Second
 )
 
-// rig is an agent whose head and runner are the test.
-type rig struct {
+// harness runs an agent on simulated time. The test acts as its head and as its runner.
+type harness struct {
 	t        *testing.T
 	machine  *Machine
 	now      time.Duration
-	sequence uint64 // of the newest heartbeat
+	sequence uint64 // sequence of the newest heartbeat
 	orders   uint64 // sequence of the newest orders
 }
 
-// newRig returns a rig whose agent knows the head and no runner.
-func newRig(t *testing.T) *rig {
+// newHarness returns a harness whose agent knows the head and has no runner.
+func newHarness(t *testing.T) *harness {
 	t.Helper()
 	cfg := Config{Incarnation: 100, MaxRunLease: 6 * time.Second, Contacts: []string{"seed"}}
-	r := &rig{t: t, machine: New(cfg, 0), now: time.Second}
-	r.machine.SetView(r.now, testEpoch, head)
-	return r
+	h := &harness{t: t, machine: New(cfg, 0), now: time.Second}
+	h.machine.SetView(h.now, testEpoch, headAddress)
+	return h
 }
 
-// newSyncedRig returns a rig whose agent has a lease, the runner i1, and an empty set of desired runs.
-func newSyncedRig(t *testing.T) *rig {
+// newSyncedHarness returns a harness whose agent has a lease and the runner i1, and has applied a
+// full sync without runs.
+func newSyncedHarness(t *testing.T) *harness {
 	t.Helper()
-	r := newRig(t)
-	require.Zero(t, r.heartbeat("i1", nil).RunLease, "a run lease without a lease")
-	r.fullSync(r.report(), nil)
-	return r
+	h := newHarness(t)
+	require.Zero(t, h.heartbeat("i1", nil).RunLease, "run lease granted without a lease of the head")
+	h.fullSync(h.report(), nil)
+	return h
 }
 
-// heartbeat sends a heartbeat of a runner and returns the response.
-func (r *rig) heartbeat(id string, running []*protocol.RunProgress, finished ...*protocol.RunEnd) HeartbeatResponse {
-	r.sequence++
-	r.now += 10 * time.Millisecond
-	return r.machine.HandleHeartbeat(r.now, &Heartbeat{Account: &protocol.RunnerAccount{Id: id}, Sequence: r.sequence, Running: running, Finished: finished})
+// heartbeat advances the time by 10 ms, sends a heartbeat of a runner and returns the response.
+func (h *harness) heartbeat(id string, running []*protocol.RunProgress, finished ...*protocol.RunEnd) HeartbeatResponse {
+	h.sequence++
+	h.now += 10 * time.Millisecond
+	return h.machine.HandleHeartbeat(h.now, &Heartbeat{Account: &protocol.RunnerAccount{Id: id}, Sequence: h.sequence, Running: running, Finished: finished})
 }
 
-// report lets time pass until the next report and returns it.
-func (r *rig) report() *protocol.RunnerReport {
-	r.t.Helper()
+// report advances the time until the agent sends its next report, and returns the report.
+func (h *harness) report() *protocol.RunnerReport {
+	h.t.Helper()
 	for range 100 {
-		r.now += 20 * time.Millisecond
-		r.machine.Tick(r.now)
-		for _, s := range r.machine.TakeSends() {
+		h.now += 20 * time.Millisecond
+		h.machine.Tick(h.now)
+		for _, s := range h.machine.TakeSends() {
 			if s.Message.GetRunnerReport() != nil {
 				return s.Message.GetRunnerReport()
 			}
 		}
 	}
-	r.t.Fatal("no report")
+	h.t.Fatal("no report within 2 s")
 	return nil
 }
 
-// nextOrders returns empty orders that answer a report.
-func (r *rig) nextOrders(report *protocol.RunnerReport) *protocol.RunnerOrders {
+// nextOrders returns orders in response to a report, with the next sequence and no changes.
+func (h *harness) nextOrders(report *protocol.RunnerReport) *protocol.RunnerOrders {
 	return &protocol.RunnerOrders{
 		Epoch:      testEpoch,
 		Session:    1,
-		Sequence:   r.orders + 1,
+		Sequence:   h.orders + 1,
 		Runner:     report.GetAccount().GetId(),
 		Companion:  report.GetIncarnation(),
 		LeaseRound: report.GetLeaseRound(),
@@ -79,23 +80,24 @@
 	}
 }
 
-func (r *rig) send(o *protocol.RunnerOrders) {
-	r.orders = o.GetSequence()
-	r.machine.HandleOrders(r.now, head, o)
+// send delivers orders of the head to the agent.
+func (h *harness) send(o *protocol.RunnerOrders) {
+	h.orders = o.GetSequence()
+	h.machine.HandleOrders(h.now, headAddress, o)
 }
 
-// fullSync answers a report with a lease and all desired runs.
-func (r *rig) fullSync(report *protocol.RunnerReport, runs []*protocol.RunOrder, drop ...*protocol.RunRef) {
-	o := r.nextOrders(report)
+// fullSync responds to a report with a lease and a full sync of the desired runs.
+func (h *harness) fullSync(report *protocol.RunnerReport, runs []*protocol.RunOrder, drop ...*protocol.RunRef) {
+	o := h.nextOrders(report)
 	o.Full, o.Runs, o.Drop = true, runs, drop
-	r.send(o)
+	h.send(o)
 }
 
-// change answers a report with a lease and a change of the desired runs.
-func (r *rig) change(report *protocol.RunnerReport, runs []*protocol.RunOrder, drop ...*protocol.RunRef) {
-	o := r.nextOrders(report)
+// change responds to a report with a lease and a change of the desired runs.
+func (h *harness) change(report *protocol.RunnerReport, runs []*protocol.RunOrder, drop ...*protocol.RunRef) {
+	o := h.nextOrders(report)
 	o.Runs, o.Drop = runs, drop
-	r.send(o)
+	h.send(o)
 }
 
 func order(task string, number uint32) *protocol.RunOrder {
@@ -106,148 +108,163 @@
 	return []*protocol.RunProgress{{Task: task, Run: number}}
 }
 
+// TestStartsUntilListed checks that a start is repeated until the runner lists the run, and that
+// the end of the run is reported until the head acknowledges it.
 func TestStartsUntilListed(t *testing.T) {
-	r := newSyncedRig(t)
-	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
+	h := newSyncedHarness(t)
+	h.change(h.report(), []*protocol.RunOrder{order("t", 1)})
 	for range 3 {
-		a := r.heartbeat("i1", nil)
-		require.Len(t, a.Start, 1, "a response may be lost")
-		require.EqualValues(t, 5, a.FencingToken)
-		require.Positive(t, a.RunLease)
+		response := h.heartbeat("i1", nil)
+		require.Len(t, response.Start, 1, "start not repeated although responses may be lost")
+		require.EqualValues(t, 5, response.FencingToken)
+		require.Positive(t, response.RunLease)
 	}
-	require.Empty(t, r.heartbeat("i1", running("t", 1)).Start)
-	require.Empty(t, r.heartbeat("i1", nil, &protocol.RunEnd{Number: 1, Task: "t", Run: 1, How: "done"}).Start, "the run has ended")
-	report := r.report()
+	require.Empty(t, h.heartbeat("i1", running("t", 1)).Start)
+	require.Empty(t, h.heartbeat("i1", nil, &protocol.RunEnd{Number: 1, Task: "t", Run: 1, How: "done"}).Start, "start of a run that has ended")
+	report := h.report()
 	require.Len(t, report.GetEnds(), 1)
-	require.Zero(t, r.heartbeat("i1", nil, report.GetEnds()...).Acknowledged, "the head has not acknowledged it")
-	acknowledge := r.nextOrders(report)
-	acknowledge.Sequence, acknowledge.LastSeen = r.orders, 1
-	r.machine.HandleOrders(r.now, head, acknowledge)
-	require.EqualValues(t, 1, r.heartbeat("i1", nil).Acknowledged)
-	require.Empty(t, r.report().GetEnds())
+	require.Zero(t, h.heartbeat("i1", nil, report.GetEnds()...).Acknowledged, "end acknowledged before the head did so")
+	acknowledge := h.nextOrders(report)
+	acknowledge.Sequence, acknowledge.LastSeen = h.orders, 1
+	h.machine.HandleOrders(h.now, headAddress, acknowledge)
+	require.EqualValues(t, 1, h.heartbeat("i1", nil).Acknowledged)
+	require.Empty(t, h.report().GetEnds())
 }
 
 func TestStopsUndesiredRuns(t *testing.T) {
-	r := newSyncedRig(t)
-	require.Len(t, r.heartbeat("i1", running("old", 3)).Stop, 1)
-	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
-	r.change(r.report(), nil, &protocol.RunRef{Task: "t", Run: 1})
-	a := r.heartbeat("i1", nil)
-	require.Empty(t, a.Start)
-	require.Equal(t, "t", a.Stop[0].GetTask(), "its start may be on the way")
+	h := newSyncedHarness(t)
+	require.Len(t, h.heartbeat("i1", running("old", 3)).Stop, 1)
+	h.change(h.report(), []*protocol.RunOrder{order("t", 1)})
+	h.change(h.report(), nil, &protocol.RunRef{Task: "t", Run: 1})
+	response := h.heartbeat("i1", nil)
+	require.Empty(t, response.Start)
+	require.Equal(t, "t", response.Stop[0].GetTask(), "no stop although the start may be in flight")
 }
 
-// TestRunLeasesEndWithinTheLease checks that run leases end within the lease, which counts from the sending of its request.
+// TestRunLeasesEndWithinTheLease checks that run leases expire no later than the lease, which
+// counts from the time when the agent sent the request for it.
 func TestRunLeasesEndWithinTheLease(t *testing.T) {
-	r := newRig(t)
-	r.heartbeat("i1", nil)
-	report := r.report()
-	requested := r.now
-	r.now += 3 * time.Second // the answer is delayed
-	r.fullSync(report, nil)
-	for r.now < requested+testLease {
-		a := r.heartbeat("i1", nil)
-		require.LessOrEqual(t, r.now+a.RunLease, requested+testLease)
-		r.now += 200 * time.Millisecond
+	h := newHarness(t)
+	h.heartbeat("i1", nil)
+	report := h.report()
+	requested := h.now
+	h.now += 3 * time.Second // the response of the head is delayed
+	h.fullSync(report, nil)
+	for h.now < requested+testLease {
+		response := h.heartbeat("i1", nil)
+		require.LessOrEqual(t, h.now+response.RunLease, requested+testLease)
+		h.now += 200 * time.Millisecond
 	}
-	require.Zero(t, r.heartbeat("i1", nil).RunLease)
-	require.Empty(t, r.heartbeat("i1", nil).Start)
+	require.Zero(t, h.heartbeat("i1", nil).RunLease)
+	require.Empty(t, h.heartbeat("i1", nil).Start)
 }
 
+// TestNewProcessGrantsNoRunLease checks that an agent neither grants a run lease nor stops runs
+// before its first full sync.
 func TestNewProcessGrantsNoRunLease(t *testing.T) {
-	r := newRig(t)
-	require.Zero(t, r.heartbeat("i1", running("t", 1)).RunLease)
-	require.Empty(t, r.heartbeat("i1", running("t", 1)).Stop, "the desired runs are not known yet")
+	h := newHarness(t)
+	require.Zero(t, h.heartbeat("i1", running("t", 1)).RunLease)
+	require.Empty(t, h.heartbeat("i1", running("t", 1)).Stop, "stop of a run before the desired runs are known")
 }
 
-func TestRunnerThatComesBack(t *testing.T) {
-	r := newSyncedRig(t)
-	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
-	r.heartbeat("i1", running("t", 1))
-	r.sequence = 0
-	require.Empty(t, r.heartbeat("i2", nil).Start, "the new runner has no orders")
-	require.Contains(t, r.report().GetGone(), "i1")
-	stale := r.machine.HandleHeartbeat(r.now, &Heartbeat{Account: &protocol.RunnerAccount{Id: "i1"}, Sequence: 99})
-	require.Zero(t, stale.RunLease, "a delayed heartbeat of the old runner")
-	require.Equal(t, "i2", r.report().GetAccount().GetId())
+// TestRunnerUnderNewIDReplacesOldOne checks that a heartbeat with a new ID replaces the runner, and
+// that a delayed heartbeat of the old runner does not bring it back.
+func TestRunnerUnderNewIDReplacesOldOne(t *testing.T) {
+	h := newSyncedHarness(t)
+	h.change(h.report(), []*protocol.RunOrder{order("t", 1)})
+	h.heartbeat("i1", running("t", 1))
+	h.sequence = 0
+	require.Empty(t, h.heartbeat("i2", nil).Start, "the new runner got a start for the old one")
+	require.Contains(t, h.report().GetGone(), "i1")
+	stale := h.machine.HandleHeartbeat(h.now, &Heartbeat{Account: &protocol.RunnerAccount{Id: "i1"}, Sequence: 99})
+	require.Zero(t, stale.RunLease, "run lease for a delayed heartbeat of the old runner")
+	require.Equal(t, "i2", h.report().GetAccount().GetId())
 }
 
-// TestTimedOutRunnerIsRemoved checks that a runner is removed only after its longest run lease on the slowest clock, and
-// that orders given before that are void.
+// TestTimedOutRunnerIsRemoved checks that a timed-out runner is removed only after its run lease
+// has expired on the slowest clock allowed, and that orders sent before the removal are void.
 func TestTimedOutRunnerIsRemoved(t *testing.T) {
-	r := newSyncedRig(t)
-	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
-	runLease := r.heartbeat("i1", running("t", 1)).RunLease
-	last := r.now
-	for r.now < last+runLease {
-		require.Empty(t, r.report().GetGone())
+	h := newSyncedHarness(t)
+	h.change(h.report(), []*protocol.RunOrder{order("t", 1)})
+	runLease := h.heartbeat("i1", running("t", 1)).RunLease
+	last := h.now
+	for h.now < last+runLease {
+		require.Empty(t, h.report().GetGone())
 	}
-	report := r.report()
+	report := h.report()
 	previous := report.GetIncarnation()
 	for len(report.GetGone()) == 0 {
-		report = r.report()
+		report = h.report()
 	}
-	require.Greater(t, r.now, last+runLease+time.Duration(0.02*float64(runLease)), "a runner's clock may be slow")
+	require.Greater(t, h.now, last+runLease+time.Duration(0.02*float64(runLease)), "removed before the run lease expired on a clock that is 2% slow")
 	require.NotEqual(t, previous, report.GetIncarnation())
-	r.heartbeat("i1", nil) // it was only out of contact
-	r.machine.HandleOrders(r.now, head, &protocol.RunnerOrders{
+	h.heartbeat("i1", nil) // the runner had only lost contact
+	h.machine.HandleOrders(h.now, headAddress, &protocol.RunnerOrders{
 		Epoch: testEpoch, Session: 1, Sequence: 9, Runner: "i1", Companion: previous, Full: true, Runs: []*protocol.RunOrder{order("t", 1)},
 	})
-	require.Empty(t, r.heartbeat("i1", nil).Start, "orders given before the removal")
+	require.Empty(t, h.heartbeat("i1", nil).Start, "start by orders sent before the removal")
 }
 
+// TestHealthChecksRemoveRunner checks that minRefusedChecks consecutive refused health checks
+// remove a timed-out runner, and that an accepted connection resets the count.
 func TestHealthChecksRemoveRunner(t *testing.T) {
-	r := newSyncedRig(t)
-	r.heartbeat("i1", nil)
-	_, due := r.machine.NextHealthCheck(r.now + 100*time.Millisecond)
+	h := newSyncedHarness(t)
+	h.heartbeat("i1", nil)
+	_, due := h.machine.NextHealthCheck(h.now + 100*time.Millisecond)
 	require.False(t, due)
-	r.now += time.Second
-	id, due := r.machine.NextHealthCheck(r.now)
+	h.now += time.Second
+	id, due := h.machine.NextHealthCheck(h.now)
 	require.True(t, due)
-	r.machine.HealthCheckDone(r.now, id, true)
-	require.Empty(t, r.report().GetGone(), "one refused check is not enough")
-	r.machine.HealthCheckDone(r.now, id, false)
-	r.machine.HealthCheckDone(r.now, id, true)
-	require.Empty(t, r.report().GetGone(), "a connection was accepted in between")
-	r.machine.HealthCheckDone(r.now, id, true)
-	require.Contains(t, r.report().GetGone(), "i1")
+	h.machine.HealthCheckDone(h.now, id, true)
+	require.Empty(t, h.report().GetGone(), "removed after one refused health check")
+	h.machine.HealthCheckDone(h.now, id, false)
+	h.machine.HealthCheckDone(h.now, id, true)
+	require.Empty(t, h.report().GetGone(), "removed although a connection was accepted in between")
+	h.machine.HealthCheckDone(h.now, id, true)
+	require.Contains(t, h.report().GetGone(), "i1")
 }
 
+// TestBusyRunnerTimesOutLater checks that a runner with 40 runs is not timed out after 600 ms
+// without a heartbeat, but after 1 s.
 func TestBusyRunnerTimesOutLater(t *testing.T) {
-	r := newSyncedRig(t)
+	h := newSyncedHarness(t)
 	var many []*protocol.RunProgress
 	for i := range 40 {
 		many = append(many, &protocol.RunProgress{Task: string(rune('a' + i)), Run: 1})
 	}
-	r.heartbeat("i1", many)
-	_, due := r.machine.NextHealthCheck(r.now + 600*time.Millisecond)
+	h.heartbeat("i1", many)
+	_, due := h.machine.NextHealthCheck(h.now + 600*time.Millisecond)
 	require.False(t, due)
-	_, due = r.machine.NextHealthCheck(r.now + time.Second)
+	_, due = h.machine.NextHealthCheck(h.now + time.Second)
 	require.True(t, due)
 }
 
-func TestStartWithoutEffect(t *testing.T) {
-	r := newSyncedRig(t)
-	r.change(r.report(), []*protocol.RunOrder{order("t", 2)})
+// TestIneffectiveStartIsRefused checks that a run which the runner never lists is stopped and then
+// reported as refused until the head drops it.
+func TestIneffectiveStartIsRefused(t *testing.T) {
+	h := newSyncedHarness(t)
+	h.change(h.report(), []*protocol.RunOrder{order("t", 2)})
 	blocked := false
 	for range 200 {
-		a := r.heartbeat("i1", nil)
-		blocked = blocked || len(a.Stop) > 0
-		if len(a.Start) == 0 && len(a.Stop) == 0 {
+		response := h.heartbeat("i1", nil)
+		blocked = blocked || len(response.Stop) > 0
+		if len(response.Start) == 0 && len(response.Stop) == 0 {
 			break
 		}
-		r.now += 40 * time.Millisecond
+		h.now += 40 * time.Millisecond
 	}
-	require.True(t, blocked, "the run may still start")
-	report := r.report()
+	require.True(t, blocked, "no stop was sent although the run may still start")
+	report := h.report()
 	require.Equal(t, "t", report.GetRefused()[0].GetTask())
-	r.change(report, nil, &protocol.RunRef{Task: "t", Run: 2})
-	require.Empty(t, r.report().GetRefused())
+	h.change(report, nil, &protocol.RunRef{Task: "t", Run: 2})
+	require.Empty(t, h.report().GetRefused())
 }
 
+// TestOrdersOfOthersAreVoid checks that orders for another process, runner, epoch or session are
+// not applied, nor orders after a gap in the sequence.
 func TestOrdersOfOthersAreVoid(t *testing.T) {
-	r := newSyncedRig(t)
-	report := r.report()
+	h := newSyncedHarness(t)
+	report := h.report()
 	tests := []struct {
 		name   string
 		change func(*protocol.RunnerOrders)
@@ -260,73 +277,79 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			o := r.nextOrders(report)
+			o := h.nextOrders(report)
 			o.Runs = []*protocol.RunOrder{order("t", 1)}
 			test.change(o)
-			r.machine.HandleOrders(r.now, head, o)
-			require.Empty(t, r.heartbeat("i1", nil).Start)
+			h.machine.HandleOrders(h.now, headAddress, o)
+			require.Empty(t, h.heartbeat("i1", nil).Start)
 		})
 	}
-	require.EqualValues(t, r.orders, r.report().GetOrdersSeen(), "the gap is reported")
-	// Orders that only renew the lease carry the newest sequence. They don't stand for those that were lost.
-	r.machine.HandleOrders(r.now, head, r.nextOrders(report))
-	require.EqualValues(t, r.orders, r.report().GetOrdersSeen())
+	require.EqualValues(t, h.orders, h.report().GetOrdersSeen(), "the report acknowledges orders after the gap")
+	// Orders that only renew the lease carry the newest sequence. They must not be taken for orders
+	// that were lost.
+	h.machine.HandleOrders(h.now, headAddress, h.nextOrders(report))
+	require.EqualValues(t, h.orders, h.report().GetOrdersSeen())
 }
 
+// TestDrainingRunnerStartsNothing checks that a draining runner gets no starts, and that it is
+// removed once health checks show that it has exited after its deregistration.
 func TestDrainingRunnerStartsNothing(t *testing.T) {
-	r := newSyncedRig(t)
-	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
-	r.sequence++
-	a := r.machine.HandleHeartbeat(r.now, &Heartbeat{Account: &protocol.RunnerAccount{Id: "i1", Draining: true}, Sequence: r.sequence})
-	require.Empty(t, a.Start)
-	require.True(t, r.report().GetAccount().GetDraining())
-	r.machine.Deregister(r.now, "i1")
-	require.True(t, r.report().GetSilent())
-	r.now += time.Second
-	require.Empty(t, r.report().GetGone(), "the runner may go on")
-	r.machine.HealthCheckDone(r.now, "i1", true)
-	r.machine.HealthCheckDone(r.now, "i1", true)
-	require.Contains(t, r.report().GetGone(), "i1", "nothing listens there any more")
+	h := newSyncedHarness(t)
+	h.change(h.report(), []*protocol.RunOrder{order("t", 1)})
+	h.sequence++
+	response := h.machine.HandleHeartbeat(h.now, &Heartbeat{Account: &protocol.RunnerAccount{Id: "i1", Draining: true}, Sequence: h.sequence})
+	require.Empty(t, response.Start)
+	require.True(t, h.report().GetAccount().GetDraining())
+	h.machine.Deregister(h.now, "i1")
+	require.True(t, h.report().GetSilent())
+	h.now += time.Second
+	require.Empty(t, h.report().GetGone(), "removed although the runner may still be running")
+	h.machine.HealthCheckDone(h.now, "i1", true)
+	h.machine.HealthCheckDone(h.now, "i1", true)
+	require.Contains(t, h.report().GetGone(), "i1", "not removed although nothing listens at its address")
 }
 
-// TestDeregistrationIsNoEnd has a runner deregister and go on, with heartbeats that arrive seconds late: what it runs
-// must not start elsewhere.
+// TestDeregistrationIsNoEnd guards against runs that execute twice: a runner that has deregistered
+// may continue, with heartbeats that arrive seconds late. It must not be reported as removed while
+// it runs, or the head would start its runs elsewhere.
 func TestDeregistrationIsNoEnd(t *testing.T) {
-	r := newSyncedRig(t)
-	r.change(r.report(), []*protocol.RunOrder{order("t", 1), order("u", 1)})
-	r.heartbeat("i1", running("t", 1))
-	r.machine.Deregister(r.now, "i1")
+	h := newSyncedHarness(t)
+	h.change(h.report(), []*protocol.RunOrder{order("t", 1), order("u", 1)})
+	h.heartbeat("i1", running("t", 1))
+	h.machine.Deregister(h.now, "i1")
 	for range 4 {
 		for range 8 { // 1.6 s and more without a heartbeat
-			report := r.report()
+			report := h.report()
 			require.Empty(t, report.GetGone())
-			require.True(t, report.GetSilent(), "it has to get no more runs")
-			r.change(report, nil)
+			require.True(t, report.GetSilent(), "the head may still place runs on the deregistered runner")
+			h.change(report, nil)
 		}
-		require.Empty(t, r.heartbeat("i1", running("t", 1)).Start, "the runner is about to end")
+		require.Empty(t, h.heartbeat("i1", running("t", 1)).Start, "start on a runner that is about to exit")
 	}
-	id, due := r.machine.NextHealthCheck(r.now + time.Second)
-	require.True(t, due, "it is checked until it has ended")
-	r.machine.HealthCheckDone(r.now+time.Second, id, true)
-	r.machine.HealthCheckDone(r.now+time.Second, id, true)
-	require.Contains(t, r.report().GetGone(), "i1")
+	id, due := h.machine.NextHealthCheck(h.now + time.Second)
+	require.True(t, due, "no health check although the runner may not have exited")
+	h.machine.HealthCheckDone(h.now+time.Second, id, true)
+	h.machine.HealthCheckDone(h.now+time.Second, id, true)
+	require.Contains(t, h.report().GetGone(), "i1")
 }
 
-// TestDeregisteredRunnerWithoutHealthChecks checks that a deregistered runner is removed after its longest run lease on
-// the slowest clock.
+// TestDeregisteredRunnerWithoutHealthChecks checks that a deregistered runner is removed only after
+// its run lease has expired on the slowest clock allowed.
 func TestDeregisteredRunnerWithoutHealthChecks(t *testing.T) {
-	r := newSyncedRig(t)
-	runLease := r.heartbeat("i1", running("t", 1)).RunLease
-	last := r.now
-	r.machine.Deregister(r.now, "i1")
-	for r.now < last+runLease {
-		require.Empty(t, r.report().GetGone())
+	h := newSyncedHarness(t)
+	runLease := h.heartbeat("i1", running("t", 1)).RunLease
+	last := h.now
+	h.machine.Deregister(h.now, "i1")
+	for h.now < last+runLease {
+		require.Empty(t, h.report().GetGone())
 	}
-	r.now += time.Second
-	require.Contains(t, r.report().GetGone(), "i1")
+	h.now += time.Second
+	require.Contains(t, h.report().GetGone(), "i1")
 }
 
-func TestLooksForTheHead(t *testing.T) {
+// TestQueriesAllContactsWithoutHead checks that an agent without a head queries its contacts for a
+// view in rotation.
+func TestQueriesAllContactsWithoutHead(t *testing.T) {
 	m := New(Config{Contacts: []string{"a", "b"}}, 0)
 	requested := make(map[string]bool)
 	for now := time.Duration(0); now < time.Second; now += 50 * time.Millisecond {
@@ -339,65 +362,67 @@
 	require.Len(t, requested, 2)
 }
 
-// TestDroppedRunIsBlocked drops a run that the runner has not listed: the agent blocks it and then reports that it
-// never starts, until which the head keeps its capacity.
+// TestDroppedRunIsBlocked drops a run that the runner has not listed. The agent must block the run
+// before it reports it as refused, since the head then frees the run's capacity.
 func TestDroppedRunIsBlocked(t *testing.T) {
-	r := newSyncedRig(t)
-	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
-	r.change(r.report(), nil, &protocol.RunRef{Task: "t", Run: 1})
+	h := newSyncedHarness(t)
+	h.change(h.report(), []*protocol.RunOrder{order("t", 1)})
+	h.change(h.report(), nil, &protocol.RunRef{Task: "t", Run: 1})
 	for range stopsToBlock + 1 {
-		a := r.heartbeat("i1", nil)
-		require.Len(t, a.Stop, 1)
-		require.Empty(t, a.Start)
+		response := h.heartbeat("i1", nil)
+		require.Len(t, response.Stop, 1)
+		require.Empty(t, response.Start)
 	}
-	require.Empty(t, r.heartbeat("i1", nil).Stop, "the run is blocked for good")
-	report := r.report()
+	require.Empty(t, h.heartbeat("i1", nil).Stop, "stop of a run that is already refused")
+	report := h.report()
 	require.Len(t, report.GetRefused(), 1)
-	r.change(report, nil, &protocol.RunRef{Task: "t", Run: 1})
-	require.Empty(t, r.report().GetRefused(), "the head has acknowledged it")
+	h.change(report, nil, &protocol.RunRef{Task: "t", Run: 1})
+	require.Empty(t, h.report().GetRefused(), "refusal reported again after the head acknowledged it")
 }
 
-// TestUnknownRunOfFullSyncIsBlocked drops a run that the agent has never known, and whose end the head waits for, in a
-// full sync: the agent blocks it and reports that it never starts.
+// TestUnknownRunOfFullSyncIsBlocked has a full sync drop a run that the agent does not know and
+// whose end the head waits for. The agent must block the run and report it as refused, unless the
+// runner lists it and reports its end.
 func TestUnknownRunOfFullSyncIsBlocked(t *testing.T) {
-	r := newRig(t)
-	r.heartbeat("i1", nil)
-	r.fullSync(r.report(), nil, &protocol.RunRef{Task: "t", Run: 2}, &protocol.RunRef{Task: "u", Run: 1})
-	require.Len(t, r.heartbeat("i1", running("u", 1)).Stop, 2)
+	h := newHarness(t)
+	h.heartbeat("i1", nil)
+	h.fullSync(h.report(), nil, &protocol.RunRef{Task: "t", Run: 2}, &protocol.RunRef{Task: "u", Run: 1})
+	require.Len(t, h.heartbeat("i1", running("u", 1)).Stop, 2)
 	for range stopsToBlock + 2 {
-		r.heartbeat("i1", nil, &protocol.RunEnd{Number: 1, Task: "u", Run: 1, How: "stopped"})
+		h.heartbeat("i1", nil, &protocol.RunEnd{Number: 1, Task: "u", Run: 1, How: "stopped"})
 	}
-	report := r.report()
+	report := h.report()
 	require.Len(t, report.GetRefused(), 1)
 	require.Equal(t, "t", report.GetRefused()[0].GetTask())
 	require.Len(t, report.GetEnds(), 1)
 }
 
-// TestOrdersThatComeAgain delivers an older full sync again after a newer one.
+// TestOrdersThatComeAgain checks that an older full sync which is delivered again after a newer one
+// is not applied.
 func TestOrdersThatComeAgain(t *testing.T) {
-	r := newSyncedRig(t)
-	report := r.report()
-	older := r.nextOrders(report)
+	h := newSyncedHarness(t)
+	report := h.report()
+	older := h.nextOrders(report)
 	older.Full, older.Runs = true, []*protocol.RunOrder{order("old", 1)}
-	r.send(older)
-	r.fullSync(report, []*protocol.RunOrder{order("new", 1)})
-	r.machine.HandleOrders(r.now, head, older)
-	a := r.heartbeat("i1", running("new", 1))
-	require.Empty(t, a.Start)
-	for _, stop := range a.Stop {
-		require.NotEqual(t, "new", stop.GetTask(), "the run is desired")
+	h.send(older)
+	h.fullSync(report, []*protocol.RunOrder{order("new", 1)})
+	h.machine.HandleOrders(h.now, headAddress, older)
+	response := h.heartbeat("i1", running("new", 1))
+	require.Empty(t, response.Start)
+	for _, stop := range response.Stop {
+		require.NotEqual(t, "new", stop.GetTask(), "stop of a run that is desired")
 	}
 }
 
-// TestDelayedHeartbeatIsIgnored has a heartbeat arrive after a later one: it neither ends a run that the later one lists nor
-// brings back one that it does not.
+// TestDelayedHeartbeatIsIgnored has a heartbeat arrive after a later one. It must neither remove a
+// run that the later one lists nor bring back a run that the later one does not list.
 func TestDelayedHeartbeatIsIgnored(t *testing.T) {
-	r := newSyncedRig(t)
-	r.change(r.report(), []*protocol.RunOrder{order("t", 1)})
-	r.heartbeat("i1", running("t", 1))
-	r.sequence -= 2
-	delayed := r.heartbeat("i1", running("old", 3))
-	require.Empty(t, delayed.Stop, "its lists are out of date")
-	r.sequence++
-	require.Empty(t, r.heartbeat("i1", running("t", 1)).Start)
+	h := newSyncedHarness(t)
+	h.change(h.report(), []*protocol.RunOrder{order("t", 1)})
+	h.heartbeat("i1", running("t", 1))
+	h.sequence -= 2
+	delayed := h.heartbeat("i1", running("old", 3))
+	require.Empty(t, delayed.Stop, "stop by the outdated list of a delayed heartbeat")
+	h.sequence++
+	require.Empty(t, h.heartbeat("i1", running("t", 1)).Start)
 }
--- a/internal/data/agent/node.go
+++ b/internal/data/agent/node.go
@@ -8,15 +8,15 @@
 	"frosttide/internal/view"
 )
 
-// Node is an agent process as a pure state machine: the machine that answers the runner, and the gossip by which
-// views arrive. It is not safe for concurrent use.
+// Node is the state machine of an agent process. It combines the Machine that answers the runner
+// and the gossip by which views arrive. It performs no I/O and is not safe for concurrent use.
 type Node struct {
 	Machine    *Machine
 	gossip     *gossip.Machine
-	knownEpoch uint64 // epoch of the newest view that the machine has
+	knownEpoch uint64 // epoch of the newest view that was passed to the machine
 }
 
-// NewNode returns an agent process at an internal address.
+// NewNode returns the node of an agent process with the given internal address.
 func NewNode(cfg Config, address string, now time.Duration) *Node {
 	return &Node{
 		Machine: New(cfg, now),
@@ -24,13 +24,13 @@
 	}
 }
 
-// SetContacts replaces the addresses that are tried while no view is known.
+// SetContacts replaces the addresses of the core machines that are used while no view is known.
 func (n *Node) SetContacts(contacts []string) {
 	n.Machine.SetContacts(contacts)
 	n.gossip.SetContacts(contacts)
 }
 
-// Receive handles a message that another process has sent from an internal address.
+// Receive handles a message that the process at the internal address "from" has sent.
 func (n *Node) Receive(now time.Duration, from string, e *protocol.Envelope) {
 	switch body := e.GetBody().(type) {
 	case *protocol.Envelope_RunnerOrders:
@@ -42,10 +42,11 @@
 	}
 }
 
-// Tick handles the passing of time.
+// Tick advances the time of the gossip. Turn advances that of the Machine.
 func (n *Node) Tick(now time.Duration) { n.gossip.Tick(now) }
 
-// Turn ends a turn and returns the messages to send.
+// Turn ends a turn of the event loop: it passes a newer view to the Machine, advances the Machine's
+// time and returns the messages to send.
 func (n *Node) Turn(now time.Duration) []protocol.Outbound {
 	if v := n.gossip.View(); v.GetEpoch() > n.knownEpoch && len(v.GetChain()) > 0 {
 		n.knownEpoch = v.GetEpoch()
--- a/internal/data/agent/node_fuzz_test.go
+++ b/internal/data/agent/node_fuzz_test.go
@@ -8,10 +8,10 @@
 	"frosttide/internal/protocol/protocoltest"
 )
 
-// FuzzReceive checks that an agent goes on answering its runner within its bounds, whatever message another process
-// sends.
+// FuzzReceive checks that an agent keeps answering its runner with a run lease up to the maximum
+// and a positive heartbeat interval, whatever message another process sends.
 func FuzzReceive(f *testing.F) {
-	v := &protocol.View{Epoch: 5, Voters: []*protocol.Member{{Id: 1, Address: head}}, Chain: []uint64{1}}
+	v := &protocol.View{Epoch: 5, Voters: []*protocol.Member{{Id: 1, Address: headAddress}}, Chain: []uint64{1}}
 	protocoltest.Fuzz(f, []*protocol.Envelope{
 		{Body: &protocol.Envelope_RunnerOrders{RunnerOrders: &protocol.RunnerOrders{Epoch: 5, Sequence: 1, Session: 1, Runner: "i1", Companion: 100, Full: true, LeaseRound: 1, LeaseMs: 12000,
 			Runs: []*protocol.RunOrder{{Task: "a.0.0.0", Run: 1, Spec: "s"}}}}},
@@ -25,17 +25,17 @@
 	}, func(t *testing.T, e *protocol.Envelope) {
 		const maxRunLease = 6 * time.Second
 		n := NewNode(Config{Incarnation: 100, MaxRunLease: maxRunLease, Contacts: []string{"seed"}, Seed: 1}, "self", 0)
-		n.Receive(0, head, &protocol.Envelope{Body: &protocol.Envelope_Decided{Decided: &protocol.Decided{View: v}}})
+		n.Receive(0, headAddress, &protocol.Envelope{Body: &protocol.Envelope_Decided{Decided: &protocol.Decided{View: v}}})
 		for i := range uint64(10) {
 			now := time.Duration(i) * 100 * time.Millisecond
 			response := n.Machine.HandleHeartbeat(now, &Heartbeat{Account: &protocol.RunnerAccount{Id: "i1"}, Sequence: i + 1})
 			if response.RunLease > maxRunLease {
-				t.Errorf("a run lease of %v", response.RunLease)
+				t.Errorf("got a run lease of %v, which is above the maximum", response.RunLease)
 			}
 			if response.HeartbeatInterval <= 0 {
-				t.Error("no interval until the next heartbeat")
+				t.Error("got no positive interval until the next heartbeat")
 			}
-			n.Receive(now, head, e)
+			n.Receive(now, headAddress, e)
 			n.Tick(now)
 			n.Turn(now)
 		}
--- a/internal/data/agent/server.go
+++ b/internal/data/agent/server.go
@@ -19,33 +19,35 @@
 )
 
 const (
-	// tickInterval is the interval between the state machines' ticks.
+	// tickInterval is the interval between ticks of the state machines.
 	tickInterval = 50 * time.Millisecond
-	// maxHeartbeatBytes bounds the body of a heartbeat; runners list up to 500 ends at once.
+	// maxHeartbeatBytes limits the size of a heartbeat's body; runners list up to 500 ends at once.
 	maxHeartbeatBytes = 4 << 20
-	// readTimeout bounds how long a heartbeat may take to arrive.
+	// readTimeout limits how long a heartbeat may take to arrive.
 	readTimeout = 3 * time.Second
-	// drainTimeout bounds how long a process that ends waits for open requests, which are answered at once.
+	// drainTimeout limits how long a process that shuts down waits for open requests, which are
+	// answered without delay.
 	drainTimeout = 300 * time.Millisecond
-	// healthCheckInterval is the least time between two health checks of a timed-out runner.
+	// healthCheckInterval is the minimum time between two health checks of a timed-out runner.
 	healthCheckInterval = 100 * time.Millisecond
-	// healthCheckTimeout bounds a health check.
+	// healthCheckTimeout limits how long a health check may take.
 	healthCheckTimeout = 300 * time.Millisecond
 )
 
-// Server is a running agent. Its fields are used on the process's goroutine only, except for process itself.
+// Server connects the state machine of an agent to the network and to the HTTP endpoint of its
+// runner. Its fields are used only on the process's goroutine, except for process itself.
 type Server struct {
 	process *process.Process
 	node    *Node
 
-	runnerAddress string // where the runner listens, empty where the settings do not say
-	checking      bool   // a health check is under way
+	runnerAddress string // address that the runner listens on; empty if it is not in the settings
+	checking      bool   // a health check is in progress
 	lastCheck     time.Duration
 	checks        sync.WaitGroup // goroutines of health checks
 }
 
-// Run runs an agent by the settings that were read from the file at path, until the context ends. It returns an error
-// if the settings lack a key, or if an address can't be listened on.
+// Run runs an agent with the settings that were read from the file at path, until the context ends.
+// It returns an error if the settings lack a required key or if it can't listen on an address.
 func Run(ctx context.Context, path string, settings *nodefile.File) error {
 	if settings.ListenAddrs.Control == "" {
 		return nodefile.MissingKey(path, "ListenAddrs.Control")
@@ -77,29 +79,32 @@
 		ApplySettings: func(changed *nodefile.File) { s.node.SetContacts(changed.Contacts()) },
 		Drain:         func() { drain(listener) },
 	})
-	s.checks.Wait() // the end of the context has broken them off
+	s.checks.Wait() // the end of the context has canceled them
 	return nil
 }
 
-// drain waits until the runner's open requests are answered.
+// drain waits until the runner's open requests are answered, at most for drainTimeout.
 func drain(listener *httpserver.Listener) {
 	if err := listener.Drain(drainTimeout); err != nil {
-		klog.ErrorS(err, "Requests of the runner are still open at the end")
+		klog.ErrorS(err, "Requests of the runner are still open at the end of the drain")
 	}
 }
 
-// serveRunner serves the runner's heartbeats until the caller closes the listener.
+// serveRunner starts the HTTP server for the runner's heartbeats and deregistration. The caller
+// closes the returned listener.
 func (s *Server) serveRunner(address string) (*httpserver.Listener, error) {
 	mux := http.NewServeMux()
 	mux.HandleFunc("PUT /v1/instances/{id}", s.handleHeartbeat)
 	mux.HandleFunc("DELETE /v1/instances/{id}", s.handleDeregister)
 	listener, err := httpserver.Listen(address, &http.Server{Handler: mux, ReadTimeout: readTimeout})
-	return listener, errors.Wrap(err, "companion: the runner's address can't be listened on")
+	return listener, errors.Wrap(err, "companion: can't listen on the address for the runner")
 }
 
+// tick passes the current time to the node.
 func (s *Server) tick() { s.node.Tick(s.process.Now()) }
 
-// afterTurn carries out what a turn of the node has led to. The context ends health checks.
+// afterTurn sends the node's messages and starts a health check of the runner if one is due. The
+// end of the context cancels health checks.
 func (s *Server) afterTurn(ctx context.Context) {
 	now := s.process.Now()
 	for _, send := range s.node.Turn(now) {
@@ -108,7 +113,8 @@
 	s.checkRunner(ctx, now)
 }
 
-// checkRunner starts a health check of the runner if one is due, on a goroutine of its own.
+// checkRunner starts a health check of the runner on a new goroutine, if one is due and none is in
+// progress.
 func (s *Server) checkRunner(ctx context.Context, now time.Duration) {
 	if s.checking || s.runnerAddress == "" || now-s.lastCheck < healthCheckInterval {
 		return
@@ -127,18 +133,18 @@
 	})
 }
 
-// refusesConnections reports whether a connection to an address is refused, which says that nothing listens there. A
-// connection that times out says nothing.
+// refusesConnections reports whether a connection to an address is refused, which proves that
+// nothing listens there. A connection that times out proves nothing.
 func refusesConnections(ctx context.Context, address string) bool {
 	dialer := net.Dialer{Timeout: healthCheckTimeout}
 	conn, err := dialer.DialContext(ctx, "tcp4", address)
 	if err == nil {
-		_ = conn.Close() // nothing was sent on it
+		_ = conn.Close() // no data was sent, so that an error does not matter
 	}
 	return errors.Is(err, unix.ECONNREFUSED)
 }
 
-// handleHeartbeat answers PUT /v1/instances/{id}.
+// handleHeartbeat handles PUT /v1/instances/{id}, the heartbeat of a runner.
 func (s *Server) handleHeartbeat(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxHeartbeatBytes))
 	if err != nil {
@@ -156,12 +162,13 @@
 	select {
 	case response := <-result:
 		w.Header().Set("Content-Type", "application/json")
-		_, _ = w.Write(response.encode()) // fails only where the runner has gone
+		_, _ = w.Write(response.encode()) // fails only if the runner has disconnected
 	case <-r.Context().Done():
 	}
 }
 
-// handleDeregister answers DELETE /v1/instances/{id}.
+// handleDeregister handles DELETE /v1/instances/{id}, by which a runner announces that it will
+// exit.
 func (s *Server) handleDeregister(w http.ResponseWriter, r *http.Request) {
 	id := r.PathValue("id")
 	done := make(chan struct{})
--- a/internal/data/agent/starts.go
+++ b/internal/data/agent/starts.go
@@ -8,25 +8,27 @@
 	"frosttide/internal/protocol"
 )
 
-// startAttempt is the start of a run that the runner does not list. Responses may be lost, so that the start is sent
-// again with each.
+// startAttempt tracks the start of a run that the runner does not list yet. Since responses may be
+// lost, the start is repeated in every response until the run is listed or blocked.
 type startAttempt struct {
 	run        uint32
 	since      time.Duration
-	startsSent int // in responses
-	stopsSent  int // in responses, after the starts had no effect
+	startsSent int // responses that contained the start
+	stopsSent  int // responses that contained a stop, after the starts had no effect
 }
 
-// blockedRun is a run that is no longer desired and that the runner has not listed: its start may be on the way, or may
-// never have been sent. Runners pass over a start whose run number is not above that of a stop, so that enough stops
-// make sure that the run never starts. Until then the head keeps the run's capacity.
+// blockedRun is a run that is no longer desired and that the runner has not listed: its start may
+// still be in flight, or may never have been sent. Runners ignore a start whose run number is not
+// above that of a stop, so that enough stops ensure that the run never starts. Until then the head
+// keeps the run's capacity reserved.
 type blockedRun struct {
 	run       uint32
-	stopsSent int // in responses
+	stopsSent int // responses that contained the stop
 }
 
-// startOrBlock adds the start of a desired run that the runner does not list to a response. A run that does not start
-// after many of them gets stops instead, and is reported as refused once it certainly never starts.
+// startOrBlock adds the start of a desired run to a response, unless the runner lists the run. If
+// many starts have had no effect, it adds stops instead, and reports the run as refused once it
+// certainly never starts.
 func (m *Machine) startOrBlock(r *runner, order *protocol.RunOrder, response *HeartbeatResponse) {
 	task, run := order.GetTask(), order.GetRun()
 	if r.running[task] == run {
@@ -48,17 +50,19 @@
 	if attempt.stopsSent > stopsToBlock {
 		delete(r.startAttempts, task)
 		delete(r.desired, task)
-		m.refuse(r, task, run)
+		m.refuseRun(r, task, run)
 	}
 }
 
-// stopBlockedRuns adds the stops of the blocked runs to a response.
+// stopBlockedRuns adds stops of the blocked runs to a response. A run is reported as refused once
+// enough stops were sent.
 func (m *Machine) stopBlockedRuns(r *runner, response *HeartbeatResponse) {
 	for _, task := range slices.Sorted(maps.Keys(r.blockedRuns)) {
 		blocked := r.blockedRuns[task]
 		if running := r.running[task]; running != 0 {
 			if running >= blocked.run {
-				delete(r.blockedRuns, task) // it is stopped as any run that is not desired, and its end is listed
+				// respond stops it like any run that is not desired, and the runner lists its end.
+				delete(r.blockedRuns, task)
 			}
 			continue
 		}
@@ -66,13 +70,13 @@
 		response.Stop = append(response.Stop, &protocol.RunRef{Task: task, Run: blocked.run})
 		if blocked.stopsSent > stopsToBlock {
 			delete(r.blockedRuns, task)
-			m.refuse(r, task, blocked.run)
+			m.refuseRun(r, task, blocked.run)
 		}
 	}
 }
 
-// refuse reports, at once, that a run certainly never starts.
-func (m *Machine) refuse(r *runner, task string, run uint32) {
+// refuseRun records that a run certainly never starts and makes a report due immediately.
+func (m *Machine) refuseRun(r *runner, task string, run uint32) {
 	r.refused[task] = run
 	m.nextReport = 0
 }
--- a/internal/testkit/lab/mutate/checks.go
+++ b/internal/testkit/lab/mutate/checks.go
@@ -73,10 +73,10 @@
 	{"orders for an earlier incarnation of the agent are void", headFile, "if o.GetEpoch() < m.epoch || o.GetCompanion() != m.incarnation {", "if o.GetEpoch() < m.epoch {"},
 	{"orders of an earlier session are void", headFile, "if o.GetSession() < m.session {", "if false {"},
 	{"orders after a gap are not applied", headFile, "if !o.GetFull() && (!m.fullSyncDone || o.GetSequence() > m.appliedSequence+1) {", "if false {"},
-	{"a lease counts from the sending of its request", headFile, "at, ok := m.leaseRequestedAt[o.GetLeaseRound()]", "_, ok := m.leaseRequestedAt[o.GetLeaseRound()]\n	at := m.now"},
+	{"a lease counts from the sending of its request", headFile, "requestedAt, ok := m.leaseRequestedAt[o.GetLeaseRound()]", "_, ok := m.leaseRequestedAt[o.GetLeaseRound()]\n	requestedAt := m.now"},
 	{"a run lease ends within the lease of its agent", agentFile, "response.RunLease = min(m.cfg.MaxRunLease, remaining)", "response.RunLease = m.cfg.MaxRunLease"},
 	{"a runner that deregisters has not ended", agentFile, "	m.runner.deregistered = true\n", "	m.removeRunner(m.runner)\n	return\n"},
 	{"a silent runner's run leases have expired", headFile, "if m.now > r.runLeaseExpiry {", "if m.now > r.lastContact+time.Second {"},
-	{"a delayed heartbeat of a runner is ignored", agentFile, "if b.Sequence < r.sequence {", "if false {"},
+	{"a delayed heartbeat of a runner is ignored", agentFile, "if heartbeat.Sequence < r.sequence {", "if false {"},
 	{"one refused health check is not enough", agentFile, "if r.refusedChecks++; r.refusedChecks >= minRefusedChecks {", "if r.refusedChecks++; r.refusedChecks >= 1 {"},
 }
