--- a/internal/dispatcher/fleet/workflow/flow/destination.go
+++ b/internal/dispatcher/fleet/workflow/flow/destination.go
@@ -2,47 +2,50 @@
 
 import "slices"
 
-// Destination is a group of runners to which an undo was sent. The runners of one group drop
-// repeats of it within the group's deduplication window, so an undo may be sent again there but to
-// no other group until the window is over.
+// Destination is a group of runners to which an undo was sent. The runners of a group discard
+// duplicates of the undo within their deduplication window. Until that window ends the undo may be
+// sent to the same group again, but to no other group, where it could run a second time.
 type Destination struct {
-	Zone        string `json:"zone,omitempty"` // empty for all runners
-	Cell        int    `json:"cell,omitempty"`
-	FirstSentAt int64  `json:"at"`    // ms since 1970 when the window begins
-	Until       int64  `json:"until"` // ms since 1970 when the window ends
+	Zone        string `json:"zone,omitempty"` // empty if the group is all runners
+	Cell        int    `json:"cell,omitempty"` // 0 if the group is not a cell
+	FirstSentAt int64  `json:"at"`             // start of the window, Unix time in ms
+	Until       int64  `json:"until"`          // end of the window, Unix time in ms
 	// Entries are the indexes of the log entries that sent the undo here and were not withdrawn.
-	// An index 0 stands for entries that are not kept any more and so can't be withdrawn.
+	// An index of 0 stands for entries beyond maxEntries, which can't be withdrawn.
 	Entries []uint64 `json:"entries"`
 }
 
-// maxEntries bounds how many entries of a destination are kept apart; with more of them the
-// destination stays until its window is over.
+// maxEntries bounds the entries that a destination lists individually. A destination with more
+// entries than that stays until its window ends.
 const maxEntries = 8
 
-// MaxDestinations bounds the destinations of one undo at a time; a further one is refused.
+// MaxDestinations bounds the destinations that one undo has at the same time. A command that adds
+// one more is refused as TooLarge.
 const MaxDestinations = 16
 
-// sameGroup reports whether two destinations are the same group of runners.
+// sameGroup reports whether two destinations denote the same group of runners.
 func (d *Destination) sameGroup(other *Destination) bool {
 	return d.Zone == other.Zone && d.Cell == other.Cell
 }
 
-// SendUndo records, before it happens, that the holder with a fencing token sends the undo of step
-// n to a destination; entry is the index of the log entry that says so. The next holder learns the
-// destination from the log even if all members that saw the undo leave are down, so it never runs
-// the undo in a second group.
+// SendUndo records that the holder of the claim with fencingToken is about to send the undo of step
+// n to a destination. It is agreed on before the undo is sent, so that the next holder learns the
+// destination from the log, even if every member that was involved is down, and doesn't run the
+// undo in a second group. entry is the index of the command's log entry. The window of a
+// destination that is recorded already keeps its start and end.
 func (f *Flow) SendUndo(n int, fencingToken, entry uint64, d Destination, at int64) *Refusal {
 	s, refusal := f.claimedStep(n, fencingToken, at)
 	if refusal != nil {
 		return refusal
 	}
-	// Remove destinations whose window is over.
+	// Remove the destinations whose window has ended.
 	s.Destinations = slices.DeleteFunc(s.Destinations, func(other Destination) bool { return other.Until <= at })
 	if i := slices.IndexFunc(s.Destinations, func(other Destination) bool { return other.sameGroup(&d) }); i >= 0 {
-		if w := &s.Destinations[i]; len(w.Entries) < maxEntries {
-			w.Entries = append(slices.Clip(w.Entries), entry) // clip: clones share the old array
+		if existing := &s.Destinations[i]; len(existing.Entries) < maxEntries {
+			// Clipped, as copies made by Clone share the backing array.
+			existing.Entries = append(slices.Clip(existing.Entries), entry)
 		} else {
-			w.Entries = append([]uint64{0}, w.Entries[1:]...)
+			existing.Entries = append([]uint64{0}, existing.Entries[1:]...)
 		}
 		return nil
 	}
@@ -57,9 +60,9 @@
 	return nil
 }
 
-// WithdrawUndo records that the attempt which an entry sent to a destination certainly never ran.
-// The destination stays as long as another entry names it: the undo may have run there in an
-// earlier attempt, and only then is it free to go to another group.
+// WithdrawUndo records that the attempt that a log entry sent to a destination certainly never ran.
+// The destination is removed once no other entry names it, and the undo may then be sent to another
+// group. Until then the undo may have run there in another attempt.
 func (f *Flow) WithdrawUndo(n int, fencingToken, entry uint64, at int64) *Refusal {
 	s, refusal := f.claimedStep(n, fencingToken, at)
 	if refusal != nil {
@@ -75,8 +78,9 @@
 	return nil
 }
 
-// claimedStep returns step n if its undo is the next one, may begin by now, and the fencing token
-// is that of the present claim.
+// claimedStep returns step n if its undo is the next one and may start at the given time, and if
+// fencingToken is that of the current claim. Otherwise it returns the reason for refusing the
+// command.
 func (f *Flow) claimedStep(n int, fencingToken uint64, at int64) (*Step, *Refusal) {
 	switch {
 	case f.Phase != Undoing:
--- a/internal/dispatcher/fleet/workflow/flow/flow.go
+++ b/internal/dispatcher/fleet/workflow/flow/flow.go
@@ -1,11 +1,11 @@
-// Package flow implements the state machine of one workflow: a saga [Garcia-Molina & Salem 1987]
-// whose steps are jobs. Each step has an undo, its compensating job, that is agreed on before the
-// step is sent. A workflow ends committed, or undone from its last step to its first, or it stops
-// as stuck with a reason until an operator decides.
+// Package flow implements the state machine of one workflow, a saga [Garcia-Molina & Salem 1987]
+// whose steps are jobs. Each step has an undo, its compensating job, which is replicated before the
+// job of the step is sent. A workflow either commits or is undone from its last step to its first.
+// If an undo can't be completed, the workflow is stuck until an operator decides.
 //
-// The package is pure: it does no I/O and reads no clock. Each time is the time of the log entry
-// that is being applied, in milliseconds since 1970. Package statetable applies the entries of the
-// agreed log to flows. A Flow is not safe for concurrent use.
+// The package is pure: it does no I/O and reads no clock. The argument at of a method is the time
+// of the log entry that is being applied, as Unix time in milliseconds. Package statetable applies
+// the entries of the replicated log to flows. A Flow is not safe for concurrent use.
 package flow
 
 import (
@@ -17,91 +17,93 @@
 // Limits of one workflow.
 const (
 	MaxSteps     = 64
-	MaxBodyBytes = 64 << 10 // bytes of an undo's body, the same limit as the protocol's
-	MaxTextBytes = 256      // bytes of each name and key; a path may have four times as many
-	// DefaultAttempts is how often an undo is attempted before its workflow is stuck, unless the
-	// client asks for another number; MaxAttempts is the most that it may ask for.
+	MaxBodyBytes = 64 << 10 // of the body of an undo; the protocol has the same limit
+	MaxTextBytes = 256      // of each name and key; a path may be four times as long
+	// DefaultAttempts is how many failed attempts of an undo make its workflow stuck, unless the
+	// client sets another number, which is at most MaxAttempts.
 	DefaultAttempts = 8
 	MaxAttempts     = 64
-	initialBackoff  = 500              // ms before the second attempt of an undo, doubled after each failure
-	maxBackoff      = 60_000           // ms, the upper limit of the backoff
-	maxDuration     = 24 * 3600 * 1000 // ms, the upper limit of a deadline and of a lease
+	initialBackoff  = 500              // ms before the second attempt of an undo, then doubled
+	maxBackoff      = 60_000           // ms, upper limit of the backoff
+	maxDuration     = 24 * 3600 * 1000 // ms, upper limit of leases, windows and times to a deadline
 )
 
-// Phase is the phase of a workflow's life cycle.
+// Phase is a phase in the life cycle of a workflow. The values are stored and sent to clients.
 type Phase string
 
 // The phases. Committed, Undone and GivenUp are final.
 const (
-	Active    Phase = "active"    // its client is running it
+	Active    Phase = "active"    // the client is sending its steps
 	Undoing   Phase = "undoing"   // its steps are being undone
-	Stuck     Phase = "stuck"     // an undo has failed for good; an operator has to decide
-	Committed Phase = "committed" // all steps are done and nothing is undone
-	Undone    Phase = "undone"    // every step that may have had an effect is undone
-	GivenUp   Phase = "given up"  // an operator has ended it as it is
+	Stuck     Phase = "stuck"     // an undo has failed permanently; an operator has to decide
+	Committed Phase = "committed" // all steps are done and none is undone
+	Undone    Phase = "undone"    // every step that may have had an effect is undone or was skipped
+	GivenUp   Phase = "given up"  // an operator has ended it without undoing its remaining steps
 )
 
 // Ended reports whether the phase is final.
 func (p Phase) Ended() bool { return p == Committed || p == Undone || p == GivenUp }
 
-// State is the state of a step.
+// State is the state of a step. The values are stored and sent to clients.
 type State string
 
 // The states of a step.
 const (
 	Open        State = "open"    // its job may be running
-	Done        State = "done"    // its job has had its effect
+	Done        State = "done"    // its job has taken effect
 	NoEffect    State = "never"   // its job certainly had no effect
-	InDoubt     State = "doubt"   // its job may have had an effect, or may have one until Step.EffectUntil
+	InDoubt     State = "doubt"   // its job may have taken effect, or may until Step.EffectUntil
 	Compensated State = "undone"  // its undo has succeeded
 	Skipped     State = "skipped" // an operator has skipped its undo
 )
 
-// Undo is the compensating job of a step.
+// Undo is the compensating job of a step, which reverses the effect of the step's job.
 type Undo struct {
-	Class  string `json:"class"`
-	Path   string `json:"path"`
-	Key    string `json:"key,omitempty"`
-	Body   []byte `json:"body,omitempty"`
-	Unsafe bool   `json:"unsafe,omitempty"` // it must not run twice: after an uncertain outcome it is not attempted again
+	Class string `json:"class"`
+	Path  string `json:"path"`
+	Key   string `json:"key,omitempty"`
+	Body  []byte `json:"body,omitempty"`
+	// Unsafe means that the undo must not run twice: it is not retried after an uncertain outcome.
+	Unsafe bool `json:"unsafe,omitempty"`
 }
 
-// Bytes returns roughly how much memory the undo takes.
+// Bytes estimates the memory that the undo takes.
 func (u *Undo) Bytes() int {
 	return len(u.Class) + len(u.Path) + len(u.Key) + len(u.Body) + 64
 }
 
-// Step is one step of a workflow.
+// Step is one step of a workflow: the state of its job, its undo, and the attempts to run the undo.
 type Step struct {
 	Undo          Undo   `json:"undo"`
 	State         State  `json:"state"`
-	EffectUntil   int64  `json:"until"`           // ms since 1970; from then on its job can have no effect any more
+	EffectUntil   int64  `json:"until"`           // Unix ms from which its job can't take effect
 	Attempts      int    `json:"tries,omitempty"` // failed attempts of its undo
-	NextAttemptAt int64  `json:"next,omitempty"`  // ms since 1970; its undo is not attempted before
+	NextAttemptAt int64  `json:"next,omitempty"`  // Unix ms before which its undo is not retried
 	Reason        string `json:"why,omitempty"`   // why the last attempt of its undo failed
-	// Destinations are the groups of runners to which its undo was sent and where it may have had
-	// its effect.
+	// Destinations are the groups of runners to which its undo was sent and where it may have taken
+	// effect.
 	Destinations []Destination `json:"went,omitempty"`
 }
 
-// Flow is one workflow.
+// Flow is the replicated state of one workflow. Its JSON form is stored and sent to clients.
 type Flow struct {
 	ID            string `json:"id"`
 	Phase         Phase  `json:"phase"`
 	Reason        string `json:"why,omitempty"` // why it is being undone, is stuck or was given up
-	Deadline      int64  `json:"deadline"`      // ms since 1970
-	LeaseDuration int64  `json:"lease_for"`     // ms by which each message of its client extends the lease
-	LeaseUntil    int64  `json:"lease"`         // ms since 1970
-	Since         int64  `json:"since"`         // ms since 1970 when it entered its phase
-	MaxAttempts   int    `json:"tries"`         // of one undo, before the workflow is stuck
+	Deadline      int64  `json:"deadline"`      // Unix ms at which it is undone if still active
+	LeaseDuration int64  `json:"lease_for"`     // ms that the lease lasts after each renewal
+	LeaseUntil    int64  `json:"lease"`         // Unix ms at which it is undone if still active
+	Since         int64  `json:"since"`         // Unix ms at which it entered its phase
+	MaxAttempts   int    `json:"tries"`         // failed attempts of one undo that make it stuck
 	Steps         []Step `json:"steps"`
 	Holder        string `json:"holder,omitempty"` // name of the member that claimed it to undo it
-	FencingToken  uint64 `json:"fence,omitempty"`  // index of the entry of that claim; an update with another one is refused
-	HeldUntil     int64  `json:"held,omitempty"`   // ms since 1970 when the claim expires
+	// FencingToken is the log index of that claim. Updates with another token are refused.
+	FencingToken uint64 `json:"fence,omitempty"`
+	HeldUntil    int64  `json:"held,omitempty"` // Unix ms at which the claim expires
 }
 
-// Refusal is the error of a command that is refused and changes nothing. Its kind decides the HTTP
-// status that a client sees.
+// Refusal is the error of a command that is refused and has no effect. Its kind determines the HTTP
+// status of the response, and its text is the response's body.
 type Refusal struct {
 	Kind string // one of the constants below
 	Text string
@@ -110,14 +112,14 @@
 // The kinds of refusals.
 const (
 	NotFound   = "unknown" // there is no such workflow or step
-	OutOfOrder = "order"   // the workflow or step is in another state than the command needs
+	OutOfOrder = "order"   // the state of the workflow or step does not allow the command
 	TooLarge   = "large"   // a limit of one workflow is exceeded
 	TooMany    = "many"    // a limit of all workflows together is exceeded
 	Invalid    = "bad"     // the command is malformed
-	Fenced     = "fenced"  // another member has claimed the workflow
+	Fenced     = "fenced"  // another claim of the workflow is in force
 )
 
-// Error returns the text of the refusal.
+// Error returns the text of the refusal, without its kind.
 func (r *Refusal) Error() string { return r.Text }
 
 // NewRefusal returns a refusal of a kind with a formatted text.
@@ -125,9 +127,9 @@
 	return &Refusal{kind, fmt.Sprintf(format, args...)}
 }
 
-// Begin returns a new active workflow as of a time. Deadline and at are in milliseconds since
-// 1970, leaseDuration is in milliseconds; maxAttempts bounds the attempts of each undo, 0 for
-// DefaultAttempts.
+// Begin returns a new active workflow. deadline and at are Unix times in milliseconds,
+// leaseDuration is in milliseconds. maxAttempts is how many failed attempts of an undo make the
+// workflow stuck; 0 stands for DefaultAttempts.
 func Begin(id string, deadline, leaseDuration int64, maxAttempts int, at int64) (*Flow, *Refusal) {
 	switch {
 	case id == "" || len(id) > MaxTextBytes:
@@ -150,10 +152,10 @@
 	}, nil
 }
 
-// Register adds step n, counted from 1, before its job is sent; effectUntil is when its job can
-// have no effect any more, in milliseconds since 1970. Registering step n+1 implies that step n is
-// done. The last step may be registered again while it is open, with the same undo or without one,
-// so that a client can repeat a call whose answer was lost.
+// Register adds step n, counted from 1, before its job is sent. effectUntil is the Unix time in
+// milliseconds from which the job can't take effect. Registering step n+1 marks step n as done. The
+// last step may be registered again while it is Open or NoEffect, with the same undo or without
+// one, so that a client can repeat a call whose response was lost.
 func (f *Flow) Register(n int, u *Undo, effectUntil, at int64) *Refusal {
 	last := len(f.Steps)
 	switch {
@@ -185,14 +187,14 @@
 		return refusal
 	}
 	if last > 0 {
-		f.Steps[last-1].State = Done // its client would not send the next step otherwise
+		f.Steps[last-1].State = Done // clients send a step only once the one before is done
 	}
 	f.Steps = append(f.Steps, Step{Undo: *u, State: Open, EffectUntil: effectUntil})
 	f.extendLease(at)
 	return nil
 }
 
-// valid returns the refusal of a malformed or too large undo, nil for a valid one.
+// valid returns nil if the undo is well-formed and within the limits, and the refusal otherwise.
 func (u *Undo) valid() *Refusal {
 	switch {
 	case u.Class == "" || len(u.Path) == 0 || u.Path[0] != '/':
@@ -207,16 +209,16 @@
 	return nil
 }
 
-// sameUndo reports whether two undos are the same job. Unsafe is left out: it follows from the
-// class.
+// sameUndo reports whether two undos are the same job. Unsafe is not compared, as the class
+// determines it.
 func sameUndo(a, b *Undo) bool {
 	return a.Class == b.Class && a.Path == b.Path && a.Key == b.Key && slices.Equal(a.Body, b.Body)
 }
 
-// extendLease sets the lease to its full duration from a time on.
+// extendLease lets the lease last for its full duration from the given time.
 func (f *Flow) extendLease(at int64) { f.LeaseUntil = at + f.LeaseDuration }
 
-// RenewLease extends the lease of an active workflow.
+// RenewLease extends the lease of an active workflow. In another phase it is refused as OutOfOrder.
 func (f *Flow) RenewLease(at int64) *Refusal {
 	if f.Phase != Active {
 		return NewRefusal(OutOfOrder, "the workflow is %s", f.Phase)
@@ -225,32 +227,34 @@
 	return nil
 }
 
-// EndStep records the outcome of a step's job: Done, NoEffect or InDoubt. If failed is true the
-// job failed for good and an active workflow is undone. An outcome is final, except that InDoubt
-// may be replaced.
-func (f *Flow) EndStep(n int, s State, failed bool, at int64) *Refusal {
+// EndStep records the outcome of the job of step n: Done, NoEffect or InDoubt. If failed is true,
+// the job has failed permanently and an active workflow is undone. An outcome is final, except that
+// InDoubt may be replaced.
+func (f *Flow) EndStep(n int, outcome State, failed bool, at int64) *Refusal {
 	if n < 1 || n > len(f.Steps) {
 		return NewRefusal(NotFound, "there is no step %d", n)
 	}
-	x := &f.Steps[n-1]
-	if x.State != Open && x.State != InDoubt {
-		return NewRefusal(OutOfOrder, "step %d is %s", n, x.State)
+	step := &f.Steps[n-1]
+	if step.State != Open && step.State != InDoubt {
+		return NewRefusal(OutOfOrder, "step %d is %s", n, step.State)
 	}
-	if s != Done && s != NoEffect && s != InDoubt {
-		return NewRefusal(Invalid, "a step does not settle as %s", s)
+	if outcome != Done && outcome != NoEffect && outcome != InDoubt {
+		return NewRefusal(Invalid, "a step does not settle as %s", outcome)
 	}
-	x.State = s
+	step.State = outcome
 	switch {
 	case f.Phase == Active && failed:
 		f.setPhase(Undoing, fmt.Sprintf("step %d failed", n), at)
-	case f.Phase == Undoing && f.NextUndo() == 0, f.Phase == Stuck && f.NextUndo() < n: // the undo that was next is not needed any more
+	// The undo that was next is not needed.
+	case f.Phase == Undoing && f.NextUndo() == 0, f.Phase == Stuck && f.NextUndo() < n:
 		f.setPhase(Undoing, f.Reason, at)
 	}
 	return nil
 }
 
-// Commit ends the workflow for a client that has seen all of its steps done; steps is their number
-// and must match what is registered. Committing again has no effect and is not refused.
+// Commit ends an active workflow whose client has seen all steps done. steps is the number of steps
+// that the client has sent and must equal the number of registered ones. Committing again has no
+// effect and is not refused.
 func (f *Flow) Commit(steps int, at int64) *Refusal {
 	switch {
 	case f.Phase == Committed:
@@ -271,8 +275,8 @@
 	return nil
 }
 
-// Overdue returns why an active workflow has to be undone as of a time: its deadline or its lease
-// has expired. It returns the empty string if there is no reason.
+// Overdue returns the reason to undo an active workflow at the given time: its deadline has passed
+// or its lease has expired. It returns the empty string if neither is so.
 func (f *Flow) Overdue(at int64) string {
 	switch {
 	case f.Phase != Active:
@@ -285,28 +289,28 @@
 	return ""
 }
 
-// The outcomes of an attempt of an undo.
+// The outcomes of an attempt to run an undo. They are stored and sent between members.
 const (
 	Succeeded  Outcome = "ok"
 	NotApplied Outcome = "not done" // it certainly had no effect
-	Uncertain  Outcome = "maybe"    // it may have had its effect
-	Unusable   Outcome = "useless"  // no runner can run it, so a retry is useless
+	Uncertain  Outcome = "maybe"    // it may have taken effect
+	Unusable   Outcome = "useless"  // no runner can run it, so it is not retried
 )
 
-// Bytes returns roughly how much memory the workflow takes.
+// Bytes estimates the memory that the workflow takes.
 func (f *Flow) Bytes() int {
 	n := 256 + len(f.ID)
 	for i := range f.Steps {
 		n += f.Steps[i].Undo.Bytes()
-		for _, p := range f.Steps[i].Destinations { // only the next undo has destinations
-			n += 64 + len(p.Zone) + 8*len(p.Entries)
+		for _, d := range f.Steps[i].Destinations { // only undos that were sent have some
+			n += 64 + len(d.Zone) + 8*len(d.Entries)
 		}
 	}
 	return n
 }
 
-// Clone returns a deep copy, except that it shares the bodies of undos, which are never written
-// to.
+// Clone returns a copy. It shares with f only what is never modified in place: the bodies of undos
+// and the Entries of destinations.
 func (f *Flow) Clone() *Flow {
 	c := *f
 	c.Steps = slices.Clone(f.Steps)
--- a/internal/dispatcher/fleet/workflow/flow/undo.go
+++ b/internal/dispatcher/fleet/workflow/flow/undo.go
@@ -4,8 +4,9 @@
 	"fmt"
 )
 
-// StartUndo begins to undo an active workflow, with a reason. It has no effect on one that is
-// being undone, undone or stuck already.
+// StartUndo moves an active workflow to Undoing and records the reason. It has no effect on a
+// workflow that is Undoing, Undone or Stuck, and is refused as OutOfOrder if it is Committed or
+// GivenUp.
 func (f *Flow) StartUndo(reason string, at int64) *Refusal {
 	switch f.Phase {
 	case Active:
@@ -17,8 +18,9 @@
 	return nil
 }
 
-// setPhase enters a phase, or Undone in place of Undoing if no undo is left. An ended workflow
-// drops its claim and its undos' bodies, keys and destinations to free their memory.
+// setPhase enters a phase, or Undone instead of Undoing if no step is left to undo. When the
+// workflow ends, its claim and the bodies, keys and destinations of its undos are removed to free
+// their memory.
 func (f *Flow) setPhase(p Phase, reason string, at int64) {
 	f.Phase, f.Reason, f.Since = p, reason, at
 	if p == Undoing && f.NextUndo() == 0 {
@@ -26,15 +28,15 @@
 	}
 	if f.Phase.Ended() {
 		f.Holder, f.HeldUntil = "", 0
-		for i := range f.Steps { // keep what operators see, drop the rest
+		for i := range f.Steps { // operators are still shown the class and the path
 			f.Steps[i].Undo = Undo{Class: f.Steps[i].Undo.Class, Path: f.Steps[i].Undo.Path}
 			f.Steps[i].Destinations = nil
 		}
 	}
 }
 
-// NextUndo returns the number of the step that has to be undone next, the last one that may have
-// had an effect; 0 if there is none.
+// NextUndo returns the number, from 1, of the step that has to be undone next: the last one that
+// may have had an effect. It returns 0 if there is none.
 func (f *Flow) NextUndo() int {
 	for i := len(f.Steps) - 1; i >= 0; i-- {
 		if s := f.Steps[i].State; s == Open || s == Done || s == InDoubt {
@@ -44,9 +46,9 @@
 	return 0
 }
 
-// UndoReadyAt returns from when on the next undo may begin, in milliseconds since 1970: its
-// backoff is over and its step's job can have no effect after it any more. It returns 0 if no undo
-// is left.
+// UndoReadyAt returns the earliest start of the next undo as Unix time in milliseconds: the backoff
+// has passed, and the job of the step can't take effect after its undo. It returns 0 if no step is
+// left to undo.
 func (f *Flow) UndoReadyAt() int64 {
 	n := f.NextUndo()
 	if n == 0 {
@@ -59,9 +61,10 @@
 	return max(s.NextAttemptAt, s.EffectUntil)
 }
 
-// Claim gives the workflow to a member until a time; index is that of the claim's log entry. A
-// member that renews its own claim in time keeps the fencing token, so that an undo that is
-// running still counts; any other claim replaces the token.
+// Claim assigns the workflow to a member until the given time; index is that of the claim's log
+// entry. A member that renews its claim before it expires keeps the fencing token, so that the
+// outcome of an undo that is running is still accepted. Any other claim sets a new token. While
+// another member's claim is in force, a claim is refused as Fenced.
 func (f *Flow) Claim(member string, index uint64, until, at int64) *Refusal {
 	switch {
 	case f.Phase != Undoing:
@@ -76,13 +79,13 @@
 	return nil
 }
 
-// Outcome is the outcome of one attempt of an undo.
+// Outcome is how one attempt to run an undo ended.
 type Outcome string
 
-// EndUndo records the outcome of an attempt of step n's undo by the holder with a fencing token. A
-// failed attempt is repeated after an exponential backoff. The workflow is stuck after Unusable,
-// after the last allowed attempt, and after an uncertain outcome of an undo that must not run
-// twice.
+// EndUndo records the outcome of an attempt to undo step n by the holder of the claim with
+// fencingToken. A failed attempt is retried after an exponential backoff. The workflow becomes
+// Stuck if the outcome is Unusable, if Flow.MaxAttempts attempts have failed, or if the outcome is
+// Uncertain and the undo must not run twice.
 func (f *Flow) EndUndo(n int, fencingToken uint64, outcome Outcome, reason string, at int64) *Refusal {
 	s, refusal := f.claimedStep(n, fencingToken, at)
 	if refusal != nil {
@@ -103,7 +106,8 @@
 	return nil
 }
 
-// Skip lets an operator skip the undo of step n, at which the workflow is stuck.
+// Skip skips the undo of step n, at which the workflow is stuck, and continues with the step
+// before. Only operators send this command.
 func (f *Flow) Skip(n int, at int64) *Refusal {
 	if f.Phase != Stuck || n != f.NextUndo() {
 		return NewRefusal(OutOfOrder, "the undo of step %d is not stuck", n)
@@ -113,7 +117,8 @@
 	return nil
 }
 
-// Retry lets an operator continue a stuck workflow with a fresh count of attempts.
+// Retry continues a stuck workflow and resets the count of failed attempts of its next undo. Only
+// operators send this command.
 func (f *Flow) Retry(at int64) *Refusal {
 	if f.Phase != Stuck {
 		return NewRefusal(OutOfOrder, "the workflow is %s", f.Phase)
@@ -124,7 +129,8 @@
 	return nil
 }
 
-// GiveUp lets an operator end a stuck workflow as it is.
+// GiveUp ends a stuck workflow and leaves its remaining steps as they are. Only operators send this
+// command.
 func (f *Flow) GiveUp(at int64) *Refusal {
 	if f.Phase != Stuck {
 		return NewRefusal(OutOfOrder, "the workflow is %s", f.Phase)
