--- a/internal/dispatcher/fleet/workflow/executor/clients.go
+++ b/internal/dispatcher/fleet/workflow/executor/clients.go
@@ -12,12 +12,12 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// ErrDisabled is reported to clients where workflows are not configured.
+// ErrDisabled is the error that clients get if the dispatcher's settings don't enable workflows.
 var ErrDisabled = errors.New("workflows need [cluster], and enabled = true in [workflow]")
 
-// Propose proposes a command of a client or an operator and returns once it is agreed on. A
-// *flow.Refusal means that it changed nothing. Any other error means that its outcome is unknown;
-// repeating the command is harmless.
+// Propose proposes a command of a client or an operator and returns once its log entry is
+// committed. A *flow.Refusal means that the command had no effect. Any other error means that the
+// outcome is unknown; repeating the command is harmless.
 func (e *Executor) Propose(ctx context.Context, c *statetable.Command) error {
 	done, err := e.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: c.ID, Flow: c})
 	if err != nil {
@@ -29,8 +29,9 @@
 	return nil
 }
 
-// Register proposes step n of a workflow before its job is sent. The job can have no effect after
-// until. Errors are those of Propose.
+// Register proposes step n of a workflow, with its undo u, before the step's job is sent. The job
+// can't take effect from the time until on. The errors are those of Propose, and a *flow.Refusal if
+// the class of the undo is not known. It sets u.Unsafe.
 func (e *Executor) Register(ctx context.Context, id string, n int, u *flow.Undo, until time.Time) error {
 	if u != nil {
 		class, ok := e.cfg.Class(u.Class)
@@ -43,40 +44,41 @@
 	return e.Propose(ctx, &statetable.Command{Kind: statetable.Step, ID: id, N: n, Undo: u, Until: at.Milliseconds()})
 }
 
-// EndStep queues the outcome of a step's job. It does not block.
+// EndStep queues the outcome of the job of step n of a workflow to be proposed. It does not block.
 func (e *Executor) EndStep(id string, n int, v core.Verdict) {
-	w := statetable.Update{ID: id, Step: n}
+	update := statetable.Update{ID: id, Step: n}
 	switch v {
 	case core.Served:
-		w.State = flow.Done
+		update.State = flow.Done
 	case core.Rejected, core.Duplicate:
-		w.State = flow.NoEffect
+		update.State = flow.NoEffect
 	case core.Unusable:
-		w.State, w.Failed = flow.NoEffect, true
+		update.State, update.Failed = flow.NoEffect, true
 	default:
-		w.State, w.Failed = flow.InDoubt, true
+		update.State, update.Failed = flow.InDoubt, true
 	}
-	e.enqueue(pendingUpdate{kind: statetable.EndSteps, Update: w})
+	e.enqueue(pendingUpdate{kind: statetable.EndSteps, Update: update})
 }
 
-// Find returns a copy of a workflow as far as this member knows it, nil if it is not known.
+// Find returns a copy of a workflow as of the last entry that this member has applied, and nil if
+// it has no workflow with that id.
 func (e *Executor) Find(id string) (f *flow.Flow) {
-	e.log.Flows(func(b *statetable.Table) {
-		if x := b.Find(id); x != nil {
-			f = x.Clone()
+	e.log.Flows(func(table *statetable.Table) {
+		if stored := table.Find(id); stored != nil {
+			f = stored.Clone()
 		}
 	})
 	return f
 }
 
-// List returns copies of the live workflows that this member knows, how many ended ones it
-// remembers, and the bytes that the live ones take.
+// List returns copies of the live workflows as of the last entry that this member has applied, the
+// number of ended workflows that it retains, and the estimated bytes that the live ones take.
 func (e *Executor) List() (live []*flow.Flow, ended, bytes int) {
-	e.log.Flows(func(b *statetable.Table) {
-		for _, f := range b.Live {
+	e.log.Flows(func(table *statetable.Table) {
+		for _, f := range table.Live {
 			live = append(live, f.Clone())
 		}
-		ended, bytes = len(b.Ended), b.Bytes
+		ended, bytes = len(table.Ended), table.Bytes
 	})
 	return live, ended, bytes
 }
--- a/internal/dispatcher/fleet/workflow/executor/executor.go
+++ b/internal/dispatcher/fleet/workflow/executor/executor.go
@@ -1,13 +1,13 @@
-// Package executor carries out workflows for one member: it proposes the commands of clients,
-// operators and its own plans to the agreed log, claims workflows that have to be undone and that
-// no member holds, and runs their undos as jobs of the dispatcher. Three goroutines, owned by Run,
-// decide, propose plans, and propose updates; they are joined by bounded channels, and none of
-// them blocks the core.
+// Package executor carries out workflows for one member. It proposes commands to the replicated
+// log, on behalf of clients and operators and from its own plans. It claims workflows that have to
+// be undone and that no member holds, and runs their undos as jobs of the dispatcher. Three
+// goroutines, owned by Run, make plans, propose plans, and propose updates. They communicate over
+// bounded channels, and none of them blocks the core.
 //
-// The decisions are pure (package assignment), and only what the log agrees on counts (package
-// statetable). The main invariant is that an undo is sent to a second group of runners only when
-// the log shows that it can't have had its effect in the first; see destinations. The methods of
-// Executor are safe for concurrent use.
+// Package assignment makes the decisions, without side effects. Only committed entries of the log,
+// which package statetable applies, change the state of a workflow. The main invariant is that an
+// undo is sent to a second group of runners only when the log shows that it can't have taken effect
+// in the first; see destinations. The methods of Executor are safe for concurrent use.
 package executor
 
 import (
@@ -26,105 +26,107 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Log is the agreed log of the cluster; package cluster implements it. It is safe for concurrent
-// use.
+// Log is the replicated log of the cluster, implemented by package cluster. Its methods are safe
+// for concurrent use.
 type Log interface {
-	// Propose returns once the entry is agreed on. An error means that its outcome is unknown.
+	// Propose returns once the entry is committed. An error means that its outcome is unknown.
 	Propose(context.Context, ledger.Entry) (ledger.Done, error)
-	// Flows calls a function with the table as far as this member has applied it. The function
-	// must not keep or change the table.
+	// Flows calls a function with the table as of the last entry that this member has applied. The
+	// function must not retain or change the table.
 	Flows(func(*statetable.Table))
 	// Seen returns the index of the last entry that this member has applied.
 	Seen() uint64
-	// Now returns the cluster's time since 1970.
+	// Now returns the cluster's time as the duration since the Unix epoch.
 	Now() time.Duration
-	// Rank returns the rank of this member for a name, in an order that all members compute alike;
-	// -1 if this member must not act yet.
+	// Rank returns the position of this member, from 0, in the order that all members compute for a
+	// name. It returns -1 if this member must not act yet.
 	Rank(name string) int
 }
 
-// Jobs runs jobs; the core implements it. Submit does not block.
+// Jobs accepts jobs to run; package core implements it. Submit does not block and passes the
+// response to the Ingress.
 type Jobs interface {
 	Submit(*core.Job, core.Ingress)
 }
 
-// Config describes the member and limits its work.
+// Config holds the member's settings for workflows.
 type Config struct {
 	Name          string // of the member
-	MaxConcurrent int    // undos that run at the same time here
-	// Class returns the settings of a job class, false if there is none of that name.
+	MaxConcurrent int    // upper limit of undos that this member runs at the same time
+	// Class returns the settings of a job class, and false if there is no class of that name.
 	Class func(name string) (Class, bool)
 }
 
-// Class is what the executor needs to know of a job class.
+// Class holds the settings of a job class that the executor needs.
 type Class struct {
-	Number  int           // its index among the classes
-	Timeout time.Duration // how long a job may take
+	Number  int           // index of the class in the core's configuration
+	Timeout time.Duration // from submitting a job to its deadline
 	Unsafe  bool          // a job must not run twice
 }
 
 const (
 	// scanInterval is the interval between scans of the table.
 	scanInterval = 50 * time.Millisecond
-	// maxBatch is how many workflows go into one entry, and batchDelay how long an update waits
-	// for others to share its entry.
+	// maxBatch is the maximum number of updates that one batch collects, or of workflows that one
+	// plan expires or claims. batchDelay is how long an update waits for others to share its entry.
 	maxBatch   = 64
 	batchDelay = 20 * time.Millisecond
-	// maxPendingUpdates bounds the queue of outcomes that wait to be proposed. If the outcome of a
-	// step is dropped, the step stays open until EffectUntil; if that of an undo is dropped, the
-	// undo is run again, which its key makes harmless.
+	// maxPendingUpdates bounds the queue of updates that wait to be proposed. If the outcome of a
+	// step is dropped, the step stays open until EffectUntil. If the outcome of an undo is dropped,
+	// the undo is run again, which is harmless because of its deduplication key.
 	maxPendingUpdates = 4096
-	// proposeTimeout bounds one proposal. A plan is made anew at the next scan.
+	// proposeTimeout bounds one proposal. A plan that times out is not retried, as the next scan
+	// makes a new one.
 	proposeTimeout = 2 * time.Second
-	// defaultRetryDelay is how long an undo waits that the dispatcher rejected without a time to
-	// retry after.
+	// defaultRetryDelay is the delay before an undo is run again if the dispatcher rejected it
+	// without a RetryAfter, or if its outcome was dropped.
 	defaultRetryDelay = 200 * time.Millisecond
 )
 
-// Executor carries out workflows for one member. New makes it and Run starts it.
+// Executor carries out workflows for one member. Use New to create it and Run to start it.
 type Executor struct {
 	cfg          Config
 	log          Log
 	jobs         Jobs
 	logger       *logrus.Entry
-	updates      chan pendingUpdate   // outcomes to be proposed in batches
-	plans        chan assignment.Plan // at most one, as each scan plans anew
-	undoEnds     chan undoEnd         // to decide, which owns the set of running undos
-	dropped      atomic.Uint64        // updates that found the queue full
-	done         sync.WaitGroup
+	updates      chan pendingUpdate   // to be proposed in batches
+	plans        chan assignment.Plan // buffers at most one, as each scan makes a new plan
+	undoEnds     chan undoEnd         // received by decide, which owns the set of running undos
+	dropped      atomic.Uint64        // updates that were dropped as the queue was full
+	goroutines   sync.WaitGroup
 	undosSent    atomic.Uint64
-	lastProposal atomic.Pointer[proposal] // of a plan; nil for none
+	lastProposal atomic.Pointer[proposal] // the last committed one; nil for none
 	startedAt    time.Time
 }
 
-// proposal is the log entry of a plan that was agreed on.
+// proposal identifies the committed log entry of a plan and when this member learnt of it.
 type proposal struct {
 	index uint64
 	at    time.Time
 }
 
-// reproposeAfter is how long a member waits for its own copy of the log to reach its last proposal
-// before it plans again. Without the wait, a member whose copy does not advance would propose the
-// same from its stale table at each scan, 20 entries per second; without a limit, it would never
-// act again after the log was started anew.
+// reproposeAfter is how long a member waits to apply the entry of its last proposal before it makes
+// a new plan. Without the wait, a member whose copy of the log lags would propose the same commands
+// from its stale table at each scan, 20 entries per second. Without the limit, it would never act
+// again after the log was reset.
 const reproposeAfter = assignment.LeaseMillis * time.Millisecond
 
-// pendingUpdate is the outcome of a step or of an undo that waits to be proposed.
+// pendingUpdate is an update of a step or an undo that waits to be proposed.
 type pendingUpdate struct {
 	kind     statetable.Kind
-	attempts int // failed attempts of the undo before this one
+	attempts int // for EndUndos: failed attempts of the undo before this one
 	statetable.Update
 }
 
-// undoEnd tells decide that an undo does not run any more.
+// undoEnd tells decide that an attempt of an undo has ended.
 type undoEnd struct {
 	id         string
-	retryAfter time.Duration      // it was rejected and is not run again before; 0 for no wait
+	retryAfter time.Duration      // delay before it may be run again; 0 for none
 	attempts   int                // failed attempts before this one
-	agreed     *statetable.Update // its outcome, if the log agreed on it; nil otherwise
+	agreed     *statetable.Update // its outcome if the entry was committed; nil otherwise
 }
 
-// New returns an executor; Run starts it.
+// New returns an executor that does nothing on its own until Run is called.
 func New(cfg Config, log Log, jobs Jobs, logger *logrus.Entry) *Executor {
 	return &Executor{
 		cfg:       cfg,
@@ -138,26 +140,26 @@
 	}
 }
 
-// Run works until the context ends, and returns when all of its goroutines have ended.
+// Run runs the executor until the context is cancelled, and returns when its goroutines have ended.
 func (e *Executor) Run(ctx context.Context) {
 	for _, run := range []func(context.Context){e.decide, e.proposePlans, e.proposeUpdates} {
-		e.done.Add(1)
+		e.goroutines.Add(1)
 		go func() {
-			defer e.done.Done()
+			defer e.goroutines.Done()
 			run(ctx)
 		}()
 	}
-	e.done.Wait()
+	e.goroutines.Wait()
 }
 
-// DroppedUpdates returns how many updates were dropped because the queue was full.
+// DroppedUpdates returns the number of updates that were dropped because the queue was full.
 func (e *Executor) DroppedUpdates() uint64 { return e.dropped.Load() }
 
-// UndosSent returns how many undos this member has run.
+// UndosSent returns the number of attempts of undos that this member has submitted as jobs.
 func (e *Executor) UndosSent() uint64 { return e.undosSent.Load() }
 
-// decide scans the table at an interval and takes the ends of undos. It owns the set of undos that
-// run here.
+// decide scans the table every scanInterval and receives the ends of undos. It owns the set of
+// undos that run here.
 func (e *Executor) decide(ctx context.Context) {
 	undos := newUndoSet()
 	tick := time.NewTicker(scanInterval)
@@ -174,14 +176,13 @@
 	}
 }
 
-// scan starts the undos that this member has to run now, and hands the rest of its plan on to be
-// proposed.
+// scan makes a plan, starts the undos in it, and passes the rest to proposePlans.
 func (e *Executor) scan(undos *undoSet) {
-	if e.log.Rank("") < 0 { // not caught up after a restart
+	if e.log.Rank("") < 0 { // has not caught up after a restart
 		return
 	}
 	if last := e.lastProposal.Load(); last != nil && e.log.Seen() < last.index && time.Since(last.at) < reproposeAfter {
-		return // the last plan's entry has not arrived here
+		return // the entry of the last plan has not been applied here
 	}
 	now := e.log.Now().Milliseconds()
 	live := e.flowsToUndo(now)
@@ -198,13 +199,13 @@
 	if len(p.Expire)+len(p.Claim) > 0 {
 		select {
 		case e.plans <- p:
-		default: // the last plan is still being proposed
+		default: // earlier plans are still being proposed
 		}
 	}
 }
 
-// flowsToUndo returns copies of the workflows that are being undone or are overdue at a time, in
-// milliseconds since 1970.
+// flowsToUndo returns copies of the workflows that are being undone, or are overdue at the given
+// Unix time in milliseconds.
 func (e *Executor) flowsToUndo(now int64) (live []*flow.Flow) {
 	e.log.Flows(func(table *statetable.Table) {
 		for _, f := range table.Live {
@@ -216,8 +217,9 @@
 	return live
 }
 
-// sendUndo runs an undo as a job. Its key is the same for all attempts and members, so that within
-// a group's deduplication window its effect comes at most once, whichever member sends it.
+// sendUndo submits an undo as a job. The job's key is the same for all attempts and members, so
+// that the undo takes effect at most once within the deduplication window of a group of runners,
+// whichever members send it.
 func (e *Executor) sendUndo(r assignment.Run) {
 	class, ok := e.cfg.Class(r.Undo.Class)
 	if !ok {
@@ -229,7 +231,7 @@
 	if key == "" {
 		key = fmt.Sprintf("undo/%s/%d", r.ID, r.Step)
 	}
-	by := time.Now().Add(class.Timeout) // may be after the claim's end: the claim is renewed meanwhile
+	deadline := time.Now().Add(class.Timeout) // may be after the claim expires, as that is renewed
 	job := &core.Job{
 		ID:           fmt.Sprintf("%s.undo-%016x-%d-%x", e.cfg.Name, xxhash.Sum64String(r.ID), r.Step, time.Since(e.startedAt).Nanoseconds()),
 		Method:       "POST",
@@ -238,20 +240,20 @@
 		Body:         r.Undo.Body,
 		Class:        class.Number,
 		Slots:        1,
-		Deadline:     by,
+		Deadline:     deadline,
 		Compensating: true,
-		Placements:   &destinations{executor: e, run: r, deadline: by, entries: map[core.OutcomeRecord]uint64{}},
+		Placements:   &destinations{executor: e, run: r, deadline: deadline, entries: map[core.OutcomeRecord]uint64{}},
 	}
-	e.jobs.Submit(job, responseFunc(func(a core.Response) {
-		switch a.Verdict {
+	e.jobs.Submit(job, responseFunc(func(response core.Response) {
+		switch response.Verdict {
 		case core.Served:
 			e.reportUndo(r, flow.Succeeded, "")
 		case core.Rejected:
-			after := a.RetryAfter
-			if after <= 0 {
-				after = defaultRetryDelay
+			retryAfter := response.RetryAfter
+			if retryAfter <= 0 {
+				retryAfter = defaultRetryDelay
 			}
-			e.undoEnds <- undoEnd{id: r.ID, retryAfter: after}
+			e.undoEnds <- undoEnd{id: r.ID, retryAfter: retryAfter}
 		case core.Unusable:
 			e.reportUndo(r, flow.Unusable, "no runner can use it")
 		default:
@@ -260,7 +262,8 @@
 	}))
 }
 
-// reportUndo queues the outcome of an undo. If the queue is full the undo is run again later.
+// reportUndo queues the outcome of an undo to be proposed. If the queue is full, the undo is run
+// again after defaultRetryDelay.
 func (e *Executor) reportUndo(r assignment.Run, o flow.Outcome, reason string) {
 	update := statetable.Update{ID: r.ID, Step: r.Step, FencingToken: r.FencingToken, Outcome: o, Reason: reason}
 	if !e.enqueue(pendingUpdate{kind: statetable.EndUndos, attempts: r.Attempts, Update: update}) {
@@ -268,9 +271,9 @@
 	}
 }
 
-// responseFunc receives the response of a job.
+// responseFunc adapts a function to core.Ingress.
 type responseFunc func(core.Response)
 
-// Respond passes the response on. It does not block: undoEnds has room for all undos that run at
-// the same time.
-func (a responseFunc) Respond(x core.Response) { a(x) }
+// Respond passes the response to the function. The function of sendUndo does not block, as undoEnds
+// has room for all undos that run at the same time.
+func (f responseFunc) Respond(response core.Response) { f(response) }
--- a/internal/dispatcher/fleet/workflow/executor/propose.go
+++ b/internal/dispatcher/fleet/workflow/executor/propose.go
@@ -9,7 +9,7 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// proposePlans proposes the claims and expirations of plans.
+// proposePlans proposes the expirations and claims of plans until the context is cancelled.
 func (e *Executor) proposePlans(ctx context.Context) {
 	for {
 		select {
@@ -22,7 +22,8 @@
 	}
 }
 
-// proposeForAll proposes one command about several workflows and remembers the entry's index.
+// proposeForAll proposes one command about several workflows and records its log index in
+// lastProposal.
 func (e *Executor) proposeForAll(ctx context.Context, kind statetable.Kind, ids []string) {
 	if len(ids) == 0 {
 		return
@@ -39,19 +40,21 @@
 	}
 }
 
-// propose returns the index of a command's entry, 0 if it is not known whether it was agreed on.
+// propose proposes a command and returns the index of its log entry. It returns 0 if the proposal
+// failed; the entry may have been committed all the same.
 func (e *Executor) propose(ctx context.Context, c *statetable.Command) (index uint64) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(proposeTimeout))
 	defer cancel()
 	done, err := e.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, Flow: c})
 	if err != nil {
-		e.logger.WithError(err).WithField("kind", c.Kind).Debug("a word on workflows was not written")
+		e.logger.WithError(err).WithField("kind", c.Kind).Debug("proposing a workflow command failed")
 		return 0
 	}
 	return done.Index
 }
 
-// proposeUpdates proposes the outcomes of steps and undos in batches, one entry for each kind.
+// proposeUpdates proposes pending updates in batches, with one entry for each kind of command,
+// until the context is cancelled. It tells decide when the outcome of an undo has been proposed.
 func (e *Executor) proposeUpdates(ctx context.Context) {
 	for {
 		var first pendingUpdate
@@ -83,23 +86,24 @@
 			}
 			for _, update := range updates {
 				end := undoEnd{id: update.ID, attempts: update.attempts}
-				if agreed { // it may not be applied here yet
+				if agreed { // but perhaps not applied by this member yet
 					end.agreed = &update.Update
 				}
-				e.undoEnds <- end // never blocks: it has room for all running undos
+				e.undoEnds <- end // does not block, as it has room for all running undos
 			}
 		}
 	}
 }
 
-// enqueue queues an update and reports whether there was room. It does not block.
+// enqueue queues an update to be proposed. It does not block: if the queue is full, it drops the
+// update, counts it, and returns false.
 func (e *Executor) enqueue(update pendingUpdate) bool {
 	select {
 	case e.updates <- update:
 		return true
 	default:
-		if n := e.dropped.Add(1); n&(n-1) == 0 { // log only the 1st, 2nd, 4th, ...
-			e.logger.WithField("count", n).Warn("too much waits to be written about workflows; a word is lost")
+		if n := e.dropped.Add(1); n&(n-1) == 0 { // log only the 1st, 2nd, 4th, 8th, ... drop
+			e.logger.WithField("count", n).Warn("queue of workflow updates is full; update dropped")
 		}
 		return false
 	}
--- a/internal/dispatcher/fleet/workflow/executor/undoset.go
+++ b/internal/dispatcher/fleet/workflow/executor/undoset.go
@@ -8,28 +8,28 @@
 	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
-// undoSet is the set of undos that this member runs or has run, by the workflow's id. It belongs to
-// the goroutine of Executor.decide and is not safe for concurrent use.
+// undoSet tracks the undos that this member runs, delays or has run. Its maps are keyed by the ids
+// of workflows. It is owned by the goroutine of Executor.decide and is not safe for concurrent use.
 type undoSet struct {
 	running map[string]bool
-	retryAt map[string]time.Time   // rejected undos that are not run again before
-	agreed  map[string]undoAttempt // outcomes that are agreed on but perhaps not applied here yet
+	retryAt map[string]time.Time   // earliest times at which delayed undos are run again
+	agreed  map[string]undoAttempt // attempts whose outcome is committed, perhaps not applied here
 }
 
-// undoAttempt identifies one attempt of an undo within a workflow.
+// undoAttempt identifies an attempt of an undo within its workflow.
 type undoAttempt struct {
 	step         int
 	fencingToken uint64
-	attempts     int
+	attempts     int // failed attempts before this one
 }
 
-// newUndoSet returns an empty set.
+// newUndoSet returns an empty undoSet with its maps allocated.
 func newUndoSet() *undoSet {
 	return &undoSet{running: map[string]bool{}, retryAt: map[string]time.Time{}, agreed: map[string]undoAttempt{}}
 }
 
-// start adds an undo that is about to run. It returns false if the log has agreed on the outcome of
-// this attempt already, which must not run again.
+// start adds an undo that is about to run. It returns false and adds nothing if the outcome of this
+// attempt has been committed, because the attempt must not run again.
 func (s *undoSet) start(r assignment.Run) bool {
 	if s.agreed[r.ID] == (undoAttempt{r.Step, r.FencingToken, r.Attempts}) {
 		return false
@@ -38,7 +38,8 @@
 	return true
 }
 
-// end removes an undo that does not run any more.
+// end removes an undo that has stopped running, and records its committed outcome and its retry
+// delay, if there are any.
 func (s *undoSet) end(end undoEnd) {
 	delete(s.running, end.id)
 	if end.agreed != nil {
@@ -49,14 +50,14 @@
 	}
 }
 
-// busy reports whether an undo of a workflow runs here or waits for its retry.
+// busy reports whether an undo of a workflow runs here or is waiting to be run again.
 func (s *undoSet) busy(id string) bool {
 	_, waits := s.retryAt[id]
 	return s.running[id] || waits
 }
 
-// dropOld removes the retries that are due, and the outcomes of workflows that are not live any
-// more.
+// dropOld removes retry times that have passed, and the committed outcomes of workflows that are
+// not in live.
 func (s *undoSet) dropOld(live []*flow.Flow) {
 	for id, at := range s.retryAt {
 		if time.Now().After(at) {
