--- a/internal/dispatcher/fleet/workflow/front/front.go
+++ b/internal/dispatcher/fleet/workflow/front/front.go
@@ -1,7 +1,7 @@
-// Package front is the HTTP interface of workflows: calls of clients and operators at the
-// console's address, and the headers of jobs that are steps. It translates HTTP to commands of
-// package executor and their refusals to HTTP statuses, and decides nothing. Its handlers are safe
-// for concurrent use.
+// Package front is the HTTP interface of workflows: requests of clients and operators at the
+// console's address, and the headers of jobs that are steps. It translates requests to commands of
+// package statetable, which package executor proposes, and refusals to HTTP statuses. It makes no
+// decisions about workflows. Its handlers are safe for concurrent use.
 package front
 
 import (
@@ -27,39 +27,42 @@
 
 // The headers of a job that is a step of a workflow.
 const (
-	HeaderFlow = "X-Workflow"      // the workflow's id
-	HeaderStep = "X-Workflow-Step" // its number, from 1
-	HeaderUndo = "X-Workflow-Undo" // its undo as JSON in base64; empty if a call has registered the step
+	HeaderFlow = "X-Workflow"      // id of the workflow
+	HeaderStep = "X-Workflow-Step" // number of the step, from 1
+	HeaderUndo = "X-Workflow-Undo" // undo as JSON in base64; empty if it is registered already
 )
 
 const (
-	// maxCall bounds the bytes of a call's body: an undo's body in base64 and its names.
-	maxCall = flow.MaxBodyBytes*4/3 + 8<<10
-	// callTimeout bounds a call; clients wait for a second.
-	callTimeout = 800 * time.Millisecond
-	// maxListed bounds how many workflows a list shows.
+	// maxRequestBytes bounds the body of a request: the body of an undo in base64, and 8 KiB for
+	// the other fields.
+	maxRequestBytes = flow.MaxBodyBytes*4/3 + 8<<10
+	// requestTimeout bounds a request. It is below the timeout of the clients, which is a second.
+	requestTimeout = 800 * time.Millisecond
+	// maxListed bounds the workflows that the list contains.
 	maxListed = 500
-	// effectGrace is how long after its deadline a step's job may still have an effect: it is
-	// recalled at the deadline, and a runner may be about to finish it.
+	// effectGrace is how long after its deadline the job of a step may still take effect: the job is
+	// recalled at the deadline, when a runner may be about to finish it.
 	effectGrace = 2 * time.Second
 )
 
-// ExecutorSource returns the member's executor, nil while it has none.
+// ExecutorSource returns the member's executor, or nil while it has none. It must be safe for
+// concurrent use.
 type ExecutorSource func() *executor.Executor
 
-// call is the body of a client's or an operator's call.
-type call struct {
+// request is the JSON body of a client's or an operator's request. Which fields count depends on
+// the kind of the command.
+type request struct {
 	ID           string     `json:"id"`
-	DeadlineMS   int64      `json:"deadline_ms"` // from now
+	DeadlineMS   int64      `json:"deadline_ms"` // ms from now
 	LeaseMS      int64      `json:"lease_ms"`
-	UndoAttempts int        `json:"undo_tries"` // of one undo before the workflow is stuck; 0 for flow.DefaultAttempts
-	Step         int        `json:"step"`
-	Steps        int        `json:"steps"`
+	UndoAttempts int        `json:"undo_tries"` // maxAttempts of flow.Begin
+	Step         int        `json:"step"`       // number of the step, for Step and Skip
+	Steps        int        `json:"steps"`      // number of all steps, for Commit
 	Undo         *flow.Undo `json:"undo"`
 	Reason       string     `json:"why"`
 }
 
-// commandKinds are the kinds that clients and operators may call.
+// commandKinds are the kinds of commands that clients and operators may request.
 var commandKinds = []statetable.Kind{
 	statetable.Begin,
 	statetable.Step,
@@ -71,37 +74,38 @@
 	statetable.GiveUp,
 }
 
-// Handler answers GET /api/workflow (the list), GET /api/workflow/ID and POST /api/workflow/KIND,
-// where KIND is one of begin, step, commit, undo, touch, skip, again and give-up. Now is the
-// cluster's time since 1970.
+// Handler returns a handler of GET /api/workflow (the list), GET /api/workflow/ID and
+// POST /api/workflow/KIND, where KIND is one of begin, step, commit, undo, touch, skip, again and
+// give-up. now returns the cluster's time as the duration since the Unix epoch.
 func Handler(source ExecutorSource, now func() time.Duration) http.Handler {
 	mux := http.NewServeMux()
-	with := func(do func(http.ResponseWriter, *http.Request, *executor.Executor)) http.HandlerFunc {
+	withExecutor := func(handle func(http.ResponseWriter, *http.Request, *executor.Executor)) http.HandlerFunc {
 		return func(w http.ResponseWriter, r *http.Request) {
 			if e := source(); e != nil {
-				do(w, r, e)
+				handle(w, r, e)
 				return
 			}
 			http.Error(w, executor.ErrDisabled.Error(), http.StatusServiceUnavailable)
 		}
 	}
-	mux.HandleFunc("GET /api/workflow", with(handleList))
-	mux.HandleFunc("GET /api/workflow/{id}", with(handleShow))
+	mux.HandleFunc("GET /api/workflow", withExecutor(handleList))
+	mux.HandleFunc("GET /api/workflow/{id}", withExecutor(handleShow))
 	for _, kind := range commandKinds {
-		mux.HandleFunc("POST /api/workflow/"+string(kind), with(func(w http.ResponseWriter, r *http.Request, e *executor.Executor) {
+		mux.HandleFunc("POST /api/workflow/"+string(kind), withExecutor(func(w http.ResponseWriter, r *http.Request, e *executor.Executor) {
 			handleCommand(w, r, e, kind, now())
 		}))
 	}
 	return mux
 }
 
-// handleCommand answers a call that proposes a command of a kind.
+// handleCommand proposes the command of the given kind that a request describes, and writes the
+// response. now is the cluster's time since the Unix epoch.
 func handleCommand(w http.ResponseWriter, r *http.Request, e *executor.Executor, kind statetable.Kind, now time.Duration) {
-	var c call
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCall))
+	var c request
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBytes))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
-		writeResult(w, flow.NewRefusal(flow.TooLarge, "the call has more than %d bytes", maxCall))
+		writeResult(w, flow.NewRefusal(flow.TooLarge, "the call has more than %d bytes", maxRequestBytes))
 		return
 	}
 	if err == nil {
@@ -111,14 +115,16 @@
 		writeResult(w, flow.NewRefusal(flow.Invalid, `the body is to be JSON with an "id"`))
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(callTimeout))
+	ctx, cancel := context.WithDeadline(r.Context(), time.Now().Add(requestTimeout))
 	defer cancel()
 	if kind == statetable.Step {
 		if c.Undo == nil {
 			writeResult(w, flow.NewRefusal(flow.Invalid, "the undo of step %d is missing", c.Step))
 			return
 		}
-		writeResult(w, e.Register(ctx, c.ID, c.Step, c.Undo, time.Now())) // its job will set the time until which it may have an effect
+		// The step's job sets the time until which it may take effect when its headers register
+		// the step again.
+		writeResult(w, e.Register(ctx, c.ID, c.Step, c.Undo, time.Now()))
 		return
 	}
 	n := c.Step
@@ -136,7 +142,7 @@
 	}))
 }
 
-// statusOfKind is the HTTP status for each kind of refusal.
+// statusOfKind maps each kind of refusal to an HTTP status.
 var statusOfKind = map[string]int{
 	flow.NotFound:   http.StatusNotFound,
 	flow.OutOfOrder: http.StatusConflict,
@@ -146,8 +152,8 @@
 	flow.Fenced:     http.StatusConflict,
 }
 
-// writeResult answers 200 for no error, the refusal's status and text, or 503 if the call was not
-// executed, or its outcome is not known.
+// writeResult writes the response to a command: 200 if err is nil, the status and text of a
+// refusal, or 503 if the command was not executed or its outcome is unknown.
 func writeResult(w http.ResponseWriter, err error) {
 	var refusal *flow.Refusal
 	switch {
@@ -165,35 +171,36 @@
 // flowView is the JSON form of one workflow.
 type flowView struct {
 	*flow.Flow
-	Next int `json:"next,omitempty"` // the step whose undo is next, while it is undone or stuck
+	Next int `json:"next,omitempty"` // the step to undo next, while the workflow is Undoing or Stuck
 }
 
-// handleShow answers with one workflow.
+// handleShow writes the workflow with the id in the path, or 404 if this member has none.
 func handleShow(w http.ResponseWriter, r *http.Request, e *executor.Executor) {
 	f := e.Find(r.PathValue("id"))
 	if f == nil {
 		writeResult(w, flow.NewRefusal(flow.NotFound, "there is no workflow %s", r.PathValue("id")))
 		return
 	}
-	s := flowView{Flow: f}
+	view := flowView{Flow: f}
 	if f.Phase == flow.Undoing || f.Phase == flow.Stuck {
-		s.Next = f.NextUndo()
+		view.Next = f.NextUndo()
 	}
-	writeJSON(w, s)
+	writeJSON(w, view)
 }
 
-// flowList is the JSON form of the list.
+// flowList is the JSON form of the list of workflows.
 type flowList struct {
 	Live           int                `json:"live"`
-	Ended          int                `json:"ended"` // ended workflows that are remembered
-	Bytes          int                `json:"bytes"`
+	Ended          int                `json:"ended"` // ended workflows that are retained
+	Bytes          int                `json:"bytes"` // estimated memory of the live workflows
 	DroppedUpdates uint64             `json:"lost_words"`
 	UndosSent      uint64             `json:"undos_sent"`
 	ByPhase        map[flow.Phase]int `json:"by_phase"`
-	Flows          []flowRow          `json:"workflows"` // at most maxListed: stuck ones first, then by deadline
+	// Flows are at most maxListed workflows: Stuck ones first, then the earliest deadline first.
+	Flows []flowRow `json:"workflows"`
 }
 
-// flowRow is one workflow in the list.
+// flowRow is the summary of one workflow in a flowList.
 type flowRow struct {
 	ID       string     `json:"id"`
 	Phase    flow.Phase `json:"phase"`
@@ -203,10 +210,10 @@
 	Reason   string     `json:"why,omitempty"`
 }
 
-// handleList answers with the list of live workflows.
+// handleList writes the list of live workflows as this member knows them.
 func handleList(w http.ResponseWriter, _ *http.Request, e *executor.Executor) {
 	live, ended, bytes := e.List()
-	out := flowList{
+	list := flowList{
 		Live:           len(live),
 		Ended:          ended,
 		Bytes:          bytes,
@@ -220,30 +227,31 @@
 		return cmp.Or(cmp.Compare(stuck(a), stuck(b)), cmp.Compare(a.Deadline, b.Deadline), cmp.Compare(a.ID, b.ID))
 	})
 	for i, f := range live {
-		out.ByPhase[f.Phase]++
+		list.ByPhase[f.Phase]++
 		if i < maxListed {
-			out.Flows = append(out.Flows, flowRow{f.ID, f.Phase, len(f.Steps), f.Deadline, f.Holder, f.Reason})
+			list.Flows = append(list.Flows, flowRow{f.ID, f.Phase, len(f.Steps), f.Deadline, f.Holder, f.Reason})
 		}
 	}
-	writeJSON(w, out)
+	writeJSON(w, list)
 }
 
-// writeJSON answers with a value as JSON.
+// writeJSON writes a value as the JSON body of a response.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(v) // fails only if the client is gone
+	_ = json.NewEncoder(w).Encode(v) // fails only if the client has disconnected
 }
 
-// Steps registers the jobs that are steps of workflows; the ingress calls it. The zero value
-// refuses all steps.
+// Steps registers the steps of workflows when the ingress receives their jobs. The zero value
+// refuses all steps with status 503.
 type Steps struct {
 	Executor ExecutorSource
 }
 
-// Begin registers the step that a job's headers describe, before the job is sent and within its
-// deadline. It returns the HTTP status and text of the answer if the step is refused, otherwise 0
-// and the function that takes the job's verdict. For a job that is no step all results are zero.
-func (s Steps) Begin(ctx context.Context, h http.Header, deadline time.Time) (code int, text string, settled func(core.Verdict)) {
+// Begin registers the step that a job's headers describe, before the job is sent and at the latest
+// at the job's deadline. If the step is refused or can't be registered, it returns the HTTP status
+// and text of the response. Otherwise code is 0 and onVerdict records the verdict of the job as the
+// outcome of the step. For a job that is not a step all results are zero.
+func (s Steps) Begin(ctx context.Context, h http.Header, deadline time.Time) (code int, text string, onVerdict func(core.Verdict)) {
 	id := h.Get(HeaderFlow)
 	if id == "" {
 		return 0, "", nil
@@ -257,7 +265,7 @@
 	}
 	n, u, err := parseStep(h)
 	if err == nil {
-		ctx, cancel := context.WithDeadline(ctx, earlier(deadline, time.Now().Add(callTimeout)))
+		ctx, cancel := context.WithDeadline(ctx, earlier(deadline, time.Now().Add(requestTimeout)))
 		defer cancel()
 		err = e.Register(ctx, id, n, u, deadline.Add(effectGrace))
 	}
@@ -279,8 +287,8 @@
 	return b
 }
 
-// parseStep reads the headers of a step: its number and its undo, nil if there is none. Its errors
-// are *flow.Refusal.
+// parseStep parses the headers of a step: its number, and its undo, which is nil if there is none.
+// Its errors are of type *flow.Refusal.
 func parseStep(h http.Header) (n int, u *flow.Undo, err error) {
 	n, err = strconv.Atoi(h.Get(HeaderStep))
 	if err != nil || n < 1 {
--- a/internal/dispatcher/fleet/workflow/front/front_test.go
+++ b/internal/dispatcher/fleet/workflow/front/front_test.go
@@ -18,43 +18,44 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// log is the log of a single member, which agrees to each command at once.
-type log struct {
+// fakeLog is an executor.Log of a single member. It applies each command to its table at once.
+type fakeLog struct {
 	mu    sync.Mutex
 	index uint64
 	table statetable.Table
 }
 
-func (l *log) Propose(_ context.Context, e ledger.Entry) (ledger.Done, error) {
+func (l *fakeLog) Propose(_ context.Context, e ledger.Entry) (ledger.Done, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.index++
-	_, no := l.table.Apply(l.index, l.Now().Milliseconds(), e.Flow)
-	d := ledger.Done{Entry: e, Index: l.index}
-	if no != nil {
-		d.Refused, d.Kind = no.Text, no.Kind
+	_, refusal := l.table.Apply(l.index, l.Now().Milliseconds(), e.Flow)
+	done := ledger.Done{Entry: e, Index: l.index}
+	if refusal != nil {
+		done.Refused, done.Kind = refusal.Text, refusal.Kind
 	}
-	return d, nil
+	return done, nil
 }
 
-func (l *log) Flows(show func(*statetable.Table)) {
+func (l *fakeLog) Flows(show func(*statetable.Table)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	show(&l.table)
 }
 
-func (l *log) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
-func (l *log) Rank(string) int    { return 0 }
-func (l *log) Seen() uint64       { return 1 << 62 }
+func (l *fakeLog) Now() time.Duration { return time.Duration(time.Now().UnixNano()) }
+func (l *fakeLog) Rank(string) int    { return 0 }
+func (l *fakeLog) Seen() uint64       { return 1 << 62 }
 
-// TestCalls checks the status of each call, and that a refused call changes nothing.
+// TestCalls checks the HTTP status of each request, in order, and that a refused request does not
+// change the memory that the table counts.
 func TestCalls(t *testing.T) {
-	l := &log{}
+	l := &fakeLog{}
 	e := executor.New(executor.Config{Name: "m", MaxConcurrent: 1, Class: func(name string) (executor.Class, bool) {
 		return executor.Class{Unsafe: name == "once"}, name == "once" || name == "release"
 	}}, l, nil, nil)
 	h := Handler(func() *executor.Executor { return e }, l.Now)
-	call := func(method, path, body string) (int, string) {
+	send := func(method, path, body string) (int, string) {
 		w := httptest.NewRecorder()
 		h.ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 		return w.Code, w.Body.String()
@@ -62,7 +63,8 @@
 	step := func(n int, undo string) string {
 		return `{"id":"w","step":` + string(rune('0'+n)) + `,"undo":` + undo + `}`
 	}
-	big, _ := json.Marshal(flow.Undo{Class: "release", Path: "/x", Body: make([]byte, flow.MaxBodyBytes+1)}) // plain values
+	// Marshal can't fail for the types of this value.
+	big, _ := json.Marshal(flow.Undo{Class: "release", Path: "/x", Body: make([]byte, flow.MaxBodyBytes+1)})
 	for _, tc := range []struct {
 		path, body string
 		want       int
@@ -77,39 +79,39 @@
 		{"touch", `{"id":"w"}`, 200}, {"commit", `{"id":"w","steps":1}`, 200}, {"commit", `{"id":"w","steps":1}`, 200}, {"undo", `{"id":"w"}`, 409}, {"else", `{"id":"w"}`, 405},
 	} {
 		before := l.table.Bytes
-		got, text := call("POST", "/api/workflow/"+tc.path, tc.body)
+		got, text := send("POST", "/api/workflow/"+tc.path, tc.body)
 		if got != tc.want {
-			t.Errorf("%s %.80s: %d %s, want %d", tc.path, tc.body, got, text, tc.want)
+			t.Errorf("POST %s %.80s: got status %d and body %q, want status %d", tc.path, tc.body, got, text, tc.want)
 		}
 		if got >= 400 && l.table.Bytes != before {
-			t.Errorf("%s %.80s was refused and changed the table", tc.path, tc.body)
+			t.Errorf("POST %s %.80s was refused but changed Table.Bytes", tc.path, tc.body)
 		}
 	}
-	if code, text := call("GET", "/api/workflow/w", ""); code != 200 || !strings.Contains(text, "committed") {
-		t.Errorf("show: %d %s", code, text)
+	if code, text := send("GET", "/api/workflow/w", ""); code != 200 || !strings.Contains(text, "committed") {
+		t.Errorf("GET of a committed workflow: got status %d and body %q, want 200 and the phase", code, text)
 	}
-	if code, text := call("GET", "/api/workflow", ""); code != 200 || !strings.Contains(text, `"ended":1`) {
-		t.Errorf("list: %d %s", code, text)
+	if code, text := send("GET", "/api/workflow", ""); code != 200 || !strings.Contains(text, `"ended":1`) {
+		t.Errorf("GET of the list: got status %d and body %q, want 200 and one ended workflow", code, text)
 	}
-	none := Handler(func() *executor.Executor { return nil }, l.Now)
+	disabled := Handler(func() *executor.Executor { return nil }, l.Now)
 	w := httptest.NewRecorder()
-	none.ServeHTTP(w, httptest.NewRequest("GET", "/api/workflow", nil))
+	disabled.ServeHTTP(w, httptest.NewRequest("GET", "/api/workflow", nil))
 	if w.Code != 503 || !strings.Contains(w.Body.String(), "[cluster]") {
-		t.Errorf("without workflows: %d %s", w.Code, w.Body)
+		t.Errorf("list without an executor: got status %d and body %q, want 503 and the missing section", w.Code, w.Body)
 	}
-	head := http.Header{HeaderFlow: {"w"}}
-	if code, _, _ := (Steps{}).Begin(context.Background(), head, time.Now()); code != 503 {
-		t.Errorf("a step without workflows: %d", code)
+	header := http.Header{HeaderFlow: {"w"}}
+	if code, _, _ := (Steps{}).Begin(context.Background(), header, time.Now()); code != 503 {
+		t.Errorf("step without an executor: got status %d, want 503", code)
 	}
-	if code, _, settled := (Steps{}).Begin(context.Background(), http.Header{}, time.Now()); code != 0 || settled != nil {
-		t.Errorf("a job that is no step: %d", code)
+	if code, _, onVerdict := (Steps{}).Begin(context.Background(), http.Header{}, time.Now()); code != 0 || onVerdict != nil {
+		t.Errorf("job that is not a step: got status %d, want 0 and no function for the verdict", code)
 	}
 }
 
-// TestStep checks that a job's headers register its step before it is sent, and that the job's
-// verdict ends the step.
+// TestStep checks that invalid headers of a step are refused, that valid ones register the step
+// before its job is sent, and that a failed verdict of the job starts to undo the workflow.
 func TestStep(t *testing.T) {
-	l := &log{}
+	l := &fakeLog{}
 	e := executor.New(executor.Config{Name: "m", MaxConcurrent: 1, Class: func(string) (executor.Class, bool) { return executor.Class{}, true }}, l, nil, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -124,29 +126,29 @@
 		h.Set(HeaderFlow, "w")
 		h.Set(HeaderStep, tc.step)
 		h.Set(HeaderUndo, tc.undo)
-		code, text, settled := Steps{Executor: func() *executor.Executor { return e }}.Begin(ctx, h, time.Now().Add(time.Second))
-		if code != tc.want || (settled != nil) != (code == 0) {
-			t.Errorf("step %q, undo %q: %d %s", tc.step, tc.undo, code, text)
+		code, text, onVerdict := Steps{Executor: func() *executor.Executor { return e }}.Begin(ctx, h, time.Now().Add(time.Second))
+		if code != tc.want || (onVerdict != nil) != (code == 0) {
+			t.Errorf("step %q, undo %q: got code %d and text %q", tc.step, tc.undo, code, text)
 		}
-		if settled != nil {
-			settled(core.Failed)
+		if onVerdict != nil {
+			onVerdict(core.Failed)
 		}
 	}
-	for by := time.Now().Add(20 * time.Second); e.Find("w").Phase != flow.Undoing; {
-		if time.Now().After(by) {
-			t.Fatalf("a step that failed for good: %+v", e.Find("w"))
+	for deadline := time.Now().Add(20 * time.Second); e.Find("w").Phase != flow.Undoing; {
+		if time.Now().After(deadline) {
+			t.Fatalf("workflow is not Undoing 20 s after its step failed: %+v", e.Find("w"))
 		}
 	}
 }
 
-// FuzzParse checks that any headers are refused or parsed to a valid step number.
+// FuzzParse checks that parseStep refuses any headers or returns a step number of at least 1.
 func FuzzParse(f *testing.F) {
 	f.Add("1", base64.StdEncoding.EncodeToString([]byte(`{"class":"c","path":"/p","body":"YQ=="}`)))
 	f.Add("-1", "x")
 	f.Fuzz(func(t *testing.T, step, undo string) {
 		n, _, err := parseStep(http.Header{HeaderStep: {step}, HeaderUndo: {undo}})
 		if err == nil && n < 1 {
-			t.Errorf("step %d", n)
+			t.Errorf("parseStep accepted step number %d, want an error for numbers below 1", n)
 		}
 	})
 }
