--- a/internal/dispatcher/fleet/workflow/statetable/statetable.go
+++ b/internal/dispatcher/fleet/workflow/statetable/statetable.go
@@ -1,11 +1,10 @@
-// Package statetable holds the workflows that a cluster's members agree on. It is the state
-// machine of the agreed log for workflows: each log entry is a command, and equal commands in the
-// same order lead to equal tables at all members. It bounds how many workflows there are and how
-// much memory they take.
+// Package statetable implements the replicated state machine of workflows. Each log entry about
+// workflows is a command, and members that apply the same commands in the same order have equal
+// tables. The package bounds the number of workflows and the memory that they take.
 //
 // The package is pure: it does no I/O and reads no clock. Package quorum applies the entries and
-// serialises all calls; a Table is not safe for concurrent use. The JSON form of Table, Command
-// and Update is stored and sent between members, so their tags and the strings of Kind must not
+// serialises all calls; a Table is not safe for concurrent use. The JSON forms of Table, Command
+// and Update are stored and sent between members, so their tags and the strings of Kind must not
 // change.
 package statetable
 
@@ -17,36 +16,39 @@
 	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
-// Limits of a table. All members must have the same ones, as they decide what a command changes.
+// Limits of a table. They must be the same at all members, because the effect of a command depends
+// on them.
 const (
 	MaxFlows = 10_000   // live workflows; a further one is refused
-	MaxBytes = 32 << 20 // taken by live workflows; a step that exceeds it is refused
-	MaxEnded = 4096     // ended workflows that are remembered; the oldest are dropped
-	MaxBatch = 256      // updates of one command
+	MaxBytes = 32 << 20 // estimated bytes of live workflows; a step that would exceed it is refused
+	MaxEnded = 4096     // ended workflows that are retained; the oldest are dropped first
+	MaxBatch = 256      // updates of one command; one with more is refused
 )
 
-// Kind says what a command does.
+// Kind is the kind of a command.
 type Kind string
 
-// The kinds. Those with updates act on many workflows, the others on the one that ID names.
+// The kinds of commands. Those with Updates act on several workflows, the others on the one that
+// Command.ID names.
 const (
 	Begin         Kind = "begin"
 	Step          Kind = "step"
-	EndSteps      Kind = "settle" // Updates are the outcomes of steps' jobs
+	EndSteps      Kind = "settle" // Updates are the outcomes of the jobs of steps
 	Commit        Kind = "commit"
-	Undo          Kind = "undo"   // a client or an operator asks for it
-	Expire        Kind = "expire" // Updates name workflows that are overdue by the entry's time
+	Undo          Kind = "undo"   // requested by a client or an operator
+	Expire        Kind = "expire" // Updates name workflows that are overdue at the time of the entry
 	RenewLease    Kind = "touch"
-	Claim         Kind = "take"  // Updates name workflows that member By claims until Until
+	Claim         Kind = "take"  // Updates name workflows that the member By claims until Until
 	EndUndos      Kind = "took"  // Updates are the outcomes of undos
-	SendUndo      Kind = "goes"  // the undo of step N is about to be sent to Destination, under FencingToken
-	WithdrawUndos Kind = "stays" // Updates name the entries of undos that certainly never ran
-	Skip          Kind = "skip"
+	SendUndo      Kind = "goes"  // the undo of step N will be sent to Destination under FencingToken
+	WithdrawUndos Kind = "stays" // Updates name SendUndo entries whose undo certainly never ran
+	Skip          Kind = "skip"  // Skip, Retry and GiveUp are requested by operators
 	Retry         Kind = "again"
 	GiveUp        Kind = "give-up"
 )
 
-// Update is the part of a command with updates that concerns one workflow.
+// Update is the part of a command that concerns one of several workflows. Which fields count
+// depends on the kind of the command.
 type Update struct {
 	ID           string       `json:"id"`
 	Step         int          `json:"n,omitempty"`
@@ -55,11 +57,11 @@
 	FencingToken uint64       `json:"fence,omitempty"`
 	Outcome      flow.Outcome `json:"outcome,omitempty"`
 	Reason       string       `json:"why,omitempty"`
-	Entry        uint64       `json:"entry,omitempty"` // index of the entry that is withdrawn
+	Entry        uint64       `json:"entry,omitempty"` // log index of the SendUndo to withdraw
 }
 
-// Command is an entry of the log about workflows. Which fields count depends on its kind; times
-// are in milliseconds since 1970, LeaseDuration is in milliseconds.
+// Command is a log entry about workflows. Which fields count depends on its kind. Deadline and
+// Until are Unix times in milliseconds, LeaseDuration is in milliseconds.
 type Command struct {
 	Kind          Kind             `json:"kind"`
 	ID            string           `json:"id,omitempty"`
@@ -76,19 +78,18 @@
 	Destination   flow.Destination `json:"place,omitzero"`
 }
 
-// Table is the state of all workflows. The zero value is empty. Bytes is the sum of Flow.Bytes
-// over Live.
+// Table is the state of all workflows. The zero value is an empty table.
 type Table struct {
-	Live      map[string]*flow.Flow `json:"live"`
-	Ended     []*flow.Flow          `json:"ended"` // ended workflows that are remembered, the oldest first
-	Bytes     int                   `json:"bytes"`
-	endedByID map[string]*flow.Flow // index of Ended, made on first use
+	Live      map[string]*flow.Flow `json:"live"`  // workflows that have not ended, by id
+	Ended     []*flow.Flow          `json:"ended"` // the last MaxEnded ended ones, the oldest first
+	Bytes     int                   `json:"bytes"` // sum of Flow.Bytes over Live
+	endedByID map[string]*flow.Flow // index of Ended, built on first use
 }
 
-// Apply applies a command that is the log's entry at an index, with the entry's time in
-// milliseconds since 1970. It reports whether anything changed; for a command about one workflow
-// it also returns the refusal if nothing did. Refused updates of a command about many workflows
-// are skipped.
+// Apply applies the command of the log entry with the given index. at is the time of the entry as
+// Unix time in milliseconds. changed reports whether the command had an effect. refusal is the
+// reason if a command about one workflow was refused, or one with too many updates. Of a command
+// about several workflows, updates that are refused are skipped.
 func (t *Table) Apply(index uint64, at int64, c *Command) (changed bool, refusal *flow.Refusal) {
 	if t.Live == nil {
 		t.Live = map[string]*flow.Flow{}
@@ -112,7 +113,7 @@
 	return t.modify(f, func() *flow.Refusal { return t.applyToFlow(f, index, at, c) })
 }
 
-// applyToFlow applies a command about one live workflow.
+// applyToFlow applies a command about one workflow, other than Begin, to that live workflow.
 func (t *Table) applyToFlow(f *flow.Flow, index uint64, at int64, c *Command) *flow.Refusal {
 	switch c.Kind {
 	case Step:
@@ -138,7 +139,7 @@
 	return flow.NewRefusal(flow.Invalid, "%q is no command of this build", c.Kind)
 }
 
-// begin adds a workflow.
+// begin applies a Begin command. An id can be used again once its ended workflow is not retained.
 func (t *Table) begin(at int64, c *Command) (bool, *flow.Refusal) {
 	if t.Find(c.ID) != nil {
 		return false, flow.NewRefusal(flow.OutOfOrder, "there is a workflow %s already", c.ID)
@@ -155,7 +156,7 @@
 	return true, nil
 }
 
-// applyUpdate applies one update of a command about many workflows.
+// applyUpdate applies one update of a command about several workflows.
 func (t *Table) applyUpdate(index uint64, at int64, c *Command, update *Update) *flow.Refusal {
 	f := t.Live[update.ID]
 	if f == nil {
@@ -166,8 +167,8 @@
 		case EndSteps:
 			return f.EndStep(update.Step, update.State, update.Failed, at)
 		case Expire:
-			if why := f.Overdue(at); why != "" {
-				return f.StartUndo(why, at)
+			if reason := f.Overdue(at); reason != "" {
+				return f.StartUndo(reason, at)
 			}
 			return flow.NewRefusal(flow.OutOfOrder, "it is not over")
 		case Claim:
@@ -180,8 +181,8 @@
 	return refusal
 }
 
-// modify changes a live workflow, keeps Bytes equal to its sum, and retires the workflow if it has
-// ended.
+// modify applies a change to a live workflow, adjusts Table.Bytes, and retires the workflow if it
+// has ended.
 func (t *Table) modify(f *flow.Flow, change func() *flow.Refusal) (bool, *flow.Refusal) {
 	before := f.Bytes()
 	refusal := change()
@@ -192,11 +193,11 @@
 	return refusal == nil, refusal
 }
 
-// retire moves a workflow from the live ones to the ended ones.
+// retire moves a workflow from Live to Ended and drops the oldest ended one beyond MaxEnded.
 func (t *Table) retire(f *flow.Flow) {
 	t.Bytes -= f.Bytes()
 	delete(t.Live, f.ID)
-	t.Find("") // makes the index if it is missing
+	t.Find("") // builds endedByID if it is nil
 	t.endedByID[f.ID] = f
 	if t.Ended = append(t.Ended, f); len(t.Ended) > MaxEnded {
 		delete(t.endedByID, t.Ended[0].ID)
@@ -204,8 +205,8 @@
 	}
 }
 
-// refuseEnded answers a command about a workflow that is not live. Repeating a commit or an undo
-// that took effect before changes nothing and is not refused.
+// refuseEnded returns the result of a command about a workflow that is not live. A repeated Commit
+// of a committed workflow, or Undo of an undone one, has no effect and is not refused.
 func (t *Table) refuseEnded(c *Command) (bool, *flow.Refusal) {
 	f := t.Find(c.ID)
 	switch {
@@ -217,7 +218,7 @@
 	return false, flow.NewRefusal(flow.OutOfOrder, "the workflow is %s", f.Phase)
 }
 
-// Find returns a workflow, also one that has ended while it is remembered; nil if it is not known.
+// Find returns the live or retained ended workflow with an id, and nil if there is none.
 func (t *Table) Find(id string) *flow.Flow {
 	if f := t.Live[id]; f != nil {
 		return f
@@ -231,8 +232,8 @@
 	return t.endedByID[id]
 }
 
-// Clone returns a copy that shares nothing that may change: ended workflows are final and are
-// shared.
+// Clone returns a copy that can be changed independently. It shares the ended workflows, which
+// never change.
 func (t *Table) Clone() *Table {
 	c := &Table{Live: make(map[string]*flow.Flow, len(t.Live)), Ended: slices.Clone(t.Ended), Bytes: t.Bytes}
 	for id, f := range t.Live {
@@ -241,7 +242,7 @@
 	return c
 }
 
-// Parse decodes a table from its JSON form.
+// Parse decodes a table from its JSON form, as in a snapshot.
 func Parse(text []byte) (*Table, error) {
 	var t Table
 	if err := json.Unmarshal(text, &t); err != nil {
