--- a/internal/dispatcher/fleet/workflow/executor/destinations.go
+++ b/internal/dispatcher/fleet/workflow/executor/destinations.go
@@ -41,9 +41,9 @@
 // ends, as it can't be told from the entry of an undo that was sent.
 func (d *destinations) Propose(group core.OutcomeRecord, window time.Duration, decided func(bool)) {
 	d.mu.Lock()
-	_, agreedBefore := d.entries[group]
+	_, acceptedBefore := d.entries[group]
 	d.mu.Unlock()
-	if agreedBefore {
+	if acceptedBefore {
 		decided(true)
 		return
 	}
@@ -55,13 +55,13 @@
 		ctx, cancel := context.WithDeadline(context.Background(), deadline)
 		defer cancel()
 		done, err := d.executor.log.Propose(ctx, ledger.Entry{Op: ledger.Flow, UID: d.run.ID, Flow: d.sendCommand(group, window)})
-		agreed := err == nil && done.Refused == ""
-		if agreed {
+		accepted := err == nil && done.Refused == ""
+		if accepted {
 			d.mu.Lock()
 			d.entries[group] = done.Index
 			d.mu.Unlock()
 		}
-		decided(agreed)
+		decided(accepted)
 	}()
 }
 
--- a/internal/dispatcher/fleet/workflow/executor/executor.go
+++ b/internal/dispatcher/fleet/workflow/executor/executor.go
@@ -123,7 +123,7 @@
 	id         string
 	retryAfter time.Duration      // delay before it may be run again; 0 for none
 	attempts   int                // failed attempts before this one
-	agreed     *statetable.Update // its outcome if the entry was committed; nil otherwise
+	committed  *statetable.Update // its outcome if the entry was committed; nil otherwise
 }
 
 // New returns an executor that does nothing on its own until Run is called.
--- a/internal/dispatcher/fleet/workflow/executor/executor_test.go
+++ b/internal/dispatcher/fleet/workflow/executor/executor_test.go
@@ -59,8 +59,8 @@
 			t.Errorf("command %s has %d updates, want 1", c.Kind, len(c.Updates))
 		}
 	}
-	if e := <-executor.undoEnds; e.attempts != 3 || e.agreed == nil || *e.agreed != undoOutcome.Update {
-		t.Errorf("end of the undo is %+v, want 3 attempts and the update that was queued", e)
+	if e := <-executor.undoEnds; e.attempts != 3 || e.committed == nil || *e.committed != undoOutcome.Update {
+		t.Errorf("end of the undo is %+v, want 3 attempts and the queued update as committed", e)
 	}
 }
 
--- a/internal/dispatcher/fleet/workflow/executor/propose.go
+++ b/internal/dispatcher/fleet/workflow/executor/propose.go
@@ -80,14 +80,14 @@
 			for _, update := range updates {
 				c.Updates = append(c.Updates, update.Update)
 			}
-			agreed := e.propose(ctx, c) > 0
+			committed := e.propose(ctx, c) > 0
 			if kind != statetable.EndUndos {
 				continue
 			}
 			for _, update := range updates {
 				end := undoEnd{id: update.ID, attempts: update.attempts}
-				if agreed { // but perhaps not applied by this member yet
-					end.agreed = &update.Update
+				if committed { // but perhaps not applied by this member yet
+					end.committed = &update.Update
 				}
 				e.undoEnds <- end // does not block, as it has room for all running undos
 			}
--- a/internal/dispatcher/fleet/workflow/executor/undoset.go
+++ b/internal/dispatcher/fleet/workflow/executor/undoset.go
@@ -11,9 +11,9 @@
 // undoSet tracks the undos that this member runs, delays or has run. Its maps are keyed by the ids
 // of workflows. It is owned by the goroutine of Executor.decide and is not safe for concurrent use.
 type undoSet struct {
-	running map[string]bool
-	retryAt map[string]time.Time   // earliest times at which delayed undos are run again
-	agreed  map[string]undoAttempt // attempts whose outcome is committed, perhaps not applied here
+	running   map[string]bool
+	retryAt   map[string]time.Time   // earliest times at which delayed undos are run again
+	committed map[string]undoAttempt // attempts whose outcome is committed, perhaps not applied here
 }
 
 // undoAttempt identifies an attempt of an undo within its workflow.
@@ -25,13 +25,13 @@
 
 // newUndoSet returns an empty undoSet with its maps allocated.
 func newUndoSet() *undoSet {
-	return &undoSet{running: map[string]bool{}, retryAt: map[string]time.Time{}, agreed: map[string]undoAttempt{}}
+	return &undoSet{running: map[string]bool{}, retryAt: map[string]time.Time{}, committed: map[string]undoAttempt{}}
 }
 
 // start adds an undo that is about to run. It returns false and adds nothing if the outcome of this
 // attempt has been committed, because the attempt must not run again.
 func (s *undoSet) start(r assignment.Run) bool {
-	if s.agreed[r.ID] == (undoAttempt{r.Step, r.FencingToken, r.Attempts}) {
+	if s.committed[r.ID] == (undoAttempt{r.Step, r.FencingToken, r.Attempts}) {
 		return false
 	}
 	s.running[r.ID] = true
@@ -42,8 +42,8 @@
 // delay, if there are any.
 func (s *undoSet) end(end undoEnd) {
 	delete(s.running, end.id)
-	if end.agreed != nil {
-		s.agreed[end.id] = undoAttempt{end.agreed.Step, end.agreed.FencingToken, end.attempts}
+	if end.committed != nil {
+		s.committed[end.id] = undoAttempt{end.committed.Step, end.committed.FencingToken, end.attempts}
 	}
 	if end.retryAfter > 0 {
 		s.retryAt[end.id] = time.Now().Add(end.retryAfter)
@@ -64,12 +64,12 @@
 			delete(s.retryAt, id)
 		}
 	}
-	if len(s.agreed) == 0 {
+	if len(s.committed) == 0 {
 		return
 	}
 	isLive := map[string]bool{}
 	for _, f := range live {
 		isLive[f.ID] = true
 	}
-	maps.DeleteFunc(s.agreed, func(id string, _ undoAttempt) bool { return !isLive[id] })
+	maps.DeleteFunc(s.committed, func(id string, _ undoAttempt) bool { return !isLive[id] })
 }
--- a/internal/dispatcher/fleet/workflow/flow/destination.go
+++ b/internal/dispatcher/fleet/workflow/flow/destination.go
@@ -29,7 +29,7 @@
 }
 
 // SendUndo records that the holder of the claim with fencingToken is about to send the undo of step
-// n to a destination. It is agreed on before the undo is sent, so that the next holder learns the
+// n to a destination. It is committed before the undo is sent, so that the next holder learns the
 // destination from the log, even if every member that was involved is down, and doesn't run the
 // undo in a second group. entry is the index of the command's log entry. The window of a
 // destination that is recorded already keeps its start and end.
