--- a/internal/dispatcher/export/actor.go
+++ b/internal/dispatcher/export/actor.go
@@ -13,30 +13,32 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// The reasons for which records and batches are dropped, as figures name them.
+// Reasons for dropping records and batches, exported as the reason attribute of the dropped-items
+// metric.
 const (
-	droppedIntake  = "intake"        // the actor did not keep up
-	droppedPlain   = "queue_plain"   // the queue was full; a plain record
-	droppedNotable = "queue_notable" // the queue was full; a notable record
-	droppedSampled = "sampled"       // plain and not selected
-	droppedRefused = "collector_refused"
-	droppedTooOld  = "collector_given_up" // retried until it was too old
-	droppedAtExit  = "process_end"
-	droppedFile    = "file"
-	droppedMetrics = "measures_skipped" // the export before had not ended
+	droppedIntake  = "intake"             // the intake channel was full
+	droppedPlain   = "queue_plain"        // the queue was full and the record was plain
+	droppedNotable = "queue_notable"      // the queue was full and the record was notable
+	droppedSampled = "sampled"            // plain, and not selected by the sampler
+	droppedRefused = "collector_refused"  // rejected, or failed in a way that is not retryable
+	droppedTooOld  = "collector_given_up" // retries exceeded maxRetryAge
+	droppedAtExit  = "process_end"        // not sent when the exporter was closed
+	droppedFile    = "file"               // writing to the trace file failed
+	droppedMetrics = "measures_skipped"   // the previous export was still in progress
 )
 
-// actor owns records from the end of their requests until they are sent. Its goroutine decides; each pipeline has
-// another one, which may block. The fields below done belong to the actor's goroutine.
+// actor owns records from the end of their requests until they are sent. Its own goroutine samples,
+// queues and batches them; each pipeline sends from a separate goroutine, which may block. The
+// fields below done are accessed only by the actor's goroutine.
 type actor struct {
 	options    Options
 	log        *logrus.Entry
 	intake     chan *trace.Record
-	overflowed atomic.Int64 // records that the intake had no room for
+	overflowed atomic.Int64 // records dropped because the intake was full
 	loads      atomic.Pointer[[]measures.Load]
-	flush      chan struct{} // closed when everything is to be sent at once
+	flush      chan struct{} // closed to send without waiting for full batches
 	flushOnce  sync.Once
-	stop       chan time.Time // takes the deadline of the actor's end
+	stop       chan time.Time // receives the deadline of the shutdown
 	done       chan struct{}  // closed when the actor has ended
 
 	pipelines []*pipeline
@@ -48,7 +50,8 @@
 	retried   map[string]int64 // by pipeline
 }
 
-// newActor makes an actor that runs once its run method is called.
+// newActor returns an actor that does nothing until its run method is called. It fails if the
+// metric instruments can't be created.
 func newActor(o Options, log *logrus.Entry) (*actor, error) {
 	a := &actor{
 		options: o,
@@ -79,16 +82,17 @@
 	return a, nil
 }
 
-// flushNow has everything sent at once from now on. It may be called from any goroutine, more than once.
+// flushNow disables the batch delay, so that records are sent as soon as a pipeline is idle. It may
+// be called from any goroutine, more than once.
 func (a *actor) flushNow() { a.flushOnce.Do(func() { close(a.flush) }) }
 
-// close ends the actor by the deadline and waits for its end.
+// close stops the actor, gives it until the deadline to drain, and waits for it to end.
 func (a *actor) close(deadline time.Time) {
 	a.stop <- deadline
 	<-a.done
 }
 
-// run runs the actor until it is closed.
+// run processes events until the actor is closed.
 func (a *actor) run() {
 	defer close(a.done)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -129,7 +133,7 @@
 	}
 }
 
-// add counts a record in the figures and queues it if it is kept.
+// add records a request in the metrics, and queues its record if the sampler keeps it.
 func (a *actor) add(record *trace.Record) {
 	a.retries.Link(record)
 	keep, _ := a.options.Sampler.Keep(record)
@@ -147,14 +151,14 @@
 	}
 }
 
-// markForFlush marks what is queued as old enough to be sent in a batch that is not full.
+// markForFlush lets pipelines with queued records send a batch that is not full.
 func (a *actor) markForFlush() {
 	for _, p := range a.pipelines {
 		p.flushReady = p.queue.Len() > 0
 	}
 }
 
-// assignJobs assigns the next batch to each pipeline that is free.
+// assignJobs assigns the next batch to each idle pipeline.
 func (a *actor) assignJobs() {
 	for _, p := range a.pipelines {
 		if p.busy || p.queue.Len() == 0 {
@@ -167,36 +171,37 @@
 	}
 }
 
-// collectMetrics collects the figures for the pipelines that are free. If none is, nothing is collected: delta figures
-// that were collected and not sent would be lost, as the next ones do not contain them.
+// collectMetrics collects the metrics and assigns them to the idle pipelines. If none is idle,
+// nothing is collected: delta values that were collected but not sent would be lost, as the next
+// collection does not contain them.
 func (a *actor) collectMetrics() {
-	var free []*pipeline
+	var idle []*pipeline
 	for _, p := range a.pipelines {
 		if p.carries(metricsSignal) && !p.busy {
-			free = append(free, p)
+			idle = append(idle, p)
 		} else if p.carries(metricsSignal) {
 			a.dropped[droppedMetrics]++
 		}
 	}
-	if len(free) == 0 {
+	if len(idle) == 0 {
 		return
 	}
 	var loads []measures.Load
 	if p := a.loads.Load(); p != nil {
 		loads = *p
 	}
-	metrics, err := a.metrics.Collect(loads, a.exporterFigures())
+	metrics, err := a.metrics.Collect(loads, a.exporterMetrics())
 	if err != nil {
-		a.log.WithError(err).Error("the figures could not be gathered")
+		a.log.WithError(err).Error("collecting the metrics failed")
 		return
 	}
-	for _, p := range free {
+	for _, p := range idle {
 		p.assign(exportJob{metrics: metrics})
 	}
 }
 
-// exporterFigures returns the figures of the export itself.
-func (a *actor) exporterFigures() measures.Exporter {
+// exporterMetrics returns the metrics of the export itself.
+func (a *actor) exporterMetrics() measures.Exporter {
 	e := measures.Exporter{Sent: maps.Clone(a.sent), Retried: maps.Clone(a.retried), Dropped: maps.Clone(a.dropped)}
 	e.Dropped[droppedIntake] = a.overflowed.Load()
 	for _, p := range a.pipelines {
@@ -206,7 +211,7 @@
 	return e
 }
 
-// jobEnded records the result of a pipeline's job.
+// jobEnded marks a pipeline as idle and counts the result of its job.
 func (a *actor) jobEnded(r jobResult) {
 	r.pipeline.busy = false
 	a.sent[r.pipeline.name] += int64(r.sent)
@@ -217,7 +222,8 @@
 	r.pipeline.logTransition(r)
 }
 
-// drain sends what waits until the deadline, on pipelines that do not hang, and after the records the last figures.
+// drain sends the remaining records, then the final metrics, until the deadline. It does not wait
+// for pipelines that hang.
 func (a *actor) drain(deadline time.Time) {
 	a.drainIntake()
 	timer := time.NewTimer(time.Until(deadline))
@@ -244,7 +250,7 @@
 	a.logDropped()
 }
 
-// drainIntake adds the records whose requests ended before the actor was closed.
+// drainIntake adds the records that were in the intake when the actor was closed.
 func (a *actor) drainIntake() {
 	for {
 		select {
@@ -256,7 +262,7 @@
 	}
 }
 
-// sending reports whether a pipeline is at work that does not hang.
+// sending reports whether any pipeline is busy and not hanging.
 func (a *actor) sending() bool {
 	for _, p := range a.pipelines {
 		if p.busy && !p.hanging() {
@@ -266,13 +272,13 @@
 	return false
 }
 
-// logDropped logs how many records the actor's end drops.
+// logDropped logs how many records are dropped because the shutdown deadline has passed.
 func (a *actor) logDropped() {
-	lost := 0
+	dropped := 0
 	for _, p := range a.pipelines {
-		lost += p.queue.Len() + p.inFlight
+		dropped += p.queue.Len() + p.inFlight
 	}
-	if lost > 0 {
-		a.log.WithFields(logrus.Fields{"stories": lost, "reason": droppedAtExit}).Warn("not exported at the end")
+	if dropped > 0 {
+		a.log.WithFields(logrus.Fields{"stories": dropped, "reason": droppedAtExit}).Warn("records not exported before shutdown")
 	}
 }
--- a/internal/dispatcher/export/collector.go
+++ b/internal/dispatcher/export/collector.go
@@ -17,53 +17,55 @@
 	"frosttide/internal/dispatcher/otlp"
 )
 
-// The methods of OTLP's services. Source: opentelemetry/proto/collector.
+// The gRPC methods of the OTLP services. Source: opentelemetry/proto/collector.
 const (
 	tracesMethod  = "/opentelemetry.proto.collector.trace.v1.TraceService/Export"
 	metricsMethod = "/opentelemetry.proto.collector.metrics.v1.MetricsService/Export"
 )
 
-// maxResponseBytes bounds what is read of a response, in memory and time: what matters is in its first bytes.
+// maxResponseBytes bounds the memory and time spent on reading a response, whose relevant fields
+// are in its first bytes.
 const maxResponseBytes = 64 << 10
 
-// collector is a sink that sends OTLP over HTTP or gRPC. It has at most one connection.
+// collector is a sink that sends OTLP over HTTP or gRPC, over at most one connection.
 type collector struct {
 	endpoint  Endpoint
 	transport *http.Transport
 	grpc      *connect.Client[otlp.Message, otlp.Message]
 }
 
-// newCollector makes a sink for an endpoint. Method is the path of the gRPC method.
-func newCollector(to Endpoint, method string) *collector {
-	c := &collector{endpoint: to}
+// newCollector returns a sink for an endpoint. Method is the path of the gRPC method and is not
+// used with HTTP.
+func newCollector(endpoint Endpoint, method string) *collector {
+	c := &collector{endpoint: endpoint}
 	c.transport = &http.Transport{
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			return (&net.Dialer{}).DialContext(ctx, network, addr) // bounded by the call's deadline
 		},
-		TLSClientConfig:        to.TLS,
-		DisableCompression:     true, // a small response could unpack to a large one
+		TLSClientConfig:        endpoint.TLS,
+		DisableCompression:     true, // a small compressed response could expand to a large one
 		MaxConnsPerHost:        1,
 		MaxIdleConnsPerHost:    1,
 		IdleConnTimeout:        90 * time.Second,
 		MaxResponseHeaderBytes: 16 << 10,
 		Protocols:              new(http.Protocols),
 	}
-	if !to.GRPC {
+	if !endpoint.GRPC {
 		c.transport.Protocols.SetHTTP1(true)
 		return c
 	}
 	c.transport.Protocols.SetHTTP2(true)
 	c.transport.Protocols.SetUnencryptedHTTP2(true)
 	options := []connect.ClientOption{connect.WithGRPC(), connect.WithCodec(otlp.Codec{}), connect.WithReadMaxBytes(maxResponseBytes)}
-	if to.Gzip {
+	if endpoint.Gzip {
 		options = append(options, connect.WithSendGzip())
 	}
 	client := &http.Client{Transport: c.transport, CheckRedirect: noRedirect}
-	c.grpc = connect.NewClient[otlp.Message, otlp.Message](client, to.URL+method, options...)
+	c.grpc = connect.NewClient[otlp.Message, otlp.Message](client, endpoint.URL+method, options...)
 	return c
 }
 
-// noRedirect has redirects not followed: operators alone decide where data goes.
+// noRedirect disables redirects: only the configuration decides where data is sent.
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
 // close implements sink.
@@ -72,7 +74,7 @@
 // write implements sink.
 func (c *collector) write(p otlp.Payload) ([]byte, error) { return p.Proto() }
 
-// send implements sink.
+// send implements sink. The call is bounded by the endpoint's timeout.
 func (c *collector) send(ctx context.Context, body []byte) sendResult {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(c.endpoint.Timeout))
 	defer cancel()
@@ -82,7 +84,7 @@
 	return c.post(ctx, body)
 }
 
-// post sends a batch by OTLP/HTTP. Source: OTLP 1.x, "OTLP/HTTP".
+// post sends a batch over OTLP/HTTP. Source: OTLP 1.x, "OTLP/HTTP".
 func (c *collector) post(ctx context.Context, body []byte) sendResult {
 	request, err := c.newRequest(ctx, body)
 	if err != nil {
@@ -96,15 +98,15 @@
 	return httpResult(response)
 }
 
-// newRequest returns the HTTP request of a batch.
+// newRequest returns the HTTP request that carries a batch, compressed if the endpoint asks for it.
 func (c *collector) newRequest(ctx context.Context, body []byte) (*http.Request, error) {
 	encoding := ""
 	if c.endpoint.Gzip {
-		var packed bytes.Buffer
-		z := gzip.NewWriter(&packed)
-		_, _ = z.Write(body) // can't fail: it writes to memory
-		_ = z.Close()
-		body, encoding = packed.Bytes(), "gzip"
+		var compressed bytes.Buffer
+		writer := gzip.NewWriter(&compressed)
+		_, _ = writer.Write(body) // writing to memory can't fail
+		_ = writer.Close()
+		body, encoding = compressed.Bytes(), "gzip"
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, c.endpoint.URL, bytes.NewReader(body))
 	if err != nil {
@@ -121,30 +123,30 @@
 	return request, nil
 }
 
-// httpResult returns the result of a call from its response.
+// httpResult converts an HTTP response to the result of a call.
 func httpResult(response *http.Response) sendResult {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes+1))
 	switch code := response.StatusCode; {
 	case code/100 == 2 && err != nil:
-		// The collector may have taken the batch; sent again it could count twice.
-		return sendResult{err: fmt.Errorf("reading the answer: %w", err), reason: droppedRefused}
+		// The collector may have accepted the batch; a retry could deliver it twice.
+		return sendResult{err: fmt.Errorf("reading the collector's response: %w", err), reason: droppedRefused}
 	case code/100 == 2:
 		rejected, _, err := parsePartialSuccess(body)
 		if err != nil || len(body) > maxResponseBytes {
-			return sendResult{} // the batch was taken; what else the response says can't be read
+			return sendResult{} // the batch was accepted; the rest of the response is unreadable
 		}
 		return acceptedResult(rejected)
 	case code == http.StatusTooManyRequests, code == http.StatusBadGateway, code == http.StatusServiceUnavailable,
 		code == http.StatusGatewayTimeout:
-		return sendResult{err: fmt.Errorf("the collector answers %d", code), retryable: true,
+		return sendResult{err: fmt.Errorf("the collector returned HTTP status %d", code), retryable: true,
 			retryAfter: retryAfter(response.Header.Get("Retry-After"), time.Now()), reason: droppedRefused}
 	default:
-		return sendResult{err: fmt.Errorf("the collector answers %d", code), reason: droppedRefused}
+		return sendResult{err: fmt.Errorf("the collector returned HTTP status %d", code), reason: droppedRefused}
 	}
 }
 
-// acceptedResult returns the result of a successful call. Items that the collector has rejected are lost, as the
-// specification forbids to send them again.
+// acceptedResult returns the result of a successful call. Items that the collector rejected are
+// lost: the specification forbids resending them.
 func acceptedResult(rejected int64) sendResult {
 	if rejected <= 0 {
 		return sendResult{}
@@ -152,13 +154,15 @@
 	return sendResult{rejected: int(min(rejected, 1<<30)), reason: droppedRefused}
 }
 
-// isCertificateError reports whether a collector's certificate was rejected, which a retry does not change.
+// isCertificateError reports whether the collector's certificate failed verification, which a retry
+// does not fix.
 func isCertificateError(err error) bool {
 	var certificateError *tls.CertificateVerificationError
 	return errors.As(err, &certificateError)
 }
 
-// call sends a batch by OTLP/gRPC. Source: OTLP 1.x, "OTLP/gRPC" and its table of codes that may be retried.
+// call sends a batch over OTLP/gRPC. Source: OTLP 1.x, "OTLP/gRPC" and its table of retryable
+// codes.
 func (c *collector) call(ctx context.Context, body []byte) sendResult {
 	request := connect.NewRequest(&otlp.Message{Bytes: body})
 	for name, value := range c.endpoint.Headers {
@@ -172,14 +176,14 @@
 		}
 		return acceptedResult(rejected)
 	}
-	after, requested := retryInfo(err)
-	result := sendResult{err: err, retryAfter: after, reason: droppedRefused}
+	delay, delayRequested := retryInfo(err)
+	result := sendResult{err: err, retryAfter: delay, reason: droppedRefused}
 	switch connect.CodeOf(err) {
 	case connect.CodeCanceled, connect.CodeDeadlineExceeded, connect.CodeAborted, connect.CodeOutOfRange,
 		connect.CodeUnavailable, connect.CodeDataLoss:
 		result.retryable = !isCertificateError(err)
 	case connect.CodeResourceExhausted:
-		result.retryable = requested
+		result.retryable = delayRequested
 	}
 	return result
 }
--- a/internal/dispatcher/export/environment.go
+++ b/internal/dispatcher/export/environment.go
@@ -17,17 +17,20 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// environment reads OpenTelemetry's variables. Values that the specification has ignored are added to the warnings.
+// environment reads the OTEL_ variables. Values that the specification says to ignore are reported
+// in the warnings.
 type environment struct {
 	get      func(string) string
 	warnings *[]string
 }
 
+// warn adds a warning that a variable is ignored.
 func (e *environment) warn(name, reason string) {
 	*e.warnings = append(*e.warnings, name+" is passed over: "+reason)
 }
 
-// positiveInt returns a variable's number, the fallback if it is not set or is no number above 0.
+// positiveInt returns the value of a variable, or the fallback if it is unset or not a positive
+// integer.
 func (e *environment) positiveInt(name string, fallback int) int {
 	s := e.get(name)
 	if s == "" {
@@ -41,13 +44,13 @@
 	return n
 }
 
-// millis returns a variable's time, which is written in milliseconds, up to a day.
+// millis returns the duration in a variable, which is in milliseconds and capped at one day.
 func (e *environment) millis(name string, fallback time.Duration) time.Duration {
 	ms := time.Duration(e.positiveInt(name, int(fallback/time.Millisecond)))
 	return min(ms, 24*60*60*1000) * time.Millisecond
 }
 
-// flag reports whether a variable is true.
+// flag reports whether a variable is set to true, regardless of letter case.
 func (e *environment) flag(name string) bool {
 	s := strings.ToLower(e.get(name))
 	if s != "" && s != "true" && s != "false" {
@@ -56,7 +59,8 @@
 	return s == "true"
 }
 
-// choice returns a variable's value if it is a known one, else the fallback.
+// choice returns the value of a variable in lower case if it is one of the known values, else the
+// fallback.
 func (e *environment) choice(name, fallback string, known ...string) string {
 	s := strings.ToLower(e.get(name))
 	for _, k := range known {
@@ -70,8 +74,8 @@
 	return fallback
 }
 
-// sampler returns the sampler of the variables, with the settings' ratio as the default. It is for plain records: notable
-// ones are kept by every sampler but always_off.
+// sampler returns the sampler that the variables select, with the configured ratio as the default.
+// The ratio applies to plain records only: notable ones are kept by every sampler but always_off.
 func (e *environment) sampler(ratio *float64) trace.Sampler {
 	s := trace.Sampler{Ratio: 1, Parent: true}
 	if ratio != nil {
@@ -91,7 +95,7 @@
 	return s
 }
 
-// ratio returns a variable's number from 0 to 1, 1 if it is not set.
+// ratio returns a variable's value between 0 and 1, or 1 if it is unset or malformed.
 func (e *environment) ratio(name string) float64 {
 	s := e.get(name)
 	if s == "" {
@@ -105,94 +109,100 @@
 	return x
 }
 
-// The variables of all signals begin with commonPrefix, and those of one signal go on with its name.
+// commonPrefix starts the variables that apply to all signals. Those of one signal add its name.
 const commonPrefix = "OTEL_EXPORTER_OTLP_"
 
-// endpoint returns where a signal is sent: the signal's own variables take precedence over the common ones, and those
-// over the settings. Path is added to a common address. Enabled is the settings' switch of the signal, nil for none.
-func (e *environment) endpoint(signal, path string, set settings.OTLP, enabled *bool) (Endpoint, error) {
-	own := commonPrefix + signal + "_"
-	out := Endpoint{Timeout: cmp.Or(set.Timeout, defaultTimeout)}
+// endpoint returns where a signal is sent, with an empty URL if it is not exported. The signal's
+// own variables take precedence over the common ones, and those over the settings. Path is appended
+// to a common address. Enabled is the signal's switch in the settings, nil if it is not set.
+func (e *environment) endpoint(signal, path string, configured settings.OTLP, enabled *bool) (Endpoint, error) {
+	signalPrefix := commonPrefix + signal + "_"
+	endpoint := Endpoint{Timeout: cmp.Or(configured.Timeout, defaultTimeout)}
 	if exporter := e.choice("OTEL_"+signal+"_EXPORTER", "otlp", "otlp", "none"); exporter == "none" || enabled != nil && !*enabled {
 		return Endpoint{}, nil
 	}
-	out.GRPC = e.ownOrCommonChoice(own, "PROTOCOL", cmp.Or(set.Protocol, "http/protobuf"), "http/protobuf", "grpc") == "grpc"
-	out.Gzip = e.ownOrCommonChoice(own, "COMPRESSION", cmp.Or(set.Compression, "none"), "none", "gzip") == "gzip"
-	for _, name := range []string{commonPrefix + "TIMEOUT", own + "TIMEOUT"} {
-		out.Timeout = e.millis(name, out.Timeout)
+	endpoint.GRPC = e.signalOrCommonChoice(signalPrefix, "PROTOCOL", cmp.Or(configured.Protocol, "http/protobuf"), "http/protobuf", "grpc") == "grpc"
+	endpoint.Gzip = e.signalOrCommonChoice(signalPrefix, "COMPRESSION", cmp.Or(configured.Compression, "none"), "none", "gzip") == "gzip"
+	for _, name := range []string{commonPrefix + "TIMEOUT", signalPrefix + "TIMEOUT"} {
+		endpoint.Timeout = e.millis(name, endpoint.Timeout)
 	}
 	var err error
-	if out.Headers, err = e.headers(own, set.Headers); err != nil {
+	if endpoint.Headers, err = e.headers(signalPrefix, configured.Headers); err != nil {
 		return Endpoint{}, err
 	}
-	u, source, err := e.address(own, path, set.Endpoint, out.GRPC)
+	u, source, err := e.address(signalPrefix, path, configured.Endpoint, endpoint.GRPC)
 	if u == nil || err != nil {
 		return Endpoint{}, err
 	}
-	out.URL = u.String()
+	endpoint.URL = u.String()
 	if u.Scheme == "https" {
-		out.files = [3]string{e.ownOrCommon(own, "CERTIFICATE", set.Certificate), e.ownOrCommon(own, "CLIENT_CERTIFICATE", set.ClientCertificate),
-			e.ownOrCommon(own, "CLIENT_KEY", set.ClientKey)}
-		if out.TLS, err = tlsConfig(out.files); err != nil {
+		endpoint.files = [3]string{e.signalOrCommon(signalPrefix, "CERTIFICATE", configured.Certificate), e.signalOrCommon(signalPrefix, "CLIENT_CERTIFICATE", configured.ClientCertificate),
+			e.signalOrCommon(signalPrefix, "CLIENT_KEY", configured.ClientKey)}
+		if endpoint.TLS, err = tlsConfig(endpoint.files); err != nil {
 			return Endpoint{}, fmt.Errorf("certificates of %s: %w", source, err)
 		}
 	}
-	return out, nil
+	return endpoint, nil
 }
 
-// ownOrCommon returns the value of a signal's own variable, else of the common one, else the fallback.
-func (e *environment) ownOrCommon(own, name, fallback string) string {
-	return cmp.Or(e.get(own+name), e.get(commonPrefix+name), fallback)
+// signalOrCommon returns the value of the signal's own variable, else of the common one, else the
+// fallback.
+func (e *environment) signalOrCommon(signalPrefix, name, fallback string) string {
+	return cmp.Or(e.get(signalPrefix+name), e.get(commonPrefix+name), fallback)
 }
 
-// ownOrCommonChoice does the same for a choice, and reads the one variable that is set, so that a warning names it.
-func (e *environment) ownOrCommonChoice(own, name, fallback string, known ...string) string {
-	if e.get(own+name) != "" {
-		return e.choice(own+name, fallback, known...)
+// signalOrCommonChoice is like signalOrCommon for a choice. It validates only the variable that
+// takes effect, so that a warning names that one.
+func (e *environment) signalOrCommonChoice(signalPrefix, name, fallback string, known ...string) string {
+	if e.get(signalPrefix+name) != "" {
+		return e.choice(signalPrefix+name, fallback, known...)
 	}
 	return e.choice(commonPrefix+name, fallback, known...)
 }
 
-// headers returns the headers of the settings, to which the common variable and the signal's own add.
-func (e *environment) headers(own string, set map[string]string) (map[string]string, error) {
+// headers returns the headers of the settings, overridden by the common variable and then by the
+// signal's own.
+func (e *environment) headers(signalPrefix string, configured map[string]string) (map[string]string, error) {
 	headers := map[string]string{}
-	maps.Copy(headers, set)
-	for _, name := range []string{commonPrefix + "HEADERS", own + "HEADERS"} {
-		more, err := parsePairs(e.get(name))
+	maps.Copy(headers, configured)
+	for _, name := range []string{commonPrefix + "HEADERS", signalPrefix + "HEADERS"} {
+		pairs, err := parsePairs(e.get(name))
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", name, err)
 		}
-		maps.Copy(headers, more)
+		maps.Copy(headers, pairs)
 	}
 	return headers, nil
 }
 
-// address returns the URL that a signal is sent to, nil for none, and the name of the variable or key that it is from.
-func (e *environment) address(own, path, set string, grpc bool) (u *url.URL, source string, err error) {
-	ownAddress, commonAddress := e.get(own+"ENDPOINT"), e.get(commonPrefix+"ENDPOINT")
-	source = own + "ENDPOINT"
-	if ownAddress == "" {
+// address returns the URL that a signal is sent to, nil if there is none, and the name of the
+// variable or key that it comes from.
+func (e *environment) address(signalPrefix, path, configured string, grpc bool) (u *url.URL, source string, err error) {
+	signalAddress, commonAddress := e.get(signalPrefix+"ENDPOINT"), e.get(commonPrefix+"ENDPOINT")
+	source = signalPrefix + "ENDPOINT"
+	if signalAddress == "" {
 		source = commonPrefix + "ENDPOINT"
 		if commonAddress == "" {
-			commonAddress, source = set, "telemetry.otlp.endpoint"
+			commonAddress, source = configured, "telemetry.otlp.endpoint"
 		}
 	}
-	if cmp.Or(ownAddress, commonAddress) == "" {
+	if cmp.Or(signalAddress, commonAddress) == "" {
 		return nil, source, nil
 	}
-	u, err = parseEndpoint(cmp.Or(ownAddress, commonAddress), grpc, e.ownOrCommon(own, "INSECURE", "") == "true")
+	u, err = parseEndpoint(cmp.Or(signalAddress, commonAddress), grpc, e.signalOrCommon(signalPrefix, "INSECURE", "") == "true")
 	if err != nil {
 		return nil, source, fmt.Errorf("%s: %w", source, err)
 	}
 	if grpc {
 		u.Path = ""
-	} else if ownAddress == "" {
+	} else if signalAddress == "" {
 		u.Path = strings.TrimSuffix(u.Path, "/") + path
 	}
 	return u, source, nil
 }
 
-// parseEndpoint returns the URL of an address. For gRPC the scheme may be left out; insecure says which one is meant.
+// parseEndpoint parses the URL of an endpoint. For gRPC the scheme may be left out: it is then http
+// if insecure is true, else https.
 func parseEndpoint(text string, grpc, insecure bool) (*url.URL, error) {
 	if grpc && !strings.Contains(text, "://") {
 		scheme := "https://"
@@ -211,18 +221,19 @@
 	return u, nil
 }
 
-// tlsConfig reads the files of the authorities to trust, of the client's certificate and of its key. An empty name leaves
-// the choice to the system.
+// tlsConfig reads the PEM files of the trusted certificate authorities, the client certificate and
+// its key. An empty first name selects the system's authorities; an empty second and third one, no
+// client certificate.
 func tlsConfig(files [3]string) (*tls.Config, error) {
 	ca, certificate, key := files[0], files[1], files[2]
-	c := &tls.Config{MinVersion: tls.VersionTLS12}
+	config := &tls.Config{MinVersion: tls.VersionTLS12}
 	if ca != "" {
 		text, err := os.ReadFile(ca)
 		if err != nil {
 			return nil, err
 		}
-		c.RootCAs = x509.NewCertPool()
-		if !c.RootCAs.AppendCertsFromPEM(text) {
+		config.RootCAs = x509.NewCertPool()
+		if !config.RootCAs.AppendCertsFromPEM(text) {
 			return nil, fmt.Errorf("%s holds no certificate", ca)
 		}
 	}
@@ -234,13 +245,13 @@
 		if err != nil {
 			return nil, err
 		}
-		c.Certificates = []tls.Certificate{pair}
+		config.Certificates = []tls.Certificate{pair}
 	}
-	return c, nil
+	return config, nil
 }
 
-// parsePairs reads key=value,key=value, with percent-escapes in the values. Source: W3C Baggage, as OpenTelemetry's
-// specification refers to it.
+// parsePairs parses a list of the form key=value,key=value with percent-encoded values. Source: W3C
+// Baggage, as the OpenTelemetry specification refers to it.
 func parsePairs(text string) (map[string]string, error) {
 	out := map[string]string{}
 	for pair := range strings.SplitSeq(text, ",") {
@@ -249,11 +260,11 @@
 		}
 		key, value, found := strings.Cut(pair, "=")
 		key = strings.TrimSpace(key)
-		plain, err := url.PathUnescape(strings.TrimSpace(value))
+		decoded, err := url.PathUnescape(strings.TrimSpace(value))
 		if !found || key == "" || err != nil {
 			return nil, fmt.Errorf("%q is not written key=value", strings.TrimSpace(key))
 		}
-		out[key] = plain
+		out[key] = decoded
 	}
 	return out, nil
 }
--- a/internal/dispatcher/export/export.go
+++ b/internal/dispatcher/export/export.go
@@ -1,13 +1,14 @@
-// Package export takes the records of requests that have ended, keeps those that the sampler selects or that are
-// notable, and sends them, and the figures made of all of them, to OpenTelemetry collectors or into a file. The ingress,
-// the core and the Gearman server write records.
+// Package export receives the records of requests that have ended, keeps those that the sampler
+// selects or that are notable, and sends them, and metrics derived from all of them, to
+// OpenTelemetry collectors or to a file. The ingress, the core and the Gearman server write
+// records.
 //
-// Invariants: those who write records never block, and what can't be taken, kept or sent in time is dropped and counted;
-// memory is bounded by the intake and by the queues, and descriptors by MaxSockets; a shutdown waits for no collector
-// that hangs.
+// Invariants: writers of records never block, and what can't be received, kept or sent in time is
+// dropped and counted; memory is bounded by the intake and the queues, and file descriptors by
+// MaxSockets; shutdown does not wait for a collector that hangs.
 //
-// An Exporter is safe for concurrent use. Each configuration in force has an actor, which owns the records, and a
-// pipeline with a goroutine of its own for each sink.
+// An Exporter is safe for concurrent use. Each configuration in force has an actor, which owns the
+// records, and for each sink a pipeline with its own goroutine.
 package export
 
 import (
@@ -21,34 +22,37 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// MaxSockets is how many descriptors the export takes at most: a connection for each of two signals, one of each that is
-// just being closed, and a file during its rotation.
+// MaxSockets is the maximum number of file descriptors that the export uses: a connection for each
+// of the two signals, a closing connection of each, and a file during its rotation.
 const MaxSockets = 6
 
 const (
-	// intakeCapacity bounds the records that the actor has not seen yet. Past it they are dropped, also from the
-	// figures; this takes a core whose time others use up.
+	// intakeCapacity bounds the records that the actor has not received yet. Records beyond it are
+	// dropped and missing from the metrics too; this happens when other goroutines use up the CPU
+	// core.
 	intakeCapacity = 1024
-	// maxRetryKeys bounds the keys by which clients' retries are linked.
+	// maxRetryKeys bounds the number of keys by which clients' retries are linked.
 	maxRetryKeys = 4096
-	// closeTimeout bounds the time for the last records at the process's end.
+	// closeTimeout bounds the time for sending the last records at shutdown.
 	closeTimeout = 250 * time.Millisecond
-	// hangTimeout is how long a call may take, beside the batch delay, before its collector counts as hanging.
+	// hangTimeout is how long a call may take beyond the batch delay before its pipeline counts as
+	// hanging.
 	hangTimeout = 100 * time.Millisecond
 )
 
-// Exporter takes records and exports them by the options in force. No method but Close blocks.
+// Exporter receives records and exports them according to the options in force. Only Close blocks.
 type Exporter struct {
 	log     *logrus.Entry
 	current atomic.Pointer[actor] // nil while nothing is exported
-	mu      sync.Mutex            // held while the actor is exchanged; not by those who write records
+	mu      sync.Mutex            // serializes Configure and Close
 }
 
-// New makes an exporter that exports nothing until Configure is called.
+// New returns an exporter that exports nothing until Configure is called.
 func New(log *logrus.Entry) *Exporter { return &Exporter{log: log} }
 
-// Configure puts options in force. What waits under the options before is sent by them in the background for the batch
-// delay and a second at most, then dropped.
+// Configure applies new options. Records queued under the previous options are sent with those in
+// the background for at most the batch delay and one second, then dropped. If it fails, the
+// previous options stay in force.
 func (e *Exporter) Configure(o Options) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -61,13 +65,14 @@
 		go next.run()
 	}
 	if previous := e.current.Swap(next); previous != nil {
-		go previous.close(time.Now().Add(previous.options.BatchDelay + time.Second)) // ends by then
+		go previous.close(time.Now().Add(previous.options.BatchDelay + time.Second)) // ends at the deadline
 	}
 	return nil
 }
 
-// Begin returns the record of a request that was received at a time. It continues the client's trace if the headers
-// traceparent and tracestate name one. It returns nil, which all writers of records accept, while nothing is exported.
+// Begin returns the record of a request received at the given time. It continues the client's trace
+// if the traceparent and tracestate headers name one. While nothing is exported it returns nil,
+// which all writers of records accept.
 func (e *Exporter) Begin(received time.Time, parent, state string) *trace.Record {
 	a := e.current.Load()
 	if a == nil {
@@ -83,7 +88,7 @@
 	return r
 }
 
-// Ended takes the record of a request that has ended. The caller must not change it any more.
+// Ended queues the record of a request that has ended. The caller must not modify it afterwards.
 func (e *Exporter) Ended(r *trace.Record) {
 	if a := e.current.Load(); a != nil {
 		select {
@@ -97,21 +102,22 @@
 // Enabled reports whether anything is exported.
 func (e *Exporter) Enabled() bool { return e.current.Load() != nil }
 
-// SetLoads takes how much of each backend is in use now.
+// SetLoads sets the current load of each backend for the next export of metrics.
 func (e *Exporter) SetLoads(loads []measures.Load) {
 	if a := e.current.Load(); a != nil {
 		a.loads.Store(&loads)
 	}
 }
 
-// FlushNow has everything sent at once from now on, as the process is about to end.
+// FlushNow sends queued records without waiting for full batches from now on, as the process is
+// about to end.
 func (e *Exporter) FlushNow() {
 	if a := e.current.Load(); a != nil {
 		a.flushNow()
 	}
 }
 
-// Close sends what it can within closeTimeout and ends the export.
+// Close sends what it can within closeTimeout and stops the export.
 func (e *Exporter) Close() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/dispatcher/export/filesink.go
+++ b/internal/dispatcher/export/filesink.go
@@ -12,13 +12,13 @@
 	"frosttide/internal/dispatcher/settings"
 )
 
-// fileSink is a sink that appends lines of OTLP's JSON to a file. Past its size the file is renamed to NAME.1, that one to
-// NAME.2 and so on; the oldest is removed.
+// fileSink is a sink that appends lines of OTLP JSON to a file. When the file exceeds its size
+// limit it is renamed to NAME.1, that one to NAME.2 and so on; the oldest is removed.
 //
 // Source: OpenTelemetry specification, "OpenTelemetry Protocol File Exporter".
 type fileSink struct {
 	options settings.TraceFile
-	open    *os.File
+	file    *os.File
 	size    int64
 }
 
@@ -28,52 +28,53 @@
 	return append(line, '\n'), err
 }
 
-// send implements sink. Calls that failed are not repeated.
+// send implements sink. Failed writes are not retried.
 func (f *fileSink) send(_ context.Context, lines []byte) sendResult {
 	for line := range bytes.Lines(lines) {
 		if err := f.append(line); err != nil {
-			f.close() // the next line opens it anew
+			f.close() // the next write reopens the file
 			return sendResult{err: fmt.Errorf("%s: %w", f.options.Path, err), reason: droppedFile}
 		}
 	}
 	return sendResult{}
 }
 
-// append appends a line, which is never split over two files.
+// append writes one line, rotating the file first if the line would exceed the size limit. A line
+// is never split between two files.
 func (f *fileSink) append(line []byte) error {
-	if f.open != nil && f.size > 0 && f.size+int64(len(line)) > f.options.Size {
+	if f.file != nil && f.size > 0 && f.size+int64(len(line)) > f.options.Size {
 		f.close()
 		if err := f.rotate(); err != nil {
 			return err
 		}
 	}
-	if f.open == nil {
+	if f.file == nil {
 		if err := f.reopen(); err != nil {
 			return err
 		}
 	}
-	n, err := f.open.Write(line)
+	n, err := f.file.Write(line)
 	f.size += int64(n)
 	return err
 }
 
-// reopen opens the file for appending. If an earlier process has left an incomplete line, it ends that line, so that the
-// next one can be read.
+// reopen opens the file for appending. If an earlier process left an incomplete last line, it
+// terminates that line so that the next one can be parsed.
 func (f *fileSink) reopen() error {
-	open, err := os.OpenFile(f.options.Path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o640)
+	file, err := os.OpenFile(f.options.Path, os.O_CREATE|os.O_RDWR|os.O_APPEND, 0o640)
 	if err != nil {
 		return err
 	}
-	info, err := open.Stat()
+	info, err := file.Stat()
 	if err != nil {
-		open.Close()
+		file.Close()
 		return err
 	}
-	f.open, f.size = open, info.Size()
+	f.file, f.size = file, info.Size()
 	last := make([]byte, 1)
 	if f.size > 0 {
-		if _, err := open.ReadAt(last, f.size-1); err == nil && last[0] != '\n' {
-			n, err := open.Write([]byte("\n"))
+		if _, err := file.ReadAt(last, f.size-1); err == nil && last[0] != '\n' {
+			n, err := file.Write([]byte("\n"))
 			f.size += int64(n)
 			return err
 		}
@@ -81,7 +82,7 @@
 	return nil
 }
 
-// rotate renames the files, of which the oldest is replaced.
+// rotate renames the files, replacing the oldest.
 func (f *fileSink) rotate() error {
 	name := func(i int64) string {
 		if i == 0 {
@@ -102,8 +103,8 @@
 
 // close implements sink.
 func (f *fileSink) close() {
-	if f.open != nil {
-		f.open.Close()
-		f.open = nil
+	if f.file != nil {
+		f.file.Close()
+		f.file = nil
 	}
 }
--- a/internal/dispatcher/export/options.go
+++ b/internal/dispatcher/export/options.go
@@ -13,28 +13,28 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// Options say what is exported, and how. Make them with Resolve.
+// Options define what is exported and how. Resolve returns them with defaults applied.
 type Options struct {
 	Traces, Metrics Endpoint
-	File            settings.TraceFile // its path is empty for none
+	File            settings.TraceFile // an empty path disables it
 	Sampler         trace.Sampler
-	Resource        map[string]string // attributes of this process
-	MetricsInterval time.Duration     // between two exports of the figures
-	BatchDelay      time.Duration     // how long a record waits for a full batch
-	Batch           int               // records of a batch at most
-	Queue           int               // bytes of records that wait at most, by their Size
-	Delta           bool              // figures count from the export before, not from the start
+	Resource        map[string]string // resource attributes of this process
+	MetricsInterval time.Duration     // between two exports of the metrics
+	BatchDelay      time.Duration     // maximum wait of a record for a full batch
+	Batch           int               // maximum number of records in a batch
+	Queue           int               // maximum bytes of queued records, by Record.Size
+	Delta           bool              // metrics have delta, not cumulative temporality
 }
 
-// Endpoint is where one signal is sent.
+// Endpoint is the destination of one signal.
 type Endpoint struct {
-	URL     string // empty for nowhere
+	URL     string // empty if the signal is not exported
 	GRPC    bool
 	Gzip    bool
 	Headers map[string]string
 	Timeout time.Duration // of one call
-	TLS     *tls.Config   // nil for the system's own
-	files   [3]string     // the names of the files of TLS
+	TLS     *tls.Config   // nil for unencrypted connections
+	files   [3]string     // of the certificate authorities, the client certificate and its key
 }
 
 // Enabled reports whether anything is exported.
@@ -42,7 +42,7 @@
 	return o.Traces.URL != "" || o.Metrics.URL != "" || o.File.Path != ""
 }
 
-// The defaults and bounds. Where OpenTelemetry's specification names a default it is that one.
+// Defaults and bounds. Where the OpenTelemetry specification defines a default, that one is used.
 const (
 	defaultTimeout         = 10 * time.Second
 	defaultMetricsInterval = time.Minute
@@ -54,11 +54,13 @@
 	maxBatch               = 4096
 )
 
-// Resolve returns the options of the settings and the environment, which takes precedence. Name is the process's.
-// Warnings name values of the environment that are ignored, as the specification has it for malformed numbers and
-// choices; an address, header or certificate that can't be used is an error, as nothing would ever arrive.
+// Resolve returns the options from the settings and the environment, which takes precedence. Name
+// identifies this process. Warnings list values of the environment that are ignored, as the
+// specification requires for malformed numbers and enum values; an unusable address, header or
+// certificate is an error, as no data would ever arrive.
 //
-// Source: OpenTelemetry specification 1.x, "Environment Variable Specification" and "OpenTelemetry Protocol Exporter".
+// Source: OpenTelemetry specification 1.x, "Environment Variable Specification" and "OpenTelemetry
+// Protocol Exporter".
 func Resolve(telemetry settings.Telemetry, name string, getenv func(string) string) (o Options, warnings []string, err error) {
 	env := environment{get: getenv, warnings: &warnings}
 	o = Options{
@@ -88,20 +90,20 @@
 	return o, warnings, nil
 }
 
-// resource returns the attributes of this process.
+// resource returns the resource attributes of this process, from the settings and the environment.
 func resource(telemetry settings.Telemetry, name string, getenv func(string) string) (map[string]string, error) {
 	attributes := map[string]string{"service.name": cmp.Or(telemetry.Service, "frosttide"), "service.instance.id": name}
 	maps.Copy(attributes, telemetry.Attributes)
-	more, err := parsePairs(getenv("OTEL_RESOURCE_ATTRIBUTES"))
+	extra, err := parsePairs(getenv("OTEL_RESOURCE_ATTRIBUTES"))
 	if err != nil {
 		return nil, fmt.Errorf("OTEL_RESOURCE_ATTRIBUTES: %w", err)
 	}
-	maps.Copy(attributes, more)
+	maps.Copy(attributes, extra)
 	attributes["service.name"] = cmp.Or(getenv("OTEL_SERVICE_NAME"), attributes["service.name"])
 	return attributes, nil
 }
 
-// Values returns the options in force, as the command that checks a configuration shows them.
+// Values returns the options in force in the form in which the config check command prints them.
 func (o *Options) Values() []settings.Value {
 	var out []settings.Value
 	add := func(key, text string) {
@@ -129,8 +131,9 @@
 	return out
 }
 
-// Equivalent reports whether other options are the same, so that a reload can keep connections and what is queued.
-// Options with certificates are never equivalent, as the files may hold others under the same names.
+// Equivalent reports whether two sets of options are the same, so that a reload can keep
+// connections and queued records. Options with TLS endpoints are never equivalent, as the contents
+// of the certificate files may have changed.
 func (o Options) Equivalent(other Options) bool {
 	return o.Traces.TLS == nil && o.Metrics.TLS == nil && reflect.DeepEqual(o, other)
 }
--- a/internal/dispatcher/export/pipeline.go
+++ b/internal/dispatcher/export/pipeline.go
@@ -14,25 +14,25 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// sink is where a pipeline's batches go. It is used by the pipeline's goroutine only.
+// sink is the destination of a pipeline's batches. It is used by the pipeline's goroutine only.
 type sink interface {
-	// write encodes a part of a batch. A batch is its parts one after another.
+	// write encodes a part of a batch. A batch is the concatenation of its parts.
 	write(otlp.Payload) ([]byte, error)
-	// send sends a batch, until the context ends at the latest.
+	// send sends a batch. It returns when the context ends at the latest.
 	send(ctx context.Context, batch []byte) sendResult
 	close()
 }
 
-// sendResult is the result of one call.
+// sendResult is the result of one send call.
 type sendResult struct {
 	err        error
-	retryable  bool          // the call may be repeated
-	retryAfter time.Duration // but not sooner; 0 for no such bound
-	rejected   int           // items of a successful call that the collector did not take
-	reason     string        // why the batch is dropped if the call is not repeated
+	retryable  bool          // the same batch may be sent again
+	retryAfter time.Duration // minimum wait that the collector asked for; 0 for none
+	rejected   int           // items that the collector rejected in a successful call
+	reason     string        // the drop reason if the batch is not sent again
 }
 
-// signal is a set of OpenTelemetry's signals.
+// signal is a bit set of OpenTelemetry signals.
 type signal uint8
 
 const (
@@ -40,7 +40,7 @@
 	metricsSignal
 )
 
-// exportJob is one export: records or figures.
+// exportJob is one export, of either records or metrics.
 type exportJob struct {
 	records []*trace.Record
 	metrics *metricdata.ResourceMetrics
@@ -56,33 +56,35 @@
 	err      error
 }
 
-// pipeline exports to one sink: a queue, which belongs to the actor, and a goroutine that sends one batch at a time.
+// pipeline exports to one sink. Its queue belongs to the actor; its goroutine sends one batch at a
+// time.
 type pipeline struct {
 	name     string
 	signals  signal
 	resource map[string]string
 	sink     sink
 	log      *logrus.Entry
-	jobs     chan exportJob // holds one: the actor assigns no other before its result
+	jobs     chan exportJob // capacity 1: the actor assigns the next job only after the result
 	done     chan<- jobResult
 
-	// All below belongs to the actor's goroutine.
+	// The fields below are accessed only by the actor's goroutine.
 	queue      *trace.Queue
-	delay      time.Duration // how long a record waits for a full batch
-	flushReady bool          // what is queued has waited that long
-	busy       bool          // a job is assigned
+	delay      time.Duration // maximum wait of a record for a full batch
+	flushReady bool          // the delay has passed: a batch need not be full
+	busy       bool          // a job is in progress
 	assignedAt time.Time
-	inFlight   int  // records of the job
+	inFlight   int  // records in the assigned job
 	failing    bool // the last job failed
 }
 
-// newPipeline makes a pipeline that carries signals to a sink and sends results to done.
-func newPipeline(name string, signals signal, o Options, to sink, done chan<- jobResult, log *logrus.Entry) *pipeline {
+// newPipeline returns a pipeline that exports the given signals to a sink and sends its results to
+// done.
+func newPipeline(name string, signals signal, o Options, destination sink, done chan<- jobResult, log *logrus.Entry) *pipeline {
 	return &pipeline{
 		name:     name,
 		signals:  signals,
 		resource: o.Resource,
-		sink:     to,
+		sink:     destination,
 		log:      log.WithField("signal", name),
 		jobs:     make(chan exportJob, 1),
 		done:     done,
@@ -94,18 +96,19 @@
 // carries reports whether the pipeline exports a signal.
 func (p *pipeline) carries(s signal) bool { return p.signals&s != 0 }
 
-// assign gives the pipeline's goroutine a job. The pipeline must not be busy.
+// assign starts a job on the pipeline's goroutine. The pipeline must not be busy.
 func (p *pipeline) assign(j exportJob) {
 	p.busy, p.assignedAt, p.inFlight = true, time.Now(), len(j.records)
 	p.jobs <- j
 }
 
-// hanging reports whether the end of the assigned job is not to be waited for.
+// hanging reports whether shutdown should not wait for the assigned job: the previous job failed or
+// this one takes too long.
 func (p *pipeline) hanging() bool {
 	return p.failing || time.Since(p.assignedAt) > hangTimeout+p.delay
 }
 
-// logTransition logs that exports have begun to fail, or to work again, but not each failure.
+// logTransition logs when exports begin to fail and when they recover, rather than each failure.
 func (p *pipeline) logTransition(r jobResult) {
 	p.inFlight = 0
 	switch failing := r.err != nil; {
@@ -118,7 +121,7 @@
 	}
 }
 
-// run exports jobs until the context ends.
+// run executes jobs until the context ends.
 func (p *pipeline) run(ctx context.Context) {
 	defer p.sink.close()
 	for {
@@ -131,28 +134,29 @@
 	}
 }
 
-// The bounds of retries.
+// Bounds of retries.
 const (
 	minRetryWait = 500 * time.Millisecond
 	maxRetryWait = 10 * time.Second
-	maxRetryAge  = 60 * time.Second // from the first call: newer batches are worth more
+	maxRetryAge  = 60 * time.Second // since the first call; newer batches are more useful
 )
 
-// retryWait returns how long to wait after a number of calls before the next one, and whether there is to be one: full
-// jitter under a bound that doubles, and not less than the collector asked for. Spent is the time since the first call,
-// draw a random number from 0 to 1.
-func retryWait(calls int, after, spent time.Duration, draw float64) (wait time.Duration, again bool) {
+// retryWait returns the backoff before the next call, and whether there is to be one. It uses full
+// jitter with a bound that doubles with each call, but never less than the delay that the collector
+// asked for. Calls counts the calls so far, elapsed is the time since the first one, and draw is a
+// random number between 0 and 1.
+func retryWait(calls int, minWait, elapsed time.Duration, draw float64) (wait time.Duration, retry bool) {
 	bound := min(minRetryWait<<min(calls-1, 16), maxRetryWait)
-	wait = max(time.Duration(draw*float64(bound)), after)
-	return wait, spent+wait < maxRetryAge
+	wait = max(time.Duration(draw*float64(bound)), minWait)
+	return wait, elapsed+wait < maxRetryAge
 }
 
-// encodeChunk is how many records are encoded in one go. On a single core a whole batch would delay jobs by
-// milliseconds.
+// encodeChunk is how many records are encoded before yielding the processor. On a single core,
+// encoding a whole batch at once would delay jobs by milliseconds.
 const encodeChunk = 8
 
-// encode returns a job's batch and how many items are in it. Protobuf messages one after another are one message that
-// contains all of them, and lines of JSON one after another are a file.
+// encode returns the encoded batch of a job and its number of items. Concatenated protobuf messages
+// form one message that contains all of them, and concatenated JSON lines form a file.
 func (p *pipeline) encode(j exportJob) (batch []byte, items int, err error) {
 	if j.metrics != nil {
 		metrics, err := otlp.Metrics(p.resource, j.metrics)
@@ -173,7 +177,7 @@
 	return batch, len(j.records), nil
 }
 
-// export encodes a job and sends it, with retries where they may help.
+// export encodes a job and sends it, with retries if the failure is retryable.
 func (p *pipeline) export(ctx context.Context, j exportJob) jobResult {
 	result := jobResult{pipeline: p}
 	batch, items, err := p.encode(j)
@@ -182,17 +186,17 @@
 	}
 	startedAt := time.Now()
 	for calls := 1; ; calls++ {
-		call := p.sink.send(ctx, batch)
-		if call.err == nil {
-			result.sent, result.lost, result.reason = items-min(call.rejected, items), min(call.rejected, items), droppedRefused
+		attempt := p.sink.send(ctx, batch)
+		if attempt.err == nil {
+			result.sent, result.lost, result.reason = items-min(attempt.rejected, items), min(attempt.rejected, items), droppedRefused
 			return result
 		}
-		result.err, result.lost, result.reason = call.err, items, call.reason
-		wait, again := retryWait(calls, call.retryAfter, time.Since(startedAt), rand.Float64())
-		if !call.retryable {
+		result.err, result.lost, result.reason = attempt.err, items, attempt.reason
+		wait, retry := retryWait(calls, attempt.retryAfter, time.Since(startedAt), rand.Float64())
+		if !attempt.retryable {
 			return result
 		}
-		if result.reason = droppedTooOld; !again {
+		if result.reason = droppedTooOld; !retry {
 			return result
 		}
 		result.retried++
@@ -203,7 +207,7 @@
 	}
 }
 
-// sleep waits, and reports whether it has waited to the end before the context's.
+// sleep waits for the given time. It returns false if the context ends first.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/dispatcher/export/response.go
+++ b/internal/dispatcher/export/response.go
@@ -10,10 +10,11 @@
 	"google.golang.org/protobuf/encoding/protowire"
 )
 
-// maxRetryAfter bounds the wait that a collector may ask for.
+// maxRetryAfter bounds the wait that a collector may request.
 const maxRetryAfter = 30 * time.Second
 
-// retryAfter returns the wait that a Retry-After header asks for, in seconds or as a date; 0 if it asks for none.
+// retryAfter parses a Retry-After header, in seconds or as an HTTP date. It returns 0 if the header
+// is empty or malformed.
 func retryAfter(text string, now time.Time) time.Duration {
 	if s, err := strconv.Atoi(text); err == nil && s >= 0 {
 		return min(time.Duration(min(s, 1<<20))*time.Second, maxRetryAfter)
@@ -24,76 +25,76 @@
 	return 0
 }
 
-// parsePartialSuccess returns how many items a collector has rejected, and why. Source: ExportTracePartialSuccess, in the
-// field partial_success = 1 of the response: rejected_spans = 1, error_message = 2; the response for metrics has the same
-// numbers.
-func parsePartialSuccess(response []byte) (rejected int64, text string, err error) {
-	err = visitFields(response, func(n protowire.Number, _ uint64, of []byte) error {
-		if n != 1 {
+// parsePartialSuccess returns how many items a collector rejected, and its error message. Source:
+// ExportTracePartialSuccess, in the field partial_success = 1 of the response: rejected_spans = 1,
+// error_message = 2; the response for metrics uses the same field numbers.
+func parsePartialSuccess(response []byte) (rejected int64, message string, err error) {
+	err = visitFields(response, func(number protowire.Number, _ uint64, value []byte) error {
+		if number != 1 {
 			return nil
 		}
-		return visitFields(of, func(n protowire.Number, v uint64, of []byte) error {
-			switch n {
+		return visitFields(value, func(number protowire.Number, varint uint64, value []byte) error {
+			switch number {
 			case 1:
-				rejected = int64(v)
+				rejected = int64(varint)
 			case 2:
-				text = string(of)
+				message = string(value)
 			}
 			return nil
 		})
 	})
-	return rejected, text, err
+	return rejected, message, err
 }
 
-// visitFields calls visit with the number of each field of a protobuf message and its value, if that is a varint or
-// bytes.
+// visitFields calls visit for each field of a protobuf message with its number and its varint or
+// length-delimited value. Values of other wire types are passed as zero.
 func visitFields(message []byte, visit func(protowire.Number, uint64, []byte) error) error {
 	for len(message) > 0 {
-		n, kind, used := protowire.ConsumeTag(message)
-		if used < 0 {
-			return protowire.ParseError(used)
+		number, wireType, length := protowire.ConsumeTag(message)
+		if length < 0 {
+			return protowire.ParseError(length)
 		}
-		message = message[used:]
-		var v uint64
-		var of []byte
-		switch kind {
+		message = message[length:]
+		var varint uint64
+		var value []byte
+		switch wireType {
 		case protowire.VarintType:
-			v, used = protowire.ConsumeVarint(message)
+			varint, length = protowire.ConsumeVarint(message)
 		case protowire.BytesType:
-			of, used = protowire.ConsumeBytes(message)
+			value, length = protowire.ConsumeBytes(message)
 		default:
-			used = protowire.ConsumeFieldValue(n, kind, message)
+			length = protowire.ConsumeFieldValue(number, wireType, message)
 		}
-		if used < 0 {
-			return protowire.ParseError(used)
+		if length < 0 {
+			return protowire.ParseError(length)
 		}
-		message = message[used:]
-		if err := visit(n, v, of); err != nil {
+		message = message[length:]
+		if err := visit(number, varint, value); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// retryInfo returns the wait that a gRPC error asks for, and whether it asks for one. Source: google.rpc.RetryInfo,
-// retry_delay = 1, a Duration of seconds = 1 and nanos = 2.
+// retryInfo returns the delay that a gRPC error requests, and whether it requests one. Source:
+// google.rpc.RetryInfo, retry_delay = 1, a Duration of seconds = 1 and nanos = 2.
 func retryInfo(err error) (wait time.Duration, requested bool) {
-	var e *connect.Error
-	if !errors.As(err, &e) {
+	var connectErr *connect.Error
+	if !errors.As(err, &connectErr) {
 		return 0, false
 	}
-	for _, d := range e.Details() {
-		if d.Type() != "google.rpc.RetryInfo" {
+	for _, detail := range connectErr.Details() {
+		if detail.Type() != "google.rpc.RetryInfo" {
 			continue
 		}
 		requested = true
-		_ = visitFields(d.Bytes(), func(n protowire.Number, _ uint64, of []byte) error {
-			return visitFields(of, func(n protowire.Number, v uint64, _ []byte) error {
-				switch n {
+		_ = visitFields(detail.Bytes(), func(number protowire.Number, _ uint64, value []byte) error {
+			return visitFields(value, func(number protowire.Number, varint uint64, _ []byte) error {
+				switch number {
 				case 1:
-					wait += time.Duration(min(v, 1<<20)) * time.Second
+					wait += time.Duration(min(varint, 1<<20)) * time.Second
 				case 2:
-					wait += time.Duration(min(v, 1e9))
+					wait += time.Duration(min(varint, 1e9))
 				}
 				return nil
 			})
