--- a/internal/dispatcher/export/export.go
+++ b/internal/dispatcher/export/export.go
@@ -65,7 +65,8 @@
 		go next.run()
 	}
 	if previous := e.current.Swap(next); previous != nil {
-		go previous.close(time.Now().Add(previous.options.BatchDelay + time.Second)) // ends at the deadline
+		// The goroutine ends at the deadline.
+		go previous.close(time.Now().Add(previous.options.BatchDelay + time.Second))
 	}
 	return nil
 }
--- a/internal/dispatcher/export/export_test.go
+++ b/internal/dispatcher/export/export_test.go
@@ -210,8 +210,8 @@
 	}
 }
 
-// TestOff checks that a request costs no allocation while nothing is exported.
-func TestOff(t *testing.T) {
+// TestDisabledAllocs checks that a request costs no allocation while nothing is exported.
+func TestDisabledAllocs(t *testing.T) {
 	e := New(logrus.NewEntry(logrus.New()))
 	now := time.Now()
 	if n := testing.AllocsPerRun(100, func() {
--- a/internal/dispatcher/trace/attempt.go
+++ b/internal/dispatcher/trace/attempt.go
@@ -2,25 +2,26 @@
 
 import "time"
 
-// Kind is why an attempt was made.
+// Kind tells why an attempt was made.
 type Kind string
 
 // The kinds of attempts.
 const (
 	First Kind = "first"
-	Retry Kind = "retry" // all earlier attempts had ended
-	Hedge Kind = "copy"  // an earlier attempt had not ended
+	Retry Kind = "retry" // started after all earlier attempts had ended
+	Hedge Kind = "copy"  // started while an earlier attempt was in progress
 )
 
-// Attempt is the record of one attempt at a runner. Times are since 1970; a zero time has not come.
+// Attempt is the record of one attempt to run a job on a runner. Times are durations since the Unix
+// epoch; zero means that the event has not happened.
 type Attempt struct {
 	Span             SpanID        `json:"span"`
 	Kind             Kind          `json:"kind"`
-	HedgeOf          int           `json:"of"` // the index of the attempt that a hedge duplicates
+	HedgeOf          int           `json:"of"` // index of the attempt that a hedge duplicates
 	Backend          string        `json:"target"`
 	Addr             string        `json:"addr"`
 	Zone             string        `json:"zone"`
-	WarmingUp        bool          `json:"cold,omitempty"` // the runner may not have had its full capacity
+	WarmingUp        bool          `json:"cold,omitempty"` // runner possibly below full capacity
 	Sent             time.Duration `json:"began"`
 	Accepted         time.Duration `json:"taken"`
 	Started          time.Duration `json:"started"`
@@ -28,24 +29,25 @@
 	Ended            time.Duration `json:"ended"`
 	Outcome          string        `json:"outcome"`
 	MayHaveRun       bool          `json:"may_have_run,omitempty"`
-	Bytes            int           `json:"bytes"` // of the request's body
+	Bytes            int           `json:"bytes"` // size of the request's body
 	ReusedConnection bool          `json:"kept,omitempty"`
 	Events           []Event       `json:"notes,omitempty"`
-	DroppedEvents    int           `json:"unnoted,omitempty"` // past maxEvents
+	DroppedEvents    int           `json:"unnoted,omitempty"` // events beyond maxEvents
 }
 
-// Event is a runner's report on an attempt.
+// Event is a status report of a runner on an attempt.
 type Event struct {
 	At       time.Duration `json:"at"`
 	Name     string        `json:"what"`
 	Progress float64       `json:"share,omitempty"` // from 0 to 1
 }
 
-// maxEvents bounds the memory that a runner's reports take. Reports come every few seconds; those past the bound are
-// counted only.
+// maxEvents bounds the memory for a runner's reports. Reports come every few seconds; those beyond
+// the bound are only counted.
 const maxEvents = 16
 
-// AddEvent records a runner's report.
+// AddEvent records a runner's report. The first one named started also sets the attempt's start
+// time.
 func (a *Attempt) AddEvent(at time.Duration, name string, progress float64) {
 	if name == "started" && a.Started == 0 {
 		a.Started = at
--- a/internal/dispatcher/trace/context.go
+++ b/internal/dispatcher/trace/context.go
@@ -1,9 +1,10 @@
-// Package trace holds the record of a request, from its arrival over each attempt to its one final response, and decides
-// which records are kept, which are dropped first when a queue is full, and which request a client's retry repeats. The
-// ingress, the core and the Gearman server write records; package export keeps and sends them.
+// Package trace holds the record of a request, from its arrival through each attempt to its final
+// response. It decides which records are kept, which are dropped first when a queue is full, and
+// which earlier request a client's retry repeats. The ingress, the core and the Gearman server
+// write records; package export samples and sends them.
 //
-// It does no I/O and reads no clock, except that ids are random. Its types are not safe for concurrent use: a record has
-// one owner at a time.
+// Apart from random ids, the package does no I/O and reads no clock. Its types are not safe for
+// concurrent use: a record has one owner at a time.
 package trace
 
 import (
@@ -15,13 +16,14 @@
 	"strings"
 )
 
-// ID identifies a trace, and SpanID a span of it. Their zero values identify none. Source: W3C Trace Context, level 1.
+// ID identifies a trace, and SpanID a span within it. The zero value means that there is none.
+// Source: W3C Trace Context, level 1.
 type (
 	ID     [16]byte
 	SpanID [8]byte
 )
 
-// NewID returns a random id that is not zero.
+// NewID returns a random non-zero trace id.
 func NewID() (id ID) {
 	for id == (ID{}) {
 		binary.BigEndian.PutUint64(id[:8], rand.Uint64())
@@ -30,7 +32,7 @@
 	return id
 }
 
-// NewSpanID returns a random id that is not zero.
+// NewSpanID returns a random non-zero span id.
 func NewSpanID() (id SpanID) {
 	for id == (SpanID{}) {
 		binary.BigEndian.PutUint64(id[:], rand.Uint64())
@@ -50,53 +52,54 @@
 // MarshalText returns the id as lower-case hexadecimal digits.
 func (id SpanID) MarshalText() ([]byte, error) { return []byte(id.String()), nil }
 
-// UnmarshalText reads what MarshalText returns.
-func (id *ID) UnmarshalText(text []byte) error { return digits(id[:], string(text)) }
+// UnmarshalText parses the form that MarshalText returns.
+func (id *ID) UnmarshalText(text []byte) error { return parseHex(id[:], string(text)) }
 
-// UnmarshalText reads what MarshalText returns.
-func (id *SpanID) UnmarshalText(text []byte) error { return digits(id[:], string(text)) }
+// UnmarshalText parses the form that MarshalText returns.
+func (id *SpanID) UnmarshalText(text []byte) error { return parseHex(id[:], string(text)) }
 
-var errInvalidDigits = errors.New("not lower-case hexadecimal digits of the right number")
+var errInvalidHex = errors.New("not lower-case hexadecimal digits of the right number")
 
-// digits reads hexadecimal digits into to. The header's specification allows no upper-case ones.
-func digits(to []byte, text string) error {
-	if len(text) != 2*len(to) || strings.ContainsAny(text, "ABCDEF") {
-		return fmt.Errorf("%q: %w", text, errInvalidDigits)
+// parseHex decodes hexadecimal digits into dst. Upper-case digits are rejected, as the traceparent
+// header does not allow them.
+func parseHex(dst []byte, text string) error {
+	if len(text) != 2*len(dst) || strings.ContainsAny(text, "ABCDEF") {
+		return fmt.Errorf("%q: %w", text, errInvalidHex)
 	}
-	if _, err := hex.Decode(to, []byte(text)); err != nil {
-		return fmt.Errorf("%q: %w", text, errInvalidDigits)
+	if _, err := hex.Decode(dst, []byte(text)); err != nil {
+		return fmt.Errorf("%q: %w", text, errInvalidHex)
 	}
 	return nil
 }
 
-// Context is the trace context that a request carries.
+// Context is the trace context that a request carries in its headers.
 type Context struct {
 	Trace   ID     `json:"trace"`
 	Span    SpanID `json:"span"`
-	State   string `json:"state,omitempty"` // tracestate, passed on unchanged
+	State   string `json:"state,omitempty"` // the tracestate header, forwarded unchanged
 	Sampled bool   `json:"sampled,omitempty"`
 }
 
-// maxState is the longest tracestate, in bytes, that is passed on. The recommendation asks for at least 512 and allows a
-// longer one to be dropped.
+// maxState is the maximum length in bytes of a tracestate that is forwarded. The recommendation
+// asks for at least 512 and allows longer ones to be dropped.
 const maxState = 512
 
-// ParseParent reads the headers traceparent and tracestate and reports whether they name a trace. If they don't, a new
-// trace begins and the state must not be used. Versions after 00 are read as far as version 00 is defined. Source: W3C
-// Trace Context, level 1, 3.2 and 3.3.
+// ParseParent parses the traceparent and tracestate headers and reports whether they identify a
+// trace. If they don't, a new trace begins and the state must be ignored. Versions after 00 are
+// parsed as far as version 00 defines the format. Source: W3C Trace Context, level 1, 3.2 and 3.3.
 func ParseParent(parent, state string) (c Context, ok bool) {
 	const length = 2 + 1 + 32 + 1 + 16 + 1 + 2
 	if len(parent) < length || parent[2] != '-' || parent[35] != '-' || parent[52] != '-' {
 		return Context{}, false
 	}
 	var version, flags [1]byte
-	err := errors.Join(digits(version[:], parent[:2]), digits(c.Trace[:], parent[3:35]),
-		digits(c.Span[:], parent[36:52]), digits(flags[:], parent[53:55]))
-	more := parent[length:]
+	err := errors.Join(parseHex(version[:], parent[:2]), parseHex(c.Trace[:], parent[3:35]),
+		parseHex(c.Span[:], parent[36:52]), parseHex(flags[:], parent[53:55]))
+	suffix := parent[length:]
 	switch {
 	case err != nil, version[0] == 0xff, c.Trace == (ID{}), c.Span == (SpanID{}):
 		return Context{}, false
-	case version[0] == 0 && more != "", more != "" && more[0] != '-':
+	case version[0] == 0 && suffix != "", suffix != "" && suffix[0] != '-':
 		return Context{}, false
 	}
 	c.Sampled = flags[0]&1 == 1
@@ -106,7 +109,7 @@
 	return c, true
 }
 
-// Parent returns the traceparent header of a request that belongs to the span.
+// Parent returns the traceparent header for a request made within the span.
 func (c Context) Parent() string {
 	flags := "00"
 	if c.Sampled {
--- a/internal/dispatcher/trace/queue.go
+++ b/internal/dispatcher/trace/queue.go
@@ -1,18 +1,18 @@
 package trace
 
-// Queue holds the records that wait for their export, within a bound of bytes. Past it plain records are dropped, the
-// oldest first, and if there is none notable ones, the oldest first: records of faults are worth more than others, and
-// those of the newest faults the most. It is not safe for concurrent use.
+// Queue holds the records that wait for export, bounded in bytes. When it is full, the oldest plain
+// records are dropped, and only if there are none the oldest notable ones: records of failures are
+// worth more than others, and the newest failures the most. It is not safe for concurrent use.
 type Queue struct {
 	maxBytes       int
 	bytes          int
 	plain, notable fifo
 }
 
-// NewQueue makes a queue of at most maxBytes, by Record.Size.
+// NewQueue returns a queue that holds at most maxBytes, by Record.Size.
 func NewQueue(maxBytes int) *Queue { return &Queue{maxBytes: maxBytes} }
 
-// fifo is a first-in, first-out queue. The items before first have been taken.
+// fifo is a first-in, first-out queue. The items before index first have been removed.
 type fifo struct {
 	items []*Record
 	first int
@@ -20,8 +20,8 @@
 
 func (f *fifo) len() int { return len(f.items) - f.first }
 
-// pop removes and returns the oldest record. Once half of the slice has been taken the rest is moved to its front, so
-// that the slice does not grow with all that was ever queued.
+// pop removes and returns the oldest record. Once half of the slice is unused, the rest is moved to
+// its front, so that the slice does not grow with every record ever queued.
 func (f *fifo) pop() *Record {
 	r := f.items[f.first]
 	f.items[f.first] = nil
@@ -34,8 +34,9 @@
 	return r
 }
 
-// Put adds a record and returns how many plain and how many notable ones were dropped for it. A malformed request counts
-// as plain: clients can send those at full speed, and would displace all notable records.
+// Put adds a record and returns how many plain and notable ones were dropped to make room. A
+// malformed request counts as plain: clients can send those at full speed, and they would displace
+// all notable records.
 func (q *Queue) Put(r *Record) (plain, notable int) {
 	to := &q.plain
 	malformed := r.AnsweredBy == ByIngress && r.Result == Invalid
@@ -71,8 +72,8 @@
 	return out
 }
 
-// Len returns how many records wait.
+// Len returns the number of queued records.
 func (q *Queue) Len() int { return q.plain.len() + q.notable.len() }
 
-// Bytes returns how many bytes the waiting records take.
+// Bytes returns the approximate size of the queued records in bytes.
 func (q *Queue) Bytes() int { return q.bytes }
--- a/internal/dispatcher/trace/sampler.go
+++ b/internal/dispatcher/trace/sampler.go
@@ -7,22 +7,23 @@
 
 // Sampler decides which records are kept.
 type Sampler struct {
-	Off    bool    // no record is
-	Ratio  float64 // of the plain records, from 0 to 1
-	Parent bool    // where a client sends a trace, its sampled flag decides in place of Ratio
+	Off    bool    // keeps no record
+	Ratio  float64 // fraction of plain records that is kept, from 0 to 1
+	Parent bool    // a client's sampled flag, if sent, overrides Ratio
 }
 
 // The reasons for which a record is kept.
 const (
 	KeptPlain   = "plain"  // selected by the ratio
-	KeptResult  = "answer" // not served
+	KeptResult  = "answer" // any result but Served
 	KeptRetried = "retried"
 	KeptHedged  = "copied"
 	KeptOverdue = "late"
 )
 
-// Keep reports whether the record of a request that has ended is kept, and why. Notable records are kept whatever the
-// ratio; of the others the trace's id decides, so that all dispatchers keep the same traces.
+// Keep reports whether the record of a finished request is kept, and why. Notable records are kept
+// regardless of the ratio; for the others the trace id decides, so that all dispatchers keep the
+// same traces.
 func (s Sampler) Keep(r *Record) (keep bool, reason string) {
 	if s.Off {
 		return false, ""
@@ -33,9 +34,9 @@
 	return r.Selected, KeptPlain
 }
 
-// Select reports whether the record of a request that starts is kept even if it does not become notable. Runners are
-// sent this decision, so that they keep the same traces. Source: OpenTelemetry's TraceIdRatioBased sampler, by the last
-// 8 bytes of the id.
+// Select reports whether the record of a new request is kept even if it does not become notable.
+// Runners receive this decision, so that they keep the same traces. Source: OpenTelemetry's
+// TraceIdRatioBased sampler, using the last 8 bytes of the id.
 func (s Sampler) Select(r *Record) bool {
 	if s.Off {
 		return false
@@ -47,8 +48,8 @@
 	return s.Ratio >= 1 || binary.BigEndian.Uint64(r.Trace[8:])>>1 < bound
 }
 
-// NotableReason returns why an operator will look for a record: the request was not served, hedged, retried or overdue.
-// It is empty for a plain one.
+// NotableReason returns why a record is notable, that is, of interest to operators: the request was
+// not served, hedged, retried or overdue. It returns an empty string for a plain record.
 func NotableReason(r *Record) string {
 	switch {
 	case r.Result != Served:
