--- a/internal/dispatcher/otlp/attributes.go
+++ b/internal/dispatcher/otlp/attributes.go
@@ -8,25 +8,26 @@
 	commonpb "go.opentelemetry.io/proto/otlp/common/v1"
 )
 
-// Attributes is a list of attributes as OTLP's messages hold it.
+// Attributes is a list of attributes in the form that OTLP messages use. Keys are not checked for
+// duplicates.
 type Attributes []*commonpb.KeyValue
 
-// PutStr adds an attribute that is a string.
+// PutStr appends a string attribute.
 func (a *Attributes) PutStr(key, value string) {
 	*a = append(*a, stringAttribute(key, value))
 }
 
-// PutInt adds an attribute that is an integer.
+// PutInt appends an integer attribute.
 func (a *Attributes) PutInt(key string, value int64) {
 	a.put(key, &commonpb.AnyValue{Value: &commonpb.AnyValue_IntValue{IntValue: value}})
 }
 
-// PutDouble adds an attribute that is a floating-point number.
+// PutDouble appends a floating-point attribute.
 func (a *Attributes) PutDouble(key string, value float64) {
 	a.put(key, &commonpb.AnyValue{Value: &commonpb.AnyValue_DoubleValue{DoubleValue: value}})
 }
 
-// PutBool adds an attribute that is a Boolean.
+// PutBool appends a Boolean attribute.
 func (a *Attributes) PutBool(key string, value bool) {
 	a.put(key, &commonpb.AnyValue{Value: &commonpb.AnyValue_BoolValue{BoolValue: value}})
 }
@@ -35,7 +36,7 @@
 	*a = append(*a, &commonpb.KeyValue{Key: key, Value: value})
 }
 
-// Get returns the value of an attribute, nil if the list has none of the key.
+// Get returns the value of the first attribute with the key, or nil if there is none.
 func (a Attributes) Get(key string) *commonpb.AnyValue {
 	for _, kv := range a {
 		if kv.GetKey() == key {
@@ -45,7 +46,7 @@
 	return nil
 }
 
-// Text returns an attribute of any scalar type as a string, empty if the list has none of the key.
+// Text returns a scalar attribute formatted as a string, empty if there is none with the key.
 func (a Attributes) Text(key string) string {
 	switch v := a.Get(key).GetValue().(type) {
 	case *commonpb.AnyValue_StringValue:
@@ -61,7 +62,7 @@
 	}
 }
 
-// Number returns an attribute as a number, 0 if it is none or the list has none of the key.
+// Number returns a numeric attribute, 0 if it is not numeric or there is none with the key.
 func (a Attributes) Number(key string) float64 {
 	switch v := a.Get(key).GetValue().(type) {
 	case *commonpb.AnyValue_IntValue:
@@ -73,15 +74,15 @@
 	}
 }
 
-// stringAttribute returns one attribute that is a string.
+// stringAttribute returns a single string attribute.
 func stringAttribute(key, value string) *commonpb.KeyValue {
 	return &commonpb.KeyValue{Key: key, Value: &commonpb.AnyValue{Value: &commonpb.AnyValue_StringValue{StringValue: value}}}
 }
 
-// stringAttributes returns attributes that are strings, sorted by key.
-func stringAttributes(from map[string]string) (a Attributes) {
-	for _, key := range slices.Sorted(maps.Keys(from)) {
-		a.PutStr(key, from[key])
+// stringAttributes returns string attributes sorted by key.
+func stringAttributes(values map[string]string) (a Attributes) {
+	for _, key := range slices.Sorted(maps.Keys(values)) {
+		a.PutStr(key, values[key])
 	}
 	return a
 }
--- a/internal/dispatcher/otlp/codec_test.go
+++ b/internal/dispatcher/otlp/codec_test.go
@@ -5,24 +5,25 @@
 	"testing"
 )
 
-// TestMarshalOwns has a message that is sent again not change when the library overwrites the buffer of the first call.
-// Without a copy a batch that a collector had rejected arrived garbled the next time.
+// TestMarshalOwns checks that a message does not change when the library overwrites the buffer of
+// its first call. Without a copy, a batch that a collector had rejected arrived corrupted at the
+// next try.
 func TestMarshalOwns(t *testing.T) {
-	m := &Message{Bytes: []byte("spans")}
-	text, err := Codec{}.Marshal(m)
-	if err != nil || !bytes.Equal(text, m.Bytes) {
-		t.Fatalf("%q, %v", text, err)
+	message := &Message{Bytes: []byte("spans")}
+	encoded, err := Codec{}.Marshal(message)
+	if err != nil || !bytes.Equal(encoded, message.Bytes) {
+		t.Fatalf("got %q, %v", encoded, err)
 	}
-	copy(text, "xxxxx")
-	if string(m.Bytes) != "spans" {
-		t.Errorf("the message is %q after its text was written over", m.Bytes)
+	copy(encoded, "xxxxx")
+	if string(message.Bytes) != "spans" {
+		t.Errorf("the message is %q after the encoded buffer was overwritten", message.Bytes)
 	}
-	var got Message
-	if err := (Codec{}).Unmarshal(text, &got); err != nil {
+	var decoded Message
+	if err := (Codec{}).Unmarshal(encoded, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	copy(text, "yyyyy")
-	if string(got.Bytes) != "xxxxx" {
-		t.Errorf("the message read is %q after its text was written over", got.Bytes)
+	copy(encoded, "yyyyy")
+	if string(decoded.Bytes) != "xxxxx" {
+		t.Errorf("the decoded message is %q after the encoded buffer was overwritten", decoded.Bytes)
 	}
 }
--- a/internal/dispatcher/otlp/metrics.go
+++ b/internal/dispatcher/otlp/metrics.go
@@ -12,8 +12,8 @@
 	"go.opentelemetry.io/otel/sdk/metric/metricdata"
 )
 
-// Metrics returns figures that the SDK has collected in OTLP's form. It fails for an aggregation that package measures
-// does not use.
+// Metrics converts metrics collected by the SDK to OTLP. It returns an error for an aggregation
+// that package measures does not use.
 func Metrics(resource map[string]string, from *metricdata.ResourceMetrics) (pmetric.Metrics, error) {
 	metrics := pmetric.NewMetrics()
 	resourceMetrics := metrics.ResourceMetrics().AppendEmpty()
@@ -33,7 +33,7 @@
 	return metrics, nil
 }
 
-// putMetric sets a figure.
+// putMetric converts a metric with all of its data points.
 func putMetric(to pmetric.Metric, from metricdata.Metrics) error {
 	to.SetName(from.Name)
 	to.SetDescription(from.Description)
@@ -53,7 +53,7 @@
 			putHistogram(histogram.DataPoints().AppendEmpty(), &data.DataPoints[i])
 		}
 	default:
-		return fmt.Errorf("figure %s is of the unforeseen form %T", from.Name, from.Data)
+		return fmt.Errorf("metric %s has the unsupported aggregation %T", from.Name, from.Data)
 	}
 	return nil
 }
@@ -65,7 +65,7 @@
 	return pmetric.AggregationTemporalityCumulative
 }
 
-// timestamp returns a time as figures hold it, 0 for none.
+// timestamp converts a time to an OTLP timestamp, 0 for the zero time.
 func timestamp(t time.Time) pcommon.Timestamp {
 	if t.IsZero() {
 		return 0
@@ -73,8 +73,8 @@
 	return pcommon.NewTimestampFromTime(t)
 }
 
-// putLabels sets the attributes of a data point.
-func putLabels(to pcommon.Map, from attribute.Set) {
+// putAttributes converts the attributes of a data point.
+func putAttributes(to pcommon.Map, from attribute.Set) {
 	for it := from.Iter(); it.Next(); {
 		kv := it.Attribute()
 		if kv.Value.Type() == attribute.BOOL {
@@ -85,20 +85,20 @@
 	}
 }
 
-// putNumbers adds the data points of a sum or gauge.
+// putNumbers converts the data points of a sum or gauge.
 func putNumbers(to pmetric.NumberDataPointSlice, from []metricdata.DataPoint[int64]) {
-	for _, p := range from {
-		n := to.AppendEmpty()
-		putLabels(n.Attributes(), p.Attributes)
-		n.SetStartTimestamp(timestamp(p.StartTime))
-		n.SetTimestamp(timestamp(p.Time))
-		n.SetIntValue(p.Value)
+	for _, source := range from {
+		point := to.AppendEmpty()
+		putAttributes(point.Attributes(), source.Attributes)
+		point.SetStartTimestamp(timestamp(source.StartTime))
+		point.SetTimestamp(timestamp(source.Time))
+		point.SetIntValue(source.Value)
 	}
 }
 
-// putHistogram sets a data point of a histogram.
+// putHistogram converts a data point of an exponential histogram.
 func putHistogram(to pmetric.ExponentialHistogramDataPoint, from *metricdata.ExponentialHistogramDataPoint[float64]) {
-	putLabels(to.Attributes(), from.Attributes)
+	putAttributes(to.Attributes(), from.Attributes)
 	to.SetStartTimestamp(timestamp(from.StartTime))
 	to.SetTimestamp(timestamp(from.Time))
 	to.SetCount(from.Count)
@@ -116,11 +116,11 @@
 	to.Positive().BucketCounts().FromRaw(from.PositiveBucket.Counts)
 	to.Negative().SetOffset(from.NegativeBucket.Offset)
 	to.Negative().BucketCounts().FromRaw(from.NegativeBucket.Counts)
-	for _, e := range from.Exemplars {
-		x := to.Exemplars().AppendEmpty()
-		x.SetDoubleValue(e.Value)
-		x.SetTimestamp(timestamp(e.Time))
-		x.SetTraceID(pcommon.TraceID(e.TraceID))
-		x.SetSpanID(pcommon.SpanID(e.SpanID))
+	for _, exemplar := range from.Exemplars {
+		target := to.Exemplars().AppendEmpty()
+		target.SetDoubleValue(exemplar.Value)
+		target.SetTimestamp(timestamp(exemplar.Time))
+		target.SetTraceID(pcommon.TraceID(exemplar.TraceID))
+		target.SetSpanID(pcommon.SpanID(exemplar.SpanID))
 	}
 }
--- a/internal/dispatcher/otlp/payload.go
+++ b/internal/dispatcher/otlp/payload.go
@@ -6,13 +6,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// Payload is a message that can be encoded as protobuf or JSON.
+// Payload is an OTLP message that can be encoded as protobuf or JSON.
 type Payload struct {
 	proto, json func() ([]byte, error)
 }
 
-// TracesPayload returns the payload of spans. Its protobuf form is also that of ExportTraceServiceRequest, which has the
-// fields of TracesData.
+// TracesPayload returns the payload for spans. Its protobuf encoding is also a valid
+// ExportTraceServiceRequest, which has the same fields as TracesData.
 func TracesPayload(t *tracepb.TracesData) Payload {
 	return Payload{
 		proto: func() ([]byte, error) { return proto.Marshal(t) },
@@ -20,7 +20,7 @@
 	}
 }
 
-// MetricsPayload returns the payload of figures.
+// MetricsPayload returns the payload for metrics.
 func MetricsPayload(m pmetric.Metrics) Payload {
 	return Payload{
 		proto: func() ([]byte, error) { return (&pmetric.ProtoMarshaler{}).MarshalMetrics(m) },
@@ -31,5 +31,6 @@
 // Proto encodes the message as protobuf.
 func (p Payload) Proto() ([]byte, error) { return p.proto() }
 
-// JSON encodes the message as one line of JSON without its end, as the file exporter's specification has it.
+// JSON encodes the message as one line of JSON without a newline, as the file exporter
+// specification requires.
 func (p Payload) JSON() ([]byte, error) { return p.json() }
--- a/internal/dispatcher/otlp/spansjson.go
+++ b/internal/dispatcher/otlp/spansjson.go
@@ -11,14 +11,15 @@
 	"google.golang.org/protobuf/encoding/protojson"
 )
 
-// idFields are the members of OTLP's JSON that hold ids, which are hexadecimal there, not base64 as the bytes of
-// protobuf's own JSON. Source: OTLP 1.x, JSON Protobuf Encoding.
+// idFields are the fields of OTLP JSON that hold ids. They are hexadecimal, unlike other bytes
+// fields, which are base64 as in the standard protobuf JSON mapping. Source: OTLP 1.x, JSON
+// Protobuf Encoding.
 var idFields = map[string]bool{"traceId": true, "spanId": true, "parentSpanId": true}
 
-// errInvalidID is wrapped by the error of an id that is no string in the right encoding.
-var errInvalidID = errors.New("otlp: an id can't be read")
+// errInvalidID is wrapped by the errors for an id that is not a string or has the wrong encoding.
+var errInvalidID = errors.New("otlp: malformed id")
 
-// MarshalSpans encodes spans as one line of OTLP's JSON.
+// MarshalSpans encodes spans as one line of OTLP JSON, without a newline.
 func MarshalSpans(t *tracepb.TracesData) ([]byte, error) {
 	line, err := protojson.MarshalOptions{UseEnumNumbers: true}.Marshal(t)
 	if err != nil {
@@ -30,7 +31,7 @@
 	})
 }
 
-// UnmarshalSpans decodes spans from a line of OTLP's JSON.
+// UnmarshalSpans decodes spans from a line of OTLP JSON. Unknown fields are ignored.
 func UnmarshalSpans(line []byte) (*tracepb.TracesData, error) {
 	line, err := recodeDocument(line, func(id string) (string, error) {
 		raw, err := hex.DecodeString(id)
@@ -43,12 +44,12 @@
 	return t, protojson.UnmarshalOptions{DiscardUnknown: true}.Unmarshal(line, t)
 }
 
-// recodeDocument returns a line with its ids in another encoding.
+// recodeDocument returns a JSON document with its ids converted to another encoding.
 func recodeDocument(line []byte, recodeID func(id string) (string, error)) ([]byte, error) {
-	in := json.NewDecoder(bytes.NewReader(line))
-	in.UseNumber()
+	decoder := json.NewDecoder(bytes.NewReader(line))
+	decoder.UseNumber()
 	var document any
-	if err := in.Decode(&document); err != nil {
+	if err := decoder.Decode(&document); err != nil {
 		return nil, err
 	}
 	if err := recodeIDs(document, recodeID); err != nil {
@@ -57,7 +58,7 @@
 	return json.Marshal(document)
 }
 
-// recodeIDs replaces the ids in a decoded JSON value.
+// recodeIDs converts the ids in a decoded JSON value in place.
 func recodeIDs(value any, recodeID func(id string) (string, error)) error {
 	switch v := value.(type) {
 	case []any:
@@ -78,11 +79,11 @@
 			if !ok {
 				return errInvalidID
 			}
-			changed, err := recodeID(id)
+			recoded, err := recodeID(id)
 			if err != nil {
 				return errors.Join(errInvalidID, err)
 			}
-			v[name] = changed
+			v[name] = recoded
 		}
 	}
 	return nil
--- a/internal/dispatcher/otlp/traces.go
+++ b/internal/dispatcher/otlp/traces.go
@@ -1,9 +1,10 @@
-// Package otlp encodes records of requests, and figures, in OpenTelemetry's protocol, and decodes spans. Package export
-// sends what it encodes, and package traceview reads files of it. It does no I/O, and its functions are safe for
-// concurrent use on different arguments.
+// Package otlp encodes records of requests and metrics in the OpenTelemetry protocol (OTLP), and
+// decodes spans. Package export sends the encoded messages, and package traceview reads files of
+// them. The package does no I/O, and its functions are safe for concurrent use on different
+// arguments.
 //
-// Source: OTLP 1.x, and the semantic conventions for HTTP where they have a name. Names that begin with frosttide are
-// this project's own and are listed in docs/telemetry.md.
+// Source: OTLP 1.x, and the semantic conventions for HTTP where they define a name. Names that
+// begin with frosttide are specific to this project and are listed in docs/telemetry.md.
 package otlp
 
 import (
@@ -21,15 +22,15 @@
 // scope is the name of the instrumentation scope of all spans.
 const scope = "frosttide"
 
-// The bits of a span's flags: its trace is sampled; it is known whether its parent is another process's; it is.
+// Bits of a span's flags field. Source: OTLP 1.x, SpanFlags.
 const (
-	sampled     = 1
-	remoteKnown = 1 << 8
-	isRemote    = 1 << 9
+	flagSampled     = 1      // the trace is sampled
+	flagHasIsRemote = 1 << 8 // flagIsRemote is valid
+	flagIsRemote    = 1 << 9 // the parent span is in another process
 )
 
-// Traces returns the spans of records: one of kind SERVER for each request, and below it one of kind CLIENT for each
-// attempt, in the order in which the attempts were sent.
+// Traces returns the spans of records: a SERVER span for each request and, as its children, a
+// CLIENT span for each attempt, in the order in which the attempts were sent.
 func Traces(resource map[string]string, records []*trace.Record) *tracepb.TracesData {
 	spans := &tracepb.ScopeSpans{Scope: &commonpb.InstrumentationScope{Name: scope}}
 	for _, record := range records {
@@ -44,11 +45,11 @@
 	}}}
 }
 
-// requestSpan returns the span of a request.
+// requestSpan returns the SERVER span of a request.
 func requestSpan(record *trace.Record) *tracepb.Span {
-	flags := uint32(sampled)
+	flags := uint32(flagSampled)
 	if record.Parent != (trace.SpanID{}) {
-		flags |= remoteKnown | isRemote
+		flags |= flagHasIsRemote | flagIsRemote
 	}
 	name := record.Method
 	if record.Class != "" {
@@ -68,7 +69,7 @@
 	}
 	code := httpStatus(record)
 	span.Attributes = requestAttributes(record, code)
-	if code >= 500 { // source: semantic conventions, the status of HTTP server spans
+	if code >= 500 { // source: semantic conventions, status of HTTP server spans
 		span.Status.Code = tracepb.Status_STATUS_CODE_ERROR
 		span.Attributes = append(span.Attributes, stringAttribute("error.type", record.Reason))
 	}
@@ -78,7 +79,8 @@
 	return span
 }
 
-// requestAttributes returns the attributes of a request's span. Code is the status of its response, 0 for none.
+// requestAttributes returns the attributes of a request's span. Code is the HTTP status of its
+// response, 0 for none.
 func requestAttributes(record *trace.Record, code int) Attributes {
 	var a Attributes
 	a.PutStr("http.request.method", record.Method)
@@ -113,8 +115,8 @@
 	return a
 }
 
-// httpStatus returns the status of the client's response, by the result where the ingress has not recorded it; 0 if the
-// client has left.
+// httpStatus returns the HTTP status of the client's response, derived from the result if the
+// ingress has not recorded one; 0 if the client disconnected.
 func httpStatus(record *trace.Record) int {
 	switch {
 	case record.Status != 0:
@@ -131,7 +133,7 @@
 	return 502
 }
 
-// attemptSpan returns the span of a record's attempt.
+// attemptSpan returns the CLIENT span of an attempt.
 func attemptSpan(record *trace.Record, index int) *tracepb.Span {
 	attempt := &record.Attempts[index]
 	span := &tracepb.Span{
@@ -139,7 +141,7 @@
 		SpanId:             nonZeroID(attempt.Span[:]),
 		ParentSpanId:       nonZeroID(record.Span[:]),
 		TraceState:         record.TraceState,
-		Flags:              sampled | remoteKnown,
+		Flags:              flagSampled | flagHasIsRemote,
 		Name:               record.Method + " " + string(attempt.Kind),
 		Kind:               tracepb.Span_SPAN_KIND_CLIENT,
 		StartTimeUnixNano:  unixNanos(attempt.Sent),
@@ -189,7 +191,8 @@
 	return a
 }
 
-// addAttemptEvents adds the events of an attempt to its span.
+// addAttemptEvents adds an attempt's acceptance, its runner's reports and its cancellation as span
+// events.
 func addAttemptEvents(span *tracepb.Span, attempt *trace.Attempt) {
 	if attempt.Accepted != 0 {
 		addEvent(span, attempt.Accepted, "taken")
@@ -207,24 +210,24 @@
 	}
 }
 
-// addEvent adds an event to a span and returns it.
+// addEvent appends an event to a span and returns it.
 func addEvent(span *tracepb.Span, at time.Duration, name string) *tracepb.Span_Event {
 	event := &tracepb.Span_Event{Name: name, TimeUnixNano: unixNanos(at)}
 	span.Events = append(span.Events, event)
 	return event
 }
 
-// addLink adds a link of a kind to another span.
+// addLink appends a link of the given kind to a span.
 func addLink(span *tracepb.Span, toTrace trace.ID, toSpan trace.SpanID, kind string) {
 	var a Attributes
 	a.PutStr("frosttide.link", kind)
 	span.Links = append(span.Links, &tracepb.Span_Link{TraceId: nonZeroID(toTrace[:]), SpanId: nonZeroID(toSpan[:]), Attributes: a})
 }
 
-// unixNanos returns a time since 1970 as spans hold it, 0 for one before.
+// unixNanos converts a time since the Unix epoch to a span's timestamp, 0 for a negative one.
 func unixNanos(at time.Duration) uint64 { return uint64(max(at, 0)) }
 
-// nonZeroID returns an id as spans hold it: nil if it is zero.
+// nonZeroID returns the id, or nil if it is zero, as an absent id is represented in a span.
 func nonZeroID(id []byte) []byte {
 	for _, b := range id {
 		if b != 0 {
