--- a/internal/dispatcher/traceview/read.go
+++ b/internal/dispatcher/traceview/read.go
@@ -1,5 +1,6 @@
-// Package traceview reads files of traces in OTLP's JSON and shows what happened to one request, or summarises all of a
-// time. The program's trace commands use it. It keeps in memory what it shows, whatever the size of a file.
+// Package traceview reads trace files in OTLP JSON and shows what happened to one request, or
+// summarizes all requests of a period. The trace commands of cmd/frosttide use it. It keeps only
+// what it shows in memory, regardless of the size of a file.
 package traceview
 
 import (
@@ -18,10 +19,10 @@
 	"frosttide/internal/dispatcher/otlp"
 )
 
-// Request is one request, read from its spans. Ids are hexadecimal.
+// Request is one request, decoded from its spans. Ids are hexadecimal.
 type Request struct {
 	Trace, Span, Parent         string
-	ID, Class, Node             string // Node is the name of the process that dispatched it
+	ID, Class, Node             string // Node names the process that dispatched it
 	Result, AnsweredBy, Reason  string
 	Backend                     string
 	Status                      int64
@@ -34,7 +35,7 @@
 	Links                       []Link
 }
 
-// Attempt is one attempt at a runner.
+// Attempt is one attempt to run a request on a runner.
 type Attempt struct {
 	Span, Backend, Zone, Addr               string
 	Kind, Outcome                           string
@@ -42,98 +43,101 @@
 	Bytes                                   int64
 	Sent, Ended                             time.Time
 	Events                                  []Event
-	HedgeOf                                 string // the span of the attempt that a hedge duplicates; empty for none
+	HedgeOf                                 string // span of the hedged attempt; empty for none
 }
 
-// Event is an event of an attempt.
+// Event is an event of an attempt, such as a status report of its runner.
 type Event struct {
 	At       time.Time
 	Name     string
 	Progress float64
 }
 
-// Link refers to another span that belongs to a request.
+// Link refers to a related span, such as that of the client's previous try.
 type Link struct{ Trace, Span, Kind string }
 
-// maxLine bounds a line in bytes; longer ones are skipped and counted.
+// maxLine is the maximum length of a line in bytes; longer lines are skipped and counted as
+// unreadable.
 const maxLine = 64 << 20
 
-// Open opens a file, "-" for standard input. A file that is compressed by gzip is decompressed.
+// Open opens a file, or standard input if the path is "-". Files compressed by gzip are
+// decompressed.
 func Open(path string) (io.ReadCloser, error) {
-	in := os.Stdin
+	file := os.Stdin
 	if path != "-" {
 		var err error
-		if in, err = os.Open(path); err != nil {
+		if file, err = os.Open(path); err != nil {
 			return nil, err
 		}
 	}
-	buffered := bufio.NewReaderSize(in, 1<<16)
+	buffered := bufio.NewReaderSize(file, 1<<16)
 	if magic, _ := buffered.Peek(2); !bytes.Equal(magic, []byte{0x1f, 0x8b}) {
-		return reader{buffered, in}, nil
+		return readCloser{buffered, file}, nil
 	}
-	z, err := gzip.NewReader(buffered)
+	decompressed, err := gzip.NewReader(buffered)
 	if err != nil {
-		in.Close()
+		file.Close()
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	return reader{z, in}, nil
+	return readCloser{decompressed, file}, nil
 }
 
-// reader reads from one and closes another.
-type reader struct {
+// readCloser reads from the buffered or decompressed stream and closes the underlying file.
+type readCloser struct {
 	io.Reader
 	io.Closer
 }
 
-// Read calls visit for each request of a file, with its attempts in the order in which they were sent. The spans of a
-// request are in one line, as the program writes them. It returns how many lines could not be read, as a file may end
-// within one; lines of figures are skipped and not counted.
-func Read(from io.Reader, visit func(*Request)) (unread int, err error) {
-	in := bufio.NewReaderSize(from, 1<<16)
+// Read calls visit for each request in a file, with its attempts in the order in which they were
+// sent. The spans of a request are expected in one line, as this program writes them. It returns
+// the number of unreadable lines, as a file may end within a line; lines of metrics are skipped and
+// not counted.
+func Read(input io.Reader, visit func(*Request)) (unreadable int, err error) {
+	buffered := bufio.NewReaderSize(input, 1<<16)
 	for {
-		line, err := readLine(in)
+		line, err := readLine(buffered)
 		if len(bytes.TrimSpace(line)) > 0 && !bytes.HasPrefix(line, []byte(`{"resourceMetrics"`)) {
-			traces, bad := otlp.UnmarshalSpans(line)
-			if bad != nil {
-				unread++
+			traces, decodeErr := otlp.UnmarshalSpans(line)
+			if decodeErr != nil {
+				unreadable++
 			} else {
 				visitRequests(traces, visit)
 			}
 		}
 		switch {
-		case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF): // the file is still being written
-			return unread, nil
+		case errors.Is(err, io.EOF), errors.Is(err, io.ErrUnexpectedEOF): // still being written
+			return unreadable, nil
 		case errors.Is(err, errLineTooLong):
-			unread++
+			unreadable++
 		case err != nil:
-			return unread, err
+			return unreadable, err
 		}
 	}
 }
 
-// errLineTooLong is returned by readLine for a line past maxLine, which it has skipped.
-var errLineTooLong = errors.New("a line is too long")
+// errLineTooLong is returned by readLine after it has skipped a line longer than maxLine.
+var errLineTooLong = errors.New("line too long")
 
-// readLine reads a line with its end.
+// readLine reads a line including its newline.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	var line []byte
-	long := false
+	tooLong := false
 	for {
 		chunk, err := in.ReadSlice('\n')
-		if long = long || len(line)+len(chunk) > maxLine; !long {
+		if tooLong = tooLong || len(line)+len(chunk) > maxLine; !tooLong {
 			line = append(line, chunk...)
 		}
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
 			continue
-		case long:
+		case tooLong:
 			return nil, errLineTooLong
 		}
 		return line, err
 	}
 }
 
-// visitRequests calls visit for each request of a line.
+// visitRequests calls visit for each request in the spans of a line.
 func visitRequests(traces *tracepb.TracesData, visit func(*Request)) {
 	for _, resource := range traces.GetResourceSpans() {
 		node := otlp.Attributes(resource.GetResource().GetAttributes()).Text("service.instance.id")
@@ -145,9 +149,9 @@
 	}
 }
 
-// parseSpans returns the requests of spans, with their attempts.
+// parseSpans groups spans into requests with their attempts.
 func parseSpans(spans []*tracepb.Span, node string) []*Request {
-	attempts := map[string][]Attempt{} // by the request's span
+	attempts := map[string][]Attempt{} // by the span id of the request
 	var requests []*Request
 	for _, s := range spans {
 		switch s.GetKind() {
@@ -164,13 +168,13 @@
 	return requests
 }
 
-// boolAttribute returns an attribute that is a Boolean, false if there is none.
+// boolAttribute returns a Boolean attribute, false if there is none with the key.
 func boolAttribute(a otlp.Attributes, key string) bool { return a.Text(key) == "true" }
 
-// timestamp returns the time of a span's field.
+// timestamp converts a span's timestamp, in nanoseconds since the Unix epoch, to UTC.
 func timestamp(nanos uint64) time.Time { return time.Unix(0, int64(nanos)).UTC() }
 
-// parseRequest returns the request of a span of kind SERVER, without its attempts.
+// parseRequest decodes a SERVER span into a request without its attempts.
 func parseRequest(s *tracepb.Span, node string) *Request {
 	a := otlp.Attributes(s.GetAttributes())
 	r := &Request{
@@ -202,7 +206,7 @@
 	return r
 }
 
-// parseAttempt returns the attempt of a span of kind CLIENT.
+// parseAttempt decodes a CLIENT span into an attempt.
 func parseAttempt(s *tracepb.Span) Attempt {
 	a := otlp.Attributes(s.GetAttributes())
 	attempt := Attempt{
--- a/internal/dispatcher/traceview/show.go
+++ b/internal/dispatcher/traceview/show.go
@@ -9,14 +9,16 @@
 	"time"
 )
 
-// maxShown bounds the requests that one call writes. The number of those left out is written too.
+// maxShown is the maximum number of requests that Show writes. It also writes the number of those
+// left out.
 const maxShown = 1000
 
-// Show writes the requests of a trace, of a span, or with a client's id, by the time of their arrival, each as a tree of
-// its attempts with times since its arrival. It returns how many there are.
+// Show writes the requests that belong to a trace or span, or have the client's id, in order of
+// arrival. Each is a tree of its attempts with times relative to its arrival. It returns the number
+// of matching requests.
 func Show(out io.Writer, from io.Reader, id string) (found int, err error) {
 	var shown []*Request
-	unread, err := Read(from, func(r *Request) {
+	unreadable, err := Read(from, func(r *Request) {
 		if r.Trace == id || r.ID == id || r.Span == id {
 			if found++; found <= maxShown {
 				shown = append(shown, r)
@@ -33,13 +35,13 @@
 	if found > maxShown {
 		fmt.Fprintf(out, "%d more are not shown\n", found-maxShown)
 	}
-	if unread > 0 {
-		fmt.Fprintf(out, "lines that could not be read: %d\n", unread)
+	if unreadable > 0 {
+		fmt.Fprintf(out, "lines that could not be read: %d\n", unreadable)
 	}
 	return found, nil
 }
 
-// write writes the request with its attempts.
+// write writes a request with its attempts.
 func (r *Request) write(out io.Writer) {
 	fmt.Fprintf(out, "trace %s\n", r.Trace)
 	fmt.Fprintf(out, "request %s of %s at %s by %s: %s by %s, %s, after %s%s\n", cmp.Or(r.ID, "without id"), cmp.Or(r.Class, "no class"),
@@ -59,9 +61,9 @@
 // writeAttempt writes an attempt as a branch of the request's tree.
 func (r *Request) writeAttempt(out io.Writer, index int) {
 	a := &r.Attempts[index]
-	branch, bar := "├─", "│ "
+	branch, indent := "├─", "│ "
 	if index == len(r.Attempts)-1 {
-		branch, bar = "└─", "  "
+		branch, indent = "└─", "  "
 	}
 	fmt.Fprintf(out, "  %s +%s hop %d (%s) to %s %s in %s: %s after %s%s\n", branch, formatDuration(a.Sent.Sub(r.Received)), index+1,
 		r.attemptKind(a), a.Backend, a.Addr, cmp.Or(a.Zone, "?"), a.Outcome, formatDuration(a.Ended.Sub(a.Sent)),
@@ -71,11 +73,12 @@
 		if e.Name == "running" {
 			progress = fmt.Sprintf(" %.0f%%", e.Progress*100)
 		}
-		fmt.Fprintf(out, "  %s   +%s %s%s\n", bar, formatDuration(e.At.Sub(r.Received)), e.Name, progress)
+		fmt.Fprintf(out, "  %s   +%s %s%s\n", indent, formatDuration(e.At.Sub(r.Received)), e.Name, progress)
 	}
 }
 
-// attemptKind returns an attempt's kind, and for a hedge the number of the attempt that it duplicates.
+// attemptKind returns an attempt's kind or, for a hedge, the number of the attempt that it
+// duplicates.
 func (r *Request) attemptKind(a *Attempt) string {
 	kind := a.Kind
 	for i := range r.Attempts {
@@ -86,7 +89,8 @@
 	return kind
 }
 
-// formatDuration returns a time in the unit in which it is easy to read.
+// formatDuration formats a duration in microseconds, milliseconds or seconds, depending on its
+// size.
 func formatDuration(d time.Duration) string {
 	switch {
 	case d < time.Millisecond:
@@ -97,13 +101,13 @@
 	return fmt.Sprintf("%.1fs", d.Seconds())
 }
 
-// flag is a property that is shown if it is set.
+// flag is a property whose text is shown if it is set.
 type flag struct {
 	set  bool
 	text string
 }
 
-// joinFlags returns the texts of the flags that are set, each after a comma.
+// joinFlags concatenates the texts of the flags that are set, each preceded by a comma.
 func joinFlags(flags ...flag) string {
 	var out strings.Builder
 	for _, f := range flags {
--- a/internal/dispatcher/traceview/tables.go
+++ b/internal/dispatcher/traceview/tables.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// Write writes the tables of groups, causes and backends, and the worst requests.
+// Write writes the tables of groups, causes of lost value and backends, and the worst requests.
 func (s *Summary) Write(out io.Writer) error {
-	if s.all.requests == 0 {
+	if s.total.requests == 0 {
 		_, err := fmt.Fprintln(out, "no requests")
 		return err
 	}
-	fmt.Fprintf(out, "%d requests from %s to %s: %.1f%% of their worth served in time\n\n", s.all.requests,
-		s.first.Format(time.RFC3339), s.last.Format(time.RFC3339), 100*s.all.onTimeValue/max(s.all.value, 1e-9))
+	fmt.Fprintf(out, "%d requests from %s to %s: %.1f%% of their worth served in time\n\n", s.total.requests,
+		s.first.Format(time.RFC3339), s.last.Format(time.RFC3339), 100*s.total.onTimeValue/max(s.total.value, 1e-9))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	s.writeGroups(w)
 	s.writeCauses(w)
@@ -29,7 +29,7 @@
 	return nil
 }
 
-// writeGroups writes the table of groups, by name.
+// writeGroups writes the table of groups, sorted by name.
 func (s *Summary) writeGroups(w io.Writer) {
 	fmt.Fprintf(w, "%s\trequests\tserved\tlate\trefused\tfailed\texpired\tgone\tunusable\tworth lost\tp50\tp99\t\n", cmp.Or(s.query.GroupBy, "class"))
 	for _, name := range slices.Sorted(maps.Keys(s.groups)) {
@@ -40,7 +40,7 @@
 	fmt.Fprintf(w, "\t\t\t\t\t\t\t\t\t\t\t\t\n")
 }
 
-// writeCauses writes the causes of lost value, the worst first.
+// writeCauses writes the causes of lost value in descending order of that value.
 func (s *Summary) writeCauses(w io.Writer) {
 	if len(s.causes) > 0 {
 		fmt.Fprintf(w, "lost to\trequests\tworth lost\t\n")
@@ -53,21 +53,22 @@
 	fmt.Fprintf(w, "\t\t\t\n")
 }
 
-// writeBackends writes the backends with attempts that were neither served nor given up, the worst first.
+// writeBackends writes the backends with failed attempts, that is, neither served nor given up, in
+// descending order of their number.
 func (s *Summary) writeBackends(w io.Writer) {
-	bad := func(name string) int {
+	failedAttempts := func(name string) int {
 		counts := s.backends[name]
 		return counts.attempts - counts.outcomes["served"] - counts.outcomes["given_up"]
 	}
-	titled := false
+	headerWritten := false
 	for _, name := range slices.SortedFunc(maps.Keys(s.backends), func(a, b string) int {
-		return cmp.Or(cmp.Compare(bad(b), bad(a)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(failedAttempts(b), failedAttempts(a)), cmp.Compare(a, b))
 	}) {
-		if bad(name) == 0 {
+		if failedAttempts(name) == 0 {
 			continue
 		}
-		if !titled {
-			titled = true
+		if !headerWritten {
+			headerWritten = true
 			fmt.Fprintf(w, "target\thops\terrored\trejected\ttimed_out\tunconnected\treset\tnot_sent\t\n")
 		}
 		counts := s.backends[name]
@@ -79,7 +80,7 @@
 	}
 }
 
-// writeWorst writes the worst requests, one in a line.
+// writeWorst writes the worst requests, one per line.
 func (s *Summary) writeWorst(out io.Writer) {
 	s.rank()
 	if len(s.worst) > 0 {
@@ -91,9 +92,10 @@
 	}
 }
 
-// quantile returns a quantile, in percent, of the group's durations.
+// quantile returns a percentile of the group's durations.
 func (g *group) quantile(percent float64) string {
 	return formatDuration(time.Duration(g.durations.ValueAtQuantile(percent)) * time.Microsecond)
 }
 
+// roundHundredths rounds a non-negative number to two decimal places.
 func roundHundredths(x float64) float64 { return float64(int64(x*100+0.5)) / 100 }
--- a/internal/dispatcher/traceview/traceview_test.go
+++ b/internal/dispatcher/traceview/traceview_test.go
@@ -17,29 +17,31 @@
 	"frosttide/internal/dispatcher/trace"
 )
 
-// when returns the time a number of milliseconds after the start of the tests' traces.
-func when(ms int) time.Duration {
+// sampleTime returns the time, since the Unix epoch, that is a number of milliseconds after the
+// start of the sample traces.
+func sampleTime(ms int) time.Duration {
 	return time.Duration(time.Date(2026, 11, 29, 20, 45, 0, 0, time.UTC).UnixNano()) + time.Duration(ms)*time.Millisecond
 }
 
-// sampleFile returns a file with one request of each kind, lines that hold no spans, and an incomplete line.
+// sampleFile returns a file with a request of each kind, lines that hold no spans, and an
+// incomplete last line.
 func sampleFile(t *testing.T) []byte {
 	t.Helper()
 	id := func(n byte) (t trace.ID, s trace.SpanID) { t[0], s[0] = n, n; return t, s }
-	record := func(n byte, request, class string, value float64, received, took int, result trace.Result, reason string, attempts ...trace.Attempt) *trace.Record {
-		s := &trace.Record{Request: request, Class: class, Method: "POST", Value: value, Slots: 1, Received: when(received), Deadline: when(received + 5000),
-			Ended: when(received + took), Result: result, AnsweredBy: trace.ByModule, Reason: reason, Attempts: attempts}
-		s.Trace, s.Span = id(n)
-		return s
+	record := func(n byte, request, class string, value float64, received, elapsed int, result trace.Result, reason string, attempts ...trace.Attempt) *trace.Record {
+		r := &trace.Record{Request: request, Class: class, Method: "POST", Value: value, Slots: 1, Received: sampleTime(received), Deadline: sampleTime(received + 5000),
+			Ended: sampleTime(received + elapsed), Result: result, AnsweredBy: trace.ByModule, Reason: reason, Attempts: attempts}
+		r.Trace, r.Span = id(n)
+		return r
 	}
-	attempt := func(n byte, backend string, sent, took int, kind trace.Kind, outcome string) trace.Attempt {
+	attempt := func(n byte, backend string, sent, elapsed int, kind trace.Kind, outcome string) trace.Attempt {
 		_, span := id(n)
-		return trace.Attempt{Span: span, Kind: kind, Backend: backend, Addr: "127.0.0.1:9", Zone: "sur", Sent: when(sent), Ended: when(sent + took), Outcome: outcome}
+		return trace.Attempt{Span: span, Kind: kind, Backend: backend, Addr: "127.0.0.1:9", Zone: "sur", Sent: sampleTime(sent), Ended: sampleTime(sent + elapsed), Outcome: outcome}
 	}
 	first := attempt(11, "s-1", 1, 40, trace.First, "errored")
 	first.MayHaveRun, first.WarmingUp = true, true
 	second := attempt(12, "s-2", 20, 80, trace.Hedge, "served")
-	second.Events = []trace.Event{{At: when(30), Name: "started"}, {At: when(60), Name: "running", Progress: 0.5}}
+	second.Events = []trace.Event{{At: sampleTime(30), Name: "started"}, {At: sampleTime(60), Name: "running", Progress: 0.5}}
 	hedged := record(1, "c1", "cut", 1, 0, 100, trace.Served, "done", first, second)
 	hedged.Backend, hedged.Links = "s-2", []trace.SpanReference{{Trace: trace.ID{9}, Span: trace.SpanID{9}}}
 	overdue := record(2, "l1", "cut", 1, 1000, 900, trace.Served, "done", attempt(21, "s-1", 1001, 899, trace.First, "served"))
@@ -55,7 +57,8 @@
 	return append(append([]byte("{\"resourceMetrics\":[]}\n\nnot a line\n"), line...), "\n{\"resourceSpans\":[{\"cut"...)
 }
 
-// TestShow has a request written as a tree, found by its own id and by its trace's.
+// TestShow checks that a request is written as a tree and is found by its own id and by its
+// trace's.
 func TestShow(t *testing.T) {
 	var out strings.Builder
 	n, err := Show(&out, bytes.NewReader(sampleFile(t)), "c1")
@@ -73,19 +76,19 @@
 lines that could not be read: 2
 `
 	if diff := cmp.Diff(want, out.String()); diff != "" {
-		t.Errorf("(-want +got):\n%s", diff)
+		t.Errorf("output (-want +got):\n%s", diff)
 	}
 	if n, _ := Show(io.Discard, bytes.NewReader(sampleFile(t)), "04000000000000000000000000000000"); n != 1 {
-		t.Errorf("by its trace's id a request was found %d times", n)
+		t.Errorf("found %d requests by the trace id, want 1", n)
 	}
 }
 
-// TestSummary has requests summarised by each kind of group and within times.
+// TestSummary checks the tables of a summary by each kind of group and within time bounds.
 func TestSummary(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		query Query
-		want  []string // lines, their spaces folded
+		want  []string // lines, with runs of spaces collapsed
 	}{
 		{"all", Query{GroupBy: "class", MaxWorst: 2}, []string{
 			"5 requests from 2026-11-29T20:45:00Z to 2026-11-29T20:45:04Z: 8.3% of their worth served in time",
@@ -95,16 +98,16 @@
 			"target hops errored rejected timed_out unconnected reset not_sent", "s-1 3 1 0 0 0 1 0",
 			"worst requests", "04000000000000000000000000000000 release f1: failed, may_have_run, after 50ms, 1 hops, worth 5",
 			"03000000000000000000000000000000 release r1: refused, no_token, after 1ms, 0 hops, worth 5"}},
-		{"times, by target", Query{GroupBy: "target", From: time.Unix(0, int64(when(500))), To: time.Unix(0, int64(when(2000)))}, []string{
+		{"times, by target", Query{GroupBy: "target", From: time.Unix(0, int64(sampleTime(500))), To: time.Unix(0, int64(sampleTime(2000)))}, []string{
 			"1 requests from 2026-11-29T20:45:01Z to 2026-11-29T20:45:01Z: 0.0% of their worth served in time",
 			"target requests served late refused failed expired gone unusable worth lost p50 p99",
 			"s-1 1 1 1 0 0 0 0 0 1 900ms 900ms", "lost to requests worth lost", "served: late 1 1"}},
-		{"no requests", Query{GroupBy: "answer", From: time.Unix(0, int64(when(9000)))}, []string{"no requests"}},
+		{"no requests", Query{GroupBy: "answer", From: time.Unix(0, int64(sampleTime(9000)))}, []string{"no requests"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := NewSummary(tc.query)
-			if unread, err := Read(bytes.NewReader(sampleFile(t)), s.Add); err != nil || unread != 2 {
-				t.Fatal(unread, err)
+			if unreadable, err := Read(bytes.NewReader(sampleFile(t)), s.Add); err != nil || unreadable != 2 {
+				t.Fatal(unreadable, err)
 			}
 			var out strings.Builder
 			if err := s.Write(&out); err != nil {
@@ -112,31 +115,31 @@
 			}
 			var got []string
 			for line := range strings.Lines(out.String()) {
-				if folded := strings.Join(strings.Fields(line), " "); folded != "" {
-					got = append(got, folded)
+				if collapsed := strings.Join(strings.Fields(line), " "); collapsed != "" {
+					got = append(got, collapsed)
 				}
 			}
 			if diff := cmp.Diff(tc.want, got); diff != "" {
-				t.Errorf("(-want +got):\n%s", diff)
+				t.Errorf("output (-want +got):\n%s", diff)
 			}
 		})
 	}
 }
 
-// TestOpen has files read that are plain, compressed, and compressed but truncated.
+// TestOpen checks that plain, compressed, truncated compressed and empty files can be read.
 func TestOpen(t *testing.T) {
 	plain := sampleFile(t)
-	var packed bytes.Buffer
-	z := gzip.NewWriter(&packed)
-	if _, err := z.Write(plain); err != nil {
+	var compressed bytes.Buffer
+	writer := gzip.NewWriter(&compressed)
+	if _, err := writer.Write(plain); err != nil {
 		t.Fatal(err)
 	}
-	if err := z.Close(); err != nil {
+	if err := writer.Close(); err != nil {
 		t.Fatal(err)
 	}
-	for i, text := range [][]byte{plain, packed.Bytes(), packed.Bytes()[:packed.Len()-9], nil} {
+	for i, content := range [][]byte{plain, compressed.Bytes(), compressed.Bytes()[:compressed.Len()-9], nil} {
 		path := filepath.Join(t.TempDir(), fmt.Sprint(i))
-		if err := os.WriteFile(path, text, 0o600); err != nil {
+		if err := os.WriteFile(path, content, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		in, err := Open(path)
@@ -144,8 +147,8 @@
 			t.Fatal(err)
 		}
 		n := 0
-		if _, err := Read(in, func(*Request) { n++ }); err != nil || n != 5 && text != nil {
-			t.Errorf("file %d: %d requests, %v", i, n, err)
+		if _, err := Read(in, func(*Request) { n++ }); err != nil || n != 5 && content != nil {
+			t.Errorf("file %d: got %d requests, error %v", i, n, err)
 		}
 		in.Close()
 	}
