--- a/internal/dispatcher/telemetry/telemetry.go
+++ b/internal/dispatcher/telemetry/telemetry.go
@@ -1,9 +1,9 @@
-// Package telemetry holds the figures of this process that operators read, as
-// Prometheus metrics. The other packages count through it where things happen;
-// cmd/frosttide makes the one Counts and passes its Handler to the console.
+// Package telemetry holds this process's operational metrics in Prometheus form. Other packages
+// count events through it; cmd/frosttide creates the single Counts and serves its Handler on the
+// console.
 //
-// Names and labels of the metrics are part of the program's interface. All methods
-// are safe for concurrent use, but for Classes, and reading waits for nobody.
+// Names and labels of the metrics are part of the program's interface. All methods are safe for
+// concurrent use except as noted, and reading the metrics never blocks.
 package telemetry
 
 import (
@@ -16,35 +16,35 @@
 )
 
 const (
-	prefix = "edge_balancer" // of all names
-	label  = "lane"          // names the class
+	namespace  = "edge_balancer" // prefix of all metric names
+	classLabel = "lane"          // the label that holds the class's name
 )
 
-// Counts holds the figures. Every count begins at 0.
+// Counts holds the metrics. Every counter starts at 0.
 type Counts struct {
-	registry *prometheus.Registry
-	byClass  [outcomes]*prometheus.CounterVec
-	classes  atomic.Pointer[[]series] // by the class's number
-	pending  prometheus.Gauge
-	members  prometheus.Gauge
-	avoided  prometheus.Gauge
-	taken    prometheus.Counter
-	refused  prometheus.Counter
+	registry     *prometheus.Registry
+	byClass      [numOutcomes]*prometheus.CounterVec
+	classes      atomic.Pointer[[]series] // by class number
+	pending      prometheus.Gauge
+	members      prometheus.Gauge
+	unavailable  prometheus.Gauge
+	reloads      prometheus.Counter
+	reloadErrors prometheus.Counter
 }
 
-// The counts of each class.
+// Indices of the counters of each class.
 const (
 	completed = iota
 	rejected
 	failed
 	sent
-	outcomes
+	numOutcomes
 )
 
-// series are the counts of one class.
-type series [outcomes]prometheus.Counter
+// series holds the counters of one class, by outcome.
+type series [numOutcomes]prometheus.Counter
 
-// New makes the figures. There are no classes yet.
+// New returns metrics without any classes.
 func New() *Counts {
 	c := &Counts{registry: prometheus.NewRegistry()}
 	for i, f := range []struct{ name, help string }{
@@ -53,30 +53,31 @@
 		{"failed", "Jobs that ended otherwise."},
 		{"upstream_requests", "Attempts written whole to runners."},
 	} {
-		c.byClass[i] = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: prefix, Name: f.name, Help: f.help}, []string{label})
+		c.byClass[i] = prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: f.name, Help: f.help}, []string{classLabel})
 		c.registry.MustRegister(c.byClass[i])
 	}
 	gauge := func(name, help string) prometheus.Gauge {
-		g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: prefix, Name: name, Help: help})
+		g := prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help})
 		c.registry.MustRegister(g)
 		return g
 	}
 	counter := func(name, help string) prometheus.Counter {
-		n := prometheus.NewCounter(prometheus.CounterOpts{Namespace: prefix, Name: name, Help: help})
+		n := prometheus.NewCounter(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help})
 		c.registry.MustRegister(n)
 		return n
 	}
 	c.pending = gauge("pending", "Jobs taken and not yet ended.")
 	c.members = gauge("members", "Runners in the list.")
-	c.avoided = gauge("members_unavailable", "Listed runners that get no new work now, by hand or by choice.")
-	c.taken = counter("config_reloads", "Configuration files taken at SIGHUP.")
-	c.refused = counter("config_reload_errors", "Configuration files turned down at SIGHUP.")
+	c.unavailable = gauge("members_unavailable", "Listed runners that get no new work now, by hand or by choice.")
+	c.reloads = counter("config_reloads", "Configuration files taken at SIGHUP.")
+	c.reloadErrors = counter("config_reload_errors", "Configuration files turned down at SIGHUP.")
 	c.classes.Store(&[]series{})
 	return c
 }
 
-// Classes sets the names of the classes, by their numbers. Names are only ever added,
-// so series stay; each begins at 0. One goroutine at a time may call it.
+// Classes sets the names of the classes, indexed by class number. Classes are only ever added, so
+// that existing series are kept; each new counter starts at 0. It must not be called concurrently
+// with itself.
 func (c *Counts) Classes(names []string) {
 	var all []series
 	for _, name := range names {
@@ -89,46 +90,48 @@
 	c.classes.Store(&all)
 }
 
-// count counts an outcome of a class, given by its number.
+// count increments the counter of a class, given by its number, for an outcome.
 func (c *Counts) count(class, outcome int) { (*c.classes.Load())[class][outcome].Inc() }
 
 // Completed counts a job that was served.
 func (c *Counts) Completed(class int) { c.count(class, completed) }
 
-// Rejected counts a job that was rejected, so that a retry is harmless.
+// Rejected counts a job that was rejected, for which a retry is safe.
 func (c *Counts) Rejected(class int) { c.count(class, rejected) }
 
-// Failed counts a job that ended otherwise.
+// Failed counts a job that ended in any other way.
 func (c *Counts) Failed(class int) { c.count(class, failed) }
 
-// Sent counts an attempt whose last byte has been written to a runner.
+// Sent counts an attempt whose request has been written completely to a runner.
 func (c *Counts) Sent(class int) { c.count(class, sent) }
 
-// Pending counts a job that was taken, or with -1 one that has ended.
+// Pending adds to the number of jobs in progress: 1 for a job that was accepted, -1 for one that
+// has ended.
 func (c *Counts) Pending(change int) { c.pending.Add(float64(change)) }
 
-// Members sets how many workers are listed, and how many of them get no new work.
+// Members sets the number of listed runners, and how many of them get no new work.
 func (c *Counts) Members(listed, unavailable int) {
 	c.members.Set(float64(listed))
-	c.avoided.Set(float64(unavailable))
+	c.unavailable.Set(float64(unavailable))
 }
 
-// Reloaded counts a configuration file that was put in force, or with false rejected.
+// Reloaded counts a reload of the configuration file that succeeded or, if ok is false, was
+// rejected.
 func (c *Counts) Reloaded(ok bool) {
 	if ok {
-		c.taken.Inc()
+		c.reloads.Inc()
 	} else {
-		c.refused.Inc()
+		c.reloadErrors.Inc()
 	}
 }
 
-// Stored adds the figures of a process that may serve from a stored list: the list's
-// age, 0 while discovery has confirmed it, and how many of its workers get work or do
-// not yet. Status is called at each reading. Stored may be called once.
+// Stored registers the metrics of a process that may serve from a stored list of runners: the age
+// of the list, 0 once discovery has confirmed it, and how many of its runners get work or are
+// withheld. Status is called on each scrape. Stored must be called at most once.
 func (c *Counts) Stored(status func() (age time.Duration, used, withheld int)) {
-	gauge := func(name, help string, of func(age time.Duration, used, withheld int) float64) {
-		c.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: prefix, Name: name, Help: help},
-			func() float64 { return of(status()) }))
+	gauge := func(name, help string, value func(age time.Duration, used, withheld int) float64) {
+		c.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help},
+			func() float64 { return value(status()) }))
 	}
 	gauge("stored_list_age_seconds", "Age of the stored list that is served from; 0 for none.",
 		func(age time.Duration, _, _ int) float64 { return age.Seconds() })
@@ -138,7 +141,7 @@
 		func(_ time.Duration, _, withheld int) float64 { return float64(withheld) })
 }
 
-// Handler returns the handler that writes the figures in Prometheus's text format.
+// Handler returns an HTTP handler that writes the metrics in the Prometheus text format.
 func (c *Counts) Handler() http.Handler {
 	return promhttp.HandlerFor(c.registry, promhttp.HandlerOpts{DisableCompression: true})
 }
