--- a/internal/dispatcher/measures/instruments.go
+++ b/internal/dispatcher/measures/instruments.go
@@ -7,7 +7,8 @@
 	"go.opentelemetry.io/otel/metric"
 )
 
-// addInstruments makes the instruments. Their names, units and descriptions are part of what docs/telemetry.md promises.
+// addInstruments creates the instruments. Their names, units and descriptions are documented in
+// docs/telemetry.md.
 func (s *Set) addInstruments(meter metric.Meter) error {
 	if err := s.addRequestInstruments(meter); err != nil {
 		return err
@@ -18,7 +19,7 @@
 	return s.addExporterInstruments(meter)
 }
 
-// addRequestInstruments makes the instruments that Add records to.
+// addRequestInstruments creates the instruments that Add records to.
 func (s *Set) addRequestInstruments(meter metric.Meter) (err error) {
 	s.duration, err = meter.Float64Histogram("http.server.request.duration", metric.WithUnit("s"),
 		metric.WithDescription("From a request's coming to its one final answer."))
@@ -45,7 +46,7 @@
 	return err
 }
 
-// addBackendGauges makes the gauges of the loads.
+// addBackendGauges creates the gauges of the backends' loads.
 func (s *Set) addBackendGauges(meter metric.Meter) error {
 	_, err := meter.Int64ObservableGauge("frosttide.tokens.held", metric.WithUnit("{token}"),
 		metric.WithDescription("Tokens of a target that are out."),
@@ -59,17 +60,17 @@
 	return err
 }
 
-// observeLoads returns a callback that observes a figure of each backend.
-func (s *Set) observeLoads(figure func(Load) int) metric.Int64Callback {
+// observeLoads returns a callback that observes one value of each backend's load.
+func (s *Set) observeLoads(value func(Load) int) metric.Int64Callback {
 	return func(_ context.Context, o metric.Int64Observer) error {
 		for _, l := range s.loads {
-			o.Observe(int64(figure(l)), s.option(series{byBackend, l.Backend, "", ""}).(metric.ObserveOption))
+			o.Observe(int64(value(l)), s.option(series{byBackend, l.Backend, "", ""}).(metric.ObserveOption))
 		}
 		return nil
 	}
 }
 
-// addExporterInstruments makes the instruments of the export itself.
+// addExporterInstruments creates the instruments of the export itself.
 func (s *Set) addExporterInstruments(meter metric.Meter) error {
 	_, err := meter.Int64ObservableGauge("frosttide.export.queued", metric.WithUnit("{story}"),
 		metric.WithDescription("Stories that wait for their export."),
@@ -103,15 +104,15 @@
 	return nil
 }
 
-// observe returns a callback that observes one figure.
-func observe(figure func() int) metric.Int64Callback {
+// observe returns a callback that observes a single value.
+func observe(value func() int) metric.Int64Callback {
 	return func(_ context.Context, o metric.Int64Observer) error {
-		o.Observe(int64(figure()))
+		o.Observe(int64(value()))
 		return nil
 	}
 }
 
-// observeCounts returns a callback that observes counts by a label.
+// observeCounts returns a callback that observes counts by the value of an attribute.
 func observeCounts(label string, counts func() map[string]int64) metric.Int64Callback {
 	return func(_ context.Context, o metric.Int64Observer) error {
 		for value, n := range counts() {
@@ -121,13 +122,14 @@
 	}
 }
 
-// series identifies a set of attributes: its kind and up to three values. Making the set costs more than finding it.
+// series identifies an attribute set by its kind and up to three values. It is a cache key, as
+// building the set costs more than looking it up.
 type series struct {
 	kind    seriesKind
 	a, b, c string
 }
 
-// seriesKind says which attributes the values of a series are.
+// seriesKind tells which attributes the values of a series belong to.
 type seriesKind uint8
 
 // The kinds of series.
@@ -139,21 +141,21 @@
 	byBackend                   // backend
 )
 
-// option returns the attributes of a series. It keeps those that it has made up to a bound, past which it starts anew, as
-// the names of backends that come and go are without a bound.
-func (s *Set) option(k series) metric.MeasurementOption {
-	if o := s.attributeSets[k]; o != nil {
-		return o
+// option returns the attribute set of a series as a measurement option. Sets are cached up to a
+// bound and the cache is then cleared, as the number of backend names over time is unbounded.
+func (s *Set) option(key series) metric.MeasurementOption {
+	if option := s.attributeSets[key]; option != nil {
+		return option
 	}
 	if len(s.attributeSets) >= 2*maxSeries {
 		clear(s.attributeSets)
 	}
-	o := metric.WithAttributeSet(attribute.NewSet(k.attributes()...))
-	s.attributeSets[k] = o
-	return o
+	option := metric.WithAttributeSet(attribute.NewSet(key.attributes()...))
+	s.attributeSets[key] = option
+	return option
 }
 
-// attributes returns the attributes of a series by their exported names.
+// attributes returns the attributes of a series under their exported names.
 func (k series) attributes() []attribute.KeyValue {
 	switch k.kind {
 	case byRequest:
--- a/internal/dispatcher/measures/measures.go
+++ b/internal/dispatcher/measures/measures.go
@@ -1,9 +1,10 @@
-// Package measures makes figures of the records of requests: how long requests took and how they ended, by class and
-// result, and how attempts went, by backend. Package export's actor calls it and exports what Collect returns. The
-// histograms and their exemplars are those of OpenTelemetry's SDK; the figures that the console shows are package
-// telemetry's.
+// Package measures derives metrics from the records of requests: durations and results by class,
+// and outcomes of attempts by backend. The actor of package export records to it and exports what
+// Collect returns. Histograms and exemplars are those of the OpenTelemetry SDK; the metrics that
+// the console serves are in package telemetry.
 //
-// A Set bounds its memory whatever names of classes and backends come. It is for one goroutine.
+// A Set bounds its memory regardless of the names of classes and backends. It is not safe for
+// concurrent use.
 package measures
 
 import (
@@ -22,28 +23,29 @@
 )
 
 const (
-	// maxSeries bounds the series of each figure. All others past it are one, marked otel.metric.overflow.
+	// maxSeries bounds the series of each metric. All further ones are merged into one series with
+	// the attribute otel.metric.overflow.
 	maxSeries = 2500
-	// requestBuckets and backendBuckets bound the memory of a histogram. Over values of which the highest is a
-	// thousand times the lowest, 160 buckets have an error of 4 %, and 24 of 25 %.
+	// requestBuckets and backendBuckets bound the memory of a histogram. If the highest value is a
+	// thousand times the lowest, 160 buckets have an error of 4 %, and 24 buckets one of 25 %.
 	requestBuckets = 160
 	backendBuckets = 24
 )
 
-// Load is how much of a backend this process uses.
+// Load is the current use of a backend by this process.
 type Load struct {
 	Backend      string
-	InUse, Limit int // tokens
+	InUse, Limit int // in tokens
 }
 
-// Exporter holds the export's figures of itself.
+// Exporter holds the metrics of the export itself.
 type Exporter struct {
-	Queued, QueuedBytes int              // records that wait
+	Queued, QueuedBytes int              // records that wait for export
 	Sent, Retried       map[string]int64 // by signal
 	Dropped             map[string]int64 // by reason
 }
 
-// Set holds the figures of a process.
+// Set holds the instruments of a process and their state.
 type Set struct {
 	reader     *sdk.ManualReader
 	provider   *sdk.MeterProvider
@@ -53,12 +55,13 @@
 	attempts   metric.Int64Counter
 	startDelay metric.Float64Histogram
 
-	loads         []Load   // of the current Collect
-	exporter      Exporter // of the current Collect
-	attributeSets map[series]metric.MeasurementOption
+	loads         []Load                              // observed by the current Collect
+	exporter      Exporter                            // observed by the current Collect
+	attributeSets map[series]metric.MeasurementOption // cache, bounded by option
 }
 
-// New makes a set. With delta each Collect returns what has been added since the one before, else since New.
+// New returns an empty set. If delta is true, each Collect returns the changes since the previous
+// one, else the totals since New. It fails if an instrument can't be created.
 func New(delta bool) (*Set, error) {
 	s := &Set{
 		reader:        sdk.NewManualReader(sdk.WithTemporalitySelector(temporalityOf(delta))),
@@ -68,12 +71,13 @@
 		sdk.WithExemplarFilter(exemplar.TraceBasedFilter), sdk.WithCardinalityLimit(maxSeries),
 		sdk.WithView(histogramView("http.server.request.duration", requestBuckets), histogramView("frosttide.hop.start", backendBuckets)))
 	if err := s.addInstruments(s.provider.Meter("frosttide")); err != nil {
-		return nil, fmt.Errorf("making the figures: %w", err)
+		return nil, fmt.Errorf("creating the metric instruments: %w", err)
 	}
 	return s, nil
 }
 
-// temporalityOf returns which figures Collect returns as changes. Gauges and up-down counters are always totals.
+// temporalityOf returns the temporality of each kind of instrument. Up-down counters are always
+// cumulative, and gauges have no temporality.
 func temporalityOf(delta bool) sdk.TemporalitySelector {
 	return func(kind sdk.InstrumentKind) metricdata.Temporality {
 		if delta && kind != sdk.InstrumentKindObservableUpDownCounter && kind != sdk.InstrumentKindUpDownCounter {
@@ -83,13 +87,14 @@
 	}
 }
 
-// histogramView has a histogram use exponential buckets.
+// histogramView configures a histogram to use exponential buckets.
 func histogramView(name string, buckets int32) sdk.View {
 	return sdk.NewView(sdk.Instrument{Name: name}, sdk.Stream{
 		Aggregation: sdk.AggregationBase2ExponentialHistogram{MaxSize: buckets, MaxScale: 20}})
 }
 
-// Add counts a request that has ended. Kept says whether its trace is exported, so that a histogram may refer to it.
+// Add records a request that has ended. Kept tells whether its trace is exported, so that
+// histograms can refer to it in an exemplar.
 func (s *Set) Add(record *trace.Record, kept bool) {
 	ctx := context.Background()
 	if kept {
@@ -111,19 +116,20 @@
 	}
 }
 
-// Collect returns all figures, with those of the backends and the export as they are now.
+// Collect returns all metrics, including the given current loads of the backends and the metrics of
+// the export.
 func (s *Set) Collect(loads []Load, e Exporter) (*metricdata.ResourceMetrics, error) {
 	s.loads, s.exporter = loads, e
 	var out metricdata.ResourceMetrics
 	if err := s.reader.Collect(context.Background(), &out); err != nil {
-		return nil, fmt.Errorf("collecting the figures: %w", err)
+		return nil, fmt.Errorf("reading the metric instruments: %w", err)
 	}
 	return &out, nil
 }
 
-// Close releases the SDK's resources by the deadline. The set must not be used any more.
+// Close releases the resources of the SDK by the deadline. The set must not be used afterwards.
 func (s *Set) Close(deadline time.Time) {
 	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	_ = s.provider.Shutdown(ctx) // it holds no file or socket
+	_ = s.provider.Shutdown(ctx) // nothing to handle: it holds no file or socket
 }
