--- a/internal/dispatcher/loadreport/loadreport.go
+++ b/internal/dispatcher/loadreport/loadreport.go
@@ -1,5 +1,5 @@
-// Package loadreport reads the load reports of runners, which are JSON objects or the value of a header. The connections
-// to runners use it. It is safe for concurrent use.
+// Package loadreport parses the load reports of runners, which are JSON objects or header values.
+// The connections to runners use it. Its functions are safe for concurrent use.
 package loadreport
 
 import (
@@ -10,11 +10,12 @@
 	"strings"
 )
 
-// Parse reads a report in the form of a JSON object or of the header, as some runners write the body of /_load, and
-// returns its values in the order of columns. A value that is missing is NaN, so that such a runner looks neither full
-// nor empty. It returns nil if there is no report or no column.
+// Parse parses a report that is a JSON object or has the form of the header, which some runners
+// also use in the body of /_load. It returns the report's values in the order of columns. A missing
+// value is NaN, so that the runner looks neither full nor idle. It returns nil if there is no
+// report or no column.
 func Parse(text []byte, columns []string) []float32 {
-	if bytes.HasPrefix(text, []byte(headerForm)) {
+	if bytes.HasPrefix(text, []byte(headerPrefix)) {
 		return ParseHeader(string(text), columns)
 	}
 	var values map[string]any
@@ -30,12 +31,13 @@
 	return load
 }
 
-// headerForm is the start of a report that is name=value pairs.
-const headerForm = "TEXT "
+// headerPrefix starts a report that consists of name=value pairs.
+const headerPrefix = "TEXT "
 
-// ParseHeader reads a report in the form "TEXT name=value, name=value" and returns it as Parse does.
+// ParseHeader parses a report of the form "TEXT name=value, name=value" and returns its values as
+// Parse does.
 func ParseHeader(text string, columns []string) []float32 {
-	text, ok := strings.CutPrefix(text, headerForm)
+	text, ok := strings.CutPrefix(text, headerPrefix)
 	if !ok || len(columns) == 0 {
 		return nil
 	}
@@ -52,7 +54,7 @@
 	return load
 }
 
-// unknownValues returns a report all of whose values are missing.
+// unknownValues returns n values that are all missing, that is, NaN.
 func unknownValues(n int) []float32 {
 	load := make([]float32, n)
 	for i := range load {
--- a/internal/dispatcher/loadreport/loadreport_test.go
+++ b/internal/dispatcher/loadreport/loadreport_test.go
@@ -8,7 +8,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 )
 
-// TestParse has reports read in both forms, and a missing value be NaN.
+// TestParse checks that reports are parsed in both forms, and that a missing value is NaN.
 func TestParse(t *testing.T) {
 	nan := float32(math.NaN())
 	columns := []string{"queue", "latency_ms", "x0"}
@@ -25,23 +25,23 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if diff := cmp.Diff(tc.want, Parse([]byte(tc.text), columns), cmpopts.EquateNaNs()); diff != "" {
-				t.Errorf("(-want +got):\n%s", diff)
+				t.Errorf("values (-want +got):\n%s", diff)
 			}
 		})
 	}
 	if got := Parse([]byte("TEXT queue=2"), nil); got != nil {
-		t.Errorf("without columns: %v, want nothing", got)
+		t.Errorf("without columns: got %v, want nil", got)
 	}
 }
 
-// FuzzParse has any report return nil or as many values as there are columns.
+// FuzzParse checks that any report yields nil or as many values as there are columns.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"x0":3,"queue":1}`))
 	f.Add([]byte("TEXT queue=2, latency_ms=64.5, x0=3.5"))
 	f.Add([]byte("TEXT x0=nan,queue=1e999,=,"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		if got := Parse(text, []string{"queue", "x0"}); got != nil && len(got) != 2 {
-			t.Errorf("%q leads to %v", text, got)
+			t.Errorf("Parse(%q) = %v, want nil or 2 values", text, got)
 		}
 	})
 }
