--- a/cmd/frosttide/process.go
+++ b/cmd/frosttide/process.go
@@ -89,7 +89,7 @@
 		return err
 	}
 	p.counts = telemetry.New()
-	p.counts.Classes(p.cfg.Names.Classes)
+	p.counts.SetClasses(p.cfg.Names.Classes)
 	p.peers = openPeers(p.cfg, p.part("cluster"))
 	p.makeRouteTable()
 	p.makeFleet()
@@ -173,7 +173,7 @@
 
 func (p *process) makeCore() (err error) {
 	p.backends = &backends{Fleet: p.fleet}
-	p.core, err = core.New(p.cfg.Module, p.cfg.Seed, p.backends, p.table, p.counts.Members, p.part("core"))
+	p.core, err = core.New(p.cfg.Module, p.cfg.Seed, p.backends, p.table, p.counts.SetMembers, p.part("core"))
 	if err != nil {
 		return err
 	}
--- a/cmd/frosttide/reload.go
+++ b/cmd/frosttide/reload.go
@@ -42,7 +42,7 @@
 		p.peers.applySettings(cfg)
 	}
 	p.core.ApplySettings(cfg.Module)
-	p.counts.Classes(cfg.Names.Classes)
+	p.counts.SetClasses(cfg.Names.Classes)
 	p.front.SetClasses(ingressClasses(cfg))
 	p.front.SetTenants(cfg.Names.Tenants)
 	if p.gearman != nil {
--- a/cmd/frosttide/storedstate.go
+++ b/cmd/frosttide/storedstate.go
@@ -75,7 +75,7 @@
 	rosterCfg.Classes = func() []string { return *s.classes.Load() }
 	r := roster.New(rosterCfg, c, table, roster.NewHTTPProber(cfg.Module.Limits.ProbeAllowed), s.writer, table.Parse, s.log)
 	c.SetWorkerObserver(r)
-	counts.Stored(func() (time.Duration, int, int) {
+	counts.RegisterStoredList(func() (time.Duration, int, int) {
 		status := r.Status()
 		return status.Age, status.Used, status.Withheld
 	})
--- a/internal/dispatcher/telemetry/telemetry.go
+++ b/internal/dispatcher/telemetry/telemetry.go
@@ -3,7 +3,7 @@
 // console.
 //
 // Names and labels of the metrics are part of the program's interface. All methods are safe for
-// concurrent use except as noted, and reading the metrics never blocks.
+// concurrent use except SetClasses, and reading the metrics never blocks.
 package telemetry
 
 import (
@@ -75,10 +75,10 @@
 	return c
 }
 
-// Classes sets the names of the classes, indexed by class number. Classes are only ever added, so
-// that existing series are kept; each new counter starts at 0. It must not be called concurrently
-// with itself.
-func (c *Counts) Classes(names []string) {
+// SetClasses sets the names of the classes, indexed by class number. Classes are only ever added,
+// so that existing series are kept; each new counter starts at 0. It must not be called
+// concurrently with itself.
+func (c *Counts) SetClasses(names []string) {
 	var all []series
 	for _, name := range names {
 		var s series
@@ -109,8 +109,8 @@
 // has ended.
 func (c *Counts) Pending(change int) { c.pending.Add(float64(change)) }
 
-// Members sets the number of listed runners, and how many of them get no new work.
-func (c *Counts) Members(listed, unavailable int) {
+// SetMembers sets the number of listed runners, and how many of them get no new work.
+func (c *Counts) SetMembers(listed, unavailable int) {
 	c.members.Set(float64(listed))
 	c.unavailable.Set(float64(unavailable))
 }
@@ -125,10 +125,10 @@
 	}
 }
 
-// Stored registers the metrics of a process that may serve from a stored list of runners: the age
-// of the list, 0 once discovery has confirmed it, and how many of its runners get work or are
-// withheld. Status is called on each scrape. Stored must be called at most once.
-func (c *Counts) Stored(status func() (age time.Duration, used, withheld int)) {
+// RegisterStoredList registers the metrics of a process that may serve from a stored list of
+// runners: the age of the list, 0 once discovery has confirmed it, and how many of its runners get
+// work or are withheld. Status is called on each scrape. It must be called at most once.
+func (c *Counts) RegisterStoredList(status func() (age time.Duration, used, withheld int)) {
 	gauge := func(name, help string, value func(age time.Duration, used, withheld int) float64) {
 		c.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help},
 			func() float64 { return value(status()) }))
--- a/internal/testkit/compatibility/dispatcher/telemetry_test.go
+++ b/internal/testkit/compatibility/dispatcher/telemetry_test.go
@@ -22,14 +22,14 @@
 // TestCompatibilityConsoleFigures has the operators' figures keep their names, labels, types and help.
 func TestCompatibilityConsoleFigures(t *testing.T) {
 	counts := telemetry.New()
-	counts.Classes([]string{"render", "release"})
-	counts.Stored(func() (time.Duration, int, int) { return 90 * time.Second, 3, 2 })
+	counts.SetClasses([]string{"render", "release"})
+	counts.RegisterStoredList(func() (time.Duration, int, int) { return 90 * time.Second, 3, 2 })
 	counts.Completed(0)
 	counts.Rejected(1)
 	counts.Failed(0)
 	counts.Sent(1)
 	counts.Pending(4)
-	counts.Members(7, 5)
+	counts.SetMembers(7, 5)
 	counts.Reloaded(true)
 	counts.Reloaded(false)
 	answer := httptest.NewRecorder()
