--- a/internal/dispatcher/export/actor.go
+++ b/internal/dispatcher/export/actor.go
@@ -38,7 +38,7 @@
 	loads      atomic.Pointer[[]measures.Load]
 	flush      chan struct{} // closed to send without waiting for full batches
 	flushOnce  sync.Once
-	stop       chan time.Time // receives the deadline of the shutdown
+	stop       chan time.Time // receives the deadline for draining
 	done       chan struct{}  // closed when the actor has ended
 
 	pipelines []*pipeline
@@ -272,13 +272,13 @@
 	return false
 }
 
-// logDropped logs how many records are dropped because the shutdown deadline has passed.
+// logDropped logs how many records are dropped because the deadline for draining has passed.
 func (a *actor) logDropped() {
 	dropped := 0
 	for _, p := range a.pipelines {
 		dropped += p.queue.Len() + p.inFlight
 	}
 	if dropped > 0 {
-		a.log.WithFields(logrus.Fields{"stories": dropped, "reason": droppedAtExit}).Warn("records not exported before shutdown")
+		a.log.WithFields(logrus.Fields{"stories": dropped, "reason": droppedAtExit}).Warn("records not exported before the deadline")
 	}
 }
--- a/internal/dispatcher/export/pipeline.go
+++ b/internal/dispatcher/export/pipeline.go
@@ -102,7 +102,7 @@
 	p.jobs <- j
 }
 
-// hanging reports whether shutdown should not wait for the assigned job: the previous job failed or
+// hanging reports whether draining should not wait for the assigned job: the previous job failed or
 // this one takes too long.
 func (p *pipeline) hanging() bool {
 	return p.failing || time.Since(p.assignedAt) > hangTimeout+p.delay
--- a/internal/dispatcher/otlp/attributes.go
+++ b/internal/dispatcher/otlp/attributes.go
@@ -32,6 +32,7 @@
 	a.put(key, &commonpb.AnyValue{Value: &commonpb.AnyValue_BoolValue{BoolValue: value}})
 }
 
+// put appends an attribute with an encoded value.
 func (a *Attributes) put(key string, value *commonpb.AnyValue) {
 	*a = append(*a, &commonpb.KeyValue{Key: key, Value: value})
 }
--- a/internal/dispatcher/otlp/metrics.go
+++ b/internal/dispatcher/otlp/metrics.go
@@ -58,6 +58,7 @@
 	return nil
 }
 
+// temporality converts the SDK's temporality to that of OTLP.
 func temporality(t metricdata.Temporality) pmetric.AggregationTemporality {
 	if t == metricdata.DeltaTemporality {
 		return pmetric.AggregationTemporalityDelta
--- a/internal/dispatcher/trace/context.go
+++ b/internal/dispatcher/trace/context.go
@@ -58,6 +58,7 @@
 // UnmarshalText parses the form that MarshalText returns.
 func (id *SpanID) UnmarshalText(text []byte) error { return parseHex(id[:], string(text)) }
 
+// errInvalidHex is wrapped by the errors of parseHex.
 var errInvalidHex = errors.New("not lower-case hexadecimal digits of the right number")
 
 // parseHex decodes hexadecimal digits into dst. Upper-case digits are rejected, as the traceparent
--- a/internal/dispatcher/trace/queue.go
+++ b/internal/dispatcher/trace/queue.go
@@ -18,6 +18,7 @@
 	first int
 }
 
+// len returns the number of records in the queue.
 func (f *fifo) len() int { return len(f.items) - f.first }
 
 // pop removes and returns the oldest record. Once half of the slice is unused, the rest is moved to
--- a/internal/dispatcher/trace/record.go
+++ b/internal/dispatcher/trace/record.go
@@ -43,7 +43,7 @@
 	Keyed       bool          `json:"keyed,omitempty"`
 	ClientRetry bool          `json:"repeat,omitempty"` // the client marked it as a retry
 	RetryKey    uint64        `json:"try,omitempty"`    // shared by a client's tries of one job; 0 if unknown
-	RetryWindow time.Duration `json:"window"`           // later retries are not linked to this request
+	RetryWindow time.Duration `json:"window"`           // for how long retries are linked to this request
 
 	Received   time.Duration `json:"came"`
 	Deadline   time.Duration `json:"deadline"`
