--- a/internal/dispatcher/gearman/admin.go
+++ b/internal/dispatcher/gearman/admin.go
@@ -7,30 +7,30 @@
 	"strings"
 )
 
-// admin answers a line of the administrative protocol.
-func (x *session) admin(line string) {
+// handleAdmin handles one line of the administrative protocol and queues its response.
+func (sess *session) handleAdmin(line string) {
 	words := strings.Fields(line)
 	if len(words) == 0 {
 		return
 	}
 	switch strings.ToLower(words[0]) {
 	case "version":
-		x.sendLine("OK frosttide\n")
+		sess.sendLine("OK frosttide\n")
 	case "status":
-		x.server.mailbox.Put(func(s *Server) { x.sendLine(s.statusText()) })
+		sess.server.mailbox.Put(func(s *Server) { sess.sendLine(s.statusText()) })
 	case "workers":
-		x.server.mailbox.Put(func(s *Server) { s.workersText(x) })
+		sess.server.mailbox.Put(func(s *Server) { s.sendWorkers(sess) })
 	case "maxqueue":
-		x.sendLine("OK\n") // nothing is queued here: a job without a free slot is rejected
+		sess.sendLine("OK\n") // no effect: a job without a free slot is rejected, not queued
 	case "shutdown":
-		x.sendLine("ERR not_allowed shutting+down+is+the+service+manager's\n")
+		sess.sendLine("ERR not_allowed shutting+down+is+the+service+manager's\n")
 	default:
-		x.sendLine("ERR unknown_command Unknown+server+command\n")
+		sess.sendLine("ERR unknown_command Unknown+server+command\n")
 	}
 }
 
-// statusText returns a line for each function: its name, its open jobs, those that run, and the
-// workers that have it.
+// statusText returns the response to "status": for each function a line with its name, the number
+// of its open jobs, the number of those that are running, and the number of workers that can do it.
 func (s *Server) statusText() string {
 	total, running := map[string]int{}, map[string]int{}
 	for _, j := range s.jobs {
@@ -39,30 +39,31 @@
 			running[j.function]++
 		}
 	}
-	able := map[string]int{}
+	workers := map[string]int{}
 	s.mu.Lock()
-	for _, x := range s.sessions {
-		for _, name := range x.abilities() {
-			able[name]++
+	for _, sess := range s.sessions {
+		for _, name := range sess.abilities() {
+			workers[name]++
 		}
 	}
 	s.mu.Unlock()
 	var out strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(*s.functions.Load())) {
-		fmt.Fprintf(&out, "%s\t%d\t%d\t%d\n", name, total[name], running[name], able[name])
+		fmt.Fprintf(&out, "%s\t%d\t%d\t%d\n", name, total[name], running[name], workers[name])
 	}
 	return out.String() + ".\n"
 }
 
-// workersText sends a line for each connection: its number, address, id and functions.
-func (s *Server) workersText(to *session) {
+// sendWorkers sends the response to "workers": for each connection a line with its number, host,
+// worker uid and functions.
+func (s *Server) sendWorkers(sess *session) {
 	var lines []string
 	s.mu.Lock()
-	for _, x := range s.sessions {
-		host, _, _ := strings.Cut(x.conn.RemoteAddr().String(), ":")
-		lines = append(lines, fmt.Sprintf("%d %s %s : %s\n", x.number, host, x.name(), strings.Join(x.abilities(), " ")))
+	for _, peer := range s.sessions {
+		host, _, _ := strings.Cut(peer.conn.RemoteAddr().String(), ":")
+		lines = append(lines, fmt.Sprintf("%d %s %s : %s\n", peer.number, host, peer.displayUID(), strings.Join(peer.abilities(), " ")))
 	}
 	s.mu.Unlock()
 	slices.Sort(lines)
-	to.sendLine(strings.Join(lines, "") + ".\n")
+	sess.sendLine(strings.Join(lines, "") + ".\n")
 }
--- a/internal/dispatcher/gearman/clients.go
+++ b/internal/dispatcher/gearman/clients.go
@@ -15,59 +15,61 @@
 	"frosttide/internal/dispatcher/gearman/proto"
 )
 
-// job is a client's job from its submission until the core has responded. Clients that submit the
-// same unique id of a function meanwhile share the one job, as the protocol requires.
+// job is a client's job from its submission until the core's response. Clients that submit the same
+// function and unique id while it is open are attached to it, as the protocol requires.
 type job struct {
 	server      *Server
 	handle      string
 	function    string
-	id          string // unique id as the client sent it
-	key         string // in Server.unique; empty for none
+	uniqueID    string // as the client sent it, or made from the workload for "-"
+	uniqueKey   string // key in Server.unique; "" without a unique id
 	class       int
-	subscribers []*session // who gets its packets
-	background  bool       // somebody wants it done even if all subscribers leave
-	core        *core.Job
+	subscribers []*session // clients that receive packets about the job
+	background  bool       // not canceled when it has no subscriber left
+	coreJob     *core.Job
 	running     bool
-	done, of    int64 // progress as the worker reports it
+	done, total int64 // progress; total is 100 once a worker has reported any
 }
 
-// Respond passes the core's response to the server's actor.
+// Respond implements core.Ingress. It passes the core's final response to the goroutine of Run.
 func (j *job) Respond(response core.Response) {
 	j.server.mailbox.Put(func(s *Server) { s.jobEnded(j, response) })
 }
 
-// Stream passes an event of the running job to the server's actor.
+// Stream implements core.Streamer. It passes an event of the running job to the goroutine of Run.
 func (j *job) Stream(ev core.JobEvent) {
 	j.server.mailbox.Put(func(s *Server) { s.forwardEvent(j, ev) })
 }
 
-// submit checks a client's job and passes it to the server.
-func (x *session) submit(p *proto.Packet, background bool) error {
+// handleSubmit validates a client's job and passes it to the goroutine of Run. An invalid job is
+// answered with an ERROR packet.
+func (sess *session) handleSubmit(p *proto.Packet, background bool) error {
 	function, unique, body := string(p.Arg(0)), string(p.Arg(1)), bytes.Clone(p.Arg(2))
 	if len(function) > maxNameBytes || len(unique) > maxNameBytes {
-		x.sendError("too_long", fmt.Sprintf("a function's name and a unique id have at most %d bytes", maxNameBytes))
+		sess.sendError("too_long", fmt.Sprintf("a function's name and a unique id have at most %d bytes", maxNameBytes))
 		return nil
 	}
-	f, known := (*x.server.functions.Load())[function]
+	f, known := (*sess.server.functions.Load())[function]
 	switch {
 	case !known:
-		x.sendError("unknown_function", "no class is set for the function "+strconv.Quote(function))
+		sess.sendError("unknown_function", "no class is set for the function "+strconv.Quote(function))
 		return nil
 	case f.Keyed && (unique == "" || unique == "-"):
-		x.sendError("unique_missing", "the function needs a unique id, as it must not run twice")
+		sess.sendError("unique_missing", "the function needs a unique id, as it must not run twice")
 		return nil
-	case len(x.openJobs) >= maxOpenJobs:
-		x.sendError("too_many_jobs", fmt.Sprintf("at most %d jobs may be open on a connection", maxOpenJobs))
+	case len(sess.openJobs) >= maxOpenJobs:
+		sess.sendError("too_many_jobs", fmt.Sprintf("at most %d jobs may be open on a connection", maxOpenJobs))
 		return nil
 	}
 	arrivedAt := time.Now()
-	x.server.mailbox.Put(func(s *Server) { s.submitted(x, f, function, unique, body, background, arrivedAt) })
+	sess.server.mailbox.Put(func(s *Server) { s.submitJob(sess, f, function, unique, body, background, arrivedAt) })
 	return nil
 }
 
-// submitted creates a job, or adds the client to the open one of the same unique id.
-func (s *Server) submitted(x *session, f Function, function, unique string, body []byte, background bool, arrivedAt time.Time) {
-	if unique == "-" { // source: gearmand takes it for "the workload is the unique id"
+// submitJob creates a job, or attaches the client to the open job with the same function and unique
+// id. It rejects a new job above MaxJobs or after the deadline of a graceful shutdown.
+func (s *Server) submitJob(sess *session, f Function, function, unique string, body []byte, background bool, arrivedAt time.Time) {
+	if unique == "-" { // source: gearmand uses the workload as the unique id then
 		unique = strconv.FormatUint(hash(body), 16)
 	}
 	key := ""
@@ -75,124 +77,127 @@
 		key = function + "\x00" + unique
 	}
 	if j := s.unique[key]; key != "" && j != nil {
-		s.join(x, j, background)
+		s.attachClient(sess, j, background)
 		return
 	}
-	s.lastJob++
-	j := &job{server: s, handle: fmt.Sprintf("H:%s:%d", "frosttide", s.lastJob), function: function, id: unique, key: key,
+	s.lastJobNumber++
+	j := &job{server: s, handle: fmt.Sprintf("H:%s:%d", "frosttide", s.lastJobNumber), function: function, uniqueID: unique, uniqueKey: key,
 		class: f.Class, background: background}
 	if !background {
-		j.subscribers = []*session{x}
+		j.subscribers = []*session{sess}
 	}
-	shutdownBy := s.shutdownBy.Load()
+	shutdownDeadline := s.shutdownDeadline.Load()
 	switch {
 	case len(s.jobs) >= s.cfg.MaxJobs:
-		s.rejectJob(x, j, background, crowdedRetryAfter)
+		s.rejectJob(sess, j, background, overloadRetryAfter)
 		return
-	case shutdownBy != nil && !time.Now().Before(*shutdownBy):
-		s.rejectJob(x, j, background, 0)
+	case shutdownDeadline != nil && !time.Now().Before(*shutdownDeadline):
+		s.rejectJob(sess, j, background, 0)
 		return
 	}
-	j.core = newCoreJob(f, j, body, arrivedAt, shutdownBy)
+	j.coreJob = newCoreJob(f, j, body, arrivedAt, shutdownDeadline)
 	s.beginRecord(j, f, arrivedAt)
 	s.jobs[j.handle] = j
 	if key != "" {
 		s.unique[key] = j
 	}
 	s.counters.Pending(1)
-	s.sendCreated(x, j, background)
-	s.core.Submit(j.core, j)
+	s.sendCreated(sess, j, background)
+	s.core.Submit(j.coreJob, j)
 }
 
-// join adds a client to an open job of the unique id that it has submitted.
-func (s *Server) join(x *session, j *job, background bool) {
+// attachClient attaches a client to the open job whose unique id it has submitted.
+func (s *Server) attachClient(sess *session, j *job, background bool) {
 	j.background = j.background || background
-	if !background && !slices.Contains(j.subscribers, x) {
-		j.subscribers = append(j.subscribers, x)
+	if !background && !slices.Contains(j.subscribers, sess) {
+		j.subscribers = append(j.subscribers, sess)
 	}
-	s.sendCreated(x, j, background)
+	s.sendCreated(sess, j, background)
 }
 
-// newCoreJob returns the core's job for a client's job of a function. During a graceful shutdown its
-// deadline is not after the shutdown's.
-func newCoreJob(f Function, j *job, body []byte, arrivedAt time.Time, shutdownBy *time.Time) *core.Job {
-	c := &core.Job{ID: jobID(j.id), Method: "POST", Resource: "/" + f.Name + "/" + url.PathEscape(j.function), Body: body,
+// newCoreJob returns the job that is submitted to the core for j. During a graceful shutdown its
+// deadline is capped at that of the shutdown.
+func newCoreJob(f Function, j *job, body []byte, arrivedAt time.Time, shutdownDeadline *time.Time) *core.Job {
+	c := &core.Job{ID: jobID(j.uniqueID), Method: "POST", Resource: "/" + f.Name + "/" + url.PathEscape(j.function), Body: body,
 		Class: f.Class, Slots: max(f.Slots, 1), Deadline: arrivedAt.Add(f.Timeout)}
 	if f.Keyed {
-		c.Key = j.id
+		c.Key = j.uniqueID
 	}
-	if shutdownBy != nil && shutdownBy.Before(c.Deadline) {
-		c.Deadline, c.ProcessStopping = *shutdownBy, true
+	if shutdownDeadline != nil && shutdownDeadline.Before(c.Deadline) {
+		c.Deadline, c.ProcessStopping = *shutdownDeadline, true
 	}
 	return c
 }
 
-// beginRecord begins the span record of a job, if jobs are recorded.
+// beginRecord begins the span record of a job, if span records are exported.
 func (s *Server) beginRecord(j *job, f Function, arrivedAt time.Time) {
 	record := s.recorder.Begin(arrivedAt, "", "")
 	if record == nil {
 		return
 	}
-	record.Request, record.Class, record.Method, record.Value, record.Slots = j.core.ID, f.Name, "SUBMIT_JOB", f.Value, j.core.Slots
+	record.Request, record.Class, record.Method, record.Value, record.Slots = j.coreJob.ID, f.Name, "SUBMIT_JOB", f.Value, j.coreJob.Slots
 	record.Keyed, record.RetryWindow = f.Keyed, f.RetryWindow
-	if j.key != "" {
-		record.RetryKey = hash([]byte(j.key)) | 1
+	if j.uniqueKey != "" {
+		record.RetryKey = hash([]byte(j.uniqueKey)) | 1
 	}
-	j.core.Record = record
+	j.coreJob.Record = record
 }
 
-// sendCreated sends a client its job's handle, before any other packet about the job.
-func (s *Server) sendCreated(x *session, j *job, background bool) {
-	x.send(proto.JobCreated, []byte(j.handle))
+// sendCreated sends JOB_CREATED with the job's handle. It must precede any other packet about the
+// job.
+func (s *Server) sendCreated(sess *session, j *job, background bool) {
+	sess.send(proto.JobCreated, []byte(j.handle))
 	if !background {
-		x.post(func(x *session) { x.openJobs[j.handle] = true })
+		sess.post(func(sess *session) { sess.openJobs[j.handle] = true })
 	}
 }
 
-// rejectJob answers a job that the core never gets. The protocol has no rejection: the client gets
-// a handle, a warning that says when to retry, and the failure at once.
-func (s *Server) rejectJob(x *session, j *job, background bool, after time.Duration) {
+// rejectJob rejects a job without submitting it to the core. The protocol has no rejection, so a
+// foreground client is sent a handle, a warning with the retry delay, and WORK_FAIL.
+func (s *Server) rejectJob(sess *session, j *job, background bool, retryAfter time.Duration) {
 	s.counters.Rejected(j.class)
-	x.send(proto.JobCreated, []byte(j.handle))
+	sess.send(proto.JobCreated, []byte(j.handle))
 	if !background {
-		x.send(proto.WorkWarning, []byte(j.handle), rejectionText(after))
-		x.send(proto.WorkFail, []byte(j.handle))
+		sess.send(proto.WorkWarning, []byte(j.handle), rejectionText(retryAfter))
+		sess.send(proto.WorkFail, []byte(j.handle))
 	}
 }
 
-// crowdedRetryAfter is the retry delay that a client is sent when too many jobs are open.
-const crowdedRetryAfter = 500 * time.Millisecond
+// overloadRetryAfter is the retry delay that a client is sent when MaxJobs jobs are open.
+const overloadRetryAfter = 500 * time.Millisecond
 
-// rejectionText returns the text of the warning about a rejected job. Its seconds are those of the
-// HTTP front's Retry-After.
-func rejectionText(after time.Duration) []byte {
-	if after <= 0 {
+// rejectionText returns the text of the warning about a rejected job. The retry delay is in
+// seconds, like the Retry-After header of the HTTP front; zero or less omits it.
+func rejectionText(retryAfter time.Duration) []byte {
+	if retryAfter <= 0 {
 		return []byte("refused; trying again is harmless")
 	}
-	return []byte(fmt.Sprintf("refused; trying again is harmless; Retry-After: %.3f", after.Seconds()))
+	return []byte(fmt.Sprintf("refused; trying again is harmless; Retry-After: %.3f", retryAfter.Seconds()))
 }
 
-// jobID returns the id of a job: the unique id if it can be part of a header and a path, so that
-// the same job can't be open through both fronts at once.
+// jobID returns the core's id of a job. It is the unique id if that is valid in a header and a path
+// and has at most 128 bytes, so that the same job can't be open through both fronts at once;
+// otherwise a hash of it. A job without a unique id gets a random id.
 func jobID(unique string) string {
-	bad := strings.IndexFunc(unique, func(r rune) bool { return r <= ' ' || r >= 0x7f || r == '/' }) >= 0
+	invalid := strings.IndexFunc(unique, func(r rune) bool { return r <= ' ' || r >= 0x7f || r == '/' }) >= 0
 	switch {
 	case unique == "":
 		return fmt.Sprintf("gm-%016x", rand.Uint64())
-	case bad || len(unique) > 128:
+	case invalid || len(unique) > 128:
 		return fmt.Sprintf("gm-%016x", hash([]byte(unique)))
 	}
 	return unique
 }
 
-// hash returns the FNV-1a hash of a text.
+// hash returns the 64-bit FNV-1a hash of text.
 func hash(text []byte) uint64 {
 	h := fnv.New64a()
 	h.Write(text)
 	return h.Sum64()
 }
 
-// jobEnded sends the end of a job to its subscribers.
+// jobEnded removes a job after the core's response, counts its outcome and sends it to the
+// subscribers.
 func (s *Server) jobEnded(j *job, response core.Response) {
 	if s.jobs[j.handle] != j {
 		return
@@ -207,66 +212,69 @@
 		s.counters.Failed(j.class)
 	}
 	handle := []byte(j.handle)
-	for _, x := range j.subscribers {
+	for _, sess := range j.subscribers {
 		switch response.Verdict {
 		case core.Served:
 			last := response.Result
 			if response.Streamed {
 				last = response.Last
 			}
-			x.send(proto.WorkComplete, handle, last)
+			sess.send(proto.WorkComplete, handle, last)
 		case core.Rejected:
-			x.send(proto.WorkWarning, handle, rejectionText(response.RetryAfter))
-			x.send(proto.WorkFail, handle)
+			sess.send(proto.WorkWarning, handle, rejectionText(response.RetryAfter))
+			sess.send(proto.WorkFail, handle)
 		case core.Duplicate:
-			x.send(proto.WorkWarning, handle, []byte("a job of this id is open over another front"))
-			x.send(proto.WorkFail, handle)
+			sess.send(proto.WorkWarning, handle, []byte("a job of this id is open over another front"))
+			sess.send(proto.WorkFail, handle)
 		default:
-			x.send(proto.WorkFail, handle)
+			sess.send(proto.WorkFail, handle)
 		}
-		x.post(func(x *session) { delete(x.openJobs, j.handle) })
+		sess.post(func(sess *session) { delete(sess.openJobs, j.handle) })
 	}
 }
 
-// removeJob frees a job's handle and unique id; nothing else does.
+// removeJob removes a job from the indexes by handle and by unique id. It is the only place that
+// does.
 func (s *Server) removeJob(j *job) {
 	delete(s.jobs, j.handle)
-	if j.key != "" {
-		delete(s.unique, j.key)
+	if j.uniqueKey != "" {
+		delete(s.unique, j.uniqueKey)
 	}
 	s.counters.Pending(-1)
 }
 
-// forwardEvent sends an event of a running job to its subscribers.
+// forwardEvent sends an event of a running job to its subscribers; an exception only to those that
+// have requested exceptions.
 func (s *Server) forwardEvent(j *job, ev core.JobEvent) {
 	if s.jobs[j.handle] != j {
 		return
 	}
 	j.running = true
 	handle := []byte(j.handle)
-	for _, x := range j.subscribers {
+	for _, sess := range j.subscribers {
 		switch ev.State {
 		case core.JobRunning:
-			j.done, j.of = int64(ev.Share*100), 100
-			x.send(proto.WorkStatus, handle, strconv.AppendInt(nil, j.done, 10), strconv.AppendInt(nil, j.of, 10))
+			j.done, j.total = int64(ev.Share*100), 100
+			sess.send(proto.WorkStatus, handle, strconv.AppendInt(nil, j.done, 10), strconv.AppendInt(nil, j.total, 10))
 		case core.JobData:
-			x.send(proto.WorkData, handle, ev.Result)
+			sess.send(proto.WorkData, handle, ev.Result)
 		case core.JobWarning:
-			x.send(proto.WorkWarning, handle, ev.Result)
+			sess.send(proto.WorkWarning, handle, ev.Result)
 		case core.JobException:
-			x.post(func(x *session) {
-				if x.exceptions {
-					x.send(proto.WorkException, handle, ev.Result)
+			sess.post(func(sess *session) {
+				if sess.exceptions {
+					sess.send(proto.WorkException, handle, ev.Result)
 				}
 			})
 		}
 	}
 }
 
-// clientLeft ends the jobs that nobody waits for any more after a client has left.
-func (s *Server) clientLeft(x *session) {
+// clientLeft removes a disconnected client from its jobs, and cancels each foreground job that has
+// no subscriber left.
+func (s *Server) clientLeft(sess *session) {
 	for _, j := range s.jobs {
-		i := slices.Index(j.subscribers, x)
+		i := slices.Index(j.subscribers, sess)
 		if i < 0 {
 			continue
 		}
@@ -274,44 +282,45 @@
 		if len(j.subscribers) == 0 && !j.background {
 			s.removeJob(j)
 			s.counters.Failed(j.class)
-			s.core.ClientLeft(j.core)
+			s.core.ClientLeft(j.coreJob)
 		}
 	}
 }
 
-// status answers GET_STATUS.
-func (s *Server) status(x *session, handle string) {
+// sendStatus sends the response to GET_STATUS.
+func (s *Server) sendStatus(sess *session, handle string) {
 	j := s.jobs[handle]
-	known, running, done, of := j.statusFields()
-	x.send(proto.StatusRes, []byte(handle), known, running, done, of)
+	known, running, done, total := j.statusFields()
+	sess.send(proto.StatusRes, []byte(handle), known, running, done, total)
 }
 
-// statusUnique answers GET_STATUS_UNIQUE.
-func (s *Server) statusUnique(x *session, unique string) {
+// sendStatusUnique sends the response to GET_STATUS_UNIQUE. If jobs of several functions have the
+// unique id, it describes the one with the lowest handle in string order.
+func (s *Server) sendStatusUnique(sess *session, unique string) {
 	var found *job
 	for _, j := range s.jobs {
-		if j.id == unique && (found == nil || j.handle < found.handle) {
+		if j.uniqueID == unique && (found == nil || j.handle < found.handle) {
 			found = j
 		}
 	}
-	known, running, done, of := found.statusFields()
+	known, running, done, total := found.statusFields()
 	clients := 0
 	if found != nil {
 		clients = len(found.subscribers)
 	}
-	x.send(proto.StatusResUnique, []byte(unique), known, running, done, of, strconv.AppendInt(nil, int64(clients), 10))
+	sess.send(proto.StatusResUnique, []byte(unique), known, running, done, total, strconv.AppendInt(nil, int64(clients), 10))
 }
 
-// statusFields returns the fields of a status packet; all are 0 for a job that is not known.
-func (j *job) statusFields() (known, running, done, of []byte) {
-	bit := func(b bool) []byte {
+// statusFields returns the fields of a status packet as text. All are 0 for a nil job.
+func (j *job) statusFields() (known, running, done, total []byte) {
+	boolField := func(b bool) []byte {
 		if b {
 			return []byte("1")
 		}
 		return []byte("0")
 	}
 	if j == nil {
-		return bit(false), bit(false), bit(false), bit(false)
+		return boolField(false), boolField(false), boolField(false), boolField(false)
 	}
-	return bit(true), bit(j.running), strconv.AppendInt(nil, j.done, 10), strconv.AppendInt(nil, j.of, 10)
+	return boolField(true), boolField(j.running), strconv.AppendInt(nil, j.done, 10), strconv.AppendInt(nil, j.total, 10)
 }
--- a/internal/dispatcher/gearman/limit_test.go
+++ b/internal/dispatcher/gearman/limit_test.go
@@ -5,19 +5,20 @@
 	"testing"
 )
 
-// TestUnread checks that a peer which sends requests and does not read, over either protocol, takes
-// bounded memory: above the limit nothing more is queued, and the connection is marked as broken.
-func TestUnread(t *testing.T) {
+// TestUnwrittenBytesAreLimited checks that a peer which sends requests but does not read the
+// responses, over either protocol, takes bounded memory: above maxUnwrittenBytes nothing more is
+// queued, and the connection is marked as overflowed.
+func TestUnwrittenBytesAreLimited(t *testing.T) {
 	for name, write := range map[string]func(*session){
-		"packets": func(x *session) { x.sendError("code", strings.Repeat("x", 1000)) },
-		"lines":   func(x *session) { x.sendLine(strings.Repeat("x", 1000)) },
+		"packets": func(sess *session) { sess.sendError("code", strings.Repeat("x", 1000)) },
+		"lines":   func(sess *session) { sess.sendLine(strings.Repeat("x", 1000)) },
 	} {
-		x := newSession(nil, 1, nil) // its write loop does not run
+		sess := newSession(nil, 1, nil) // writeLoop does not run, so nothing is written
 		for range 5000 {
-			write(x)
+			write(sess)
 		}
-		if !x.broken || len(x.out) > maxUnwrittenBytes+2000 {
-			t.Errorf("%s: %d bytes wait, closed %t", name, len(x.out), x.broken)
+		if !sess.overflowed || len(sess.out) > maxUnwrittenBytes+2000 {
+			t.Errorf("%s: got %d queued bytes and overflowed %t, want at most maxUnwrittenBytes+2000 and true", name, len(sess.out), sess.overflowed)
 		}
 	}
 }
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -1,10 +1,11 @@
-// Package gearman is the dispatcher's front for clients and workers of Gearman, in addition to the
-// platform's own protocol. It translates packets to the core's terms and back and makes no
-// scheduling decision: a worker's GRAB_JOB offers a free slot and does not choose a job.
+// Package gearman is the dispatcher's front for Gearman clients and workers, in addition to the
+// platform's HTTP protocol. It translates between packets and the core's jobs, attempts and events,
+// and makes no scheduling decision: the core selects the worker, and GRAB_JOB only fetches the job
+// that was offered to that worker.
 //
-// Each connection has a session, an actor that owns the state of its worker; the Server is the
-// actor that owns the clients' jobs. Actors talk by mailboxes, and none of them blocks the core.
-// The exported methods are safe for concurrent use.
+// Each connection has a session, whose goroutine owns the state of the client and worker on that
+// connection. The goroutine of Server.Run owns the clients' jobs. They exchange messages through
+// mailboxes and never block the core. All exported methods are safe for concurrent use.
 package gearman
 
 import (
@@ -28,19 +29,20 @@
 	"frosttide/internal/mailbox"
 )
 
-// Core takes what clients and workers report; the dispatcher's core implements it. None of its
-// methods blocks.
+// Core is the part of the dispatcher's core that the front uses. core.Core implements it and
+// documents its methods; none of them blocks.
 type Core interface {
 	Submit(*core.Job, core.Ingress)
 	ClientLeft(*core.Job)
-	Report(ev core.JobEvent, held func(core.ReportResult))
+	Report(ev core.JobEvent, onResult func(core.ReportResult))
 	AttemptAccepted(core.AttemptRef, core.Delivery)
 	AttemptEnded(core.AttemptRef, decision.Outcome, []float32, core.Delivery)
-	AttemptRecalled(ref core.AttemptRef, known bool)
+	AttemptRecalled(ref core.AttemptRef, confirmed bool)
 	RoutesChanged([]core.Route)
 }
 
-// Counters count how jobs end, by the number of their class.
+// Counters counts jobs by outcome and attempts sent to workers, by the index of the job class.
+// Pending adds a change to the number of open jobs.
 type Counters interface {
 	Completed(class int)
 	Rejected(class int)
@@ -49,39 +51,42 @@
 	Pending(change int)
 }
 
-// Recorder begins the span records of jobs, and takes those of jobs that the core never gets.
+// Recorder creates the span records of jobs. Begin returns nil while none are exported; parent and
+// state are the traceparent and tracestate headers of a request, which Gearman does not have. Ended
+// takes the record of a job that was not submitted to the core.
 type Recorder interface {
-	Begin(came time.Time, parent, state string) *trace.Record
+	Begin(received time.Time, parent, state string) *trace.Record
 	Ended(*trace.Record)
 }
 
 // Function maps a Gearman function to a job class.
 type Function struct {
-	Class       int
-	Name        string // of the class
-	Keyed       bool   // its jobs need a unique id, which is their key
-	Timeout     time.Duration
-	Value       float64
-	RetryWindow time.Duration // how long a job of the same unique id counts as a retry
-	Slots       float64
+	Class       int           // index of the class
+	Name        string        // name of the class
+	Keyed       bool          // jobs need a unique id, which is their idempotency key
+	Timeout     time.Duration // from the arrival of a job to its deadline
+	Value       float64       // value of a job, for its span record
+	RetryWindow time.Duration // how long a job with the same unique id counts as a retry
+	Slots       float64       // slots of a worker that a job takes; less than 1 counts as 1
 }
 
 // Config is the configuration of the front.
 type Config struct {
-	Listen         string
-	Functions      map[string]Function
-	Zone, Kind     int // of the workers, by index
+	Listen         string              // host:port
+	Functions      map[string]Function // by name; jobs of others get an ERROR packet
+	Zone, Kind     int                 // indexes of the zone and the kind of all Gearman workers
 	ZoneName       string
-	MaxConnections int // open at a time; a further one is closed at once
-	MaxJobs        int // open jobs of clients; a further one is rejected
-	MaxPacketBytes int // bytes of data in one packet
-	TLS            *tls.Config
+	MaxConnections int         // open connections; further ones are closed at once
+	MaxJobs        int         // open jobs of clients; further ones are rejected
+	MaxPacketBytes int         // data of one packet, without its header
+	TLS            *tls.Config // nil for plain TCP
 }
 
-// Sockets returns how many file descriptors the front uses at most.
+// Sockets returns the largest number of file descriptors that the front uses.
 func (c *Config) Sockets() int { return c.MaxConnections + 2 }
 
-// Server accepts connections and owns the clients' jobs. Make it with New and start it with Run.
+// Server accepts Gearman connections and owns the clients' jobs. Create it with New and start it
+// with Run.
 type Server struct {
 	cfg       Config
 	core      Core
@@ -92,32 +97,34 @@
 	functions atomic.Pointer[map[string]Function]
 	mailbox   *mailbox.Box[func(*Server)]
 
-	mu          sync.Mutex
-	sessions    map[uint64]*session
-	uids        map[string]bool // uids in use
-	lastSession uint64
-	shutdownBy  atomic.Pointer[time.Time] // deadline of a graceful shutdown; nil before it begins
+	mu                sync.Mutex
+	sessions          map[uint64]*session
+	uids              map[string]bool // workers' uids in use
+	lastSessionNumber uint64
+	shutdownDeadline  atomic.Pointer[time.Time] // nil before a graceful shutdown begins
 
-	// Used by the goroutine of Run alone:
-	jobs    map[string]*job // by handle
-	unique  map[string]*job // by function and unique id
-	lastJob uint64
+	// Owned by the goroutine of Run:
+	jobs          map[string]*job // by handle
+	unique        map[string]*job // by function and unique id
+	lastJobNumber uint64
 }
 
-// New listens on the configured address. Errors are those of listening.
-func New(cfg Config, c Core, counts Counters, stories Recorder, log *logrus.Entry) (*Server, error) {
-	s := &Server{cfg: cfg, core: c, counters: counts, recorder: stories, log: log, mailbox: mailbox.New[func(*Server)](),
+// New returns a server that listens on the configured address. It returns an error if it can't
+// listen.
+func New(cfg Config, c Core, counters Counters, recorder Recorder, log *logrus.Entry) (*Server, error) {
+	s := &Server{cfg: cfg, core: c, counters: counters, recorder: recorder, log: log, mailbox: mailbox.New[func(*Server)](),
 		sessions: map[uint64]*session{}, uids: map[string]bool{}, jobs: map[string]*job{}, unique: map[string]*job{}}
 	s.SetFunctions(cfg.Functions)
-	// During an upgrade both processes listen for a while; the older one stops first.
+	// SO_REUSEPORT lets the old and the new process listen at the same time during an upgrade; the
+	// old one stops first.
 	lc := net.ListenConfig{Control: func(_, _ string, raw syscall.RawConn) error {
-		var set error
-		err := raw.Control(func(fd uintptr) { set = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
-		return errors.Join(err, set)
+		var optErr error
+		err := raw.Control(func(fd uintptr) { optErr = unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
+		return errors.Join(err, optErr)
 	}}
 	l, err := lc.Listen(context.Background(), "tcp", cfg.Listen)
 	if err != nil {
-		return nil, errors.Wrap(err, "gearman")
+		return nil, errors.Wrap(err, "gearman listener")
 	}
 	if cfg.TLS != nil {
 		l = tls.NewListener(l, cfg.TLS)
@@ -126,13 +133,14 @@
 	return s, nil
 }
 
-// SetFunctions replaces the functions. Jobs that are open keep their class.
+// SetFunctions replaces the functions, by name. Open jobs keep their class.
 func (s *Server) SetFunctions(f map[string]Function) { s.functions.Store(&f) }
 
-// Run works until the context ends and then closes all connections.
+// Run accepts connections and handles jobs until ctx is done. It then closes the listener and all
+// connections.
 func (s *Server) Run(ctx context.Context) {
 	go s.accept()
-	var mail []func(*Server)
+	var messages []func(*Server)
 	for {
 		select {
 		case <-ctx.Done():
@@ -140,68 +148,69 @@
 			return
 		case <-s.mailbox.Ready():
 		}
-		mail = s.mailbox.Drain(mail[:0])
-		for i, message := range mail {
+		messages = s.mailbox.Drain(messages[:0])
+		for i, message := range messages {
 			message(s)
-			mail[i] = nil
+			messages[i] = nil
 		}
 	}
 }
 
-// accept accepts connections until the listener is closed. One above the limit is closed at once;
-// Gearman's clients and workers reconnect by themselves.
+// accept accepts connections until the listener is closed. A connection above MaxConnections is
+// closed at once; Gearman clients and workers reconnect by themselves.
 func (s *Server) accept() {
 	for {
 		c, err := s.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // out of descriptors, or the peer is gone: temporary
+		if err != nil { // temporary: no file descriptor is free, or the peer has disconnected
 			time.Sleep(acceptBackoff)
 			continue
 		}
 		s.mu.Lock()
 		full := len(s.sessions) >= s.cfg.MaxConnections
-		s.lastSession++
-		x := newSession(s, s.lastSession, c)
+		s.lastSessionNumber++
+		sess := newSession(s, s.lastSessionNumber, c)
 		if !full {
-			s.sessions[x.number] = x
+			s.sessions[sess.number] = sess
 		}
 		s.mu.Unlock()
 		if full {
 			c.Close()
 			continue
 		}
-		go x.run()
+		go sess.run()
 	}
 }
 
-// acceptBackoff is the pause after a failed accept, so that the loop does not spin.
+// acceptBackoff is the pause after a failed accept, so that the loop does not use a whole CPU.
 const acceptBackoff = 10 * time.Millisecond
 
-// Addr returns the address that the front listens on.
+// Addr returns the address of the listener.
 func (s *Server) Addr() string { return s.listener.Addr().String() }
 
-// scheme is the prefix of the addresses of Gearman's workers in the route table.
-const scheme = "gearman/"
+// addrPrefix begins the addresses of Gearman workers in the route table.
+const addrPrefix = "gearman/"
 
-// Has reports whether an address is that of a Gearman worker.
-func Has(addr string) bool { return strings.HasPrefix(addr, scheme) }
+// Has reports whether addr, an address of the route table, is that of a Gearman worker.
+func Has(addr string) bool { return strings.HasPrefix(addr, addrPrefix) }
 
-// Open returns the backend of a worker. Attempts at one that is not connected any more fail at
-// once.
+// Open returns the backend of the worker with the address. If the worker has disconnected, attempts
+// sent to the backend end at once with decision.ConnectFailed.
 func (s *Server) Open(addr string) core.Backend {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range s.sessions {
-		if x.addr() == addr {
-			return backend{x}
+	for _, sess := range s.sessions {
+		if sess.addr() == addr {
+			return backend{sess}
 		}
 	}
 	return backend{&session{server: s, mailbox: mailbox.New[func(*session)](), ended: true}}
 }
 
-// reserveUID returns a uid that no other worker has, made from a worker's id.
+// reserveUID reserves and returns a uid for a worker: id, or id with a number appended if another
+// worker has it.
 func (s *Server) reserveUID(id string) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -217,37 +226,37 @@
 	}
 }
 
-// releaseUID makes a worker's uid available again.
+// releaseUID releases a uid that reserveUID has returned.
 func (s *Server) releaseUID(uid string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.uids, uid)
 }
 
-// removeSession removes a session that has ended.
-func (s *Server) removeSession(x *session) {
+// removeSession removes a closed session.
+func (s *Server) removeSession(sess *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, x.number)
+	delete(s.sessions, sess.number)
 }
 
-// Leave begins a graceful shutdown: no connection is accepted any more, and no job has a deadline
-// after by.
-func (s *Server) Leave(by time.Time) {
-	s.shutdownBy.Store(&by)
+// Leave begins a graceful shutdown: it closes the listener and caps the deadlines of new jobs at
+// deadline. Open connections stay open.
+func (s *Server) Leave(deadline time.Time) {
+	s.shutdownDeadline.Store(&deadline)
 	s.listener.Close()
 }
 
-// Idle reports whether no client's job is open; false if the answer takes until by. It must not be
-// called from the goroutine of Run.
-func (s *Server) Idle(by time.Time) bool {
-	idle := make(chan bool, 1)
-	s.mailbox.Put(func(s *Server) { idle <- len(s.jobs) == 0 })
-	timeout := time.NewTimer(time.Until(by))
+// Idle reports whether no client's job is open. It returns false if the goroutine of Run does not
+// answer before the deadline, and must not be called from that goroutine.
+func (s *Server) Idle(deadline time.Time) bool {
+	result := make(chan bool, 1)
+	s.mailbox.Put(func(s *Server) { result <- len(s.jobs) == 0 })
+	timeout := time.NewTimer(time.Until(deadline))
 	defer timeout.Stop()
 	select {
-	case yes := <-idle:
-		return yes
+	case idle := <-result:
+		return idle
 	case <-timeout.C:
 		return false
 	}
@@ -258,7 +267,7 @@
 	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, x := range s.sessions {
-		x.conn.Close()
+	for _, sess := range s.sessions {
+		sess.conn.Close()
 	}
 }
--- a/internal/dispatcher/gearman/session.go
+++ b/internal/dispatcher/gearman/session.go
@@ -16,246 +16,253 @@
 )
 
 const (
-	// maxUnwrittenBytes bounds what waits to be written to a connection. A peer that does not read
-	// is disconnected, which protects memory.
+	// maxUnwrittenBytes limits the bytes queued for writing on a connection. A peer that does not
+	// read is disconnected above it, which bounds memory.
 	maxUnwrittenBytes = 1 << 20
-	// writeTimeout bounds one write.
+	// writeTimeout is the deadline of one write to a connection.
 	writeTimeout = 10 * time.Second
-	// maxFunctions bounds the abilities of one worker.
+	// maxFunctions limits the functions that a worker can register.
 	maxFunctions = 1000
-	// maxOpenJobs bounds the open jobs of a client on one connection.
+	// maxOpenJobs limits the open jobs that a client waits for on one connection.
 	maxOpenJobs = 1000
-	// maxNameBytes bounds a function's name, a unique id, and a client's id.
+	// maxNameBytes limits the length of a function's name, a unique id and a client id.
 	maxNameBytes = 256
 )
 
-// session is the actor of one connection, which may be a client's, a worker's or both. One
-// goroutine runs the actor, another reads packets one at a time, a third writes.
+// session is one connection, whose peer may be a client, a worker or both. The goroutine of run
+// owns it; a second goroutine reads packets one at a time, and a third writes.
 type session struct {
-	server     *Server
-	number     uint64
-	conn       net.Conn
-	mailbox    *mailbox.Box[func(*session)]
-	read       chan proto.Packet // a packet's arguments are valid until readNext is sent
-	readNext   chan struct{}
-	readErrors chan error
-	stopped    bool // the actor has ended
+	server        *Server
+	number        uint64
+	conn          net.Conn
+	mailbox       *mailbox.Box[func(*session)]
+	packets       chan proto.Packet // a packet's arguments are valid until packetHandled is sent
+	packetHandled chan struct{}
+	readErrors    chan error
+	stopped       bool // teardown has begun; owned by the goroutine of run
 
 	endMu sync.Mutex // guards ended
-	ended bool       // no message is accepted any more
+	ended bool       // post accepts no more messages
 
-	outMu      sync.Mutex // guards out and broken; never held during I/O
+	outMu      sync.Mutex // guards out and overflowed; not held during I/O
 	out        []byte
-	broken     bool
+	overflowed bool
 	writeReady chan struct{}
 
-	view       atomic.Pointer[workerView] // what other goroutines may see of the worker
-	exceptions bool                       // the client wants WORK_EXCEPTION
-	openJobs   map[string]bool            // of a client, by handle
+	view       atomic.Pointer[workerView] // nil until the peer acts as a worker
+	exceptions bool                       // the client has requested WORK_EXCEPTION packets
+	openJobs   map[string]bool            // jobs that the client waits for, by handle
 	worker     worker
 }
 
-// newSession returns the session of a connection; run starts it.
+// newSession returns the session of a connection. The caller starts run.
 func newSession(s *Server, number uint64, c net.Conn) *session {
-	return &session{server: s, number: number, conn: c, mailbox: mailbox.New[func(*session)](), read: make(chan proto.Packet),
-		readNext: make(chan struct{}, 1), readErrors: make(chan error, 1), writeReady: make(chan struct{}, 1), openJobs: map[string]bool{},
+	return &session{server: s, number: number, conn: c, mailbox: mailbox.New[func(*session)](), packets: make(chan proto.Packet),
+		packetHandled: make(chan struct{}, 1), readErrors: make(chan error, 1), writeReady: make(chan struct{}, 1), openJobs: map[string]bool{},
 		worker: worker{functions: map[string]bool{}}}
 }
 
-// run is the loop of the actor; it ends with the connection and stops the other goroutines.
-func (x *session) run() {
+// run handles packets, messages and timeouts until the connection ends. It then stops the other
+// goroutines of the session.
+func (sess *session) run() {
 	stop := make(chan struct{})
-	go x.readLoop(stop)
-	go x.writeLoop(stop)
+	go sess.readLoop(stop)
+	go sess.writeLoop(stop)
 	defer close(stop)
-	defer x.end()
-	var mail []func(*session)
+	defer sess.teardown()
+	var messages []func(*session)
 	for {
 		select {
-		case p := <-x.read:
-			err := x.handlePacket(&p)
-			x.readNext <- struct{}{}
+		case p := <-sess.packets:
+			err := sess.handlePacket(&p)
+			sess.packetHandled <- struct{}{}
 			if err != nil {
 				return
 			}
-		case err := <-x.readErrors:
+		case err := <-sess.readErrors:
 			if !errors.Is(err, io.EOF) && !errors.Is(err, net.ErrClosed) {
-				x.server.log.WithError(err).WithField("peer", x.conn.RemoteAddr().String()).Debug("gearman connection ends")
+				sess.server.log.WithError(err).WithField("peer", sess.conn.RemoteAddr().String()).Debug("gearman connection closed after a read error")
 			}
 			return
-		case <-x.worker.offerTimeout():
-			x.offerTimedOut()
-		case <-x.mailbox.Ready():
-			mail = x.mailbox.Drain(mail[:0])
-			for i, message := range mail {
-				message(x)
-				mail[i] = nil
+		case <-sess.worker.offerTimeout():
+			sess.offerTimedOut()
+		case <-sess.mailbox.Ready():
+			messages = sess.mailbox.Drain(messages[:0])
+			for i, message := range messages {
+				message(sess)
+				messages[i] = nil
 			}
 		}
 	}
 }
 
-// readLoop passes packets to the actor, each after the actor is done with the one before, so that
-// a peer that floods slows down only itself.
-func (x *session) readLoop(stop <-chan struct{}) {
-	in := proto.NewReader(x.conn, x.server.cfg.MaxPacketBytes)
+// readLoop reads packets and passes them to run. It waits until each packet is handled before it
+// reads the next, so that a peer which sends too fast is throttled by TCP and delays no other.
+func (sess *session) readLoop(stop <-chan struct{}) {
+	reader := proto.NewReader(sess.conn, sess.server.cfg.MaxPacketBytes)
 	for {
-		p, err := in.Next()
+		p, err := reader.Next()
 		if err != nil {
-			x.readErrors <- err
+			sess.readErrors <- err
 			return
 		}
 		select {
-		case x.read <- p:
+		case sess.packets <- p:
 		case <-stop:
 			return
 		}
 		select {
-		case <-x.readNext:
+		case <-sess.packetHandled:
 		case <-stop:
 			return
 		}
 	}
 }
 
-// writeLoop writes what is queued, and closes the connection after an error or an overflow.
-func (x *session) writeLoop(stop <-chan struct{}) {
+// writeLoop writes the queued bytes. It closes the connection after a write error, or if the peer
+// let more than maxUnwrittenBytes accumulate.
+func (sess *session) writeLoop(stop <-chan struct{}) {
 	for {
 		select {
-		case <-x.writeReady:
+		case <-sess.writeReady:
 		case <-stop:
 			return
 		}
-		x.outMu.Lock()
-		text := x.out
-		x.out = nil
-		broken := x.broken
-		x.outMu.Unlock()
-		if broken {
-			x.conn.Close()
+		sess.outMu.Lock()
+		pending := sess.out
+		sess.out = nil
+		overflowed := sess.overflowed
+		sess.outMu.Unlock()
+		if overflowed {
+			sess.conn.Close()
 			return
 		}
-		_ = x.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		if _, err := x.conn.Write(text); err != nil {
-			x.conn.Close() // the read loop fails then and ends the session
+		_ = sess.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		if _, err := sess.conn.Write(pending); err != nil {
+			sess.conn.Close() // readLoop fails then, which ends the session
 			return
 		}
 	}
 }
 
-// send queues a packet for writing.
-func (x *session) send(kind proto.Type, args ...[]byte) {
-	x.outMu.Lock()
-	if x.broken = x.broken || len(x.out) > maxUnwrittenBytes; !x.broken {
-		x.out = proto.Append(x.out, kind, args...)
+// send queues a packet for writing. It is safe for concurrent use.
+func (sess *session) send(packetType proto.Type, args ...[]byte) {
+	sess.outMu.Lock()
+	if sess.overflowed = sess.overflowed || len(sess.out) > maxUnwrittenBytes; !sess.overflowed {
+		sess.out = proto.Append(sess.out, packetType, args...)
 	}
-	x.outMu.Unlock()
-	x.signalWriter()
+	sess.outMu.Unlock()
+	sess.signalWriter()
 }
 
-// sendLine queues a line of the administrative protocol, within the same limit.
-func (x *session) sendLine(line string) {
-	x.outMu.Lock()
-	if x.broken = x.broken || len(x.out) > maxUnwrittenBytes; !x.broken {
-		x.out = append(x.out, line...)
+// sendLine queues a line of the administrative protocol, under the same limit as send. It is safe
+// for concurrent use.
+func (sess *session) sendLine(line string) {
+	sess.outMu.Lock()
+	if sess.overflowed = sess.overflowed || len(sess.out) > maxUnwrittenBytes; !sess.overflowed {
+		sess.out = append(sess.out, line...)
 	}
-	x.outMu.Unlock()
-	x.signalWriter()
+	sess.outMu.Unlock()
+	sess.signalWriter()
 }
 
-// signalWriter wakes the write loop.
-func (x *session) signalWriter() {
+// signalWriter wakes writeLoop.
+func (sess *session) signalWriter() {
 	select {
-	case x.writeReady <- struct{}{}:
+	case sess.writeReady <- struct{}{}:
 	default:
 	}
 }
 
 // sendError sends an ERROR packet; the connection stays open.
-func (x *session) sendError(code, text string) { x.send(proto.Error, []byte(code), []byte(text)) }
+func (sess *session) sendError(code, text string) { sess.send(proto.Error, []byte(code), []byte(text)) }
 
-var errLimitExceeded = errors.New("a bound is passed")
+// errLimitExceeded ends the connection of a worker that exceeds maxFunctions or maxNameBytes.
+var errLimitExceeded = errors.New("limit on functions or on the length of their names exceeded")
 
 // handlePacket handles one packet. An error ends the connection.
-func (x *session) handlePacket(p *proto.Packet) error {
+func (sess *session) handlePacket(p *proto.Packet) error {
 	switch p.Type {
 	case 0:
-		x.admin(p.Line)
+		sess.handleAdmin(p.Line)
 	case proto.EchoReq:
-		x.send(proto.EchoRes, p.Arg(0))
+		sess.send(proto.EchoRes, p.Arg(0))
 	case proto.OptionReq:
 		if string(p.Arg(0)) != "exceptions" {
-			x.sendError("unknown_option", "only exceptions is known")
+			sess.sendError("unknown_option", "only exceptions is known")
 			break
 		}
-		x.exceptions = true
-		x.send(proto.OptionRes, p.Arg(0))
+		sess.exceptions = true
+		sess.send(proto.OptionRes, p.Arg(0))
 	case proto.SubmitJob, proto.SubmitJobHigh, proto.SubmitJobLow:
-		return x.submit(p, false)
+		return sess.handleSubmit(p, false)
 	case proto.SubmitJobBg, proto.SubmitJobHighBg, proto.SubmitJobLowBg:
-		return x.submit(p, true)
+		return sess.handleSubmit(p, true)
 	case proto.GetStatus:
 		handle := string(p.Arg(0))
-		x.server.mailbox.Put(func(s *Server) { s.status(x, handle) })
+		sess.server.mailbox.Put(func(s *Server) { s.sendStatus(sess, handle) })
 	case proto.GetStatusUnique:
 		unique := string(p.Arg(0))
-		x.server.mailbox.Put(func(s *Server) { s.statusUnique(x, unique) })
+		sess.server.mailbox.Put(func(s *Server) { s.sendStatusUnique(sess, unique) })
 	case proto.SubmitJobSched, proto.SubmitJobEpoch, proto.SubmitReduceJob, proto.SubmitReduceJobBg:
-		x.sendError("not_supported", p.Type.String()+" is not supported")
-	case proto.AllYours: // no effect: there is only this server
+		sess.sendError("not_supported", p.Type.String()+" is not supported")
+	case proto.AllYours: // no effect: there is no other job server
 	default:
-		return x.handleWorkerPacket(p)
+		return sess.handleWorkerPacket(p)
 	}
 	return nil
 }
 
-// end releases all that the connection holds; nothing else does.
-func (x *session) end() {
-	x.stopped = true
-	x.conn.Close()
-	x.releaseWorker()
-	x.server.removeSession(x)
-	x.server.mailbox.Put(func(s *Server) { s.clientLeft(x) })
-	x.endMu.Lock()
-	x.ended = true
-	x.endMu.Unlock()
-	for _, message := range x.mailbox.Drain(nil) {
-		message(x) // attempts that are still queued end here
+// teardown closes the connection and releases everything that the session holds. It is the only
+// place that does.
+func (sess *session) teardown() {
+	sess.stopped = true
+	sess.conn.Close()
+	sess.releaseWorker()
+	sess.server.removeSession(sess)
+	sess.server.mailbox.Put(func(s *Server) { s.clientLeft(sess) })
+	sess.endMu.Lock()
+	sess.ended = true
+	sess.endMu.Unlock()
+	for _, message := range sess.mailbox.Drain(nil) {
+		message(sess) // ends the attempts that are still in the mailbox
 	}
 }
 
-// backend is a worker as the core sees it; it implements core.Backend.
+// backend implements core.Backend for the worker of a session.
 type backend struct{ session *session }
 
-// post passes a message to the session; it returns false if that has ended.
-func (x *session) post(message func(*session)) bool {
-	x.endMu.Lock()
-	defer x.endMu.Unlock()
-	if !x.ended {
-		x.mailbox.Put(message)
+// post passes a message to the goroutine of run. It returns false if the session has ended. It is
+// safe for concurrent use.
+func (sess *session) post(message func(*session)) bool {
+	sess.endMu.Lock()
+	defer sess.endMu.Unlock()
+	if !sess.ended {
+		sess.mailbox.Put(message)
 	}
-	return !x.ended
+	return !sess.ended
 }
 
-// Send offers an attempt to the worker.
+// Send offers an attempt to the worker. If the session has ended, the attempt fails at once.
 func (b backend) Send(attempt core.Attempt) {
-	if !b.session.post(func(x *session) { x.offer(attempt) }) {
+	if !b.session.post(func(sess *session) { sess.offerAttempt(attempt) }) {
 		b.session.server.core.AttemptEnded(attempt.Ref, decision.ConnectFailed, nil, core.Delivery{})
 	}
 }
 
-// Cancel recalls an attempt. If the session has ended, its attempts have ended with it.
+// Cancel cancels an attempt. If the session has ended, so have its attempts, and the recall counts
+// as confirmed.
 func (b backend) Cancel(attempt core.Attempt) {
-	if !b.session.post(func(x *session) { x.cancelAttempt(attempt) }) {
+	if !b.session.post(func(sess *session) { sess.cancelAttempt(attempt) }) {
 		b.session.server.core.AttemptRecalled(attempt.Ref, true)
 	}
 }
 
-// Probe does nothing: a connected worker is up.
+// Probe does nothing: a worker is healthy while it is connected, and Gearman has no load report.
 func (b backend) Probe(time.Time) {}
 
-// SetAddress does nothing: the address is that of the connection.
+// SetAddress does nothing: the address identifies the connection and does not change.
 func (b backend) SetAddress(string) {}
 
-// Close does nothing: the session ends with its connection.
+// Close does nothing: the session ends when its peer disconnects or the server is closed.
 func (b backend) Close() {}
--- a/internal/dispatcher/gearman/workers.go
+++ b/internal/dispatcher/gearman/workers.go
@@ -17,65 +17,66 @@
 )
 
 const (
-	// grabTimeout is how long a worker may take to grab a job after it was woken. Workers do so
-	// within milliseconds; a job that was not grabbed never ran there.
+	// grabTimeout is how long a worker may take to grab a job that was offered to it. Workers do so
+	// within milliseconds; a job that was not grabbed has not run, so it can go to another worker.
 	grabTimeout = time.Second
-	// maxResultBytes bounds the data of a job's result; it is the platform's limit of a body.
+	// maxResultBytes limits the result of a job. It is the platform's limit for a body.
 	maxResultBytes = 64 << 10
-	// routeSource marks Gearman's workers in the route table.
+	// routeSource identifies this front as the source of a worker in the route table.
 	routeSource = 1
 )
 
-// worker is the state of a session as a worker: a backend with one slot.
+// worker is the worker's side of a session: a backend with one slot.
 type worker struct {
-	uid         string
-	routed      bool
-	connectedAt time.Time // when it announced its first ability; it counts as cold from then on
-	functions   map[string]bool
-	classMask   uint64 // the classes of its functions, one bit each
-	asleep      bool
-	offered     *core.Attempt // an attempt that waits to be grabbed; nil for none
-	offerTimer  *time.Timer
-	running     *run // its present job, until it reports the end; nil for none
-	assigned    uint64
+	uid           string
+	routed        bool
+	connectedAt   time.Time // when it registered its first function of a class; it is cold then
+	functions     map[string]bool
+	classMask     uint64 // bit i is set if it can do a function of class i
+	sleeping      bool
+	offered       *core.Attempt // attempt that the worker has not grabbed yet; nil for none
+	offerTimer    *time.Timer
+	running       *assignedJob // grabbed job, until the worker reports its end; nil for none
+	assignedCount uint64       // jobs grabbed so far, for unique handles
 }
 
-// run is a job at a worker.
-type run struct {
-	attempt   core.Attempt
-	handle    string
-	data      []byte
-	cancelled bool // nobody waits for it; the slot is taken until the worker is done
+// assignedJob is a job that the worker has grabbed.
+type assignedJob struct {
+	attempt  core.Attempt
+	handle   string
+	data     []byte
+	canceled bool // its result is discarded; the slot stays in use until the worker reports the end
 }
 
-// workerView is what other goroutines may see of a worker.
+// workerView is an immutable copy of a worker's identity and functions for other goroutines.
 type workerView struct {
 	uid       string
 	functions []string
 }
 
-// publishView makes the present state of the worker visible to other goroutines.
-func (x *session) publishView() {
-	x.view.Store(&workerView{uid: x.worker.uid, functions: slices.Sorted(maps.Keys(x.worker.functions))})
+// publishView updates the copy of the worker's state that other goroutines read.
+func (sess *session) publishView() {
+	sess.view.Store(&workerView{uid: sess.worker.uid, functions: slices.Sorted(maps.Keys(sess.worker.functions))})
 }
 
-// abilities returns the functions of the worker. It is safe for concurrent use.
-func (x *session) abilities() []string {
-	if s := x.view.Load(); s != nil {
-		return s.functions
+// abilities returns the worker's functions in order. It is safe for concurrent use.
+func (sess *session) abilities() []string {
+	if v := sess.view.Load(); v != nil {
+		return v.functions
 	}
 	return nil
 }
 
-// name returns the worker's uid, "-" for none. It is safe for concurrent use.
-func (x *session) name() string {
-	if s := x.view.Load(); s != nil && s.uid != "" {
-		return s.uid
+// displayUID returns the worker's uid, or "-" if it has none. It is safe for concurrent use.
+func (sess *session) displayUID() string {
+	if v := sess.view.Load(); v != nil && v.uid != "" {
+		return v.uid
 	}
 	return "-"
 }
 
-// offerTimeout yields when an offer has not been grabbed in time; it is nil without an offer.
+// offerTimeout returns the channel that fires when the offered job was not grabbed in time. It is
+// nil without an offer.
 func (w *worker) offerTimeout() <-chan time.Time {
 	if w.offerTimer == nil {
 		return nil
@@ -83,288 +84,294 @@
 	return w.offerTimer.C
 }
 
-// handleWorkerPacket handles a packet that only workers send. An error ends the connection.
-func (x *session) handleWorkerPacket(p *proto.Packet) error {
-	w := &x.worker
+// handleWorkerPacket handles a packet that only workers send, and answers any other with an ERROR
+// packet. An error ends the connection.
+func (sess *session) handleWorkerPacket(p *proto.Packet) error {
+	w := &sess.worker
 	switch p.Type {
 	case proto.CanDo, proto.CanDoTimeout:
 		name := string(p.Arg(0))
 		if len(name) > maxNameBytes || len(w.functions) >= maxFunctions && !w.functions[name] {
-			x.sendError("too_many_functions", "a worker has at most "+strconv.Itoa(maxFunctions)+" functions, of "+strconv.Itoa(maxNameBytes)+" bytes")
+			sess.sendError("too_many_functions", "a worker has at most "+strconv.Itoa(maxFunctions)+" functions, of "+strconv.Itoa(maxNameBytes)+" bytes")
 			return errLimitExceeded
 		}
 		w.functions[name] = true
-		x.abilitiesChanged()
+		sess.abilitiesChanged()
 	case proto.CantDo:
 		delete(w.functions, string(p.Arg(0)))
-		x.abilitiesChanged()
+		sess.abilitiesChanged()
 	case proto.ResetAbilities:
 		clear(w.functions)
-		x.abilitiesChanged()
+		sess.abilitiesChanged()
 	case proto.SetClientID:
-		x.setClientID(string(p.Arg(0)))
+		sess.setClientID(string(p.Arg(0)))
 	case proto.PreSleep:
-		w.asleep = true
-		x.wakeWorker()
+		w.sleeping = true
+		sess.wakeWorker()
 	case proto.GrabJob, proto.GrabJobUniq, proto.GrabJobAll:
-		w.asleep = false
-		x.grab(p.Type)
+		w.sleeping = false
+		sess.assignOfferedJob(p.Type)
 	case proto.WorkStatus, proto.WorkData, proto.WorkWarning, proto.WorkComplete, proto.WorkFail, proto.WorkException:
-		x.handleWorkerUpdate(p)
+		sess.handleWorkerUpdate(p)
 	default:
-		x.sendError("unexpected", p.Type.String()+" is not for a job server")
+		sess.sendError("unexpected", p.Type.String()+" is not for a job server")
 	}
 	return nil
 }
 
-// setClientID sets the worker's id. If the worker is in the route table, it is removed and added
-// as another one.
-func (x *session) setClientID(id string) {
-	w := &x.worker
+// setClientID sets the worker's id. A worker that is in the route table is removed from it and
+// added again with the new uid.
+func (sess *session) setClientID(id string) {
+	w := &sess.worker
 	if id == "" || len(id) > maxNameBytes || strings.IndexFunc(id, func(r rune) bool { return r <= ' ' || r >= 0x7f }) >= 0 {
-		x.sendError("bad_client_id", "a client's id has 1 to "+strconv.Itoa(maxNameBytes)+" printable bytes")
+		sess.sendError("bad_client_id", "a client's id has 1 to "+strconv.Itoa(maxNameBytes)+" printable bytes")
 		return
 	}
 	if w.running != nil || w.offered != nil {
-		x.sendError("busy", "the id can't change while a job is here")
+		sess.sendError("busy", "the id can't change while a job is here")
 		return
 	}
-	x.removeRoute()
-	w.uid = x.server.reserveUID("g-" + id)
-	x.abilitiesChanged()
+	sess.removeRoute()
+	w.uid = sess.server.reserveUID("g-" + id)
+	sess.abilitiesChanged()
 }
 
 // addr returns the worker's address in the route table.
-func (x *session) addr() string { return scheme + strconv.FormatUint(x.number, 10) }
+func (sess *session) addr() string { return addrPrefix + strconv.FormatUint(sess.number, 10) }
 
-// abilitiesChanged reports the worker's classes to the core. A worker without any is draining from
-// the same moment on.
-func (x *session) abilitiesChanged() {
-	w := &x.worker
+// abilitiesChanged updates the worker's entry in the route table after a change of its functions. A
+// worker that can no longer do a function of any class is draining from then on.
+func (sess *session) abilitiesChanged() {
+	w := &sess.worker
 	w.classMask = 0
-	functions := *x.server.functions.Load()
+	functions := *sess.server.functions.Load()
 	for name := range w.functions {
 		if f, known := functions[name]; known && f.Class < 64 {
 			w.classMask |= 1 << f.Class
 		}
 	}
 	if w.classMask == 0 && !w.routed {
-		x.publishView()
+		sess.publishView()
 		return
 	}
 	if w.uid == "" {
-		w.uid = x.server.reserveUID("g-" + strings.ReplaceAll(x.conn.RemoteAddr().String(), ":", "-"))
+		w.uid = sess.server.reserveUID("g-" + strings.ReplaceAll(sess.conn.RemoteAddr().String(), ":", "-"))
 	}
 	if w.connectedAt.IsZero() {
 		w.connectedAt = time.Now()
 	}
 	w.routed = true
-	x.publishView()
-	x.server.core.RoutesChanged([]core.Route{x.route()})
+	sess.publishView()
+	sess.server.core.RoutesChanged([]core.Route{sess.route()})
 	if attempt := w.offered; attempt != nil && w.classMask&(1<<attempt.Job.Class) == 0 {
-		x.decline(decision.Rejected) // it has not begun, so a draining worker must not get it
+		sess.declineOffer(decision.Rejected) // not started yet, so the draining worker must not get it
 	}
 }
 
-// route returns the worker's entry in the route table. It has one slot, serves only this
-// dispatcher, and is as cold as any runner that has just started.
-func (x *session) route() core.Route {
-	w, cfg := &x.worker, &x.server.cfg
-	m := decision.Member{Zone: cfg.Zone, Kind: cfg.Kind, StartedAt: time.Duration(w.connectedAt.UnixNano()), Reinstated: true, WarmUpPeers: 1,
+// route returns the worker's entry in the route table. The worker has one slot, serves only this
+// dispatcher, and is cold at connectedAt like a runner that has just started.
+func (sess *session) route() core.Route {
+	w, cfg := &sess.worker, &sess.server.cfg
+	member := decision.Member{Zone: cfg.Zone, Kind: cfg.Kind, StartedAt: time.Duration(w.connectedAt.UnixNano()), Reinstated: true, WarmUpPeers: 1,
 		TokenLimit: 1, ClassMask: w.classMask}
 	if w.classMask == 0 {
-		m.State = decision.Draining
+		member.State = decision.Draining
 	}
-	return core.Route{UID: w.uid, Addr: x.addr(), ZoneName: cfg.ZoneName, Source: routeSource, Member: m}
+	return core.Route{UID: w.uid, Addr: sess.addr(), ZoneName: cfg.ZoneName, Source: routeSource, Member: member}
 }
 
-// removeRoute removes the worker from the route table.
-func (x *session) removeRoute() {
-	w := &x.worker
+// removeRoute removes the worker from the route table and releases its uid.
+func (sess *session) removeRoute() {
+	w := &sess.worker
 	if w.routed {
-		route := x.route()
+		route := sess.route()
 		route.State = decision.Removed
-		x.server.core.RoutesChanged([]core.Route{route})
+		sess.server.core.RoutesChanged([]core.Route{route})
 	}
 	w.routed = false
 	if w.uid != "" {
-		x.server.releaseUID(w.uid)
+		sess.server.releaseUID(w.uid)
 		w.uid = ""
-		x.publishView()
+		sess.publishView()
 	}
 }
 
-// releaseWorker ends what a worker had when its connection ended: a job that it grabbed may have
-// run, one that it was only offered has not.
-func (x *session) releaseWorker() {
-	w := &x.worker
-	if r := w.running; r != nil && !r.cancelled {
-		x.server.core.AttemptEnded(r.attempt.Ref, decision.ConnReset, nil, core.Delivery{Reused: true, Bytes: len(r.attempt.Job.Body)})
+// releaseWorker ends the attempts at a worker whose connection has closed, and removes its route. A
+// grabbed job may have run, so it ends with ConnReset; an offered one has not, so it ends with
+// ConnectFailed.
+func (sess *session) releaseWorker() {
+	w := &sess.worker
+	if assigned := w.running; assigned != nil && !assigned.canceled {
+		sess.server.core.AttemptEnded(assigned.attempt.Ref, decision.ConnReset, nil, core.Delivery{Reused: true, Bytes: len(assigned.attempt.Job.Body)})
 	}
 	w.running = nil
 	if w.offered != nil {
-		x.decline(decision.ConnectFailed)
+		sess.declineOffer(decision.ConnectFailed)
 	}
-	x.removeRoute()
+	sess.removeRoute()
 }
 
-// offer takes an attempt that the core sends here, and wakes the worker.
-func (x *session) offer(attempt core.Attempt) {
-	w := &x.worker
-	if x.stopped || w.offered != nil || w.classMask&(1<<attempt.Job.Class) == 0 {
-		x.server.core.AttemptEnded(attempt.Ref, decision.ConnectFailed, nil, core.Delivery{})
+// offerAttempt offers an attempt of the core to the worker, and wakes the worker. The attempt fails
+// at once if another is offered already, the worker can't do its class, or the session has ended.
+func (sess *session) offerAttempt(attempt core.Attempt) {
+	w := &sess.worker
+	if sess.stopped || w.offered != nil || w.classMask&(1<<attempt.Job.Class) == 0 {
+		sess.server.core.AttemptEnded(attempt.Ref, decision.ConnectFailed, nil, core.Delivery{})
 		return
 	}
 	w.offered = &attempt
 	w.offerTimer = time.NewTimer(min(grabTimeout, time.Until(attempt.Deadline)))
-	x.wakeWorker()
+	sess.wakeWorker()
 }
 
-// wakeWorker sends NOOP to a worker that sleeps, if there is a job for it.
-func (x *session) wakeWorker() {
-	if x.worker.offered != nil && x.worker.asleep {
-		x.send(proto.Noop)
+// wakeWorker sends NOOP to a sleeping worker if a job is offered to it.
+func (sess *session) wakeWorker() {
+	if sess.worker.offered != nil && sess.worker.sleeping {
+		sess.send(proto.Noop)
 	}
 }
 
-// offerTimedOut returns an offer that was not grabbed in time.
-func (x *session) offerTimedOut() { x.decline(decision.ConnectFailed) }
+// offerTimedOut ends an attempt that was not grabbed in time.
+func (sess *session) offerTimedOut() { sess.declineOffer(decision.ConnectFailed) }
 
-// decline returns an offer with an outcome that says that it never ran here.
-func (x *session) decline(o decision.Outcome) {
-	w := &x.worker
+// declineOffer ends the offered attempt. The outcome must be one of an attempt that has not run.
+func (sess *session) declineOffer(outcome decision.Outcome) {
+	w := &sess.worker
 	attempt := w.offered
 	w.offered = nil
 	w.offerTimer.Stop()
 	w.offerTimer = nil
-	x.server.core.AttemptEnded(attempt.Ref, o, nil, core.Delivery{Reused: true})
+	sess.server.core.AttemptEnded(attempt.Ref, outcome, nil, core.Delivery{Reused: true})
 }
 
-// grab assigns the offered job to the worker.
-func (x *session) grab(kind proto.Type) {
-	w := &x.worker
+// assignOfferedJob answers a GRAB_JOB packet of any of its types: it assigns the offered job to the
+// worker, or sends NO_JOB if none is offered or a job is still running.
+func (sess *session) assignOfferedJob(packetType proto.Type) {
+	w := &sess.worker
 	if w.offered == nil || w.running != nil {
-		x.send(proto.NoJob)
+		sess.send(proto.NoJob)
 		return
 	}
 	attempt := *w.offered
 	w.offered = nil
 	w.offerTimer.Stop()
 	w.offerTimer = nil
-	w.assigned++
-	r := &run{attempt: attempt, handle: "W:" + strconv.FormatUint(x.number, 10) + ":" + strconv.FormatUint(w.assigned, 10)}
-	w.running = r
-	function, unique := []byte(x.function(attempt.Job)), []byte(attempt.Job.ID)
+	w.assignedCount++
+	assigned := &assignedJob{attempt: attempt, handle: "W:" + strconv.FormatUint(sess.number, 10) + ":" + strconv.FormatUint(w.assignedCount, 10)}
+	w.running = assigned
+	function, unique := []byte(sess.functionName(attempt.Job)), []byte(attempt.Job.ID)
 	if attempt.Job.Key != "" {
 		unique = []byte(attempt.Job.Key)
 	}
-	switch kind {
+	switch packetType {
 	case proto.GrabJob:
-		x.send(proto.JobAssign, []byte(r.handle), function, attempt.Job.Body)
+		sess.send(proto.JobAssign, []byte(assigned.handle), function, attempt.Job.Body)
 	case proto.GrabJobUniq:
-		x.send(proto.JobAssignUniq, []byte(r.handle), function, unique, attempt.Job.Body)
+		sess.send(proto.JobAssignUniq, []byte(assigned.handle), function, unique, attempt.Job.Body)
 	default:
-		x.send(proto.JobAssignAll, []byte(r.handle), function, unique, nil, attempt.Job.Body)
+		sess.send(proto.JobAssignAll, []byte(assigned.handle), function, unique, nil, attempt.Job.Body)
 	}
-	x.server.counters.Sent(attempt.Job.Class)
-	x.server.core.AttemptAccepted(attempt.Ref, core.Delivery{Reused: true, Bytes: len(attempt.Job.Body)})
-	x.report(r, core.JobEvent{State: core.JobStarted})
+	sess.server.counters.Sent(attempt.Job.Class)
+	sess.server.core.AttemptAccepted(attempt.Ref, core.Delivery{Reused: true, Bytes: len(attempt.Job.Body)})
+	sess.report(assigned, core.JobEvent{State: core.JobStarted})
 }
 
-// function returns the name by which the worker knows a job: the client's own, or else the
-// worker's first one, in order, of the job's class.
-func (x *session) function(j *core.Job) string {
-	last, err := url.PathUnescape(j.Resource[strings.LastIndexByte(j.Resource, '/')+1:])
-	functions := *x.server.functions.Load()
-	if f, known := functions[last]; err == nil && known && f.Class == j.Class && x.worker.functions[last] {
-		return last
+// functionName returns the function that is sent to the worker with a job. It is the last segment
+// of the job's path, where a Gearman client's function is, if the worker can do that function.
+// Otherwise it is the first of the worker's functions, in order, of the job's class.
+func (sess *session) functionName(j *core.Job) string {
+	requested, err := url.PathUnescape(j.Resource[strings.LastIndexByte(j.Resource, '/')+1:])
+	functions := *sess.server.functions.Load()
+	if f, known := functions[requested]; err == nil && known && f.Class == j.Class && sess.worker.functions[requested] {
+		return requested
 	}
-	for _, name := range slices.Sorted(maps.Keys(x.worker.functions)) {
+	for _, name := range slices.Sorted(maps.Keys(sess.worker.functions)) {
 		if f, known := functions[name]; known && f.Class == j.Class {
 			return name
 		}
 	}
-	return last
+	return requested
 }
 
-// report passes an event of a job to the core.
-func (x *session) report(r *run, ev core.JobEvent) {
-	ev.ID, ev.From = r.attempt.Job.ID, x.worker.uid
-	x.server.core.Report(ev, func(core.ReportResult) {})
+// report reports an event of an assigned job to the core.
+func (sess *session) report(assigned *assignedJob, ev core.JobEvent) {
+	ev.ID, ev.From = assigned.attempt.Job.ID, sess.worker.uid
+	sess.server.core.Report(ev, func(core.ReportResult) {})
 }
 
-// handleWorkerUpdate handles a worker's packet about its job. It refuses one about a job that the
-// worker does not have: another worker's, or one that has ended.
-func (x *session) handleWorkerUpdate(p *proto.Packet) {
-	w := &x.worker
-	r := w.running
-	if r == nil || string(p.Arg(0)) != r.handle {
-		x.sendError("job_not_found", "this connection has no job "+strconv.Quote(string(p.Arg(0))))
+// handleWorkerUpdate handles a worker's packet about its job. If the job is another worker's or has
+// ended, it answers with an ERROR packet.
+func (sess *session) handleWorkerUpdate(p *proto.Packet) {
+	w := &sess.worker
+	assigned := w.running
+	if assigned == nil || string(p.Arg(0)) != assigned.handle {
+		sess.sendError("job_not_found", "this connection has no job "+strconv.Quote(string(p.Arg(0))))
 		return
 	}
 	ended := p.Type == proto.WorkComplete || p.Type == proto.WorkFail || p.Type == proto.WorkException
 	if ended {
 		w.running = nil
 	}
-	if r.cancelled {
-		return // no one waits for the result; only the slot is freed
+	if assigned.canceled {
+		return // the result is discarded; only the slot is freed
 	}
 	switch p.Type {
 	case proto.WorkStatus:
-		done, err := strconv.ParseFloat(string(p.Arg(1)), 64)
-		of, err2 := strconv.ParseFloat(string(p.Arg(2)), 64)
-		if err == nil && err2 == nil && of > 0 && done >= 0 {
-			x.report(r, core.JobEvent{State: core.JobRunning, Share: min(done/of, 1)})
+		done, doneErr := strconv.ParseFloat(string(p.Arg(1)), 64)
+		total, totalErr := strconv.ParseFloat(string(p.Arg(2)), 64)
+		if doneErr == nil && totalErr == nil && total > 0 && done >= 0 {
+			sess.report(assigned, core.JobEvent{State: core.JobRunning, Share: min(done/total, 1)})
 		}
 	case proto.WorkData:
-		x.appendResult(r, p.Arg(1), core.JobData)
+		sess.appendResult(assigned, p.Arg(1), core.JobData)
 	case proto.WorkWarning:
-		x.report(r, core.JobEvent{State: core.JobWarning, Result: bytes.Clone(p.Arg(1))})
+		sess.report(assigned, core.JobEvent{State: core.JobWarning, Result: bytes.Clone(p.Arg(1))})
 	case proto.WorkException:
-		x.report(r, core.JobEvent{State: core.JobException, Result: bytes.Clone(p.Arg(1))})
-		x.report(r, core.JobEvent{State: core.JobFailed})
+		sess.report(assigned, core.JobEvent{State: core.JobException, Result: bytes.Clone(p.Arg(1))})
+		sess.report(assigned, core.JobEvent{State: core.JobFailed})
 	case proto.WorkFail:
-		x.report(r, core.JobEvent{State: core.JobFailed})
+		sess.report(assigned, core.JobEvent{State: core.JobFailed})
 	case proto.WorkComplete:
 		last := bytes.Clone(p.Arg(1))
-		if len(r.data)+len(last) > maxResultBytes {
-			x.tooLarge(r)
+		if len(assigned.data)+len(last) > maxResultBytes {
+			sess.failOversizedJob(assigned)
 			return
 		}
-		x.report(r, core.JobEvent{State: core.JobDone, Result: append(r.data, last...), Last: last, Streamed: true})
+		sess.report(assigned, core.JobEvent{State: core.JobDone, Result: append(assigned.data, last...), Last: last, Streamed: true})
 	}
 }
 
-// appendResult adds data to a job's result and passes it on.
-func (x *session) appendResult(r *run, data []byte, state core.JobState) {
-	if len(r.data)+len(data) > maxResultBytes {
-		r.cancelled = true // the worker continues; its further packets are ignored
-		x.tooLarge(r)
+// appendResult appends data to a job's result and reports it to the core. A result above
+// maxResultBytes fails the job.
+func (sess *session) appendResult(assigned *assignedJob, data []byte, state core.JobState) {
+	if len(assigned.data)+len(data) > maxResultBytes {
+		assigned.canceled = true // the worker continues, but its further packets are discarded
+		sess.failOversizedJob(assigned)
 		return
 	}
-	r.data = append(r.data, data...)
-	x.report(r, core.JobEvent{State: state, Result: bytes.Clone(data)})
+	assigned.data = append(assigned.data, data...)
+	sess.report(assigned, core.JobEvent{State: state, Result: bytes.Clone(data)})
 }
 
-// tooLarge fails a job whose result exceeds the limit, which protects memory against a worker that
-// sends without end.
-func (x *session) tooLarge(r *run) {
-	x.server.log.WithFields(logrus.Fields{"id": r.attempt.Job.ID, "target": x.worker.uid}).Warn("a job's result is larger than 64 KiB; it fails")
-	x.report(r, core.JobEvent{State: core.JobFailed})
+// failOversizedJob fails a job whose result exceeds maxResultBytes, which bounds the memory that a
+// worker can make the dispatcher use.
+func (sess *session) failOversizedJob(assigned *assignedJob) {
+	sess.server.log.WithFields(logrus.Fields{"id": assigned.attempt.Job.ID, "target": sess.worker.uid}).Warn("job failed: its result is larger than 64 KiB")
+	sess.report(assigned, core.JobEvent{State: core.JobFailed})
 }
 
-// cancelAttempt recalls an attempt. The protocol can't stop a job: a worker that has grabbed it
-// continues, and its slot stays taken until it is done.
-func (x *session) cancelAttempt(attempt core.Attempt) {
-	w, known := &x.worker, true
-	defer func() { x.server.core.AttemptRecalled(attempt.Ref, known) }()
+// cancelAttempt cancels an attempt. The protocol can't stop a job: a worker that has grabbed it
+// continues, and its slot stays in use until it reports the end. The recall is unconfirmed then.
+func (sess *session) cancelAttempt(attempt core.Attempt) {
+	w, confirmed := &sess.worker, true
+	defer func() { sess.server.core.AttemptRecalled(attempt.Ref, confirmed) }()
 	switch {
 	case w.offered != nil && w.offered.Ref == attempt.Ref:
 		w.offered = nil
 		w.offerTimer.Stop()
 		w.offerTimer = nil
 	case w.running != nil && w.running.attempt.Ref == attempt.Ref:
-		w.running.cancelled = true
-		known = false
+		w.running.canceled = true
+		confirmed = false
 	}
 }
