--- a/internal/dispatcher/gearman/peer_test.go
+++ b/internal/dispatcher/gearman/peer_test.go
@@ -10,13 +10,14 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// raw is the connection of a worker that a test scripts packet by packet.
-type raw struct {
+// workerConn is the connection of a worker whose packets are sent one by one by the test.
+type workerConn struct {
 	net.Conn
 	in *proto.Reader
 }
 
-func dial(t *rapid.T, addr string) *raw {
+// dial connects to a server, with a deadline of 30 seconds for all reads and writes.
+func dial(t *rapid.T, addr string) *workerConn {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -24,23 +25,24 @@
 	if err := c.SetDeadline(time.Now().Add(30 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	return &raw{Conn: c, in: proto.NewPeerReader(c, 64<<10)}
+	return &workerConn{Conn: c, in: proto.NewPeerReader(c, 64<<10)}
 }
 
-func (p *raw) write(kind proto.Type, args ...string) {
+// send writes a packet.
+func (w *workerConn) send(packetType proto.Type, args ...string) {
 	parts := make([][]byte, len(args))
 	for i, a := range args {
 		parts[i] = []byte(a)
 	}
-	_, _ = p.Write(proto.AppendRequest(nil, kind, parts...)) // an error shows up in sync
+	_, _ = w.Write(proto.AppendRequest(nil, packetType, parts...)) // sync fails after a write error
 }
 
-// sync waits until the server has handled all that was written, and stores the handle of a job that
-// was assigned meanwhile.
-func (p *raw) sync(t *rapid.T, handle *string) {
-	p.write(proto.EchoReq, "mark")
+// sync waits until the server has handled all packets sent before. It sets *handle if a job was
+// assigned meanwhile.
+func (w *workerConn) sync(t *rapid.T, handle *string) {
+	w.send(proto.EchoReq, "sync")
 	for {
-		packet, err := p.in.Next()
+		packet, err := w.in.Next()
 		if err != nil {
 			t.Fatal(err)
 		}
