--- a/internal/dispatcher/gearman/proto/packet.go
+++ b/internal/dispatcher/gearman/proto/packet.go
@@ -1,8 +1,9 @@
-// Package proto encodes and decodes Gearman's binary protocol and its administrative protocol. It
-// is used by the dispatcher's front and by clients in tests.
+// Package proto encodes and decodes Gearman's binary protocol and decodes the lines of its
+// administrative protocol. The dispatcher's Gearman front uses it, and so do test clients and
+// workers.
 //
-// Source: the protocol's description in the documents of gearmand (PROTOCOL), "Binary Packet" and
-// "Administrative Protocol". A Reader is not safe for concurrent use; the functions are.
+// Source: the file PROTOCOL of gearmand's documentation, "Binary Packet" and "Administrative
+// Protocol". A Reader is not safe for concurrent use; the functions are.
 package proto
 
 import (
@@ -14,10 +15,11 @@
 	"io"
 )
 
-// Type is the type of a packet.
+// Type is the type of a packet, as its header has it.
 type Type uint32
 
-// The types. A request goes to the job server, a response comes from it.
+// The packet types of the protocol. Requests are sent to the job server, responses by it. Types
+// such as WorkStatus are both.
 const (
 	CanDo             Type = 1
 	CantDo            Type = 2
@@ -62,20 +64,20 @@
 	StatusResUnique   Type = 42
 )
 
-// packetForm describes a type of packet.
-type packetForm struct {
-	name  string
-	magic uint8 // who sends it: request, response or both
-	args  int   // how many, separated by NUL; the last one may hold any bytes
+// packetSpec describes a packet type.
+type packetSpec struct {
+	name       string
+	directions uint8 // request, response or both
+	args       int   // number of arguments, separated by NUL; the last may contain NUL
 }
 
-// Who sends a type of packet.
+// The directions of packets.
 const (
-	request uint8 = 1 << iota
-	response
+	request  uint8 = 1 << iota // to the job server
+	response                   // from the job server
 )
 
-var packetForms = map[Type]packetForm{
+var packetSpecs = map[Type]packetSpec{
 	CanDo: {"CAN_DO", request, 1}, CantDo: {"CANT_DO", request, 1}, ResetAbilities: {"RESET_ABILITIES", request, 0},
 	PreSleep: {"PRE_SLEEP", request, 0}, Noop: {"NOOP", response, 0}, SubmitJob: {"SUBMIT_JOB", request, 3},
 	JobCreated: {"JOB_CREATED", response, 1}, GrabJob: {"GRAB_JOB", request, 0}, NoJob: {"NO_JOB", response, 0},
@@ -96,10 +98,10 @@
 	GetStatusUnique: {"GET_STATUS_UNIQUE", request, 1}, StatusResUnique: {"STATUS_RES_UNIQUE", response, 6},
 }
 
-// String returns the packet's name in the protocol.
+// String returns the name of the type in the protocol, such as "SUBMIT_JOB".
 func (t Type) String() string {
-	if f, ok := packetForms[t]; ok {
-		return f.name
+	if spec, ok := packetSpecs[t]; ok {
+		return spec.name
 	}
 	return fmt.Sprintf("packet %d", uint32(t))
 }
@@ -109,14 +111,14 @@
 var magics = [...]string{request: "\x00REQ", response: "\x00RES"}
 
 // Packet is one packet, or one line of the administrative protocol. Args are valid until the next
-// packet is read.
+// call of Reader.Next.
 type Packet struct {
 	Type Type
 	Args [][]byte
-	Line string // of the administrative protocol; Type is 0 then
+	Line string // line of the administrative protocol, without its end; Type is 0 then
 }
 
-// Arg returns an argument, nil if there is none.
+// Arg returns argument i, counted from 0, or nil if the packet has fewer arguments.
 func (p *Packet) Arg(i int) []byte {
 	if i < len(p.Args) {
 		return p.Args[i]
@@ -124,19 +126,20 @@
 	return nil
 }
 
-// The errors after which a stream can't be read any further.
+// The errors of Reader.Next after which the stream can't be read any further.
 var (
-	ErrMagic = errors.New("no packet begins there")
-	ErrLarge = errors.New("the packet is too large")
-	ErrType  = errors.New("the packet is of no known kind, or goes the other way")
-	ErrArgs  = errors.New("the packet lacks arguments")
-	ErrLine  = errors.New("the line is too long")
+	ErrMagic = errors.New("invalid packet magic")
+	ErrLarge = errors.New("packet exceeds the size limit")
+	ErrType  = errors.New("packet type is unknown or not allowed in this direction")
+	ErrArgs  = errors.New("packet has too few arguments")
+	ErrLine  = errors.New("line exceeds the length limit")
 )
 
-// maxLine bounds the bytes of a line of the administrative protocol.
-const maxLine = 512
+// maxLineBytes limits a line of the administrative protocol, without its line feed.
+const maxLineBytes = 512
 
-// Reader decodes a stream of packets.
+// Reader decodes a stream of packets and of lines of the administrative protocol. Create it with
+// NewReader or NewPeerReader.
 type Reader struct {
 	in        *bufio.Reader
 	maxBytes  int
@@ -145,21 +148,24 @@
 	args      [][]byte
 }
 
-// NewReader returns a reader of what is sent to a job server; a packet's data may have at most
-// maxBytes bytes. Memory for a packet grows as its data arrives, whatever size its header claims.
+// NewReader returns a reader of the packets and lines that are sent to a job server. The data of a
+// packet may have at most maxBytes bytes. Memory for a packet is allocated as its data arrives, not
+// by the size in its header.
 func NewReader(in io.Reader, maxBytes int) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 4<<10), maxBytes: maxBytes, direction: request}
 }
 
-// NewPeerReader returns a reader of what a job server sends.
+// NewPeerReader returns a reader of the packets that a job server sends, for a client or worker. It
+// does not read lines of the administrative protocol.
 func NewPeerReader(in io.Reader, maxBytes int) *Reader {
 	r := NewReader(in, maxBytes)
 	r.direction = response
 	return r
 }
 
-// Next reads a packet or a line. It returns io.EOF only between packets, and io.ErrUnexpectedEOF
-// inside one. After an error of this package nothing more can be read.
+// Next reads a packet or a line. At the end of the stream it returns io.EOF between packets and
+// io.ErrUnexpectedEOF inside one. An error that wraps one of this package's leaves the stream
+// unreadable.
 func (r *Reader) Next() (Packet, error) {
 	first, err := r.in.Peek(1)
 	if err != nil {
@@ -175,44 +181,45 @@
 	if string(header[:4]) != magics[r.direction] {
 		return Packet{}, ErrMagic
 	}
-	kind, size := Type(binary.BigEndian.Uint32(header[4:])), binary.BigEndian.Uint32(header[8:])
-	f, known := packetForms[kind]
-	if !known || f.magic&r.direction == 0 {
-		return Packet{}, fmt.Errorf("%w: %d", ErrType, uint32(kind))
+	packetType, size := Type(binary.BigEndian.Uint32(header[4:])), binary.BigEndian.Uint32(header[8:])
+	spec, known := packetSpecs[packetType]
+	if !known || spec.directions&r.direction == 0 {
+		return Packet{}, fmt.Errorf("%w: %d", ErrType, uint32(packetType))
 	}
 	if uint64(size) > uint64(r.maxBytes) {
-		return Packet{}, fmt.Errorf("%w: %s of %d bytes", ErrLarge, kind, size)
+		return Packet{}, fmt.Errorf("%w: %s of %d bytes", ErrLarge, packetType, size)
 	}
-	_, _ = r.in.Discard(headerSize) // it was peeked
+	_, _ = r.in.Discard(headerSize) // can't fail after Peek
 	if err := r.readData(int(size)); err != nil {
 		return Packet{}, unexpectedEOF(err)
 	}
-	if err := r.splitArgs(f.args); err != nil {
-		return Packet{}, fmt.Errorf("%w: %s", err, kind)
+	if err := r.splitArgs(spec.args); err != nil {
+		return Packet{}, fmt.Errorf("%w: %s", err, packetType)
 	}
-	return Packet{Type: kind, Args: r.args}, nil
+	return Packet{Type: packetType, Args: r.args}, nil
 }
 
-// splitArgs splits the data that was read last into count arguments. It returns ErrArgs if there are
-// fewer.
+// splitArgs splits the data of the current packet into count arguments and stores them in r.args.
+// It returns ErrArgs if there are fewer.
 func (r *Reader) splitArgs(count int) error {
 	r.args = r.args[:0]
-	rest := r.buf
+	remaining := r.buf
 	for i := range count {
 		if i == count-1 {
-			r.args = append(r.args, rest)
+			r.args = append(r.args, remaining)
 			break
 		}
-		arg, more, found := bytes.Cut(rest, []byte{0})
+		arg, after, found := bytes.Cut(remaining, []byte{0})
 		if !found {
 			return ErrArgs
 		}
-		r.args, rest = append(r.args, arg), more
+		r.args, remaining = append(r.args, arg), after
 	}
 	return nil
 }
 
-// unexpectedEOF replaces io.EOF, which came inside a packet, by io.ErrUnexpectedEOF.
+// unexpectedEOF returns io.ErrUnexpectedEOF for io.EOF, and any other error as it is. It is for
+// errors inside a packet or line.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -220,23 +227,24 @@
 	return err
 }
 
-// readData reads size bytes in chunks, so that a header that claims data which never arrives does
-// not take memory.
+// readData reads size bytes into r.buf, in chunks, so that a header which announces data that never
+// arrives does not make the reader allocate that much memory.
 func (r *Reader) readData(size int) error {
 	const chunkSize = 32 << 10
 	r.buf = r.buf[:0]
 	for len(r.buf) < size {
 		n := min(size-len(r.buf), chunkSize)
-		at := len(r.buf)
+		start := len(r.buf)
 		r.buf = append(r.buf, make([]byte, n)...)
-		if _, err := io.ReadFull(r.in, r.buf[at:]); err != nil {
+		if _, err := io.ReadFull(r.in, r.buf[start:]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// readLine reads a line of the administrative protocol.
+// readLine reads a line of the administrative protocol. It removes the line feed and a carriage
+// return before it.
 func (r *Reader) readLine() (Packet, error) {
 	var line []byte
 	for {
@@ -247,41 +255,43 @@
 		if b == '\n' {
 			return Packet{Line: string(bytes.TrimSuffix(line, []byte{'\r'}))}, nil
 		}
-		if line = append(line, b); len(line) > maxLine {
+		if line = append(line, b); len(line) > maxLineBytes {
 			return Packet{}, ErrLine
 		}
 	}
 }
 
-// Append appends a packet, as a response if its type goes both ways. A NUL in any but the last
-// argument would shift the others, so the argument ends there.
-func Append(to []byte, kind Type, args ...[]byte) []byte {
+// Append appends a packet to a buffer and returns the buffer, as append does. It uses the magic of
+// responses if the type can be one. An argument other than the last is cut at its first NUL, which
+// would otherwise separate arguments.
+func Append(buf []byte, packetType Type, args ...[]byte) []byte {
 	direction := request
-	if packetForms[kind].magic&response != 0 {
+	if packetSpecs[packetType].directions&response != 0 {
 		direction = response
 	}
-	return appendPacket(to, direction, kind, args)
+	return appendPacket(buf, direction, packetType, args)
 }
 
-// AppendRequest appends a packet as clients and workers send it.
-func AppendRequest(to []byte, kind Type, args ...[]byte) []byte {
-	return appendPacket(to, request, kind, args)
+// AppendRequest is like Append for packets that clients and workers send: it uses the magic of
+// requests.
+func AppendRequest(buf []byte, packetType Type, args ...[]byte) []byte {
+	return appendPacket(buf, request, packetType, args)
 }
 
-// appendPacket appends a packet in one direction.
-func appendPacket(to []byte, direction uint8, kind Type, args [][]byte) []byte {
-	to = append(to, magics[direction]...)
-	to = binary.BigEndian.AppendUint32(to, uint32(kind))
-	at := len(to)
-	to = append(to, 0, 0, 0, 0)
+// appendPacket appends a packet with the magic of a direction.
+func appendPacket(buf []byte, direction uint8, packetType Type, args [][]byte) []byte {
+	buf = append(buf, magics[direction]...)
+	buf = binary.BigEndian.AppendUint32(buf, uint32(packetType))
+	sizeOffset := len(buf)
+	buf = append(buf, 0, 0, 0, 0)
 	for i, arg := range args {
 		if i < len(args)-1 {
 			arg, _, _ = bytes.Cut(arg, []byte{0})
-			to = append(append(to, arg...), 0)
+			buf = append(append(buf, arg...), 0)
 			continue
 		}
-		to = append(to, arg...)
+		buf = append(buf, arg...)
 	}
-	binary.BigEndian.PutUint32(to[at:], uint32(len(to)-at-4))
-	return to
+	binary.BigEndian.PutUint32(buf[sizeOffset:], uint32(len(buf)-sizeOffset-4))
+	return buf
 }
--- a/internal/dispatcher/gearman/proto/packet_test.go
+++ b/internal/dispatcher/gearman/proto/packet_test.go
@@ -15,9 +15,10 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// read reads a stream to its end.
-func read(in io.Reader, most int) (got []string, err error) {
-	for r := NewReader(in, most); ; {
+// readAll reads a stream up to its first error, and returns each packet or line as text. A packet
+// may have at most maxBytes bytes of data.
+func readAll(in io.Reader, maxBytes int) (got []string, err error) {
+	for r := NewReader(in, maxBytes); ; {
 		p, err := r.Next()
 		if err != nil {
 			return got, err
@@ -33,6 +34,8 @@
 	}
 }
 
+// TestReader checks what Next returns for valid and malformed streams, which arrive at once or byte
+// by byte.
 func TestReader(t *testing.T) {
 	submit := AppendRequest(nil, SubmitJob, []byte("cut"), []byte("u1"), []byte("a\x00b"))
 	for _, tc := range []struct {
@@ -41,58 +44,59 @@
 		want []string
 		err  error
 	}{
-		{"a job, whose last argument holds any bytes", string(submit), []string{`SUBMIT_JOB "cut" "u1" "a\x00b"`}, io.EOF},
-		{"without arguments", string(AppendRequest(nil, GrabJob)), []string{"GRAB_JOB"}, io.EOF},
-		{"lines and packets", "status\r\n" + string(submit) + "workers\n", []string{"line status", `SUBMIT_JOB "cut" "u1" "a\x00b"`, "line workers"}, io.EOF},
-		{"cut in the header", string(submit[:7]), nil, io.ErrUnexpectedEOF},
-		{"cut in the data", string(submit[:15]), nil, io.ErrUnexpectedEOF},
-		{"cut in a line", "stat", nil, io.ErrUnexpectedEOF},
-		{"the wrong magic", "\x00RES" + string(submit[4:]), nil, ErrMagic},
-		{"no kind", "\x00REQ\x00\x00\x00\x05\x00\x00\x00\x00", nil, ErrType},
-		{"a server's kind", "\x00REQ\x00\x00\x00\x08\x00\x00\x00\x00", nil, ErrType},
-		{"4 GB by its header", "\x00REQ\x00\x00\x00\x07\xff\xff\xff\xff", nil, ErrLarge},
-		{"an argument too few", "\x00REQ\x00\x00\x00\x07\x00\x00\x00\x03a\x00b", nil, ErrArgs},
-		{"a line without end", strings.Repeat("x", maxLine+1), nil, ErrLine},
+		{"a job whose last argument contains NUL", string(submit), []string{`SUBMIT_JOB "cut" "u1" "a\x00b"`}, io.EOF},
+		{"no arguments", string(AppendRequest(nil, GrabJob)), []string{"GRAB_JOB"}, io.EOF},
+		{"lines and packets mixed", "status\r\n" + string(submit) + "workers\n", []string{"line status", `SUBMIT_JOB "cut" "u1" "a\x00b"`, "line workers"}, io.EOF},
+		{"truncated header", string(submit[:7]), nil, io.ErrUnexpectedEOF},
+		{"truncated data", string(submit[:15]), nil, io.ErrUnexpectedEOF},
+		{"truncated line", "stat", nil, io.ErrUnexpectedEOF},
+		{"wrong magic", "\x00RES" + string(submit[4:]), nil, ErrMagic},
+		{"unknown type", "\x00REQ\x00\x00\x00\x05\x00\x00\x00\x00", nil, ErrType},
+		{"response type in a request", "\x00REQ\x00\x00\x00\x08\x00\x00\x00\x00", nil, ErrType},
+		{"header announces 4 GB", "\x00REQ\x00\x00\x00\x07\xff\xff\xff\xff", nil, ErrLarge},
+		{"too few arguments", "\x00REQ\x00\x00\x00\x07\x00\x00\x00\x03a\x00b", nil, ErrArgs},
+		{"line too long", strings.Repeat("x", maxLineBytes+1), nil, ErrLine},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			for _, in := range []io.Reader{strings.NewReader(tc.in), iotest.OneByteReader(strings.NewReader(tc.in))} {
-				got, err := read(in, 1000)
+				got, err := readAll(in, 1000)
 				if diff := cmp.Diff(tc.want, got); diff != "" || !errors.Is(err, tc.err) {
-					t.Errorf("ended with %v, (-want +got):\n%s", err, diff)
+					t.Errorf("got error %v; packets (-want +got):\n%s", err, diff)
 				}
 			}
 		})
 	}
 }
 
-// TestRoundTrip checks that what is written is read back, however the stream is split.
+// TestRoundTrip checks that a Reader returns the packets that AppendRequest has encoded, also when
+// the stream arrives in short reads.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var stream []byte
 		var want []string
 		for range rapid.IntRange(1, 20).Draw(t, "n") {
-			kind := rapid.SampledFrom([]Type{CanDo, SubmitJob, GrabJobUniq, WorkComplete, WorkStatus, SubmitJobSched, EchoReq}).Draw(t, "kind")
-			text := kind.String()
+			packetType := rapid.SampledFrom([]Type{CanDo, SubmitJob, GrabJobUniq, WorkComplete, WorkStatus, SubmitJobSched, EchoReq}).Draw(t, "kind")
+			text := packetType.String()
 			var args [][]byte
-			for i := range packetForms[kind].args {
+			for i := range packetSpecs[packetType].args {
 				a := rapid.SliceOfN(rapid.Byte(), 0, 40).Draw(t, "arg")
-				if i < packetForms[kind].args-1 {
+				if i < packetSpecs[packetType].args-1 {
 					a = bytes.ReplaceAll(a, []byte{0}, nil)
 				}
 				args = append(args, a)
 				text += fmt.Sprintf(" %q", a)
 			}
-			stream, want = AppendRequest(stream, kind, args...), append(want, text)
+			stream, want = AppendRequest(stream, packetType, args...), append(want, text)
 		}
-		got, err := read(iotest.HalfReader(bytes.NewReader(stream)), 1000)
+		got, err := readAll(iotest.HalfReader(bytes.NewReader(stream)), 1000)
 		if diff := cmp.Diff(want, got); diff != "" || !errors.Is(err, io.EOF) {
-			t.Fatalf("ended with %v, (-want +got):\n%s", err, diff)
+			t.Fatalf("got error %v, want EOF; packets (-want +got):\n%s", err, diff)
 		}
 	})
 }
 
-// FuzzReader checks that reading any stream ends with an error and takes no more memory than the
-// stream has bytes.
+// FuzzReader checks for any stream that reading ends with an error, that the data of each packet or
+// line is no longer than the stream, and that the buffer is at most 256 KiB larger than the stream.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("status\n"))
 	f.Add(AppendRequest(nil, SubmitJob, []byte("cut"), []byte("u1"), []byte("x")))
@@ -109,11 +113,11 @@
 				size += len(a)
 			}
 			if size > len(stream) {
-				t.Fatalf("%d bytes of %d", size, len(stream))
+				t.Fatalf("got a packet or line of %d bytes from a stream of %d", size, len(stream))
 			}
 		}
 		if cap(r.buf) > len(stream)+256<<10 {
-			t.Fatalf("a buffer of %d for %d bytes", cap(r.buf), len(stream))
+			t.Fatalf("got a buffer of %d bytes for a stream of %d, want at most 256 KiB more", cap(r.buf), len(stream))
 		}
 	})
 }
