--- a/cmd/frosttide/gearman.go
+++ b/cmd/frosttide/gearman.go
@@ -27,7 +27,7 @@
 
 // Open implements core.Backends.
 func (b *backends) Open(worker decision.WorkerID, uid, addr string) core.Backend {
-	if b.gearman != nil && gearman.Has(addr) {
+	if b.gearman != nil && gearman.IsWorkerAddr(addr) {
 		return b.gearman.Open(addr)
 	}
 	return b.Fleet.Open(worker, uid, addr)
--- a/cmd/frosttide/shutdown.go
+++ b/cmd/frosttide/shutdown.go
@@ -61,7 +61,7 @@
 		p.peers.announceDrain(p.link.SuccessorServes())
 	}
 	if p.gearman != nil {
-		p.gearman.Leave(deadline)
+		p.gearman.BeginShutdown(deadline)
 	}
 	if p.link.SuccessorServes() {
 		p.listener.Close()
--- a/internal/dispatcher/gearman/server.go
+++ b/internal/dispatcher/gearman/server.go
@@ -193,8 +193,8 @@
 // addrPrefix begins the addresses of Gearman workers in the route table.
 const addrPrefix = "gearman/"
 
-// Has reports whether addr, an address of the route table, is that of a Gearman worker.
-func Has(addr string) bool { return strings.HasPrefix(addr, addrPrefix) }
+// IsWorkerAddr reports whether addr, an address of the route table, is that of a Gearman worker.
+func IsWorkerAddr(addr string) bool { return strings.HasPrefix(addr, addrPrefix) }
 
 // Open returns the backend of the worker with the address. If the worker has disconnected, attempts
 // sent to the backend end at once with decision.ConnectFailed.
@@ -240,9 +240,9 @@
 	delete(s.sessions, sess.number)
 }
 
-// Leave begins a graceful shutdown: it closes the listener and caps the deadlines of new jobs at
-// deadline. Open connections stay open.
-func (s *Server) Leave(deadline time.Time) {
+// BeginShutdown begins a graceful shutdown: it closes the listener and caps the deadlines of new
+// jobs at deadline. Open connections stay open.
+func (s *Server) BeginShutdown(deadline time.Time) {
 	s.shutdownDeadline.Store(&deadline)
 	s.listener.Close()
 }
