--- a/internal/dispatcher/wire/batch.go
+++ b/internal/dispatcher/wire/batch.go
@@ -9,33 +9,34 @@
 	"time"
 )
 
-// Batch is one frame of events, not yet decoded.
+// Batch is one frame of events whose records are not decoded yet.
 type Batch struct {
-	Records int           // how many records Body holds
-	Clock   time.Duration // the time of all its events
-	Seq     uint32        // the number by which the reply refers to it
+	Records int           // number of records in Body
+	Clock   time.Duration // time at which all events of the batch happen
+	Seq     uint32        // sequence number, repeated in the reply
 	Body    []byte
 }
 
-// ReadBatch reads the next frame into buf and returns it; the batch is valid until buf is used again. It returns io.EOF
-// at the end of input between frames, and an error that names the fault for a malformed frame. Memory grows with the
-// bytes that have arrived, never with the length that a header states.
+// ReadBatch reads the next frame into buf. The batch is valid until buf is used again. ReadBatch
+// returns io.EOF if the input ends between two frames, and an error that describes the fault if a
+// frame is malformed or cut off. It allocates memory for the bytes that have arrived, never for the
+// length that a header announces.
 func ReadBatch(r io.Reader, buf *bytes.Buffer) (Batch, error) {
-	var head [batchHeader]byte
-	if n, err := io.ReadFull(r, head[:]); err != nil {
+	var header [batchHeaderSize]byte
+	if n, err := io.ReadFull(r, header[:]); err != nil {
 		if errors.Is(err, io.EOF) {
 			return Batch{}, io.EOF
 		}
-		return Batch{}, fmt.Errorf("frame header cut off after %d of %d bytes: %w", n, batchHeader, err)
+		return Batch{}, fmt.Errorf("frame header cut off after %d of %d bytes: %w", n, batchHeaderSize, err)
 	}
-	le := binary.LittleEndian
-	records, size := le.Uint32(head[0:]), le.Uint32(head[4:])
-	b := Batch{Records: int(records), Clock: fromMicros(le.Uint64(head[8:])), Seq: le.Uint32(head[16:])}
-	if size < batchHeader {
+	littleEndian := binary.LittleEndian
+	records, size := littleEndian.Uint32(header[0:]), littleEndian.Uint32(header[4:])
+	b := Batch{Records: int(records), Clock: fromMicros(littleEndian.Uint64(header[8:])), Seq: littleEndian.Uint32(header[16:])}
+	if size < batchHeaderSize {
 		return Batch{}, fmt.Errorf("batch %d: frame length %d is less than its header", b.Seq, size)
 	}
-	body := int64(size) - batchHeader
-	if int64(records)*minRecord > body {
+	body := int64(size) - batchHeaderSize
+	if int64(records)*minRecordSize > body {
 		return Batch{}, fmt.Errorf("batch %d: %d records cannot fit in %d bytes", b.Seq, records, body)
 	}
 	buf.Reset()
--- a/internal/dispatcher/wire/codes.go
+++ b/internal/dispatcher/wire/codes.go
@@ -1,39 +1,39 @@
 package wire
 
-// Sizes of the fixed parts of frames, in bytes, and the number of numbered worker lists.
+// Sizes of the fixed parts of frames in bytes, and the number of worker lists that a Decoder holds.
 const (
-	batchHeader = 20
-	replyHeader = 8
-	memberSize  = 23
-	minRecord   = 4
-	maxLists    = 16
+	batchHeaderSize  = 20
+	replyHeaderSize  = 8
+	memberRecordSize = 23
+	minRecordSize    = 4
+	maxMemberLists   = 16
 )
 
-// The codes of events, by the names of the protocol.
+// The codes of event records. The comments give the protocol's names.
 const (
-	evDetach     = 256
-	evAccepted   = 257
-	evBell       = 258
-	evResponse   = 259
-	evProbeDone  = 260
-	evCensus     = 261
-	evInterim    = 262
-	evClientLeft = 263
-	evArrival    = 264
-	evProvision  = 265
-	evMail       = 266
-	evFleet      = 267
+	eventDetach          = 256 // detach
+	eventAttemptAccepted = 257 // accepted
+	eventTimerFired      = 258 // bell
+	eventAttemptEnded    = 259 // response
+	eventProbeEnded      = 260 // probe done
+	eventMemberList      = 261 // census
+	eventAttemptProgress = 262 // interim
+	eventRequestCanceled = 263 // client left
+	eventRequestArrived  = 264 // arrival
+	eventProvision       = 265 // provision
+	eventPeerMessage     = 266 // mail
+	eventMembers         = 267 // fleet
 )
 
-// The codes of actions, by the names of the protocol.
+// The codes of action records. The comments give the protocol's names.
 const (
-	acIssue        = 256
-	acSayNo        = 259
-	acRespondError = 261
-	acResolve      = 262
-	acBug          = 263
-	acWakeMe       = 264
-	acCancel       = 265
-	acProbe        = 266
-	acKeepInformed = 267
+	actionSend      = 256 // issue
+	actionReject    = 259 // say no
+	actionFail      = 261 // respond error
+	actionFetch     = 262 // resolve
+	actionFault     = 263 // bug
+	actionSetTimer  = 264 // wake me
+	actionCancel    = 265 // cancel
+	actionProbe     = 266 // probe
+	actionSubscribe = 267 // keep informed
 )
--- a/internal/dispatcher/wire/config.go
+++ b/internal/dispatcher/wire/config.go
@@ -7,25 +7,27 @@
 	"frosttide/decision"
 )
 
-// columnMetrics are the metrics of the columns of load reports that have a meaning by their name.
+// columnMetrics maps the load report columns whose name determines their meaning to metrics.
 var columnMetrics = map[string]decision.Metric{
 	"inflight": decision.MetricInFlight, "queue": decision.MetricQueued,
 	"util": decision.MetricUtilization, "latency_ms": decision.MetricLatency,
 	"qps": decision.MetricServedRate, "eps": decision.MetricErrorRate,
 }
 
-// KnownColumn reports whether a column of load reports has a meaning by its name alone.
+// KnownColumn reports whether the name of a load report column determines its metric. Other columns
+// need a meaning in the settings.
 func KnownColumn(name string) bool { return columnMetrics[name] != decision.MetricUnknown }
 
-// freeColumnMetrics are the metrics of the other columns, by the meaning that the settings give them.
-var freeColumnMetrics = map[string]decision.Metric{
+// configuredColumnMetrics maps the meanings that the settings can give other columns to metrics.
+var configuredColumnMetrics = map[string]decision.Metric{
 	"free slots": decision.MetricFreeSlots, "free memory": decision.MetricFreeMemory,
 }
 
-// ParseSettings returns the Config of an instance for its start-up settings, which are JSON. Unknown keys are ignored.
-// Absent keys mean: one instance in one zone, nothing optional allowed, two attempts, workers that are warm from the
-// start, every class safe, of value 1 and for any kind of worker. A wrong type, a number out of range or a missing class
-// is an error that names the key.
+// ParseSettings converts the start-up settings of an instance, which are JSON, to a Config. It
+// ignores unknown keys. The defaults are one instance in one zone, no optional feature, two
+// attempts per request, no warm-up of workers, and classes that are safe, have the value 1 and run
+// on any kind of worker. A wrong type, a number out of range or the lack of classes is an error
+// that names the key.
 func ParseSettings(text []byte) (decision.Config, error) {
 	s, err := parse(text)
 	if err != nil {
@@ -41,7 +43,7 @@
 		PullMembers:      s.Discovery == "on_request",
 		StartEvents:      s.Family.TellsStart,
 		WeightKnown:      s.Weights != "" && s.Weights != "none",
-		Quantum:          micros(s.Quantum),
+		Quantum:          microseconds(s.Quantum),
 		CrossZonePenalty: s.Deductions.CrossZone,
 	}
 	if s.Report.Source == "answers" || s.Report.Source == "probe" {
@@ -56,7 +58,7 @@
 	return cfg, nil
 }
 
-// limits returns the deployment's limits.
+// limits converts the key policy-limits, what the deployment permits.
 func (s *settings) limits() decision.Limits {
 	return decision.Limits{
 		MaxAttempts:    int(s.Limits.SendCap),
@@ -64,45 +66,46 @@
 		CancelAllowed:  s.Limits.MayCancel,
 		ProbeAllowed:   s.Limits.Probing,
 		RetryAfter:     s.Limits.RetryAfter,
-		MaxRetryAfter:  micros(s.Limits.MaxRetryAfter),
-		ConnectTimeout: micros(s.Limits.ConnectTimeout),
+		MaxRetryAfter:  microseconds(s.Limits.MaxRetryAfter),
+		ConnectTimeout: microseconds(s.Limits.ConnectTimeout),
 	}
 }
 
-// rules returns the figures of the dispatcher's guarantees.
+// rules converts the key rules, the parameters of the dispatcher's guarantees.
 func (s *settings) rules() decision.Rules {
 	return decision.Rules{
-		DrainGrace:         micros(s.Rules.DrainGrace),
+		DrainGrace:         microseconds(s.Rules.DrainGrace),
 		InitialCapacity:    s.Rules.ColdFrom,
-		WarmUp:             micros(s.Rules.WarmWithin),
+		WarmUp:             microseconds(s.Rules.WarmWithin),
 		OverloadMultiple:   s.Rules.FallMultiple,
-		OverloadWindow:     micros(s.Rules.Fall),
-		MaxRefreshInterval: micros(s.Rules.AskWithin),
+		OverloadWindow:     microseconds(s.Rules.Fall),
+		MaxRefreshInterval: microseconds(s.Rules.AskWithin),
 	}
 }
 
-// metrics returns the metrics of the report's columns. The meaning of a column that has none by its name stands under the
-// key of its name with the prefix "report-".
+// metrics returns the metrics of the load report columns. If the name of a column does not
+// determine its metric, the key "report-NAME" in family-info gives its meaning.
 func (s *settings) metrics(text []byte) []decision.Metric {
-	var meanings struct {
+	var extra struct {
 		Family map[string]any `json:"family-info"`
 	}
-	_ = json.Unmarshal(text, &meanings) // parse has read it before, and a column without a meaning does no harm
+	// parse has already accepted the text, and a column without a meaning is ignored.
+	_ = json.Unmarshal(text, &extra)
 	var out []decision.Metric
 	for _, name := range s.Report.Columns[:min(len(s.Report.Columns), decision.MaxMetrics)] {
 		m := columnMetrics[name]
-		if meaning, ok := meanings.Family["report-"+name].(string); ok && m == decision.MetricUnknown {
-			m = freeColumnMetrics[meaning]
+		if meaning, ok := extra.Family["report-"+name].(string); ok && m == decision.MetricUnknown {
+			m = configuredColumnMetrics[meaning]
 		}
 		out = append(out, m)
 	}
 	return out
 }
 
-// class returns the decision.Class of a request class, with what the workers' family adds to it.
+// class converts the request class with index i, including what family-info specifies for it.
 func (s *settings) class(i int) decision.Class {
 	c := s.Classes[i]
-	out := decision.Class{DedupWindow: micros(c.Window), Objective: micros(c.Aim), Stretch: c.AimStretch, ClientTimeout: micros(c.GiveUp),
+	out := decision.Class{DedupWindow: microseconds(c.Window), Objective: microseconds(c.Aim), Stretch: c.AimStretch, ClientTimeout: microseconds(c.GiveUp),
 		Value: c.Worth, LateValue: c.LateWorth, Streamed: c.Stream, WorkerKind: -1}
 	switch c.Effect {
 	case "keyed":
@@ -128,5 +131,5 @@
 	return out
 }
 
-// micros returns the Duration of microseconds.
-func micros(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
+// microseconds converts a number of microseconds to a Duration.
+func microseconds(n int64) time.Duration { return time.Duration(n) * time.Microsecond }
--- a/internal/dispatcher/wire/decode.go
+++ b/internal/dispatcher/wire/decode.go
@@ -6,63 +6,67 @@
 	"frosttide/decision"
 )
 
-// Handler takes the decoded records of a batch in their order.
+// Handler receives the decoded records of a batch in their order.
 type Handler interface {
-	// Provision starts an instance anew. The settings text is valid during the call only.
+	// Provision starts an instance, or restarts it with an empty state. The settings are valid only
+	// during the call.
 	Provision(instance int, seed uint64, settings []byte)
-	// Detach ends an instance at once.
+	// Detach stops an instance immediately.
 	Detach(instance int)
-	// Event brings an event of an instance. Its Members may be kept; they are shared and must not be changed.
+	// Event delivers an event to an instance. The handler may retain ev.Members but must not modify
+	// it, as other events share it.
 	Event(instance int, ev *decision.Event)
 }
 
-// Decoder decodes batches. It keeps the numbered lists of workers, to which events of later batches refer. The zero value
-// has no lists.
+// Decoder decodes batches. It keeps the numbered worker lists, which events of the same and of
+// later batches refer to. The zero value has no lists and is ready for use.
 type Decoder struct {
-	lists   [maxLists][]decision.Member
-	defined [maxLists]bool
+	lists   [maxMemberLists][]decision.Member
+	defined [maxMemberLists]bool
 }
 
-// Decode passes all records of a batch to h. After an error nothing more of the batch may be used; the error names the
-// batch, the record and its position.
+// Decode passes all records of a batch to h. The error for a malformed record names the batch, the
+// record and its position in the frame. The records before it have been passed to h by then; the
+// caller must discard them.
 func (d *Decoder) Decode(b Batch, h Handler) error {
 	c := cursor{data: b.Body}
 	for i := 0; i < b.Records; i++ {
 		start := c.offset
 		if err := d.decodeRecord(&c, h); err != nil {
-			return fmt.Errorf("batch %d, record %d at byte %d: %w", b.Seq, i, batchHeader+start, err)
+			return fmt.Errorf("batch %d, record %d at byte %d: %w", b.Seq, i, batchHeaderSize+start, err)
 		}
 	}
-	if rest := len(c.data) - c.offset; rest > 0 {
-		return fmt.Errorf("batch %d: %d bytes follow the last of %d records", b.Seq, rest, b.Records)
+	if trailing := len(c.data) - c.offset; trailing > 0 {
+		return fmt.Errorf("batch %d: %d bytes follow the last of %d records", b.Seq, trailing, b.Records)
 	}
 	return nil
 }
 
-// decodeRecord decodes one record and passes it to h. A census defines a numbered list and is passed to nobody.
+// decodeRecord decodes one record and passes it to h. A worker list is stored in the Decoder
+// instead.
 func (d *Decoder) decodeRecord(c *cursor, h Handler) error {
 	code := c.u16()
-	if code == evCensus {
-		return d.decodeList(c)
+	if code == eventMemberList {
+		return d.decodeMemberList(c)
 	}
 	instance := int(c.u16())
 	switch code {
-	case evProvision:
-		seed, settings := c.u64(), c.block(1)
+	case eventProvision:
+		seed, settings := c.u64(), c.countedItems(1)
 		if c.truncated {
 			return errTruncated
 		}
 		h.Provision(instance, seed, settings)
 		return nil
-	case evDetach:
+	case eventDetach:
 		if c.truncated {
 			return errTruncated
 		}
 		h.Detach(instance)
 		return nil
-	case evMail: // instances share nothing, so a message of a peer is ignored
+	case eventPeerMessage: // instances share no state, so messages between them are ignored
 		c.u16()
-		c.take(int(c.u16()))
+		c.next(int(c.u16()))
 		if c.truncated {
 			return errTruncated
 		}
@@ -79,30 +83,30 @@
 	return nil
 }
 
-// decodeEvent decodes the record of a code, which is one of an event, after its instance.
+// decodeEvent decodes the rest of an event record, after its code and instance.
 func (d *Decoder) decodeEvent(code uint16, c *cursor, ev *decision.Event) error {
 	switch code {
-	case evFleet:
-		return d.decodeMembers(c, ev)
-	case evArrival:
-		decodeArrival(c, ev)
-	case evResponse:
-		return decodeResponse(c, ev)
-	case evInterim:
-		return decodeInterim(c, ev)
-	case evAccepted:
+	case eventMembers:
+		return d.decodeMembersEvent(c, ev)
+	case eventRequestArrived:
+		decodeRequestArrived(c, ev)
+	case eventAttemptEnded:
+		return decodeAttemptEnded(c, ev)
+	case eventAttemptProgress:
+		return decodeAttemptProgress(c, ev)
+	case eventAttemptAccepted:
 		ev.Type, ev.Request = decision.AttemptAccepted, decision.RequestID(c.u32())
 		ev.Attempt, ev.Worker = int(c.u16()), decision.WorkerID(c.u32())
-		c.u32() // a time that is not used
-	case evClientLeft:
+		c.u32() // a time, not used
+	case eventRequestCanceled:
 		ev.Type, ev.Request = decision.RequestCanceled, decision.RequestID(c.u32())
-	case evBell:
+	case eventTimerFired:
 		ev.Type, ev.Token = decision.TimerFired, c.u32()
-	case evProbeDone:
+	case eventProbeEnded:
 		ev.Type, ev.Worker = decision.ProbeEnded, decision.WorkerID(c.u32())
 		resultCode := c.u16()
-		c.u32() // a time that is not used
-		return decodeOutcome(c, resultCode, ev)
+		c.u32() // a time, not used
+		return decodeLoadAndOutcome(c, resultCode, ev)
 	default:
 		if c.truncated {
 			return errTruncated
@@ -112,17 +116,17 @@
 	return nil
 }
 
-// decodeList decodes a census: a numbered list of workers, which replaces an earlier one of the number.
-func (d *Decoder) decodeList(c *cursor) error {
+// decodeMemberList decodes a numbered worker list and replaces the earlier list with that number.
+func (d *Decoder) decodeMemberList(c *cursor) error {
 	number := c.u8()
-	data := c.block(memberSize)
+	data := c.countedItems(memberRecordSize)
 	if c.truncated {
 		return errTruncated
 	}
-	if int(number) >= maxLists {
+	if int(number) >= maxMemberLists {
 		return fmt.Errorf("list number %d is out of range", number)
 	}
-	members := make([]decision.Member, 0, len(data)/memberSize)
+	members := make([]decision.Member, 0, len(data)/memberRecordSize)
 	for in := (cursor{data: data}); in.offset < len(data); {
 		m := decision.Member{Worker: decision.WorkerID(in.u32()), Zone: int(in.u16()), Kind: int(in.u16()),
 			Cell: int(in.u16())}
@@ -144,14 +148,15 @@
 	return nil
 }
 
-// decodeMembers decodes an event on the list of workers, which names a numbered list.
-func (d *Decoder) decodeMembers(c *cursor, ev *decision.Event) error {
-	number, form := c.u8(), c.u8()
+// decodeMembersEvent decodes an event about the membership, which refers to a worker list by
+// number.
+func (d *Decoder) decodeMembersEvent(c *cursor, ev *decision.Event) error {
+	number, kind := c.u8(), c.u8()
 	c.u64()
 	if c.truncated {
 		return errTruncated
 	}
-	switch form {
+	switch kind {
 	case 0:
 		ev.Type = decision.MembersChanged
 	case 1, 3:
@@ -160,17 +165,18 @@
 		ev.Type = decision.MembersFailed
 		return nil
 	default:
-		return fmt.Errorf("unknown form %d of a worker list", form)
+		return fmt.Errorf("unknown kind %d of a worker list event", kind)
 	}
-	if int(number) >= maxLists || !d.defined[number] {
+	if int(number) >= maxMemberLists || !d.defined[number] {
 		return fmt.Errorf("worker list %d was never defined", number)
 	}
 	ev.Members = d.lists[number]
 	return nil
 }
 
-// decodeArrival decodes the arrival of a request.
-func decodeArrival(c *cursor, ev *decision.Event) {
+// decodeRequestArrived decodes the arrival of a request. Of the flags, bit 0 says that there is a
+// hint of the run time, and bit 1 that the request is a client's retry.
+func decodeRequestArrived(c *cursor, ev *decision.Event) {
 	ev.Type, ev.Request = decision.RequestArrived, decision.RequestID(c.u32())
 	ev.Deadline, ev.Slots, ev.Key = fromMicros(c.u64()), c.f32(), c.u64()
 	ev.Memory, ev.Tenant, ev.Class = c.f32(), int(c.u32()), int(c.u8())
@@ -181,19 +187,19 @@
 	ev.Retry = attrs&2 != 0
 }
 
-// decodeResponse decodes the end of an attempt.
-func decodeResponse(c *cursor, ev *decision.Event) error {
+// decodeAttemptEnded decodes the end of an attempt, with its outcome and load report.
+func decodeAttemptEnded(c *cursor, ev *decision.Event) error {
 	ev.Type, ev.Request = decision.AttemptEnded, decision.RequestID(c.u32())
 	ev.Worker, ev.Attempt = decision.WorkerID(c.u32()), int(c.u16())
-	c.u8() // a mark of the workers' family, which is not used
+	c.u8() // a field of the worker family, not used
 	resultCode := c.u16()
 	ev.RequestClosed = c.u8() != 0
-	c.u32() // the round-trip time, which the module measures itself
-	return decodeOutcome(c, resultCode, ev)
+	c.u32() // round-trip time, which package decision measures itself
+	return decodeLoadAndOutcome(c, resultCode, ev)
 }
 
-// decodeInterim decodes the start or the progress of an attempt.
-func decodeInterim(c *cursor, ev *decision.Event) error {
+// decodeAttemptProgress decodes the event that an attempt has started or made progress.
+func decodeAttemptProgress(c *cursor, ev *decision.Event) error {
 	ev.Request, ev.Worker = decision.RequestID(c.u32()), decision.WorkerID(c.u32())
 	kind := c.u8()
 	ev.Attempt, ev.Progress = int(c.u16()), c.f32()
@@ -205,13 +211,14 @@
 	case kind == 2:
 		ev.Type = decision.AttemptProgressed
 	default:
-		return fmt.Errorf("unknown note %d on an attempt", kind)
+		return fmt.Errorf("unknown kind %d of an attempt progress event", kind)
 	}
 	return nil
 }
 
-// decodeOutcome decodes a load report and maps a result code; the ends of attempts and of probes have both.
-func decodeOutcome(c *cursor, resultCode uint16, ev *decision.Event) error {
+// decodeLoadAndOutcome decodes a load report and maps a result code to an outcome, for the ends of
+// attempts and of probes. It drops the values of the report after decision.MaxMetrics.
+func decodeLoadAndOutcome(c *cursor, resultCode uint16, ev *decision.Event) error {
 	count := int(c.u8())
 	for i := range count {
 		value := c.f32()
--- a/internal/dispatcher/wire/decode_test.go
+++ b/internal/dispatcher/wire/decode_test.go
@@ -15,22 +15,22 @@
 	"frosttide/decision"
 )
 
-// frame returns a frame of records, which are given in hexadecimal.
+// frame encodes a frame whose records are given in hexadecimal; spaces are ignored.
 func frame(t testing.TB, records int, body string) []byte {
 	t.Helper()
 	raw, err := hex.DecodeString(strings.Join(strings.Fields(body), ""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	out := make([]byte, 0, batchHeader+len(raw))
+	out := make([]byte, 0, batchHeaderSize+len(raw))
 	out = binary.LittleEndian.AppendUint32(out, uint32(records))
-	out = binary.LittleEndian.AppendUint32(out, uint32(batchHeader+len(raw)))
+	out = binary.LittleEndian.AppendUint32(out, uint32(batchHeaderSize+len(raw)))
 	out = binary.LittleEndian.AppendUint64(out, 0x805c5a)
 	out = binary.LittleEndian.AppendUint32(out, 12)
 	return append(out, raw...)
 }
 
-// recorder keeps what a batch decodes to.
+// recorder is a Handler that records its calls and events.
 type recorder struct {
 	events []decision.Event
 	calls  []string
@@ -45,7 +45,7 @@
 	r.events = append(r.events, *ev)
 }
 
-// decode decodes a frame and returns what it leads to.
+// decode decodes one frame with a new Decoder.
 func decode(t testing.TB, raw []byte) (*recorder, error) {
 	t.Helper()
 	var buf bytes.Buffer
@@ -58,7 +58,7 @@
 	return &rec, d.Decode(b, &rec)
 }
 
-// TestDecodeDocumentedRecords checks that the records of the protocol's page decode to their events.
+// TestDecodeDocumentedRecords decodes the example records of the protocol's documentation.
 func TestDecodeDocumentedRecords(t *testing.T) {
 	const id, worker = 0x5d3a91c4, 0x03124a07
 	ms := func(us int) time.Duration { return time.Duration(us) * time.Microsecond }
@@ -99,8 +99,9 @@
 	}
 }
 
-// TestDecodeKeepsOrderOfIncarnations checks the order of the end and the new start of an instance, and its
-// events.
+// TestDecodeKeepsOrderOfIncarnations checks that the calls for the stop and the restart of an
+// instance, and for its events, keep the order of the records, and that a message of a peer leads
+// to no call.
 func TestDecodeKeepsOrderOfIncarnations(t *testing.T) {
 	body := "0001 0300  0901 0300 0800000000000000 02000000 7b7d  0201 0300 4d000000  0a01 0300 0200 0400 68692037"
 	rec, err := decode(t, frame(t, 4, body))
@@ -113,9 +114,9 @@
 	}
 }
 
-// TestNumbersOfListsAreReused checks that an event keeps its list when the same batch replaces the list of
-// that number later.
-func TestNumbersOfListsAreReused(t *testing.T) {
+// TestReplacedListKeepsEarlierEvents checks that an event keeps its worker list if a later record
+// of the same batch replaces the list with that number.
+func TestReplacedListKeepsEarlierEvents(t *testing.T) {
 	list := func(id string) string {
 		return "0501 04 01000000 " + id + " 0000 0000 0000 00 0000803f 0000000000000000 "
 	}
@@ -125,12 +126,12 @@
 		t.Fatal(err)
 	}
 	if a, b := rec.events[0].Members[0].Worker, rec.events[1].Members[0].Worker; a != 1 || b != 2 {
-		t.Errorf("the events name workers %d and %d, want 1 and 2", a, b)
+		t.Errorf("got events with workers %d and %d, want 1 and 2", a, b)
 	}
 }
 
-// TestMalformedInputIsNamed checks that the error of a malformed frame names the fault.
-func TestMalformedInputIsNamed(t *testing.T) {
+// TestMalformedFrameErrors checks that the error for a malformed frame describes the fault.
+func TestMalformedFrameErrors(t *testing.T) {
 	good := frame(t, 1, "0201 0300 4d000000")
 	patched := func(at int, v byte) []byte {
 		out := bytes.Clone(good)
@@ -141,45 +142,46 @@
 		raw  []byte
 		want string
 	}{
-		"header cut off":     {good[:7], "header cut off after 7 of 20"},
-		"body cut off":       {good[:24], "body cut off after 4 of 8"},
-		"length below head":  {patched(4, 3), "less than its header"},
-		"too many records":   {patched(0, 9), "cannot fit"},
-		"bytes left over":    {frame(t, 1, "0201 0300 4d000000 00"), "follow the last"},
-		"record cut off":     {frame(t, 1, "0201 0300 4d00"), "ends inside"},
-		"unknown code":       {frame(t, 1, "ff01 0300"), "unknown event code 511"},
-		"unknown outcome":    {frame(t, 1, "0301 0300 c4913a5d 074a1203 0000 00 6300 01 44480000 00"), "unknown outcome 99"},
-		"unknown note":       {frame(t, 1, "0601 0300 c4913a5d 074a1203 07 0000 0000003f"), "unknown note 7"},
-		"unknown list":       {frame(t, 1, "0b01 0300 05 01 0000000000000000"), "list 5 was never defined"},
-		"unknown list form":  {frame(t, 1, "0b01 0300 05 09 0000000000000000"), "unknown form 9"},
-		"count past the end": {frame(t, 1, "0501 00 ffffff7f"), "ends inside"},
-		"list number":        {frame(t, 1, "0501 10 00000000"), "list number 16"},
-		"load past the end":  {frame(t, 1, "0401 0300 f211902c 0000 78050000 ff"), "ends inside"},
+		"header cut off":          {good[:7], "header cut off after 7 of 20"},
+		"body cut off":            {good[:24], "body cut off after 4 of 8"},
+		"length below header":     {patched(4, 3), "less than its header"},
+		"too many records":        {patched(0, 9), "cannot fit"},
+		"trailing bytes":          {frame(t, 1, "0201 0300 4d000000 00"), "follow the last"},
+		"record cut off":          {frame(t, 1, "0201 0300 4d00"), "ends inside"},
+		"unknown code":            {frame(t, 1, "ff01 0300"), "unknown event code 511"},
+		"unknown outcome":         {frame(t, 1, "0301 0300 c4913a5d 074a1203 0000 00 6300 01 44480000 00"), "unknown outcome 99"},
+		"unknown progress kind":   {frame(t, 1, "0601 0300 c4913a5d 074a1203 07 0000 0000003f"), "unknown kind 7 of an attempt progress event"},
+		"unknown list":            {frame(t, 1, "0b01 0300 05 01 0000000000000000"), "list 5 was never defined"},
+		"unknown list event kind": {frame(t, 1, "0b01 0300 05 09 0000000000000000"), "unknown kind 9 of a worker list event"},
+		"count past the end":      {frame(t, 1, "0501 00 ffffff7f"), "ends inside"},
+		"list number":             {frame(t, 1, "0501 10 00000000"), "list number 16"},
+		"load past the end":       {frame(t, 1, "0401 0300 f211902c 0000 78050000 ff"), "ends inside"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			_, err := decode(t, tt.raw)
 			if err == nil || !strings.Contains(err.Error(), tt.want) {
-				t.Errorf("got %v, want an error with %q", err, tt.want)
+				t.Errorf("got error %v, want one that contains %q", err, tt.want)
 			}
 		})
 	}
 }
 
-// TestHugeLengthDoesNotAllocate checks that a header that states gigabytes allocates no memory for them.
+// TestHugeLengthDoesNotAllocate checks that no memory is allocated for the length that a header
+// announces.
 func TestHugeLengthDoesNotAllocate(t *testing.T) {
 	head := frame(t, 0, "")
 	binary.LittleEndian.PutUint32(head[4:], 0xffffffff)
 	var buf bytes.Buffer
 	if _, err := ReadBatch(bytes.NewReader(head), &buf); err == nil {
-		t.Fatal("a frame without its body was accepted")
+		t.Fatal("got no error for a frame without its body")
 	}
 	if buf.Cap() > 1<<20 {
-		t.Errorf("%d bytes were set aside for a body that never came", buf.Cap())
+		t.Errorf("got a buffer of %d bytes for a body that never arrived, want at most 1 MiB", buf.Cap())
 	}
 }
 
-// TestEndOfInputBetweenFrames checks the error at the end of the input.
+// TestEndOfInputBetweenFrames checks that the end of the input between two frames is io.EOF.
 func TestEndOfInputBetweenFrames(t *testing.T) {
 	var buf bytes.Buffer
 	if _, err := ReadBatch(bytes.NewReader(nil), &buf); !errors.Is(err, io.EOF) {
@@ -187,7 +189,7 @@
 	}
 }
 
-// FuzzDecode looks for panics and for frames that are read beyond their end.
+// FuzzDecode looks for panics and for frames that yield more calls than they have records.
 func FuzzDecode(f *testing.F) {
 	f.Add(frame(f, 0, ""))
 	f.Add(frame(f, 1, "0801 0300 c4913a5d da05840000000000 00000040 640ad2557c3bf091 0000c03f 00000000 00 e02e0000 01"))
@@ -201,7 +203,7 @@
 			return
 		}
 		if records := binary.LittleEndian.Uint32(raw); len(rec.calls) > int(records) {
-			t.Errorf("%d records became %d calls", records, len(rec.calls))
+			t.Errorf("%d records led to %d calls", records, len(rec.calls))
 		}
 	})
 }
--- a/internal/dispatcher/wire/encode_test.go
+++ b/internal/dispatcher/wire/encode_test.go
@@ -10,7 +10,8 @@
 	"frosttide/decision"
 )
 
-// TestEncodeDocumentedActions checks that actions are encoded as on the protocol's page.
+// TestEncodeDocumentedActions compares encoded actions to the examples of the protocol's
+// documentation.
 func TestEncodeDocumentedActions(t *testing.T) {
 	const id, worker = 0x5d3a91c4, 0x03124a07
 	us := func(n int) time.Duration { return time.Duration(n) * time.Microsecond }
@@ -21,7 +22,7 @@
 		"send": {decision.Action{Type: decision.Send, Request: id, Worker: worker, After: us(0x13880)},
 			"0001 0300 c4913a5d 80380100 074a1203"},
 		"cancel": {decision.Action{Type: decision.Cancel, Request: id}, "0901 0300 c4913a5d 0000"},
-		"refuse": {decision.Action{Type: decision.Reject, Request: 0x0e6f2b19, After: us(250000)},
+		"reject": {decision.Action{Type: decision.Reject, Request: 0x0e6f2b19, After: us(250000)},
 			"0301 0300 192b6f0e 90d00300"},
 		"fail": {decision.Action{Type: decision.Fail, Request: 0x0e6f2b19}, "0501 0300 192b6f0e"},
 		"timer": {decision.Action{Type: decision.SetTimer, At: us(0x87fd7a), Token: 77},
@@ -38,7 +39,7 @@
 				t.Fatal(err)
 			}
 			body := strings.ReplaceAll(tt.want, " ", "")
-			want := fmt.Sprintf("%02x0000000c000000%s", replyHeader+len(body)/2, body)
+			want := fmt.Sprintf("%02x0000000c000000%s", replyHeaderSize+len(body)/2, body)
 			if got := hex.EncodeToString(r.Bytes()); got != want {
 				t.Errorf("got %s, want %s", got, want)
 			}
@@ -47,7 +48,7 @@
 	var r Reply
 	r.Begin(12)
 	if err := r.Action(3, &decision.Action{}); err == nil {
-		t.Error("an action without a type was encoded")
+		t.Error("got no error for an action without a type")
 	}
 	r.Begin(12)
 	r.Fault(3, "index out of range")
--- a/internal/dispatcher/wire/names.go
+++ b/internal/dispatcher/wire/names.go
@@ -8,26 +8,27 @@
 	"frosttide/decision"
 )
 
-// Names is what a host on sockets needs of the settings beside the Config: the names of what the Config numbers, and
-// what concerns connections and lists.
+// Names holds what a dispatcher that serves on sockets needs in addition to decision.Config: the
+// names of the items that the Config refers to by number, and settings of connections and worker
+// lists.
 type Names struct {
 	Classes   []string
 	Tenants   []string
 	Zones     []string
 	Kinds     []string
-	Columns   []string      // of load reports, in the order of Config.Metrics; empty without reports
-	InAnswers bool          // load reports come with answers
-	Keepalive time.Duration // how long workers keep an idle connection
-	Pushed    bool          // lists are pushed to an agent on this machine, which has to be read
+	Columns   []string      // of load reports, in the order of Config.Metrics
+	InAnswers bool          // workers send load reports in their answers
+	Keepalive time.Duration // how long workers keep an idle connection open
+	Pushed    bool          // worker lists are pushed to an agent on this machine and read from it
 }
 
-// ParseNames returns the Names of the settings that ParseSettings reads, with the same errors.
+// ParseNames converts the settings that ParseSettings reads to Names. It returns the same errors.
 func ParseNames(text []byte) (Names, error) {
 	s, err := parse(text)
 	if err != nil {
 		return Names{}, err
 	}
-	n := Names{Zones: texts(s.Zones), Kinds: texts(s.Kinds), Keepalive: micros(s.Limits.Keepalive),
+	n := Names{Zones: toStrings(s.Zones), Kinds: toStrings(s.Kinds), Keepalive: microseconds(s.Limits.Keepalive),
 		InAnswers: s.Report.Source == "answers", Pushed: s.Discovery == "pushed"}
 	if s.Report.Source == "answers" || s.Report.Source == "probe" {
 		n.Columns = s.Report.Columns[:min(len(s.Report.Columns), decision.MaxMetrics)]
@@ -41,8 +42,8 @@
 	return n, nil
 }
 
-// texts returns names as text, whatever JSON type they have.
-func texts(names []any) []string {
+// toStrings formats names, which may be JSON values of any type, as strings.
+func toStrings(names []any) []string {
 	var out []string
 	for _, name := range names {
 		out = append(out, fmt.Sprint(name))
--- a/internal/dispatcher/wire/settings.go
+++ b/internal/dispatcher/wire/settings.go
@@ -6,8 +6,9 @@
 	"fmt"
 )
 
-// settings is the part of the start-up settings that is used. Its fields have the names of the JSON keys, times are in
-// microseconds. Absent keys keep the values that parse sets.
+// settings is the part of the start-up settings that is used. Its fields are named after the JSON
+// keys; package decision defines the terms that ParseSettings converts them to. Times are in
+// microseconds. Absent keys keep the defaults that parse sets.
 type settings struct {
 	Balancers int64   `json:"balancers"`
 	Me        int64   `json:"me"`
@@ -55,7 +56,7 @@
 	} `json:"family-info"`
 }
 
-// class is one of the settings' request classes.
+// class is an item of request-classes. Its fields are named after the JSON keys.
 type class struct {
 	Name       string  `json:"name"`
 	Effect     string  `json:"effect"`
@@ -69,7 +70,7 @@
 	Stream     bool    `json:"stream"`
 }
 
-// parse reads the settings and checks them.
+// parse parses and validates the settings.
 func parse(text []byte) (settings, error) {
 	s := settings{Balancers: 1}
 	s.Limits.SendCap = 2
@@ -87,7 +88,7 @@
 	return s, nil
 }
 
-// UnmarshalJSON reads a class over its defaults.
+// UnmarshalJSON implements json.Unmarshaler. Absent keys get their defaults.
 func (c *class) UnmarshalJSON(text []byte) error {
 	type plain class
 	p := plain{Worth: 1}
--- a/internal/dispatcher/wire/settings_test.go
+++ b/internal/dispatcher/wire/settings_test.go
@@ -21,14 +21,14 @@
 		{"aim": 200000, "effect": "safe", "give-up": 5000000, "group": "all", "worth": 1.0, "late-worth": 0.25},
 		{"aim": 500000, "effect": "keyed", "give-up": 20000000, "group": "cell", "window": 30000000, "worth": 5.0}]}`
 
-// TestParseSettings checks what each key leads to.
+// TestParseSettings checks what the keys of the settings are converted to.
 func TestParseSettings(t *testing.T) {
 	cfg, err := ParseSettings([]byte(sampleSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if cfg.Instance != 2 || cfg.Instances != 4 || cfg.Zone != 1 || !cfg.PullMembers || !cfg.WeightKnown || !cfg.StartEvents {
-		t.Errorf("general settings are wrong: %+v", cfg)
+		t.Errorf("got general settings %+v", cfg)
 	}
 	want := decision.Class{Effect: decision.Keyed, DedupScope: decision.ScopeCell, DedupWindow: 30 * time.Second,
 		Objective: 500 * time.Millisecond, Stretch: 2.5, ClientTimeout: 20 * time.Second, Value: 5, WorkerKind: 2, Priority: 1}
@@ -43,26 +43,26 @@
 		}
 	}
 	if cfg.Rules.InitialCapacity != 0.36 || cfg.Rules.WarmUp != 8600*time.Millisecond || cfg.Limits.MaxAttempts != 3 {
-		t.Errorf("rules or limits are wrong: %+v %+v", cfg.Rules, cfg.Limits)
+		t.Errorf("got rules %+v and limits %+v", cfg.Rules, cfg.Limits)
 	}
 }
 
-// TestParseSettingsDefaults checks what absent keys mean.
+// TestParseSettingsDefaults checks the defaults of absent keys.
 func TestParseSettingsDefaults(t *testing.T) {
 	cfg, err := ParseSettings([]byte(`{"request-classes": [{}]}`))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if cfg.Instances != 1 || cfg.Limits.MaxAttempts != 2 || cfg.Rules.InitialCapacity != 1 || cfg.PullMembers {
-		t.Errorf("defaults are wrong: %+v", cfg)
+		t.Errorf("got defaults %+v", cfg)
 	}
 	if c := cfg.Classes[0]; c.Effect != decision.Safe || c.Value != 1 || c.WorkerKind != -1 {
-		t.Errorf("class defaults are wrong: %+v", c)
+		t.Errorf("got class defaults %+v", c)
 	}
 }
 
-// TestParseSettingsNamesTheBadKey checks that the error of bad settings names their key.
-func TestParseSettingsNamesTheBadKey(t *testing.T) {
+// TestParseSettingsErrors checks that the error for an invalid setting names its key.
+func TestParseSettingsErrors(t *testing.T) {
 	tests := map[string]string{
 		`{`:                       "settings",
 		`{"request-classes": []}`: "request-classes",
@@ -93,14 +93,14 @@
 		t.Run(text, func(t *testing.T) {
 			_, err := ParseSettings([]byte(text))
 			if err == nil || !strings.Contains(err.Error(), key) {
-				t.Errorf("got %v, want an error that names %s", err, key)
+				t.Errorf("got error %v, want one that names %s", err, key)
 			}
 		})
 	}
 }
 
-// FuzzSettings checks that no settings end the program, and that settings without an error make a
-// dispatcher.
+// FuzzSettings looks for settings that cause a panic, or that ParseSettings accepts but
+// decision.New or ParseNames rejects.
 func FuzzSettings(f *testing.F) {
 	f.Add([]byte(`{"balancers": 2, "me": 1, "discovery": "pushed", "request-classes": [{"effect": "keyed", "aim": 5}], "tenants": [{"name": 3, "quota-per-s": 2}],
 		"report": {"source": "answers", "columns": ["queue", "x0"]}, "family-info": {"report-x0": "free slots", "class-stretch": [1.5]}}`))
@@ -111,10 +111,10 @@
 			return
 		}
 		if _, err := decision.New(cfg, 1); err != nil {
-			t.Errorf("the module does not take %s: %v", text, err)
+			t.Errorf("decision.New rejects accepted settings %s: %v", text, err)
 		}
 		if _, err := ParseNames(text); err != nil {
-			t.Errorf("names: %v", err)
+			t.Errorf("ParseNames rejects accepted settings: %v", err)
 		}
 	})
 }
--- a/internal/dispatcher/wire/validate.go
+++ b/internal/dispatcher/wire/validate.go
@@ -7,19 +7,21 @@
 )
 
 const (
-	// maxMicros is the largest time that a setting may hold, in microseconds: beyond it sums of times could overflow.
+	// maxMicros is the largest time that a setting may have, in microseconds. Sums of larger times
+	// could overflow.
 	maxMicros = int64(1) << 50
-	// maxDispatchers bounds how many dispatchers share a fleet, far above any that is meant.
+	// maxDispatchers is the maximum number of dispatchers that share a fleet, far above the
+	// intended sizes.
 	maxDispatchers = 1 << 16
 )
 
-// boundedKey is a time or count among the settings, with its key.
+// boundedKey is a setting that holds a time or a count.
 type boundedKey struct {
 	key   string
 	value int64
 }
 
-// checkBounds returns an error for the first value that is negative or above maxMicros.
+// checkBounds returns an error that names the first key whose value is negative or above maxMicros.
 func checkBounds(keys []boundedKey) error {
 	for _, k := range keys {
 		if k.value < 0 || k.value > maxMicros {
@@ -29,7 +31,7 @@
 	return nil
 }
 
-// check returns an error, which begins with the key, for the first setting that has no meaning.
+// check returns an error, which begins with the key, for the first invalid setting.
 func (s *settings) check() error {
 	if len(s.Classes) == 0 {
 		return errors.New("request-classes: there are none")
@@ -49,7 +51,7 @@
 	return s.checkFigures()
 }
 
-// checkTimes checks the times and counts outside the classes.
+// checkTimes checks the bounds of the times and counts outside the classes.
 func (s *settings) checkTimes() error {
 	return checkBounds([]boundedKey{
 		{"quantum", s.Quantum},
@@ -67,18 +69,18 @@
 	})
 }
 
-// checkDispatchers checks the number of dispatchers and this one's own.
+// checkDispatchers checks the number of dispatchers and the number that identifies this one.
 func (s *settings) checkDispatchers() error {
 	if s.Balancers < 1 || s.Balancers > maxDispatchers {
 		return fmt.Errorf("balancers: %d is not a number of dispatchers from 1 to %d", s.Balancers, maxDispatchers)
 	}
-	if s.Me >= s.Balancers { // it would never be in the rotation of a warming worker
+	if s.Me >= s.Balancers { // such a dispatcher would never be in the rotation of a warming worker
 		return fmt.Errorf("me: %d is not the number of one of %d dispatchers, which count from 0", s.Me, s.Balancers)
 	}
 	return nil
 }
 
-// checkFigures checks the fractions, rates and classes.
+// checkFigures checks the fractions and rates, and then the classes.
 func (s *settings) checkFigures() error {
 	if s.Rules.ColdFrom < 0 || s.Rules.ColdFrom > 1 {
 		return fmt.Errorf("rules.cold-from: %g is not a share", s.Rules.ColdFrom)
@@ -104,7 +106,8 @@
 	return nil
 }
 
-// check returns an error, which begins with the key within the class, for the first setting that has no meaning.
+// check returns an error, which begins with the key within the class, for the first invalid
+// setting.
 func (c *class) check() error {
 	if err := checkBounds([]boundedKey{{"window", c.Window}, {"aim", c.Aim}, {"give-up", c.GiveUp}}); err != nil {
 		return err
