--- a/internal/dispatcher/settings/cluster.go
+++ b/internal/dispatcher/settings/cluster.go
@@ -7,16 +7,18 @@
 	"slices"
 )
 
-// maxVoters is the maximum number of voters. Each write waits for a majority of them.
+// maxVoters is the maximum number of voters. It is bounded because each write waits for a majority
+// of them.
 const maxVoters = 7
 
-// checkCluster finds values of the cluster, of recovery and of workflows that are missing or contradict each other.
+// checkCluster reports missing and contradictory values of the tables cluster, recovery and
+// workflow.
 func (r *reader) checkCluster() {
 	c := r.cluster()
 	r.checkRecovery(&c)
 	if c.Listen == "" {
 		for _, key := range []string{"advertise", "join", "voters", "dir", "discovery"} {
-			if r.own["cluster."+key] != nil {
+			if r.parsed["cluster."+key] != nil {
 				r.addError("cluster.listen", "it is missing, and cluster."+key+" is there")
 				return
 			}
@@ -34,7 +36,7 @@
 	r.checkVoters(&c)
 }
 
-// checkRecovery finds values of recovery and workflows that need others.
+// checkRecovery reports values of the tables recovery and workflow whose prerequisites are not set.
 func (r *reader) checkRecovery(c *Cluster) {
 	if c.WatermarkDir != "" && c.Listen == "" {
 		r.addError("recovery.keep", "it keeps what a cluster's log had led to, and there is no [cluster]")
@@ -50,14 +52,15 @@
 	}
 }
 
-// checkMemberAddress finds an address that other members can't reach, or that may not be used in plain text.
+// checkMemberAddress reports an address that other members can't reach, and one outside the
+// loopback network if plain_text is not set, because members communicate unencrypted.
 func (r *reader) checkMemberAddress(key, addr string, c *Cluster) {
 	if addr == "" {
 		return
 	}
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
-		return // the key's own check has found it
+		return // reported when the key was parsed
 	}
 	ip := net.ParseIP(host)
 	switch {
@@ -65,12 +68,13 @@
 		r.addError("cluster."+key, fmt.Sprintf("%q is no address of numbers", host))
 	case ip.IsUnspecified() && (key == "advertise" || c.Advertise == ""):
 		r.addError("cluster.advertise", "it has to say where others reach a dispatcher that listens everywhere")
-	case !ip.IsLoopback() && !ownValue[bool](r, "cluster.plain_text"):
+	case !ip.IsLoopback() && !valueOf[bool](r, "cluster.plain_text"):
 		r.addError("cluster."+key, "members talk in plain text; say plain_text = true where that is meant")
 	}
 }
 
-// checkVoters finds a wrong number of voters, and a voter without a folder.
+// checkVoters reports an invalid number of voters, and a missing directory if this member is a
+// voter.
 func (r *reader) checkVoters(c *Cluster) {
 	switch n := len(c.Voters); {
 	case n == 0:
@@ -80,7 +84,7 @@
 	case n > maxVoters:
 		r.addError("cluster.voters", fmt.Sprintf("%d are too many, %d is the most", n, maxVoters))
 	}
-	name := ownValue[string](r, "name")
+	name := valueOf[string](r, "name")
 	if slices.Contains(c.Voters, name) && c.Dir == "" {
 		r.addError("cluster.dir", fmt.Sprintf("it is missing, and %q votes: what it acknowledges has to be on disk", name))
 	}
--- a/internal/dispatcher/settings/file.go
+++ b/internal/dispatcher/settings/file.go
@@ -2,101 +2,105 @@
 
 import "time"
 
-// File is a file's content.
+// File is the content of a settings file, with defaults for the keys that it does not set.
 type File struct {
 	Path      string
-	Platform  map[string]any // in the form of the platform's JSON file
+	Platform  map[string]any // in the form of the platform's JSON file, by its keys
 	Log       Log
 	State     State
 	Cluster   Cluster
 	Gang      Gang
 	Gearman   Gearman
 	Telemetry Telemetry
-	Values    []Value // of all keys, for the command that shows what is in force
+	Values    []Value // of all keys, for the command that prints the effective configuration
 }
 
-// Log says how the program logs.
+// Log configures the log: its level, and its format, text or json.
 type Log struct {
 	Level, Format string
 }
 
-// Cluster says which other dispatchers this one knows, and how it reaches them.
+// Cluster configures the cluster of dispatchers that this one is a member of.
 type Cluster struct {
-	Listen           string   // empty for a dispatcher without a cluster
-	Advertise        string   // the address at which others reach it; empty for the same
-	Join             []string // addresses of others
-	Voters           []string // names of the members that replicate the log
-	Dir              string   // of this member's replica of the log
-	Discovery        string   // names the discovery whose versions count; empty for its address
-	WatermarkDir     string   // a folder apart from Dir that stores how far the log has got; empty for none
-	StagedRejoin     bool     // it rejoins by stages (package recovery/stage)
-	Workflows        bool     // it compensates workflows that end halfway
-	MaxCompensations int      // at once, of this member
-	PacedAdmission   bool     // after a rejoin it admits jobs at a rate that rises with what is served
+	Listen           string   // address to listen on; empty without a cluster
+	Advertise        string   // address at which other members reach this one; empty for Listen
+	Join             []string // addresses of other members
+	Voters           []string // names of the members that vote on and store the replicated log
+	Dir              string   // directory of this member's replica of the log
+	Discovery        string   // names the discovery of the list versions; empty for its address
+	WatermarkDir     string   // directory apart from Dir for the log's watermark; empty for none
+	StagedRejoin     bool     // a restarted member rejoins in stages (package recovery/stage)
+	Workflows        bool     // this member compensates workflows that end halfway
+	MaxCompensations int      // maximum number of concurrent compensations by this member
+	PacedAdmission   bool     // after a rejoin, the admission rate rises with the rate served
 }
 
-// Gang says whether gangs of jobs are watched.
+// Gang configures the detection of straggling parts of gang jobs.
 type Gang struct {
 	Enabled        bool
-	ReportInterval time.Duration // between the runners' reports of progress; 0 for none
-	Speculative    bool          // jobs that straggle are sent a second time
+	ReportInterval time.Duration // interval of the runners' progress reports; 0 for none
+	Speculative    bool          // a straggling part gets a second copy (speculative execution)
 }
 
-// Gearman says how Gearman's clients and workers are served.
+// Gearman configures the server for Gearman clients and workers.
 type Gearman struct {
-	Listen      string            // empty for not at all
-	Functions   map[string]string // to the name of their class
-	Zone, Kind  string            // of the workers
-	Connections int64             // at most
-	Jobs        int64             // at most
-	Packet      int64             // bytes at most
-	Certificate string            // a file; empty for plain text
-	Key         string            // a file
-	Clients     string            // a file with the authorities of clients' certificates; empty for none
+	Listen      string            // address to listen on; empty to disable the server
+	Functions   map[string]string // class name by function name
+	Zone, Kind  string            // of all workers that connect to this server
+	Connections int64             // maximum number of connections
+	Jobs        int64             // maximum number of open jobs
+	Packet      int64             // maximum size in bytes
+	Certificate string            // path; empty to serve without TLS
+	Key         string            // path
+	Clients     string            // path of the CAs of client certificates; empty for none
 }
 
-// State says what is stored of the runners.
+// State configures the runner list that the dispatcher stores on disk.
 type State struct {
-	Dir             string // empty for nothing
-	Generations     int64
+	Dir             string        // directory; empty to store nothing
+	Generations     int64         // number of generations to keep
 	WriteInterval   time.Duration // minimum time between two generations
-	Fresh, Old, Max time.Duration // the bounds of ages
-	DoubtTimeout    time.Duration // how long a full list is doubted at most
-	MaxMissing      float64       // fraction of the known runners that a full list may lack after an outage
+	Fresh, Old, Max time.Duration // age limits of a stored list, in ascending order
+	DoubtTimeout    time.Duration // time after which a doubted full list is accepted
+	// MaxMissing is the fraction of the known runners that a full list may lack after an outage
+	// without being doubted.
+	MaxMissing float64
 }
 
-// Telemetry says what is exported. A nil or zero field leaves the value to the environment and the defaults.
+// Telemetry configures the export of traces and metrics. A nil or zero field leaves the value to
+// the environment and the defaults.
 type Telemetry struct {
 	Service         string
 	Attributes      map[string]string
-	SampleRatio     *float64 // of the plain traces, from 0 to 1
+	SampleRatio     *float64 // fraction of the ordinary traces that are kept, from 0 to 1
 	MetricsInterval time.Duration
 	BatchDelay      time.Duration
-	Queue           int64 // bytes
+	Queue           int64 // maximum size of each export queue in bytes
 	OTLP            OTLP
 	File            TraceFile
 }
 
-// OTLP names a collector.
+// OTLP configures the export to an OTLP collector.
 type OTLP struct {
 	Endpoint, Protocol, Compression           string
 	Headers                                   map[string]string
 	Timeout                                   time.Duration
-	Certificate, ClientCertificate, ClientKey string // files
-	Traces, Metrics                           *bool  // whether the signal is exported
+	Certificate, ClientCertificate, ClientKey string // paths
+	Traces, Metrics                           *bool  // nil to export the signal by default
 }
 
-// TraceFile names a file that is written in place of, or beside, the export to a collector.
+// TraceFile configures a file to which traces are written, instead of or in addition to the export
+// to a collector.
 type TraceFile struct {
 	Path  string // empty for none
-	Size  int64  // bytes, past which the file is rotated
-	Files int64  // kept at most, including the one that is written
+	Size  int64  // size in bytes beyond which the file is rotated
+	Files int64  // maximum number of files kept, including the one being written
 }
 
-// Value is the value of one key, and where it was set.
+// Value is the effective value of one key and where it was set.
 type Value struct {
 	Key         string // with [i] for the items of lists
-	Text        string // as TOML has it
-	Source      string // "default", or the file and the line
-	PlatformKey string // the key of the platform's form that takes precedence; empty for none
+	Text        string // in TOML syntax
+	Source      string // "default", or FILE:LINE
+	PlatformKey string // the key of the platform's JSON file that overrides it; empty for none
 }
--- a/internal/dispatcher/settings/schema.go
+++ b/internal/dispatcher/settings/schema.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// field is one key of the file.
+// field describes one key of the settings file.
 type field struct {
-	key         string
-	parse       func(any) (any, error) // checks TOML's value and returns the platform's or this package's
-	platformKey string                 // dotted key of the platform's form; empty if that has none
-	fallback    any                    // the default, as TOML would have it; nil for none
+	key          string
+	parse        func(any) (any, error) // validates and converts the TOML value
+	platformKey  string                 // dotted key of the platform's form; empty if it has none
+	defaultValue any                    // as a TOML value; nil for none
 }
 
-// microsecond is the unit of times in the platform's form.
+// microsecond is the unit of durations in the platform's form.
 const microsecond = time.Microsecond
 
-// maxDuration is the longest time that a key may hold. The platform's form has the same bound.
+// maxDuration is the longest duration that a key may have. The platform's form has the same bound.
 const maxDuration = time.Duration(1<<50) * time.Microsecond
 
-// schema holds all keys but those of the lists below.
+// schema describes all keys except those in arrays of tables.
 var schema = []field{
 	{"name", nonEmptyString, "name", "frosttide"},
 	{"seed", nonEmptyString, "seed", nil},
@@ -108,8 +108,8 @@
 	{"telemetry.file.max_files", integer(1, 1000), "", nil},
 }
 
-// classes holds the keys of each [[class]].
-var classes = []field{
+// classSchema describes the keys of a request class, [[class]].
+var classSchema = []field{
 	{"name", nonEmptyString, "name", nil},
 	{"effect", oneOf("safe", "keyed", "unsafe"), "effect", "safe"},
 	{"repeats_dropped_by", oneOf("all", "zone", "cell"), "group", "all"},
@@ -123,14 +123,14 @@
 	{"priority", integer(0, 1000), "", int64(0)},
 }
 
-// tenants holds the keys of each [[tenant]].
-var tenants = []field{
+// tenantSchema describes the keys of a tenant, [[tenant]].
+var tenantSchema = []field{
 	{"name", nonEmptyString, "name", nil},
 	{"per_second", number(0, 1e9), "quota-per-s", 0.0},
 }
 
-// runners holds the keys of each [[runner]], a fixed list in place of discovery.
-var runners = []field{
+// runnerSchema describes the keys of a runner, [[runner]], in a fixed list that replaces discovery.
+var runnerSchema = []field{
 	{"id", nonEmptyString, "uid", nil},
 	{"address", address, "endpoint", nil},
 	{"zone", nonEmptyString, "az", nil},
@@ -139,8 +139,8 @@
 	{"weight", number(0, 1e6), "capacity_hint", 1.0},
 }
 
-// secret holds the keys whose values are not shown.
-var secret = map[string]bool{"telemetry.otlp.headers": true}
+// secretKeys holds the keys whose values must not be printed.
+var secretKeys = map[string]bool{"telemetry.otlp.headers": true}
 
-// required holds the keys of lists that have to be set.
-var required = map[string]bool{"name": true, "wanted_within": true, "give_up": true, "id": true, "address": true}
+// requiredKeys holds the keys that an item of an array of tables must set.
+var requiredKeys = map[string]bool{"name": true, "wanted_within": true, "give_up": true, "id": true, "address": true}
--- a/internal/dispatcher/settings/sections.go
+++ b/internal/dispatcher/settings/sections.go
@@ -2,23 +2,25 @@
 
 import "time"
 
-// ownValue returns the value of a key, the zero one if the file does not set it and it has no default.
-func ownValue[T any](r *reader, key string) T {
-	v, _ := r.own[key].(T)
+// valueOf returns the parsed value of a key, or the zero value of T if the key has neither a value
+// nor a default.
+func valueOf[T any](r *reader, key string) T {
+	v, _ := r.parsed[key].(T)
 	return v
 }
 
-// optionalValue does the same, but returns nil if there is no value.
-func optionalValue[T any](r *reader, key string) *T {
-	if v, ok := r.own[key].(T); ok {
+// optionalValueOf returns a pointer to the parsed value of a key, or nil if the key has neither a
+// value nor a default.
+func optionalValueOf[T any](r *reader, key string) *T {
+	if v, ok := r.parsed[key].(T); ok {
 		return &v
 	}
 	return nil
 }
 
-// ownStrings returns the value of a key that is a list of strings.
-func (r *reader) ownStrings(key string) (out []string) {
-	list, _ := r.own[key].([]any)
+// stringsOf returns the parsed value of a key that holds a list of strings.
+func (r *reader) stringsOf(key string) (out []string) {
+	list, _ := r.parsed[key].([]any)
 	for _, v := range list {
 		out = append(out, v.(string))
 	}
@@ -27,90 +29,90 @@
 
 func (r *reader) gearman() Gearman {
 	return Gearman{
-		Listen:      ownValue[string](r, "gearman.listen"),
-		Functions:   ownValue[map[string]string](r, "gearman.functions"),
-		Zone:        ownValue[string](r, "gearman.zone"),
-		Kind:        ownValue[string](r, "gearman.kind"),
-		Connections: ownValue[int64](r, "gearman.connections"),
-		Jobs:        ownValue[int64](r, "gearman.jobs"),
-		Packet:      ownValue[int64](r, "gearman.packet"),
-		Certificate: ownValue[string](r, "gearman.certificate"),
-		Key:         ownValue[string](r, "gearman.key"),
-		Clients:     ownValue[string](r, "gearman.client_certificates"),
+		Listen:      valueOf[string](r, "gearman.listen"),
+		Functions:   valueOf[map[string]string](r, "gearman.functions"),
+		Zone:        valueOf[string](r, "gearman.zone"),
+		Kind:        valueOf[string](r, "gearman.kind"),
+		Connections: valueOf[int64](r, "gearman.connections"),
+		Jobs:        valueOf[int64](r, "gearman.jobs"),
+		Packet:      valueOf[int64](r, "gearman.packet"),
+		Certificate: valueOf[string](r, "gearman.certificate"),
+		Key:         valueOf[string](r, "gearman.key"),
+		Clients:     valueOf[string](r, "gearman.client_certificates"),
 	}
 }
 
 func (r *reader) state() State {
 	return State{
-		Dir:           ownValue[string](r, "state.dir"),
-		Generations:   ownValue[int64](r, "state.generations"),
-		WriteInterval: ownValue[time.Duration](r, "state.every"),
-		Fresh:         ownValue[time.Duration](r, "state.fresh"),
-		Old:           ownValue[time.Duration](r, "state.old"),
-		Max:           ownValue[time.Duration](r, "state.max_age"),
-		DoubtTimeout:  ownValue[time.Duration](r, "state.doubt_for"),
-		MaxMissing:    ownValue[float64](r, "state.doubt_share"),
+		Dir:           valueOf[string](r, "state.dir"),
+		Generations:   valueOf[int64](r, "state.generations"),
+		WriteInterval: valueOf[time.Duration](r, "state.every"),
+		Fresh:         valueOf[time.Duration](r, "state.fresh"),
+		Old:           valueOf[time.Duration](r, "state.old"),
+		Max:           valueOf[time.Duration](r, "state.max_age"),
+		DoubtTimeout:  valueOf[time.Duration](r, "state.doubt_for"),
+		MaxMissing:    valueOf[float64](r, "state.doubt_share"),
 	}
 }
 
-// DefaultStateGenerations is how many generations are kept by default.
+// DefaultStateGenerations is the default of State.Generations.
 const DefaultStateGenerations = 3
 
-// DefaultState returns the state's settings of an empty file.
+// DefaultState returns the State that an empty settings file yields.
 func DefaultState() State {
-	r := &reader{platform: map[string]any{}, own: map[string]any{}, knownKeys: map[string]bool{}}
-	r.fields(schema, "", nil, r.platform)
+	r := &reader{platform: map[string]any{}, parsed: map[string]any{}, knownKeys: map[string]bool{}}
+	r.readFields(schema, "", nil, r.platform)
 	return r.state()
 }
 
 func (r *reader) cluster() Cluster {
 	return Cluster{
-		Listen:           ownValue[string](r, "cluster.listen"),
-		Advertise:        ownValue[string](r, "cluster.advertise"),
-		Join:             r.ownStrings("cluster.join"),
-		Voters:           r.ownStrings("cluster.voters"),
-		Dir:              ownValue[string](r, "cluster.dir"),
-		Discovery:        ownValue[string](r, "cluster.discovery"),
-		WatermarkDir:     ownValue[string](r, "recovery.keep"),
-		StagedRejoin:     ownValue[bool](r, "recovery.stages"),
-		PacedAdmission:   ownValue[bool](r, "recovery.paced"),
-		Workflows:        ownValue[bool](r, "workflow.enabled"),
-		MaxCompensations: int(ownValue[int64](r, "workflow.undos_at_once")),
+		Listen:           valueOf[string](r, "cluster.listen"),
+		Advertise:        valueOf[string](r, "cluster.advertise"),
+		Join:             r.stringsOf("cluster.join"),
+		Voters:           r.stringsOf("cluster.voters"),
+		Dir:              valueOf[string](r, "cluster.dir"),
+		Discovery:        valueOf[string](r, "cluster.discovery"),
+		WatermarkDir:     valueOf[string](r, "recovery.keep"),
+		StagedRejoin:     valueOf[bool](r, "recovery.stages"),
+		PacedAdmission:   valueOf[bool](r, "recovery.paced"),
+		Workflows:        valueOf[bool](r, "workflow.enabled"),
+		MaxCompensations: int(valueOf[int64](r, "workflow.undos_at_once")),
 	}
 }
 
 func (r *reader) gang() Gang {
 	return Gang{
-		Enabled:        ownValue[bool](r, "gang.enabled"),
-		ReportInterval: ownValue[time.Duration](r, "gang.reports_every"),
-		Speculative:    ownValue[bool](r, "gang.copies"),
+		Enabled:        valueOf[bool](r, "gang.enabled"),
+		ReportInterval: valueOf[time.Duration](r, "gang.reports_every"),
+		Speculative:    valueOf[bool](r, "gang.copies"),
 	}
 }
 
 func (r *reader) telemetry() Telemetry {
 	return Telemetry{
-		Service:         ownValue[string](r, "telemetry.service"),
-		Attributes:      ownValue[map[string]string](r, "telemetry.attributes"),
-		SampleRatio:     optionalValue[float64](r, "telemetry.plain"),
-		MetricsInterval: ownValue[time.Duration](r, "telemetry.measures_every"),
-		BatchDelay:      ownValue[time.Duration](r, "telemetry.batch_every"),
-		Queue:           ownValue[int64](r, "telemetry.queue"),
+		Service:         valueOf[string](r, "telemetry.service"),
+		Attributes:      valueOf[map[string]string](r, "telemetry.attributes"),
+		SampleRatio:     optionalValueOf[float64](r, "telemetry.plain"),
+		MetricsInterval: valueOf[time.Duration](r, "telemetry.measures_every"),
+		BatchDelay:      valueOf[time.Duration](r, "telemetry.batch_every"),
+		Queue:           valueOf[int64](r, "telemetry.queue"),
 		OTLP: OTLP{
-			Endpoint:          ownValue[string](r, "telemetry.otlp.endpoint"),
-			Protocol:          ownValue[string](r, "telemetry.otlp.protocol"),
-			Compression:       ownValue[string](r, "telemetry.otlp.compression"),
-			Headers:           ownValue[map[string]string](r, "telemetry.otlp.headers"),
-			Timeout:           ownValue[time.Duration](r, "telemetry.otlp.timeout"),
-			Certificate:       ownValue[string](r, "telemetry.otlp.certificate"),
-			ClientCertificate: ownValue[string](r, "telemetry.otlp.client_certificate"),
-			ClientKey:         ownValue[string](r, "telemetry.otlp.client_key"),
-			Traces:            optionalValue[bool](r, "telemetry.otlp.traces"),
-			Metrics:           optionalValue[bool](r, "telemetry.otlp.measures"),
+			Endpoint:          valueOf[string](r, "telemetry.otlp.endpoint"),
+			Protocol:          valueOf[string](r, "telemetry.otlp.protocol"),
+			Compression:       valueOf[string](r, "telemetry.otlp.compression"),
+			Headers:           valueOf[map[string]string](r, "telemetry.otlp.headers"),
+			Timeout:           valueOf[time.Duration](r, "telemetry.otlp.timeout"),
+			Certificate:       valueOf[string](r, "telemetry.otlp.certificate"),
+			ClientCertificate: valueOf[string](r, "telemetry.otlp.client_certificate"),
+			ClientKey:         valueOf[string](r, "telemetry.otlp.client_key"),
+			Traces:            optionalValueOf[bool](r, "telemetry.otlp.traces"),
+			Metrics:           optionalValueOf[bool](r, "telemetry.otlp.measures"),
 		},
 		File: TraceFile{
-			Path:  ownValue[string](r, "telemetry.file.path"),
-			Size:  ownValue[int64](r, "telemetry.file.max_size"),
-			Files: ownValue[int64](r, "telemetry.file.max_files"),
+			Path:  valueOf[string](r, "telemetry.file.path"),
+			Size:  valueOf[int64](r, "telemetry.file.max_size"),
+			Files: valueOf[int64](r, "telemetry.file.max_files"),
 		},
 	}
 }
--- a/internal/dispatcher/settings/settings.go
+++ b/internal/dispatcher/settings/settings.go
@@ -1,9 +1,9 @@
-// Package settings reads the TOML file in which operators configure an installation in plain words and units. Values that
-// the platform's JSON file can hold too are brought into that file's form, so that both are read in the same way from
-// there on; the others have types of this package. Package config calls it. It has no state and is safe for concurrent
-// use.
+// Package settings parses the TOML settings file with which operators configure a dispatcher.
+// Values that the platform's JSON file can also hold are converted to the form of that file, so
+// that the rest of the program reads both in the same way; the other values have types of this
+// package. Package config calls it. It keeps no state and is safe for concurrent use.
 //
-// All errors of a file are returned at once, each with file, line, key and reason.
+// Parse reports all errors of a file at once, each with file, line, key and reason.
 package settings
 
 import (
@@ -17,27 +17,28 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// KeyError is one error of a file.
+// KeyError is one error in a settings file.
 type KeyError struct {
 	Path   string
-	Line   int // 0 if none can be named
-	Key    string
+	Line   int    // 0 if unknown
+	Key    string // dotted, with [i] for the items of lists; empty for a syntax error
 	Reason string
 }
 
-// Error returns the error as FILE:LINE: KEY: REASON, without the line or the key if there is none.
+// Error formats the error as FILE:LINE: KEY: REASON and leaves out an unknown line and an empty
+// key.
 func (e KeyError) Error() string {
-	at := e.Path
+	position := e.Path
 	if e.Line > 0 {
-		at = fmt.Sprintf("%s:%d", e.Path, e.Line)
+		position = fmt.Sprintf("%s:%d", e.Path, e.Line)
 	}
 	if e.Key == "" {
-		return at + ": " + e.Reason
+		return position + ": " + e.Reason
 	}
-	return fmt.Sprintf("%s: %s: %s", at, e.Key, e.Reason)
+	return fmt.Sprintf("%s: %s: %s", position, e.Key, e.Reason)
 }
 
-// Read reads a file. The error of its content joins all KeyErrors.
+// Read reads and parses a settings file. If its content is invalid, it returns the error of Parse.
 func Read(path string) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -46,21 +47,22 @@
 	return Parse(path, text)
 }
 
-// Parse reads a file's content. The path is used in errors and sources only.
+// Parse parses and validates the content of a settings file. The path is used only in errors and in
+// Value.Source. The error of an invalid file joins a KeyError for each mistake, sorted by line.
 func Parse(path string, text []byte) (*File, error) {
 	var tree map[string]any
 	if err := toml.Unmarshal(text, &tree); err != nil {
 		return nil, syntaxError(path, err)
 	}
-	r := &reader{path: path, lines: keyLines(text), own: map[string]any{}, platform: map[string]any{}, knownKeys: map[string]bool{}}
-	r.fields(schema, "", tree, r.platform)
-	zones, kinds := r.fleet(tree)
+	r := &reader{path: path, lines: keyLines(text), parsed: map[string]any{}, platform: map[string]any{}, knownKeys: map[string]bool{}}
+	r.readFields(schema, "", tree, r.platform)
+	zones, kinds := r.readFleet(tree)
 	r.checkGearman(zones, kinds)
 	r.checkState()
 	r.checkCluster()
-	r.classes(tree["class"], kinds)
-	r.tenants(tree["tenant"])
-	r.runners(tree["runner"], zones, kinds)
+	r.readClasses(tree["class"], kinds)
+	r.readTenants(tree["tenant"])
+	r.readRunners(tree["runner"], zones, kinds)
 	r.findUnknownKeys("", tree)
 	if err := r.err(); err != nil {
 		return nil, err
@@ -68,7 +70,7 @@
 	return &File{
 		Path:      path,
 		Platform:  r.platform,
-		Log:       Log{Level: ownValue[string](r, "log.level"), Format: ownValue[string](r, "log.format")},
+		Log:       Log{Level: valueOf[string](r, "log.level"), Format: valueOf[string](r, "log.format")},
 		State:     r.state(),
 		Cluster:   r.cluster(),
 		Gang:      r.gang(),
@@ -78,28 +80,28 @@
 	}, nil
 }
 
-// syntaxError returns the KeyError of a file that is no TOML.
+// syntaxError returns the KeyError for content that is not valid TOML.
 func syntaxError(path string, err error) error {
-	var at *toml.DecodeError
-	if errors.As(err, &at) {
-		line, _ := at.Position()
-		return KeyError{Path: path, Line: line, Reason: strings.TrimPrefix(at.Error(), "toml: ")}
+	var decodeErr *toml.DecodeError
+	if errors.As(err, &decodeErr) {
+		line, _ := decodeErr.Position()
+		return KeyError{Path: path, Line: line, Reason: strings.TrimPrefix(decodeErr.Error(), "toml: ")}
 	}
 	return KeyError{Path: path, Reason: err.Error()}
 }
 
-// reader collects a file's values and errors.
+// reader collects the values and errors of a file while it is parsed.
 type reader struct {
 	path      string
-	lines     map[string]int // of keys, from 1
-	platform  map[string]any // values in the platform's form
-	own       map[string]any // all values, by key
+	lines     map[string]int // of each key, counted from 1
+	platform  map[string]any // values in the form of the platform's JSON file
+	parsed    map[string]any // parsed values of all keys, defaults included
 	knownKeys map[string]bool
 	values    []Value
 	keyErrors []KeyError
 }
 
-// err returns the errors by line, nil if there is none.
+// err joins the collected errors, sorted by line. It returns nil if there are none.
 func (r *reader) err() error {
 	slices.SortStableFunc(r.keyErrors, func(a, b KeyError) int { return cmp.Compare(a.Line, b.Line) })
 	var all []error
@@ -109,28 +111,30 @@
 	return errors.Join(all...)
 }
 
-// addError adds an error of a key, with the line of the key or of the nearest table around it that has one.
+// addError adds an error for a key. If the line of the key is unknown, it uses that of the
+// innermost enclosing table whose line is known.
 func (r *reader) addError(key, reason string) {
 	line := r.lines[key]
-	for at := key; line == 0 && at != ""; {
-		end := strings.LastIndexAny(at, ".[")
-		at = at[:max(end, 0)]
-		line = r.lines[at]
+	for enclosing := key; line == 0 && enclosing != ""; {
+		end := strings.LastIndexAny(enclosing, ".[")
+		enclosing = enclosing[:max(end, 0)]
+		line = r.lines[enclosing]
 	}
 	r.keyErrors = append(r.keyErrors, KeyError{Path: r.path, Line: line, Key: key, Reason: reason})
 }
 
-// fields reads the keys of one table into own and the platform's form. A key that the table lacks has its default.
-func (r *reader) fields(of []field, prefix string, tree, platform map[string]any) {
-	for _, f := range of {
+// readFields parses the keys of one table into r.parsed, and those with a platform key also into
+// platform. A key that the table lacks gets its default.
+func (r *reader) readFields(fields []field, prefix string, tree, platform map[string]any) {
+	for _, f := range fields {
 		key := prefix + f.key
 		r.knownKeys[key] = true
 		v, present := lookup(tree, f.key)
 		source := "default"
 		if present {
 			source = fmt.Sprintf("%s:%d", r.path, r.lines[key])
-		} else if v = f.fallback; v == nil {
-			if prefix != "" && required[f.key] {
+		} else if v = f.defaultValue; v == nil {
+			if prefix != "" && requiredKeys[f.key] {
 				r.addError(key, "it is missing")
 			}
 			continue
@@ -141,18 +145,18 @@
 			continue
 		}
 		if f.platformKey != "" {
-			set(platform, f.platformKey, parsed)
+			setKey(platform, f.platformKey, parsed)
 		}
-		r.own[key] = parsed
+		r.parsed[key] = parsed
 		text := formatTOML(v)
-		if secret[key] {
+		if secretKeys[key] {
 			text = "(not shown)"
 		}
 		r.values = append(r.values, Value{Key: key, Text: text, Source: source, PlatformKey: f.platformKey})
 	}
 }
 
-// checkGearman finds values of Gearman that contradict each other.
+// checkGearman reports missing and contradictory values of the Gearman server.
 func (r *reader) checkGearman(zones, kinds []any) {
 	g := r.gearman()
 	if g.Listen == "" {
@@ -165,13 +169,13 @@
 		r.addError("gearman.key", "a certificate and its key go together")
 	}
 	for key, names := range map[string][]any{"zone": zones, "kind": kinds} {
-		if name := ownValue[string](r, "gearman."+key); name != "" && !slices.Contains(names, any(name)) {
+		if name := valueOf[string](r, "gearman."+key); name != "" && !slices.Contains(names, any(name)) {
 			r.addError("gearman."+key, fmt.Sprintf("%q is not among fleet.%ss", name, key))
 		}
 	}
 }
 
-// checkState finds ages that do not rise.
+// checkState reports age limits that are not in ascending order.
 func (r *reader) checkState() {
 	s := r.state()
 	if s.Fresh > s.Old || s.Old > s.Max {
--- a/internal/dispatcher/settings/toml.go
+++ b/internal/dispatcher/settings/toml.go
@@ -8,7 +8,7 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lookup returns the value of a dotted key, and whether there is one.
+// lookup returns the value of a dotted key and whether the key is set.
 func lookup(tree map[string]any, key string) (any, bool) {
 	for {
 		first, rest, more := strings.Cut(key, ".")
@@ -23,8 +23,8 @@
 	}
 }
 
-// set sets the value of a dotted key.
-func set(tree map[string]any, key string, v any) {
+// setKey sets the value of a dotted key and creates the tables around it as needed.
+func setKey(tree map[string]any, key string, v any) {
 	for {
 		first, rest, more := strings.Cut(key, ".")
 		if !more {
@@ -40,7 +40,8 @@
 	}
 }
 
-// formatTOML returns a value as TOML has it; a table's members are separated by commas.
+// formatTOML formats a value in TOML syntax on one line, a table as its entries separated by
+// commas.
 func formatTOML(v any) string {
 	text, err := toml.Marshal(map[string]any{"v": v})
 	if err != nil {
@@ -53,9 +54,10 @@
 	return strings.TrimPrefix(out, "v = ")
 }
 
-// keyLines returns the line of each key. Items of inline lists and tables have none. The text has to be valid TOML.
+// keyLines returns the line of each key, except for those within inline arrays and tables. The text
+// must be valid TOML.
 func keyLines(text []byte) map[string]int {
-	lines, count := map[string]int{}, map[string]int{} // count is of the items of [[key]]
+	lines, count := map[string]int{}, map[string]int{} // count has the number of tables [[key]]
 	var p unstable.Parser
 	p.Reset(text)
 	prefix := ""
@@ -80,7 +82,7 @@
 	return lines
 }
 
-// expressionKey returns the dotted key of an expression and its line.
+// expressionKey returns the dotted key of an expression and the line that it starts on.
 func expressionKey(p *unstable.Parser, e *unstable.Node) (key string, line int) {
 	for it := e.Key(); it.Next(); {
 		n := it.Node()
--- a/internal/dispatcher/settings/unknownkeys.go
+++ b/internal/dispatcher/settings/unknownkeys.go
@@ -7,7 +7,8 @@
 	"strings"
 )
 
-// findUnknownKeys finds the keys of a table that are not in the schema. It is called after all keys have been read.
+// findUnknownKeys reports the keys of a table that the schema does not have. It must be called
+// after all known keys have been read, as r.knownKeys is complete only then.
 func (r *reader) findUnknownKeys(prefix string, tree map[string]any) {
 	for _, name := range slices.Sorted(maps.Keys(tree)) {
 		key := prefix + name
@@ -38,7 +39,7 @@
 	}
 }
 
-// hasKnownKeys reports whether a key is that of a table that holds known keys.
+// hasKnownKeys reports whether a key names a table that may hold known keys.
 func (r *reader) hasKnownKeys(key string) bool {
 	for known := range r.knownKeys {
 		if strings.HasPrefix(known, key+".") {
@@ -48,11 +49,12 @@
 	return false
 }
 
-// suggestion proposes the known key that an unknown one may be a misspelling of: one with a distance of at most two.
+// suggestion proposes the known key closest to an unknown one if their edit distance is at most
+// two.
 func (r *reader) suggestion(key string) string {
 	best, closest := "", 3
 	for _, known := range slices.Sorted(maps.Keys(r.knownKeys)) {
-		if d := distance(key, known); d < closest {
+		if d := editDistance(key, known); d < closest {
 			best, closest = known, d
 		}
 	}
@@ -62,9 +64,9 @@
 	return "; did you mean " + best + "?"
 }
 
-// distance returns how many bytes have to be inserted, removed or replaced to turn one text into the other
-// [Levenshtein 1966].
-func distance(a, b string) int {
+// editDistance returns the Levenshtein distance of two strings: how many bytes must be inserted,
+// removed or replaced to turn one into the other [Levenshtein 1966].
+func editDistance(a, b string) int {
 	row := make([]int, len(b)+1)
 	for j := range row {
 		row[j] = j
--- a/internal/dispatcher/settings/values.go
+++ b/internal/dispatcher/settings/values.go
@@ -12,11 +12,11 @@
 	"frosttide/internal/dispatcher/wire"
 )
 
-// wrongType returns the error of a value that is not of the wanted kind.
-func wrongType(want string, v any) error { return fmt.Errorf("%s is wanted, not %s", want, kindOf(v)) }
+// typeError returns the error for a value of the wrong type.
+func typeError(want string, v any) error { return fmt.Errorf("%s is wanted, not %s", want, format(v)) }
 
-// kindOf returns a value, or its kind if it is long, as errors show it.
-func kindOf(v any) string {
+// format formats a value for an error message, lists and tables by their type only.
+func format(v any) string {
 	switch v := v.(type) {
 	case string:
 		return strconv.Quote(v)
@@ -29,11 +29,11 @@
 	}
 }
 
-// nonEmptyString checks a text that holds more than white space.
+// nonEmptyString parses a string that does not consist of white space only.
 func nonEmptyString(v any) (any, error) {
 	s, ok := v.(string)
 	if !ok {
-		return nil, wrongType("a text in quotes", v)
+		return nil, typeError("a text in quotes", v)
 	}
 	if strings.TrimSpace(s) == "" {
 		return nil, fmt.Errorf("it is empty")
@@ -41,20 +41,20 @@
 	return s, nil
 }
 
-// boolean checks a Boolean.
+// boolean parses true or false.
 func boolean(v any) (any, error) {
 	b, ok := v.(bool)
 	if !ok {
-		return nil, wrongType("true or false", v)
+		return nil, typeError("true or false", v)
 	}
 	return b, nil
 }
 
-// stringList checks a list of different texts that are not empty.
+// stringList parses a list of distinct, non-empty strings.
 func stringList(v any) (any, error) {
 	list, ok := v.([]any)
 	if !ok {
-		return nil, wrongType(`a list such as ["a", "b"]`, v)
+		return nil, typeError(`a list such as ["a", "b"]`, v)
 	}
 	for i, w := range list {
 		if s, ok := w.(string); !ok || s == "" {
@@ -66,11 +66,11 @@
 	return list, nil
 }
 
-// stringTable checks a table whose values are texts.
+// stringTable parses a table whose values are strings.
 func stringTable(v any) (any, error) {
 	m, ok := v.(map[string]any)
 	if !ok {
-		return nil, wrongType(`a table such as {key = "value"}`, v)
+		return nil, typeError(`a table such as {key = "value"}`, v)
 	}
 	out := map[string]string{}
 	for k, v := range m {
@@ -83,11 +83,11 @@
 	return out, nil
 }
 
-// address checks a host and port.
+// address parses an address of the form HOST:PORT with a port from 1 to 65535.
 func address(v any) (any, error) {
 	s, ok := v.(string)
 	if !ok {
-		return nil, wrongType(`an address such as "127.0.0.1:8081"`, v)
+		return nil, typeError(`an address such as "127.0.0.1:8081"`, v)
 	}
 	_, port, err := net.SplitHostPort(s)
 	if err != nil {
@@ -99,22 +99,22 @@
 	return s, nil
 }
 
-// oneOf checks a text that is one of some.
+// oneOf returns a parser for a string that must equal one of the allowed ones.
 func oneOf(allowed ...string) func(any) (any, error) {
 	return func(v any) (any, error) {
 		if s, ok := v.(string); ok && slices.Contains(allowed, s) {
 			return s, nil
 		}
-		return nil, fmt.Errorf("%s is none of %s", kindOf(v), strings.Join(allowed, ", "))
+		return nil, fmt.Errorf("%s is none of %s", format(v), strings.Join(allowed, ", "))
 	}
 }
 
-// integer checks an integer within bounds.
+// integer returns a parser for an integer from minimum to maximum.
 func integer(minimum, maximum int64) func(any) (any, error) {
 	return func(v any) (any, error) {
 		n, ok := v.(int64)
 		if !ok {
-			return nil, wrongType("a whole number", v)
+			return nil, typeError("a whole number", v)
 		}
 		if n < minimum || n > maximum {
 			return nil, fmt.Errorf("%d is not from %d to %d", n, minimum, maximum)
@@ -123,7 +123,7 @@
 	}
 }
 
-// number checks a number within bounds.
+// number returns a parser for an integer or floating-point number from minimum to maximum.
 func number(minimum, maximum float64) func(any) (any, error) {
 	return func(v any) (any, error) {
 		x, ok := v.(float64)
@@ -131,7 +131,7 @@
 			x, ok = float64(n), true
 		}
 		if !ok {
-			return nil, wrongType("a number", v)
+			return nil, typeError("a number", v)
 		}
 		if math.IsNaN(x) || x < minimum || x > maximum {
 			return nil, fmt.Errorf("%g is not from %g to %g", x, minimum, maximum)
@@ -140,12 +140,12 @@
 	}
 }
 
-// duration reads a time such as "250ms", from a minimum to maxDuration.
+// duration returns a parser for a duration such as "250ms" from minimum to maxDuration.
 func duration(minimum time.Duration) func(any) (any, error) {
 	return func(v any) (any, error) {
 		s, ok := v.(string)
 		if !ok {
-			return nil, wrongType(`a time such as "10s" or "250ms"`, v)
+			return nil, typeError(`a time such as "10s" or "250ms"`, v)
 		}
 		d, err := time.ParseDuration(s)
 		if err != nil {
@@ -158,7 +158,8 @@
 	}
 }
 
-// micros reads a time as microseconds, as the platform's form has it.
+// micros returns a parser for a duration as duration does, but converts it to microseconds, the
+// unit of the platform's form.
 func micros(minimum time.Duration) func(any) (any, error) {
 	read := duration(minimum)
 	return func(v any) (any, error) {
@@ -170,20 +171,21 @@
 	}
 }
 
-// units are those of sizes. B is last, as all others end with it.
-var units = []struct {
+// sizeUnits holds the units of sizes. B is last because all other units end with it.
+var sizeUnits = []struct {
 	name  string
 	bytes int64
 }{{"KB", 1 << 10}, {"MB", 1 << 20}, {"GB", 1 << 30}, {"B", 1}}
 
-// size reads a number of bytes such as "4MB", in powers of 1,024, within bounds in bytes.
+// size returns a parser for a size such as "4MB" from minimum to maximum bytes. Units are powers of
+// 1,024.
 func size(minimum, maximum int64) func(any) (any, error) {
 	return func(v any) (any, error) {
 		s, ok := v.(string)
 		if !ok {
-			return nil, wrongType(`a size such as "4MB"`, v)
+			return nil, typeError(`a size such as "4MB"`, v)
 		}
-		for _, u := range units {
+		for _, u := range sizeUnits {
 			digits, found := strings.CutSuffix(s, u.name)
 			if !found {
 				continue
@@ -193,7 +195,7 @@
 				break
 			}
 			if n*u.bytes < minimum || n*u.bytes > maximum {
-				return nil, fmt.Errorf("%s is not from %s to %s", s, bytesText(minimum), bytesText(maximum))
+				return nil, fmt.Errorf("%s is not from %s to %s", s, formatSize(minimum), formatSize(maximum))
 			}
 			return n * u.bytes, nil
 		}
@@ -201,17 +203,17 @@
 	}
 }
 
-// bytesText returns a size in the largest unit that it holds.
-func bytesText(n int64) string {
+// formatSize formats a size in bytes with the largest unit that does not exceed it, rounded down.
+func formatSize(n int64) string {
 	for _, u := range []int{2, 1, 0} {
-		if n >= units[u].bytes {
-			return fmt.Sprintf("%d%s", n/units[u].bytes, units[u].name)
+		if n >= sizeUnits[u].bytes {
+			return fmt.Sprintf("%d%s", n/sizeUnits[u].bytes, sizeUnits[u].name)
 		}
 	}
 	return fmt.Sprintf("%dB", n)
 }
 
-// megabytes reads a size as MiB, within bounds in MiB.
+// megabytes returns a parser for a size from minimum to maximum MiB and converts it to MiB.
 func megabytes(minimum, maximum int64) func(any) (any, error) {
 	read := size(minimum<<20, maximum<<20)
 	return func(v any) (any, error) {
@@ -223,8 +225,9 @@
 	}
 }
 
-// knownColumns returns an error for a column that load reports can't hold.
-func knownColumns(list []any) error {
+// checkColumns returns an error for a column whose name does not determine a metric of load
+// reports.
+func checkColumns(list []any) error {
 	for _, name := range list {
 		if !wire.KnownColumn(name.(string)) {
 			return fmt.Errorf("%q is no figure of a load report", name)
