--- a/internal/dispatcher/config/config.go
+++ b/internal/dispatcher/config/config.go
@@ -1,10 +1,12 @@
-// Package config reads what a dispatcher is configured with when it starts and when it reloads: the flags, the
-// environment, the platform's JSON file and the settings file. It checks everything, so that a mistake ends the start, or
-// rejects the reload, with one error. The program calls it; its functions read files and the environment, and are safe
-// for concurrent use.
+// Package config loads the configuration of a dispatcher at its start and at a reload: the flags,
+// the environment, the platform's JSON file and the settings file. It validates everything, so that
+// a mistake aborts the start, or rejects the reload, with one error. cmd/frosttide calls it. Its
+// functions read files and the environment and are safe for concurrent use.
 //
-// Invariants: a reload takes effect completely or not at all; a class keeps its number for the life of the process, as
-// open jobs refer to it.
+// # Invariants
+//
+//   - A reload takes effect completely or not at all.
+//   - A class keeps its number for the lifetime of the process, because open jobs refer to it.
 package config
 
 import (
@@ -21,48 +23,49 @@
 	"frosttide/internal/dispatcher/wire"
 )
 
-// MinSockets is the minimum number of descriptors that a dispatcher works with.
+// MinSockets is the minimum number of file descriptors that a dispatcher needs.
 const MinSockets = 64
 
-// Limits are the resources of the machine that the dispatcher may use.
+// Limits holds the resources of the machine that the dispatcher may use.
 type Limits struct {
 	Cores    float64 `json:"cores"`
-	MemoryMB int     `json:"memory_mb"`
-	Sockets  int     `json:"sockets"`
+	MemoryMB int     `json:"memory_mb"` // in MiB
+	Sockets  int     `json:"sockets"`   // file descriptors
 }
 
-// Config is a dispatcher's configuration.
+// Config is the configuration of a dispatcher.
 type Config struct {
 	Name           string
-	Listen         string // the clients' address
-	Discovery      string // discovery's address; empty for none
-	Console        string // the operators' address; empty for none
-	ListenFD       int    // the descriptor of a listening socket that the platform holds; 0 for none
-	Seed           uint64 // of random draws
+	Listen         string // address for clients and for runners' callbacks
+	Discovery      string // address of discovery; empty for none
+	Console        string // address for operators; empty for none
+	ListenFD       int    // descriptor of an inherited listening socket; 0 for none
+	Seed           uint64 // of the random number generator
 	Limits         Limits
-	KnownMembers   json.RawMessage // a list of runners in discovery's form, which may be old; empty for none
-	Module         decision.Config
-	Names          wire.Names
-	RemovedClasses []bool // by class number: the configuration in force does not have the class any more
+	KnownMembers   json.RawMessage // runner list in discovery's form, may be old; empty for none
+	Module         decision.Config // the configuration of package decision
+	Names          wire.Names      // of what Module refers to by number
+	RemovedClasses []bool          // by class number; the class is no longer configured
 	Log            settings.Log
 	Telemetry      export.Options
 	State          settings.State
 	Cluster        settings.Cluster
 	Gang           settings.Gang
 	Gearman        settings.Gearman
-	Warnings       []string // about values of the environment that are ignored
+	Warnings       []string // about environment variables that are ignored
 
-	keys map[string]any // of the platform's file
+	keys map[string]any // content of the platform's JSON file
 }
 
-// check returns an error if an address or a limit is not usable. A fixed list of runners needs no discovery.
-func (c *Config) check(fixed bool) error {
+// check returns an error for an invalid address or limit. The address of discovery may be missing
+// if there is a fixed runner list.
+func (c *Config) check(hasFixedList bool) error {
 	for _, a := range []struct {
 		name, addr string
 		optional   bool
 	}{
 		{"listen", c.Listen, false},
-		{"discovery", c.Discovery, fixed},
+		{"discovery", c.Discovery, hasFixedList},
 		{"console", c.Console, true},
 	} {
 		if a.addr == "" && a.optional {
@@ -77,13 +80,14 @@
 	case !(l.Cores > 0) || math.IsInf(l.Cores, 0):
 		return fmt.Errorf("limits.cores: %g is not a number of cores", l.Cores)
 	case l.MemoryMB < 32:
-		return fmt.Errorf("limits.memory_mb: %d is too little, 32 is the least", l.MemoryMB)
+		return fmt.Errorf("limits.memory_mb: %d is below the minimum of 32", l.MemoryMB)
 	case l.Sockets < MinSockets:
-		return fmt.Errorf("limits.sockets: %d is too few, %d is the least", l.Sockets, MinSockets)
+		return fmt.Errorf("limits.sockets: %d is below the minimum of %d", l.Sockets, MinSockets)
 	}
 	return nil
 }
 
+// checkAddress returns an error, which begins with name, unless addr has the form HOST:PORT.
 func checkAddress(name, addr string) error {
 	if addr == "" {
 		return fmt.Errorf("%s: the address is missing", name)
@@ -98,7 +102,7 @@
 	return nil
 }
 
-// parseSeed reads a seed, or draws one if the text is empty.
+// parseSeed parses a hexadecimal seed. An empty text yields a random one.
 func parseSeed(text string) (uint64, error) {
 	if text == "" {
 		return rand.Uint64(), nil
--- a/internal/dispatcher/config/load.go
+++ b/internal/dispatcher/config/load.go
@@ -15,8 +15,8 @@
 	"frosttide/internal/dispatcher/wire"
 )
 
-// file is the form of the platform's JSON file, which $BALANCER_CONFIG names.
-type file struct {
+// platformFile is the content of the platform's JSON file, whose path is in $BALANCER_CONFIG.
+type platformFile struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
@@ -27,7 +27,7 @@
 	Settings  json.RawMessage `json:"settings"`
 }
 
-// Load reads the configuration of a start.
+// Load loads and validates the configuration for a start.
 func Load(source Source) (Config, error) {
 	c, err := load(source, environmentFirst)
 	c.RemovedClasses = make([]bool, len(c.Names.Classes))
@@ -36,24 +36,26 @@
 
 var (
 	errNoSettings      = errors.New("settings are missing")
-	errDiscoveryUnused = errors.New("settings: discovery is missing: on_request where it has to be asked, pushed where an agent holds the list")
+	errNoDiscoveryMode = errors.New("settings: discovery is missing: on_request where it has to be asked, pushed where an agent holds the list")
 )
 
-// precedence says whether discovery's address is taken from the environment or from the file, if both name one.
+// precedence decides whether the environment or the file determines the address of discovery if
+// both set it.
 type precedence bool
 
 const (
 	environmentFirst precedence = false
-	fileFirst        precedence = true // the environment of a running process is that of its start
+	// fileFirst is for reloads: the environment of a running process stays that of its start.
+	fileFirst precedence = true
 )
 
-// load reads and checks a configuration.
+// load loads and validates a configuration.
 func load(source Source, discovery precedence) (Config, error) {
 	document, err := source.read()
 	if err != nil {
 		return Config{}, err
 	}
-	parsed := file{Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
+	parsed := platformFile{Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}}
 	if err := json.Unmarshal(document.json, &parsed); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", document.path, err)
 	}
@@ -70,8 +72,8 @@
 	if c.ListenFD, err = listenFD(source.Getenv); err != nil {
 		return Config{}, err
 	}
-	fixed := document.settings != nil && parsed.Discovery == "" && len(parsed.Known) > 0
-	if err := c.loadPlatform(&parsed, fixed); err != nil {
+	hasFixedList := document.settings != nil && parsed.Discovery == "" && len(parsed.Known) > 0
+	if err := c.loadPlatform(&parsed, hasFixedList); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", document.path, err)
 	}
 	var telemetry settings.Telemetry
@@ -86,32 +88,33 @@
 	if err := c.checkFunctions(); err != nil {
 		return Config{}, fmt.Errorf("%s: %w", document.path, err)
 	}
-	c.Log = source.log(document)
+	c.Log = source.logSettings(document)
 	if err := checkLog(c.Log); err != nil {
 		return Config{}, err
 	}
 	return c, nil
 }
 
-// override sets what the environment names.
-func (f *file) override(getenv func(string) string, discovery precedence) {
+// override replaces the values that environment variables set.
+func (f *platformFile) override(getenv func(string) string, discovery precedence) {
 	for _, v := range []struct {
-		name string
-		to   *string
-		keep bool
+		name   string
+		target *string
+		skip   bool
 	}{
 		{"BALANCER_NAME", &f.Name, false},
 		{"BALANCER_LISTEN", &f.Listen, false},
 		{"BALANCER_CONSOLE", &f.Console, false},
 		{"BALANCER_DISCOVERY", &f.Discovery, discovery == fileFirst && f.Discovery != ""},
 	} {
-		if s := getenv(v.name); s != "" && !v.keep {
-			*v.to = s
+		if s := getenv(v.name); s != "" && !v.skip {
+			*v.target = s
 		}
 	}
 }
 
-// listenFD returns the descriptor that the platform hands over; 0 for none.
+// listenFD returns the descriptor of the listening socket that the platform passes in $BALANCER_FD,
+// or 0 if it passes none.
 func listenFD(getenv func(string) string) (int, error) {
 	text := getenv("BALANCER_FD")
 	if text == "" {
@@ -124,9 +127,9 @@
 	return fd, nil
 }
 
-// loadPlatform reads and checks what the platform's form holds.
-func (c *Config) loadPlatform(parsed *file, fixed bool) (err error) {
-	if err := c.check(fixed); err != nil {
+// loadPlatform validates and converts the values of the platform's form.
+func (c *Config) loadPlatform(parsed *platformFile, hasFixedList bool) (err error) {
+	if err := c.check(hasFixedList); err != nil {
 		return err
 	}
 	if c.Seed, err = parseSeed(parsed.Seed); err != nil {
@@ -142,7 +145,7 @@
 		return err
 	}
 	if c.Discovery != "" && !c.Module.PullMembers && !c.Names.Pushed {
-		return errDiscoveryUnused
+		return errNoDiscoveryMode
 	}
 	for i, name := range c.Names.Classes {
 		if name == "" {
@@ -152,7 +155,7 @@
 	return nil
 }
 
-// checkLog returns an error if the level or the format is not one that there is.
+// checkLog returns an error for an unknown log level or format.
 func checkLog(l settings.Log) error {
 	if _, err := logrus.ParseLevel(l.Level); err != nil {
 		return fmt.Errorf("log level: %w", err)
@@ -163,9 +166,10 @@
 	return nil
 }
 
-// checkFunctions returns an error if a Gearman function is of a class that it can't be of.
+// checkFunctions returns an error if the class of a Gearman function does not exist or its number
+// is too high.
 func (c *Config) checkFunctions() error {
-	const maxClasses = 64 // that functions may be of
+	const maxClasses = 64 // functions can only use the classes with lower numbers
 	for name, class := range c.Gearman.Functions {
 		i := slices.Index(c.Names.Classes, class)
 		if i < 0 {
--- a/internal/dispatcher/config/reload.go
+++ b/internal/dispatcher/config/reload.go
@@ -9,10 +9,10 @@
 	"frosttide/decision"
 )
 
-// Reload reads the configuration again and returns the one that takes the place of this one, which is in force.
-// Discovery's address is taken from the file before the environment, which in a running process is that of its start, so
-// that a new file can change it. A file that lacks a key of the one in force is rejected, as is one with a value that is
-// not usable.
+// Reload loads the configuration again and returns the one that replaces c, the current one. The
+// address of discovery in the file takes precedence over the environment, because the environment
+// of a process stays that of its start and the address could not be changed otherwise. Reload
+// rejects a file with an invalid value, and one that lacks a key of the current file.
 func (c Config) Reload(source Source) (Config, error) {
 	next, err := load(source, fileFirst)
 	if err != nil {
@@ -22,21 +22,22 @@
 		return Config{}, fmt.Errorf("%s is missing", key)
 	}
 	if next.Module.Limits.MaxAttempts <= 0 {
-		return Config{}, errors.New("settings: policy-limits.send-cap is no number above 0")
+		return Config{}, errors.New("settings: policy-limits.send-cap must be greater than 0")
 	}
 	for i, class := range next.Module.Classes {
 		if class.ClientTimeout <= 0 {
-			return Config{}, fmt.Errorf("settings: request-classes[%d].give-up is no number above 0", i)
+			return Config{}, fmt.Errorf("settings: request-classes[%d].give-up must be greater than 0", i)
 		}
 		if slices.Index(next.Names.Classes, next.Names.Classes[i]) < i {
-			return Config{}, fmt.Errorf("settings: request-classes[%d].name is there twice", i)
+			return Config{}, fmt.Errorf("settings: request-classes[%d].name is a duplicate", i)
 		}
 	}
 	return c.renumberClasses(next), nil
 }
 
-// renumberClasses gives the classes of the next configuration the numbers of this one: by name, new ones after all
-// others. A class that is removed keeps its number, as jobs of it may be open.
+// renumberClasses gives each class of the next configuration the number that the class with the
+// same name has in c. New classes get the numbers after those. A removed class keeps its number,
+// because jobs of it may be open.
 func (c Config) renumberClasses(next Config) Config {
 	classes, names := slices.Clone(c.Module.Classes), slices.Clone(c.Names.Classes)
 	removed := slices.Repeat([]bool{true}, len(names))
@@ -52,10 +53,10 @@
 	return next
 }
 
-// KeepStartOnly returns the next configuration with what only a start can change as it is in this one, and the names of
-// what differs there.
+// KeepStartOnly returns the next configuration, but with the values of c for the settings that only
+// a restart can change. It also returns the names of those that differ.
 func (c Config) KeepStartOnly(next Config) (Config, []string) {
-	differing := c.differingStartOnly(&next)
+	changed := c.changedStartOnly(&next)
 	if !c.sameGearman(&next) {
 		functions := next.Gearman.Functions
 		next.Gearman = c.Gearman
@@ -68,12 +69,13 @@
 	m := &next.Module
 	m.Metrics, m.Limits.ConnectTimeout, m.PullMembers = c.Module.Metrics, c.Module.Limits.ConnectTimeout, c.Module.PullMembers
 	m.Instance, m.Zone, m.Zones = c.Module.Instance, c.Module.Zone, c.Module.Zones
-	return next, differing
+	return next, changed
 }
 
-// differingStartOnly returns the names of what differs in the next configuration and only a start can change.
-func (c *Config) differingStartOnly(next *Config) []string {
-	var differing []string
+// changedStartOnly returns the names of the settings that differ in the next configuration and that
+// only a restart can change.
+func (c *Config) changedStartOnly(next *Config) []string {
+	var changed []string
 	for _, part := range []struct {
 		name string
 		same bool
@@ -91,26 +93,26 @@
 		{"zone", c.Module.Zone == next.Module.Zone},
 		{"state", c.State == next.State},
 		{"gearman", c.sameGearman(next)},
-		{"discovery's way", c.Module.PullMembers == next.Module.PullMembers && c.Names.Pushed == next.Names.Pushed},
+		{"discovery mode", c.Module.PullMembers == next.Module.PullMembers && c.Names.Pushed == next.Names.Pushed},
 		{"cluster", c.sameCluster(next)},
 		{"gang", c.Gang == next.Gang},
 	} {
 		if !part.same {
-			differing = append(differing, part.name)
+			changed = append(changed, part.name)
 		}
 	}
-	return differing
+	return changed
 }
 
-// sameGearman reports whether all of Gearman's settings are the same that only a start can change. A certificate may be
-// replaced, but not added or removed.
+// sameGearman reports whether those Gearman settings are equal that only a restart can change. A
+// reload may replace the certificate but neither add nor remove it.
 func (c *Config) sameGearman(next *Config) bool {
 	g, n := &c.Gearman, &next.Gearman
 	return g.Listen == n.Listen && g.Zone == n.Zone && g.Kind == n.Kind && g.Connections == n.Connections && g.Jobs == n.Jobs &&
 		g.Packet == n.Packet && (g.Certificate == "") == (n.Certificate == "")
 }
 
-// sameCluster reports whether the cluster's settings are the same.
+// sameCluster reports whether the cluster settings are equal.
 func (c *Config) sameCluster(next *Config) bool {
 	a, b := &c.Cluster, &next.Cluster
 	return a.Listen == b.Listen && a.Advertise == b.Advertise && a.Dir == b.Dir && a.WatermarkDir == b.WatermarkDir &&
@@ -118,17 +120,18 @@
 		a.PacedAdmission == b.PacedAdmission && a.Discovery == b.Discovery && slices.Equal(a.Join, b.Join) && slices.Equal(a.Voters, b.Voters)
 }
 
-// missingKey returns a key that the file in force has and the next one lacks, empty for none. An object of a list needs
-// the keys that all objects of the list in force have. The list of runners is discovery's and is not compared.
-func missingKey(inForce, next map[string]any) string {
-	for _, key := range slices.Sorted(maps.Keys(inForce)) {
-		if next[key] == nil && inForce[key] != nil {
+// missingKey returns a key that the old file has and the next one lacks, or an empty string if
+// there is none. An object in a list needs the keys that all objects of the old list have. The
+// runner list under known is data of discovery and is not compared.
+func missingKey(old, next map[string]any) string {
+	for _, key := range slices.Sorted(maps.Keys(old)) {
+		if next[key] == nil && old[key] != nil {
 			return key
 		}
 		if key == "known" {
 			continue
 		}
-		switch current := inForce[key].(type) {
+		switch current := old[key].(type) {
 		case map[string]any:
 			object, _ := next[key].(map[string]any)
 			if missing := missingKey(current, object); missing != "" {
@@ -147,15 +150,15 @@
 	return ""
 }
 
-// commonKeys returns the keys that all objects of a list have.
+// commonKeys returns the keys that all objects of a list have, with the values of the first.
 func commonKeys(list []any) map[string]any {
-	var all map[string]any
+	var common map[string]any
 	for i := range list {
 		object, _ := list[i].(map[string]any)
 		if i == 0 {
-			all = maps.Clone(object)
+			common = maps.Clone(object)
 		}
-		maps.DeleteFunc(all, func(key string, _ any) bool { return object[key] == nil })
+		maps.DeleteFunc(common, func(key string, _ any) bool { return object[key] == nil })
 	}
-	return all
+	return common
 }
--- a/internal/dispatcher/config/source.go
+++ b/internal/dispatcher/config/source.go
@@ -12,26 +12,26 @@
 	"frosttide/internal/dispatcher/settings"
 )
 
-// Source is where a configuration is read from. Of several places that set the same value flags take precedence, then the
-// environment, the platform's JSON file, the settings file and the defaults.
+// Source specifies where a configuration is loaded from. If several places set the same value, the
+// order of precedence is flags, environment, the platform's JSON file, the settings file, defaults.
 type Source struct {
 	Getenv       func(string) string
 	Path         string // of the settings file; empty for none
 	SettingsText []byte // the settings file's content; nil to read it from Path
-	LogLevel     string // a flag; empty if it is not set
-	LogFormat    string // a flag; empty if it is not set
+	LogLevel     string // from a flag; empty if it is not set
+	LogFormat    string // from a flag; empty if it is not set
 }
 
-// sourceDocument is a configuration in the platform's form.
+// sourceDocument is a configuration in the form of the platform's JSON file.
 type sourceDocument struct {
 	json     []byte
-	path     string         // of the files that it was read from, as errors name them
-	keys     map[string]any // of the platform's file alone
-	settings *settings.File // nil for none
+	path     string         // of the files that it was read from, for error messages
+	keys     map[string]any // content of the platform's file, without the settings file
+	settings *settings.File // nil without a settings file
 }
 
-// read reads the files and merges the platform's into the settings. Without a settings file the platform's is taken as it
-// is.
+// read reads the files and overrides the values of the settings file with those of the platform's
+// file. Without a settings file it returns the platform's file unchanged.
 func (s Source) read() (document sourceDocument, err error) {
 	if document.settings, err = s.readSettings(); err != nil {
 		return sourceDocument{}, err
@@ -59,7 +59,7 @@
 	return document, err
 }
 
-// readSettings returns the settings file, nil for none.
+// readSettings reads and parses the settings file. It returns nil if there is none.
 func (s Source) readSettings() (*settings.File, error) {
 	switch {
 	case s.Path == "":
@@ -70,34 +70,36 @@
 	return settings.Read(s.Path)
 }
 
-// parseObject reads a JSON object, with its numbers as they are written.
+// parseObject parses a JSON object and keeps its numbers as json.Number, without loss of precision.
 func parseObject(text []byte) (map[string]any, error) {
 	var keys map[string]any
-	if err := json.Unmarshal(text, &keys); err != nil { // finds text behind the object, which a decoder does not
+	// Unmarshal rejects data after the object, which Decode does not.
+	if err := json.Unmarshal(text, &keys); err != nil {
 		return nil, err
 	}
 	clear(keys)
-	in := json.NewDecoder(bytes.NewReader(text))
-	in.UseNumber()
-	return keys, in.Decode(&keys)
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.UseNumber()
+	return keys, decoder.Decode(&keys)
 }
 
-// merge returns the base with the values of the other in their place. Objects are merged; lists are replaced.
-func merge(base, other map[string]any) map[string]any {
+// merge returns base overridden with the values of override. Objects are merged recursively, and
+// lists are replaced.
+func merge(base, override map[string]any) map[string]any {
 	out := maps.Clone(base)
-	for key, v := range other {
-		a, isObject := out[key].(map[string]any)
-		b, bothObjects := v.(map[string]any)
+	for key, v := range override {
+		baseObject, isObject := out[key].(map[string]any)
+		overrideObject, bothObjects := v.(map[string]any)
 		if isObject && bothObjects {
-			v = merge(a, b)
+			v = merge(baseObject, overrideObject)
 		}
 		out[key] = v
 	}
 	return out
 }
 
-// log returns how to log.
-func (s Source) log(document sourceDocument) settings.Log {
+// logSettings returns the log settings by the precedence of Source, with defaults.
+func (s Source) logSettings(document sourceDocument) settings.Log {
 	var l settings.Log
 	if document.settings != nil {
 		l = document.settings.Log
