--- a/internal/dispatcher/console/console.go
+++ b/internal/dispatcher/console/console.go
@@ -1,10 +1,9 @@
-// Package console is the operators' HTTP server, at an address of its own. It reports
-// whether the process is ready, returns its figures, and excludes and reinstates
-// workers. It takes one call per connection. cmd/frosttide makes one Console and
-// runs it.
+// Package console is the HTTP server for operators, which listens on an address of its own. It
+// reports whether the process is ready, returns its metrics, and excludes and reinstates workers.
+// It serves one request per connection. cmd/frosttide creates one Console and runs it.
 //
-// At most Sockets descriptors are open, whatever callers do. All methods are safe
-// for concurrent use.
+// The console never has more than Sockets descriptors open, whatever its clients do. All methods
+// are safe for concurrent use.
 package console
 
 import (
@@ -25,63 +24,65 @@
 )
 
 const (
-	// Sockets is the largest number of descriptors that the console uses, its
-	// listener's included.
-	Sockets    = maxCallers + 1
-	maxCallers = 7
-	// requestTimeout is how long a call may take to arrive. Callers wait for 1 s.
+	// Sockets is the maximum number of file descriptors that the console uses, including the
+	// listener.
+	Sockets        = maxConnections + 1
+	maxConnections = 7
+	// requestTimeout is the maximum time for reading a request. Clients time out after 1 s.
 	requestTimeout = 1500 * time.Millisecond
-	// operationTimeout is how long a call may take to be executed, and responseMargin
-	// how much later its caller learns that it was not: within 1 s in all.
+	// operationTimeout is the maximum time for executing an order, and responseMargin the
+	// additional time after which the client gets an error. Together they are less than the 1 s of
+	// the client.
 	operationTimeout = 600 * time.Millisecond
 	responseMargin   = 150 * time.Millisecond
-	// maxCall bounds the body of a call, in bytes.
-	maxCall = 4 << 10
-	// maxOrderID bounds an order's ID, in bytes.
-	maxOrderID = 128
+	// maxBodyBytes is the maximum size of a request body.
+	maxBodyBytes = 4 << 10
+	// maxOrderIDBytes is the maximum length of an order's ID.
+	maxOrderIDBytes = 128
 )
 
-// ErrUnknown is the error of a call on a worker that nobody has.
+// ErrUnknown is the error of an order for a worker that is not known. Clients get its text.
 var ErrUnknown = errors.New("no runner has this id")
 
-// ErrUnclear is wrapped by the error of an order that may be in force all the same, or
-// come to be.
+// ErrUnclear is wrapped by the error of an order whose outcome is unknown: it may have been
+// executed, or may still be. Clients get its text.
 var ErrUnclear = errors.New("unclear")
 
-// Order excludes a worker, or reinstates it.
+// Order is an operator's order to exclude a worker or to reinstate it.
 type Order struct {
-	Worker string // its uid
-	Out    bool   // exclude it; otherwise reinstate it
-	// ID names the order: sent again under its ID it has its effect once. It is drawn
-	// where the operator gives none.
+	Worker string // UID of the worker
+	Out    bool   // exclude the worker; otherwise reinstate it
+	// ID makes the order idempotent: if it is sent again under the same ID, it has its effect once.
+	// The console generates an ID if the operator provides none.
 	ID string
 }
 
-// Core does what operators ask for.
+// Core executes the orders of operators.
 type Core interface {
-	// Exclude executes an order. It calls done with nil, with ErrUnknown, with an error
-	// that wraps ErrUnclear, or with why it was not done, possibly after the deadline.
+	// Exclude executes an order and calls done, possibly after the deadline: with nil, with
+	// ErrUnknown, with an error that wraps ErrUnclear, or with another error if the order was not
+	// executed.
 	Exclude(order Order, deadline time.Time, done func(error))
 }
 
-// Handlers answer the calls that the console passes on.
+// Handlers serve the requests that the console only routes.
 type Handlers struct {
-	// Ready reports whether the process serves, and then what operators should know
-	// of it.
+	// Ready reports whether the process serves requests. If it does, note is the body of the
+	// response and tells operators of restrictions, if any.
 	Ready   func() (ready bool, note string)
-	Figures http.Handler // the figures of the process
-	Cluster http.Handler // the cluster; nil without one
+	Figures http.Handler // metrics of the process
+	Cluster http.Handler // status of the cluster and orders to it; nil without a cluster
 	Work    http.Handler // workflows and gangs
 }
 
-// Console is the server of operators.
+// Console is the HTTP server for operators.
 type Console struct {
 	server *http.Server
 	core   Core
 	log    *logrus.Entry
 }
 
-// New makes a console that does not serve yet.
+// New returns a console that does not serve yet. The server of net/http logs at debug level.
 func New(core Core, handlers Handlers, log *logrus.Entry) *Console {
 	c := &Console{core: core, log: log}
 	c.server = &http.Server{
@@ -95,7 +96,7 @@
 	return c
 }
 
-// routes returns the handler of all calls.
+// routes returns the handler of all requests.
 func (c *Console) routes(handlers Handlers) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /api/ready", func(w http.ResponseWriter, _ *http.Request) {
@@ -104,7 +105,7 @@
 			http.Error(w, "not ready", http.StatusServiceUnavailable)
 			return
 		}
-		_, _ = io.WriteString(w, note) // a caller that has left needs no error
+		_, _ = io.WriteString(w, note) // a failed write means that the client has disconnected
 	})
 	mux.Handle("GET /api/telemetry", handlers.Figures)
 	for _, path := range []string{"/api/workflow", "/api/workflow/", "/api/gang"} {
@@ -119,20 +120,20 @@
 	return mux
 }
 
-// Serve serves until the listener is closed.
+// Serve serves requests on l until l is closed.
 func (c *Console) Serve(l net.Listener) {
-	err := c.server.Serve(&callerListener{Listener: neterr.Listener{Listener: l}})
+	err := c.server.Serve(&boundedListener{Listener: neterr.Listener{Listener: l}})
 	c.log.WithError(err).Debug("console closed")
 }
 
-// exclude executes a call that excludes a worker, or reinstates it with out false.
+// exclude handles a request to exclude a worker, or to reinstate it if out is false.
 func (c *Console) exclude(w http.ResponseWriter, r *http.Request, out bool) {
 	deadline := time.Now().Add(operationTimeout)
 	var call struct {
 		Host  string `json:"host"`
 		Order string `json:"order"`
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxCall))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err == nil {
 		err = json.Unmarshal(text, &call)
 	}
@@ -140,8 +141,8 @@
 		http.Error(w, `the body is to be {"host":"ID"}`, http.StatusBadRequest)
 		return
 	}
-	if len(call.Order) > maxOrderID {
-		http.Error(w, fmt.Sprintf("an order has %d bytes at the most", maxOrderID), http.StatusBadRequest)
+	if len(call.Order) > maxOrderIDBytes {
+		http.Error(w, fmt.Sprintf("an order has %d bytes at the most", maxOrderIDBytes), http.StatusBadRequest)
 		return
 	}
 	order := Order{Worker: call.Host, Out: out, ID: cmp.Or(call.Order, rand.Text())}
--- a/internal/dispatcher/console/console_test.go
+++ b/internal/dispatcher/console/console_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// fakeCore answers each order with an error and keeps the last one.
+// fakeCore is a Core that calls done with err and records the last order.
 type fakeCore struct {
 	err  error
 	last Order
@@ -25,33 +25,35 @@
 	done(c.err)
 }
 
-// TestOrderAnswers checks what an operator is answered, and that an order that may be in force is named.
-func TestOrderAnswers(t *testing.T) {
-	for _, c := range []struct {
+// TestOrderResponses checks the responses to orders, and that the response to an order with an
+// unknown outcome contains its ID.
+func TestOrderResponses(t *testing.T) {
+	for _, tc := range []struct {
 		name       string
 		err        error
 		body       string
 		wantStatus int
-		wantText   string // within the answer
+		wantText   string // part of the response
 	}{
 		{"done", nil, `{"host":"s-1","order":"o-1"}`, http.StatusOK, ""},
 		{"unknown", ErrUnknown, `{"host":"s-1","order":"o-1"}`, http.StatusNotFound, ErrUnknown.Error()},
 		{"not done", errors.New("no leader"), `{"host":"s-1","order":"o-1"}`, http.StatusServiceUnavailable, "not done: no leader"},
 		{"unclear", fmt.Errorf("%w: a slow disk", ErrUnclear), `{"host":"s-1","order":"o-1"}`, http.StatusGatewayTimeout, `"order":"o-1"`},
-		{"an order that is too long", nil, `{"host":"s-1","order":"` + strings.Repeat("x", maxOrderID+1) + `"}`, http.StatusBadRequest, "128 bytes"},
+		{"order ID too long", nil, `{"host":"s-1","order":"` + strings.Repeat("x", maxOrderIDBytes+1) + `"}`, http.StatusBadRequest, "128 bytes"},
 		{"no host", nil, `{"order":"o-1"}`, http.StatusBadRequest, `{"host":"ID"}`},
 	} {
-		t.Run(c.name, func(t *testing.T) {
-			status, text := exclude(&fakeCore{err: c.err}, c.body)
-			require.Equal(t, c.wantStatus, status)
-			require.Contains(t, text, c.wantText)
-			require.Equal(t, c.wantStatus == http.StatusGatewayTimeout, strings.Contains(text, "its effect once"))
+		t.Run(tc.name, func(t *testing.T) {
+			status, text := exclude(&fakeCore{err: tc.err}, tc.body)
+			require.Equal(t, tc.wantStatus, status)
+			require.Contains(t, text, tc.wantText)
+			require.Equal(t, tc.wantStatus == http.StatusGatewayTimeout, strings.Contains(text, "its effect once"))
 		})
 	}
 }
 
-// TestOrderIsNamed checks that an order without a name is given one, by which an unclear answer names it.
-func TestOrderIsNamed(t *testing.T) {
+// TestOrderIDIsGenerated checks that an order without an ID gets a unique one, and that the
+// response to an order with an unknown outcome contains it.
+func TestOrderIDIsGenerated(t *testing.T) {
 	core := &fakeCore{err: ErrUnclear}
 	_, text := exclude(core, `{"host":"s-1"}`)
 	require.NotEmpty(t, core.last.ID)
@@ -61,12 +63,12 @@
 	require.NotEqual(t, first, core.last.ID)
 }
 
-// exclude sends an order to a console and returns its answer.
+// exclude sends an order to a new console and returns the response.
 func exclude(core Core, body string) (status int, text string) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	c := New(core, Handlers{Figures: http.NotFoundHandler(), Work: http.NotFoundHandler()}, logrus.NewEntry(log))
-	answer := httptest.NewRecorder()
-	c.server.Handler.ServeHTTP(answer, httptest.NewRequest(http.MethodPut, "/api/exclude", strings.NewReader(body)))
-	return answer.Code, answer.Body.String()
+	recorder := httptest.NewRecorder()
+	c.server.Handler.ServeHTTP(recorder, httptest.NewRequest(http.MethodPut, "/api/exclude", strings.NewReader(body)))
+	return recorder.Code, recorder.Body.String()
 }
--- a/internal/dispatcher/console/listener.go
+++ b/internal/dispatcher/console/listener.go
@@ -6,27 +6,27 @@
 	"sync"
 )
 
-// callerListener accepts every caller at once and bounds their number: past
-// maxCallers it closes the connection of the one that came first. A call is answered
-// in milliseconds, so the first of many is one that connected and sent nothing.
-type callerListener struct {
+// boundedListener accepts every connection immediately and bounds their number: beyond
+// maxConnections it closes the oldest one. Requests are answered in milliseconds, so the oldest of
+// many connections is one whose client has connected and sent nothing.
+type boundedListener struct {
 	net.Listener
 	mu   sync.Mutex
-	open list.List // of *caller, in the order of their coming
+	open list.List // of *connection, in the order of acceptance
 }
 
 // Accept implements net.Listener.
-func (l *callerListener) Accept() (net.Conn, error) {
+func (l *boundedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	accepted := &caller{Conn: c, listener: l}
-	var oldest *caller
+	accepted := &connection{Conn: c, listener: l}
+	var oldest *connection
 	l.mu.Lock()
 	accepted.element = l.open.PushBack(accepted)
-	if l.open.Len() > maxCallers {
-		oldest = l.open.Front().Value.(*caller)
+	if l.open.Len() > maxConnections {
+		oldest = l.open.Front().Value.(*connection)
 	}
 	l.mu.Unlock()
 	if oldest != nil {
@@ -35,16 +35,16 @@
 	return accepted, nil
 }
 
-// caller is a connection of the console. It gives its place back when it is closed.
-type caller struct {
+// connection removes itself from the open connections of its listener when it is closed.
+type connection struct {
 	net.Conn
-	listener *callerListener
+	listener *boundedListener
 	element  *list.Element
 	once     sync.Once
 }
 
 // Close implements net.Conn.
-func (c *caller) Close() error {
+func (c *connection) Close() error {
 	c.once.Do(func() {
 		c.listener.mu.Lock()
 		defer c.listener.mu.Unlock()
