--- a/internal/dispatcher/settings/file.go
+++ b/internal/dispatcher/settings/file.go
@@ -86,7 +86,7 @@
 	Headers                                   map[string]string
 	Timeout                                   time.Duration
 	Certificate, ClientCertificate, ClientKey string // paths
-	Traces, Metrics                           *bool  // nil to export the signal by default
+	Traces, Metrics                           *bool  // whether the signal is exported
 }
 
 // TraceFile configures a file to which traces are written, instead of or in addition to the export
--- a/internal/dispatcher/settings/settings_test.go
+++ b/internal/dispatcher/settings/settings_test.go
@@ -34,12 +34,12 @@
 		"f:7: class[1].give_up: it is missing",
 		`f:8: class[1].name: "a" is there twice`,
 		"f:9: class[1].worht: there is no such key; did you mean class[1].worth?"}},
-	{"runners beside discovery", minimalClass + "[discovery]\naddress = \"127.0.0.1:1\"\n[[runner]]\nid = \"a\"\naddress = \"nowhere\"\n", []string{
+	{"fixed runner list and discovery", minimalClass + "[discovery]\naddress = \"127.0.0.1:1\"\n[[runner]]\nid = \"a\"\naddress = \"nowhere\"\n", []string{
 		"f: runner: a fixed list goes without discovery; leave one of them out",
 		`f:9: runner[0].address: "nowhere" is no address such as 127.0.0.1:8081`}},
-	{"a number past the dispatchers", minimalClass + "[fleet]\ndispatchers = 80\nnumber = 80\n", []string{
+	{"dispatcher number out of range", minimalClass + "[fleet]\ndispatchers = 80\nnumber = 80\n", []string{
 		"f:7: fleet.number: 80 is not the number of one of 80 dispatchers, which count from 0"}},
-	{"no dispatchers", minimalClass + "[fleet]\ndispatchers = 0\n", []string{"f:6: fleet.dispatchers: 0 is not from 1 to 65536"}},
+	{"zero dispatchers", minimalClass + "[fleet]\ndispatchers = 0\n", []string{"f:6: fleet.dispatchers: 0 is not from 1 to 65536"}},
 	{"tenants, reports and lists", minimalClass + "[discovery]\nlist = \"pulled\"\n[probes]\nreport = \"answers\"\ncolumns = [\"queue\"]\nfree_slots = \"x0\"\n" +
 		"[[tenant]]\nname = \"n\"\n[[tenant]]\nname = \"n\"\nper_second = -1\n[[tenant]]\n", []string{
 		`f:6: discovery.list: "pulled" is none of asked, pushed`,
@@ -47,18 +47,18 @@
 		`f:14: tenant[1].name: "n" is there twice`,
 		"f:15: tenant[1].per_second: -1 is not from 0 to 1e+09",
 		"f:16: tenant[2].name: it is missing"}},
-	{"a cluster", minimalClass + "[cluster]\nlisten = \"10.0.0.1:7946\"\njoin = [\"nowhere\"]\nvoters = [\"frosttide\", \"b\"]\n", []string{
+	{"cluster", minimalClass + "[cluster]\nlisten = \"10.0.0.1:7946\"\njoin = [\"nowhere\"]\nvoters = [\"frosttide\", \"b\"]\n", []string{
 		"f:5: cluster.dir: it is missing, and \"frosttide\" votes: what it acknowledges has to be on disk",
 		"f:6: cluster.listen: members talk in plain text; say plain_text = true where that is meant",
 		`f:7: cluster.join: item 1: "nowhere" is no address such as 127.0.0.1:8081`,
 		"f:8: cluster.voters: 2 voters bear no more losses than 1; name an odd number"}},
-	{"a cluster that is everywhere", minimalClass + "[cluster]\nlisten = \"0.0.0.0:7946\"\nplain_text = true\n", []string{
+	{"cluster listening on all interfaces", minimalClass + "[cluster]\nlisten = \"0.0.0.0:7946\"\nplain_text = true\n", []string{
 		"f:5: cluster.advertise: it has to say where others reach a dispatcher that listens everywhere",
 		"f:5: cluster.voters: it is missing; name one, three or five members"}},
-	{"a cluster without an address", minimalClass + "[cluster]\nvoters = [\"a\"]\n", []string{"f:5: cluster.listen: it is missing, and cluster.voters is there"}},
+	{"cluster without a listen address", minimalClass + "[cluster]\nvoters = [\"a\"]\n", []string{"f:5: cluster.listen: it is missing, and cluster.voters is there"}},
 	{"syntax", "name = \n", []string{"f:1: "}},
-	{"a table where a value is due", "[name]\nx = 1\n" + minimalClass, []string{"f:1: name: a text in quotes is wanted, not a table"}},
-	{"a value where a table is due", "listen = 3\n" + minimalClass, []string{"f:1: listen: it is written as a table, [listen]"}},
+	{"table instead of a value", "[name]\nx = 1\n" + minimalClass, []string{"f:1: name: a text in quotes is wanted, not a table"}},
+	{"value instead of a table", "listen = 3\n" + minimalClass, []string{"f:1: listen: it is written as a table, [listen]"}},
 	{"headers", minimalClass + "[telemetry.otlp]\nheaders = {a = 1}\n", []string{`f:6: telemetry.otlp.headers: its value of "a" is no text`}},
 }
 
--- a/internal/dispatcher/wire/decode.go
+++ b/internal/dispatcher/wire/decode.go
@@ -191,7 +191,7 @@
 func decodeAttemptEnded(c *cursor, ev *decision.Event) error {
 	ev.Type, ev.Request = decision.AttemptEnded, decision.RequestID(c.u32())
 	ev.Worker, ev.Attempt = decision.WorkerID(c.u32()), int(c.u16())
-	c.u8() // a field of the worker family, not used
+	c.u8() // specific to the worker family, not used
 	resultCode := c.u16()
 	ev.RequestClosed = c.u8() != 0
 	c.u32() // round-trip time, which package decision measures itself
--- a/internal/dispatcher/wire/decode_test.go
+++ b/internal/dispatcher/wire/decode_test.go
@@ -61,14 +61,14 @@
 // TestDecodeDocumentedRecords decodes the example records of the protocol's documentation.
 func TestDecodeDocumentedRecords(t *testing.T) {
 	const id, worker = 0x5d3a91c4, 0x03124a07
-	ms := func(us int) time.Duration { return time.Duration(us) * time.Microsecond }
+	us := func(us int) time.Duration { return time.Duration(us) * time.Microsecond }
 	tests := map[string]struct {
 		hex  string
 		n    int
 		want decision.Event
 	}{
 		"arrival": {"0801 0300 c4913a5d da05840000000000 00000040 640ad2557c3bf091 0000c03f 00000000 00 e02e0000 01", 1,
-			decision.Event{Type: decision.RequestArrived, Request: id, Deadline: ms(0x8405da), Slots: 2,
+			decision.Event{Type: decision.RequestArrived, Request: id, Deadline: us(0x8405da), Slots: 2,
 				Key: 0x91f03b7c55d20a64, Memory: 1.5, Hint: 12 * time.Millisecond}},
 		"bell":        {"0201 0300 4d000000", 1, decision.Event{Type: decision.TimerFired, Token: 77}},
 		"client left": {"0701 0500 192b6f0e", 1, decision.Event{Type: decision.RequestCanceled, Request: 0x0e6f2b19}},
@@ -84,7 +84,7 @@
 		"census and fleet": {`0501 00 02000000 074a1203 0000 0000 0000 00 0000803f 0000000000000000
 			f211902c 0100 0000 0000 00 0000c03f 20145d0000000000 0b01 0300 00 03 2900000000000000`, 2,
 			decision.Event{Type: decision.MembersReplaced, Members: []decision.Member{
-				{Worker: worker, Weight: 1}, {Worker: 0x2c9011f2, Zone: 1, Weight: 1.5, StartedAt: ms(0x5d1420)}}}},
+				{Worker: worker, Weight: 1}, {Worker: 0x2c9011f2, Zone: 1, Weight: 1.5, StartedAt: us(0x5d1420)}}}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/internal/dispatcher/wire/validate.go
+++ b/internal/dispatcher/wire/validate.go
@@ -48,7 +48,7 @@
 	if !slices.Contains([]string{"", "none", "answers", "probe"}, s.Report.Source) {
 		return fmt.Errorf("report.source: %q is none of answers, probe and none", s.Report.Source)
 	}
-	return s.checkFigures()
+	return s.checkRatiosAndClasses()
 }
 
 // checkTimes checks the bounds of the times and counts outside the classes.
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// checkFigures checks the fractions and rates, and then the classes.
-func (s *settings) checkFigures() error {
+// checkRatiosAndClasses checks the fractions, factors and quotas, and then the classes.
+func (s *settings) checkRatiosAndClasses() error {
 	if s.Rules.ColdFrom < 0 || s.Rules.ColdFrom > 1 {
 		return fmt.Errorf("rules.cold-from: %g is not a share", s.Rules.ColdFrom)
 	}
