--- a/internal/dispatcher/wire/settings.go
+++ b/internal/dispatcher/wire/settings.go
@@ -76,9 +76,9 @@
 	s.Limits.SendCap = 2
 	s.Rules.ColdFrom, s.Rules.FallMultiple = 1, 1
 	if err := json.Unmarshal(text, &s); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) {
-			return s, fmt.Errorf("settings: %s: %s is not a %s", wrong.Field, wrong.Value, wrong.Type)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) {
+			return s, fmt.Errorf("settings: %s: %s is not a %s", typeErr.Field, typeErr.Value, typeErr.Type)
 		}
 		return s, fmt.Errorf("settings: %w", err)
 	}
