--- a/cmd/frosttide/begin_test.go
+++ b/cmd/frosttide/begin_test.go
@@ -51,7 +51,7 @@
 func (h *blockedDials) awaitDial() {
 	h.t.Helper()
 	for over := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if _, err := os.Stat(h.path + waiting); err == nil {
+		if _, err := os.Stat(h.path + waitingSuffix); err == nil {
 			return
 		}
 		if time.Now().After(over) {
@@ -62,14 +62,14 @@
 
 func (h *blockedDials) release() {
 	h.t.Helper()
-	os.Remove(h.path + waiting)
+	os.Remove(h.path + waitingSuffix)
 	if err := os.Remove(h.path); err != nil {
 		h.t.Fatal(err)
 	}
 }
 
-// at returns an entry with the start of its runner.
-func at(entry string, boot time.Time) string {
+// withBootTime returns an entry with the start of its runner.
+func withBootTime(entry string, boot time.Time) string {
 	return strings.Replace(entry, `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, boot.UnixMilli()), 1)
 }
 
@@ -84,24 +84,24 @@
 		elsewhere bool
 	}{
 		{"the runner drains", "once", func(t *testing.T, d *dispatcher, w *watch, r *runner, _ net.Conn) {
-			w.lines <- list(43, false, entry(r.uid, r.addr, "DRAINING"))
+			w.lines <- targetList(43, false, targetEntry(r.uid, r.addr, "DRAINING"))
 			d.awaitLog("egress target drains")
 		}, true},
 		{"the runner leaves the list", "release", func(t *testing.T, d *dispatcher, w *watch, r *runner, _ net.Conn) {
-			w.lines <- list(43, false, entry(r.uid, r.addr, "DELETED"))
+			w.lines <- targetList(43, false, targetEntry(r.uid, r.addr, "DELETED"))
 			d.awaitLog("egress target gone")
 		}, true},
 		{"the runner restarts under its id", "render", func(t *testing.T, d *dispatcher, w *watch, r *runner, _ net.Conn) {
-			w.lines <- list(43, false, at(r.entry(), time.Now()), entry("s-9", "127.0.0.1:1", "DRAINING"))
+			w.lines <- targetList(43, false, withBootTime(r.entry(), time.Now()), targetEntry("s-9", "127.0.0.1:1", "DRAINING"))
 			d.awaitLog("target=s-9")
 		}, true},
 		{"operators leave the runner out", "render", func(t *testing.T, d *dispatcher, _ *watch, r *runner, _ net.Conn) {
-			if status, text := d.call("PUT", "/api/exclude", fmt.Sprintf(`{"host":%q}`, r.uid)); status != 200 {
+			if status, text := d.callConsole("PUT", "/api/exclude", fmt.Sprintf(`{"host":%q}`, r.uid)); status != 200 {
 				t.Fatalf("exclude got %d %s", status, text)
 			}
 		}, true},
 		{"the runner moves", "once", func(t *testing.T, d *dispatcher, w *watch, r *runner, _ net.Conn) {
-			w.lines <- list(43, false, entry(r.uid, "127.0.0.1:1", "SERVING"))
+			w.lines <- targetList(43, false, targetEntry(r.uid, "127.0.0.1:1", "SERVING"))
 			d.awaitLog("egress target moved")
 		}, true},
 		{"the client closes", "render", func(t *testing.T, _ *dispatcher, _ *watch, _ *runner, client net.Conn) {
@@ -114,7 +114,7 @@
 			client.Close()
 		}, false},
 		{"the client sends more and closes", "once", func(t *testing.T, d *dispatcher, _ *watch, _ *runner, client net.Conn) {
-			if err := d.job("render", "behind").Write(client); err != nil {
+			if err := d.jobRequest("render", "behind").Write(client); err != nil {
 				t.Fatal(err)
 			}
 			client.Close()
@@ -128,12 +128,12 @@
 			d := startWith(t, disc.URL, 1024, []string{first.entry()}, held)
 			w := await(t, disc.watches, "watch")
 			dials.block()
-			client := d.raw("")
-			if err := d.job(tc.class, "crossing").Write(client); err != nil {
+			client := d.dialAndWrite("")
+			if err := d.jobRequest(tc.class, "crossing").Write(client); err != nil {
 				t.Fatal(err)
 			}
 			dials.awaitDial()
-			w.lines <- list(42, false, second.entry())
+			w.lines <- targetList(42, false, second.entry())
 			d.awaitLog("target=s-2")
 			tc.change(t, d, w, first, client)
 			if !tc.elsewhere {
@@ -148,9 +148,9 @@
 				return
 			}
 			// What the first runner gets from here on comes behind what it was not to get.
-			w.lines <- list(44, false, entry(second.uid, second.addr, "DELETED"))
+			w.lines <- targetList(44, false, targetEntry(second.uid, second.addr, "DELETED"))
 			d.awaitLog("egress target gone")
-			submit(d.job("render", "later"))
+			submit(d.jobRequest("render", "later"))
 			if h := await(t, first.requests, "attempt"); h.id() != "later" {
 				t.Errorf("the runner got %q", h.id())
 			}
@@ -197,7 +197,7 @@
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, held)
 	dials.block()
 	sent := time.Now()
-	submit(d.job("render", "late"))
+	submit(d.jobRequest("render", "late"))
 	dials.awaitDial()
 	for time.Since(sent) < 400*time.Millisecond { // the time that passes is what the test is about
 		time.Sleep(time.Millisecond)
@@ -219,14 +219,14 @@
 // served by another connection.
 func TestSpoiltConnection(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	serve := func(id string) *runnerRequest {
 		t.Helper()
-		got := submit(d.job("once", id))
+		got := submit(d.jobRequest("once", id))
 		h := await(t, r.requests, "attempt")
 		h.reply(202, "")
-		d.report(event(id, r.uid, "started"))
-		d.report(event(id, r.uid, "done"))
+		d.sendReport(jobEvent(id, r.uid, "started"))
+		d.sendReport(jobEvent(id, r.uid, "done"))
 		if a := await(t, got, "answer"); a.Status != 200 {
 			t.Fatalf("%s: answer %+v", id, a)
 		}
@@ -237,13 +237,13 @@
 		t.Fatal(err)
 	}
 	h.reply(503, "X-Never-Ran: 1\r\n")
-	next := submit(d.job("once", "next"))
+	next := submit(d.jobRequest("once", "next"))
 	if err := d.cmd.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	o := await(t, r.requests, "attempt")
 	o.reply(202, "")
-	d.report(event("next", r.uid, "done"))
+	d.sendReport(jobEvent("next", r.uid, "done"))
 	if a := await(t, next, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
@@ -258,19 +258,19 @@
 // before it, which comes on its connection once it has been sent there: the runner may have it.
 func TestLateSecondAnswer(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	for i := range 200 { // until one goes out right behind an answer on its connection
-		before := submit(d.job("render", fmt.Sprintf("before-%d", i)))
+		before := submit(d.jobRequest("render", fmt.Sprintf("before-%d", i)))
 		b := await(t, r.requests, "attempt")
 		b.reply(202, "")
 		replied := time.Now()
-		next := submit(d.job("once", fmt.Sprintf("next-%d", i)))
+		next := submit(d.jobRequest("once", fmt.Sprintf("next-%d", i)))
 		n := await(t, r.requests, "attempt")
 		if behind := n.conn == b.conn && time.Since(replied) < 40*time.Millisecond; !behind {
 			n.reply(202, "")
-			d.report(event(n.id(), r.uid, "done"))
+			d.sendReport(jobEvent(n.id(), r.uid, "done"))
 			await(t, next, "answer")
-			d.report(event(b.id(), r.uid, "done"))
+			d.sendReport(jobEvent(b.id(), r.uid, "done"))
 			await(t, before, "answer")
 			continue
 		}
@@ -301,9 +301,9 @@
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, func(d *dispatcher) {
 		d.cmd.Env = append(d.cmd.Env, envAccept+"="+strings.Join(numbers, ","))
 	})
-	got := submit(d.job("render", "x"))
+	got := submit(d.jobRequest("render", "x"))
 	await(t, r.requests, "attempt").reply(202, "")
-	d.report(event("x", r.uid, "done"))
+	d.sendReport(jobEvent("x", r.uid, "done"))
 	if a := await(t, got, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
@@ -321,9 +321,9 @@
 			d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, func(d *dispatcher) {
 				d.cmd.Env = append(d.cmd.Env, fmt.Sprintf("%s=%d,%d", envDialErrors, errno, errno))
 			})
-			got := submit(d.job("once", "x"))
+			got := submit(d.jobRequest("once", "x"))
 			await(t, r.requests, "attempt").reply(202, "")
-			d.report(event("x", r.uid, "done"))
+			d.sendReport(jobEvent("x", r.uid, "done"))
 			if a := await(t, got, "answer"); a.Status != 200 {
 				t.Errorf("answer %+v", a)
 			}
@@ -335,17 +335,17 @@
 // connection: it is closed in time.
 func TestFirstByte(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	for _, part := range []string{"P", "POS", "POST"} {
 		t.Run(part, func(t *testing.T) {
 			t.Parallel()
-			c := d.raw("")
-			if err := d.job("render", "kept-"+part).Write(c); err != nil {
+			c := d.dialAndWrite("")
+			if err := d.jobRequest("render", "kept-"+part).Write(c); err != nil {
 				t.Fatal(err)
 			}
 			h := await(t, r.requests, "attempt")
 			h.reply(202, "")
-			d.report(event(h.id(), r.uid, "done"))
+			d.sendReport(jobEvent(h.id(), r.uid, "done"))
 			var first [12]byte
 			if _, err := io.ReadFull(c, first[:]); err != nil || string(first[9:]) != "200" {
 				t.Fatalf("answer %q, %v", first, err)
@@ -354,7 +354,7 @@
 			if _, err := io.WriteString(c, part); err != nil {
 				t.Fatal(err)
 			}
-			await(t, read(c), "end of a request that stopped")
+			await(t, readResponse(c), "end of a request that stopped")
 			if took := time.Since(stopped); took > 3*time.Second {
 				t.Errorf("closed %v after its first byte", took)
 			}
@@ -370,15 +370,15 @@
 	disc := newDiscovery(t)
 	d := start(t, disc.URL, 1024, r.entry())
 	w := await(t, disc.watches, "watch")
-	client := d.raw("")
-	if err := d.job("render", "x").Write(client); err != nil {
+	client := d.dialAndWrite("")
+	if err := d.jobRequest("render", "x").Write(client); err != nil {
 		t.Fatal(err)
 	}
 	await(t, r.requests, "attempt").reply(202, "")
-	d.report(event("x", r.uid, "started"))
-	w.lines <- list(42, false, entry(r.uid, r.addr, "DELETED"))
+	d.sendReport(jobEvent("x", r.uid, "started"))
+	w.lines <- targetList(42, false, targetEntry(r.uid, r.addr, "DELETED"))
 	d.awaitLog("egress target gone")
-	d.report(event("x", r.uid, "running")) // its target has ended by the time that this is answered, or soon
+	d.sendReport(jobEvent("x", r.uid, "running")) // its target has ended by the time that this is answered, or soon
 	client.Close()
 	if h := await(t, r.requests, "recall"); h.Method != "DELETE" || h.RequestURI != "/jobs/x" {
 		t.Errorf("the runner got %s %s, want the recall", h.Method, h.RequestURI)
@@ -392,13 +392,13 @@
 	disc := newDiscovery(t)
 	d := start(t, disc.URL, 1024, first.entry())
 	w := await(t, disc.watches, "watch")
-	got := submit(d.job("once", "x"))
+	got := submit(d.jobRequest("once", "x"))
 	h := await(t, first.requests, "attempt")
-	w.lines <- list(42, false, second.entry())
+	w.lines <- targetList(42, false, second.entry())
 	d.awaitLog("target=s-2")
 	fmt.Fprint(h.conn, "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 	await(t, second.requests, "attempt at the other runner").reply(202, "")
-	d.report(event("x", second.uid, "done"))
+	d.sendReport(jobEvent("x", second.uid, "done"))
 	if a := await(t, got, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v", a)
 	}
@@ -408,14 +408,14 @@
 // client gets an answer, while those that rest are ended.
 func TestHalfReadAtTheEnd(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
-	resting := d.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+	d, r := startWithRunner(t)
+	resting := d.dialAndWrite("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
 	in := bufio.NewReader(resting)
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 {
 		t.Fatalf("health: %+v, %v", resp, err)
 	}
 	var text bytes.Buffer
-	if err := d.job("render", "half").Write(&text); err != nil {
+	if err := d.jobRequest("render", "half").Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	half := text.Len() / 2
@@ -424,7 +424,7 @@
 	}
 	d.awaitLog("frosttide drains")
 	begun := time.Now()
-	c := d.raw(text.String()[:half])
+	c := d.dialAndWrite(text.String()[:half])
 	if _, err := in.ReadByte(); err == nil { // the connections that rest are ended now
 		t.Fatal("a resting connection has something to read")
 	}
@@ -434,11 +434,11 @@
 	if err != nil && !slow {
 		t.Fatal(err)
 	}
-	got := read(c)
+	got := readResponse(c)
 	select {
 	case h := <-r.requests:
 		h.reply(202, "")
-		d.report(event("half", r.uid, "done"))
+		d.sendReport(jobEvent("half", r.uid, "done"))
 		if a := await(t, got, "answer"); a.Err != nil {
 			t.Errorf("answer %+v", a)
 		}
@@ -449,7 +449,7 @@
 	case <-time.After(testTimeout):
 		t.Error("no answer")
 	}
-	if err := await(t, d.ended, "end"); err != nil {
+	if err := await(t, d.exited, "end"); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 }
@@ -458,21 +458,21 @@
 // report counts.
 func TestCutRequests(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
-	open := submit(d.job("render", "open"))
+	d, r := startWithRunner(t)
+	open := submit(d.jobRequest("render", "open"))
 	await(t, r.requests, "attempt").reply(202, "")
 	var job bytes.Buffer
-	if err := d.job("render", "cut").Write(&job); err != nil {
+	if err := d.jobRequest("render", "cut").Write(&job); err != nil {
 		t.Fatal(err)
 	}
-	body := event("open", r.uid, "done")
+	body := jobEvent("open", r.uid, "done")
 	report := fmt.Sprintf("POST /v1/job-events HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	for _, text := range []string{job.String(), report} {
 		for cut := range len(text) {
-			d.raw(text[:cut]).Close()
+			d.dialAndWrite(text[:cut]).Close()
 		}
 	}
-	later := submit(d.job("render", "later"))
+	later := submit(d.jobRequest("render", "later"))
 	if h := await(t, r.requests, "attempt"); h.id() != "later" {
 		t.Errorf("the runner got %q", h.id())
 	} else {
@@ -484,7 +484,7 @@
 	default:
 	}
 	for _, id := range []string{"open", "later"} {
-		d.report(event(id, r.uid, "done"))
+		d.sendReport(jobEvent(id, r.uid, "done"))
 	}
 	for _, got := range []<-chan response{open, later} {
 		if a := await(t, got, "answer"); a.Status != 200 {
--- a/cmd/frosttide/cli_test.go
+++ b/cmd/frosttide/cli_test.go
@@ -9,18 +9,18 @@
 	"testing"
 )
 
-// command runs a sub-command of the real program and returns what it says and its exit
+// runCommand runs a subcommand of the real program and returns what it says and its exit
 // status.
-func command(t *testing.T, env []string, args ...string) (out, errs string, status int) {
+func runCommand(t *testing.T, env []string, args ...string) (out, errs string, status int) {
 	t.Helper()
-	return commandIn(t, nil, env, args...)
+	return runCommandWithStdin(t, nil, env, args...)
 }
 
-// commandIn does so with a file as standard input.
-func commandIn(t *testing.T, in *os.File, env []string, args ...string) (out, errs string, status int) {
+// runCommandWithStdin does so with a file as standard input.
+func runCommandWithStdin(t *testing.T, in *os.File, env []string, args ...string) (out, errs string, status int) {
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = append([]string{"FROSTTIDE_TEST_PROGRAM=1", underRace}, env...)
+	cmd.Env = append([]string{"FROSTTIDE_TEST_PROGRAM=1", raceOptions}, env...)
 	var o, e strings.Builder
 	cmd.Stdout, cmd.Stderr = &o, &e
 	if in != nil {
@@ -51,13 +51,13 @@
 		{[]string{"trace", "summary", "f", "--from", "noon"}, "--from"},
 		{[]string{"demo", "--jobs", "0"}, "--jobs 0"},
 	} {
-		out, errs, status := command(t, nil, tc.args...)
+		out, errs, status := runCommand(t, nil, tc.args...)
 		if status != 2 || out != "" || strings.Count(errs, "\n") != 1 || !strings.Contains(errs, tc.want) {
 			t.Errorf("%v: status %d, said %q and %q", tc.args, status, out, errs)
 		}
 	}
 	for _, args := range [][]string{{"--help"}, {"serve", "-h"}, {"version"}, {"completion", "bash"}} {
-		if out, errs, status := command(t, nil, args...); status != 0 || out == "" || errs != "" {
+		if out, errs, status := runCommand(t, nil, args...); status != 0 || out == "" || errs != "" {
 			t.Errorf("%v: status %d, said %q and %q", args, status, out, errs)
 		}
 	}
@@ -79,13 +79,13 @@
 	good := write("good.toml", "name = \"alone\"\n[limits]\nsockets = 500\n[discovery]\naddress = \"127.0.0.1:2\"\n"+class)
 	json := write("config.json", `{"name":"platform","listen":"127.0.0.1:1","discovery":"127.0.0.1:3","settings":`+testSettings+`}`)
 
-	out, errs, status := command(t, nil, "check", "--config", good)
+	out, errs, status := runCommand(t, nil, "check", "--config", good)
 	for _, want := range []string{"name = 'alone'", good + ":1", "limits.sockets = 500", "attempts.most = 4", "# default", "class[0].give_up = '2s'"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("check does not say %q; it says\n%s%s", want, out, errs)
 		}
 	}
-	out, _, _ = command(t, []string{"BALANCER_CONFIG=" + json, "BALANCER_NAME=env"}, "check", "--config", good)
+	out, _, _ = runCommand(t, []string{"BALANCER_CONFIG=" + json, "BALANCER_NAME=env"}, "check", "--config", good)
 	for _, want := range []string{`name = "env"`, "$BALANCER_NAME", `discovery.address = "127.0.0.1:3"`, json, "limits.sockets = 500"} {
 		if !strings.Contains(out, want) {
 			t.Errorf("with the platform's file check does not say %q; it says\n%s", want, out)
@@ -97,14 +97,14 @@
 
 	bad := write("bad.toml", "nmae = \"x\"\n[attempts]\nmost = 0\n"+class)
 	for _, cmd := range []string{"check", "serve"} {
-		_, errs, status := command(t, nil, cmd, "--config", bad)
+		_, errs, status := runCommand(t, nil, cmd, "--config", bad)
 		lines := strings.Split(strings.TrimSpace(errs), "\n")
 		if status != 1 || len(lines) != 2 || !strings.Contains(lines[0], "bad.toml:1: nmae") || !strings.Contains(lines[1], "bad.toml:3: attempts.most") {
 			t.Errorf("%s: status %d, said\n%s", cmd, status, errs)
 		}
 	}
 	for _, cmd := range [][]string{{"check", "--config", filepath.Join(dir, "none")}, {"check"}} {
-		if _, errs, status := command(t, nil, cmd...); status != 1 || strings.Count(errs, "\n") != 1 {
+		if _, errs, status := runCommand(t, nil, cmd...); status != 1 || strings.Count(errs, "\n") != 1 {
 			t.Errorf("%v: status %d, said %q", cmd, status, errs)
 		}
 	}
@@ -139,7 +139,7 @@
 	}
 	d := startWith(t, "", 1024, nil, func(d *dispatcher) {
 		write(d, one)
-		d.cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", underRace}
+		d.cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", raceOptions}
 		d.cmd.Args = append(d.cmd.Args, "serve", "--config", path)
 	})
 	d.serveRunner(one)
@@ -154,14 +154,14 @@
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, d.ended, "end")
+	await(t, d.exited, "end")
 	for id, runner := range map[string]string{"first-0": "s-1", "second-0": "s-2"} {
-		out, errs, status := command(t, nil, "trace", "show", path+".jsonl", id)
+		out, errs, status := runCommand(t, nil, "trace", "show", path+".jsonl", id)
 		if status != 0 || !strings.Contains(out, "hop 1 (first) to "+runner+" ") || !strings.Contains(out, ": served after ") {
 			t.Errorf("trace show %s: status %d, said %q and %q", id, status, out, errs)
 		}
 	}
-	out, _, _ := command(t, nil, "trace", "summary", path+".jsonl")
+	out, _, _ := runCommand(t, nil, "trace", "summary", path+".jsonl")
 	if !strings.Contains(out, "2 requests") || !strings.Contains(out, "100.0% of their worth") {
 		t.Errorf("the summary says\n%s", out)
 	}
--- a/cmd/frosttide/clients_test.go
+++ b/cmd/frosttide/clients_test.go
@@ -26,13 +26,13 @@
 	dead.Close()
 	for name, known := range map[string][]string{
 		"no runner": nil,
-		"draining":  {entry("s-1", "127.0.0.1:1", "DRAINING")},
-		"dead":      {entry("s-1", dead.Addr().String(), "SERVING")},
+		"draining":  {targetEntry("s-1", "127.0.0.1:1", "DRAINING")},
+		"dead":      {targetEntry("s-1", dead.Addr().String(), "SERVING")},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := start(t, newDiscovery(t).URL, 1024, known...)
-			a := await(t, submit(d.job("once", "x1")), "answer")
+			a := await(t, submit(d.jobRequest("once", "x1")), "answer")
 			after, err := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 			if a.Status != 503 || err != nil || after <= 0 || after > 2 {
 				t.Errorf("answer %+v, want a refusal with a time to come back", a)
@@ -45,7 +45,7 @@
 // no runner, and that odd but sound requests do.
 func TestBadRequests(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	set := func(name, value string) func(*http.Request) {
 		return func(req *http.Request) { req.Header.Set(name, value) }
 	}
@@ -68,13 +68,13 @@
 		{"slots that no runner has", set("X-Props", "slots=9"), 400},
 		{"two ids", func(req *http.Request) { req.Header["X-Trace-Id"] = []string{"a", "b"} }, 400},
 		{"no key where one is due", func(req *http.Request) {
-			*req = *d.job("release", "keyless")
+			*req = *d.jobRequest("release", "keyless")
 			req.Header.Del("Idempotency-Key")
 		}, 400},
 		{"body too large", func(req *http.Request) {
 			big := strings.Repeat("x", 64<<10+1)
 			req.Body, req.ContentLength = http.MaxBytesReader(nil, http.NoBody, 0), 0
-			*req = *d.job("render", "big")
+			*req = *d.jobRequest("render", "big")
 			req.Body, req.ContentLength = readCloser{strings.NewReader(big)}, int64(len(big))
 		}, 413},
 		{"headers too large", set("X-Other", strings.Repeat("x", 64<<10)), 431},
@@ -87,7 +87,7 @@
 		{"path that a router would clean", func(req *http.Request) { req.URL.Opaque = "/render//a/../b" }, 200},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			req := d.job("render", "x-"+strings.ReplaceAll(tc.name, " ", "-"), tc.edit)
+			req := d.jobRequest("render", "x-"+strings.ReplaceAll(tc.name, " ", "-"), tc.edit)
 			got := submit(req)
 			if tc.status == 200 {
 				h := await(t, r.requests, "hop")
@@ -98,7 +98,7 @@
 				if want := req.URL.RequestURI(); h.RequestURI != want {
 					t.Errorf("the runner was asked for %s, want %s", h.RequestURI, want)
 				}
-				d.report(event(h.id(), r.uid, "done"))
+				d.sendReport(jobEvent(h.id(), r.uid, "done"))
 			}
 			if a := await(t, got, "answer"); a.Status != tc.status {
 				t.Errorf("answer %+v, want status %d", a, tc.status)
@@ -118,7 +118,7 @@
 // before the 202 by closing the connection, after it by recalling the job.
 func TestClientLeaves(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	for _, taken := range []bool{false, true} {
 		t.Run(fmt.Sprintf("taken %t", taken), func(t *testing.T) {
 			c, err := net.Dial("tcp", d.addr)
@@ -126,17 +126,17 @@
 				t.Fatal(err)
 			}
 			id := fmt.Sprintf("left-%t", taken)
-			if err := d.job("render", id).Write(c); err != nil {
+			if err := d.jobRequest("render", id).Write(c); err != nil {
 				t.Fatal(err)
 			}
 			h := await(t, r.requests, "hop")
 			if !taken {
 				c.Close()
-				await(t, h.ended, "end of the hop's connection")
+				await(t, h.connClosed, "end of the hop's connection")
 				return
 			}
 			h.reply(202, "")
-			other := submit(d.job("render", "other-"+id)) // takes the same connection: the 202 has been read
+			other := submit(d.jobRequest("render", "other-"+id)) // takes the same connection: the 202 has been read
 			o := await(t, r.requests, "other hop")
 			o.reply(202, "")
 			c.Close()
@@ -145,7 +145,7 @@
 				t.Errorf("recall (-want +got):\n%s", diff)
 			}
 			del.reply(204, "")
-			d.report(event(o.id(), r.uid, "done"))
+			d.sendReport(jobEvent(o.id(), r.uid, "done"))
 			await(t, other, "answer")
 		})
 	}
@@ -155,7 +155,7 @@
 // at the client's deadline. The upper bound leaves room for a busy machine.
 func TestDeadline(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	for _, tc := range []struct {
 		class  string
 		taken  bool
@@ -163,7 +163,7 @@
 	}{{"render", true, 503}, {"render", false, 503}, {"once", true, 502}, {"once", false, 502}} {
 		id := fmt.Sprintf("%s-%t", tc.class, tc.taken)
 		sent := time.Now()
-		got := submit(d.job(tc.class, id, func(req *http.Request) { req.Header.Set("X-Expires-In-Ms", "400") }))
+		got := submit(d.jobRequest(tc.class, id, func(req *http.Request) { req.Header.Set("X-Expires-In-Ms", "400") }))
 		h := await(t, r.requests, "hop")
 		for h.id() != id {
 			h = await(t, r.requests, "hop") // recalls of the one before
@@ -188,7 +188,7 @@
 	a, b, c := newRunner(t, "s-1"), newRunner(t, "s-2"), newRunner(t, "s-3")
 	d := start(t, newDiscovery(t).URL, 72, a.entry(), b.entry(), c.entry())
 	kept := &http.Client{Transport: &http.Transport{}}
-	if a := do(kept, d.job("render", "health", func(r *http.Request) { r.URL.Path = "/_health"; r.Method = "GET" })); a.Status != 200 {
+	if a := do(kept, d.jobRequest("render", "health", func(r *http.Request) { r.URL.Path = "/_health"; r.Method = "GET" })); a.Status != 200 {
 		t.Fatalf("health check %+v", a)
 	}
 	const jobs = 20 // half of what is not reserved
@@ -196,7 +196,7 @@
 	var hops []*runnerRequest
 	var uids []string
 	for i := range jobs {
-		got = append(got, submit(d.job("render", fmt.Sprintf("x%d", i))))
+		got = append(got, submit(d.jobRequest("render", fmt.Sprintf("x%d", i))))
 		var h *runnerRequest
 		uid := ""
 		select {
@@ -212,17 +212,17 @@
 		h.reply(202, "")
 		hops, uids = append(hops, h), append(uids, uid)
 	}
-	if a := await(t, submit(d.job("render", "one-more")), "answer"); a.Status != 503 || !a.Close {
+	if a := await(t, submit(d.jobRequest("render", "one-more")), "answer"); a.Status != 503 || !a.Close {
 		t.Errorf("answer %+v past the share of jobs, want a refusal and a close", a)
 	}
 	var ends []<-chan response
 	for i := range 200 {
-		c := d.raw([]string{"", "POST /render HTTP/1.1\r\nHost: x\r\nX-Never", "POST /render HTTP/1.1\r\nHost: x\r\nX-Qos: render\r\n" +
+		c := d.dialAndWrite([]string{"", "POST /render HTTP/1.1\r\nHost: x\r\nX-Never", "POST /render HTTP/1.1\r\nHost: x\r\nX-Qos: render\r\n" +
 			"X-Trace-Id: y\r\nX-Expires-In-Ms: 900\r\nContent-Length: 9\r\n\r\nhalf"}[i%3])
-		ends = append(ends, read(c))
+		ends = append(ends, readResponse(c))
 	}
 	for i, h := range hops {
-		if code := d.report(event(h.id(), uids[i], "done")); code != 204 {
+		if code := d.sendReport(jobEvent(h.id(), uids[i], "done")); code != 204 {
 			t.Errorf("call-back got %d", code)
 		}
 		if a := await(t, got[i], "answer"); a.Status != 200 {
@@ -237,7 +237,7 @@
 			t.Errorf("connection %d got %+v", i, a)
 		}
 	}
-	if took := time.Since(*d.lastRaw.Load()); took > 3*time.Second {
+	if took := time.Since(*d.lastDial.Load()); took > 3*time.Second {
 		t.Errorf("a connection that never finishes lasted %v", took)
 	}
 	if len(a.requests)+len(b.requests)+len(c.requests) > 0 {
@@ -250,7 +250,7 @@
 // its body holds reaches a runner.
 func TestLengths(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	head := func(id string) string {
 		return "POST /render HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: render\r\nX-Expires-In-Ms: 9000\r\n"
 	}
@@ -274,7 +274,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			c := d.raw(head("bad") + tc.tail)
+			c := d.dialAndWrite(head("bad") + tc.tail)
 			in := bufio.NewReader(c)
 			resp, err := http.ReadResponse(in, nil)
 			if err != nil || resp.StatusCode != tc.status || !resp.Close {
@@ -291,7 +291,7 @@
 			"chunked":   "Transfer-Encoding: chunked\r\n\r\n4\r\nbody\r\n0\r\n\r\n" + hidden, // the end is the last
 			"pipelined": "Content-Length: 4\r\n\r\nbody" + head("next") + "Content-Length: 0\r\n\r\n",
 		} {
-			c := d.raw(head(id) + tail)
+			c := d.dialAndWrite(head(id) + tail)
 			in := bufio.NewReader(c)
 			want := []string{id}
 			if id == "pipelined" {
@@ -303,7 +303,7 @@
 					t.Fatalf("the runner got %q, want %q", h.id(), id)
 				}
 				h.reply(202, "")
-				d.report(event(id, r.uid, "done"))
+				d.sendReport(jobEvent(id, r.uid, "done"))
 				if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 {
 					t.Errorf("%s: answer %+v, %v", id, resp, err)
 				} else {
@@ -329,12 +329,12 @@
 	for _, status := range []int{400, 404} {
 		for n := range 10 {
 			id := fmt.Sprintf("bad-%d-%d", status, n)
-			got := submit(d.job([]string{"render", "once"}[n%2], id))
+			got := submit(d.jobRequest([]string{"render", "once"}[n%2], id))
 			h := await(t, first.requests, "hop")
 			if n == 0 && status == 400 { // somebody else could be tried from here on
-				w.lines <- list(42, false, entry("s-2", second.addr, "SERVING"))
+				w.lines <- targetList(42, false, targetEntry("s-2", second.addr, "SERVING"))
 				d.awaitLog("target=s-2")
-				w.lines <- list(43, false, entry("s-2", second.addr, "DRAINING"))
+				w.lines <- targetList(43, false, targetEntry("s-2", second.addr, "DRAINING"))
 				d.awaitLog("target=s-2")
 			}
 			h.reply(status, "")
@@ -343,9 +343,9 @@
 			}
 		}
 	}
-	good := submit(d.job("render", "good"))
+	good := submit(d.jobRequest("render", "good"))
 	await(t, first.requests, "hop of a good job").reply(202, "")
-	d.report(event("good", "s-1", "done"))
+	d.sendReport(jobEvent("good", "s-1", "done"))
 	if a := await(t, good, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v to a good job", a)
 	}
@@ -354,7 +354,7 @@
 	}
 }
 
-func read(c net.Conn) <-chan response {
+func readResponse(c net.Conn) <-chan response {
 	got := make(chan response, 1)
 	go func() {
 		resp, err := http.ReadResponse(bufio.NewReader(c), nil)
--- a/cmd/frosttide/compatibility_test.go
+++ b/cmd/frosttide/compatibility_test.go
@@ -56,7 +56,7 @@
 	t.Helper()
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Dir = dir
-	cmd.Env = append([]string{"FROSTTIDE_TEST_PROGRAM=1", underRace}, env...)
+	cmd.Env = append([]string{"FROSTTIDE_TEST_PROGRAM=1", raceOptions}, env...)
 	var out, errs bytes.Buffer
 	cmd.Stdout, cmd.Stderr = &out, &errs
 	var ended *exec.ExitError
@@ -122,7 +122,7 @@
 	var out strings.Builder
 	var walk func(path []string)
 	walk = func(path []string) {
-		help, errs, status := command(t, nil, append(slices.Clone(path), "--help")...)
+		help, errs, status := runCommand(t, nil, append(slices.Clone(path), "--help")...)
 		fmt.Fprintf(&out, "frosttide %s: status %d%s\n", strings.Join(path, " "), status, errs)
 		for _, f := range flags.FindAllStringSubmatch(help, -1) {
 			fmt.Fprintf(&out, "    %s%s%s\n", f[1], f[2], f[3])
@@ -267,26 +267,26 @@
 // TestCompatibilityClients has clients and runners get the same answers at the same endpoints.
 func TestCompatibilityClients(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	url := "http://" + d.addr
 	var out strings.Builder
 	for _, tc := range []struct{ name, class, state string }{
 		{"served", "render", "done"}, {"failed", "once", "failed"}, {"returned", "once", "returned"}, {"lost", "once", "lost"},
 	} {
-		got := submit(d.job(tc.class, tc.name))
+		got := submit(d.jobRequest(tc.class, tc.name))
 		await(t, r.requests, "job at the runner").reply(202, "")
-		d.report(event(tc.name, r.uid, "started"))
-		d.report(event(tc.name, r.uid, tc.state))
+		d.sendReport(jobEvent(tc.name, r.uid, "started"))
+		d.sendReport(jobEvent(tc.name, r.uid, tc.state))
 		fmt.Fprintf(&out, "a job of class %s whose run ends as %s\n%s", tc.class, tc.state, formatResponse(t, await(t, got, "answer")))
 	}
-	unusable := submit(d.job("render", "unusable"))
+	unusable := submit(d.jobRequest("render", "unusable"))
 	await(t, r.requests, "job at the runner").reply(400, "")
 	fmt.Fprintf(&out, "a job that the runner can't use\n%s", formatResponse(t, await(t, unusable, "answer")))
 
-	first := submit(d.job("render", "twice"))
+	first := submit(d.jobRequest("render", "twice"))
 	await(t, r.requests, "job at the runner").reply(202, "")
-	fmt.Fprintf(&out, "a second request under the id of an open one\n%s", formatResponse(t, await(t, submit(d.job("render", "twice")), "answer")))
-	d.report(event("twice", r.uid, "done"))
+	fmt.Fprintf(&out, "a second request under the id of an open one\n%s", formatResponse(t, await(t, submit(d.jobRequest("render", "twice")), "answer")))
+	d.sendReport(jobEvent("twice", r.uid, "done"))
 	await(t, first, "answer")
 
 	jobHeaders := map[string]string{"X-Trace-Id": "a", "X-Qos": "render", "X-Expires-In-Ms": "15000"}
@@ -317,15 +317,15 @@
 	} {
 		out.WriteString(exchangeText(t, tc.method, url, tc.path, tc.body, tc.headers))
 	}
-	d.call("PUT", "/api/exclude", `{"host":"s-1"}`)
-	fmt.Fprintf(&out, "a job for which there is no runner\n%s", formatResponse(t, await(t, submit(d.job("render", "none")), "answer")))
+	d.callConsole("PUT", "/api/exclude", `{"host":"s-1"}`)
+	fmt.Fprintf(&out, "a job for which there is no runner\n%s", formatResponse(t, await(t, submit(d.jobRequest("render", "none")), "answer")))
 	compareGolden(t, "clients.golden.txt", out.String())
 }
 
 // TestCompatibilityConsole has operators get the same answers at the console of a dispatcher on its own.
 func TestCompatibilityConsole(t *testing.T) {
 	t.Parallel()
-	d, _ := one(t)
+	d, _ := startWithRunner(t)
 	var out strings.Builder
 	for _, tc := range []struct{ method, path, body string }{
 		{"GET", "/api/ready", ""}, {"PUT", "/api/ready", ""}, {"GET", "/api/else", ""}, {"GET", "/", ""}, {"GET", "/api/telemetry", ""},
@@ -354,11 +354,11 @@
 		d.cmd.Env = append(d.cmd.Env, "FROSTTIDE_STATE_DIR="+filepath.Join(dir, "state"))
 		d.cmd.Args = append(d.cmd.Args, "serve", "--config", path)
 	})
-	d.callAgreed("exclude", "s-1")
+	d.callUntilApplied("exclude", "s-1")
 	const undo = `"undo":{"class":"release","path":"/undo","key":"k","body":"YmFjaw=="}`
 	begin := `{"id":"w1","deadline_ms":60000,"lease_ms":30000,"undo_tries":3}`
 	for by := time.Now().Add(testTimeout); ; { // until workflows are carried out here
-		status, text := d.call("POST", "/api/workflow/begin", begin)
+		status, text := d.callConsole("POST", "/api/workflow/begin", begin)
 		if status == 200 {
 			break
 		}
@@ -382,7 +382,7 @@
 	} {
 		out.WriteString(exchangeUntilDone(t, tc.method, "http://"+d.consoleAddr, tc.path, tc.body))
 	}
-	status, figures := d.call("GET", "/api/telemetry", "")
+	status, figures := d.callConsole("GET", "/api/telemetry", "")
 	fmt.Fprintf(&out, "GET /api/telemetry\n    %d\n", status)
 	for line := range strings.Lines(figures) {
 		if strings.HasPrefix(line, "# TYPE") {
--- a/cmd/frosttide/connerrors_test.go
+++ b/cmd/frosttide/connerrors_test.go
@@ -34,7 +34,7 @@
 				first, second := newRunner(t, "s-1"), newRunner(t, "s-2")
 				d, path := withFault(t, envBackendFault, first.entry(), second.entry())
 				connFault{write: true, after: after, errno: errno}.lay(t, path)
-				got := submit(d.job("once", "x"))
+				got := submit(d.jobRequest("once", "x"))
 				h, by := either(t, first, second)
 				if _, err := os.Stat(path); err == nil {
 					t.Error("the write did not fail")
@@ -43,7 +43,7 @@
 					t.Errorf("the runner got %s %q", h.id(), h.body)
 				}
 				h.reply(202, "")
-				d.report(event("x", by.uid, "done"))
+				d.sendReport(jobEvent("x", by.uid, "done"))
 				if a := await(t, got, "answer"); a.Status != 200 {
 					t.Errorf("answer %+v", a)
 				}
@@ -57,7 +57,7 @@
 func awaitGivenUp(t *testing.T, r *runner, h *runnerRequest) {
 	t.Helper()
 	select {
-	case <-h.ended:
+	case <-h.connClosed:
 	case recall := <-r.requests:
 		if recall.Method != "DELETE" || recall.RequestURI != "/jobs/"+h.id() {
 			t.Errorf("the runner got %s %s, want the recall of %s", recall.Method, recall.RequestURI, h.id())
@@ -91,7 +91,7 @@
 			t.Parallel()
 			first, second := newRunner(t, "s-1"), newRunner(t, "s-2")
 			d, path := withFault(t, envBackendFault, first.entry(), second.entry())
-			got := submit(d.job("once", "once"))
+			got := submit(d.jobRequest("once", "once"))
 			h, _ := either(t, first, second)
 			connFault{errno: errno}.lay(t, path)
 			h.reply(202, "")
@@ -102,7 +102,7 @@
 				t.Error("a job that may have run and must not run twice was sent again")
 			}
 
-			got = submit(d.job("render", "render"))
+			got = submit(d.jobRequest("render", "render"))
 			h, by := either(t, first, second)
 			connFault{errno: errno}.lay(t, path)
 			h.reply(202, "")
@@ -111,7 +111,7 @@
 				t.Fatalf("%s got %s %q", other.uid, next.Method, next.id())
 			}
 			next.reply(202, "")
-			d.report(event("render", other.uid, "done"))
+			d.sendReport(jobEvent("render", other.uid, "done"))
 			if a := await(t, got, "answer"); a.Status != 200 {
 				t.Errorf("answer %+v", a)
 			}
@@ -128,8 +128,8 @@
 			t.Parallel()
 			r := newRunner(t, "s-1")
 			d, path := withFault(t, envClientFault, r.entry())
-			leaving := d.raw("")
-			if err := d.job("render", "read").Write(leaving); err != nil {
+			leaving := d.dialAndWrite("")
+			if err := d.jobRequest("render", "read").Write(leaving); err != nil {
 				t.Fatal(err)
 			}
 			h := await(t, r.requests, "attempt")
@@ -140,11 +140,11 @@
 			}
 			awaitGivenUp(t, r, h)
 
-			got := submit(d.job("render", "write"))
+			got := submit(d.jobRequest("render", "write"))
 			await(t, r.requests, "attempt").reply(202, "")
 			connFault{write: true, after: 9, errno: errno}.lay(t, path)
 			// The report's own answer may be what the fault strikes: it is made again.
-			d.report(event("write", r.uid, "done"))
+			d.sendReport(jobEvent("write", r.uid, "done"))
 			a := await(t, got, "end of the connection")
 			if _, err := os.Stat(path); err == nil {
 				t.Error("no write has failed")
@@ -152,12 +152,12 @@
 			if a.Err == nil && a.Status != 200 {
 				t.Errorf("answer %+v", a)
 			}
-			later := submit(d.job("render", "later"))
+			later := submit(d.jobRequest("render", "later"))
 			if h = await(t, r.requests, "attempt"); h.id() != "later" {
 				t.Fatalf("the runner got %s %q, want the next job", h.Method, h.id())
 			}
 			h.reply(202, "")
-			d.report(event("later", r.uid, "done"))
+			d.sendReport(jobEvent("later", r.uid, "done"))
 			if a := await(t, later, "answer"); a.Status != 200 {
 				t.Errorf("answer %+v", a)
 			}
@@ -169,9 +169,9 @@
 // has gone. Its job is recalled, and its connection ended.
 func TestHalfClosed(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
-	c := d.raw("")
-	if err := d.job("render", "half").Write(c); err != nil {
+	d, r := startWithRunner(t)
+	c := d.dialAndWrite("")
+	if err := d.jobRequest("render", "half").Write(c); err != nil {
 		t.Fatal(err)
 	}
 	h := await(t, r.requests, "attempt")
@@ -180,7 +180,7 @@
 		t.Fatal(err)
 	}
 	awaitGivenUp(t, r, h)
-	if a := await(t, read(c), "end of the connection"); a.Err == nil {
+	if a := await(t, readResponse(c), "end of the connection"); a.Err == nil {
 		t.Errorf("answer %+v, want the end alone", a)
 	}
 }
--- a/cmd/frosttide/daily_test.go
+++ b/cmd/frosttide/daily_test.go
@@ -25,8 +25,8 @@
 // a good one, and says not ready once the process drains.
 func TestConsole(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
-	open := submit(d.job("render", "x1"))
+	d, r := startWithRunner(t)
+	open := submit(d.jobRequest("render", "x1"))
 	await(t, r.requests, "hop").reply(202, "")
 	for range 100 {
 		silent, err := net.Dial("tcp", d.consoleAddr)
@@ -54,7 +54,7 @@
 		{"PUT", "/api/include", `{"host":"s-1"}`, 200},
 		{"PUT", "/api/include", `{"host":"s-1"}`, 200},
 	} {
-		if status, text := d.call(tc.method, tc.path, tc.body); status != tc.status {
+		if status, text := d.callConsole(tc.method, tc.path, tc.body); status != tc.status {
 			t.Errorf("%s %s %s got %d %q, want %d", tc.method, tc.path, tc.body, status, text, tc.status)
 		}
 	}
@@ -62,10 +62,10 @@
 		t.Fatal(err)
 	}
 	d.awaitLog("frosttide drains")
-	if status, _ := d.call("GET", "/api/ready", ""); status != 503 {
+	if status, _ := d.callConsole("GET", "/api/ready", ""); status != 503 {
 		t.Errorf("ready got %d while the process drains", status)
 	}
-	d.report(event("x1", r.uid, "done"))
+	d.sendReport(jobEvent("x1", r.uid, "done"))
 	await(t, open, "answer")
 }
 
@@ -74,20 +74,20 @@
 func TestInherited(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "s-1")
-	old := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, upgradable)
-	next := old.successor()
-	if status, text := next.call("GET", "/api/ready", ""); status != 200 {
+	old := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener)
+	next := old.startSuccessor()
+	if status, text := next.callConsole("GET", "/api/ready", ""); status != 200 {
 		t.Errorf("ready got %d %q", status, text)
 	}
 	if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := await(t, old.ended, "end"); err != nil {
+	if err := await(t, old.exited, "end"); err != nil {
 		t.Errorf("the old process ended with %v", err)
 	}
-	got := submit(next.job("render", "x1"))
+	got := submit(next.jobRequest("render", "x1"))
 	await(t, r.requests, "hop").reply(202, "")
-	next.report(event("x1", r.uid, "done"))
+	next.sendReport(jobEvent("x1", r.uid, "done"))
 	if a := await(t, got, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v after the old process's end", a)
 	}
@@ -105,7 +105,7 @@
 	serve := func(want string) (at *runner) {
 		jobs++
 		id := fmt.Sprintf("x%d", jobs)
-		got := submit(d.job("render", id))
+		got := submit(d.jobRequest("render", id))
 		var h *runnerRequest
 		select {
 		case h = <-a.requests:
@@ -116,37 +116,37 @@
 			t.Fatalf("no hop for job %d", jobs)
 		}
 		h.reply(202, "")
-		d.report(event(id, at.uid, "started"))
-		d.report(event(id, at.uid, "done"))
+		d.sendReport(jobEvent(id, at.uid, "started"))
+		d.sendReport(jobEvent(id, at.uid, "done"))
 		await(t, got, "answer")
 		if want != "" && at.uid != want {
 			t.Errorf("job %d went to %s, want %s", jobs, at.uid, want)
 		}
 		return at
 	}
-	if status, text := d.call("PUT", "/api/exclude", `{"host":"s-1"}`); status != 200 {
+	if status, text := d.callConsole("PUT", "/api/exclude", `{"host":"s-1"}`); status != 200 {
 		t.Fatalf("exclude got %d %q", status, text)
 	}
 	for rev, lines := range [][]string{
 		{},
-		{list(42, false, entry("s-1", a.addr, "DRAINING"))},
-		{list(43, false, a.entry())},
-		{list(44, true, b.entry()), list(45, false, a.entry())}, // removed, and back
-		{list(46, true, a.entry(), b.entry())},
+		{targetList(42, false, targetEntry("s-1", a.addr, "DRAINING"))},
+		{targetList(43, false, a.entry())},
+		{targetList(44, true, b.entry()), targetList(45, false, a.entry())}, // removed, and back
+		{targetList(46, true, a.entry(), b.entry())},
 	} {
 		for _, line := range lines {
 			w.lines <- line
 		}
 		if len(lines) > 0 { // a third runner tells that they have arrived
 			mark := fmt.Sprintf("s-mark%d", rev)
-			w.lines <- list(100+rev, false, entry(mark, "127.0.0.1:1", "DRAINING"))
+			w.lines <- targetList(100+rev, false, targetEntry(mark, "127.0.0.1:1", "DRAINING"))
 			d.awaitLog("egress target drains\" name=n0 part=core target=" + mark)
 		}
 		for range 12 {
 			serve("s-2")
 		}
 	}
-	if status, text := d.call("PUT", "/api/include", `{"host":"s-1"}`); status != 200 {
+	if status, text := d.callConsole("PUT", "/api/include", `{"host":"s-1"}`); status != 200 {
 		t.Fatalf("include got %d %q", status, text)
 	}
 	serve("s-1")
@@ -183,37 +183,37 @@
 			t.Parallel()
 			a, b, x := newRunner(t, "s-1"), newRunner(t, "s-2"), newRunner(t, "s-3")
 			disc := newDiscovery(t)
-			old := startWith(t, disc.URL, 1024, []string{a.entry()}, upgradable, tc.edit)
+			old := startWith(t, disc.URL, 1024, []string{a.entry()}, withInheritedListener, tc.edit)
 			w := await(t, disc.watches, "watch")
-			w.lines <- list(57, false, b.entry(), x.entry())
+			w.lines <- targetList(57, false, b.entry(), x.entry())
 			old.awaitLog("target=s-3")
 			for _, uid := range []string{"s-1", "s-2"} {
-				if status, text := old.call("PUT", "/api/exclude", `{"host":"`+uid+`"}`); status != 200 {
+				if status, text := old.callConsole("PUT", "/api/exclude", `{"host":"`+uid+`"}`); status != 200 {
 					t.Fatalf("exclude got %d %q", status, text)
 				}
 			}
 			kept := &http.Client{Transport: &http.Transport{}}
 			send := func(d *dispatcher, id string) <-chan response {
 				got := make(chan response, 1)
-				go func() { got <- do(kept, d.job("render", id)) }()
+				go func() { got <- do(kept, d.jobRequest("render", id)) }()
 				return got
 			}
 			first := send(old, "x0") // before there is another process, so it holds this connection
 			await(t, x.requests, "hop").reply(202, "")
 			stays := send(old, "x9") // no runner has taken it, so it can't be handed over
 			untaken := await(t, x.requests, "hop")
-			next := old.successor()
+			next := old.startSuccessor()
 			if q := await(t, disc.watches, "the newer process's watch").query; q != "watch=1&from=57" {
 				t.Errorf("the newer process asks discovery for %q", q)
 			}
-			if status, text := next.call("PUT", "/api/exclude", `{"host":"s-1"}`); status != 200 {
+			if status, text := next.callConsole("PUT", "/api/exclude", `{"host":"s-1"}`); status != 200 {
 				t.Errorf("exclude got %d %q from the newer process", status, text)
 			}
-			if status, text := next.call("PUT", "/api/include", `{"host":"s-2"}`); status != 200 {
+			if status, text := next.callConsole("PUT", "/api/include", `{"host":"s-2"}`); status != 200 {
 				t.Errorf("include got %d %q from the newer process", status, text)
 			}
 			old.awaitLog("operators have moved a runner\" name=n0 out=false")
-			if code := next.report(event("x0", x.uid, "running")); code != 204 {
+			if code := next.sendReport(jobEvent("x0", x.uid, "running")); code != 204 {
 				t.Errorf("call-back for a job of one of both processes got %d", code)
 			}
 			if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -221,44 +221,44 @@
 			}
 			old.awaitLog("frosttide drains")
 			for { // until the older one accepts no more
-				status, _ := old.call("GET", "/api/ready", "")
+				status, _ := old.callConsole("GET", "/api/ready", "")
 				if status == 503 {
 					break
 				}
 			}
 			// Reports come to the newer process alone from here on.
-			for next.report(event("x0", x.uid, "started")) != 204 { // repeated while the job is on its way
+			for next.sendReport(jobEvent("x0", x.uid, "started")) != 204 { // repeated while the job is on its way
 			}
-			if code := next.report(event("nobodys", x.uid, "started")); code != 503 {
+			if code := next.sendReport(jobEvent("nobodys", x.uid, "started")); code != 503 {
 				t.Errorf("call-back for a job that neither holds got %d", code)
 			}
 			untaken.reply(400, "") // until here the older one lives, and might have held that job
 			if a := await(t, stays, "answer"); a.Status != 400 {
 				t.Errorf("answer %+v to the job that stayed", a)
 			}
-			fresh := submit(next.job("render", "x1"))
+			fresh := submit(next.jobRequest("render", "x1"))
 			await(t, x.requests, "hop").reply(202, "")
-			next.report(event("x1", x.uid, "started"))
-			for next.report(event("x0", x.uid, "done")) != 204 {
+			next.sendReport(jobEvent("x1", x.uid, "started"))
+			for next.sendReport(jobEvent("x0", x.uid, "done")) != 204 {
 			}
 			if a := await(t, first, "answer"); a.Status != 200 || a.Close || a.Body != "clip of x0 by s-3" {
 				t.Errorf("answer %+v to the job of the older process, want a result", a)
 			}
-			if err := await(t, old.ended, "end"); err != nil {
+			if err := await(t, old.exited, "end"); err != nil {
 				t.Errorf("the older process ended with %v", err)
 			}
 			next.awaitLog("the other process has ended")
-			if f := next.figures(); f[`completed{lane="render"}`] != 1 || f[`upstream_requests{lane="render"}`] != 1 {
+			if f := next.metrics(); f[`completed{lane="render"}`] != 1 || f[`upstream_requests{lane="render"}`] != 1 {
 				t.Errorf("the job handed over was sent again, or counts elsewhere: %v", f)
 			}
-			if code := next.report(event("x1", x.uid, "done")); code != 204 {
+			if code := next.sendReport(jobEvent("x1", x.uid, "done")); code != 204 {
 				t.Errorf("call-back got %d", code)
 			}
 			if a := await(t, fresh, "answer"); a.Status != 200 {
 				t.Errorf("answer %+v of the newer process", a)
 			}
-			third := next.successor() // from the one that took over
-			if status, _ := third.call("PUT", "/api/exclude", `{"host":"s-2"}`); status != 200 {
+			third := next.startSuccessor() // from the one that took over
+			if status, _ := third.callConsole("PUT", "/api/exclude", `{"host":"s-2"}`); status != 200 {
 				t.Errorf("exclude got %d from the third process", status)
 			}
 		})
@@ -279,7 +279,7 @@
 			var path string
 			began := time.Now()
 			early := make(chan int, 1) // what the console says while the peer is waited for
-			d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, upgradable, func(d *dispatcher) {
+			d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener, func(d *dispatcher) {
 				path = handover.Path(tmpdir(d), d.addr)
 				peer := listenUnix(t, path)
 				go func() {
@@ -287,7 +287,7 @@
 					if err != nil {
 						return
 					}
-					if a := do(&http.Client{Timeout: time.Second}, ready(d)); tc.says == "" {
+					if a := do(&http.Client{Timeout: time.Second}, readyRequest(d)); tc.says == "" {
 						early <- a.Status
 					}
 					io.WriteString(c, tc.says)
@@ -308,9 +308,9 @@
 			}
 			defer c.Close()
 			go io.WriteString(c, tc.says)
-			got := submit(d.job("render", "x1"))
+			got := submit(d.jobRequest("render", "x1"))
 			await(t, r.requests, "hop").reply(202, "")
-			for d.report(event("x1", r.uid, "done")) != 204 {
+			for d.sendReport(jobEvent("x1", r.uid, "done")) != 204 {
 			}
 			if a := await(t, got, "answer"); a.Status != 200 {
 				t.Errorf("answer %+v", a)
@@ -319,8 +319,8 @@
 	}
 }
 
-// ready asks whether a dispatcher's process serves.
-func ready(d *dispatcher) *http.Request {
+// readyRequest asks whether a dispatcher's process serves.
+func readyRequest(d *dispatcher) *http.Request {
 	req, err := http.NewRequest("GET", "http://"+d.consoleAddr+"/api/ready", nil)
 	if err != nil {
 		panic(err) // the address is ours
@@ -353,7 +353,7 @@
 // what its name says, also what the ingress answers by itself, and reloads.
 func TestTelemetry(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	want := map[string]float64{"pending": 0, "members": 1, "members_unavailable": 0, "config_reloads": 0, "config_reload_errors": 0}
 	for _, class := range []string{"render", "release", "once"} {
 		for _, name := range []string{"completed", "rejected", "failed", "upstream_requests"} {
@@ -364,31 +364,31 @@
 		t.Helper()
 		var diff string
 		for over := time.Now().Add(testTimeout); time.Now().Before(over); {
-			if diff = cmp.Diff(want, d.figures()); diff == "" {
+			if diff = cmp.Diff(want, d.metrics()); diff == "" {
 				return
 			}
 		}
 		t.Fatalf("%s the figures differ (-want +got):\n%s", when, diff)
 	}
 	compare("at the start")
-	got := submit(d.job("render", "x1"))
+	got := submit(d.jobRequest("render", "x1"))
 	h := await(t, r.requests, "hop")
 	want["pending"], want[`upstream_requests{lane="render"}`] = 1, 1
 	compare("with a job open")
 	h.reply(202, "")
-	d.report(event("x1", r.uid, "done"))
+	d.sendReport(jobEvent("x1", r.uid, "done"))
 	await(t, got, "answer")
 	want["pending"], want[`completed{lane="render"}`] = 0, 1
-	got = submit(d.job("once", "x2"))
+	got = submit(d.jobRequest("once", "x2"))
 	await(t, r.requests, "hop").reply(500, "")
 	await(t, got, "answer")
 	want[`failed{lane="once"}`], want[`upstream_requests{lane="once"}`] = 1, 1
-	got = submit(d.job("release", "x3", func(r *http.Request) { r.Header.Del("Idempotency-Key") }))
+	got = submit(d.jobRequest("release", "x3", func(r *http.Request) { r.Header.Del("Idempotency-Key") }))
 	await(t, got, "answer")
 	want[`failed{lane="release"}`] = 1
-	d.call("PUT", "/api/exclude", `{"host":"s-1"}`)
+	d.callConsole("PUT", "/api/exclude", `{"host":"s-1"}`)
 	want["members_unavailable"] = 1
-	got = submit(d.job("render", "x4"))
+	got = submit(d.jobRequest("render", "x4"))
 	await(t, got, "answer")
 	want[`rejected{lane="render"}`] = 1
 	d.reload(`{"name":`)
@@ -399,10 +399,10 @@
 	compare("after a reload")
 }
 
-// figures reads the figures, by their names without the prefix.
-func (d *dispatcher) figures() map[string]float64 {
+// metrics reads the metrics, by their names without the prefix.
+func (d *dispatcher) metrics() map[string]float64 {
 	d.t.Helper()
-	status, text := d.call("GET", "/api/telemetry", "")
+	status, text := d.callConsole("GET", "/api/telemetry", "")
 	if status != 200 {
 		d.t.Fatalf("telemetry got %d %q", status, text)
 	}
@@ -429,9 +429,9 @@
 	disc := newDiscovery(t)
 	d := start(t, disc.URL, 1024, a.entry())
 	w := await(t, disc.watches, "watch")
-	accepted := submit(d.job("render", "x0"))
+	accepted := submit(d.jobRequest("render", "x0"))
 	await(t, a.requests, "hop").reply(202, "")
-	w.lines <- list(42, false, b.entry())
+	w.lines <- targetList(42, false, b.entry())
 	d.awaitLog("target=s-2")
 	file := fmt.Sprintf(d.cfg, strings.TrimPrefix(disc.URL, "http://"))
 	const first = `{"name":"render","effect":"safe",`
@@ -441,11 +441,11 @@
 		t.Helper()
 		d.reload(cfg)
 		for over := time.Now().Add(testTimeout); time.Now().Before(over); {
-			if f := d.figures(); f["config_reloads"] == reloads && f["config_reload_errors"] == errors {
+			if f := d.metrics(); f["config_reloads"] == reloads && f["config_reload_errors"] == errors {
 				return
 			}
 		}
-		t.Fatalf("want %v reloads and %v errors, figures %v", reloads, errors, d.figures())
+		t.Fatalf("want %v reloads and %v errors, figures %v", reloads, errors, d.metrics())
 	}
 	bad := []struct{ was, is string }{
 		{file, ""}, {file, file[:len(file)-1]}, {file, file + "x"}, {file, "[]"},
@@ -464,14 +464,14 @@
 			t.Fatalf("nothing to replace by %s", change.is)
 		}
 		if i == len(bad)-1 { // a runner has a second to accept a job, in which all the reloads may not fit
-			open = submit(d.job("render", "x1"))
+			open = submit(d.jobRequest("render", "x1"))
 			other, h = hopAtEither(t, a, b)
 		}
 		errors++
 		reload(strings.Replace(cfg, disc.URL[len("http://"):], "127.0.0.1:1", 1))
 	}
 	select {
-	case <-w.done:
+	case <-w.callEnded:
 		t.Errorf("a bad file has moved discovery")
 	default:
 	}
@@ -480,7 +480,7 @@
 	reloads++
 	reload(strings.Replace(strings.Replace(file, classes, classes+strings.Replace(first, "render", "new", 1)+
 		`"aim":2000000,"give-up":20000000,"worth":1},`, 1), first, `{"name":"other","effect":"unsafe",`, 1))
-	if got := await(t, submit(d.job("render", "x2")), "answer"); got.Status != 400 {
+	if got := await(t, submit(d.jobRequest("render", "x2")), "answer"); got.Status != 400 {
 		t.Errorf("a job of a class that is gone got %+v", got)
 	}
 	h.reply(500, "")
@@ -489,32 +489,32 @@
 		t.Errorf("the second hop is of %s", h.id())
 	}
 	h.reply(202, "")
-	d.report(event("x1", other.uid, "done"))
+	d.sendReport(jobEvent("x1", other.uid, "done"))
 	if got := await(t, open, "answer"); got.Status != 200 {
 		t.Errorf("answer %+v to the job that was open", got)
 	}
-	d.report(event("x0", a.uid, "failed"))
+	d.sendReport(jobEvent("x0", a.uid, "failed"))
 	h = await(t, b.requests, "second hop of the job that a runner had accepted, of a class that may be repeated")
 	if h.id() != "x0" {
 		t.Errorf("the second hop is of %s", h.id())
 	}
 	h.reply(202, "")
-	d.report(event("x0", b.uid, "done"))
+	d.sendReport(jobEvent("x0", b.uid, "done"))
 	if got := await(t, accepted, "answer"); got.Status != 200 {
 		t.Errorf("answer %+v to the job that a runner had accepted", got)
 	}
-	d.call("PUT", "/api/exclude", `{"host":"s-2"}`)
+	d.callConsole("PUT", "/api/exclude", `{"host":"s-2"}`)
 	// render is back with a stricter effect, and jobs get one attempt.
 	reloads++
 	reload(strings.Replace(strings.Replace(file, first, `{"name":"render","effect":"unsafe",`, 1), `"send-cap":4`, `"send-cap":1`, 1))
 	for class, status := range map[string]int{"render": 502, "release": 502} {
-		got := submit(d.job(class, "y-"+class))
+		got := submit(d.jobRequest(class, "y-"+class))
 		await(t, a.requests, "hop").reply(500, "")
 		if got := await(t, got, "answer"); got.Status != status {
 			t.Errorf("%s: answer %+v, want %d", class, got, status)
 		}
 	}
-	f := d.figures()
+	f := d.metrics()
 	for name, n := range map[string]float64{`completed{lane="render"}`: 2, `failed{lane="render"}`: 1, `upstream_requests{lane="render"}`: 5,
 		`failed{lane="new"}`: 0, `failed{lane="release"}`: 1, `members_unavailable`: 2} {
 		if got, ok := f[name]; !ok || got != n {
@@ -550,12 +550,12 @@
 		pace   = 200 * time.Millisecond
 	)
 	var text bytes.Buffer
-	if err := d.job("render", "x1").Write(&text); err != nil {
+	if err := d.jobRequest("render", "x1").Write(&text); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	c := d.raw("")
-	got = read(c)
+	c := d.dialAndWrite("")
+	got = readResponse(c)
 	size := text.Len() / pieces
 	write := func(piece []byte) bool {
 		_, err := c.Write(piece)
@@ -569,10 +569,10 @@
 			return got, ends, true
 		}
 		for range 10 {
-			await(t, read(d.raw("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")), "answer to a health check")
+			await(t, readResponse(d.dialAndWrite("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")), "answer to a health check")
 		}
 		for range 2 {
-			ends = append(ends, read(d.raw("POST /render HTTP/1.1\r\nHost: x\r\nX-Never")))
+			ends = append(ends, readResponse(d.dialAndWrite("POST /render HTTP/1.1\r\nHost: x\r\nX-Never")))
 		}
 		time.Sleep(time.Until(began.Add(time.Duration(i+1) * pace)))
 	}
@@ -598,7 +598,7 @@
 		select {
 		case h := <-r.requests:
 			h.reply(202, "")
-			d.report(event("x1", r.uid, "done"))
+			d.sendReport(jobEvent("x1", r.uid, "done"))
 			if a := await(t, got, "answer"); a.Status != 200 {
 				t.Errorf("answer %+v to the slow job", a)
 			}
@@ -611,7 +611,7 @@
 		for _, end := range ends {
 			await(t, end, "end of a connection that never finishes")
 		}
-		if took := time.Since(*d.lastRaw.Load()); took > 3*time.Second {
+		if took := time.Since(*d.lastDial.Load()); took > 3*time.Second {
 			t.Errorf("a connection that never finishes lasted %v", took)
 		}
 		if done {
@@ -633,18 +633,18 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			r := newRunner(t, "s-1")
-			old := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, upgradable)
-			open := submit(old.job("release", "x1"))
+			old := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener)
+			open := submit(old.jobRequest("release", "x1"))
 			await(t, r.requests, "hop").reply(202, "")
-			next := old.successor()
+			next := old.startSuccessor()
 			if err := next.cmd.Process.Signal(tc.signal); err != nil {
 				t.Fatal(err)
 			}
 			if tc.signal == syscall.SIGKILL {
 				old.awaitLog("the other process has ended")
-				got := submit(old.job("render", "x2"))
+				got := submit(old.jobRequest("render", "x2"))
 				await(t, r.requests, "hop").reply(202, "")
-				old.report(event("x2", r.uid, "done"))
+				old.sendReport(jobEvent("x2", r.uid, "done"))
 				if a := await(t, got, "answer"); a.Status != 200 {
 					t.Errorf("answer %+v after the newer process's death", a)
 				}
@@ -664,14 +664,14 @@
 			}
 			old.awaitLog("frosttide drains")
 			if tc.signal == syscall.SIGKILL { // it lingers, for reports above all
-				if code := old.report(event("x1", r.uid, "done")); code != 204 {
+				if code := old.sendReport(jobEvent("x1", r.uid, "done")); code != 204 {
 					t.Errorf("call-back after SIGTERM got %d", code)
 				}
 			}
 			if a := await(t, open, "answer"); a.Status != tc.status || time.Since(told) > 3600*time.Millisecond {
 				t.Errorf("answer %+v %v after SIGTERM, want %d", a, time.Since(told), tc.status)
 			}
-			if err := await(t, old.ended, "end"); err != nil {
+			if err := await(t, old.exited, "end"); err != nil {
 				t.Errorf("the older process ended with %v", err)
 			}
 		})
@@ -686,16 +686,16 @@
 	disc := newDiscovery(t)
 	d := start(t, disc.URL, 1024)
 	w := await(t, disc.watches, "watch")
-	line := list(42, false, r.entry())
+	line := targetList(42, false, r.entry())
 	for len(line) > 20 { // the pace of discovery is the matter here
-		w.lines <- line[:20] + unfinished
+		w.lines <- line[:20] + partialLine
 		line = line[20:]
 		time.Sleep(700 * time.Millisecond)
 	}
 	w.lines <- line
 	d.awaitLog("target=s-1")
 	select {
-	case <-w.done:
+	case <-w.callEnded:
 		t.Error("the watch was broken off")
 	default:
 	}
--- a/cmd/frosttide/deployments_test.go
+++ b/cmd/frosttide/deployments_test.go
@@ -40,8 +40,8 @@
 	Effect string `json:"effect"`
 }
 
-// eachDeployment runs a test under the settings of every example in the platform's form.
-func eachDeployment(t *testing.T, test func(*testing.T, *deployment)) {
+// forEachDeployment runs a test under the settings of every example in the platform's form.
+func forEachDeployment(t *testing.T, test func(*testing.T, *deployment)) {
 	for _, name := range []string{"asked.json", "pushed.json"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -61,9 +61,9 @@
 	}
 }
 
-// settled lets a dispatcher start on the deployment's settings. How many dispatchers share
+// applySettings lets a dispatcher start on the deployment's settings. How many dispatchers share
 // the runners is left out, so that each test sees its own decisions alone.
-func (dep *deployment) settled(d *dispatcher) {
+func (dep *deployment) applySettings(d *dispatcher) {
 	platform := maps.Clone(dep.platform) // several dispatchers may start on it at once
 	settings := maps.Clone(platform["settings"].(map[string]any))
 	settings["balancers"], settings["me"] = 1, 0
@@ -87,11 +87,11 @@
 
 func (dep *deployment) entry(r *runner, state string) string {
 	return strings.NewReplacer(`"az":"a"`, fmt.Sprintf(`"az":%q`, dep.Settings.Zones[0]),
-		`"model":"m"`, fmt.Sprintf(`"model":%q`, dep.Settings.Kinds[0])).Replace(entry(r.uid, r.addr, state))
+		`"model":"m"`, fmt.Sprintf(`"model":%q`, dep.Settings.Kinds[0])).Replace(targetEntry(r.uid, r.addr, state))
 }
 
-// keyed puts a key on the jobs of classes that want one, and a tenant's name on all.
-func (dep *deployment) keyed(class int) func(*http.Request) {
+// withClassHeaders puts a key on the jobs of classes that want one, and a tenant's name on all.
+func (dep *deployment) withClassHeaders(class int) func(*http.Request) {
 	return func(req *http.Request) {
 		if dep.Settings.Classes[class].Effect == "keyed" {
 			req.Header.Set("Idempotency-Key", "key-"+req.Header.Get("X-Trace-Id"))
@@ -131,16 +131,16 @@
 // fails, what repeats drop in one zone or everywhere goes to another runner.
 func TestEffects(t *testing.T) {
 	t.Parallel()
-	eachDeployment(t, func(t *testing.T, dep *deployment) {
+	forEachDeployment(t, func(t *testing.T, dep *deployment) {
 		a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
-		d := startWith(t, newDiscovery(t).URL, 1024, []string{dep.entry(a, "SERVING"), dep.entry(b, "SERVING")}, dep.settled)
+		d := startWith(t, newDiscovery(t).URL, 1024, []string{dep.entry(a, "SERVING"), dep.entry(b, "SERVING")}, dep.applySettings)
 		for i, class := range dep.Settings.Classes {
 			id := "x-" + class.Name
-			got := submit(d.job(class.Name, id, dep.keyed(i)))
+			got := submit(d.jobRequest(class.Name, id, dep.withClassHeaders(i)))
 			at, h := dep.hopAt(t, a, b)
 			h.reply(202, "")
-			d.report(event(id, at.uid, "started"))
-			d.report(event(id, at.uid, "lost"))
+			d.sendReport(jobEvent(id, at.uid, "started"))
+			d.sendReport(jobEvent(id, at.uid, "lost"))
 			want := 502
 			if class.Effect != "unsafe" {
 				want = 200
@@ -149,7 +149,7 @@
 					t.Errorf("%s: the job %s came to %s after %s", class.Name, h.id(), again.uid, at.uid)
 				}
 				h.reply(202, "")
-				d.report(event(id, again.uid, "done"))
+				d.sendReport(jobEvent(id, again.uid, "done"))
 			}
 			if ans := await(t, got, "answer"); ans.Status != want {
 				t.Errorf("%s: answer %+v, want %d", class.Name, ans, want)
@@ -165,17 +165,17 @@
 // and that a planned restart answers what is open.
 func TestListEitherWay(t *testing.T) {
 	t.Parallel()
-	eachDeployment(t, func(t *testing.T, dep *deployment) {
+	forEachDeployment(t, func(t *testing.T, dep *deployment) {
 		a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
 		disc := newDiscovery(t)
-		d := startWith(t, disc.URL, 1024, []string{dep.entry(a, "SERVING")}, dep.settled)
+		d := startWith(t, disc.URL, 1024, []string{dep.entry(a, "SERVING")}, dep.applySettings)
 		w := await(t, disc.watches, "watch")
-		w.lines <- list(42, false, dep.entry(a, "DRAINING"), dep.entry(b, "SERVING"))
+		w.lines <- targetList(42, false, dep.entry(a, "DRAINING"), dep.entry(b, "SERVING"))
 		d.awaitLog("egress target drains")
 		class := dep.Settings.Classes[0].Name
 		for i := range 6 {
 			id := fmt.Sprintf("x%d", i)
-			got := submit(d.job(class, id, dep.keyed(0)))
+			got := submit(d.jobRequest(class, id, dep.withClassHeaders(0)))
 			at, h := dep.hopAt(t, a, b)
 			if at != b {
 				t.Errorf("job %s went to a runner that drains", id)
@@ -185,12 +185,12 @@
 				d.cmd.Process.Signal(syscall.SIGTERM)
 				d.awaitLog("frosttide drains")
 			}
-			d.report(event(id, at.uid, "done"))
+			d.sendReport(jobEvent(id, at.uid, "done"))
 			if ans := await(t, got, "answer"); ans.Status != 200 {
 				t.Errorf("answer %+v", ans)
 			}
 		}
-		if err := await(t, d.ended, "end"); err != nil {
+		if err := await(t, d.exited, "end"); err != nil {
 			t.Errorf("ended with %v", err)
 		}
 	})
@@ -200,12 +200,12 @@
 // is tried at another, and the client has one answer.
 func TestFullRunner(t *testing.T) {
 	t.Parallel()
-	eachDeployment(t, func(t *testing.T, dep *deployment) {
+	forEachDeployment(t, func(t *testing.T, dep *deployment) {
 		for i, class := range dep.Settings.Classes { // a dispatcher each: full queues have arrivals shed
 			a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
-			d := startWith(t, newDiscovery(t).URL, 1024, []string{dep.entry(a, "SERVING"), dep.entry(b, "SERVING")}, dep.settled)
+			d := startWith(t, newDiscovery(t).URL, 1024, []string{dep.entry(a, "SERVING"), dep.entry(b, "SERVING")}, dep.applySettings)
 			id := "wide-" + class.Name
-			got := submit(d.job(class.Name, id, dep.keyed(i), func(req *http.Request) { req.Header.Set("X-Props", "slots=4") }))
+			got := submit(d.jobRequest(class.Name, id, dep.withClassHeaders(i), func(req *http.Request) { req.Header.Set("X-Props", "slots=4") }))
 			first, h := dep.hopAt(t, a, b)
 			h.reply(503, "X-Never-Ran: 1\r\n")
 			second, h := dep.hopAt(t, a, b)
@@ -213,7 +213,7 @@
 				t.Errorf("%s: sent again to the runner that had no room", class.Name)
 			}
 			h.reply(202, "")
-			d.report(event(id, second.uid, "done"))
+			d.sendReport(jobEvent(id, second.uid, "done"))
 			if ans := await(t, got, "answer"); ans.Status != 200 {
 				t.Errorf("%s: answer %+v", class.Name, ans)
 			}
@@ -224,25 +224,25 @@
 // TestReportsInAnswers has load reports count where reports on jobs carry them, and a report without the figures that matter say nothing.
 func TestReportsInAnswers(t *testing.T) {
 	t.Parallel()
-	eachDeployment(t, func(t *testing.T, dep *deployment) {
+	forEachDeployment(t, func(t *testing.T, dep *deployment) {
 		if dep.Settings.Report.Source != "answers" {
 			return
 		}
 		a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
-		d := startWith(t, newDiscovery(t).URL, 1024, []string{dep.entry(a, "SERVING"), dep.entry(b, "SERVING")}, dep.settled)
+		d := startWith(t, newDiscovery(t).URL, 1024, []string{dep.entry(a, "SERVING"), dep.entry(b, "SERVING")}, dep.applySettings)
 		class := slices.IndexFunc(dep.Settings.Classes, func(c deployedClass) bool { return c.Effect == "keyed" })
 		jobs := 0
 		next := func() (string, <-chan response, *runner, *runnerRequest) {
 			jobs++
 			id := fmt.Sprintf("r%d", jobs)
-			got := submit(d.job(dep.Settings.Classes[class].Name, id, dep.keyed(class), func(req *http.Request) {
+			got := submit(d.jobRequest(dep.Settings.Classes[class].Name, id, dep.withClassHeaders(class), func(req *http.Request) {
 				req.Header.Set("X-Size-Hint", "100000")
 			}))
 			at, h := dep.hopAt(t, a, b)
 			return id, got, at, h
 		}
 		done := func(id string, at *runner, load string) {
-			d.report(fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"r","load":%s}`, id, at.uid, load))
+			d.sendReport(fmt.Sprintf(`{"id":%q,"from":%q,"state":"done","result":"r","load":%s}`, id, at.uid, load))
 		}
 		id1, got1, at1, h1 := next() // both at once, so that each has one
 		id2, got2, at2, h2 := next()
@@ -272,15 +272,15 @@
 // where it can.
 func TestClientGone(t *testing.T) {
 	t.Parallel()
-	eachDeployment(t, func(t *testing.T, dep *deployment) {
+	forEachDeployment(t, func(t *testing.T, dep *deployment) {
 		a := newRunner(t, "s-1")
-		d := startWith(t, newDiscovery(t).URL, 1024, []string{dep.entry(a, "SERVING")}, dep.settled)
+		d := startWith(t, newDiscovery(t).URL, 1024, []string{dep.entry(a, "SERVING")}, dep.applySettings)
 		class := dep.Settings.Classes[0].Name
-		c := d.raw("POST /" + class + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: gone\r\nX-Qos: " + class +
+		c := d.dialAndWrite("POST /" + class + " HTTP/1.1\r\nHost: x\r\nX-Trace-Id: gone\r\nX-Qos: " + class +
 			"\r\nX-Expires-In-Ms: 4000\r\nX-Customer: nobody-we-know\r\nContent-Length: 0\r\n\r\n")
 		_, h := dep.hopAt(t, a)
 		h.reply(202, "")
-		d.report(event("gone", a.uid, "started"))
+		d.sendReport(jobEvent("gone", a.uid, "started"))
 		c.Close()
 		recall := await(t, a.requests, "recall")
 		if recall.Method != http.MethodDelete || recall.RequestURI != "/jobs/gone" {
@@ -293,24 +293,24 @@
 // restart, each with a job under way that keeps its runner and gets its one answer.
 func TestLife(t *testing.T) {
 	t.Parallel()
-	eachDeployment(t, func(t *testing.T, dep *deployment) {
+	forEachDeployment(t, func(t *testing.T, dep *deployment) {
 		a := newRunner(t, "s-1")
 		disc := newDiscovery(t)
-		d := startWith(t, disc.URL, 1024, []string{dep.entry(a, "SERVING")}, dep.settled, upgradable)
+		d := startWith(t, disc.URL, 1024, []string{dep.entry(a, "SERVING")}, dep.applySettings, withInheritedListener)
 		await(t, disc.watches, "watch")
 		class := dep.Settings.Classes[0].Name
 		begin := func(d *dispatcher, id string) <-chan response {
-			got := submit(d.job(class, id, dep.keyed(0)))
+			got := submit(d.jobRequest(class, id, dep.withClassHeaders(0)))
 			_, h := dep.hopAt(t, a)
 			if h.id() != id {
 				t.Fatalf("hop of %s, want %s", h.id(), id)
 			}
 			h.reply(202, "")
-			d.report(event(id, a.uid, "started"))
+			d.sendReport(jobEvent(id, a.uid, "started"))
 			return got
 		}
 		over := func(what string, d *dispatcher, id string, got <-chan response) {
-			for d.report(event(id, a.uid, "done")) != 204 { // repeated while the job is on its way
+			for d.sendReport(jobEvent(id, a.uid, "done")) != 204 { // repeated while the job is on its way
 			}
 			if ans := await(t, got, "answer "+what); ans.Status != 200 {
 				t.Errorf("answer %+v %s", ans, what)
@@ -322,13 +322,13 @@
 		over("across a rereading", d, "x-reread", got)
 
 		got = begin(d, "x-upgrade")
-		next := d.successor()
+		next := d.startSuccessor()
 		if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
 		d.awaitLog("frosttide drains")
 		over("across an upgrade", next, "x-upgrade", got)
-		if err := await(t, d.ended, "end"); err != nil {
+		if err := await(t, d.exited, "end"); err != nil {
 			t.Errorf("the older process ended with %v", err)
 		}
 		next.awaitLog("the other process has ended")
@@ -339,7 +339,7 @@
 		}
 		next.awaitLog("frosttide drains")
 		over("across a planned restart", next, "x-restart", got)
-		if err := await(t, next.ended, "end"); err != nil {
+		if err := await(t, next.exited, "end"); err != nil {
 			t.Errorf("the program ended with %v", err)
 		}
 		if len(a.requests) > 0 {
--- a/cmd/frosttide/faults_test.go
+++ b/cmd/frosttide/faults_test.go
@@ -33,7 +33,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			got, err := faults.Run(s, itself, t.TempDir())
+			got, err := faults.Run(s, programCommand, t.TempDir())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -45,9 +45,9 @@
 	}
 }
 
-// itself is this test binary as the program.
-func itself(args ...string) *exec.Cmd {
+// programCommand is this test binary as the program.
+func programCommand(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
-	cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", underRace}
+	cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", raceOptions}
 	return cmd
 }
--- a/cmd/frosttide/gearman_test.go
+++ b/cmd/frosttide/gearman_test.go
@@ -44,7 +44,7 @@
 		}
 		f.jobs = l.Addr().String()
 		l.Close()
-		closed(t, f.jobs)
+		awaitPortsFree(t, f.jobs)
 		text := fmt.Sprintf(`[listen]
 clients = %q
 console = %q
@@ -82,19 +82,19 @@
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		d.cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", underRace}
+		d.cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", raceOptions}
 		d.cmd.Args = append(d.cmd.Args, "serve", "--config", path)
 		edit(d)
 	})
 	// The list may not be empty; the runner that is nobody is left out.
-	if code, text := f.call("PUT", "/api/exclude", `{"host":"s-none"}`); code != 200 {
+	if code, text := f.callConsole("PUT", "/api/exclude", `{"host":"s-none"}`); code != 200 {
 		t.Fatal(code, text)
 	}
 	return f
 }
 
-// peer connects as a client or a worker.
-func (f *gearmanFixture) peer() *gearman.Peer {
+// connect connects as a client or a worker.
+func (f *gearmanFixture) connect() *gearman.Peer {
 	f.t.Helper()
 	p, err := gearman.Dial(f.jobs, time.Now().Add(testTimeout), nil)
 	if err != nil {
@@ -104,10 +104,10 @@
 	return p
 }
 
-// worker connects one that can do functions and is listed.
-func (f *gearmanFixture) worker(id string, functions ...string) *gearman.Peer {
+// connectWorker connects one that can do functions and is listed.
+func (f *gearmanFixture) connectWorker(id string, functions ...string) *gearman.Peer {
 	f.t.Helper()
-	p := f.peer()
+	p := f.connect()
 	if err := p.Announce(id, functions...); err != nil {
 		f.t.Fatal(err)
 	}
@@ -140,8 +140,8 @@
 	return must(f.t, g, err).Args[0]
 }
 
-// wants reads the next packet and compares it.
-func wants(t *testing.T, p *gearman.Peer, kind proto.Type, args ...string) {
+// wantPacket reads the next packet and compares it.
+func wantPacket(t *testing.T, p *gearman.Peer, kind proto.Type, args ...string) {
 	t.Helper()
 	g, err := p.Next()
 	if err != nil {
@@ -157,7 +157,7 @@
 func TestGearmanJob(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
-	w, c := f.worker("w1", "cut", "unknown"), f.peer()
+	w, c := f.connectWorker("w1", "cut", "unknown"), f.connect()
 	handle := f.submitJob(c, proto.SubmitJob, "cut", "u1", "frames\x00of u1")
 	job := f.grabJob(w)
 	if diff := cmp.Diff(gearman.Job{Handle: job.Handle, Function: "cut", Unique: "u1", Workload: "frames\x00of u1"}, job); diff != "" {
@@ -176,10 +176,10 @@
 			t.Fatal(err)
 		}
 	}
-	wants(t, c, proto.WorkStatus, handle, "25", "100")
-	wants(t, c, proto.WorkData, handle, "half")
-	wants(t, c, proto.WorkWarning, handle, "dark")
-	wants(t, c, proto.WorkComplete, handle, "whole")
+	wantPacket(t, c, proto.WorkStatus, handle, "25", "100")
+	wantPacket(t, c, proto.WorkData, handle, "half")
+	wantPacket(t, c, proto.WorkWarning, handle, "dark")
+	wantPacket(t, c, proto.WorkComplete, handle, "whole")
 	for range 3 {
 		if g, err := w.Want(proto.Error); err != nil || g.Args[0] != "job_not_found" {
 			t.Errorf("a word on no job got %s, %v", g, err)
@@ -188,8 +188,8 @@
 	if err := c.Send(proto.GetStatus, handle); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, c, proto.StatusRes, handle, "0", "0", "0", "0") // and nothing else has come
-	if _, text := f.call("GET", "/api/telemetry", ""); !strings.Contains(text, `edge_balancer_completed{lane="render"} 1`) ||
+	wantPacket(t, c, proto.StatusRes, handle, "0", "0", "0", "0") // and nothing else has come
+	if _, text := f.callConsole("GET", "/api/telemetry", ""); !strings.Contains(text, `edge_balancer_completed{lane="render"} 1`) ||
 		!strings.Contains(text, `edge_balancer_upstream_requests{lane="render"} 1`) || !strings.Contains(text, "edge_balancer_pending 0") {
 		t.Errorf("the figures are\n%s", text)
 	}
@@ -201,29 +201,29 @@
 	t.Parallel()
 	r := newRunner(t, "s-http")
 	f := newGearman(t, "", r)
-	c := f.peer()
+	c := f.connect()
 	handle := f.submitJob(c, proto.SubmitJobHigh, "cut", "u1", "frames")
 	h := await(t, r.requests, "hop at the HTTP runner")
 	if h.RequestURI != "/render/cut" || h.id() != "u1" || h.body != "frames" {
 		t.Errorf("the hop is %s of %s with %q", h.RequestURI, h.id(), h.body)
 	}
 	h.reply(202, "")
-	f.report(event("u1", "s-http", "done"))
-	wants(t, c, proto.WorkComplete, handle, "clip of u1 by s-http")
+	f.sendReport(jobEvent("u1", "s-http", "done"))
+	wantPacket(t, c, proto.WorkComplete, handle, "clip of u1 by s-http")
 
-	if code, text := f.call("PUT", "/api/exclude", `{"host":"s-http"}`); code != 200 {
+	if code, text := f.callConsole("PUT", "/api/exclude", `{"host":"s-http"}`); code != 200 {
 		t.Fatal(code, text)
 	}
-	w := f.worker("w1", "cut", "out")
-	got := submit(f.job("render", "h1"))
+	w := f.connectWorker("w1", "cut", "out")
+	got := submit(f.jobRequest("render", "h1"))
 	job := f.grabJob(w)
 	if job.Function != "cut" || job.Workload != "frames of h1" {
 		t.Errorf("the worker got %+v", job)
 	}
 	// The same id over the other front, while it is open:
 	twin := f.submitJob(c, proto.SubmitJob, "cut", "h1", "frames")
-	wants(t, c, proto.WorkWarning, twin, "a job of this id is open over another front")
-	wants(t, c, proto.WorkFail, twin)
+	wantPacket(t, c, proto.WorkWarning, twin, "a job of this id is open over another front")
+	wantPacket(t, c, proto.WorkFail, twin)
 	if err := errors.Join(w.Send(proto.WorkData, job.Handle, "a"), w.Send(proto.WorkComplete, job.Handle, "b")); err != nil {
 		t.Fatal(err)
 	}
@@ -232,13 +232,13 @@
 	}
 	handle = f.submitJob(c, proto.SubmitJob, "out", "k1", "x")
 	job = f.grabJob(w)
-	if a := await(t, submit(f.job("release", "k1", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k1") })), "answer"); a.Status != 409 {
+	if a := await(t, submit(f.jobRequest("release", "k1", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k1") })), "answer"); a.Status != 409 {
 		t.Errorf("the same id and key over HTTP got %d", a.Status)
 	}
 	if err := w.Send(proto.WorkComplete, job.Handle, "once"); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, c, proto.WorkComplete, handle, "once")
+	wantPacket(t, c, proto.WorkComplete, handle, "once")
 }
 
 // TestWorkerLost guards rule 2: a connection lost in mid-job has perhaps run, and then the
@@ -270,11 +270,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			f := newGearman(t, "")
-			first := f.worker("w1", tc.function)
-			c := f.peer()
+			first := f.connectWorker("w1", tc.function)
+			c := f.connect()
 			handle := f.submitJob(c, proto.SubmitJob, tc.function, "u1", "x")
 			job := f.grabJob(first)
-			second := f.worker("w2", tc.function)
+			second := f.connectWorker("w2", tc.function)
 			tc.lose(first, job)
 			if !tc.again {
 				for over := false; !over; { // it fails at once, and is not refused after another try
@@ -290,7 +290,7 @@
 			if err := second.Send(proto.WorkComplete, next.Handle, "done by the second"); err != nil {
 				t.Fatal(err)
 			}
-			wants(t, c, proto.WorkComplete, handle, "done by the second")
+			wantPacket(t, c, proto.WorkComplete, handle, "done by the second")
 		})
 	}
 }
@@ -300,7 +300,7 @@
 func TestWorkerOffers(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
-	deaf, c := f.worker("deaf", "post"), f.peer()
+	deaf, c := f.connectWorker("deaf", "post"), f.connect()
 	if err := deaf.Send(proto.PreSleep); err != nil {
 		t.Fatal(err)
 	}
@@ -308,16 +308,16 @@
 	if _, err := deaf.Want(proto.Noop); err != nil {
 		t.Fatal(err)
 	}
-	good := f.worker("good", "post")
+	good := f.connectWorker("good", "post")
 	job := f.grabJob(good)
 	if err := good.Send(proto.WorkComplete, job.Handle, "done"); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, c, proto.WorkComplete, handle, "done")
+	wantPacket(t, c, proto.WorkComplete, handle, "done")
 	if err := deaf.Send(proto.GrabJob); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, deaf, proto.NoJob) // the offer is not there any more
+	wantPacket(t, deaf, proto.NoJob) // the offer is not there any more
 
 	// One that grabs and never answers: the client hears at its deadline, once.
 	handle = f.submitJob(c, proto.SubmitJob, "post", "u2", "x")
@@ -332,7 +332,7 @@
 func TestWorkerDrains(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
-	w, c := f.worker("w1", "cut"), f.peer()
+	w, c := f.connectWorker("w1", "cut"), f.connect()
 	refused := func(id string) {
 		t.Helper()
 		handle := f.submitJob(c, proto.SubmitJob, "cut", id, "x")
@@ -340,27 +340,27 @@
 		if err != nil || g.Type != proto.WorkWarning || !strings.Contains(g.Args[1], "Retry-After: 0.") {
 			t.Errorf("a job that nobody can do got %s, %v", g, err)
 		}
-		wants(t, c, proto.WorkFail, handle)
+		wantPacket(t, c, proto.WorkFail, handle)
 	}
 	if err := errors.Join(w.Send(proto.CantDo, "cut"), w.Send(proto.EchoReq, "heard")); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, w, proto.EchoRes, "heard")
+	wantPacket(t, w, proto.EchoRes, "heard")
 	refused("u1")
 	if err := errors.Join(w.Send(proto.CanDo, "cut"), w.Send(proto.EchoReq, "heard")); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, w, proto.EchoRes, "heard")
+	wantPacket(t, w, proto.EchoRes, "heard")
 	handle := f.submitJob(c, proto.SubmitJob, "cut", "u2", "x")
 	job := f.grabJob(w)
-	if code, text := f.call("PUT", "/api/exclude", `{"host":"g-w1"}`); code != 200 {
+	if code, text := f.callConsole("PUT", "/api/exclude", `{"host":"g-w1"}`); code != 200 {
 		t.Fatal(code, text)
 	}
 	refused("u3")
 	if err := w.Send(proto.WorkComplete, job.Handle, "what it had goes on"); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, c, proto.WorkComplete, handle, "what it had goes on")
+	wantPacket(t, c, proto.WorkComplete, handle, "what it had goes on")
 	refused("u4")
 }
 
@@ -368,7 +368,7 @@
 func TestUniqueJobs(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
-	w, a, b := f.worker("w1", "cut"), f.peer(), f.peer()
+	w, a, b := f.connectWorker("w1", "cut"), f.connect(), f.connect()
 	handle := f.submitJob(a, proto.SubmitJob, "cut", "same", "x")
 	if other := f.submitJob(b, proto.SubmitJobLow, "cut", "same", "y"); other != handle {
 		t.Errorf("the same unique id has the handles %s and %s", handle, other)
@@ -377,12 +377,12 @@
 	if err := b.Send(proto.GetStatusUnique, "same"); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, b, proto.StatusResUnique, "same", "1", "1", "0", "0", "2")
+	wantPacket(t, b, proto.StatusResUnique, "same", "1", "1", "0", "0", "2")
 	if err := w.Send(proto.WorkComplete, job.Handle, "one"); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, a, proto.WorkComplete, handle, "one")
-	wants(t, b, proto.WorkComplete, handle, "one")
+	wantPacket(t, a, proto.WorkComplete, handle, "one")
+	wantPacket(t, b, proto.WorkComplete, handle, "one")
 
 	f.submitJob(a, proto.SubmitJob, "cut", "later", "x")
 	f.submitJob(b, proto.SubmitJobBg, "cut", "later", "x")
@@ -395,7 +395,7 @@
 		t.Fatal(err)
 	}
 	text := ""
-	for over := time.Now().Add(testTimeout); !strings.Contains(text, `completed{lane="render"} 2`); _, text = f.call("GET", "/api/telemetry", "") {
+	for over := time.Now().Add(testTimeout); !strings.Contains(text, `completed{lane="render"} 2`); _, text = f.callConsole("GET", "/api/telemetry", "") {
 		if time.Now().After(over) {
 			t.Fatalf("the background job did not end:\n%s", text)
 		}
@@ -414,7 +414,7 @@
 func TestOddPeers(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
-	w, c := f.worker("w1", "cut"), f.peer()
+	w, c := f.connectWorker("w1", "cut"), f.connect()
 	var stream []byte
 	for i := range 1000 {
 		stream = proto.AppendRequest(stream, proto.EchoReq, []byte(fmt.Sprint(i)))
@@ -423,17 +423,17 @@
 		t.Fatal(err)
 	}
 	for i := range 1000 {
-		wants(t, c, proto.EchoRes, fmt.Sprint(i))
+		wantPacket(t, c, proto.EchoRes, fmt.Sprint(i))
 	}
 	for _, b := range proto.AppendRequest(nil, proto.EchoReq, []byte("slowly")) { // split at every byte
 		if _, err := c.Write([]byte{b}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	wants(t, c, proto.EchoRes, "slowly")
+	wantPacket(t, c, proto.EchoRes, "slowly")
 	for name, text := range map[string][]byte{"4 GB by its header": []byte("\x00REQ\x00\x00\x00\x07\xff\xff\xff\xff"),
 		"no packet": []byte("\x00HTTP/1.1 GET"), "a line without end": bytes.Repeat([]byte("x"), 1000)} {
-		p := f.peer()
+		p := f.connect()
 		if _, err := p.Write(text); err != nil {
 			t.Fatal(err)
 		}
@@ -441,7 +441,7 @@
 			t.Errorf("%s: the connection goes on, %v", name, err)
 		}
 	}
-	greedy := f.peer()
+	greedy := f.connect()
 	for i := range 1001 {
 		if err := greedy.Send(proto.CanDo, fmt.Sprint("f", i)); err != nil {
 			break // closed already
@@ -452,7 +452,7 @@
 	}
 	for line, want := range map[string]string{"version\n": "OK frosttide\n", "shutdown\n": "ERR not_allowed", "status\n": "cut\t0\t0\t1\n",
 		"workers\n": " g-w1 : cut\n", "what\n": "ERR unknown_command"} {
-		p := f.peer()
+		p := f.connect()
 		if _, err := io.WriteString(p, line); err != nil {
 			t.Fatal(err)
 		}
@@ -467,7 +467,7 @@
 	if err := w.Send(proto.WorkComplete, job.Handle, "fine"); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, c, proto.WorkComplete, handle, "fine")
+	wantPacket(t, c, proto.WorkComplete, handle, "fine")
 }
 
 // TestGearmanEnd guards clients at a planned end: what is open is answered, what comes is
@@ -475,7 +475,7 @@
 func TestGearmanEnd(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
-	w, c := f.worker("w1", "cut"), f.peer()
+	w, c := f.connectWorker("w1", "cut"), f.connect()
 	handle := f.submitJob(c, proto.SubmitJob, "cut", "u1", "x")
 	job := f.grabJob(w)
 	if err := f.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -485,8 +485,8 @@
 	if err := w.Send(proto.WorkComplete, job.Handle, "in time"); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, c, proto.WorkComplete, handle, "in time")
-	if err := await(t, f.ended, "end"); err != nil {
+	wantPacket(t, c, proto.WorkComplete, handle, "in time")
+	if err := await(t, f.exited, "end"); err != nil {
 		t.Errorf("the process ended with %v", err)
 	}
 }
@@ -495,11 +495,11 @@
 // the worker tells the older process alone, so that keeps it.
 func TestGearmanUpgrade(t *testing.T) {
 	t.Parallel()
-	f := newGearmanWith(t, "", nil, upgradable)
-	w := f.worker("w1", "cut")
-	got := submit(f.job("render", "h1"))
+	f := newGearmanWith(t, "", nil, withInheritedListener)
+	w := f.connectWorker("w1", "cut")
+	got := submit(f.jobRequest("render", "h1"))
 	job := f.grabJob(w)
-	s := f.successor()
+	s := f.startSuccessor()
 	if err := f.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
@@ -510,11 +510,11 @@
 	if a := await(t, got, "answer"); a.Status != 200 || a.Body != "in time" {
 		t.Errorf("the client got %d %q %v", a.Status, a.Body, a.Err)
 	}
-	if err := await(t, f.ended, "end of the older process"); err != nil {
+	if err := await(t, f.exited, "end of the older process"); err != nil {
 		t.Error(err)
 	}
 	// The newer one takes workers at the same address.
-	next := f.peer()
+	next := f.connect()
 	if err := next.Announce("w2", "cut"); err != nil {
 		t.Fatal(err)
 	}
@@ -524,7 +524,7 @@
 // TestGearmanTLS guards who may come.
 func TestGearmanTLS(t *testing.T) {
 	t.Parallel()
-	pair, ca := certificate(t, "127.0.0.1")
+	pair, ca := newCertificate(t, "127.0.0.1")
 	key := filepath.Join(t.TempDir(), "key.pem")
 	if err := os.WriteFile(key, keyPEM(t, pair), 0o600); err != nil {
 		t.Fatal(err)
@@ -539,8 +539,8 @@
 	if err := p.Send(proto.EchoReq, "secret"); err != nil {
 		t.Fatal(err)
 	}
-	wants(t, p, proto.EchoRes, "secret")
-	plain := f.peer()
+	wantPacket(t, p, proto.EchoRes, "secret")
+	plain := f.connect()
 	if err := plain.Send(proto.EchoReq, "open"); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/frosttide/harness_test.go
+++ b/cmd/frosttide/harness_test.go
@@ -24,33 +24,34 @@
 	"frosttide/internal/dispatcher/monotime"
 )
 
-// TestMain runs the tests, or the program itself: the tests start this test binary again as
-// the real program, and speak to it as clients, workers and discovery would.
+// TestMain runs the tests, or the real program: the tests start this test binary again with
+// FROSTTIDE_TEST_PROGRAM set and talk to it as clients, runners and the discovery service do.
 func TestMain(m *testing.M) {
 	if os.Getenv("FROSTTIDE_TEST_PROGRAM") != "" {
-		setClock(os.Getenv("FROSTTIDE_TEST_CLOCK"))
-		inject()
+		shiftWallClock(os.Getenv("FROSTTIDE_TEST_CLOCK"))
+		injectFaults()
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// setClock shifts the program's wall clock by the seconds in a file, if there is one.
-func setClock(path string) {
-	machine := monotime.Wall
+// shiftWallClock shifts the program's wall clock by the number of seconds in the file at path, if
+// that file exists.
+func shiftWallClock(path string) {
+	realWall := monotime.Wall
 	monotime.Wall = func() time.Duration {
-		text, _ := os.ReadFile(path) // none for a clock that is right
-		off, _ := strconv.Atoi(string(text))
-		return machine() + time.Duration(off)*time.Second
+		text, _ := os.ReadFile(path) // a missing file means no shift
+		offset, _ := strconv.Atoi(string(text))
+		return realWall() + time.Duration(offset)*time.Second
 	}
 }
 
-// testTimeout bounds each wait for an event. No test waits for it to pass.
+// testTimeout bounds each wait for an event. No test relies on its expiry.
 const testTimeout = 20 * time.Second
 
-// testSettings has a class for each effect. The connect timeout is longer than anything
-// that happens on loopback.
+// testSettings has a request class for each effect. The connect timeout is longer than any connect
+// on loopback takes.
 const testSettings = `{"balancers":1,"me":0,"zone":0,"zones":["a","b"],"kinds":["m"],"discovery":"on_request",
 "request-classes":[
  {"name":"render","effect":"safe","aim":2000000,"give-up":20000000,"worth":1},
@@ -61,51 +62,52 @@
 "report":{"source":"none"},"family-info":{"tells-start":true},
 "rules":{"ask-within":1000000,"drain-grace":500000,"cold-from":0.13,"warm-within":23000000,"fall-multiple":2.5,"fall":1000000}}`
 
-// dispatcher is a running frosttide.
+// dispatcher is a running frosttide process.
 type dispatcher struct {
 	t           *testing.T
 	addr        string
-	consoleAddr string // the console's address
+	consoleAddr string // listen address of the operators' console
 	cmd         *exec.Cmd
 	lines       chan string
-	ended       chan error
+	exited      chan error
 	logLines    []string
-	cfg         string // the file, with the address of discovery as %s
-	path        string // of the file
+	cfg         string // text of the configuration file, with %s for the address of discovery
+	path        string // path of the configuration file
 
-	lastRaw atomic.Pointer[time.Time] // when raw opened its last connection; several may open at once
+	// lastDial is when dialAndWrite last opened a connection; several may be opened at once.
+	lastDial atomic.Pointer[time.Time]
 }
 
-// discovery is a fake discovery service. The test writes the lines of each watch.
+// discovery is a fake discovery service. The test writes the lines of each watch response.
 type discovery struct {
 	*httptest.Server
-	watches chan *watch
-	given   atomic.Pointer[string] // the whole list that its dispatcher was started with
-	silent  atomic.Bool            // watches say nothing while nothing changes, as when the machine has vanished
-	closed  chan struct{}
-	once    sync.Once
+	watches      chan *watch
+	initialList  atomic.Pointer[string] // the full target list that its dispatcher was started with
+	noHeartbeats atomic.Bool            // send no heartbeats, as when the host of the service is lost
+	closed       chan struct{}
+	once         sync.Once
 }
 
-// discoveries are the running *discovery by URL.
+// discoveries maps the URL of each running fake discovery service to its *discovery.
 var discoveries sync.Map
 
-// unfinished marks the end of what is not a whole line yet.
-const unfinished = "..."
+// partialLine ends a text that is sent without its newline, as an incomplete line.
+const partialLine = "..."
 
-// watch is a call of the dispatcher to discovery.
+// watch is a request of the dispatcher to discovery, for changes or for the full list.
 type watch struct {
-	query string
-	lines chan string // closed to end the watch
-	done  <-chan struct{}
+	query     string
+	lines     chan string // closed by the test to end the response
+	callEnded <-chan struct{}
 }
 
-// newDiscovery starts a discovery that ends with the test.
+// newDiscovery starts a fake discovery service that is closed when the test ends.
 func newDiscovery(t *testing.T) *discovery {
 	d := &discovery{watches: make(chan *watch, 64), closed: make(chan struct{})}
 	return d.serveAt(t, uniqueIP()+":0")
 }
 
-// serveAt serves at an address until the test ends.
+// serveAt listens on addr and serves until the test ends.
 func (d *discovery) serveAt(t *testing.T, addr string) *discovery {
 	t.Helper()
 	l, err := net.Listen("tcp", addr)
@@ -119,8 +121,8 @@
 	return d
 }
 
-// Close ends the service and all calls. The server's own Close would wait for each call, also
-// for one that came after the others were ended or that no test looks at.
+// Close stops the service and ends all requests. httptest.Server.Close alone would block on
+// requests that arrive after the others were ended or that no test reads.
 func (d *discovery) Close() {
 	d.once.Do(func() {
 		close(d.closed)
@@ -129,17 +131,18 @@
 	})
 }
 
-// handler responds to each call as the test says.
+// handler answers requests for the full list with initialList, if that is set, and passes all other
+// requests to the test as watches.
 func (d *discovery) handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if given := d.given.Load(); given != nil && r.URL.RawQuery == "" && !d.silent.Load() {
-			fmt.Fprintln(w, *given) // what a process asks that begins with that list
+		if given := d.initialList.Load(); given != nil && r.URL.RawQuery == "" && !d.noHeartbeats.Load() {
+			fmt.Fprintln(w, *given)
 			return
 		}
-		x := &watch{query: r.URL.RawQuery, lines: make(chan string, 16), done: r.Context().Done()}
+		x := &watch{query: r.URL.RawQuery, lines: make(chan string, 16), callEnded: r.Context().Done()}
 		w.WriteHeader(http.StatusOK)
-		if r.URL.Query().Get("watch") == "1" && !d.silent.Load() {
-			fmt.Fprint(w, "\n") // nothing has changed: a process that begins need not wait for more
+		if r.URL.Query().Get("watch") == "1" && !d.noHeartbeats.Load() {
+			fmt.Fprint(w, "\n") // no change: a starting process need not wait for more
 		}
 		w.(http.Flusher).Flush()
 		select {
@@ -147,14 +150,16 @@
 		case <-d.closed:
 			return
 		}
-		beat := time.NewTicker(time.Second) // discovery's own; within an object it would say nothing
-		defer beat.Stop()
-		for whole, wrote := true, false; ; {
+		// Heartbeats are blank lines, which are significant only between JSON objects.
+		heartbeat := time.NewTicker(time.Second)
+		defer heartbeat.Stop()
+		for lineComplete, written := true, false; ; {
 			select {
-			case <-beat.C:
-				// A call for the whole list that a test leaves open once it has its answer
-				// stays so: it would be made again, and the test take that for another's.
-				if (r.URL.Query().Get("watch") == "1" || wrote) && whole && !d.silent.Load() {
+			case <-heartbeat.C:
+				// A full-list request that the test has answered but not ended gets heartbeats too:
+				// without them the dispatcher would give up on it and request the list again, and the
+				// test would mistake that for a different request.
+				if (r.URL.Query().Get("watch") == "1" || written) && lineComplete && !d.noHeartbeats.Load() {
 					fmt.Fprint(w, "\n")
 					w.(http.Flusher).Flush()
 				}
@@ -162,8 +167,8 @@
 				if !ok {
 					return
 				}
-				whole, wrote = !strings.HasSuffix(line, unfinished), true
-				fmt.Fprint(w, strings.TrimSuffix(line+"\n", unfinished+"\n"))
+				lineComplete, written = !strings.HasSuffix(line, partialLine), true
+				fmt.Fprint(w, strings.TrimSuffix(line+"\n", partialLine+"\n"))
 				w.(http.Flusher).Flush()
 			case <-r.Context().Done():
 				return
@@ -174,78 +179,78 @@
 	})
 }
 
-// entry returns an entry of the list.
-func entry(uid, addr, state string) string {
+// targetEntry returns the entry of a runner in a target list.
+func targetEntry(uid, addr, state string) string {
 	return fmt.Sprintf(`{"uid":%q,"endpoint":%q,"az":"a","model":"m","pod_group":1,"state":%q,"capacity_hint":1,"boot_ms":0}`,
 		uid, addr, state)
 }
 
-// list returns a list, or with all false a change of one.
-func list(rev int, all bool, entries ...string) string {
+// targetList returns a full target list of revision rev, or an incremental change if all is false.
+func targetList(rev int, all bool, entries ...string) string {
 	return fmt.Sprintf(`{"rev":%d,"all":%t,"targets":[%s]}`, rev, all, strings.Join(entries, ","))
 }
 
-// closed waits until addresses whose listeners have just been closed can be opened again. A
-// process that is being started meanwhile holds copies of all descriptors until its program
-// runs, and still for a moment after the fork lock is released: the kernel lets the parent go on
-// before it closes them. So closed tries the addresses while nobody may start a process.
-func closed(t *testing.T, addrs ...string) {
+// awaitPortsFree waits until addresses whose listeners have just been closed can be bound again. A
+// child process holds copies of all descriptors between fork and exec, and for a moment after the
+// fork lock is released, because the kernel resumes the parent before it closes them. So
+// awaitPortsFree binds the addresses while it holds the fork lock, so that no process is started.
+func awaitPortsFree(t *testing.T, addrs ...string) {
 	t.Helper()
 	syscall.ForkLock.Lock()
 	defer syscall.ForkLock.Unlock()
 	for _, addr := range addrs {
-		for over := time.Now().Add(testTimeout); ; runtime.Gosched() {
+		for deadline := time.Now().Add(testTimeout); ; runtime.Gosched() {
 			l, err := net.Listen("tcp", addr)
 			if err == nil {
 				l.Close()
 				break
 			}
-			if time.Now().After(over) {
-				t.Fatalf("%s does not become free: %v", addr, err)
+			if time.Now().After(deadline) {
+				t.Fatalf("%s cannot be bound again: %v", addr, err)
 			}
 		}
 	}
 }
 
-// uniqueIP returns an IP address that nothing else in the tests uses, neither a listener nor an
-// outgoing connection, as those use 127.0.0.1. So a port stays free between its choice and its
-// use, and until it is opened again.
+// uniqueIP returns a loopback address that nothing else in the tests uses. Other listeners and
+// outgoing connections use 127.0.0.1, so a port on this address stays free between its choice and
+// its use, and until it is bound again.
 func uniqueIP() string {
-	n := started.Add(1)
+	n := uniqueIPs.Add(1)
 	return fmt.Sprintf("127.77.%d.%d", n/200, n%200+1)
 }
 
-// started counts the addresses of uniqueIP.
-var started atomic.Int32
+// uniqueIPs counts the addresses that uniqueIP has returned.
+var uniqueIPs atomic.Int32
 
-// start starts a dispatcher that is given the entries of a list.
+// start starts a dispatcher whose configuration holds the known target entries.
 func start(t *testing.T, discoveryURL string, sockets int, known ...string) *dispatcher {
 	t.Helper()
 	return startWith(t, discoveryURL, sockets, known)
 }
 
-// startWith does so after edits.
+// startWith starts a dispatcher like start, after it has applied the edits to it.
 func startWith(t *testing.T, discoveryURL string, sockets int, known []string, edit ...func(*dispatcher)) *dispatcher {
 	t.Helper()
 	ip := uniqueIP()
-	free, err := net.Listen("tcp", ip+":0")
+	clients, err := net.Listen("tcp", ip+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	other, err := net.Listen("tcp", ip+":0")
+	console, err := net.Listen("tcp", ip+":0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d := &dispatcher{t: t, addr: free.Addr().String(), consoleAddr: other.Addr().String()}
-	free.Close()
-	other.Close()
-	closed(t, d.addr, d.consoleAddr)
+	d := &dispatcher{t: t, addr: clients.Addr().String(), consoleAddr: console.Addr().String()}
+	clients.Close()
+	console.Close()
+	awaitPortsFree(t, d.addr, d.consoleAddr)
 	d.cfg = fmt.Sprintf(`{"name":"n0","listen":%q,"console":%q,"discovery":"%%s","seed":"8c1f30d27a5be964","unheard":1,
 		"limits":{"cores":1.0,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
-		d.addr, d.consoleAddr, sockets, list(41, true, known...), testSettings)
+		d.addr, d.consoleAddr, sockets, targetList(41, true, known...), testSettings)
 	if disc, ok := discoveries.Load(discoveryURL); ok {
-		given := list(41, true, known...)
-		disc.(*discovery).given.Store(&given)
+		given := targetList(41, true, known...)
+		disc.(*discovery).initialList.Store(&given)
 	}
 	d.cmd, d.path = program(t, fmt.Sprintf(d.cfg, "127.0.0.1:1"))
 	d.cmd.Env = append(d.cmd.Env, "BALANCER_DISCOVERY="+strings.TrimPrefix(discoveryURL, "http://"))
@@ -257,46 +262,48 @@
 	return d
 }
 
-// run starts the program and follows its log.
+// run starts the program and collects the lines of its log. At the end of the test it kills the
+// process and fails the test if the race detector reported a data race.
 func (d *dispatcher) run() {
 	d.t.Helper()
-	d.lines, d.ended = make(chan string, 1<<16), make(chan error, 1)
-	lines, ended := d.lines, d.ended
-	out, err := d.cmd.StderrPipe()
+	d.lines, d.exited = make(chan string, 1<<16), make(chan error, 1)
+	lines, exited := d.lines, d.exited
+	stderr, err := d.cmd.StderrPipe()
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	if err := d.cmd.Start(); err != nil {
 		d.t.Fatal(err)
 	}
-	cmd, over := d.cmd, make(chan bool, 1)
+	cmd, raceReported := d.cmd, make(chan bool, 1)
 	go func() {
 		raced := false
-		for in := bufio.NewScanner(out); in.Scan(); {
+		for in := bufio.NewScanner(stderr); in.Scan(); {
 			raced = raced || strings.Contains(in.Text(), "WARNING: DATA RACE")
 			select {
 			case lines <- in.Text():
-			default: // no test reads them, and the process must not wait
+			default: // drop the line: the buffer is full, and the process must not block on stderr
 			}
 		}
-		ended <- cmd.Wait()
-		over <- raced
+		exited <- cmd.Wait()
+		raceReported <- raced
 	}()
 	d.t.Cleanup(func() {
 		cmd.Process.Kill()
-		if await(d.t, over, "end of the process") {
+		if await(d.t, raceReported, "end of the process") {
 			d.t.Error("the race detector reported a race in the program")
 		}
 	})
 }
 
-// underRace is the environment of the started programs for the race detector, in builds that
-// have it: without its second of sleep at the end, which would count as the program's, and with
-// an end at the first report.
-const underRace = "GORACE=atexit_sleep_ms=0 halt_on_error=1"
+// raceOptions is the environment variable of started programs for the race detector, in builds that
+// have it. It disables the detector's sleep of one second at exit, which would count as time of the
+// program, and halts at the first report.
+const raceOptions = "GORACE=atexit_sleep_ms=0 halt_on_error=1"
 
-// upgradable has the test hold the clients' listening socket, as the platform does.
-func upgradable(d *dispatcher) {
+// withInheritedListener has the test hold the listening socket for clients and pass it to the
+// program, as the platform does for upgrades.
+func withInheritedListener(d *dispatcher) {
 	l, err := net.Listen("tcp", d.addr)
 	if err != nil {
 		d.t.Fatal(err)
@@ -311,16 +318,17 @@
 	d.cmd.Env = append(d.cmd.Env, "BALANCER_FD=3", "TMPDIR="+d.t.TempDir())
 }
 
-// successor starts a newer process of the dispatcher beside it, with a console of its own.
-func (d *dispatcher) successor() *dispatcher {
+// startSuccessor starts a newer process of the dispatcher next to it, with the same configuration
+// and clients' listener and a console address of its own.
+func (d *dispatcher) startSuccessor() *dispatcher {
 	d.t.Helper()
-	other, err := net.Listen("tcp", strings.Split(d.addr, ":")[0]+":0")
+	console, err := net.Listen("tcp", strings.Split(d.addr, ":")[0]+":0")
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	other.Close()
-	closed(d.t, other.Addr().String())
-	s := &dispatcher{t: d.t, addr: d.addr, consoleAddr: other.Addr().String(), cfg: d.cfg, path: d.path, cmd: exec.Command(os.Args[0], d.cmd.Args[1:]...)}
+	console.Close()
+	awaitPortsFree(d.t, console.Addr().String())
+	s := &dispatcher{t: d.t, addr: d.addr, consoleAddr: console.Addr().String(), cfg: d.cfg, path: d.path, cmd: exec.Command(os.Args[0], d.cmd.Args[1:]...)}
 	s.cmd.ExtraFiles = d.cmd.ExtraFiles
 	s.cmd.Env = append(slices.Clone(d.cmd.Env), "BALANCER_CONSOLE="+s.consoleAddr)
 	s.run()
@@ -328,21 +336,23 @@
 	return s
 }
 
-// call makes an operator's call and returns the status and the text of the response.
-func (d *dispatcher) call(method, path, body string) (int, string) {
+// callConsole sends a request to the operators' console and returns the status and the body of the
+// response.
+func (d *dispatcher) callConsole(method, path, body string) (int, string) {
 	d.t.Helper()
 	req, err := http.NewRequest(method, "http://"+d.consoleAddr+path, strings.NewReader(body))
 	if err != nil {
 		d.t.Fatal(err)
 	}
-	a := do(&http.Client{Transport: &http.Transport{}, Timeout: time.Second}, req) // as long as operators wait
-	if a.Err != nil {
-		d.t.Fatal(a.Err)
+	// Operators use the same timeout.
+	resp := do(&http.Client{Transport: &http.Transport{}, Timeout: time.Second}, req)
+	if resp.Err != nil {
+		d.t.Fatal(resp.Err)
 	}
-	return a.Status, a.Body
+	return resp.Status, resp.Body
 }
 
-// reload replaces the configuration file and signals the program.
+// reload replaces the configuration file atomically and sends SIGHUP to the program.
 func (d *dispatcher) reload(cfg string) {
 	d.t.Helper()
 	if err := os.WriteFile(d.path+".new", []byte(cfg), 0o600); err != nil {
@@ -356,8 +366,8 @@
 	}
 }
 
-// program returns the command that runs frosttide with a configuration, and the path of the
-// configuration's file.
+// program returns the command that runs frosttide with the configuration cfg, and the path of the
+// configuration file.
 func program(t *testing.T, cfg string) (*exec.Cmd, string) {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -365,14 +375,14 @@
 		t.Fatal(err)
 	}
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", underRace, "BALANCER_CONFIG=" + path}
+	cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", raceOptions, "BALANCER_CONFIG=" + path}
 	return cmd, path
 }
 
-// awaitLog waits for a log line with a text.
+// awaitLog waits for a log line that contains text.
 func (d *dispatcher) awaitLog(text string) {
 	d.t.Helper()
-	over := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case line := <-d.lines:
@@ -380,8 +390,8 @@
 			if strings.Contains(line, text) {
 				return
 			}
-		case <-over:
-			d.t.Fatalf("no log line %q; log:\n%s", text, strings.Join(d.logLines, "\n"))
+		case <-timeout:
+			d.t.Fatalf("no log line contains %q; log:\n%s", text, strings.Join(d.logLines, "\n"))
 		}
 	}
 }
@@ -398,17 +408,17 @@
 	}
 }
 
-// response is what a client got, or the error in place of it.
+// response is the response that a client received, or the error that it got instead.
 type response struct {
 	Status int
 	Body   string
 	Header http.Header
 	Err    error
-	Close  bool // the dispatcher closes the connection
+	Close  bool // the response announces that the dispatcher closes the connection
 }
 
-// job returns a client's request that is not sent yet.
-func (d *dispatcher) job(class, id string, edit ...func(*http.Request)) *http.Request {
+// jobRequest returns a client's request to submit a job, without sending it.
+func (d *dispatcher) jobRequest(class, id string, edit ...func(*http.Request)) *http.Request {
 	req, err := http.NewRequest("POST", "http://"+d.addr+"/"+class+"/clip%2F7?q=a+b", strings.NewReader("frames of "+id))
 	if err != nil {
 		d.t.Fatal(err)
@@ -426,15 +436,16 @@
 	return req
 }
 
-// raw opens a connection that ends with the test and writes text to it.
-func (d *dispatcher) raw(text string) net.Conn {
+// dialAndWrite connects to the clients' listener and writes text. The connection is closed when the
+// test ends.
+func (d *dispatcher) dialAndWrite(text string) net.Conn {
 	d.t.Helper()
 	c, err := net.Dial("tcp", d.addr)
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	now := time.Now()
-	d.lastRaw.Store(&now)
+	d.lastDial.Store(&now)
 	d.t.Cleanup(func() { c.Close() })
 	if _, err := io.WriteString(c, text); err != nil {
 		d.t.Fatal(err)
@@ -442,7 +453,7 @@
 	return c
 }
 
-// submit sends a job in the background.
+// submit sends a request in the background on a connection of its own.
 func submit(req *http.Request) <-chan response {
 	got := make(chan response, 1)
 	go func() { got <- do(&http.Client{Transport: &http.Transport{}}, req) }()
@@ -461,9 +472,9 @@
 	return response{Status: resp.StatusCode, Body: string(text), Header: resp.Header, Err: err, Close: resp.Close}
 }
 
-// report sends a worker's report, again until it has a response as workers do, and returns
-// the response's status.
-func (d *dispatcher) report(body string) int {
+// sendReport sends a runner's report on a job and returns the status of the response. It sends the
+// report up to 10 times until it gets a response, as runners do.
+func (d *dispatcher) sendReport(body string) int {
 	d.t.Helper()
 	var err error
 	for range 10 {
@@ -478,42 +489,42 @@
 	return 0
 }
 
-// event returns a worker's report on a job.
-func event(id, from, state string) string {
+// jobEvent returns the body of a runner's report that the job is in state.
+func jobEvent(id, from, state string) string {
 	text, _ := json.Marshal(map[string]any{"id": id, "from": from, "state": state, "result": "clip of " + id + " by " + from, "new": 1})
 	return string(text)
 }
 
-// await takes the next value from a channel.
+// await receives the next value from a channel, or fails the test after testTimeout.
 func await[T any](t *testing.T, from <-chan T, what string) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(testTimeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("no %s before the timeout", what)
 		panic("unreachable")
 	}
 }
 
-// runner is a fake worker on a raw listener, so that it can do with connections what no HTTP
-// server would.
+// runner is a fake runner on a raw TCP listener, so that tests can do things on a connection that
+// an HTTP server would not.
 type runner struct {
 	uid, addr string
 	listener  net.Listener
-	requests  chan *runnerRequest // jobs, recalls and probes as they arrive whole
+	requests  chan *runnerRequest // complete requests: jobs, recalls and probes
 	conns     sync.Map
 }
 
-// runnerRequest is a request at a worker. The test responds to it.
+// runnerRequest is a request that a runner received. The test responds to it.
 type runnerRequest struct {
 	*http.Request
-	body  string
-	conn  net.Conn
-	ended chan struct{} // closed when the connection has ended
+	body       string
+	conn       net.Conn
+	connClosed chan struct{} // closed when conn has ended
 }
 
-// newRunner starts a worker that ends with the test.
+// newRunner starts a fake runner that is closed when the test ends.
 func newRunner(t *testing.T, uid string) *runner {
 	t.Helper()
 	l, err := net.Listen("tcp", uniqueIP()+":0")
@@ -538,10 +549,10 @@
 	return r
 }
 
-// read passes on the requests of a connection until that ends.
+// read passes the requests on a connection to r.requests until the connection ends.
 func (r *runner) read(c net.Conn) {
-	ended := make(chan struct{})
-	defer close(ended)
+	connClosed := make(chan struct{})
+	defer close(connClosed)
 	for in := bufio.NewReader(c); ; {
 		req, err := http.ReadRequest(in)
 		if err != nil {
@@ -551,15 +562,17 @@
 		if err != nil {
 			return
 		}
-		r.requests <- &runnerRequest{Request: req, body: string(body), conn: c, ended: ended}
+		r.requests <- &runnerRequest{Request: req, body: string(body), conn: c, connClosed: connClosed}
 	}
 }
 
+// id returns the trace ID of the job, by which tests tell jobs apart.
 func (h *runnerRequest) id() string { return h.Header.Get("X-Trace-Id") }
 
-// reply responds to the request. Each header ends with \r\n.
+// reply responds with a status, headers and an empty body. Each header must end with \r\n.
 func (h *runnerRequest) reply(status int, headers string) {
 	fmt.Fprintf(h.conn, "HTTP/1.1 %d %s\r\n%sContent-Length: 0\r\n\r\n", status, http.StatusText(status), headers)
 }
 
-func (r *runner) entry() string { return entry(r.uid, r.addr, "SERVING") }
+// entry returns the runner's entry in a target list.
+func (r *runner) entry() string { return targetEntry(r.uid, r.addr, "SERVING") }
--- a/cmd/frosttide/inject_test.go
+++ b/cmd/frosttide/inject_test.go
@@ -22,11 +22,11 @@
 	envClientFault  = "FROSTTIDE_TEST_CLIENT_FAULT"  // a file: the same of a connection that was accepted
 )
 
-// waiting ends the name of the file that shows that a dial waits.
-const waiting = ".waiting"
+// waitingSuffix ends the name of the file that shows that a dial waits.
+const waitingSuffix = ".waiting"
 
-// inject puts in the faults that the environment names.
-func inject() {
+// injectFaults puts in the faults that the environment names.
+func injectFaults() {
 	if path := os.Getenv(envBlockedDials); path != "" {
 		dialRunner = blockingDial(path)
 	}
@@ -60,7 +60,7 @@
 			if _, err := os.Stat(path); err != nil {
 				break
 			}
-			_ = os.WriteFile(path+waiting, nil, 0o600)
+			_ = os.WriteFile(path+waitingSuffix, nil, 0o600)
 			if time.Now().After(deadline) {
 				return nil, os.ErrDeadlineExceeded
 			}
--- a/cmd/frosttide/jobs_test.go
+++ b/cmd/frosttide/jobs_test.go
@@ -9,8 +9,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// one starts a dispatcher with one runner.
-func one(t *testing.T) (*dispatcher, *runner) {
+// startWithRunner starts a dispatcher whose target list holds one fake runner.
+func startWithRunner(t *testing.T) (*dispatcher, *runner) {
 	t.Helper()
 	r := newRunner(t, "s-1")
 	return start(t, newDiscovery(t).URL, 1024, r.entry()), r
@@ -21,7 +21,7 @@
 // the reports.
 func TestServed(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	for _, tc := range []struct {
 		name   string
 		report []string // states; "202" is the answer to the attempt; "!" marks one from a stranger
@@ -34,7 +34,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			id := strings.ReplaceAll(tc.name, " ", "-")
-			got := submit(d.job("release", id))
+			got := submit(d.jobRequest("release", id))
 			h := await(t, r.requests, "hop")
 			left, err := strconv.Atoi(h.Header.Get("X-Expires-In-Ms"))
 			if err != nil || left > 15000 || left < 10000 {
@@ -56,7 +56,7 @@
 				if strings.HasPrefix(state, "!") {
 					from = "s-stranger"
 				}
-				if code := d.report(event(id, from, strings.TrimPrefix(state, "!"))); code != 204 {
+				if code := d.sendReport(jobEvent(id, from, strings.TrimPrefix(state, "!"))); code != 204 {
 					t.Errorf("call-back %s got %d", state, code)
 				}
 			}
@@ -79,7 +79,7 @@
 	report := func(state string) func(*dispatcher, *runnerRequest) {
 		return func(d *dispatcher, h *runnerRequest) {
 			h.reply(202, "")
-			d.report(event(h.id(), "s-1", state))
+			d.sendReport(jobEvent(h.id(), "s-1", state))
 		}
 	}
 	for _, tc := range []struct {
@@ -106,16 +106,16 @@
 			disc := newDiscovery(t)
 			d := start(t, disc.URL, 1024, first.entry())
 			w := await(t, disc.watches, "watch")
-			got := submit(d.job(tc.class, "x1"))
+			got := submit(d.jobRequest(tc.class, "x1"))
 			h := await(t, first.requests, "hop")
-			w.lines <- list(42, false, second.entry())
+			w.lines <- targetList(42, false, second.entry())
 			d.awaitLog("target=s-2")
 			tc.end(d, h)
 			if tc.again {
 				if h := await(t, second.requests, "second hop"); h.id() != "x1" {
 					t.Errorf("the second hop is of %q", h.id())
 				}
-				d.report(event("x1", "s-2", "done"))
+				d.sendReport(jobEvent("x1", "s-2", "done"))
 				tc.status = 200
 			}
 			if a := await(t, got, "answer"); a.Status != tc.status {
@@ -136,16 +136,16 @@
 	for _, body := range []string{"", "frames"} {
 		t.Run("body "+strconv.Quote(body), func(t *testing.T) {
 			t.Parallel()
-			d, r := one(t)
-			warm := submit(d.job("release", "warm"))
+			d, r := startWithRunner(t)
+			warm := submit(d.jobRequest("release", "warm"))
 			h := await(t, r.requests, "hop")
 			h.reply(202, "")
-			d.report(event("warm", r.uid, "done"))
+			d.sendReport(jobEvent("warm", r.uid, "done"))
 			await(t, warm, "answer")
-			got := submit(d.job("release", "x1", func(req *http.Request) {
+			got := submit(d.jobRequest("release", "x1", func(req *http.Request) {
 				req.Body, req.ContentLength, req.GetBody = http.NoBody, int64(len(body)), nil
 				if body != "" {
-					req.Body = d.job("render", "-").Body
+					req.Body = d.jobRequest("render", "-").Body
 					req.ContentLength = int64(len("frames of -"))
 				}
 			}))
--- a/cmd/frosttide/lifecycle_test.go
+++ b/cmd/frosttide/lifecycle_test.go
@@ -14,22 +14,22 @@
 // all it has taken is answered, whoever is connected and says nothing.
 func TestDrain(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
-	got := submit(d.job("render", "x1"))
+	d, r := startWithRunner(t)
+	got := submit(d.jobRequest("render", "x1"))
 	await(t, r.requests, "hop").reply(202, "")
-	long := submit(d.job("once", "long"))
+	long := submit(d.jobRequest("once", "long"))
 	await(t, r.requests, "hop").reply(202, "")
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	told := time.Now()
 	d.awaitLog("frosttide drains")
-	stuck := submit(d.job("render", "stuck"))
+	stuck := submit(d.jobRequest("render", "stuck"))
 	await(t, r.requests, "hop").reply(202, "")
-	d.report(event("stuck", r.uid, "started")) // late starts would have arrivals shed
-	for n := 0; ; n++ {                        // the others are served, until clients are told to leave
+	d.sendReport(jobEvent("stuck", r.uid, "started")) // late starts would have arrivals shed
+	for n := 0; ; n++ {                               // the others are served, until clients are told to leave
 		id := fmt.Sprintf("late-%d", n)
-		late := submit(d.job("render", id))
+		late := submit(d.jobRequest("render", id))
 		var h *runnerRequest
 		select {
 		case h = <-r.requests:
@@ -42,8 +42,8 @@
 			break // too late for its class: refused, and told to leave
 		}
 		h.reply(202, "")
-		d.report(event(id, r.uid, "started"))
-		d.report(event(id, r.uid, "done"))
+		d.sendReport(jobEvent(id, r.uid, "started"))
+		d.sendReport(jobEvent(id, r.uid, "done"))
 		a := await(t, late, "answer")
 		if a.Status != 200 {
 			t.Fatalf("late answer %+v", a)
@@ -52,13 +52,13 @@
 			break
 		}
 	}
-	if code := d.report(event("x1", r.uid, "done")); code != 204 {
+	if code := d.sendReport(jobEvent("x1", r.uid, "done")); code != 204 {
 		t.Errorf("call-back while draining got %d", code)
 	}
 	if a := await(t, got, "answer"); a.Status != 200 || a.Body != "clip of x1 by s-1" {
 		t.Errorf("answer %+v", a)
 	}
-	d.raw("") // says nothing, and is not waited for
+	d.dialAndWrite("") // says nothing, and is not waited for
 	for what, got := range map[string]struct {
 		from   <-chan response
 		status int
@@ -68,7 +68,7 @@
 		}
 	}
 	answered := time.Now()
-	if err := await(t, d.ended, "end"); err != nil {
+	if err := await(t, d.exited, "end"); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 	if took := time.Since(answered); took > 1500*time.Millisecond {
@@ -86,7 +86,7 @@
 	first, second := newDiscovery(t), newDiscovery(t)
 	d := start(t, first.URL, 1024, r.entry())
 	old := await(t, first.watches, "watch")
-	got := submit(d.job("render", "x1"))
+	got := submit(d.jobRequest("render", "x1"))
 	await(t, r.requests, "hop").reply(202, "")
 
 	for _, bad := range []string{`{"name":`, fmt.Sprintf(d.cfg, "nowhere")} {
@@ -95,25 +95,25 @@
 	}
 	d.reload(fmt.Sprintf(d.cfg, strings.TrimPrefix(second.URL, "http://")))
 	asked := await(t, second.watches, "call to the new discovery")
-	await(t, old.done, "end of the old watch")
+	await(t, old.callEnded, "end of the old watch")
 	if asked.query != "watch=1&from=41" {
 		t.Errorf("the new discovery was first asked for %q", asked.query)
 	}
-	asked.lines <- list(6, false, entry("s-1", r.addr, "DRAINING")) // its versions are others
+	asked.lines <- targetList(6, false, targetEntry("s-1", r.addr, "DRAINING")) // its versions are others
 	whole := await(t, second.watches, "call for the whole list")
 	if whole.query != "" {
 		t.Errorf("the new discovery was then asked for %q, want the whole list", whole.query)
 	}
-	d.report(event("x1", r.uid, "done"))
+	d.sendReport(jobEvent("x1", r.uid, "done"))
 	if a := await(t, got, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v to the request that was open", a)
 	}
-	kept := submit(d.job("render", "x2")) // the list is kept meanwhile
+	kept := submit(d.jobRequest("render", "x2")) // the list is kept meanwhile
 	await(t, r.requests, "hop").reply(202, "")
-	d.report(event("x2", r.uid, "done"))
+	d.sendReport(jobEvent("x2", r.uid, "done"))
 	await(t, kept, "answer")
 
-	whole.lines <- list(7, true, other.entry())
+	whole.lines <- targetList(7, true, other.entry())
 	close(whole.lines)
 	w := await(t, second.watches, "watch on the new discovery")
 	if w.query != "watch=1&from=7" {
@@ -122,7 +122,7 @@
 	d.awaitLog("egress target gone")
 	d.reload(fmt.Sprintf(d.cfg, strings.TrimPrefix(second.URL, "http://"))) // the same once more
 	d.awaitLog("configuration reread")
-	last := submit(d.job("render", "x3"))
+	last := submit(d.jobRequest("render", "x3"))
 	await(t, other.requests, "hop at the new runner").reply(202, "")
 
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -131,11 +131,11 @@
 	d.awaitLog("frosttide drains")
 	d.reload(fmt.Sprintf(d.cfg, strings.TrimPrefix(first.URL, "http://")))
 	await(t, first.watches, "call to the first discovery again")
-	d.report(event("x3", other.uid, "done"))
+	d.sendReport(jobEvent("x3", other.uid, "done"))
 	if a := await(t, last, "answer"); a.Status != 200 {
 		t.Errorf("answer %+v while draining", a)
 	}
-	if err := await(t, d.ended, "end"); err != nil {
+	if err := await(t, d.exited, "end"); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 }
--- a/cmd/frosttide/list_test.go
+++ b/cmd/frosttide/list_test.go
@@ -29,38 +29,38 @@
 	}
 	serve := func(id string, r *runner) {
 		t.Helper()
-		got := submit(d.job("render", id))
+		got := submit(d.jobRequest("render", id))
 		await(t, r.requests, "hop").reply(202, "")
-		d.report(event(id, "s-1", "done"))
+		d.sendReport(jobEvent(id, "s-1", "done"))
 		if a := await(t, got, "answer"); a.Status != 200 {
 			t.Errorf("%s: answer %+v", id, a)
 		}
 	}
 	refused := func(id string) {
 		t.Helper()
-		if a := await(t, submit(d.job("render", id)), "answer"); a.Status != 503 {
+		if a := await(t, submit(d.jobRequest("render", id)), "answer"); a.Status != 503 {
 			t.Errorf("%s: answer %+v, want a refusal", id, a)
 		}
 	}
 	for _, garbage := range []string{`{"rev":42,"all":true,"targets":[]} nonsense`, `{"rev":"42","all":true}`, `{"all":true}`, `{"rev":42,"all":tr!`} {
 		w.lines <- garbage
-		await(t, w.done, "end of the call whose answer can't be read")
+		await(t, w.callEnded, "end of the call whose answer can't be read")
 		if w = await(t, disc.watches, "another watch"); strings.HasPrefix(garbage, `{"rev":42,"all":true`) {
 			d.awaitLog("egress target gone") // the object before the garbage counts
-			w.lines <- list(41, true, r.entry())
+			w.lines <- targetList(41, true, r.entry())
 			d.awaitLog("egress target listed")
 			serve("after-garbage", r)
 		} else if w.query != "watch=1&from=41" {
 			t.Errorf("after %s the watch asks for %q", garbage, w.query)
 		}
 	}
-	w.lines <- list(42, true, `{"uid":"s-1","endpoint":"nowhere","az":"a","model":"m","state":"SERVING"}`)
+	w.lines <- targetList(42, true, `{"uid":"s-1","endpoint":"nowhere","az":"a","model":"m","state":"SERVING"}`)
 	d.awaitLog("list entry skipped")
 	serve("after-bad-lines", r)
-	w.lines <- indented(list(43, false, entry("s-1", moved.addr, "SERVING")))
+	w.lines <- indented(targetList(43, false, targetEntry("s-1", moved.addr, "SERVING")))
 	d.awaitLog("egress target moved")
 	serve("after-a-move", moved)
-	w.lines <- list(44, false, entry("s-1", moved.addr, "DRAINING"))
+	w.lines <- targetList(44, false, targetEntry("s-1", moved.addr, "DRAINING"))
 	d.awaitLog("egress target drains")
 	refused("while-draining")
 	close(w.lines)
@@ -68,21 +68,21 @@
 	if w.query != "watch=1&from=44" {
 		t.Errorf("the second watch asks for %q", w.query)
 	}
-	w.lines <- list(45, true, entry("s-1", moved.addr, "SERVING"))
-	w.lines <- list(46, true)
+	w.lines <- targetList(45, true, targetEntry("s-1", moved.addr, "SERVING"))
+	w.lines <- targetList(46, true)
 	d.awaitLog("egress target gone")
 	refused("when-gone")
 	// Guards against a watch whose machine has vanished: nobody ends it, and what it misses
 	// binds 6.5 s after its last byte.
-	disc.silent.Store(true)
+	disc.noHeartbeats.Store(true)
 	last := time.Now()
 	d.awaitLog("discovery has fallen silent")
-	await(t, w.done, "end of the silent watch")
+	await(t, w.callEnded, "end of the silent watch")
 	w = await(t, disc.watches, "third watch")
 	if took := time.Since(last); took < time.Second || took > 5*time.Second {
 		t.Errorf("asked again %v after the last byte", took)
 	}
-	w.lines <- list(47, true, entry("s-1", moved.addr, "SERVING"))
+	w.lines <- targetList(47, true, targetEntry("s-1", moved.addr, "SERVING"))
 	d.awaitLog("egress target listed")
 }
 
@@ -116,7 +116,7 @@
 			t.Parallel()
 			gone, there := newRunner(t, "s-1"), newRunner(t, "s-2")
 			disc := newDiscovery(t)
-			disc.silent.Store(true)
+			disc.noHeartbeats.Store(true)
 			sent := make(chan struct{}) // closed once a job waits at the open address
 			got := make(chan response, 1)
 			if answers {
@@ -135,7 +135,7 @@
 						case <-time.After(500 * time.Millisecond):
 						}
 					}
-					w.lines <- list(42, true, there.entry())
+					w.lines <- targetList(42, true, there.entry())
 					if tc.dispatchers <= freshness.MaxUnspreadCallers && w.query != "" {
 						t.Errorf("one of few first asks for %q: it is answered only once something changes", w.query)
 					}
@@ -153,7 +153,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				req := d.job("render", "first")
+				req := d.jobRequest("render", "first")
 				go func() {
 					var c net.Conn
 					var err error
@@ -184,7 +184,7 @@
 			}
 			h := await(t, from.requests, "job at the runner that is listed")
 			h.reply(202, "")
-			d.report(event(h.id(), from.uid, "done"))
+			d.sendReport(jobEvent(h.id(), from.uid, "done"))
 			if a := await(t, got, "answer"); a.Status != 200 {
 				t.Errorf("answered %+v", a)
 			}
@@ -203,31 +203,31 @@
 	first, second, third := newDiscovery(t), newDiscovery(t), newDiscovery(t)
 	d := start(t, first.URL, 1024, gone.entry(), drained.entry())
 	w := await(t, first.watches, "watch")
-	w.lines <- list(43, false, entry(gone.uid, gone.addr, "DELETED"), entry(drained.uid, drained.addr, "DRAINING"), kept.entry())
+	w.lines <- targetList(43, false, targetEntry(gone.uid, gone.addr, "DELETED"), targetEntry(drained.uid, drained.addr, "DRAINING"), kept.entry())
 	d.awaitLog("target=s-kept")
-	lagging := list(41, true, gone.entry(), drained.entry(), kept.entry())
+	lagging := targetList(41, true, gone.entry(), drained.entry(), kept.entry())
 	for i, next := range []*discovery{second, third} {
 		d.reload(fmt.Sprintf(d.cfg, strings.TrimPrefix(next.URL, "http://")))
 		w = await(t, next.watches, "call to the new discovery")
 		w.lines <- lagging
 		marker := fmt.Sprintf("s-marker-%d", i)
-		w.lines <- list(42, false, entry(marker, "127.0.0.1:1", "DRAINING"))
+		w.lines <- targetList(42, false, targetEntry(marker, "127.0.0.1:1", "DRAINING"))
 		d.awaitLog("target=" + marker)
 		for n := range 6 {
 			id := fmt.Sprintf("lagging-%d-%d", i, n)
-			got := submit(d.job("render", id))
+			got := submit(d.jobRequest("render", id))
 			h := await(t, kept.requests, "attempt at the runner that serves")
 			h.reply(202, "")
-			d.report(event(id, kept.uid, "started"))
-			d.report(event(id, kept.uid, "done"))
+			d.sendReport(jobEvent(id, kept.uid, "started"))
+			d.sendReport(jobEvent(id, kept.uid, "done"))
 			if a := await(t, got, "answer"); a.Status != 200 {
 				t.Errorf("%s: answer %+v", id, a)
 			}
 		}
 	}
-	w.lines <- list(44, false, entry(kept.uid, kept.addr, "DELETED"), drained.entry())
+	w.lines <- targetList(44, false, targetEntry(kept.uid, kept.addr, "DELETED"), drained.entry())
 	d.awaitLog("egress target gone")
-	submit(d.job("render", "caught-up"))
+	submit(d.jobRequest("render", "caught-up"))
 	select {
 	case h := <-drained.requests:
 		if h.id() != "caught-up" {
--- a/cmd/frosttide/locked_test.go
+++ b/cmd/frosttide/locked_test.go
@@ -19,7 +19,7 @@
 	if err := os.WriteFile(notADir, nil, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, upgradable, func(d *dispatcher) {
+	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener, func(d *dispatcher) {
 		d.cmd.Env = append(d.cmd.Env, "TMPDIR="+notADir) // the last of a name counts
 	})
 	refused := func(line string) bool { return strings.Contains(line, "no newer process will take over the state") }
@@ -27,7 +27,7 @@
 		t.Fatalf("%d lines on the refused link, want 1; log:\n%s", n, strings.Join(d.logLines, "\n"))
 	}
 	for _, id := range []string{"before-the-end", "during-the-end"} {
-		got := submit(d.job("render", id))
+		got := submit(d.jobRequest("render", id))
 		h := await(t, r.requests, "hop")
 		h.reply(202, "")
 		if id == "during-the-end" {
@@ -36,7 +36,7 @@
 			}
 			d.awaitLog("frosttide drains")
 		}
-		if code := d.report(event(id, r.uid, "done")); code != 204 {
+		if code := d.sendReport(jobEvent(id, r.uid, "done")); code != 204 {
 			t.Fatalf("call-back of %s got %d", id, code)
 		}
 		if a := await(t, got, "answer"); a.Status != 200 {
@@ -44,7 +44,7 @@
 		}
 	}
 	d.awaitLog("frosttide has answered everything and ends")
-	if err := await(t, d.ended, "end"); err != nil {
+	if err := await(t, d.exited, "end"); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 }
--- a/cmd/frosttide/mixed_test.go
+++ b/cmd/frosttide/mixed_test.go
@@ -51,7 +51,7 @@
 	for {
 		select {
 		case h := <-r.requests:
-			if h.service() {
+			if h.answerIfNotJob() {
 				continue
 			}
 			m.check.Sent(r.uid, mixedWork, time.Now())
@@ -71,7 +71,7 @@
 					if end == "fail" {
 						state = "failed"
 					}
-					m.reportEvent(event(h.id(), r.uid, state))
+					m.tryReport(jobEvent(h.id(), r.uid, state))
 				})
 			}
 		case <-m.over:
@@ -151,7 +151,7 @@
 	for i := range jobs {
 		class := []string{"render", "release", "once"}[i%3]
 		id := fmt.Sprintf("h%d-%d", number, i)
-		req := m.job(class, id, func(r *http.Request) {
+		req := m.jobRequest(class, id, func(r *http.Request) {
 			r.Header.Set("X-Expires-In-Ms", "5000")
 			if class == "release" {
 				r.Header.Set("Idempotency-Key", id)
@@ -217,12 +217,12 @@
 // operator leaves a runner out and puts it back, again and again.
 func (m *mixedLoad) operator(uid string) {
 	for range 8 {
-		code, _ := m.call("PUT", "/api/exclude", fmt.Sprintf(`{"host":%q}`, uid))
+		code, _ := m.callConsole("PUT", "/api/exclude", fmt.Sprintf(`{"host":%q}`, uid))
 		if code == 200 {
 			m.check.Drains(uid, time.Now())
 			time.Sleep(20 * mixedWork) // it is left out for a while
 			m.check.Back(uid)
-			m.call("PUT", "/api/include", fmt.Sprintf(`{"host":%q}`, uid))
+			m.callConsole("PUT", "/api/include", fmt.Sprintf(`{"host":%q}`, uid))
 		}
 		time.Sleep(10 * mixedWork)
 	}
--- a/cmd/frosttide/norace_test.go
+++ b/cmd/frosttide/norace_test.go
@@ -2,4 +2,4 @@
 
 package main
 
-const watched = false
+const raceEnabled = false
--- a/cmd/frosttide/peers_test.go
+++ b/cmd/frosttide/peers_test.go
@@ -23,12 +23,12 @@
 	}
 }
 
-// callAgreed sends an operator's order, again under its name while its answers invite to that, until it is done.
-func (d *dispatcher) callAgreed(call, uid string) {
+// callUntilApplied sends an operator's order, again under its name while its answers invite to that, until it is done.
+func (d *dispatcher) callUntilApplied(call, uid string) {
 	d.t.Helper()
 	order := fmt.Sprintf("%s-%s-%d", call, uid, time.Now().UnixNano())
 	for by := time.Now().Add(testTimeout); ; {
-		status, text := d.call("PUT", "/api/"+call, fmt.Sprintf(`{"host":%q,"order":%q}`, uid, order))
+		status, text := d.callConsole("PUT", "/api/"+call, fmt.Sprintf(`{"host":%q,"order":%q}`, uid, order))
 		if status == 200 {
 			return
 		}
@@ -45,28 +45,28 @@
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
 	disc := newDiscovery(t)
-	old := startWith(t, disc.URL, 1024, []string{a.entry(), b.entry()}, withCluster(t.TempDir()), upgradable)
-	old.callAgreed("exclude", "s-1")
+	old := startWith(t, disc.URL, 1024, []string{a.entry(), b.entry()}, withCluster(t.TempDir()), withInheritedListener)
+	old.callUntilApplied("exclude", "s-1")
 	old.awaitLog("operators have moved a runner")
 	old.awaitOnlyWorker(b, a)
-	next := old.successor()
+	next := old.startSuccessor()
 	next.awaitOnlyWorker(b, a)
-	if status, text := next.call("PUT", "/api/include", `{"host":"s-1"}`); status != 503 || !strings.Contains(text, "no member") {
+	if status, text := next.callConsole("PUT", "/api/include", `{"host":"s-1"}`); status != 503 || !strings.Contains(text, "no member") {
 		t.Errorf("include at a process that is no member got %d %q", status, text)
 	}
 	if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	next.awaitLog("cluster member begins")
-	if err := await(t, old.ended, "end"); err != nil {
+	if err := await(t, old.exited, "end"); err != nil {
 		t.Errorf("the older process ended with %v", err)
 	}
 	next.awaitLog("the log has a leader")
 	next.awaitOnlyWorker(b, a)
-	next.callAgreed("include", "s-1")
-	next.callAgreed("exclude", "s-2")
+	next.callUntilApplied("include", "s-1")
+	next.callUntilApplied("exclude", "s-2")
 	next.awaitLog("target=s-2")
-	if status, text := next.call("GET", "/api/cluster", ""); status != 200 || !strings.Contains(text, `"s-2"`) {
+	if status, text := next.callConsole("GET", "/api/cluster", ""); status != 200 || !strings.Contains(text, `"s-2"`) {
 		t.Errorf("the console says %d %q", status, text)
 	}
 }
@@ -77,11 +77,11 @@
 	t.Parallel()
 	a := newRunner(t, "s-1")
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{a.entry()}, withCluster(t.TempDir()))
-	if status, text := d.call("PUT", "/api/exclude", `{"host":"s-9"}`); status != 404 {
+	if status, text := d.callConsole("PUT", "/api/exclude", `{"host":"s-9"}`); status != 404 {
 		t.Errorf("exclude of nobody got %d %q", status, text)
 	}
 	alone := start(t, newDiscovery(t).URL, 1024, a.entry())
-	if status, _ := alone.call("GET", "/api/cluster", ""); status != 404 {
+	if status, _ := alone.callConsole("GET", "/api/cluster", ""); status != 404 {
 		t.Errorf("a dispatcher on its own says %d of its cluster", status)
 	}
 }
--- a/cmd/frosttide/pushed_test.go
+++ b/cmd/frosttide/pushed_test.go
@@ -23,9 +23,9 @@
 	d.t.Helper()
 	for i := range 6 {
 		id := fmt.Sprintf("only%d-%s", i, want.uid)
-		got := submit(d.job("render", id))
+		got := submit(d.jobRequest("render", id))
 		await(d.t, want.requests, "hop at "+want.uid).reply(202, "")
-		d.report(event(id, want.uid, "done"))
+		d.sendReport(jobEvent(id, want.uid, "done"))
 		if a := await(d.t, got, "answer"); a.Status != 200 {
 			d.t.Errorf("answer %+v", a)
 		}
@@ -49,11 +49,11 @@
 	if w.query != "watch=1&from=41" {
 		t.Errorf("the agent was asked for %q", w.query)
 	}
-	w.lines <- list(42, false, entry("s-1", a.addr, "DRAINING"))
+	w.lines <- targetList(42, false, targetEntry("s-1", a.addr, "DRAINING"))
 	d.awaitLog("egress target drains")
 	d.awaitOnlyWorker(b, a)
 
-	w.lines <- `{"rev":43,"all":true,"targets":[` + a.entry() + unfinished // cut off: b would be gone
+	w.lines <- `{"rev":43,"all":true,"targets":[` + a.entry() + partialLine // cut off: b would be gone
 	close(w.lines)
 	begun, ended := time.Now(), 10
 	for range ended {
@@ -71,10 +71,10 @@
 
 	moved := newDiscovery(t) // its versions may count otherwise, and its first words make no list
 	d.reload(fmt.Sprintf(d.cfg, strings.TrimPrefix(moved.URL, "http://")))
-	await(t, w.done, "end of the watch at the old address")
+	await(t, w.callEnded, "end of the watch at the old address")
 	for _, step := range []struct{ query, text string }{
 		{"", `{"rev":"x"`},
-		{"", list(7, true, a.entry(), entry("s-2", b.addr, "DRAINING"))},
+		{"", targetList(7, true, a.entry(), targetEntry("s-2", b.addr, "DRAINING"))},
 	} {
 		w = await(t, moved.watches, "call for all that the new agent has")
 		if w.query != step.query {
@@ -99,14 +99,14 @@
 		t.Fatal(err)
 	}
 	free.Close()
-	closed(t, free.Addr().String())
+	awaitPortsFree(t, free.Addr().String())
 	d := startWith(t, free.Addr().String(), 1024, []string{a.entry()}, withPushedList)
 	if !strings.Contains(strings.Join(d.logLines, "\n"), "discovery call ended") {
 		t.Error("it serves before it has asked the agent")
 	}
 	d.awaitOnlyWorker(a)
 	agent := newDiscoveryAt(t, free.Addr().String())
-	await(t, agent.watches, "watch").lines <- list(42, true, entry("s-1", a.addr, "DRAINING"), b.entry())
+	await(t, agent.watches, "watch").lines <- targetList(42, true, targetEntry("s-1", a.addr, "DRAINING"), b.entry())
 	d.awaitLog("egress target drains")
 	d.awaitOnlyWorker(b, a)
 }
@@ -117,7 +117,7 @@
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
 	agent := newDiscovery(t)
-	agent.silent.Store(true)
+	agent.noHeartbeats.Store(true)
 	addr, healthy := make(chan string, 1), make(chan error, 1)
 	go func() {
 		w, at := <-agent.watches, <-addr
@@ -126,7 +126,7 @@
 			resp.Body.Close()
 		}
 		healthy <- err
-		w.lines <- list(42, false, entry("s-1", a.addr, "DRAINING"))
+		w.lines <- targetList(42, false, targetEntry("s-1", a.addr, "DRAINING"))
 	}()
 	d := startWith(t, agent.URL, 1024, []string{a.entry(), b.entry()}, withPushedList, func(d *dispatcher) {
 		d.cfg = strings.Replace(d.cfg, `"drain-grace":400000`, `"drain-grace":5000000`, 1)
@@ -146,12 +146,12 @@
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
 	agent := newDiscovery(t)
-	old := startWith(t, agent.URL, 1024, []string{a.entry(), b.entry()}, withPushedList, upgradable)
+	old := startWith(t, agent.URL, 1024, []string{a.entry(), b.entry()}, withPushedList, withInheritedListener)
 	first := await(t, agent.watches, "watch")
-	next := old.successor()
+	next := old.startSuccessor()
 	second := await(t, agent.watches, "watch of the newer process")
 	for _, w := range []*watch{first, second} {
-		w.lines <- list(42, false, entry("s-1", a.addr, "DRAINING"))
+		w.lines <- targetList(42, false, targetEntry("s-1", a.addr, "DRAINING"))
 	}
 	old.awaitLog("egress target drains")
 	next.awaitLog("egress target drains")
--- a/cmd/frosttide/race_test.go
+++ b/cmd/frosttide/race_test.go
@@ -2,6 +2,6 @@
 
 package main
 
-// watched reports whether the race detector is in this build: its own memory is several times
+// raceEnabled reports whether the race detector is in this build: its own memory is several times
 // the program's, so bounds on memory hold without it only.
-const watched = true
+const raceEnabled = true
--- a/cmd/frosttide/restart_test.go
+++ b/cmd/frosttide/restart_test.go
@@ -39,7 +39,7 @@
 			time.AfterFunc(time.Duration(rand.N(40))*time.Millisecond, func() {
 				for _, state := range []string{"started", "done"} {
 					for range 10 { // as runners do
-						resp, err := call.Post("http://"+addr+"/v1/job-events", "application/json", strings.NewReader(event(id, r.uid, state)))
+						resp, err := call.Post("http://"+addr+"/v1/job-events", "application/json", strings.NewReader(jobEvent(id, r.uid, state)))
 						if err == nil {
 							resp.Body.Close()
 							if resp.StatusCode/100 == 2 {
@@ -150,20 +150,20 @@
 // answered or closed between two requests, none lives on, and nothing that a runner got stays
 // without its answer.
 func TestBusyRestart(t *testing.T) {
-	eachDeployment(t, func(t *testing.T, dep *deployment) {
+	forEachDeployment(t, func(t *testing.T, dep *deployment) {
 		for _, way := range []string{"alone", "succeeded"} {
 			t.Run(way, func(t *testing.T) {
 				t.Parallel()
 				a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
-				edits := []func(*dispatcher){dep.settled}
+				edits := []func(*dispatcher){dep.applySettings}
 				if way == "succeeded" {
-					edits = append(edits, upgradable)
+					edits = append(edits, withInheritedListener)
 				}
 				disc := newDiscovery(t)
 				go func() {
 					for w := range disc.watches { // it has nothing new to tell
 						if w.query == "" {
-							w.lines <- list(41, true, dep.entry(a, "SERVING"), dep.entry(b, "SERVING"))
+							w.lines <- targetList(41, true, dep.entry(a, "SERVING"), dep.entry(b, "SERVING"))
 							close(w.lines)
 						}
 					}
@@ -173,7 +173,7 @@
 					r.serveAll(t, d.addr)
 				}
 				class := dep.Settings.Classes[0].Name
-				job := func(id string) *http.Request { return d.job(class, id, dep.keyed(0)) }
+				job := func(id string) *http.Request { return d.jobRequest(class, id, dep.withClassHeaders(0)) }
 				var e keepAliveClients
 				var all sync.WaitGroup
 				over := make(chan struct{})
@@ -183,7 +183,7 @@
 					})
 				}
 				if way == "succeeded" {
-					d.successor()
+					d.startSuccessor()
 				}
 				for e.answered.Load() < 400 { // all are at work
 					<-time.After(5 * time.Millisecond)
@@ -192,7 +192,7 @@
 				if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
 				}
-				if err := await(t, d.ended, "end of the process"); err != nil {
+				if err := await(t, d.exited, "end of the process"); err != nil {
 					t.Errorf("it ended with %v", err)
 				}
 				if took := time.Since(told); took > 3700*time.Millisecond {
--- a/cmd/frosttide/runners_test.go
+++ b/cmd/frosttide/runners_test.go
@@ -14,10 +14,10 @@
 // answered, so an unknown id is answered like any, and only nonsense is refused.
 func TestCallbacks(t *testing.T) {
 	t.Parallel()
-	d, _ := one(t)
+	d, _ := startWithRunner(t)
 	for body, status := range map[string]int{
-		event("nobody", "s-1", "done"):                    204,
-		event("nobody", "s-9", "started"):                 204,
+		jobEvent("nobody", "s-1", "done"):                 204,
+		jobEvent("nobody", "s-9", "started"):              204,
 		`{"id":"a","from":"s-1","state":"done"}`:          204,
 		`{"id":"a","from":"s-1","state":"dancing"}`:       400,
 		`{"id":"","from":"s-1","state":"done"}`:           400,
@@ -27,7 +27,7 @@
 		``:                                 400,
 		strings.Repeat(" ", 64<<10) + `{}`: 413,
 	} {
-		if got := d.report(body); got != status {
+		if got := d.sendReport(body); got != status {
 			t.Errorf("call-back %.60q got %d, want %d", body, got, status)
 		}
 	}
@@ -49,7 +49,7 @@
 		return err
 	}
 	for i := range 100 {
-		c := d.raw("")
+		c := d.dialAndWrite("")
 		if i%10 != 9 {
 			if err := ask(c); err != nil {
 				t.Fatalf("connection %d: %v", i, err)
@@ -57,7 +57,7 @@
 			continue
 		}
 		for range 3 { // each needs a place
-			if err := ask(d.raw("")); err != nil {
+			if err := ask(d.dialAndWrite("")); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -71,16 +71,16 @@
 // does not bound how long a good client's connection rests.
 func TestKept(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
-	c := d.raw("")
+	d, r := startWithRunner(t)
+	c := d.dialAndWrite("")
 	in := bufio.NewReader(c)
 	ask := func(id string) {
 		t.Helper()
-		if err := d.job("render", id).Write(c); err != nil {
+		if err := d.jobRequest("render", id).Write(c); err != nil {
 			t.Fatal(err)
 		}
 		await(t, r.requests, "hop").reply(202, "")
-		d.report(event(id, r.uid, "done"))
+		d.sendReport(jobEvent(id, r.uid, "done"))
 		resp, err := http.ReadResponse(in, nil)
 		if err != nil || resp.StatusCode != 200 {
 			t.Fatalf("%s: answer %+v, %v", id, resp, err)
@@ -88,7 +88,7 @@
 		io.Copy(io.Discard, resp.Body)
 	}
 	ask("first")
-	await(t, read(d.raw("POST")), "end of a head that never ends") // opened later, closed for its silence
+	await(t, readResponse(d.dialAndWrite("POST")), "end of a head that never ends") // opened later, closed for its silence
 	ask("second")
 }
 
@@ -97,22 +97,22 @@
 // each attempt has a connection of its own.
 func TestBreaksKept(t *testing.T) {
 	t.Parallel()
-	d, r := one(t)
+	d, r := startWithRunner(t)
 	var conns []net.Conn
 	serve := func(id string) {
 		t.Helper()
-		got := submit(d.job("render", id))
+		got := submit(d.jobRequest("render", id))
 		h := await(t, r.requests, "hop")
 		conns = append(conns, h.conn)
 		h.reply(202, "")
-		d.report(event(id, r.uid, "started"))
-		d.report(event(id, r.uid, "done"))
+		d.sendReport(jobEvent(id, r.uid, "started"))
+		d.sendReport(jobEvent(id, r.uid, "done"))
 		if a := await(t, got, "answer"); a.Status != 200 {
 			t.Fatalf("%s: answer %+v", id, a)
 		}
 	}
 	serve("x0")
-	got := submit(d.job("once", "x1"))
+	got := submit(d.jobRequest("once", "x1"))
 	h := await(t, r.requests, "hop")
 	if h.conn != conns[0] {
 		t.Fatal("the connection was not kept")
@@ -140,10 +140,10 @@
 	disc := newDiscovery(t)
 	d := start(t, disc.URL, 1024, first.entry())
 	w := await(t, disc.watches, "watch")
-	began := submit(d.job("render", "began"))
+	began := submit(d.jobRequest("render", "began"))
 	await(t, first.requests, "hop")
-	d.report(event("began", "s-1", "started"))
-	lost := submit(d.job("render", "lost"))
+	d.sendReport(jobEvent("began", "s-1", "started"))
+	lost := submit(d.jobRequest("render", "lost"))
 	await(t, first.requests, "hop")
 	recalled := func(id string) *runnerRequest {
 		t.Helper()
@@ -153,7 +153,7 @@
 		}
 		return h
 	}
-	w.lines <- list(42, false, second.entry())
+	w.lines <- targetList(42, false, second.entry())
 	d.awaitLog("target=s-2")
 	recall := recalled("lost")
 	if len(second.requests) > 0 {
@@ -163,18 +163,18 @@
 	if h := await(t, second.requests, "hop at the other runner"); h.id() != "lost" {
 		t.Fatalf("the other runner got %q", h.id())
 	}
-	d.report(event("lost", "s-2", "done"))
-	d.report(event("began", "s-1", "done"))
+	d.sendReport(jobEvent("lost", "s-2", "done"))
+	d.sendReport(jobEvent("began", "s-1", "done"))
 	for what, got := range map[string]<-chan response{"lost by s-2": lost, "began by s-1": began} {
 		if a := await(t, got, "answer"); a.Status != 200 || a.Body != "clip of "+what {
 			t.Errorf("answer %+v, want the clip of %s", a, what)
 		}
 	}
-	w.lines <- list(43, false, entry(second.uid, second.addr, "DRAINING"))
+	w.lines <- targetList(43, false, targetEntry(second.uid, second.addr, "DRAINING"))
 	d.awaitLog("egress target drains")
-	mute := submit(d.job("render", "mute"))
+	mute := submit(d.jobRequest("render", "mute"))
 	await(t, first.requests, "hop")
-	w.lines <- list(44, false, second.entry(), entry("s-9", "127.0.0.1:1", "DRAINING"))
+	w.lines <- targetList(44, false, second.entry(), targetEntry("s-9", "127.0.0.1:1", "DRAINING"))
 	d.awaitLog("target=s-9")
 	recalled("mute").conn.Close()
 	if a := await(t, mute, "answer"); a.Status != 503 {
--- a/cmd/frosttide/scale_test.go
+++ b/cmd/frosttide/scale_test.go
@@ -32,7 +32,7 @@
 	for _, l := range scale.Fit(scale.Dispatcher, points) {
 		most := 0.0
 		switch {
-		case l.Axis == scale.Workers && l.Quantity == "peak memory" && !watched:
+		case l.Axis == scale.Workers && l.Quantity == "peak memory" && !raceEnabled:
 			most = 2 * kibAWorker * 1024 / 1e6
 		case l.Axis == scale.Changes && l.Quantity == "lists":
 			most = 2 * bytesChange / 1000
@@ -79,8 +79,8 @@
 func binary(t *testing.T) string {
 	t.Helper()
 	script := filepath.Join(t.TempDir(), "frosttide")
-	text := "#!/bin/sh\nFROSTTIDE_TEST_PROGRAM=1 " + underRace + " exec " + os.Args[0] + " \"$@\"\n"
-	text = strings.Replace(text, underRace, "GORACE='"+strings.TrimPrefix(underRace, "GORACE=")+"'", 1)
+	text := "#!/bin/sh\nFROSTTIDE_TEST_PROGRAM=1 " + raceOptions + " exec " + os.Args[0] + " \"$@\"\n"
+	text = strings.Replace(text, raceOptions, "GORACE='"+strings.TrimPrefix(raceOptions, "GORACE=")+"'", 1)
 	if err := os.WriteFile(script, []byte(text), 0o700); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/frosttide/signalsoak_test.go
+++ b/cmd/frosttide/signalsoak_test.go
@@ -95,7 +95,7 @@
 		r := newRunner(t, fmt.Sprintf("s-%d", i))
 		runners, entries = append(runners, r), append(entries, r.entry())
 	}
-	s.current = startWith(t, s.disc.URL, 1024, entries, upgradable)
+	s.current = startWith(t, s.disc.URL, 1024, entries, withInheritedListener)
 	s.addr = s.current.addr
 	for _, r := range runners {
 		r.serveAll(t, s.addr)
@@ -202,7 +202,7 @@
 func (s *dispatcherSoak) kill(gap time.Duration) {
 	over := s.trouble()
 	s.signal(syscall.SIGKILL)
-	await(s.t, s.current.ended, "end")
+	await(s.t, s.current.exited, "end")
 	time.Sleep(gap)
 	s.replace(s.again())
 	over()
@@ -213,7 +213,7 @@
 	older := s.current
 	if upgrade {
 		s.file.Lock()
-		next := older.successor()
+		next := older.startSuccessor()
 		s.file.Unlock()
 		s.replace(next)
 	}
@@ -225,7 +225,7 @@
 		_ = older.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
 		time.Sleep(20 * time.Millisecond)
 	}
-	err := await(s.t, older.ended, "end")
+	err := await(s.t, older.exited, "end")
 	took := time.Since(sentAt)
 	if err != nil {
 		s.find("the process ended with %v after SIGTERM", err)
@@ -310,11 +310,11 @@
 			revision := s.revision
 			s.mu.Unlock()
 			select {
-			case w.lines <- list(revision, false, entry("s-9", "127.0.0.1:1", []string{"DRAINING", "DELETED"}[i%2])):
+			case w.lines <- targetList(revision, false, targetEntry("s-9", "127.0.0.1:1", []string{"DRAINING", "DELETED"}[i%2])):
 			default: // nobody listens to it any more
 			}
 			select {
-			case <-w.done:
+			case <-w.callEnded:
 			case s.disc.watches <- w:
 			}
 		default:
--- a/cmd/frosttide/soak_test.go
+++ b/cmd/frosttide/soak_test.go
@@ -38,7 +38,7 @@
 	if err != nil {
 		t.Fatalf("%v\n%s", err, text)
 	}
-	got, err := faults.Run(s, itself, t.TempDir())
+	got, err := faults.Run(s, programCommand, t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/frosttide/state_test.go
+++ b/cmd/frosttide/state_test.go
@@ -77,7 +77,7 @@
 	disc := newDiscovery(t)
 	d := startWith(t, disc.URL, 1024, nil, withStoredState(dir))
 	w := await(t, disc.watches, "watch")
-	w.lines <- list(42, true, good.entry(), cold.entry(), silent.entry(), retired.entry(), swapped.entry(), entry("s-drains", drains.addr, "DRAINING"))
+	w.lines <- targetList(42, true, good.entry(), cold.entry(), silent.entry(), retired.entry(), swapped.entry(), targetEntry("s-drains", drains.addr, "DRAINING"))
 	var idle []func()
 	for _, r := range []*runner{good, cold, silent, retired, swapped} {
 		idle = append(idle, d.serveRunner(r))
@@ -89,11 +89,11 @@
 		off()
 	}
 	d.cmd.Process.Kill() // the power goes
-	await(t, d.ended, "end")
+	await(t, d.exited, "end")
 	disc.Close()
 	retired.listener.Close()
 	swapped.listener.Close()
-	closed(t, swapped.addr)
+	awaitPortsFree(t, swapped.addr)
 	var posts sync.Map // at what answers 200 to everything
 	l, err := net.Listen("tcp", swapped.addr)
 	if err != nil {
@@ -118,22 +118,22 @@
 		if time.Since(began) > 5*time.Second {
 			t.Fatal("no job was served within 5 s")
 		}
-		a := await(t, submit(d.job("render", fmt.Sprint("first-", time.Since(began)))), "answer")
+		a := await(t, submit(d.jobRequest("render", fmt.Sprint("first-", time.Since(began)))), "answer")
 		served = a.Status == 200
 		if a.Status != 200 && (a.Status != 503 || a.Header.Get("Retry-After") == "") {
 			t.Fatalf("a job got %d %v", a.Status, a.Err)
 		}
 	}
-	if code, text := d.call("GET", "/api/ready", ""); code != 200 || !strings.Contains(text, "serving from a stored list") {
+	if code, text := d.callConsole("GET", "/api/ready", ""); code != 200 || !strings.Contains(text, "serving from a stored list") {
 		t.Errorf("ready says %d %q", code, text)
 	}
-	if _, text := d.call("GET", "/api/telemetry", ""); !strings.Contains(text, "edge_balancer_stored_list_age_seconds") {
+	if _, text := d.callConsole("GET", "/api/telemetry", ""); !strings.Contains(text, "edge_balancer_stored_list_age_seconds") {
 		t.Error("the figures don't tell the list's age")
 	}
 	// A burst: warming runners get what they bear and no more, everybody an answer.
 	var burst []<-chan response
 	for i := range 60 {
-		burst = append(burst, submit(d.job("render", fmt.Sprint("burst-", i))))
+		burst = append(burst, submit(d.jobRequest("render", fmt.Sprint("burst-", i))))
 	}
 	for i, got := range burst {
 		if a := await(t, got, "answer"); a.Status != 200 && a.Status != 503 {
@@ -165,12 +165,12 @@
 	r := newRunner(t, "s-1")
 	disc := newDiscovery(t)
 	d := startWith(t, disc.URL, 1024, nil, withStoredState(dir))
-	await(t, disc.watches, "watch").lines <- list(42, true, r.entry())
+	await(t, disc.watches, "watch").lines <- targetList(42, true, r.entry())
 	idle := d.serveRunner(r)
 	d.awaitStored(dir, func(s *rosterstore.Snapshot) bool { return len(s.Nodes) == 1 })
 	idle()
 	d.cmd.Process.Kill()
-	await(t, d.ended, "end")
+	await(t, d.exited, "end")
 	disc.Close()
 	d = startWith(t, disc.URL, 1024, nil, withStoredState(dir))
 	const run = 50 * time.Millisecond // of a job, on one of four cores
@@ -182,7 +182,7 @@
 		for {
 			select {
 			case h := <-r.requests:
-				if h.service() {
+				if h.answerIfNotJob() {
 					continue
 				}
 				mu.Lock()
@@ -190,8 +190,8 @@
 				mu.Unlock()
 				h.reply(202, "")
 				go func() {
-					d.reportEvent(event(h.id(), r.uid, "started"))
-					time.AfterFunc(run, func() { d.reportEvent(event(h.id(), r.uid, "done")) }) // it works
+					d.tryReport(jobEvent(h.id(), r.uid, "started"))
+					time.AfterFunc(run, func() { d.tryReport(jobEvent(h.id(), r.uid, "done")) }) // it works
 				}()
 			case <-stop:
 				return
@@ -200,7 +200,7 @@
 	}()
 	served := 0
 	for i := 0; served < 12; i++ {
-		a := await(t, submit(d.job("render", fmt.Sprint("j", i))), "answer")
+		a := await(t, submit(d.jobRequest("render", fmt.Sprint("j", i))), "answer")
 		if a.Status == 200 {
 			served++
 		}
@@ -226,13 +226,13 @@
 	one, two := newRunner(t, "s-1"), newRunner(t, "s-2")
 	disc := newDiscovery(t)
 	d := startWith(t, disc.URL, 1024, nil, withStoredState(dir))
-	await(t, disc.watches, "watch").lines <- list(42, true, one.entry(), two.entry())
+	await(t, disc.watches, "watch").lines <- targetList(42, true, one.entry(), two.entry())
 	idle, idler := d.serveRunner(one), d.serveRunner(two)
 	d.awaitStored(dir, func(s *rosterstore.Snapshot) bool { return len(s.Nodes) == 2 })
 	idle()
 	idler()
 	d.cmd.Process.Kill()
-	await(t, d.ended, "end")
+	await(t, d.exited, "end")
 	disc.Close()
 
 	d = startWith(t, disc.URL, 1024, nil, withStoredState(dir))
@@ -246,7 +246,7 @@
 	if w.query != "" {
 		t.Errorf("after an outage the first call is %q, not for the whole list", w.query)
 	}
-	w.lines <- list(1, true) // nothing, and a lower version
+	w.lines <- targetList(1, true) // nothing, and a lower version
 	d.awaitLog("discovery's list lacks most of what is known")
 	close(w.lines)
 	d.awaitRejoin("doubted", 3) // they may be cold, and bear so much work a second
@@ -254,19 +254,19 @@
 	for w.query == "" {
 		w = next()
 	}
-	w.lines <- list(2, false, entry("s-1", one.addr, "DRAINING"))
+	w.lines <- targetList(2, false, targetEntry("s-1", one.addr, "DRAINING"))
 	d.awaitLog("egress target drains")
 	d.awaitRejoin("drained", 5)
 	for len(one.requests) > 0 {
 		<-one.requests
 	}
-	w.lines <- list(3, true) // the second answer that has nobody
+	w.lines <- targetList(3, true) // the second answer that has nobody
 	d.awaitLog("discovery has confirmed the list")
 	d.awaitLog("egress target gone from the list")
-	if a := await(t, submit(d.job("render", "gone")), "answer"); a.Status != 503 {
+	if a := await(t, submit(d.jobRequest("render", "gone")), "answer"); a.Status != 503 {
 		t.Errorf("a job for an empty fleet got %d", a.Status)
 	}
-	if code, text := d.call("GET", "/api/ready", ""); code != 200 || text != "" {
+	if code, text := d.callConsole("GET", "/api/ready", ""); code != 200 || text != "" {
 		t.Errorf("ready says %d %q", code, text)
 	}
 }
@@ -278,26 +278,26 @@
 	r := newRunner(t, "s-1")
 	disc := newDiscovery(t)
 	d := startWith(t, disc.URL, 1024, nil, withStoredState(dir))
-	await(t, disc.watches, "watch").lines <- list(42, true, r.entry())
+	await(t, disc.watches, "watch").lines <- targetList(42, true, r.entry())
 	idle := d.serveRunner(r)
 	d.awaitStored(dir, func(*rosterstore.Snapshot) bool { return true })
 	idle()
-	if code, text := d.call("PUT", "/api/exclude", `{"host":"s-1"}`); code != 200 {
+	if code, text := d.callConsole("PUT", "/api/exclude", `{"host":"s-1"}`); code != 200 {
 		t.Fatal(code, text)
 	}
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, d.ended, "end")
+	await(t, d.exited, "end")
 	awaitSnapshot(t, dir, func(s *rosterstore.Snapshot) bool { return len(s.Excluded) == 1 })
 	d = startWith(t, disc.URL, 1024, nil, withStoredState(dir))
 	d.serveRunner(r)
-	await(t, disc.watches, "watch").lines <- list(43, true, r.entry())
+	await(t, disc.watches, "watch").lines <- targetList(43, true, r.entry())
 	d.awaitLog("discovery has confirmed the list")
-	if a := await(t, submit(d.job("render", "x")), "answer"); a.Status != 503 {
+	if a := await(t, submit(d.jobRequest("render", "x")), "answer"); a.Status != 503 {
 		t.Errorf("a job went to a runner that operators have left out: %d %s", a.Status, a.Body)
 	}
-	if code, text := d.call("PUT", "/api/include", `{"host":"s-1"}`); code != 200 {
+	if code, text := d.callConsole("PUT", "/api/include", `{"host":"s-1"}`); code != 200 {
 		t.Fatal(code, text)
 	}
 	d.serveJobs("back", 1)
@@ -314,12 +314,12 @@
 	}
 	s := &rosterstore.Snapshot{Name: "n0", Saved: now, Answered: now, Rev: 7, Excluded: []string{"s-out"}}
 	for uid, age := range map[string]time.Duration{"s-new": 0, "s-old": 30 * time.Minute, "s-out": 0, "s-ancient": 1000 * time.Hour} {
-		s.Nodes = append(s.Nodes, rosterstore.Node{UID: uid, Entry: json.RawMessage(entry(uid, "127.0.0.1:1", "SERVING")), Confirmed: now - age, By: rosterstore.ByDiscovery})
+		s.Nodes = append(s.Nodes, rosterstore.Node{UID: uid, Entry: json.RawMessage(targetEntry(uid, "127.0.0.1:1", "SERVING")), Confirmed: now - age, By: rosterstore.ByDiscovery})
 	}
 	if err := d.Save(s); err != nil {
 		t.Fatal(err)
 	}
-	out, errs, status := command(t, nil, "state", "show", dir)
+	out, errs, status := runCommand(t, nil, "state", "show", dir)
 	if status != 0 {
 		t.Errorf("status %d: %s", status, errs)
 	}
@@ -332,7 +332,7 @@
 			t.Errorf("show does not say that %s is %s; it says\n%s%s", uid, want, out, errs)
 		}
 	}
-	json, _, _ := command(t, nil, "state", "export", dir)
+	json, _, _ := runCommand(t, nil, "state", "export", dir)
 	other := t.TempDir()
 	path := filepath.Join(t.TempDir(), "state.json")
 	if err := os.WriteFile(path, []byte(json), 0o600); err != nil {
@@ -343,21 +343,21 @@
 		t.Fatal(err)
 	}
 	defer in.Close()
-	if _, errs, status := commandIn(t, in, nil, "state", "import", other); status != 0 {
+	if _, errs, status := runCommandWithStdin(t, in, nil, "state", "import", other); status != 0 {
 		t.Errorf("import: status %d, said %q", status, errs)
 	}
-	again, _, _ := command(t, nil, "state", "export", other)
+	again, _, _ := runCommand(t, nil, "state", "export", other)
 	if again != json || json == "" {
 		t.Errorf("exported, imported and exported it is\n%s\nand was\n%s", again, json)
 	}
-	if _, _, status = command(t, nil, "state", "verify", other); status != 0 {
+	if _, _, status = runCommand(t, nil, "state", "verify", other); status != 0 {
 		t.Errorf("verify: status %d", status)
 	}
 	files, _ := filepath.Glob(filepath.Join(other, "*.state"))
 	if err := os.WriteFile(files[0], []byte("torn"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, _, status := command(t, nil, "state", "verify", other); status != 1 || !strings.Contains(out, "cut short") {
+	if out, _, status := runCommand(t, nil, "state", "verify", other); status != 1 || !strings.Contains(out, "cut short") {
 		t.Errorf("verify of a torn file: status %d, said %q", status, out)
 	}
 }
@@ -365,7 +365,7 @@
 // newDiscoveryAt starts one at an address where there was one before.
 func newDiscoveryAt(t *testing.T, addr string) *discovery {
 	t.Helper()
-	closed(t, addr)
+	awaitPortsFree(t, addr)
 	return (&discovery{watches: make(chan *watch, 64), closed: make(chan struct{})}).serveAt(t, addr)
 }
 
@@ -392,7 +392,7 @@
 		runners, entries = append(runners, r), append(entries, r.entry())
 	}
 	d := startWith(t, disc.URL, 1024, nil, fresh)
-	await(t, disc.watches, "watch").lines <- list(42, true, entries...)
+	await(t, disc.watches, "watch").lines <- targetList(42, true, entries...)
 	var idle []func()
 	for _, r := range runners {
 		idle = append(idle, d.serveRunner(r))
@@ -402,7 +402,7 @@
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, d.ended, "end")
+	await(t, d.exited, "end")
 	for _, off := range idle {
 		off()
 	}
@@ -419,7 +419,7 @@
 			if i%5 == 4 {
 				class = "once"
 			}
-			all = append(all, submit(d.job(class, fmt.Sprintf("after-%d-%d", round, i))))
+			all = append(all, submit(d.jobRequest(class, fmt.Sprintf("after-%d-%d", round, i))))
 		}
 		for _, got := range all {
 			a := await(t, got, "answer")
--- a/cmd/frosttide/telemetry_test.go
+++ b/cmd/frosttide/telemetry_test.go
@@ -40,7 +40,7 @@
 
 func newCollectorAt(t *testing.T, addr string, cert *tls.Certificate) *collector.Collector {
 	t.Helper()
-	closed(t, addr)
+	awaitPortsFree(t, addr)
 	c, err := collector.Start(addr, cert)
 	if err != nil {
 		t.Fatal(err)
@@ -72,10 +72,10 @@
 		for {
 			select {
 			case h := <-r.requests:
-				if !h.service() {
+				if !h.answerIfNotJob() {
 					h.reply(202, "")
-					d.reportEvent(event(h.id(), r.uid, "started"))
-					d.reportEvent(event(h.id(), r.uid, "done"))
+					d.tryReport(jobEvent(h.id(), r.uid, "started"))
+					d.tryReport(jobEvent(h.id(), r.uid, "done"))
 				}
 			case <-stop:
 				return
@@ -85,8 +85,8 @@
 	return callOff
 }
 
-// service answers what is no job: probes as a runner that is well, recalls.
-func (h *runnerRequest) service() bool {
+// answerIfNotJob answers what is no job: probes as a runner that is well, recalls.
+func (h *runnerRequest) answerIfNotJob() bool {
 	switch {
 	case h.Method == http.MethodPost:
 		return false
@@ -98,8 +98,8 @@
 	return true
 }
 
-// reportEvent sends a report, which nobody may be there to take.
-func (d *dispatcher) reportEvent(body string) {
+// tryReport sends a report, which nobody may be there to take.
+func (d *dispatcher) tryReport(body string) {
 	resp, err := http.Post("http://"+d.addr+"/v1/job-events", "application/json", strings.NewReader(body))
 	if err == nil {
 		resp.Body.Close()
@@ -111,7 +111,7 @@
 	d.t.Helper()
 	for i := range n {
 		id := fmt.Sprintf("%s-%d", name, i)
-		if a := await(d.t, submit(d.job("render", id)), "answer"); a.Status != 200 {
+		if a := await(d.t, submit(d.jobRequest("render", id)), "answer"); a.Status != 200 {
 			d.t.Fatalf("job %s got %d %s %v", id, a.Status, a.Body, a.Err)
 		}
 	}
@@ -125,7 +125,7 @@
 	over := time.Now().Add(testTimeout)
 	for i, try := 0, 0; i < n; try++ {
 		id := fmt.Sprintf("%s-%d-%d", name, i, try)
-		a := await(d.t, submit(d.job("render", id)), "answer")
+		a := await(d.t, submit(d.jobRequest("render", id)), "answer")
 		after, err := time.ParseDuration(a.Header.Get("Retry-After") + "s")
 		switch {
 		case a.Status == 200:
@@ -138,9 +138,9 @@
 	}
 }
 
-// spans waits until a collector has taken the spans of requests with the given ids, and
+// awaitSpans waits until a collector has taken the spans of requests with the given ids, and
 // returns all spans that it has taken.
-func spans(t *testing.T, c *collector.Collector, ids ...string) []ptrace.Span {
+func awaitSpans(t *testing.T, c *collector.Collector, ids ...string) []ptrace.Span {
 	t.Helper()
 	over := time.After(testTimeout)
 	for {
@@ -223,24 +223,24 @@
 	d := startWith(t, disc.URL, 1024, []string{first.entry()}, withTelemetry(c.Addr))
 	w := await(t, disc.watches, "watch")
 
-	got := submit(d.job("render", "plain"))
+	got := submit(d.jobRequest("render", "plain"))
 	h := await(t, first.requests, "hop")
 	if p := h.Header.Get("Traceparent"); len(p) != 55 {
 		t.Errorf("the runner's traceparent is %q", p)
 	}
 	h.reply(202, "")
 	for _, state := range []string{"started", "running", "done"} {
-		d.report(event("plain", "s-1", state))
+		d.sendReport(jobEvent("plain", "s-1", state))
 	}
 	await(t, got, "answer")
 
 	const parent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
-	got = submit(d.job("render", "again", func(r *http.Request) {
+	got = submit(d.jobRequest("render", "again", func(r *http.Request) {
 		r.Header.Set("Traceparent", parent)
 		r.Header.Set("Tracestate", "studio=1")
 	}))
 	h = await(t, first.requests, "hop")
-	w.lines <- list(42, false, second.entry())
+	w.lines <- targetList(42, false, second.entry())
 	d.awaitLog("target=s-2")
 	h.reply(500, "")
 	h = await(t, second.requests, "second hop")
@@ -248,20 +248,20 @@
 		t.Errorf("the runner's trace is %q %q", p, h.Header.Get("Tracestate"))
 	}
 	h.reply(202, "")
-	d.report(event("again", "s-2", "done"))
+	d.sendReport(jobEvent("again", "s-2", "done"))
 	await(t, got, "answer")
 
-	got = submit(d.job("once", "lost"))
+	got = submit(d.jobRequest("once", "lost"))
 	h = await(t, merge(first.requests, second.requests), "hop")
 	h.conn.Close()
 	await(t, got, "answer")
-	await(t, submit(d.job("render", "bad", func(r *http.Request) { r.Header.Set("X-Expires-In-Ms", "soon") })), "answer")
-	ctxGone := d.raw("POST /render/x HTTP/1.1\r\nHost: x\r\nX-Qos: render\r\nX-Trace-Id: left\r\nX-Expires-In-Ms: 15000\r\nContent-Length: 0\r\n\r\n")
+	await(t, submit(d.jobRequest("render", "bad", func(r *http.Request) { r.Header.Set("X-Expires-In-Ms", "soon") })), "answer")
+	ctxGone := d.dialAndWrite("POST /render/x HTTP/1.1\r\nHost: x\r\nX-Qos: render\r\nX-Trace-Id: left\r\nX-Expires-In-Ms: 15000\r\nContent-Length: 0\r\n\r\n")
 	h = await(t, merge(first.requests, second.requests), "hop")
 	h.reply(202, "")
 	ctxGone.Close()
 
-	all := spans(t, c, "plain", "again", "lost", "", "left")
+	all := awaitSpans(t, c, "plain", "again", "lost", "", "left")
 	lost := tree(all)["lost"]
 	if len(lost) != 2 || lost[0] != "POST /once failed module may_have_run 502 " || !strings.Contains(lost[1], " reset true ") {
 		t.Errorf("the lost job's tree is %q", lost)
@@ -313,11 +313,11 @@
 	d := startWith(t, newDiscovery(t).URL, 1024, nil, withTelemetry(c.Addr)) // nobody is listed: all is refused
 	key := func(r *http.Request) { r.Header.Set("Idempotency-Key", "one-release") }
 	again := func(r *http.Request) { r.Header.Set("X-Second-Try", "1") }
-	for _, job := range []*http.Request{d.job("release", "r1", key), d.job("release", "r2", key),
-		d.job("render", "p1"), d.job("render", "p2", again), d.job("render", "p3")} {
+	for _, job := range []*http.Request{d.jobRequest("release", "r1", key), d.jobRequest("release", "r2", key),
+		d.jobRequest("render", "p1"), d.jobRequest("render", "p2", again), d.jobRequest("render", "p3")} {
 		await(t, submit(job), "answer")
 	}
-	all := spans(t, c, "r1", "r2", "p1", "p2", "p3")
+	all := awaitSpans(t, c, "r1", "r2", "p1", "p2", "p3")
 	span, links := map[string]string{}, map[string][]string{}
 	for _, s := range all {
 		id := attr(s, "frosttide.request")
@@ -383,7 +383,7 @@
 			if tc.comes {
 				ids = append(ids, "first-0")
 			}
-			all := spans(t, c, ids...)
+			all := awaitSpans(t, c, ids...)
 			if first := tree(all)["first-0"]; !tc.comes && first != nil {
 				t.Errorf("what may not be sent again came: %q", first)
 			}
@@ -414,10 +414,10 @@
 	d.serveRunner(r)
 	d.serveJobs("without", 20)
 	back := newCollectorAt(t, addr, nil)
-	spans(t, back, "without-0", "without-19") // they waited
-	back.Kill()                               // gone halfway
+	awaitSpans(t, back, "without-0", "without-19") // they waited
+	back.Kill()                                    // gone halfway
 	d.serveJobs("later", 20)
-	spans(t, newCollectorAt(t, addr, nil), "later-19")
+	awaitSpans(t, newCollectorAt(t, addr, nil), "later-19")
 }
 
 // maxRefusalSlowdown is how many times as long as without a collector refusals may take with one that hangs, where the machine
@@ -435,7 +435,7 @@
 			client := &http.Client{Transport: &http.Transport{}}
 			for j := range 250 {
 				sent := time.Now()
-				if a := do(client, d.job("render", fmt.Sprintf("r%d-%d", i, j))); a.Status == 503 {
+				if a := do(client, d.jobRequest("render", fmt.Sprintf("r%d-%d", i, j))); a.Status == 503 {
 					refused.Add(1)
 				}
 				for old, this := longest.Load(), int64(time.Since(sent)); this > old && !longest.CompareAndSwap(old, this); old = longest.Load() {
@@ -477,7 +477,7 @@
 		t.Fatal(err)
 	}
 	_, rest, _ := strings.Cut(string(text), "VmRSS:")
-	if kb, err := strconv.Atoi(strings.Fields(rest)[0]); err != nil || kb > 64<<10 && !watched {
+	if kb, err := strconv.Atoi(strings.Fields(rest)[0]); err != nil || kb > 64<<10 && !raceEnabled {
 		t.Errorf("the process holds %d KiB, %v", kb, err)
 	}
 }
@@ -498,10 +498,10 @@
 	d.serveRunner(r)
 	d.serveJobs("hold", 1)
 	await(t, c.Calls(), "call") // from here on the queue fills
-	await(t, submit(d.job("render", "notable", func(r *http.Request) { r.Header.Set("X-Second-Try", "1") })), "answer")
+	await(t, submit(d.jobRequest("render", "notable", func(r *http.Request) { r.Header.Set("X-Second-Try", "1") })), "answer")
 	d.serveJobs("plain", 300)
 	c.Script(collector.Fault{})
-	got := tree(spans(t, c, "notable", "plain-299"))
+	got := tree(awaitSpans(t, c, "notable", "plain-299"))
 	if got["plain-0"] != nil || len(got) > 200 {
 		t.Errorf("of 300 plain requests %d are there, the oldest: %q", len(got), got["plain-0"])
 	}
@@ -510,8 +510,8 @@
 // TestCertificates guards against a collector that is not the one meant.
 func TestCertificates(t *testing.T) {
 	t.Parallel()
-	good, ca := certificate(t, "127.0.0.1")
-	_, stranger := certificate(t, "127.0.0.1")
+	good, ca := newCertificate(t, "127.0.0.1")
+	_, stranger := newCertificate(t, "127.0.0.1")
 	for _, tc := range []struct {
 		name, ca string
 		grpc     bool
@@ -529,7 +529,7 @@
 			d.serveRunner(r)
 			d.serveJobs("job", 3)
 			if tc.comes {
-				spans(t, c, "job-2")
+				awaitSpans(t, c, "job-2")
 				return
 			}
 			d.awaitLog("export fails; dispatching goes on")
@@ -540,8 +540,8 @@
 	}
 }
 
-// certificate makes one for a host that is its own authority, and a file of it.
-func certificate(t *testing.T, host string) (tls.Certificate, string) {
+// newCertificate makes one for a host that is its own authority, and a file of it.
+func newCertificate(t *testing.T, host string) (tls.Certificate, string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -585,7 +585,7 @@
 		if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		if err := await(t, d.ended, "end"); err != nil {
+		if err := await(t, d.exited, "end"); err != nil {
 			t.Errorf("%s: the process ended with %v", name, err)
 		}
 		took[name] = time.Since(began)
@@ -608,8 +608,8 @@
 	}
 	d.awaitLog("frosttide drains")
 	d.serveJobs("late", 1)
-	await(t, d.ended, "end")
-	spans(t, c, "early-0", "late-0")
+	await(t, d.exited, "end")
+	awaitSpans(t, c, "early-0", "late-0")
 }
 
 // TestReloadMovesCollector guards a change of the endpoint while the program runs.
@@ -629,7 +629,7 @@
 		func(d *dispatcher) { d.cmd.Args = append(d.cmd.Args, "serve", "--config", path) })
 	d.serveRunner(r)
 	d.serveJobs("before", 2)
-	spans(t, one, "before-1")
+	awaitSpans(t, one, "before-1")
 	write(two.Addr)
 	if err := d.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
@@ -649,7 +649,7 @@
 	}
 	d.awaitLog("configuration not taken")
 	d.serveJobs("still", 1)
-	spans(t, two, "still-0")
+	awaitSpans(t, two, "still-0")
 }
 
 // TestUpgradeKeepsTrace guards the record of a job that an older process hands over: it
@@ -658,21 +658,21 @@
 	t.Parallel()
 	c := newCollector(t, nil)
 	r := newRunner(t, "s-1")
-	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, upgradable, withTelemetry(c.Addr))
-	got := submit(d.job("render", "long"))
+	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener, withTelemetry(c.Addr))
+	got := submit(d.jobRequest("render", "long"))
 	h := await(t, r.requests, "hop")
 	h.reply(202, "")
-	d.report(event("long", "s-1", "started"))
-	s := d.successor()
+	d.sendReport(jobEvent("long", "s-1", "started"))
+	s := d.startSuccessor()
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, d.ended, "end of the older process")
-	s.report(event("long", "s-1", "done"))
+	await(t, d.exited, "end of the older process")
+	s.sendReport(jobEvent("long", "s-1", "done"))
 	if a := await(t, got, "answer"); a.Status != 200 {
 		t.Fatalf("the job got %d %v", a.Status, a.Err)
 	}
-	all := spans(t, c, "long")
+	all := awaitSpans(t, c, "long")
 	want := map[string][]string{"long": {"POST /render served runner done 200 s-1", "1 first s-1 served true started,done"}}
 	if diff := gocmp.Diff(want, tree(all)); diff != "" {
 		t.Errorf("the trees (-want +got):\n%s", diff)
@@ -691,7 +691,7 @@
 		withTelemetry(c.Addr, "OTEL_METRICS_EXPORTER=otlp", "OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0"))
 	d.serveRunner(r)
 	d.serveJobs("job", 10)
-	await(t, submit(d.job("bogus", "b")), "answer")
+	await(t, submit(d.jobRequest("bogus", "b")), "answer")
 	over := time.After(testTimeout)
 	for {
 		var call collector.Call
@@ -729,7 +729,7 @@
 			break
 		}
 	}
-	if trees := tree(spans(t, c, "")); trees["job-0"] != nil {
+	if trees := tree(awaitSpans(t, c, "")); trees["job-0"] != nil {
 		t.Errorf("a plain trace was kept: %q", trees)
 	}
 }
