--- a/internal/testkit/signalsoak/client.go
+++ b/internal/testkit/signalsoak/client.go
@@ -12,63 +12,66 @@
 	"golang.org/x/sys/unix"
 )
 
-// Ending is how a request ended that has no whole answer.
+// Ending says why a request has no complete response.
 type Ending string
 
-// The endings of requests without a whole answer.
+// The reasons for which a request has no complete response.
 const (
-	// Unread means that the other end closed the connection before it had read the request: the kernel reset it.
+	// Unread means that the peer closed the connection before it had read the whole request, so
+	// that its kernel reset the connection.
 	Unread Ending = "closed before the request was read"
-	// Lost means that the other end closed the connection in good order after it had read the request.
+	// Lost means that the peer read the request and then closed the connection without a reset.
 	Lost Ending = "closed after the request was read"
-	// CutShort means that the answer broke off.
+	// CutShort means that the connection ended in the middle of the response.
 	CutShort Ending = "answer cut short"
-	// Late means that there was no answer by the deadline.
+	// Late means that the response did not arrive within Client.Timeout.
 	Late Ending = "no answer in time"
 )
 
-// Outcome is what became of a request.
+// Outcome is the result of a request.
 type Outcome struct {
 	SentAt  time.Time
 	EndedAt time.Time
-	Target  int    // of the connection
-	ID      string // of the request
-	Status  int    // of the answer, 0 for none
+	Target  int    // target of the connection, as returned by Client.Pick
+	ID      string // ID of the request
+	Status  int    // HTTP status of a complete response, otherwise 0
 	Body    []byte
-	Ending  Ending // empty for a whole answer
-	Err     error  // that the connection ended with
+	Ending  Ending // empty for a complete response
+	Err     error  // error that the connection failed with, if any
 }
 
-// Client sends requests one after the other and keeps each connection for as long as the other end does.
+// Client sends HTTP requests in sequence and reuses each connection until the peer closes it.
 type Client struct {
-	// Pick returns the target of the next connection and its address.
+	// Pick returns the target of the next connection and its TCP address. It is called again before
+	// each attempt to connect.
 	Pick func() (target int, address string)
-	// Next returns the next request, nil for none. It is given the outcome of the one before, nil for the first. A request that has
-	// no answer may be returned again: it goes out on another connection.
+	// Next returns the next request, or nil to end Run. Its argument is the outcome of the previous
+	// request, nil before the first. It may return a request that got no complete response again;
+	// the retry is sent on a new connection.
 	Next func(last *Outcome) *Request
-	// Timeout is how long an answer may take.
+	// Timeout bounds the time from the sending of a request to the end of its response.
 	Timeout time.Duration
-	// Pause is the time between an answer and the next request.
+	// Pause is the delay between the end of a request and the next one.
 	Pause time.Duration
 
-	Outcomes    []Outcome // of all requests
-	Connections int       // that were opened
+	Outcomes    []Outcome // results of all requests, in the order of sending
+	Connections int       // number of connections that were opened
 
 	conn   net.Conn
 	reader *bufio.Reader
 	target int
 }
 
-// Request is a request in full.
+// Request is an HTTP/1.1 request to send.
 type Request struct {
 	ID   string
-	Text []byte
+	Text []byte // the encoded request, with its headers and body
 }
 
-// redialPause is the time between attempts to open a connection.
+// redialPause is the delay between attempts to connect.
 const redialPause = 20 * time.Millisecond
 
-// Run sends requests until the context ends or there are none.
+// Run sends requests until the context is canceled or Next returns nil. It closes the connection.
 func (c *Client) Run(ctx context.Context) {
 	defer c.closeConnection()
 	var last *Outcome
@@ -86,7 +89,8 @@
 	}
 }
 
-// connect opens a connection unless one is open. It returns false if the context ends before.
+// connect opens a connection unless one is open, and retries until it succeeds. It returns false if
+// the context is canceled first.
 func (c *Client) connect(ctx context.Context) bool {
 	for c.conn == nil {
 		if ctx.Err() != nil {
@@ -104,7 +108,7 @@
 	return true
 }
 
-// closeConnection closes the connection, if there is one.
+// closeConnection closes the connection if one is open.
 func (c *Client) closeConnection() {
 	if c.conn != nil {
 		c.conn.Close()
@@ -112,20 +116,21 @@
 	}
 }
 
-// exchange sends a request and reads the answer.
+// exchange sends a request and reads its response. It closes the connection if the response is
+// incomplete or asks for that.
 func (c *Client) exchange(request *Request) Outcome {
 	o := Outcome{SentAt: time.Now(), Target: c.target, ID: request.ID}
 	err := c.conn.SetDeadline(o.SentAt.Add(c.Timeout))
 	if err == nil {
 		_, err = c.conn.Write(request.Text)
 	}
-	if err != nil { // it had been closed before the last byte was written
+	if err != nil { // the peer closed the connection before the last byte was written
 		o.Ending, o.Err = Unread, err
 		return c.finish(o)
 	}
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
-		o.Ending, o.Err = c.judge(err), err
+		o.Ending, o.Err = c.classifyReadError(err), err
 		return c.finish(o)
 	}
 	o.Body, err = io.ReadAll(response.Body)
@@ -141,19 +146,21 @@
 	return o
 }
 
-// finish closes the connection and ends an outcome.
+// finish closes the connection and sets the end time of an outcome.
 func (c *Client) finish(o Outcome) Outcome {
 	c.closeConnection()
 	o.EndedAt = time.Now()
 	return o
 }
 
-// acknowledgementPoll is the pause between two looks at what the other end has acknowledged.
+// acknowledgementPoll is the interval between checks of what the peer has acknowledged.
 const acknowledgementPoll = time.Millisecond
 
-// judge returns how a request ended whose answer can't be read. An end in good order tells that the other end had read all that
-// had reached it. What reaches it later is answered with a reset.
-func (c *Client) judge(err error) Ending {
+// classifyReadError returns the Ending of a request whose response can't be read. If the peer
+// closed the connection without a reset, it had read everything that had reached it; its kernel
+// answers data that arrives later with a reset. So this waits, up to Timeout, until the peer has
+// acknowledged all sent bytes or reset the connection.
+func (c *Client) classifyReadError(err error) Ending {
 	var timeout net.Error
 	switch {
 	case errors.As(err, &timeout) && timeout.Timeout():
@@ -164,7 +171,7 @@
 		return CutShort
 	}
 	for deadline := time.Now().Add(c.Timeout); time.Now().Before(deadline); time.Sleep(acknowledgementPoll) {
-		pending := c.unacknowledged() // first: a reset empties the queue
+		pending := c.unacknowledged() // read before wasReset: a reset empties the send queue
 		if c.wasReset() {
 			return Unread
 		}
@@ -175,7 +182,7 @@
 	return Lost
 }
 
-// unacknowledged returns how many bytes of what was sent the other end's kernel has not acknowledged.
+// unacknowledged returns the number of sent bytes that the peer's kernel has not acknowledged.
 func (c *Client) unacknowledged() int {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -188,7 +195,7 @@
 	return pending
 }
 
-// wasReset reports whether the kernel has noted a reset of the connection.
+// wasReset reports whether the socket has a pending error, as it has after a reset by the peer.
 func (c *Client) wasReset() bool {
 	raw, err := c.conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
--- a/internal/testkit/signalsoak/client_test.go
+++ b/internal/testkit/signalsoak/client_test.go
@@ -12,7 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestJudge has the other end of a connection end it in each way, and checks what a client makes of it.
+// TestJudge checks the Ending that a client reports for each way in which a server can
+// end a connection.
 func TestJudge(t *testing.T) {
 	readRequest := func(conn net.Conn) {
 		request, err := http.ReadRequest(bufio.NewReader(conn))
@@ -23,19 +24,19 @@
 	for _, c := range []struct {
 		name  string
 		serve func(conn net.Conn)
-		delay time.Duration // before the request
+		delay time.Duration // between the connect and the request
 		want  Ending
 	}{
-		{"it reads the request and closes", func(conn net.Conn) { readRequest(conn); conn.Close() }, 0, Lost},
-		{"it closes before the request", func(conn net.Conn) { conn.Close() }, 50 * time.Millisecond, Unread},
-		{"it closes with the request unread", func(conn net.Conn) { time.Sleep(50 * time.Millisecond); conn.Close() }, 0, Unread},
-		{"it breaks off in the answer", func(conn net.Conn) {
+		{"reads the request and closes", func(conn net.Conn) { readRequest(conn); conn.Close() }, 0, Lost},
+		{"closes before the request", func(conn net.Conn) { conn.Close() }, 50 * time.Millisecond, Unread},
+		{"closes without reading the request", func(conn net.Conn) { time.Sleep(50 * time.Millisecond); conn.Close() }, 0, Unread},
+		{"closes in the middle of the response", func(conn net.Conn) {
 			readRequest(conn)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf")
 			conn.Close()
 		}, 0, CutShort},
-		{"it answers nothing", func(conn net.Conn) { readRequest(conn); time.Sleep(time.Second); conn.Close() }, 0, Late},
-		{"it answers", func(conn net.Conn) {
+		{"does not respond in time", func(conn net.Conn) { readRequest(conn); time.Sleep(time.Second); conn.Close() }, 0, Late},
+		{"responds", func(conn net.Conn) {
 			readRequest(conn)
 			_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 		}, 0, ""},
@@ -62,23 +63,24 @@
 			time.Sleep(c.delay)
 			client.Run(context.Background())
 			require.Len(t, client.Outcomes, 1)
-			require.Equal(t, c.want, client.Outcomes[0].Ending, "%v", client.Outcomes[0].Err)
+			require.Equal(t, c.want, client.Outcomes[0].Ending, "ending of the request, error: %v", client.Outcomes[0].Err)
 		})
 	}
 }
 
-// TestDraw checks that equal seeds give equal schedules, whose lanes are in order and within their time.
+// TestDraw checks that equal seeds give equal schedules, and that the actions on each target are
+// sorted by time and start within the length of the schedule plus that of a burst.
 func TestDraw(t *testing.T) {
 	c := Config{Seed: 7, Targets: 5, Length: 10 * time.Second, Restarts: 20, Signals: 20}
 	s := Draw(c)
 	require.Equal(t, s, Draw(c))
 	restarts := 0
-	for target, lane := range s.Restarts {
-		restarts += len(lane)
-		for i, a := range lane {
+	for target, actions := range s.Restarts {
+		restarts += len(actions)
+		for i, a := range actions {
 			require.Equal(t, target, a.Target)
 			require.Less(t, a.At, c.Length+burstLength)
-			require.True(t, i == 0 || lane[i-1].At <= a.At)
+			require.True(t, i == 0 || actions[i-1].At <= a.At)
 		}
 	}
 	require.Equal(t, c.Restarts, restarts)
--- a/internal/testkit/signalsoak/doc.go
+++ b/internal/testkit/signalsoak/doc.go
@@ -1,10 +1,11 @@
-// Package signalsoak holds what the soaks of the real processes share: schedules of signals, restarts and changes that a seed
-// draws, clients that go on using their open connections until the process at the other end is gone, and the rules by which
-// their connections' ends are judged.
+// Package signalsoak provides the shared parts of the soak tests that run real processes: random
+// schedules of signals, restarts and configuration changes, clients that keep using a connection
+// until the other end closes it, and the rules by which they classify failed requests.
 //
-// A Schedule is pure: equal seeds give equal ones. It has a lane of restarts for each target, in which one follows the other,
-// and a lane of signals and changes that overlap with all of them. The tests of the programs carry a schedule out: they
-// know how a process is started and what it has to answer.
+// A Schedule is a pure function of its Config, so a run can be repeated from its seed. It holds one
+// list of restarts per target, carried out in sequence, and one list of signals and changes that
+// overlap with all restarts. The tests of each program carry a schedule out: they know how its
+// process is started and which responses are valid.
 //
-// A Client is for one goroutine; its findings are read once that has ended.
+// A Client is for one goroutine. Its results may be read once Run has returned.
 package signalsoak
--- a/internal/testkit/signalsoak/schedule.go
+++ b/internal/testkit/signalsoak/schedule.go
@@ -7,55 +7,56 @@
 	"time"
 )
 
-// Kind is what is done to a process.
+// Kind is a kind of action on a process.
 type Kind string
 
 // The kinds of actions.
 const (
-	Terminate       Kind = "terminate"        // SIGTERM; it is started again once it has ended
-	TerminateSeries Kind = "terminate series" // SIGTERM again and again until it has ended
-	Kill            Kind = "kill"             // SIGKILL; it is started again
-	StartSeries     Kind = "start series"     // started and killed several times in a row
-	Pause           Kind = "pause"            // SIGSTOP, and SIGCONT after Length
+	Terminate       Kind = "terminate"        // SIGTERM; the process is restarted once it has exited
+	TerminateSeries Kind = "terminate series" // SIGTERM, repeated until the process has exited
+	Kill            Kind = "kill"             // SIGKILL, then a restart
+	StartSeries     Kind = "start series"     // started and killed Count times in a row
+	Pause           Kind = "pause"            // SIGSTOP, then SIGCONT after Length
 	Hangup          Kind = "hangup"           // SIGHUP, Count times in a row
-	HangupInvalid   Kind = "hangup invalid"   // the same, with a settings file that can't be used meanwhile
-	Change          Kind = "change"           // of what the processes serve by, Count times in a row
+	HangupInvalid   Kind = "hangup invalid"   // like Hangup, while the settings file is invalid
+	Change          Kind = "change"           // changes the served configuration, Count times in a row
 )
 
-// Action is something that is done to a target at a time after the beginning.
+// Action is one planned action on a target.
 type Action struct {
-	At     time.Duration
-	Target int
+	At     time.Duration // since the start of the schedule
+	Target int           // from 0 to Config.Targets - 1
 	Kind   Kind
-	Length time.Duration // of a pause, and between an end and the next start
-	Count  int           // of a series
+	Length time.Duration // duration of a pause; otherwise delay between an exit and the next start
+	Count  int           // repetitions, for the kinds that repeat
 }
 
-// Schedule is what a seed has drawn.
+// Schedule is the list of actions drawn from a seed.
 type Schedule struct {
 	Seed     uint64
 	Length   time.Duration
-	Restarts [][]Action // of each target, one after the other: an action begins once the one before has ended
-	Signals  []Action   // of all targets, each at its time whatever else goes on
+	Restarts [][]Action // by target; an action starts once the one before it has ended
+	Signals  []Action   // of all targets; each starts at its time, whatever else is in progress
 }
 
-// Config says what a schedule is drawn for.
+// Config holds the parameters of Draw.
 type Config struct {
 	Seed     uint64
 	Targets  int
-	Length   time.Duration // in which actions begin
-	Restarts int           // in all
-	Signals  int           // in all
-	Kinds    []Kind        // of restarts, as often as they stand here; nil for all alike
+	Length   time.Duration // actions start within this time, those of a burst up to 500 ms later
+	Restarts int           // total over all targets
+	Signals  int           // total over all targets
+	Kinds    []Kind        // of restarts; repeat one to weight it; nil for a default mix
 }
 
 const (
-	maxSeries = 5
-	maxPause  = 2 * time.Second
-	maxGap    = 600 * time.Millisecond
+	maxSeries = 5                      // Action.Count
+	maxPause  = 2 * time.Second        // Action.Length of a pause
+	maxGap    = 600 * time.Millisecond // Action.Length of other kinds
 )
 
-// Draw draws a schedule. Half of the restarts and signals come in bursts that hit several targets within half a second.
+// Draw returns the schedule of a seed; equal configs give equal schedules. About half of the
+// restarts and signals belong to bursts, which affect several targets within half a second.
 func Draw(c Config) Schedule {
 	rng := rand.New(rand.NewPCG(c.Seed, 0x516e41))
 	kinds := c.Kinds
@@ -63,38 +64,38 @@
 		kinds = []Kind{Terminate, Terminate, TerminateSeries, Kill, Kill, StartSeries, Pause, Pause}
 	}
 	s := Schedule{Seed: c.Seed, Length: c.Length, Restarts: make([][]Action, c.Targets)}
-	moments := drawMoments(rng, c.Length)
+	burstStarts := drawBurstStarts(rng, c.Length)
 	for range c.Restarts {
-		a := drawAction(rng, c, moments, kinds)
+		a := drawAction(rng, c, burstStarts, kinds)
 		s.Restarts[a.Target] = append(s.Restarts[a.Target], a)
 	}
 	for range c.Signals {
-		s.Signals = append(s.Signals, drawAction(rng, c, moments, []Kind{Hangup, Hangup, HangupInvalid, Change, Change}))
+		s.Signals = append(s.Signals, drawAction(rng, c, burstStarts, []Kind{Hangup, Hangup, HangupInvalid, Change, Change}))
 	}
 	byTime := func(a, b Action) int { return cmp.Compare(a.At, b.At) }
-	for _, lane := range s.Restarts {
-		slices.SortStableFunc(lane, byTime)
+	for _, actions := range s.Restarts {
+		slices.SortStableFunc(actions, byTime)
 	}
 	slices.SortStableFunc(s.Signals, byTime)
 	return s
 }
 
-// burstLength is how far the actions of a burst lie apart at the most.
+// burstLength bounds the time between the first and the last action of a burst.
 const burstLength = 500 * time.Millisecond
 
-// drawMoments draws the beginnings of bursts.
-func drawMoments(rng *rand.Rand, length time.Duration) (moments []time.Duration) {
+// drawBurstStarts draws the start times of the bursts: one, and one more for every four seconds.
+func drawBurstStarts(rng *rand.Rand, length time.Duration) (starts []time.Duration) {
 	for range 1 + int(length/(4*time.Second)) {
-		moments = append(moments, time.Duration(rng.Int64N(int64(length))))
+		starts = append(starts, time.Duration(rng.Int64N(int64(length))))
 	}
-	return moments
+	return starts
 }
 
-// drawAction draws one action of some kinds.
-func drawAction(rng *rand.Rand, c Config, moments []time.Duration, kinds []Kind) Action {
+// drawAction draws an action of one of the kinds; with even odds it belongs to a burst.
+func drawAction(rng *rand.Rand, c Config, burstStarts []time.Duration, kinds []Kind) Action {
 	at := time.Duration(rng.Int64N(int64(c.Length)))
 	if rng.IntN(2) == 0 {
-		at = moments[rng.IntN(len(moments))] + time.Duration(rng.Int64N(int64(burstLength)))
+		at = burstStarts[rng.IntN(len(burstStarts))] + time.Duration(rng.Int64N(int64(burstLength)))
 	}
 	a := Action{At: at, Target: rng.IntN(c.Targets), Kind: kinds[rng.IntN(len(kinds))], Count: 1 + rng.IntN(maxSeries)}
 	a.Length = time.Duration(rng.Int64N(int64(maxGap)))
