--- a/internal/testkit/devcluster/calls.go
+++ b/internal/testkit/devcluster/calls.go
@@ -12,21 +12,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// callTimeout bounds a call.
+// callTimeout bounds a request together with its response.
 const callTimeout = 3 * time.Second
 
-// Host is the host name that the cluster's queues are served under.
+// Host is the host name in the routes of Configuration.
 const Host = "jobs.example"
 
-// Configuration is the configuration that Configure gives the cluster: two queues of one service.
+// Configuration is the JSON configuration that Configure applies: two queues of one service.
 const Configuration = `{"Version":1,"Routes":[` +
 	`{"Name":"previews","Host":"jobs.example","PathPrefix":"/previews/","TimeoutMs":3000,"TargetLatencyMs":800,"Priority":0,"Service":"toy","MaxAttempts":3,"Stretch":1.5},` +
 	`{"Name":"batches","Host":"jobs.example","PathPrefix":"/batches/","TimeoutMs":3000,"TargetLatencyMs":4000,"Priority":2,"Service":"toy","MaxAttempts":2,"Stretch":4}],` +
 	`"Services":[{"Name":"toy","HealthPath":"/health"}]}`
 
-// Call makes a call and returns the response's status and body. An empty host is the address's own, and match is the
-// value of If-Match, empty for none.
-func Call(method, url, host, match string, body []byte) (int, []byte, error) {
+// Call sends an HTTP request and returns the status and body of its response. It returns an error
+// if there is no complete response within 3 s. If host is empty, the Host header is that of the
+// URL. If ifMatch is not empty, it is sent as the If-Match header.
+func Call(method, url, host, ifMatch string, body []byte) (int, []byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
 	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -34,8 +35,8 @@
 		return 0, nil, errors.Wrapf(err, "dev cluster: make the request %s %s", method, url)
 	}
 	request.Host = host
-	if match != "" {
-		request.Header.Set("If-Match", match)
+	if ifMatch != "" {
+		request.Header.Set("If-Match", ifMatch)
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -46,18 +47,18 @@
 	return response.StatusCode, content, errors.Wrapf(err, "dev cluster: read the response of %s %s", method, url)
 }
 
-// Configure gives the cluster its configuration and waits until all gateways have it. It tells whether each step was
-// done in time.
-func (c *Cluster) Configure(within time.Duration) bool {
+// Configure puts Configuration to each control plane machine and waits until all gateways serve it.
+// It reports whether each of these requests succeeded within the timeout.
+func (c *Cluster) Configure(timeout time.Duration) bool {
 	for _, m := range c.Cores {
-		if !WaitFor(within, func() bool {
+		if !WaitFor(timeout, func() bool {
 			return succeeds(http.MethodPut, "http://"+m.Control()+"/v1/config", "", "0", []byte(Configuration))
 		}) {
 			return false
 		}
 	}
 	for _, m := range c.Gateways {
-		if !WaitFor(within, func() bool {
+		if !WaitFor(timeout, func() bool {
 			return succeeds(http.MethodGet, "http://"+m.Front()+"/previews/", Host, "", nil)
 		}) {
 			return false
@@ -66,12 +67,12 @@
 	return true
 }
 
-// Submit submits a job at a gateway and tells whether it was accepted.
+// Submit posts a job to a gateway and reports whether it was accepted.
 func (c *Cluster) Submit(gateway int, queue, id, job string) bool {
 	return succeeds(http.MethodPost, c.jobURL(gateway, queue, id), Host, "", []byte(job))
 }
 
-// State returns a job's state, empty where the gateway does not know it.
+// State returns a job's state as a gateway reports it, empty if the request fails.
 func (c *Cluster) State(gateway int, queue, id string) string {
 	status, body, err := Call(http.MethodGet, c.jobURL(gateway, queue, id), Host, "", nil)
 	if err != nil || status != http.StatusOK {
@@ -84,7 +85,8 @@
 	return job.State
 }
 
-// Head returns the machine whose process serves as the head, nil where none says so.
+// Head returns the control plane machine that reports itself as the serving head, nil if there is
+// none.
 func (c *Cluster) Head() *Machine {
 	for _, m := range c.Cores {
 		status, body, err := Call(http.MethodGet, "http://"+m.Control()+"/v1/status", "", "", nil)
@@ -101,13 +103,13 @@
 	return nil
 }
 
-// jobURL returns the address of a job at a gateway.
+// jobURL returns the URL of a job at a gateway.
 func (c *Cluster) jobURL(gateway int, queue, id string) string {
 	return fmt.Sprintf("http://%s/%s/%s", c.Gateways[gateway].Front(), queue, id)
 }
 
-// succeeds tells whether a call is answered with 200.
-func succeeds(method, url, host, match string, body []byte) bool {
-	status, _, err := Call(method, url, host, match, body)
+// succeeds reports whether a request is answered with 200. Its parameters are those of Call.
+func succeeds(method, url, host, ifMatch string, body []byte) bool {
+	status, _, err := Call(method, url, host, ifMatch, body)
 	return err == nil && status == http.StatusOK
 }
--- a/internal/testkit/devcluster/cluster.go
+++ b/internal/testkit/devcluster/cluster.go
@@ -1,9 +1,11 @@
-// Package devcluster starts a whole small cluster scheduler on loopback, from the two programs, with fake runners: for
-// the demonstration and for tests. Each machine is a process with an address of its own in a loopback network that the
-// cluster locks while it lives, so that several clusters can run side by side.
+// Package devcluster runs a complete small cluster on loopback for demonstrations and tests:
+// processes of the control plane and the data plane, started from the two programs, and fake
+// runners. Each machine is one process with its own IP address. The addresses belong to a
+// 127.N.0.0/16 network that the cluster locks until it is closed, so that several clusters can run
+// on one host.
 //
-// The command line's demonstration and the tests of frosttide-control use it. A Cluster is for one goroutine at a time;
-// its owner closes it.
+// It is used by "frosttide-control demo" and by the tests of frosttide-control. A Cluster is not
+// safe for concurrent use. Its owner must call Close.
 package devcluster
 
 import (
@@ -21,15 +23,15 @@
 	"frosttide/internal/testkit/fakerunner"
 )
 
-// Config describes a cluster.
+// Config holds the parameters of a cluster.
 type Config struct {
-	Control  string   // path of the control plane's program
-	Data     string   // path of the data plane's program
-	Env      []string // of the programs, beside this process's own
-	Dir      string   // for the machines' folders and logs
-	Cores    int      // machines of the control plane
-	Gateways int
-	Runners  []fakerunner.Config // one for each agent; the agents' addresses are filled in
+	Control  string              // path of the frosttide-control binary
+	Data     string              // path of the frosttide-data binary
+	Env      []string            // KEY=VALUE, added to this process's environment for the machines
+	Dir      string              // directory for the machines' settings, data and logs
+	Cores    int                 // number of control plane machines
+	Gateways int                 // number of gateway machines
+	Runners  []fakerunner.Config // one for each agent machine; Start sets their Agent
 }
 
 const (
@@ -39,15 +41,15 @@
 	frontPort     = 8149
 	readinessPort = 8141
 	lockPort      = 7946
-	firstNetwork  = 140 // second number of the loopback networks that are tried
-	networks      = 60
+	firstNetwork  = 140 // second octet of the first loopback network that is tried
+	networks      = 60  // number of networks that are tried
 )
 
-// Cluster is the machines and the runners.
+// Cluster is a running cluster: the processes of its machines, and its fake runners.
 type Cluster struct {
 	cfg         Config
-	networkLock net.Listener // held so that no other cluster takes the network
-	network     int          // second number of the machines' addresses
+	networkLock net.Listener // open while the cluster holds its network
+	network     int          // second octet of the machines' addresses
 	Cores       []*Machine
 	Gateways    []*Machine
 	Agents      []*Machine
@@ -56,11 +58,12 @@
 	runners     sync.WaitGroup
 }
 
-// ErrNoFreeNetwork is returned where every loopback network is locked by another cluster.
+// ErrNoFreeNetwork is returned by Start if other clusters hold all loopback networks.
 var ErrNoFreeNetwork = errors.New("dev cluster: all loopback networks are in use")
 
-// Start starts a cluster, whose control plane founds a new system. It returns once all processes are started; they may
-// not serve yet.
+// Start starts a cluster whose control plane bootstraps a new system. It returns once all processes
+// are started, possibly before they serve. It returns ErrNoFreeNetwork, or the error of the first
+// process that can't be started.
 func Start(cfg Config) (*Cluster, error) {
 	c := &Cluster{cfg: cfg}
 	if err := c.lockNetwork(); err != nil {
@@ -78,7 +81,7 @@
 		c.Agents = append(c.Agents, &Machine{Name: fmt.Sprintf("side-%d", i), IP: c.ip(2, i), command: []string{cfg.Data, "companion"}})
 	}
 	for _, m := range c.machines() {
-		if err := c.launch(m, founding); err != nil {
+		if err := c.launch(m, bootstrapSystem); err != nil {
 			c.Close()
 			return nil, err
 		}
@@ -92,7 +95,8 @@
 	return c, nil
 }
 
-// lockNetwork takes the first loopback network that no other cluster holds.
+// lockNetwork locks the first loopback network that no other cluster holds, by listening on an
+// address of it.
 func (c *Cluster) lockNetwork() error {
 	for n := firstNetwork; n < firstNetwork+networks; n++ {
 		if lock, err := net.Listen("tcp4", fmt.Sprintf("127.%d.255.1:%d", n, lockPort)); err == nil {
@@ -103,12 +107,12 @@
 	return ErrNoFreeNetwork
 }
 
-// Close ends all processes and runners, and unlocks the network.
+// Close kills all processes, waits for their exit, stops the runners and unlocks the network.
 func (c *Cluster) Close() {
 	c.stopRunners()
 	for _, m := range c.machines() {
 		if m.cmd != nil && m.cmd.Process != nil {
-			_ = m.cmd.Process.Kill() // it may have ended
+			_ = m.cmd.Process.Kill() // fails if the process has exited
 		}
 	}
 	for _, m := range c.machines() {
@@ -120,17 +124,19 @@
 	c.networkLock.Close()
 }
 
-// machines returns all machines.
+// machines returns the machines of all roles.
 func (c *Cluster) machines() []*Machine {
 	return append(append(append([]*Machine(nil), c.Cores...), c.Gateways...), c.Agents...)
 }
 
-// ip returns the address of a machine: class is 0 for the control plane, 1 for gateways and 2 for agents.
-func (c *Cluster) ip(class, index int) string {
-	return fmt.Sprintf("127.%d.%d.%d", c.network, class, index+1)
+// ip returns the IP address of a machine: role is 0 for the control plane, 1 for gateways and 2 for
+// agents.
+func (c *Cluster) ip(role, index int) string {
+	return fmt.Sprintf("127.%d.%d.%d", c.network, role, index+1)
 }
 
-// Seeds returns the operators' addresses that each process is configured with: those of up to three core machines.
+// Seeds returns the Control addresses (host:port) that each process has in its setting Seeds: those
+// of the first three control plane machines at most.
 func (c *Cluster) Seeds() (out []string) {
 	for _, m := range c.Cores[:min(3, len(c.Cores))] {
 		out = append(out, m.Control())
@@ -138,44 +144,44 @@
 	return out
 }
 
-// DataDir returns the folder that stands for a core machine's disk.
+// DataDir returns the directory in which a control plane machine keeps its persistent state.
 func (c *Cluster) DataDir(m *Machine) string { return filepath.Join(c.cfg.Dir, m.Name) }
 
-// settings returns a machine's settings file.
+// settings returns the content of a machine's settings file, in TOML.
 func (c *Cluster) settings(m *Machine, start startMode) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "NodeName = %q\nIp = %q\nZone = \"z%s\"\nPortRange = [%d, %d]\nSeeds = [%s]\nBootstrap = %v\nHeartbeatMs = 1500\n", m.Name, m.IP, m.Name[len(m.Name)-1:], firstPort, lastPort,
-		`"`+strings.Join(c.Seeds(), `", "`)+`"`, start == founding)
+		`"`+strings.Join(c.Seeds(), `", "`)+`"`, start == bootstrapSystem)
 	fmt.Fprintf(&b, "DataDir = %q\n[ListenAddrs]\nControl = %q\nFront = %q\nReadiness = %q\n[FaultTolerance]\nMachines = %d\n[Bounds]\nHoldMaxMs = 6000\nRecoveryS = 6\nGraceS = 6\n",
 		c.DataDir(m), m.Control(), m.Front(), net.JoinHostPort(m.IP, fmt.Sprint(readinessPort)), (len(c.Cores)-1)/2)
 	return b.String()
 }
 
-// Disk says what becomes of a machine's disk before its process is started again.
+// Disk says whether a machine keeps its persistent state over a restart.
 type Disk bool
 
-// The two kinds of a restart.
+// The values of Disk.
 const (
-	KeepDisk Disk = false
-	LoseDisk Disk = true
+	KeepDisk Disk = false // the process recovers from its data directory
+	LoseDisk Disk = true  // the data directory is removed first, as if the disk had failed
 )
 
-// Restart starts the process of a machine that has ended again.
+// Restart starts a machine's process again after it has exited.
 func (c *Cluster) Restart(m *Machine, disk Disk) error {
 	if disk == LoseDisk {
 		if err := os.RemoveAll(c.DataDir(m)); err != nil {
 			return errors.Wrapf(err, "dev cluster: empty the disk of %s", m.Name)
 		}
 	}
-	return c.launch(m, rejoining)
+	return c.launch(m, joinSystem)
 }
 
-// pollInterval is the time between two checks of a condition that is waited for.
+// pollInterval is the interval between two checks of WaitFor.
 const pollInterval = 20 * time.Millisecond
 
-// WaitFor waits until a condition holds, and tells whether it does in time.
-func WaitFor(within time.Duration, condition func() bool) bool {
-	for until := time.Now().Add(within); time.Now().Before(until); time.Sleep(pollInterval) {
+// WaitFor polls a condition every 20 ms and reports whether it held within a time.
+func WaitFor(timeout time.Duration, condition func() bool) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if condition() {
 			return true
 		}
--- a/internal/testkit/devcluster/machine.go
+++ b/internal/testkit/devcluster/machine.go
@@ -11,35 +11,37 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Machine is a machine of the cluster with its process.
+// Machine is a machine of the cluster: an IP address, and the process that runs there.
 type Machine struct {
-	Name         string
+	Name         string // the role and an index, such as core-0
 	IP           string
-	command      []string // the program and its arguments
+	command      []string // program and arguments
 	settingsFile string
 	logFile      string
 	cmd          *exec.Cmd
-	done         chan struct{} // closed once the process has ended
+	done         chan struct{} // closed once the process has exited
 }
 
-// StartLine stands in a machine's log before what each of its processes has logged.
+// StartLine is the line that is written to a machine's log before each start of its process.
 const StartLine = "--- the process is started"
 
-// startMode says what a process of the control plane does at its start.
+// startMode says how a control plane process starts with an empty data directory.
 type startMode int
 
 const (
-	founding  startMode = iota // it founds the system where its disk is empty
-	rejoining                  // it takes part in the system that there is
+	bootstrapSystem startMode = iota // it bootstraps a new system
+	joinSystem                       // it joins the existing system
 )
 
-// Control returns the machine's address for operators or, of an agent, for its runner.
+// Control returns the address (host:port) that serves the operators' API or, on an agent, the
+// runner's heartbeats.
 func (m *Machine) Control() string { return net.JoinHostPort(m.IP, fmt.Sprint(controlPort)) }
 
-// Front returns a gateway's address for clients.
+// Front returns the address (host:port) at which a gateway serves clients.
 func (m *Machine) Front() string { return net.JoinHostPort(m.IP, fmt.Sprint(frontPort)) }
 
-// Log returns what the machine's processes have logged, or why that can't be read.
+// Log returns the log of all processes of the machine, or the text of the error if it can't be
+// read.
 func (m *Machine) Log() string {
 	data, err := os.ReadFile(m.logFile)
 	if err != nil {
@@ -48,7 +50,8 @@
 	return string(data)
 }
 
-// launch starts a machine's process.
+// launch writes a machine's settings file and starts its process. The output is appended to its
+// log.
 func (c *Cluster) launch(m *Machine, start startMode) error {
 	m.settingsFile, m.logFile = filepath.Join(c.cfg.Dir, m.Name+".toml"), filepath.Join(c.cfg.Dir, m.Name+".log")
 	if err := os.WriteFile(m.settingsFile, []byte(c.settings(m, start)), 0o600); err != nil {
@@ -58,7 +61,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "dev cluster: open the log of %s", m.Name)
 	}
-	defer log.Close() // the process has its own descriptor
+	defer log.Close() // the process has its own file descriptor
 	if _, err := fmt.Fprintln(log, StartLine); err != nil {
 		return errors.Wrapf(err, "dev cluster: write the log of %s", m.Name)
 	}
@@ -76,37 +79,38 @@
 	return nil
 }
 
-// Kill ends a machine's process at once and waits for its end.
+// Kill sends SIGKILL to a machine's process and waits for its exit.
 func (c *Cluster) Kill(m *Machine) {
-	_ = m.cmd.Process.Kill() // it may have ended
+	_ = m.cmd.Process.Kill() // fails if the process has exited
 	<-m.done
 }
 
-// Signal sends a signal to a machine's process, which may have ended.
+// Signal sends a signal to the machine's process. It does nothing if the process has exited.
 func (m *Machine) Signal(signal syscall.Signal) { _ = m.cmd.Process.Signal(signal) }
 
-// Done returns a channel that is closed once the process that the machine has now has ended.
+// Done returns a channel that is closed once the machine's current process has exited.
 func (m *Machine) Done() <-chan struct{} { return m.done }
 
-// ProcessState returns how the machine's process has ended; Done must be closed.
+// ProcessState returns the exit state of the machine's process. It may be called once Done is
+// closed.
 func (m *Machine) ProcessState() *os.ProcessState { return m.cmd.ProcessState }
 
-// SettingsFile returns the path of the machine's settings file.
+// SettingsFile returns the path of the machine's settings file, for tests that edit and reload it.
 func (m *Machine) SettingsFile() string { return m.settingsFile }
 
-// Pause stops a machine's process until Continue.
+// Pause suspends a machine's process with SIGSTOP until Continue.
 func (c *Cluster) Pause(m *Machine) error {
 	return errors.Wrapf(m.cmd.Process.Signal(syscall.SIGSTOP), "dev cluster: pause %s", m.Name)
 }
 
-// Continue has a process that was paused go on.
+// Continue resumes a paused process with SIGCONT.
 func (c *Cluster) Continue(m *Machine) error {
 	return errors.Wrapf(m.cmd.Process.Signal(syscall.SIGCONT), "dev cluster: continue %s", m.Name)
 }
 
-// Terminate asks a machine's process to end, waits for its end and returns its exit status.
+// Terminate sends SIGTERM to a machine's process, waits for its exit and returns the exit status.
 func (c *Cluster) Terminate(m *Machine) int {
-	_ = m.cmd.Process.Signal(syscall.SIGTERM) // it may have ended
+	_ = m.cmd.Process.Signal(syscall.SIGTERM) // fails if the process has exited
 	<-m.done
 	return m.cmd.ProcessState.ExitCode()
 }
