--- a/internal/testkit/fakerunner/heartbeat.go
+++ b/internal/testkit/fakerunner/heartbeat.go
@@ -11,13 +11,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrHeartbeat is returned for a heartbeat that has no valid response in time.
-var ErrHeartbeat = errors.New("fake runner: the heartbeat is not acknowledged")
+// ErrHeartbeat is returned if a heartbeat gets no valid response within 1 s.
+var ErrHeartbeat = errors.New("fake runner: heartbeat not acknowledged")
 
-// slots is how many tasks a fake runner says that it runs at once.
+// slots is the number of concurrent tasks that a runner declares.
 const slots = 8
 
-// heartbeat is the body of a heartbeat. The names of the fields are the protocol's JSON keys.
+// heartbeat is the body of a heartbeat request. The field names are the JSON keys of the protocol.
 type heartbeat struct {
 	Service  string
 	Address  string
@@ -29,7 +29,7 @@
 	Labels   []string
 	Sequence uint64
 	Running  [][]any // task, run, checkpoint, progress
-	Finished [][]any // number of the end, task, run, outcome, checkpoint
+	Finished [][]any // sequence number of the end, task, run, outcome, checkpoint
 }
 
 // capacity is the capacity that a heartbeat declares.
@@ -39,20 +39,21 @@
 	GPUs  int64 `json:"Gpus"`
 }
 
-// heartbeatResponse is an agent's response. The names of the fields are the protocol's JSON keys.
+// heartbeatResponse is the body of an agent's response. The field names are the JSON keys of the
+// protocol.
 type heartbeatResponse struct {
-	HoldMs     int64  // the run lease: how long all runs may go on from the sending of the heartbeat; 0 for no orders
-	LastSeen   uint64 // the highest number of an end that is acknowledged
+	HoldMs     int64  // run lease in ms from the sending of the heartbeat; 0 if there are no orders
+	LastSeen   uint64 // highest acknowledged sequence number of an end
 	FenceToken uint64
-	RetryMs    int64   // the interval until the next heartbeat
+	RetryMs    int64   // interval until the next heartbeat, in ms
 	Start      [][]any // task, run, spec
 	Stop       [][]any // task, run
 }
 
-// sendHeartbeat sends one heartbeat and applies the response. It returns the interval until the next one, or
-// ErrHeartbeat.
+// sendHeartbeat sends a heartbeat and applies the response. It returns the interval until the next
+// heartbeat. The error is ErrHeartbeat if there is no valid response in time.
 func (r *Runner) sendHeartbeat(ctx context.Context) (time.Duration, error) {
-	body, err := json.Marshal(r.heartbeat())
+	body, err := json.Marshal(r.nextHeartbeat())
 	if err != nil {
 		return 0, errors.Wrap(err, "fake runner: encode the heartbeat")
 	}
@@ -74,8 +75,8 @@
 	return max(time.Duration(orders.RetryMs)*time.Millisecond, endDelay), nil
 }
 
-// heartbeat returns the next heartbeat.
-func (r *Runner) heartbeat() *heartbeat {
+// nextHeartbeat returns the next heartbeat, with the current runs and the unacknowledged ends.
+func (r *Runner) nextHeartbeat() *heartbeat {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sequence++
@@ -90,8 +91,8 @@
 	return h
 }
 
-// apply obeys a response to a heartbeat that was sent at a time. One with an older fencing token is ignored: it is
-// of an agent's earlier head.
+// apply carries out the response to a heartbeat that was sent at the given time. A response with an
+// older fencing token is ignored, since its orders come from a head that has been replaced.
 func (r *Runner) apply(sent time.Time, orders *heartbeatResponse) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -114,19 +115,19 @@
 	}
 }
 
-// stringAt returns the text at a position of a list, empty where there is none.
-func stringAt(items []any, at int) string {
-	if at < len(items) {
-		s, _ := items[at].(string)
+// stringAt returns the string at an index of a list, empty if there is none.
+func stringAt(items []any, index int) string {
+	if index < len(items) {
+		s, _ := items[index].(string)
 		return s
 	}
 	return ""
 }
 
-// numberAt returns the number at a position of a list, 0 where there is none.
-func numberAt(items []any, at int) uint32 {
-	if at < len(items) {
-		n, _ := items[at].(float64)
+// numberAt returns the number at an index of a list, 0 if there is none.
+func numberAt(items []any, index int) uint32 {
+	if index < len(items) {
+		n, _ := items[index].(float64)
 		return uint32(n)
 	}
 	return 0
--- a/internal/testkit/fakerunner/runs.go
+++ b/internal/testkit/fakerunner/runs.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// extendRunLease has all runs end as lapsed at a time, unless the lease is extended again before. The lock is held.
-func (r *Runner) extendRunLease(until time.Time) {
+// extendRunLease sets the expiry of the run lease. If it is not extended again by then, all runs
+// end as lapsed. The caller holds the lock.
+func (r *Runner) extendRunLease(expiry time.Time) {
 	if r.runLeaseTimer != nil {
 		r.runLeaseTimer.Stop()
 	}
-	r.runLeaseTimer = time.AfterFunc(time.Until(until), func() {
+	r.runLeaseTimer = time.AfterFunc(time.Until(expiry), func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		for _, run := range r.running {
@@ -19,8 +20,9 @@
 	})
 }
 
-// start begins a run, unless the task is running or the run is blocked. The spec may name a duration, as in "sleep
-// 300ms", and the word "fail" has the run fail at its end. The lock is held.
+// start starts a run, unless the task is running or the run is blocked. The spec may hold a
+// duration, as in "sleep 300ms"; with the word "fail" the run ends as failed. The caller holds the
+// lock.
 func (r *Runner) start(task string, number uint32, spec string) {
 	if r.running[task] != nil || number <= r.blockedRuns[task] {
 		return
@@ -43,8 +45,9 @@
 	})
 }
 
-// stop ends the run of a task up to a number. Where the task is not running, runs up to that number are blocked: the
-// order to start one may be late. The lock is held.
+// stop ends the run of a task if its number is at most the given one. If the task is not running,
+// it blocks its runs up to that number, because an order to start one of them may arrive late. The
+// caller holds the lock.
 func (r *Runner) stop(task string, number uint32) {
 	run := r.running[task]
 	if run == nil {
@@ -56,7 +59,8 @@
 	}
 }
 
-// end ends a run, unless it has ended, and wakes the heartbeats. The lock is held.
+// end records the end of a run, unless it has ended before, and triggers an early heartbeat. The
+// caller holds the lock.
 func (r *Runner) end(run *Run, outcome string) {
 	if r.running[run.Task] != run {
 		return
