--- a/internal/testkit/connpair/connpair.go
+++ b/internal/testkit/connpair/connpair.go
@@ -1,4 +1,4 @@
-// Package connpair makes the two ends of a TCP connection for tests.
+// Package connpair opens pairs of connected TCP sockets for tests.
 package connpair
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// New returns the two ends of a connection on loopback, which are closed with the test.
+// New returns the two ends of a TCP connection on loopback. Both are closed when the test ends.
 func New(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/internal/testkit/fakefleet/catalog.go
+++ b/internal/testkit/fakefleet/catalog.go
@@ -10,16 +10,17 @@
 	"github.com/sirupsen/logrus"
 )
 
-// The states of a listed runner, as discovery names them.
+// The states of a listed runner in the protocol of discovery.
 const (
 	serving  = "SERVING"
 	draining = "DRAINING"
 )
 
-// idleInterval is how long a watch without a change waits before it says so with an empty line.
+// idleInterval is the time after which a watch without a change sends an empty line as a
+// keep-alive.
 const idleInterval = 2 * time.Second
 
-// listedRunner is an entry of discovery's list, in its JSON form.
+// listedRunner is the JSON form of an entry in the list of runners.
 type listedRunner struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -31,16 +32,16 @@
 	Boot     int64   `json:"boot_ms"`
 }
 
-// catalog is discovery: an HTTP handler for its list.
+// catalog is the HTTP handler of the fake discovery service, which serves the list of runners.
 type catalog struct {
 	log     logrus.FieldLogger
-	mu      sync.Mutex // guards what follows
+	mu      sync.Mutex // guards the fields below
 	rev     int        // revision of the list
 	runners []listedRunner
 	changed chan struct{} // closed at the next change
 }
 
-// toggleDraining moves a runner from serving to draining or back.
+// toggleDraining switches a runner between serving and draining and notifies all watches.
 func (c *catalog) toggleDraining(i int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -50,25 +51,26 @@
 	} else {
 		r.State = serving
 	}
-	c.log.WithFields(logrus.Fields{"target": r.UID, "state": r.State}).Info("List changed")
+	c.log.WithFields(logrus.Fields{"target": r.UID, "state": r.State}).Info("State of a listed runner changed")
 	c.rev++
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// snapshot returns the list as a line of JSON, and a channel that is closed at its next change.
+// snapshot returns the list as a line of JSON, and a channel that is closed when the list changes
+// next.
 func (c *catalog) snapshot() ([]byte, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	text, err := json.Marshal(map[string]any{"rev": c.rev, "all": true, "targets": c.runners})
 	if err != nil {
-		c.log.WithError(err).Error("The list can't be encoded")
+		c.log.WithError(err).Error("Encoding the list of runners failed")
 	}
 	return append(text, '\n'), c.changed
 }
 
-// ServeHTTP answers with the list. A watch gets the list again at each change, and an empty line whenever there was
-// none for idleInterval.
+// ServeHTTP responds with the list. With watch=1 in the query the response goes on: it gets the
+// list again at each change, and an empty line whenever there was no change for idleInterval.
 func (c *catalog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/catalog/members" {
 		http.NotFound(w, r)
--- a/internal/testkit/fakefleet/fakefleet.go
+++ b/internal/testkit/fakefleet/fakefleet.go
@@ -1,8 +1,9 @@
-// Package fakefleet plays discovery and small runners on loopback, so that a newcomer can see a dispatcher at work.
-// The runners accept any job, work on it for a while and report it done.
+// Package fakefleet runs a fake service discovery and fake runners, so that a dispatcher can be
+// tried out without a real fleet. The runners accept every job, sleep for a fixed time and report
+// the job as done.
 //
-// The demonstration of frosttide, the example program and the laboratory's measurements start one. A Fleet is safe for
-// concurrent use; its owner closes it.
+// It is used by "frosttide demo", examples/fakefleet and the measurements of frosttide-lab. A Fleet
+// is safe for concurrent use. Its owner must call Close.
 package fakefleet
 
 import (
@@ -15,14 +16,15 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Fleet is discovery and its runners. Start makes it.
+// Fleet is a running discovery service and its runners.
 type Fleet struct {
 	catalog *catalog
 	servers []*http.Server
 }
 
-// Start opens the addresses: that of discovery, and one for each runner. Jobs are reported to the dispatcher's address,
-// and each runs for as long as work says. It returns the error of an address that can't be opened.
+// Start listens on the address of discovery and on one address (host:port) per runner. The runners
+// send job events to the dispatcher's address; each job takes the time in work. It returns an error
+// if an address can't be listened on.
 func Start(discovery, dispatcher string, runners []string, work time.Duration, log logrus.FieldLogger) (*Fleet, error) {
 	f := &Fleet{catalog: &catalog{log: log, changed: make(chan struct{})}}
 	for i, addr := range runners {
@@ -41,7 +43,7 @@
 	return f, nil
 }
 
-// serve answers calls at an address until the fleet is closed.
+// serve starts an HTTP server at an address, which runs until the fleet is closed.
 func (f *Fleet) serve(addr string, h http.Handler) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -51,16 +53,17 @@
 	f.servers = append(f.servers, s)
 	go func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			f.catalog.log.WithError(err).Error("Fake fleet: a server has ended")
+			f.catalog.log.WithError(err).Error("Fake fleet: HTTP server failed")
 		}
 	}()
 	return nil
 }
 
-// ToggleDraining has a runner drain, by its number from 0, or takes it back into service.
+// ToggleDraining switches a runner between serving and draining in the list of discovery. The
+// runner is given by its index in the addresses that were passed to Start.
 func (f *Fleet) ToggleDraining(i int) { f.catalog.toggleDraining(i) }
 
-// Close ends all servers at once.
+// Close closes all servers at once, without waiting for open requests.
 func (f *Fleet) Close() {
 	for _, s := range f.servers {
 		s.Close()
--- a/internal/testkit/fakefleet/runner.go
+++ b/internal/testkit/fakefleet/runner.go
@@ -14,21 +14,22 @@
 )
 
 const (
-	// reportAttempts bounds how often a report is sent until it is answered, and reportInterval is the time between.
+	// reportAttempts is the maximum number of times that a job event is sent, and reportInterval
+	// the time between these attempts.
 	reportAttempts = 10
 	reportInterval = 100 * time.Millisecond
 )
 
-// runner is an HTTP handler that accepts jobs.
+// runner is the HTTP handler of a fake runner.
 type runner struct {
 	uid, dispatcher string
-	work            time.Duration // how long a job runs
+	work            time.Duration // duration of a job
 	log             logrus.FieldLogger
 	mu              sync.Mutex
-	recalled        map[string]bool // by the id of an open job, whether it was recalled; guarded by mu
+	recalled        map[string]bool // whether each open job was recalled, by job ID; guarded by mu
 }
 
-// ServeHTTP answers health checks (GET), recalls (DELETE /jobs/ID) and jobs (any other method).
+// ServeHTTP handles health checks (GET), recalls (DELETE /jobs/ID) and jobs (any other method).
 func (s *runner) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	switch r.Method {
 	case http.MethodGet:
@@ -41,7 +42,7 @@
 	}
 }
 
-// recall notes that the dispatcher does not want a job any more.
+// recall marks an open job as recalled by the dispatcher. Jobs that are not open are ignored.
 func (s *runner) recall(id string) {
 	s.log.WithField("runner", s.uid).WithField("id", id).Info("Job recalled")
 	s.mu.Lock()
@@ -51,14 +52,14 @@
 	}
 }
 
-// accept takes a job and starts it.
+// accept answers a job with 202 (Accepted) and starts it.
 func (s *runner) accept(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("X-Trace-Id")
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	s.log.WithField("runner", s.uid).WithField("id", id).Info("Job taken")
+	s.log.WithField("runner", s.uid).WithField("id", id).Info("Job accepted")
 	s.mu.Lock()
 	s.recalled[id] = false
 	s.mu.Unlock()
@@ -66,8 +67,9 @@
 	go s.run(id, fmt.Sprintf("%s cut %d bytes for %s\n", s.uid, len(body), r.URL.Path))
 }
 
-// run works on a job and reports it done, unless it was recalled meanwhile. The goroutine ends by itself: after the
-// work and the attempts to report.
+// run reports a job as started, waits for its duration and reports it as done, unless it was
+// recalled in the meantime. Its goroutine is not stopped by Close; it ends after the last attempt
+// to report.
 func (s *runner) run(id, result string) {
 	s.report(map[string]any{"id": id, "from": s.uid, "state": "started"})
 	time.Sleep(s.work)
@@ -80,11 +82,12 @@
 	}
 }
 
-// report sends a job event to the dispatcher, again until it is answered or the attempts are used up.
+// report sends a job event to the dispatcher. It retries until there is a response, whatever its
+// status, or the attempts are used up.
 func (s *runner) report(event map[string]any) {
 	text, err := json.Marshal(event)
 	if err != nil {
-		s.log.WithError(err).Error("A job event can't be encoded")
+		s.log.WithError(err).Error("Encoding a job event failed")
 		return
 	}
 	for range reportAttempts {
@@ -95,5 +98,5 @@
 		}
 		time.Sleep(reportInterval)
 	}
-	s.log.WithField("runner", s.uid).Warn("A job event is not answered")
+	s.log.WithField("runner", s.uid).Warn("Job event dropped: no response from the dispatcher")
 }
