--- a/internal/testkit/fakerunner/runner.go
+++ b/internal/testkit/fakerunner/runner.go
@@ -61,7 +61,7 @@
 	// State from earlier responses.
 	fencingToken  uint64            // the highest seen; responses with a lower one are ignored
 	blockedRuns   map[string]uint32 // by task, the highest run number that must not be started
-	runLeaseTimer *time.Timer       // ends all runs when the lease expires; nil before the first lease
+	runLeaseTimer *time.Timer       // ends all runs when the lease expires; nil without a lease
 
 	history []End // all ends, for tests
 }
