--- a/internal/testkit/standin/collector/collector.go
+++ b/internal/testkit/standin/collector/collector.go
@@ -1,8 +1,8 @@
-// Package collector plays an OpenTelemetry collector on loopback, over OTLP/HTTP and
-// OTLP/gRPC at one address, for tests and rigs. It checks each payload against what the
-// protocol asks for, keeps what it was sent, and misbehaves as it is told.
+// Package collector implements a fake OpenTelemetry collector for tests and measurements. It serves
+// OTLP/HTTP and OTLP/gRPC at one address, checks each payload against the rules of the protocol,
+// keeps the calls that it receives, and injects faults into its responses.
 //
-// Source: OTLP 1.x; the OpenTelemetry trace and metrics data models.
+// The rules follow OTLP 1.x and the OpenTelemetry data models of traces and metrics.
 package collector
 
 import (
@@ -29,72 +29,73 @@
 	"frosttide/internal/dispatcher/otlp"
 )
 
-// Fault is how a collector answers a call.
+// Fault describes the response to an export call. The zero value accepts the call.
 type Fault struct {
-	Status     int    // of HTTP, or the code of gRPC; 0 takes the call
-	RetryAfter string // header of HTTP; RetryInfo in whole seconds of gRPC
-	Body       []byte // in the place of an answer, of HTTP
-	Rejected   int64  // a partial success: so many items are not taken
-	Hang       bool   // takes the call and never answers
-	Drip       bool   // answers one byte a second
-	Reset      bool   // breaks the connection in the middle of the answer
+	Status     int    // HTTP status or gRPC code; 0 for success
+	RetryAfter string // HTTP: Retry-After header; gRPC: whole seconds, sent as RetryInfo
+	Body       []byte // response body or gRPC message, instead of an empty one
+	Rejected   int64  // partial success: number of items reported as rejected; replaces Body
+	Hang       bool   // reads the call and never responds
+	Drip       bool   // HTTP: sends one byte of the response per second; gRPC: like Hang
+	Reset      bool   // HTTP: closes the connection in the middle of the response; gRPC: DataLoss
 }
 
-// Spans and Points are what came in one call.
+// Spans and Points are the decoded payloads of calls that export traces and metrics.
 type (
 	Spans  = tracepb.TracesData
 	Points = pmetric.Metrics
 )
 
-// Call is one call as it came.
+// Call is a received export call.
 type Call struct {
-	At       time.Time
+	At       time.Time // when the payload had been read and checked
 	Path     string
 	Header   http.Header
 	GRPC     bool
-	Traces   *Spans  // one of these two
-	Measures *Points // is there
-	Taken    bool    // the caller was told that it was
+	Traces   *Spans  // nil for metrics, and if the payload can't be decoded
+	Measures *Points // nil for traces, and if the payload can't be decoded
+	Taken    bool    // whether no fault made the call fail; a partial success counts
 }
 
-// Collector is the stand-in. Make it with Start.
+// Collector is a running fake collector. Start creates it. It is safe for concurrent use.
 type Collector struct {
-	Addr string
+	Addr string // host:port
 
-	server *http.Server
-	seen   chan Call
+	server   *http.Server
+	received chan Call
 
-	mu     sync.Mutex
-	faults []Fault // of the next calls, in their order; the last one stays
-	broken []error
-	calls  []Call
-	conns  int
-	most   int
-	stop   chan struct{}
-	once   sync.Once
+	mu         sync.Mutex // guards the fields below, up to maxConns
+	faults     []Fault    // of the next calls, in order; the last one applies to all further calls
+	violations []error
+	calls      []Call
+	conns      int           // open connections
+	maxConns   int           // maximum of conns so far
+	stop       chan struct{} // closed by Kill
+	stopOnce   sync.Once
 }
 
-// mostKept bounds what a collector keeps; older calls are forgotten.
-const mostKept = 4096
+// maxCalls bounds the calls that a collector keeps; older ones are dropped.
+const maxCalls = 4096
 
-// Start opens a collector at an address of loopback; with a certificate it speaks TLS.
+// Start starts a collector at an address (host:port). With a certificate it serves TLS. It returns
+// an error if the address can't be listened on.
 func Start(addr string, cert *tls.Certificate) (*Collector, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("collector: %w", err)
 	}
-	c := &Collector{Addr: l.Addr().String(), seen: make(chan Call, mostKept), stop: make(chan struct{})}
+	c := &Collector{Addr: l.Addr().String(), received: make(chan Call, maxCalls), stop: make(chan struct{})}
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /v1/traces", func(w http.ResponseWriter, r *http.Request) { c.post(w, r, true) })
-	mux.HandleFunc("POST /v1/metrics", func(w http.ResponseWriter, r *http.Request) { c.post(w, r, false) })
+	mux.HandleFunc("POST /v1/traces", func(w http.ResponseWriter, r *http.Request) { c.serveHTTPExport(w, r, true) })
+	mux.HandleFunc("POST /v1/metrics", func(w http.ResponseWriter, r *http.Request) { c.serveHTTPExport(w, r, false) })
 	for path, traces := range map[string]bool{
 		"/opentelemetry.proto.collector.trace.v1.TraceService/Export":     true,
 		"/opentelemetry.proto.collector.metrics.v1.MetricsService/Export": false} {
 		mux.Handle(path, connect.NewUnaryHandler(path, func(ctx context.Context, r *connect.Request[otlp.Message]) (*connect.Response[otlp.Message], error) {
-			return c.call(ctx, r, path, traces)
+			return c.serveGRPCExport(ctx, r, path, traces)
 		}, connect.WithCodec(otlp.Codec{})))
 	}
-	c.server = &http.Server{Handler: mux, Protocols: new(http.Protocols), ConnState: c.count}
+	c.server = &http.Server{Handler: mux, Protocols: new(http.Protocols), ConnState: c.countConnection}
 	c.server.Protocols.SetHTTP1(true)
 	if cert != nil {
 		c.server.Protocols.SetHTTP2(true)
@@ -107,23 +108,24 @@
 	return c, nil
 }
 
-// Kill ends the collector at once, as a process that is killed.
+// Kill closes the collector at once, with all connections and open calls, like a killed process.
 func (c *Collector) Kill() {
-	c.once.Do(func() { close(c.stop) })
+	c.stopOnce.Do(func() { close(c.stop) })
 	c.server.Close()
 }
 
-// Script sets how the next calls are answered; the last fault stays in force.
+// Script sets the faults of the next calls, one each. The last one applies to all further calls.
 func (c *Collector) Script(faults ...Fault) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.faults = faults
 }
 
-// Calls yields each call when it has been read, faulty answers or not.
-func (c *Collector) Calls() <-chan Call { return c.seen }
+// Calls returns a channel of all calls, sent once they have been read, whatever their response.
+// Calls are dropped while the channel is full.
+func (c *Collector) Calls() <-chan Call { return c.received }
 
-// Taken returns what the callers believe to be taken.
+// Taken returns the kept calls whose Taken is set, oldest first.
 func (c *Collector) Taken() (out []Call) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,55 +137,56 @@
 	return out
 }
 
-// Broken returns the rules that payloads have broken.
+// Broken returns all violations of the protocol found so far as one error, nil if there are none.
 func (c *Collector) Broken() error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return errors.Join(c.broken...)
+	return errors.Join(c.violations...)
 }
 
-// Connections returns how many are open, and how many were at most.
-func (c *Collector) Connections() (now, most int) {
+// Connections returns the number of open connections and its maximum so far.
+func (c *Collector) Connections() (open, peak int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.conns, c.most
+	return c.conns, c.maxConns
 }
 
-func (c *Collector) count(_ net.Conn, s http.ConnState) {
+// countConnection tracks the number of open connections, as the server's ConnState hook.
+func (c *Collector) countConnection(_ net.Conn, s http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch s {
 	case http.StateNew:
 		c.conns++
-		c.most = max(c.most, c.conns)
+		c.maxConns = max(c.maxConns, c.conns)
 	case http.StateClosed, http.StateHijacked:
 		c.conns--
 	}
 }
 
-// take reads and checks a payload and returns what is to be done about the call.
-func (c *Collector) take(call Call, traces bool, body []byte) Fault {
-	var rules []error
+// record decodes and checks a payload, keeps the call and returns the fault that applies to it.
+func (c *Collector) record(call Call, traces bool, body []byte) Fault {
+	var violations []error
 	if traces {
 		t := &tracepb.TracesData{}
 		if err := proto.Unmarshal(body, t); err != nil {
-			rules = append(rules, err)
+			violations = append(violations, err)
 		} else {
 			call.Traces = t
-			rules = CheckTraces(t)
+			violations = CheckTraces(t)
 		}
 	} else {
 		m, err := (&pmetric.ProtoUnmarshaler{}).UnmarshalMetrics(body)
 		if err != nil {
-			rules = append(rules, err)
+			violations = append(violations, err)
 		} else {
 			call.Measures = &m
-			rules = CheckMeasures(m)
+			violations = CheckMetrics(m)
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken = append(c.broken, rules...)
+	c.violations = append(c.violations, violations...)
 	var f Fault
 	if len(c.faults) > 0 {
 		f = c.faults[0]
@@ -193,18 +196,18 @@
 	}
 	call.At = time.Now()
 	call.Taken = f.Status == 0 && !f.Hang && !f.Drip && !f.Reset
-	if len(c.calls) >= mostKept {
+	if len(c.calls) >= maxCalls {
 		c.calls = c.calls[1:]
 	}
 	c.calls = append(c.calls, call)
 	select {
-	case c.seen <- call:
-	default: // nobody follows
+	case c.received <- call:
+	default: // the channel is full: nobody reads it
 	}
 	return f
 }
 
-// hang waits until the caller or the collector has gone.
+// hang waits until the request is canceled or the collector is killed.
 func (c *Collector) hang(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -212,7 +215,8 @@
 	}
 }
 
-func (c *Collector) post(w http.ResponseWriter, r *http.Request, traces bool) {
+// serveHTTPExport serves an export call over OTLP/HTTP, of traces or else of metrics.
+func (c *Collector) serveHTTPExport(w http.ResponseWriter, r *http.Request, traces bool) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -227,7 +231,7 @@
 			return
 		}
 	}
-	f := c.take(Call{Path: r.URL.Path, Header: r.Header}, traces, body)
+	f := c.record(Call{Path: r.URL.Path, Header: r.Header}, traces, body)
 	if f.Hang {
 		c.hang(r.Context())
 		return
@@ -235,9 +239,9 @@
 	if r.Header.Get("Content-Type") != "application/x-protobuf" {
 		f = Fault{Status: http.StatusUnsupportedMediaType}
 	}
-	answer := f.Body
+	response := f.Body
 	if f.Rejected > 0 {
-		answer = partial(f.Rejected)
+		response = partialSuccess(f.Rejected)
 	}
 	w.Header().Set("Content-Type", "application/x-protobuf")
 	if f.RetryAfter != "" {
@@ -251,7 +255,7 @@
 		_, _ = w.Write([]byte{0})
 		_ = out.Flush()
 		if f.Reset {
-			panic(http.ErrAbortHandler) // closes the connection in the middle
+			panic(http.ErrAbortHandler) // closes the connection before the promised length is sent
 		}
 		second := time.NewTicker(time.Second)
 		defer second.Stop()
@@ -269,23 +273,25 @@
 	case f.Status != 0:
 		w.WriteHeader(f.Status)
 	}
-	_, _ = w.Write(answer)
+	_, _ = w.Write(response)
 }
 
-// partial writes an answer that leaves items out: partial_success = 1 of rejected = 1 and
-// error_message = 2.
-func partial(rejected int64) []byte {
-	var inner []byte
-	inner = protowire.AppendTag(inner, 1, protowire.VarintType)
-	inner = protowire.AppendVarint(inner, uint64(rejected))
-	inner = protowire.AppendTag(inner, 2, protowire.BytesType)
-	inner = protowire.AppendString(inner, "some are left out")
+// partialSuccess returns an encoded export response that reports rejected items. In OTLP its field
+// 1 is partial_success, a message with the number of rejected items in field 1 and error_message in
+// field 2.
+func partialSuccess(rejected int64) []byte {
+	var details []byte
+	details = protowire.AppendTag(details, 1, protowire.VarintType)
+	details = protowire.AppendVarint(details, uint64(rejected))
+	details = protowire.AppendTag(details, 2, protowire.BytesType)
+	details = protowire.AppendString(details, "some are left out")
 	out := protowire.AppendTag(nil, 1, protowire.BytesType)
-	return protowire.AppendBytes(out, inner)
+	return protowire.AppendBytes(out, details)
 }
 
-func (c *Collector) call(ctx context.Context, r *connect.Request[otlp.Message], path string, traces bool) (*connect.Response[otlp.Message], error) {
-	f := c.take(Call{Path: path, Header: r.Header(), GRPC: true}, traces, r.Msg.Bytes)
+// serveGRPCExport serves an export call over OTLP/gRPC, of traces or else of metrics.
+func (c *Collector) serveGRPCExport(ctx context.Context, r *connect.Request[otlp.Message], path string, traces bool) (*connect.Response[otlp.Message], error) {
+	f := c.record(Call{Path: path, Header: r.Header(), GRPC: true}, traces, r.Msg.Bytes)
 	if f.Hang || f.Drip {
 		c.hang(ctx)
 		return nil, connect.NewError(connect.CodeCanceled, ctx.Err())
@@ -296,19 +302,19 @@
 			code = connect.CodeDataLoss
 		}
 		err := connect.NewError(code, errors.New("scripted"))
-		if s, bad := strconv.Atoi(f.RetryAfter); bad == nil {
-			// RetryInfo: retry_delay = 1, a Duration of seconds = 1.
-			wait := protowire.AppendVarint(protowire.AppendTag(nil, 1, protowire.VarintType), uint64(s))
+		if seconds, parseErr := strconv.Atoi(f.RetryAfter); parseErr == nil {
+			// Field 1 of RetryInfo is retry_delay, a Duration whose field 1 is the seconds.
+			wait := protowire.AppendVarint(protowire.AppendTag(nil, 1, protowire.VarintType), uint64(seconds))
 			info := protowire.AppendBytes(protowire.AppendTag(nil, 1, protowire.BytesType), wait)
-			if d, bad := connect.NewErrorDetail(&anypb.Any{TypeUrl: "type.googleapis.com/google.rpc.RetryInfo", Value: info}); bad == nil {
-				err.AddDetail(d)
+			if detail, detailErr := connect.NewErrorDetail(&anypb.Any{TypeUrl: "type.googleapis.com/google.rpc.RetryInfo", Value: info}); detailErr == nil {
+				err.AddDetail(detail)
 			}
 		}
 		return nil, err
 	}
-	answer := f.Body
+	response := f.Body
 	if f.Rejected > 0 {
-		answer = partial(f.Rejected)
+		response = partialSuccess(f.Rejected)
 	}
-	return connect.NewResponse(&otlp.Message{Bytes: answer}), nil
+	return connect.NewResponse(&otlp.Message{Bytes: response}), nil
 }
--- a/internal/testkit/standin/collector/rules.go
+++ b/internal/testkit/standin/collector/rules.go
@@ -10,74 +10,76 @@
 	"frosttide/internal/dispatcher/otlp"
 )
 
-// CheckTraces returns the rules that spans break: ids that name nothing or are there
-// twice, spans that end before they begin, events outside of their span, parents that are
-// not sent along though they are of the same process, links to nothing.
-func CheckTraces(t *tracepb.TracesData) (broken []error) {
-	for _, of := range t.GetResourceSpans() {
-		if otlp.Attributes(of.GetResource().GetAttributes()).Text("service.name") == "" {
-			broken = append(broken, fmt.Errorf("a resource without service.name"))
+// CheckTraces returns the violations of the OTLP rules in a payload of traces: resources without a
+// service name, empty or duplicate IDs, spans that end before they start, events outside of the
+// time of their span, links without IDs, and client spans whose parent is not a server span of the
+// same process that is sent in the same scope and starts no later.
+func CheckTraces(t *tracepb.TracesData) (violations []error) {
+	for _, resource := range t.GetResourceSpans() {
+		if otlp.Attributes(resource.GetResource().GetAttributes()).Text("service.name") == "" {
+			violations = append(violations, fmt.Errorf("resource without the attribute service.name"))
 		}
-		for _, in := range of.GetScopeSpans() {
-			broken = append(broken, checkScope(in.GetSpans())...)
+		for _, scope := range resource.GetScopeSpans() {
+			violations = append(violations, checkScope(scope.GetSpans())...)
 		}
 	}
-	return broken
+	return violations
 }
 
-// spanID names a span among all.
+// spanID identifies a span: the bytes of its trace ID and its span ID.
 type spanID struct{ trace, span string }
 
-func checkScope(spans []*tracepb.Span) (broken []error) {
-	wrong := func(s *tracepb.Span, text string, more ...any) {
-		broken = append(broken, fmt.Errorf("span %x %s of trace %x: %s", s.GetSpanId(), s.GetName(), s.GetTraceId(), fmt.Sprintf(text, more...)))
+// checkScope returns the violations in the spans of one instrumentation scope.
+func checkScope(spans []*tracepb.Span) (violations []error) {
+	report := func(s *tracepb.Span, format string, args ...any) {
+		violations = append(violations, fmt.Errorf("span %x %s of trace %x: %s", s.GetSpanId(), s.GetName(), s.GetTraceId(), fmt.Sprintf(format, args...)))
 	}
-	ids := map[spanID]*tracepb.Span{}
+	byID := map[spanID]*tracepb.Span{}
 	for _, s := range spans {
 		key := spanID{string(s.GetTraceId()), string(s.GetSpanId())}
 		if empty(s.GetTraceId()) || empty(s.GetSpanId()) {
-			wrong(s, "an id is empty")
+			report(s, "empty trace or span ID")
 		}
-		if _, twice := ids[key]; twice {
-			wrong(s, "its id is there twice")
+		if _, duplicate := byID[key]; duplicate {
+			report(s, "duplicate ID")
 		}
-		ids[key] = s
+		byID[key] = s
 	}
 	for _, s := range spans {
 		start, end := s.GetStartTimeUnixNano(), s.GetEndTimeUnixNano()
 		if s.GetName() == "" {
-			wrong(s, "it has no name")
+			report(s, "no name")
 		}
 		if start == 0 || end < start {
-			wrong(s, "it runs from %d to %d", start, end)
+			report(s, "invalid times: start %d, end %d (ns since 1970)", start, end)
 		}
 		for _, e := range s.GetEvents() {
 			if e.GetTimeUnixNano() < start || e.GetTimeUnixNano() > end {
-				wrong(s, "event %s is %d ns off", e.GetName(), int64(e.GetTimeUnixNano())-int64(end))
+				report(s, "event %s is outside of the span, at %d ns from its end", e.GetName(), int64(e.GetTimeUnixNano())-int64(end))
 			}
 		}
 		for _, l := range s.GetLinks() {
 			if empty(l.GetTraceId()) || empty(l.GetSpanId()) {
-				wrong(s, "a link names nothing")
+				report(s, "link with an empty trace or span ID")
 			}
 		}
 		if s.GetKind() != tracepb.Span_SPAN_KIND_CLIENT {
 			continue
 		}
-		parent, ok := ids[spanID{string(s.GetTraceId()), string(s.GetParentSpanId())}]
+		parent, ok := byID[spanID{string(s.GetTraceId()), string(s.GetParentSpanId())}]
 		switch {
 		case !ok:
-			wrong(s, "its parent is not there")
+			report(s, "parent is not among the spans of the same scope")
 		case parent.GetKind() != tracepb.Span_SPAN_KIND_SERVER:
-			wrong(s, "its parent is no request")
+			report(s, "parent is not a server span")
 		case start < parent.GetStartTimeUnixNano():
-			wrong(s, "it begins before its request")
+			report(s, "starts before its parent")
 		}
 	}
-	return broken
+	return violations
 }
 
-// empty tells whether an id names nothing.
+// empty reports whether an ID is missing or all zeros, which OTLP treats as invalid.
 func empty(id []byte) bool {
 	for _, b := range id {
 		if b != 0 {
@@ -87,46 +89,47 @@
 	return true
 }
 
-// CheckMeasures returns the rules that figures break: no name, no temporality, points
-// that have no time or end before they begin, sums that fall though they never may,
-// histograms whose buckets don't add up, exemplars without a trace.
-func CheckMeasures(m pmetric.Metrics) (broken []error) {
-	for _, of := range m.ResourceMetrics().All() {
-		for _, in := range of.ScopeMetrics().All() {
-			for _, f := range in.Metrics().All() {
-				wrong := func(text string, more ...any) {
-					broken = append(broken, fmt.Errorf("figure %q: %s", f.Name(), fmt.Sprintf(text, more...)))
+// CheckMetrics returns the violations of the OTLP rules in a payload of metrics: metrics without a
+// name or a temporality or of an unexpected type, points without a time or that end before they
+// start, negative monotonic sums, histograms whose buckets don't add up to their count, and
+// exemplars without a trace or span.
+func CheckMetrics(m pmetric.Metrics) (violations []error) {
+	for _, resource := range m.ResourceMetrics().All() {
+		for _, scope := range resource.ScopeMetrics().All() {
+			for _, metric := range scope.Metrics().All() {
+				report := func(format string, args ...any) {
+					violations = append(violations, fmt.Errorf("metric %q: %s", metric.Name(), fmt.Sprintf(format, args...)))
 				}
-				if f.Name() == "" {
-					wrong("it has no name")
+				if metric.Name() == "" {
+					report("no name")
 				}
-				times := func(start, end pcommon.Timestamp, needsStart bool) {
+				checkTimes := func(start, end pcommon.Timestamp, needsStart bool) {
 					if end == 0 || start > end || needsStart && start == 0 {
-						wrong("a point runs from %d to %d", start, end)
+						report("data point with invalid times: start %d, end %d (ns since 1970)", start, end)
 					}
 				}
-				switch f.Type() {
+				switch metric.Type() {
 				case pmetric.MetricTypeSum:
-					if f.Sum().AggregationTemporality() == pmetric.AggregationTemporalityUnspecified {
-						wrong("it has no temporality")
+					if metric.Sum().AggregationTemporality() == pmetric.AggregationTemporalityUnspecified {
+						report("no aggregation temporality")
 					}
-					for _, p := range f.Sum().DataPoints().All() {
-						times(p.StartTimestamp(), p.Timestamp(), true)
-						if f.Sum().IsMonotonic() && p.IntValue() < 0 {
-							wrong("a sum that never falls is %d", p.IntValue())
+					for _, p := range metric.Sum().DataPoints().All() {
+						checkTimes(p.StartTimestamp(), p.Timestamp(), true)
+						if metric.Sum().IsMonotonic() && p.IntValue() < 0 {
+							report("monotonic sum is negative: %d", p.IntValue())
 						}
 					}
 				case pmetric.MetricTypeGauge:
-					for _, p := range f.Gauge().DataPoints().All() {
-						times(p.StartTimestamp(), p.Timestamp(), false)
+					for _, p := range metric.Gauge().DataPoints().All() {
+						checkTimes(p.StartTimestamp(), p.Timestamp(), false)
 					}
 				case pmetric.MetricTypeExponentialHistogram:
-					h := f.ExponentialHistogram()
+					h := metric.ExponentialHistogram()
 					if h.AggregationTemporality() == pmetric.AggregationTemporalityUnspecified {
-						wrong("it has no temporality")
+						report("no aggregation temporality")
 					}
 					for _, p := range h.DataPoints().All() {
-						times(p.StartTimestamp(), p.Timestamp(), true)
+						checkTimes(p.StartTimestamp(), p.Timestamp(), true)
 						sum := p.ZeroCount()
 						for _, n := range p.Positive().BucketCounts().AsRaw() {
 							sum += n
@@ -135,19 +138,19 @@
 							sum += n
 						}
 						if sum != p.Count() {
-							wrong("its buckets hold %d of %d", sum, p.Count())
+							report("buckets hold %d observations, count is %d", sum, p.Count())
 						}
 						for _, e := range p.Exemplars().All() {
 							if e.TraceID().IsEmpty() || e.SpanID().IsEmpty() {
-								wrong("an exemplar names no span")
+								report("exemplar without a trace or span ID")
 							}
 						}
 					}
 				default:
-					wrong("it has the form %s", f.Type())
+					report("unexpected type %s", metric.Type())
 				}
 			}
 		}
 	}
-	return broken
+	return violations
 }
--- a/internal/testkit/standin/fixeddraws/fixeddraws.go
+++ b/internal/testkit/standin/fixeddraws/fixeddraws.go
@@ -1,5 +1,6 @@
-// Package fixeddraws has the property tests of a test binary that imports it draw the same inputs
-// on every run, so that a commit has one verdict. The flag -rapid.seed draws others.
+// Package fixeddraws fixes the seed of property tests. Tests of a package that imports it get the
+// same random inputs on every run, so that the result for a commit is reproducible. The flag
+// -rapid.seed selects another seed.
 package fixeddraws
 
 import (
@@ -8,7 +9,7 @@
 	_ "pgregory.net/rapid" // declares the flag
 )
 
-// seed is what all draws follow from.
+// seed is the default of the flag -rapid.seed.
 const seed = "20261202"
 
 func init() {
--- a/internal/testkit/standin/gearman/gearman.go
+++ b/internal/testkit/standin/gearman/gearman.go
@@ -1,6 +1,6 @@
-// Package gearman plays Gearman's clients and workers, for tests and rigs.
+// Package gearman implements a minimal Gearman client and worker for tests and measurements.
 //
-// Source: the protocol's description in the documents of gearmand.
+// It follows the protocol description in the documentation of gearmand.
 package gearman
 
 import (
@@ -13,34 +13,34 @@
 	"frosttide/internal/dispatcher/gearman/proto"
 )
 
-// maxPacket bounds what a peer reads.
+// maxPacket is the maximum size in bytes of a packet that a peer reads.
 const maxPacket = 16 << 20
 
-// Peer is one connection to a job server.
+// Peer is a connection of a client or worker to a job server. It is not safe for concurrent use.
 type Peer struct {
 	net.Conn
-	in *proto.Reader
-	by time.Time
+	reader   *proto.Reader
+	deadline time.Time
 }
 
-// Dial connects; all that the peer does has to be done by the deadline. With a
-// configuration it speaks TLS.
-func Dial(addr string, by time.Time, secure *tls.Config) (*Peer, error) {
-	d := net.Dialer{Deadline: by}
+// Dial connects to a job server. The deadline applies to the connection attempt and to all later
+// reads and writes. If tlsConfig is not nil, the connection uses TLS.
+func Dial(addr string, deadline time.Time, tlsConfig *tls.Config) (*Peer, error) {
+	d := net.Dialer{Deadline: deadline}
 	c, err := d.Dial("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	if secure != nil {
-		c = tls.Client(c, secure)
+	if tlsConfig != nil {
+		c = tls.Client(c, tlsConfig)
 	}
-	if err := c.SetDeadline(by); err != nil {
+	if err := c.SetDeadline(deadline); err != nil {
 		return nil, err
 	}
-	return &Peer{Conn: c, in: proto.NewPeerReader(c, maxPacket), by: by}, nil
+	return &Peer{Conn: c, reader: proto.NewPeerReader(c, maxPacket), deadline: deadline}, nil
 }
 
-// Send writes a packet; arguments are texts.
+// Send writes a request packet with the given arguments.
 func (p *Peer) Send(kind proto.Type, args ...string) error {
 	parts := make([][]byte, len(args))
 	for i, a := range args {
@@ -50,18 +50,18 @@
 	return err
 }
 
-// Got is a packet as a test compares it.
+// Got is a received packet, with its arguments as strings so that tests can compare it.
 type Got struct {
 	Type proto.Type
 	Args []string
 }
 
-// String returns the packet's type and arguments, for the messages of failed tests.
+// String formats the packet's type and arguments for failure messages.
 func (g Got) String() string { return fmt.Sprintf("%s %q", g.Type, g.Args) }
 
-// Next reads a packet.
+// Next reads the next packet. It fails once the deadline has passed.
 func (p *Peer) Next() (Got, error) {
-	packet, err := p.in.Next()
+	packet, err := p.reader.Next()
 	if err != nil {
 		return Got{}, err
 	}
@@ -72,25 +72,26 @@
 	return g, nil
 }
 
-// Want reads packets up to the first of a kind, and returns that.
+// Want reads packets until one has the given type, and returns it. Its error lists the packets that
+// were skipped.
 func (p *Peer) Want(kind proto.Type) (Got, error) {
-	var seen []Got
+	var skipped []Got
 	for {
 		g, err := p.Next()
 		if err != nil {
-			return g, fmt.Errorf("no %s after %v: %w", kind, seen, err)
+			return g, fmt.Errorf("no packet of type %s after %v: %w", kind, skipped, err)
 		}
 		if g.Type == kind {
 			return g, nil
 		}
-		seen = append(seen, g)
+		skipped = append(skipped, g)
 	}
 }
 
-// Job is what a worker was assigned.
+// Job is a job that a worker was assigned.
 type Job struct{ Handle, Function, Unique, Workload string }
 
-// Announce tells what a worker can do.
+// Announce sends the worker's client ID, unless it is empty, and registers its functions.
 func (p *Peer) Announce(id string, functions ...string) error {
 	var out bytes.Buffer
 	if id != "" {
@@ -103,7 +104,8 @@
 	return err
 }
 
-// Grab asks for a job until there is one, sleeping between as workers do.
+// Grab requests a job until it is assigned one. While the queue is empty, it sends PRE_SLEEP and
+// waits for a NOOP before the next request, as workers do. It skips NOOP and ERROR packets.
 func (p *Peer) Grab() (Job, error) {
 	for {
 		if err := p.Send(proto.GrabJobUniq); err != nil {
@@ -127,7 +129,7 @@
 				return Job{}, err
 			}
 		default:
-			return Job{}, fmt.Errorf("a worker that grabs got %s", g)
+			return Job{}, fmt.Errorf("unexpected response to GRAB_JOB_UNIQ: %s", g)
 		}
 	}
 }
