--- a/internal/testkit/pagecheck/pagecheck_test.go
+++ b/internal/testkit/pagecheck/pagecheck_test.go
@@ -1,6 +1,6 @@
-// Package pagecheck_test checks that the documentation and the code agree where a tool can tell: each test that
-// docs/design/control-safety.md names exists, each package that docs/architecture.md names exists and each package is
-// named there, and each exported part has a doc comment.
+// Package pagecheck_test checks the documentation against the code: the tests that
+// docs/design/control-safety.md names exist, docs/architecture.md names all packages and only
+// existing packages and functions, and every exported declaration has a doc comment.
 package pagecheck_test
 
 import (
@@ -18,10 +18,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// root is the repository's root, seen from this package's folder.
+// root is the path of the repository's root directory, relative to this package.
 const root = "../../.."
 
-// readFile returns a file's text; the path is relative to the repository's root.
+// readFile returns the content of a file. Its path is relative to the repository's root.
 func readFile(t *testing.T, path string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(root, path))
@@ -29,8 +29,9 @@
 	return string(text)
 }
 
-// goFiles calls a function for each Go file below the repository's root, with its path relative to that.
-func goFiles(t *testing.T, visit func(path string)) {
+// visitGoFiles calls visit for each Go file of the repository, with its slash-separated path
+// relative to the root. It skips journal/, testdata and hidden directories.
+func visitGoFiles(t *testing.T, visit func(path string)) {
 	t.Helper()
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err != nil {
@@ -51,12 +52,13 @@
 	require.NoError(t, err)
 }
 
-// TestControlSafetyNamesExistingTests looks for each test that the page on the control plane's safety names.
+// TestControlSafetyNamesExistingTests checks that each test, fuzz test and benchmark that
+// docs/design/control-safety.md names is declared in some test file.
 func TestControlSafetyNamesExistingTests(t *testing.T) {
 	t.Parallel()
 	declared := make(map[string]bool)
 	declaration := regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)\w+)\(`)
-	goFiles(t, func(path string) {
+	visitGoFiles(t, func(path string) {
 		if strings.HasSuffix(path, "_test.go") {
 			for _, found := range declaration.FindAllStringSubmatch(readFile(t, path), -1) {
 				declared[found[1]] = true
@@ -66,33 +68,34 @@
 	named := regexp.MustCompile("`((?:Test|Fuzz|Benchmark)\\w+)`").FindAllStringSubmatch(readFile(t, "docs/design/control-safety.md"), -1)
 	require.NotEmpty(t, named)
 	for _, name := range named {
-		assert.True(t, declared[name[1]], "docs/design/control-safety.md names %s, which no file declares", name[1])
+		assert.True(t, declared[name[1]], "docs/design/control-safety.md names %s, which no test file declares", name[1])
 	}
 }
 
-// TestArchitectureNamesPackages compares the packages of the repository with those that the page on the architecture
-// names: each row of its tables begins with the folder of a package.
+// TestArchitectureNamesPackages checks that the tables of docs/architecture.md list every package
+// of the repository, and no others. The first column of each row is the directory of a package.
 func TestArchitectureNamesPackages(t *testing.T) {
 	t.Parallel()
 	packages := make(map[string]bool)
-	goFiles(t, func(path string) { packages[filepath.ToSlash(filepath.Dir(path))] = true })
+	visitGoFiles(t, func(path string) { packages[filepath.ToSlash(filepath.Dir(path))] = true })
 	named := make(map[string]bool)
 	for _, row := range regexp.MustCompile("(?m)^\\| `(deploy|decision|(?:cmd|decision|examples|internal)/[\\w/-]+)` \\|").FindAllStringSubmatch(readFile(t, "docs/architecture.md"), -1) {
 		named[row[1]] = true
 		assert.True(t, packages[row[1]], "docs/architecture.md names the package %s, which does not exist", row[1])
 	}
-	for folder := range packages {
-		assert.True(t, named[folder], "docs/architecture.md does not name the package %s", folder)
+	for directory := range packages {
+		assert.True(t, named[directory], "docs/architecture.md does not name the package %s", directory)
 	}
 }
 
-// TestArchitectureNamesFunctions looks for each function that the page on the architecture names as `package.function`,
-// where package is the last element of a folder's path.
+// TestArchitectureNamesFunctions checks that each function or method that docs/architecture.md
+// names as `package.function` is declared. The package is given by the last element of its
+// directory.
 func TestArchitectureNamesFunctions(t *testing.T) {
 	t.Parallel()
 	declared := make(map[string]bool)
 	declaration := regexp.MustCompile(`(?m)^func (?:\([^)]*\) )?(\w+)[\[(]`)
-	goFiles(t, func(path string) {
+	visitGoFiles(t, func(path string) {
 		for _, found := range declaration.FindAllStringSubmatch(readFile(t, path), -1) {
 			declared[filepath.Base(filepath.Dir(path))+"."+found[1]] = true
 		}
@@ -104,22 +107,24 @@
 	}
 }
 
-// TestExportedPartsHaveComments looks for exported declarations without a doc comment.
+// TestExportedPartsHaveComments checks that every exported declaration has a doc comment, except in
+// test files and generated protobuf code.
 func TestExportedPartsHaveComments(t *testing.T) {
 	t.Parallel()
-	goFiles(t, func(path string) {
+	visitGoFiles(t, func(path string) {
 		if strings.HasSuffix(path, "_test.go") || strings.HasSuffix(path, ".pb.go") {
 			return
 		}
 		file, err := parser.ParseFile(token.NewFileSet(), filepath.Join(root, path), nil, parser.ParseComments)
 		require.NoError(t, err)
 		for _, name := range undocumented(file) {
-			t.Errorf("%s: the exported %s has no doc comment", path, name)
+			t.Errorf("%s: exported name %s has no doc comment", path, name)
 		}
 	})
 }
 
-// undocumented returns the exported top-level names of a file that have no doc comment, their group's included.
+// undocumented returns the exported top-level names of a file that have no doc comment. A comment
+// on a group of declarations counts for all its names.
 func undocumented(file *ast.File) (names []string) {
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
@@ -136,8 +141,8 @@
 	return names
 }
 
-// undocumentedSpecs returns the exported names of a declaration without a comment of its own whose specifications have
-// none either.
+// undocumentedSpecs returns the exported types, variables and constants without a comment of their
+// own, in a declaration that has no comment itself.
 func undocumentedSpecs(d *ast.GenDecl) (names []string) {
 	for _, specification := range d.Specs {
 		switch s := specification.(type) {
@@ -156,7 +161,7 @@
 	return names
 }
 
-// receiverIsExported reports whether a function has no receiver or one of an exported type.
+// receiverIsExported reports whether a function is no method, or is a method of an exported type.
 func receiverIsExported(d *ast.FuncDecl) bool {
 	if d.Recv == nil || len(d.Recv.List) == 0 {
 		return true
