--- a/internal/testkit/compatibility/dispatcher/agreedlog_test.go
+++ b/internal/testkit/compatibility/dispatcher/agreedlog_test.go
@@ -17,15 +17,16 @@
 	"frosttide/internal/dispatcher/fleet/workflow/statetable"
 )
 
-// wait bounds each wait for an event of a member.
-const wait = 20 * time.Second
+// eventTimeout bounds each wait for an event of a member.
+const eventTimeout = 20 * time.Second
 
-// agreedLogFolder holds the agreed log of a member named m, the only voter: some entries, a snapshot, and further
-// entries behind it.
+// agreedLogFolder is the folder of the agreed log, which is the replicated log of a cluster of
+// dispatchers. Its member m is the only voter. It holds some entries, a snapshot and further
+// entries after the snapshot.
 const agreedLogFolder = "agreedlog/folder"
 
-// agreedEntries returns the entries under testdata, a line of JSON each, as a log holds them.
-func agreedEntries(t *testing.T) []ledger.Entry {
+// logEntries returns the log entries in entries.jsonl, one JSON object per line.
+func logEntries(t *testing.T) []ledger.Entry {
 	t.Helper()
 	var out []ledger.Entry
 	for _, line := range lines(readFile(t, "agreedlog/entries.jsonl")) {
@@ -38,18 +39,18 @@
 	return out
 }
 
-// TestCompatibilityEntries has entries of the agreed log read as an earlier build wrote them, have the same effect,
-// lead to the same state, and be written in the same bytes.
+// TestCompatibilityEntries checks that log entries of an earlier build can be read, have the same
+// effects, lead to the same state and are encoded to the same bytes.
 func TestCompatibilityEntries(t *testing.T) {
 	var state ledger.State
 	var effects []ledger.Done
-	for i, e := range agreedEntries(t) {
+	for i, e := range logEntries(t) {
 		text, err := json.Marshal(e)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if want := lines(readFile(t, "agreedlog/entries.jsonl"))[i]; string(text) != string(want) {
-			t.Errorf("entry %d is written as\n%s\nand was\n%s", i+1, text, want)
+			t.Errorf("encoding of entry %d: got\n%s\nwant\n%s", i+1, text, want)
 		}
 		effects = append(effects, state.Apply(uint64(i+1), e))
 	}
@@ -61,30 +62,31 @@
 	compareGolden(t, "agreedlog/snapshot.golden.json", snapshot)
 }
 
-// TestCompatibilitySnapshot has a snapshot of the state read as an earlier build wrote it, go on by the same rules,
-// and be written in the same bytes.
+// TestCompatibilitySnapshot checks that a snapshot of an earlier build can be read and is encoded
+// to the same bytes, and that applying the entries again to its state has the same effects.
 func TestCompatibilitySnapshot(t *testing.T) {
 	text := readFile(t, "agreedlog/snapshot.golden.json")
 	state, err := ledger.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := state.Bytes()
+	encoded, err := state.Bytes()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(again) != string(text) {
-		t.Errorf("the snapshot is written as\n%s\nand was\n%s", again, text)
+	if string(encoded) != string(text) {
+		t.Errorf("encoding of the snapshot: got\n%s\nwant\n%s", encoded, text)
 	}
 	var repeated []ledger.Done
-	for _, e := range agreedEntries(t) {
+	for _, e := range logEntries(t) {
 		repeated = append(repeated, state.Apply(state.Index+1, e))
 	}
 	compareGoldenJSON(t, "agreedlog/repeated.golden.json", repeated)
 }
 
-// TestCompatibilityBook has the workflows of a snapshot read, and written in the same bytes.
-func TestCompatibilityBook(t *testing.T) {
+// TestCompatibilityWorkflows checks that the workflows of a snapshot can be read and are encoded to
+// the same bytes.
+func TestCompatibilityWorkflows(t *testing.T) {
 	var snapshot struct {
 		Flows json.RawMessage `json:"flows"`
 	}
@@ -95,78 +97,78 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.Marshal(flows)
+	encoded, err := json.Marshal(flows)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(again) != string(snapshot.Flows) {
-		t.Errorf("the workflows are written as\n%s\nand were\n%s", again, snapshot.Flows)
+	if string(encoded) != string(snapshot.Flows) {
+		t.Errorf("encoding of the workflows: got\n%s\nwant\n%s", encoded, snapshot.Flows)
 	}
 }
 
-// sink passes on which entries a member has applied.
-type sink struct {
-	led     chan string
+// eventSink is a quorum.Sink that forwards changes of the leader and applied entries to channels.
+type eventSink struct {
+	leaders chan string
 	applied chan ledger.Done
 }
 
-func (s sink) Applied(d ledger.Done)                 { s.applied <- d }
-func (s sink) Restored(_, _ ledger.State)            {}
-func (s sink) LeaderChanged(leader string, _ uint64) { s.led <- leader }
-func (s sink) LogOpened(_ string, _ bool)            {}
-func newSink() sink                                  { return sink{make(chan string, 64), make(chan ledger.Done, 256)} }
-func (s sink) await(t *testing.T, id string) {
+func (s eventSink) Applied(d ledger.Done)                 { s.applied <- d }
+func (s eventSink) Restored(_, _ ledger.State)            {}
+func (s eventSink) LeaderChanged(leader string, _ uint64) { s.leaders <- leader }
+func (s eventSink) LogOpened(_ string, _ bool)            {}
+func newEventSink() eventSink                             { return eventSink{make(chan string, 64), make(chan ledger.Done, 256)} }
+func (s eventSink) waitForEntry(t *testing.T, id string) {
 	t.Helper()
-	late := time.After(wait)
+	timeout := time.After(eventTimeout)
 	for {
 		select {
 		case d := <-s.applied:
 			if d.ID == id {
 				return
 			}
-		case <-late:
+		case <-timeout:
 			t.Fatalf("entry %q was not applied", id)
 		}
 	}
 }
 
-// openLog opens the agreed log of the member m, which leads once the call returns.
-func openLog(t *testing.T, dir string) (*quorum.Quorum, sink) {
+// openLog opens the agreed log of the member m and waits until m is its leader.
+func openLog(t *testing.T, dir string) (*quorum.Quorum, eventSink) {
 	t.Helper()
 	port, err := clusterport.Open("127.78.4.1:0", "", quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newSink()
-	alone := func() []members.Info {
+	s := newEventSink()
+	listMembers := func() []members.Info {
 		return []members.Info{{Name: "m", Addr: port.Advertised(), Meta: members.Meta{Disk: "d"}}}
 	}
 	disk, err := quorum.OpenDisk(dir, 0, quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
-	q, err := quorum.Open(quorum.Config{Name: "m", Disk: disk, Voters: []string{"m"}}, port, alone, s, quietLog())
+	q, err := quorum.Open(quorum.Config{Name: "m", Disk: disk, Voters: []string{"m"}}, port, listMembers, s, quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { defer close(ended); q.Run(ctx) }()
+	done := make(chan struct{})
+	go func() { defer close(done); q.Run(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		<-ended
+		<-done
 		q.Close()
 		port.Close()
 	})
 	select {
-	case <-s.led:
-	case <-time.After(wait):
-		t.Fatal("the log has no leader")
+	case <-s.leaders:
+	case <-time.After(eventTimeout):
+		t.Fatal("the log has no leader in time")
 	}
 	return q, s
 }
 
-// writeAgreedLog makes the folder anew.
+// writeAgreedLog replaces agreedLogFolder by a new log with all entries, for the flag -update.
 func writeAgreedLog(t *testing.T) {
 	t.Helper()
 	folder := filepath.Join("testdata", agreedLogFolder)
@@ -175,15 +177,15 @@
 	}
 	t.Run("write", func(t *testing.T) {
 		q, s := openLog(t, folder)
-		s.await(t, "begin")
-		entries := agreedEntries(t)
+		s.waitForEntry(t, "begin")
+		entries := logEntries(t)
 		for i, e := range entries {
 			if i == len(entries)/2 {
 				if err := q.Snapshot(); err != nil {
 					t.Fatal(err)
 				}
 			}
-			ctx, cancel := context.WithTimeout(context.Background(), wait)
+			ctx, cancel := context.WithTimeout(context.Background(), eventTimeout)
 			if _, err := q.Propose(ctx, e); err != nil && e.Validate() == nil {
 				t.Fatal(err)
 			}
@@ -192,15 +194,15 @@
 	})
 }
 
-// TestCompatibilityAgreedLog has the folder that an earlier build kept of the agreed log opened: the snapshot, the
-// entries behind it, the log's name and the member's own come out as they went in.
+// TestCompatibilityAgreedLog opens the log folder of an earlier build and checks the state after
+// its snapshot and all entries, the name of the log, the member's ID and the voters.
 func TestCompatibilityAgreedLog(t *testing.T) {
 	if *update {
 		writeAgreedLog(t)
 	}
 	q, s := openLog(t, copyFolder(t, agreedLogFolder))
-	entries := agreedEntries(t)
-	s.await(t, entries[len(entries)-1].ID)
+	entries := logEntries(t)
+	s.waitForEntry(t, entries[len(entries)-1].ID)
 	var flows json.RawMessage
 	var err error
 	q.Flows(func(b *statetable.Table) { flows, err = json.Marshal(b) })
@@ -212,7 +214,8 @@
 		"state": q.State(), "flows": flows})
 }
 
-// TestCompatibilityRecover has the folder looked at by the operators' command for a log whose majority is lost.
+// TestCompatibilityRecover checks what the recovery of a log that has lost its majority finds in
+// the folder of an earlier build. It does not confirm the recovery.
 func TestCompatibilityRecover(t *testing.T) {
 	found, err := quorum.Recover(copyFolder(t, agreedLogFolder), "m", "127.0.0.1:7946", false)
 	if err != nil {
@@ -221,8 +224,9 @@
 	compareGoldenJSON(t, "agreedlog/recover.golden.json", map[string]any{"last": found.Last, "term": found.Term, "voters": found.Voters, "leftOut": found.Excluded})
 }
 
-// TestCompatibilityMark has the file that is kept apart from the log read, and written in the same bytes.
-func TestCompatibilityMark(t *testing.T) {
+// TestCompatibilityWatermark checks that the watermark file of an earlier build, which is kept
+// outside of the log folder, can be read and that the same content is written to the same bytes.
+func TestCompatibilityWatermark(t *testing.T) {
 	dir := t.TempDir()
 	want := mark.Watermark{Log: "PZQ3", Index: 17, Out: []string{"s-1", "s-2"}}
 	if err := mark.Write(dir, want); err != nil {
@@ -238,15 +242,15 @@
 		t.Fatal(err)
 	}
 	if got.Log != want.Log || got.Index != want.Index || len(got.Out) != 2 || got.Out[0] != "s-1" || got.Out[1] != "s-2" {
-		t.Errorf("%+v was read, want %+v", *got, want)
+		t.Errorf("watermark: got %+v, want %+v", *got, want)
 	}
 }
 
-// TestCompatibilityBeginAnew has a member that lost its log begin a new one by the kept file, with the same files
-// for its next start.
+// TestCompatibilityBeginAnew checks which files a member that has lost its log writes for its next
+// start when it begins a new log from the watermark of an earlier build.
 func TestCompatibilityBeginAnew(t *testing.T) {
-	keep, dir := copyFolder(t, "mark"), t.TempDir()
-	if _, err := cluster.BeginAnew(cluster.Config{Name: "m", Listen: "127.0.0.1:7946", Dir: dir, WatermarkDir: keep}, true); err != nil {
+	watermarkDir, dir := copyFolder(t, "mark"), t.TempDir()
+	if _, err := cluster.BeginAnew(cluster.Config{Name: "m", Listen: "127.0.0.1:7946", Dir: dir, WatermarkDir: watermarkDir}, true); err != nil {
 		t.Fatal(err)
 	}
 	files := map[string]json.RawMessage{}
--- a/internal/testkit/compatibility/dispatcher/golden_test.go
+++ b/internal/testkit/compatibility/dispatcher/golden_test.go
@@ -1,6 +1,7 @@
-// Package compatibility holds the tests that pin the formats that outlive a release of the dispatcher: files that
-// an earlier build has written, messages between processes of different builds, settings and metric names. The
-// files under testdata were written by the build of 2 December 2026; the tests read them with today's code.
+// Package compatibility_test pins the formats of the dispatcher that must stay compatible between
+// releases: files on disk, messages between processes of different builds, settings, and the names
+// of metrics. The files under testdata were written by the build of 2 December 2026; the tests read
+// them with the current code.
 package compatibility_test
 
 import (
@@ -16,11 +17,11 @@
 	"github.com/sirupsen/logrus"
 )
 
-// update has the tests write the files under testdata instead of comparing with them. That is only right for a
-// case that is new: what is already there is what older builds read and write.
+// update makes the tests write the files under testdata before they compare with them. Use it only
+// to add a case: the existing files are what older builds read and write.
 var update = flag.Bool("update", false, "write the files under testdata")
 
-// compareGolden compares a text with the golden file of that name.
+// compareGolden compares a text with a golden file, given by its path under testdata.
 func compareGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -41,7 +42,7 @@
 	}
 }
 
-// compareGoldenJSON compares a value's indented JSON with the golden file of that name.
+// compareGoldenJSON compares the indented JSON of a value with a golden file.
 func compareGoldenJSON(t *testing.T, name string, value any) {
 	t.Helper()
 	text, err := json.MarshalIndent(value, "", "  ")
@@ -51,7 +52,7 @@
 	compareGolden(t, name, append(text, '\n'))
 }
 
-// readFile returns what a file under testdata holds.
+// readFile returns the content of a file under testdata.
 func readFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", name))
@@ -61,7 +62,8 @@
 	return text
 }
 
-// copyFolder returns a copy of a folder under testdata which the code under test may write to.
+// copyFolder copies a folder under testdata, so that the code under test can write to it, and
+// returns the path of the copy.
 func copyFolder(t *testing.T, name string) string {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), filepath.Base(name))
@@ -71,7 +73,7 @@
 	return dir
 }
 
-// lines returns the lines of a text that hold anything.
+// lines returns the non-empty lines of a text.
 func lines(text []byte) [][]byte {
 	var out [][]byte
 	for line := range bytes.SplitSeq(text, []byte("\n")) {
@@ -82,6 +84,7 @@
 	return out
 }
 
+// quietLog returns a logger that discards its output.
 func quietLog() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/internal/testkit/compatibility/dispatcher/messages_test.go
+++ b/internal/testkit/compatibility/dispatcher/messages_test.go
@@ -10,14 +10,14 @@
 	"frosttide/internal/dispatcher/core"
 	"frosttide/internal/dispatcher/fleet/cluster"
 	"frosttide/internal/dispatcher/fleet/gang/board"
-	gangdesk "frosttide/internal/dispatcher/fleet/gang/watcher"
+	gangwatcher "frosttide/internal/dispatcher/fleet/gang/watcher"
 	"frosttide/internal/dispatcher/fleet/members"
 	"frosttide/internal/dispatcher/fleet/replica"
 	"frosttide/internal/dispatcher/handover"
 )
 
-// setAll gives every exported field of a value, and one item to every list and map, a value that is not zero and
-// that no other field has.
+// setAll sets every exported field of a value, and one item of every list and map. The values count
+// up from next so that fields differ; integers wrap around at 128 or 256.
 func setAll(v reflect.Value, next *int) {
 	if v.Type() == reflect.TypeFor[json.RawMessage]() {
 		*next++
@@ -66,24 +66,25 @@
 	}
 }
 
-// TestCompatibilityMessages has each message between processes of different builds, and each answer to an operator,
-// keep its JSON: written with every field set it is the same text, and that text read and written again is too.
+// TestCompatibilityMessages checks the JSON of each message between processes of different builds
+// and of each response to an operator: with every field set it is encoded to the same text, and
+// decoding and encoding that text gives it again.
 func TestCompatibilityMessages(t *testing.T) {
 	for _, tc := range []struct {
-		name    string // of the golden file
-		message any    // a pointer to an empty one
+		name    string // name of the golden file
+		message any    // pointer to an empty message
 	}{
-		{"handover-state", &handover.State{}},     // an older process to its successor
-		{"handover-moved", &core.MovedRequest{}},  // an open job
-		{"handover-event", &core.JobEvent{}},      // a runner's call-back
-		{"handover-exclusion", &core.Exclusion{}}, // an operator's word
-		{"member-meta", &members.Meta{}},          // gossiped with a member
-		{"member-fact", &replica.Fact{}},          // gossiped and compared
-		{"member-health", &decision.Health{}},     // within a fact, and in the list on disk
-		{"member-gang", &board.Fact{}},            // within a fact
-		{"member-digest", &replica.Digest{}},      // compared
+		{"handover-state", &handover.State{}},     // from an older process to its successor
+		{"handover-moved", &core.MovedRequest{}},  // an open job that is moved
+		{"handover-event", &core.JobEvent{}},      // a runner's callback
+		{"handover-exclusion", &core.Exclusion{}}, // an operator's exclusion of a runner
+		{"member-meta", &members.Meta{}},          // gossiped as metadata of a member
+		{"member-fact", &replica.Fact{}},          // gossiped, and exchanged to compare replicas
+		{"member-health", &decision.Health{}},     // part of a fact, and of the runner list on disk
+		{"member-gang", &board.Fact{}},            // part of a fact
+		{"member-digest", &replica.Digest{}},      // exchanged to compare replicas
 		{"operator-cluster", &cluster.Report{}},   // GET /api/cluster
-		{"operator-gang", &gangdesk.Status{}},     // GET /api/gang
+		{"operator-gang", &gangwatcher.Status{}},  // GET /api/gang
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			next := 0
@@ -94,20 +95,21 @@
 			}
 			name := "messages/" + tc.name + ".golden.json"
 			compareGolden(t, name, append(text, '\n'))
-			again := reflect.New(reflect.TypeOf(tc.message).Elem()).Interface()
-			if err := json.Unmarshal(readFile(t, name), again); err != nil {
+			decoded := reflect.New(reflect.TypeOf(tc.message).Elem()).Interface()
+			if err := json.Unmarshal(readFile(t, name), decoded); err != nil {
 				t.Fatal(err)
 			}
-			read, err := json.MarshalIndent(again, "", " ")
+			reencoded, err := json.MarshalIndent(decoded, "", " ")
 			if err != nil {
 				t.Fatal(err)
 			}
-			compareGolden(t, name, append(read, '\n'))
+			compareGolden(t, name, append(reencoded, '\n'))
 		})
 	}
 }
 
-// TestCompatibilityHandoverPath has a process find its predecessor's socket by the address that both serve.
+// TestCompatibilityHandoverPath checks the path of the socket at which a process finds its
+// predecessor, which is derived from the address that both listen on.
 func TestCompatibilityHandoverPath(t *testing.T) {
 	paths := map[string]string{}
 	for _, listen := range []string{"127.0.0.1:8081", "[::1]:8081", "studio.example:8081"} {
--- a/internal/testkit/compatibility/dispatcher/settings_test.go
+++ b/internal/testkit/compatibility/dispatcher/settings_test.go
@@ -10,8 +10,9 @@
 	"frosttide/internal/dispatcher/settings"
 )
 
-// TestCompatibilitySettings has the settings file mean the same: what it comes to in the platform's form, each key
-// with its value, its source and the platform's key that goes before it, and what it says beside that.
+// TestCompatibilitySettings checks the meaning of settings files: their equivalent in the
+// platform's form, the value and source of each key with the platform's key that takes precedence,
+// and the settings that the platform's form does not have.
 func TestCompatibilitySettings(t *testing.T) {
 	for _, name := range []string{"everything", "defaults", "least"} {
 		t.Run(name, func(t *testing.T) {
@@ -24,7 +25,7 @@
 				values = append(values, fmt.Sprintf("%s = %s # %s; %s", v.Key, v.Text, v.Source, v.PlatformKey))
 			}
 			state, cluster, gang, gearman, telemetry := file.State, file.Cluster, file.Gang, file.Gearman, file.Telemetry
-			maybe := func(v any) string {
+			orUnset := func(v any) string {
 				switch v := v.(type) {
 				case *bool:
 					if v != nil {
@@ -48,38 +49,38 @@
 				"gang": fmt.Sprint(gang.Enabled, ", ", gang.ReportInterval, ", ", gang.Speculative),
 				"gearman": fmt.Sprint(gearman.Listen, ", ", gearman.Functions, ", ", gearman.Zone, ", ", gearman.Kind, ", ", gearman.Connections, ", ",
 					gearman.Jobs, ", ", gearman.Packet, ", ", gearman.Certificate, ", ", gearman.Key, ", ", gearman.Clients),
-				"telemetry": fmt.Sprint(telemetry.Service, ", ", telemetry.Attributes, ", ", maybe(telemetry.SampleRatio), ", ", telemetry.MetricsInterval, ", ",
+				"telemetry": fmt.Sprint(telemetry.Service, ", ", telemetry.Attributes, ", ", orUnset(telemetry.SampleRatio), ", ", telemetry.MetricsInterval, ", ",
 					telemetry.BatchDelay, ", ", telemetry.Queue, ", ", telemetry.File.Path, ", ", telemetry.File.Size, ", ", telemetry.File.Files),
 				"telemetry.otlp": fmt.Sprint(telemetry.OTLP.Endpoint, ", ", telemetry.OTLP.Protocol, ", ", telemetry.OTLP.Compression, ", ",
 					telemetry.OTLP.Headers, ", ", telemetry.OTLP.Timeout, ", ", telemetry.OTLP.Certificate, ", ", telemetry.OTLP.ClientCertificate, ", ",
-					telemetry.OTLP.ClientKey, ", ", maybe(telemetry.OTLP.Traces), ", ", maybe(telemetry.OTLP.Metrics)),
+					telemetry.OTLP.ClientKey, ", ", orUnset(telemetry.OTLP.Traces), ", ", orUnset(telemetry.OTLP.Metrics)),
 			})
 		})
 	}
 }
 
-// TestCompatibilitySettingsMistakes has every mistake of a settings file told in the same words, with its line and
-// key.
+// TestCompatibilitySettingsMistakes checks the error messages for invalid settings files, with
+// their lines and keys.
 func TestCompatibilitySettingsMistakes(t *testing.T) {
 	paths, err := filepath.Glob("testdata/settings/mistakes-*.toml")
 	if err != nil || len(paths) == 0 {
-		t.Fatalf("no files, %v", err)
+		t.Fatalf("no settings files with mistakes found, error: %v", err)
 	}
-	told := map[string][]string{}
+	messages := map[string][]string{}
 	for _, path := range paths {
 		name := filepath.Base(path)
 		file, err := settings.Parse(name, readFile(t, "settings/"+name))
 		if err == nil {
-			t.Errorf("%s was taken as %v", name, file.Platform)
+			t.Errorf("%s: accepted as %v, want an error", name, file.Platform)
 			continue
 		}
-		told[name] = strings.Split(err.Error(), "\n")
+		messages[name] = strings.Split(err.Error(), "\n")
 	}
-	compareGoldenJSON(t, "settings/mistakes.golden.json", told)
+	compareGoldenJSON(t, "settings/mistakes.golden.json", messages)
 }
 
-// TestCompatibilityTelemetryEnvironment has the variables of OpenTelemetry's specification read under their names
-// and with the same defaults, and what can't be meant passed over or refused in the same words.
+// TestCompatibilityTelemetryEnvironment checks the names and defaults of the environment variables
+// of OpenTelemetry's specification, and the warnings and errors for invalid values.
 func TestCompatibilityTelemetryEnvironment(t *testing.T) {
 	const endpoint = "OTEL_EXPORTER_OTLP_ENDPOINT=http://127.0.0.1:4318"
 	for _, tc := range []struct {
@@ -124,14 +125,14 @@
 				compareGoldenJSON(t, golden, map[string]any{"error": err.Error()})
 				return
 			}
-			end := func(e export.Endpoint) string {
+			formatEndpoint := func(e export.Endpoint) string {
 				return fmt.Sprint(e.URL, ", grpc ", e.GRPC, ", gzip ", e.Gzip, ", ", e.Headers, ", ", e.Timeout)
 			}
-			var told []string
+			var values []string
 			for _, v := range o.Values() {
-				told = append(told, fmt.Sprintf("%s = %s # %s", v.Key, v.Text, v.Source))
+				values = append(values, fmt.Sprintf("%s = %s # %s", v.Key, v.Text, v.Source))
 			}
-			compareGoldenJSON(t, golden, map[string]any{"warnings": warnings, "told": told, "traces": end(o.Traces), "metrics": end(o.Metrics),
+			compareGoldenJSON(t, golden, map[string]any{"warnings": warnings, "told": values, "traces": formatEndpoint(o.Traces), "metrics": formatEndpoint(o.Metrics),
 				"resource": o.Resource, "sampler": fmt.Sprint(o.Sampler), "file": fmt.Sprint(o.File),
 				"times": fmt.Sprint(o.MetricsInterval, ", ", o.BatchDelay, ", ", o.Batch, ", ", o.Queue, ", delta ", o.Delta)})
 		})
--- a/internal/testkit/compatibility/dispatcher/storedlist_test.go
+++ b/internal/testkit/compatibility/dispatcher/storedlist_test.go
@@ -17,11 +17,12 @@
 	"frosttide/internal/dispatcher/rosterstore"
 )
 
-// storedListFolder holds what a dispatcher named n0 has kept on disk: two generations that are good, a newer one
-// whose end is cut off, the newest of a later format, and one of another dispatcher.
+// storedListFolder is a folder with the stored runner lists of two dispatchers. That of n0 has two
+// valid generations, a newer one that is truncated, and the newest with a later format version; n1
+// has one generation.
 const storedListFolder = "storedlist"
 
-// storedSnapshot is a snapshot with every field set.
+// storedSnapshot returns a snapshot of a runner list with every field set.
 func storedSnapshot(t *testing.T, name string, rev uint64) *rosterstore.Snapshot {
 	t.Helper()
 	const at = time.Duration(1_796_000_000_000_000_000)
@@ -41,7 +42,7 @@
 	}
 }
 
-// writeStoredList makes the folder anew.
+// writeStoredList replaces storedListFolder by new files, for the flag -update.
 func writeStoredList(t *testing.T) {
 	t.Helper()
 	folder := filepath.Join("testdata", storedListFolder)
@@ -74,7 +75,7 @@
 	}
 	all, err := dir.ReadAll()
 	if err != nil || len(all) != 4 || len(files) != 5 {
-		t.Fatalf("%d generations in %d files, %v", len(all), len(files), err)
+		t.Fatalf("got %d generations of n0 and %d files, want 4 and 5; error: %v", len(all), len(files), err)
 	}
 	edit := func(name string, change func([]byte) []byte) {
 		path := filepath.Join(folder, name)
@@ -93,8 +94,8 @@
 	edit(all[1].File, func(text []byte) []byte { return text[:len(text)-20] })
 }
 
-// TestCompatibilityStoredList has the files that an earlier build kept of its runners found by their names, read
-// with the same content, and passed over for the same reasons.
+// TestCompatibilityStoredList checks that the runner lists stored by an earlier build are found by
+// their file names, read with the same content, and rejected with the same errors.
 func TestCompatibilityStoredList(t *testing.T) {
 	if *update {
 		writeStoredList(t)
@@ -126,19 +127,20 @@
 	compareGoldenJSON(t, "storedlist.golden.json", found)
 }
 
-// TestCompatibilityStoredListLoad has the start take the newest generation that can be read, set the torn one aside
-// under the same name as before, leave the one of a later format, and number the next generation past all of them.
+// TestCompatibilityStoredListLoad checks that loading takes the newest generation that can be read,
+// renames the truncated one in the same way as before and leaves the one of a later format, and
+// that the next generation gets a number above all of these.
 func TestCompatibilityStoredListLoad(t *testing.T) {
 	path := copyFolder(t, storedListFolder)
 	dir, err := rosterstore.Open(path, "n0", 9)
 	if err != nil {
 		t.Fatal(err)
 	}
-	type passed struct{ File, Error string }
-	var over []passed
-	snapshot, err := dir.Load(func(file string, why error) { over = append(over, passed{file, why.Error()}) })
+	type skippedFile struct{ File, Error string }
+	var skipped []skippedFile
+	snapshot, err := dir.Load(func(file string, reason error) { skipped = append(skipped, skippedFile{file, reason.Error()}) })
 	if err != nil || snapshot == nil {
-		t.Fatalf("%v, %v", snapshot, err)
+		t.Fatalf("Load: got snapshot %v, error %v; want a snapshot", snapshot, err)
 	}
 	if err := dir.Save(snapshot); err != nil {
 		t.Fatal(err)
@@ -151,26 +153,26 @@
 	for _, e := range entries {
 		names = append(names, e.Name())
 	}
-	compareGoldenJSON(t, "storedlist-load.golden.json", map[string]any{"revision": snapshot.Rev, "passedOver": over, "filesAfterwards": names})
+	compareGoldenJSON(t, "storedlist-load.golden.json", map[string]any{"revision": snapshot.Rev, "passedOver": skipped, "filesAfterwards": names})
 }
 
-// TestCompatibilityStoredListFormat has a file that is written now be one that an earlier build reads: the same
-// header, and a payload of the same JSON.
+// TestCompatibilityStoredListFormat checks that an earlier build can read the files that are
+// written now: they have the same header and checksum, and a payload with the same JSON.
 func TestCompatibilityStoredListFormat(t *testing.T) {
 	file, err := rosterstore.Encode(storedSnapshot(t, "n0", 41))
 	if err != nil {
 		t.Fatal(err)
 	}
-	const payloadAt = 8 + 4 + 8 + sha256.Size
-	if len(file) < payloadAt {
-		t.Fatalf("a file of %d bytes", len(file))
+	const payloadOffset = 8 + 4 + 8 + sha256.Size
+	if len(file) < payloadOffset {
+		t.Fatalf("file has only %d bytes", len(file))
 	}
-	head, sum, payload := file[:payloadAt-sha256.Size], file[payloadAt-sha256.Size:payloadAt], file[payloadAt:]
-	if want := append([]byte("frosttid\x00\x00\x00\x01"), binary.BigEndian.AppendUint64(nil, uint64(len(payload)))...); !bytes.Equal(head, want) {
-		t.Errorf("the header is %q, want %q", head, want)
+	header, checksum, payload := file[:payloadOffset-sha256.Size], file[payloadOffset-sha256.Size:payloadOffset], file[payloadOffset:]
+	if want := append([]byte("frosttid\x00\x00\x00\x01"), binary.BigEndian.AppendUint64(nil, uint64(len(payload)))...); !bytes.Equal(header, want) {
+		t.Errorf("header: got %q, want %q", header, want)
 	}
-	if want := sha256.Sum256(append(bytes.Clone(head), payload...)); !bytes.Equal(sum, want[:]) {
-		t.Errorf("the sum is %x, want %x", sum, want)
+	if want := sha256.Sum256(append(bytes.Clone(header), payload...)); !bytes.Equal(checksum, want[:]) {
+		t.Errorf("checksum: got %x, want %x", checksum, want)
 	}
 	z, err := gzip.NewReader(bytes.NewReader(payload))
 	if err != nil {
