--- a/internal/testkit/compatibility/scheduler/endpoints_test.go
+++ b/internal/testkit/compatibility/scheduler/endpoints_test.go
@@ -25,13 +25,13 @@
 )
 
 const (
-	// waitTimeout bounds what is waited for; machines that run the tests may be slow.
+	// waitTimeout bounds each wait. It is long because the host that runs the tests may be slow.
 	waitTimeout = 30 * time.Second
-	// poll is the pause between looks at what is waited for.
-	poll = 10 * time.Millisecond
+	// pollInterval is the interval between two checks of a condition.
+	pollInterval = 10 * time.Millisecond
 )
 
-// freePort returns a port of loopback that nobody listens on.
+// freePort returns a TCP port on loopback that is not in use.
 func freePort(t *testing.T) int {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -40,16 +40,17 @@
 	return l.Addr().(*net.TCPAddr).Port
 }
 
-// machine is a process of a system on loopback, in this test's own process.
+// machine is a machine of a system on loopback. Its role runs in the process of the test.
 type machine struct {
-	front, readiness, control string
+	front, readiness, control string // listen addresses, host:port
 }
 
-// run is what each role of the programs serves by.
-type run func(ctx context.Context, path string, settings *nodefile.File) error
+// runFunc runs a role of the programs until the context is canceled.
+type runFunc func(ctx context.Context, path string, settings *nodefile.File) error
 
-// startMachine runs a role at an address of loopback. The returned function ends it and waits for its end.
-func startMachine(t *testing.T, role run, ip string, internalPort int, seeds ...string) (m machine, stop func()) {
+// startMachine runs a role at an IP address on loopback. The returned function stops it and waits
+// until it has returned. Without seeds the machine is its own seed.
+func startMachine(t *testing.T, role runFunc, ip string, internalPort int, seeds ...string) (m machine, stop func()) {
 	t.Helper()
 	m = machine{front: fmt.Sprint(ip, ":", freePort(t)), readiness: fmt.Sprint(ip, ":", freePort(t)), control: fmt.Sprint(ip, ":", freePort(t))}
 	if len(seeds) == 0 {
@@ -61,8 +62,8 @@
 	settings, err := nodefile.Read(path)
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- role(ctx, path, settings) }()
+	result := make(chan error, 1)
+	go func() { result <- role(ctx, path, settings) }()
 	stopped := false
 	stop = func() {
 		if stopped {
@@ -70,26 +71,26 @@
 		}
 		stopped = true
 		cancel()
-		require.NoError(t, <-ended)
+		require.NoError(t, <-result)
 	}
 	t.Cleanup(stop)
 	return m, stop
 }
 
-// request is a call to an endpoint.
+// request is an HTTP request to an endpoint.
 type request struct {
 	method, url, host, body string
 	headers                 map[string]string
 }
 
-// response is what an endpoint answers.
+// response is the HTTP response of an endpoint. Its status is 0 if there is none.
 type response struct {
 	status  int
 	headers http.Header
 	body    string
 }
 
-// call makes a request; the status of the response is 0 where there is none.
+// call sends a request. If it fails, the status of the returned response is 0.
 func call(ctx context.Context, r request) response {
 	out, err := http.NewRequestWithContext(ctx, r.method, "http://"+r.url, bytes.NewReader([]byte(r.body)))
 	if err != nil {
@@ -111,37 +112,37 @@
 	return response{status: got.StatusCode, headers: got.Header, body: string(body)}
 }
 
-// awaitResponse makes a request until its response is as wanted.
-func awaitResponse(t *testing.T, r request, wanted func(response) bool) (got response) {
+// awaitResponse repeats a request until its response is accepted.
+func awaitResponse(t *testing.T, r request, accepted func(response) bool) (got response) {
 	t.Helper()
 	require.Eventually(t, func() bool {
 		got = call(t.Context(), r)
-		return wanted(got)
-	}, waitTimeout, poll, "%s %s", r.method, r.url)
+		return accepted(got)
+	}, waitTimeout, pollInterval, "no expected response to %s %s", r.method, r.url)
 	return got
 }
 
-// settled makes a request until the control plane answers it, which a busy machine may delay. Requests that are made so may
-// come twice.
-func settled(t *testing.T, r request) response {
+// callWithRetry repeats a request until the control plane responds to it, since a slow host may
+// delay that. The request may therefore take effect more than once.
+func callWithRetry(t *testing.T, r request) response {
 	t.Helper()
 	return awaitResponse(t, r, func(a response) bool {
 		return a.status != 0 && a.status != http.StatusServiceUnavailable && a.status != http.StatusGatewayTimeout
 	})
 }
 
-// hasStatus tells whether a response has a status.
+// hasStatus returns a condition for awaitResponse: that a response has the given status.
 func hasStatus(status int) func(response) bool {
 	return func(a response) bool { return a.status == status }
 }
 
-// transcript is the text of calls and their responses, as far as these stay the same from run to run.
+// transcript records responses as text, without the parts that differ from run to run.
 type transcript struct{ text strings.Builder }
 
 // comparedHeaders are the headers that clients rely on.
 var comparedHeaders = []string{"Allow", "Content-Type", "Retry-After", "X-Content-Type-Options"}
 
-// record adds a call under a name.
+// record adds the response to the named request.
 func (s *transcript) record(name string, a response) {
 	fmt.Fprintf(&s.text, "%s: %d\n", name, a.status)
 	for _, header := range comparedHeaders {
@@ -154,7 +155,8 @@
 	}
 }
 
-// keysOnly returns a response with the keys of its JSON body in place of the body.
+// keysOnly returns a response whose body is replaced by the sorted keys of its JSON, with their
+// types.
 func keysOnly(t *testing.T, a response) response {
 	t.Helper()
 	var value any
@@ -165,21 +167,23 @@
 	return a
 }
 
-// memberNumber matches keys that are numbers drawn at random.
-var memberNumber = regexp.MustCompile(`^[0-9]+$`)
+// numericKey matches keys that are random numbers, such as the IDs of members.
+var numericKey = regexp.MustCompile(`^[0-9]+$`)
 
-// changing are keys that are left out where they say nothing, which changes from moment to moment.
-var changing = map[string]bool{"heard_ms_ago": true, "silent": true, "suspect": true, "lost_in_ms": true}
+// transientKeys are not compared: they are omitted from responses when they are empty, which
+// depends on the moment.
+var transientKeys = map[string]bool{"heard_ms_ago": true, "silent": true, "suspect": true, "lost_in_ms": true}
 
-// collectKeys adds the paths of all values that are no objects or lists.
+// collectKeys adds the path and type of each value in a JSON document that is neither an object nor
+// a list.
 func collectKeys(keys map[string]bool, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
 		for key, inner := range value {
-			if changing[key] {
+			if transientKeys[key] {
 				continue
 			}
-			collectKeys(keys, path+"."+memberNumber.ReplaceAllString(key, "N"), inner)
+			collectKeys(keys, path+"."+numericKey.ReplaceAllString(key, "N"), inner)
 		}
 	case []any:
 		for _, inner := range value {
@@ -192,12 +196,13 @@
 	}
 }
 
-// volatile matches the numbers of responses that differ from run to run.
-var volatile = regexp.MustCompile(`("(?:accepted_ms|ended_ms|for_ms|FenceToken|HoldMs)":)[0-9]+`)
+// variableNumbers matches numbers in responses that differ from run to run.
+var variableNumbers = regexp.MustCompile(`("(?:accepted_ms|ended_ms|for_ms|FenceToken|HoldMs)":)[0-9]+`)
 
-// steady returns a response with the numbers that differ from run to run replaced.
-func steady(a response) response {
-	a.body = volatile.ReplaceAllString(a.body, "${1}N")
+// maskNumbers returns a response in which the numbers that differ from run to run are replaced by
+// N.
+func maskNumbers(a response) response {
+	a.body = variableNumbers.ReplaceAllString(a.body, "${1}N")
 	return a
 }
 
@@ -205,39 +210,40 @@
 	routes = `{"Version":1,"Routes":[{"Name":"previews","Host":"jobs.example","PathPrefix":"/previews/","TimeoutMs":3000,"Service":"toy"},` +
 		`{"Name":"batches","Host":"jobs.example","PathPrefix":"/batches/","TimeoutMs":3000,"Service":"toy"}],"Services":[{"Name":"toy"}],"Limits":{"MaxBodyBytes":2000}}`
 	jobBody   = `{"Spec":"sleep","Stages":[{"Count":1,"Cpu":1000,"MemMb":10,"EstimateMs":300}]}`
-	laterBody = `{"Spec":"sleep","Stages":[{"Count":1,"Cpu":1000,"MemMb":10}],"MaxRuns":2,"StartAtMs":4000000000000,"IntervalMs":500}`
+	timedBody = `{"Spec":"sleep","Stages":[{"Count":1,"Cpu":1000,"MemMb":10}],"MaxRuns":2,"StartAtMs":4000000000000,"IntervalMs":500}`
 	largeBody = `{"Spec":"x","Stages":[{"Count":1,"Cpu":64000,"MemMb":10}]}`
 )
 
-// TestCompatibilityEndpoints runs a system of one machine of each role and pins the answers of all endpoints.
+// TestCompatibilityEndpoints runs a system with one machine of each role and pins the responses of
+// all endpoints.
 func TestCompatibilityEndpoints(t *testing.T) {
 	t.Parallel()
 	port := freePort(t)
 	core, stopCore := startMachine(t, server.Run, "127.0.0.1", port)
-	edge, _ := startMachine(t, gateway.Run, "127.0.0.2", port, core.control)
-	side, _ := startMachine(t, agent.Run, "127.0.0.3", port, core.control)
-	edgeWithoutConfig(t, edge)
+	gatewayMachine, _ := startMachine(t, gateway.Run, "127.0.0.2", port, core.control)
+	agentMachine, _ := startMachine(t, agent.Run, "127.0.0.3", port, core.control)
+	gatewayWithoutConfig(t, gatewayMachine)
 	controlEndpoints(t, core)
-	awaitResponse(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}, hasStatus(http.StatusOK))
-	edgeEndpoints(t, edge)
-	jobEndpoints(t, core, edge, side)
+	awaitResponse(t, request{method: http.MethodGet, url: gatewayMachine.readiness + "/v1/ready"}, hasStatus(http.StatusOK))
+	gatewayEndpoints(t, gatewayMachine)
+	jobEndpoints(t, core, gatewayMachine, agentMachine)
 	stopCore()
-	edgeWithoutControl(t, edge)
+	gatewayWithoutControl(t, gatewayMachine)
 }
 
-// edgeWithoutConfig pins what an edge machine answers before any configuration.
-func edgeWithoutConfig(t *testing.T, edge machine) {
+// gatewayWithoutConfig pins the responses of a gateway before the first configuration.
+func gatewayWithoutConfig(t *testing.T, gatewayMachine machine) {
 	t.Helper()
 	var s transcript
-	s.record("readiness before a configuration", awaitResponse(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}, hasStatus(http.StatusServiceUnavailable)))
-	s.record("readiness by another method", settled(t, request{method: http.MethodPost, url: edge.readiness + "/v1/ready"}))
-	s.record("no such path of the readiness", settled(t, request{method: http.MethodGet, url: edge.readiness + "/v1/none"}))
-	s.record("job before a configuration", awaitResponse(t, request{method: http.MethodPost, url: edge.front + "/previews/00000000000000a1", host: "jobs.example", body: jobBody},
+	s.record("readiness before a configuration", awaitResponse(t, request{method: http.MethodGet, url: gatewayMachine.readiness + "/v1/ready"}, hasStatus(http.StatusServiceUnavailable)))
+	s.record("readiness by another method", callWithRetry(t, request{method: http.MethodPost, url: gatewayMachine.readiness + "/v1/ready"}))
+	s.record("no such path of the readiness", callWithRetry(t, request{method: http.MethodGet, url: gatewayMachine.readiness + "/v1/none"}))
+	s.record("job before a configuration", awaitResponse(t, request{method: http.MethodPost, url: gatewayMachine.front + "/previews/00000000000000a1", host: "jobs.example", body: jobBody},
 		hasStatus(http.StatusServiceUnavailable)))
 	requireGolden(t, "edge-before.txt", s.text.String())
 }
 
-// controlEndpoints pins the operator's API up to the first configuration.
+// controlEndpoints pins the responses of the operators' API, and puts the first configuration.
 func controlEndpoints(t *testing.T, core machine) {
 	t.Helper()
 	var s transcript
@@ -265,17 +271,17 @@
 		{"no such job canceled", request{method: http.MethodDelete, url: core.control + "/v1/jobs/00000000000000ff"}},
 		{"no such path", request{method: http.MethodGet, url: core.control + "/v1/none"}},
 	} {
-		s.record(c.name, settled(t, c.call))
+		s.record(c.name, callWithRetry(t, c.call))
 	}
-	s.record("member", keysOnly(t, settled(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
+	s.record("member", keysOnly(t, callWithRetry(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
 	requireGolden(t, "control.txt", s.text.String())
 }
 
-// edgeEndpoints pins what clients get that makes no job run.
-func edgeEndpoints(t *testing.T, edge machine) {
+// gatewayEndpoints pins the responses of a gateway to requests that start no job.
+func gatewayEndpoints(t *testing.T, gatewayMachine machine) {
 	t.Helper()
 	var s transcript
-	s.record("readiness", settled(t, request{method: http.MethodGet, url: edge.readiness + "/v1/ready"}))
+	s.record("readiness", callWithRetry(t, request{method: http.MethodGet, url: gatewayMachine.readiness + "/v1/ready"}))
 	for _, c := range []struct{ name, method, path, host, body string }{
 		{"no such queue", http.MethodPost, "/none/00000000000000a1", "jobs.example", jobBody},
 		{"no such host", http.MethodPost, "/previews/00000000000000a1", "other.example", jobBody},
@@ -299,62 +305,63 @@
 		{"state of no job", http.MethodGet, "/previews/00000000000000a1", "jobs.example", ""},
 		{"no job canceled", http.MethodDelete, "/previews/00000000000000a1", "jobs.example", ""},
 	} {
-		s.record(c.name, settled(t, request{method: c.method, url: edge.front + c.path, host: c.host, body: c.body}))
+		s.record(c.name, callWithRetry(t, request{method: c.method, url: gatewayMachine.front + c.path, host: c.host, body: c.body}))
 	}
 	requireGolden(t, "edge.txt", s.text.String())
 }
 
-// jobEndpoints pins the way of jobs by all three roles.
-func jobEndpoints(t *testing.T, core, edge, side machine) {
+// jobEndpoints pins the responses of all three roles in the course of some jobs.
+func jobEndpoints(t *testing.T, core, gatewayMachine, agentMachine machine) {
 	t.Helper()
 	var s transcript
 	client := func(method, queue, id, body string) response {
-		return settled(t, request{method: method, url: edge.front + "/" + queue + "/" + id, host: "jobs.example", body: body})
+		return callWithRetry(t, request{method: method, url: gatewayMachine.front + "/" + queue + "/" + id, host: "jobs.example", body: body})
 	}
 	operator := func(path string) response {
-		return settled(t, request{method: http.MethodGet, url: core.control + path})
+		return callWithRetry(t, request{method: http.MethodGet, url: core.control + path})
 	}
-	const id, later, large = "00000000000000a1", "00000000000000b2", "00000000000000c3"
+	const id, timed, large = "00000000000000a1", "00000000000000b2", "00000000000000c3"
 	s.record("job", client(http.MethodPost, "previews", id, jobBody))
 	s.record("the same job again", client(http.MethodPost, "previews", id, jobBody))
-	s.record("other content under its ID", client(http.MethodPost, "previews", id, laterBody))
+	s.record("other content under its ID", client(http.MethodPost, "previews", id, timedBody))
 	s.record("its ID in another queue", client(http.MethodPost, "batches", id, jobBody))
 	s.record("state", client(http.MethodGet, "previews", id, ""))
 	s.record("state by another queue", client(http.MethodGet, "batches", id, ""))
 	s.record("waiting jobs", client(http.MethodGet, "previews", "", ""))
-	s.record("timed job", client(http.MethodPost, "batches", later, laterBody))
+	s.record("timed job", client(http.MethodPost, "batches", timed, timedBody))
 	s.record("large job", client(http.MethodPost, "batches", large, largeBody))
-	s.record("jobs", steady(operator("/v1/jobs")))
-	s.record("job that waits", steady(operator("/v1/jobs/"+id)))
-	s.record("timed job canceled", client(http.MethodDelete, "batches", later, ""))
-	s.record("canceled again", client(http.MethodDelete, "batches", later, ""))
+	s.record("jobs", maskNumbers(operator("/v1/jobs")))
+	s.record("job that waits", maskNumbers(operator("/v1/jobs/"+id)))
+	s.record("timed job canceled", client(http.MethodDelete, "batches", timed, ""))
+	s.record("canceled again", client(http.MethodDelete, "batches", timed, ""))
 	s.record("canceled by another queue", client(http.MethodDelete, "previews", large, ""))
-	s.record("state after that", client(http.MethodGet, "batches", later, ""))
-	runnerEndpoints(t, &s, side)
+	s.record("state after that", client(http.MethodGet, "batches", timed, ""))
+	runnerEndpoints(t, &s, agentMachine)
 	s.record("placement", keysOnly(t, awaitResponse(t, request{method: http.MethodGet, url: core.control + "/v1/scheduler"}, func(a response) bool {
 		return strings.Contains(a.body, `"tasks":[{"task"`)
 	})))
-	s.record("job that runs", steady(operator("/v1/jobs/"+id)))
-	finished := settled(t, request{method: http.MethodPut, url: side.control + "/v1/instances/i-toy", body: heartbeat(900000, "[]", `[[1,"`+id+`.0.0.0",1,"done",""]]`)})
+	s.record("job that runs", maskNumbers(operator("/v1/jobs/"+id)))
+	finished := callWithRetry(t, request{method: http.MethodPut, url: agentMachine.control + "/v1/instances/i-toy", body: heartbeat(900000, "[]", `[[1,"`+id+`.0.0.0",1,"done",""]]`)})
 	require.Equal(t, http.StatusOK, finished.status, finished.body)
-	s.record("completed job", awaitResponse(t, request{method: http.MethodGet, url: edge.front + "/previews/" + id, host: "jobs.example"}, func(a response) bool {
+	s.record("completed job", awaitResponse(t, request{method: http.MethodGet, url: gatewayMachine.front + "/previews/" + id, host: "jobs.example"}, func(a response) bool {
 		return strings.Contains(a.body, "completed")
 	}))
-	s.record("operator cancels", settled(t, request{method: http.MethodDelete, url: core.control + "/v1/jobs/" + large}))
-	s.record("leave", settled(t, request{method: http.MethodDelete, url: side.control + "/v1/instances/i-toy"}))
+	s.record("operator cancels", callWithRetry(t, request{method: http.MethodDelete, url: core.control + "/v1/jobs/" + large}))
+	s.record("leave", callWithRetry(t, request{method: http.MethodDelete, url: agentMachine.control + "/v1/instances/i-toy"}))
 	requireGolden(t, "jobs.txt", s.text.String())
 }
 
-// heartbeat returns the body of a runner's heartbeat.
+// heartbeat returns the body of a runner's heartbeat; running and finished are JSON lists.
 func heartbeat(sequence int, running, finished string) string {
 	return fmt.Sprintf(`{"Service":"toy","Address":"127.0.0.3:1","Zone":"z1","Version":"v1","Slots":8,"State":"ready","Capacity":{"Cpu":4000,"MemMb":8192,"Gpus":1},`+
 		`"Labels":["a","r1-1"],"Sequence":%d,"Running":%s,"Finished":%s}`, sequence, running, finished)
 }
 
-// runnerEndpoints pins what a runner gets, up to the first run that it is to start and lists.
-func runnerEndpoints(t *testing.T, s *transcript, side machine) {
+// runnerEndpoints pins the responses of an agent to a runner, until the runner was told to start a
+// run and has reported it as running.
+func runnerEndpoints(t *testing.T, s *transcript, agentMachine machine) {
 	t.Helper()
-	url := side.control + "/v1/instances/i-toy"
+	url := agentMachine.control + "/v1/instances/i-toy"
 	for _, c := range []struct{ name, method, body string }{
 		{"heartbeat without JSON", http.MethodPut, "{"},
 		{"heartbeat that is no object", http.MethodPut, "[]"},
@@ -363,33 +370,34 @@
 		{"heartbeat by another method", http.MethodPost, "{}"},
 		{"leave of nobody", http.MethodDelete, ""},
 	} {
-		s.record(c.name, settled(t, request{method: c.method, url: url, body: c.body}))
+		s.record(c.name, callWithRetry(t, request{method: c.method, url: url, body: c.body}))
 	}
-	s.record("no such path of the companion", settled(t, request{method: http.MethodGet, url: side.control + "/v1/none"}))
+	s.record("no such path of the companion", callWithRetry(t, request{method: http.MethodGet, url: agentMachine.control + "/v1/none"}))
 	sequence := 0
-	beat := func(running, wanted string) (got response) {
+	awaitOrder := func(running, order string) (got response) {
 		require.Eventually(t, func() bool {
 			sequence++
 			got = call(t.Context(), request{method: http.MethodPut, url: url, body: heartbeat(sequence, running, "[]")})
-			return strings.Contains(got.body, wanted)
-		}, waitTimeout, poll, "the runner is not told to %s", wanted)
+			return strings.Contains(got.body, order)
+		}, waitTimeout, pollInterval, "no heartbeat response with the order %s", order)
 		return got
 	}
-	s.record("start", steady(beat("[]", `"Start"`)))
-	s.record("stop", steady(beat(`[["00000000000000a1.0.0.0",1,"00000bb8",41],["00000000000000ff.0.0.0",1,"",0]]`, `"Stop"`)))
+	s.record("start", maskNumbers(awaitOrder("[]", `"Start"`)))
+	s.record("stop", maskNumbers(awaitOrder(`[["00000000000000a1.0.0.0",1,"00000bb8",41],["00000000000000ff.0.0.0",1,"",0]]`, `"Stop"`)))
 }
 
-// edgeWithoutControl pins what an edge machine answers without a control plane.
-func edgeWithoutControl(t *testing.T, edge machine) {
+// gatewayWithoutControl pins the responses of a gateway while the control plane is down.
+func gatewayWithoutControl(t *testing.T, gatewayMachine machine) {
 	t.Helper()
 	var s transcript
-	soon := map[string]string{"X-Deadline-Ms": "300"}
-	s.record("state without a control plane", call(t.Context(), request{method: http.MethodGet, url: edge.front + "/previews/00000000000000a1", host: "jobs.example", headers: soon}))
-	s.record("job without a control plane", call(t.Context(), request{method: http.MethodPost, url: edge.front + "/previews/00000000000000d4", host: "jobs.example", body: jobBody, headers: soon}))
+	shortDeadline := map[string]string{"X-Deadline-Ms": "300"}
+	s.record("state without a control plane", call(t.Context(), request{method: http.MethodGet, url: gatewayMachine.front + "/previews/00000000000000a1", host: "jobs.example", headers: shortDeadline}))
+	s.record("job without a control plane", call(t.Context(), request{method: http.MethodPost, url: gatewayMachine.front + "/previews/00000000000000d4", host: "jobs.example", body: jobBody, headers: shortDeadline}))
 	requireGolden(t, "edge-after.txt", s.text.String())
 }
 
-// TestCompatibilityWithoutMajority pins the operator's API of a member that hears of no majority.
+// TestCompatibilityWithoutMajority pins the responses of the operators' API on a member that cannot
+// reach a majority.
 func TestCompatibilityWithoutMajority(t *testing.T) {
 	t.Parallel()
 	core, _ := startMachine(t, func(ctx context.Context, path string, settings *nodefile.File) error {
@@ -398,6 +406,6 @@
 	}, "127.0.0.4", freePort(t))
 	var s transcript
 	s.record("configuration", awaitResponse(t, request{method: http.MethodGet, url: core.control + "/v1/config"}, hasStatus(http.StatusServiceUnavailable)))
-	s.record("member", keysOnly(t, settled(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
+	s.record("member", keysOnly(t, callWithRetry(t, request{method: http.MethodGet, url: core.control + "/v1/status"})))
 	requireGolden(t, "control-alone.txt", s.text.String())
 }
--- a/internal/testkit/compatibility/scheduler/golden_test.go
+++ b/internal/testkit/compatibility/scheduler/golden_test.go
@@ -1,7 +1,9 @@
-// Package compatibility_test pins what processes of different releases, operators' scripts and monitoring rely on:
-// the bytes of the internal protocol, the answers of the HTTP endpoints, the operator's machine-readable output, the
-// names of metrics, the settings with their defaults and mistakes, environment variables and exit statuses. A change
-// of a file under testdata is a change of that contract, for which the changelog names a release.
+// Package compatibility_test pins the interfaces of the cluster scheduler on which processes of
+// other releases, operators' scripts and monitoring rely: the bytes of the internal protocol, the
+// responses of the HTTP endpoints, the machine-readable output of commands, the names of metrics,
+// the settings with their defaults and error messages, environment variables and exit statuses. A
+// change to a file under testdata changes this contract and needs an entry in the changelog that
+// names the release.
 package compatibility_test
 
 import (
@@ -13,10 +15,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// update has the tests write the golden files anew instead of comparing with them.
+// update makes the tests overwrite the golden files before they compare with them.
 var update = flag.Bool("update", false, "write the files under testdata anew")
 
-// requireGolden compares a text with the golden file of a name.
+// requireGolden compares a text with a golden file, given by its name under testdata.
 func requireGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -25,5 +27,5 @@
 	}
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
-	require.Equal(t, string(want), got, "the contract of %s has changed", path)
+	require.Equal(t, string(want), got, "output differs from %s, which is a compatibility contract", path)
 }
--- a/internal/testkit/compatibility/scheduler/operator_test.go
+++ b/internal/testkit/compatibility/scheduler/operator_test.go
@@ -19,34 +19,35 @@
 	"frosttide/internal/control/scheduler"
 )
 
-// The answers of a core machine's API, with every key that it may give.
+// JSON responses of a control plane machine's API, with all keys that they can have.
 const (
-	memberAnswer = `{"view":{"epoch":7,"voters":[{"id":1,"number":1,"address":"10.0.0.1:7380","control":"10.0.0.1:8144","zone":"z1"},{"id":2,"number":2,"address":"10.0.0.2:7380","control":"10.0.0.2:8144","zone":"z2"}],` +
+	memberResponse = `{"view":{"epoch":7,"voters":[{"id":1,"number":1,"address":"10.0.0.1:7380","control":"10.0.0.1:8144","zone":"z1"},{"id":2,"number":2,"address":"10.0.0.2:7380","control":"10.0.0.2:8144","zone":"z2"}],` +
 		`"previous":[{"id":1,"number":1}],"chain":[1,2],"next_number":3},"self":1,"promised":9,"installed_epoch":7,"index":12,"durable":11,"committed":10,"serving":true,"following":false,"disk_failed":true,"disk_lag_ms":250,"dropped":4,"silent_ms":{"2":40}}`
-	placementAnswer = `{"epoch":7,"config_version":3,"jobs":{"running":2},"services":{"toy":{"ready":20,"blocked":5,"started":15,"ended":{"done":11,"failed":2},"waiting_tasks":4,"waiting_steps":1,"oldest_wait_ms":1500}},` +
+	schedulerResponse = `{"epoch":7,"config_version":3,"jobs":{"running":2},"services":{"toy":{"ready":20,"blocked":5,"started":15,"ended":{"done":11,"failed":2},"waiting_tasks":4,"waiting_steps":1,"oldest_wait_ms":1500}},` +
 		`"runners":[{"id":"i1","service":"toy","companion":"10.0.1.1:7380","rack":"r1","labels":["a","r1-1"],"usable":true,"draining":true,"silent":true,"in_session":true,"suspect":true,` +
 		`"capacity":{"cpu":4000,"mem_mb":8192,"gpus":2},"used":{"cpu":1000,"mem_mb":10,"gpus":1},"runs":1,"tasks":[{"task":"00000000000000a1.0.0.0","run":2,"state":"running","stopping":true,"for_ms":900}],` +
 		`"lease_ms":5000,"lost_in_ms":0,"heard_ms_ago":30},{"id":"i2","service":"toy","companion":"10.0.1.2:7380","usable":false,"in_session":false,"capacity":{"cpu":0,"mem_mb":0,"gpus":0},"used":{"cpu":0,"mem_mb":0,"gpus":0},"runs":0,"lease_ms":0,"lost_in_ms":700}],` +
 		`"waiting":[{"job":"00000000000000b2","queue":"previews","service":"toy","time":1,"step":2,"tasks":4,"gang":true,"priority":1,"for_ms":1500,"demand":{"cpu":64000,"mem_mb":10,"gpus":0},` +
 		`"obstacles":{"runners":2,"unusable":1,"label":0,"too_small":1,"anti_affinity":0,"suspect":0,"full":0,"room":0,"largest_free":{"cpu":3000,"mem_mb":8182,"gpus":1}},"why":"the reason"}]}`
-	jobAnswer = `{"id":"00000000000000a1","queue":"previews","state":"running","accepted_ms":1800000000000,"ended_ms":1800000001000,"times":3,` +
+	jobResponse = `{"id":"00000000000000a1","queue":"previews","state":"running","accepted_ms":1800000000000,"ended_ms":1800000001000,"times":3,` +
 		`"steps":[{"time":0,"step":1,"ready":true,"waiting":2,"tasks":[{"task":"00000000000000a1.0.1.0","run":2,"runner":"i1","phase":"running","failures":1}]}]}`
-	historyAnswer = `[{"version":3,"order":"ab12"},{"version":2,"order":"cd34"}]`
+	historyResponse = `[{"version":3,"order":"ab12"},{"version":2,"order":"cd34"}]`
 )
 
-// coreMachine serves canned answers as a core machine's API and returns its address. One without a placement role refuses
-// what is asked of that.
-func coreMachine(t *testing.T, placement bool) string {
+// fakeControl serves canned responses of a control plane machine's API and returns its address
+// (host:port). Unless it is the head, it answers requests for jobs, runners and the history of the
+// configuration with 503.
+func fakeControl(t *testing.T, head bool) string {
 	t.Helper()
-	answers := map[string]string{"/v1/status": memberAnswer, "/v1/config": `{"Version":3,"Routes":[],"Services":[]}`}
-	if placement {
-		answers["/v1/scheduler"] = placementAnswer
-		answers["/v1/jobs"] = "[" + jobAnswer + "]"
-		answers["/v1/jobs/00000000000000a1"] = jobAnswer
-		answers["/v1/config/history"] = historyAnswer
+	responses := map[string]string{"/v1/status": memberResponse, "/v1/config": `{"Version":3,"Routes":[],"Services":[]}`}
+	if head {
+		responses["/v1/scheduler"] = schedulerResponse
+		responses["/v1/jobs"] = "[" + jobResponse + "]"
+		responses["/v1/jobs/00000000000000a1"] = jobResponse
+		responses["/v1/config/history"] = historyResponse
 	}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		answer, ok := answers[r.URL.Path]
+		body, ok := responses[r.URL.Path]
 		switch {
 		case r.Method == http.MethodDelete && strings.HasSuffix(r.URL.Path, "a1"):
 		case r.Method == http.MethodDelete:
@@ -57,27 +58,28 @@
 		case !ok:
 			http.Error(w, "the control plane does not answer", http.StatusServiceUnavailable)
 		default:
-			_, _ = w.Write([]byte(answer))
+			_, _ = w.Write([]byte(body))
 		}
 	}))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// command runs the operator's program and returns what it printed and its exit status.
+// command runs frosttide-control in this process and returns its stdout, its stderr and its exit
+// status.
 func command(t *testing.T, args ...string) (out, errOut string, status int) {
 	t.Helper()
-	var printed, complained bytes.Buffer
-	status = cli.Main(t.Context(), args, &printed, &complained)
-	return printed.String(), complained.String(), status
+	var stdout, stderr bytes.Buffer
+	status = cli.Main(t.Context(), args, &stdout, &stderr)
+	return stdout.String(), stderr.String(), status
 }
 
-// TestCompatibilityOperatorOutput pins the machine-readable output of the operator's commands, and that the address may
-// come from the environment.
+// TestCompatibilityOperatorOutput pins the machine-readable output of the operators' commands, and
+// that they take the address from the environment variable FROSTTIDE_CONTROL.
 func TestCompatibilityOperatorOutput(t *testing.T) {
 	t.Setenv("FROSTTIDE_NODE_FILE", "")
-	t.Setenv("FROSTTIDE_CONTROL", coreMachine(t, true))
-	follower := coreMachine(t, false)
+	t.Setenv("FROSTTIDE_CONTROL", fakeControl(t, true))
+	follower := fakeControl(t, false)
 	var text strings.Builder
 	for _, args := range [][]string{
 		{"status", "--json"},
@@ -95,11 +97,11 @@
 	requireGolden(t, "operator-output.txt", text.String())
 }
 
-// TestCompatibilityExitStatuses pins the exit statuses of the operator's commands.
+// TestCompatibilityExitStatuses pins the exit statuses of the operators' commands.
 func TestCompatibilityExitStatuses(t *testing.T) {
 	t.Setenv("FROSTTIDE_NODE_FILE", "")
 	t.Setenv("FROSTTIDE_CONTROL", "")
-	at, follower := coreMachine(t, true), coreMachine(t, false)
+	at, follower := fakeControl(t, true), fakeControl(t, false)
 	good := writeFile(t, "good.json", `{"Version":4,"Routes":[],"Services":[]}`)
 	bad := writeFile(t, "bad.json", `{"Routes":[]}`)
 	settings := writeFile(t, "node.toml", minimalSettings)
@@ -145,23 +147,24 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			out, errOut, status := command(t, c.args...)
-			require.Equal(t, c.status, status, "%s%s", out, errOut)
+			require.Equal(t, c.status, status, "exit status; output: %s%s", out, errOut)
 		})
 	}
 }
 
-// jsonKeys writes the keys of a type as encoding/json names them, with their types and whether they may be left out.
-func jsonKeys(text *strings.Builder, indent string, kind reflect.Type) {
-	switch kind.Kind() {
+// jsonKeys writes the JSON keys of a Go type, with their JSON types and tag options such as
+// omitempty.
+func jsonKeys(text *strings.Builder, indent string, goType reflect.Type) {
+	switch goType.Kind() {
 	case reflect.Pointer, reflect.Slice, reflect.Map:
-		jsonKeys(text, indent, kind.Elem())
+		jsonKeys(text, indent, goType.Elem())
 		return
 	case reflect.Struct:
 	default:
 		return
 	}
-	for i := range kind.NumField() {
-		field := kind.Field(i)
+	for i := range goType.NumField() {
+		field := goType.Field(i)
 		if !field.IsExported() {
 			continue
 		}
@@ -178,40 +181,41 @@
 	}
 }
 
-// jsonType returns what a Go type becomes in JSON.
-func jsonType(kind reflect.Type) string {
-	switch kind.Kind() {
+// jsonType describes the JSON form of a Go type.
+func jsonType(goType reflect.Type) string {
+	switch goType.Kind() {
 	case reflect.Pointer:
-		return jsonType(kind.Elem())
+		return jsonType(goType.Elem())
 	case reflect.Slice:
-		return "list of " + jsonType(kind.Elem())
+		return "list of " + jsonType(goType.Elem())
 	case reflect.Map:
-		return "object by " + kind.Key().Kind().String() + " of " + jsonType(kind.Elem())
+		return "object by " + goType.Key().Kind().String() + " of " + jsonType(goType.Elem())
 	case reflect.Struct:
 		return "object"
 	default:
-		return kind.Kind().String()
+		return goType.Kind().String()
 	}
 }
 
-// TestCompatibilityStatusKeys lists the keys of the answers that are made of Go types.
+// TestCompatibilityStatusKeys pins the JSON keys of the responses that are encoded from Go types.
 func TestCompatibilityStatusKeys(t *testing.T) {
 	var text strings.Builder
-	for _, answer := range []struct {
+	for _, endpoint := range []struct {
 		path  string
 		value any
 	}{
 		{"/v1/status", replica.Status{}}, {"/v1/scheduler", scheduler.Status{}}, {"/v1/jobs", []scheduler.JobStatus{}}, {"/v1/config/history", []scheduler.ConfigUpdate{}},
 	} {
-		fmt.Fprintln(&text, answer.path)
-		jsonKeys(&text, "  ", reflect.TypeOf(answer.value))
+		fmt.Fprintln(&text, endpoint.path)
+		jsonKeys(&text, "  ", reflect.TypeOf(endpoint.value))
 	}
 	requireGolden(t, "status-keys.txt", text.String())
 }
 
-// TestCompatibilityMetrics scrapes canned members: the names, types, labels and values stay.
+// TestCompatibilityMetrics collects the metrics of fake control plane machines and pins their
+// names, types, labels and values.
 func TestCompatibilityMetrics(t *testing.T) {
-	head, follower := coreMachine(t, true), coreMachine(t, false)
+	head, follower := fakeControl(t, true), fakeControl(t, false)
 	registry := prometheus.NewPedanticRegistry()
 	registry.MustRegister(metrics.NewCollector([]string{follower, head, "127.0.0.1:1"}))
 	families, err := registry.Gather()
--- a/internal/testkit/compatibility/scheduler/protocol_test.go
+++ b/internal/testkit/compatibility/scheduler/protocol_test.go
@@ -18,10 +18,11 @@
 	"frosttide/internal/protocol"
 )
 
-// protocolPackage is the name of the internal protocol on the wire.
+// protocolPackage is the protobuf package of the internal protocol.
 const protocolPackage = "frosttide.protocol"
 
-// protocolMessages returns the descriptors of all messages of the internal protocol, nested ones too, by name.
+// protocolMessages returns the descriptors of all messages of the internal protocol, including
+// nested ones, sorted by name.
 func protocolMessages(t *testing.T) (all []protoreflect.MessageDescriptor) {
 	t.Helper()
 	var add func(messages protoreflect.MessageDescriptors)
@@ -42,33 +43,34 @@
 	return all
 }
 
-// filled returns a message with all its fields set to values that follow from their numbers, with one choice of its
-// oneof, which is nil where it has none.
-func filled(t *testing.T, descriptor protoreflect.MessageDescriptor, choice protoreflect.FieldDescriptor) protoreflect.Message {
+// filledMessage returns a message with all fields set to values derived from their field numbers.
+// Of the fields of its oneof, only choice is set; it is nil for a message without one.
+func filledMessage(t *testing.T, descriptor protoreflect.MessageDescriptor, choice protoreflect.FieldDescriptor) protoreflect.Message {
 	t.Helper()
-	kind, err := protoregistry.GlobalTypes.FindMessageByName(descriptor.FullName())
+	messageType, err := protoregistry.GlobalTypes.FindMessageByName(descriptor.FullName())
 	require.NoError(t, err)
-	message := kind.New()
+	message := messageType.New()
 	for i := range descriptor.Fields().Len() {
 		field := descriptor.Fields().Get(i)
 		if field.ContainingOneof() != nil && field != choice {
 			continue
 		}
-		require.False(t, field.IsMap(), "%s: bytes of maps have no fixed order", field.FullName())
+		require.False(t, field.IsMap(), "%s is a map, whose encoding has no fixed order", field.FullName())
 		if !field.IsList() {
-			message.Set(field, valueOf(t, field, 0))
+			message.Set(field, testValue(t, field, 0))
 			continue
 		}
 		list := message.Mutable(field).List()
 		for element := range 2 {
-			list.Append(valueOf(t, field, element))
+			list.Append(testValue(t, field, element))
 		}
 	}
 	return message
 }
 
-// valueOf returns the value that a field has in a filled message, as an element of it where it is a list.
-func valueOf(t *testing.T, field protoreflect.FieldDescriptor, element int) protoreflect.Value {
+// testValue returns the value of a field in a filled message. For a list, element is the index of
+// the item, otherwise 0.
+func testValue(t *testing.T, field protoreflect.FieldDescriptor, element int) protoreflect.Value {
 	t.Helper()
 	number := int(field.Number())*10 + element + 1
 	switch field.Kind() {
@@ -85,14 +87,14 @@
 	case protoreflect.BytesKind:
 		return protoreflect.ValueOfBytes([]byte{0, byte(number), 0xff})
 	case protoreflect.MessageKind:
-		return protoreflect.ValueOfMessage(filled(t, field.Message(), firstChoice(field.Message())))
+		return protoreflect.ValueOfMessage(filledMessage(t, field.Message(), firstChoice(field.Message())))
 	default:
-		require.Failf(t, "no value", "%s is of kind %v, which no message had", field.FullName(), field.Kind())
+		require.Failf(t, "no test value", "field %s has kind %v, which testValue does not support", field.FullName(), field.Kind())
 		return protoreflect.Value{}
 	}
 }
 
-// firstChoice returns the first field of a message's oneof, nil where it has none.
+// firstChoice returns the first field of a message's oneof, or nil if it has none.
 func firstChoice(descriptor protoreflect.MessageDescriptor) protoreflect.FieldDescriptor {
 	if descriptor.Oneofs().Len() == 0 {
 		return nil
@@ -100,32 +102,32 @@
 	return descriptor.Oneofs().Get(0).Fields().Get(0)
 }
 
-// filledMessages returns every message of the internal protocol with all fields set, by name; one with a oneof comes
-// once for each choice.
+// filledMessages returns every message of the internal protocol with all fields set, by name. A
+// message with a oneof is included once for each of its choices.
 func filledMessages(t *testing.T) (names []string, byName map[string]protoreflect.Message) {
 	t.Helper()
 	byName = make(map[string]protoreflect.Message)
-	put := func(name string, message protoreflect.Message) {
+	add := func(name string, message protoreflect.Message) {
 		names = append(names, name)
 		byName[name] = message
 	}
 	for _, descriptor := range protocolMessages(t) {
 		name := string(descriptor.FullName())
 		if descriptor.Oneofs().Len() == 0 {
-			put(name, filled(t, descriptor, nil))
+			add(name, filledMessage(t, descriptor, nil))
 			continue
 		}
-		require.Equal(t, 1, descriptor.Oneofs().Len(), "%s", name)
+		require.Equal(t, 1, descriptor.Oneofs().Len(), "number of oneofs in %s", name)
 		choices := descriptor.Oneofs().Get(0).Fields()
 		for i := range choices.Len() {
-			put(name+"/"+string(choices.Get(i).Name()), filled(t, descriptor, choices.Get(i)))
+			add(name+"/"+string(choices.Get(i).Name()), filledMessage(t, descriptor, choices.Get(i)))
 		}
 	}
 	return names, byName
 }
 
-// TestCompatibilityMessageBytes encodes every message of the internal protocol with all fields set: the bytes are those
-// that earlier releases send and store.
+// TestCompatibilityMessageBytes checks that every message of the internal protocol, with all fields
+// set, is encoded to the bytes that earlier releases send and store.
 func TestCompatibilityMessageBytes(t *testing.T) {
 	names, byName := filledMessages(t)
 	var text strings.Builder
@@ -137,7 +139,8 @@
 	requireGolden(t, "messages.txt", text.String())
 }
 
-// TestCompatibilityMessagesRead decodes the committed bytes: they hold the same values, and nothing that is not known.
+// TestCompatibilityMessagesRead checks that the bytes in messages.txt are decoded to the same
+// values, without unknown fields.
 func TestCompatibilityMessagesRead(t *testing.T) {
 	names, byName := filledMessages(t)
 	file, err := os.Open(filepath.Join("testdata", "messages.txt"))
@@ -149,19 +152,19 @@
 	for ; lines.Scan(); read++ {
 		name, digits, _ := strings.Cut(lines.Text(), " ")
 		want := byName[name]
-		require.NotNil(t, want, "there is no message %s any more", name)
+		require.NotNil(t, want, "message %s does not exist any more", name)
 		encoded, err := hex.DecodeString(digits)
 		require.NoError(t, err)
 		got := want.Type().New()
 		require.NoError(t, proto.UnmarshalOptions{}.Unmarshal(encoded, got.Interface()), name)
-		require.True(t, proto.Equal(want.Interface(), got.Interface()), "%s is read with other content", name)
+		require.True(t, proto.Equal(want.Interface(), got.Interface()), "%s was decoded to different values", name)
 	}
 	require.NoError(t, lines.Err())
 	require.Len(t, names, read)
 }
 
-// TestCompatibilityMessageFields lists the numbers, types and names of all fields, what is reserved, and the paths of
-// the services.
+// TestCompatibilityMessageFields pins the numbers, types and names of all fields, the reserved
+// numbers, and the methods and paths of the services.
 func TestCompatibilityMessageFields(t *testing.T) {
 	var text strings.Builder
 	for _, descriptor := range protocolMessages(t) {
@@ -183,7 +186,7 @@
 	requireGolden(t, "fields.txt", text.String())
 }
 
-// describeFields writes the fields of a message, by number, and its reserved numbers.
+// describeFields writes the fields of a message, sorted by number, and its reserved numbers.
 func describeFields(text *strings.Builder, descriptor protoreflect.MessageDescriptor) {
 	fields := make([]protoreflect.FieldDescriptor, 0, descriptor.Fields().Len())
 	for i := range descriptor.Fields().Len() {
@@ -213,7 +216,7 @@
 	}
 }
 
-// describeService writes the methods of a service.
+// describeService writes the methods of a service with their message types and streaming modes.
 func describeService(text *strings.Builder, service protoreflect.ServiceDescriptor) {
 	fmt.Fprintf(text, "service %s\n", service.FullName())
 	for i := range service.Methods().Len() {
--- a/internal/testkit/compatibility/scheduler/settings_test.go
+++ b/internal/testkit/compatibility/scheduler/settings_test.go
@@ -15,10 +15,10 @@
 	"frosttide/internal/routeconfig"
 )
 
-// minimalSettings is the least that a settings file says.
+// minimalSettings holds the required keys of a settings file.
 const minimalSettings = "Ip = \"10.0.0.1\"\nPortRange = [7380, 7395]\n"
 
-// writeFile writes a file into a folder of the test's own and returns its path.
+// writeFile writes a file to a temporary directory of the test and returns its path.
 func writeFile(t *testing.T, name, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), name)
@@ -26,7 +26,7 @@
 	return path
 }
 
-// settingsKeys returns the keys of a settings struct with their values, as TOML names them.
+// settingsKeys returns a line for each TOML key of a settings struct, with its type and value.
 func settingsKeys(prefix string, settings reflect.Value) (lines []string) {
 	for i := range settings.NumField() {
 		field := settings.Type().Field(i)
@@ -43,7 +43,8 @@
 	return lines
 }
 
-// TestCompatibilitySettings reads a file that leaves out all that it may, for the defaults, and one that sets all keys.
+// TestCompatibilitySettings pins the default settings, from a file with only the required keys, and
+// the settings from a file with all keys.
 func TestCompatibilitySettings(t *testing.T) {
 	minimal, err := nodefile.Read(writeFile(t, "node.toml", minimalSettings))
 	require.NoError(t, err)
@@ -54,7 +55,7 @@
 		fmt.Sprintf("\nderived\n  contacts = %v\n  internal address = %s\n", all.Contacts(), all.InternalAddress(all.IP, 2)))
 }
 
-// TestCompatibilitySettingsMistakes pins what operators read of a settings file that can't be used.
+// TestCompatibilitySettingsMistakes pins the error messages for invalid settings files.
 func TestCompatibilitySettingsMistakes(t *testing.T) {
 	var text strings.Builder
 	for _, mistake := range []struct{ name, text string }{
@@ -86,7 +87,8 @@
 	requireGolden(t, "settings-mistakes.txt", text.String())
 }
 
-// TestCompatibilitySettingsVariable names the environment variable of the settings file.
+// TestCompatibilitySettingsVariable pins the environment variable with the path of the settings
+// file.
 func TestCompatibilitySettingsVariable(t *testing.T) {
 	t.Setenv("FROSTTIDE_NODE_FILE", "/etc/node.toml")
 	path, err := nodefile.Path()
@@ -97,24 +99,26 @@
 	require.EqualError(t, err, "settings: FROSTTIDE_NODE_FILE is not set: it names the settings file")
 }
 
-// configuration is a configuration with all that the programs read of it, and with what they only keep.
+// configuration is a configuration with all keys that the programs read, and with unknown keys,
+// which they keep.
 const configuration = `{"Version":5,"Routes":[{"Name":"b","Host":"H.example","PathPrefix":"/x/","TimeoutMs":3000,"TargetLatencyMs":800,"Priority":2,"Service":"s","MaxAttempts":2,"Stretch":1.5,"Odd":[1]},` +
 	`{"Name":"a","Host":"h.example","PathPrefix":"/x/y/","TimeoutMs":2000,"Service":"s"}],"Services":[{"Name":"s","HealthPath":"/health"},{"Name":"unused"}],` +
 	`"Limits":{"MaxHeaderBytes":9,"MaxBodyBytes":100,"HeaderTimeoutMs":7,"IdleTimeoutMs":8},"Other":{"Kept":true}}`
 
-// applied returns the table after an order on another.
-func applied(t *testing.T, base *routeconfig.Table, body string, patch bool) *routeconfig.Table {
+// applyUpdate returns the routing table that results from an update of base: a patch, or else a
+// replacement.
+func applyUpdate(t *testing.T, base *routeconfig.Table, body string, patch bool) *routeconfig.Table {
 	t.Helper()
 	change, err := base.Apply([]byte(body), patch)
 	require.NoError(t, err)
 	return change.Table
 }
 
-// TestCompatibilityConfiguration pins the document that is read back, and the digest by which processes of different
-// releases compare configurations.
+// TestCompatibilityConfiguration pins the document that operators read back, the parsed values, and
+// the digest by which processes of different releases compare configurations.
 func TestCompatibilityConfiguration(t *testing.T) {
-	whole := applied(t, routeconfig.Empty(), configuration, false)
-	patched := applied(t, whole, `{"Version":9,"Upsert":{"Routes":[{"Name":"c","Host":"h.example","PathPrefix":"/c/","TimeoutMs":1,"Service":"s"}],"Limits":{"MaxBodyBytes":50}},`+
+	whole := applyUpdate(t, routeconfig.Empty(), configuration, false)
+	patched := applyUpdate(t, whole, `{"Version":9,"Upsert":{"Routes":[{"Name":"c","Host":"h.example","PathPrefix":"/c/","TimeoutMs":1,"Service":"s"}],"Limits":{"MaxBodyBytes":50}},`+
 		`"Remove":{"Routes":["a","none"],"Services":["unused"]}}`, true)
 	var text strings.Builder
 	for _, c := range []struct {
@@ -135,9 +139,10 @@
 	requireGolden(t, "configuration.txt", text.String())
 }
 
-// TestCompatibilityConfigurationMistakes pins what operators read of an order that is refused.
+// TestCompatibilityConfigurationMistakes pins the error messages for rejected configuration
+// updates.
 func TestCompatibilityConfigurationMistakes(t *testing.T) {
-	base := applied(t, routeconfig.Empty(), configuration, false)
+	base := applyUpdate(t, routeconfig.Empty(), configuration, false)
 	var text strings.Builder
 	for _, mistake := range []struct {
 		name, body string
