--- a/internal/testkit/signalsoak/client.go
+++ b/internal/testkit/signalsoak/client.go
@@ -22,9 +22,10 @@
 	Unread Ending = "closed before the request was read"
 	// Lost means that the peer read the request and then closed the connection without a reset.
 	Lost Ending = "closed after the request was read"
-	// CutShort means that the connection ended in the middle of the response.
+	// CutShort means that the connection ended in the middle of the response, or that the body was
+	// not complete within Client.Timeout.
 	CutShort Ending = "answer cut short"
-	// Late means that the response did not arrive within Client.Timeout.
+	// Late means that the headers of the response did not arrive within Client.Timeout.
 	Late Ending = "no answer in time"
 )
 
