--- a/internal/testkit/signalsoak/schedule.go
+++ b/internal/testkit/signalsoak/schedule.go
@@ -12,14 +12,14 @@
 
 // The kinds of actions.
 const (
-	Terminate       Kind = "terminate"        // SIGTERM; the process is restarted once it has exited
+	Terminate       Kind = "terminate"        // SIGTERM, then a restart after the exit
 	TerminateSeries Kind = "terminate series" // SIGTERM, repeated until the process has exited
 	Kill            Kind = "kill"             // SIGKILL, then a restart
 	StartSeries     Kind = "start series"     // started and killed Count times in a row
 	Pause           Kind = "pause"            // SIGSTOP, then SIGCONT after Length
 	Hangup          Kind = "hangup"           // SIGHUP, Count times in a row
 	HangupInvalid   Kind = "hangup invalid"   // like Hangup, while the settings file is invalid
-	Change          Kind = "change"           // changes the served configuration, Count times in a row
+	Change          Kind = "change"           // configuration change, Count times in a row
 )
 
 // Action is one planned action on a target.
