--- a/cmd/frosttide/clustercmd.go
+++ b/cmd/frosttide/clustercmd.go
@@ -24,39 +24,39 @@
 // consoleTimeout bounds a call to a console.
 const consoleTimeout = 3 * time.Second
 
-// errNoLogDir is the error of settings that name no folder of the agreed log.
-var errNoLogDir = errors.New("[cluster] names no folder of a log")
+// errNoLogDir is returned for settings without a directory for the replicated log.
+var errNoLogDir = errors.New("the settings lack listen or dir in [cluster]")
 
-// clusterCommand returns the command that asks a member of a cluster, or recovers one that
-// is stopped.
+// clusterCommand returns the command that inspects and changes a cluster through one member, or
+// recovers a stopped member.
 func clusterCommand() *cobra.Command {
 	var console string
 	cmd := &cobra.Command{
 		Use:   "cluster",
-		Short: "Look at the dispatchers that know each other, and at what they share",
-		Long: `cluster asks a dispatcher's console about the members of its cluster. recover works on the
-folder of one that is stopped.`,
+		Short: "Inspect the members of a dispatcher cluster and their shared state",
+		Long: `cluster queries a dispatcher's console about its cluster. recover works on the directory of
+a stopped member.`,
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return cmd.Help() },
 	}
 	cmd.PersistentFlags().StringVar(&console, "console", "127.0.0.1:8090", "address of a member's console")
 	cmd.AddCommand(
-		reportCommand("members", "Print who is there, who is gone, and who leads", &console, showMembers),
-		reportCommand("state", "Print what is shared: runners left out, copies and how far behind they are", &console, showShared),
-		reportCommand("log", "Print how the log does and its last entries", &console, showLog),
-		memberCommand("snapshot", "Have the member write its state down and cut its log short",
+		reportCommand("members", "Print the members, their status and the leader", &console, showMembers),
+		reportCommand("state", "Print the shared state: excluded runners, replicas and their lag", &console, showSharedState),
+		reportCommand("log", "Print the status of the replicated log and its last entries", &console, showLog),
+		memberCommand("snapshot", "Make the member take a snapshot and truncate its log",
 			"  frosttide cluster snapshot", &console, "/api/cluster/snapshot", ""),
-		memberCommand("join ADDRESS", "Have the member join another at an address",
+		memberCommand("join ADDRESS", "Make the member join the member at an address",
 			"  frosttide cluster join 127.0.0.2:7946", &console, "/api/cluster/join", "address"),
-		memberCommand("leave NAME", "Take a member that is gone for good out of the log; said to the leader",
+		memberCommand("leave NAME", "Remove a permanently lost member from the log; --console has to be the leader's",
 			"  frosttide cluster leave studio-3", &console, "/api/cluster/remove", "name"),
 		recoverCommand(),
 	)
 	return cmd
 }
 
-// reportCommand returns a command that prints a part of a member's report. The console's
-// address is read when the command runs.
+// reportCommand returns a command that prints a part of a member's report. The console's address
+// is a pointer because flags are parsed only when the command runs.
 func reportCommand(use, short string, console *string, show func(io.Writer, cluster.Report)) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
@@ -75,22 +75,22 @@
 			}
 			var r cluster.Report
 			if err := json.Unmarshal(text, &r); err != nil {
-				return fmt.Errorf("the console's answer: %w", err)
+				return fmt.Errorf("decode the console's response: %w", err)
 			}
 			show(cmd.OutOrStdout(), r)
 			return nil
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print all that the console tells")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the console's complete response as JSON")
 	return cmd
 }
 
-// memberCommand returns a command that has a member do something. With a key it takes one
-// argument, which goes into the call's body under that key.
+// memberCommand returns a command that posts a request to a member's console. With a key the
+// command takes one argument, which is sent in the JSON body under that key.
 func memberCommand(use, short, example string, console *string, path, key string) *cobra.Command {
 	args := noArgs
 	if key != "" {
-		args = exactly(strings.Fields(use)[1:]...)
+		args = exactArgs(strings.Fields(use)[1:]...)
 	}
 	return &cobra.Command{
 		Use:     use,
@@ -108,7 +108,8 @@
 	}
 }
 
-// consoleCall makes a call to the console at an address and returns the response's body.
+// consoleCall sends a request with a JSON body to the console at an address and returns the
+// response's body. It fails for any status but 200.
 func consoleCall(method, at, path string, body any) ([]byte, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(consoleTimeout))
 	defer cancel()
@@ -131,14 +132,14 @@
 	}
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
-		return nil, fmt.Errorf("the dispatcher at %s knows no others; [cluster] in its settings names them", at)
+		return nil, fmt.Errorf("the dispatcher at %s is not in a cluster; its settings need a [cluster] section", at)
 	case resp.StatusCode != http.StatusOK:
 		return nil, fmt.Errorf("%s: %s", at, strings.TrimSpace(string(got)))
 	}
 	return got, nil
 }
 
-// showMembers prints the members and their part in the agreed log.
+// showMembers prints the members and their roles in the replicated log.
 func showMembers(out io.Writer, r cluster.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "MEMBER\tADDRESS\tLIFE\tSITE\tLOG\tBUILD")
@@ -162,8 +163,9 @@
 	w.Flush()
 }
 
-// showShared prints what the members share.
-func showShared(out io.Writer, r cluster.Report) {
+// showSharedState prints the state that the members share: the exclusions agreed on by the log, the
+// progress of the rejoin, and the replicas with their lag and message counts.
+func showSharedState(out io.Writer, r cluster.Report) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "agreed up to\t%d\n", r.State.Index)
 	for _, d := range r.State.Excluded {
@@ -187,7 +189,7 @@
 	w.Flush()
 }
 
-// showLog prints the state of the agreed log and its last entries.
+// showLog prints the status of the replicated log and its last entries.
 func showLog(out io.Writer, r cluster.Report) {
 	l := r.Log
 	leader := l.Leader
@@ -215,9 +217,9 @@
 	w.Flush()
 }
 
-// beginAnew makes a member without a log the only voter of a new one. Without confirmed it
-// only prints what it would do.
-func beginAnew(out io.Writer, cfg config.Config, confirmed bool) error {
+// bootstrapNewLog makes a member without a log the only voter of a new log, which starts with the
+// exclusions of the watermark directory. Unless confirmed, it only prints what it would do.
+func bootstrapNewLog(out io.Writer, cfg config.Config, confirmed bool) error {
 	if err := os.MkdirAll(cfg.Cluster.Dir, 0o700); err != nil {
 		return fmt.Errorf("cluster: %w", err)
 	}
@@ -237,23 +239,23 @@
 	return nil
 }
 
-// recoverCommand returns the command that recovers a stopped member.
+// recoverCommand returns the command that recovers a stopped member after the loss of a majority.
 func recoverCommand() *cobra.Command {
 	var confirmed bool
 	cmd := &cobra.Command{
 		Use:   "recover",
 		Short: "Make a stopped member the log's only voter, after a majority is lost for good",
-		Long: `recover makes this member the only voter of the log in its folder. It is for the one case in
-which a majority of the voters will never come back. What only the lost ones had is lost:
-entries that were acknowledged and had not reached this member. Entries that this member has
-and that were never acknowledged come to be. Where no voter has a log any more, a member that kept
-how far it had gone apart from it (recovery.keep) begins a new one with what was kept. Run it on the member whose log goes furthest
-("frosttide cluster log" on each), start that one, then the others with empty folders.`,
+		Long: `recover makes this member the only voter of the log in its directory. Use it only if a
+majority of the voters is permanently lost. Acknowledged entries that had not reached this member
+are lost. Entries that this member has and that were never acknowledged become committed. If no
+voter has a log any more, a member that recorded its log's progress in a separate directory
+(recovery.keep) starts a new log from that record. Run it on the member with the longest log
+("frosttide cluster log" on each), start that member, then the others with empty directories.`,
 		Example: `  frosttide cluster recover --config /etc/frosttide.toml --yes`,
 		Args:    noArgs,
 	}
 	src := sourceFlags(cmd)
-	cmd.Flags().BoolVar(&confirmed, "yes", false, "do it; without, only what would happen is told")
+	cmd.Flags().BoolVar(&confirmed, "yes", false, "apply the change; without it, only print what would be done")
 	cmd.RunE = func(cmd *cobra.Command, _ []string) error {
 		cfg, err := config.Load(*src)
 		if err != nil {
@@ -265,8 +267,8 @@
 	return cmd
 }
 
-// recoverMember makes a stopped member the only voter of its log, or without a log of a new
-// one. Without confirmed it only prints what it would do.
+// recoverMember makes a stopped member the only voter of its log, or of a new log if it has none.
+// Unless confirmed, it only prints what it would do.
 func recoverMember(out io.Writer, cfg config.Config, confirmed bool) error {
 	if cfg.Cluster.Listen == "" || cfg.Cluster.Dir == "" {
 		return errNoLogDir
@@ -274,7 +276,7 @@
 	addr := cmp.Or(cfg.Cluster.Advertise, cfg.Cluster.Listen)
 	found, err := quorum.Recover(cfg.Cluster.Dir, cfg.Name, addr, confirmed)
 	if errors.Is(err, quorum.ErrEmpty) || errors.Is(err, os.ErrNotExist) {
-		return beginAnew(out, cfg, confirmed)
+		return bootstrapNewLog(out, cfg, confirmed)
 	}
 	if err != nil {
 		return err
--- a/cmd/frosttide/clusterevents.go
+++ b/cmd/frosttide/clusterevents.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	// maxPendingUpdates bounds the updates of discovery that are kept for a member
-	// that has not opened. What is past it comes with the next whole list.
+	// maxPendingUpdates bounds the discovery updates that are queued until the member opens.
+	// Updates beyond it are dropped; the next full list contains their changes.
 	maxPendingUpdates = 1000
-	// findingsInterval is the time between two times that what jobs have shown of
-	// workers is shared with the other members.
-	findingsInterval = 2 * time.Second
+	// healthShareInterval is the interval at which the observed health of workers is shared with
+	// the other members.
+	healthShareInterval = 2 * time.Second
 )
 
-// updateHook returns who takes the updates of discovery, nil for nobody. It may be
-// called on nil.
+// updateHook returns the function that receives discovery updates, or nil without a cluster. It
+// may be called on nil.
 func (p *peers) updateHook() func(routetable.Update) {
 	if p == nil {
 		return nil
@@ -35,7 +35,7 @@
 			p.forwardUpdate(p.member, update)
 			return
 		}
-		if update.Full { // it replaces the updates before
+		if update.Full { // supersedes earlier updates
 			p.pendingUpdates = nil
 		}
 		if len(p.pendingUpdates) < maxPendingUpdates {
@@ -44,7 +44,7 @@
 	}
 }
 
-// forwardUpdate passes an update of discovery to the member.
+// forwardUpdate converts a discovery update to the cluster's form and publishes it.
 func (p *peers) forwardUpdate(m *cluster.Cluster, update routetable.Update) {
 	entries := make([]cluster.Entry, len(update.Entries))
 	for i, e := range update.Entries {
@@ -60,8 +60,8 @@
 	m.PublishRunners(cmp.Or(p.alias, update.Source), update.Version, update.Full, update.VersionReset, entries)
 }
 
-// Exclude implements cluster.Dispatcher: it applies what operators decided at any
-// member.
+// Exclude implements cluster.Dispatcher: it applies an exclusion, or its end, that operators
+// requested at any member.
 func (p *peers) Exclude(uid string, out bool, at time.Time) {
 	e := core.Exclusion{UID: uid, Out: out, At: time.Duration(at.UnixNano())}
 	p.core.ApplyExclusion(e)
@@ -71,29 +71,30 @@
 	}
 }
 
-// Hint implements cluster.Dispatcher: it takes what another dispatcher has found out
-// about a worker.
+// ApplyHealth implements cluster.Dispatcher: it passes the health of a worker as observed by
+// another dispatcher to the core.
 func (p *peers) ApplyHealth(uid string, found []byte) {
 	var health decision.Health
-	if err := json.Unmarshal(found, &health); err != nil { // of another release
-		p.log.WithError(err).WithField("target", uid).Debug("what another member found of a runner can't be read")
+	if err := json.Unmarshal(found, &health); err != nil { // written by another release
+		p.log.WithError(err).WithField("target", uid).Debug("cannot decode a runner's health from another member")
 		return
 	}
 	p.core.Hint(uid, health)
 }
 
-// Hear implements cluster.Dispatcher: it takes entries of another member's discovery.
+// ApplyRunners implements cluster.Dispatcher: it passes discovery entries received from another
+// member to the route table.
 func (p *peers) ApplyRunners(source string, rev uint64, entries [][]byte) {
-	if p.alias != "" { // the operators say that all of that name are one discovery
+	if p.alias != "" { // configured: all members with this alias use the same discovery service
 		source = ""
 	}
 	p.table.ApplyGossip(source, rev, entries)
 }
 
-// shareFindings shares what jobs here have shown of workers with the other members,
-// until the context ends.
-func (p *peers) shareFindings(ctx context.Context) {
-	tick := time.NewTicker(findingsInterval)
+// shareWorkerHealth periodically shares the health of workers as observed by this dispatcher's
+// jobs with the other members, until the context ends.
+func (p *peers) shareWorkerHealth(ctx context.Context) {
+	tick := time.NewTicker(healthShareInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -101,19 +102,19 @@
 			return
 		case <-tick.C:
 		}
-		p.core.OwnFindings(p.forwardFindings)
+		p.core.OwnFindings(p.forwardWorkerHealth)
 	}
 }
 
-// forwardFindings passes the health of workers to the member, if there is one.
-func (p *peers) forwardFindings(findings map[string]decision.Health) {
+// forwardWorkerHealth publishes the health of workers through the member, if it is open.
+func (p *peers) forwardWorkerHealth(findings map[string]decision.Health) {
 	m := p.currentMember()
 	if m == nil {
 		return
 	}
 	var list []cluster.RunnerHealth
 	for uid, health := range findings {
-		if text, err := json.Marshal(health); err == nil { // fails for figures that are no numbers
+		if text, err := json.Marshal(health); err == nil { // fails for NaN and infinite values
 			list = append(list, cluster.RunnerHealth{UID: uid, Failed: health.Failed, Text: text})
 		}
 	}
--- a/cmd/frosttide/commands.go
+++ b/cmd/frosttide/commands.go
@@ -12,14 +12,14 @@
 	"frosttide/internal/dispatcher/config"
 )
 
-// commands returns the tree of commands. Without a sub-command the program serves, with
-// the settings of the platform's environment.
+// commands returns the command tree. Without a sub-command the program runs a dispatcher that is
+// configured by the environment only.
 func commands(s signals) *cobra.Command {
 	root := &cobra.Command{
 		Use:   "frosttide",
 		Short: "A dispatcher for render jobs",
-		Long: `frosttide takes jobs from clients over HTTP and has them run by runners. Without a
-sub-command it serves as the environment says (BALANCER_CONFIG and others).`,
+		Long: `frosttide accepts jobs from clients over HTTP and dispatches them to runners. Without a
+sub-command it runs a dispatcher configured by the environment (BALANCER_CONFIG and others).`,
 		Example: `  BALANCER_CONFIG=config.json frosttide
   frosttide serve --config /etc/frosttide.toml
   frosttide check --config /etc/frosttide.toml
@@ -42,8 +42,8 @@
 	return nil
 }
 
-// exactly requires as many arguments as there are names, and fails with a usageError.
-func exactly(names ...string) cobra.PositionalArgs {
+// exactArgs requires one argument for each name and rejects anything else with a usageError.
+func exactArgs(names ...string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) < len(names) {
 			return usageError{fmt.Errorf("%s is missing", names[len(args)])}
@@ -55,13 +55,13 @@
 	}
 }
 
-// sourceFlags adds the flags that say where the configuration comes from.
+// sourceFlags adds the flags that select the configuration source and override its log settings.
 func sourceFlags(cmd *cobra.Command) *config.Source {
 	src := &config.Source{Getenv: os.Getenv}
 	f := cmd.Flags()
 	f.StringVarP(&src.Path, "config", "c", "", "settings file, TOML (see deploy/frosttide.toml)")
-	f.StringVar(&src.LogLevel, "log-level", "", "error, warn, info or debug; goes before all other places")
-	f.StringVar(&src.LogFormat, "log-format", "", "text or json; goes before all other places")
+	f.StringVar(&src.LogLevel, "log-level", "", "error, warn, info or debug; overrides all other sources")
+	f.StringVar(&src.LogFormat, "log-format", "", "text or json; overrides all other sources")
 	return src
 }
 
@@ -70,8 +70,8 @@
 	cmd := &cobra.Command{
 		Use:   "serve",
 		Short: "Dispatch jobs until SIGTERM",
-		Long: `serve dispatches jobs until SIGTERM. What the file of --config says, the platform's JSON
-file at BALANCER_CONFIG says louder, and the BALANCER_ variables louder still.`,
+		Long: `serve dispatches jobs until SIGTERM. The platform's JSON file at BALANCER_CONFIG overrides
+the file given by --config, and the BALANCER_ variables override both.`,
 		Example: `  frosttide serve --config /etc/frosttide.toml
   frosttide serve --config studio.toml --log-format json`,
 		Args: noArgs,
@@ -81,13 +81,13 @@
 	return cmd
 }
 
-// checkCommand returns the command that checks and prints a configuration.
+// checkCommand returns the command that validates a configuration and prints the effective values.
 func checkCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "check",
-		Short: "Check the configuration and print what is in force",
+		Short: "Check the configuration and print the effective values",
 		Long: `check reads the configuration as serve would and prints each key with its value and
-where it comes from. Mistakes are told all at once, one to a line, with exit status 1.`,
+source. All errors are reported together, one per line, with exit status 1.`,
 		Example: `  frosttide check --config /etc/frosttide.toml`,
 		Args:    noArgs,
 	}
@@ -121,8 +121,8 @@
 	}
 }
 
-// version returns the program's version as the build recorded it: the module's version,
-// else the revision, else "devel"; "unknown" without build information.
+// version returns the version from the build information: the module version, else the VCS
+// revision, else "devel". It returns "unknown" if there is no build information.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/cmd/frosttide/discoverygate.go
+++ b/cmd/frosttide/discoverygate.go
@@ -9,16 +9,18 @@
 	"frosttide/internal/dispatcher/routetable"
 )
 
-// discoveryGate keeps jobs from being sent by a list that the process was given before
-// discovery has answered, or could have: a change since then may bind already.
+// discoveryGate delays dispatching on an initial worker list until discovery has answered or the
+// time for its first answer has passed: the list may have changed since, and dispatchers may
+// already be bound by the change.
 type discoveryGate struct {
 	table *routetable.Table
 	core  *core.Core
 	rules freshness.Rules
-	stale bool // the list is the one that was given
+	stale bool // the list comes from the configuration and was not confirmed by discovery
 }
 
-// prepare must be called before the table and the core run.
+// prepare makes the core hold jobs back if a stale list requires it. It must be called before the
+// table and the core run.
 func (g *discoveryGate) prepare() {
 	if g.stale && g.rules.FewCallers() {
 		g.table.RequestFull()
@@ -26,9 +28,9 @@
 	}
 }
 
-// await returns once jobs may be submitted. Few dispatchers, whose wait is short, take
-// jobs at once and hold them back for that time: with two that restart one after the
-// other, clients would otherwise miss each meanwhile.
+// await returns once jobs may be submitted. In a small deployment, where the wait is short, the
+// dispatcher accepts jobs at once and holds them back instead: when two dispatchers restart one
+// after the other, clients would otherwise find neither of them available.
 func (g *discoveryGate) await(ctx context.Context) {
 	timeout := freshness.FirstAnswerTimeout(g.rules)
 	switch {
@@ -43,8 +45,8 @@
 	}
 }
 
-// awaitDiscovery waits for discovery's first answer, up to the timeout, as there is
-// none during an outage.
+// awaitDiscovery waits for discovery's first answer. The timeout applies during a discovery
+// outage.
 func (g *discoveryGate) awaitDiscovery(ctx context.Context, timeout time.Duration) {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(timeout))
 	defer cancel()
--- a/cmd/frosttide/gangs.go
+++ b/cmd/frosttide/gangs.go
@@ -10,16 +10,15 @@
 
 	"frosttide/internal/dispatcher/config"
 	"frosttide/internal/dispatcher/core"
-	gangdesk "frosttide/internal/dispatcher/fleet/gang/watcher"
+	gangwatcher "frosttide/internal/dispatcher/fleet/gang/watcher"
 )
 
-// gangStatusTimeout bounds a question to the watcher of gangs. Operators wait for 1 s.
+// gangStatusTimeout bounds a status query to the gang watcher. Operators' calls time out after 1 s.
 const gangStatusTimeout = 800 * time.Millisecond
 
-// watchGangs makes the watcher of gangs, for this dispatcher alone or with the other
-// members. It returns nil where the settings don't have it, and must be called before
-// the core runs.
-func watchGangs(cfg config.Config, c *core.Core, p *peers, log *logrus.Entry) *gangdesk.Watcher {
+// watchGangs creates the gang watcher, which shares facts with the other members if there is a
+// cluster. It returns nil if the settings disable it. It must be called before the core runs.
+func watchGangs(cfg config.Config, c *core.Core, p *peers, log *logrus.Entry) *gangwatcher.Watcher {
 	if !cfg.Gang.Enabled {
 		return nil
 	}
@@ -27,7 +26,7 @@
 	if checkInterval <= 0 {
 		checkInterval = time.Second
 	}
-	watcher := gangdesk.New(gangdesk.Config{
+	watcher := gangwatcher.New(gangwatcher.Config{
 		ReportInterval: cfg.Gang.ReportInterval,
 		CheckInterval:  checkInterval,
 		CopiesAllowed:  cfg.Gang.Speculative,
@@ -41,15 +40,15 @@
 	return watcher
 }
 
-// runGangWatcher runs the watcher, nil for none, until the context ends.
-func runGangWatcher(ctx context.Context, watcher *gangdesk.Watcher) {
+// runGangWatcher runs the watcher in a goroutine until the context ends. The watcher may be nil.
+func runGangWatcher(ctx context.Context, watcher *gangwatcher.Watcher) {
 	if watcher != nil {
 		go watcher.Run(ctx)
 	}
 }
 
-// gangHandler answers operators' calls about gangs. The watcher may be nil.
-func gangHandler(watcher *gangdesk.Watcher) http.Handler {
+// gangHandler returns the handler of the console's gang status. The watcher may be nil.
+func gangHandler(watcher *gangwatcher.Watcher) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if watcher == nil {
 			http.Error(w, "gangs are watched where [gang] has enabled = true", http.StatusServiceUnavailable)
@@ -63,12 +62,12 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(status) // a caller that has left needs no error
+		_ = json.NewEncoder(w).Encode(status) // fails only if the caller has disconnected
 	})
 }
 
-// shareGangFact shares a fact about a part of a gang with the other members. It may be
-// called on nil.
+// shareGangFact publishes a fact about a part of a gang to the other members. It may be called on
+// nil.
 func (p *peers) shareGangFact(name string, fact []byte) {
 	if p == nil {
 		return
@@ -78,8 +77,8 @@
 	}
 }
 
-// HearGang implements cluster.Dispatcher: it takes a fact of another member about a
-// part of a gang.
+// ApplyGang implements cluster.Dispatcher: it passes another member's fact about a part of a gang
+// to the watcher.
 func (p *peers) ApplyGang(fact []byte) {
 	if p.gangWatcher != nil {
 		p.gangWatcher.AddFact(fact)
--- a/cmd/frosttide/gearman.go
+++ b/cmd/frosttide/gearman.go
@@ -15,17 +15,17 @@
 	"frosttide/internal/dispatcher/telemetry"
 )
 
-// gearmanPollInterval is the time between two looks at the open jobs during a drain.
+// gearmanPollInterval is the interval at which a drain checks for open jobs.
 const gearmanPollInterval = 10 * time.Millisecond
 
-// backends implements core.Backends: it opens the backend of each worker over the
-// platform's protocol, or on the connection by which a Gearman worker has come.
+// backends implements core.Backends: it reaches a Gearman worker over the connection that the
+// worker opened, and any other worker over the platform's HTTP protocol.
 type backends struct {
 	*egress.Fleet
 	gearman *gearman.Server // nil without Gearman; set before the first Open
 }
 
-// Open implements core.Backends.
+// Open implements core.Backends. addr determines the protocol.
 func (b *backends) Open(worker decision.WorkerID, uid, addr string) core.Backend {
 	if b.gearman != nil && gearman.IsWorkerAddr(addr) {
 		return b.gearman.Open(addr)
@@ -33,15 +33,15 @@
 	return b.Fleet.Open(worker, uid, addr)
 }
 
-// gearmanFront is the Gearman server with what a reload may change of it.
+// gearmanFront is the Gearman server with its reloadable TLS certificates.
 type gearmanFront struct {
 	*gearman.Server
 	tls *gearman.TLS // nil without TLS
 	log *logrus.Entry
 }
 
-// openGearman opens the Gearman server. It fails for certificates that can't be read
-// and an address that can't be opened.
+// openGearman opens the Gearman server. It fails if the certificates can't be read or the address
+// can't be opened.
 func openGearman(cfg config.Config, c *core.Core, counts *telemetry.Counts, exporter *export.Exporter, log *logrus.Entry) (*gearmanFront, error) {
 	f := &gearmanFront{log: log}
 	g := cfg.Gearman
@@ -67,14 +67,14 @@
 	return f, err
 }
 
-// gearmanCertificates returns the files of the server's certificates.
+// gearmanCertificates returns the paths of the server's key and certificates.
 func gearmanCertificates(cfg config.Config) gearman.Certificates {
 	g := cfg.Gearman
 	return gearman.Certificates{Certificate: g.Certificate, Key: g.Key, Clients: g.Clients}
 }
 
-// gearmanFunctions returns the functions of the settings by name, without those of
-// classes that take no new jobs.
+// gearmanFunctions returns the configured functions by name. Functions of removed classes, which
+// accept no new jobs, are left out.
 func gearmanFunctions(cfg config.Config) map[string]gearman.Function {
 	functions := map[string]gearman.Function{}
 	for name, class := range cfg.Gearman.Functions {
@@ -99,19 +99,19 @@
 	return functions
 }
 
-// applySettings puts a configuration in force. Certificates that can't be read leave
-// the old ones in force.
+// applySettings applies a configuration. If the new certificates can't be read, the previous ones
+// stay in force.
 func (f *gearmanFront) applySettings(cfg config.Config) {
 	f.SetFunctions(gearmanFunctions(cfg))
 	if f.tls == nil {
 		return
 	}
 	if err := f.tls.Read(gearmanCertificates(cfg)); err != nil {
-		f.log.WithError(err).Error("the certificates are not taken; the old ones are kept")
+		f.log.WithError(err).Error("failed to reload the certificates; the previous ones stay in force")
 	}
 }
 
-// drain waits until no client's job is open, up to the deadline.
+// drain waits until no job of a client is open, or until the deadline.
 func (f *gearmanFront) drain(deadline time.Time) {
 	tick := time.NewTicker(gearmanPollInterval)
 	defer tick.Stop()
--- a/cmd/frosttide/main.go
+++ b/cmd/frosttide/main.go
@@ -1,10 +1,10 @@
-// Command frosttide is a dispatcher: it takes jobs from clients and has them run by
-// the workers that discovery lists.
+// Command frosttide is a job dispatcher: it accepts jobs from clients over HTTP or Gearman and
+// sends them to the workers that service discovery lists.
 //
-// serve.go has the order in which a dispatcher starts, process.go its components and
-// how they are connected, reload.go what a new configuration changes, and shutdown.go
-// how it ends. peers.go, clusterevents.go and workflows.go connect it to a cluster. The
-// sub-commands have a file each. Every decision is made in package decision.
+// serve.go implements the startup sequence, process.go creates and connects the components,
+// reload.go applies a new configuration, and shutdown.go drains the process. peers.go,
+// clusterevents.go and workflows.go connect the dispatcher to its cluster. Each sub-command has a
+// file of its own. All scheduling decisions are made in package decision.
 package main
 
 import (
@@ -17,18 +17,18 @@
 )
 
 func main() {
-	// Before all else, as a signal that is not notified of ends the process.
+	// Register the handlers first: the default action of these signals terminates the process.
 	s := signals{stop: make(chan os.Signal, 1), reloads: make(chan os.Signal, 1)}
 	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.reloads, syscall.SIGHUP)
 	os.Exit(execute(s, os.Args[1:]))
 }
 
-// signals are the signals that the process handles: those that stop it, and those that
-// have it reload its configuration.
+// signals delivers the signals that the process handles: SIGTERM and SIGINT on stop, and SIGHUP on
+// reloads.
 type signals struct{ stop, reloads chan os.Signal }
 
-// errReported is the error of a command that has printed or logged what is wrong.
+// errReported is returned by a command that has already printed or logged its error.
 var errReported = errors.New("")
 
 // execute runs a command and returns the exit status: 0 for success, 1 for a failure, 2
@@ -37,13 +37,13 @@
 	root := commands(s)
 	root.SetArgs(args)
 	cmd, err := root.ExecuteC()
-	var wrong usageError
+	var usage usageError
 	switch {
 	case err == nil:
 		return 0
 	case errors.Is(err, errReported):
 		return 1
-	case errors.As(err, &wrong) || !cmd.HasParent() && isUsage(err):
+	case errors.As(err, &usage) || !cmd.HasParent() && isUnknownCommand(err):
 		fmt.Fprintf(os.Stderr, "%s: %s (see %s --help)\n", cmd.CommandPath(), firstLine(err), cmd.CommandPath())
 		return 2
 	}
@@ -51,17 +51,17 @@
 	return 1
 }
 
-// usageError is a mistake in the arguments.
+// usageError marks an error as caused by invalid arguments, which exits with status 2.
 type usageError struct{ error }
 
-// Unwrap returns the mistake.
+// Unwrap returns the underlying error.
 func (e usageError) Unwrap() error { return e.error }
 
-// isUsage reports whether an error is one of the cobra package about a command's name,
-// for which it has no type.
-func isUsage(err error) bool { return strings.HasPrefix(err.Error(), "unknown ") }
+// isUnknownCommand reports whether cobra returned err for an unknown command or flag. Cobra has no
+// error type for this, so the text is compared.
+func isUnknownCommand(err error) bool { return strings.HasPrefix(err.Error(), "unknown ") }
 
-// firstLine returns the first line of an error.
+// firstLine returns the first line of an error's text.
 func firstLine(err error) string {
 	line, _, _ := strings.Cut(err.Error(), "\n")
 	return line
--- a/cmd/frosttide/operators.go
+++ b/cmd/frosttide/operators.go
@@ -13,11 +13,11 @@
 	"frosttide/internal/dispatcher/fleet/ledger"
 )
 
-// errNoMember is the error of a call that only a member of the cluster can execute.
+// errNoMember is returned for a call that only a member of the cluster can execute.
 var errNoMember = errors.New("this process is no member; its older or newer one is")
 
-// clusterHandler answers operators' calls about the cluster. It returns nil without
-// one, and may be called on nil.
+// clusterHandler returns the handler of the console's cluster API, or nil without a cluster. It
+// may be called on nil.
 func (p *peers) clusterHandler() http.Handler {
 	if p == nil {
 		return nil
@@ -32,17 +32,19 @@
 	})
 }
 
-// operators executes what operators ask for at this console: at this dispatcher
-// alone, or with a cluster by its log at all members. It implements console.Core.
+// operators executes operators' requests from this console. Without a cluster they apply to this
+// dispatcher only; with one they go through the replicated log to all members. It implements
+// console.Core.
 type operators struct {
 	core  *core.Core
 	peers *peers // nil without a cluster
 }
 
-// operators returns the console's core. It may be called on nil.
+// operators returns the console.Core of this dispatcher. It may be called on nil.
 func (p *peers) operators(c *core.Core) console.Core { return operators{c, p} }
 
-// Exclude implements console.Core.
+// Exclude implements console.Core. done is called with console.ErrUnknown if neither this
+// dispatcher nor the log knows the worker.
 func (o operators) Exclude(order console.Order, deadline time.Time, done func(error)) {
 	if o.peers == nil {
 		o.core.Exclude(order.Worker, order.Out, deadline, func(known bool) { done(unknownError(known)) })
@@ -62,7 +64,7 @@
 	})
 }
 
-// unknownError returns console.ErrUnknown for a worker that nobody has.
+// unknownError returns console.ErrUnknown for an unknown worker, else nil.
 func unknownError(known bool) error {
 	if known {
 		return nil
@@ -70,7 +72,7 @@
 	return console.ErrUnknown
 }
 
-// orderError returns the console's form of an order's error, nil for none.
+// orderError converts the error of a log entry to the console's errors. It returns nil for nil.
 func orderError(err error) error {
 	switch {
 	case err == nil:
--- a/cmd/frosttide/peers.go
+++ b/cmd/frosttide/peers.go
@@ -15,7 +15,7 @@
 	"frosttide/internal/dispatcher/config"
 	"frosttide/internal/dispatcher/core"
 	"frosttide/internal/dispatcher/fleet/cluster"
-	gangdesk "frosttide/internal/dispatcher/fleet/gang/watcher"
+	gangwatcher "frosttide/internal/dispatcher/fleet/gang/watcher"
 	"frosttide/internal/dispatcher/fleet/quorum"
 	"frosttide/internal/dispatcher/fleet/recovery/admission"
 	"frosttide/internal/dispatcher/fleet/recovery/stage"
@@ -26,45 +26,45 @@
 	"frosttide/internal/dispatcher/routetable"
 )
 
-// memberRetryInterval is the time between two tries to open the member while an older
-// process holds its address.
+// memberRetryInterval is the time between attempts to open the cluster member while an older
+// process of this dispatcher holds its address.
 const memberRetryInterval = 100 * time.Millisecond
 
-// peers is this dispatcher's part in a cluster: the member, and what connects it to
-// the other components. It implements cluster.Dispatcher. The nil peers stands for a
-// dispatcher without a cluster; methods that may be called on it say so.
+// peers connects this dispatcher to its cluster: it owns the cluster member and passes events
+// between the member and the other components. It implements cluster.Dispatcher. A nil *peers
+// represents a dispatcher without a cluster; methods that may be called on nil say so.
 type peers struct {
 	cfg   cluster.Config
-	alias string // discovery's name among the members; empty for its address
+	alias string // the cluster's name for the discovery service; empty to use its address
 	log   *logrus.Entry
 
 	// Settings in force.
-	classes         atomic.Pointer[[]string] // names by their numbers
-	workflowClasses atomic.Pointer[map[string]executor.Class]
-	stages, paced   bool // the dispatcher rejoins by stages, and admits jobs gradually
-	dispatchers     int  // by the settings
-	maxUndos        int  // compensations at a time; 0 without workflows
+	classes          atomic.Pointer[[]string] // names by their numbers
+	workflowClasses  atomic.Pointer[map[string]executor.Class]
+	stages, paced    bool // rejoin in stages, and admit jobs gradually
+	dispatchers      int  // configured number of dispatchers
+	maxCompensations int  // concurrent compensations; 0 without workflows
 
-	// Components, set before the member opens.
+	// Components; set before the member opens.
 	core        *core.Core
 	table       *routetable.Table
 	link        *handover.Link
-	roster      *roster.Roster    // nil where nothing is stored
-	gangWatcher *gangdesk.Watcher // nil where nobody watches gangs
+	roster      *roster.Roster       // nil if no state is stored on disk
+	gangWatcher *gangwatcher.Watcher // nil if gangs are not watched
 
-	executor atomic.Pointer[executor.Executor] // nil where no workflows are executed
-	stalls   atomic.Int64                      // stalls of the process so far
+	executor atomic.Pointer[executor.Executor] // nil if no workflows are executed
+	stalls   atomic.Int64                      // number of process stalls since the start
 
 	mu             sync.Mutex
-	member         *cluster.Cluster // nil before it has opened, and after it has ended
-	rejoin         *rejoin.Actor    // nil without stages, or without a member
+	member         *cluster.Cluster // nil before it has opened and after it has closed
+	rejoin         *rejoin.Actor    // nil without staged rejoin or without a member
 	cancelRejoin   context.CancelFunc
-	ended          bool
-	pendingUpdates []routetable.Update // of discovery, from before the member opened
+	ended          bool                // close was called
+	pendingUpdates []routetable.Update // discovery updates received before the member opened
 }
 
-// openPeers returns nil where the settings name no cluster. The member opens with
-// start.
+// openPeers returns the connection to the cluster, or nil if the settings have no cluster. The
+// member is opened by start.
 func openPeers(cfg config.Config, log *logrus.Entry) *peers {
 	s := cfg.Cluster
 	if s.Listen == "" {
@@ -95,31 +95,31 @@
 	}
 	p.applySettings(cfg)
 	if s.Workflows {
-		p.maxUndos = s.MaxCompensations
+		p.maxCompensations = s.MaxCompensations
 	}
 	return p
 }
 
-// applySettings puts a configuration in force.
+// applySettings applies a configuration.
 func (p *peers) applySettings(cfg config.Config) {
 	p.classes.Store(&cfg.Names.Classes)
 	p.workflowClasses.Store(workflowClasses(cfg))
 }
 
-// guardCore has the core admit jobs by stages. It must be called before the core
-// runs.
-func (p *peers) guardCore(c *core.Core, table *routetable.Table) {
+// guardAdmission makes the core restrict the admission of jobs by the stages of the rejoin, if the
+// settings enable staged rejoin. It must be called before the core runs.
+func (p *peers) guardAdmission(c *core.Core, table *routetable.Table) {
 	p.core, p.table = c, table
 	if p.stages {
 		c.Guard(p.onStall)
 	}
 }
 
-// start opens the member. Where an older process of this dispatcher still is the
-// member, it does so in a goroutine once that has ended its part.
+// start opens the member. While an older process of this dispatcher still is the member, start
+// returns and a goroutine keeps retrying until the older process has left.
 func (p *peers) start(c *core.Core, table *routetable.Table, link *handover.Link, roster *roster.Roster, stored *storedState) error {
 	p.link, p.roster = link, roster
-	signal.Ignore(syscall.SIGXFSZ) // a file at its size limit is a full disk, and no reason to end
+	signal.Ignore(syscall.SIGXFSZ) // handle the file size limit like a full disk, not by exiting
 	if stored != nil && stored.loaded != nil {
 		p.cfg.Excluded = stored.loaded.Excluded
 	}
@@ -127,15 +127,15 @@
 	if !inUse(err) {
 		return err
 	}
-	if p.stages { // the older process stands for both meanwhile
+	if p.stages { // the older process represents both in the cluster until it leaves
 		c.SetAdmission(admission.Unlimited, true, 0, 0)
 	}
-	p.log.WithError(err).Warn("another process is this member; it is waited for")
+	p.log.WithError(err).Warn("another process is still this cluster member; waiting for it to leave")
 	go p.retryMember()
 	return nil
 }
 
-// retryMember tries to open the member until that succeeds or fails for good.
+// retryMember retries opening the member until it succeeds or fails permanently.
 func (p *peers) retryMember() {
 	for {
 		time.Sleep(memberRetryInterval)
@@ -144,18 +144,19 @@
 			return
 		}
 		if !inUse(err) {
-			p.log.WithError(err).Error("the member could not begin; this dispatcher is on its own")
+			p.log.WithError(err).Error("failed to start the cluster member; continuing without the cluster")
 			return
 		}
 	}
 }
 
-// inUse reports whether an older process holds what the member needs.
+// inUse reports whether an older process still holds the member's address or log directory.
 func inUse(err error) bool {
 	return errors.Is(err, syscall.EADDRINUSE) || errors.Is(err, quorum.ErrInUse)
 }
 
-// onStall handles a stall of the process. It does not block.
+// onStall handles a stall of the process: the rejoin actor is told, or without one, admission is
+// updated after the worker list was renewed. It does not block.
 func (p *peers) onStall(length time.Duration) {
 	stalls := int(p.stalls.Add(1))
 	p.mu.Lock()
@@ -168,8 +169,8 @@
 	p.table.Renew(func() { p.core.SetAdmission(admission.Unlimited, true, 0, stalls) })
 }
 
-// openMember opens the member; warm says that this process has served before. It
-// does nothing once the part in the cluster has ended.
+// openMember opens the member; warm means that this process has been serving already. It does
+// nothing after close.
 func (p *peers) openMember(warm bool) error {
 	p.mu.Lock()
 	ended := p.ended
@@ -177,7 +178,7 @@
 	if ended {
 		return nil
 	}
-	// Without the lock: the core and the table take it, and must not wait for the disk.
+	// Not under the lock: the core and the table acquire it and must not wait for the disk.
 	m, err := cluster.Open(p.cfg, p, p.log)
 	if err != nil {
 		return err
@@ -200,8 +201,8 @@
 	return nil
 }
 
-// startRejoin starts the rejoin by stages, and workflows, which need it. The caller
-// holds the lock.
+// startRejoin starts the staged rejoin, and workflows, which depend on it. The caller holds the
+// lock.
 func (p *peers) startRejoin(m *cluster.Cluster, warm bool) {
 	var ctx context.Context
 	ctx, p.cancelRejoin = context.WithCancel(context.Background())
@@ -217,15 +218,15 @@
 	p.startWorkflows(ctx, m)
 }
 
-// currentMember returns the member, nil for none.
+// currentMember returns the member, or nil if it is not open.
 func (p *peers) currentMember() *cluster.Cluster {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.member
 }
 
-// announceDrain tells the other members that this process will end. One that was
-// succeeded gives its part to its successor at once.
+// announceDrain tells the other members that this process is draining. If a newer process has
+// succeeded it, the member closes at once so that the successor can open it.
 func (p *peers) announceDrain(succeeded bool) {
 	if succeeded {
 		p.close(false)
@@ -234,11 +235,11 @@
 	}
 }
 
-// leave ends the part in the cluster for good.
+// leave closes the member for good and announces that to the other members.
 func (p *peers) leave() { p.close(true) }
 
-// close ends the member; farewell announces to the other members that it has left.
-func (p *peers) close(farewell bool) {
+// close closes the member for good. With announceLeave the other members are told that it has left.
+func (p *peers) close(announceLeave bool) {
 	p.mu.Lock()
 	m, cancel := p.member, p.cancelRejoin
 	p.member, p.rejoin, p.ended = nil, nil, true
@@ -247,6 +248,6 @@
 		cancel()
 	}
 	if m != nil {
-		m.Close(farewell)
+		m.Close(announceLeave)
 	}
 }
--- a/cmd/frosttide/process.go
+++ b/cmd/frosttide/process.go
@@ -15,7 +15,7 @@
 	"frosttide/internal/dispatcher/core"
 	"frosttide/internal/dispatcher/egress"
 	"frosttide/internal/dispatcher/export"
-	gangdesk "frosttide/internal/dispatcher/fleet/gang/watcher"
+	gangwatcher "frosttide/internal/dispatcher/fleet/gang/watcher"
 	workflowfront "frosttide/internal/dispatcher/fleet/workflow/front"
 	"frosttide/internal/dispatcher/handover"
 	"frosttide/internal/dispatcher/ingress"
@@ -26,39 +26,39 @@
 	"frosttide/internal/dispatcher/wakedelay"
 )
 
-// process is a dispatcher's process: its components in the order in which wire makes
-// them. Components of parts that the settings leave out are nil.
+// process holds the components of a dispatcher in the order in which wire creates them. Components
+// that the settings disable are nil.
 type process struct {
 	logger *logrus.Logger
 	log    *logrus.Entry
 	cfg    config.Config
-	budget budget // with no other process of this dispatcher
+	budget budget // while no other process of this dispatcher runs
 
 	consoleListener net.Listener // nil without a console
 	counts          *telemetry.Counts
 	peers           *peers // nil without a cluster
 	table           *routetable.Table
 	fleet           *egress.Fleet
-	stored          *storedState // nil where nothing is stored
+	stored          *storedState // nil if no state is stored on disk
 	backends        *backends
 	core            *core.Core
 	exporter        *export.Exporter
-	gangs           *gangdesk.Watcher // nil where nobody watches gangs
-	roster          *roster.Roster    // nil where nothing is stored
-	gearman         *gearmanFront     // nil without Gearman
+	gangs           *gangwatcher.Watcher // nil if gangs are not watched
+	roster          *roster.Roster       // nil if no state is stored on disk
+	gearman         *gearmanFront        // nil without Gearman
 	link            *handover.Link
 	front           *ingress.Front
-	listener        net.Listener // of clients
+	listener        net.Listener // for clients
 
-	ready     atomic.Bool  // the process serves and does not drain
-	grace     atomic.Int64 // time.Duration that the process has after SIGTERM
+	ready     atomic.Bool  // the process serves and is not draining
+	grace     atomic.Int64 // time.Duration between SIGTERM and the platform's SIGKILL
 	wakeDelay wakedelay.Monitor
-	telemetry export.Options // in force; owned by the goroutine that reloads
+	telemetry export.Options // options in force; owned by the goroutine of reload
 
-	closers []func()
+	closers []func() // called by close in reverse order
 }
 
-// newProcess returns a process without components.
+// newProcess returns a process whose components have not been created yet.
 func newProcess(logger *logrus.Logger, cfg config.Config) *process {
 	return &process{
 		logger:    logger,
@@ -69,28 +69,28 @@
 	}
 }
 
-// part returns the log of a part.
-func (p *process) part(name string) *logrus.Entry { return p.log.WithField("part", name) }
+// componentLog returns the logger of a component.
+func (p *process) componentLog(name string) *logrus.Entry { return p.log.WithField("part", name) }
 
-// onClose has a function be called by close.
+// onClose registers a function for close to call.
 func (p *process) onClose(f func()) { p.closers = append(p.closers, f) }
 
-// close calls the functions of onClose, the last one first.
+// close calls the functions registered with onClose in reverse order.
 func (p *process) close() {
 	for _, f := range slices.Backward(p.closers) {
 		f()
 	}
 }
 
-// wire makes the components and connects them. The console is the first, so that
-// operators have answers from the beginning. Nothing else runs yet.
+// wire creates the components and connects them. The console comes first, so that operators can
+// query the process during startup. No other component runs before start.
 func (p *process) wire() error {
 	if err := p.openConsole(); err != nil {
 		return err
 	}
 	p.counts = telemetry.New()
 	p.counts.SetClasses(p.cfg.Names.Classes)
-	p.peers = openPeers(p.cfg, p.part("cluster"))
+	p.peers = openPeers(p.cfg, p.componentLog("cluster"))
 	p.makeRouteTable()
 	p.makeFleet()
 	if err := p.openStoredState(); err != nil {
@@ -104,9 +104,9 @@
 	}
 	if p.peers != nil {
 		p.core.SetOutcomeStore(outcomeRecords{p.peers})
-		p.peers.guardCore(p.core, p.table)
+		p.peers.guardAdmission(p.core, p.table)
 	}
-	p.gangs = watchGangs(p.cfg, p.core, p.peers, p.part("gang"))
+	p.gangs = watchGangs(p.cfg, p.core, p.peers, p.componentLog("gang"))
 	if p.stored != nil {
 		p.roster = p.stored.newRoster(p.cfg, p.core, p.table, p.counts)
 	}
@@ -119,7 +119,7 @@
 	return p.listen()
 }
 
-// openConsole opens the operators' address.
+// openConsole opens the listener of the operators' console.
 func (p *process) openConsole() (err error) {
 	if p.cfg.Console == "" {
 		return nil
@@ -143,7 +143,7 @@
 		MaxRefreshInterval: p.cfg.Module.Rules.MaxRefreshInterval,
 		DrainGrace:         p.cfg.Module.Rules.DrainGrace,
 		OnUpdate:           p.peers.updateHook(),
-	}, p.part("routetable"))
+	}, p.componentLog("routetable"))
 }
 
 func (p *process) makeFleet() {
@@ -155,16 +155,16 @@
 		LoadReports:    len(p.cfg.Names.Columns) > 0,
 		OnSent:         p.counts.Sent,
 		Dial:           dialRunner,
-	}, p.part("egress"))
+	}, p.componentLog("egress"))
 }
 
-// openStoredState opens what is stored on disk. The mean run times found there are
-// part of the configuration from then on.
+// openStoredState opens the state on disk and copies the stored mean run times into the
+// configuration.
 func (p *process) openStoredState() (err error) {
 	if p.cfg.State.Dir == "" {
 		return nil
 	}
-	if p.stored, err = openState(p.cfg, p.part("state")); err != nil {
+	if p.stored, err = openState(p.cfg, p.componentLog("state")); err != nil {
 		return err
 	}
 	p.stored.applyMeanRunTimes(&p.cfg)
@@ -173,7 +173,7 @@
 
 func (p *process) makeCore() (err error) {
 	p.backends = &backends{Fleet: p.fleet}
-	p.core, err = core.New(p.cfg.Module, p.cfg.Seed, p.backends, p.table, p.counts.SetMembers, p.part("core"))
+	p.core, err = core.New(p.cfg.Module, p.cfg.Seed, p.backends, p.table, p.counts.SetMembers, p.componentLog("core"))
 	if err != nil {
 		return err
 	}
@@ -182,7 +182,7 @@
 }
 
 func (p *process) makeExporter() error {
-	p.exporter = export.New(p.part("export"))
+	p.exporter = export.New(p.componentLog("export"))
 	if err := p.exporter.Configure(p.cfg.Telemetry); err != nil {
 		return err
 	}
@@ -196,14 +196,14 @@
 	if p.cfg.Gearman.Listen == "" {
 		return nil
 	}
-	if p.gearman, err = openGearman(p.cfg, p.core, p.counts, p.exporter, p.part("gearman")); err != nil {
+	if p.gearman, err = openGearman(p.cfg, p.core, p.counts, p.exporter, p.componentLog("gearman")); err != nil {
 		return err
 	}
 	p.backends.gearman = p.gearman.Server
 	return nil
 }
 
-// serveConsole starts the console. Its goroutine ends when close closes the listener.
+// serveConsole serves the console in a goroutine that ends when close closes the listener.
 func (p *process) serveConsole() {
 	if p.consoleListener == nil {
 		return
@@ -215,16 +215,16 @@
 		Cluster: p.peers.clusterHandler(),
 		Work:    workHandler(workflows, gangHandler(p.gangs)),
 	}
-	go console.New(p.peers.operators(p.core), handlers, p.part("console")).Serve(p.consoleListener)
+	go console.New(p.peers.operators(p.core), handlers, p.componentLog("console")).Serve(p.consoleListener)
 }
 
-// makeLink makes the link to the other process of this dispatcher. It calls nothing
-// of the front before takeOver.
+// makeLink creates the link to the other process of this dispatcher. The link does not call the
+// front before takeOver, so the front may be created later.
 func (p *process) makeLink() {
 	path := handover.Path(os.TempDir(), p.cfg.Listen)
 	adopt := func(c net.Conn, read []byte, m *core.MovedRequest) bool { return p.front.Adopt(c, read, m) }
 	report := func(ev core.JobEvent, held func(core.ReportResult)) { p.front.ReportForwarded(ev, held) }
-	p.link = handover.New(path, p.core, p.table, p.setProcessCount, adopt, report, p.part("handover"))
+	p.link = handover.New(path, p.core, p.table, p.setProcessCount, adopt, report, p.componentLog("handover"))
 	p.onClose(p.link.Close)
 	p.core.SetExclusionHook(func(e core.Exclusion) {
 		p.link.ForwardExclusion(e)
@@ -234,7 +234,7 @@
 	})
 }
 
-// setProcessCount divides what this dispatcher may use among its processes.
+// setProcessCount divides the dispatcher's resource limits among its running processes.
 func (p *process) setProcessCount(processes int) {
 	p.core.SetProcessCount(processes)
 	share := socketBudget(p.cfg, processes)
@@ -253,11 +253,11 @@
 		MaxConnections: p.budget.ingress,
 		Recorder:       p.exporter,
 		Steps:          workflowfront.Steps{Executor: p.peers.currentExecutor},
-	}, p.core, p.link, p.counts, p.part("ingress"))
+	}, p.core, p.link, p.counts, p.componentLog("ingress"))
 }
 
-// listen opens the clients' address, or takes the socket that the platform holds for
-// all processes of this dispatcher.
+// listen opens the listener for clients, or uses the inherited socket that the platform shares
+// among all processes of this dispatcher.
 func (p *process) listen() (err error) {
 	if p.cfg.ListenFD > 0 {
 		p.listener, err = handover.Listen(p.cfg.ListenFD)
@@ -267,7 +267,7 @@
 	return errors.Wrap(err, "listen")
 }
 
-// exportLoads converts the tokens in use into the exporter's form.
+// exportLoads converts the tokens that are in use to the exporter's type.
 func exportLoads(held []core.Holding) []measures.Load {
 	loads := make([]measures.Load, len(held))
 	for i, h := range held {
--- a/cmd/frosttide/reload.go
+++ b/cmd/frosttide/reload.go
@@ -8,10 +8,9 @@
 	"frosttide/internal/dispatcher/ingress"
 )
 
-// reload rereads the configuration at each signal, also while the process drains:
-// attempts may still need a worker. Signals that come close together lead to one
-// reload, which reads the newest file. A configuration that can't be read changes
-// nothing.
+// reload rereads the configuration on each signal, also while the process drains, because open
+// attempts may still need a worker. Signals in quick succession are coalesced into one reload,
+// which reads the newest file. If the configuration is invalid, the previous one stays in force.
 func (p *process) reload(src config.Source, signals <-chan os.Signal) {
 	cfg := p.cfg
 	for range signals {
@@ -28,12 +27,12 @@
 		}
 		p.applySettings(next)
 		cfg = next
-		p.counts.Reloaded(true) // the figures count what is in force
+		p.counts.Reloaded(true) // after applySettings: the metric reports configurations in force
 	}
 }
 
-// applySettings puts a configuration in force. The core comes before the front, as
-// it must know the classes of the jobs that the front admits.
+// applySettings applies a configuration to the components. The core is updated before the front,
+// because it must know the classes of all jobs that the front admits.
 func (p *process) applySettings(cfg config.Config) {
 	if p.stored != nil {
 		p.stored.classes.Store(&cfg.Names.Classes)
@@ -57,14 +56,16 @@
 	configureLog(p.logger, cfg.Log)
 	if !cfg.Telemetry.Equivalent(p.telemetry) {
 		if err := p.exporter.Configure(cfg.Telemetry); err != nil {
-			p.log.WithError(err).Error("telemetry is not taken; the old one goes on")
+			p.log.WithError(err).Error("telemetry settings rejected; the previous ones stay in force")
 		} else {
 			p.telemetry = cfg.Telemetry
 		}
 	}
 }
 
-// ingressClasses returns what the ingress has to know of the classes.
+// ingressClasses returns the ingress's view of the configured classes. The deduplication window of
+// a keyed class is configured; for others it covers the client timeout and the longest
+// Retry-After.
 func ingressClasses(cfg config.Config) []ingress.Class {
 	var classes []ingress.Class
 	for i, class := range cfg.Module.Classes {
--- a/cmd/frosttide/serve.go
+++ b/cmd/frosttide/serve.go
@@ -15,15 +15,15 @@
 	"frosttide/internal/dispatcher/settings"
 )
 
-// dialRunner opens connections to workers; nil for the net package's. Tests have it
-// fail or wait.
+// dialRunner opens connections to workers; nil selects net.Dialer. Tests replace it to make
+// dialing fail or block.
 var dialRunner egress.Dial
 
-// openListener opens the clients' address. Tests have its connections fail.
+// openListener opens the listener for clients. Tests replace it to make connections fail.
 var openListener = net.Listen
 
-// serve runs a dispatcher until a signal ends it. Otherwise it logs why it ends and
-// returns errReported.
+// serve runs a dispatcher until a signal stops it. On failure it logs the error and returns
+// errReported.
 func serve(s signals, src config.Source) error {
 	logger := logrus.New()
 	configureLog(logger, settings.Log{Level: "info", Format: "text"})
@@ -37,15 +37,15 @@
 	if err == nil {
 		return nil
 	}
-	for line := range strings.SplitSeq(err.Error(), "\n") { // mistakes in the settings come all at once
+	for line := range strings.SplitSeq(err.Error(), "\n") { // one line for each invalid setting
 		logger.WithField("error", line).Error("frosttide ends")
 	}
 	return errReported
 }
 
-// configureLog sets how the program logs.
+// configureLog sets the logger's level and format.
 func configureLog(logger *logrus.Logger, l settings.Log) {
-	if level, err := logrus.ParseLevel(l.Level); err == nil { // the configuration was checked
+	if level, err := logrus.ParseLevel(l.Level); err == nil { // config.Load has validated the level
 		logger.SetLevel(level)
 	}
 	logger.SetFormatter(&logrus.TextFormatter{DisableColors: true, FullTimestamp: true, TimestampFormat: time.RFC3339Nano})
@@ -54,7 +54,7 @@
 	}
 }
 
-// run makes a dispatcher's process, serves until a signal ends it, and drains.
+// run creates the dispatcher's process, serves until a signal stops it, and drains.
 func run(logger *logrus.Logger, cfg config.Config, src config.Source, s signals) error {
 	limitResources(cfg.Limits, 1)
 	p := newProcess(logger, cfg)
@@ -88,7 +88,8 @@
 	}
 }
 
-// takeOver returns the state of an older process, zero for none.
+// takeOver fetches the state of the older process of this dispatcher that shares the listening
+// socket. It returns the zero State if there is none.
 func (p *process) takeOver() handover.State {
 	if p.cfg.ListenFD > 0 {
 		if state := p.link.Dial(); state != nil {
@@ -98,8 +99,8 @@
 	return handover.State{}
 }
 
-// start starts the components, from the list of workers to the cluster, and returns
-// when jobs may be taken in. Their goroutines end with the context.
+// start starts the components, from the worker list to the cluster member, and returns once jobs
+// may be accepted. The components' goroutines end with the context.
 func (p *process) start(ctx context.Context, older handover.State) error {
 	if p.roster == nil {
 		p.table.Resume(older.Discovery, older.List, p.cfg.KnownMembers, p.core)
@@ -127,20 +128,20 @@
 			return err
 		}
 		p.onClose(p.peers.leave)
-		go p.peers.shareFindings(ctx)
+		go p.peers.shareWorkerHealth(ctx)
 	}
 	gate.await(ctx)
 	return nil
 }
 
-// serve serves clients. The channel takes the error that ends it.
+// serve serves clients in a goroutine. The channel receives the error with which serving ends.
 func (p *process) serve() <-chan error {
 	served := make(chan error, 1)
 	go func() { served <- p.front.Serve(p.listener) }()
 	return served
 }
 
-// announce announces to an older process, the console and the log that this one serves.
+// announce tells an older process, the console and the log that this process is serving.
 func (p *process) announce() {
 	if p.cfg.ListenFD > 0 {
 		if err := p.link.Serve(); err != nil {
--- a/cmd/frosttide/shutdown.go
+++ b/cmd/frosttide/shutdown.go
@@ -8,32 +8,31 @@
 )
 
 const (
-	// lingerTime is how long after SIGTERM clients may keep their connections: the
-	// platform's front goes on sending new ones for a while, and the next dispatcher's
-	// restart may begin before the last one is back, so that there is nowhere else to
-	// go.
+	// lingerTime is how long connections are still accepted after SIGTERM. The platform's load
+	// balancer keeps sending new connections for a while, and in a rolling restart the next
+	// dispatcher may stop before the previous one is back, so that no other dispatcher is
+	// available.
 	lingerTime = 2 * time.Second
-	// The platform ends the process no earlier than the longest client timeout, or
-	// maxGrace if that is shorter, and graceMargin after SIGTERM. Every open request
-	// has its response answerMargin before that.
+	// The platform kills the process no earlier than min(longest client timeout, maxGrace) +
+	// graceMargin after SIGTERM. Every open request is answered answerMargin before that.
 	maxGrace     = 3 * time.Second
 	graceMargin  = 700 * time.Millisecond
 	answerMargin = 300 * time.Millisecond
-	// exitMargin is how long before the platform ends the process the last state has to be
-	// stored: the rest is for telemetry.
+	// exitMargin is how long before the platform kills the process the last state has to be
+	// stored. The remaining time is for flushing telemetry.
 	exitMargin = 100 * time.Millisecond
-	// drainMargin is how long before the platform ends the process it no longer waits for
-	// clients to close connections on which everything is answered.
+	// drainMargin is how long before the platform kills the process it stops waiting for clients
+	// to close idle connections.
 	drainMargin = 200 * time.Millisecond
-	// closeMargin is how long before the last response connections are closed that
-	// clients have not used since a newer process took over.
+	// closeMargin is how long before the deadline of the last response the process closes
+	// connections that clients have not used since a newer process took over.
 	closeMargin = time.Second
-	// maxDelayFraction is the part of the grace that a signal may be taken to be late by: one
-	// in so many.
+	// maxDelayFraction bounds the assumed delivery delay of a signal: at most 1/maxDelayFraction
+	// of the grace period.
 	maxDelayFraction = 4
 )
 
-// shutdownGrace returns how long the process has to itself after SIGTERM.
+// shutdownGrace returns the time between SIGTERM and the earliest SIGKILL by the platform.
 func shutdownGrace(cfg config.Config) time.Duration {
 	var longest time.Duration
 	for i, class := range cfg.Module.Classes {
@@ -44,17 +43,18 @@
 	return min(longest, maxGrace) + graceMargin
 }
 
-// signalDelay returns how late a signal that is handled now may be handled: the process
-// runs late on a busy machine, and the platform counts from when it sent the signal. It is
-// bounded, as the drain needs most of the grace.
+// signalDelay returns an upper estimate of the delay between the sending and the handling of a
+// signal that is handled now. The process may be scheduled late on a busy machine, while the
+// platform's grace period starts when it sends the signal. The estimate is bounded because the
+// drain needs most of the grace period.
 func (p *process) signalDelay() time.Duration {
 	return min(p.wakeDelay.Longest(time.Now()), time.Duration(p.grace.Load())/maxDelayFraction)
 }
 
-// drain ends the service: it hands everything over to a newer process, or lets
-// clients find another dispatcher, and returns when every request has its response
-// and the state is stored, shortly before the end, at which the platform may end the
-// process, at the latest. It fails if a request has no response then.
+// drain stops serving. It hands open connections over to a newer process if there is one;
+// otherwise it makes clients reconnect to another dispatcher. It returns once every request is
+// answered and the state is stored, at the latest shortly before end, when the platform may kill
+// the process. It fails if a request is still unanswered then.
 func (p *process) drain(ctx context.Context, end time.Time) error {
 	deadline := end.Add(-answerMargin)
 	if p.peers != nil {
--- a/cmd/frosttide/statecmd.go
+++ b/cmd/frosttide/statecmd.go
@@ -17,28 +17,28 @@
 )
 
 var (
-	// errNoGeneration is the error of a folder without a generation that can be read.
+	// errNoGeneration is returned for a directory without a readable generation.
 	errNoGeneration = errors.New("no generation can be used")
-	// errEmptyState is the error of a folder without any generation.
+	// errEmptyState is returned for a directory without any generation.
 	errEmptyState = errors.New("nothing is kept there")
 )
 
-// stateCommand returns the command that reads and writes stored lists of workers.
+// stateCommand returns the command that inspects, exports and imports stored worker lists.
 func stateCommand() *cobra.Command {
 	var name string
 	cmd := &cobra.Command{
 		Use:   "state",
-		Short: "Look at the list of runners that is kept on disk",
-		Long: `state reads the folder that [state] dir (or FROSTTIDE_STATE_DIR) names. A folder may hold
-the lists of several dispatchers; --name picks one.`,
+		Short: "Inspect, export and import the stored runner list",
+		Long: `state works on the directory set by dir in [state] (or FROSTTIDE_STATE_DIR). A directory may
+hold the lists of several dispatchers; --name selects one.`,
 		Args: noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return usageError{errors.New("say show, verify, export or import")}
 		},
 	}
-	cmd.PersistentFlags().StringVar(&name, "name", "", "the dispatcher's name; any if left out")
+	cmd.PersistentFlags().StringVar(&name, "name", "", "the dispatcher's name; any dispatcher if empty")
 	add := func(use, short, example string, run func(cmd *cobra.Command, dir *rosterstore.Dir) error) {
-		cmd.AddCommand(&cobra.Command{Use: use, Short: short, Example: example, Args: exactly("DIR"),
+		cmd.AddCommand(&cobra.Command{Use: use, Short: short, Example: example, Args: exactArgs("DIR"),
 			RunE: func(cmd *cobra.Command, args []string) error {
 				dir, err := openStateDir(args[0], name)
 				if err != nil {
@@ -47,15 +47,15 @@
 				return run(cmd, dir)
 			}})
 	}
-	add("show DIR", "Print what is kept, how old it is, and what would be used now and why", "  frosttide state show /var/lib/frosttide",
+	add("show DIR", "Print the newest list, its age, and which runners would be used now and why", "  frosttide state show /var/lib/frosttide",
 		func(cmd *cobra.Command, dir *rosterstore.Dir) error {
-			s, err := newest(dir)
+			s, err := newestGeneration(dir)
 			if err != nil {
 				return err
 			}
 			return showState(cmd.OutOrStdout(), s, time.Now())
 		})
-	add("verify DIR", "Read every generation; exit status 1 if none can be used", "  frosttide state verify /var/lib/frosttide",
+	add("verify DIR", "Check every generation; exit status 1 if none is usable", "  frosttide state verify /var/lib/frosttide",
 		func(cmd *cobra.Command, dir *rosterstore.Dir) error { return verifyState(cmd.OutOrStdout(), dir) })
 	add("export DIR", "Write the newest generation as JSON to standard output", "  frosttide state export /var/lib/frosttide > state.json",
 		func(cmd *cobra.Command, dir *rosterstore.Dir) error { return exportState(cmd.OutOrStdout(), dir) })
@@ -64,20 +64,21 @@
 	return cmd
 }
 
-// openStateDir opens a folder of stored lists, of one dispatcher or with an empty name of
-// any. It fails for a folder that does not exist.
+// openStateDir opens a directory of stored lists. With an empty name it reads the lists of any
+// dispatcher. It fails if the directory does not exist.
 func openStateDir(path, name string) (*rosterstore.Dir, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
 	}
 	if !info.IsDir() {
-		return nil, fmt.Errorf("%s is no folder", path)
+		return nil, fmt.Errorf("%s is not a directory", path)
 	}
 	return rosterstore.Open(path, name, settings.DefaultStateGenerations)
 }
 
-// verifyState prints what each generation holds. It fails with errNoGeneration.
+// verifyState prints a summary or the error of each generation. It returns errNoGeneration if none
+// is valid.
 func verifyState(out io.Writer, dir *rosterstore.Dir) error {
 	all, err := dir.ReadAll()
 	if err != nil {
@@ -90,7 +91,7 @@
 			continue
 		}
 		valid++
-		fmt.Fprintf(out, "%s: good, %d runners of %s, saved %s\n", f.File, len(f.Snapshot.Nodes), f.Snapshot.Name, clock(f.Snapshot.Saved))
+		fmt.Fprintf(out, "%s: good, %d runners of %s, saved %s\n", f.File, len(f.Snapshot.Nodes), f.Snapshot.Name, formatTime(f.Snapshot.Saved))
 	}
 	if valid == 0 {
 		return errNoGeneration
@@ -98,9 +99,9 @@
 	return nil
 }
 
-// exportState writes the newest generation as JSON.
+// exportState writes the newest valid generation as JSON.
 func exportState(out io.Writer, dir *rosterstore.Dir) error {
-	s, err := newest(dir)
+	s, err := newestGeneration(dir)
 	if err != nil {
 		return err
 	}
@@ -109,7 +110,8 @@
 	return encoder.Encode(s)
 }
 
-// importState adds a generation from JSON. With a name it has to be of that dispatcher.
+// importState adds a generation from JSON. If name is not empty, the generation must be of that
+// dispatcher.
 func importState(in io.Reader, dir *rosterstore.Dir, name string) error {
 	decoder := json.NewDecoder(io.LimitReader(in, rosterstore.MaxPlainBytes))
 	decoder.DisallowUnknownFields()
@@ -118,7 +120,7 @@
 		return fmt.Errorf("standard input: %w", err)
 	}
 	if s.Name == "" || name != "" && name != s.Name {
-		return fmt.Errorf("standard input: the state is of the dispatcher %q", s.Name)
+		return fmt.Errorf("standard input: the state belongs to dispatcher %q", s.Name)
 	}
 	dir.SetDispatcher(s.Name)
 	if _, err := dir.Load(func(string, error) {}); err != nil {
@@ -127,9 +129,9 @@
 	return dir.Save(&s)
 }
 
-// newest returns the newest generation that can be read. Without one it fails with what
-// is wrong with each, or with errEmptyState.
-func newest(dir *rosterstore.Dir) (*rosterstore.Snapshot, error) {
+// newestGeneration returns the newest readable generation. If there is none, it returns the joined
+// errors of all generations, or errEmptyState for an empty directory.
+func newestGeneration(dir *rosterstore.Dir) (*rosterstore.Snapshot, error) {
 	all, err := dir.ReadAll()
 	if err != nil {
 		return nil, err
@@ -146,23 +148,23 @@
 	return nil, err
 }
 
-// clock formats a time since 1970, and 0 as never.
-func clock(at time.Duration) string {
+// formatTime formats a duration since the Unix epoch as RFC 3339, and 0 as "never".
+func formatTime(at time.Duration) string {
 	if at == 0 {
 		return "never"
 	}
 	return time.Unix(0, int64(at)).UTC().Format(time.RFC3339)
 }
 
-// listedEntry is what showState reads of a worker's entry in discovery's form.
+// listedEntry has the fields of a worker's discovery entry that showState prints.
 type listedEntry struct {
 	Endpoint string `json:"endpoint"`
 	Zone     string `json:"az"`
 	State    string `json:"state"`
 }
 
-// showState prints what is stored of each worker, and what a dispatcher that starts at a
-// time would do with it.
+// showState prints the stored entry of each worker, and whether and why a dispatcher that starts
+// at the given time would use it.
 func showState(out io.Writer, s *rosterstore.Snapshot, at time.Time) error {
 	now := time.Duration(at.UnixNano())
 	bounds := settings.DefaultState()
@@ -183,7 +185,7 @@
 			Barred: e.State == "DRAINING" || excluded[n.UID]})
 	}
 	policy := rosterpolicy.New(cfg, now, stored, 1)
-	fmt.Fprintf(out, "dispatcher %s, list %d of %s, saved %s, discovery last spoke %s\n", s.Name, s.Rev, s.Discovery, clock(s.Saved), clock(s.Answered))
+	fmt.Fprintf(out, "dispatcher %s, list %d of %s, saved %s, discovery last spoke %s\n", s.Name, s.Rev, s.Discovery, formatTime(s.Saved), formatTime(s.Answered))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "runner\taddress\tzone\tlisted as\tconfirmed by\tage\tat a start now\twhy")
 	for _, n := range s.Nodes {
--- a/cmd/frosttide/storedstate.go
+++ b/cmd/frosttide/storedstate.go
@@ -19,26 +19,27 @@
 )
 
 const (
-	// outageTime is how long discovery has to be away for its next list to be doubted.
+	// outageTime is how long discovery has to be unavailable before its next list is checked for
+	// plausibility.
 	outageTime = 5 * time.Second
-	// probeRate is how many workers a dispatcher probes in a second.
+	// probeRate is the number of workers that a dispatcher probes per second.
 	probeRate = 100
-	// probeTimeout is how long a probed worker may take beside its connect timeout.
+	// probeTimeout is the time for a probe's response, in addition to the connect timeout.
 	probeTimeout = 500 * time.Millisecond
 )
 
-// storedState is what is stored on disk of the workers.
+// storedState gives access to the worker list that is stored on disk.
 type storedState struct {
 	log    *logrus.Entry
 	dir    *rosterstore.Dir
-	loaded *rosterstore.Snapshot // nil for none
+	loaded *rosterstore.Snapshot // snapshot read at startup; nil if there is none
 	writer *rosterstore.Writer
 
-	classes atomic.Pointer[[]string] // names of the classes in force, by their numbers
+	classes atomic.Pointer[[]string] // names of the classes in force, indexed by class number
 }
 
-// openState reads what is stored. It logs and ignores a list that can't be read, and
-// fails only for a folder that can't be used.
+// openState opens the state directory and reads the newest valid snapshot. Unreadable snapshots
+// are logged and skipped; openState fails only if the directory can't be used.
 func openState(cfg config.Config, log *logrus.Entry) (*storedState, error) {
 	dir, err := rosterstore.Open(cfg.State.Dir, cfg.Name, int(cfg.State.Generations))
 	if err != nil {
@@ -56,8 +57,8 @@
 	return s, nil
 }
 
-// applyMeanRunTimes sets how long jobs of each class ran before. Without it a class
-// counts as long as its objective, and warming workers get none of its jobs.
+// applyMeanRunTimes sets each class's mean run time to the stored one. Without it the run time of
+// a class is assumed to equal its latency objective, and warming workers get none of its jobs.
 func (s *storedState) applyMeanRunTimes(cfg *config.Config) {
 	if s.loaded == nil {
 		return
@@ -69,7 +70,7 @@
 	}
 }
 
-// newRoster makes the roster, and connects it to the core and the figures.
+// newRoster creates the roster and connects it to the core and the metrics.
 func (s *storedState) newRoster(cfg config.Config, c *core.Core, table *routetable.Table, counts *telemetry.Counts) *roster.Roster {
 	rosterCfg := rosterConfig(cfg)
 	rosterCfg.Classes = func() []string { return *s.classes.Load() }
@@ -82,8 +83,8 @@
 	return r
 }
 
-// start passes the stored list to the roster, unless an older process has passed its
-// own.
+// start passes the stored list to the roster, unless an older process has handed over its own
+// list, which is newer.
 func (s *storedState) start(r *roster.Roster, older handover.State, seed uint64) {
 	if len(older.List) > 0 && older.HasMembers() {
 		r.LoadStored(nil, seed)
@@ -92,7 +93,7 @@
 	r.LoadStored(s.loaded, seed)
 }
 
-// rosterConfig returns the roster's settings.
+// rosterConfig returns the roster's configuration.
 func rosterConfig(cfg config.Config) roster.Config {
 	zone := ""
 	if z := cfg.Module.Zone; z < len(cfg.Names.Zones) {
@@ -118,8 +119,8 @@
 	}
 }
 
-// storedListNote returns what operators should know while the process serves from a stored list. It is
-// empty while that is discovery's list, and without a roster.
+// storedListNote returns the line that the readiness endpoint shows to operators while the process
+// serves from a stored list. It is empty once discovery's list is used, and without a roster.
 func storedListNote(r *roster.Roster) string {
 	if r == nil {
 		return ""
--- a/cmd/frosttide/trace.go
+++ b/cmd/frosttide/trace.go
@@ -14,13 +14,13 @@
 	"frosttide/internal/dispatcher/traceview"
 )
 
-// traceCommand returns the command that reads files of traces.
+// traceCommand returns the command that reads trace files.
 func traceCommand() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "trace",
-		Short: "Read files of traces",
-		Long: `trace reads the files that [telemetry.file] has the program write, and others of
-OpenTelemetry's file form. FILE is "-" for standard input; gzip is unpacked.`,
+		Short: "Read trace files",
+		Long: `trace reads the files written through [telemetry.file], and other files in OpenTelemetry's
+file format. FILE is "-" for standard input; gzip is decompressed.`,
 		Args: noArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error { return usageError{errors.New("say show or summary")} },
 	}
@@ -28,20 +28,20 @@
 	return cmd
 }
 
-// traceShowCommand returns the command that prints one request.
+// traceShowCommand returns the command that prints the requests of one trace.
 func traceShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show FILE ID",
-		Short: "Print the tree of a request",
-		Long:  `show prints what the requests of a trace went through. ID is a trace's, or the client's X-Trace-Id.`,
+		Short: "Print the requests of a trace as a tree",
+		Long:  `show prints the spans of a trace's requests. ID is a trace ID or the client's X-Trace-Id.`,
 		Example: `  frosttide trace show traces.jsonl 9b1f03aa5c7e2d41
   zcat traces.jsonl.*.gz | frosttide trace show - 4bf92f3577b34da6a3ce929d0e0e4736`,
-		Args: exactly("FILE", "ID"),
+		Args: exactArgs("FILE", "ID"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return withFile(args[0], func(in io.Reader) error {
 				n, err := traceview.Show(cmd.OutOrStdout(), in, args[1])
 				if err == nil && n == 0 {
-					err = fmt.Errorf("%s holds no request of %s", args[0], args[1])
+					err = fmt.Errorf("%s contains no request with ID %s", args[0], args[1])
 				}
 				return err
 			})
@@ -49,16 +49,16 @@
 	}
 }
 
-// traceSummaryCommand returns the command that prints a summary of many requests.
+// traceSummaryCommand returns the command that prints a summary of the requests in a file.
 func traceSummaryCommand() *cobra.Command {
 	var query traceview.Query
 	var from, to string
 	cmd := &cobra.Command{
 		Use:   "summary FILE",
-		Short: "Tell a peak: what was lost, to which cause, on which nodes",
+		Short: "Summarize requests: losses by cause and by node",
 		Example: `  frosttide trace summary traces.jsonl
   frosttide trace summary traces.jsonl --by target --from 2026-11-29T20:45:00Z --to 2026-11-29T21:00:00Z`,
-		Args: exactly("FILE"),
+		Args: exactArgs("FILE"),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if !slices.Contains(traceview.Groups, query.GroupBy) {
 				return usageError{fmt.Errorf("--by is none of %s", strings.Join(traceview.Groups, ", "))}
@@ -75,13 +75,13 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&query.GroupBy, "by", "class", "rows of the first table: class, target or answer")
-	f.StringVar(&from, "from", "", "requests that came at this time or later (RFC 3339)")
-	f.StringVar(&to, "to", "", "requests that came before this time")
-	f.IntVar(&query.MaxWorst, "worst", 10, "how many of the worst requests are named")
+	f.StringVar(&from, "from", "", "only requests that arrived at this time or later (RFC 3339)")
+	f.StringVar(&to, "to", "", "only requests that arrived before this time (RFC 3339)")
+	f.IntVar(&query.MaxWorst, "worst", 10, "number of worst requests to list")
 	return cmd
 }
 
-// parseTimeFlag parses the time of a flag, the zero time for an empty one. It fails with
+// parseTimeFlag parses the RFC 3339 time of a flag; an empty text is the zero time. Invalid text is
 // a usageError.
 func parseTimeFlag(flag, text string) (time.Time, error) {
 	at, err := time.Parse(time.RFC3339, text)
@@ -91,7 +91,8 @@
 	return at, nil
 }
 
-// writeSummary writes the summary of the requests that a query selects.
+// writeSummary writes the summary of the requests that a query selects. Unreadable lines are
+// counted on standard error.
 func writeSummary(out io.Writer, in io.Reader, query traceview.Query) error {
 	s := traceview.NewSummary(query)
 	unread, err := traceview.Read(in, s.Add)
@@ -104,7 +105,7 @@
 	return s.Write(out)
 }
 
-// withFile opens a file, reads it and closes it.
+// withFile opens a trace file, passes it to read and closes it.
 func withFile(path string, read func(io.Reader) error) error {
 	in, err := traceview.Open(path)
 	if err != nil {
--- a/cmd/frosttide/workflows.go
+++ b/cmd/frosttide/workflows.go
@@ -11,8 +11,7 @@
 	"frosttide/internal/dispatcher/fleet/workflow/executor"
 )
 
-// currentExecutor returns the executor of workflows, nil for none. It may be called
-// on nil.
+// currentExecutor returns the workflow executor, or nil if none runs. It may be called on nil.
 func (p *peers) currentExecutor() *executor.Executor {
 	if p == nil {
 		return nil
@@ -20,7 +19,7 @@
 	return p.executor.Load()
 }
 
-// workflowClasses returns what workflows have to know of the classes, by name.
+// workflowClasses returns the executor's view of the classes that accept jobs, by name.
 func workflowClasses(cfg config.Config) *map[string]executor.Class {
 	classes := map[string]executor.Class{}
 	for i, name := range cfg.Names.Classes {
@@ -31,17 +30,17 @@
 	return &classes
 }
 
-// startWorkflows starts the executor of workflows of a member, if the settings have
-// workflows. Its goroutine ends with the context.
+// startWorkflows starts the workflow executor of a member if the settings enable workflows. Its
+// goroutine ends with the context.
 func (p *peers) startWorkflows(ctx context.Context, m *cluster.Cluster) {
-	if p.maxUndos == 0 {
+	if p.maxCompensations == 0 {
 		return
 	}
 	class := func(name string) (executor.Class, bool) {
 		c, ok := (*p.workflowClasses.Load())[name]
 		return c, ok
 	}
-	e := executor.New(executor.Config{Name: p.cfg.Name, MaxConcurrent: p.maxUndos, Class: class}, m, p.core, p.log.WithField("part", "workflow"))
+	e := executor.New(executor.Config{Name: p.cfg.Name, MaxConcurrent: p.maxCompensations, Class: class}, m, p.core, p.log.WithField("part", "workflow"))
 	p.executor.Store(e)
 	go func() {
 		e.Run(ctx)
@@ -49,7 +48,7 @@
 	}()
 }
 
-// workHandler answers operators' calls about workflows and gangs.
+// workHandler routes the console's calls about workflows and gangs.
 func workHandler(workflows, gangs http.Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/api/workflow", workflows)
@@ -58,8 +57,8 @@
 	return mux
 }
 
-// clusterTime returns the members' time since 1970; without a member, the machine's.
-// It may be called on nil.
+// clusterTime returns the cluster's clock as the time since the Unix epoch, or the machine's clock
+// without a member. It may be called on nil.
 func (p *peers) clusterTime() time.Duration {
 	if p != nil {
 		if m := p.currentMember(); m != nil {
