--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -130,8 +130,8 @@
 	s.touched = s.touched[:0]
 }
 
-// stepInstance appends an instance's fault or the actions of its dispatcher to the reply. A panic of
-// the dispatcher is reported as a fault and stops the instance.
+// stepInstance appends an instance's fault or the actions of its dispatcher to the reply. A panic
+// of the dispatcher is reported as a fault and stops the instance.
 func (s *server) stepInstance(n int, in *instance, batch wire.Batch, reply *wire.Reply) {
 	if in.fault != "" {
 		reply.Fault(n, in.fault)
--- a/cmd/frosttide-control/arguments_test.go
+++ b/cmd/frosttide-control/arguments_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// TestBadSettings checks that a mistake in the settings file is said in one line that names the key.
+// TestBadSettings checks that an invalid settings file is reported in one line that names the key.
 func TestBadSettings(t *testing.T) {
 	t.Parallel()
 	file := filepath.Join(t.TempDir(), "node.toml")
--- a/cmd/frosttide-control/compatibility_test.go
+++ b/cmd/frosttide-control/compatibility_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestCompatibilityDataArguments pins the arguments and exit statuses of frosttide-data, and what it says of settings
-// that a role can't start with.
+// TestCompatibilityDataArguments pins the arguments and exit statuses of frosttide-data, and its
+// messages for settings with which a role can't start.
 func TestCompatibilityDataArguments(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
--- a/cmd/frosttide-control/exporter_test.go
+++ b/cmd/frosttide-control/exporter_test.go
@@ -15,7 +15,8 @@
 	"frosttide/internal/testkit/devcluster"
 )
 
-// scrape starts the exporter beside a cluster and returns its metrics once they contain the placement role's.
+// scrape starts an exporter for a cluster and returns its metrics once they include those of the
+// placement role.
 func scrape(t *testing.T, c *cluster) string {
 	t.Helper()
 	address := freeAddress(t)
@@ -46,7 +47,7 @@
 	return listener.Addr().String()
 }
 
-// TestExporterArguments checks the exporter's exit statuses and that it says in a line what is wrong.
+// TestExporterArguments checks the exporter's exit status and message for its arguments.
 func TestExporterArguments(t *testing.T) {
 	t.Parallel()
 	tests := []struct {
--- a/cmd/frosttide-control/main_test.go
+++ b/cmd/frosttide-control/main_test.go
@@ -16,13 +16,14 @@
 	"frosttide/internal/testkit/fakerunner"
 )
 
-// maxWait bounds every wait for a cluster. It is long because machines that run the tests may be slow.
+// maxWait is the timeout of every wait for a cluster. It is long because machines that run the
+// tests may be slow.
 const maxWait = 60 * time.Second
 
-// job is a job of two steps with four tasks together.
+// job is a job with two steps and four tasks in total.
 const job = `{"Spec":"sleep 300ms","Stages":[{"Count":3,"Cpu":1000,"MemMb":10,"EstimateMs":300},{"Count":1,"Cpu":1000,"MemMb":10,"EstimateMs":300,"DependsOn":[0]}]}`
 
-// programs is the folder of the programs, built as for an installation, or for the race detector where it watches the tests.
+// programs is the folder of the programs under test, which TestMain builds with buildFlags.
 var programs string
 
 func TestMain(m *testing.M) {
@@ -45,7 +46,7 @@
 
 func program(name string) string { return filepath.Join(programs, name) }
 
-// run runs frosttide-control and returns what it printed and its exit status.
+// run runs frosttide-control and returns its standard output, standard error and exit status.
 func run(t *testing.T, env []string, args ...string) (out, errOut string, status int) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), maxWait)
@@ -61,13 +62,15 @@
 	return stdout.String(), stderr.String(), cmd.ProcessState.ExitCode()
 }
 
-// cluster is a configured cluster of three core machines, two gateways and some runners.
+// cluster is a configured cluster of three core machines, two gateways and some runners with
+// agents.
 type cluster struct {
 	*devcluster.Cluster
 	t *testing.T
 }
 
-// startCluster starts a cluster that ends with the test. If the test fails, all processes' logs are printed.
+// startCluster starts a cluster that is stopped at the end of the test. If the test fails, the logs
+// of all processes are printed.
 func startCluster(t *testing.T, runners int) *cluster {
 	t.Helper()
 	cfg := devcluster.Config{Control: program("frosttide-control"), Data: program("frosttide-data"), Dir: t.TempDir(), Cores: 3, Gateways: 2}
@@ -90,7 +93,7 @@
 			c.printLogs()
 		}
 	})
-	require.True(t, c.Configure(maxWait), "the configuration is not in force")
+	require.True(t, c.Configure(maxWait), "the configuration is not in force within maxWait")
 	return c
 }
 
@@ -105,24 +108,25 @@
 // requireSubmitted submits a job to the queue previews of the first gateway until it is accepted.
 func (c *cluster) requireSubmitted(id string) {
 	c.t.Helper()
-	require.True(c.t, devcluster.WaitFor(maxWait, func() bool { return c.Submit(0, "previews", id, job) }), "%s is not accepted", id)
+	require.True(c.t, devcluster.WaitFor(maxWait, func() bool { return c.Submit(0, "previews", id, job) }), "job %s is not accepted within maxWait", id)
 }
 
-// requireCompleted waits until the second gateway knows a job of the queue previews as completed.
+// requireCompleted waits until the second gateway reports a job of the queue previews as completed.
 func (c *cluster) requireCompleted(id string) {
 	c.t.Helper()
-	require.True(c.t, devcluster.WaitFor(maxWait, func() bool { return c.State(1, "previews", id) == "completed" }), "%s is not completed", id)
+	require.True(c.t, devcluster.WaitFor(maxWait, func() bool { return c.State(1, "previews", id) == "completed" }), "job %s is not completed within maxWait", id)
 }
 
 // requireHead returns the machine that serves as the head.
 func (c *cluster) requireHead() *devcluster.Machine {
 	c.t.Helper()
 	head := c.Head()
-	require.NotNil(c.t, head, "no member serves")
+	require.NotNil(c.t, head, "no member serves as the head")
 	return head
 }
 
-// requireRun runs frosttide-control against the first core machine, requires its success and returns what it printed.
+// requireRun runs frosttide-control against the first core machine, requires exit status 0 and
+// returns the standard output.
 func (c *cluster) requireRun(args ...string) string {
 	c.t.Helper()
 	out, errOut, status := c.run(args...)
--- a/cmd/frosttide-control/norace_test.go
+++ b/cmd/frosttide-control/norace_test.go
@@ -2,5 +2,5 @@
 
 package main
 
-// buildFlags is empty: the programs are built as for an installation.
+// buildFlags are the flags for building the programs under test: none without the race detector.
 var buildFlags []string
--- a/cmd/frosttide-control/race_test.go
+++ b/cmd/frosttide-control/race_test.go
@@ -2,5 +2,6 @@
 
 package main
 
-// buildFlags has the programs that the tests start be watched by the race detector like the tests.
+// buildFlags are the flags for building the programs under test: they run under the race detector
+// if the tests do.
 var buildFlags = []string{"-race"}
--- a/cmd/frosttide-control/serve_test.go
+++ b/cmd/frosttide-control/serve_test.go
@@ -14,6 +14,8 @@
 	"frosttide/internal/testkit/devcluster"
 )
 
+// TestDemo checks that the demonstration succeeds and reports the killed head and the completed
+// job.
 func TestDemo(t *testing.T) {
 	t.Parallel()
 	out, errOut, status := run(t, nil, "demo")
@@ -22,7 +24,8 @@
 	require.Contains(t, out, "each of the job's 9 tasks was done once")
 }
 
-// TestServes submits jobs to a cluster, asks for them with every command, and loses and replaces machines.
+// TestServes submits jobs to a cluster, runs every command against it, and kills and replaces
+// machines. The steps share one cluster and run in order.
 func TestServes(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 2)
@@ -55,7 +58,8 @@
 	require.Len(t, jobs, 1)
 }
 
-// testWaitingJob asks why a job waits that no runner has the capacity for, and cancels it.
+// testWaitingJob submits a job that is too large for every runner, checks the reported reason for
+// its waiting, and cancels it.
 func testWaitingJob(t *testing.T, c *cluster) {
 	const id, unknown = "00000000000000b2", "00000000000000ff"
 	require.True(t, c.Submit(0, "batches", id, `{"Spec":"x","Stages":[{"Count":1,"Cpu":64000,"MemMb":10}]}`))
@@ -96,7 +100,8 @@
 	}
 }
 
-// testConfig changes the configuration, repeats the change, and sends one that builds on an older version.
+// testConfig replaces the configuration, repeats the request, which must be acknowledged, and sends
+// a different one for an old version, which must be rejected with status 412.
 func testConfig(t *testing.T, c *cluster) {
 	require.Contains(t, c.requireRun("config", "get"), `"previews"`)
 	file := filepath.Join(t.TempDir(), "config.json")
@@ -107,14 +112,15 @@
 	require.Contains(t, c.requireRun("config", "put", file), "in force")
 	require.Contains(t, c.requireRun("config", "history"), "2  ")
 	_, errOut, status := c.run("config", "put", file, "--if-match", "1")
-	require.Zero(t, status, "the same order is acknowledged again: %s", errOut)
+	require.Zero(t, status, "the repeated request is not acknowledged: %s", errOut)
 	require.NoError(t, os.WriteFile(file, []byte(strings.Replace(changed, `"Version":2`, `"Version":7`, 1)), 0o600))
 	_, errOut, status = c.run("config", "put", file, "--if-match", "1")
 	require.Equal(t, 1, status)
 	require.Contains(t, errOut, "412")
 }
 
-// testHeadLost kills the head, which another member replaces, and starts it again without its disk.
+// testHeadLost kills the head, checks that another member takes over, and restarts the killed
+// member with an empty disk: it has to rejoin as a new member.
 func testHeadLost(t *testing.T, c *cluster) {
 	head := c.requireHead()
 	c.Kill(head)
@@ -124,18 +130,19 @@
 	require.True(t, devcluster.WaitFor(maxWait, func() bool {
 		out, _, _ := run(t, []string{"FROSTTIDE_CONTROL=" + head.Control()}, "status")
 		return strings.Contains(out, "3 voters") && strings.Contains(out, "this one") && !strings.Contains(out, "being changed")
-	}), "the machine without its disk does not become a new member")
+	}), "the machine with an empty disk does not rejoin as a new member")
 	require.Equal(t, "completed", c.State(0, "previews", "00000000000000a1"))
 }
 
-// testPlannedEnd ends a gateway and the head by SIGTERM.
+// testPlannedEnd terminates a gateway and the head with SIGTERM. Both have to exit with status 0,
+// and jobs still have to be accepted.
 func testPlannedEnd(t *testing.T, c *cluster) {
 	require.Zero(t, c.Terminate(c.Gateways[1]))
 	require.Zero(t, c.Terminate(c.requireHead()))
 	c.requireSubmitted("00000000000000d4")
 }
 
-// TestRefusals sends a gateway requests that it can't serve.
+// TestRefusals checks the status of a gateway's responses to invalid and unanswerable requests.
 func TestRefusals(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 1)
--- a/cmd/frosttide-control/snapshot_test.go
+++ b/cmd/frosttide-control/snapshot_test.go
@@ -11,7 +11,8 @@
 	"frosttide/internal/testkit/devcluster"
 )
 
-// TestAllCoreMachinesLost restores a system of which only a snapshot is left.
+// TestAllCoreMachinesLost kills all core machines, deletes their disks and restores the system from
+// a snapshot. The completed job has to be known, and runners have to accept orders again.
 func TestAllCoreMachinesLost(t *testing.T) {
 	t.Parallel()
 	c := startCluster(t, 1)
@@ -32,16 +33,17 @@
 	require.Zero(t, status, errOut)
 	require.Contains(t, out, "Lost is what was acknowledged after the snapshot")
 	_, _, status = run(t, nil, restore...)
-	require.Equal(t, 1, status, "a folder with a journal is not left alone")
+	require.Equal(t, 1, status, "status of a restore into a folder that has a journal")
 	for _, m := range c.Cores {
 		require.NoError(t, c.Restart(m, m != first))
 	}
-	require.True(t, devcluster.WaitFor(maxWait, func() bool { return c.State(0, "previews", "00000000000000a1") == "completed" }), "the snapshot's job is not known")
+	require.True(t, devcluster.WaitFor(maxWait, func() bool { return c.State(0, "previews", "00000000000000a1") == "completed" }), "the restored system does not report the snapshot's job as completed")
 	c.requireSubmitted("00000000000000b2")
-	c.requireCompleted("00000000000000b2") // only if the runners take orders of the restored system
+	c.requireCompleted("00000000000000b2") // requires that runners accept orders of the restored system
 }
 
-// takeSnapshot saves the head's state once it contains a completed job, and returns the path of the snapshot.
+// takeSnapshot saves a snapshot of the head's state once it contains a completed job, and returns
+// the snapshot's path.
 func takeSnapshot(t *testing.T, c *cluster) string {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "snapshot")
@@ -58,7 +60,7 @@
 	return file
 }
 
-// requireTruncatedRefused verifies the beginning of a snapshot, which has to fail.
+// requireTruncatedRefused checks that the verification of a truncated snapshot fails.
 func requireTruncatedRefused(t *testing.T, file string) {
 	t.Helper()
 	data, err := os.ReadFile(file)
--- a/cmd/frosttide-control/soak_test.go
+++ b/cmd/frosttide-control/soak_test.go
@@ -22,48 +22,51 @@
 )
 
 var (
-	soakFor      = flag.Duration("soak", 0, "plays drawn schedules of signals one after the other for so long")
-	soakSeed     = flag.Uint64("soak.seed", 1, "the first schedule's seed; each following one's is 1 more")
-	soakLength   = flag.Duration("soak.length", 20*time.Second, "time in which a schedule's signals begin")
+	soakFor      = flag.Duration("soak", 0, "runs random signal schedules one after the other for this long")
+	soakSeed     = flag.Uint64("soak.seed", 1, "seed of the first schedule; incremented for each further one")
+	soakLength   = flag.Duration("soak.length", 20*time.Second, "period in which a schedule's signals are sent")
 	soakCores    = flag.Int("soak.cores", 5, "core machines")
 	soakGateways = flag.Int("soak.gateways", 4, "gateways")
 	soakRunners  = flag.Int("soak.runners", 8, "runners, each with an agent")
 )
 
-// soakSize is how large a cluster a soak plays with, and how much it does to it.
+// soakSize is the size of a soak's cluster and load, and the number of faults injected during
+// length.
 type soakSize struct {
 	cores, gateways, runners, clients, restarts, signals int
 	length                                               time.Duration
 }
 
-// What the settings of the cluster and the platform's pages promise.
+// Limits that the platform and the cluster's settings guarantee, and intervals of the soak.
 const (
-	// graceTime is the time after SIGTERM at which the platform ends a process by SIGKILL.
+	// graceTime is the time after SIGTERM at which the platform sends SIGKILL.
 	graceTime = 6 * time.Second
-	// recoveryTime is how soon after the last trouble the system serves again.
+	// recoveryTime is the time after the last disruption within which the system serves again.
 	recoveryTime = 6 * time.Second
-	// routeTimeout is how long a client waits for the answer to a request.
+	// routeTimeout is how long a client waits for the response to a request.
 	routeTimeout = 3 * time.Second
-	// stallTime is how late a thread of the test may be served by the machine before spans of the wall clock say nothing.
+	// stallTime is the scheduling delay of the test process from which on time limits are not
+	// checked, because the machine is overloaded.
 	stallTime = 100 * time.Millisecond
-	// hangupInterval is the time between the signals of a series.
+	// hangupInterval is the time between the signals of a series of SIGHUP.
 	hangupInterval = 15 * time.Millisecond
-	// terminateInterval is the same for a series of SIGTERM.
+	// terminateInterval is the time between the signals of a series of SIGTERM.
 	terminateInterval = 60 * time.Millisecond
 )
 
-// TestSignalSoak plays schedules of signals, restarts and changes that seeds draw, with the scheduler's own processes:
-// members of the control plane, gateways and agents end by SIGTERM and SIGKILL, stand still, are started in series and
-// reread their settings, several at once, while clients submit jobs on connections that they keep until the process is gone.
-// One short schedule is part of the tests; -soak plays as many as fit into a time.
+// TestSignalSoak runs random, seeded schedules of signals, restarts and configuration changes
+// against the scheduler's processes: members of the control plane, gateways and agents are
+// terminated, killed, suspended, restarted in series and told to reread their settings, several at
+// once, while clients submit jobs on persistent connections. By default one short schedule runs;
+// -soak runs as many as fit into a time.
 func TestSignalSoak(t *testing.T) {
 	if *soakFor == 0 {
 		t.Parallel()
 		runSignalSoak(t, 1, soakSize{cores: 3, gateways: 2, runners: 3, clients: 6, restarts: 8, signals: 12, length: 12 * time.Second})
 		return
 	}
-	by := time.Now().Add(*soakFor)
-	for seed := *soakSeed; time.Now().Before(by); seed++ {
+	deadline := time.Now().Add(*soakFor)
+	for seed := *soakSeed; time.Now().Before(deadline); seed++ {
 		machines := *soakCores + *soakGateways + *soakRunners
 		size := soakSize{cores: *soakCores, gateways: *soakGateways, runners: *soakRunners, clients: 3 * *soakGateways,
 			restarts: int(soakLength.Seconds()) + machines/4, signals: int(soakLength.Seconds()) + machines/4, length: *soakLength}
@@ -71,33 +74,33 @@
 	}
 }
 
-// soak is one schedule that is played.
+// soak is the state of one schedule's run.
 type soak struct {
 	*devcluster.Cluster
 	t        *testing.T
 	seed     uint64
 	began    time.Time
 	targets  []*soakTarget
-	coreDown chan struct{} // has an element for each core machine that may be taken away
+	coreDown chan struct{} // semaphore: bounds the core machines that are down at the same time
 	newest   atomic.Int64  // newest version of the configuration that was acknowledged
 	stalls   signalsoak.StallProbe
 
-	mu       sync.Mutex
-	accepted map[string]bool // jobs that were acknowledged
-	findings []string
+	mu         sync.Mutex
+	accepted   map[string]bool // jobs that were acknowledged
+	violations []string
 }
 
-// soakTarget is a machine with what the soak knows of its process.
+// soakTarget is a machine together with the soak's record of its process.
 type soakTarget struct {
 	*devcluster.Machine
 	core bool
 
-	mu       sync.Mutex            // guards the process against being replaced while it is signalled, and what follows
-	running  bool                  // the process is to run: it must not end by itself
-	troubles []signalsoak.Interval // in which requests may be lost or late: kills with the time until the start, and pauses
+	mu          sync.Mutex            // guards the fields below; held while the process is signalled or replaced
+	running     bool                  // the process should be running and must not exit by itself
+	disruptions []signalsoak.Interval // kills until the restart, and pauses: requests may be lost or late
 }
 
-// runSignalSoak plays the schedule of a seed.
+// runSignalSoak runs the schedule of a seed and reports the rules that were violated.
 func runSignalSoak(t *testing.T, seed uint64, size soakSize) {
 	s := startSoak(t, seed, size)
 	schedule := signalsoak.Draw(signalsoak.Config{Seed: seed, Targets: len(s.targets), Length: size.length, Restarts: size.restarts, Signals: size.signals})
@@ -131,12 +134,12 @@
 	}
 	t.Logf("seed %d: %d machines, %d restarts, %d signals, %d jobs accepted, requests %v, version %d, slowest turn %v",
 		seed, len(s.targets), size.restarts, size.signals, len(s.accepted), total, s.newest.Load(), s.stalls.Longest())
-	for _, finding := range s.findings {
+	for _, finding := range s.violations {
 		t.Errorf("seed %d: %s", seed, finding)
 	}
 }
 
-// startSoak starts a cluster and waits until it serves.
+// startSoak starts a cluster and waits until its configuration is in force.
 func startSoak(t *testing.T, seed uint64, size soakSize) *soak {
 	t.Helper()
 	cfg := devcluster.Config{Control: program("frosttide-control"), Data: program("frosttide-data"), Dir: t.TempDir(), Cores: size.cores, Gateways: size.gateways}
@@ -164,21 +167,21 @@
 	return s
 }
 
-// find records that a rule was broken.
-func (s *soak) find(format string, args ...any) {
+// reportViolation records a violated rule with the time since the start of the schedule.
+func (s *soak) reportViolation(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.findings = append(s.findings, fmt.Sprintf("at %.2f s: ", time.Since(s.began).Seconds())+fmt.Sprintf(format, args...))
+	s.violations = append(s.violations, fmt.Sprintf("at %.2f s: ", time.Since(s.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-// sleepUntil waits for a time after the beginning.
+// sleepUntil sleeps until a time after the start of the schedule.
 func (s *soak) sleepUntil(at time.Duration) { time.Sleep(time.Until(s.began.Add(at))) }
 
-// playRestarts carries out what is done to a target's process, one after the other.
-func (s *soak) playRestarts(target *soakTarget, lane []signalsoak.Action) {
-	for _, a := range lane {
+// playRestarts executes the actions on a target's process in sequence.
+func (s *soak) playRestarts(target *soakTarget, actions []signalsoak.Action) {
+	for _, a := range actions {
 		s.sleepUntil(a.At)
-		if target.core { // no more of them are away at once than the system is to bear
+		if target.core { // do not exceed the number of failures that the system tolerates
 			s.coreDown <- struct{}{}
 		}
 		switch a.Kind {
@@ -202,27 +205,28 @@
 	}
 }
 
-// trouble records that a target's process is away or stands still until the returned function is called.
-func (target *soakTarget) trouble() (over func()) {
+// beginDisruption records that a target's process is down or suspended until the returned function
+// is called.
+func (target *soakTarget) beginDisruption() (end func()) {
 	target.mu.Lock()
 	defer target.mu.Unlock()
-	at := len(target.troubles)
-	target.troubles = append(target.troubles, signalsoak.Interval{From: time.Now()})
+	at := len(target.disruptions)
+	target.disruptions = append(target.disruptions, signalsoak.Interval{From: time.Now()})
 	return func() {
 		target.mu.Lock()
 		defer target.mu.Unlock()
-		target.troubles[at].Until = time.Now()
+		target.disruptions[at].Until = time.Now()
 	}
 }
 
-// inTrouble reports whether a target was in trouble at any time between two moments.
-func (target *soakTarget) inTrouble(from, until time.Time) bool {
+// wasDisrupted reports whether a disruption of a target overlaps the given interval.
+func (target *soakTarget) wasDisrupted(from, until time.Time) bool {
 	target.mu.Lock()
 	defer target.mu.Unlock()
-	return signalsoak.Overlap(target.troubles, from, until)
+	return signalsoak.Overlap(target.disruptions, from, until)
 }
 
-// restart starts a target's process after a time.
+// restart starts a target's process after a delay.
 func (s *soak) restart(target *soakTarget, after time.Duration) {
 	time.Sleep(after)
 	target.mu.Lock()
@@ -233,7 +237,8 @@
 	target.running = true
 }
 
-// setEnding says that a target's process is about to end, and returns the channel that is closed at its end.
+// setEnding records that a target's process is about to exit, and returns the channel that is
+// closed at its exit.
 func (target *soakTarget) setEnding() <-chan struct{} {
 	target.mu.Lock()
 	defer target.mu.Unlock()
@@ -241,22 +246,22 @@
 	return target.Done()
 }
 
-// kill ends a target's process at once and starts it again after a time.
+// kill kills a target's process and restarts it after a delay.
 func (s *soak) kill(target *soakTarget, gap time.Duration) {
-	over := target.trouble()
+	end := target.beginDisruption()
 	done := target.setEnding()
 	target.Signal(syscall.SIGKILL)
 	<-done
-	over()
+	end()
 	s.restart(target, gap)
 }
 
-// terminate has a target's process end by SIGTERM, sent some times in a row, and starts it again after a time. The process
-// has to end by itself within the grace time, with status 0.
+// terminate sends SIGTERM to a target's process a number of times and restarts the process after a
+// delay. The process has to exit by itself within graceTime, with status 0.
 func (s *soak) terminate(target *soakTarget, times int, gap time.Duration) {
 	done := target.setEnding()
 	sentAt := time.Now()
-	begun := target.begun() // else the system ends it by the signal, as nothing listens for that yet
+	hadStarted := target.hasStarted() // before, the signal's default action kills the process
 	for range times {
 		target.Signal(syscall.SIGTERM)
 		select {
@@ -267,45 +272,46 @@
 	select {
 	case <-done:
 	case <-time.After(2 * graceTime):
-		s.find("%s has not ended %v after SIGTERM", target.Name, 2*graceTime)
+		s.reportViolation("%s has not exited %v after SIGTERM", target.Name, 2*graceTime)
 		target.Signal(syscall.SIGKILL)
 		<-done
 	}
 	took := time.Since(sentAt)
-	if state := target.ProcessState(); begun && !state.Success() {
-		s.find("%s ended with %s after SIGTERM", target.Name, state)
+	if state := target.ProcessState(); hadStarted && !state.Success() {
+		s.reportViolation("%s exited with %s after SIGTERM, want status 0", target.Name, state)
 	}
 	if took > graceTime && s.stalls.LongestSince(sentAt) < stallTime {
-		s.find("%s ended %v after SIGTERM, the platform ends it after %v", target.Name, took, graceTime)
+		s.reportViolation("%s exited %v after SIGTERM, want within the grace period of %v", target.Name, took, graceTime)
 	}
 	s.restart(target, gap)
 }
 
-// pause has a target's process stand still for a time.
+// pause suspends a target's process for a time with SIGSTOP.
 func (s *soak) pause(target *soakTarget, length time.Duration) {
-	over := target.trouble()
+	end := target.beginDisruption()
 	target.Signal(syscall.SIGSTOP)
 	time.Sleep(length)
 	target.Signal(syscall.SIGCONT)
-	over()
+	end()
 }
 
-// playSignal carries out a signal to whatever process a target has then, or a change.
+// playSignal sends a signal to the process that a target has at that time, or changes the
+// configuration.
 func (s *soak) playSignal(target *soakTarget, a signalsoak.Action) {
 	s.sleepUntil(a.At)
 	switch a.Kind {
 	case signalsoak.Hangup, signalsoak.HangupInvalid:
-		s.hangUp(target, a)
+		s.sendHangups(target, a)
 	case signalsoak.Change:
 		for range a.Count {
-			s.change()
+			s.changeConfig()
 		}
 	}
 }
 
-// hangUp sends SIGHUP some times in a row. The settings file may be one that can't be used meanwhile: it is replaced by
-// another and put back.
-func (s *soak) hangUp(target *soakTarget, a signalsoak.Action) {
+// sendHangups sends SIGHUP a number of times. For HangupInvalid the settings file is replaced by an
+// invalid one meanwhile, and restored afterwards.
+func (s *soak) sendHangups(target *soakTarget, a signalsoak.Action) {
 	if a.Kind == signalsoak.HangupInvalid {
 		path := target.SettingsFile()
 		valid, err := os.ReadFile(path)
@@ -321,7 +327,7 @@
 	}
 	for range a.Count {
 		target.mu.Lock()
-		if target.begun() {
+		if target.hasStarted() {
 			target.Signal(syscall.SIGHUP)
 		}
 		target.mu.Unlock()
@@ -329,20 +335,20 @@
 	}
 }
 
-// begun reports whether a target's process has come so far that it has said so; before, the system's own handling of signals
-// is in force. The lock is held.
-func (target *soakTarget) begun() bool {
+// hasStarted reports whether a target's process has logged that it has started. Before, the default
+// actions of signals are in effect. The caller holds the lock.
+func (target *soakTarget) hasStarted() bool {
 	log := target.Log()
 	return strings.Contains(log[max(strings.LastIndex(log, devcluster.StartLine), 0):], "Process begins")
 }
 
-// change sends a change of the configuration to any core machine, again and elsewhere until it is acknowledged or another
-// one was made.
-func (s *soak) change() {
+// changeConfig sends a configuration patch to random core machines until it is acknowledged or
+// rejected because another one was applied.
+func (s *soak) changeConfig() {
 	version := int(s.newest.Load())
-	body := patch(version+1, 1000+rand.IntN(2000))
+	body := patchBody(version+1, 1000+rand.IntN(2000))
 	devcluster.WaitFor(recoveryTime, func() bool {
-		switch change(s.Cores[rand.IntN(len(s.Cores))].Control(), version, body) {
+		switch patchConfig(s.Cores[rand.IntN(len(s.Cores))].Control(), version, body) {
 		case http.StatusOK:
 			for old := s.newest.Load(); old < int64(version+1) && !s.newest.CompareAndSwap(old, int64(version+1)); old = s.newest.Load() {
 			}
@@ -357,7 +363,8 @@
 // soakJob is a job of one task.
 const soakJob = `{"Spec":"sleep 50ms","Stages":[{"Count":1,"Cpu":100,"MemMb":10,"EstimateMs":50}]}`
 
-// runClient submits jobs on one connection after the other until the context ends. It returns how often requests came to what.
+// runClient submits jobs on one connection after the other until the context ends. It returns the
+// number of requests by outcome.
 func (s *soak) runClient(ctx context.Context, number int) map[string]int {
 	firstGateway := len(s.Cores)
 	gateway := number
@@ -377,7 +384,7 @@
 			id = fmt.Sprintf("%08x%08x", number+1, serial)
 		}
 		if last != nil {
-			s.judge(last)
+			s.checkOutcome(last)
 		}
 		return &signalsoak.Request{ID: id, Text: fmt.Appendf(nil, "POST /previews/%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n%s", id, devcluster.Host, len(soakJob), soakJob)}
 	}
@@ -385,8 +392,8 @@
 	return countOutcomes("", client)
 }
 
-// runOperator reads the configuration at a core machine on one connection after the other until the context ends. It returns
-// how often requests came to what.
+// runOperator reads the configuration at a core machine on one connection after the other until the
+// context ends. It returns the number of requests by outcome.
 func (s *soak) runOperator(ctx context.Context, core int) map[string]int {
 	client := &signalsoak.Client{
 		Timeout: routeTimeout,
@@ -394,7 +401,7 @@
 		Pick:    func() (int, string) { return core, s.Cores[core].Control() },
 		Next: func(last *signalsoak.Outcome) *signalsoak.Request {
 			if last != nil {
-				s.judge(last)
+				s.checkOutcome(last)
 			}
 			return &signalsoak.Request{ID: "the configuration", Text: []byte("GET /v1/config HTTP/1.1\r\nHost: core\r\n\r\n")}
 		},
@@ -403,7 +410,7 @@
 	return countOutcomes("operators: ", client)
 }
 
-// countOutcomes counts what a client's requests came to.
+// countOutcomes counts a client's connections, and its requests by outcome, under prefixed names.
 func countOutcomes(prefix string, client *signalsoak.Client) map[string]int {
 	counts := map[string]int{prefix + "connections": client.Connections}
 	for what, n := range signalsoak.CountOutcomes(client) {
@@ -412,37 +419,38 @@
 	return counts
 }
 
-// judge holds an outcome against the rules: a request that the process had read has a whole answer in time, unless the
-// process was killed or stood still meanwhile.
-func (s *soak) judge(o *signalsoak.Outcome) {
+// checkOutcome reports a violation if a request that the process had read did not get a complete
+// response in time, unless the process was killed or suspended meanwhile.
+func (s *soak) checkOutcome(o *signalsoak.Outcome) {
 	if o.Status/100 == 2 && o.Target >= len(s.Cores) {
 		s.mu.Lock()
 		s.accepted[o.ID] = true
 		s.mu.Unlock()
 	}
 	target := s.targets[o.Target]
-	if o.Ending == "" || o.Ending == signalsoak.Unread || target.inTrouble(o.SentAt, o.EndedAt) {
+	if o.Ending == "" || o.Ending == signalsoak.Unread || target.wasDisrupted(o.SentAt, o.EndedAt) {
 		return
 	}
 	if o.Ending == signalsoak.Late && s.stalls.LongestSince(o.SentAt) >= stallTime {
 		return
 	}
-	s.find("%s: %s, sent at %.2f s: %s (%v)", target.Name, o.ID, o.SentAt.Sub(s.began).Seconds(), o.Ending, o.Err)
+	s.reportViolation("%s: %s, sent at %.2f s: %s (%v)", target.Name, o.ID, o.SentAt.Sub(s.began).Seconds(), o.Ending, o.Err)
 }
 
-// requireRecovery checks that the system takes jobs again within the recovery time after the last trouble.
+// requireRecovery checks that every gateway accepts jobs within recoveryTime after the last
+// disruption.
 func (s *soak) requireRecovery() {
-	calm := time.Now()
+	start := time.Now()
 	for i := range s.Gateways {
 		id := fmt.Sprintf("ffffffff%08x", i)
 		served := devcluster.WaitFor(maxWait, func() bool { return s.Submit(i, "previews", id, soakJob) })
-		if took := time.Since(calm); !served || took > recoveryTime && s.stalls.LongestSince(calm) < stallTime {
-			s.find("%s takes jobs %v after the last trouble (%t), promised are %v", s.Gateways[i].Name, took, served, recoveryTime)
+		if took := time.Since(start); !served || took > recoveryTime && s.stalls.LongestSince(start) < stallTime {
+			s.reportViolation("%s accepts jobs %v after the last disruption (accepted: %t), want within %v", s.Gateways[i].Name, took, served, recoveryTime)
 		}
 	}
 }
 
-// requireJobsEnd checks that each job that was acknowledged is known and comes to an end.
+// requireJobsEnd checks that each acknowledged job is known and reaches a final state.
 func (s *soak) requireJobsEnd() {
 	states := map[string]int{}
 	for id := range s.accepted {
@@ -453,25 +461,25 @@
 		})
 		states[state]++
 		if state != "completed" && state != "failed" {
-			s.find("job %s was acknowledged and is %q", id, state)
+			s.reportViolation("acknowledged job %s: got state %q, want completed or failed", id, state)
 		}
 	}
 	s.t.Logf("seed %d: jobs' states %v", s.seed, states)
 }
 
-// requireRunning checks that no process has ended by itself, and that no core machine shows an older configuration than what
-// was acknowledged.
+// requireRunning checks that no process has exited by itself, that every core machine catches up
+// with the acknowledged configuration, and that no process reported a data race.
 func (s *soak) requireRunning() {
 	for _, target := range s.targets {
 		select {
 		case <-target.Done():
-			s.find("%s has ended by itself: %s", target.Name, target.ProcessState())
+			s.reportViolation("%s exited by itself: %s", target.Name, target.ProcessState())
 		default:
 		}
 	}
 	for _, m := range s.Cores {
-		if !devcluster.WaitFor(maxWait, func() bool { return int64(version(m.Control())) >= s.newest.Load() }) {
-			s.find("%s shows version %d, acknowledged was %d", m.Name, version(m.Control()), s.newest.Load())
+		if !devcluster.WaitFor(maxWait, func() bool { return int64(configVersion(m.Control())) >= s.newest.Load() }) {
+			s.reportViolation("%s: got configuration version %d, want at least the acknowledged version %d", m.Name, configVersion(m.Control()), s.newest.Load())
 		}
 	}
 	if s.t.Failed() {
@@ -479,7 +487,7 @@
 	}
 	for _, target := range s.targets {
 		if strings.Contains(target.Log(), "DATA RACE") {
-			s.find("%s: the race detector has reported", target.Name)
+			s.reportViolation("%s: the race detector reported a data race", target.Name)
 		}
 	}
 }
--- a/cmd/frosttide-mutate/main.go
+++ b/cmd/frosttide-mutate/main.go
@@ -1,8 +1,8 @@
-// Command frosttide-mutate is a mutation test of the cluster scheduler: it removes its safety checks
-// from the source, one at a time, and prints what detects the removal: the package's tests, the
-// simulated network, the schedule explorer, or nothing. It needs the repository's source and the Go
-// tools, and changes no file. It exits with status 1 if any mutation could not be tried, and with
-// status 2 for invalid arguments.
+// Command frosttide-mutate is a mutation test of the cluster scheduler: it removes its safety
+// checks from the source, one at a time, and prints what detects the removal: the package's tests,
+// the simulated network, the schedule explorer, or nothing. It needs the repository's source and
+// the Go tools, and changes no file. It exits with status 1 if any mutation could not be tried, and
+// with status 2 for invalid arguments.
 package main
 
 import (
