--- a/cmd/frosttide-lab/faults.go
+++ b/cmd/frosttide-lab/faults.go
@@ -12,16 +12,18 @@
 	"frosttide/internal/testkit/lab/faults"
 )
 
+// faultsCommand returns the command that runs fault-injection scripts against clusters of
+// dispatchers.
 func faultsCommand() *cobra.Command {
 	var binary string
 	var times int
-	var plotTo string
+	var plotPath string
 	cmd := &cobra.Command{
 		Use:   "faults SCRIPT...",
-		Short: "Start several dispatchers, break links and processes as scripts say, and check what is seen",
-		Long: `faults plays scripts of faults (internal/testkit/lab/faults/scripts; the steps are described in
-script.go there) with a build of the program, prints a timeline of each, and ends with status
-1 if a rule or an invariant was broken.`,
+		Short: "Run fault-injection scripts against several dispatchers and check the invariants",
+		Long: `faults runs fault-injection scripts (internal/testkit/lab/faults/scripts; script.go in the
+folder above describes the steps) with a build of the program, prints a timeline of each run, and
+exits with status 1 if a rule or an invariant was violated.`,
 		Example: `  go build -o /tmp/frosttide ./cmd/frosttide
   frosttide-lab faults --binary /tmp/frosttide internal/testkit/lab/faults/scripts/split-2-3.txt`,
 		Args: cobra.MinimumNArgs(1),
@@ -29,7 +31,7 @@
 			if times < 1 || times > 1000 {
 				return errors.New("--times is not from 1 to 1000")
 			}
-			broken, curves := 0, map[string][][]float64{}
+			failed, curves := 0, map[string][][]float64{}
 			for _, path := range paths {
 				text, err := os.ReadFile(path)
 				if err != nil {
@@ -40,7 +42,7 @@
 					return err
 				}
 				for n := range times {
-					got, err := play(s, binary)
+					got, err := runScript(s, binary)
 					if err != nil {
 						return err
 					}
@@ -52,29 +54,30 @@
 						curves[s.Name] = append(curves[s.Name], got.Curve)
 					}
 					if len(got.Broken) > 0 {
-						broken++
+						failed++
 						fmt.Fprintln(cmd.OutOrStdout(), got.Logs)
 					}
 				}
 			}
-			if plotTo != "" {
-				if err := drawCurves(plotTo, curves); err != nil {
+			if plotPath != "" {
+				if err := drawCurves(plotPath, curves); err != nil {
 					return err
 				}
 			}
-			if broken > 0 {
-				return fmt.Errorf("%d plays broke something", broken)
+			if failed > 0 {
+				return fmt.Errorf("%d runs violated a rule or an invariant", failed)
 			}
 			return nil
 		},
 	}
 	cmd.Flags().StringVar(&binary, "binary", "frosttide", "the program")
-	cmd.Flags().StringVar(&plotTo, "plot", "", "draws service around the fault of scripts that take its level, to a file (.svg, .png); several plays as their mean")
-	cmd.Flags().IntVar(&times, "times", 1, "plays of each script")
+	cmd.Flags().StringVar(&plotPath, "plot", "", "file (.svg, .png) for a plot of the service level around the fault, as the mean of all runs of a script; only for scripts that record it")
+	cmd.Flags().IntVar(&times, "times", 1, "number of runs of each script")
 	return cmd
 }
 
-func play(s *faults.Script, binary string) (*faults.Result, error) {
+// runScript runs a script with the program binary in a temporary folder.
+func runScript(s *faults.Script, binary string) (*faults.Result, error) {
 	dir, err := os.MkdirTemp("", "faults")
 	if err != nil {
 		return nil, err
--- a/cmd/frosttide-lab/gearman.go
+++ b/cmd/frosttide-lab/gearman.go
@@ -22,20 +22,21 @@
 )
 
 const (
-	labGearman = "127.0.0.1:14730"
-	labTime    = 30 * time.Second // for all that one step does
+	labGearman  = "127.0.0.1:14730"
+	stepTimeout = 30 * time.Second // for each step of an experiment
 )
 
+// gearmanCommand returns the command that benchmarks the Gearman front.
 func gearmanCommand() *cobra.Command {
 	var binary string
 	var clients, rounds, idle int
 	var length time.Duration
 	cmd := &cobra.Command{
 		Use:   "gearman",
-		Short: "Compare the Gearman front with the HTTP one, and measure idle workers",
+		Short: "Compare the Gearman front with the HTTP front, and measure the cost of idle Gearman workers",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if clients < 1 || clients > 64 || rounds < 1 || rounds > 100 || idle < 1 || idle > 4000 || length <= 0 || length > time.Minute {
-				return errors.New("clients, rounds, workers or length are out of their range")
+				return errors.New("--clients, --rounds, --workers or --length is out of range")
 			}
 			return measureGearman(cmd.OutOrStdout(), binary, clients, rounds, idle, length)
 		},
@@ -43,20 +44,22 @@
 	f := cmd.Flags()
 	f.StringVar(&binary, "binary", "bin/frosttide", "the program")
 	f.IntVar(&clients, "clients", 16, "clients, each with one job at a time, at most 64")
-	f.IntVar(&rounds, "rounds", 5, "rounds of both, at most 100")
+	f.IntVar(&rounds, "rounds", 5, "runs of each front, at most 100")
 	f.IntVar(&idle, "workers", 2000, "idle workers, at most 4000")
-	f.DurationVar(&length, "length", 3*time.Second, "of a run, at most 1m")
+	f.DurationVar(&length, "length", 3*time.Second, "measured time of a run, at most 1m")
 	return cmd
 }
 
+// measureGearman compares the fronts in alternating closed-loop runs and prints the medians, then
+// measures idle workers.
 func measureGearman(out io.Writer, binary string, clients, rounds, idle int, length time.Duration) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%d clients in a closed loop, jobs of %s, medians of %d runs of %s\n", clients, labWork, rounds, length)
 	fmt.Fprintln(w, "front\tjobs/s\tp50 ms\tp99 ms\tCPU µs/job")
-	figures := map[string][]closedRun{}
+	figures := map[string][]closedLoopResult{}
 	for range rounds {
 		for _, front := range []string{"HTTP", "Gearman"} {
-			r, err := closedLoop(binary, front, clients, length)
+			r, err := runClosedLoop(binary, front, clients, length)
 			if err != nil {
 				return fmt.Errorf("%s: %w", front, err)
 			}
@@ -64,27 +67,28 @@
 		}
 	}
 	for _, front := range []string{"HTTP", "Gearman"} {
-		median := func(of func(closedRun) float64) float64 {
+		median := func(of func(closedLoopResult) float64) float64 {
 			var values []float64
 			for _, r := range figures[front] {
 				values = append(values, of(r))
 			}
 			return lab.Median(values)
 		}
-		fmt.Fprintf(w, "%s\t%.0f\t%.2f\t%.2f\t%.0f\n", front, median(func(r closedRun) float64 { return r.rate }),
-			median(func(r closedRun) float64 { return r.p50 }), median(func(r closedRun) float64 { return r.p99 }),
-			median(func(r closedRun) float64 { return r.cpu }))
+		fmt.Fprintf(w, "%s\t%.0f\t%.2f\t%.2f\t%.0f\n", front, median(func(r closedLoopResult) float64 { return r.rate }),
+			median(func(r closedLoopResult) float64 { return r.p50 }), median(func(r closedLoopResult) float64 { return r.p99 }),
+			median(func(r closedLoopResult) float64 { return r.cpu }))
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	return idleWorkers(out, binary, idle)
+	return measureIdleWorkers(out, binary, idle)
 }
 
-// closedRun is what a run came to.
-type closedRun struct{ rate, p50, p99, cpu float64 }
+// closedLoopResult holds the results of a closed-loop run: served jobs per second, latencies in
+// milliseconds, and the dispatcher's CPU time per job in microseconds.
+type closedLoopResult struct{ rate, p50, p99, cpu float64 }
 
-// startGearman starts the program with both fronts.
+// startGearman starts the program with both fronts. done kills it and removes its folder.
 func startGearman(binary string) (p *lab.Process, done func(), err error) {
 	dir, err := os.MkdirTemp("", "frosttide-lab-")
 	if err != nil {
@@ -120,7 +124,7 @@
 		os.RemoveAll(dir)
 		return nil, nil, err
 	}
-	if err := p.Await("http://"+labDispatcher+"/_health", time.Now().Add(labTime)); err != nil {
+	if err := p.Await("http://"+labDispatcher+"/_health", time.Now().Add(stepTimeout)); err != nil {
 		text := p.Kill()
 		os.RemoveAll(dir)
 		return nil, nil, fmt.Errorf("%w; log:\n%s", err, text)
@@ -128,7 +132,9 @@
 	return p, func() { p.Kill(); os.RemoveAll(dir) }, nil
 }
 
-func closedLoop(binary, front string, clients int, length time.Duration) (r closedRun, err error) {
+// runClosedLoop measures a front with clients that each submit the next job when the last one has
+// ended. Jobs of the first second are not counted.
+func runClosedLoop(binary, front string, clients int, length time.Duration) (r closedLoopResult, err error) {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	var runners []string
@@ -145,14 +151,14 @@
 		return r, err
 	}
 	defer done()
-	by := time.Now().Add(labTime + length)
+	by := time.Now().Add(stepTimeout + length)
 	var workers sync.WaitGroup
 	defer workers.Wait()
 	ctx, cancel := context.WithDeadline(context.Background(), by)
 	defer cancel()
 	if front == "Gearman" {
 		for i := range 2 * clients {
-			workers.Go(func() { labWorker(ctx, fmt.Sprint("w", i), by) })
+			workers.Go(func() { runWorker(ctx, fmt.Sprint("w", i), by) })
 		}
 	}
 	times := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
@@ -165,7 +171,7 @@
 	var all sync.WaitGroup
 	for i := range clients {
 		all.Go(func() {
-			submit, end, err := labClient(front, load, i, by)
+			submit, end, err := newClient(front, load, i, by)
 			if err != nil {
 				return
 			}
@@ -174,13 +180,13 @@
 				began := time.Now()
 				ok := submit(fmt.Sprintf("c%d-%d", i, n))
 				if !ok {
-					time.Sleep(labWork) // refused: as a client that waits
+					time.Sleep(labWork) // rejected: back off
 					continue
 				}
 				if began.After(warm) {
 					mu.Lock()
 					served++
-					_ = times.RecordValue(max(time.Since(began).Microseconds(), 1)) // within its range
+					_ = times.RecordValue(max(time.Since(began).Microseconds(), 1)) // can't fail: within the histogram's range
 					mu.Unlock()
 				}
 			}
@@ -199,12 +205,13 @@
 	if served == 0 {
 		return r, errors.New("nothing was served")
 	}
-	return closedRun{rate: float64(served) / length.Seconds(), p50: float64(times.ValueAtQuantile(50)) / 1000,
+	return closedLoopResult{rate: float64(served) / length.Seconds(), p50: float64(times.ValueAtQuantile(50)) / 1000,
 		p99: float64(times.ValueAtQuantile(99)) / 1000, cpu: float64((cpu - before).Microseconds()) / float64(served)}, nil
 }
 
-// labClient returns what sends one job and waits for its answer.
-func labClient(front string, load lab.Load, number int, by time.Time) (submit func(id string) bool, end func(), err error) {
+// newClient returns a function that submits a job, waits for its end and reports whether it was
+// served. end closes the client's connections.
+func newClient(front string, load lab.Load, number int, by time.Time) (submit func(id string) bool, end func(), err error) {
 	if front == "HTTP" {
 		one, end := load.Client()
 		return func(id string) bool { return one(id) == 200 }, end, nil
@@ -229,8 +236,8 @@
 	}, func() { p.Close() }, nil
 }
 
-// labWorker works until the context ends.
-func labWorker(ctx context.Context, name string, by time.Time) {
+// runWorker is a Gearman worker that runs jobs until the context ends.
+func runWorker(ctx context.Context, name string, by time.Time) {
 	p, err := gearman.Dial(labGearman, by, nil)
 	if err != nil {
 		return
@@ -246,15 +253,16 @@
 		if err != nil {
 			return
 		}
-		time.Sleep(labWork) // it works
+		time.Sleep(labWork) // run the job
 		if p.Send(proto.WorkComplete, job.Handle, "clip") != nil {
 			return
 		}
 	}
 }
 
-// idleWorkers measures workers that connect at once and then have nothing to do.
-func idleWorkers(out io.Writer, binary string, n int) error {
+// measureIdleWorkers connects n workers simultaneously and prints the dispatcher's memory per
+// worker and its CPU usage while the workers are idle.
+func measureIdleWorkers(out io.Writer, binary string, n int) error {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	fleet, err := fakefleet.Start(labDiscovery, labDispatcher, nil, labWork, quiet)
@@ -271,7 +279,7 @@
 	if err != nil {
 		return err
 	}
-	by, began := time.Now().Add(labTime), time.Now()
+	by, began := time.Now().Add(stepTimeout), time.Now()
 	peers := make([]*gearman.Peer, n)
 	var all sync.WaitGroup
 	for i := range peers {
@@ -284,7 +292,7 @@
 			if w.Announce(fmt.Sprint("idle", i), "cut") != nil || w.Send(proto.PreSleep) != nil || w.Send(proto.EchoReq, "up") != nil {
 				return
 			}
-			_, _ = w.Want(proto.EchoRes) // its CAN_DO has been taken
+			_, _ = w.Want(proto.EchoRes) // the server has processed the CAN_DO before
 		})
 	}
 	all.Wait()
@@ -297,7 +305,7 @@
 		}
 	}
 	const rest = 5 * time.Second
-	time.Sleep(time.Second) // all is said
+	time.Sleep(time.Second) // let the connection phase settle
 	before, err := p.CPU()
 	if err != nil {
 		return err
--- a/cmd/frosttide-lab/main.go
+++ b/cmd/frosttide-lab/main.go
@@ -1,5 +1,6 @@
-// Command frosttide-lab measures frosttide on loopback stand-ins, one experiment for each
-// sub-command. It is for whoever changes the program; nothing in service needs it.
+// Command frosttide-lab benchmarks frosttide on loopback against fake runners, clients and
+// collectors. Each sub-command is one experiment. It is a development tool and not needed in
+// production.
 package main
 
 import (
@@ -10,7 +11,7 @@
 )
 
 func main() {
-	root := &cobra.Command{Use: "frosttide-lab", Short: "Measure frosttide on loopback stand-ins",
+	root := &cobra.Command{Use: "frosttide-lab", Short: "Benchmark frosttide on loopback against fake runners and clients",
 		SilenceUsage: true, SilenceErrors: true}
 	root.AddCommand(telemetryCommand(), powercutCommand(), gearmanCommand(), faultsCommand(), replicationCommand(), sizeCommand(), scaleCommand(), forceCommand(), urgentCommand())
 	if err := root.Execute(); err != nil {
--- a/cmd/frosttide-lab/plot.go
+++ b/cmd/frosttide-lab/plot.go
@@ -16,13 +16,14 @@
 	"frosttide/internal/testkit/lab/faults"
 )
 
-// drawCurves draws the mean service of each script's plays around its fault, each second's mean at
-// its middle, to a file whose ending says its form.
+// drawCurves plots the service level around the fault, one line per script with the mean of its
+// runs. Each point is the mean of one second, drawn at the second's middle. The file's extension
+// selects the format.
 func drawCurves(path string, curves map[string][][]float64) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = "seconds after the fault", "served, of the usual"
 	p.Y.Min, p.Legend.Top = 0, false
-	const window = 10 // tenths
+	const window = 10 // tenths of a second
 	var lines []any
 	for _, name := range slices.Sorted(maps.Keys(curves)) {
 		var points plotter.XYs
@@ -50,29 +51,31 @@
 	return nil
 }
 
-// bars is which column of a table a plot shows, the first columns name the bars.
-var bars = map[string]struct{ named, shown int }{"writes": {2, 2}, "elections": {2, 2}, "cost": {1, 2}, "spread": {1, 2}, "catchup": {2, 2}}
+// barColumns maps an experiment's name to the columns of its table for a bar chart: the first named
+// columns label a bar, and the column with the index shown is its height.
+var barColumns = map[string]struct{ named, shown int }{"writes": {2, 2}, "elections": {2, 2}, "cost": {1, 2}, "spread": {1, 2}, "catchup": {2, 2}}
 
-// drawBars writes one column of a table as bars, to a file whose ending says its form.
+// drawBars plots one column of an experiment's tab-separated table as a bar chart. title is the
+// experiment's name; the file's extension selects the format.
 func drawBars(path, title, table string) error {
-	of := bars[title]
+	columns := barColumns[title]
 	lines := strings.Split(strings.TrimSpace(table), "\n")
 	var values plotter.Values
 	var names []string
 	for _, line := range lines[1:] {
 		cells := strings.Split(line, "\t")
-		if len(cells) <= of.shown {
+		if len(cells) <= columns.shown {
 			return fmt.Errorf("plot: %q has too few columns", line)
 		}
-		x, err := strconv.ParseFloat(cells[of.shown], 64)
+		x, err := strconv.ParseFloat(cells[columns.shown], 64)
 		if err != nil {
 			return fmt.Errorf("plot: %w", err)
 		}
-		values, names = append(values, x), append(names, strings.Join(cells[:of.named], " "))
+		values, names = append(values, x), append(names, strings.Join(cells[:columns.named], " "))
 	}
 	p := plot.New()
 	p.Title.Text = title
-	p.Y.Label.Text = strings.Split(lines[0], "\t")[of.shown]
+	p.Y.Label.Text = strings.Split(lines[0], "\t")[columns.shown]
 	p.Y.Min = 0
 	b, err := plotter.NewBarChart(values, vg.Points(30))
 	if err != nil {
--- a/cmd/frosttide-lab/powercut.go
+++ b/cmd/frosttide-lab/powercut.go
@@ -12,19 +12,21 @@
 	"frosttide/internal/testkit/lab/outage"
 )
 
+// powercutCommand returns the command that simulates a restart of the whole fleet after a power
+// cut.
 func powercutCommand() *cobra.Command {
 	set := outage.Settings{}
 	var seeds int
 	cmd := &cobra.Command{
 		Use:   "powercut",
 		Short: "Simulate the minutes after a power cut, with and without a stored list",
-		Long: `powercut simulates, in virtual time, dispatchers with the real decision module whose
-fleet comes up cold while the roster is away, and compares a stored list that is weighed
-with none and with one that is taken blindly.`,
+		Long: `powercut simulates, in virtual time, dispatchers with the real decision module whose runners
+start cold while discovery is unavailable. It compares three modes: no stored list, a stored list
+that is used unchecked, and a stored list whose entries are checked first.`,
 		Example: `  frosttide-lab powercut --runners 2000 --dispatchers 16`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if seeds < 1 || seeds > 100 || set.Runners < 1 || set.Runners > 20000 || set.Dispatchers < 1 || set.Dispatchers > 200 || set.Rate <= 0 {
-				return errors.New("seeds, runners, dispatchers or rate are out of their range")
+				return errors.New("--seeds, --runners, --dispatchers or --rate is out of range")
 			}
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintf(w, "%d dispatchers, %d runners, %g jobs/s of %s, roster back after %s; medians of %d seeds\n",
@@ -33,31 +35,31 @@
 			for _, mode := range []outage.Mode{outage.Nothing, outage.Blind, outage.Trusted} {
 				var all []*outage.Result
 				for seed := range seeds {
-					one := set
-					one.Mode, one.Seed = mode, uint64(seed+1)
-					all = append(all, outage.Run(one))
+					settings := set
+					settings.Mode, settings.Seed = mode, uint64(seed+1)
+					all = append(all, outage.Run(settings))
 				}
-				fmt.Fprintln(w, row(string(mode), all))
+				fmt.Fprintln(w, formatRow(string(mode), all))
 			}
 			return w.Flush()
 		},
 	}
 	f := cmd.Flags()
-	f.IntVar(&seeds, "seeds", 5, "seeds, at most 100")
+	f.IntVar(&seeds, "seeds", 5, "number of seeds, at most 100")
 	f.IntVar(&set.Dispatchers, "dispatchers", 16, "dispatchers, at most 200")
 	f.IntVar(&set.Runners, "runners", 2000, "runners, at most 20000")
-	f.Float64Var(&set.Retired, "retired", 0.05, "share of the stored list that is gone")
-	f.Float64Var(&set.Draining, "draining", 0.05, "share that drains")
-	f.DurationVar(&set.BootSpread, "boots", 10*time.Second, "runners come up within this")
+	f.Float64Var(&set.Retired, "retired", 0.05, "share of the stored list's runners that no longer exist")
+	f.Float64Var(&set.Draining, "draining", 0.05, "share of the stored list's runners that drain")
+	f.DurationVar(&set.BootSpread, "boots", 10*time.Second, "period over which the runners start")
 	f.Float64Var(&set.Rate, "rate", 1000, "jobs a second")
-	f.DurationVar(&set.Run, "run", 300*time.Millisecond, "mean time of a job on one core")
-	f.DurationVar(&set.Roster, "roster", 40*time.Second, "when the roster answers")
-	f.DurationVar(&set.Length, "length", 60*time.Second, "virtual time")
+	f.DurationVar(&set.Run, "run", 300*time.Millisecond, "mean run time of a job on one core")
+	f.DurationVar(&set.Roster, "roster", 40*time.Second, "time at which discovery is available again")
+	f.DurationVar(&set.Length, "length", 60*time.Second, "simulated time")
 	return cmd
 }
 
-// row writes the medians over seeds.
-func row(name string, all []*outage.Result) string {
+// formatRow formats a mode's table row with the medians over all seeds.
+func formatRow(name string, all []*outage.Result) string {
 	median := func(of func(*outage.Result) float64) float64 {
 		var values []float64
 		for _, r := range all {
--- a/cmd/frosttide-lab/publish.go
+++ b/cmd/frosttide-lab/publish.go
@@ -14,24 +14,24 @@
 	"frosttide/internal/testkit/lab/scale"
 )
 
-// publication says where a run's figures go.
-type publication struct{ commit, page, figures string }
+// publishFlags are the flags that say where the results of a run are written.
+type publishFlags struct{ commit, page, figures string }
 
-// flags names it on the command line.
-func (p *publication) flags(f *pflag.FlagSet) {
-	f.StringVar(&p.commit, "commit", "unnamed", "what the program was built from, for the page")
-	f.StringVar(&p.page, "page", "", "a page whose figures are written anew")
-	f.StringVar(&p.figures, "figures", "", "a folder for the figures as JSON")
+// register defines the flags.
+func (p *publishFlags) register(f *pflag.FlagSet) {
+	f.StringVar(&p.commit, "commit", "unnamed", "commit of the measured program, shown on the page")
+	f.StringVar(&p.page, "page", "", "page whose figures are updated")
+	f.StringVar(&p.figures, "figures", "", "folder for the results as JSON")
 }
 
-// where names a run on this machine.
-func (p *publication) where(seed uint64) scale.Where {
+// runInfo returns the description of a run on this machine.
+func (p *publishFlags) runInfo(seed uint64) scale.Where {
 	return scale.Where{Commit: p.commit, Machine: fmt.Sprintf("%d cores of %s", runtime.NumCPU(), runtime.GOARCH), Seed: seed}
 }
 
-// write puts figures into the folder and the page, or without a page to a writer as put makes them of
-// an empty one. Nothing is left half written.
-func (p *publication) write(out io.Writer, name string, figures any, empty string, put func(page string) (string, error)) error {
+// write writes the results as JSON into the folder and updates the page with put. Without a page it
+// applies put to the empty page and writes that to out. Files are replaced atomically.
+func (p *publishFlags) write(out io.Writer, name string, figures any, empty string, put func(page string) (string, error)) error {
 	if p.figures != "" {
 		text, err := json.MarshalIndent(figures, "", " ")
 		if err != nil {
--- a/cmd/frosttide-lab/replication.go
+++ b/cmd/frosttide-lab/replication.go
@@ -20,6 +20,7 @@
 	"frosttide/internal/testkit/lab/spread"
 )
 
+// replicationCommand returns the command that measures the cost and latency of replication.
 func replicationCommand() *cobra.Command {
 	var binary string
 	var length time.Duration
@@ -28,33 +29,33 @@
 	var plots string
 	cmd := &cobra.Command{
 		Use:   "replication",
-		Short: "Measure what dispatchers that know each other cost and how soon they know",
-		Long: `replication measures writes to the log, elections, how soon a drain is known by all, and
-what a job costs with the others and without.`,
+		Short: "Measure the cost and latency of replication in a cluster of dispatchers",
+		Long: `replication measures writes to the log, elections, the time until all members know of a
+drain, and the cost of a job with and without a cluster.`,
 		Example: `  frosttide-lab replication --binary /tmp/frosttide --what writes,elections,cost,spread`,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if length <= 0 || length > time.Minute || times < 1 || times > 100 {
-				return errors.New("length or times are out of their range")
+				return errors.New("--length or --times is out of range")
 			}
 			program := func(args ...string) *exec.Cmd {
 				c := exec.Command(binary, args...)
 				c.Env = []string{"FROSTTIDE_LOG_LEVEL=warn"}
 				return c
 			}
-			do := map[string]func(io.Writer) error{
-				"writes":    func(w io.Writer) error { return writes(w, program, length) },
-				"elections": func(w io.Writer) error { return elections(w, program, times) },
-				"cost":      func(w io.Writer) error { return costs(w, program, times, length) },
-				"spread":    func(w io.Writer) error { return spreads(w, sizes, times) },
-				"catchup":   catchUps,
+			experiments := map[string]func(io.Writer) error{
+				"writes":    func(w io.Writer) error { return measureWrites(w, program, length) },
+				"elections": func(w io.Writer) error { return measureElections(w, program, times) },
+				"cost":      func(w io.Writer) error { return measureCosts(w, program, times, length) },
+				"spread":    func(w io.Writer) error { return measureSpread(w, sizes, times) },
+				"catchup":   measureCatchUp,
 			}
 			for _, name := range what {
-				if do[name] == nil {
+				if experiments[name] == nil {
 					return fmt.Errorf("--what: there is no %q", name)
 				}
 				w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 				var table strings.Builder
-				if err := do[name](io.MultiWriter(w, &table)); err != nil {
+				if err := experiments[name](io.MultiWriter(w, &table)); err != nil {
 					return fmt.Errorf("%s: %w", name, err)
 				}
 				w.Flush()
@@ -70,29 +71,30 @@
 	}
 	f := cmd.Flags()
 	f.StringVar(&binary, "binary", "frosttide", "the program")
-	f.DurationVar(&length, "length", 3*time.Second, "of each load, at most 1m")
-	f.IntVar(&times, "times", 10, "elections, rounds and drains, at most 100")
-	f.StringSliceVar(&what, "what", []string{"writes", "elections", "cost", "spread", "catchup"}, "what is measured")
-	f.StringVar(&plots, "plots", "", "a folder for a plot of each as SVG; none without")
-	f.StringSliceVar(&sizes, "sizes", []string{"5", "15", "50", "300"}, "members, for spread")
+	f.DurationVar(&length, "length", 3*time.Second, "duration of each load, at most 1m")
+	f.IntVar(&times, "times", 10, "number of elections, rounds and drains, at most 100")
+	f.StringSliceVar(&what, "what", []string{"writes", "elections", "cost", "spread", "catchup"}, "experiments to run")
+	f.StringVar(&plots, "plots", "", "folder for an SVG plot of each experiment; no plots if empty")
+	f.StringSliceVar(&sizes, "sizes", []string{"5", "15", "50", "300"}, "cluster sizes for spread")
 	return cmd
 }
 
-// in runs something in a folder of its own.
-func in(do func(dir string) error) error {
+// withTempDir calls f with a temporary folder and removes the folder afterwards.
+func withTempDir(f func(dir string) error) error {
 	dir, err := os.MkdirTemp("", "frosttide-lab-")
 	if err != nil {
 		return err
 	}
 	defer os.RemoveAll(dir)
-	return do(dir)
+	return f(dir)
 }
 
-func writes(w io.Writer, program faults.Program, length time.Duration) error {
+// measureWrites prints the rate and latency of writes to the replicated log.
+func measureWrites(w io.Writer, program faults.Program, length time.Duration) error {
 	fmt.Fprintln(w, "voters\toperators\twrites/s\tp50 ms\tp99 ms\tnot written")
 	for _, voters := range []int{3, 5} {
 		for _, operators := range []int{1, 16} {
-			err := in(func(dir string) error {
+			err := withTempDir(func(dir string) error {
 				got, err := faults.MeasureWrites(program, dir, voters, operators, length)
 				if err == nil {
 					fmt.Fprintf(w, "%d\t%d\t%.0f\t%.2f\t%.2f\t%d\n", voters, operators, got.Rate, float64(got.Times.ValueAtQuantile(50))/1000,
@@ -108,11 +110,13 @@
 	return nil
 }
 
-func elections(w io.Writer, program faults.Program, times int) error {
+// measureElections prints the time until the log accepts writes again after its leader was killed
+// or stalled.
+func measureElections(w io.Writer, program faults.Program, times int) error {
 	fmt.Fprintln(w, "voters\tthe leader\tuntil written again, median s\tleast\tmost")
 	for _, voters := range []int{3, 5} {
 		for name, sig := range map[string]syscall.Signal{"killed": syscall.SIGKILL, "stalled": syscall.SIGSTOP} {
-			err := in(func(dir string) error {
+			err := withTempDir(func(dir string) error {
 				got, err := faults.MeasureElections(program, dir, voters, times, sig)
 				if err == nil {
 					slices.Sort(got)
@@ -128,7 +132,9 @@
 	return nil
 }
 
-func costs(w io.Writer, program faults.Program, times int, length time.Duration) error {
+// measureCosts prints the CPU time per job and the latencies with and without a cluster, measured
+// in pairs of runs.
+func measureCosts(w io.Writer, program faults.Program, times int, length time.Duration) error {
 	fmt.Fprintln(w, "3 members, 200 jobs/s each\tCPU µs/job alone\twith others\tratio, 95% interval\tp50 ms alone\twith\tp99 ms alone\twith\tserved alone\twith")
 	for _, class := range []string{"render", "release"} {
 		var ratios []float64
@@ -136,8 +142,8 @@
 		for round := range times {
 			var both [2]*faults.Cost
 			for k := range both {
-				i := (k + round) % 2 // in a changing order
-				err := in(func(dir string) (err error) {
+				i := (k + round) % 2 // alternate the order, so that drift affects both alike
+				err := withTempDir(func(dir string) (err error) {
 					both[i], err = faults.MeasureCost(program, dir, 3, i == 0, class, 200, length, uint64(round+1))
 					return err
 				})
@@ -158,14 +164,15 @@
 	return nil
 }
 
-func spreads(w io.Writer, sizes []string, times int) error {
+// measureSpread prints how fast clusters of several sizes form and spread information.
+func measureSpread(w io.Writer, sizes []string, times int) error {
 	fmt.Fprintln(w, "members\tall see all after s\ta drain is known by all after ms, median\tmost\tbytes/s a member, idle\t2,000 runners at a new member after s")
 	for _, size := range sizes {
 		var n int
 		if _, err := fmt.Sscan(size, &n); err != nil || n < 2 || n > 400 {
 			return fmt.Errorf("--sizes: %q is not from 2 to 400", size)
 		}
-		err := in(func(dir string) error {
+		err := withTempDir(func(dir string) error {
 			got, err := spread.Run(n, 2000, times, dir)
 			if err == nil {
 				k := got.Known
@@ -180,10 +187,11 @@
 	return nil
 }
 
-func catchUps(w io.Writer) error {
+// measureCatchUp prints the time in which a new member receives the replicated state.
+func measureCatchUp(w io.Writer) error {
 	fmt.Fprintln(w, "runners\tkeys\ta new member has all after s")
 	for _, n := range [][2]int{{2000, 0}, {2000, 10_000}, {2000, 100_000}} {
-		err := in(func(dir string) error {
+		err := withTempDir(func(dir string) error {
 			got, err := spread.CatchUp(n[0], n[1], dir)
 			if err == nil {
 				fmt.Fprintf(w, "%d\t%d\t%.2f\n", n[0], n[1], got.Seconds())
--- a/cmd/frosttide-lab/scale.go
+++ b/cmd/frosttide-lab/scale.go
@@ -16,23 +16,24 @@
 	"frosttide/internal/testkit/lab/scale"
 )
 
-// scaleCommand measures how a dispatcher's needs grow, and writes the capacity page's figures.
+// scaleCommand returns the command that measures how the resource usage of a role grows with the
+// fleet, and updates the figures of the capacity page.
 func scaleCommand() *cobra.Command {
 	var role string
 	var axes []string
 	var seconds float64
-	to, plan := publication{}, scale.Plan{}
-	c := &cobra.Command{Use: "scale", Short: "Measure how a role's needs grow with the fleet", Args: cobra.NoArgs,
+	publish, plan := publishFlags{}, scale.Plan{}
+	c := &cobra.Command{Use: "scale", Short: "Measure how a role's resource usage grows with the fleet", Args: cobra.NoArgs,
 		Example: `  frosttide-lab scale --binary bin/frosttide --commit $(git rev-parse --short HEAD) --page docs/capacity/dispatcher.md --figures docs/capacity`}
 	f := c.Flags()
 	f.StringVar(&plan.Binary, "binary", "bin/frosttide", "the program")
-	f.StringVar(&role, "role", string(scale.Dispatcher), "what is measured: dispatcher, member, leader")
-	f.StringSliceVar(&axes, "axes", nil, "workers, starts, running, changes; of members changes, members, writes; all without")
-	f.Float64Var(&seconds, "seconds", 8, "length of each point")
+	f.StringVar(&role, "role", string(scale.Dispatcher), "role to measure: dispatcher, member or leader")
+	f.StringSliceVar(&axes, "axes", nil, "axes to vary: workers, starts, running, changes; for members: changes, members, writes; all axes if empty")
+	f.Float64Var(&seconds, "seconds", 8, "duration of each point, in seconds")
 	f.IntVar(&plan.Repeats, "repeats", 3, "runs of each point")
-	f.IntVar(&plan.AtOnce, "at-once", 4, "points that are played at the same time; one of members")
+	f.IntVar(&plan.AtOnce, "at-once", 4, "points that are measured concurrently; 1 by default for members and leaders")
 	f.Uint64Var(&plan.Seed, "seed", 1, "seed of the first repeat's load")
-	to.flags(f)
+	publish.register(f)
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt)
 		defer stop()
@@ -49,20 +50,20 @@
 			return err
 		}
 		lines := scale.Fit(plan.Role, points)
-		at := to.where(plan.Seed)
+		at := publish.runInfo(plan.Seed)
 		at.Role, at.Repeats, at.Seconds = plan.Role, plan.Repeats, seconds
-		if to.figures != "" {
-			if err := drawLines(to.figures, points, lines, plan.Role); err != nil {
+		if publish.figures != "" {
+			if err := drawLines(publish.figures, points, lines, plan.Role); err != nil {
 				return err
 			}
 		}
-		return to.write(c.OutOrStdout(), role, map[string]any{"run": at, "points": points, "lines": lines}, scale.EmptyPage(plan.Role),
+		return publish.write(c.OutOrStdout(), role, map[string]any{"run": at, "points": points, "lines": lines}, scale.EmptyPage(plan.Role),
 			func(page string) (string, error) { return scale.Put(page, points, lines, at) })
 	}
 	return c
 }
 
-// drawLines draws a plot of each need by each axis into a folder.
+// drawLines plots each fitted line (a quantity by an axis) into an SVG file in a folder.
 func drawLines(dir string, points []scale.Point, lines []scale.Line, r scale.Role) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// drawLine draws the points of a need along an axis and the line through them.
+// drawLine plots the measured points of a quantity along an axis and the line fitted to them.
 func drawLine(path string, points []scale.Point, l scale.Line) error {
 	p := plot.New()
 	p.X.Label.Text, p.Y.Label.Text = string(l.Axis), l.Quantity
--- a/cmd/frosttide-lab/size.go
+++ b/cmd/frosttide-lab/size.go
@@ -17,21 +17,22 @@
 	"frosttide/internal/testkit/lab/size"
 )
 
-// sizeCommand measures what a dispatcher needs by the number of workers.
+// sizeCommand returns the command that measures a dispatcher's resource usage by the number of
+// workers.
 func sizeCommand() *cobra.Command {
 	var binary, workers, out string
 	var seconds float64
 	var repeats int
 	plan := size.Plan{Work: size.ShortWork}
-	c := &cobra.Command{Use: "size", Short: "Measure what a dispatcher needs as the number of workers grows", Args: cobra.NoArgs}
+	c := &cobra.Command{Use: "size", Short: "Measure a dispatcher's resource usage as the number of workers grows", Args: cobra.NoArgs}
 	c.Flags().StringVar(&binary, "binary", "bin/frosttide", "the program")
-	c.Flags().StringVar(&workers, "workers", "200,800,3200", "numbers of workers")
-	c.Flags().IntVar(&plan.Dispatchers, "dispatchers", 300, "dispatchers that the settings tell of")
+	c.Flags().StringVar(&workers, "workers", "200,800,3200", "numbers of workers, separated by commas")
+	c.Flags().IntVar(&plan.Dispatchers, "dispatchers", 300, "number of dispatchers in the settings")
 	c.Flags().Float64Var(&plan.Rate, "rate", 4, "jobs a second")
-	c.Flags().Float64Var(&seconds, "seconds", 20, "length of a run")
-	c.Flags().IntVar(&repeats, "repeats", 3, "runs of each number")
+	c.Flags().Float64Var(&seconds, "seconds", 20, "duration of a run, in seconds")
+	c.Flags().IntVar(&repeats, "repeats", 3, "runs for each number of workers")
 	c.Flags().Uint64Var(&plan.Seed, "seed", 1, "seed of the load")
-	c.Flags().StringVar(&out, "json", "", "file for the figures")
+	c.Flags().StringVar(&out, "json", "", "file for the results as JSON")
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt)
 		defer stop()
@@ -40,7 +41,7 @@
 		for text := range strings.SplitSeq(workers, ",") {
 			n, err := strconv.Atoi(text)
 			if err != nil {
-				return fmt.Errorf("workers: %q is no number", text)
+				return fmt.Errorf("--workers: %q is not a number", text)
 			}
 			plan.Workers, plan.Changes = n, float64(n)/100
 			if err := plan.Check(); err != nil {
@@ -50,7 +51,7 @@
 		}
 		fmt.Fprintf(c.OutOrStdout(), "seed %d, %g jobs/s, %d dispatchers told of\n", plan.Seed, plan.Rate, plan.Dispatchers)
 		var needs []size.Need
-		for range repeats { // in turn, so that a machine that changes its pace does so for all
+		for range repeats { // interleaved, so that drift of the machine's speed affects all alike
 			for _, p := range plans {
 				n, err := size.Run(ctx, p)
 				if err != nil {
@@ -73,7 +74,7 @@
 	return c
 }
 
-// printNeeds prints the medians of each number of workers.
+// printNeeds prints the medians for each number of workers.
 func printNeeds(c *cobra.Command, plans []size.Plan, needs []size.Need) error {
 	w := tabwriter.NewWriter(c.OutOrStdout(), 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "workers\tCPU s\tstart CPU s\tpeak MiB\tdescriptors\tconnections\tlist KB\tserved")
--- a/cmd/frosttide-lab/telemetry.go
+++ b/cmd/frosttide-lab/telemetry.go
@@ -19,8 +19,9 @@
 	"frosttide/internal/testkit/standin/collector"
 )
 
-// telemetry compares runs with a collector to runs without, in pairs.
-type telemetry struct {
+// telemetryExperiment measures the overhead of telemetry: it compares runs in several modes, once
+// per round each, with runs in the first mode.
+type telemetryExperiment struct {
 	binary, other string
 	pairs         int
 	rate          float64
@@ -28,54 +29,57 @@
 	modes         []string
 }
 
-// The modes of a run; every other is compared to the first.
+// Modes of a run. The first one of the --modes flag is the baseline.
 const (
-	modeOff     = "off"
+	modeOff     = "off"     // without telemetry
 	modeOther   = "other"   // the binary of --other, without telemetry
-	modeGood    = "good"    // everything is kept and a collector takes it
-	modeSampled = "sampled" // 1% is kept
+	modeGood    = "good"    // all traces are exported to a working collector
+	modeSampled = "sampled" // 1% of the traces are exported
 	modeKilled  = "killed"  // the collector is killed halfway
-	modeHanging = "hanging" // the collector takes calls and never answers
+	modeHanging = "hanging" // the collector accepts calls and never responds
 )
 
+// telemetryCommand returns the command that measures the overhead of telemetry.
 func telemetryCommand() *cobra.Command {
-	e := &telemetry{}
+	e := &telemetryExperiment{}
 	cmd := &cobra.Command{
 		Use:   "telemetry",
-		Short: "Compare service, latency and CPU with collectors good, killed and hanging",
-		Long: `telemetry runs the program in rounds, each mode once a round in a changing order, under
-the same load, and prints the ratios to the mode off with 95% intervals of the median.`,
+		Short: "Compare service level, latency and CPU with working, killed and hanging collectors",
+		Long: `telemetry runs the program in rounds, each mode once a round in rotating order, under the
+same load, and prints the ratios to the first mode with 95% confidence intervals of the median.`,
 		Example: `  frosttide-lab telemetry --binary bin/frosttide --rounds 20`,
 		RunE:    func(cmd *cobra.Command, _ []string) error { return e.run(cmd.Context(), cmd.OutOrStdout()) },
 	}
 	f := cmd.Flags()
 	f.StringVar(&e.binary, "binary", "bin/frosttide", "the program")
-	f.StringVar(&e.other, "other", "", "another build of it, for the mode other")
+	f.StringVar(&e.other, "other", "", "another build of the program, for the mode other")
 	f.IntVar(&e.pairs, "rounds", 20, "rounds, at most 200")
 	f.Float64Var(&e.rate, "rate", 300, "jobs a second, at most 5000")
-	f.DurationVar(&e.length, "length", 2*time.Second, "counted time of a run, at most 1m")
-	f.StringSliceVar(&e.modes, "modes", []string{modeOff, modeGood, modeSampled, modeKilled, modeHanging}, "modes, the first is compared to")
+	f.DurationVar(&e.length, "length", 2*time.Second, "measured time of a run, at most 1m")
+	f.StringSliceVar(&e.modes, "modes", []string{modeOff, modeGood, modeSampled, modeKilled, modeHanging}, "modes to run; the first is the baseline")
 	return cmd
 }
 
-// run is one run's figures.
-type run struct {
+// runMetrics holds the results of one run: the service level, latencies in milliseconds, CPU time
+// per job in microseconds, and resident memory in KiB.
+type runMetrics struct {
 	service, p50, p99, cpu float64
 	memory                 float64
 }
 
-func (e *telemetry) run(ctx context.Context, out io.Writer) error {
+// run executes all rounds and prints the results.
+func (e *telemetryExperiment) run(ctx context.Context, out io.Writer) error {
 	if e.pairs < 1 || e.pairs > 200 || e.rate <= 0 || e.rate > 5000 || e.length <= 0 || e.length > time.Minute || len(e.modes) < 2 {
-		return errors.New("rounds, rate, length or modes are out of their range")
+		return errors.New("--rounds, --rate, --length or --modes is out of range")
 	}
 	if ctx == nil {
 		ctx = context.Background()
 	}
-	all := map[string][]run{}
+	all := map[string][]runMetrics{}
 	for round := range e.pairs {
 		for i := range e.modes {
 			mode := e.modes[(i+round)%len(e.modes)]
-			r, err := e.once(ctx, mode, uint64(round+1))
+			r, err := e.runOnce(ctx, mode, uint64(round+1))
 			if err != nil {
 				return fmt.Errorf("round %d, %s: %w", round+1, mode, err)
 			}
@@ -85,12 +89,13 @@
 	return e.write(out, all)
 }
 
-func (e *telemetry) write(out io.Writer, all map[string][]run) error {
+// write prints a table with the medians of each mode and its ratios to the baseline.
+func (e *telemetryExperiment) write(out io.Writer, all map[string][]runMetrics) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "%d rounds of %s at %g jobs/s; medians, and ratios to %s with 95%% intervals\n", e.pairs, e.length, e.rate, e.modes[0])
 	fmt.Fprintln(w, "mode\tservice\tp50 ms\tp99 ms\tCPU µs/job\tRSS KiB\tservice ratio\tp50 ratio\tp99 ratio\tCPU ratio")
-	figures := []func(run) float64{func(r run) float64 { return r.service }, func(r run) float64 { return r.p50 },
-		func(r run) float64 { return r.p99 }, func(r run) float64 { return r.cpu }, func(r run) float64 { return r.memory }}
+	figures := []func(runMetrics) float64{func(r runMetrics) float64 { return r.service }, func(r runMetrics) float64 { return r.p50 },
+		func(r runMetrics) float64 { return r.p99 }, func(r runMetrics) float64 { return r.cpu }, func(r runMetrics) float64 { return r.memory }}
 	for _, mode := range e.modes {
 		fmt.Fprintf(w, "%s", mode)
 		for _, f := range figures {
@@ -117,6 +122,7 @@
 	return w.Flush()
 }
 
+// Addresses on loopback, run time of a job, and warm-up time before a measurement.
 const (
 	labDispatcher = "127.0.0.1:18081"
 	labDiscovery  = "127.0.0.1:18500"
@@ -126,7 +132,7 @@
 
 var labRunners = []string{"127.0.0.1:19101", "127.0.0.1:19102", "127.0.0.1:19103", "127.0.0.1:19104"}
 
-// labPlatform is in the platform's form, so that older builds take it too.
+// labPlatform is the configuration in the platform's JSON format, which older builds accept too.
 const labPlatform = `{"name":"lab","listen":"` + labDispatcher + `","discovery":"` + labDiscovery + `","known":{"rev":0,"all":true,"targets":[]},
 "settings":{"balancers":1,"me":0,"zone":0,"zones":["studio"],"kinds":["toy"],"discovery":"on_request","weights":"none",
 "request-classes":[{"name":"preview-cut","effect":"safe","aim":2000000,"give-up":5000000,"worth":1}],
@@ -134,8 +140,8 @@
 "second-copies":false,"send-cap":4,"probing":false},"report":{"source":"none"},"family-info":{"tells-start":true},
 "rules":{"ask-within":100000,"drain-grace":500000,"cold-from":1,"warm-within":0,"fall-multiple":1,"fall":1000000}}}`
 
-// once runs the program once.
-func (e *telemetry) once(ctx context.Context, mode string, seed uint64) (r run, err error) {
+// runOnce runs the program once in a mode, under a load generated from a seed.
+func (e *telemetryExperiment) runOnce(ctx context.Context, mode string, seed uint64) (r runMetrics, err error) {
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	fleet, err := fakefleet.Start(labDiscovery, labDispatcher, labRunners, labWork, quiet)
@@ -153,25 +159,25 @@
 		return r, err
 	}
 	env, binary := []string{"BALANCER_CONFIG=" + path, "TMPDIR=" + dir, "FROSTTIDE_LOG_LEVEL=warn"}, e.binary
-	var to *collector.Collector
+	var otlp *collector.Collector
 	switch mode {
 	case modeOff:
 	case modeOther:
 		binary = e.other
 	default:
-		if to, err = collector.Start("127.0.0.1:0", nil); err != nil {
+		if otlp, err = collector.Start("127.0.0.1:0", nil); err != nil {
 			return r, err
 		}
-		defer to.Kill()
-		env = append(env, "OTEL_EXPORTER_OTLP_ENDPOINT=http://"+to.Addr, "OTEL_BSP_SCHEDULE_DELAY=500", "OTEL_METRIC_EXPORT_INTERVAL=1000")
+		defer otlp.Kill()
+		env = append(env, "OTEL_EXPORTER_OTLP_ENDPOINT=http://"+otlp.Addr, "OTEL_BSP_SCHEDULE_DELAY=500", "OTEL_METRIC_EXPORT_INTERVAL=1000")
 	}
 	switch mode {
 	case modeSampled:
 		env = append(env, "OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0.01")
 	case modeHanging:
-		to.Script(collector.Fault{Hang: true})
+		otlp.Script(collector.Fault{Hang: true})
 	case modeKilled:
-		kill := time.AfterFunc(labWarm+e.length/2, to.Kill)
+		kill := time.AfterFunc(labWarm+e.length/2, otlp.Kill)
 		defer kill.Stop()
 	}
 	p, err := lab.Start(binary, nil, env)
@@ -193,12 +199,12 @@
 	if strings.Contains(text, "level=error") {
 		return r, errors.New(text)
 	}
-	if to != nil {
-		if err := to.Broken(); err != nil {
-			return r, fmt.Errorf("rules of OTLP are broken: %w", err)
+	if otlp != nil {
+		if err := otlp.Broken(); err != nil {
+			return r, fmt.Errorf("the exporter violated the OTLP protocol: %w", err)
 		}
 	}
 	jobs := float64(max(got.Sent, 1)) * float64(labWarm+e.length) / float64(e.length)
-	return run{service: got.Service(), p50: got.Quantile(50).Seconds() * 1000, p99: got.Quantile(99).Seconds() * 1000,
+	return runMetrics{service: got.Service(), p50: got.Quantile(50).Seconds() * 1000, p99: got.Quantile(99).Seconds() * 1000,
 		cpu: float64(cpu.Microseconds()) / jobs, memory: float64(memory)}, nil
 }
--- a/cmd/frosttide-lab/urgent.go
+++ b/cmd/frosttide-lab/urgent.go
@@ -12,18 +12,19 @@
 	"frosttide/internal/testkit/lab/size"
 )
 
-// urgentCommand measures how long urgent work waits for its start beside other work.
+// urgentCommand returns the command that measures how long urgent jobs wait for their start while
+// other jobs run.
 func urgentCommand() *cobra.Command {
 	var seconds float64
-	to, plan := publication{}, size.UrgentPlan{}
-	c := &cobra.Command{Use: "urgent", Short: "Measure how long urgent work waits for its start, in calm, near capacity and under a fault", Args: cobra.NoArgs,
+	publish, plan := publishFlags{}, size.UrgentPlan{}
+	c := &cobra.Command{Use: "urgent", Short: "Measure how long urgent jobs wait for their start: at low load, near capacity and under a fault", Args: cobra.NoArgs,
 		Example: `  frosttide-lab urgent --commit $(git rev-parse --short HEAD) --page docs/capacity/dispatcher.md --figures docs/capacity`}
 	f := c.Flags()
 	f.StringVar(&plan.Binary, "binary", "bin/frosttide", "the program")
-	f.IntVar(&plan.Workers, "workers", 40, "hollow workers that hold one job each")
+	f.IntVar(&plan.Workers, "workers", 40, "simulated workers with one slot each")
 	f.Float64Var(&seconds, "seconds", 25, "length of each run")
-	f.Uint64Var(&plan.Seed, "seed", 1, "seed of the other work's arrivals")
-	to.flags(f)
+	f.Uint64Var(&plan.Seed, "seed", 1, "seed of the other jobs' arrivals")
+	publish.register(f)
 	c.RunE = func(c *cobra.Command, _ []string) error {
 		ctx, stop := signal.NotifyContext(c.Context(), os.Interrupt)
 		defer stop()
@@ -39,9 +40,9 @@
 			}
 			found = append(found, u)
 		}
-		at := to.where(plan.Seed)
+		at := publish.runInfo(plan.Seed)
 		at.Seconds = seconds
-		return to.write(c.OutOrStdout(), "urgent", map[string]any{"run": at, "workers": plan.Workers, "urgent": found}, scale.EmptyUrgent,
+		return publish.write(c.OutOrStdout(), "urgent", map[string]any{"run": at, "workers": plan.Workers, "urgent": found}, scale.EmptyUrgent,
 			func(page string) (string, error) { return scale.PutUrgent(page, found, at) })
 	}
 	return c
