--- a/cmd/adapter/main_test.go
+++ b/cmd/adapter/main_test.go
@@ -156,9 +156,9 @@
 	}
 }
 
-// TestSpreadOverProcesses checks that instances share no state: the actions of an instance are the
+// TestInstancesShareNoState checks that instances share no state: the actions of an instance are the
 // same whether or not other instances run in the process.
-func TestSpreadOverProcesses(t *testing.T) {
+func TestInstancesShareNoState(t *testing.T) {
 	var together, alone []string
 	frames := func(instances ...uint16) (out [][]byte) {
 		start := [][]byte{census(0, 50, 51, 52, 53)}
