--- a/cmd/frosttide/begin_test.go
+++ b/cmd/frosttide/begin_test.go
@@ -17,17 +17,18 @@
 	"time"
 )
 
-// blockedDials has the program's dials to runners wait until the test lets them go.
+// blockedDials makes the program's dials to runners wait until the test releases them.
 type blockedDials struct {
 	t    *testing.T
-	path string
+	path string // dials wait while this file exists
 }
 
-// blockDials returns it, and the edit that a dispatcher is started with. Dials may take long there.
+// blockDials returns a blockedDials and the edit that connects a dispatcher to it. The edit raises
+// the connect timeout from 0.25 s to 10 s, so that a blocked dial does not time out.
 func blockDials(t *testing.T) (*blockedDials, func(*dispatcher)) {
-	h := &blockedDials{t: t, path: filepath.Join(t.TempDir(), "dials")}
-	return h, func(d *dispatcher) {
-		d.cmd.Env = append(d.cmd.Env, envBlockedDials+"="+h.path)
+	b := &blockedDials{t: t, path: filepath.Join(t.TempDir(), "dials")}
+	return b, func(d *dispatcher) {
+		d.cmd.Env = append(d.cmd.Env, envBlockedDials+"="+b.path)
 		d.cfg = strings.Replace(d.cfg, `"connect-timeout":250000`, `"connect-timeout":10000000`, 1)
 		text, err := os.ReadFile(d.path)
 		if err == nil {
@@ -40,48 +41,48 @@
 	}
 }
 
-func (h *blockedDials) block() {
-	h.t.Helper()
-	if err := os.WriteFile(h.path, nil, 0o600); err != nil {
-		h.t.Fatal(err)
+func (b *blockedDials) block() {
+	b.t.Helper()
+	if err := os.WriteFile(b.path, nil, 0o600); err != nil {
+		b.t.Fatal(err)
 	}
 }
 
-// awaitDial waits until a dial waits.
-func (h *blockedDials) awaitDial() {
-	h.t.Helper()
-	for over := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		if _, err := os.Stat(h.path + waitingSuffix); err == nil {
+// awaitBlockedDial waits until the program has a dial that is blocked.
+func (b *blockedDials) awaitBlockedDial() {
+	b.t.Helper()
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		if _, err := os.Stat(b.path + waitingSuffix); err == nil {
 			return
 		}
-		if time.Now().After(over) {
-			h.t.Fatal("no dial waits")
+		if time.Now().After(deadline) {
+			b.t.Fatal("no blocked dial before the timeout")
 		}
 	}
 }
 
-func (h *blockedDials) release() {
-	h.t.Helper()
-	os.Remove(h.path + waitingSuffix)
-	if err := os.Remove(h.path); err != nil {
-		h.t.Fatal(err)
+func (b *blockedDials) release() {
+	b.t.Helper()
+	os.Remove(b.path + waitingSuffix)
+	if err := os.Remove(b.path); err != nil {
+		b.t.Fatal(err)
 	}
 }
 
-// withBootTime returns an entry with the start of its runner.
+// withBootTime returns a target entry with the boot time of its runner set.
 func withBootTime(entry string, boot time.Time) string {
 	return strings.Replace(entry, `"boot_ms":0`, fmt.Sprintf(`"boot_ms":%d`, boot.UnixMilli()), 1)
 }
 
-// TestLastGate guards the moment between the decision on an attempt and its first byte: what changes
-// while the connection comes up counts. The attempt never ran, so the job goes elsewhere, or nowhere
-// where nobody waits for it.
+// TestLastGate guards the interval between choosing a runner for an attempt and writing the first
+// byte: changes while the connection is being established must count. The attempt never ran, so the
+// job goes to another runner, or to none if its client has gone.
 func TestLastGate(t *testing.T) {
 	for _, tc := range []struct {
-		name      string
-		class     string
-		change    func(t *testing.T, d *dispatcher, w *watch, r *runner, client net.Conn)
-		elsewhere bool
+		name    string
+		class   string
+		change  func(t *testing.T, d *dispatcher, w *watch, r *runner, client net.Conn)
+		retried bool
 	}{
 		{"the runner drains", "once", func(t *testing.T, d *dispatcher, w *watch, r *runner, _ net.Conn) {
 			w.lines <- targetList(43, false, targetEntry(r.uid, r.addr, "DRAINING"))
@@ -97,7 +98,7 @@
 		}, true},
 		{"operators leave the runner out", "render", func(t *testing.T, d *dispatcher, _ *watch, r *runner, _ net.Conn) {
 			if status, text := d.callConsole("PUT", "/api/exclude", fmt.Sprintf(`{"host":%q}`, r.uid)); status != 200 {
-				t.Fatalf("exclude got %d %s", status, text)
+				t.Fatalf("exclude got status %d, body %q, want 200", status, text)
 			}
 		}, true},
 		{"the runner moves", "once", func(t *testing.T, d *dispatcher, w *watch, r *runner, _ net.Conn) {
@@ -122,48 +123,49 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			dials, held := blockDials(t)
+			dials, withBlockedDials := blockDials(t)
 			first, second := newRunner(t, "s-1"), newRunner(t, "s-2")
 			disc := newDiscovery(t)
-			d := startWith(t, disc.URL, 1024, []string{first.entry()}, held)
+			d := startWith(t, disc.URL, 1024, []string{first.entry()}, withBlockedDials)
 			w := await(t, disc.watches, "watch")
 			dials.block()
 			client := d.dialAndWrite("")
 			if err := d.jobRequest(tc.class, "crossing").Write(client); err != nil {
 				t.Fatal(err)
 			}
-			dials.awaitDial()
+			dials.awaitBlockedDial()
 			w.lines <- targetList(42, false, second.entry())
 			d.awaitLog("target=s-2")
 			tc.change(t, d, w, first, client)
-			if !tc.elsewhere {
-				awaitEnd(t, client.LocalAddr().String(), d.addr)
+			if !tc.retried {
+				awaitConnectionEnd(t, client.LocalAddr().String(), d.addr)
 			}
 			dials.release()
-			if tc.elsewhere {
-				// An attempt that has begun would not be followed by another: the first is out yet.
+			if tc.retried {
+				// Had the first attempt begun, it would still be pending and no second one would
+				// follow.
 				if h := await(t, second.requests, "attempt at the other runner"); h.id() != "crossing" || len(first.requests) > 0 {
-					t.Errorf("the other runner got %q, the first %d attempts", h.id(), len(first.requests))
+					t.Errorf("the second runner got job %q, want crossing; the first got %d requests, want none", h.id(), len(first.requests))
 				}
 				return
 			}
-			// What the first runner gets from here on comes behind what it was not to get.
+			// A request of the canceled job would reach the first runner before this one.
 			w.lines <- targetList(44, false, targetEntry(second.uid, second.addr, "DELETED"))
 			d.awaitLog("egress target gone")
 			submit(d.jobRequest("render", "later"))
 			if h := await(t, first.requests, "attempt"); h.id() != "later" {
-				t.Errorf("the runner got %q", h.id())
+				t.Errorf("the runner got job %q, want later", h.id())
 			}
 		})
 	}
 }
 
-// awaitEnd waits until the system has told a socket that its peer has ended the connection: it is no
-// longer established there.
-func awaitEnd(t *testing.T, peer, local string) {
+// awaitConnectionEnd waits until the kernel has told the socket at local that its peer has closed
+// the connection: the socket is no longer in the state ESTABLISHED (01) in /proc/net/tcp.
+func awaitConnectionEnd(t *testing.T, peer, local string) {
 	t.Helper()
 	line := procAddr(t, local) + " " + procAddr(t, peer) + " 01 "
-	for over := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		table, err := os.ReadFile("/proc/net/tcp")
 		if err != nil {
 			t.Fatal(err)
@@ -171,13 +173,13 @@
 		if !strings.Contains(string(table), line) {
 			return
 		}
-		if time.Now().After(over) {
-			t.Fatal("the end of the connection does not arrive")
+		if time.Now().After(deadline) {
+			t.Fatal("the connection is still established after the timeout")
 		}
 	}
 }
 
-// procAddr writes an IPv4 address as /proc/net/tcp does.
+// procAddr formats an IPv4 address and port as /proc/net/tcp does.
 func procAddr(t *testing.T, addr string) string {
 	t.Helper()
 	a, err := netip.ParseAddrPort(addr)
@@ -188,35 +190,35 @@
 	return fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], a.Port())
 }
 
-// TestToldTime guards the time that an attempt states to its runner: it is what is left to the client
-// once there is a connection, not what was left when the attempt was decided on.
+// TestToldTime guards the deadline that an attempt announces to its runner: the client's remaining
+// time when the connection is established, not when the runner was chosen.
 func TestToldTime(t *testing.T) {
 	t.Parallel()
-	dials, held := blockDials(t)
+	dials, withBlockedDials := blockDials(t)
 	r := newRunner(t, "s-1")
-	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, held)
+	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withBlockedDials)
 	dials.block()
 	sent := time.Now()
 	submit(d.jobRequest("render", "late"))
-	dials.awaitDial()
-	for time.Since(sent) < 400*time.Millisecond { // the time that passes is what the test is about
+	dials.awaitBlockedDial()
+	for time.Since(sent) < 400*time.Millisecond { // the elapsed time itself is under test
 		time.Sleep(time.Millisecond)
 	}
 	released := time.Since(sent)
 	dials.release()
 	h := await(t, r.requests, "attempt")
-	told, err := strconv.Atoi(h.Header.Get("X-Expires-In-Ms"))
+	announced, err := strconv.Atoi(h.Header.Get("X-Expires-In-Ms"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if left := 15*time.Second - released; time.Duration(told)*time.Millisecond > left {
-		t.Errorf("the runner was told %d ms, %v were left", told, left)
+	if left := 15*time.Second - released; time.Duration(announced)*time.Millisecond > left {
+		t.Errorf("the runner was told %d ms, but only %v remained", announced, left)
 	}
 }
 
-// TestSpoiltConnection guards a kept connection that holds an answer nobody asked for: the next job
-// does not take it as its own, and has not begun there, so that one which must not run twice is
-// served by another connection.
+// TestSpoiltConnection guards a kept connection that holds an unsolicited response: the next job
+// must not take that as its own response, and must not count as begun on this connection. So even a
+// job that must not run twice is served over another connection.
 func TestSpoiltConnection(t *testing.T) {
 	t.Parallel()
 	d, r := startWithRunner(t)
@@ -227,8 +229,8 @@
 		h.reply(202, "")
 		d.sendReport(jobEvent(id, r.uid, "started"))
 		d.sendReport(jobEvent(id, r.uid, "done"))
-		if a := await(t, got, "answer"); a.Status != 200 {
-			t.Fatalf("%s: answer %+v", id, a)
+		if a := await(t, got, "response"); a.Status != 200 {
+			t.Fatalf("%s: got response %+v, want status 200", id, a)
 		}
 		return h
 	}
@@ -244,73 +246,74 @@
 	o := await(t, r.requests, "attempt")
 	o.reply(202, "")
 	d.sendReport(jobEvent("next", r.uid, "done"))
-	if a := await(t, next, "answer"); a.Status != 200 {
-		t.Errorf("answer %+v", a)
+	if a := await(t, next, "response"); a.Status != 200 {
+		t.Errorf("got response %+v, want status 200", a)
 	}
 	select {
 	case o = <-r.requests:
-		t.Errorf("the runner got %s %q again", o.Method, o.id())
+		t.Errorf("the runner got a second request: %s of job %q", o.Method, o.id())
 	default:
 	}
 }
 
-// TestLateSecondAnswer guards a job that must not run twice against a second answer to the job
-// before it, which comes on its connection once it has been sent there: the runner may have it.
+// TestLateSecondAnswer guards a job that must not run twice against a second response to the job
+// before it, which arrives on the same connection after the job has been sent there: the runner may
+// have the job, so it is recalled and fails.
 func TestLateSecondAnswer(t *testing.T) {
 	t.Parallel()
 	d, r := startWithRunner(t)
-	for i := range 200 { // until one goes out right behind an answer on its connection
+	for i := range 200 { // until a job is sent right after a response on the same connection
 		before := submit(d.jobRequest("render", fmt.Sprintf("before-%d", i)))
 		b := await(t, r.requests, "attempt")
 		b.reply(202, "")
 		replied := time.Now()
 		next := submit(d.jobRequest("once", fmt.Sprintf("next-%d", i)))
 		n := await(t, r.requests, "attempt")
-		if behind := n.conn == b.conn && time.Since(replied) < 40*time.Millisecond; !behind {
+		if rightAfter := n.conn == b.conn && time.Since(replied) < 40*time.Millisecond; !rightAfter {
 			n.reply(202, "")
 			d.sendReport(jobEvent(n.id(), r.uid, "done"))
-			await(t, next, "answer")
+			await(t, next, "response")
 			d.sendReport(jobEvent(b.id(), r.uid, "done"))
-			await(t, before, "answer")
+			await(t, before, "response")
 			continue
 		}
-		n.reply(503, "X-Never-Ran: 1\r\n") // the job before's
-		n.reply(202, "")                   // its own
+		n.reply(503, "X-Never-Ran: 1\r\n") // second response to the previous job
+		n.reply(202, "")                   // response to this job
 		if h := await(t, r.requests, "recall"); h.Method != "DELETE" || h.RequestURI != "/jobs/"+n.id() {
-			t.Errorf("the runner got %s %s, want the recall of the job that it has", h.Method, h.RequestURI)
+			t.Errorf("the runner got %s %s, want the recall of the job", h.Method, h.RequestURI)
 		} else {
 			h.reply(204, "")
 		}
-		if a := await(t, next, "answer"); a.Status != 502 {
-			t.Errorf("answer %+v, want a failure, as the job may have run", a)
+		if a := await(t, next, "response"); a.Status != 502 {
+			t.Errorf("got response %+v, want status 502, as the job may have run", a)
 		}
 		return
 	}
-	t.Fatal("no job came by a connection right behind another's answer")
+	t.Fatal("no job was sent on a connection right after the response to another job")
 }
 
-// TestAcceptErrors guards the listener against what accept may say: none of it ends the program.
+// TestAcceptErrors guards the listener against errors of accept: none of them may end the program.
 func TestAcceptErrors(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "s-1")
-	var numbers []string
+	var errnos []string
 	for _, errno := range []syscall.Errno{syscall.ECONNABORTED, syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM,
 		syscall.EPROTO, syscall.ENETUNREACH, syscall.EHOSTUNREACH, syscall.EPERM, syscall.EINTR} {
-		numbers = append(numbers, strconv.Itoa(int(errno)))
+		errnos = append(errnos, strconv.Itoa(int(errno)))
 	}
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, func(d *dispatcher) {
-		d.cmd.Env = append(d.cmd.Env, envAccept+"="+strings.Join(numbers, ","))
+		d.cmd.Env = append(d.cmd.Env, envAccept+"="+strings.Join(errnos, ","))
 	})
 	got := submit(d.jobRequest("render", "x"))
 	await(t, r.requests, "attempt").reply(202, "")
 	d.sendReport(jobEvent("x", r.uid, "done"))
-	if a := await(t, got, "answer"); a.Status != 200 {
-		t.Errorf("answer %+v", a)
+	if a := await(t, got, "response"); a.Status != 200 {
+		t.Errorf("got response %+v, want status 200", a)
 	}
 }
 
-// TestDialErrors guards a dial against errors that pass: it is tried again, and the job is served by
-// the runner that it was meant for.
+// TestDialErrors guards against transient dial errors: the dial is retried, and the job is served
+// by the runner that it was meant for.
 func TestDialErrors(t *testing.T) {
 	t.Parallel()
 	for _, errno := range []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
@@ -324,15 +327,15 @@
 			got := submit(d.jobRequest("once", "x"))
 			await(t, r.requests, "attempt").reply(202, "")
 			d.sendReport(jobEvent("x", r.uid, "done"))
-			if a := await(t, got, "answer"); a.Status != 200 {
-				t.Errorf("answer %+v", a)
+			if a := await(t, got, "response"); a.Status != 200 {
+				t.Errorf("got response %+v, want status 200", a)
 			}
 		})
 	}
 }
 
-// TestFirstByte guards against a client that stops after the first byte of a request on a kept
-// connection: it is closed in time.
+// TestFirstByte guards against a client that stops after the first bytes of a request on a kept
+// connection: the dispatcher closes the connection in time.
 func TestFirstByte(t *testing.T) {
 	t.Parallel()
 	d, r := startWithRunner(t)
@@ -348,22 +351,22 @@
 			d.sendReport(jobEvent(h.id(), r.uid, "done"))
 			var first [12]byte
 			if _, err := io.ReadFull(c, first[:]); err != nil || string(first[9:]) != "200" {
-				t.Fatalf("answer %q, %v", first, err)
+				t.Fatalf("got status line %q, error %v, want status 200", first, err)
 			}
 			stopped := time.Now()
 			if _, err := io.WriteString(c, part); err != nil {
 				t.Fatal(err)
 			}
-			await(t, readResponse(c), "end of a request that stopped")
+			await(t, readResponse(c), "end of a connection with an incomplete request")
 			if took := time.Since(stopped); took > 3*time.Second {
-				t.Errorf("closed %v after its first byte", took)
+				t.Errorf("the connection was closed %v after the first byte, want at most 3 s", took)
 			}
 		})
 	}
 }
 
-// TestRecallGone guards jobs whose runner has left the list since it took them: they are recalled when
-// their clients leave.
+// TestRecallGone guards jobs whose runner has left the target list after it accepted them: they are
+// recalled there when their clients disconnect.
 func TestRecallGone(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "s-1")
@@ -378,14 +381,15 @@
 	d.sendReport(jobEvent("x", r.uid, "started"))
 	w.lines <- targetList(42, false, targetEntry(r.uid, r.addr, "DELETED"))
 	d.awaitLog("egress target gone")
-	d.sendReport(jobEvent("x", r.uid, "running")) // its target has ended by the time that this is answered, or soon
+	// The target has been removed when this report is answered, or shortly after.
+	d.sendReport(jobEvent("x", r.uid, "running"))
 	client.Close()
 	if h := await(t, r.requests, "recall"); h.Method != "DELETE" || h.RequestURI != "/jobs/x" {
-		t.Errorf("the runner got %s %s, want the recall", h.Method, h.RequestURI)
+		t.Errorf("the runner got %s %s, want DELETE /jobs/x", h.Method, h.RequestURI)
 	}
 }
 
-// TestEndlessAnswer guards a job against an answer whose body never ends: its status counts.
+// TestEndlessAnswer guards a job against a response whose body never ends: its status alone counts.
 func TestEndlessAnswer(t *testing.T) {
 	t.Parallel()
 	first, second := newRunner(t, "s-1"), newRunner(t, "s-2")
@@ -399,20 +403,20 @@
 	fmt.Fprint(h.conn, "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n")
 	await(t, second.requests, "attempt at the other runner").reply(202, "")
 	d.sendReport(jobEvent("x", second.uid, "done"))
-	if a := await(t, got, "answer"); a.Status != 200 {
-		t.Errorf("answer %+v", a)
+	if a := await(t, got, "response"); a.Status != 200 {
+		t.Errorf("got response %+v, want status 200", a)
 	}
 }
 
-// TestHalfReadAtTheEnd guards a request that is half read when the planned end closes connections: its
-// client gets an answer, while those that rest are ended.
+// TestHalfReadAtTheEnd guards a request that is half read when the shutdown closes connections: its
+// client gets a response, while idle connections are closed.
 func TestHalfReadAtTheEnd(t *testing.T) {
 	t.Parallel()
 	d, r := startWithRunner(t)
-	resting := d.dialAndWrite("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
-	in := bufio.NewReader(resting)
+	idle := d.dialAndWrite("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")
+	in := bufio.NewReader(idle)
 	if resp, err := http.ReadResponse(in, nil); err != nil || resp.StatusCode != 200 {
-		t.Fatalf("health: %+v, %v", resp, err)
+		t.Fatalf("health check: got response %+v, error %v, want status 200", resp, err)
 	}
 	var text bytes.Buffer
 	if err := d.jobRequest("render", "half").Write(&text); err != nil {
@@ -423,14 +427,14 @@
 		t.Fatal(err)
 	}
 	d.awaitLog("frosttide drains")
-	begun := time.Now()
+	drainBegan := time.Now()
 	c := d.dialAndWrite(text.String()[:half])
-	if _, err := in.ReadByte(); err == nil { // the connections that rest are ended now
-		t.Fatal("a resting connection has something to read")
+	if _, err := in.ReadByte(); err == nil { // idle connections are closed by now
+		t.Fatal("an idle connection still delivers data after the drain began")
 	}
 	_, err := c.Write(text.Bytes()[half:])
-	// On a machine so busy that the request has had its time by now it may have been ended for that.
-	slow := time.Since(begun) > 2500*time.Millisecond
+	// On a busy machine the request may have exceeded its read timeout and been aborted for that.
+	slow := time.Since(drainBegan) > 2500*time.Millisecond
 	if err != nil && !slow {
 		t.Fatal(err)
 	}
@@ -439,23 +443,23 @@
 	case h := <-r.requests:
 		h.reply(202, "")
 		d.sendReport(jobEvent("half", r.uid, "done"))
-		if a := await(t, got, "answer"); a.Err != nil {
-			t.Errorf("answer %+v", a)
+		if a := await(t, got, "response"); a.Err != nil {
+			t.Errorf("got response %+v, want no error", a)
 		}
 	case a := <-got:
 		if (a.Err != nil || a.Status != 503) && !slow {
-			t.Errorf("answer %+v, want the job served or refused", a)
+			t.Errorf("got response %+v, want the job served or refused with status 503", a)
 		}
 	case <-time.After(testTimeout):
-		t.Error("no answer")
+		t.Error("no response before the timeout")
 	}
-	if err := await(t, d.exited, "end"); err != nil {
-		t.Errorf("the program ended with %v", err)
+	if err := await(t, d.exited, "exit of the program"); err != nil {
+		t.Errorf("the program exited with %v, want success", err)
 	}
 }
 
-// TestCutRequests guards against messages that end anywhere before their last byte: no job is sent, and no
-// report counts.
+// TestCutRequests guards against requests that are cut off anywhere before their last byte: no job
+// is dispatched, and no report counts.
 func TestCutRequests(t *testing.T) {
 	t.Parallel()
 	d, r := startWithRunner(t)
@@ -474,21 +478,21 @@
 	}
 	later := submit(d.jobRequest("render", "later"))
 	if h := await(t, r.requests, "attempt"); h.id() != "later" {
-		t.Errorf("the runner got %q", h.id())
+		t.Errorf("the runner got job %q, want later", h.id())
 	} else {
 		h.reply(202, "")
 	}
 	select {
 	case a := <-open:
-		t.Errorf("a call-back that was cut counts: %+v", a)
+		t.Errorf("a truncated report counted: the job got response %+v", a)
 	default:
 	}
 	for _, id := range []string{"open", "later"} {
 		d.sendReport(jobEvent(id, r.uid, "done"))
 	}
 	for _, got := range []<-chan response{open, later} {
-		if a := await(t, got, "answer"); a.Status != 200 {
-			t.Errorf("answer %+v", a)
+		if a := await(t, got, "response"); a.Status != 200 {
+			t.Errorf("got response %+v, want status 200", a)
 		}
 	}
 }
--- a/cmd/frosttide/clock_test.go
+++ b/cmd/frosttide/clock_test.go
@@ -10,14 +10,14 @@
 	"time"
 )
 
-// TestClockSetAtUpgrade guards the deadlines of jobs that are handed to a newer process against a wall
-// clock that is set by an hour between the starts of the two, either way: a job with time left is
-// served there, and one whose time is over ends then.
+// TestClockSetAtUpgrade guards the deadlines of jobs that are handed over to a newer process while
+// the wall clock is set forward or back by an hour between the starts of the two: a job with time
+// left is served by the newer process, and one whose deadline has passed ends on time.
 func TestClockSetAtUpgrade(t *testing.T) {
 	t.Parallel()
 	const longTime, shortTime = 15 * time.Second, 3 * time.Second
-	for _, by := range []time.Duration{-time.Hour, time.Hour} {
-		t.Run(by.String(), func(t *testing.T) {
+	for _, shift := range []time.Duration{-time.Hour, time.Hour} {
+		t.Run(shift.String(), func(t *testing.T) {
 			t.Parallel()
 			r := newRunner(t, "s-1")
 			clock := filepath.Join(t.TempDir(), "clock")
@@ -26,29 +26,29 @@
 			served := submit(old.jobRequest("render", "long"))
 			await(t, r.requests, "attempt").reply(202, "")
 			began := time.Now()
-			ends := submit(old.jobRequest("render", "short", func(q *http.Request) {
+			expiring := submit(old.jobRequest("render", "short", func(q *http.Request) {
 				q.Header.Set("X-Expires-In-Ms", strconv.FormatInt(shortTime.Milliseconds(), 10))
 			}))
 			await(t, r.requests, "attempt").reply(202, "")
-			if err := os.WriteFile(clock, []byte(strconv.Itoa(int(by/time.Second))), 0o600); err != nil {
+			if err := os.WriteFile(clock, []byte(strconv.Itoa(int(shift/time.Second))), 0o600); err != nil {
 				t.Fatal(err)
 			}
 			next := old.startSuccessor()
 			if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
-			if err := await(t, old.exited, "end of the older process"); err != nil {
-				t.Errorf("the older process ended with %v", err)
+			if err := await(t, old.exited, "exit of the older process"); err != nil {
+				t.Errorf("the older process exited with %v, want success", err)
 			}
-			if time.Since(began) < longTime { // else the machine was too slow to show anything
+			if time.Since(began) < longTime { // else the machine was too slow for a verdict
 				next.sendReport(jobEvent("long", r.uid, "done"))
-				if a := await(t, served, "answer"); a.Status != 200 {
-					t.Errorf("answer %+v to a job that has time left", a)
+				if a := await(t, served, "response"); a.Status != 200 {
+					t.Errorf("got response %+v to a job that has time left, want status 200", a)
 				}
 			}
-			a := await(t, ends, "answer")
+			a := await(t, expiring, "response")
 			if took := time.Since(began); a.Err != nil || a.Status == 200 || took > shortTime+time.Second {
-				t.Errorf("answer %+v after %v to a job that had %v", a, took, shortTime)
+				t.Errorf("got response %+v after %v to a job with a deadline of %v, want a failure on time", a, took, shortTime)
 			}
 		})
 	}
