--- a/cmd/frosttide/connfault_test.go
+++ b/cmd/frosttide/connfault_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// connFault is what the next read or write of some connection meets, once. It lies in a file, which
-// goes when the fault has struck.
+// connFault is an error that the next read or write on any connection returns, once. It is stored
+// in a file that is removed when the fault is injected.
 type connFault struct {
 	write bool
-	after int // bytes that are still written
+	after int // number of bytes that are written before the error
 	errno syscall.Errno
 }
 
@@ -21,14 +21,14 @@
 	writeFault = "write"
 )
 
-// lay puts the fault into a file.
-func (f connFault) lay(t *testing.T, path string) {
+// writeTo stores the fault in the file at path, atomically.
+func (f connFault) writeTo(t *testing.T, path string) {
 	t.Helper()
-	call := readFault
+	op := readFault
 	if f.write {
-		call = writeFault
+		op = writeFault
 	}
-	text := fmt.Sprintf("%s %d %d", call, f.after, int(f.errno))
+	text := fmt.Sprintf("%s %d %d", op, f.after, int(f.errno))
 	if err := os.WriteFile(path+".new", []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -37,28 +37,29 @@
 	}
 }
 
-// takeFault takes a fault of a read, or of a write, out of a file, if there is one there.
+// takeFault removes and returns the fault in the file at path, if there is one and it is for a
+// write or, with write false, for a read.
 func takeFault(path string, write bool) (f connFault, ok bool) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return f, false
 	}
-	var call string
+	var op string
 	var errno int
-	if n, _ := fmt.Sscan(string(text), &call, &f.after, &errno); n != 3 || (call == writeFault) != write {
+	if n, _ := fmt.Sscan(string(text), &op, &f.after, &errno); n != 3 || (op == writeFault) != write {
 		return f, false
 	}
 	f.write, f.errno = write, syscall.Errno(errno)
-	return f, os.Remove(path) == nil // one alone takes it
+	return f, os.Remove(path) == nil // only one connection can remove it
 }
 
-// faultyConn is a connection whose reads and writes meet the faults of a file. It is the socket that
-// it wraps in all else.
+// faultyConn is a TCP connection whose reads and writes fail with the faults in a file.
 type faultyConn struct {
 	*net.TCPConn
 	path string
 }
 
+// withFaults wraps a TCP connection in a faultyConn.
 func withFaults(c net.Conn, path string) net.Conn {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		return &faultyConn{TCPConn: tcp, path: path}
@@ -66,7 +67,8 @@
 	return c
 }
 
-// Read fails by a fault once something has come, which is then lost.
+// Read reads from the connection. A fault is injected only after data has arrived, which is then
+// lost.
 func (c *faultyConn) Read(p []byte) (int, error) {
 	n, err := c.TCPConn.Read(p)
 	if n == 0 || err != nil {
@@ -78,6 +80,8 @@
 	return n, err
 }
 
+// Write writes to the connection. An injected fault cuts the write off after the fault's number of
+// bytes.
 func (c *faultyConn) Write(p []byte) (int, error) {
 	f, ok := takeFault(c.path, true)
 	if !ok {
@@ -90,7 +94,7 @@
 	return n, err
 }
 
-// faultyListener accepts such connections.
+// faultyListener wraps each connection that it accepts in a faultyConn.
 type faultyListener struct {
 	net.Listener
 	path string
