--- a/cmd/frosttide/daily_test.go
+++ b/cmd/frosttide/daily_test.go
@@ -20,14 +20,14 @@
 	"frosttide/internal/dispatcher/handover"
 )
 
-// TestConsole guards the operators' console: it answers each call within the second that
-// a caller waits, however many callers connect and send nothing, distinguishes a bad call from
-// a good one, and says not ready once the process drains.
+// TestConsole guards the operators' console: it answers each request within the 1 s that callers
+// wait, however many connections are open and silent, rejects malformed requests, and reports not
+// ready while the process drains.
 func TestConsole(t *testing.T) {
 	t.Parallel()
 	d, r := startWithRunner(t)
 	open := submit(d.jobRequest("render", "x1"))
-	await(t, r.requests, "hop").reply(202, "")
+	await(t, r.requests, "attempt").reply(202, "")
 	for range 100 {
 		silent, err := net.Dial("tcp", d.consoleAddr)
 		if err != nil {
@@ -55,7 +55,7 @@
 		{"PUT", "/api/include", `{"host":"s-1"}`, 200},
 	} {
 		if status, text := d.callConsole(tc.method, tc.path, tc.body); status != tc.status {
-			t.Errorf("%s %s %s got %d %q, want %d", tc.method, tc.path, tc.body, status, text, tc.status)
+			t.Errorf("%s %s %s got status %d, body %q, want status %d", tc.method, tc.path, tc.body, status, text, tc.status)
 		}
 	}
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -63,38 +63,38 @@
 	}
 	d.awaitLog("frosttide drains")
 	if status, _ := d.callConsole("GET", "/api/ready", ""); status != 503 {
-		t.Errorf("ready got %d while the process drains", status)
+		t.Errorf("ready got status %d while the process drains, want 503", status)
 	}
 	d.sendReport(jobEvent("x1", r.uid, "done"))
-	await(t, open, "answer")
+	await(t, open, "response")
 }
 
-// TestInherited guards the start beside a process that serves: the socket is the
-// platform's, both take from it, and the end of one closes it for neither.
-func TestInherited(t *testing.T) {
+// TestInheritedListener guards the start of a process next to one that serves: the platform owns
+// the listening socket, both processes accept from it, and the exit of one closes it for neither.
+func TestInheritedListener(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "s-1")
 	old := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener)
 	next := old.startSuccessor()
 	if status, text := next.callConsole("GET", "/api/ready", ""); status != 200 {
-		t.Errorf("ready got %d %q", status, text)
+		t.Errorf("ready got status %d, body %q, want status 200", status, text)
 	}
 	if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if err := await(t, old.exited, "end"); err != nil {
-		t.Errorf("the old process ended with %v", err)
+	if err := await(t, old.exited, "exit of the older process"); err != nil {
+		t.Errorf("the older process exited with %v, want success", err)
 	}
 	got := submit(next.jobRequest("render", "x1"))
-	await(t, r.requests, "hop").reply(202, "")
+	await(t, r.requests, "attempt").reply(202, "")
 	next.sendReport(jobEvent("x1", r.uid, "done"))
-	if a := await(t, got, "answer"); a.Status != 200 {
-		t.Errorf("answer %+v after the old process's end", a)
+	if a := await(t, got, "response"); a.Status != 200 {
+		t.Errorf("got response %+v after the older process exited, want status 200", a)
 	}
 }
 
-// TestExclude guards what operators say of a runner against all that discovery says
-// of it later, and has it used again from the moment that they put it back.
+// TestExclude guards operators' exclusion of a runner: it holds against all later changes from
+// discovery, and the runner is used again as soon as operators include it.
 func TestExclude(t *testing.T) {
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
@@ -102,7 +102,7 @@
 	d := start(t, disc.URL, 1024, a.entry(), b.entry())
 	w := await(t, disc.watches, "watch")
 	jobs := 0
-	serve := func(want string) (at *runner) {
+	serveJob := func(want string) (at *runner) {
 		jobs++
 		id := fmt.Sprintf("x%d", jobs)
 		got := submit(d.jobRequest("render", id))
@@ -113,49 +113,49 @@
 		case h = <-b.requests:
 			at = b
 		case <-time.After(testTimeout):
-			t.Fatalf("no hop for job %d", jobs)
+			t.Fatalf("no attempt of job %d before the timeout", jobs)
 		}
 		h.reply(202, "")
 		d.sendReport(jobEvent(id, at.uid, "started"))
 		d.sendReport(jobEvent(id, at.uid, "done"))
-		await(t, got, "answer")
+		await(t, got, "response")
 		if want != "" && at.uid != want {
 			t.Errorf("job %d went to %s, want %s", jobs, at.uid, want)
 		}
 		return at
 	}
 	if status, text := d.callConsole("PUT", "/api/exclude", `{"host":"s-1"}`); status != 200 {
-		t.Fatalf("exclude got %d %q", status, text)
+		t.Fatalf("exclude got status %d, body %q, want 200", status, text)
 	}
 	for rev, lines := range [][]string{
 		{},
 		{targetList(42, false, targetEntry("s-1", a.addr, "DRAINING"))},
 		{targetList(43, false, a.entry())},
-		{targetList(44, true, b.entry()), targetList(45, false, a.entry())}, // removed, and back
+		{targetList(44, true, b.entry()), targetList(45, false, a.entry())}, // removed and added again
 		{targetList(46, true, a.entry(), b.entry())},
 	} {
 		for _, line := range lines {
 			w.lines <- line
 		}
-		if len(lines) > 0 { // a third runner tells that they have arrived
+		if len(lines) > 0 { // the log line of a third runner shows that they have been applied
 			mark := fmt.Sprintf("s-mark%d", rev)
 			w.lines <- targetList(100+rev, false, targetEntry(mark, "127.0.0.1:1", "DRAINING"))
 			d.awaitLog("egress target drains\" name=n0 part=core target=" + mark)
 		}
 		for range 12 {
-			serve("s-2")
+			serveJob("s-2")
 		}
 	}
 	if status, text := d.callConsole("PUT", "/api/include", `{"host":"s-1"}`); status != 200 {
-		t.Fatalf("include got %d %q", status, text)
+		t.Fatalf("include got status %d, body %q, want 200", status, text)
 	}
-	serve("s-1")
+	serveJob("s-1")
 }
 
-// TestUpgrade guards the change of processes: the newer one knows what the older one
-// was told, by discovery and by operators; reports find the process that holds the
-// job, whichever they come to; and the older one takes nothing new, while the jobs that
-// it holds, and those that come on the connections that it keeps, go on in the newer.
+// TestUpgrade guards the handover between processes. The newer process knows what discovery and
+// operators told the older one. A report reaches the process that holds the job, whichever process
+// receives it. The older process accepts nothing new, while its jobs, and the requests on the
+// connections that it keeps, continue in the newer one.
 func TestUpgrade(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
@@ -163,7 +163,7 @@
 		edit func(*dispatcher)
 	}{
 		{"plain", func(*dispatcher) {}},
-		{"leftover", func(d *dispatcher) { // of a process that was killed
+		{"leftover", func(d *dispatcher) { // the sockets of a killed process
 			peer := listenUnix(t, handover.Path(tmpdir(d), d.addr))
 			peer.SetUnlinkOnClose(false)
 			peer.Close()
@@ -189,7 +189,7 @@
 			old.awaitLog("target=s-3")
 			for _, uid := range []string{"s-1", "s-2"} {
 				if status, text := old.callConsole("PUT", "/api/exclude", `{"host":"`+uid+`"}`); status != 200 {
-					t.Fatalf("exclude got %d %q", status, text)
+					t.Fatalf("exclude got status %d, body %q, want 200", status, text)
 				}
 			}
 			kept := &http.Client{Transport: &http.Transport{}}
@@ -198,78 +198,81 @@
 				go func() { got <- do(kept, d.jobRequest("render", id)) }()
 				return got
 			}
-			first := send(old, "x0") // before there is another process, so it holds this connection
-			await(t, x.requests, "hop").reply(202, "")
-			stays := send(old, "x9") // no runner has taken it, so it can't be handed over
-			untaken := await(t, x.requests, "hop")
+			// Sent before the newer process starts, so the older one holds this connection.
+			first := send(old, "x0")
+			await(t, x.requests, "attempt").reply(202, "")
+			pending := send(old, "x9") // no runner has accepted it, so it can't be handed over
+			pendingAttempt := await(t, x.requests, "attempt")
 			next := old.startSuccessor()
 			if q := await(t, disc.watches, "the newer process's watch").query; q != "watch=1&from=57" {
-				t.Errorf("the newer process asks discovery for %q", q)
+				t.Errorf("the newer process sent discovery the query %q, want watch=1&from=57", q)
 			}
 			if status, text := next.callConsole("PUT", "/api/exclude", `{"host":"s-1"}`); status != 200 {
-				t.Errorf("exclude got %d %q from the newer process", status, text)
+				t.Errorf("exclude at the newer process got status %d, body %q, want 200", status, text)
 			}
 			if status, text := next.callConsole("PUT", "/api/include", `{"host":"s-2"}`); status != 200 {
-				t.Errorf("include got %d %q from the newer process", status, text)
+				t.Errorf("include at the newer process got status %d, body %q, want 200", status, text)
 			}
 			old.awaitLog("operators have moved a runner\" name=n0 out=false")
 			if code := next.sendReport(jobEvent("x0", x.uid, "running")); code != 204 {
-				t.Errorf("call-back for a job of one of both processes got %d", code)
+				t.Errorf("a report on a job that one of the two processes holds got status %d, want 204", code)
 			}
 			if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
 			old.awaitLog("frosttide drains")
-			for { // until the older one accepts no more
+			for { // until the older process accepts no more connections
 				status, _ := old.callConsole("GET", "/api/ready", "")
 				if status == 503 {
 					break
 				}
 			}
-			// Reports come to the newer process alone from here on.
-			for next.sendReport(jobEvent("x0", x.uid, "started")) != 204 { // repeated while the job is on its way
+			// From here on only the newer process receives reports. The report is retried while the
+			// job is being handed over.
+			for next.sendReport(jobEvent("x0", x.uid, "started")) != 204 {
 			}
 			if code := next.sendReport(jobEvent("nobodys", x.uid, "started")); code != 503 {
-				t.Errorf("call-back for a job that neither holds got %d", code)
+				t.Errorf("a report on a job that neither process holds got status %d, want 503", code)
 			}
-			untaken.reply(400, "") // until here the older one lives, and might have held that job
-			if a := await(t, stays, "answer"); a.Status != 400 {
-				t.Errorf("answer %+v to the job that stayed", a)
+			// The older process ran until here and might have held the job of the last report.
+			pendingAttempt.reply(400, "")
+			if a := await(t, pending, "response"); a.Status != 400 {
+				t.Errorf("got response %+v to the job that was not handed over, want status 400", a)
 			}
 			fresh := submit(next.jobRequest("render", "x1"))
-			await(t, x.requests, "hop").reply(202, "")
+			await(t, x.requests, "attempt").reply(202, "")
 			next.sendReport(jobEvent("x1", x.uid, "started"))
 			for next.sendReport(jobEvent("x0", x.uid, "done")) != 204 {
 			}
-			if a := await(t, first, "answer"); a.Status != 200 || a.Close || a.Body != "clip of x0 by s-3" {
-				t.Errorf("answer %+v to the job of the older process, want a result", a)
+			if a := await(t, first, "response"); a.Status != 200 || a.Close || a.Body != "clip of x0 by s-3" {
+				t.Errorf("got response %+v to the job of the older process, want its result and an open connection", a)
 			}
-			if err := await(t, old.exited, "end"); err != nil {
-				t.Errorf("the older process ended with %v", err)
+			if err := await(t, old.exited, "exit of the older process"); err != nil {
+				t.Errorf("the older process exited with %v, want success", err)
 			}
 			next.awaitLog("the other process has ended")
 			if f := next.metrics(); f[`completed{lane="render"}`] != 1 || f[`upstream_requests{lane="render"}`] != 1 {
-				t.Errorf("the job handed over was sent again, or counts elsewhere: %v", f)
+				t.Errorf("the job that was handed over was sent again or counted elsewhere; metrics: %v", f)
 			}
 			if code := next.sendReport(jobEvent("x1", x.uid, "done")); code != 204 {
-				t.Errorf("call-back got %d", code)
+				t.Errorf("a report got status %d, want 204", code)
 			}
-			if a := await(t, fresh, "answer"); a.Status != 200 {
-				t.Errorf("answer %+v of the newer process", a)
+			if a := await(t, fresh, "response"); a.Status != 200 {
+				t.Errorf("got response %+v from the newer process, want status 200", a)
 			}
-			third := next.startSuccessor() // from the one that took over
+			third := next.startSuccessor() // takes over from the second process
 			if status, _ := third.callConsole("PUT", "/api/exclude", `{"host":"s-2"}`); status != 200 {
-				t.Errorf("exclude got %d from the third process", status)
+				t.Errorf("exclude at the third process got status %d, want 200", status)
 			}
 		})
 	}
 }
 
-// TestBadPeer guards the start beside a process that can't be made out, and a process
-// in service against one that calls and talks nonsense.
-func TestBadPeer(t *testing.T) {
+// TestMalformedHandoverPeer guards the start of a process next to one that sends invalid handover
+// data, and a serving process against a peer that connects and does the same.
+func TestMalformedHandoverPeer(t *testing.T) {
 	t.Parallel()
-	for _, tc := range []struct{ name, says string }{
+	for _, tc := range []struct{ name, text string }{
 		{"silent", ""}, {"garbage", "\x00\xff{]\n"}, {"nonsense", `{"state":7}` + "\n"}, {"endless", strings.Repeat("x", 5<<20)},
 		{"odd state", `{"state":{"discovery":"","list":{"rev":-1,"targets":7},"core":{"excluded":[""],"health":null}}}` + "\n"},
 	} {
@@ -278,7 +281,7 @@
 			r := newRunner(t, "s-1")
 			var path string
 			began := time.Now()
-			early := make(chan int, 1) // what the console says while the peer is waited for
+			early := make(chan int, 1) // status of the console while the process waits for the peer
 			d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener, func(d *dispatcher) {
 				path = handover.Path(tmpdir(d), d.addr)
 				peer := listenUnix(t, path)
@@ -287,47 +290,49 @@
 					if err != nil {
 						return
 					}
-					if a := do(&http.Client{Timeout: time.Second}, readyRequest(d)); tc.says == "" {
+					if a := do(&http.Client{Timeout: time.Second}, readyRequest(d)); tc.text == "" {
 						early <- a.Status
 					}
-					io.WriteString(c, tc.says)
+					io.WriteString(c, tc.text)
 					io.Copy(io.Discard, c)
 				}()
 			})
-			if tc.says == "" {
-				if status := await(t, early, "answer of the console"); status != 503 {
-					t.Errorf("ready got %d before the process serves", status)
+			if tc.text == "" {
+				if status := await(t, early, "response of the console"); status != 503 {
+					t.Errorf("ready got status %d before the process serves, want 503", status)
 				}
 			}
 			if took := time.Since(began); took > 6*time.Second {
-				t.Errorf("the process was ready after %v", took)
+				t.Errorf("the process was ready after %v, want at most 6 s", took)
 			}
 			c, err := net.Dial("unix", path)
 			if err != nil {
 				t.Fatal(err)
 			}
 			defer c.Close()
-			go io.WriteString(c, tc.says)
+			go io.WriteString(c, tc.text)
 			got := submit(d.jobRequest("render", "x1"))
-			await(t, r.requests, "hop").reply(202, "")
+			await(t, r.requests, "attempt").reply(202, "")
 			for d.sendReport(jobEvent("x1", r.uid, "done")) != 204 {
 			}
-			if a := await(t, got, "answer"); a.Status != 200 {
-				t.Errorf("answer %+v", a)
+			if a := await(t, got, "response"); a.Status != 200 {
+				t.Errorf("got response %+v, want status 200", a)
 			}
 		})
 	}
 }
 
-// readyRequest asks whether a dispatcher's process serves.
+// readyRequest returns a request to the console that asks whether a process of the dispatcher
+// serves.
 func readyRequest(d *dispatcher) *http.Request {
 	req, err := http.NewRequest("GET", "http://"+d.consoleAddr+"/api/ready", nil)
 	if err != nil {
-		panic(err) // the address is ours
+		panic(err) // cannot happen: the address is valid
 	}
 	return req
 }
 
+// listenUnix listens on a Unix socket that is closed when the test ends.
 func listenUnix(t *testing.T, path string) *net.UnixListener {
 	t.Helper()
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -338,19 +343,19 @@
 	return l
 }
 
-// tmpdir is the folder that a dispatcher's processes share.
+// tmpdir returns the temporary folder that all processes of a dispatcher share.
 func tmpdir(d *dispatcher) string {
 	for _, v := range slices.Backward(d.cmd.Env) {
 		if dir, ok := strings.CutPrefix(v, "TMPDIR="); ok {
 			return dir
 		}
 	}
-	d.t.Fatal("no TMPDIR")
+	d.t.Fatal("no TMPDIR in the environment of the program")
 	return ""
 }
 
-// TestTelemetry guards the figures: every series is there from the start, each counts
-// what its name says, also what the ingress answers by itself, and reloads.
+// TestTelemetry guards the metrics: every series exists from the start, and each counts what its
+// name says, including responses of the ingress itself and reloads.
 func TestTelemetry(t *testing.T) {
 	t.Parallel()
 	d, r := startWithRunner(t)
@@ -360,58 +365,58 @@
 			want[name+`{lane="`+class+`"}`] = 0
 		}
 	}
-	compare := func(when string) {
+	compareMetrics := func(when string) {
 		t.Helper()
 		var diff string
-		for over := time.Now().Add(testTimeout); time.Now().Before(over); {
+		for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
 			if diff = cmp.Diff(want, d.metrics()); diff == "" {
 				return
 			}
 		}
-		t.Fatalf("%s the figures differ (-want +got):\n%s", when, diff)
+		t.Fatalf("%s the metrics differ (-want +got):\n%s", when, diff)
 	}
-	compare("at the start")
+	compareMetrics("at the start")
 	got := submit(d.jobRequest("render", "x1"))
-	h := await(t, r.requests, "hop")
+	h := await(t, r.requests, "attempt")
 	want["pending"], want[`upstream_requests{lane="render"}`] = 1, 1
-	compare("with a job open")
+	compareMetrics("with a job open")
 	h.reply(202, "")
 	d.sendReport(jobEvent("x1", r.uid, "done"))
-	await(t, got, "answer")
+	await(t, got, "response")
 	want["pending"], want[`completed{lane="render"}`] = 0, 1
 	got = submit(d.jobRequest("once", "x2"))
-	await(t, r.requests, "hop").reply(500, "")
-	await(t, got, "answer")
+	await(t, r.requests, "attempt").reply(500, "")
+	await(t, got, "response")
 	want[`failed{lane="once"}`], want[`upstream_requests{lane="once"}`] = 1, 1
 	got = submit(d.jobRequest("release", "x3", func(r *http.Request) { r.Header.Del("Idempotency-Key") }))
-	await(t, got, "answer")
+	await(t, got, "response")
 	want[`failed{lane="release"}`] = 1
 	d.callConsole("PUT", "/api/exclude", `{"host":"s-1"}`)
 	want["members_unavailable"] = 1
 	got = submit(d.jobRequest("render", "x4"))
-	await(t, got, "answer")
+	await(t, got, "response")
 	want[`rejected{lane="render"}`] = 1
 	d.reload(`{"name":`)
 	want["config_reload_errors"] = 1
-	compare("after an end of each kind")
+	compareMetrics("after a job of each outcome")
 	d.reload(fmt.Sprintf(d.cfg, "127.0.0.1:1"))
 	want["config_reloads"] = 1
-	compare("after a reload")
+	compareMetrics("after a reload")
 }
 
-// metrics reads the metrics, by their names without the prefix.
+// metrics reads the current metrics from the console, by name without the prefix "edge_balancer_".
 func (d *dispatcher) metrics() map[string]float64 {
 	d.t.Helper()
 	status, text := d.callConsole("GET", "/api/telemetry", "")
 	if status != 200 {
-		d.t.Fatalf("telemetry got %d %q", status, text)
+		d.t.Fatalf("telemetry got status %d, body %q, want status 200", status, text)
 	}
 	got := map[string]float64{}
 	for line := range strings.Lines(text) {
 		if name, value, _ := strings.Cut(strings.TrimSpace(line), " "); name != "#" {
 			n, err := strconv.ParseFloat(value, 64)
 			if err != nil {
-				d.t.Fatalf("%q is no figure", line)
+				d.t.Fatalf("the metric line %q has no numeric value", line)
 			}
 			got[strings.TrimPrefix(name, "edge_balancer_")] = n
 		}
@@ -419,10 +424,10 @@
 	return got
 }
 
-// TestSettings guards the reload of settings: classes go by name wherever they stand,
-// come and go with the file, and take their effect along, while the jobs that are open,
-// what operators have said and the series stay; and a file that can't be meant changes
-// nothing at all, not even discovery's address.
+// TestSettings guards the reload of settings. Classes are matched by name wherever they stand in
+// the file, are added, removed and changed with it, including their effect. Open jobs,
+// operators' exclusions and metric series survive. An invalid file changes nothing at all, not even
+// the address of discovery.
 func TestSettings(t *testing.T) {
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
@@ -430,24 +435,24 @@
 	d := start(t, disc.URL, 1024, a.entry())
 	w := await(t, disc.watches, "watch")
 	accepted := submit(d.jobRequest("render", "x0"))
-	await(t, a.requests, "hop").reply(202, "")
+	await(t, a.requests, "attempt").reply(202, "")
 	w.lines <- targetList(42, false, b.entry())
 	d.awaitLog("target=s-2")
 	file := fmt.Sprintf(d.cfg, strings.TrimPrefix(disc.URL, "http://"))
 	const first = `{"name":"render","effect":"safe",`
 	const classes = `"request-classes":[`
-	reloads, errors := 0.0, 0.0
-	reload := func(cfg string) { // and await that it has been heeded
+	reloads, reloadErrors := 0.0, 0.0
+	reload := func(cfg string) { // and waits until it has been processed
 		t.Helper()
 		d.reload(cfg)
-		for over := time.Now().Add(testTimeout); time.Now().Before(over); {
-			if f := d.metrics(); f["config_reloads"] == reloads && f["config_reload_errors"] == errors {
+		for deadline := time.Now().Add(testTimeout); time.Now().Before(deadline); {
+			if f := d.metrics(); f["config_reloads"] == reloads && f["config_reload_errors"] == reloadErrors {
 				return
 			}
 		}
-		t.Fatalf("want %v reloads and %v errors, figures %v", reloads, errors, d.metrics())
+		t.Fatalf("want %v reloads and %v errors, got metrics %v", reloads, reloadErrors, d.metrics())
 	}
-	bad := []struct{ was, is string }{
+	bad := []struct{ old, new string }{
 		{file, ""}, {file, file[:len(file)-1]}, {file, file + "x"}, {file, "[]"},
 		{`"send-cap":4`, `"send-cap":0`}, {`"send-cap":4`, `"send-cap":"4"`}, {`"send-cap":4,`, ``}, {`"send-cap":4`, `"send-cap":null`},
 		{`"give-up":20000000,"worth":1}`, `"give-up":-5,"worth":1}`}, {`"give-up":20000000,"worth":1}`, `"give-up":0,"worth":1}`},
@@ -456,75 +461,77 @@
 		{`"seed":"8c1f30d27a5be964",`, ``}, {`"rules":{"ask-within":1000000,`, `"rules":{`}, {`"name":"once"`, `"name":"render"`},
 	}
 	var open <-chan response
-	var other *runner // the one that does not have that job
+	var other *runner // the runner that did not get this job
 	var h *runnerRequest
 	for i, change := range bad {
-		cfg := strings.Replace(file, change.was, change.is, 1)
+		cfg := strings.Replace(file, change.old, change.new, 1)
 		if cfg == file {
-			t.Fatalf("nothing to replace by %s", change.is)
+			t.Fatalf("no text to replace by %s", change.new)
 		}
-		if i == len(bad)-1 { // a runner has a second to accept a job, in which all the reloads may not fit
+		// A runner has 1 s to accept a job, which may be too short for all the reloads.
+		if i == len(bad)-1 {
 			open = submit(d.jobRequest("render", "x1"))
-			other, h = hopAtEither(t, a, b)
+			other, h = nextAttemptAtEither(t, a, b)
 		}
-		errors++
+		reloadErrors++
 		reload(strings.Replace(cfg, disc.URL[len("http://"):], "127.0.0.1:1", 1))
 	}
 	select {
 	case <-w.callEnded:
-		t.Errorf("a bad file has moved discovery")
+		t.Errorf("an invalid file has changed the address of discovery")
 	default:
 	}
 
-	// render is gone, once has its place, and new comes before all.
+	// The class render is removed, another class takes its place, and a new class comes first.
 	reloads++
 	reload(strings.Replace(strings.Replace(file, classes, classes+strings.Replace(first, "render", "new", 1)+
 		`"aim":2000000,"give-up":20000000,"worth":1},`, 1), first, `{"name":"other","effect":"unsafe",`, 1))
-	if got := await(t, submit(d.jobRequest("render", "x2")), "answer"); got.Status != 400 {
-		t.Errorf("a job of a class that is gone got %+v", got)
+	if got := await(t, submit(d.jobRequest("render", "x2")), "response"); got.Status != 400 {
+		t.Errorf("got response %+v to a job of a removed class, want status 400", got)
 	}
 	h.reply(500, "")
-	h = await(t, other.requests, "second hop of the job that was open, of a class that may be repeated")
+	h = await(t, other.requests, "second attempt of the open job, whose class may be retried")
 	if h.id() != "x1" {
-		t.Errorf("the second hop is of %s", h.id())
+		t.Errorf("the second attempt is of job %s, want x1", h.id())
 	}
 	h.reply(202, "")
 	d.sendReport(jobEvent("x1", other.uid, "done"))
-	if got := await(t, open, "answer"); got.Status != 200 {
-		t.Errorf("answer %+v to the job that was open", got)
+	if got := await(t, open, "response"); got.Status != 200 {
+		t.Errorf("got response %+v to the open job, want status 200", got)
 	}
 	d.sendReport(jobEvent("x0", a.uid, "failed"))
-	h = await(t, b.requests, "second hop of the job that a runner had accepted, of a class that may be repeated")
+	h = await(t, b.requests, "second attempt of the accepted job, whose class may be retried")
 	if h.id() != "x0" {
-		t.Errorf("the second hop is of %s", h.id())
+		t.Errorf("the second attempt is of job %s, want x0", h.id())
 	}
 	h.reply(202, "")
 	d.sendReport(jobEvent("x0", b.uid, "done"))
-	if got := await(t, accepted, "answer"); got.Status != 200 {
-		t.Errorf("answer %+v to the job that a runner had accepted", got)
+	if got := await(t, accepted, "response"); got.Status != 200 {
+		t.Errorf("got response %+v to the accepted job, want status 200", got)
 	}
 	d.callConsole("PUT", "/api/exclude", `{"host":"s-2"}`)
-	// render is back with a stricter effect, and jobs get one attempt.
+	// The class render is back with a stricter effect, and jobs get one attempt.
 	reloads++
 	reload(strings.Replace(strings.Replace(file, first, `{"name":"render","effect":"unsafe",`, 1), `"send-cap":4`, `"send-cap":1`, 1))
 	for class, status := range map[string]int{"render": 502, "release": 502} {
 		got := submit(d.jobRequest(class, "y-"+class))
-		await(t, a.requests, "hop").reply(500, "")
-		if got := await(t, got, "answer"); got.Status != status {
-			t.Errorf("%s: answer %+v, want %d", class, got, status)
+		await(t, a.requests, "attempt").reply(500, "")
+		if got := await(t, got, "response"); got.Status != status {
+			t.Errorf("%s: got response %+v, want status %d", class, got, status)
 		}
 	}
 	f := d.metrics()
 	for name, n := range map[string]float64{`completed{lane="render"}`: 2, `failed{lane="render"}`: 1, `upstream_requests{lane="render"}`: 5,
 		`failed{lane="new"}`: 0, `failed{lane="release"}`: 1, `members_unavailable`: 2} {
 		if got, ok := f[name]; !ok || got != n {
-			t.Errorf("%s is %v, %t, want %v", name, got, ok, n)
+			t.Errorf("metric %s is %v (present: %t), want %v", name, got, ok, n)
 		}
 	}
 }
 
-// hopAtEither returns the next hop at one of two runners, and which of them does not have it.
-func hopAtEither(t *testing.T, a, b *runner) (other *runner, h *runnerRequest) {
+// nextAttemptAtEither returns the next attempt at one of two runners, and the runner that did not
+// get it.
+func nextAttemptAtEither(t *testing.T, a, b *runner) (other *runner, h *runnerRequest) {
 	t.Helper()
 	select {
 	case h = <-a.requests:
@@ -532,22 +539,25 @@
 	case h = <-b.requests:
 		return a, h
 	case <-time.After(testTimeout):
-		t.Fatal("no hop")
+		t.Fatal("no attempt before the timeout")
 		panic("unreachable")
 	}
 }
 
-// hearTime is within which the front hears a request to its end; it is told to clients.
-const hearTime = 2750 * time.Millisecond
+// requestReadTimeout is the time in which the front must have read a request completely; it is
+// stated to clients.
+const requestReadTimeout = 2750 * time.Millisecond
 
-// slowJob writes a good job in pieces over more than 2 s on a new connection, while others fill the listener: some ask
-// once and stay, some never finish. It returns the connection's answer, the ends of those that never finish, and whether
-// the machine was too busy for the job to be written within hearTime: the front may end it then, rightly.
-func slowJob(t *testing.T, d *dispatcher) (got <-chan response, ends []<-chan response, late bool) {
+// writeJobSlowly writes a valid job in pieces over more than 2 s on a new connection, while other
+// clients fill the listener: some send one request and keep the connection, some never finish a
+// request. It returns the response to the job, the ends of the connections that never finish, and
+// whether the machine was too busy to write the job within requestReadTimeout: in that case the
+// front may abort it.
+func writeJobSlowly(t *testing.T, d *dispatcher) (got <-chan response, closes []<-chan response, late bool) {
 	t.Helper()
 	const (
-		pieces = 12
-		pace   = 200 * time.Millisecond
+		pieces   = 12
+		interval = 200 * time.Millisecond
 	)
 	var text bytes.Buffer
 	if err := d.jobRequest("render", "x1").Write(&text); err != nil {
@@ -559,83 +569,85 @@
 	size := text.Len() / pieces
 	write := func(piece []byte) bool {
 		_, err := c.Write(piece)
-		if err != nil && time.Since(began) < hearTime {
-			t.Fatalf("after %v: %v", time.Since(began), err)
+		if err != nil && time.Since(began) < requestReadTimeout {
+			t.Fatalf("write failed after %v: %v", time.Since(began), err)
 		}
 		return err == nil
 	}
-	for i := range pieces - 1 { // the pace of the client is the matter here: it goes on whatever the others take
+	// The pace of this client is under test, so it does not depend on the other clients.
+	for i := range pieces - 1 {
 		if !write(text.Next(size)) {
-			return got, ends, true
+			return got, closes, true
 		}
 		for range 10 {
-			await(t, readResponse(d.dialAndWrite("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")), "answer to a health check")
+			await(t, readResponse(d.dialAndWrite("GET /_health HTTP/1.1\r\nHost: x\r\n\r\n")), "response to a health check")
 		}
 		for range 2 {
-			ends = append(ends, readResponse(d.dialAndWrite("POST /render HTTP/1.1\r\nHost: x\r\nX-Never")))
+			closes = append(closes, readResponse(d.dialAndWrite("POST /render HTTP/1.1\r\nHost: x\r\nX-Never")))
 		}
-		time.Sleep(time.Until(began.Add(time.Duration(i+1) * pace)))
+		time.Sleep(time.Until(began.Add(time.Duration(i+1) * interval)))
 	}
 	written := write(text.Bytes())
 	took := time.Since(began)
 	if took < 2*time.Second {
-		t.Fatalf("the job was written within %v", took)
+		t.Fatalf("the job was written within %v, want at least 2 s", took)
 	}
-	return got, ends, !written || took >= hearTime
+	return got, closes, !written || took >= requestReadTimeout
 }
 
-// TestSlowClient guards a good job that is written slowly on a new connection while others fill the listener; those that
-// never finish are ended in time. On a machine so busy that the job is not written within the time in which the front
-// hears a request, which the listener does not decide, it is written again.
+// TestSlowClient guards a valid job that is written slowly on a new connection while other clients
+// fill the listener; requests that never finish are ended in time. If the machine is too busy to
+// write the job within requestReadTimeout, which does not depend on the listener, the test writes
+// it again.
 func TestSlowClient(t *testing.T) {
 	t.Parallel()
 	const tries = 5
 	r := newRunner(t, "s-1")
 	d := start(t, newDiscovery(t).URL, 64, r.entry())
 	for range tries {
-		got, ends, late := slowJob(t, d)
+		got, closes, late := writeJobSlowly(t, d)
 		done := false
 		select {
 		case h := <-r.requests:
 			h.reply(202, "")
 			d.sendReport(jobEvent("x1", r.uid, "done"))
-			if a := await(t, got, "answer"); a.Status != 200 {
-				t.Errorf("answer %+v to the slow job", a)
+			if a := await(t, got, "response"); a.Status != 200 {
+				t.Errorf("got response %+v to the slow job, want status 200", a)
 			}
 			done = true
 		case a := <-got:
 			if !late {
-				t.Fatalf("answer %+v to the slow job before it was dispatched", a)
+				t.Fatalf("got response %+v to the slow job before it was dispatched", a)
 			}
 		}
-		for _, end := range ends {
-			await(t, end, "end of a connection that never finishes")
+		for _, end := range closes {
+			await(t, end, "end of a connection with an incomplete request")
 		}
 		if took := time.Since(*d.lastDial.Load()); took > 3*time.Second {
-			t.Errorf("a connection that never finishes lasted %v", took)
+			t.Errorf("a connection with an incomplete request lasted %v, want at most 3 s", took)
 		}
 		if done {
 			return
 		}
 	}
-	t.Fatalf("the machine is too busy to write a job within %v, %d times", hearTime, tries)
+	t.Fatalf("the machine was too busy to write a job within %v in each of %d tries", requestReadTimeout, tries)
 }
 
-// TestSuccessorFails guards the older process against a newer one that dies or hangs: it
-// goes on as before, or gives every job its answer in time.
+// TestSuccessorFails guards the older process against a newer one that dies or hangs: it continues
+// as before, or answers every job in time.
 func TestSuccessorFails(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
 		name   string
 		signal syscall.Signal
-		status int // of the job that is open at the older one's end
+		status int // status of the job that is open when the older process exits
 	}{{"killed", syscall.SIGKILL, 200}, {"stopped", syscall.SIGSTOP, 502}} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			r := newRunner(t, "s-1")
 			old := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener)
 			open := submit(old.jobRequest("release", "x1"))
-			await(t, r.requests, "hop").reply(202, "")
+			await(t, r.requests, "attempt").reply(202, "")
 			next := old.startSuccessor()
 			if err := next.cmd.Process.Signal(tc.signal); err != nil {
 				t.Fatal(err)
@@ -643,51 +655,52 @@
 			if tc.signal == syscall.SIGKILL {
 				old.awaitLog("the other process has ended")
 				got := submit(old.jobRequest("render", "x2"))
-				await(t, r.requests, "hop").reply(202, "")
+				await(t, r.requests, "attempt").reply(202, "")
 				old.sendReport(jobEvent("x2", r.uid, "done"))
-				if a := await(t, got, "answer"); a.Status != 200 {
-					t.Errorf("answer %+v after the newer process's death", a)
+				if a := await(t, got, "response"); a.Status != 200 {
+					t.Errorf("got response %+v after the newer process was killed, want status 200", a)
 				}
 			}
-			for over := time.Now().Add(testTimeout); tc.signal == syscall.SIGSTOP; { // it takes effect a little later
+			// SIGSTOP takes effect asynchronously.
+			for deadline := time.Now().Add(testTimeout); tc.signal == syscall.SIGSTOP; {
 				stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", next.cmd.Process.Pid))
-				if err != nil || time.Now().After(over) {
-					t.Fatalf("the newer process does not stop: %s, %v", stat, err)
+				if err != nil || time.Now().After(deadline) {
+					t.Fatalf("the newer process is not stopped: stat %s, error %v", stat, err)
 				}
 				if strings.Contains(string(stat), ") T ") {
 					break
 				}
 			}
-			told := time.Now()
+			terminated := time.Now()
 			if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 				t.Fatal(err)
 			}
 			old.awaitLog("frosttide drains")
-			if tc.signal == syscall.SIGKILL { // it lingers, for reports above all
+			if tc.signal == syscall.SIGKILL { // it still serves, above all for reports
 				if code := old.sendReport(jobEvent("x1", r.uid, "done")); code != 204 {
-					t.Errorf("call-back after SIGTERM got %d", code)
+					t.Errorf("a report after SIGTERM got status %d, want 204", code)
 				}
 			}
-			if a := await(t, open, "answer"); a.Status != tc.status || time.Since(told) > 3600*time.Millisecond {
-				t.Errorf("answer %+v %v after SIGTERM, want %d", a, time.Since(told), tc.status)
+			if a := await(t, open, "response"); a.Status != tc.status || time.Since(terminated) > 3600*time.Millisecond {
+				t.Errorf("got response %+v %v after SIGTERM, want status %d within 3.6 s", a, time.Since(terminated), tc.status)
 			}
-			if err := await(t, old.exited, "end"); err != nil {
-				t.Errorf("the older process ended with %v", err)
+			if err := await(t, old.exited, "exit of the older process"); err != nil {
+				t.Errorf("the older process exited with %v, want success", err)
 			}
 		})
 	}
 }
 
-// TestListInPieces guards a line of the list that takes longer to come than discovery
-// may be silent.
-func TestListInPieces(t *testing.T) {
+// TestSlowListLine guards a line of the target list that takes longer to arrive than discovery may
+// be silent.
+func TestSlowListLine(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "s-1")
 	disc := newDiscovery(t)
 	d := start(t, disc.URL, 1024)
 	w := await(t, disc.watches, "watch")
 	line := targetList(42, false, r.entry())
-	for len(line) > 20 { // the pace of discovery is the matter here
+	for len(line) > 20 { // the pace of discovery is under test
 		w.lines <- line[:20] + partialLine
 		line = line[20:]
 		time.Sleep(700 * time.Millisecond)
@@ -696,7 +709,7 @@
 	d.awaitLog("target=s-1")
 	select {
 	case <-w.callEnded:
-		t.Error("the watch was broken off")
+		t.Error("the dispatcher ended the watch, want it to stay open")
 	default:
 	}
 }
--- a/cmd/frosttide/faults_test.go
+++ b/cmd/frosttide/faults_test.go
@@ -11,20 +11,22 @@
 	"frosttide/internal/testkit/lab/faults"
 )
 
-// TestFaults plays the scripts of faults with several processes of the program each, and holds
-// what is seen from outside against the rules and the invariants of the log and the copies.
+// TestFaults runs each fault script with several processes of the program. It checks the behavior
+// that is visible from outside against the rules, and the logs and replicas against their
+// invariants.
 func TestFaults(t *testing.T) {
 	t.Parallel()
 	scripts, err := filepath.Glob(filepath.Join("..", "..", "internal", "testkit", "lab", "faults", "scripts", "*.txt"))
 	if err != nil || len(scripts) == 0 {
-		t.Fatalf("no scripts: %v", err)
+		t.Fatalf("no fault scripts found, error %v", err)
 	}
-	atOnce := make(chan struct{}, max(runtime.GOMAXPROCS(0)/2, 1)) // each script has up to five processes
+	// Limits the scripts that run at the same time: each has up to five processes.
+	slots := make(chan struct{}, max(runtime.GOMAXPROCS(0)/2, 1))
 	for _, path := range scripts {
 		t.Run(strings.TrimSuffix(filepath.Base(path), ".txt"), func(t *testing.T) {
 			t.Parallel()
-			atOnce <- struct{}{}
-			defer func() { <-atOnce }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			text, err := os.ReadFile(path)
 			if err != nil {
 				t.Fatal(err)
@@ -39,13 +41,13 @@
 			}
 			t.Log("\n" + strings.Join(got.Timeline, "\n"))
 			if len(got.Broken) > 0 {
-				t.Errorf("broken: %s\n%s", strings.Join(got.Broken, "\n"), got.Logs)
+				t.Errorf("broken rules:\n%s\n%s", strings.Join(got.Broken, "\n"), got.Logs)
 			}
 		})
 	}
 }
 
-// programCommand is this test binary as the program.
+// programCommand returns a command that runs this test binary as the real program.
 func programCommand(args ...string) *exec.Cmd {
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Env = []string{"FROSTTIDE_TEST_PROGRAM=1", raceOptions}
--- a/cmd/frosttide/gearman_test.go
+++ b/cmd/frosttide/gearman_test.go
@@ -24,17 +24,18 @@
 // gearmanFixture is a dispatcher with a Gearman front.
 type gearmanFixture struct {
 	*dispatcher
-	jobs string // the front's address
+	jobs string // address of the Gearman front
 }
 
-// newGearman starts one with a fixed list of HTTP runners; more goes into its settings.
-func newGearman(t *testing.T, more string, runners ...*runner) *gearmanFixture {
+// newGearman starts a gearmanFixture with a fixed list of HTTP runners. The text extraSettings is
+// added to the section [gearman] of its settings.
+func newGearman(t *testing.T, extraSettings string, runners ...*runner) *gearmanFixture {
 	t.Helper()
-	return newGearmanWith(t, more, runners, func(*dispatcher) {})
+	return newGearmanWith(t, extraSettings, runners, func(*dispatcher) {})
 }
 
-// newGearmanWith does so after a last edit.
-func newGearmanWith(t *testing.T, more string, runners []*runner, edit func(*dispatcher)) *gearmanFixture {
+// newGearmanWith does the same and applies edit to the dispatcher before it starts.
+func newGearmanWith(t *testing.T, extraSettings string, runners []*runner, edit func(*dispatcher)) *gearmanFixture {
 	t.Helper()
 	f := &gearmanFixture{}
 	f.dispatcher = startWith(t, "", 1024, nil, func(d *dispatcher) {
@@ -74,7 +75,7 @@
 effect = "unsafe"
 wanted_within = "2s"
 give_up = "2s"
-`, d.addr, d.consoleAddr, f.jobs, more)
+`, d.addr, d.consoleAddr, f.jobs, extraSettings)
 		for _, r := range append(runners, &runner{uid: "s-none", addr: "127.0.0.1:1"}) {
 			text += fmt.Sprintf("[[runner]]\nid = %q\naddress = %q\nzone = \"a\"\n", r.uid, r.addr)
 		}
@@ -86,14 +87,14 @@
 		d.cmd.Args = append(d.cmd.Args, "serve", "--config", path)
 		edit(d)
 	})
-	// The list may not be empty; the runner that is nobody is left out.
+	// The list must not be empty, so it holds a runner that does not exist and is excluded here.
 	if code, text := f.callConsole("PUT", "/api/exclude", `{"host":"s-none"}`); code != 200 {
 		t.Fatal(code, text)
 	}
 	return f
 }
 
-// connect connects as a client or a worker.
+// connect opens a connection to the Gearman front, for a client or a worker.
 func (f *gearmanFixture) connect() *gearman.Peer {
 	f.t.Helper()
 	p, err := gearman.Dial(f.jobs, time.Now().Add(testTimeout), nil)
@@ -104,7 +105,7 @@
 	return p
 }
 
-// connectWorker connects one that can do functions and is listed.
+// connectWorker connects a worker that offers functions, and waits until it is in the route table.
 func (f *gearmanFixture) connectWorker(id string, functions ...string) *gearman.Peer {
 	f.t.Helper()
 	p := f.connect()
@@ -115,6 +116,7 @@
 	return p
 }
 
+// must returns v, or fails the test if err is not nil.
 func must[T any](t *testing.T, v T, err error) T {
 	t.Helper()
 	if err != nil {
@@ -123,14 +125,14 @@
 	return v
 }
 
-// grabJob has a worker grab a job.
+// grabJob makes a worker grab a job and returns it.
 func (f *gearmanFixture) grabJob(w *gearman.Peer) gearman.Job {
 	f.t.Helper()
 	job, err := w.Grab()
 	return must(f.t, job, err)
 }
 
-// submitJob has a client submit, and returns the handle.
+// submitJob submits a job from a client and returns its handle.
 func (f *gearmanFixture) submitJob(c *gearman.Peer, kind proto.Type, function, unique, workload string) string {
 	f.t.Helper()
 	if err := c.Send(kind, function, unique, workload); err != nil {
@@ -140,7 +142,8 @@
 	return must(f.t, g, err).Args[0]
 }
 
-// wantPacket reads the next packet and compares it.
+// wantPacket reads the next packet and fails the test unless it has the type kind and the arguments
+// args.
 func wantPacket(t *testing.T, p *gearman.Peer, kind proto.Type, args ...string) {
 	t.Helper()
 	g, err := p.Next()
@@ -152,8 +155,8 @@
 	}
 }
 
-// TestGearmanJob guards the way of a job from client to worker and back, with all that is
-// told meanwhile, and that there is one end.
+// TestGearmanJob guards the path of a job from client to worker and back, including its progress
+// packets, and that it ends exactly once.
 func TestGearmanJob(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
@@ -182,30 +185,31 @@
 	wantPacket(t, c, proto.WorkComplete, handle, "whole")
 	for range 3 {
 		if g, err := w.Want(proto.Error); err != nil || g.Args[0] != "job_not_found" {
-			t.Errorf("a word on no job got %s, %v", g, err)
+			t.Errorf("a packet on an unknown or finished job got %s, error %v, want job_not_found", g, err)
 		}
 	}
 	if err := c.Send(proto.GetStatus, handle); err != nil {
 		t.Fatal(err)
 	}
-	wantPacket(t, c, proto.StatusRes, handle, "0", "0", "0", "0") // and nothing else has come
+	// No other packet comes before this response.
+	wantPacket(t, c, proto.StatusRes, handle, "0", "0", "0", "0")
 	if _, text := f.callConsole("GET", "/api/telemetry", ""); !strings.Contains(text, `edge_balancer_completed{lane="render"} 1`) ||
 		!strings.Contains(text, `edge_balancer_upstream_requests{lane="render"} 1`) || !strings.Contains(text, "edge_balancer_pending 0") {
-		t.Errorf("the figures are\n%s", text)
+		t.Errorf("want one completed job, one attempt and none pending in the metrics, got\n%s", text)
 	}
 }
 
-// TestMixedFronts guards that one core serves both: jobs of either front on workers of
-// either kind, and one open job for an id.
+// TestMixedFronts guards that one core serves both fronts: jobs of either front run on workers of
+// either kind, and each job ID has at most one open job.
 func TestMixedFronts(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "s-http")
 	f := newGearman(t, "", r)
 	c := f.connect()
 	handle := f.submitJob(c, proto.SubmitJobHigh, "cut", "u1", "frames")
-	h := await(t, r.requests, "hop at the HTTP runner")
+	h := await(t, r.requests, "attempt at the HTTP runner")
 	if h.RequestURI != "/render/cut" || h.id() != "u1" || h.body != "frames" {
-		t.Errorf("the hop is %s of %s with %q", h.RequestURI, h.id(), h.body)
+		t.Errorf("the runner got %s of job %s with body %q, want /render/cut of u1", h.RequestURI, h.id(), h.body)
 	}
 	h.reply(202, "")
 	f.sendReport(jobEvent("u1", "s-http", "done"))
@@ -218,22 +222,22 @@
 	got := submit(f.jobRequest("render", "h1"))
 	job := f.grabJob(w)
 	if job.Function != "cut" || job.Workload != "frames of h1" {
-		t.Errorf("the worker got %+v", job)
+		t.Errorf("the worker got job %+v, want h1 as function cut", job)
 	}
-	// The same id over the other front, while it is open:
-	twin := f.submitJob(c, proto.SubmitJob, "cut", "h1", "frames")
-	wantPacket(t, c, proto.WorkWarning, twin, "a job of this id is open over another front")
-	wantPacket(t, c, proto.WorkFail, twin)
+	// The same ID over the other front while the job is open is rejected.
+	duplicate := f.submitJob(c, proto.SubmitJob, "cut", "h1", "frames")
+	wantPacket(t, c, proto.WorkWarning, duplicate, "a job of this id is open over another front")
+	wantPacket(t, c, proto.WorkFail, duplicate)
 	if err := errors.Join(w.Send(proto.WorkData, job.Handle, "a"), w.Send(proto.WorkComplete, job.Handle, "b")); err != nil {
 		t.Fatal(err)
 	}
-	if a := await(t, got, "answer"); a.Status != 200 || a.Body != "ab" {
-		t.Errorf("the HTTP client got %d %q", a.Status, a.Body)
+	if a := await(t, got, "response"); a.Status != 200 || a.Body != "ab" {
+		t.Errorf("the HTTP client got status %d, body %q, want 200 and \"ab\"", a.Status, a.Body)
 	}
 	handle = f.submitJob(c, proto.SubmitJob, "out", "k1", "x")
 	job = f.grabJob(w)
-	if a := await(t, submit(f.jobRequest("release", "k1", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k1") })), "answer"); a.Status != 409 {
-		t.Errorf("the same id and key over HTTP got %d", a.Status)
+	if a := await(t, submit(f.jobRequest("release", "k1", func(r *http.Request) { r.Header.Set("Idempotency-Key", "k1") })), "response"); a.Status != 409 {
+		t.Errorf("the same ID and key over HTTP got status %d, want 409", a.Status)
 	}
 	if err := w.Send(proto.WorkComplete, job.Handle, "once"); err != nil {
 		t.Fatal(err)
@@ -241,15 +245,15 @@
 	wantPacket(t, c, proto.WorkComplete, handle, "once")
 }
 
-// TestWorkerLost guards rule 2: a connection lost in mid-job has perhaps run, and then the
-// class decides; before the grab it has not.
+// TestWorkerLost guards rule 2: if a worker's connection breaks while it has a job, the job may
+// have run, and its class decides whether it is retried; before the grab it has not run.
 func TestWorkerLost(t *testing.T) {
 	t.Parallel()
 	drop := func(w *gearman.Peer, job gearman.Job) { w.Close() }
 	for _, tc := range []struct {
 		name, function string
 		lose           func(*gearman.Peer, gearman.Job)
-		again          bool
+		retried        bool
 	}{
 		{"safe", "cut", drop, true},
 		{"keyed, in its zone", "out", drop, true},
@@ -276,13 +280,14 @@
 			job := f.grabJob(first)
 			second := f.connectWorker("w2", tc.function)
 			tc.lose(first, job)
-			if !tc.again {
-				for over := false; !over; { // it fails at once, and is not refused after another try
+			if !tc.retried {
+				// The job fails at once, and is not refused after another attempt.
+				for failed := false; !failed; {
 					g, err := c.Next()
 					if err != nil || g.Type == proto.WorkWarning || g.Args[0] != handle {
-						t.Fatalf("the client got %s, %v", g, err)
+						t.Fatalf("the client got %s, error %v, want only packets of its job and no warning", g, err)
 					}
-					over = g.Type == proto.WorkFail
+					failed = g.Type == proto.WorkFail
 				}
 				return
 			}
@@ -295,17 +300,17 @@
 	}
 }
 
-// TestWorkerOffers guards jobs against workers that are woken and don't come: those have
-// not run there.
-func TestWorkerOffers(t *testing.T) {
+// TestWorkerIgnoresOffer guards jobs that are offered to a sleeping worker that does not grab them:
+// they have not run there, so another worker gets them.
+func TestWorkerIgnoresOffer(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
-	deaf, c := f.connectWorker("deaf", "post"), f.connect()
-	if err := deaf.Send(proto.PreSleep); err != nil {
+	ignoring, c := f.connectWorker("deaf", "post"), f.connect()
+	if err := ignoring.Send(proto.PreSleep); err != nil {
 		t.Fatal(err)
 	}
 	handle := f.submitJob(c, proto.SubmitJob, "post", "u1", "x")
-	if _, err := deaf.Want(proto.Noop); err != nil {
+	if _, err := ignoring.Want(proto.Noop); err != nil {
 		t.Fatal(err)
 	}
 	good := f.connectWorker("good", "post")
@@ -314,31 +319,31 @@
 		t.Fatal(err)
 	}
 	wantPacket(t, c, proto.WorkComplete, handle, "done")
-	if err := deaf.Send(proto.GrabJob); err != nil {
+	if err := ignoring.Send(proto.GrabJob); err != nil {
 		t.Fatal(err)
 	}
-	wantPacket(t, deaf, proto.NoJob) // the offer is not there any more
+	wantPacket(t, ignoring, proto.NoJob) // the offer has been withdrawn
 
-	// One that grabs and never answers: the client hears at its deadline, once.
+	// A worker that grabs a job and never responds: the client gets one failure at its deadline.
 	handle = f.submitJob(c, proto.SubmitJob, "post", "u2", "x")
 	f.grabJob(good)
 	if g, err := c.Want(proto.WorkFail); err != nil || g.Args[0] != handle {
-		t.Errorf("the client got %s, %v", g, err)
+		t.Errorf("the client got %s, error %v, want the failure of its job", g, err)
 	}
 }
 
-// TestWorkerDrains guards rule 3: by the worker's own word or the operators' nothing new
-// comes.
+// TestWorkerDrains guards rule 3: a worker that withdraws its functions, or that operators exclude,
+// gets no new jobs.
 func TestWorkerDrains(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
 	w, c := f.connectWorker("w1", "cut"), f.connect()
-	refused := func(id string) {
+	wantRefused := func(id string) {
 		t.Helper()
 		handle := f.submitJob(c, proto.SubmitJob, "cut", id, "x")
 		g, err := c.Next()
 		if err != nil || g.Type != proto.WorkWarning || !strings.Contains(g.Args[1], "Retry-After: 0.") {
-			t.Errorf("a job that nobody can do got %s, %v", g, err)
+			t.Errorf("a job that no worker can run got %s, error %v, want a warning with Retry-After", g, err)
 		}
 		wantPacket(t, c, proto.WorkFail, handle)
 	}
@@ -346,7 +351,7 @@
 		t.Fatal(err)
 	}
 	wantPacket(t, w, proto.EchoRes, "heard")
-	refused("u1")
+	wantRefused("u1")
 	if err := errors.Join(w.Send(proto.CanDo, "cut"), w.Send(proto.EchoReq, "heard")); err != nil {
 		t.Fatal(err)
 	}
@@ -356,22 +361,22 @@
 	if code, text := f.callConsole("PUT", "/api/exclude", `{"host":"g-w1"}`); code != 200 {
 		t.Fatal(code, text)
 	}
-	refused("u3")
+	wantRefused("u3")
 	if err := w.Send(proto.WorkComplete, job.Handle, "what it had goes on"); err != nil {
 		t.Fatal(err)
 	}
 	wantPacket(t, c, proto.WorkComplete, handle, "what it had goes on")
-	refused("u4")
+	wantRefused("u4")
 }
 
-// TestUniqueJobs guards what the protocol says of unique ids, and background jobs.
+// TestUniqueJobs guards the rules of the protocol for unique IDs and background jobs.
 func TestUniqueJobs(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
 	w, a, b := f.connectWorker("w1", "cut"), f.connect(), f.connect()
 	handle := f.submitJob(a, proto.SubmitJob, "cut", "same", "x")
 	if other := f.submitJob(b, proto.SubmitJobLow, "cut", "same", "y"); other != handle {
-		t.Errorf("the same unique id has the handles %s and %s", handle, other)
+		t.Errorf("the same unique ID got the handles %s and %s, want one", handle, other)
 	}
 	job := f.grabJob(w)
 	if err := b.Send(proto.GetStatusUnique, "same"); err != nil {
@@ -386,18 +391,18 @@
 
 	f.submitJob(a, proto.SubmitJob, "cut", "later", "x")
 	f.submitJob(b, proto.SubmitJobBg, "cut", "later", "x")
-	a.Close() // what somebody wants done in the background goes on without its clients
+	a.Close() // a background job continues without its clients
 	job = f.grabJob(w)
 	if job.Unique != "later" {
-		t.Errorf("the worker got %+v", job)
+		t.Errorf("the worker got job %+v, want later", job)
 	}
 	if err := w.Send(proto.WorkComplete, job.Handle, ""); err != nil {
 		t.Fatal(err)
 	}
 	text := ""
-	for over := time.Now().Add(testTimeout); !strings.Contains(text, `completed{lane="render"} 2`); _, text = f.callConsole("GET", "/api/telemetry", "") {
-		if time.Now().After(over) {
-			t.Fatalf("the background job did not end:\n%s", text)
+	for deadline := time.Now().Add(testTimeout); !strings.Contains(text, `completed{lane="render"} 2`); _, text = f.callConsole("GET", "/api/telemetry", "") {
+		if time.Now().After(deadline) {
+			t.Fatalf("the background job did not complete before the timeout; metrics:\n%s", text)
 		}
 	}
 	for _, bad := range []struct{ function, unique, code string }{{"nobody", "u", "unknown_function"}, {"out", "", "unique_missing"}} {
@@ -405,13 +410,14 @@
 			t.Fatal(err)
 		}
 		if g, err := b.Want(proto.Error); err != nil || g.Args[0] != bad.code {
-			t.Errorf("%+v got %s, %v", bad, g, err)
+			t.Errorf("%+v got %s, error %v, want that error code", bad, g, err)
 		}
 	}
 }
 
-// TestOddPeers guards the front against what a peer may send, and others against it.
-func TestOddPeers(t *testing.T) {
+// TestMalformedGearmanInput guards the front against malformed or excessive input of one peer: it
+// closes that connection, and others are served.
+func TestMalformedGearmanInput(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
 	w, c := f.connectWorker("w1", "cut"), f.connect()
@@ -419,13 +425,13 @@
 	for i := range 1000 {
 		stream = proto.AppendRequest(stream, proto.EchoReq, []byte(fmt.Sprint(i)))
 	}
-	if _, err := c.Write(stream); err != nil { // a thousand in one segment
+	if _, err := c.Write(stream); err != nil { // 1,000 packets in one write
 		t.Fatal(err)
 	}
 	for i := range 1000 {
 		wantPacket(t, c, proto.EchoRes, fmt.Sprint(i))
 	}
-	for _, b := range proto.AppendRequest(nil, proto.EchoReq, []byte("slowly")) { // split at every byte
+	for _, b := range proto.AppendRequest(nil, proto.EchoReq, []byte("slowly")) { // one byte per write
 		if _, err := c.Write([]byte{b}); err != nil {
 			t.Fatal(err)
 		}
@@ -438,17 +444,17 @@
 			t.Fatal(err)
 		}
 		if _, err := p.Conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) && !errors.Is(err, syscall.ECONNRESET) {
-			t.Errorf("%s: the connection goes on, %v", name, err)
+			t.Errorf("%s: got error %v, want the connection closed", name, err)
 		}
 	}
-	greedy := f.connect()
+	excessive := f.connect()
 	for i := range 1001 {
-		if err := greedy.Send(proto.CanDo, fmt.Sprint("f", i)); err != nil {
-			break // closed already
+		if err := excessive.Send(proto.CanDo, fmt.Sprint("f", i)); err != nil {
+			break // the connection has been closed
 		}
 	}
-	if _, err := greedy.Want(proto.EchoRes); err == nil {
-		t.Error("a worker that claims 1,001 functions goes on")
+	if _, err := excessive.Want(proto.EchoRes); err == nil {
+		t.Error("a worker that offers 1,001 functions stays connected")
 	}
 	for line, want := range map[string]string{"version\n": "OK frosttide\n", "shutdown\n": "ERR not_allowed", "status\n": "cut\t0\t0\t1\n",
 		"workers\n": " g-w1 : cut\n", "what\n": "ERR unknown_command"} {
@@ -456,10 +462,10 @@
 		if _, err := io.WriteString(p, line); err != nil {
 			t.Fatal(err)
 		}
-		answer := make([]byte, 4096)
-		n, err := p.Conn.Read(answer)
-		if err != nil || !strings.Contains(string(answer[:n]), want) {
-			t.Errorf("%q got %q, %v", line, answer[:n], err)
+		reply := make([]byte, 4096)
+		n, err := p.Conn.Read(reply)
+		if err != nil || !strings.Contains(string(reply[:n]), want) {
+			t.Errorf("admin command %q got unexpected reply %q, error %v", line, reply[:n], err)
 		}
 	}
 	handle := f.submitJob(c, proto.SubmitJob, "cut", "after", "x")
@@ -470,9 +476,9 @@
 	wantPacket(t, c, proto.WorkComplete, handle, "fine")
 }
 
-// TestGearmanEnd guards clients at a planned end: what is open is answered, what comes is
-// refused, and the process ends.
-func TestGearmanEnd(t *testing.T) {
+// TestGearmanShutdown guards clients during a planned shutdown: an open job is completed, and then
+// the process exits.
+func TestGearmanShutdown(t *testing.T) {
 	t.Parallel()
 	f := newGearman(t, "")
 	w, c := f.connectWorker("w1", "cut"), f.connect()
@@ -486,13 +492,13 @@
 		t.Fatal(err)
 	}
 	wantPacket(t, c, proto.WorkComplete, handle, "in time")
-	if err := await(t, f.exited, "end"); err != nil {
-		t.Errorf("the process ended with %v", err)
+	if err := await(t, f.exited, "exit of the process"); err != nil {
+		t.Errorf("the process exited with %v, want success", err)
 	}
 }
 
-// TestGearmanUpgrade guards an HTTP client's job at a Gearman worker against an upgrade:
-// the worker tells the older process alone, so that keeps it.
+// TestGearmanUpgrade guards the job of an HTTP client at a Gearman worker across an upgrade: the
+// worker reports only to the older process, so that process keeps the job.
 func TestGearmanUpgrade(t *testing.T) {
 	t.Parallel()
 	f := newGearmanWith(t, "", nil, withInheritedListener)
@@ -507,13 +513,13 @@
 	if err := w.Send(proto.WorkComplete, job.Handle, "in time"); err != nil {
 		t.Fatal(err)
 	}
-	if a := await(t, got, "answer"); a.Status != 200 || a.Body != "in time" {
-		t.Errorf("the client got %d %q %v", a.Status, a.Body, a.Err)
+	if a := await(t, got, "response"); a.Status != 200 || a.Body != "in time" {
+		t.Errorf("the client got status %d, body %q, error %v, want 200 and \"in time\"", a.Status, a.Body, a.Err)
 	}
-	if err := await(t, f.exited, "end of the older process"); err != nil {
+	if err := await(t, f.exited, "exit of the older process"); err != nil {
 		t.Error(err)
 	}
-	// The newer one takes workers at the same address.
+	// The newer process accepts workers at the same address.
 	next := f.connect()
 	if err := next.Announce("w2", "cut"); err != nil {
 		t.Fatal(err)
@@ -521,7 +527,8 @@
 	s.awaitLog("target=g-w2")
 }
 
-// TestGearmanTLS guards who may come.
+// TestGearmanTLS guards that with a certificate the front serves peers over TLS and none without
+// it.
 func TestGearmanTLS(t *testing.T) {
 	t.Parallel()
 	pair, ca := newCertificate(t, "127.0.0.1")
@@ -530,8 +537,9 @@
 		t.Fatal(err)
 	}
 	f := newGearman(t, fmt.Sprintf("certificate = %q\nkey = %q\n", ca, key))
-	by := time.Now().Add(testTimeout)
-	p, err := gearman.Dial(f.jobs, by, &tls.Config{InsecureSkipVerify: true}) // its address is the test's own
+	deadline := time.Now().Add(testTimeout)
+	// The certificate is made by the test, so it is not verified.
+	p, err := gearman.Dial(f.jobs, deadline, &tls.Config{InsecureSkipVerify: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -545,6 +553,6 @@
 		t.Fatal(err)
 	}
 	if g, err := plain.Next(); err == nil {
-		t.Errorf("without TLS a peer got %s", g)
+		t.Errorf("a peer without TLS got %s, want an error", g)
 	}
 }
