--- a/internal/testkit/simnet/disk.go
+++ b/internal/testkit/simnet/disk.go
@@ -9,26 +9,27 @@
 	"frosttide/internal/control/replica"
 )
 
-// errNoSpace is the error of a write that fails.
+// errNoSpace is the error of writes while a disk fails them.
 var errNoSpace = errors.New("simulated disk: no space")
 
-// disk is the disk of a machine of the control plane, with one file and one batch of writes in progress at a time.
+// disk is the disk of a machine of the control plane. It holds one file and has at most one batch
+// of writes in progress.
 type disk struct {
 	file          []byte
-	synced        int    // bytes of the file that survive a loss of power
-	replacedFile  []byte // the file that a rewrite has not replaced yet; nil for none
+	synced        int    // bytes of the file that survive a power loss
+	replacedFile  []byte // the old file while a rewrite is not synced; nil for none
 	pendingWrites []replica.Write
 	writing       bool
-	writesFail    bool          // the fault that writes fail
-	syncDelay     time.Duration // the fault that syncs are slow: added to each
+	writesFail    bool          // fault: writes fail
+	syncDelay     time.Duration // fault: added to the time of each sync
 }
 
-// writeBatch is writes that are synced together.
+// writeBatch is a batch of writes that are synced together.
 type writeBatch struct {
 	writes      []replica.Write
-	incarnation int  // of the process that made them
-	failed      bool // nothing of them was written
-	synced      bool // they survive a loss of power once the sync is done; false where the sync is missing
+	incarnation int  // of the process that issued them
+	failed      bool // none of them was written
+	synced      bool // they survive a power loss once the batch is done; false with NoSync
 }
 
 // A sync takes from minSyncTime to maxSyncTime on a disk without faults.
@@ -37,8 +38,8 @@
 	maxSyncTime = 9 * time.Millisecond
 )
 
-// flush writes all pending writes and then syncs once. A rewrite of the file leaves the old one in force until the
-// sync is done.
+// flush writes all pending writes and syncs once. When a write replaces the whole file, the old
+// file remains until the sync is done.
 func (c *core) flush() {
 	if len(c.pendingWrites) == 0 {
 		return
@@ -56,7 +57,7 @@
 	sim.after(sim.randomDuration(minSyncTime, maxSyncTime)+c.syncDelay, func() { c.syncDone(b) })
 }
 
-// write writes to the file, without a sync.
+// write applies writes to the file, without a sync.
 func (d *disk) write(writes []replica.Write) {
 	for _, w := range writes {
 		if w.Image == nil {
@@ -70,7 +71,7 @@
 	}
 }
 
-// encodeImage returns the file that an image stands for.
+// encodeImage returns the contents of the file for an image of the state.
 func encodeImage(i *journal.Image) []byte {
 	encoded, err := i.Encode()
 	if err != nil {
@@ -79,7 +80,8 @@
 	return encoded
 }
 
-// syncDone handles the end of a sync, unless the process has ended meanwhile.
+// syncDone reports a finished batch to the member and starts the next one. It does nothing if the
+// process has ended since.
 func (c *core) syncDone(b writeBatch) {
 	if !c.up || c.incarnation != b.incarnation {
 		return
@@ -100,5 +102,5 @@
 	})
 }
 
-// loseDisk empties the disk of a machine whose process has ended.
+// loseDisk empties the disk. The process must have ended.
 func (c *core) loseDisk() { c.file, c.synced, c.replacedFile = nil, 0, nil }
--- a/internal/testkit/simnet/diskfaults.go
+++ b/internal/testkit/simnet/diskfaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// slowDisk draws slow syncs of one disk.
+// slowDisk draws a period of slow syncs on one disk.
 func (sim *simulation) slowDisk() fault {
 	c, d, slow := sim.anyCore(), sim.randomDuration(time.Second, 6*time.Second), sim.randomDuration(50*time.Millisecond, 3*time.Second)
 	return fault{fmt.Sprintf("syncs of the disk of %s take %v longer for %v", c.address, slow, d), func() {
@@ -14,7 +14,7 @@
 	}}
 }
 
-// failDiskWrites draws failing writes of one disk.
+// failDiskWrites draws a period of failing writes on one disk.
 func (sim *simulation) failDiskWrites() fault {
 	c, d := sim.anyCore(), sim.randomDuration(time.Second, 6*time.Second)
 	return fault{fmt.Sprintf("the disk of %s fails writes for %v", c.address, d), func() {
@@ -23,7 +23,8 @@
 	}}
 }
 
-// diskLossCore draws the loss of one disk of the control plane, where the fault tolerance allows it by then.
+// diskLossCore draws the loss of one disk of the control plane. It happens only if the fault
+// tolerance allows it when the fault begins.
 func (sim *simulation) diskLossCore() fault {
 	c, d := sim.anyCore(), sim.randomDuration(time.Second, 3*time.Second)
 	return fault{fmt.Sprintf("%s loses its disk for %v", c.address, d), func() {
@@ -36,11 +37,12 @@
 	}}
 }
 
-// maxRestartSpread is within how long the machines are back after a loss of power of all.
+// maxRestartSpread is the longest difference between the restarts of two machines after a power
+// loss of all of them.
 const maxRestartSpread = 1500 * time.Millisecond
 
-// diskAndPowerLoss draws a loss of power of the whole control plane in which some disks are lost, as many as the
-// fault tolerance allows by then.
+// diskAndPowerLoss draws a power loss of the whole control plane in which some disks are lost, as
+// many as the fault tolerance allows when the fault begins.
 func (sim *simulation) diskAndPowerLoss() fault {
 	count, d := 1+sim.rng.IntN(sim.options.FaultTolerance), sim.randomDuration(500*time.Millisecond, 2*time.Second)
 	order := sim.rng.Perm(len(sim.cores))
@@ -57,10 +59,12 @@
 		}
 		for i, c := range sim.cores {
 			c.losePower()
-			if i < len(order) && order[i] < disksToLose { // a machine may have come since the order was drawn
+			// A machine may have been added since the order was drawn.
+			if i < len(order) && order[i] < disksToLose {
 				c.loseDisk()
 			}
-			c.restartAfter(d + sim.randomDuration(0, maxRestartSpread)) // a majority may be back before the others
+			// A majority may restart before the others.
+			c.restartAfter(d + sim.randomDuration(0, maxRestartSpread))
 		}
 	}}
 }
--- a/internal/testkit/simnet/events.go
+++ b/internal/testkit/simnet/events.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// event is something that happens at a time.
+// event is a callback that is due at a virtual time.
 type event struct {
 	at       time.Duration
 	sequence uint64
 	do       func()
 }
 
-// eventHeap orders events by time, then by the order in which they were scheduled.
+// eventHeap is a heap of events, ordered by time and then by the order in which they were
+// scheduled.
 type eventHeap []event
 
 // Len is part of sort.Interface.
@@ -40,13 +41,13 @@
 	return last
 }
 
-// after schedules an event.
+// after schedules a callback to run once d has passed.
 func (sim *simulation) after(d time.Duration, do func()) {
 	sim.sequence++
 	heap.Push(&sim.events, event{at: sim.now + d, sequence: sim.sequence, do: do})
 }
 
-// advance lets time pass until a time, or until a rule is violated.
+// advance processes events until a virtual time, or until a rule is violated.
 func (sim *simulation) advance(until time.Duration) {
 	for len(sim.events) > 0 && sim.events[0].at <= until && len(sim.report.Violations) == 0 {
 		e := heap.Pop(&sim.events).(event)
@@ -56,7 +57,7 @@
 	sim.now = max(sim.now, until)
 }
 
-// randomDuration draws a duration between two bounds, both included.
+// randomDuration draws a duration between two bounds, both inclusive.
 func (sim *simulation) randomDuration(lower, upper time.Duration) time.Duration {
 	return lower + time.Duration(sim.rng.Int64N(int64(upper-lower)+1))
 }
--- a/internal/testkit/simnet/losses.go
+++ b/internal/testkit/simnet/losses.go
@@ -8,11 +8,12 @@
 	"frosttide/internal/view"
 )
 
-// catchUpTime is how long a machine counts as lost after it is back, or after its first boot. The rules say 4 s.
+// catchUpTime is how long a machine counts as lost after it has restarted, or after its first boot.
+// The rules specify 4 s.
 const catchUpTime = 4200 * time.Millisecond
 
-// mayLoseDisks tells whether as many machines or disks may be lost as the fault tolerance says: all are up and have
-// had the time to catch up.
+// mayLoseDisks reports whether as many machines or disks may be lost as the fault tolerance allows:
+// all machines are up and have had the time to catch up.
 func (sim *simulation) mayLoseDisks() bool {
 	if !sim.noFaultFor(catchUpTime) {
 		return false
@@ -25,12 +26,12 @@
 	return true
 }
 
-// minDiskLossInterval is the least time between two lost disks where other faults are in force.
+// minDiskLossInterval is the least time between two disk losses while other faults are in force.
 const minDiskLossInterval = 12 * time.Second
 
-// mayLoseOneDisk tells whether one disk may be lost though other faults are in force: all machines are up and vote,
-// the disk that was lost before has been replaced, and no machine is new. A new one counts as lost until it has had
-// the time to catch up, and so does the one that it replaces.
+// mayLoseOneDisk reports whether one disk may be lost while other faults are in force: all machines
+// are up and voters, the disk lost before has been replaced, and no machine is new. A new machine
+// counts as lost until it has had the time to catch up, and so does the one that it replaces.
 func (sim *simulation) mayLoseOneDisk() bool {
 	if sim.lastDiskLoss > 0 && sim.now-sim.lastDiskLoss < minDiskLossInterval || sim.lastReplacement > 0 && sim.now-sim.lastReplacement < catchUpTime {
 		return false
@@ -48,8 +49,9 @@
 	return len(v.GetPrevious()) == 0 && len(v.GetVoters()) == len(sim.cores)
 }
 
-// replaceCore draws the replacement of one machine of the control plane by an empty one at another address, where the
-// fault tolerance allows it by then. Two of the first three machines, which all others know, stay.
+// replaceCore draws the replacement of a machine of the control plane by an empty one at another
+// address. It happens only if the fault tolerance allows it when the fault begins. Two of the first
+// three machines, whose addresses all processes are configured with, are never replaced.
 func (sim *simulation) replaceCore() fault {
 	index, d := 2+sim.rng.IntN(len(sim.cores)-2), sim.randomDuration(200*time.Millisecond, 3*time.Second)
 	planned := sim.rng.IntN(3) == 0
@@ -61,7 +63,7 @@
 		old := sim.cores[index]
 		sim.lastCoreNumber++
 		next := sim.newCore(sim.lastCoreNumber)
-		if planned { // the new one first
+		if planned { // add the new machine before the old one is removed
 			sim.cores = append(sim.cores, next)
 			next.boot()
 			sim.faultFor(d, func() { sim.removeCore(old) })
@@ -84,11 +86,12 @@
 	sim.cores = slices.DeleteFunc(sim.cores, func(o *core) bool { return o == c })
 }
 
-// maxReplacementTime is how long a replacement takes at most until the new machine has booted.
+// maxReplacementTime is the longest time from the start of a replacement until the new machine has
+// booted.
 const maxReplacementTime = 3 * time.Second
 
-// replaceTwoCores draws the replacement of two machines of the control plane one after the other, the second once the
-// successor of the first has had the time to catch up.
+// replaceTwoCores draws the replacement of two machines of the control plane, the second once the
+// replacement of the first has had the time to catch up.
 func (sim *simulation) replaceTwoCores() fault {
 	first := sim.replaceCore()
 	second := sim.replaceCore()
--- a/internal/testkit/simnet/missingcheck.go
+++ b/internal/testkit/simnet/missingcheck.go
@@ -6,7 +6,8 @@
 	"frosttide/internal/protocol"
 )
 
-// withoutCheck returns a message as it is sent where a safety check is missing.
+// withoutCheck returns a message as a core sends it without the check that Options.MissingCheck
+// names. It may change the message in place.
 func (sim *simulation) withoutCheck(e *protocol.Envelope) *protocol.Envelope {
 	o := e.GetRunnerOrders()
 	if o == nil {
--- a/internal/testkit/simnet/simnet.go
+++ b/internal/testkit/simnet/simnet.go
@@ -1,14 +1,20 @@
-// Package simnet runs the whole cluster scheduler on a simulated network: the control plane's members with their disks,
-// gateways, agents with runners, clients and an operator, all of it the programs' own state machines in virtual time.
-// Faults strike meanwhile: crashes, losses of power with torn writes, lost, slow and failing disks, pauses, throttling,
-// clock steps, partitions, packet loss, delayed and duplicated messages, resets of connections and bounds of bandwidth.
+// Package simnet runs the whole cluster scheduler on a simulated network in virtual time: the
+// members of the control plane with their disks, gateways, agents with runners, clients and an
+// operator. It drives the same state machines that the programs run.
 //
-// After each step the rules are checked as invariants, by what really happened and not by what the system says of itself;
-// the first violation ends a simulation. Everything is drawn from one seed, so that a run of the same options is the same
-// run: nothing may draw from another source, read a clock or depend on the order of a map.
+// While clients submit jobs it injects faults: crashes, power loss with torn writes, lost, slow and
+// failing disks, pauses, CPU throttling, clock steps, partitions, packet loss, delayed and
+// duplicated messages, connection resets and limited bandwidth.
 //
-// The program frosttide-simulate and the tests of this package call it. Run is safe for concurrent use; a simulation runs
-// in one goroutine.
+// The rules are checked as invariants after each step, against what the simulation observed and not
+// against what the system reports; the first violation ends the simulation. Everything random is
+// drawn from one seed, so that the same options always give the same run: code in this package must
+// not use another source of randomness, read a clock or depend on the iteration order of a map.
+//
+// A machine of the control plane is called a core here and in traces. The head is the member that
+// evaluates requests and appends their effects to the log, as in chain replication. The program
+// frosttide-simulate and the tests of this package call Run, which is safe for concurrent use; each
+// simulation runs in one goroutine.
 package simnet
 
 import (
@@ -16,74 +22,76 @@
 	"time"
 )
 
-// Options say what is simulated.
+// Options configure a simulation. DefaultOptions returns the usual ones of a seed.
 type Options struct {
-	Seed           uint64        // decides everything that is drawn
+	Seed           uint64        // of the random numbers
 	Cores          int           // machines of the control plane
-	Runners        int           // each with an agent of its own
-	Gateways       int           // that take clients' jobs
-	FaultTolerance int           // machines with their disks that may be lost at once
-	Length         time.Duration // virtual time in which clients send jobs and faults strike
+	Runners        int           // each with its own agent
+	Gateways       int           // which accept clients' jobs
+	FaultTolerance int           // machines, with their disks, that may be lost at the same time
+	Length         time.Duration // virtual time with new jobs and faults
 
-	CoreOnly              bool // only machines of the control plane meet faults
+	CoreOnly              bool // faults affect only machines of the control plane
 	FrequentConfigChanges bool // the operator changes the configuration many times a second
-	LargeSpecs            bool // jobs have long specs, so that state transfers take many chunks
-	BufferedResets        bool // what a receiver had buffered of a link that is reset may be handled for a while
+	LargeSpecs            bool // jobs have large specs, so that state transfers take many chunks
+	BufferedResets        bool // receivers may handle messages buffered before a reset
 
-	SkipFaults   map[int]bool      // faults that are left out, by their number in Report.Faults
-	MissingCheck MissingCheck      // a safety check that the simulation goes without
-	Trace        func(line string) // takes each line of the trace; nil for none
+	SkipFaults   map[int]bool      // faults that are not injected, by their index in Report.Faults
+	MissingCheck MissingCheck      // the safety check that the simulation runs without
+	Trace        func(line string) // receives each line of the trace; nil for no trace
 }
 
-// MissingCheck names a safety check that a simulation goes without, for tests of the rules. The programs have no
-// switch for it: the simulation undoes what the check protects.
+// MissingCheck names a safety check that a simulation runs without, to test that the rules detect
+// its absence. The programs have no switch for it: the simulation undoes the effect of the check.
 type MissingCheck int
 
 // The safety checks that can be missing.
 const (
-	AllChecks     MissingCheck = iota // none is missing
-	NoLeaseWait                       // agents get longer leases than the head counts with
-	NoSync                            // disks report a sync that they have not done
-	NoFencing                         // orders of a former head carry the newest epoch
-	NoNewIdentity                     // a member that has lost its disk comes back under its old identity
-	NoLinkOrder                       // what was buffered of a link that is reset is handled after messages of the next one
+	AllChecks     MissingCheck = iota // no check is missing
+	NoLeaseWait                       // agents get longer leases than the head assumes
+	NoSync                            // disks report a sync as done without doing it
+	NoFencing                         // run orders of a former head carry the newest epoch
+	NoNewIdentity                     // a member that lost its disk returns under its old identity
+	NoLinkOrder                       // messages from before a reset are handled after newer ones
 )
 
-// Violation is a rule that was violated.
+// Violation is a rule that was violated, with the virtual time and a description.
 type Violation struct {
-	Rule string // its name in the rules, such as LOST or TWICE
+	Rule string // its name, such as LOST or TWICE
 	At   time.Duration
 	Text string
 }
 
-// String returns the violation as a line.
+// String returns the violation on one line: seconds of virtual time, rule and description.
 func (v Violation) String() string {
 	return fmt.Sprintf("%.3f %s: %s", v.At.Seconds(), v.Rule, v.Text)
 }
 
 // Report is the outcome of a simulation.
 type Report struct {
-	Violations []Violation // at most the first, as the simulation ends with it, and those of the same step
-	Faults     []string    // all that were drawn, in the order of their numbers, with their times
-	Accepted   int         // jobs that clients were told are accepted
-	Done       int         // of those, jobs that were completed at the end
-	Starts     int         // runs that runners started
-	Calls      []Call      // of operators, and of clients for their jobs' states
+	Violations []Violation // of the first step that violates a rule; the simulation ends there
+	Faults     []string    // all that were drawn, each with its time in seconds
+	Accepted   int         // jobs whose acceptance was acknowledged to a client
+	Done       int         // accepted jobs that were completed at the end
+	Starts     int         // runs that runners have started
+	Calls      []Call      // of the operator, and reads of job states by clients
 }
 
 const (
-	// maxQuiesceTime is how long a simulation goes on at most without faults and new jobs until all has to be in order,
-	// minQuiesceTime at least.
+	// A simulation goes on without faults and new jobs for at least minQuiesceTime. It ends once no
+	// job is left to run, at the latest after maxQuiesceTime: by then the final state has to be
+	// right.
 	maxQuiesceTime = 45 * time.Second
 	minQuiesceTime = 8 * time.Second
-	// commitTime is how long the head's newest entries may take to be committed: until then readers see the state before.
+	// commitTime is how long the newest entries of the head may take to be committed; reads show
+	// the state before them until then.
 	commitTime = time.Second
-	// maxMinimizeRuns bounds the simulations of MinimizeFaults.
+	// maxMinimizeRuns bounds the simulations that MinimizeFaults runs.
 	maxMinimizeRuns = 60
 )
 
-// DefaultOptions returns the usual options of a seed: three to seven machines of the control plane, with each fault
-// tolerance that their number allows.
+// DefaultOptions returns the usual options of a seed. Seeds cover three to seven machines of the
+// control plane, each with every fault tolerance that their number allows.
 func DefaultOptions(seed uint64) Options {
 	cores := 3 + int(seed%5)
 	return Options{
@@ -99,7 +107,8 @@
 	}
 }
 
-// Run simulates once and returns the outcome. Runs of the same options are the same. It is safe for concurrent use.
+// Run runs one simulation and returns its outcome. The same options always give the same outcome.
+// It is safe for concurrent use.
 func Run(o Options) *Report {
 	sim := newSimulation(o)
 	sim.bootAll()
@@ -118,9 +127,9 @@
 	return &sim.report
 }
 
-// MinimizeFaults looks for a smaller set of faults that still has a rule violated, and returns which faults are left
-// out, for Options.SkipFaults. It tries to leave out one fault after the other, in at most maxMinimizeRuns
-// simulations.
+// MinimizeFaults looks for a smaller set of faults with which a rule is still violated. It tries to
+// leave out one fault after the other, in at most maxMinimizeRuns simulations, and returns the
+// numbers of the faults to leave out, for Options.SkipFaults.
 func MinimizeFaults(o Options) map[int]bool {
 	best := o.SkipFaults
 	if best == nil {
