--- a/internal/testkit/simnet/faults.go
+++ b/internal/testkit/simnet/faults.go
@@ -4,30 +4,34 @@
 	"time"
 )
 
-// fault is a fault that has been drawn.
+// fault is a fault that was drawn.
 type fault struct {
 	description string
-	begin       func() // what it does; it ends by itself
+	begin       func() // injects the fault and schedules its end
 }
 
-// scheduledFault is a fault with the time at which it begins.
+// scheduledFault is a fault with the virtual time at which it begins.
 type scheduledFault struct {
 	fault
 	at time.Duration
 }
 
 const (
-	// firstFault is the time before which no fault begins, and maxFaultInterval bounds the time between two.
+	// No fault begins before firstFault. Two successive faults begin at most maxFaultInterval
+	// apart, unless a calm period lies between them.
 	firstFault       = 4 * time.Second
 	maxFaultInterval = 5 * time.Second
-	// One fault of calmPeriodOneIn is preceded by a time without faults, of at most maxCalmPeriod.
+	// One fault in calmPeriodOneIn, on average, follows a period without new faults of at most
+	// maxCalmPeriod.
 	calmPeriodOneIn = 5
 	maxCalmPeriod   = 15 * time.Second
-	// maxPartition is how long machines of the control plane are partitioned or paused at most.
+	// maxPartition is the longest partition of a machine of the control plane, and the longest
+	// pause of the head.
 	maxPartition = 20 * time.Second
 )
 
-// faultKinds returns the kinds of faults; each draws a fault. Their order belongs to the seeds.
+// faultKinds returns one function for each kind of fault, which draws a fault of that kind.
+// Changing their order changes what each seed simulates.
 func (sim *simulation) faultKinds() []func() fault {
 	core := []func() fault{
 		sim.crashCore, sim.powerLossCore, sim.diskLossCore, sim.powerLossAll, sim.crashAll, sim.diskAndPowerLoss, sim.replaceCore,
@@ -42,14 +46,15 @@
 		sim.crashRunner, sim.restartRunner, sim.drainRunner, sim.deregisterWithoutDraining, sim.delayHeartbeats)
 }
 
-// drawFaults draws the faults of the simulation, in the order of their times.
+// drawFaults draws all faults of the simulation, in the order of their times.
 func (sim *simulation) drawFaults() (out []scheduledFault) {
 	kinds := sim.faultKinds()
 	losses := []func() fault{sim.diskLossCore, sim.diskAndPowerLoss, sim.replaceCore}
 	for at := firstFault; at < sim.options.Length; {
 		at += sim.randomDuration(0, maxFaultInterval)
 		draw := kinds[sim.rng.IntN(len(kinds))]
-		if sim.rng.IntN(calmPeriodOneIn) == 0 { // losses for good are allowed only when there was no fault for a time
+		// Permanent losses are allowed only after a time without faults.
+		if sim.rng.IntN(calmPeriodOneIn) == 0 {
 			at += sim.randomDuration(catchUpTime, maxCalmPeriod)
 			draw = losses[sim.rng.IntN(len(losses))]
 		}
@@ -66,21 +71,22 @@
 	return sim.runnerHosts[sim.rng.IntN(len(sim.runnerHosts))]
 }
 
-// faultFor has a fault that has just begun be in force for a time. At its end a function ends it.
+// faultFor keeps a fault that has just begun in force for d, and then calls end. While a fault is
+// in force it is recorded once a second.
 func (sim *simulation) faultFor(d time.Duration, end func()) {
 	sim.recordFault()
-	var goOn func()
+	var renew func()
 	until := sim.now + d
-	goOn = func() {
+	renew = func() {
 		sim.recordFault()
 		if sim.now >= until {
 			end()
 			return
 		}
-		sim.after(min(time.Second, until-sim.now), goOn)
+		sim.after(min(time.Second, until-sim.now), renew)
 	}
-	sim.after(min(time.Second, d), goOn)
+	sim.after(min(time.Second, d), renew)
 }
 
-// noEnd ends a fault that ends by itself.
-func noEnd() {}
+// noCleanup is the end function of faults that need no cleanup.
+func noCleanup() {}
--- a/internal/testkit/simnet/machinefaults.go
+++ b/internal/testkit/simnet/machinefaults.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// restartAfter boots the machine again after a time, unless it is up or was removed.
+// restartAfter boots the machine again after d, unless it is up by then or was removed.
 func (c *core) restartAfter(d time.Duration) {
 	c.sim.faultFor(d, func() {
 		if !c.up && !c.removed {
@@ -21,13 +21,13 @@
 	return fault{fmt.Sprintf("%s crashes for %v", c.address, d), func() { c.crash(); c.restartAfter(d) }}
 }
 
-// crashHead draws a crash of the head.
+// crashHead draws a crash of the machine that is the head when the fault begins.
 func (sim *simulation) crashHead() fault {
 	d := sim.randomDuration(50*time.Millisecond, 4*time.Second)
 	return fault{fmt.Sprintf("the head crashes for %v", d), func() { c := sim.head(); c.crash(); c.restartAfter(d) }}
 }
 
-// crashAll draws a crash of all processes but the runners.
+// crashAll draws a crash of all processes except the runners.
 func (sim *simulation) crashAll() fault {
 	d := sim.randomDuration(50*time.Millisecond, time.Second)
 	return fault{fmt.Sprintf("all processes crash for %v", d), func() {
@@ -39,21 +39,22 @@
 			sim.stop(h.process)
 			sim.after(d, func() { h.boot() })
 		}
-		for _, c := range sim.gateways {
-			sim.stop(c.process)
-			sim.after(d, func() { c.boot() })
+		for _, g := range sim.gateways {
+			sim.stop(g.process)
+			sim.after(d, func() { g.boot() })
 		}
 	}}
 }
 
-// powerLossCore draws a loss of power of one machine of the control plane, with a torn write where one is in
-// progress.
+// powerLossCore draws a power loss of one machine of the control plane, with a torn write if one is
+// in progress.
 func (sim *simulation) powerLossCore() fault {
 	c, d := sim.anyCore(), sim.randomDuration(time.Second, 4*time.Second)
 	return fault{fmt.Sprintf("%s loses power for %v", c.address, d), func() { c.losePower(); c.restartAfter(d) }}
 }
 
-// powerLossAll draws a loss of power of the whole control plane. The machines come back one after the other.
+// powerLossAll draws a power loss of the whole control plane. The machines restart at slightly
+// different times.
 func (sim *simulation) powerLossAll() fault {
 	d := sim.randomDuration(500*time.Millisecond, 9*time.Second)
 	return fault{fmt.Sprintf("all of the core lose power for %v", d), func() {
@@ -67,53 +68,53 @@
 // pauseCore draws a pause of one process of the control plane.
 func (sim *simulation) pauseCore() fault {
 	c, d := sim.anyCore(), sim.randomDuration(500*time.Millisecond, 5*time.Second)
-	return fault{fmt.Sprintf("%s is paused for %v", c.address, d), func() { sim.faultFor(d, noEnd); sim.pause(c.process, d) }}
+	return fault{fmt.Sprintf("%s is paused for %v", c.address, d), func() { sim.faultFor(d, noCleanup); sim.pause(c.process, d) }}
 }
 
-// pauseHead draws a pause of the process that is the head by then.
+// pauseHead draws a pause of the process that is the head when the fault begins.
 func (sim *simulation) pauseHead() fault {
 	d := sim.randomDuration(500*time.Millisecond, maxPartition)
-	return fault{fmt.Sprintf("the head is paused for %v", d), func() { sim.faultFor(d, noEnd); sim.pause(sim.head().process, d) }}
+	return fault{fmt.Sprintf("the head is paused for %v", d), func() { sim.faultFor(d, noCleanup); sim.pause(sim.head().process, d) }}
 }
 
-// throttleCPU draws a throttled processor of one machine of the control plane: the process runs at full speed until
-// its share of each period is spent, and not for the rest of it.
+// throttleCPU draws CPU throttling of one machine of the control plane: in each period the process
+// runs at full speed until its quota is used up, and is paused for the rest.
 func (sim *simulation) throttleCPU() fault {
 	const period = 100 * time.Millisecond
-	c, d, spent := sim.anyCore(), sim.randomDuration(time.Second, 10*time.Second), sim.randomDuration(10*time.Millisecond, 80*time.Millisecond)
-	return fault{fmt.Sprintf("%s is throttled to %v of each %v for %v", c.address, spent, period, d), func() {
+	c, d, quota := sim.anyCore(), sim.randomDuration(time.Second, 10*time.Second), sim.randomDuration(10*time.Millisecond, 80*time.Millisecond)
+	return fault{fmt.Sprintf("%s is throttled to %v of each %v for %v", c.address, quota, period, d), func() {
 		until := sim.now + d
-		sim.faultFor(d, noEnd)
-		var again func()
-		again = func() {
+		sim.faultFor(d, noCleanup)
+		var nextPeriod func()
+		nextPeriod = func() {
 			if sim.now >= until {
 				return
 			}
-			sim.after(spent, func() { sim.pause(c.process, period-spent) })
-			sim.after(period, again)
+			sim.after(quota, func() { sim.pause(c.process, period-quota) })
+			sim.after(period, nextPeriod)
 		}
-		again()
+		nextPeriod()
 	}}
 }
 
-// stepClock draws a clock step: the time of day of one machine, or of the whole control plane, jumps by seconds or by
-// an hour, and back.
+// stepClock draws a clock step: the wall clock of one machine, or of the whole control plane, jumps
+// by up to 30 s or by an hour, and later back.
 func (sim *simulation) stepClock() fault {
-	c, d, by := sim.anyCore(), sim.randomDuration(time.Second, 20*time.Second), sim.randomDuration(-30*time.Second, 30*time.Second)
+	c, d, offset := sim.anyCore(), sim.randomDuration(time.Second, 20*time.Second), sim.randomDuration(-30*time.Second, 30*time.Second)
 	if sim.rng.IntN(3) == 0 {
-		by = time.Hour
+		offset = time.Hour
 	}
-	all, who := sim.rng.IntN(3) == 0, c.address
+	all, target := sim.rng.IntN(3) == 0, c.address
 	if all {
-		who = "all of the core"
+		target = "all of the core"
 	}
-	return fault{fmt.Sprintf("the clock of %s is stepped by %v for %v", who, by, d), func() {
+	return fault{fmt.Sprintf("the clock of %s is stepped by %v for %v", target, offset, d), func() {
 		cores := []*core{c}
-		if all { // whoever is part of it by then
+		if all { // the machines that exist when the fault begins
 			cores = slices.Clone(sim.cores)
 		}
 		for _, c := range cores {
-			c.clockOffset = by
+			c.clockOffset = offset
 			sim.faultFor(d, func() { c.clockOffset = 0 })
 		}
 	}}
@@ -132,7 +133,7 @@
 	}}
 }
 
-// crashAgent draws a crash of one agent; its runner goes on.
+// crashAgent draws a crash of one agent; its runner keeps running.
 func (sim *simulation) crashAgent() fault {
 	h, d := sim.anyRunnerHost(), sim.randomDuration(50*time.Millisecond, 5*time.Second)
 	return fault{fmt.Sprintf("%s crashes for %v", h.address, d), func() {
@@ -148,5 +149,5 @@
 // pauseAgent draws a pause of one agent.
 func (sim *simulation) pauseAgent() fault {
 	h, d := sim.anyRunnerHost(), sim.randomDuration(500*time.Millisecond, 20*time.Second)
-	return fault{fmt.Sprintf("%s is paused for %v", h.address, d), func() { sim.faultFor(d, noEnd); sim.pause(h.process, d) }}
+	return fault{fmt.Sprintf("%s is paused for %v", h.address, d), func() { sim.faultFor(d, noCleanup); sim.pause(h.process, d) }}
 }
--- a/internal/testkit/simnet/network.go
+++ b/internal/testkit/simnet/network.go
@@ -11,33 +11,35 @@
 // link is one direction between two processes.
 type link struct{ from, to string }
 
-// network is the state of the network. Links carry messages in order, over all connections that a link has one after the
-// other. A link that is reset loses what is in flight, and what is sent afterwards goes by the next connection. Where
-// the receiver had buffered what was in flight, it goes on to handle that until it handles a message of the next one.
+// network is the state of the network. Each link delivers messages in order over a sequence of
+// connections. A reset loses the messages in flight on a link; later messages use the next
+// connection. With Options.BufferedResets the receiver has already buffered the messages in flight:
+// it continues to handle them until it handles a message of the next connection.
 type network struct {
-	partitions  map[link]time.Duration // until when a link is partitioned
-	lastArrival map[link]time.Duration // when the newest message of a link arrives: links keep the order
+	partitions  map[link]time.Duration // end of the partition of a link
+	lastArrival map[link]time.Duration // arrival of the last message sent, to keep the order
 	resets      map[link]time.Duration // when a link was last reset
-	connections map[link]*connections  // of each link that was reset with buffered messages
+	connections map[link]*connections  // of links that were reset with Options.BufferedResets
 
 	// Bandwidth of each link between two machines of the control plane.
-	bytesPerSecond int                    // 0 for no bound
-	freeAt         map[link]time.Duration // when a link has carried what was sent so far
+	bytesPerSecond int                    // 0 for no limit
+	freeAt         map[link]time.Duration // when a link has transmitted everything sent so far
 
-	duplicateUntil time.Duration // until when messages are duplicated
-	delayUntil     time.Duration // until when messages are delayed by up to maxExtraDelay
+	duplicateUntil time.Duration // end of the duplication of messages
+	delayUntil     time.Duration // end of the delay of messages by up to maxExtraDelay
 }
 
 const (
-	// Each message takes from minDelay to maxDelay.
+	// The latency of a message is between minDelay and maxDelay.
 	minDelay = 300 * time.Microsecond
 	maxDelay = 2500 * time.Microsecond
-	// maxPartitionBuffering is how much longer a partition may last for a message to be retransmitted and arrive after it.
-	// Where it lasts longer the connection is given up and the message lost.
+	// maxPartitionBuffering is the longest remaining time of a partition after which a message sent
+	// during it may still arrive, as a retransmission. If the partition lasts longer, the
+	// connection is given up and the message is lost.
 	maxPartitionBuffering = 1200 * time.Millisecond
-	// maxExtraDelay bounds the extra delay of messages while they are delayed.
+	// maxExtraDelay bounds the extra latency while messages are delayed.
 	maxExtraDelay = 400 * time.Millisecond
-	// maxDuplicateDelay is within how long the duplicate of a message arrives.
+	// maxDuplicateDelay bounds how long after a message its duplicate arrives.
 	maxDuplicateDelay = 300 * time.Millisecond
 )
 
@@ -46,7 +48,7 @@
 	return network{partitions: make(map[link]time.Duration), lastArrival: make(map[link]time.Duration), resets: make(map[link]time.Duration), freeAt: make(map[link]time.Duration), connections: make(map[link]*connections)}
 }
 
-// send sends a message to another process, with the faults of the network that are in force.
+// send sends a message to another process, subject to the network faults in force.
 func (sim *simulation) send(from *process, to string, e *protocol.Envelope) {
 	target := sim.processes[to]
 	if target == nil {
@@ -76,7 +78,8 @@
 	}
 }
 
-// deliver has a message arrive at a time, unless its link is reset or the receiver ends before.
+// deliver schedules the arrival of a message. The message is lost if its link is reset or the
+// receiver ends before.
 func (sim *simulation) deliver(l link, target *process, at time.Duration, e *protocol.Envelope) {
 	incarnation, sent, connection := target.incarnation, sim.now, sim.network.connections[l].newest()
 	var arrive func()
@@ -86,11 +89,11 @@
 			return
 		}
 		c := sim.network.connections[l]
-		if c != nil && connection < c.current && sim.now < c.readerResumes {
-			sim.after(c.readerResumes-sim.now, arrive)
+		if c != nil && connection < c.current && sim.now < c.readersResumeAt {
+			sim.after(c.readersResumeAt-sim.now, arrive)
 			return
 		}
-		if !c.handles(connection) && sim.options.MissingCheck != NoLinkOrder {
+		if !c.acceptFrom(connection) && sim.options.MissingCheck != NoLinkOrder {
 			return
 		}
 		sim.execute(target, func() { target.receive(l.from, e) })
@@ -98,14 +101,14 @@
 	sim.after(at-sim.now, arrive)
 }
 
-// connections are the connections that a link has had, one after the other.
+// connections counts the successive connections of a link.
 type connections struct {
-	current       int           // the one that messages are sent on
-	handled       int           // the newest one of which a message was handled
-	readerResumes time.Duration // until when the readers of the earlier ones stand still
+	current         int           // the connection on which messages are sent
+	newestHandled   int           // the newest connection of which a message was handled
+	readersResumeAt time.Duration // end of the pause of readers of earlier connections
 }
 
-// newest returns the number of the connection that messages are sent on.
+// newest returns the number of the connection on which messages are sent. The receiver may be nil.
 func (c *connections) newest() int {
 	if c == nil {
 		return 0
@@ -113,19 +116,20 @@
 	return c.current
 }
 
-// handles reports whether a message of a connection is handled: none is after one of a later connection.
-func (c *connections) handles(connection int) bool {
+// acceptFrom reports whether a message of a connection is still handled, and records that it is:
+// after a message of a later connection it is dropped. The receiver may be nil.
+func (c *connections) acceptFrom(connection int) bool {
 	if c == nil {
 		return true
 	}
-	if connection < c.handled {
+	if connection < c.newestHandled {
 		return false
 	}
-	c.handled = connection
+	c.newestHandled = connection
 	return true
 }
 
-// isCore tells whether an address is that of a machine of the control plane.
+// isCore reports whether an address is that of a machine of the control plane.
 func (sim *simulation) isCore(address string) bool {
 	for _, c := range sim.cores {
 		if c.address == address {
@@ -135,15 +139,17 @@
 	return false
 }
 
-// reset resets the connections between two processes: what is in flight is lost.
+// reset resets the connections between two processes. All messages in flight are lost.
 func (sim *simulation) reset(a, b string) {
 	sim.network.resets[link{a, b}], sim.network.resets[link{b, a}] = sim.now, sim.now
 }
 
-// maxReaderPause bounds how long the reader of a link that was reset stands still before it handles what it has buffered.
+// maxReaderPause bounds the pause after a reset before the reader of the old connection handles
+// what it has buffered.
 const maxReaderPause = 300 * time.Millisecond
 
-// resetBuffered resets the connections between two processes whose receivers had buffered all that is in flight.
+// resetBuffered resets the connections between two processes whose receivers have already buffered
+// all messages in flight.
 func (sim *simulation) resetBuffered(a, b string) {
 	for _, l := range []link{{a, b}, {b, a}} {
 		c := sim.network.connections[l]
@@ -152,12 +158,12 @@
 			sim.network.connections[l] = c
 		}
 		c.current++
-		c.readerResumes = sim.now + sim.randomDuration(0, maxReaderPause)
+		c.readersResumeAt = sim.now + sim.randomDuration(0, maxReaderPause)
 		delete(sim.network.lastArrival, l)
 	}
 }
 
-// partition cuts the link from one process to another for a time.
+// partition blocks the link from one process to another for d.
 func (sim *simulation) partition(from, to string, d time.Duration) {
 	sim.network.partitions[link{from, to}] = max(sim.network.partitions[link{from, to}], sim.now+d)
 }
--- a/internal/testkit/simnet/process.go
+++ b/internal/testkit/simnet/process.go
@@ -6,37 +6,39 @@
 	"frosttide/internal/protocol"
 )
 
-// process is a process as the network and the clock know it.
+// process is a process as seen by the network and the clock.
 type process struct {
 	address     string
-	incarnation int // rises with each start and each end
+	incarnation int // increases with each start and each stop
 	up          bool
-	startedAt   time.Duration // origin of its steady clock
+	startedAt   time.Duration // zero point of its steady clock
 	paused      bool
-	inbox       []func() // what has arrived while it is paused
+	inbox       []func() // work that arrived during a pause
 
 	receive func(from string, e *protocol.Envelope)
-	turn    func() // carries out what the process has decided since the last turn
+	turn    func() // carries out the output of the process since the last turn
 }
 
-// tickInterval is how often processes are told of the time.
+// tickInterval is the time between two ticks of a process of the control plane or a gateway; agents
+// tick half as often.
 const tickInterval = 20 * time.Millisecond
 
-// start begins an incarnation of a process, whose steady clock begins anywhere within an hour.
+// start begins an incarnation of a process. Its steady clock starts at a random value of up to an
+// hour.
 func (sim *simulation) start(p *process) {
 	p.incarnation++
 	p.up, p.paused, p.inbox = true, false, nil
 	p.startedAt = sim.now - time.Duration(sim.rng.Int64N(int64(time.Hour)))
 }
 
-// stop ends an incarnation of a process. What has not been delivered to it is lost.
+// stop ends an incarnation of a process. Messages that were not delivered yet are lost.
 func (sim *simulation) stop(p *process) {
 	p.up, p.paused, p.inbox = false, false, nil
 	p.incarnation++
 }
 
-// pause has a process do nothing for a time; what arrives meanwhile waits. It has no effect on one that is down or
-// paused.
+// pause suspends a process for d; what arrives meanwhile is queued in its inbox. It has no effect
+// on a process that is down or already paused.
 func (sim *simulation) pause(p *process, d time.Duration) {
 	if !p.up || p.paused {
 		return
@@ -59,10 +61,11 @@
 	})
 }
 
-// clock returns the steady clock of a process.
+// clock returns the time of a process's steady clock.
 func (sim *simulation) clock(p *process) time.Duration { return sim.now - p.startedAt }
 
-// execute has a process do something now or, if it is paused, once it goes on.
+// execute runs a function in a process, followed by a turn: now, or once the process resumes if it
+// is paused.
 func (sim *simulation) execute(p *process, do func()) {
 	if p.paused {
 		p.inbox = append(p.inbox, do)
@@ -72,12 +75,12 @@
 	p.turn()
 }
 
-// repeat has a process do something at an interval, the first time within it, until the process ends. A paused
-// process misses its turns.
+// repeat runs a function and a turn in a process at an interval until the process ends; the first
+// time after a random part of the interval. It skips the times at which the process is paused.
 func (sim *simulation) repeat(p *process, interval time.Duration, do func()) {
 	incarnation := p.incarnation
-	var again func()
-	again = func() {
+	var next func()
+	next = func() {
 		if !p.up || p.incarnation != incarnation {
 			return
 		}
@@ -85,7 +88,7 @@
 			do()
 			p.turn()
 		}
-		sim.after(interval, again)
+		sim.after(interval, next)
 	}
-	sim.after(sim.randomDuration(0, interval), again)
+	sim.after(sim.randomDuration(0, interval), next)
 }
--- a/internal/testkit/simnet/runnerfaults.go
+++ b/internal/testkit/simnet/runnerfaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// crashRunner draws a crash of one runner, which comes back under a new id.
+// crashRunner draws a crash of one runner, which restarts under a new ID.
 func (sim *simulation) crashRunner() fault {
 	h, d := sim.anyRunnerHost(), sim.randomDuration(100*time.Millisecond, 9*time.Second)
 	return fault{fmt.Sprintf("the runner at %s crashes for %v", h.address, d), func() {
@@ -19,7 +19,7 @@
 	}}
 }
 
-// restartRunner draws a crash of one runner that is back at once.
+// restartRunner draws a crash of one runner that restarts at once.
 func (sim *simulation) restartRunner() fault {
 	h := sim.anyRunnerHost()
 	return fault{fmt.Sprintf("the runner at %s crashes and is back at once", h.address), func() {
@@ -47,7 +47,8 @@
 	}}
 }
 
-// deregisterWithoutDraining draws a runner that deregisters without having drained, runs on for a time and ends.
+// deregisterWithoutDraining draws a runner that deregisters without draining first, continues its
+// runs for a time and ends.
 func (sim *simulation) deregisterWithoutDraining() fault {
 	h, d := sim.anyRunnerHost(), sim.randomDuration(100*time.Millisecond, 9*time.Second)
 	delayed := sim.rng.IntN(2) == 0
@@ -71,11 +72,11 @@
 	}}
 }
 
-// delayHeartbeats draws delayed heartbeats of one runner.
+// delayHeartbeats draws a period in which the heartbeats of one runner are delayed.
 func (sim *simulation) delayHeartbeats() fault {
 	h, d := sim.anyRunnerHost(), sim.randomDuration(time.Second, 8*time.Second)
 	return fault{fmt.Sprintf("the heartbeats of the runner at %s are delayed by up to %v for %v", h.address, maxHeartbeatDelay, d), func() {
 		h.runner.delayHeartbeatsUntil = sim.now + d
-		sim.faultFor(d, noEnd)
+		sim.faultFor(d, noCleanup)
 	}}
 }
