--- a/internal/testkit/simnet/client.go
+++ b/internal/testkit/simnet/client.go
@@ -9,20 +9,21 @@
 	"frosttide/internal/protocol"
 )
 
-// client submits jobs, reads their states and cancels some.
+// client submits jobs, reads their states and cancels some of them.
 type client struct {
 	sim  *simulation
 	jobs []*job
 }
 
 const (
-	// largeSpecBytes is how much longer specs are than usual with Options.LargeSpecs.
+	// largeSpecBytes is what Options.LargeSpecs adds to each spec.
 	largeSpecBytes    = 3900
 	maxSubmitAttempts = 4
 	clientTimeout     = 2500 * time.Millisecond // of each request
 )
 
-// startClients has a client submit jobs while faults strike.
+// startClients starts a client, which submits jobs at random intervals until the length of the
+// simulation has passed.
 func (sim *simulation) startClients() {
 	c := &client{sim: sim}
 	sim.clients = append(sim.clients, c)
@@ -37,7 +38,7 @@
 	sim.after(2*time.Second, next)
 }
 
-// submit submits a job until it is accepted or the attempts are used up.
+// submit submits a job and retries until it is accepted or maxSubmitAttempts are used up.
 func (c *client) submit(j *job) {
 	sim := c.sim
 	c.jobs = append(c.jobs, j)
@@ -45,7 +46,8 @@
 	c.attemptSubmit(j)
 }
 
-// attemptSubmit submits a job once, at any gateway, and again later where it is not accepted.
+// attemptSubmit submits a job once at a random gateway, and schedules a retry unless it is
+// accepted.
 func (c *client) attemptSubmit(j *job) {
 	sim := c.sim
 	if j.acceptedAt > 0 || j.attempts >= maxSubmitAttempts {
@@ -70,7 +72,7 @@
 		finish(func() {
 			switch {
 			case o.Reply.GetStatus() == http.StatusOK:
-				c.accepted(j)
+				c.handleAcceptance(j)
 			case o.Reply != nil || !o.MayHaveExecuted:
 				retry(&j.rejected, time.Second)
 			default:
@@ -83,18 +85,18 @@
 	})
 }
 
-// accepted takes in that a job is accepted.
-func (c *client) accepted(j *job) {
+// handleAcceptance records that a job was accepted.
+func (c *client) handleAcceptance(j *job) {
 	sim := c.sim
 	j.acceptedAt = sim.now
 	sim.report.Accepted++
 	sim.trace("job %s is accepted", j.id)
-	c.follow(j)
+	c.scheduleFollowUps(j)
 }
 
-// follow reads the state of a job later. It submits a conflicting job after some, and cancels some and all that are
-// long-running.
-func (c *client) follow(j *job) {
+// scheduleFollowUps schedules what the client does with an accepted job: it reads the state of
+// each, submits a conflicting job under the ID of some, and cancels some and all long-running ones.
+func (c *client) scheduleFollowUps(j *job) {
 	sim := c.sim
 	sim.after(sim.randomDuration(time.Second, 6*time.Second), func() { c.readState(j, nil) })
 	if sim.rng.IntN(15) == 0 {
@@ -105,8 +107,8 @@
 	}
 }
 
-// submitConflicting submits another job under the ID of one that was accepted: to another queue, or with another
-// spec. Nobody may acknowledge it, as it would never run.
+// submitConflicting submits another job under the ID of an accepted one, to another queue or with
+// another spec. It must not be acknowledged, as it would never run.
 func (c *client) submitConflicting(j *job) {
 	sim := c.sim
 	other := j.submission()
@@ -122,8 +124,9 @@
 	})
 }
 
-// readState reads a job's state and checks it. Then is told whether it was answered; nil for nobody.
-func (c *client) readState(j *job, then func(answered bool)) {
+// readState reads a job's state and checks it. Done, which may be nil, is told whether the read was
+// answered.
+func (c *client) readState(j *job, done func(answered bool)) {
 	sim := c.sim
 	at, began := sim.anyGateway(), sim.now
 	read := &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadState{ReadState: &protocol.ReadState{Id: j.id, Queue: j.queue}}}
@@ -136,13 +139,13 @@
 		case http.StatusGone:
 			sim.checker.checkUnknownJob(j)
 		}
-		if then != nil {
-			then(o.Reply.GetStatus() == http.StatusOK)
+		if done != nil {
+			done(o.Reply.GetStatus() == http.StatusOK)
 		}
 	})
 }
 
-// cancel cancels a job, again where no answer comes.
+// cancel cancels a job and retries until the cancel is acknowledged.
 func (c *client) cancel(j *job) {
 	sim := c.sim
 	if j.cancelAcknowledgedAt > 0 {
--- a/internal/testkit/simnet/configreads.go
+++ b/internal/testkit/simnet/configreads.go
@@ -11,31 +11,33 @@
 	"frosttide/internal/protocol"
 )
 
-// learnVersion reads the configuration until it is answered, and goes on from its version.
-func (o *operator) learnVersion(then func()) {
-	o.read(func(version uint64, ok bool) {
+// refreshBase reads the configuration, with retries, and takes its version as the base of the next
+// order.
+func (o *operator) refreshBase(done func()) {
+	o.readConfig(func(version uint64, ok bool) {
 		if !ok {
-			o.sim.after(300*time.Millisecond, func() { o.learnVersion(then) })
+			o.sim.after(300*time.Millisecond, func() { o.refreshBase(done) })
 			return
 		}
 		o.base = version
-		then()
+		done()
 	})
 }
 
-// read reads the configuration at any gateway and checks it. Then is told the version, and whether it was answered.
-func (o *operator) read(then func(version uint64, ok bool)) {
+// readConfig reads the configuration at a random gateway and checks it. Done is told the version,
+// and whether the read was answered.
+func (o *operator) readConfig(done func(version uint64, ok bool)) {
 	sim := o.sim
 	minVersion := o.newestAcknowledged
 	answered := false
 	finish := func(version uint64, ok bool) {
 		if !answered {
 			answered = true
-			then(version, ok)
+			done(version, ok)
 		}
 	}
 	at, began := sim.anyGateway(), sim.now
-	at.request(readConfig(), chainclient.ToTail, orderTimeout, func(out chainclient.Outcome) {
+	at.request(configRequest(), chainclient.ToTail, orderTimeout, func(out chainclient.Outcome) {
 		if out.Reply.GetStatus() != http.StatusOK {
 			finish(0, false)
 			return
@@ -47,24 +49,24 @@
 	sim.after(orderTimeout+100*time.Millisecond, func() { finish(0, false) })
 }
 
-// readConfig returns a request for the configuration.
-func readConfig() *protocol.ClientRequest {
+// configRequest returns a request for the configuration.
+func configRequest() *protocol.ClientRequest {
 	return &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadConfig{ReadConfig: &protocol.ReadConfig{}}}
 }
 
-// readAt reads the configuration at a member and checks it.
-func (o *operator) readAt(c *core) {
+// readConfigAt reads the configuration at a machine of the control plane and checks it.
+func (o *operator) readConfigAt(c *core) {
 	minVersion, began := o.newestAcknowledged, o.sim.now
-	c.request(readConfig(), chainclient.ToTail, func(reply *protocol.ClientReply) {
+	c.request(configRequest(), chainclient.ToTail, func(reply *protocol.ClientReply) {
 		if reply.GetStatus() == http.StatusOK {
 			o.recordRead(began, o.checkRead(reply.GetBody(), minVersion))
 		}
 	})
 }
 
-// statusAt reads the status of the placement role at a member and checks that it is not older than what was
-// acknowledged.
-func (o *operator) statusAt(c *core) {
+// readStatusAt reads the scheduler's status at a machine of the control plane and checks that it is
+// not older than the newest acknowledged configuration.
+func (o *operator) readStatusAt(c *core) {
 	minVersion := o.newestAcknowledged
 	status := &protocol.ClientRequest{Op: &protocol.ClientRequest_ReadStatus{ReadStatus: &protocol.ReadStatus{}}}
 	c.request(status, chainclient.ToHead, func(reply *protocol.ClientReply) {
@@ -77,8 +79,9 @@
 	})
 }
 
-// checkRead checks a configuration that was read: it is at least as new as what was acknowledged before the read, and
-// one that the operator has made. It returns the version.
+// checkRead checks a configuration that was read: it has to be at least as new as what was
+// acknowledged before the read, and equal to one that the operator has sent. It returns the
+// version.
 func (o *operator) checkRead(body []byte, minVersion uint64) uint64 {
 	sim := o.sim
 	v, err := fastjson.ParseBytes(body)
@@ -99,21 +102,22 @@
 	return version
 }
 
-// recordRead adds what a read has shown to the history.
+// recordRead appends a read of the configuration to the history.
 func (o *operator) recordRead(began time.Duration, version uint64) {
 	o.sim.record(Call{Kind: ReadCall, Began: began, Ended: o.sim.now, Version: version})
 }
 
-// readInterval is how often all machines of the control plane are read.
+// readInterval is the time between two reads at all machines of the control plane.
 const readInterval = 300 * time.Millisecond
 
-// readEverywhere reads the configuration and the status at every machine of the control plane, also those that are
-// partitioned: none may answer with an older version than was acknowledged before.
+// readEverywhere reads the configuration and the status at every machine of the control plane,
+// including partitioned ones: none may answer with an older version than was acknowledged before
+// the read.
 func (sim *simulation) readEverywhere() {
 	for _, c := range slices.Clone(sim.cores) {
 		if c.up {
-			sim.operator.readAt(c)
-			sim.operator.statusAt(c)
+			sim.operator.readConfigAt(c)
+			sim.operator.readStatusAt(c)
 		}
 	}
 	if sim.now < sim.options.Length {
--- a/internal/testkit/simnet/finalstate.go
+++ b/internal/testkit/simnet/finalstate.go
@@ -6,39 +6,39 @@
 	"frosttide/internal/control/jobs"
 )
 
-// The bounds of the reads at the end.
+// Limits of the reads at the end of a simulation.
 const (
 	finalReadTimeout  = 30 * time.Second
-	finalReadAttempts = 10 // for each job
+	finalReadAttempts = 10 // per job
 )
 
-// checkFinalState checks what has to hold at the end: each accepted job is known, those that can end have ended, and
-// the configuration can be read.
+// checkFinalState checks the state at the end of a simulation: each accepted job is known, those
+// that are not long-running have ended, and the configuration can be read.
 func (sim *simulation) checkFinalState() {
-	open := 0
+	unanswered := 0
 	for _, c := range sim.clients {
 		for _, j := range c.jobs {
 			if j.acceptedAt == 0 {
 				continue
 			}
-			open++
+			unanswered++
 			sim.readFinalState(c, j, finalReadAttempts, func(known bool) {
-				open--
+				unanswered--
 				sim.checkFinalJob(j, known)
 			})
 		}
 	}
 	configRead := false
-	sim.operator.learnVersion(func() { configRead = true })
-	for until := sim.now + finalReadTimeout; sim.now < until && (open > 0 || !configRead) && len(sim.report.Violations) == 0; {
+	sim.operator.refreshBase(func() { configRead = true })
+	for until := sim.now + finalReadTimeout; sim.now < until && (unanswered > 0 || !configRead) && len(sim.report.Violations) == 0; {
 		sim.advance(sim.now + 100*time.Millisecond)
 	}
-	if len(sim.report.Violations) == 0 && (open > 0 || !configRead) {
-		sim.violation("RECOVER", "%d jobs have no answer at the end, configuration read: %v", open, configRead)
+	if len(sim.report.Violations) == 0 && (unanswered > 0 || !configRead) {
+		sim.violation("RECOVER", "%d jobs have no answer at the end, configuration read: %v", unanswered, configRead)
 	}
 }
 
-// checkFinalJob checks the state of an accepted job at the end.
+// checkFinalJob checks the state of an accepted job at the end and counts completed ones.
 func (sim *simulation) checkFinalJob(j *job, known bool) {
 	switch {
 	case !known:
@@ -51,8 +51,8 @@
 	}
 }
 
-// readFinalState reads a job's state until it is answered, in a number of attempts.
-func (sim *simulation) readFinalState(c *client, j *job, attempts int, then func(known bool)) {
+// readFinalState reads a job's state until it is answered, with a limited number of attempts.
+func (sim *simulation) readFinalState(c *client, j *job, attempts int, done func(known bool)) {
 	answered := false
 	finish := func(known bool) {
 		if answered {
@@ -60,16 +60,17 @@
 		}
 		answered = true
 		if known || attempts <= 1 {
-			then(known)
+			done(known)
 			return
 		}
-		sim.after(500*time.Millisecond, func() { sim.readFinalState(c, j, attempts-1, then) })
+		sim.after(500*time.Millisecond, func() { sim.readFinalState(c, j, attempts-1, done) })
 	}
 	c.readState(j, finish)
 	sim.after(clientTimeout+500*time.Millisecond, func() { finish(false) })
 }
 
-// traceHead traces what the head knows of what runs and waits, and what really runs.
+// traceHead traces the runners, waiting steps and unfinished jobs as the head knows them, and the
+// runs that are really in progress.
 func (sim *simulation) traceHead() {
 	head := sim.head()
 	if sim.options.Trace == nil || !head.up || head.member.Scheduler() == nil {
@@ -79,8 +80,8 @@
 	for _, r := range s.Runners {
 		sim.trace("%s: runner %+v", head.address, r)
 	}
-	for _, one := range s.Waiting {
-		sim.trace("%s: waiting %+v", head.address, one)
+	for _, step := range s.Waiting {
+		sim.trace("%s: waiting %+v", head.address, step)
 	}
 	head.member.Scheduler().Jobs().Each(func(j *jobs.Job) {
 		if !j.State.Final() {
@@ -88,8 +89,8 @@
 		}
 	})
 	for _, h := range sim.runnerHosts {
-		for _, one := range h.runner.sortedRuns() {
-			sim.trace("%s: %s runs %s run %d", h.address, h.runner.id, one.task, one.number)
+		for _, run := range h.runner.sortedRuns() {
+			sim.trace("%s: %s runs %s run %d", h.address, h.runner.id, run.task, run.number)
 		}
 	}
 }
--- a/internal/testkit/simnet/operator.go
+++ b/internal/testkit/simnet/operator.go
@@ -11,67 +11,68 @@
 	"frosttide/internal/routeconfig"
 )
 
-// operator changes the configuration. It sends orders until they have a clear answer, some of them invalid and some
-// several at once, and loses some answers.
+// operator changes the configuration. It resends each order until it has a definite answer. Some of
+// its orders are invalid, some are sent concurrently, and some answers are lost.
 type operator struct {
 	sim                *simulation
-	candidates         map[uint64][]candidate // configurations that may be in force, by version
-	acknowledgedByBase map[uint64]*order      // acknowledged orders, by the version that they build on
-	newestAcknowledged uint64                 // highest version that was acknowledged
-	base               uint64                 // version that the next order builds on
-	nextVersion        uint64                 // version that the next order makes
-	changes            int                    // orders drawn so far
+	candidates         map[uint64][]candidate  // configurations that may be in force, by version
+	acknowledgedByBase map[uint64]*configOrder // acknowledged orders by base version
+	newestAcknowledged uint64                  // highest acknowledged version
+	base               uint64                  // version that the next order is based on
+	nextVersion        uint64                  // version that the last drawn order creates
+	changes            int                     // orders drawn so far
 }
 
 // candidate is a configuration that may be in force.
 type candidate struct {
-	order *order
+	order *configOrder
 	table *routeconfig.Table
 }
 
-// order is a change of the configuration.
-type order struct {
-	number        int    // 0 for the first configuration
-	match         uint64 // version that it builds on
-	version       uint64 // version that it makes
+// configOrder is an order to change the configuration.
+type configOrder struct {
+	number        int    // 0 for the initial configuration
+	match         uint64 // version that it is based on
+	version       uint64 // version that it creates
 	body          []byte
-	patch         bool // the body holds changes, not the whole configuration
-	invalid       bool // the body is cut short
+	patch         bool // the body is a patch, not a whole configuration
+	invalid       bool // the body is truncated
 	attempts      int
 	acknowledged  bool
-	indeterminate bool // an attempt had no answer
+	indeterminate bool // an attempt had no definite answer
 }
 
 const (
-	// maxConcurrentOrders is how many other orders are sent at the same time at most.
+	// maxConcurrentOrders bounds the orders that are sent at the same time as another one.
 	maxConcurrentOrders = 7
-	// maxResendDelay is how late an acknowledged order is sent once more at most.
-	maxResendDelay = 25 * time.Second
-	orderTimeout   = 900 * time.Millisecond
-	maxSends       = 8
+	// maxResendDelay bounds the delay after which an acknowledged order is sent once more.
+	maxResendDelay   = 25 * time.Second
+	orderTimeout     = 900 * time.Millisecond
+	maxOrderAttempts = 8
 )
 
-// firstConfig is the configuration that the operator begins with, by its version.
+// firstConfig is the initial configuration, with a placeholder for its version.
 const firstConfig = `{"Version":%d,"Routes":[{"Name":"quick","Host":"h","PathPrefix":"/q/","TimeoutMs":3000,"TargetLatencyMs":800,"Priority":0,"Service":"cut","MaxAttempts":3,"Stretch":1.5},` +
 	`{"Name":"batch","Host":"h","PathPrefix":"/b/","TimeoutMs":3000,"TargetLatencyMs":4000,"Priority":2,"Service":"render","MaxAttempts":2,"Stretch":4}],` +
 	`"Services":[{"Name":"cut"},{"Name":"render"}]}`
 
-// maxAttempts are how often a task may fail, by queue, as firstConfig has it.
+// maxAttempts is how often a task may fail, by queue, as set in firstConfig.
 var maxAttempts = map[string]int{"quick": 3, "batch": 2}
 
-// newOperator returns an operator who knows that the configuration is empty.
+// newOperator returns an operator that has sent no orders, for a cluster with an empty
+// configuration.
 func (sim *simulation) newOperator() *operator {
-	return &operator{sim: sim, candidates: map[uint64][]candidate{0: {{table: routeconfig.Empty()}}}, acknowledgedByBase: make(map[uint64]*order), nextVersion: 1}
+	return &operator{sim: sim, candidates: map[uint64][]candidate{0: {{table: routeconfig.Empty()}}}, acknowledgedByBase: make(map[uint64]*configOrder), nextVersion: 1}
 }
 
-// start sends the first configuration until it is acknowledged, and changes after that.
+// start sends the initial configuration until it is acknowledged, and then starts to change it.
 func (o *operator) start() {
-	first := &order{version: 1, body: fmt.Appendf(nil, firstConfig, 1)}
-	o.send(first, func(bool) { o.sim.after(o.sim.randomDuration(time.Second, 3*time.Second), o.change) })
+	first := &configOrder{version: 1, body: fmt.Appendf(nil, firstConfig, 1)}
+	o.send(first, func(bool) { o.sim.after(o.sim.randomDuration(time.Second, 3*time.Second), o.sendNextChange) })
 }
 
-// change sends the next change and schedules the one after it.
-func (o *operator) change() {
+// sendNextChange sends a change and schedules the next one.
+func (o *operator) sendNextChange() {
 	sim := o.sim
 	if sim.now > sim.options.Length {
 		return
@@ -80,49 +81,49 @@
 	if sim.options.FrequentConfigChanges {
 		lower, upper = 20*time.Millisecond, 150*time.Millisecond
 	}
-	again := func(bool) { sim.after(sim.randomDuration(lower, upper), o.change) }
-	one := o.draw()
+	scheduleNext := func(bool) { sim.after(sim.randomDuration(lower, upper), o.sendNextChange) }
+	order := o.drawChange()
 	switch sim.rng.IntN(6) {
 	case 0: // concurrent orders on the same version
 		for range 1 + sim.rng.IntN(maxConcurrentOrders) {
-			o.send(o.draw(), func(bool) {})
+			o.send(o.drawChange(), func(bool) {})
 		}
 	case 1:
-		one.invalid = true
-		one.body = slices.Clone(one.body[:len(one.body)/2])
+		order.invalid = true
+		order.body = slices.Clone(order.body[:len(order.body)/2])
 	}
-	o.send(one, again)
+	o.send(order, scheduleNext)
 }
 
-// draw makes a change on top of the version that the operator knows.
-func (o *operator) draw() *order {
+// drawChange draws an order that changes the newest version that the operator knows.
+func (o *operator) drawChange() *configOrder {
 	o.changes++
 	o.nextVersion = max(o.nextVersion, o.newestAcknowledged) + 1 + uint64(o.sim.rng.IntN(3))
 	body := fmt.Appendf(nil, `{"Version":%d,"Upsert":{"Routes":[{"Name":"idle%d","Host":"h","PathPrefix":"/i%d/","TimeoutMs":%d,"Service":"cut"}]},"Remove":{"Routes":["idle%d"]}}`,
 		o.nextVersion, o.changes%5, o.changes%5, 1000+o.changes, (o.changes+2)%5)
-	return &order{patch: true, number: o.changes, match: o.base, version: o.nextVersion, body: body}
+	return &configOrder{patch: true, number: o.changes, match: o.base, version: o.nextVersion, body: body}
 }
 
-// send sends an order to any member, and again where the answer is not clear. Done is told once it has a clear
-// answer, or the operator gives it up.
-func (o *operator) send(one *order, done func(acknowledged bool)) {
+// send sends an order to a random member, and resends it without a definite answer. Done is called
+// once there is a definite answer or the operator gives up.
+func (o *operator) send(order *configOrder, done func(acknowledged bool)) {
 	sim := o.sim
-	one.attempts++
-	if !one.invalid {
-		o.addCandidates(one)
+	order.attempts++
+	if !order.invalid {
+		o.addCandidates(order)
 	}
 	answered := false
-	call := Call{Kind: OrderCall, Began: sim.now, Order: one.number, Match: one.match, Version: one.version}
+	call := Call{Kind: OrderCall, Began: sim.now, Order: order.number, Match: order.match, Version: order.version}
 	finish := func(status int) {
 		if answered {
 			return
 		}
 		answered = true
-		o.recordOrder(call, one, status)
-		o.handleStatus(one, status, done)
+		o.recordOrder(call, order, status)
+		o.handleStatus(order, status, done)
 	}
 	if c := sim.anyCore(); c.up {
-		config := &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: one.patch, IfMatch: one.match, Body: one.body}}}
+		config := &protocol.ClientRequest{Op: &protocol.ClientRequest_Config{Config: &protocol.ConfigOrder{Patch: order.patch, IfMatch: order.match, Body: order.body}}}
 		lost := sim.rng.IntN(6) == 0
 		c.request(config, chainclient.ToHead, func(reply *protocol.ClientReply) {
 			if !lost {
@@ -133,10 +134,10 @@
 	sim.after(orderTimeout+100*time.Millisecond, func() { finish(0) })
 }
 
-// recordOrder adds an order with its answer to the history. One whose answer is not clear stays open, and invalid
-// ones say nothing of the configuration.
-func (o *operator) recordOrder(call Call, one *order, status int) {
-	if one.invalid {
+// recordOrder appends an order with its answer to the history. Without a definite answer the call
+// stays open. Invalid orders are not recorded, as they don't affect the configuration.
+func (o *operator) recordOrder(call Call, order *configOrder, status int) {
+	if order.invalid {
 		return
 	}
 	switch status {
@@ -148,76 +149,79 @@
 	o.sim.record(call)
 }
 
-// handleStatus takes in the answer to an order; status 0 stands for none.
-func (o *operator) handleStatus(one *order, status int, done func(acknowledged bool)) {
+// handleStatus handles the answer to an order. Status 0 stands for no answer.
+func (o *operator) handleStatus(order *configOrder, status int, done func(acknowledged bool)) {
 	sim := o.sim
 	switch status {
 	case http.StatusOK:
-		o.acknowledge(one)
-		o.sendAgain(one, done)
+		o.acknowledge(order)
+		o.maybeResend(order, done)
 	case http.StatusPreconditionFailed, http.StatusBadRequest:
-		if one.acknowledged {
-			sim.violation("CONFIG", "order %d, which was acknowledged, is refused with %d", one.version, status)
+		if order.acknowledged {
+			sim.violation("CONFIG", "order %d, which was acknowledged, is refused with %d", order.version, status)
 		}
-		if !one.acknowledged && !one.indeterminate {
-			o.removeCandidates(one)
+		if !order.acknowledged && !order.indeterminate {
+			o.removeCandidates(order)
 		}
-		o.learnVersion(func() { done(false) })
+		o.refreshBase(func() { done(false) })
 	default:
-		one.indeterminate = true
-		if one.attempts >= maxSends && one.version > 1 {
-			o.learnVersion(func() { done(false) })
+		order.indeterminate = true
+		if order.attempts >= maxOrderAttempts && order.version > 1 {
+			o.refreshBase(func() { done(false) })
 			return
 		}
-		sim.after(200*time.Millisecond, func() { o.send(one, done) })
+		sim.after(200*time.Millisecond, func() { o.send(order, done) })
 	}
 }
 
-// sendAgain sends an acknowledged order once more now and then: at once, or after others were acknowledged.
-func (o *operator) sendAgain(one *order, done func(acknowledged bool)) {
+// maybeResend sends some acknowledged orders once more, at once or after a delay in which other
+// orders may be acknowledged.
+func (o *operator) maybeResend(order *configOrder, done func(acknowledged bool)) {
 	sim := o.sim
-	if sim.rng.IntN(5) == 0 && one.attempts < maxSends {
-		o.send(one, done)
+	if sim.rng.IntN(5) == 0 && order.attempts < maxOrderAttempts {
+		o.send(order, done)
 		return
 	}
-	if sim.rng.IntN(4) == 0 && one.attempts < maxSends {
-		sim.after(sim.randomDuration(0, maxResendDelay), func() { o.send(one, func(bool) {}) })
+	if sim.rng.IntN(4) == 0 && order.attempts < maxOrderAttempts {
+		sim.after(sim.randomDuration(0, maxResendDelay), func() { o.send(order, func(bool) {}) })
 	}
 	done(true)
 }
 
-// acknowledge takes in that an order is acknowledged. No invalid one may be, nor two on the same version.
-func (o *operator) acknowledge(one *order) {
+// acknowledge records that an order was acknowledged. It is a violation if the order is invalid, or
+// if another order on the same version was acknowledged before.
+func (o *operator) acknowledge(order *configOrder) {
 	sim := o.sim
-	if one.invalid {
-		sim.violation("CONFIG", "an invalid order is acknowledged: %s", one.body)
+	if order.invalid {
+		sim.violation("CONFIG", "an invalid order is acknowledged: %s", order.body)
 		return
 	}
-	if other := o.acknowledgedByBase[one.match]; other != nil && other != one {
-		sim.violation("CONFIG", "two orders on version %d are acknowledged: %d and %d", one.match, other.version, one.version)
+	if other := o.acknowledgedByBase[order.match]; other != nil && other != order {
+		sim.violation("CONFIG", "two orders on version %d are acknowledged: %d and %d", order.match, other.version, order.version)
 		return
 	}
-	o.acknowledgedByBase[one.match] = one
-	if !one.acknowledged {
-		sim.trace("configuration %d is acknowledged", one.version)
+	o.acknowledgedByBase[order.match] = order
+	if !order.acknowledged {
+		sim.trace("configuration %d is acknowledged", order.version)
 	}
-	one.acknowledged = true
-	o.newestAcknowledged = max(o.newestAcknowledged, one.version)
-	o.base = max(o.base, one.version)
+	order.acknowledged = true
+	o.newestAcknowledged = max(o.newestAcknowledged, order.version)
+	o.base = max(o.base, order.version)
 }
 
-// addCandidates adds what an order makes of each configuration that it may be applied to.
-func (o *operator) addCandidates(one *order) {
-	for _, base := range o.candidates[one.match] {
-		c, err := base.table.Apply(one.body, one.patch)
-		if err != nil || slices.ContainsFunc(o.candidates[one.version], func(t candidate) bool { return t.order == one && t.table.Digest == c.Table.Digest }) {
+// addCandidates adds the configurations that an order may result in: one for each candidate of the
+// version that it is based on.
+func (o *operator) addCandidates(order *configOrder) {
+	for _, base := range o.candidates[order.match] {
+		c, err := base.table.Apply(order.body, order.patch)
+		if err != nil || slices.ContainsFunc(o.candidates[order.version], func(t candidate) bool { return t.order == order && t.table.Digest == c.Table.Digest }) {
 			continue
 		}
-		o.candidates[one.version] = append(o.candidates[one.version], candidate{order: one, table: c.Table})
+		o.candidates[order.version] = append(o.candidates[order.version], candidate{order: order, table: c.Table})
 	}
 }
 
-// removeCandidates takes in that an order was clearly not applied.
-func (o *operator) removeCandidates(one *order) {
-	o.candidates[one.version] = slices.DeleteFunc(o.candidates[one.version], func(t candidate) bool { return t.order == one })
+// removeCandidates removes the candidates of an order that was certainly not applied.
+func (o *operator) removeCandidates(order *configOrder) {
+	o.candidates[order.version] = slices.DeleteFunc(o.candidates[order.version], func(t candidate) bool { return t.order == order })
 }
