--- a/internal/testkit/simnet/core.go
+++ b/internal/testkit/simnet/core.go
@@ -17,10 +17,10 @@
 	*process
 	sim            *simulation
 	index          int
-	id             uint64 // its first identity
+	id             uint64 // its first member ID
 	member         *member.Member
-	removed        bool          // it was replaced for good
-	clockOffset    time.Duration // how far its time of day is off
+	removed        bool          // it was removed for good
+	clockOffset    time.Duration // error of its wall clock
 	pendingReplies map[uint64]func(reply *protocol.ClientReply)
 	disk
 }
@@ -28,10 +28,10 @@
 // coreAddress returns the address of a machine of the control plane by its number.
 func coreAddress(i int) string { return fmt.Sprintf("core%d", i) }
 
-// contacts returns the addresses that each process knows from the start.
+// contacts returns the addresses that each process is configured with.
 func contacts() []string { return []string{coreAddress(0), coreAddress(1), coreAddress(2)} }
 
-// founders returns the members of the first view: up to three.
+// founders returns the members of the initial view, at most three.
 func founders(count int) (out []*protocol.Member) {
 	for i := range min(count, 3) {
 		out = append(out, &protocol.Member{Id: uint64(i + 1), Number: uint32(i + 1), Address: coreAddress(i), Control: coreAddress(i)})
@@ -39,8 +39,8 @@
 	return out
 }
 
-// newCore makes a machine of the control plane. The founders have the first view on their disks, all others an empty
-// disk.
+// newCore creates a machine of the control plane. The disks of the founders hold the initial view,
+// those of all others are empty.
 func (sim *simulation) newCore(i int) *core {
 	c := &core{sim: sim, index: i, process: &process{address: coreAddress(i)}}
 	sim.processes[c.address] = c.process
@@ -57,7 +57,8 @@
 	return c
 }
 
-// boot starts the process with what its disk holds, as a new member where that is nothing.
+// boot starts the process from the contents of its disk. With an empty disk it starts as a new
+// member.
 func (c *core) boot() {
 	sim := c.sim
 	state, good, err := journal.Read(c.file)
@@ -76,15 +77,16 @@
 		c.id = state.ID
 	}
 	sim.start(c.process)
-	sim.checker.recordClocks()
+	sim.checker.recordBoot()
 	c.pendingWrites, c.writing = nil, false
 	c.pendingReplies = make(map[uint64]func(reply *protocol.ClientReply))
 	c.member = member.New(c.memberConfig(state.ID), sim.clock(c.process), state)
 	c.turn()
-	sim.repeat(c.process, tickInterval, func() { c.member.Tick(sim.clock(c.process), c.wallMs()) })
+	sim.repeat(c.process, tickInterval, func() { c.member.Tick(sim.clock(c.process), c.wallClockMs()) })
 }
 
-// memberConfig returns the configuration of the machine under an identity. It draws the incarnation and the seed.
+// memberConfig returns the configuration of the machine under a member ID. It draws the incarnation
+// and the seed.
 func (c *core) memberConfig(id uint64) member.Config {
 	return member.Config{
 		Replica: replica.Config{
@@ -99,10 +101,11 @@
 	}
 }
 
-// wallMs returns the machine's time of day, in milliseconds since 1970.
-func (c *core) wallMs() int64 { return (c.sim.now + c.clockOffset).Milliseconds() + dayBeginsMs }
+// wallClockMs returns the machine's wall-clock time, in milliseconds since 1970.
+func (c *core) wallClockMs() int64 { return (c.sim.now + c.clockOffset).Milliseconds() + startOfDayMs }
 
-// applyOutput carries out what the member has decided in a turn: it traces events, writes, sends and answers callers.
+// applyOutput carries out the output of the member's turn: it traces events, starts writes, sends
+// messages and answers callers.
 func (c *core) applyOutput() {
 	sim := c.sim
 	out := c.member.Turn(sim.clock(c.process))
@@ -124,7 +127,7 @@
 	}
 }
 
-// request has the control plane answer a request that was made at this machine.
+// request passes a request to the control plane at this machine. Handle is called with the reply.
 func (c *core) request(r *protocol.ClientRequest, destination chainclient.Destination, handle func(reply *protocol.ClientReply)) {
 	sim := c.sim
 	sim.execute(c.process, func() {
@@ -132,7 +135,7 @@
 	})
 }
 
-// crash ends the process. A rewritten file that has not replaced the old one is lost.
+// crash ends the process. A rewritten file that has not replaced the old one yet is lost.
 func (c *core) crash() {
 	c.sim.stop(c.process)
 	if c.replacedFile != nil {
@@ -140,8 +143,8 @@
 	}
 }
 
-// losePower ends the process and tears what was not synced: any part of it may be lost, in the middle of a record
-// too.
+// losePower ends the process and truncates the file at a random point after the synced part,
+// possibly in the middle of a record.
 func (c *core) losePower() {
 	c.crash()
 	if extra := len(c.file) - c.synced; extra > 0 {
--- a/internal/testkit/simnet/gang.go
+++ b/internal/testkit/simnet/gang.go
@@ -4,19 +4,19 @@
 	"slices"
 )
 
-// sameGang tells whether a run is a member of the same gang as another, in the same attempt.
-func (m *run) sameGang(o *run) bool {
-	return m.gang && m.job == o.job && m.name.step == o.name.step && m.name.occurrence == o.name.occurrence && m.number == o.number
+// sameGang reports whether two runs are members of the same attempt of the same gang.
+func (run *taskRun) sameGang(other *taskRun) bool {
+	return run.gang && run.job == other.job && run.name.step == other.name.step && run.name.occurrence == other.name.occurrence && run.number == other.number
 }
 
-// gangMembers returns the members of a run's gang that are running.
-func (sim *simulation) gangMembers(one *run) (members []*run) {
+// gangMembers returns the runs in progress that belong to a run's gang.
+func (sim *simulation) gangMembers(run *taskRun) (members []*taskRun) {
 	for _, h := range sim.runnerHosts {
 		if h.runner == nil || !h.runner.up {
 			continue
 		}
 		for _, m := range h.runner.sortedRuns() {
-			if m.sameGang(one) {
+			if m.sameGang(run) {
 				members = append(members, m)
 			}
 		}
@@ -24,21 +24,21 @@
 	return members
 }
 
-// startCompleteGang has a gang begin its work once all its members run. They end together.
-func (sim *simulation) startCompleteGang(one *run) {
-	members := sim.gangMembers(one)
-	stage := one.job.stage(one.name)
-	if len(members) < int(stage.Count) || slices.ContainsFunc(members, func(m *run) bool { return m.gangComplete }) {
+// startCompleteGang starts the work of a gang once all its members run. They end together.
+func (sim *simulation) startCompleteGang(run *taskRun) {
+	members := sim.gangMembers(run)
+	stage := run.job.stage(run.name)
+	if len(members) < int(stage.Count) || slices.ContainsFunc(members, func(m *taskRun) bool { return m.gangComplete }) {
 		return
 	}
 	for _, m := range members {
 		m.gangComplete = true
 	}
-	outcome := stage.outcome(one)
+	outcome := stage.outcome(run)
 	sim.after(stage.duration, func() {
 		for _, h := range sim.runnerHosts {
 			for _, m := range h.runner.sortedRuns() {
-				if m.sameGang(one) && !m.stopping {
+				if m.sameGang(run) && !m.stopping {
 					h.runner.end(m, outcome)
 				}
 			}
@@ -46,9 +46,9 @@
 	})
 }
 
-// breakGang ends the other members of a complete gang as broken where one has ended by something that did not come
-// from the gang itself.
-func (sim *simulation) breakGang(one *run, outcome string) {
+// breakGang ends the other members of a complete gang with the outcome broken when one member ended
+// for a reason outside the gang.
+func (sim *simulation) breakGang(run *taskRun, outcome string) {
 	if outcome == "done" || outcome == "broken" || outcome == "alone" {
 		return
 	}
@@ -57,7 +57,7 @@
 			continue
 		}
 		for _, m := range h.runner.sortedRuns() {
-			if m != one && m.gangComplete && m.sameGang(one) {
+			if m != run && m.gangComplete && m.sameGang(run) {
 				h.runner.end(m, "broken")
 			}
 		}
--- a/internal/testkit/simnet/gatewayhost.go
+++ b/internal/testkit/simnet/gatewayhost.go
@@ -9,19 +9,19 @@
 	"frosttide/internal/protocol"
 )
 
-// gatewayHost is a machine that takes clients' jobs.
+// gatewayHost is a machine with a gateway, which accepts clients' jobs.
 type gatewayHost struct {
 	*process
 	sim            *simulation
 	node           *gateway.Node
 	pendingReplies map[uint64]func(chainclient.Outcome)
-	version        uint64 // highest version of the configuration that this incarnation has had
+	version        uint64 // highest configuration version of this incarnation
 }
 
 // gatewayAddress returns the address of a gateway by its number.
 func gatewayAddress(i int) string { return fmt.Sprintf("carrier%d", i) }
 
-// newGateway makes a machine whose gateway has not started.
+// newGateway creates a machine whose gateway has not booted.
 func (sim *simulation) newGateway(i int) *gatewayHost {
 	g := &gatewayHost{sim: sim, process: &process{address: gatewayAddress(i)}}
 	sim.processes[g.address] = g.process
@@ -35,7 +35,7 @@
 	return sim.gateways[sim.rng.IntN(len(sim.gateways))]
 }
 
-// boot starts the gateway, which knows nothing yet.
+// boot starts the gateway without any state.
 func (g *gatewayHost) boot() {
 	sim := g.sim
 	sim.start(g.process)
@@ -44,8 +44,8 @@
 	sim.repeat(g.process, tickInterval, func() { g.node.Tick(sim.clock(g.process)) })
 }
 
-// applyOutput sends what the gateway has decided to send in a turn and answers callers. Its configuration must never
-// go back.
+// applyOutput sends the messages of the gateway's turn and answers callers. It also checks that the
+// version of the gateway's configuration never decreases.
 func (g *gatewayHost) applyOutput() {
 	sim := g.sim
 	sends, outcomes := g.node.Turn(sim.clock(g.process))
@@ -65,14 +65,15 @@
 	}
 }
 
-// request has a request answered within a time; nothing comes back where the process ends before.
-func (g *gatewayHost) request(r *protocol.ClientRequest, destination chainclient.Destination, within time.Duration, handle func(chainclient.Outcome)) {
+// request passes a request to the gateway, to be answered within the timeout. Handle is never
+// called if the gateway is down or ends before it has an answer.
+func (g *gatewayHost) request(r *protocol.ClientRequest, destination chainclient.Destination, timeout time.Duration, handle func(chainclient.Outcome)) {
 	sim := g.sim
 	if !g.up {
 		return
 	}
 	sim.execute(g.process, func() {
-		id := g.node.Do(sim.clock(g.process), r, destination, within)
+		id := g.node.Do(sim.clock(g.process), r, destination, timeout)
 		g.pendingReplies[id] = handle
 	})
 }
--- a/internal/testkit/simnet/heartbeat.go
+++ b/internal/testkit/simnet/heartbeat.go
@@ -7,8 +7,8 @@
 	"frosttide/internal/protocol"
 )
 
-// sendHeartbeat sends a heartbeat to the agent, unless one is pending, and the next one after its response or
-// time-out.
+// sendHeartbeat sends a heartbeat to the agent unless one is pending. The next one follows its
+// response or timeout.
 func (r *runner) sendHeartbeat() {
 	if !r.up || r.heartbeatPending {
 		return
@@ -36,18 +36,18 @@
 	})
 }
 
-// heartbeat returns the next heartbeat.
+// heartbeat builds the next heartbeat.
 func (r *runner) heartbeat() *agent.Heartbeat {
 	r.heartbeatSequence++
 	message := &agent.Heartbeat{Sequence: r.heartbeatSequence, Account: r.account()}
-	for _, one := range r.sortedRuns() {
-		message.Running = append(message.Running, &protocol.RunProgress{Task: one.task, Run: one.number, Saved: one.checkpoint})
+	for _, run := range r.sortedRuns() {
+		message.Running = append(message.Running, &protocol.RunProgress{Task: run.task, Run: run.number, Saved: run.checkpoint})
 	}
 	message.Finished = append(message.Finished, r.unacknowledgedEnds...)
 	return message
 }
 
-// deliverHeartbeat has the agent handle a heartbeat and sends the response back.
+// deliverHeartbeat passes a heartbeat to the agent and sends the response back.
 func (r *runner) deliverHeartbeat(message *agent.Heartbeat, sent time.Duration) {
 	sim, h := r.host.sim, r.host
 	response := h.node.Machine.HandleHeartbeat(sim.clock(h.process), message)
@@ -57,12 +57,13 @@
 	sim.after(r.localDelay(), func() { r.handleResponse(message.Sequence, sent, response) })
 }
 
-// localDelay draws how long a message takes between the runner and its agent.
+// localDelay draws the latency of a message between the runner and its agent.
 func (r *runner) localDelay() time.Duration {
 	return r.host.sim.randomDuration(50*time.Microsecond, 400*time.Microsecond)
 }
 
-// handleResponse obeys an agent's response to a heartbeat, unless it is late or carries an older fencing token.
+// handleResponse carries out an agent's response to a heartbeat. It ignores late responses, and
+// takes only the heartbeat interval from one with an older fencing token.
 func (r *runner) handleResponse(sequence uint64, sent time.Duration, response agent.HeartbeatResponse) {
 	sim := r.host.sim
 	if !r.up || !r.heartbeatPending || sequence != r.heartbeatSequence || sim.now-sent > responseTimeout {
@@ -88,16 +89,16 @@
 	}
 }
 
-// dropAcknowledged forgets the ends up to a number.
+// dropAcknowledged drops the ends of runs up to an acknowledged sequence number.
 func (r *runner) dropAcknowledged(number uint64) {
 	for len(r.unacknowledgedEnds) > 0 && r.unacknowledgedEnds[0].GetNumber() <= number {
-		r.host.sim.checker.endAcknowledged(r, r.unacknowledgedEnds[0])
+		r.host.sim.checker.recordAcknowledgement(r, r.unacknowledgedEnds[0])
 		r.unacknowledgedEnds = r.unacknowledgedEnds[1:]
 	}
 }
 
-// extendRunLease lets the runs go on until the end of a run lease, which counts from the sending of a heartbeat by the
-// runner's clock. Then all of them lapse, unless it is extended before.
+// extendRunLease extends the run lease, which is measured by the runner's clock from the sending of
+// a heartbeat. When it expires, all runs end as lapsed.
 func (r *runner) extendRunLease(sent, runLease time.Duration) {
 	until := sent + time.Duration(float64(min(runLease, maxRunLease))*r.clockRate)
 	if until <= r.runLeaseExpiry {
@@ -111,7 +112,8 @@
 	r.host.sim.after(r.runLeaseExpiry-r.host.sim.now, r.checkRunLease)
 }
 
-// checkRunLease has all runs lapse if the run lease has expired, and looks again at its end otherwise.
+// checkRunLease ends all runs as lapsed if the run lease has expired, and otherwise schedules the
+// next check for its expiry.
 func (r *runner) checkRunLease() {
 	sim := r.host.sim
 	if !r.up {
@@ -122,8 +124,8 @@
 		return
 	}
 	r.runLeaseTimerSet = false
-	sim.checker.expireRunLease(r)
-	for _, one := range r.sortedRuns() {
-		r.end(one, "lapsed")
+	sim.checker.recordRunLeaseExpiry(r)
+	for _, run := range r.sortedRuns() {
+		r.end(run, "lapsed")
 	}
 }
--- a/internal/testkit/simnet/job.go
+++ b/internal/testkit/simnet/job.go
@@ -10,18 +10,19 @@
 	"frosttide/internal/protocol"
 )
 
-// taskName is a task's name in its parts.
+// taskName is the parsed name of a task.
 type taskName struct{ occurrence, step, index int }
 
-// stage is a step of a job as its client knows it.
+// stage is a step of a job as its client knows it, with the simulated behavior of its runs.
 type stage struct {
 	*protocol.Stage
-	duration    time.Duration // of work
+	duration    time.Duration // of a run
 	seed        uint64
-	failureRate float64 // share of runs that fail by themselves
+	failureRate float64 // share of runs that fail by themselves, 0 to 1
 }
 
-// fails tells whether a run fails by itself; for the same run the answer is always the same.
+// fails reports whether a run fails by itself. The answer for a run never changes, and all members
+// of a gang fail together.
 func (s *stage) fails(name taskName, number uint32) bool {
 	if s.failureRate == 0 {
 		return false
@@ -33,9 +34,9 @@
 	return rand.New(rand.NewPCG(s.seed, uint64(number)<<32|uint64(name.occurrence)<<24|uint64(name.step)<<16|uint64(index))).Float64() < s.failureRate
 }
 
-// outcome returns how a run ends by itself.
-func (s *stage) outcome(one *run) string {
-	if s.fails(one.name, one.number) {
+// outcome returns the outcome of a run that ends by itself.
+func (s *stage) outcome(run *taskRun) string {
+	if s.fails(run.name, run.number) {
 		return "failed"
 	}
 	return "done"
@@ -49,28 +50,28 @@
 	spec        string
 	stages      []*stage
 	occurrences int
-	startAtMs   int64 // 0 for at once; milliseconds since 1970
+	startAtMs   int64 // milliseconds since 1970; 0 to start at once
 	intervalMs  int64
 
-	// Attempts to submit it.
+	// Attempts to submit the job.
 	attempts        int
-	pendingAttempts int           // without an answer so far
-	rejected        int           // that clearly had no effect
-	indeterminate   int           // that may have had one
-	acceptedAt      time.Duration // 0 before
-
-	cancelRequestedAt    time.Duration // 0 before
-	cancelAcknowledgedAt time.Duration // 0 before
-	lastState            string        // that a client was shown; empty before
+	pendingAttempts int           // attempts without an answer so far
+	rejected        int           // attempts that certainly had no effect
+	indeterminate   int           // attempts that may have had an effect
+	acceptedAt      time.Duration // 0 for not yet
+
+	cancelRequestedAt    time.Duration // 0 for not yet
+	cancelAcknowledgedAt time.Duration // 0 for not yet
+	lastState            string        // state that a client has read; empty for none yet
 }
 
-// stage returns the step of a task.
+// stage returns the step that a task belongs to.
 func (j *job) stage(name taskName) *stage { return j.stages[name.step] }
 
-// longRunning tells whether the job has no end of its own.
+// longRunning reports whether the job runs until it is canceled.
 func (j *job) longRunning() bool { return j.stages[0].LongRunning }
 
-// submission returns the job as it is sent.
+// submission returns the request that submits the job.
 func (j *job) submission() *protocol.Submit {
 	s := &protocol.Submit{Queue: j.queue, Id: j.id, Spec: j.spec, MaxRuns: uint32(j.occurrences), StartAtMs: j.startAtMs, IntervalMs: j.intervalMs}
 	if j.occurrences == 1 && j.startAtMs == 0 {
@@ -82,7 +83,7 @@
 	return s
 }
 
-// newJob draws a job: its queue, one or two steps, and what is special about it.
+// newJob draws a job: its queue, one or two steps, and its special properties.
 func (sim *simulation) newJob() *job {
 	j := &job{id: fmt.Sprintf("%016x", sim.rng.Uint64()), occurrences: 1}
 	j.spec = "spec of " + j.id
@@ -100,7 +101,7 @@
 	return j
 }
 
-// newStage draws a step of a job, by its number, which depends on the one before it.
+// newStage draws the step of a job with the given number. Each step depends on the one before it.
 func (sim *simulation) newStage(number int) *stage {
 	st := &stage{Stage: &protocol.Stage{Count: uint32(1 + sim.rng.IntN(4)), Cpu: int64(500 + 500*sim.rng.IntN(4)), MemMb: 100, EstimateMs: 500}, seed: sim.rng.Uint64()}
 	st.duration = sim.randomDuration(200*time.Millisecond, 2500*time.Millisecond)
@@ -114,7 +115,7 @@
 	return st
 }
 
-// specialize makes a job of a kind from 0 to 9, of which 8 and 9 have nothing special.
+// specialize gives a job the special properties of a kind from 0 to 9; kinds 8 and 9 have none.
 func (sim *simulation) specialize(j *job, kind int) {
 	first := j.stages[0]
 	switch kind {
@@ -133,12 +134,12 @@
 		first.LongRunning, first.Count, first.Cpu = true, 1, 500
 	case 6:
 		j.occurrences = 2 + sim.rng.IntN(3)
-		j.startAtMs = sim.now.Milliseconds() + dayBeginsMs + int64(sim.rng.IntN(3000))
+		j.startAtMs = sim.now.Milliseconds() + startOfDayMs + int64(sim.rng.IntN(3000))
 		j.intervalMs = int64(500 + sim.rng.IntN(2000))
 	case 7:
 		first.failureRate = 1
 	}
 }
 
-// finalStates are the states after which nothing of a job runs.
+// finalStates are the states in which a job has no more runs.
 var finalStates = map[string]bool{jobs.Completed.String(): true, jobs.Failed.String(): true, jobs.Canceled.String(): true}
--- a/internal/testkit/simnet/runner.go
+++ b/internal/testkit/simnet/runner.go
@@ -9,143 +9,147 @@
 	"frosttide/internal/protocol"
 )
 
-// runner runs tasks as it is told. It guards nothing by itself beside what the protocol asks of a runner.
+// runner executes run orders. It implements no safety measures beyond those that the protocol
+// requires of a runner.
 type runner struct {
 	host      *runnerHost
 	id        string
 	service   string
 	labels    []string
 	cpu       int64   // thousandths of a core
-	clockRate float64 // true time that passes in a second of its clock, 1 to 1+maxClockDrift
+	clockRate float64 // virtual seconds per second of its clock, 1 to 1+maxClockDrift
 	up        bool
 
 	draining            bool
-	drainAcknowledgedAt time.Duration // when the agent first heard of it; 0 before
+	drainAcknowledgedAt time.Duration // when the agent was first told; 0 for not yet
 
-	running            map[string]*run   // by task
-	blockedRuns        map[string]uint32 // by task, the highest run that must not start any more
+	running            map[string]*taskRun // by task
+	blockedRuns        map[string]uint32   // by task, the highest run number that must not start
 	unacknowledgedEnds []*protocol.RunEnd
 	lastEndNumber      uint64
-	runLeaseExpiry     time.Duration // true time at which all runs lapse
+	runLeaseExpiry     time.Duration // virtual time at which all runs lapse
 	runLeaseTimerSet   bool
 
-	fencingToken         uint64 // the highest so far
+	fencingToken         uint64 // highest token received
 	heartbeatSequence    uint64
-	heartbeatPending     bool // a heartbeat has no response yet
+	heartbeatPending     bool // a heartbeat was sent and not answered yet
 	heartbeatInterval    time.Duration
-	delayHeartbeatsUntil time.Duration // the fault that heartbeats are delayed by up to maxHeartbeatDelay
+	delayHeartbeatsUntil time.Duration // fault: heartbeats are delayed by up to maxHeartbeatDelay
 }
 
-// run is a run on a runner.
-type run struct {
+// taskRun is a run of a task on a runner.
+type taskRun struct {
 	task         string
 	number       uint32
-	job          *job // nil for a task that no client has sent
+	job          *job // nil for a task that no client has submitted
 	name         taskName
 	startedAt    time.Duration
 	checkpoint   string
 	stopping     bool
 	ended        bool
 	gang         bool
-	gangComplete bool // all members of its gang have started
+	gangComplete bool // all members of its gang run
 }
 
-// account returns what the runner declares of itself.
+// account returns the properties that the runner reports in heartbeats.
 func (r *runner) account() *protocol.RunnerAccount {
 	return &protocol.RunnerAccount{Id: r.id, Service: r.service, Labels: r.labels, Draining: r.draining, Slots: 8, Capacity: &protocol.Capacity{Cpu: r.cpu, MemMb: 32768}}
 }
 
-// sortedRuns returns the runs by task, so that simulations repeat.
-func (r *runner) sortedRuns() []*run {
-	return slices.SortedFunc(maps.Values(r.running), func(a, b *run) int { return strings.Compare(a.task, b.task) })
+// sortedRuns returns the runs in progress ordered by task, so that simulations are deterministic.
+func (r *runner) sortedRuns() []*taskRun {
+	return slices.SortedFunc(maps.Values(r.running), func(a, b *taskRun) int { return strings.Compare(a.task, b.task) })
 }
 
-// start begins a run, unless a run as new is in progress or it is blocked.
+// start starts a run, unless the same or a newer run of the task is in progress or the run is
+// blocked.
 func (r *runner) start(o *protocol.RunOrder) {
 	sim := r.host.sim
-	if one := r.running[o.GetTask()]; one != nil && one.number >= o.GetRun() || o.GetRun() <= r.blockedRuns[o.GetTask()] {
+	if current := r.running[o.GetTask()]; current != nil && current.number >= o.GetRun() || o.GetRun() <= r.blockedRuns[o.GetTask()] {
 		return
 	}
-	one := &run{task: o.GetTask(), number: o.GetRun(), startedAt: sim.now, checkpoint: o.GetSaved()}
-	sim.checker.started(r, one, o)
-	r.running[one.task] = one
-	if one.job == nil {
+	run := &taskRun{task: o.GetTask(), number: o.GetRun(), startedAt: sim.now, checkpoint: o.GetSaved()}
+	sim.checker.recordStart(r, run, o)
+	r.running[run.task] = run
+	if run.job == nil {
 		return
 	}
-	stage := one.job.stage(one.name)
-	if one.gang = stage.Gang; one.gang {
-		sim.startCompleteGang(one)
+	stage := run.job.stage(run.name)
+	if run.gang = stage.Gang; run.gang {
+		sim.startCompleteGang(run)
 		sim.after(gangTimeout, func() {
-			if !one.gangComplete && !one.ended {
-				r.end(one, "alone")
+			if !run.gangComplete && !run.ended {
+				r.end(run, "alone")
 			}
 		})
 		return
 	}
-	r.work(one)
+	r.scheduleEnd(run)
 }
 
-// work has a run end by itself after its time. One that is long-running ends by itself only if it fails.
-func (r *runner) work(one *run) {
-	stage := one.job.stage(one.name)
-	outcome := stage.outcome(one)
+// scheduleEnd schedules the end of a run that nothing stops before. A long-running one ends by
+// itself only if it fails.
+func (r *runner) scheduleEnd(run *taskRun) {
+	stage := run.job.stage(run.name)
+	outcome := stage.outcome(run)
 	if stage.LongRunning && outcome != "failed" {
 		return
 	}
 	r.host.sim.after(stage.duration, func() {
-		if !one.ended && !one.stopping {
-			r.end(one, outcome)
+		if !run.ended && !run.stopping {
+			r.end(run, outcome)
 		}
 	})
 }
 
-// stop ends the run of a task up to a number after a moment. Where there is none, runs up to that number are blocked.
+// stop stops the run of a task, up to a run number, after a short delay. If no such run is in
+// progress, runs up to that number are blocked.
 func (r *runner) stop(task string, number uint32) {
 	sim := r.host.sim
-	one := r.running[task]
-	if one == nil || one.number > number {
+	run := r.running[task]
+	if run == nil || run.number > number {
 		r.blockedRuns[task] = max(r.blockedRuns[task], number)
 		return
 	}
-	if one.stopping {
+	if run.stopping {
 		return
 	}
-	one.stopping = true
+	run.stopping = true
 	sim.after(sim.randomDuration(0, stopTime), func() {
-		if !one.ended {
-			r.end(one, "stopped")
+		if !run.ended {
+			r.end(run, "stopped")
 		}
 	})
 }
 
-// end ends a run and reports it until it is acknowledged.
-func (r *runner) end(one *run, outcome string) {
+// end ends a run. Heartbeats report the end until it is acknowledged.
+func (r *runner) end(run *taskRun, outcome string) {
 	sim := r.host.sim
-	if !r.up || one.ended {
+	if !r.up || run.ended {
 		return
 	}
-	one.ended = true
-	delete(r.running, one.task)
-	r.blockedRuns[one.task] = max(r.blockedRuns[one.task], one.number)
-	if one.job != nil && one.job.stage(one.name).Checkpoints && sim.now-one.startedAt > checkpointInterval {
-		one.checkpoint = "saved of " + one.task
+	run.ended = true
+	delete(r.running, run.task)
+	r.blockedRuns[run.task] = max(r.blockedRuns[run.task], run.number)
+	if run.job != nil && run.job.stage(run.name).Checkpoints && sim.now-run.startedAt > checkpointInterval {
+		run.checkpoint = "saved of " + run.task
 	}
 	r.lastEndNumber++
-	e := &protocol.RunEnd{Number: r.lastEndNumber, Task: one.task, Run: one.number, How: outcome, Saved: one.checkpoint}
+	e := &protocol.RunEnd{Number: r.lastEndNumber, Task: run.task, Run: run.number, How: outcome, Saved: run.checkpoint}
 	r.unacknowledgedEnds = append(r.unacknowledgedEnds, e)
-	sim.checker.ended(r, one, e)
-	if one.gang {
-		sim.breakGang(one, outcome)
+	sim.checker.recordEnd(r, run, e)
+	if run.gang {
+		sim.breakGang(run, outcome)
 	}
 	sim.after(50*time.Millisecond, r.sendHeartbeat)
 }
 
-// crash ends the runner with all its runs.
+// crash ends the runner and all its runs.
 func (r *runner) crash() {
 	r.up = false
-	for _, one := range r.running {
-		r.host.sim.checker.runnerLost(one)
+	for _, run := range r.running {
+		r.host.sim.checker.recordRunnerLoss(run)
 	}
-	r.running = make(map[string]*run)
+	r.running = make(map[string]*taskRun)
 	r.host.sim.trace("runner %s crashes", r.id)
 }
--- a/internal/testkit/simnet/runnerhost.go
+++ b/internal/testkit/simnet/runnerhost.go
@@ -8,44 +8,47 @@
 	"frosttide/internal/protocol"
 )
 
-// The bounds that the simulation keeps. They are those of the examples of the rules.
+// Timing and limits of runners and agents, as in the examples of the rules.
 const (
 	lease              = 12 * time.Second
 	maxRunLease        = 6 * time.Second
-	stopTime           = 400 * time.Millisecond // how long a run takes at most to stop
-	gangTimeout        = 3 * time.Second        // how long a gang's first member waits for the others
+	stopTime           = 400 * time.Millisecond // longest time that a run takes to stop
+	gangTimeout        = 3 * time.Second        // how long a member of a gang waits for the rest
 	responseTimeout    = time.Second            // of a heartbeat
 	checkpointInterval = 2 * time.Second
 	remoteSlowdown     = 1.5
-	// maxHeartbeatDelay bounds the delay of heartbeats while they are delayed.
+	// maxHeartbeatDelay bounds the delay of heartbeats during the fault delayHeartbeats.
 	maxHeartbeatDelay = 3500 * time.Millisecond
-	// healthCheckInterval is the time between two health checks of a silent runner.
+	// healthCheckInterval is the time between two health checks of a runner that sends no
+	// heartbeats.
 	healthCheckInterval = 100 * time.Millisecond
-	// minHeartbeatInterval is the shortest time between heartbeats: shorter ones would only make simulations slower.
+	// minHeartbeatInterval is the shortest interval between heartbeats. Shorter ones would only
+	// slow down simulations.
 	minHeartbeatInterval = 80 * time.Millisecond
-	// maxClockDrift is how much slower a runner's clock may be, as a share.
+	// maxClockDrift is how much slower a runner's clock may run, as a fraction.
 	maxClockDrift = 0.02
-	// statusRetention is longer than a simulation lasts, so that no job is forgotten in it.
+	// statusRetention is longer than any simulation, so that no job is forgotten during one.
 	statusRetention = 2 * time.Minute
-	// dayBeginsMs is the true time of day at the beginning, in milliseconds since 1970.
-	dayBeginsMs = 1_800_000_000_000
+	// startOfDayMs is the correct wall-clock time at the start of a simulation, in milliseconds
+	// since 1970.
+	startOfDayMs = 1_800_000_000_000
 )
 
-// runnerHost is a machine with a runner and its agent. The process is the agent.
+// runnerHost is a machine with a runner and its agent. The embedded process is the agent.
 type runnerHost struct {
 	*process
 	sim               *simulation
 	index             int
 	node              *agent.Node
 	runner            *runner
-	runnerIncarnation int           // rises with each start of the runner
-	lastHealthCheck   time.Duration // when a silent runner was last checked
+	runnerIncarnation int           // increases with each start of the runner
+	lastHealthCheck   time.Duration // when checkRunner last started a check
 }
 
 // runnerHostAddress returns the address of an agent by its number.
 func runnerHostAddress(i int) string { return fmt.Sprintf("side%d", i) }
 
-// newRunnerHost makes a machine whose agent and runner have not started.
+// newRunnerHost creates a machine whose agent and runner have not started.
 func (sim *simulation) newRunnerHost(i int) *runnerHost {
 	h := &runnerHost{sim: sim, index: i, process: &process{address: runnerHostAddress(i)}}
 	sim.processes[h.address] = h.process
@@ -71,7 +74,8 @@
 	})
 }
 
-// checkRunner checks the health of a runner that has fallen silent, as the agent's host does.
+// checkRunner checks the health of a runner that sends no heartbeats, as the real host of an agent
+// does.
 func (h *runnerHost) checkRunner() {
 	sim := h.sim
 	if sim.now-h.lastHealthCheck < healthCheckInterval {
@@ -91,7 +95,7 @@
 	})
 }
 
-// startRunner starts a runner under a new id.
+// startRunner starts a runner under a new ID.
 func (h *runnerHost) startRunner() {
 	sim := h.sim
 	h.runnerIncarnation++
@@ -104,7 +108,7 @@
 		cpu:               8000,
 		clockRate:         1 + sim.rng.Float64()*maxClockDrift,
 		up:                true,
-		running:           make(map[string]*run),
+		running:           make(map[string]*taskRun),
 		blockedRuns:       make(map[string]uint32),
 		heartbeatInterval: 50 * time.Millisecond,
 	}
@@ -112,7 +116,8 @@
 	h.runner.sendHeartbeat()
 }
 
-// replaceRunner ends a runner and starts another one later, unless something else has.
+// replaceRunner ends a runner and starts another one after a delay, unless another one has started
+// by then.
 func (h *runnerHost) replaceRunner(r *runner) {
 	sim := h.sim
 	r.crash()
--- a/internal/testkit/simnet/simulation.go
+++ b/internal/testkit/simnet/simulation.go
@@ -8,21 +8,21 @@
 	"frosttide/internal/control/jobs"
 )
 
-// simulation is one run. All of it is driven by one queue of events in virtual time, in one goroutine.
+// simulation is one run. A single event queue in virtual time drives all of it, in one goroutine.
 type simulation struct {
 	options Options
 	rng     *rand.Rand
 	report  Report
 
-	// The virtual time and what happens next.
+	// Virtual time and the queue of events.
 	now      time.Duration
 	events   eventHeap
-	sequence uint64 // of the newest event
+	sequence uint64 // of the event that was scheduled last
 
-	// The machines and who calls them.
-	processes      map[string]*process // by internal address
+	// The machines and their callers.
+	processes      map[string]*process // by address
 	cores          []*core
-	lastCoreNumber int // number of the newest machine of the control plane
+	lastCoreNumber int // number of the last machine added to the control plane
 	runnerHosts    []*runnerHost
 	gateways       []*gatewayHost
 	clients        []*client
@@ -31,23 +31,25 @@
 	network network
 	checker *checker
 
-	// When faults were last in force, by which it is decided what the system has to bear.
-	lastFault       time.Duration // when the newest fault began or ended
+	// Times of the latest faults. They decide which guarantees have to hold now and which
+	// further losses the fault tolerance allows.
+	lastFault       time.Duration // when a fault was last in force
 	lastDiskLoss    time.Duration // when a disk was last lost; 0 for never
-	lastReplacement time.Duration // when a machine was last removed for good or came new; 0 for never
+	lastReplacement time.Duration // when a machine was last removed for good or added; 0 for never
 }
 
-// newSimulation returns a simulation in which nothing has started.
+// newSimulation returns a simulation without machines or events.
 func newSimulation(o Options) *simulation {
 	sim := &simulation{options: o, rng: rand.New(rand.NewPCG(o.Seed, 2)), processes: make(map[string]*process), network: newNetwork()}
 	sim.checker, sim.operator = sim.newChecker(), sim.newOperator()
 	return sim
 }
 
-// maxBootDelay is within how long all machines boot.
+// maxBootDelay is the time within which all machines boot.
 const maxBootDelay = 300 * time.Millisecond
 
-// bootAll starts all machines within a short time, and the operator after them.
+// bootAll creates all machines and boots each after a random delay of at most maxBootDelay. The
+// operator starts after them.
 func (sim *simulation) bootAll() {
 	for i := range sim.options.Cores {
 		c := sim.newCore(i)
@@ -56,9 +58,9 @@
 		sim.after(sim.randomDuration(0, maxBootDelay), c.boot)
 	}
 	for i := range sim.options.Gateways {
-		c := sim.newGateway(i)
-		sim.gateways = append(sim.gateways, c)
-		sim.after(sim.randomDuration(0, maxBootDelay), c.boot)
+		g := sim.newGateway(i)
+		sim.gateways = append(sim.gateways, g)
+		sim.after(sim.randomDuration(0, maxBootDelay), g.boot)
 	}
 	for i := range sim.options.Runners {
 		h := sim.newRunnerHost(i)
@@ -68,7 +70,7 @@
 	sim.after(500*time.Millisecond, sim.operator.start)
 }
 
-// scheduleFaults draws the faults and has them begin at their times, except those that are skipped.
+// scheduleFaults draws all faults and schedules those that Options.SkipFaults does not exclude.
 func (sim *simulation) scheduleFaults() {
 	for i, f := range sim.drawFaults() {
 		sim.report.Faults = append(sim.report.Faults, fmt.Sprintf("%.3f %s", f.at.Seconds(), f.description))
@@ -82,8 +84,8 @@
 	}
 }
 
-// head returns the machine that serves as the head, by its own word and with the newest epoch; any machine where none
-// does.
+// head returns the machine that considers itself the serving head; where several do, the one with
+// the newest epoch, and where none does, the first machine.
 func (sim *simulation) head() *core {
 	best := sim.cores[0]
 	for _, c := range sim.cores {
@@ -94,7 +96,8 @@
 	return best
 }
 
-// idle tells whether no job is left to run, by what the head knows, and no fault is in force.
+// idle reports whether no fault is in force and, by the state of the head, no job is left to run.
+// Long-running jobs don't count.
 func (sim *simulation) idle() bool {
 	head := sim.head()
 	if !sim.noFaultFor(contactTime) || !head.up || head.member.Scheduler() == nil {
@@ -107,20 +110,20 @@
 	return idle
 }
 
-// recordFault notes that a fault has begun, goes on or has ended.
+// recordFault notes that a fault begins, is in force or ends now.
 func (sim *simulation) recordFault() { sim.lastFault = sim.now }
 
-// noFaultFor tells whether no fault has begun, ended or been in force for a time.
+// noFaultFor reports whether no fault began, was in force or ended within the last d.
 func (sim *simulation) noFaultFor(d time.Duration) bool { return sim.now-sim.lastFault >= d }
 
-// violation reports a rule that is violated, which ends the simulation.
+// violation records the violation of a rule, which ends the simulation.
 func (sim *simulation) violation(rule, format string, args ...any) {
 	v := Violation{Rule: rule, At: sim.now, Text: fmt.Sprintf(format, args...)}
 	sim.trace("VIOLATION %s: %s", rule, v.Text)
 	sim.report.Violations = append(sim.report.Violations, v)
 }
 
-// trace writes a line of the trace.
+// trace writes a line of the trace, with the virtual time in seconds.
 func (sim *simulation) trace(format string, args ...any) {
 	if sim.options.Trace != nil {
 		sim.options.Trace(fmt.Sprintf("%9.4f ", sim.now.Seconds()) + fmt.Sprintf(format, args...))
--- a/internal/testkit/simnet/statechecks.go
+++ b/internal/testkit/simnet/statechecks.go
@@ -7,7 +7,7 @@
 	"frosttide/internal/control/store"
 )
 
-// checkShownState checks the state of a job that a client was shown.
+// checkShownState checks a job's state that a client has read.
 func (c *checker) checkShownState(j *job) {
 	sim := c.sim
 	switch j.lastState {
@@ -30,24 +30,24 @@
 	}
 }
 
-// mayFail tells whether a task or a gang of a job has failed as often as it may.
+// mayFail reports whether a task or a gang of a job has failed as often as its queue allows.
 func (c *checker) mayFail(j *job) bool {
 	for occurrence := range j.occurrences {
 		for step, st := range j.stages {
-			gang := make(map[uint32]bool)
+			failedAttempts := make(map[uint32]bool)
 			for index := range int(st.Count) {
 				failed := 0
 				for _, record := range c.runs[taskID(j, occurrence, step, index)] {
 					if record.outcome == string(jobs.EndFailed) {
 						failed++
-						gang[record.run.number] = true
+						failedAttempts[record.run.number] = true
 					}
 				}
 				if failed >= maxAttempts[j.queue] {
 					return true
 				}
 			}
-			if st.Gang && len(gang) >= maxAttempts[j.queue] {
+			if st.Gang && len(failedAttempts) >= maxAttempts[j.queue] {
 				return true
 			}
 		}
@@ -55,7 +55,7 @@
 	return false
 }
 
-// checkUnknownJob checks that a client may be told that a job is not known.
+// checkUnknownJob checks whether a client may be told that a job is unknown.
 func (c *checker) checkUnknownJob(j *job) {
 	sim := c.sim
 	if j.acceptedAt > 0 && sim.now > j.acceptedAt+visibleTime && sim.noFaultFor(contactTime) && j.cancelRequestedAt == 0 {
@@ -63,10 +63,11 @@
 	}
 }
 
-// compareInterval is how often the members' states are compared.
+// compareInterval is the time between two comparisons of the members' states.
 const compareInterval = 250 * time.Millisecond
 
-// compareStates checks that members which hold the state of one view up to the same entry hold the same state.
+// compareStates checks that members hold the same state if they hold it for the same view and up to
+// the same log entry.
 func (sim *simulation) compareStates() {
 	type position struct{ epoch, index uint64 }
 	byPosition := make(map[position]*core)
