--- a/internal/testkit/simnet/history_test.go
+++ b/internal/testkit/simnet/history_test.go
@@ -10,28 +10,29 @@
 	"github.com/stretchr/testify/require"
 )
 
-// register is the configuration as its operators see it: a version that orders swap for another, and the orders that
-// were taken, which are acknowledged whenever they come again.
+// register models the configuration as its operators see it: a compare-and-set register that holds
+// a version, and the orders applied so far, which are acknowledged again whenever they are resent.
 type register struct {
 	version uint64
-	taken   string // numbers of the orders, each between commas
+	applied string // numbers of the applied orders, each between commas
 }
 
-func (r register) has(order int) bool { return strings.Contains(r.taken, fmt.Sprintf(",%d,", order)) }
+// has reports whether an order was applied.
+func (r register) has(order int) bool { return strings.Contains(r.applied, fmt.Sprintf(",%d,", order)) }
 
-// swapped returns the register after an order, and false where it is refused.
-func (r register) swapped(c Call) (register, bool) {
+// apply returns the register after an order, and whether the order is acknowledged.
+func (r register) apply(c Call) (register, bool) {
 	switch {
 	case r.has(c.Order):
 		return r, true
 	case r.version != c.Match || c.Version <= r.version:
 		return r, false
 	default:
-		return register{version: c.Version, taken: r.taken + fmt.Sprintf(",%d,", c.Order)}, true
+		return register{version: c.Version, applied: r.applied + fmt.Sprintf(",%d,", c.Order)}, true
 	}
 }
 
-// configuration is the configuration as a register with compare-and-set.
+// configuration is the sequential model of the configuration.
 var configuration = porcupine.Model{
 	Init: func() any { return register{} },
 	Step: func(state, input, _ any) (bool, any) {
@@ -39,18 +40,18 @@
 		if c.Kind == ReadCall {
 			return c.Version == r.version, r
 		}
-		next, taken := r.swapped(c)
-		if c.Ended == 0 { // nobody knows: it takes effect where it can
+		next, acknowledged := r.apply(c)
+		if c.Ended == 0 { // no definite answer: the order takes effect if it can
 			return true, next
 		}
-		return taken == c.Acknowledged, next
+		return acknowledged == c.Acknowledged, next
 	},
 }
 
-// stateRanks order the states of a job, which only goes on.
+// stateRanks orders the states of a job: the rank of its state never decreases.
 var stateRanks = map[string]int{"pending": 0, "running": 1, "completed": 2, "failed": 2, "canceled": 2}
 
-// jobState is a job's state as its clients see it.
+// jobState is the sequential model of a job's state as its clients see it.
 var jobState = porcupine.Model{
 	Init: func() any { return "pending" },
 	Step: func(state, input, _ any) (bool, any) {
@@ -64,14 +65,14 @@
 			byJob[job] = append(byJob[job], o)
 		}
 		var out [][]porcupine.Operation
-		for _, one := range byJob {
-			out = append(out, one)
+		for _, history := range byJob {
+			out = append(out, history)
 		}
 		return out
 	},
 }
 
-// operations returns a simulation's calls of some kinds as porcupine takes them.
+// operations converts a simulation's calls of the given kinds to porcupine operations.
 func operations(r *Report, kinds ...CallKind) (out []porcupine.Operation) {
 	const end = int64(time.Hour)
 	for i, c := range r.Calls {
@@ -89,32 +90,33 @@
 	return out
 }
 
-// TestHistories checks what operators and clients saw in simulations of many seeds against one register for the
-// configuration, and one state for each job.
-func TestHistories(t *testing.T) {
+// TestHistoriesAreLinearizable checks that the calls of operators and clients, in simulations of
+// many seeds, are linearizable: the configuration as a compare-and-set register, and the state of
+// each job as one that never goes back.
+func TestHistoriesAreLinearizable(t *testing.T) {
 	seeds := uint64(16)
 	if raceDetectorOn {
 		seeds = 3
 	}
-	orders, unknown := 0, 0
+	orders, undecided := 0, 0
 	for seed := range seeds {
 		r := Run(DefaultOptions(2000 + seed))
 		require.Empty(t, r.Violations)
 		config := operations(r, OrderCall, ReadCall)
 		result := porcupine.CheckOperationsTimeout(configuration, config, 20*time.Second)
-		require.NotEqual(t, porcupine.Illegal, result, "seed %d: the configuration is no register", 2000+seed)
+		require.NotEqual(t, porcupine.Illegal, result, "seed %d: calls on the configuration are not linearizable", 2000+seed)
 		if result == porcupine.Unknown {
-			unknown++
+			undecided++
 		}
-		require.True(t, porcupine.CheckOperations(jobState, operations(r, StateCall)), "seed %d: a job's state goes back", 2000+seed)
+		require.True(t, porcupine.CheckOperations(jobState, operations(r, StateCall)), "seed %d: reads of a job's state are not linearizable", 2000+seed)
 		orders += len(config)
 	}
 	require.Greater(t, orders, 300)
-	require.Less(t, unknown, int(seeds)/10+1, "histories too long to be checked")
+	require.Less(t, undecided, int(seeds)/10+1, "histories that could not be checked within 20 s")
 }
 
-// TestHistoriesThatCannotBe has the models refuse what must not happen.
-func TestHistoriesThatCannotBe(t *testing.T) {
+// TestModelsRejectImpossibleHistories checks that the models reject histories that must not occur.
+func TestModelsRejectImpossibleHistories(t *testing.T) {
 	first := Call{Kind: OrderCall, Began: 1, Ended: 2, Order: 1, Match: 0, Version: 1, Acknowledged: true}
 	second := Call{Kind: OrderCall, Began: 3, Ended: 4, Order: 2, Match: 0, Version: 2, Acknowledged: true}
 	completed := Call{Kind: StateCall, Began: 1, Ended: 2, State: "completed"}
@@ -127,11 +129,11 @@
 		allowed bool
 	}{
 		{"two orders on one version are acknowledged", configuration, []Call{first, second}, false},
-		{"the second of them without an answer", configuration, []Call{first, indeterminate}, true},
+		{"the second of two orders on one version has no answer", configuration, []Call{first, indeterminate}, true},
 		{"a read shows the version before an acknowledged order", configuration, []Call{first, {Kind: ReadCall, Began: 3, Ended: 4, Version: 0}}, false},
-		{"an acknowledged order is refused when it comes again", configuration, []Call{first, {Kind: OrderCall, Began: 5, Ended: 6, Order: 1, Match: 0, Version: 1}}, false},
-		{"a completed job runs", jobState, []Call{completed, {Kind: StateCall, Began: 3, Ended: 4, State: "running"}}, false},
-		{"a completed job has failed", jobState, []Call{completed, {Kind: StateCall, Began: 3, Ended: 4, State: "failed"}}, false},
+		{"an acknowledged order is refused when it is resent", configuration, []Call{first, {Kind: OrderCall, Began: 5, Ended: 6, Order: 1, Match: 0, Version: 1}}, false},
+		{"a completed job is shown as running", jobState, []Call{completed, {Kind: StateCall, Began: 3, Ended: 4, State: "running"}}, false},
+		{"a completed job is shown as failed", jobState, []Call{completed, {Kind: StateCall, Began: 3, Ended: 4, State: "failed"}}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			history := operations(&Report{Calls: tc.calls}, OrderCall, ReadCall, StateCall)
--- a/internal/testkit/simnet/missingcheck_test.go
+++ b/internal/testkit/simnet/missingcheck_test.go
@@ -1,6 +1,6 @@
 //go:build !race
 
-// The race detector makes hundreds of simulations take minutes; TestPlays runs under it.
+// Hundreds of simulations take minutes under the race detector; TestRulesHold runs under it.
 
 package simnet
 
@@ -8,10 +8,11 @@
 	"testing"
 )
 
-// maxSeeds is within how many seeds the rules have to detect that a safety check is missing.
+// maxSeeds is the number of seeds within which the rules have to detect a missing safety check.
 const maxSeeds = 500
 
-// TestFindsMissingChecks has simulations without one of the safety checks violate a rule.
+// TestFindsMissingChecks checks that simulations without one of the safety checks violate a rule,
+// so that the rules are able to detect a fault of that kind.
 func TestFindsMissingChecks(t *testing.T) {
 	lostDisks := func(o *Options) {
 		o.CoreOnly = true
@@ -20,9 +21,9 @@
 	for _, tc := range []struct {
 		name    string
 		missing MissingCheck
-		faults  func(*Options) // narrows the faults to those that the check is for; nil for all
+		faults  func(*Options) // selects faults that the check protects against; nil for all
 	}{
-		{"hold wait", NoLeaseWait, nil},
+		{"lease wait", NoLeaseWait, nil},
 		{"sync before answer", NoSync, func(o *Options) { o.CoreOnly = true }},
 		{"fence", NoFencing, nil},
 		{"identity of a lost disk", NoNewIdentity, lostDisks},
@@ -40,7 +41,7 @@
 					return
 				}
 			}
-			t.Errorf("%d seeds detect nothing without %s", maxSeeds, tc.name)
+			t.Errorf("no violation in %d seeds without the check %q", maxSeeds, tc.name)
 		})
 	}
 }
--- a/internal/testkit/simnet/simnet_test.go
+++ b/internal/testkit/simnet/simnet_test.go
@@ -5,11 +5,11 @@
 	"testing"
 )
 
-// TestPlays checks the rules on simulations of many seeds.
-func TestPlays(t *testing.T) {
+// TestRulesHold checks that no rule is violated in simulations of many seeds.
+func TestRulesHold(t *testing.T) {
 	seeds := uint64(100)
 	if raceDetectorOn {
-		seeds = 15 // the detector makes each one many times as long
+		seeds = 15 // simulations take many times as long under the race detector
 	}
 	var all []Options
 	for seed := range seeds {
@@ -18,8 +18,9 @@
 	requireNoViolations(t, all)
 }
 
-// TestPlaysWithoutLinkOrder checks the rules where what was buffered of a link that is reset is handled after messages of
-// the next one: no protocol relies on the order that package transport keeps.
+// TestPlaysWithoutLinkOrder checks the rules while messages buffered before a reset are handled
+// after those of the next connection. No protocol may rely on the order that package transport
+// keeps.
 func TestPlaysWithoutLinkOrder(t *testing.T) {
 	seeds := uint64(40)
 	if raceDetectorOn {
@@ -34,30 +35,31 @@
 	requireNoViolations(t, all)
 }
 
-// requireNoViolations runs simulations and checks that none violates a rule.
-func requireNoViolations(t *testing.T, all []Options) {
+// requireNoViolations runs a simulation for each of the options and checks that none violates a
+// rule.
+func requireNoViolations(t *testing.T, options []Options) {
 	t.Helper()
-	atOnce := make(chan struct{}, 2) // the tests of other packages need processors too
-	for _, o := range all {
+	slots := make(chan struct{}, 2) // leave processors to the tests of other packages
+	for _, o := range options {
 		t.Run(fmt.Sprint(o.Seed), func(t *testing.T) {
 			t.Parallel()
-			atOnce <- struct{}{}
-			defer func() { <-atOnce }()
+			slots <- struct{}{}
+			defer func() { <-slots }()
 			r := Run(o)
 			for _, v := range r.Violations {
 				t.Errorf("%s", v)
 			}
 			if r.Accepted == 0 || r.Starts == 0 {
-				t.Errorf("%d jobs are accepted, %d runs started", r.Accepted, r.Starts)
+				t.Errorf("got %d accepted jobs and %d started runs, want some of both", r.Accepted, r.Starts)
 			}
 		})
 	}
 }
 
-// TestRepeats has a simulation of the same seed be the same simulation.
-func TestRepeats(t *testing.T) {
+// TestSameSeedRepeatsTheRun checks that two simulations of the same seed have the same outcome.
+func TestSameSeedRepeatsTheRun(t *testing.T) {
 	a, b := Run(DefaultOptions(7)), Run(DefaultOptions(7))
 	if a.Starts != b.Starts || a.Done != b.Done || a.Accepted != b.Accepted {
-		t.Errorf("%d/%d/%d and %d/%d/%d", a.Starts, a.Done, a.Accepted, b.Starts, b.Done, b.Accepted)
+		t.Errorf("started runs/completed/accepted jobs differ: first %d/%d/%d, second %d/%d/%d", a.Starts, a.Done, a.Accepted, b.Starts, b.Done, b.Accepted)
 	}
 }
