--- a/internal/testkit/lab/faults/soak/faults.go
+++ b/internal/testkit/lab/faults/soak/faults.go
@@ -5,117 +5,122 @@
 	"slices"
 )
 
-// breaks are the faults, each as likely as it stands here.
-var breaks = []func(*draw){(*draw).kill, (*draw).kill, (*draw).kill, (*draw).term, (*draw).stall, (*draw).stall, (*draw).cut, (*draw).cut,
-	(*draw).lossy, (*draw).reset, (*draw).discovery, (*draw).clock, (*draw).slowRunner, (*draw).drain, (*draw).hangUp, (*draw).refuse, (*draw).noise, (*draw).fullDisk}
-
-// kill takes one, some or all members away at once, sometimes with a disk of one.
-func (d *draw) kill() {
-	of := d.steady()
+// faultKinds are the kinds of faults. Repeated entries are more likely.
+var faultKinds = []func(*generator){(*generator).kill, (*generator).kill, (*generator).kill, (*generator).term, (*generator).stall, (*generator).stall, (*generator).cut, (*generator).cut,
+	(*generator).lossy, (*generator).reset, (*generator).discovery, (*generator).clock, (*generator).slowRunner, (*generator).drain, (*generator).hangUp, (*generator).refuse, (*generator).noise, (*generator).fullDisk}
+
+// kill kills one, several or all members at once. It may damage the disk of one of them, or restore
+// its backup.
+func (d *generator) kill() {
+	of := d.runningMembers()
 	n := []int{1, 1, 2, members - 1, members}[d.rng.IntN(5)]
-	who := d.some(of, n)
+	who := d.pick(of, n)
 	if len(who) == 0 {
 		return
 	}
-	d.say("kill %s", names(who))
+	d.addLine("kill %s", names(who))
 	d.down = append(d.down, who...)
 	d.lost += len(who)
-	if !d.harmed && d.rng.IntN(2) == 0 {
-		d.harmed = true
+	if !d.diskHarmed && d.rng.IntN(2) == 0 {
+		d.diskHarmed = true
 		m := who[d.rng.IntN(len(who))]
 		switch harm := d.rng.IntN(4); {
-		case m+1 == d.kept:
-			d.say("restore d%d", d.kept)
+		case m+1 == d.backedUp:
+			d.addLine("restore d%d", d.backedUp)
 		case harm < 3:
-			d.say("%s %s", []string{"wipe", "lose", "tear"}[harm], names([]int{m})+[]string{"", "", " log"}[harm])
+			d.addLine("%s %s", []string{"wipe", "lose", "tear"}[harm], names([]int{m})+[]string{"", "", " log"}[harm])
 		}
 	}
-	if d.rng.IntN(2) == 0 { // they come back in any order, one after the other
+	if d.rng.IntN(2) == 0 { // they restart one by one, in random order
 		for _, i := range who {
-			d.mends = append(d.mends, "start "+names([]int{i}))
+			d.repairs = append(d.repairs, "start "+names([]int{i}))
 		}
 		return
 	}
-	d.mends = append(d.mends, "start "+names(who))
+	d.repairs = append(d.repairs, "start "+names(who))
 }
 
-// term ends one or two as a planned restart does.
-func (d *draw) term() {
-	who := d.some(d.steady(), 1+d.rng.IntN(2))
+// term ends one or two members by SIGTERM, as in a planned restart.
+func (d *generator) term() {
+	who := d.pick(d.runningMembers(), 1+d.rng.IntN(2))
 	if len(who) == 0 {
 		return
 	}
-	d.say("term %s", names(who))
+	d.addLine("term %s", names(who))
 	d.down = append(d.down, who...)
 	d.lost += len(who)
-	d.mends = append(d.mends, "start "+names(who))
+	d.repairs = append(d.repairs, "start "+names(who))
 }
 
-func (d *draw) stall() {
-	of := d.steady()
-	who := d.some(of, 1+d.rng.IntN(max(len(of)-1, 1)))
+// stall stops some members by SIGSTOP, but not all that run unless only one does.
+func (d *generator) stall() {
+	of := d.runningMembers()
+	who := d.pick(of, 1+d.rng.IntN(max(len(of)-1, 1)))
 	if len(who) == 0 {
 		return
 	}
-	d.say("stall %s", names(who))
+	d.addLine("stall %s", names(who))
 	d.stalled = append(d.stalled, who...)
-	d.mends = append(d.mends, "wake "+names(who))
+	d.repairs = append(d.repairs, "wake "+names(who))
 }
 
-// links breaks those between two sides, once a round.
-func (d *draw) links(step func(a, b string)) {
-	if d.linked {
+// links injects a fault of the links between two parts of the fleet, at most once a round.
+func (d *generator) links(step func(a, b string)) {
+	if d.linksBroken {
 		return
 	}
-	d.linked = true
+	d.linksBroken = true
 	order := d.rng.Perm(members)
 	n := 1 + d.rng.IntN(members-1)
 	step(names(order[:n]), names(order[n:]))
-	d.mends = append(d.mends, "heal")
+	d.repairs = append(d.repairs, "heal")
 }
 
-func (d *draw) cut() {
-	d.links(func(a, b string) { d.say("cut %s from %s%s", a, b, []string{"", "", " oneway"}[d.rng.IntN(3)]) })
+// cut separates two parts of the fleet, in both directions or in one.
+func (d *generator) cut() {
+	d.links(func(a, b string) { d.addLine("cut %s from %s%s", a, b, []string{"", "", " oneway"}[d.rng.IntN(3)]) })
 }
 
-func (d *draw) lossy() {
+// lossy delays the links between two parts, or drops, duplicates and reorders their packets.
+func (d *generator) lossy() {
 	d.links(func(a, b string) {
 		if d.rng.IntN(2) == 0 {
-			d.say("slow %s from %s %dms", a, b, 20+d.rng.IntN(300))
+			d.addLine("slow %s from %s %dms", a, b, 20+d.rng.IntN(300))
 			return
 		}
-		d.say("lossy %s from %s 0.%d 0.%d 0.%d", a, b, d.rng.IntN(5), d.rng.IntN(4), d.rng.IntN(5))
+		d.addLine("lossy %s from %s 0.%d 0.%d 0.%d", a, b, d.rng.IntN(5), d.rng.IntN(4), d.rng.IntN(5))
 	})
 }
 
-func (d *draw) reset() { d.say("reset all from all") }
+// reset closes all connections between members.
+func (d *generator) reset() { d.addLine("reset all from all") }
 
-// discovery answers some members nothing, or nothing new.
-func (d *draw) discovery() {
-	if d.deaf {
+// discovery has the discovery of some members answer no call, or report nothing newer.
+func (d *generator) discovery() {
+	if d.discoveryBroken {
 		return
 	}
-	d.deaf = true
+	d.discoveryBroken = true
 	all := []int{0, 1, 2, 3, 4}
-	who := names(d.some(all, 1+d.rng.IntN(members)))
+	who := names(d.pick(all, 1+d.rng.IntN(members)))
 	if d.rng.IntN(2) == 0 {
-		d.say("mute %s", who)
-		d.mends = append(d.mends, "speak "+who)
+		d.addLine("mute %s", who)
+		d.repairs = append(d.repairs, "speak "+who)
 		return
 	}
-	d.say("hold %s", who)
-	d.mends = append(d.mends, "release "+who)
+	d.addLine("hold %s", who)
+	d.repairs = append(d.repairs, "release "+who)
 }
 
-// clock sets one machine's clock.
-func (d *draw) clock() {
+// clock sets one machine's clock wrong for the rest of the round.
+func (d *generator) clock() {
 	m := fmt.Sprintf("d%d", 1+d.rng.IntN(members))
-	d.say("clock %s %d", m, []int{-1800, -30, 30, 3600}[d.rng.IntN(4)])
-	d.mends = append(d.mends, "clock "+m+" 0")
+	d.addLine("clock %s %d", m, []int{-1800, -30, 30, 3600}[d.rng.IntN(4)])
+	d.repairs = append(d.repairs, "clock "+m+" 0")
 }
 
-// runner returns one that nothing was done to in this round, 0 for none: half of them stay.
-func (d *draw) runner() int {
+// runner returns a runner without a fault in this round, or 0. At most half of the runners get one.
+func (d *generator) runner() int {
 	if len(d.busyRunners) >= runners/2 {
 		return 0
 	}
@@ -128,57 +133,62 @@
 	return 0
 }
 
-func (d *draw) slowRunner() {
+// slowRunner has a runner hang, or slows it down at parts of gangs.
+func (d *generator) slowRunner() {
 	n := d.runner()
 	switch {
 	case n == 0:
 	case d.rng.IntN(2) == 0:
-		d.say("hang s-%d", n)
-		d.mends = append(d.mends, fmt.Sprintf("unhang s-%d", n))
+		d.addLine("hang s-%d", n)
+		d.repairs = append(d.repairs, fmt.Sprintf("unhang s-%d", n))
 	default:
-		d.say("lag s-%d %d", n, 2+d.rng.IntN(8))
-		d.mends = append(d.mends, fmt.Sprintf("lag s-%d 1", n))
+		d.addLine("lag s-%d %d", n, 2+d.rng.IntN(8))
+		d.repairs = append(d.repairs, fmt.Sprintf("lag s-%d 1", n))
 	}
 }
 
-func (d *draw) drain() {
+// drain has discovery report a runner as draining.
+func (d *generator) drain() {
 	if n := d.runner(); n > 0 {
-		d.say("drain s-%d", n)
-		d.mends = append(d.mends, fmt.Sprintf("serve s-%d", n))
+		d.addLine("drain s-%d", n)
+		d.repairs = append(d.repairs, fmt.Sprintf("serve s-%d", n))
 	}
 }
 
-func (d *draw) hangUp() {
+// hangUp has a runner close the connection on every job.
+func (d *generator) hangUp() {
 	if n := d.runner(); n > 0 {
-		d.say("break s-%d", n)
-		d.mends = append(d.mends, fmt.Sprintf("mend s-%d", n))
+		d.addLine("break s-%d", n)
+		d.repairs = append(d.repairs, fmt.Sprintf("mend s-%d", n))
 	}
 }
 
-func (d *draw) refuse() {
+// refuse has a runner reject every job.
+func (d *generator) refuse() {
 	if n := d.runner(); n > 0 {
-		d.say("refuse s-%d", n)
-		d.mends = append(d.mends, fmt.Sprintf("accept s-%d", n))
+		d.addLine("refuse s-%d", n)
+		d.repairs = append(d.repairs, fmt.Sprintf("accept s-%d", n))
 	}
 }
 
-// fullDisk has one member write nothing more.
-func (d *draw) fullDisk() {
-	if len(d.steady()) == 0 || d.harmed {
+// fullDisk simulates a full disk at one member.
+func (d *generator) fullDisk() {
+	if len(d.runningMembers()) == 0 || d.diskHarmed {
 		return
 	}
-	d.harmed = true
-	m := d.one()
-	d.say("full %s", m)
-	d.mends = append(d.mends, "room "+m)
+	d.diskHarmed = true
+	m := d.anyRunningMember()
+	d.addLine("full %s", m)
+	d.repairs = append(d.repairs, "room "+m)
 }
 
-func (d *draw) noise() {
+// noise writes a burst of changes of the list of runners, or sends a member random input.
+func (d *generator) noise() {
 	if d.rng.IntN(2) == 0 {
-		d.say("flood %d", 1+d.rng.IntN(60))
+		d.addLine("flood %d", 1+d.rng.IntN(60))
 		return
 	}
-	if of := d.steady(); len(of) > 0 {
-		d.say("garble %s", d.one())
+	if of := d.runningMembers(); len(of) > 0 {
+		d.addLine("garble %s", d.anyRunningMember())
 	}
 }
--- a/internal/testkit/lab/faults/soak/soak.go
+++ b/internal/testkit/lab/faults/soak/soak.go
@@ -1,7 +1,7 @@
-// Package soak draws scripts of faults from a seed: several members with workflows, gangs, keyed
-// jobs and operators' words, and rounds in which links, processes, disks, clocks, discovery and
-// runners break together and come back. The package is pure: a script is text for faults.Parse,
-// so that what a seed has found is played again by it, and can be cut down by hand.
+// Package soak generates fault scripts from a seed: several members with workflows, gangs, keyed
+// jobs and operators' orders, and rounds in which links, processes, disks, clocks, discovery and
+// runners fail together and recover. The package is pure: a script is text for faults.Parse, so a
+// failure is replayed by its seed, and its script can be reduced by hand.
 package soak
 
 import (
@@ -11,91 +11,94 @@
 	"strings"
 )
 
-// The sizes of a drawn fleet.
+// Sizes of the fleet and limits of a script.
 const (
 	members = 5
 	runners = 6
-	// mostRounds keeps the words that operators did not get an answer to under what the history's
-	// check tries out, one a round.
+	// mostRounds limits the orders with an unclear outcome, one a round: the check of the
+	// history tries both outcomes of at most 10.
 	mostRounds = 8
-	// rememberers is how many members may be lost at once while keyed jobs are sent again: the
-	// dispatcher that had one and one of the two that it told.
-	rememberers = 2
+	// maxLostRecorders is how many members may fail at once while keyed jobs are retried: the
+	// dispatcher that sent the job and one of the two that it informed.
+	maxLostRecorders = 2
 )
 
-// draw is a script being written.
-type draw struct {
-	rng   *rand.Rand
-	lines []string
-	n     int // of ids
-	kept  int // whose disk has a copy, from 1; 0 for nobody's
+// generator is the state of a script that is being generated.
+type generator struct {
+	rng      *rand.Rand
+	lines    []string
+	n        int // IDs assigned so far
+	backedUp int // the member whose log was copied, from 1; 0 for none
 	round
 }
 
-// round is what is broken now, and what mends it.
+// round is what is broken in the current round, and the steps that repair it.
 type round struct {
-	down, stalled []int
-	lost          int      // members that were killed in this round
-	mends         []string // in any order
-	lasts         []string // once all is whole
-	busyRunners   []int    // drained, broken or left out
-	linked        bool     // links are broken
-	deaf          bool     // discovery is
-	harmed        bool     // a disk is, or full: one a round, so that a majority of voters has its log
-	told          bool     // an operator has spoken
+	down, stalled   []int
+	lost            int      // members whose process ended in this round
+	repairs         []string // steps of the repair, in any order
+	afterRepair     []string // steps after the repair
+	busyRunners     []int    // runners with a fault, from 1
+	linksBroken     bool     // a fault of links was injected
+	discoveryBroken bool     // discovery is held or muted
+	// A disk is damaged or full: one a round, so that a majority of voters keeps its log.
+	diskHarmed     bool
+	operatorCalled bool // an operator has sent an order
 }
 
-// Draw returns a script of so many rounds, 1 to 8. Equal seeds give equal scripts.
+// Draw returns a script of 1 to 8 rounds; other values are clamped to that. Equal arguments give
+// equal scripts.
 func Draw(seed uint64, rounds int) string {
-	d := &draw{rng: rand.New(rand.NewPCG(seed, 0x50a))}
-	d.say("# Drawn by seed %d.", seed)
-	d.say("members %d", members)
-	d.say("voters %d", []int{3, 5}[d.rng.IntN(2)])
-	d.say("runners %d", runners)
-	d.say("zones 2")
-	d.say("seed %d", seed%1_000_000+1)
-	d.say("gangs")
-	d.say("flows")
-	d.say("await begun")
-	d.say("await members %d at all", members)
-	d.say("await stage full at all")
-	d.say("load on")
+	d := &generator{rng: rand.New(rand.NewPCG(seed, 0x50a))}
+	d.addLine("# Drawn by seed %d.", seed)
+	d.addLine("members %d", members)
+	d.addLine("voters %d", []int{3, 5}[d.rng.IntN(2)])
+	d.addLine("runners %d", runners)
+	d.addLine("zones 2")
+	d.addLine("seed %d", seed%1_000_000+1)
+	d.addLine("gangs")
+	d.addLine("flows")
+	d.addLine("await begun")
+	d.addLine("await members %d at all", members)
+	d.addLine("await stage full at all")
+	d.addLine("load on")
 	for range min(max(rounds, 1), mostRounds) {
-		d.play()
+		d.writeRound()
 	}
 	return strings.Join(d.lines, "\n") + "\n"
 }
 
-func (d *draw) say(format string, args ...any) {
+// addLine appends a line to the script.
+func (d *generator) addLine(format string, args ...any) {
 	d.lines = append(d.lines, fmt.Sprintf(format, args...))
 }
 
-// id names something that no other step means.
-func (d *draw) id(kind string) string {
+// id returns a new identifier that begins with kind.
+func (d *generator) id(kind string) string {
 	d.n++
 	return fmt.Sprintf("%s%d", kind, d.n)
 }
 
-// play writes one round: work, faults with work between them, and the return.
-func (d *draw) play() {
+// writeRound writes one round: work, faults with work between them, and the repair.
+func (d *generator) writeRound() {
 	d.round = round{}
-	if d.rng.IntN(4) == 0 { // a backup, put back whenever
-		d.kept = 1 + d.rng.IntN(members)
-		d.say("keep d%d", d.kept)
+	if d.rng.IntN(4) == 0 { // a backup, which kill may restore in any later round
+		d.backedUp = 1 + d.rng.IntN(members)
+		d.addLine("keep d%d", d.backedUp)
 	}
 	d.work()
 	for range 1 + d.rng.IntN(3) {
-		breaks[d.rng.IntN(len(breaks))](d)
+		faultKinds[d.rng.IntN(len(faultKinds))](d)
 		for range d.rng.IntN(3) {
 			d.work()
 		}
-		d.pass()
+		d.awaitProgress()
 	}
 	d.mend()
 }
 
-// steady returns the members that run and do not stand still.
-func (d *draw) steady() (out []int) {
+// runningMembers returns the members that run and are not stalled.
+func (d *generator) runningMembers() (out []int) {
 	for i := range members {
 		if !slices.Contains(d.down, i) && !slices.Contains(d.stalled, i) {
 			out = append(out, i)
@@ -104,29 +107,29 @@
 	return out
 }
 
-// pass lets time go by, as jobs that are done, while somebody can do them.
-func (d *draw) pass() {
-	if len(d.steady()) > 0 && !d.deaf {
-		d.say("await jobs %d", 50+d.rng.IntN(400))
+// awaitProgress waits for jobs to be done, if a member runs and discovery works.
+func (d *generator) awaitProgress() {
+	if len(d.runningMembers()) > 0 && !d.discoveryBroken {
+		d.addLine("await jobs %d", 50+d.rng.IntN(400))
 	}
 }
 
-// mend writes how all comes back, in any order, and waits for it.
-func (d *draw) mend() {
-	d.rng.Shuffle(len(d.mends), func(i, j int) { d.mends[i], d.mends[j] = d.mends[j], d.mends[i] })
-	for _, line := range d.mends {
-		d.say("%s", line)
+// mend writes the steps that repair all faults, in random order, and waits for the recovery.
+func (d *generator) mend() {
+	d.rng.Shuffle(len(d.repairs), func(i, j int) { d.repairs[i], d.repairs[j] = d.repairs[j], d.repairs[i] })
+	for _, line := range d.repairs {
+		d.addLine("%s", line)
 	}
-	d.say("await members %d at all", members)
-	d.say("await begun")
-	d.say("await stage full at all")
-	for _, line := range d.lasts {
-		d.say("%s", line)
+	d.addLine("await members %d at all", members)
+	d.addLine("await begun")
+	d.addLine("await stage full at all")
+	for _, line := range d.afterRepair {
+		d.addLine("%s", line)
 	}
 }
 
-// some returns n of the given, in their order.
-func (d *draw) some(of []int, n int) []int {
+// pick returns n random elements in ascending order, or all if there are fewer.
+func (d *generator) pick(of []int, n int) []int {
 	var out []int
 	for _, i := range d.rng.Perm(len(of))[:min(max(n, 0), len(of))] {
 		out = append(out, of[i])
@@ -135,7 +138,7 @@
 	return out
 }
 
-// names writes members as a step names them.
+// names returns members in the form that steps use.
 func names(of []int) string {
 	var out []string
 	for _, i := range of {
@@ -144,9 +147,10 @@
 	return strings.Join(out, ",")
 }
 
-// one returns a member that runs and does not stand still, or any where there is none.
-func (d *draw) one() string {
-	of := d.steady()
+// anyRunningMember returns a random member that runs and is not stalled, or any member if there is
+// none.
+func (d *generator) anyRunningMember() string {
+	of := d.runningMembers()
 	if len(of) == 0 {
 		return fmt.Sprintf("d%d", 1+d.rng.IntN(members))
 	}
--- a/internal/testkit/lab/faults/soak/soak_test.go
+++ b/internal/testkit/lab/faults/soak/soak_test.go
@@ -11,14 +11,15 @@
 	_ "frosttide/internal/testkit/standin/fixeddraws"
 )
 
-// TestDraw has every seed draw a script that can be read, is drawn again alike, and leaves
-// nothing broken at its end: as many come back as go, and each fault's word has its counterpart.
+// TestDraw checks for random seeds that the script parses, is the same when generated again, and
+// leaves nothing broken at its end: each member that is stopped starts again, and each fault is
+// undone.
 func TestDraw(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed, rounds := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 8).Draw(t, "rounds")
 		text := soak.Draw(seed, rounds)
 		if text != soak.Draw(seed, rounds) {
-			t.Fatal("one seed draws two scripts")
+			t.Fatal("two calls of Draw with the same seed return different scripts")
 		}
 		s, err := faults.Parse("drawn", text)
 		if err != nil {
@@ -37,7 +38,7 @@
 			case "kill", "term", "start":
 				for _, m := range strings.Split(w[1], ",") {
 					if away[m] == (w[0] != "start") {
-						t.Fatalf("%s, and it is already\n%s", step, text)
+						t.Fatalf("%s: the member is already in that state\n%s", step, text)
 					}
 					away[m] = w[0] != "start"
 				}
@@ -53,12 +54,12 @@
 		}
 		for what, still := range open {
 			if still {
-				t.Fatalf("%s stays\n%s", what, text)
+				t.Fatalf("the fault %q is not undone at the end\n%s", what, text)
 			}
 		}
 		for m, still := range away {
 			if still {
-				t.Fatalf("%s stays away\n%s", m, text)
+				t.Fatalf("member %s is not started again at the end\n%s", m, text)
 			}
 		}
 	})
