--- a/internal/testkit/lab/faults/await.go
+++ b/internal/testkit/lab/faults/await.go
@@ -16,36 +16,36 @@
 	"frosttide/internal/dispatcher/fleet/recovery/stage"
 )
 
-// waits are the waits of scripts, by the word after "await". Each is passed the words from there on.
-var waits = map[string]func(*runner, []string) error{
-	"leader":    (*runner).awaitLeader,
-	"begun":     (*runner).awaitBegun,
-	"members":   (*runner).awaitMembers,
-	"sharers":   (*runner).awaitSharers,
-	"stage":     (*runner).awaitStage,
-	"trip":      (*runner).awaitTrip,
-	"out":       (*runner).awaitExclusion,
-	"in":        (*runner).awaitExclusion,
-	"durable":   (*runner).awaitDurable,
-	"forgotten": (*runner).awaitForgotten,
-	"drained":   (*runner).awaitDrained,
-	"served":    (*runner).awaitServed,
-	"many":      (*runner).awaitManyUndone,
-	"ganged":    (*runner).awaitGanged,
-	"flow":      (*runner).awaitFlowPhase,
-	"taken":     (*runner).awaitTaken,
-	"sent":      (*runner).awaitSent,
-	"known":     (*runner).awaitKnown,
-	"jobs":      (*runner).awaitJobs,
-	"few":       (*runner).awaitFew,
-	"level":     (*runner).awaitLevel,
-	"full":      (*runner).awaitFull,
-	"equal":     (*runner).awaitEqual,
-	"log":       (*runner).awaitLog,
-}
-
-// await waits for what the words say.
-func (r *runner) await(w []string) error {
+// waits maps the word after "await" to its implementation, which gets the words from there on.
+var waits = map[string]func(*scriptRun, []string) error{
+	"leader":    (*scriptRun).awaitLeader,
+	"begun":     (*scriptRun).awaitBegun,
+	"members":   (*scriptRun).awaitMembers,
+	"sharers":   (*scriptRun).awaitSharers,
+	"stage":     (*scriptRun).awaitStage,
+	"trip":      (*scriptRun).awaitTrip,
+	"out":       (*scriptRun).awaitExclusion,
+	"in":        (*scriptRun).awaitExclusion,
+	"durable":   (*scriptRun).awaitDurable,
+	"forgotten": (*scriptRun).awaitForgotten,
+	"drained":   (*scriptRun).awaitDrained,
+	"served":    (*scriptRun).awaitServed,
+	"many":      (*scriptRun).awaitManyUndone,
+	"ganged":    (*scriptRun).awaitGanged,
+	"flow":      (*scriptRun).awaitFlowPhase,
+	"taken":     (*scriptRun).awaitTaken,
+	"sent":      (*scriptRun).awaitSent,
+	"known":     (*scriptRun).awaitKnown,
+	"jobs":      (*scriptRun).awaitJobs,
+	"few":       (*scriptRun).awaitFew,
+	"level":     (*scriptRun).awaitLevel,
+	"full":      (*scriptRun).awaitFull,
+	"equal":     (*scriptRun).awaitEqual,
+	"log":       (*scriptRun).awaitLog,
+}
+
+// await waits for the condition that the words describe.
+func (r *scriptRun) await(w []string) error {
 	wait := waits[w[0]]
 	if wait == nil {
 		return fmt.Errorf("%q can't be awaited", w[0])
@@ -53,33 +53,33 @@
 	return wait(r, w)
 }
 
-// whoAt returns the members that a word names, those that run where there is none.
-func (r *runner) whoAt(w []string, i int) ([]*member, error) {
+// membersAt returns the members that word i names, or the running members if there is no such word.
+func (r *scriptRun) membersAt(w []string, i int) ([]*member, error) {
 	if len(w) <= i {
 		return r.running(), nil
 	}
-	return r.who(w[i])
+	return r.resolveMembers(w[i])
 }
 
-// eachAt waits until the reports of the members that a word names are as wanted.
-func (r *runner) eachAt(w []string, i int, ok func(*member, cluster.Report) error) error {
-	who, err := r.whoAt(w, i)
+// awaitReportsAt waits until ok accepts the reports of all members that word i names.
+func (r *scriptRun) awaitReportsAt(w []string, i int, ok func(*member, cluster.Report) error) error {
+	who, err := r.membersAt(w, i)
 	if err != nil {
 		return err
 	}
-	return r.each(who, ok)
+	return r.awaitReports(who, ok)
 }
 
-func (r *runner) awaitLeader(w []string) error {
-	who, err := r.whoAt(w, 2)
+func (r *scriptRun) awaitLeader(w []string) error {
+	who, err := r.membersAt(w, 2)
 	if err != nil {
 		return err
 	}
-	return r.led(who)
+	return r.awaitMajorityLeader(who)
 }
 
-func (r *runner) awaitBegun([]string) error {
-	return r.each(r.running(), func(m *member, got cluster.Report) error {
+func (r *scriptRun) awaitBegun([]string) error {
+	return r.awaitReports(r.running(), func(m *member, got cluster.Report) error {
 		if len(got.Log.Voters) < r.fleet.voters || got.Log.Leader == "" || got.Log.Applied < got.Log.Last {
 			return fmt.Errorf("%s has voters %v, leader %q, applied %d of %d", m.name, got.Log.Voters, got.Log.Leader, got.Log.Applied, got.Log.Last)
 		}
@@ -87,12 +87,12 @@
 	})
 }
 
-func (r *runner) awaitMembers(w []string) error {
+func (r *scriptRun) awaitMembers(w []string) error {
 	n, err := strconv.Atoi(w[1])
 	if err != nil {
 		return err
 	}
-	return r.eachAt(w, 3, func(m *member, got cluster.Report) error {
+	return r.awaitReportsAt(w, 3, func(m *member, got cluster.Report) error {
 		if alive(got) != n {
 			return fmt.Errorf("%s sees %d members", m.name, alive(got))
 		}
@@ -100,8 +100,8 @@
 	})
 }
 
-func (r *runner) awaitSharers(w []string) error {
-	return r.eachAt(w, len(w)-1, func(m *member, got cluster.Report) error {
+func (r *scriptRun) awaitSharers(w []string) error {
+	return r.awaitReportsAt(w, len(w)-1, func(m *member, got cluster.Report) error {
 		if got.Rejoin == nil || strconv.Itoa(got.Rejoin.Sharers) != w[1] {
 			return fmt.Errorf("%s is %+v", m.name, got.Rejoin)
 		}
@@ -109,8 +109,8 @@
 	})
 }
 
-func (r *runner) awaitStage(w []string) error {
-	return r.eachAt(w, len(w)-1, func(m *member, got cluster.Report) error {
+func (r *scriptRun) awaitStage(w []string) error {
+	return r.awaitReportsAt(w, len(w)-1, func(m *member, got cluster.Report) error {
 		if got.Rejoin == nil || !reached(got.Rejoin.Stage, w[1]) {
 			return fmt.Errorf("%s is %+v", m.name, got.Rejoin)
 		}
@@ -118,12 +118,12 @@
 	})
 }
 
-func (r *runner) awaitTrip(w []string) error {
+func (r *scriptRun) awaitTrip(w []string) error {
 	ms, err := strconv.Atoi(w[1])
 	if err != nil {
 		return err
 	}
-	return r.eachAt(w, 3, func(m *member, got cluster.Report) error {
+	return r.awaitReportsAt(w, 3, func(m *member, got cluster.Report) error {
 		for _, i := range got.Members {
 			if i.Status == members.Alive && i.Name != m.name && i.RTT < time.Duration(ms)*time.Millisecond {
 				return fmt.Errorf("from %s to %s it is %s", m.name, i.Name, i.RTT)
@@ -133,8 +133,8 @@
 	})
 }
 
-func (r *runner) awaitExclusion(w []string) error {
-	return r.eachAt(w, 3, func(m *member, got cluster.Report) error {
+func (r *scriptRun) awaitExclusion(w []string) error {
+	return r.awaitReportsAt(w, 3, func(m *member, got cluster.Report) error {
 		if _, out := got.State.Excluded[w[1]]; out != (w[0] == "out") {
 			return fmt.Errorf("at %s it is out: %t", m.name, out)
 		}
@@ -142,53 +142,53 @@
 	})
 }
 
-// awaitDurable waits until members keep on their disks that a runner is left out, or that it is not.
-func (r *runner) awaitDurable(w []string) error {
-	return r.eachAt(w, 4, func(m *member, _ cluster.Report) error { return m.keeps(w[2], w[1] == "out") })
+// awaitDurable waits until the watermarks on members' disks record a runner as excluded, or not.
+func (r *scriptRun) awaitDurable(w []string) error {
+	return r.awaitReportsAt(w, 4, func(m *member, _ cluster.Report) error { return m.checkWatermark(w[2], w[1] == "out") })
 }
 
-// awaitForgotten has a client send a job of class once again until it is done once more. It must not be within the time in
-// which that is refused, and has to be afterwards.
-func (r *runner) awaitForgotten(w []string) error {
-	return r.until(func() error {
+// awaitForgotten has a client repeat a job of class once until it runs again. That must not happen
+// within onceGiveUp of its first sending, while it is to be refused, and must happen afterwards.
+func (r *scriptRun) awaitForgotten(w []string) error {
+	return r.retryUntil(func() error {
 		err := r.job([]string{"retry", w[1], "once", "at", w[3], strconv.Itoa(http.StatusOK)})
 		if age := time.Since(r.sentAt[w[1]]); err == nil && age < onceGiveUp {
-			r.broken("%s was done again %s after it had been sent", w[1], age)
+			r.failf("%s was done again %s after it had been sent", w[1], age)
 		}
 		return err
 	})
 }
 
-func (r *runner) awaitDrained(w []string) error {
-	who, err := r.whoAt(w, 3)
+func (r *scriptRun) awaitDrained(w []string) error {
+	who, err := r.membersAt(w, 3)
 	if err != nil {
 		return err
 	}
-	return r.drains(who, w[1])
+	return r.awaitNoJobsSentTo(who, w[1])
 }
 
-func (r *runner) awaitServed(w []string) error {
-	who, err := r.whoAt(w, 3)
+func (r *scriptRun) awaitServed(w []string) error {
+	who, err := r.membersAt(w, 3)
 	if err != nil {
 		return err
 	}
-	return r.serves(who, w[1])
+	return r.awaitJobsSentTo(who, w[1])
 }
 
-func (r *runner) awaitManyUndone(w []string) error {
+func (r *scriptRun) awaitManyUndone(w []string) error {
 	within, err := time.ParseDuration(w[1])
 	if err != nil {
 		return err
 	}
-	return r.awaitMany(within)
+	return r.awaitWorkflowsUndone(within)
 }
 
-func (r *runner) awaitGanged(w []string) error {
+func (r *scriptRun) awaitGanged(w []string) error {
 	within, err := time.ParseDuration(w[2])
 	if err != nil {
 		return err
 	}
-	if err := r.ganged(w[1], within); err != nil || len(w) < 4 {
+	if err := r.awaitGang(w[1], within); err != nil || len(w) < 4 {
 		return err
 	}
 	most, err := strconv.Atoi(w[3])
@@ -198,20 +198,20 @@
 	return err
 }
 
-func (r *runner) awaitFlowPhase(w []string) error {
-	who, err := r.whoAt(w, 4)
+func (r *scriptRun) awaitFlowPhase(w []string) error {
+	who, err := r.membersAt(w, 4)
 	if err != nil {
 		return err
 	}
 	return r.awaitFlow(w[1], w[2], who)
 }
 
-func (r *runner) awaitTaken(w []string) error {
+func (r *scriptRun) awaitTaken(w []string) error {
 	n, err := strconv.Atoi(w[2])
 	if err != nil {
 		return err
 	}
-	return r.until(func() error {
+	return r.retryUntil(func() error {
 		if len(r.fleet.runners.zones(undoKey(w[1], n))) == 0 {
 			return errors.New("no runner has had it")
 		}
@@ -219,8 +219,8 @@
 	})
 }
 
-func (r *runner) awaitSent(w []string) error {
-	return r.until(func() error {
+func (r *scriptRun) awaitSent(w []string) error {
+	return r.retryUntil(func() error {
 		if len(r.fleet.runners.zones(w[1])) == 0 {
 			return errors.New("no runner has it")
 		}
@@ -228,8 +228,8 @@
 	})
 }
 
-func (r *runner) awaitKnown(w []string) error {
-	return r.until(func() error {
+func (r *scriptRun) awaitKnown(w []string) error {
+	return r.retryUntil(func() error {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		if !r.answered[w[1]] && len(r.fleet.runners.zones(w[1])) == 0 {
@@ -239,22 +239,22 @@
 	})
 }
 
-func (r *runner) awaitJobs(w []string) error {
+func (r *scriptRun) awaitJobs(w []string) error {
 	n, err := strconv.Atoi(w[1])
 	if err != nil {
 		return err
 	}
 	begin := r.fleet.runners.count()
-	return r.until(func() error {
-		if sent := r.fleet.runners.count() - begin; sent < n {
-			return fmt.Errorf("%d of them", sent)
+	return r.retryUntil(func() error {
+		if arrived := r.fleet.runners.count() - begin; arrived < n {
+			return fmt.Errorf("%d of them", arrived)
 		}
 		return nil
 	})
 }
 
-func (r *runner) awaitFew(w []string) error {
-	who, err := r.whoAt(w, 3)
+func (r *scriptRun) awaitFew(w []string) error {
+	who, err := r.membersAt(w, 3)
 	if err != nil {
 		return err
 	}
@@ -262,36 +262,36 @@
 	if err != nil {
 		return err
 	}
-	return r.few(who[0], strings.Split(w[1], ","), most)
+	return r.awaitJobShare(who[0], strings.Split(w[1], ","), most)
 }
 
-func (r *runner) awaitLevel([]string) error {
+func (r *scriptRun) awaitLevel([]string) error {
 	r.faultAt = time.Time{}
-	return r.level()
+	return r.measureLevel()
 }
 
-func (r *runner) awaitFull(w []string) error {
+func (r *scriptRun) awaitFull(w []string) error {
 	if len(w) != 3 {
 		return errors.New("two numbers are wanted")
 	}
-	return r.full(w[1:])
+	return r.awaitFullService(w[1:])
 }
 
-func (r *runner) awaitEqual(w []string) error {
-	who, err := r.whoAt(w, 2)
+func (r *scriptRun) awaitEqual(w []string) error {
+	who, err := r.membersAt(w, 2)
 	if err != nil {
 		return err
 	}
-	return r.equal(who)
+	return r.awaitConvergence(who)
 }
 
-func (r *runner) awaitLog(w []string) error {
+func (r *scriptRun) awaitLog(w []string) error {
 	text := strings.Join(w[1:len(w)-2], " ")
-	who, err := r.who(w[len(w)-1])
+	who, err := r.resolveMembers(w[len(w)-1])
 	if err != nil {
 		return err
 	}
-	return r.until(func() error {
+	return r.retryUntil(func() error {
 		for _, m := range who {
 			if m.log == nil || !m.log.has(text) {
 				return fmt.Errorf("%s has not said it", m.name)
@@ -301,8 +301,9 @@
 	})
 }
 
-// keeps returns an error unless the watermark on a member's disk has a runner excluded, or not.
-func (m *member) keeps(uid string, out bool) error {
+// checkWatermark returns an error unless the watermark on a member's disk has a runner excluded, or
+// not.
+func (m *member) checkWatermark(uid string, out bool) error {
 	kept, err := mark.Read(filepath.Join(m.dir, watermarkDir))
 	if err != nil || kept == nil {
 		return fmt.Errorf("%s keeps %v: %w", m.name, kept, err)
@@ -313,7 +314,7 @@
 	return nil
 }
 
-// reached tells whether a member is at a stage or past it, by their names.
+// reached reports whether stage is is want or a later one, both by their names.
 func reached(is, want string) bool {
 	for s := stage.Full; ; s-- {
 		if s.String() == is {
@@ -325,29 +326,31 @@
 	}
 }
 
-// running returns the members that run.
-func (r *runner) running() (out []*member) {
+// running returns the members whose process runs and is not stalled.
+func (r *scriptRun) running() (out []*member) {
 	for _, m := range r.fleet.members {
-		if m.up() && !m.stopped {
+		if m.up() && !m.stalled {
 			out = append(out, m)
 		}
 	}
 	return out
 }
 
-// zones returns in which zones a key has had its effect.
+// zones returns the zones in which jobs of a key had their effect.
 func (s *runners) zones(key string) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return sortedKeys(s.effects[key])
 }
 
+// count returns how many jobs have reached runners.
 func (s *runners) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.sent)
 }
 
+// since returns the jobs that reached runners after the first n.
 func (s *runners) since(n int) []sending {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testkit/lab/faults/client.go
+++ b/internal/testkit/lab/faults/client.go
@@ -9,17 +9,18 @@
 	"time"
 )
 
-// client sends jobs to one member, one after the other, until it is told to end.
+// client sends jobs to one member until it is stopped.
 type client struct {
 	member, addr string
 	http         *http.Client
-	answers      map[int]int // by status; 0 for a broken connection
+	answers      map[int]int // by status; 0 for no answer
 	tally        *tally
-	late         []late
+	late         []lateJob
 	every        time.Duration
-	names        map[string]string // of the members at other addresses
+	names        map[string]string // members' names by their clients' addresses
 }
 
+// run sends jobs one after the other, at intervals of c.every, until ctx ends.
 func (c *client) run(ctx context.Context) {
 	tick := time.NewTicker(c.every)
 	defer tick.Stop()
@@ -33,21 +34,22 @@
 	}
 }
 
+// send sends a job of class render and records its outcome, and whether its answer was late.
 func (c *client) send(ctx context.Context, id string) {
 	began := time.Now()
 	status := c.job(ctx, "render", id, "")
 	c.answers[status]++
 	c.tally.note(status == http.StatusOK)
 	if took := time.Since(began); took > jobPatience+jobSlack {
-		c.late = append(c.late, late{id, span{began, began.Add(took)}})
+		c.late = append(c.late, lateJob{id, span{began, began.Add(took)}})
 	}
 }
 
-// span is a stretch of time.
+// span is a period of time.
 type span struct{ from, till time.Time }
 
-// both returns how long two stretches lie on each other.
-func (s span) both(o span) time.Duration {
+// overlap returns for how long two periods overlap.
+func (s span) overlap(o span) time.Duration {
 	from, till := s.from, s.till
 	if o.from.After(from) {
 		from = o.from
@@ -58,18 +60,18 @@
 	return max(till.Sub(from), 0)
 }
 
-// late is a job that had its answer late, or none.
-type late struct {
+// lateJob is a job whose answer came late or not at all.
+type lateJob struct {
 	id string
 	span
 }
 
-// fault tells whether a job is late for another reason than that its member's process stood
-// still for so long: a machine's stall is not the program's fault.
-func (l late) fault(stood []span) bool {
+// exceedsPatience reports whether a job is late even without the time during which its member's
+// process was stalled: a stall of the machine is not a fault of the program.
+func (l lateJob) exceedsPatience(stalls []span) bool {
 	took := l.till.Sub(l.from)
-	for _, s := range stood {
-		took -= l.both(s)
+	for _, s := range stalls {
+		took -= l.overlap(s)
 	}
 	return took > jobPatience+jobSlack
 }
@@ -77,7 +79,7 @@
 // job sends a job and returns the status of its answer, 0 for none.
 func (c *client) job(ctx context.Context, class, id, key string) int {
 	began := time.Now()
-	// The call goes on past the run's end, so that every job has its answer or is late.
+	// The call outlives ctx, so that every job is either answered or counted as late.
 	call, cancel := context.WithDeadline(context.WithoutCancel(ctx), began.Add(jobPatience+2*jobSlack))
 	defer cancel()
 	req, err := http.NewRequestWithContext(call, http.MethodPost, "http://"+c.addr+"/"+class+"/"+id, strings.NewReader("frames"))
--- a/internal/testkit/lab/faults/fleet.go
+++ b/internal/testkit/lab/faults/fleet.go
@@ -12,56 +12,59 @@
 	"time"
 )
 
-// Program makes the command that runs frosttide with arguments.
+// Program returns an unstarted command that runs frosttide with the given arguments.
 type Program func(args ...string) *exec.Cmd
 
-// member is one process of the program, and what it needs.
+// member is one process of the program, with its addresses, log and client.
 type member struct {
-	i                      int
-	name, alias, dir       string // alias is the name in its settings, empty for the same
-	clients, console, disc string
-	cmd                    *exec.Cmd
-	ended                  chan struct{} // closed when the process has ended
-	stopped                bool
-	stood                  []span // when its process stood still
-	since                  int    // jobs that had been sent by all when it started
-	log                    *tail
-	client                 *client
-	endClient              context.CancelFunc
-	clientOver             chan struct{}
+	i                           int
+	name, alias, dir            string // alias is the name in its settings if that differs
+	clients, console, discovery string
+	cmd                         *exec.Cmd
+	ended                       chan struct{} // closed when the process has ended
+	stalled                     bool
+	stalls                      []span // when its process was stopped by SIGSTOP
+	sentBefore                  int    // jobs that had reached runners when it started
+	log                         *tail
+	client                      *client
+	stopClient                  context.CancelFunc
+	clientDone                  chan struct{}
 }
 
-// wakes notes that the process no longer stands still.
-func (m *member) wakes() {
-	if m.stopped {
-		m.stopped, m.stood[len(m.stood)-1].till = false, time.Now()
+// markResumed records the end of the current stall, if there is one.
+func (m *member) markResumed() {
+	if m.stalled {
+		m.stalled, m.stalls[len(m.stalls)-1].till = false, time.Now()
 	}
 }
 
+// up reports whether the member has a process; it may be stalled.
 func (m *member) up() bool { return m.cmd != nil }
 
-// fleet is everything that runs.
+// fleet holds the members, the stand-ins for runners and discovery, and the relays between members.
 type fleet struct {
-	program       Program
-	dir           string
-	net           *relays
-	catalog       *catalog
-	runners       *runners
-	members       []*member
-	voters        int
-	zones         int
-	alone         bool
-	extra         string // of the settings
-	coldOf        string // the settings of cold runners
-	flows, stored bool
-	gangs         bool
-	servers       []*http.Server
-	uids          []string
-	cold          *http.Client
+	program          Program
+	dir              string
+	net              *relays
+	catalog          *catalog
+	runners          *runners
+	members          []*member
+	voters           int
+	zones            int
+	standalone       bool
+	recoverySettings string // further lines of [recovery]
+	coldSettings     string // the [cold] table
+	flows, stored    bool
+	gangs            bool
+	servers          []*http.Server
+	uids             []string
+	http             *http.Client
 }
 
+// openFleet starts the relays and stand-ins of a script's fleet. It does not start the members'
+// processes.
 func openFleet(s *Script, program Program, dir string) (f *fleet, err error) {
-	f = &fleet{program: program, dir: dir, catalog: newCatalog(), voters: s.Voters, zones: s.Zones, alone: s.Alone, extra: s.extra(), coldOf: s.Cold.settings(), flows: s.Flows, stored: s.Stored, gangs: s.Gangs, cold: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}}
+	f = &fleet{program: program, dir: dir, catalog: newCatalog(), voters: s.Voters, zones: s.Zones, standalone: s.Alone, recoverySettings: s.extra(), coldSettings: s.Cold.settings(), flows: s.Flows, stored: s.Stored, gangs: s.Gangs, http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}}
 	defer func() {
 		if err != nil {
 			f.close()
@@ -70,7 +73,7 @@
 	if f.net, err = openRelays(s.Members, s.Seed); err != nil {
 		return f, err
 	}
-	f.runners = &runners{slots: s.Slots, queue: s.Queue, at: map[string]*busy{}, work: s.Work, effects: map[string]map[string]int{}, broken: map[string]bool{}, spoilt: map[string]bool{}, unsaid: map[string]bool{}, turns: map[string]bool{}, cold: s.Cold, warming: map[string]*warming{}, lags: map[string]float64{}, hung: map[string]bool{}, parts: map[string]chan struct{}{}, tries: map[string]int{}, clients: f.clientsOf}
+	f.runners = &runners{slots: s.Slots, queue: s.Queue, loads: map[string]*runnerLoad{}, work: s.Work, effects: map[string]map[string]int{}, broken: map[string]bool{}, failing: map[string]bool{}, unreported: map[string]bool{}, rejecting: map[string]bool{}, cold: s.Cold, warming: map[string]*warmup{}, slowdown: map[string]float64{}, hung: map[string]bool{}, parts: map[string]chan struct{}{}, attempts: map[string]int{}, callbackAddr: f.clientsOf}
 	for i := range s.Runners {
 		uid := fmt.Sprintf("s-%d", i+1)
 		server, addr, err := serve("127.0.0.1:0", f.runners.handler(uid, f.zone(i)))
@@ -93,31 +96,33 @@
 			return f, err
 		}
 		f.servers = append(f.servers, server)
-		m.disc = addr
-		host, _, _ := net.SplitHostPort(f.net.real[i])
+		m.discovery = addr
+		host, _, _ := net.SplitHostPort(f.net.listenAddrs[i])
 		m.clients, m.console = host+":8081", host+":8090"
 		f.members = append(f.members, m)
 	}
 	return f, nil
 }
 
+// clientsOf returns the address at which a member listens for clients.
 func (f *fleet) clientsOf(name string) string {
 	for _, m := range f.members {
 		if m.name == name {
 			return m.clients
 		}
 	}
-	return "127.0.0.1:9" // nobody's
+	return "127.0.0.1:9" // the discard port, where nothing listens
 }
 
-// zone is that of a runner or a member, in turn.
+// zone returns the zone of the i-th runner or member; zones are assigned round-robin.
 func (f *fleet) zone(i int) string { return string(rune('a' + i%f.zones)) }
 
+// close stops the clients, kills the members and closes stand-ins and relays.
 func (f *fleet) close() {
 	for _, m := range f.members {
-		if m.endClient != nil {
-			m.endClient()
-			<-m.clientOver
+		if m.stopClient != nil {
+			m.stopClient()
+			<-m.clientDone
 		}
 	}
 	for _, m := range f.members {
@@ -132,7 +137,7 @@
 }
 
 const (
-	done    said = iota // it was acknowledged
-	refused             // it was said not to be done
-	unclear             // no answer came
+	done    outcome = iota // acknowledged
+	refused                // rejected without an effect
+	unclear                // no answer, or an answer that leaves it open
 )
--- a/internal/testkit/lab/faults/flowhistory.go
+++ b/internal/testkit/lab/faults/flowhistory.go
@@ -8,38 +8,39 @@
 	"frosttide/internal/dispatcher/fleet/workflow/flow"
 )
 
-// flowWord is what a workflow's client said, or what is agreed on of it at the end.
-type flowWord struct {
-	verb string // begin, step, commit, undo and others; end for what is agreed on
+// flowCall is a call of a workflow's client, or the observation of its final state.
+type flowCall struct {
+	verb string // begin, step, commit, undo and others; end for the observation
 	n    int
-	is   flowState // at the end
+	is   flowState // the observed state, if verb is end
 }
 
-// flowState is a workflow as its client can tell: committed, taken back or neither, and how many
-// steps have their undo agreed on.
+// flowState is what distinguishes workflows in the model: whether it exists, is committed or is
+// being undone, and for how many steps the log has an undo.
 type flowState struct {
 	there, committed, back bool
 	steps                  int
 }
 
-// flowModel is a workflow in one order of words. A word without a yes may have come to be, at any
-// later time, or never; a lease or a deadline may take it back at any time before it is committed.
+// flowModel is the state machine of a workflow for porcupine. A call that was not acknowledged may
+// take effect at any later time, or never. The end of a lease or deadline may start the undo at any
+// time before the commit.
 var flowModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{flowState{}} },
 	Step: func(state, in, out any) []any {
-		w, yes := in.(flowWord), out.(bool)
+		w, acknowledged := in.(flowCall), out.(bool)
 		var next []any
-		for _, s := range mayBe(state.(flowState)) {
+		for _, s := range possibleStates(state.(flowState)) {
 			if w.verb == "end" {
 				if s == w.is {
 					next = append(next, s)
 				}
 				continue
 			}
-			if to, ok := s.after(w); ok {
+			if to, ok := s.apply(w); ok {
 				next = append(next, to)
 			}
-			if !yes {
+			if !acknowledged {
 				next = append(next, s)
 			}
 		}
@@ -48,18 +49,19 @@
 	Equal: func(a, b any) bool { return a == b },
 }).ToModel()
 
-// mayBe returns what a workflow may be by now that nobody has spoken of.
-func mayBe(s flowState) []flowState {
+// possibleStates returns the states that a workflow may be in without a further call: its lease or
+// deadline may have ended.
+func possibleStates(s flowState) []flowState {
 	if !s.there || s.committed || s.back {
 		return []flowState{s}
 	}
-	over := s
-	over.back = true
-	return []flowState{s, over}
+	expired := s
+	expired.back = true
+	return []flowState{s, expired}
 }
 
-// after returns what a word that is agreed on leads to; false where it can't be agreed on.
-func (s flowState) after(w flowWord) (flowState, bool) {
+// apply returns the state after a committed call, and false if the call can't be committed in s.
+func (s flowState) apply(w flowCall) (flowState, bool) {
 	open := s.there && !s.committed && !s.back
 	switch w.verb {
 	case "begin":
@@ -79,30 +81,31 @@
 		s.back = true
 		return s, ok
 	}
-	return s, s.there // it changes nothing that is told apart here
+	return s, s.there // other calls change nothing in this model
 }
 
-// says notes what a workflow's client said and what that came to.
-func (r *runner) says(id, verb string, n int, from time.Time, yes bool) {
+// recordFlowCall records a call of a workflow's client, which began at from and ends now, and
+// whether it was acknowledged.
+func (r *scriptRun) recordFlowCall(id, verb string, n int, from time.Time, yes bool) {
 	f := r.flows[id]
 	if f == nil {
 		return
 	}
-	f.sure = f.sure || verb == "begin" && yes
-	f.said = append(f.said, porcupine.Operation{ClientId: len(f.said), Input: flowWord{verb: verb, n: n}, Output: yes,
+	f.beginAcknowledged = f.beginAcknowledged || verb == "begin" && yes
+	f.calls = append(f.calls, porcupine.Operation{ClientId: len(f.calls), Input: flowCall{verb: verb, n: n}, Output: yes,
 		Call: int64(from.Sub(r.began)), Return: int64(time.Since(r.began))})
 }
 
-// ledTo tells whether what was said can have led to what is agreed on at the end, in one order.
-// What had no yes has no end of its own: it may come to be as long as anybody looks.
-func (f *begun) ledTo(agreed *flow.Flow) bool {
+// consistentWith reports whether the recorded calls can have led to the final state. Calls that
+// were not acknowledged extend to the end of the history: they may take effect at any time.
+func (f *workflowRun) consistentWith(agreed *flow.Flow) bool {
 	is := flowState{}
 	if agreed != nil {
 		is = flowState{there: true, committed: agreed.Phase == flow.Committed, back: agreed.Phase != flow.Committed && agreed.Phase != flow.Active, steps: len(agreed.Steps)}
 	}
 	const end = int64(time.Hour)
-	history := []porcupine.Operation{{ClientId: len(f.said), Input: flowWord{verb: "end", is: is}, Output: true, Call: end, Return: end + 1}}
-	for _, o := range f.said {
+	history := []porcupine.Operation{{ClientId: len(f.calls), Input: flowCall{verb: "end", is: is}, Output: true, Call: end, Return: end + 1}}
+	for _, o := range f.calls {
 		if !o.Output.(bool) {
 			o.Return = end + 1
 		}
--- a/internal/testkit/lab/faults/flows.go
+++ b/internal/testkit/lab/faults/flows.go
@@ -19,31 +19,32 @@
 	"frosttide/internal/dispatcher/fleet/workflow/front"
 )
 
-// effect is one that a runner had: a step's or an undo's.
+// effect is the first effect of a key in a zone: that of a step's job, of an undo or of another
+// keyed job.
 type effect struct {
 	key, zone string
 	at        time.Time
 }
 
-// stepKey and undoKey name a step's effect, and the one that takes it back.
+// stepKey and undoKey return the idempotency keys of a step's job and of its undo.
 func stepKey(id string, n int) string { return fmt.Sprintf("flow/%s/%d", id, n) }
 func undoKey(id string, n int) string { return fmt.Sprintf("flow-undo/%s/%d", id, n) }
 
-// begun is a workflow that a script has begun, and what its client was told.
-type begun struct {
-	id    string
-	sure  bool // its begin was acknowledged; else it may be there or not
-	steps int
-	said  []porcupine.Operation // what its client has said, and what that came to
+// workflowRun is a workflow that a script has begun, with its client's calls and their answers.
+type workflowRun struct {
+	id                string
+	beginAcknowledged bool // if false, the workflow may exist or not
+	steps             int
+	calls             []porcupine.Operation // its client's calls, with their outcomes
 }
 
-// flowStep does a step of a script that is about workflows.
-func (r *runner) flowStep(w []string) error {
+// flowStep executes a "flow" step of a script.
+func (r *scriptRun) flowStep(w []string) error {
 	at := slices.Index(w, "at")
 	if at < 0 || at+1 >= len(w) {
 		return errors.New("at WHO is missing")
 	}
-	who, err := r.who(w[at+1])
+	who, err := r.resolveMembers(w[at+1])
 	if err != nil {
 		return err
 	}
@@ -60,9 +61,10 @@
 		}
 		send := func() (int, string) { return r.flowJob(m, id, n, w[1] == "hang") }
 		if w[1] == "hang" {
-			r.says(id, "step", n, time.Now(), false) // nobody waits for its answer
+			// Its outcome is unknown: nothing waits for its answer.
+			r.recordFlowCall(id, "step", n, time.Now(), false)
 			r.sending.Go(func() { send() })
-			return r.until(func() error {
+			return r.retryUntil(func() error {
 				if len(r.fleet.runners.zones(stepKey(id, n))) == 0 {
 					return errors.New("no runner has it")
 				}
@@ -71,11 +73,11 @@
 		}
 		from := time.Now()
 		got, text := send()
-		if want == strconv.Itoa(http.StatusOK) { // a step that was not taken is sent again
+		if want == strconv.Itoa(http.StatusOK) { // a step that was refused is retried
 			if got != http.StatusOK {
 				r.requireSoon(fmt.Sprintf("step %d of %s at %s", n, id, m.name), from, fmt.Errorf("status %d: %s", got, text))
 			}
-			_ = r.until(func() error { // the last answer is judged below
+			_ = r.retryUntil(func() error { // the last answer is checked below
 				if got != http.StatusServiceUnavailable {
 					return nil
 				}
@@ -83,7 +85,7 @@
 				return errors.New(text)
 			})
 		}
-		r.says(id, "step", n, from, got == http.StatusOK)
+		r.recordFlowCall(id, "step", n, from, got == http.StatusOK)
 		if want != "any" && !slices.Contains(strings.Split(want, ","), strconv.Itoa(got)) {
 			return fmt.Errorf("it was answered %d %s", got, text)
 		}
@@ -117,7 +119,7 @@
 	}
 	text, _ := json.Marshal(call) // plain values
 	if w[1] == "begin" {
-		r.flows[id] = &begun{id: id}
+		r.flows[id] = &workflowRun{id: id}
 	}
 	from := time.Now()
 	if want == "done" {
@@ -125,19 +127,21 @@
 	} else {
 		_, err = r.post(m, "/api/workflow/"+w[1], string(text))
 	}
-	r.says(id, w[1], 0, from, err == nil)
+	r.recordFlowCall(id, w[1], 0, from, err == nil)
 	if (err == nil) != (want == "done") && want != "any" {
 		return fmt.Errorf("it came to %v", err)
 	}
 	if err != nil {
-		r.line("%s says: %s", m.name, err)
+		r.logf("%s says: %s", m.name, err)
 	}
 	return nil
 }
 
-// flowJob sends a step's job with its undo and returns the answer.
-func (r *runner) flowJob(m *member, id string, n int, hangs bool) (int, string) {
-	undo, _ := json.Marshal(flow.Undo{Class: "release", Path: "/release/undo", Key: undoKey(id, n), Body: []byte("take it back")}) // plain values
+// flowJob sends the job of a step with its undo, and returns the status, 0 for no answer, and the
+// text of the answer. If hangs is set, the runner never reports the job as done.
+func (r *scriptRun) flowJob(m *member, id string, n int, hangs bool) (int, string) {
+	// Plain values: Marshal does not fail.
+	undo, _ := json.Marshal(flow.Undo{Class: "release", Path: "/release/undo", Key: undoKey(id, n), Body: []byte("take it back")})
 	r.mu.Lock()
 	r.jobs++
 	job := fmt.Sprintf("%s.flow-%s-%d-%d", m.name, id, n, r.jobs)
@@ -156,7 +160,7 @@
 		front.HeaderFlow: id, front.HeaderStep: strconv.Itoa(n), front.HeaderUndo: base64.StdEncoding.EncodeToString(undo)} {
 		req.Header.Set(k, v)
 	}
-	resp, err := r.fleet.cold.Do(req)
+	resp, err := r.fleet.http.Do(req)
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -165,9 +169,9 @@
 	return resp.StatusCode, strings.TrimSpace(string(text))
 }
 
-// findFlow asks a member for a workflow; nil for none.
-func (r *runner) findFlow(m *member, id string) (*flow.Flow, error) {
-	resp, err := r.fleet.cold.Get("http://" + m.console + "/api/workflow/" + id)
+// findFlow asks a member for a workflow; it returns nil if there is none.
+func (r *scriptRun) findFlow(m *member, id string) (*flow.Flow, error) {
+	resp, err := r.fleet.http.Get("http://" + m.console + "/api/workflow/" + id)
 	if err != nil {
 		return nil, err
 	}
@@ -183,8 +187,8 @@
 }
 
 // awaitFlow waits until a workflow is in a phase at members.
-func (r *runner) awaitFlow(id, phase string, who []*member) error {
-	return r.until(func() error {
+func (r *scriptRun) awaitFlow(id, phase string, who []*member) error {
+	return r.retryUntil(func() error {
 		for _, m := range who {
 			f, err := r.findFlow(m, id)
 			if err != nil {
@@ -198,15 +202,15 @@
 	})
 }
 
-// settleFlows waits, at the end, until every workflow has ended or is stuck by name.
-func (r *runner) settleFlows() error {
+// settleFlows waits at the end of a run until every workflow has ended or is reported as stuck.
+func (r *scriptRun) settleFlows() error {
 	for _, id := range sortedKeys(r.flows) {
-		if err := r.until(func() error {
+		if err := r.retryUntil(func() error {
 			f, err := r.findFlow(r.running()[0], id)
 			if err != nil {
 				return err
 			}
-			if f == nil && !r.flows[id].sure {
+			if f == nil && !r.flows[id].beginAcknowledged {
 				return nil
 			}
 			if f == nil || !f.Phase.Ended() && f.Phase != flow.Stuck {
@@ -220,14 +224,15 @@
 	return nil
 }
 
-// checkFlows holds what runners did against what workflows promise.
-func (r *runner) checkFlows() {
+// checkFlows checks the effects at runners and the answers to clients against the guarantees of
+// workflows.
+func (r *scriptRun) checkFlows() {
 	if len(r.flows) == 0 {
 		return
 	}
 	first, last := map[string]time.Time{}, map[string]time.Time{}
 	zones := map[string]map[string]int{}
-	for _, e := range r.fleet.runners.had() {
+	for _, e := range r.fleet.runners.effectsInOrder() {
 		if first[e.key].IsZero() {
 			first[e.key] = e.at
 		}
@@ -239,9 +244,9 @@
 	}
 	for _, id := range sortedKeys(r.flows) {
 		f := r.flows[id]
-		agreed, _ := r.findFlow(r.running()[0], id) // nil is broken below
-		if !f.ledTo(agreed) {
-			r.broken("workflow %s is %+v, and its client was told otherwise: %+v", id, agreed, f.said)
+		agreed, _ := r.findFlow(r.running()[0], id) // nil is checked below
+		if !f.consistentWith(agreed) {
+			r.failf("workflow %s is %+v, and its client was told otherwise: %+v", id, agreed, f.calls)
 		}
 		if agreed == nil {
 			continue
@@ -250,32 +255,33 @@
 			u, s := undoKey(id, n), stepKey(id, n)
 			switch done := !first[u].IsZero(); {
 			case done && agreed.Phase == flow.Committed:
-				r.broken("workflow %s is committed, and step %d was undone", id, n)
+				r.failf("workflow %s is committed, and step %d was undone", id, n)
 			case !done && agreed.Phase == flow.Undone && agreed.Steps[n-1].State != flow.Skipped && !first[s].IsZero():
-				r.broken("workflow %s is undone, and what step %d did is there yet", id, n)
+				r.failf("workflow %s is undone, and what step %d did is there yet", id, n)
 			case done && last[s].After(first[u]):
-				r.broken("workflow %s: step %d had its effect %s after its undo", id, n, last[s].Sub(first[u]))
+				r.failf("workflow %s: step %d had its effect %s after its undo", id, n, last[s].Sub(first[u]))
 			}
 			if len(zones[u]) > 1 {
-				r.broken("workflow %s: the undo of step %d had its effect in zones %s", id, n, strings.Join(sortedKeys(zones[u]), " "))
+				r.failf("workflow %s: the undo of step %d had its effect in zones %s", id, n, strings.Join(sortedKeys(zones[u]), " "))
 			}
 			if next := undoKey(id, n+1); !first[u].IsZero() && !first[next].IsZero() && first[u].Before(first[next]) {
-				r.broken("workflow %s: step %d was undone before step %d", id, n, n+1)
+				r.failf("workflow %s: step %d was undone before step %d", id, n, n+1)
 			}
 		}
 	}
 }
 
-// had returns the effects so far, in order; a repeat in a zone has none.
-func (s *runners) had() []effect {
+// effectsInOrder returns the effects so far in the order of their time; a repeat in a zone has
+// none.
+func (s *runners) effectsInOrder() []effect {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.order)
 }
 
-// holder returns the member that undoes a workflow.
-func (r *runner) holder(id string) (m *member, err error) {
-	err = r.until(func() error {
+// holder waits for a running member that holds the lease on undoing a workflow, and returns it.
+func (r *scriptRun) holder(id string) (m *member, err error) {
+	err = r.retryUntil(func() error {
 		f, err := r.findFlow(r.running()[0], id)
 		if err != nil {
 			return err
--- a/internal/testkit/lab/faults/gangs.go
+++ b/internal/testkit/lab/faults/gangs.go
@@ -13,21 +13,21 @@
 	"time"
 )
 
-// reel is a gang that a script has sent: one answer for each part.
-type reel struct {
-	mu     sync.Mutex
-	sent   time.Time
-	of     int
-	served int
-	other  []string
-	ended  time.Time
+// gangRun is a gang that a script has sent, with the outcome of its parts.
+type gangRun struct {
+	mu       sync.Mutex
+	sent     time.Time
+	parts    int
+	served   int
+	failures []string
+	ended    time.Time
 }
 
-// reportEvery is how often stand-in runners tell of a part's progress.
+// reportEvery is the interval at which stand-in runners report the progress of a part.
 const reportEvery = 100 * time.Millisecond
 
-// gang has clients send the parts of a gang through members in turn.
-func (r *runner) gang(w []string) error {
+// sendGang has clients send the parts of a gang through members in turn.
+func (r *scriptRun) sendGang(w []string) error {
 	if len(w) != 6 || w[4] != "at" {
 		return errors.New("gang ID PARTS WORK at WHO is wanted")
 	}
@@ -39,22 +39,22 @@
 	if err != nil {
 		return err
 	}
-	who, err := r.who(w[5])
+	who, err := r.resolveMembers(w[5])
 	if err != nil {
 		return err
 	}
-	g := &reel{sent: time.Now(), of: of}
-	r.reels[w[1]] = g
+	g := &gangRun{sent: time.Now(), parts: of}
+	r.gangs[w[1]] = g
 	for n := 1; n <= of; n++ {
 		m := who[n%len(who)]
 		r.sending.Go(func() {
-			status, text := r.part(m, w[1], n, of, work)
+			status, text := r.sendPart(m, w[1], n, of, work)
 			g.mu.Lock()
 			defer g.mu.Unlock()
 			if status == http.StatusOK {
 				g.served++
 			} else {
-				g.other = append(g.other, fmt.Sprintf("part %d was answered %d %s", n, status, text))
+				g.failures = append(g.failures, fmt.Sprintf("part %d was answered %d %s", n, status, text))
 			}
 			if g.served == of {
 				g.ended = time.Now()
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// part sends one and returns its answer.
-func (r *runner) part(m *member, gang string, n, of int, work time.Duration) (int, string) {
+// sendPart sends one part and returns the status, 0 for no answer, and the text of its answer.
+func (r *scriptRun) sendPart(m *member, gang string, n, of int, work time.Duration) (int, string) {
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(stepTime))
 	defer cancel()
 	id := fmt.Sprintf("%s.gang-%s-%d", m.name, gang, n)
@@ -77,7 +77,7 @@
 		"X-Gang-Part": fmt.Sprintf("%d/%d", n, of), "X-Size-Hint": fmt.Sprint(work.Microseconds())} {
 		req.Header.Set(k, v)
 	}
-	resp, err := r.fleet.cold.Transport.RoundTrip(req) // the client's own patience is shorter
+	resp, err := r.fleet.http.Transport.RoundTrip(req) // the client's own timeout is shorter
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -86,46 +86,46 @@
 	return resp.StatusCode, string(text)
 }
 
-// ganged waits until all parts of a gang are served, and counts how long that took from their
+// awaitGang waits until all parts of a gang are served, and logs how long that took from their
 // sending. More than the bound is an error.
-func (r *runner) ganged(id string, within time.Duration) error {
-	g := r.reels[id]
+func (r *scriptRun) awaitGang(id string, within time.Duration) error {
+	g := r.gangs[id]
 	if g == nil {
 		return fmt.Errorf("there is no gang %q", id)
 	}
-	err := r.until(func() error {
+	err := r.retryUntil(func() error {
 		g.mu.Lock()
 		defer g.mu.Unlock()
-		if len(g.other) > 0 || !g.ended.IsZero() {
+		if len(g.failures) > 0 || !g.ended.IsZero() {
 			return nil
 		}
-		return fmt.Errorf("%d of %d parts are served", g.served, g.of)
+		return fmt.Errorf("%d of %d parts are served", g.served, g.parts)
 	})
 	if err != nil {
 		return err
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if len(g.other) > 0 {
-		return errors.New(strings.Join(g.other, "; "))
+	if len(g.failures) > 0 {
+		return errors.New(strings.Join(g.failures, "; "))
 	}
 	took := g.ended.Sub(g.sent)
-	r.line("gang %s took %.1f s, %d copies so far", id, took.Seconds(), r.fleet.runners.copied())
+	r.logf("gang %s took %.1f s, %d copies so far", id, took.Seconds(), r.fleet.runners.copied())
 	if took > within {
 		return fmt.Errorf("it took %s", took.Round(time.Millisecond))
 	}
 	return nil
 }
 
-// works has a runner do a part of a gang: it tells of its start and its progress, and may be
-// recalled.
-func (s *runners) works(uid, member, id string, work time.Duration) {
+// runPart has a runner execute a part of a gang: it reports the start and the progress, and ends
+// early on cancellation.
+func (s *runners) runPart(uid, member, id string, work time.Duration) {
 	s.mu.Lock()
-	times := max(s.lags[uid], 1)
+	times := max(s.slowdown[uid], 1)
 	key := id + "@" + uid
 	over := make(chan struct{})
 	s.parts[key] = over
-	s.tries[id]++
+	s.attempts[id]++
 	s.mu.Unlock()
 	s.report(member, map[string]any{"id": id, "from": uid, "state": "started"})
 	began, all := time.Now(), time.Duration(float64(work)*times)
@@ -152,8 +152,8 @@
 	}
 }
 
-// recalled ends a part at a runner.
-func (s *runners) recalled(uid, id string) {
+// cancelPart cancels a part at a runner.
+func (s *runners) cancelPart(uid, id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if over := s.parts[id+"@"+uid]; over != nil {
@@ -162,18 +162,19 @@
 	}
 }
 
-// copied returns how many parts were sent more than once.
+// copied returns how many copies of parts were sent beyond the first sending of each.
 func (s *runners) copied() (n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.tries {
+	for _, t := range s.attempts {
 		n += t - 1
 	}
 	return n
 }
 
-// lag changes how a runner works: so many times slower, or not at all.
-func (r *runner) lag(w []string) error {
+// setPartSpeed executes lag, hang and unhang: it slows a runner down by a factor, or stops or
+// resumes its work on parts.
+func (r *scriptRun) setPartSpeed(w []string) error {
 	if !slices.Contains(r.fleet.uids, w[1]) {
 		return fmt.Errorf("there is no runner %q", w[1])
 	}
@@ -186,7 +187,7 @@
 		if err != nil {
 			return err
 		}
-		s.lags[w[1]] = times
+		s.slowdown[w[1]] = times
 	}
 	return nil
 }
--- a/internal/testkit/lab/faults/held.go
+++ b/internal/testkit/lab/faults/held.go
@@ -13,8 +13,9 @@
 	"frosttide/internal/dispatcher/fleet/cluster"
 )
 
-func (r *runner) each(who []*member, ok func(*member, cluster.Report) error) error {
-	return r.until(func() error {
+// awaitReports waits until ok accepts the reports of all the given members at once.
+func (r *scriptRun) awaitReports(who []*member, ok func(*member, cluster.Report) error) error {
+	return r.retryUntil(func() error {
 		all, err := r.reports(who)
 		if err != nil {
 			return err
@@ -28,9 +29,10 @@
 	})
 }
 
-// led waits until one of some members leads and a majority of the voters says so.
-func (r *runner) led(who []*member) error {
-	return r.until(func() error {
+// awaitMajorityLeader waits until one of the given members reports that it leads and a majority of
+// the voters, by contact within the last second, reports it as leader.
+func (r *scriptRun) awaitMajorityLeader(who []*member) error {
+	return r.retryUntil(func() error {
 		votes, leads := map[string]int{}, ""
 		for _, m := range who {
 			got, err := r.fleet.report(m)
@@ -51,9 +53,9 @@
 	})
 }
 
-// equal waits until copies and logs are the same.
-func (r *runner) equal(who []*member) error {
-	return r.until(func() error {
+// awaitConvergence waits until the members' replicas and logs are equal.
+func (r *scriptRun) awaitConvergence(who []*member) error {
+	return r.retryUntil(func() error {
 		all, err := r.reports(who)
 		if err != nil {
 			return err
@@ -72,19 +74,19 @@
 	})
 }
 
-// jobsAtOnce is how many jobs a member is sent at once where all of its runners are to be used.
+// jobsAtOnce is how many jobs a member is sent concurrently to make it use all its runners.
 const jobsAtOnce = 48
 
-// serves waits until members send a runner something. The clients' own jobs come one by one, and
-// the runner that a member likes best may take them all for as long as it is asked to: each
-// member is sent many at once here, so that no other runner is as good for all of them.
-func (r *runner) serves(who []*member, uid string) error {
+// awaitJobsSentTo waits until members send a runner jobs. The clients send jobs one by one, and the
+// runner that a member prefers may get all of them. So each member is sent many jobs at once here,
+// which no single runner can take as well as several.
+func (r *scriptRun) awaitJobsSentTo(who []*member, uid string) error {
 	begin := r.fleet.runners.count()
-	return r.until(func() error {
+	return r.retryUntil(func() error {
 		for _, m := range who {
 			to, others := r.sentBy(m, uid, begin)
 			if to == 0 {
-				r.manyJobs(m)
+				r.sendBurst(m)
 				return fmt.Errorf("%s has sent it nothing, and others %d jobs", m.name, others)
 			}
 		}
@@ -92,9 +94,9 @@
 	})
 }
 
-// sentBy counts the jobs that a member has sent to a runner since a number of sendings, and those
-// that it has sent to others.
-func (r *runner) sentBy(m *member, uid string, since int) (to, others int) {
+// sentBy counts the jobs that a member has sent to a runner, and to all others, after the first
+// since sendings.
+func (r *scriptRun) sentBy(m *member, uid string, since int) (to, others int) {
 	for _, s := range r.fleet.runners.since(since) {
 		switch {
 		case s.member != m.name:
@@ -107,8 +109,8 @@
 	return to, others
 }
 
-// manyJobs sends a member jobs at once, and returns when all have their answers.
-func (r *runner) manyJobs(m *member) {
+// sendBurst sends a member jobsAtOnce jobs concurrently, and returns when all are answered.
+func (r *scriptRun) sendBurst(m *member) {
 	c := &client{member: m.name, addr: m.clients, http: &http.Client{Transport: &http.Transport{}}}
 	defer c.http.CloseIdleConnections()
 	var sent sync.WaitGroup
@@ -122,10 +124,11 @@
 	sent.Wait()
 }
 
-// drains waits until members have sent a runner nothing while they sent others a hundred jobs.
-func (r *runner) drains(who []*member, uid string) error {
+// awaitNoJobsSentTo waits until members have each sent others 100 jobs in a row without one to the
+// runner.
+func (r *scriptRun) awaitNoJobsSentTo(who []*member, uid string) error {
 	begin := r.fleet.runners.count()
-	return r.until(func() error {
+	return r.retryUntil(func() error {
 		for _, m := range who {
 			others := 0
 			for _, s := range r.fleet.runners.since(begin) {
@@ -145,14 +148,14 @@
 	})
 }
 
-// few waits until a member has sent 300 jobs since it started, and counts those that went to
-// some runners.
-func (r *runner) few(m *member, uids []string, most int) error {
+// awaitJobShare waits until a member has sent 300 jobs since it started, and fails if more than
+// most of them went to the given runners.
+func (r *scriptRun) awaitJobShare(m *member, uids []string, most int) error {
 	to := 0
-	if err := r.until(func() error {
+	if err := r.retryUntil(func() error {
 		all := 0
 		to = 0
-		for _, s := range r.fleet.runners.since(m.since) {
+		for _, s := range r.fleet.runners.since(m.sentBefore) {
 			if s.member != m.name || all == 300 {
 				continue
 			}
@@ -168,18 +171,19 @@
 	}); err != nil {
 		return err
 	}
-	r.line("%s has sent %d of 300 jobs to %s", m.name, to, strings.Join(uids, " "))
+	r.logf("%s has sent %d of 300 jobs to %s", m.name, to, strings.Join(uids, " "))
 	if to > most {
 		return fmt.Errorf("it sent them %d jobs", to)
 	}
 	return nil
 }
 
-// final has all links healed, stalled processes woken and those that run come together.
-func (r *runner) final() error {
-	r.fleet.net.set(numbers(r.fleet.members), numbers(r.fleet.members), func(l *link) { *l = link{kept: l.kept} })
+// healAndConverge heals all links, resumes stalled processes and discoveries, and waits until the
+// running members converge and have a leader.
+func (r *scriptRun) healAndConverge() error {
+	r.fleet.net.set(indexes(r.fleet.members), indexes(r.fleet.members), func(l *link) { *l = link{heldBack: l.heldBack} })
 	for _, m := range r.fleet.members {
-		if m.up() && m.stopped {
+		if m.up() && m.stalled {
 			if err := r.process([]string{"wake"}, m); err != nil {
 				return err
 			}
@@ -192,9 +196,9 @@
 		return errors.New("nobody runs at the end")
 	}
 	began := time.Now()
-	if err := r.equal(who); err != nil {
+	if err := r.awaitConvergence(who); err != nil {
 		return fmt.Errorf("at the end: %w", err)
 	}
-	r.line("equal at the end (%d ms)", time.Since(began).Milliseconds())
-	return r.led(who)
+	r.logf("equal at the end (%d ms)", time.Since(began).Milliseconds())
+	return r.awaitMajorityLeader(who)
 }
--- a/internal/testkit/lab/faults/measure.go
+++ b/internal/testkit/lab/faults/measure.go
@@ -12,20 +12,21 @@
 	"frosttide/internal/testkit/lab"
 )
 
-// Writes is what a load of operators' calls came to.
+// Writes is the result of MeasureWrites.
 type Writes struct {
-	Rate  float64                 // acknowledged a second
-	Times *hdrhistogram.Histogram // microseconds
-	Not   int                     // not acknowledged
+	Rate  float64                 // acknowledged orders a second
+	Times *hdrhistogram.Histogram // of acknowledged orders, in microseconds
+	Not   int                     // orders that were not acknowledged
 }
 
-// begin opens a fleet and waits until its log has begun.
-func begin(s *Script, program Program, dir string) (*runner, error) {
+// begin starts a fleet and waits until its log has all its voters, unless the members are
+// standalone. The caller closes the fleet.
+func begin(s *Script, program Program, dir string) (*scriptRun, error) {
 	f, err := openFleet(s, program, dir)
 	if err != nil {
 		return nil, err
 	}
-	r := &runner{script: s, fleet: f, began: time.Now(), names: map[string][]*member{}, watch: newWatch(), result: &Result{}}
+	r := &scriptRun{script: s, fleet: f, began: time.Now(), names: map[string][]*member{}, observer: newObserver(), result: &Result{}}
 	for _, m := range f.members {
 		if err := f.start(m); err != nil {
 			f.close()
@@ -42,8 +43,8 @@
 	return r, nil
 }
 
-// MeasureWrites has so many operators at once leave runners out and put them back, each at
-// its own member, for a time.
+// MeasureWrites has concurrent operators exclude and include runners, each at one member, for the
+// given length. Any error comes from starting the fleet.
 func MeasureWrites(program Program, dir string, voters, operators int, length time.Duration) (*Writes, error) {
 	r, err := begin(&Script{Members: voters, Voters: voters, Runners: operators, Zones: 1, Seed: 1}, program, dir)
 	if err != nil {
@@ -59,11 +60,12 @@
 		all.Go(func() {
 			for n := 0; time.Since(began) < length; n++ {
 				at := time.Now()
-				said, _ := r.fleet.move(m, order{id: fmt.Sprintf("%s-%d", uid, n), uid: uid, out: n%2 == 0})
+				said, _ := r.fleet.sendOrder(m, order{id: fmt.Sprintf("%s-%d", uid, n), uid: uid, exclude: n%2 == 0})
 				took := time.Since(at)
 				mu.Lock()
 				if said == done {
-					_ = out.Times.RecordValue(took.Microseconds()) // calls end within its range
+					// Calls time out within its range.
+					_ = out.Times.RecordValue(took.Microseconds())
 				} else {
 					out.Not++
 				}
@@ -76,8 +78,8 @@
 	return out, nil
 }
 
-// MeasureElections takes the leader away so many times, by SIGKILL or SIGSTOP, and returns how
-// long it took until a majority had another, and it wrote.
+// MeasureElections stops the leader the given number of times, by SIGKILL or SIGSTOP, and returns
+// for each how long it took until an order succeeded at another member.
 func MeasureElections(program Program, dir string, voters, times int, sig syscall.Signal) (out []time.Duration, err error) {
 	r, err := begin(&Script{Members: voters, Voters: voters, Runners: 1, Zones: 1, Seed: 1}, program, dir)
 	if err != nil {
@@ -104,8 +106,8 @@
 				other = m
 			}
 		}
-		if err := r.until(func() error {
-			if said, why := r.fleet.move(other, order{id: fmt.Sprint("again-", n), uid: r.fleet.uids[0], out: n%2 == 0}); said != done {
+		if err := r.retryUntil(func() error {
+			if said, why := r.fleet.sendOrder(other, order{id: fmt.Sprint("again-", n), uid: r.fleet.uids[0], exclude: n%2 == 0}); said != done {
 				return fmt.Errorf("not yet: %s", why)
 			}
 			return nil
@@ -128,14 +130,15 @@
 	return out, nil
 }
 
-// Cost is what jobs cost at one member.
+// Cost is the result of MeasureCost.
 type Cost struct {
-	CPU      time.Duration // for each job, of all members
-	P50, P99 time.Duration // of the answers
-	Served   float64
+	CPU      time.Duration // a job, of all members
+	P50, P99 time.Duration // latency of the answers
+	Served   float64       // share of the jobs that were sent
 }
 
-// MeasureCost puts a load on each of some members that know each other, or don't.
+// MeasureCost sends each member rate jobs a second for the given length. The members are standalone
+// or form a cluster.
 func MeasureCost(program Program, dir string, members int, alone bool, class string, rate float64, length time.Duration, seed uint64) (*Cost, error) {
 	r, err := begin(&Script{Members: members, Voters: members, Runners: 2 * members, Zones: 1, Seed: seed, Alone: alone}, program, dir)
 	if err != nil {
@@ -143,8 +146,8 @@
 	}
 	defer r.fleet.close()
 	for _, m := range r.fleet.members {
-		if err := r.until(func() error {
-			c := client{member: m.name, addr: m.clients, http: r.fleet.cold}
+		if err := r.retryUntil(func() error {
+			c := client{member: m.name, addr: m.clients, http: r.fleet.http}
 			if got := c.job(context.Background(), "render", fmt.Sprintf("%s.first-%d", m.name, time.Now().UnixNano()), ""); got != 200 {
 				return fmt.Errorf("%s answers %d", m.name, got)
 			}
--- a/internal/testkit/lab/faults/operators.go
+++ b/internal/testkit/lab/faults/operators.go
@@ -12,12 +12,12 @@
 	"frosttide/internal/dispatcher/fleet/cluster"
 )
 
-// report asks a member's console.
+// report fetches a member's report from its console. It fails if the member is down or stalled.
 func (f *fleet) report(m *member) (r cluster.Report, err error) {
-	if !m.up() || m.stopped {
+	if !m.up() || m.stalled {
 		return r, errors.New("it does not run")
 	}
-	resp, err := f.cold.Get("http://" + m.console + "/api/cluster")
+	resp, err := f.http.Get("http://" + m.console + "/api/cluster")
 	if err != nil {
 		return r, err
 	}
@@ -32,26 +32,26 @@
 	return r, json.Unmarshal(text, &r)
 }
 
-// said is what an operator's call came to.
-type said uint8
+// outcome is the result of an operator's call.
+type outcome uint8
 
-// order is what an operator asks for, under an ID by which it can be sent again.
+// order is an operator's order to exclude or include a runner. It can be repeated under its ID.
 type order struct {
 	id, uid string
-	out     bool
+	exclude bool
 }
 
-// move has an operator leave a runner out at a member, or put it back.
-func (f *fleet) move(m *member, o order) (said, string) {
+// sendOrder sends an order to a member once. The string is the reason where the order is not done.
+func (f *fleet) sendOrder(m *member, o order) (outcome, string) {
 	path := "/api/include"
-	if o.out {
+	if o.exclude {
 		path = "/api/exclude"
 	}
 	req, err := http.NewRequest(http.MethodPut, "http://"+m.console+path, strings.NewReader(fmt.Sprintf(`{"host":%q,"order":%q}`, o.uid, o.id)))
 	if err != nil {
 		return unclear, err.Error()
 	}
-	resp, err := f.cold.Do(req)
+	resp, err := f.http.Do(req)
 	if err != nil {
 		return unclear, err.Error()
 	}
@@ -67,15 +67,15 @@
 	return refused, why
 }
 
-// moveUntilDone has an operator send an order again under its ID until it is done, as the answers invite to. If it never
-// is, and one answer was unclear, it may be in force.
-func (r *runner) moveUntilDone(m *member, o order) (result said, why string) {
+// sendOrderUntilDone repeats an order under its ID until it is done, as the answers ask for. If it
+// never is, the outcome is unclear if any answer was: the order may be in force.
+func (r *scriptRun) sendOrderUntilDone(m *member, o order) (result outcome, why string) {
 	result = refused
 	first := true
-	_ = r.until(func() error { // the outcome is returned below
-		var got said
+	_ = r.retryUntil(func() error { // the outcome is returned below
+		var got outcome
 		began := time.Now()
-		got, why = r.fleet.move(m, o)
+		got, why = r.fleet.sendOrder(m, o)
 		if first && got != done {
 			r.requireSoon(fmt.Sprintf("order %s at %s", o.id, m.name), began, errors.New(why))
 		}
--- a/internal/testkit/lab/faults/run.go
+++ b/internal/testkit/lab/faults/run.go
@@ -11,20 +11,22 @@
 	"time"
 )
 
-// stepTime bounds each wait for an event; a script that has to wait longer is broken.
+// stepTime bounds each wait for an event; a script that has to wait longer fails.
 const stepTime = 30 * time.Second
 
-// Result is what a run came to.
+// Result is the outcome of a run.
 type Result struct {
 	Timeline []string
-	Broken   []string // rules and invariants; empty for none
-	Logs     string   // the ends of the processes' logs, where something is broken
-	// Curve is what was served in each tenth of a second from CurveFrom before the fault on, as a
-	// share of the level that the script took; nil where it took none.
+	// Violated rules and invariants, and the step that failed; empty on success.
+	Broken []string
+	Logs   string // the ends of the processes' logs, if Broken is not empty
+	// Curve is the rate of jobs served in each tenth of a second, beginning CurveFrom tenths
+	// before the fault, as a share of the baseline; nil if the script measured no baseline.
 	Curve []float64
 }
 
-// Run plays a script with a program, in a folder of its own that exists and is empty.
+// Run executes a script with the given program. dir must exist and be empty. A violated rule or a
+// failed step is reported in the Result; the error is about starting the fleet.
 func Run(s *Script, program Program, dir string) (*Result, error) {
 	f, err := openFleet(s, program, dir)
 	if err != nil {
@@ -36,9 +38,9 @@
 		return nil, err
 	}
 	defer probe.stop()
-	r := &runner{script: s, fleet: f, probe: probe, began: time.Now(), names: map[string][]*member{}, watch: newWatch(), rng: rand.New(rand.NewPCG(s.Seed, 3)),
-		result: &Result{}, flows: map[string]*begun{}, reels: map[string]*reel{}, answered: map[string]bool{}, sentAt: map[string]time.Time{}}
-	f.runners.hold = true
+	r := &scriptRun{script: s, fleet: f, probe: probe, began: time.Now(), names: map[string][]*member{}, observer: newObserver(), rng: rand.New(rand.NewPCG(s.Seed, 3)),
+		result: &Result{}, flows: map[string]*workflowRun{}, gangs: map[string]*gangRun{}, answered: map[string]bool{}, sentAt: map[string]time.Time{}}
+	f.runners.withholdFirst = true
 	for _, m := range f.members {
 		if err := f.start(m); err != nil {
 			return nil, fmt.Errorf("%s: %w", m.name, err)
@@ -48,25 +50,26 @@
 	r.load(false)
 	r.sending.Wait()
 	if err == nil {
-		err = r.final()
+		err = r.healAndConverge()
 	}
 	if err == nil {
 		err = r.settleFlows()
 	}
 	if err != nil {
-		r.broken("%s", err)
+		r.failf("%s", err)
 	}
 	if err == nil {
 		r.checkFlows()
 	}
-	r.check(err == nil)
+	r.checkInvariants(err == nil)
 	r.checkCold()
 	r.curve()
 	r.result.Broken = append(r.result.Broken, f.races()...)
 	if len(r.result.Broken) > 0 {
 		for _, m := range r.running() {
 			if got, err := f.report(m); err == nil {
-				text, _ := json.Marshal(map[string]any{"members": got.Members, "log": got.Log, "copies": got.Replicas}) // plain values
+				// Plain values: Marshal does not fail.
+				text, _ := json.Marshal(map[string]any{"members": got.Members, "log": got.Log, "copies": got.Replicas})
 				r.result.Logs += m.name + " " + string(text) + "\n"
 			}
 		}
@@ -79,90 +82,95 @@
 	return r.result, nil
 }
 
-type runner struct {
-	script *Script
-	fleet  *fleet
-	began  time.Time
-	names  map[string][]*member // given by steps
-	watch  *watch
-	rng    *rand.Rand
-	result *Result
-	probe  *diskProbe
+// scriptRun is the state of one execution of a script.
+type scriptRun struct {
+	script   *Script
+	fleet    *fleet
+	began    time.Time
+	names    map[string][]*member // assigned by steps with "as NAME"
+	observer *observer
+	rng      *rand.Rand
+	result   *Result
+	probe    *diskProbe
 
-	resultMu sync.Mutex // guards the result while many clients write to it
+	resultMu sync.Mutex // guards result, which concurrent clients write to
 
-	rate       float64   // of each client that sends at times of its own; 0 for one job after the other
-	usual      float64   // jobs a second that were served before a fault
-	fullBefore int       // jobs that had found a queue full then
-	usualPeak  int       // the most that came to one runner in a second then
-	faultAt    time.Time // when the first process was taken away since the level was taken
-	startAt    time.Time // when the last was started again
+	// Jobs a second of each open-loop client; 0 for one job after the other.
+	rate              float64
+	baselineRate      float64   // jobs served a second before a fault
+	baselineQueueFull int       // jobs rejected by full queues before the fault
+	baselinePeak      int       // most jobs in a second at one runner before the fault
+	faultAt           time.Time // first kill since the baseline was measured
+	startAt           time.Time // last start of a process
 
-	flows    map[string]*begun
-	manyOf   int       // workflows that were begun at once
-	manyAt   time.Time // when the last of their leases ends
-	reels    map[string]*reel
-	mu       sync.Mutex // guards jobs and answered
-	jobs     int
-	orders   int                  // of operators so far
-	answered map[string]bool      // keyed jobs whose first client has its answer
-	sentAt   map[string]time.Time // when keyed jobs were sent first
-	sending  sync.WaitGroup       // clients of jobs that nobody waits for
+	flows            map[string]*workflowRun
+	workflowCount    int       // workflows of the last step many
+	workflowLeaseEnd time.Time // when the last of their leases ends
+	gangs            map[string]*gangRun
+	mu               sync.Mutex // guards jobs and answered
+	jobs             int
+	orders           int                  // orders that operators have sent
+	answered         map[string]bool      // keyed jobs whose first request was answered
+	sentAt           map[string]time.Time // when each keyed job was first sent
+	sending          sync.WaitGroup       // requests in the background
 }
 
-func (r *runner) line(format string, args ...any) {
+// logf appends a line to the timeline, with the seconds since the run began.
+func (r *scriptRun) logf(format string, args ...any) {
 	r.resultMu.Lock()
 	defer r.resultMu.Unlock()
 	r.result.Timeline = append(r.result.Timeline, fmt.Sprintf("%8.3f  ", time.Since(r.began).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (r *runner) broken(format string, args ...any) {
-	r.line("BROKEN "+format, args...)
+// failf records a violation in the timeline and in Result.Broken.
+func (r *scriptRun) failf(format string, args ...any) {
+	r.logf("BROKEN "+format, args...)
 	r.resultMu.Lock()
 	defer r.resultMu.Unlock()
 	r.result.Broken = append(r.result.Broken, fmt.Sprintf(format, args...))
 }
 
-func (r *runner) steps() error {
+// steps executes all steps and stops at the first that fails.
+func (r *scriptRun) steps() error {
 	for _, s := range r.script.Steps {
 		began := time.Now()
 		if err := r.step(s); err != nil {
 			return fmt.Errorf("%s:%d: %s: %w", r.script.Name, s.Line, s, err)
 		}
 		took := time.Since(began)
-		r.line("%s (%d ms)", s, took.Milliseconds())
+		r.logf("%s (%d ms)", s, took.Milliseconds())
 	}
 	return nil
 }
 
-// until waits for an event: it looks again as soon as it has looked, with a short pause that
-// spares the processes it looks at.
-func (r *runner) until(ok func() error) error {
-	by := time.Now().Add(stepTime)
+// retryUntil polls a condition until it returns nil, for stepTime at most. The pause of 10 ms
+// between polls limits the load on the processes under test.
+func (r *scriptRun) retryUntil(ok func() error) error {
+	deadline := time.Now().Add(stepTime)
 	for {
 		err := ok()
 		if err == nil {
 			return nil
 		}
-		if time.Now().After(by) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("after %s: %w", stepTime, err)
 		}
 		<-time.After(10 * time.Millisecond)
 	}
 }
 
-// step does one.
-func (r *runner) step(s Step) error {
+// step executes one step.
+func (r *scriptRun) step(s Step) error {
 	w := s.Words
 	switch w[0] {
 	case "await":
 		return r.await(w[1:])
 	case "exclude", "include":
-		return r.move(w)
+		return r.operatorOrder(w)
 	case "drain", "serve", "remove":
-		return r.list(w[0], w[1])
+		return r.changeTarget(w[0], w[1])
 	case "heal":
-		r.fleet.net.set(numbers(r.fleet.members), numbers(r.fleet.members), func(l *link) { *l = link{kept: l.kept} })
+		r.fleet.net.set(indexes(r.fleet.members), indexes(r.fleet.members), func(l *link) { *l = link{heldBack: l.heldBack} })
 		return nil
 	case "break", "mend":
 		r.fleet.runners.mu.Lock()
@@ -177,26 +185,26 @@
 		r.fleet.runners.mu.Lock()
 		defer r.fleet.runners.mu.Unlock()
 		for _, uid := range strings.Split(w[1], ",") {
-			r.fleet.runners.turns[uid] = w[0] == "refuse"
+			r.fleet.runners.rejecting[uid] = w[0] == "refuse"
 		}
 		return nil
 	case "many":
-		return r.many(w)
+		return r.beginWorkflows(w)
 	case "gang":
-		return r.gang(w)
+		return r.sendGang(w)
 	case "lag", "hang", "unhang":
-		return r.lag(w)
+		return r.setPartSpeed(w)
 	case "flow":
 		return r.flowStep(w)
 	case "spoil", "unspoil":
 		r.fleet.runners.mu.Lock()
 		defer r.fleet.runners.mu.Unlock()
-		r.fleet.runners.spoilt[w[1]] = w[0] == "spoil"
+		r.fleet.runners.failing[w[1]] = w[0] == "spoil"
 		return nil
 	case "withhold", "tell":
 		r.fleet.runners.mu.Lock()
 		defer r.fleet.runners.mu.Unlock()
-		r.fleet.runners.unsaid[w[1]] = w[0] == "withhold"
+		r.fleet.runners.unreported[w[1]] = w[0] == "withhold"
 		return nil
 	case "job", "retry":
 		return r.job(w)
@@ -221,9 +229,9 @@
 		}
 		return err
 	}
-	who, err := r.who(w[1])
+	who, err := r.resolveMembers(w[1])
 	if w[0] == "leave" {
-		who, err = r.who(w[3])
+		who, err = r.resolveMembers(w[3])
 	}
 	if err != nil {
 		return err
@@ -233,7 +241,7 @@
 	}
 	switch w[0] {
 	case "cut", "lossy", "slow", "reset":
-		return r.between(w, who)
+		return r.changeLinks(w, who)
 	case "hold", "release":
 		for _, m := range who {
 			r.fleet.catalog.hold(m.i, w[0] == "hold")
--- a/internal/testkit/lab/faults/settings.go
+++ b/internal/testkit/lab/faults/settings.go
@@ -8,19 +8,21 @@
 	"time"
 )
 
-// onceGiveUp is for how long clients wait for jobs of class once, which must not run twice meanwhile. Scripts that send a
-// job again after a member's start use class once-long.
+// onceGiveUp is how long clients wait for jobs of class once, which must not run twice in that
+// time. Scripts that repeat a job after a member's start use class once-long.
 const onceGiveUp = 2 * time.Second
 
-// watermarkDir is a member's folder for what it keeps apart from its log.
+// watermarkDir is the name of a member's folder for the watermark, which is stored apart from the
+// log.
 const watermarkDir = "apart"
 
+// settings returns the content of a member's configuration file.
 func (f *fleet) settings(m *member) string {
 	var voters, join []string
 	for _, o := range f.members[:f.voters] {
 		voters = append(voters, fmt.Sprintf("%q", o.name))
 	}
-	for _, a := range f.net.public {
+	for _, a := range f.net.advertisedAddrs {
 		join = append(join, fmt.Sprintf("%q", a))
 	}
 	var zones []string
@@ -28,9 +30,9 @@
 		zones = append(zones, fmt.Sprintf("%q", f.zone(i)))
 	}
 	cluster := ""
-	if !f.alone {
+	if !f.standalone {
 		cluster = fmt.Sprintf("[cluster]\nlisten = %q\nadvertise = %q\njoin = [%s]\nvoters = [%s]\ndir = %q\ndiscovery = \"one\"\n[recovery]\nkeep = %q\n%s",
-			f.net.real[m.i], f.net.public[m.i], strings.Join(join, ", "), strings.Join(voters, ", "), filepath.Join(m.dir, "log"), filepath.Join(m.dir, watermarkDir), f.extra)
+			f.net.listenAddrs[m.i], f.net.advertisedAddrs[m.i], strings.Join(join, ", "), strings.Join(voters, ", "), filepath.Join(m.dir, "log"), filepath.Join(m.dir, watermarkDir), f.recoverySettings)
 		if f.flows {
 			cluster += "[workflow]\nenabled = true\n"
 		}
@@ -85,5 +87,5 @@
 effect = "unsafe"
 wanted_within = "1s"
 give_up = "30s"
-`, cmp.Or(m.alias, m.name), m.clients, m.console, m.disc, strings.Join(zones, ", "), f.zone(m.i), len(f.members), m.i, f.coldOf, cluster, onceGiveUp)
+`, cmp.Or(m.alias, m.name), m.clients, m.console, m.discovery, strings.Join(zones, ", "), f.zone(m.i), len(f.members), m.i, f.coldSettings, cluster, onceGiveUp)
 }
--- a/internal/testkit/lab/faults/slots.go
+++ b/internal/testkit/lab/faults/slots.go
@@ -11,38 +11,38 @@
 	"time"
 )
 
-// busy is what a runner with slots works on, and what waits there.
-type busy struct {
+// runnerLoad is the number of jobs at a runner with slots, and the queue of those that wait.
+type runnerLoad struct {
 	taken, running int
 	wait           []func()
 }
 
-// room takes a job in at a runner, unless its slots and its queue are full. The lock is held.
-func (s *runners) room(uid string) bool {
+// admit accepts a job at a runner unless its slots and its queue are full. The caller holds s.mu.
+func (s *runners) admit(uid string) bool {
 	if s.slots == 0 {
 		return true
 	}
-	b := s.at[uid]
+	b := s.loads[uid]
 	if b == nil {
-		b = &busy{}
-		s.at[uid] = b
+		b = &runnerLoad{}
+		s.loads[uid] = b
 	}
 	if b.taken >= s.slots+s.queue {
-		s.full++
+		s.queueFull++
 		return false
 	}
 	b.taken++
 	return true
 }
 
-// begin works on a job once there is a slot for it.
-func (s *runners) begin(uid string, work func()) {
+// startWhenFree runs work as soon as the runner has a free slot.
+func (s *runners) startWhenFree(uid string, work func()) {
 	if s.slots == 0 {
 		work()
 		return
 	}
 	s.mu.Lock()
-	b := s.at[uid]
+	b := s.loads[uid]
 	free := b.running < s.slots
 	if free {
 		b.running++
@@ -55,13 +55,13 @@
 	}
 }
 
-// over gives a job's slot to the next.
-func (s *runners) over(uid string) {
+// release passes the slot of a completed job to the next in the queue.
+func (s *runners) release(uid string) {
 	if s.slots == 0 {
 		return
 	}
 	s.mu.Lock()
-	b := s.at[uid]
+	b := s.loads[uid]
 	b.taken--
 	var next func()
 	if len(b.wait) > 0 {
@@ -75,21 +75,21 @@
 	}
 }
 
-// turnedAway is how many jobs found no room so far.
+// turnedAway returns how many jobs were rejected by full queues so far.
 func (s *runners) turnedAway() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.full
+	return s.queueFull
 }
 
-// The bounds of clients that come again.
+// Bounds of clients that retry: retries of a job, and outstanding jobs of a client.
 const (
-	mostAgain = 4
-	mostOpen  = 2000
+	maxRetries     = 4
+	maxOutstanding = 2000
 )
 
-// others returns where a member's client goes when it is refused.
-func (r *runner) others(m *member) (out []string) {
+// others returns the addresses at which a member's client retries refused jobs: all other members.
+func (r *scriptRun) others(m *member) (out []string) {
 	for _, o := range r.fleet.members {
 		if o != m {
 			out = append(out, o.clients)
@@ -99,7 +99,7 @@
 }
 
 // addresses returns the members' names by their clients' addresses.
-func (r *runner) addresses() map[string]string {
+func (r *scriptRun) addresses() map[string]string {
 	out := map[string]string{}
 	for _, m := range r.fleet.members {
 		out[m.clients] = m.name
@@ -107,13 +107,13 @@
 	return out
 }
 
-// open sends jobs at times drawn by a seed, whatever becomes of those before, until the context
-// ends. Who is refused comes again when told to, to another member, a few times.
-func (c *client) open(ctx context.Context, rate float64, others []string, seed uint64) {
+// runOpenLoop sends jobs at random times drawn from a seed, without waiting for earlier ones, until
+// ctx ends. Refused jobs are retried at other members. It returns when all jobs have ended.
+func (c *client) runOpenLoop(ctx context.Context, rate float64, others []string, seed uint64) {
 	var jobs sync.WaitGroup
 	defer jobs.Wait()
 	rng := rand.New(rand.NewPCG(seed, 4))
-	places := make(chan struct{}, mostOpen)
+	places := make(chan struct{}, maxOutstanding)
 	at := time.Now()
 	for n := 0; ; n++ {
 		at = at.Add(time.Duration(rng.ExpFloat64() / rate * float64(time.Second)))
@@ -133,16 +133,16 @@
 		}
 		jobs.Go(func() {
 			defer func() { <-places }()
-			c.persist(n, others, first, draw)
+			c.sendWithRetries(n, others, first, draw)
 		})
 	}
 }
 
-// persist sends one job until it is served or its client has had enough.
-func (c *client) persist(n int, others []string, first int, draw float64) {
+// sendWithRetries sends one job until it is served or maxRetries retries have failed.
+func (c *client) sendWithRetries(n int, others []string, first int, draw float64) {
 	addr := c.addr
-	for try := range mostAgain + 1 {
-		status, after := c.once(addr, fmt.Sprintf("%s.%d-%d", c.nameOf(addr), n, try), try > 0)
+	for try := range maxRetries + 1 {
+		status, after := c.sendOnce(addr, fmt.Sprintf("%s.%d-%d", c.nameOf(addr), n, try), try > 0)
 		if status == http.StatusOK {
 			c.tally.note(true)
 			return
@@ -155,7 +155,7 @@
 	c.tally.note(false)
 }
 
-// nameOf is the member at an address: its jobs' ids begin with its name.
+// nameOf returns the member at an address. The IDs of its jobs begin with its name.
 func (c *client) nameOf(addr string) string {
 	if c.names[addr] != "" {
 		return c.names[addr]
@@ -163,9 +163,9 @@
 	return c.member
 }
 
-// once sends a job to an address and returns the answer's status, 0 for none, and when to come
-// again.
-func (c *client) once(addr, id string, again bool) (status int, after time.Duration) {
+// sendOnce sends a job to an address. It returns the status of the answer, 0 for none, and after
+// which delay to retry.
+func (c *client) sendOnce(addr, id string, again bool) (status int, after time.Duration) {
 	after = 100 * time.Millisecond
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(jobPatience+2*jobSlack))
 	defer cancel()
--- a/internal/testkit/lab/faults/soundness.go
+++ b/internal/testkit/lab/faults/soundness.go
@@ -8,36 +8,40 @@
 )
 
 const (
-	// operatorAnswerTime is how soon an operator's order is answered yes on sound disks with a majority up (docs/daily.md).
+	// operatorAnswerTime is within which an order must succeed on fast disks with a majority up
+	// (docs/daily.md).
 	operatorAnswerTime = time.Second
-	// syncsOfAnOrder is how many syncs, one after the other, an order may wait for: those of the log at the leader and at a
-	// follower, and of the two files in which a member keeps the exclusions.
+	// syncsOfAnOrder is how many sequential disk syncs an order may wait for: those of the log
+	// at the leader and at a follower, and of the two files in which a member stores the
+	// exclusions.
 	syncsOfAnOrder = 10
-	// soundSyncTime is what a sync on a sound disk takes at most: with it an order's take half of the time for its answer.
+	// soundSyncTime is what a sync on a fast disk takes at most. The syncs of an order then
+	// take at most half of operatorAnswerTime.
 	soundSyncTime = operatorAnswerTime / 2 / syncsOfAnOrder
 	// probeInterval is the pause between the probe's syncs.
 	probeInterval = 10 * time.Millisecond
 )
 
-// diskProbe writes and syncs a few bytes all the time, beside the members' folders. It tells a member that is slow from a
-// disk, or a machine, that is: it waits for both as the members do.
+// diskProbe continuously writes and syncs a few bytes beside the members' folders. It distinguishes
+// a slow member from a slow disk or machine, as it waits for both like the members do.
 type diskProbe struct {
 	file    *os.File
 	ended   chan struct{}
 	stopped sync.WaitGroup
 
 	mu      sync.Mutex
-	began   time.Time // of the sync that is under way
+	began   time.Time // start of the current sync
 	samples []syncSample
 }
 
-// syncSample is a sync, with the pause before it as far as that was longer than asked for.
+// syncSample is the duration of a sync, including the part of the pause before it that exceeded
+// probeInterval.
 type syncSample struct {
 	end  time.Time
 	took time.Duration
 }
 
-// startDiskProbe starts a probe in a folder. Its stop method has to be called.
+// startDiskProbe starts a probe in a folder. The caller must call stop.
 func startDiskProbe(dir string) (*diskProbe, error) {
 	file, err := os.Create(filepath.Join(dir, "probe"))
 	if err != nil {
@@ -67,7 +71,8 @@
 	}
 }
 
-// record adds the sync that has just ended, and begins the next one at the end of the pause.
+// record adds a sample for the sync that has just ended. The next one counts from the end of the
+// pause, so that a late wake-up counts as slow.
 func (p *diskProbe) record(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +80,8 @@
 	p.began = now.Add(probeInterval)
 }
 
-// slowestSince returns how long the slowest sync took that ended after a moment or is under way.
+// slowestSince returns the duration of the slowest sync that ended after from or is still in
+// progress.
 func (p *diskProbe) slowestSince(from time.Time) time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,21 +92,22 @@
 	return slowest
 }
 
-// stop ends the probe.
+// stop ends the probe and waits for its goroutine.
 func (p *diskProbe) stop() {
 	close(p.ended)
 	p.stopped.Wait()
 	p.file.Close()
 }
 
-// requireSoon breaks the run where the first sending of a call, which began at a moment, was not answered yes although all
-// syncs were sound meanwhile. Calls that are sent again prove that they have one effect; this proves that the first is enough.
-func (r *runner) requireSoon(what string, began time.Time, answer error) {
+// requireSoon records a violation if the first request of a call failed although all syncs since
+// began were fast. Retried calls prove that a call has one effect; this check proves that the first
+// request is enough.
+func (r *scriptRun) requireSoon(what string, began time.Time, answer error) {
 	if answer == nil {
 		return
 	}
 	if slowest := r.probe.slowestSince(began); slowest <= soundSyncTime {
-		r.broken("%s was not answered yes at its first sending, after %d ms, on a sound disk (slowest sync %.1f ms): %s",
+		r.failf("%s was not answered yes at its first sending, after %d ms, on a sound disk (slowest sync %.1f ms): %s",
 			what, time.Since(began).Milliseconds(), float64(slowest)/float64(time.Millisecond), answer)
 	}
 }
--- a/internal/testkit/lab/faults/soundness_test.go
+++ b/internal/testkit/lab/faults/soundness_test.go
@@ -8,30 +8,30 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestRequireSoon checks which first sendings break a run: those that were not answered yes on a sound disk.
+// TestRequireSoon checks which first requests are a violation: those that failed on a fast disk.
 func TestRequireSoon(t *testing.T) {
 	at := time.Now()
-	refusal := errors.New("status 504")
+	failure := errors.New("status 504")
 	for _, c := range []struct {
 		name       string
 		answer     error
 		syncs      []syncSample
 		wantBroken bool
 	}{
-		{"a yes", nil, []syncSample{{at.Add(time.Millisecond), time.Millisecond}}, false},
-		{"a no on a sound disk", refusal, []syncSample{{at.Add(time.Millisecond), time.Millisecond}}, true},
-		{"a no on a slow disk", refusal, []syncSample{{at.Add(time.Millisecond), 2 * soundSyncTime}}, false},
-		{"a no on a disk that was slow before", refusal, []syncSample{{at.Add(-time.Millisecond), 2 * soundSyncTime}, {at.Add(time.Millisecond), time.Millisecond}}, true},
+		{"success", nil, []syncSample{{at.Add(time.Millisecond), time.Millisecond}}, false},
+		{"failure on a fast disk", failure, []syncSample{{at.Add(time.Millisecond), time.Millisecond}}, true},
+		{"failure on a slow disk", failure, []syncSample{{at.Add(time.Millisecond), 2 * soundSyncTime}}, false},
+		{"failure on a disk that was slow before", failure, []syncSample{{at.Add(-time.Millisecond), 2 * soundSyncTime}, {at.Add(time.Millisecond), time.Millisecond}}, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := &runner{probe: &diskProbe{began: time.Now(), samples: c.syncs}, result: &Result{}}
+			r := &scriptRun{probe: &diskProbe{began: time.Now(), samples: c.syncs}, result: &Result{}}
 			r.requireSoon("an order", at, c.answer)
 			require.Equal(t, c.wantBroken, len(r.result.Broken) > 0, "%v", r.result.Broken)
 		})
 	}
 }
 
-// TestDiskProbe checks that a sync that is under way counts.
+// TestDiskProbe checks that slowestSince includes a sync that is still in progress.
 func TestDiskProbe(t *testing.T) {
 	p, err := startDiskProbe(t.TempDir())
 	require.NoError(t, err)
--- a/internal/testkit/lab/faults/standins.go
+++ b/internal/testkit/lab/faults/standins.go
@@ -14,23 +14,24 @@
 	"time"
 )
 
-// catalog is what all discoveries know; each tells it to its own dispatcher unless it is held.
+// catalog is the list of runners that discovery serves. Each member has a discovery of its own,
+// which can be held at a version or muted.
 type catalog struct {
 	mu      sync.Mutex
 	rev     int
 	targets []target
-	changed chan struct{}   // closed at each change
-	held    map[int]version // by member: the last that its discovery tells; absent for all
-	mute    map[int]bool    // members whose discovery answers nobody
+	changed chan struct{}   // closed and replaced at each change
+	held    map[int]version // by member: the version at which its discovery is held
+	mute    map[int]bool    // members whose discovery answers no call
 }
 
-// version is the list at a time.
+// version is the list of runners at a revision.
 type version struct {
 	rev     int
 	targets []target
 }
 
-// target is an entry of the list, in discovery's form.
+// target is a runner in discovery's format.
 type target struct {
 	UID      string `json:"uid"`
 	Endpoint string `json:"endpoint"`
@@ -39,14 +40,15 @@
 	State    string `json:"state"`
 	Weight   int    `json:"capacity_hint"`
 	Boot     int64  `json:"boot_ms"`
-	rev      int    // the version in which it changed last
+	rev      int    // the revision in which it last changed
 }
 
 func newCatalog() *catalog {
 	return &catalog{changed: make(chan struct{}), held: map[int]version{}, mute: map[int]bool{}}
 }
 
-// change makes a new version by an edit of one entry, or of a new one at the end.
+// change edits entry i, or appends an entry if i is the length of the list, and makes that a new
+// revision.
 func (c *catalog) change(i int, edit func(*target)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -59,12 +61,13 @@
 	c.wake()
 }
 
+// wake notifies the watch requests. The caller holds c.mu.
 func (c *catalog) wake() {
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// hold has a member's discovery tell nothing newer from now on, or everything again.
+// hold keeps a member's discovery at the present version, or lifts that.
 func (c *catalog) hold(member int, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -76,15 +79,15 @@
 	c.wake()
 }
 
-// silence has a member's discovery answer no new call, or answer again.
+// silence has a member's discovery refuse new calls, or answer them again.
 func (c *catalog) silence(member int, on bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.mute[member] = on
 }
 
-// deaf tells whether a member's discovery tells it nothing newer.
-func (c *catalog) deaf(member int) bool {
+// isStale reports whether a member's discovery is held or muted.
+func (c *catalog) isStale(member int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, held := c.held[member]
@@ -97,8 +100,8 @@
 	return c.mute[member]
 }
 
-// list returns what a member's discovery tells of the versions after one; from -1 on the
-// whole list. Text is empty where there is nothing new.
+// list returns the revision that a member's discovery serves and the entries that changed after a
+// revision, as JSON; the whole list if after is -1. text is empty if nothing is newer.
 func (c *catalog) list(member, after int) (rev int, text []byte, changed <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,11 +118,12 @@
 			some = append(some, t)
 		}
 	}
-	text, _ = json.Marshal(map[string]any{"rev": v.rev, "all": after < 0, "targets": some}) // plain values
+	// Plain values: Marshal does not fail.
+	text, _ = json.Marshal(map[string]any{"rev": v.rev, "all": after < 0, "targets": some})
 	return v.rev, append(text, '\n'), c.changed
 }
 
-// handler is one member's discovery.
+// handler returns the HTTP handler of a member's discovery.
 func (c *catalog) handler(member int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if c.muted(member) {
@@ -136,7 +140,7 @@
 			case <-changed:
 				told, text, changed = c.list(member, told)
 				w.Write(text)
-			case <-time.After(2 * time.Second): // discovery's own pace
+			case <-time.After(2 * time.Second): // keep-alive, as the real discovery
 				io.WriteString(w, "\n")
 			case <-r.Context().Done():
 				return
@@ -145,50 +149,54 @@
 	})
 }
 
-// sending is a job that came to a runner.
+// sending is a job that reached a runner.
 type sending struct {
 	runner, member string
 	at             time.Time
 }
 
-// runners are the stand-ins for all runners. A job's id begins with its dispatcher's name.
+// runners are the stand-ins for all runners. A job's ID begins with the name of its dispatcher.
 type runners struct {
-	work    time.Duration
-	slots   int // that a runner has; 0 for any number
-	queue   int // jobs that may wait for one
-	at      map[string]*busy
-	full    int                        // jobs that were turned away
-	clients func(member string) string // where call-backs go
+	work         time.Duration
+	slots        int // of each runner; 0 means no limit
+	queue        int // jobs that may wait for a slot, at each runner
+	loads        map[string]*runnerLoad
+	queueFull    int                        // jobs that were rejected by a full queue
+	callbackAddr func(member string) string // the address of a member for call-backs
 
-	hold    bool                     // keyed jobs are not said to be done the first time
-	broken  map[string]bool          // runners that hang up on every job
-	lags    map[string]float64       // how many times slower runners do parts of gangs
-	hung    map[string]bool          // runners that stand still
-	parts   map[string]chan struct{} // parts under way; closed when they are recalled
-	tries   map[string]int           // sendings of each part
-	cold    coldness
-	warming map[string]*warming // runners that have started again
-	fallen  []string            // those that got too much meanwhile
+	withholdFirst bool            // the first job of a key is not reported as done
+	broken        map[string]bool // runners that close the connection on every job
+	// Factor by which runners are slower at parts of gangs.
+	slowdown map[string]float64
+	// Runners that make no progress on parts and do not report.
+	hung      map[string]bool
+	parts     map[string]chan struct{} // parts in progress; closed on cancellation
+	attempts  map[string]int           // how often each part was sent
+	cold      coldStart
+	warming   map[string]*warmup // runners that have restarted
+	overloads []string           // a message for each runner that was overloaded
 
-	turns  map[string]bool // runners that turn every job away unseen
-	spoilt map[string]bool // keys of jobs that fail without an effect
-	unsaid map[string]bool // keys of jobs that have their effect and are not said to be done
-	order  []effect        // in the order in which they were had
+	rejecting map[string]bool // runners that reject every job before running it
+	failing   map[string]bool // keys of jobs that fail without an effect
+	// Keys of jobs that have their effect and are not reported as done.
+	unreported map[string]bool
+	order      []effect // in the order of their time
 
 	mu      sync.Mutex
 	sent    []sending
-	effects map[string]map[string]int // by key: how often in which zone, repeats dropped
+	effects map[string]map[string]int // by key and zone; 1, as repeats in a zone are dropped
 	http    http.Client
 }
 
+// handler returns the HTTP handler of one runner.
 func (s *runners) handler(uid, zone string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodDelete {
-			s.recalled(uid, strings.TrimPrefix(r.URL.Path, "/jobs/"))
+			s.cancelPart(uid, strings.TrimPrefix(r.URL.Path, "/jobs/"))
 			return
 		}
 		if r.Method != http.MethodPost {
-			return // a probe, or a recall of what is done in a moment
+			return // a probe; cancellations are handled above
 		}
 		id := r.Header.Get("X-Trace-Id")
 		member, _, _ := strings.Cut(id, ".")
@@ -199,10 +207,10 @@
 		s.sent = append(s.sent, sending{uid, member, time.Now()})
 		if s.broken[uid] {
 			s.mu.Unlock()
-			panic(http.ErrAbortHandler) // net/http hangs up
+			panic(http.ErrAbortHandler) // has net/http close the connection
 		}
-		s.came(uid)
-		if s.turns[uid] || !s.room(uid) {
+		s.recordArrival(uid)
+		if s.rejecting[uid] || !s.admit(uid) {
 			s.mu.Unlock()
 			w.Header().Set("X-Never-Ran", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -214,12 +222,13 @@
 				s.effects[key] = map[string]int{}
 			}
 			ofFlow := strings.HasPrefix(key, "flow")
-			if s.spoilt[key] {
+			if s.failing[key] {
 				s.mu.Unlock()
 				w.WriteHeader(http.StatusInternalServerError)
 				return
 			}
-			held = s.hold && len(s.effects[key]) == 0 && (!ofFlow || strings.HasSuffix(r.URL.Path, "/hang")) || s.unsaid[key] // the first says nothing more; a repeat is answered at once
+			// With withholdFirst, the first job of a key is not reported as done; a repeat is.
+			held = s.withholdFirst && len(s.effects[key]) == 0 && (!ofFlow || strings.HasSuffix(r.URL.Path, "/hang")) || s.unreported[key]
 			if s.effects[key][zone] == 0 {
 				s.effects[key][zone] = 1
 				s.order = append(s.order, effect{key, zone, time.Now()})
@@ -231,16 +240,17 @@
 			return
 		}
 		if strings.HasPrefix(r.URL.Path, "/reel/") {
-			us, _ := strconv.Atoi(strings.TrimPrefix(r.URL.Path, "/reel/")) // the clients' own
-			go s.works(uid, member, id, time.Duration(us)*time.Microsecond)
+			// Clients of scripts send valid numbers.
+			us, _ := strconv.Atoi(strings.TrimPrefix(r.URL.Path, "/reel/"))
+			go s.runPart(uid, member, id, time.Duration(us)*time.Microsecond)
 			return
 		}
-		s.begin(uid, func() {
+		s.startWhenFree(uid, func() {
 			s.mu.Lock()
 			takes := time.Duration(float64(s.work) / s.share(uid))
 			s.mu.Unlock()
 			time.AfterFunc(takes, func() {
-				s.over(uid)
+				s.release(uid)
 				s.report(member, map[string]any{"id": id, "from": uid, "state": "started"})
 				s.report(member, map[string]any{"id": id, "from": uid, "state": "done", "result": "done by " + uid})
 			})
@@ -248,12 +258,12 @@
 	})
 }
 
-// report makes a call-back, again where it is not answered, as runners do.
+// report sends a call-back to a member, with up to 5 attempts, as the real runners do.
 func (s *runners) report(member string, event map[string]any) {
 	text, _ := json.Marshal(event) // plain values
 	for range 5 {
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
-		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.clients(member)+"/v1/job-events", bytes.NewReader(text))
+		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.callbackAddr(member)+"/v1/job-events", bytes.NewReader(text))
 		if err != nil {
 			cancel()
 			return
@@ -270,13 +280,13 @@
 	}
 }
 
-// patience is how long a client waits; slack what an answer may take beyond.
+// jobPatience is how long a client waits for a job; an answer may take jobSlack longer.
 const (
 	jobPatience = 2 * time.Second
 	jobSlack    = 300 * time.Millisecond
 )
 
-// serve opens a stand-in.
+// serve starts an HTTP server for a stand-in and returns its address.
 func serve(addr string, h http.Handler) (*http.Server, string, error) {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/testkit/lab/faults/steps.go
+++ b/internal/testkit/lab/faults/steps.go
@@ -19,19 +19,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// process does something to one member's process or disk.
-func (r *runner) process(w []string, m *member) error {
+// process applies a step to one member's process or disk.
+func (r *scriptRun) process(w []string, m *member) error {
 	logDir := filepath.Join(m.dir, "log")
 	switch w[0] {
 	case "stall":
-		m.stopped = true
-		m.stood = append(m.stood, span{from: time.Now()})
+		m.stalled = true
+		m.stalls = append(m.stalls, span{from: time.Now()})
 		return m.cmd.Process.Signal(syscall.SIGSTOP)
 	case "wake":
-		m.wakes()
+		m.markResumed()
 		return m.cmd.Process.Signal(syscall.SIGCONT)
 	case "kill":
-		r.fault()
+		r.recordFault()
 		r.fleet.end(m, syscall.SIGKILL)
 	case "term":
 		r.fleet.end(m, syscall.SIGTERM)
@@ -41,7 +41,7 @@
 	case "rename":
 		m.alias = w[2]
 	case "full", "room":
-		if !m.up() { // a process that is gone has taken its limit with it
+		if !m.up() { // the limit ended with the process
 			return nil
 		}
 		if w[0] == "room" {
@@ -51,14 +51,15 @@
 	case "foreign":
 		return r.foreign(m)
 	case "wipe":
-		r.watch.forget(m.name)
+		r.observer.recordDiskLoss(m.name)
 		return os.RemoveAll(logDir)
 	case "lose":
-		r.watch.forget(m.name)
+		r.observer.recordDiskLoss(m.name)
 		return errors.Join(os.RemoveAll(logDir), os.RemoveAll(filepath.Join(m.dir, watermarkDir)))
 	case "keep":
 		to := filepath.Join(m.dir, "kept")
-		return errors.Join(os.RemoveAll(to), os.CopyFS(to, os.DirFS(logDir))) // in an earlier copy's place
+		// Replaces an earlier copy.
+		return errors.Join(os.RemoveAll(to), os.CopyFS(to, os.DirFS(logDir)))
 	case "restore":
 		if err := os.RemoveAll(logDir); err != nil {
 			return err
@@ -86,14 +87,14 @@
 		if err != nil {
 			return fmt.Errorf("%w: %s", err, out)
 		}
-		r.line("%s", strings.ReplaceAll(strings.TrimSpace(string(out)), "\n", "; "))
+		r.logf("%s", strings.ReplaceAll(strings.TrimSpace(string(out)), "\n", "; "))
 	case "garble":
 		return r.garble(m)
 	}
 	return nil
 }
 
-// tear cuts a file of a member's in the middle, as a crash of its machine may.
+// tear truncates a file of a member, as a crash of its machine may.
 func tear(dir, what string) error {
 	pattern := map[string]string{"log": "log.db", "disk": "disk", "snapshot": "snapshots/*/state.bin"}[what]
 	files, err := filepath.Glob(filepath.Join(dir, pattern))
@@ -105,23 +106,25 @@
 		if err != nil {
 			return err
 		}
-		if err := os.Truncate(path, info.Size()/4); err != nil { // the log's file is mostly room at first
+		// A quarter: a new log's file is mostly preallocated space.
+		if err := os.Truncate(path, info.Size()/4); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// limitFiles has no file of a process grow past a size, as if the disk were full.
+// limitFiles limits the size of the files that a process writes, to simulate a full disk. most is
+// in bytes.
 func limitFiles(pid int, most uint64) error {
 	l := unix.Rlimit{Cur: most, Max: unix.RLIM_INFINITY}
 	return unix.Prlimit(pid, unix.RLIMIT_FSIZE, &l, nil)
 }
 
-// foreign tells a member what a build of tomorrow might: a fact of an unknown kind and one
-// with an unknown field, of which the latter counts.
-func (r *runner) foreign(m *member) error {
-	c, err := net.Dial("tcp", r.fleet.net.real[m.i])
+// foreign sends a member what a newer build might: a fact of an unknown kind, which it must reject,
+// and one with an unknown field, which it must accept.
+func (r *scriptRun) foreign(m *member) error {
+	c, err := net.Dial("tcp", r.fleet.net.listenAddrs[m.i])
 	if err != nil {
 		return err
 	}
@@ -135,7 +138,7 @@
 	if err != nil || !strings.Contains(answer, " 200 ") {
 		return fmt.Errorf("it answers %q, %w", answer, err)
 	}
-	return r.until(func() error {
+	return r.retryUntil(func() error {
 		got, err := r.fleet.report(m)
 		if err == nil && (got.Replicas.Stored["health"] != 1 || got.Replicas.Rejected == 0) {
 			err = fmt.Errorf("it holds %v and has refused %d", got.Replicas.Stored, got.Replicas.Rejected)
@@ -144,14 +147,14 @@
 	})
 }
 
-// garble sends a member what no other would.
-func (r *runner) garble(m *member) error {
+// garble sends a member random datagrams and connections with random content.
+func (r *scriptRun) garble(m *member) error {
 	c, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	if err != nil {
 		return err
 	}
 	defer c.Close()
-	to, err := net.ResolveUDPAddr("udp", r.fleet.net.real[m.i])
+	to, err := net.ResolveUDPAddr("udp", r.fleet.net.listenAddrs[m.i])
 	if err != nil {
 		return err
 	}
@@ -163,18 +166,20 @@
 		if _, err := c.WriteTo(b, to); err != nil {
 			return err
 		}
-		t, err := net.Dial("tcp", r.fleet.net.real[m.i])
+		t, err := net.Dial("tcp", r.fleet.net.listenAddrs[m.i])
 		if err != nil {
 			return err
 		}
-		_, _ = t.Write(append([]byte{"glc?"[r.rng.IntN(4)]}, b...)) // it may hang up
+		// The member may close the connection.
+		_, _ = t.Write(append([]byte{"glc?"[r.rng.IntN(4)]}, b...))
 		t.Close()
 	}
 	return nil
 }
 
-func (r *runner) post(m *member, path, body string) (string, error) {
-	resp, err := r.fleet.cold.Post("http://"+m.console+path, "application/json", strings.NewReader(body))
+// post calls a member's console. Any status but 200 is returned as a *callError.
+func (r *scriptRun) post(m *member, path, body string) (string, error) {
+	resp, err := r.fleet.http.Post("http://"+m.console+path, "application/json", strings.NewReader(body))
 	if err != nil {
 		return "", err
 	}
@@ -187,20 +192,21 @@
 	return "", nil
 }
 
-// callError is the answer to a call that was not a yes.
+// callError is an answer whose status is not 200.
 type callError struct {
 	status int
 	text   string
 }
 
-// Error returns the status and the text.
+// Error returns the status and the beginning of the body.
 func (e *callError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.text) }
 
-// postUntilDone makes a call again for as long as its answers, or the lack of one, allow that.
-func (r *runner) postUntilDone(m *member, path, body string) error {
+// postUntilDone repeats a call until it succeeds or is refused with a status other than 503. It
+// also checks by requireSoon that the first request succeeded.
+func (r *scriptRun) postUntilDone(m *member, path, body string) error {
 	var last error
 	first := true
-	_ = r.until(func() error { // the last answer is returned below
+	_ = r.retryUntil(func() error { // the last answer is returned below
 		began := time.Now()
 		_, last = r.post(m, path, body)
 		if first {
@@ -216,26 +222,26 @@
 	return last
 }
 
-// move has an operator speak.
-func (r *runner) move(w []string) error {
-	who, err := r.who(w[3])
+// operatorOrder has an operator exclude or include a runner at members, and checks the outcome.
+func (r *scriptRun) operatorOrder(w []string) error {
+	who, err := r.resolveMembers(w[3])
 	if err != nil {
 		return err
 	}
 	for _, m := range who {
 		r.orders++
-		o := order{id: fmt.Sprintf("%s-%d", m.name, r.orders), uid: w[1], out: w[0] == "exclude"}
-		op := r.watch.call(m.name, o)
-		var said said
+		o := order{id: fmt.Sprintf("%s-%d", m.name, r.orders), uid: w[1], exclude: w[0] == "exclude"}
+		op := r.observer.recordCall(m.name, o)
+		var said outcome
 		var why string
 		if w[4] == "done" {
-			said, why = r.moveUntilDone(m, o)
+			said, why = r.sendOrderUntilDone(m, o)
 		} else {
-			said, why = r.fleet.move(m, o)
+			said, why = r.fleet.sendOrder(m, o)
 		}
-		r.watch.answer(op, said)
+		r.observer.recordAnswer(op, said)
 		if why != "" {
-			r.line("%s says: %s", m.name, why)
+			r.logf("%s says: %s", m.name, why)
 		}
 		if w[4] == "done" && said != done || w[4] == "refused" && said == done {
 			return fmt.Errorf("at %s it came to %q", m.name, why)
@@ -244,9 +250,9 @@
 	return nil
 }
 
-// job has a client send a keyed job, or send it again.
-func (r *runner) job(w []string) error {
-	who, err := r.who(w[4])
+// job has a client send a keyed job in the background, or repeat it and check the status.
+func (r *scriptRun) job(w []string) error {
+	who, err := r.resolveMembers(w[4])
 	if err != nil {
 		return err
 	}
@@ -268,13 +274,14 @@
 	defer c.http.CloseIdleConnections()
 	before, began := r.fleet.runners.count(), time.Now()
 	if got := c.job(context.Background(), w[2], id, w[1]); w[5] != "0" && !slices.Contains(strings.Split(w[5], ","), strconv.Itoa(got)) {
-		return fmt.Errorf("it was answered %d after %d ms; %s", got, time.Since(began).Milliseconds(), r.sendings(m, before, began))
+		return fmt.Errorf("it was answered %d after %d ms; %s", got, time.Since(began).Milliseconds(), r.describeSendings(m, before, began))
 	}
 	return nil
 }
 
-// sendings says what a member has sent since a number of sendings, and when after a moment.
-func (r *runner) sendings(m *member, since int, began time.Time) string {
+// describeSendings lists the jobs that a member has sent after the first since sendings, with their
+// times after began.
+func (r *scriptRun) describeSendings(m *member, since int, began time.Time) string {
 	var said []string
 	for _, s := range r.fleet.runners.since(since) {
 		if s.member == m.name {
@@ -284,38 +291,38 @@
 	return fmt.Sprintf("%s has sent: %s", m.name, cmp.Or(strings.Join(said, ", "), "nothing"))
 }
 
-// list has discovery change a runner.
-func (r *runner) list(verb, uid string) error {
+// changeTarget has discovery report another state of a runner.
+func (r *scriptRun) changeTarget(verb, uid string) error {
 	state := map[string]string{"drain": "DRAINING", "serve": "SERVING", "remove": "DELETED"}[verb]
 	i := slices.Index(r.fleet.uids, uid)
 	if i < 0 {
 		return fmt.Errorf("there is no runner %q", uid)
 	}
 	r.fleet.catalog.change(i, func(t *target) { t.State = state })
-	r.watch.list(uid, state != "SERVING", func(m int) bool { return r.fleet.catalog.deaf(m) })
+	r.observer.recordTargetChange(uid, state != "SERVING", func(m int) bool { return r.fleet.catalog.isStale(m) })
 	return nil
 }
 
-// load starts or ends the clients of all members.
-func (r *runner) load(on bool) {
+// load starts or stops the clients of all members.
+func (r *scriptRun) load(on bool) {
 	for _, m := range r.fleet.members {
 		if !on {
-			if m.endClient != nil {
-				m.endClient()
-				<-m.clientOver
-				m.endClient = nil
+			if m.stopClient != nil {
+				m.stopClient()
+				<-m.clientDone
+				m.stopClient = nil
 			}
 			continue
 		}
 		if m.client == nil {
-			m.client = &client{tally: &tally{began: r.watch.began}, member: m.name, addr: m.clients, answers: map[int]int{}, every: 10 * time.Millisecond, names: r.addresses(), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+			m.client = &client{tally: &tally{began: r.observer.began}, member: m.name, addr: m.clients, answers: map[int]int{}, every: 10 * time.Millisecond, names: r.addresses(), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
-		m.endClient, m.clientOver = cancel, make(chan struct{})
+		m.stopClient, m.clientDone = cancel, make(chan struct{})
 		go func() {
-			defer close(m.clientOver)
+			defer close(m.clientDone)
 			if r.rate > 0 {
-				m.client.open(ctx, r.rate, r.others(m), uint64(m.i)+r.script.Seed)
+				m.client.runOpenLoop(ctx, r.rate, r.others(m), uint64(m.i)+r.script.Seed)
 				return
 			}
 			m.client.run(ctx)
--- a/internal/testkit/lab/faults/tail.go
+++ b/internal/testkit/lab/faults/tail.go
@@ -6,16 +6,17 @@
 	"sync"
 )
 
-// tail keeps the end of a process's log.
+// tail is an io.Writer that retains the last lines of a process's log.
 type tail struct {
 	mu    sync.Mutex
 	lines []string
 	part  []byte
 }
 
-// kept is how many lines of each log are kept.
-const kept = 2000
+// maxLines is how many lines of each log are retained.
+const maxLines = 2000
 
+// Write adds log output. It never fails.
 func (t *tail) Write(b []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -28,12 +29,13 @@
 		t.lines = append(t.lines, string(line))
 		t.part = rest
 	}
-	if n := len(t.lines) - kept; n > 0 {
+	if n := len(t.lines) - maxLines; n > 0 {
 		t.lines = append([]string(nil), t.lines[n:]...)
 	}
 	return len(b), nil
 }
 
+// has reports whether a retained line contains text.
 func (t *tail) has(text string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -45,6 +47,7 @@
 	return false
 }
 
+// text returns the last lines, at most the given number.
 func (t *tail) text(last int) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/testkit/lab/faults/who.go
+++ b/internal/testkit/lab/faults/who.go
@@ -12,8 +12,8 @@
 	"frosttide/internal/dispatcher/fleet/members"
 )
 
-// who finds members.
-func (r *runner) who(words string) ([]*member, error) {
+// resolveMembers returns the members that a WHO word of a step names (see Script).
+func (r *scriptRun) resolveMembers(words string) ([]*member, error) {
 	var out []*member
 	for _, w := range strings.Split(words, ",") {
 		switch w {
@@ -30,13 +30,13 @@
 				continue
 			}
 			for _, m := range r.fleet.members[:r.fleet.voters] {
-				if m != l && m.up() && !m.stopped {
+				if m != l && m.up() && !m.stalled {
 					out = append(out, m)
 					break
 				}
 			}
 			continue
-		case "others": // all that the last given name is not
+		case "others": // all members but those last named by "as NAME"
 			for _, m := range r.fleet.members {
 				if !slices.Contains(r.names["last"], m) {
 					out = append(out, m)
@@ -65,10 +65,10 @@
 	return out, nil
 }
 
-// leader returns who leads by its own word, of those given, and in the latest term.
-func (r *runner) leader(of []*member) (*member, error) {
+// leader waits for a member that reports itself leader, and returns the one in the latest term.
+func (r *scriptRun) leader(of []*member) (*member, error) {
 	var lead *member
-	err := r.until(func() error {
+	err := r.retryUntil(func() error {
 		lead = nil
 		term := uint64(0)
 		for _, m := range of {
@@ -85,20 +85,21 @@
 	return lead, err
 }
 
-func numbers(list []*member) (out []int) {
+// indexes returns the positions of members in the fleet.
+func indexes(list []*member) (out []int) {
 	for _, m := range list {
 		out = append(out, m.i)
 	}
 	return out
 }
 
-// between changes links.
-func (r *runner) between(w []string, from []*member) error {
-	to, err := r.who(w[3])
+// changeLinks executes cut, lossy, slow and reset.
+func (r *scriptRun) changeLinks(w []string, from []*member) error {
+	to, err := r.resolveMembers(w[3])
 	if err != nil {
 		return err
 	}
-	a, b := numbers(from), numbers(to)
+	a, b := indexes(from), indexes(to)
 	change := func(l *link) { l.cut = true }
 	switch w[0] {
 	case "reset":
@@ -111,7 +112,7 @@
 				return err
 			}
 		}
-		change = func(l *link) { l.drop, l.twice, l.late = x[0], x[1], x[2] }
+		change = func(l *link) { l.drop, l.duplicate, l.reorder = x[0], x[1], x[2] }
 	case "slow":
 		d, err := time.ParseDuration(w[4])
 		if err != nil {
@@ -126,20 +127,21 @@
 	return nil
 }
 
-// reports asks the members, and has the watch look at what they say.
-func (r *runner) reports(of []*member) (map[*member]cluster.Report, error) {
+// reports fetches the members' reports and passes their states to the observer.
+func (r *scriptRun) reports(of []*member) (map[*member]cluster.Report, error) {
 	out := map[*member]cluster.Report{}
 	for _, m := range of {
 		got, err := r.fleet.report(m)
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", m.name, err)
 		}
-		r.watch.saw(m.name, got.State)
+		r.observer.observeState(m.name, got.State)
 		out[m] = got
 	}
 	return out, nil
 }
 
+// alive returns how many members a report lists as alive.
 func alive(got cluster.Report) (n int) {
 	for _, i := range got.Members {
 		if i.Status == members.Alive {
