--- a/cmd/frosttide-lab/replication.go
+++ b/cmd/frosttide-lab/replication.go
@@ -98,7 +98,7 @@
 				got, err := faults.MeasureWrites(program, dir, voters, operators, length)
 				if err == nil {
 					fmt.Fprintf(w, "%d\t%d\t%.0f\t%.2f\t%.2f\t%d\n", voters, operators, got.Rate, float64(got.Times.ValueAtQuantile(50))/1000,
-						float64(got.Times.ValueAtQuantile(99))/1000, got.Not)
+						float64(got.Times.ValueAtQuantile(99))/1000, got.Failed)
 				}
 				return err
 			})
--- a/internal/testkit/lab/faults/measure.go
+++ b/internal/testkit/lab/faults/measure.go
@@ -14,9 +14,9 @@
 
 // Writes is the result of MeasureWrites.
 type Writes struct {
-	Rate  float64                 // acknowledged orders a second
-	Times *hdrhistogram.Histogram // of acknowledged orders, in microseconds
-	Not   int                     // orders that were not acknowledged
+	Rate   float64                 // acknowledged orders a second
+	Times  *hdrhistogram.Histogram // of acknowledged orders, in microseconds
+	Failed int                     // orders that were not acknowledged
 }
 
 // begin starts a fleet and waits until its log has all its voters, unless the members are
@@ -67,7 +67,7 @@
 					// Calls time out within its range.
 					_ = out.Times.RecordValue(took.Microseconds())
 				} else {
-					out.Not++
+					out.Failed++
 				}
 				mu.Unlock()
 			}
