--- a/internal/testkit/lab/faults/client.go
+++ b/internal/testkit/lab/faults/client.go
@@ -17,7 +17,7 @@
 	tally        *tally
 	late         []lateJob
 	every        time.Duration
-	names        map[string]string // members' names by their clients' addresses
+	memberNames  map[string]string // members' names by their clients' addresses
 }
 
 // run sends jobs one after the other, at intervals of c.every, until ctx ends.
@@ -46,16 +46,16 @@
 }
 
 // span is a period of time.
-type span struct{ from, till time.Time }
+type span struct{ from, until time.Time }
 
 // overlap returns for how long two periods overlap.
 func (s span) overlap(o span) time.Duration {
-	from, till := s.from, s.till
+	from, till := s.from, s.until
 	if o.from.After(from) {
 		from = o.from
 	}
-	if o.till.Before(till) {
-		till = o.till
+	if o.until.Before(till) {
+		till = o.until
 	}
 	return max(till.Sub(from), 0)
 }
@@ -69,7 +69,7 @@
 // exceedsPatience reports whether a job is late even without the time during which its member's
 // process was stalled: a stall of the machine is not a fault of the program.
 func (l lateJob) exceedsPatience(stalls []span) bool {
-	took := l.till.Sub(l.from)
+	took := l.until.Sub(l.from)
 	for _, s := range stalls {
 		took -= l.overlap(s)
 	}
--- a/internal/testkit/lab/faults/fleet.go
+++ b/internal/testkit/lab/faults/fleet.go
@@ -17,24 +17,24 @@
 
 // member is one process of the program, with its addresses, log and client.
 type member struct {
-	i                           int
-	name, alias, dir            string // alias is the name in its settings if that differs
-	clients, console, discovery string
-	cmd                         *exec.Cmd
-	ended                       chan struct{} // closed when the process has ended
-	stalled                     bool
-	stalls                      []span // when its process was stopped by SIGSTOP
-	sentBefore                  int    // jobs that had reached runners when it started
-	log                         *tail
-	client                      *client
-	stopClient                  context.CancelFunc
-	clientDone                  chan struct{}
+	i                                      int
+	name, alias, dir                       string // alias is the name in its settings if that differs
+	clientAddr, consoleAddr, discoveryAddr string
+	cmd                                    *exec.Cmd
+	ended                                  chan struct{} // closed when the process has ended
+	stalled                                bool
+	stalls                                 []span // when its process was stopped by SIGSTOP
+	sentBefore                             int    // jobs that had reached runners when it started
+	log                                    *tail
+	client                                 *client
+	stopClient                             context.CancelFunc
+	clientDone                             chan struct{}
 }
 
 // markResumed records the end of the current stall, if there is one.
 func (m *member) markResumed() {
 	if m.stalled {
-		m.stalled, m.stalls[len(m.stalls)-1].till = false, time.Now()
+		m.stalled, m.stalls[len(m.stalls)-1].until = false, time.Now()
 	}
 }
 
@@ -96,9 +96,9 @@
 			return f, err
 		}
 		f.servers = append(f.servers, server)
-		m.discovery = addr
+		m.discoveryAddr = addr
 		host, _, _ := net.SplitHostPort(f.net.listenAddrs[i])
-		m.clients, m.console = host+":8081", host+":8090"
+		m.clientAddr, m.consoleAddr = host+":8081", host+":8090"
 		f.members = append(f.members, m)
 	}
 	return f, nil
@@ -108,7 +108,7 @@
 func (f *fleet) clientsOf(name string) string {
 	for _, m := range f.members {
 		if m.name == name {
-			return m.clients
+			return m.clientAddr
 		}
 	}
 	return "127.0.0.1:9" // the discard port, where nothing listens
--- a/internal/testkit/lab/faults/flowhistory_test.go
+++ b/internal/testkit/lab/faults/flowhistory_test.go
@@ -24,7 +24,7 @@
 		{"bss", flow.Undone, 2, yes},     // its lease ran out
 		{"bss", flow.Undone, 1, no},      // an acknowledged step is lost
 		{"bsS", flow.Undone, 2, yes},     // an unanswered step may be in effect
-		{"bsS", flow.Undone, 1, yes},     // or not
+		{"bsS", flow.Undone, 1, yes},     // or it may have had no effect
 		{"bsSC", flow.Committed, 2, yes}, // both may be in effect
 		{"bsCu", flow.Undone, 1, yes},    // the unanswered commit had no effect
 		{"bsCu", flow.Committed, 1, no},  // an undo was acknowledged after it
--- a/internal/testkit/lab/faults/flows.go
+++ b/internal/testkit/lab/faults/flows.go
@@ -117,7 +117,7 @@
 		}
 		call["step"] = n
 	}
-	text, _ := json.Marshal(call) // plain values
+	text, _ := json.Marshal(call) // plain values: Marshal does not fail
 	if w[1] == "begin" {
 		r.flows[id] = &workflowRun{id: id}
 	}
@@ -152,7 +152,7 @@
 	if hangs {
 		path = "/release/hang"
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.clients+path, strings.NewReader("frames"))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.clientAddr+path, strings.NewReader("frames"))
 	if err != nil {
 		return 0, err.Error()
 	}
@@ -171,7 +171,7 @@
 
 // findFlow asks a member for a workflow; it returns nil if there is none.
 func (r *scriptRun) findFlow(m *member, id string) (*flow.Flow, error) {
-	resp, err := r.fleet.http.Get("http://" + m.console + "/api/workflow/" + id)
+	resp, err := r.fleet.http.Get("http://" + m.consoleAddr + "/api/workflow/" + id)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testkit/lab/faults/full.go
+++ b/internal/testkit/lab/faults/full.go
@@ -19,8 +19,8 @@
 
 const (
 	tenth = 100 * time.Millisecond
-	// mostTenths bounds a tally: an hour, far above any script. Later answers are not counted.
-	mostTenths = 36_000
+	// maxTenths bounds a tally: an hour, far above any script. Later answers are not counted.
+	maxTenths = 36_000
 	// levelFor is over how many tenths of a second the baseline is measured, and fullFor for
 	// how many the baseline must be reached again, in each second, to count as full service.
 	levelFor = 30
@@ -34,7 +34,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := int(time.Since(t.began) / tenth)
-	if at >= mostTenths {
+	if at >= maxTenths {
 		return
 	}
 	counts := &t.notServed
@@ -83,7 +83,7 @@
 	served, _ := r.servedIn(from, from+levelFor)
 	r.baselineRate = float64(served) / levelFor * 10
 	r.baselinePeak = r.peak(from)
-	r.baselineQueueFull = r.fleet.runners.turnedAway()
+	r.baselineQueueFull = r.fleet.runners.rejectedJobs()
 	if r.baselineRate == 0 {
 		return errors.New("nothing is served")
 	}
@@ -140,7 +140,7 @@
 	_, other := r.servedIn(fault, at)
 	took, peak := float64(at-start)/10, r.peak(fault)
 	r.logf("FULL %.1f s after the last start, %.1f s after the fault; %d jobs not served meanwhile, %d found a queue full; at most %d came to one runner in a second, %d before",
-		took, float64(at-fault)/10, other, r.fleet.runners.turnedAway()-r.baselineQueueFull, peak, r.baselinePeak)
+		took, float64(at-fault)/10, other, r.fleet.runners.rejectedJobs()-r.baselineQueueFull, peak, r.baselinePeak)
 	if took > within {
 		return fmt.Errorf("full service took %.1f s", took)
 	}
--- a/internal/testkit/lab/faults/gangs.go
+++ b/internal/testkit/lab/faults/gangs.go
@@ -69,7 +69,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(stepTime))
 	defer cancel()
 	id := fmt.Sprintf("%s.gang-%s-%d", m.name, gang, n)
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.clients+"/reel/"+fmt.Sprint(work.Microseconds()), strings.NewReader("frames"))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+m.clientAddr+"/reel/"+fmt.Sprint(work.Microseconds()), strings.NewReader("frames"))
 	if err != nil {
 		return 0, err.Error()
 	}
--- a/internal/testkit/lab/faults/held.go
+++ b/internal/testkit/lab/faults/held.go
@@ -84,7 +84,7 @@
 	begin := r.fleet.runners.count()
 	return r.retryUntil(func() error {
 		for _, m := range who {
-			to, others := r.sentBy(m, uid, begin)
+			to, others := r.countSent(m, uid, begin)
 			if to == 0 {
 				r.sendBurst(m)
 				return fmt.Errorf("%s has sent it nothing, and others %d jobs", m.name, others)
@@ -94,9 +94,9 @@
 	})
 }
 
-// sentBy counts the jobs that a member has sent to a runner, and to all others, after the first
+// countSent counts the jobs that a member has sent to a runner, and to all others, after the first
 // since sendings.
-func (r *scriptRun) sentBy(m *member, uid string, since int) (to, others int) {
+func (r *scriptRun) countSent(m *member, uid string, since int) (to, others int) {
 	for _, s := range r.fleet.runners.since(since) {
 		switch {
 		case s.member != m.name:
@@ -111,7 +111,7 @@
 
 // sendBurst sends a member jobsAtOnce jobs concurrently, and returns when all are answered.
 func (r *scriptRun) sendBurst(m *member) {
-	c := &client{member: m.name, addr: m.clients, http: &http.Client{Transport: &http.Transport{}}}
+	c := &client{member: m.name, addr: m.clientAddr, http: &http.Client{Transport: &http.Transport{}}}
 	defer c.http.CloseIdleConnections()
 	var sent sync.WaitGroup
 	for range jobsAtOnce {
--- a/internal/testkit/lab/faults/measure.go
+++ b/internal/testkit/lab/faults/measure.go
@@ -19,9 +19,9 @@
 	Failed int                     // orders that were not acknowledged
 }
 
-// begin starts a fleet and waits until its log has all its voters, unless the members are
+// startFleet starts a fleet and waits until its log has all its voters, unless the members are
 // standalone. The caller closes the fleet.
-func begin(s *Script, program Program, dir string) (*scriptRun, error) {
+func startFleet(s *Script, program Program, dir string) (*scriptRun, error) {
 	f, err := openFleet(s, program, dir)
 	if err != nil {
 		return nil, err
@@ -46,7 +46,7 @@
 // MeasureWrites has concurrent operators exclude and include runners, each at one member, for the
 // given length. Any error comes from starting the fleet.
 func MeasureWrites(program Program, dir string, voters, operators int, length time.Duration) (*Writes, error) {
-	r, err := begin(&Script{Members: voters, Voters: voters, Runners: operators, Zones: 1, Seed: 1}, program, dir)
+	r, err := startFleet(&Script{Members: voters, Voters: voters, Runners: operators, Zones: 1, Seed: 1}, program, dir)
 	if err != nil {
 		return nil, err
 	}
@@ -81,7 +81,7 @@
 // MeasureElections stops the leader the given number of times, by SIGKILL or SIGSTOP, and returns
 // for each how long it took until an order succeeded at another member.
 func MeasureElections(program Program, dir string, voters, times int, sig syscall.Signal) (out []time.Duration, err error) {
-	r, err := begin(&Script{Members: voters, Voters: voters, Runners: 1, Zones: 1, Seed: 1}, program, dir)
+	r, err := startFleet(&Script{Members: voters, Voters: voters, Runners: 1, Zones: 1, Seed: 1}, program, dir)
 	if err != nil {
 		return nil, err
 	}
@@ -140,14 +140,14 @@
 // MeasureCost sends each member rate jobs a second for the given length. The members are standalone
 // or form a cluster.
 func MeasureCost(program Program, dir string, members int, alone bool, class string, rate float64, length time.Duration, seed uint64) (*Cost, error) {
-	r, err := begin(&Script{Members: members, Voters: members, Runners: 2 * members, Zones: 1, Seed: seed, Alone: alone}, program, dir)
+	r, err := startFleet(&Script{Members: members, Voters: members, Runners: 2 * members, Zones: 1, Seed: seed, Alone: alone}, program, dir)
 	if err != nil {
 		return nil, err
 	}
 	defer r.fleet.close()
 	for _, m := range r.fleet.members {
 		if err := r.retryUntil(func() error {
-			c := client{member: m.name, addr: m.clients, http: r.fleet.http}
+			c := client{member: m.name, addr: m.clientAddr, http: r.fleet.http}
 			if got := c.job(context.Background(), "render", fmt.Sprintf("%s.first-%d", m.name, time.Now().UnixNano()), ""); got != 200 {
 				return fmt.Errorf("%s answers %d", m.name, got)
 			}
@@ -175,7 +175,7 @@
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for _, m := range r.fleet.members {
-		load := lab.Load{Addr: m.clients, Class: class, Rate: rate, For: length, Patient: jobPatience, Seed: seed, Most: 1000, Name: m.name, Keyed: class != "render"}
+		load := lab.Load{Addr: m.clientAddr, Class: class, Rate: rate, For: length, Patient: jobPatience, Seed: seed, Most: 1000, Name: m.name, Keyed: class != "render"}
 		all.Go(func() {
 			got := load.Run(context.Background())
 			mu.Lock()
--- a/internal/testkit/lab/faults/operators.go
+++ b/internal/testkit/lab/faults/operators.go
@@ -17,7 +17,7 @@
 	if !m.up() || m.stalled {
 		return r, errors.New("it does not run")
 	}
-	resp, err := f.http.Get("http://" + m.console + "/api/cluster")
+	resp, err := f.http.Get("http://" + m.consoleAddr + "/api/cluster")
 	if err != nil {
 		return r, err
 	}
@@ -47,7 +47,7 @@
 	if o.exclude {
 		path = "/api/exclude"
 	}
-	req, err := http.NewRequest(http.MethodPut, "http://"+m.console+path, strings.NewReader(fmt.Sprintf(`{"host":%q,"order":%q}`, o.uid, o.id)))
+	req, err := http.NewRequest(http.MethodPut, "http://"+m.consoleAddr+path, strings.NewReader(fmt.Sprintf(`{"host":%q,"order":%q}`, o.uid, o.id)))
 	if err != nil {
 		return unclear, err.Error()
 	}
--- a/internal/testkit/lab/faults/script.go
+++ b/internal/testkit/lab/faults/script.go
@@ -147,9 +147,9 @@
 
 // Upper bounds on the sizes of a script.
 const (
-	mostMembers = 15
-	mostRunners = 2000
-	mostSteps   = 500
+	maxMembers = 15
+	maxRunners = 2000
+	maxSteps   = 500
 )
 
 // verbs maps each step's first word to the least number of words of such a step.
@@ -235,8 +235,8 @@
 		s.Steps = append(s.Steps, Step{i + 1, w})
 	}
 	switch {
-	case s.Members > mostMembers || s.Runners > mostRunners || len(s.Steps) > mostSteps:
-		return nil, fmt.Errorf("%s: at most %d members, %d runners and %d steps", name, mostMembers, mostRunners, mostSteps)
+	case s.Members > maxMembers || s.Runners > maxRunners || len(s.Steps) > maxSteps:
+		return nil, fmt.Errorf("%s: at most %d members, %d runners and %d steps", name, maxMembers, maxRunners, maxSteps)
 	case s.Cold.share > 0 && s.Slots == 0:
 		return nil, fmt.Errorf("%s: cold requires slots", name)
 	case s.Zones > 8:
--- a/internal/testkit/lab/faults/settings.go
+++ b/internal/testkit/lab/faults/settings.go
@@ -87,5 +87,5 @@
 effect = "unsafe"
 wanted_within = "1s"
 give_up = "30s"
-`, cmp.Or(m.alias, m.name), m.clients, m.console, m.discovery, strings.Join(zones, ", "), f.zone(m.i), len(f.members), m.i, f.coldSettings, cluster, onceGiveUp)
+`, cmp.Or(m.alias, m.name), m.clientAddr, m.consoleAddr, m.discoveryAddr, strings.Join(zones, ", "), f.zone(m.i), len(f.members), m.i, f.coldSettings, cluster, onceGiveUp)
 }
--- a/internal/testkit/lab/faults/slots.go
+++ b/internal/testkit/lab/faults/slots.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// turnedAway returns how many jobs were rejected by full queues so far.
-func (s *runners) turnedAway() int {
+// rejectedJobs returns how many jobs were rejected by full queues so far.
+func (s *runners) rejectedJobs() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.queueFull
@@ -92,7 +92,7 @@
 func (r *scriptRun) others(m *member) (out []string) {
 	for _, o := range r.fleet.members {
 		if o != m {
-			out = append(out, o.clients)
+			out = append(out, o.clientAddr)
 		}
 	}
 	return out
@@ -102,7 +102,7 @@
 func (r *scriptRun) addresses() map[string]string {
 	out := map[string]string{}
 	for _, m := range r.fleet.members {
-		out[m.clients] = m.name
+		out[m.clientAddr] = m.name
 	}
 	return out
 }
@@ -157,8 +157,8 @@
 
 // nameOf returns the member at an address. The IDs of its jobs begin with its name.
 func (c *client) nameOf(addr string) string {
-	if c.names[addr] != "" {
-		return c.names[addr]
+	if c.memberNames[addr] != "" {
+		return c.memberNames[addr]
 	}
 	return c.member
 }
--- a/internal/testkit/lab/faults/soak/soak.go
+++ b/internal/testkit/lab/faults/soak/soak.go
@@ -15,9 +15,9 @@
 const (
 	members = 5
 	runners = 6
-	// mostRounds limits the orders with an unclear outcome, one a round: the check of the
+	// maxRounds limits the orders with an unclear outcome, one a round: the check of the
 	// history tries both outcomes of at most 10.
-	mostRounds = 8
+	maxRounds = 8
 	// maxLostRecorders is how many members may fail at once while keyed jobs are retried: the
 	// dispatcher that sent the job and one of the two that it informed.
 	maxLostRecorders = 2
@@ -62,7 +62,7 @@
 	d.addLine("await members %d at all", members)
 	d.addLine("await stage full at all")
 	d.addLine("load on")
-	for range min(max(rounds, 1), mostRounds) {
+	for range min(max(rounds, 1), maxRounds) {
 		d.writeRound()
 	}
 	return strings.Join(d.lines, "\n") + "\n"
--- a/internal/testkit/lab/faults/standins.go
+++ b/internal/testkit/lab/faults/standins.go
@@ -260,7 +260,7 @@
 
 // report sends a call-back to a member, with up to 5 attempts, as the real runners do.
 func (s *runners) report(member string, event map[string]any) {
-	text, _ := json.Marshal(event) // plain values
+	text, _ := json.Marshal(event) // plain values: Marshal does not fail
 	for range 5 {
 		ctx, cancel := context.WithDeadline(context.Background(), time.Now().Add(time.Second))
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+s.callbackAddr(member)+"/v1/job-events", bytes.NewReader(text))
--- a/internal/testkit/lab/faults/steps.go
+++ b/internal/testkit/lab/faults/steps.go
@@ -73,7 +73,7 @@
 		_, err := r.post(m, "/api/cluster/snapshot", "{}")
 		return err
 	case "cli":
-		out, err := r.fleet.program("cluster", w[2], "--console", m.console).CombinedOutput()
+		out, err := r.fleet.program("cluster", w[2], "--console", m.consoleAddr).CombinedOutput()
 		if err != nil {
 			return fmt.Errorf("%w: %s", err, out)
 		}
@@ -179,7 +179,7 @@
 
 // post calls a member's console. Any status but 200 is returned as a *callError.
 func (r *scriptRun) post(m *member, path, body string) (string, error) {
-	resp, err := r.fleet.http.Post("http://"+m.console+path, "application/json", strings.NewReader(body))
+	resp, err := r.fleet.http.Post("http://"+m.consoleAddr+path, "application/json", strings.NewReader(body))
 	if err != nil {
 		return "", err
 	}
@@ -260,7 +260,7 @@
 	r.jobs++
 	m, id := who[0], fmt.Sprintf("%s.%s-%d", who[0].name, w[1], r.jobs)
 	r.mu.Unlock()
-	c := &client{member: m.name, addr: m.clients, http: &http.Client{Transport: &http.Transport{}}}
+	c := &client{member: m.name, addr: m.clientAddr, http: &http.Client{Transport: &http.Transport{}}}
 	if w[0] == "job" {
 		r.sentAt[w[1]] = time.Now()
 		r.sending.Go(func() {
@@ -315,7 +315,7 @@
 			continue
 		}
 		if m.client == nil {
-			m.client = &client{tally: &tally{began: r.observer.began}, member: m.name, addr: m.clients, answers: map[int]int{}, every: 10 * time.Millisecond, names: r.addresses(), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
+			m.client = &client{tally: &tally{began: r.observer.began}, member: m.name, addr: m.clientAddr, answers: map[int]int{}, every: 10 * time.Millisecond, memberNames: r.addresses(), http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}}}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		m.stopClient, m.clientDone = cancel, make(chan struct{})
--- a/internal/testkit/lab/faults/watch.go
+++ b/internal/testkit/lab/faults/watch.go
@@ -32,7 +32,7 @@
 }
 
 // recordTargetChange records that discovery takes a runner out of service (away) or puts it back.
-func (w *observer) recordTargetChange(uid string, away bool, deaf func(int) bool) {
+func (w *observer) recordTargetChange(uid string, away bool, isStale func(int) bool) {
 	now := time.Since(w.began)
 	for _, d := range w.drains {
 		if d.uid == uid && !away {
@@ -43,8 +43,8 @@
 		return
 	}
 	d := &drain{uid: uid, from: now, until: 1 << 62, notInformed: map[int]bool{}}
-	for i := range mostMembers {
-		d.notInformed[i] = deaf(i)
+	for i := range maxMembers {
+		d.notInformed[i] = isStale(i)
 	}
 	w.drains = append(w.drains, d)
 }
@@ -248,7 +248,7 @@
 		}
 		for _, l := range m.client.late {
 			if l.exceedsPatience(m.stalls) {
-				r.failf("rule 1: job %s took %s", l.id, l.till.Sub(l.from).Round(time.Millisecond))
+				r.failf("rule 1: job %s took %s", l.id, l.until.Sub(l.from).Round(time.Millisecond))
 			}
 		}
 		r.logf("%s answered %v", m.name, m.client.answers)
