--- a/internal/testkit/lab/mutate/checks.go
+++ b/internal/testkit/lab/mutate/checks.go
@@ -17,8 +17,9 @@
 	memberFile    = "internal/control/member/member.go"
 )
 
-// Mutations take out the checks that the control plane's safety rests on, one each. They quote lines of the source:
-// whoever changes such a line changes its quotation too, as TestChecksApply asks.
+// Mutations lists one mutation for each check that the safety of the cluster scheduler depends on.
+// Each quotes the source text that it replaces, so a change of such a line has to update the
+// quotation as well; TestChecksApply fails otherwise.
 var Mutations = []Mutation{
 	{"a majority of the voters", viewFile, "return n/2 + 1", "return max(1, n/2)"},
 	{"the majority of the voters before a change", viewFile, "return hasMajority(v.GetVoters(), has) && (len(v.GetPrevious()) == 0 || hasMajority(v.GetPrevious(), has))",
--- a/internal/testkit/lab/mutate/mutate.go
+++ b/internal/testkit/lab/mutate/mutate.go
@@ -1,10 +1,11 @@
-// Package mutate tests the tests of the cluster scheduler's safety by mutation: it takes safety checks out of the source,
-// one at a time, and tells whether the package's tests, the simulated network or the explorer of schedules detects that the
-// check is missing. The programs have no switches for it: the mutation is made in a copy of the source file, which the compiler is given
-// in the file's place, so that no file of the repository changes.
+// Package mutate runs mutation tests of the cluster scheduler's safety checks. It removes one check
+// at a time from the source and reports whether the package's unit tests, the simulated network or
+// the schedule explorer detects that the check is missing. The programs have no switches for this:
+// the mutation is made in a copy of the source file, which the compiler reads in place of the
+// original (go build -overlay), so no file of the repository changes.
 //
-// The program frosttide-mutate runs all Mutations. The functions are safe for concurrent use; each run works in a folder
-// of its own. They need the repository's source and the Go tools.
+// The program frosttide-mutate runs all Mutations. The functions are safe for concurrent use, as
+// each run uses its own temporary directory. They need the repository's source and the Go tools.
 package mutate
 
 import (
@@ -19,15 +20,15 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mutation is a safety check and how it is taken out.
+// Mutation describes a safety check and the source edit that removes it.
 type Mutation struct {
-	Name        string // the check that is taken out
-	File        string // below the repository's root
-	Original    string // source text that occurs once in the file
-	Replacement string // what takes its place
+	Name        string // describes the check that is removed
+	File        string // path relative to the repository's root
+	Original    string // source text; must occur exactly once in the file
+	Replacement string // text that replaces Original
 }
 
-// Detector is who detects a mutation.
+// Detector names the test stage that detected a mutation.
 type Detector string
 
 // The detectors, in the order in which they are tried.
@@ -38,23 +39,24 @@
 	Undetected           Detector = "nothing"
 )
 
-// Result is what became of a mutation.
+// Result holds the outcome of one mutation.
 type Result struct {
 	Mutation Mutation
 	Detector Detector
-	Detail   string // the line in which the detector tells what broke; empty where nothing did
+	Detail   string // output line of the detector that reports the failure; empty if undetected
 	Duration time.Duration
 }
 
-// Bounds say how much is tried before a mutation counts as undetected.
+// Bounds limits the search before a mutation counts as undetected.
 type Bounds struct {
-	Seeds   int // of the simulated network
-	Singles int // the explorer tries every Singles-th single departure from the usual schedule
-	Pairs   int // and every Pairs-th pair of departures
+	Seeds   int // number of seeds run in the simulated network
+	Singles int // the explorer tries every Singles-th single deviation from the default schedule
+	Pairs   int // and every Pairs-th pair of deviations
 }
 
-// Run makes a mutation and tells who detects it. It returns an error where the mutation can't be made or built:
-// ErrOriginalNotUnique where its source text does not occur once.
+// Run applies a mutation and reports which detector finds it. root is the repository's root. It
+// returns an error if the mutation can't be applied or built, or if ctx ends: ErrOriginalNotUnique if
+// the source text does not occur exactly once.
 func Run(ctx context.Context, root string, m Mutation, b Bounds) (Result, error) {
 	started := time.Now()
 	result := Result{Mutation: m, Detector: Undetected}
@@ -86,8 +88,9 @@
 	return result, ctx.Err()
 }
 
-// runTests runs the tests of the package in which the check is missing, but for the explorer, and tells whether any
-// fails; the detail is its name. A package that can't be built detects nothing: the simulator's build says why.
+// runTests runs the tests of the mutated package, except the explorer, and reports whether any fails;
+// detail is the name of the failed test. A package that doesn't build counts as undetected, because
+// the build of the simulator that follows reports the compile error.
 func runTests(ctx context.Context, root, overlay string, m Mutation) (detail string, detected bool) {
 	test := exec.CommandContext(ctx, "go", "test", "-overlay", overlay, "-count=1", "-failfast", "-skip", "^TestExplore", "-timeout", "10m", "./"+filepath.Dir(m.File))
 	test.Dir = root
@@ -98,7 +101,7 @@
 	return firstLine(out, "--- FAIL: "), true
 }
 
-// simulate runs a simulator and tells whether it detects anything.
+// simulate runs the simulator binary and reports whether any seed fails.
 func simulate(ctx context.Context, simulator string, b Bounds) (detail string, detected bool) {
 	out, err := exec.CommandContext(ctx, simulator, "-count", fmt.Sprint(b.Seeds), "-stop").CombinedOutput()
 	if err == nil {
@@ -107,7 +110,7 @@
 	return firstLine(out, "seed "), true
 }
 
-// explore runs the explorer of schedules and tells whether it detects anything.
+// explore runs the schedule explorer and reports whether any schedule fails.
 func explore(ctx context.Context, root, overlay string, b Bounds) (detail string, detected bool) {
 	test := exec.CommandContext(ctx, "go", "test", "-overlay", overlay, "-run", "^TestExplore$", "-timeout", "20m", "./internal/control/replica",
 		"-explore.singles", fmt.Sprint(b.Singles), "-explore.workers", "8", "-explore.pairs", fmt.Sprint(b.Pairs))
@@ -119,7 +122,8 @@
 	return firstLine(out, "step "), true
 }
 
-// firstLine returns the first line of an output that holds a text, from that text on.
+// firstLine returns the first line of out that contains text, starting at text, or "" if there is
+// none.
 func firstLine(out []byte, text string) string {
 	for line := range strings.Lines(string(out)) {
 		if at := strings.Index(line, text); at >= 0 {
--- a/internal/testkit/lab/mutate/mutate_test.go
+++ b/internal/testkit/lab/mutate/mutate_test.go
@@ -6,7 +6,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestChecksApply has each mutation still be possible in the source as it is, under a name of its own.
+// TestChecksApply guards against mutations that no longer match the source, and against duplicate
+// names.
 func TestChecksApply(t *testing.T) {
 	names := make(map[string]bool)
 	for _, m := range Mutations {
@@ -17,7 +18,8 @@
 	require.GreaterOrEqual(t, len(Mutations), 20)
 }
 
-// TestTextThatIsNotThere has a mutation whose text has changed meanwhile told by its error.
-func TestTextThatIsNotThere(t *testing.T) {
+// TestOriginalNotFound guards against a mutation whose source text has changed since: Validate has to
+// return ErrOriginalNotUnique.
+func TestOriginalNotFound(t *testing.T) {
 	require.ErrorIs(t, Validate("../../../..", Mutation{Name: "none", File: viewFile, Original: "no such text"}), ErrOriginalNotUnique)
 }
--- a/internal/testkit/lab/mutate/overlay.go
+++ b/internal/testkit/lab/mutate/overlay.go
@@ -9,10 +9,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOriginalNotUnique is returned where a mutation's source text does not occur just once in its file.
+// ErrOriginalNotUnique is returned if the Original text of a mutation does not occur exactly once in
+// its file.
 var ErrOriginalNotUnique = errors.New("mutate: the text to be replaced does not occur once in its file")
 
-// Validate tells whether a mutation can be made in the source as it is.
+// Validate checks that a mutation can be applied to the current source below root. It returns
+// ErrOriginalNotUnique if the Original text does not occur exactly once, or the error of reading the
+// file.
 func Validate(root string, m Mutation) error {
 	dir, err := os.MkdirTemp("", "mutate-")
 	if err != nil {
@@ -23,7 +26,8 @@
 	return err
 }
 
-// writeOverlay writes the mutated copy of a file, and returns the path of the list that the compiler's -overlay takes.
+// writeOverlay writes the mutated copy of the file to dir, and returns the path of the JSON file for
+// the compiler's -overlay flag.
 func writeOverlay(root, dir string, m Mutation) (string, error) {
 	source := filepath.Join(root, m.File)
 	text, err := os.ReadFile(source)
