--- a/internal/testkit/lab/mutate/mutate.go
+++ b/internal/testkit/lab/mutate/mutate.go
@@ -55,8 +55,8 @@
 }
 
 // Run applies a mutation and reports which detector finds it. root is the repository's root. It
-// returns an error if the mutation can't be applied or built, or if ctx ends: ErrOriginalNotUnique if
-// the source text does not occur exactly once.
+// returns an error if the mutation can't be applied or built, or if ctx ends: ErrOriginalNotUnique
+// if the source text does not occur exactly once.
 func Run(ctx context.Context, root string, m Mutation, b Bounds) (Result, error) {
 	started := time.Now()
 	result := Result{Mutation: m, Detector: Undetected}
@@ -88,9 +88,9 @@
 	return result, ctx.Err()
 }
 
-// runTests runs the tests of the mutated package, except the explorer, and reports whether any fails;
-// detail is the name of the failed test. A package that doesn't build counts as undetected, because
-// the build of the simulator that follows reports the compile error.
+// runTests runs the tests of the mutated package, except the explorer, and reports whether any
+// fails; detail is the name of the failed test. A package that doesn't build counts as undetected,
+// because the build of the simulator that follows reports the compile error.
 func runTests(ctx context.Context, root, overlay string, m Mutation) (detail string, detected bool) {
 	test := exec.CommandContext(ctx, "go", "test", "-overlay", overlay, "-count=1", "-failfast", "-skip", "^TestExplore", "-timeout", "10m", "./"+filepath.Dir(m.File))
 	test.Dir = root
--- a/internal/testkit/lab/mutate/mutate_test.go
+++ b/internal/testkit/lab/mutate/mutate_test.go
@@ -18,8 +18,8 @@
 	require.GreaterOrEqual(t, len(Mutations), 20)
 }
 
-// TestOriginalNotFound guards against a mutation whose source text has changed since: Validate has to
-// return ErrOriginalNotUnique.
+// TestOriginalNotFound guards against a mutation whose source text has changed since: Validate has
+// to return ErrOriginalNotUnique.
 func TestOriginalNotFound(t *testing.T) {
 	require.ErrorIs(t, Validate("../../../..", Mutation{Name: "none", File: viewFile, Original: "no such text"}), ErrOriginalNotUnique)
 }
--- a/internal/testkit/lab/mutate/overlay.go
+++ b/internal/testkit/lab/mutate/overlay.go
@@ -9,13 +9,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrOriginalNotUnique is returned if the Original text of a mutation does not occur exactly once in
-// its file.
+// ErrOriginalNotUnique is returned if the Original text of a mutation does not occur exactly once
+// in its file.
 var ErrOriginalNotUnique = errors.New("mutate: the text to be replaced does not occur once in its file")
 
 // Validate checks that a mutation can be applied to the current source below root. It returns
-// ErrOriginalNotUnique if the Original text does not occur exactly once, or the error of reading the
-// file.
+// ErrOriginalNotUnique if the Original text does not occur exactly once, or the error of reading
+// the file.
 func Validate(root string, m Mutation) error {
 	dir, err := os.MkdirTemp("", "mutate-")
 	if err != nil {
@@ -26,8 +26,8 @@
 	return err
 }
 
-// writeOverlay writes the mutated copy of the file to dir, and returns the path of the JSON file for
-// the compiler's -overlay flag.
+// writeOverlay writes the mutated copy of the file to dir, and returns the path of the JSON file
+// for the compiler's -overlay flag.
 func writeOverlay(root, dir string, m Mutation) (string, error) {
 	source := filepath.Join(root, m.File)
 	text, err := os.ReadFile(source)
