--- a/internal/testkit/lab/load.go
+++ b/internal/testkit/lab/load.go
@@ -1,5 +1,6 @@
-// Package lab measures the real program on loopback: it starts it as a process, puts
-// load on it, reads what it used, and compares runs in pairs.
+// Package lab measures the real program on loopback: it starts the program as a process, generates
+// load, reads the process's resource usage from /proc, and has the statistics for paired
+// comparisons of runs.
 package lab
 
 import (
@@ -17,35 +18,39 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Load is an open loop: jobs are sent at their times whatever becomes of those before.
+// Load is an open-loop load generator: it sends each job at its scheduled time, whether or not
+// earlier jobs have been answered.
 type Load struct {
-	Addr    string
-	Class   string
-	Rate    float64       // jobs a second, at times drawn by the seed
-	For     time.Duration // counted
-	Warm    time.Duration // before that, not counted
-	Patient time.Duration // of each client
+	Addr    string        // host and port of the dispatcher
+	Class   string        // job class
+	Rate    float64       // jobs per second on average, with exponential gaps drawn from Seed
+	For     time.Duration // length of the measured phase
+	Warm    time.Duration // length of the phase before it, whose jobs are not counted
+	Patient time.Duration // deadline of each job, from when it is sent
 	Seed    uint64
-	Most    int    // jobs under way; a further one counts as not sent
-	Name    string // ids begin with it and a dot; empty for none
-	Keyed   bool   // each job has a key of its own
+	Most    int    // maximum number of jobs in flight; a job above it counts as not sent
+	Name    string // prefix of job IDs, followed by a dot; empty for none
+	Keyed   bool   // sends each job with its own idempotency key
 }
 
-// Result is what became of a load.
+// Result holds the outcome of a load. Jobs of the warm-up phase are not counted.
 type Result struct {
+	// Refused counts answers with status 503; Failed counts all other answers but 200, and jobs
+	// without an answer.
 	Sent, Served, Refused, Failed, NotSent int64
-	Times                                  *hdrhistogram.Histogram // of those served, in microseconds
+	Times                                  *hdrhistogram.Histogram // of served jobs, in microseconds
 }
 
-// Service returns the share of jobs that were served.
+// Service returns the fraction of jobs that were served, counting those not sent as unserved.
 func (r *Result) Service() float64 { return float64(r.Served) / float64(max(r.Sent+r.NotSent, 1)) }
 
-// Quantile returns a quantile of the times of those served, from 0 to 100.
+// Quantile returns the response time of served jobs at the percentile q, from 0 to 100.
 func (r *Result) Quantile(q float64) time.Duration {
 	return time.Duration(r.Times.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Run puts the load on a dispatcher. It ends at its time, or with the context.
+// Run sends the load to the dispatcher. It returns after Warm and For, or when ctx ends, and waits
+// for the jobs in flight.
 func (l Load) Run(ctx context.Context) *Result {
 	r := &Result{Times: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 4)}
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: l.Most,
@@ -53,13 +58,13 @@
 	defer client.CloseIdleConnections()
 	var mu sync.Mutex // guards the histogram
 	var jobs sync.WaitGroup
-	var under atomic.Int64
+	var inFlight atomic.Int64
 	rng := rand.New(rand.NewPCG(l.Seed, 1))
-	began := time.Now()
-	at := began
+	startedAt := time.Now()
+	at := startedAt
 	for i := 0; ; i++ {
 		at = at.Add(time.Duration(rng.ExpFloat64() / l.Rate * float64(time.Second)))
-		if at.After(began.Add(l.Warm + l.For)) {
+		if at.After(startedAt.Add(l.Warm + l.For)) {
 			break
 		}
 		next := time.NewTimer(time.Until(at))
@@ -70,10 +75,10 @@
 			jobs.Wait()
 			return r
 		}
-		counts := at.After(began.Add(l.Warm))
-		if under.Add(1) > int64(l.Most) {
-			under.Add(-1)
-			if counts {
+		measured := at.After(startedAt.Add(l.Warm))
+		if inFlight.Add(1) > int64(l.Most) {
+			inFlight.Add(-1)
+			if measured {
 				atomic.AddInt64(&r.NotSent, 1)
 			}
 			continue
@@ -83,11 +88,11 @@
 			id = l.Name + "." + id
 		}
 		jobs.Go(func() {
-			defer under.Add(-1)
-			sent := time.Now()
-			status := l.job(ctx, client, id)
-			took := time.Since(sent)
-			if !counts {
+			defer inFlight.Add(-1)
+			sentAt := time.Now()
+			status := l.send(ctx, client, id)
+			took := time.Since(sentAt)
+			if !measured {
 				return
 			}
 			atomic.AddInt64(&r.Sent, 1)
@@ -95,7 +100,7 @@
 			case http.StatusOK:
 				atomic.AddInt64(&r.Served, 1)
 				mu.Lock()
-				_ = r.Times.RecordValue(max(took.Microseconds(), 1)) // the client's patience is within its range
+				_ = r.Times.RecordValue(max(took.Microseconds(), 1)) // Patient is within the range
 				mu.Unlock()
 			case http.StatusServiceUnavailable:
 				atomic.AddInt64(&r.Refused, 1)
@@ -108,15 +113,16 @@
 	return r
 }
 
-// Client returns what sends one job after the other and returns the statuses of their
-// answers, and what ends it.
-func (l Load) Client() (submit func(id string) int, end func()) {
+// Client returns a function that sends one job over a shared HTTP client and returns the status of
+// the response, 0 if there is none, and a function that closes the client's idle connections.
+func (l Load) Client() (submit func(id string) int, closeIdle func()) {
 	client := &http.Client{Transport: &http.Transport{}}
-	return func(id string) int { return l.job(context.Background(), client, id) }, client.CloseIdleConnections
+	return func(id string) int { return l.send(context.Background(), client, id) }, client.CloseIdleConnections
 }
 
-// job sends one job and returns the status of its answer, 0 for none.
-func (l Load) job(ctx context.Context, client *http.Client, id string) int {
+// send sends one job and returns the status of the response, 0 if there is none or its body could
+// not be read.
+func (l Load) send(ctx context.Context, client *http.Client, id string) int {
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(l.Patient))
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Addr+"/"+l.Class+"/clip", strings.NewReader("frames"))
--- a/internal/testkit/lab/process.go
+++ b/internal/testkit/lab/process.go
@@ -13,13 +13,14 @@
 	"time"
 )
 
-// Process is a program under test.
+// Process is a running program under test. Its stderr is kept in memory.
 type Process struct {
 	cmd *exec.Cmd
 	log bytes.Buffer
 }
 
-// Start starts a program with an environment of its own.
+// Start starts a program with the given arguments. env is its whole environment; nil means the
+// environment of this process.
 func Start(binary string, args, env []string) (*Process, error) {
 	p := &Process{cmd: exec.Command(binary, args...)}
 	p.cmd.Env, p.cmd.Stderr = env, &p.log
@@ -29,10 +30,11 @@
 	return p, nil
 }
 
-// Await waits until a health check answers 200, at most until the deadline.
-func (p *Process) Await(url string, by time.Time) error {
+// Await polls a health check until it returns status 200. It returns an error if the deadline
+// passes first.
+func (p *Process) Await(url string, deadline time.Time) error {
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
-	for time.Now().Before(by) {
+	for time.Now().Before(deadline) {
 		resp, err := client.Get(url)
 		if err == nil {
 			resp.Body.Close()
@@ -40,24 +42,25 @@
 				return nil
 			}
 		}
-		time.Sleep(5 * time.Millisecond) // between two looks
+		time.Sleep(5 * time.Millisecond) // poll interval
 	}
-	return errors.New("the program did not come up")
+	return errors.New("the program did not become healthy before the deadline")
 }
 
-// Memory returns the resident memory now, in KiB. Source: proc(5).
+// Memory returns the current resident memory in KiB: VmRSS of proc(5).
 func (p *Process) Memory() (int64, error) { return p.status("VmRSS:") }
 
-// CPU returns the processor time so far, of the threads that there are: the runtime ends
-// none. Source: the kernel's sched-stats, the first figure of schedstat in nanoseconds;
-// the hundredths of a second of proc(5) are too rough for a run of seconds.
+// CPU returns the CPU time used so far by the process's existing threads; the Go runtime ends no
+// threads, so none is missed. It reads the first field of schedstat (sched-stats in the kernel's
+// documentation), in nanoseconds: the hundredths of a second of proc(5) are too coarse for a run of
+// seconds.
 func (p *Process) CPU() (total time.Duration, err error) { return CPU(p.cmd.Process.Pid) }
 
-// CPU is that of any process.
+// CPU returns the CPU time used so far by the existing threads of any process, as Process.CPU does.
 func CPU(pid int) (total time.Duration, err error) {
 	threads, err := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid))
 	if err != nil || len(threads) == 0 {
-		return 0, errors.Join(err, errors.New("no threads"))
+		return 0, errors.Join(err, errors.New("the process has no readable threads"))
 	}
 	for _, path := range threads {
 		text, err := os.ReadFile(path)
@@ -73,18 +76,18 @@
 	return total, nil
 }
 
-// Kill ends the program at once and returns its log.
+// Kill kills the program, waits for its end and returns what it wrote to stderr.
 func (p *Process) Kill() string {
-	_ = p.cmd.Process.Kill() // it may have ended
-	_ = p.cmd.Wait()         // by the signal
+	_ = p.cmd.Process.Kill() // it may have ended already
+	_ = p.cmd.Wait()         // reports the signal
 	return p.log.String()
 }
 
-// Peak returns the most memory that was resident, in KiB. Source: proc(5).
+// Peak returns the peak resident memory in KiB: VmHWM of proc(5).
 func (p *Process) Peak() (int64, error) { return p.status("VmHWM:") }
 
-// Written returns the bytes that the program has written to streams and files, and those that went
-// to a disk. Source: proc(5).
+// Written returns the bytes that the program has passed to write calls, and those that it caused to
+// be sent to storage: wchar and write_bytes of proc(5).
 func (p *Process) Written() (all, disk int64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/io", p.cmd.Process.Pid))
 	if err != nil {
@@ -102,7 +105,7 @@
 	return all, disk, nil
 }
 
-// Descriptors returns how many descriptors are open; 0 once the process has ended.
+// Descriptors returns the number of open file descriptors; 0 once the process has ended.
 func (p *Process) Descriptors() int {
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil {
@@ -111,7 +114,7 @@
 	return len(open)
 }
 
-// status returns a figure of the process's status. Source: proc(5).
+// status returns the value of a field of /proc/PID/status; name includes the colon.
 func (p *Process) status(name string) (int64, error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
@@ -122,5 +125,5 @@
 			return strconv.ParseInt(strings.Fields(rest)[0], 10, 64)
 		}
 	}
-	return 0, fmt.Errorf("the process's status has no %s", name)
+	return 0, fmt.Errorf("the process's status has no field %s", name)
 }
--- a/internal/testkit/lab/rules/rules.go
+++ b/internal/testkit/lab/rules/rules.go
@@ -38,8 +38,8 @@
 type Config struct {
 	Classes  map[string]Class // by name
 	Slack    time.Duration    // tolerance of an answer after the job's deadline
-	Grace    time.Duration    // how long after the dispatcher was notified a draining runner may get work
-	Multiple float64          // work that a warming-up runner may be sent, as a multiple of its capacity
+	Grace    time.Duration    // time from a drain's notification in which work is allowed
+	Multiple float64          // work allowed for a warming-up runner, in times its capacity
 	Window   time.Duration    // sliding window in which that work is summed
 }
 
@@ -64,7 +64,7 @@
 	drains     map[string]time.Time  // by runner: when the dispatcher was notified
 	cold       map[string]warmUp     // by runner
 	sent       map[string][]sentWork // by runner that warms up: work within the last Config.Window
-	violations []string              // violations
+	violations []string
 	answers    [Lost + 1]int
 	sends      int
 }
