--- a/internal/testkit/lab/simulatedmembers/simulatedmembers.go
+++ b/internal/testkit/lab/simulatedmembers/simulatedmembers.go
@@ -1,6 +1,6 @@
-// Package simulatedmembers plays members of a cluster that have no dispatcher: many in one process, each the
-// program's own membership (package cluster) with sockets of its own on loopback. What a dispatcher
-// would be told they note.
+// Package simulatedmembers runs cluster members without a dispatcher, many in one process. Each
+// runs the real membership protocol (package cluster) on its own loopback address, and records the
+// exclusions that a dispatcher would be notified of.
 package simulatedmembers
 
 import (
@@ -17,62 +17,63 @@
 	"frosttide/internal/dispatcher/fleet/cluster"
 )
 
-// Most is how many members a fleet may have.
+// Most is the maximum number of members of a fleet.
 const Most = 1000
 
-// Config says which members there are.
+// Config describes the members of a fleet.
 type Config struct {
-	Count   int
-	Network int      // second number of their addresses: 127.Network.x.y
-	Voters  []string // names of members that keep the log; Name gives those of hollow ones
-	Dir     string   // a folder for the logs of hollow voters
-	Join    []string // addresses of members elsewhere
+	Count   int      // 1 to Most
+	Network int      // second byte of their addresses: 127.Network.x.y
+	Voters  []string // names of the members that vote and store the log; Name returns simulated ones
+	Dir     string   // parent directory of the logs of simulated voters
+	Join    []string // addresses of members outside the fleet
 }
 
-// Name returns the name of a hollow member by its number from 0.
+// Name returns the name of simulated member i, counted from 0.
 func Name(i int) string { return fmt.Sprintf("m%03d", i) }
 
-// addr returns the address of a member.
+// addr returns the host and port of member i.
 func (c Config) addr(i int) string {
 	return fmt.Sprintf("127.%d.%d.%d:7946", c.Network, i/200, i%200+1)
 }
 
-// Addrs returns the addresses of members, up to a number of them.
-func (c Config) Addrs(most int) (out []string) {
-	for i := range min(most, c.Count) {
+// Addrs returns the addresses of the first members, at most limit.
+func (c Config) Addrs(limit int) (out []string) {
+	for i := range min(limit, c.Count) {
 		out = append(out, c.addr(i))
 	}
 	return out
 }
 
-// Fleet is the members. Its owner closes it.
+// Fleet is a set of simulated members. The caller of Open has to call Close. Its methods are safe
+// for concurrent use.
 type Fleet struct {
 	cfg Config
 	log *logrus.Entry
 
 	mu      sync.Mutex
-	members []*Member // nil for one that is closed
+	members []*Member // nil for closed ones
 }
 
-// Member is one of them.
+// Member is a simulated member of the cluster.
 type Member struct {
 	*cluster.Cluster
 	Name   string
 	closed chan struct{}
 
-	mu   sync.Mutex
-	out  map[string]bool // what operators leave out, as far as it was told
-	news chan struct{}   // closed at each word
+	mu       sync.Mutex
+	excluded map[string]bool // UIDs of the excluded runners that this member knows of
+	changed  chan struct{}   // closed and replaced at each change of excluded
 }
 
-// Open opens all members.
+// Open starts all members. If one fails to start, it closes the others and returns the error.
 func Open(c Config) (*Fleet, error) {
 	if c.Count < 1 || c.Count > Most {
 		return nil, fmt.Errorf("members: %d, want 1 to %d", c.Count, Most)
 	}
-	quiet := logrus.New()
-	quiet.SetOutput(io.Discard)
-	f := &Fleet{cfg: c, log: logrus.NewEntry(quiet), members: make([]*Member, c.Count)}
+	discard := logrus.New()
+	discard.SetOutput(io.Discard)
+	f := &Fleet{cfg: c, log: logrus.NewEntry(discard), members: make([]*Member, c.Count)}
 	for i := range c.Count {
 		if err := f.Start(i); err != nil {
 			f.Close()
@@ -82,24 +83,24 @@
 	return f, nil
 }
 
-// Start opens a member, anew if it was closed.
+// Start starts member i, or restarts it after Stop.
 func (f *Fleet) Start(i int) error {
 	name := Name(i)
-	m := &Member{Name: name, closed: make(chan struct{}), out: map[string]bool{}, news: make(chan struct{})}
+	m := &Member{Name: name, closed: make(chan struct{}), excluded: map[string]bool{}, changed: make(chan struct{})}
 	cfg := cluster.Config{Name: name, Site: "a", Listen: f.cfg.addr(i), Voters: f.cfg.Voters, Source: "one", Join: f.cfg.Join}
 	for _, v := range f.cfg.Voters {
 		if v == name {
 			cfg.Dir = filepath.Join(f.cfg.Dir, name)
 		}
 	}
-	for _, j := range []int{0, i/2 - 1} { // a few to meet, not the same for all
+	for _, j := range []int{0, i/2 - 1} { // a few contacts that differ between members
 		if j >= 0 && j != i {
 			cfg.Join = append(cfg.Join, f.cfg.addr(j))
 		}
 	}
 	var err error
 	if m.Cluster, err = cluster.Open(cfg, m, f.log); err != nil {
-		return fmt.Errorf("hollow member %s: %w", name, err)
+		return fmt.Errorf("simulated member %s: %w", name, err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -107,35 +108,36 @@
 	return nil
 }
 
-// Stop closes a member, with a farewell or as a machine that is gone.
-func (f *Fleet) Stop(i int, farewell bool) {
+// Stop closes member i. With leave, it announces its departure; otherwise it disappears like a
+// machine that has failed. It does nothing if the member is closed.
+func (f *Fleet) Stop(i int, leave bool) {
 	f.mu.Lock()
 	m := f.members[i]
 	f.members[i] = nil
 	f.mu.Unlock()
 	if m != nil {
 		close(m.closed)
-		m.Close(farewell)
+		m.Close(leave)
 	}
 }
 
-// Close closes all members at once.
+// Close closes all members concurrently, without announcing their departure.
 func (f *Fleet) Close() {
-	var all sync.WaitGroup
+	var stops sync.WaitGroup
 	for i := range f.members {
-		all.Go(func() { f.Stop(i, false) })
+		stops.Go(func() { f.Stop(i, false) })
 	}
-	all.Wait()
+	stops.Wait()
 }
 
-// Member returns a member, nil for one that is closed.
+// Member returns member i, nil if it is closed.
 func (f *Fleet) Member(i int) *Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.members[i]
 }
 
-// Members returns those that are open.
+// Members returns the members that are not closed.
 func (f *Fleet) Members() (out []*Member) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -147,56 +149,59 @@
 	return out
 }
 
-// Exclude notes what operators have said.
-func (m *Member) Exclude(uid string, out bool, _ time.Time) {
+// Exclude is called by the cluster; it records that a runner is excluded, or no longer so, by
+// operators.
+func (m *Member) Exclude(uid string, exclude bool, _ time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if out {
-		m.out[uid] = true
+	if exclude {
+		m.excluded[uid] = true
 	} else {
-		delete(m.out, uid)
+		delete(m.excluded, uid)
 	}
-	close(m.news)
-	m.news = make(chan struct{})
+	close(m.changed)
+	m.changed = make(chan struct{})
 }
 
-// ApplyRunners is not used here.
+// ApplyRunners ignores the runners of other members, as there is no dispatcher to use them.
 func (m *Member) ApplyRunners(string, uint64, [][]byte) {}
 
-// ApplyHealth is not used here.
+// ApplyHealth ignores health reports, as there is no dispatcher to use them.
 func (m *Member) ApplyHealth(string, []byte) {}
 
-// ApplyGang is not used here.
+// ApplyGang ignores facts about gang jobs, as there is no dispatcher to use them.
 func (m *Member) ApplyGang([]byte) {}
 
-var errLate = errors.New("not told in time")
+var errTimeout = errors.New("timed out waiting for the exclusion state")
 
-// ErrClosed tells that a member was closed meanwhile.
+// ErrClosed is returned by Await if the member is closed while it waits.
 var ErrClosed = errors.New("the member is closed")
 
-// Await waits until the member leaves a runner out, or no longer does, or is closed.
-func (m *Member) Await(uid string, out bool, by time.Time) error {
-	late := time.NewTimer(time.Until(by))
-	defer late.Stop()
+// Await waits until the member knows the runner to be excluded, or not excluded. It returns
+// ErrClosed if the member is closed first, and another error if the deadline passes.
+func (m *Member) Await(uid string, excluded bool, deadline time.Time) error {
+	timeout := time.NewTimer(time.Until(deadline))
+	defer timeout.Stop()
 	for {
 		m.mu.Lock()
-		is, news := m.out[uid], m.news
+		current, changed := m.excluded[uid], m.changed
 		m.mu.Unlock()
-		if is == out {
+		if current == excluded {
 			return nil
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-m.closed:
 			return ErrClosed
-		case <-late.C:
-			return fmt.Errorf("%s: %w", m.Name, errLate)
+		case <-timeout.C:
+			return fmt.Errorf("%s: %w", m.Name, errTimeout)
 		}
 	}
 }
 
-// UntilAlive waits until each member sees so many alive.
-func (f *Fleet) UntilAlive(n int, by time.Time) error {
+// UntilAlive waits until every open member sees at least n members alive. It returns an error if
+// the deadline passes first.
+func (f *Fleet) UntilAlive(n int, deadline time.Time) error {
 	for {
 		least := n
 		for _, m := range f.Members() {
@@ -205,28 +210,29 @@
 		switch {
 		case least >= n:
 			return nil
-		case time.Now().After(by):
-			return fmt.Errorf("a member sees %d of %d", least, n)
+		case time.Now().After(deadline):
+			return fmt.Errorf("a member sees %d of %d members alive", least, n)
 		}
 		<-time.After(10 * time.Millisecond)
 	}
 }
 
-// writeTime bounds a write where its context has no deadline.
-const writeTime = 2 * time.Second
+// writeTimeout limits a write whose context has no deadline.
+const writeTimeout = 2 * time.Second
 
-// Write has an operator at a member, by turns, leave a runner out or put it back, and returns once that
-// is agreed on and in force there.
-func (f *Fleet) Write(ctx context.Context, turn int, uid string, out bool) error {
+// Write has an operator exclude or readmit a runner, at the open member number turn modulo their
+// count. It returns nil once the change is committed and in effect at that member. After an error,
+// also of a missed deadline, the change may still take effect.
+func (f *Fleet) Write(ctx context.Context, turn int, uid string, exclude bool) error {
 	open := f.Members()
 	if len(open) == 0 {
 		return errors.New("no member is open")
 	}
-	by, ok := ctx.Deadline()
+	deadline, ok := ctx.Deadline()
 	if !ok {
-		by = time.Now().Add(writeTime)
+		deadline = time.Now().Add(writeTimeout)
 	}
 	done := make(chan error, 1)
-	open[turn%len(open)].Cluster.Exclude(cluster.Order{Runner: uid, Out: out}, by, func(err error) { done <- err })
+	open[turn%len(open)].Cluster.Exclude(cluster.Order{Runner: uid, Out: exclude}, deadline, func(err error) { done <- err })
 	return <-done
 }
