--- a/internal/testkit/lab/outage/host.go
+++ b/internal/testkit/lab/outage/host.go
@@ -7,52 +7,53 @@
 	"frosttide/internal/dispatcher/rosterpolicy"
 )
 
-// host is a dispatcher: the real module, and the real book where the list is weighed.
-type host struct {
-	sim     *sim
-	number  int
-	module  *decision.Dispatcher
-	book    *rosterpolicy.StateTable
-	running bool
-	began   time.Duration
-	lastID  decision.RequestID
-	jobs    map[decision.RequestID]*asked
-	asking  int
-	wakeAt  time.Duration
-}
-
-// asked is a client's job.
-type asked struct {
-	work float64
-	came time.Duration
-}
-
-// Of the settings that no installation differs in much.
+// dispatcher is a simulated dispatcher: the real decision module and, in mode Trusted, the real
+// roster policy.
+type dispatcher struct {
+	sim       *sim
+	number    int
+	module    *decision.Dispatcher
+	policy    *rosterpolicy.StateTable // nil in other modes, and once the roster has answered
+	running   bool
+	startedAt time.Duration
+	lastID    decision.RequestID
+	jobs      map[decision.RequestID]*clientJob
+	probing   int           // probes in flight
+	wakeAt    time.Duration // next scheduled call of probeRunners
+}
+
+// clientJob is a job that a client has submitted and that is not closed.
+type clientJob struct {
+	work      float64 // seconds of one core
+	arrivedAt time.Duration
+}
+
+// Settings that differ little between installations.
 const (
-	giveUp    = 5 * time.Second
-	objective = time.Second
-	fresh     = 2 * time.Minute
-	places    = 12
-	askRate   = 100
+	clientTimeout = 5 * time.Second
+	objective     = time.Second
+	freshAge      = 2 * time.Minute
+	maxProbes     = 12
+	probeRate     = 100
 )
 
-func newHost(s *sim, number int) *host {
+func newDispatcher(s *sim, number int) *dispatcher {
 	cfg := decision.Config{Instance: number, Instances: s.set.Dispatchers, Zone: number % 3, Zones: 3, PullMembers: true, StartEvents: true,
-		Classes: []decision.Class{{Objective: objective, ClientTimeout: giveUp, Value: 1, WorkerKind: -1, MeanRunTime: s.set.Run}},
+		Classes: []decision.Class{{Objective: objective, ClientTimeout: clientTimeout, Value: 1, WorkerKind: -1, MeanRunTime: s.set.Run}},
 		Limits:  decision.Limits{MaxAttempts: 4, CancelAllowed: true, RetryAfter: true, MaxRetryAfter: 2 * time.Second, ConnectTimeout: 250 * time.Millisecond},
-		Rules: decision.Rules{DrainGrace: 500 * time.Millisecond, InitialCapacity: warmingUpSince, WarmUp: warmUp, OverloadMultiple: multiple,
+		Rules: decision.Rules{DrainGrace: 500 * time.Millisecond, InitialCapacity: initialShare, WarmUp: warmUp, OverloadMultiple: multiple,
 			OverloadWindow: window, MaxRefreshInterval: 10 * time.Second}}
 	module, err := decision.New(cfg, s.rng.Uint64())
 	if err != nil {
 		panic(err) // the settings above are constant
 	}
-	return &host{sim: s, number: number, module: module, jobs: map[decision.RequestID]*asked{}}
+	return &dispatcher{sim: s, number: number, module: module, jobs: map[decision.RequestID]*clientJob{}}
 }
 
-// start begins as the mode says.
-func (h *host) start() {
+// start starts the dispatcher with the runners that its mode takes from the stored list.
+func (h *dispatcher) start() {
 	s := h.sim
-	h.running, h.began = true, s.now
+	h.running, h.startedAt = true, s.now
 	switch s.set.Mode {
 	case Nothing:
 		h.step(decision.Event{Type: decision.MembersReplaced})
@@ -61,69 +62,71 @@
 	case Trusted:
 		var stored []rosterpolicy.Stored
 		for _, r := range s.runners {
-			stored = append(stored, rosterpolicy.Stored{UID: r.uid, Addr: r.uid, Zone: zones[r.zone], Confirmed: s.now - 10*time.Minute, Barred: r.drains})
+			stored = append(stored, rosterpolicy.Stored{UID: r.uid, Addr: r.uid, Zone: zones[r.zone], Confirmed: s.now - 10*time.Minute, Barred: r.draining})
 		}
-		h.book = rosterpolicy.New(rosterpolicy.Config{Fresh: fresh, Old: time.Hour, Max: 24 * time.Hour, Zone: zones[h.number%3], ProbeRate: askRate, Number: h.number,
+		h.policy = rosterpolicy.New(rosterpolicy.Config{Fresh: freshAge, Old: time.Hour, Max: 24 * time.Hour, Zone: zones[h.number%3], ProbeRate: probeRate, Number: h.number,
 			Dispatchers: s.set.Dispatchers, Outage: 5 * time.Second, MaxMissing: 0.5, DoubtTimeout: 30 * time.Second, WarmUp: warmUp}, s.now, stored, s.rng.Uint64())
 		h.step(decision.Event{Type: decision.MembersReplaced})
-		h.look()
+		h.probeRunners()
 	}
 }
 
 var zones = []string{"a", "b", "c"}
 
-// number of a runner at the module, from 1.
-func id(i int) decision.WorkerID { return decision.WorkerID(i + 1) }
+// workerID returns the decision module's ID of runner i; IDs start at 1.
+func workerID(i int) decision.WorkerID { return decision.WorkerID(i + 1) }
 
-// members returns the entries of runners, as a list that knows their starts (boots not 0)
-// or not.
-func (h *host) members(which func(*runner) bool, boots time.Duration) []decision.Member {
+// members returns the member list of the selected runners. It includes their start times if
+// startTimes is not 0.
+func (h *dispatcher) members(which func(*runner) bool, startTimes time.Duration) []decision.Member {
 	var out []decision.Member
 	for i, r := range h.sim.runners {
 		if !which(r) {
 			continue
 		}
-		m := decision.Member{Worker: id(i), Zone: r.zone}
-		if r.drains {
+		m := decision.Member{Worker: workerID(i), Zone: r.zone}
+		if r.draining {
 			m.State = decision.Draining
 		}
-		if boots != 0 {
-			m.StartedAt = r.boots
+		if startTimes != 0 {
+			m.StartedAt = r.startsAt
 		}
 		out = append(out, m)
 	}
 	return out
 }
 
-// look has the book's runners asked.
-func (h *host) look() {
+// probeRunners starts the probes that the roster policy asks for, updates the runners that have
+// become warm, and schedules its next call.
+func (h *dispatcher) probeRunners() {
 	s := h.sim
-	if h.book == nil {
+	if h.policy == nil {
 		return
 	}
-	uids, next := h.book.NextProbes(s.now, places-h.asking)
+	uids, next := h.policy.NextProbes(s.now, maxProbes-h.probing)
 	for _, uid := range uids {
-		h.asking++
-		s.ask(s.byUID(uid), func(e rosterpolicy.Evidence) {
-			h.asking--
-			h.hear(uid, e)
-			h.look()
+		h.probing++
+		s.probe(s.byUID(uid), func(e rosterpolicy.Evidence) {
+			h.probing--
+			h.observe(uid, e)
+			h.probeRunners()
 		})
 	}
-	warm, tick := h.book.Tick(s.now)
+	warm, tick := h.policy.Tick(s.now)
 	for _, uid := range warm {
-		h.judged(uid)
+		h.updateMember(uid)
 	}
 	if at := max(min(next, tick), s.now+time.Millisecond); h.wakeAt <= s.now || at < h.wakeAt {
 		h.wakeAt = at
 		s.at(at, func() {
 			if h.wakeAt == at {
-				h.look()
+				h.probeRunners()
 			}
 		})
 	}
 }
 
+// byUID returns the runner with a UID of the form s-N.
 func (s *sim) byUID(uid string) *runner {
 	n := 0
 	for _, c := range uid[2:] {
@@ -132,78 +135,86 @@
 	return s.runners[n]
 }
 
-func (h *host) hear(uid string, e rosterpolicy.Evidence) {
-	if h.book == nil || !h.book.Observe(h.sim.now, uid, e) {
+// observe gives evidence about a runner to the roster policy, and updates the module if the
+// runner's standing has changed.
+func (h *dispatcher) observe(uid string, e rosterpolicy.Evidence) {
+	if h.policy == nil || !h.policy.Observe(h.sim.now, uid, e) {
 		return
 	}
-	h.judged(uid)
+	h.updateMember(uid)
 }
 
-func (h *host) judged(uid string) {
+// updateMember tells the module the runner's current standing.
+func (h *dispatcher) updateMember(uid string) {
 	r := h.sim.byUID(uid)
-	standing, from, _ := h.book.Standing(uid)
+	standing, from, _ := h.policy.Standing(uid)
 	m := decision.Member{Worker: h.worker(r), Zone: r.zone, State: decision.Draining}
 	if standing == rosterpolicy.Used {
 		m.State, m.StartedAt = decision.Ready, from
-		if h.book.Owned(uid) {
-			m.Reinstated, m.WarmUpPeers = true, h.book.WarmUpBudgetDivisor()
+		if h.policy.Owned(uid) {
+			m.Reinstated, m.WarmUpPeers = true, h.policy.WarmUpBudgetDivisor()
 		}
 	}
-	// With the list goes what was learned: how many slots the runner was seen to use.
+	// The stored list comes with the stored health: how many slots the runner was seen to use.
 	h.step(decision.Event{Type: decision.MembersChanged, Members: []decision.Member{m}},
 		decision.Event{Type: decision.HealthRestored, Worker: m.Worker, Health: decision.Health{Pace: 1, Most: cores}})
 }
 
-func (h *host) worker(r *runner) decision.WorkerID {
+// worker returns the decision module's ID of a runner.
+func (h *dispatcher) worker(r *runner) decision.WorkerID {
 	n := 0
 	for _, c := range r.uid[2:] {
 		n = 10*n + int(c-'0')
 	}
-	return id(n)
+	return workerID(n)
 }
 
-// submit takes a client's job.
-func (h *host) submit(work float64, came time.Duration) {
+// submit submits a client's job to the module. work is in seconds of one core.
+func (h *dispatcher) submit(work float64, arrivedAt time.Duration) {
 	h.lastID++
-	h.jobs[h.lastID] = &asked{work: work, came: came}
+	h.jobs[h.lastID] = &clientJob{work: work, arrivedAt: arrivedAt}
 	hint := time.Duration(work * float64(time.Second))
-	h.step(decision.Event{Type: decision.RequestArrived, Request: h.lastID, Deadline: h.sim.now + giveUp, Slots: 1, Hint: hint})
+	h.step(decision.Event{Type: decision.RequestArrived, Request: h.lastID, Deadline: h.sim.now + clientTimeout, Slots: 1, Hint: hint})
 }
 
-func (h *host) started(j *work) {
-	h.witness(j.worker, rosterpolicy.Started)
+// started reports to the module and the roster policy that a runner has started an attempt.
+func (h *dispatcher) started(j *attempt) {
+	h.observeAttempt(j.worker, rosterpolicy.Started)
 	h.step(decision.Event{Type: decision.AttemptStarted, Request: j.request, Attempt: j.attempt, Worker: j.worker})
 }
 
-func (h *host) ended(j *work, o decision.Outcome) {
+// ended reports the end of an attempt to the module and the roster policy, and counts the job as
+// served if its client has not timed out.
+func (h *dispatcher) ended(j *attempt, o decision.Outcome) {
 	s := h.sim
 	if a := h.jobs[j.request]; o == decision.Served && a != nil {
 		delete(h.jobs, j.request)
-		if s.now <= a.came+giveUp {
-			s.served[s.bin(a.came)]++
+		if s.now <= a.arrivedAt+clientTimeout {
+			s.served[s.bin(a.arrivedAt)]++
 			if first := &s.result.FirstServed[h.number]; *first == never {
-				*first = s.now - h.began
+				*first = s.now - h.startedAt
 			}
 		}
 	}
 	switch o {
 	case decision.Served:
-		h.witness(j.worker, rosterpolicy.Started)
+		h.observeAttempt(j.worker, rosterpolicy.Started)
 	case decision.ConnectFailed:
-		h.witness(j.worker, rosterpolicy.Refused)
+		h.observeAttempt(j.worker, rosterpolicy.Refused)
 	default:
-		h.witness(j.worker, rosterpolicy.Broken)
+		h.observeAttempt(j.worker, rosterpolicy.Broken)
 	}
 	h.step(decision.Event{Type: decision.AttemptEnded, Request: j.request, Attempt: j.attempt, Worker: j.worker, Outcome: o,
 		RequestClosed: o == decision.Served})
 }
 
-func (h *host) witness(w decision.WorkerID, e rosterpolicy.Evidence) {
-	h.hear(h.sim.runners[w-1].uid, e)
+// observeAttempt gives evidence from an attempt to the roster policy.
+func (h *dispatcher) observeAttempt(w decision.WorkerID, e rosterpolicy.Evidence) {
+	h.observe(h.sim.runners[w-1].uid, e)
 }
 
-// step has the module act, and carries its actions out.
-func (h *host) step(events ...decision.Event) {
+// step passes events to the module and executes the actions that it returns.
+func (h *dispatcher) step(events ...decision.Event) {
 	s := h.sim
 	for _, a := range h.module.Step(s.now, events, nil) {
 		switch a.Type {
@@ -212,38 +223,40 @@
 			if job == nil {
 				continue
 			}
-			j := &work{left: job.work, by: h, request: a.Request, attempt: a.Attempt, worker: a.Worker}
+			j := &attempt{remaining: job.work, by: h, request: a.Request, attempt: a.Attempt, worker: a.Worker}
 			r := s.runners[a.Worker-1]
-			s.at(s.now+network, func() { s.deliver(r, j) })
+			s.at(s.now+networkDelay, func() { s.deliver(r, j) })
 		case decision.Reject, decision.Fail:
 			delete(h.jobs, a.Request)
 		case decision.SetTimer:
 			s.at(a.At, func() { h.step(decision.Event{Type: decision.TimerFired, Token: a.Token}) })
 		case decision.Subscribe, decision.Fetch:
-			s.call(h.listed)
+			s.callRoster(h.rosterAnswered)
 		}
 	}
 }
 
-// listed takes the roster's answer: its list knows the starts and who is retired.
-func (h *host) listed(ok bool) {
+// rosterAnswered handles the roster's answer to a call. Its list has the start times and omits
+// retired runners; after it, the roster policy is no longer used.
+func (h *dispatcher) rosterAnswered(ok bool) {
 	s := h.sim
 	if !ok {
 		h.step(decision.Event{Type: decision.MembersFailed})
 		return
 	}
-	s.result.Listed = max(s.result.Listed, s.now-base)
-	there := h.members(func(r *runner) bool { return r.up(s.now) }, 1)
-	if h.book != nil {
-		h.book = nil
-		// What the list knows to have run longer than the book could tell is as warm as it is.
+	s.result.Listed = max(s.result.Listed, s.now-powerOn)
+	current := h.members(func(r *runner) bool { return r.up(s.now) }, 1)
+	if h.policy != nil {
+		h.policy = nil
+		// A runner that has run for longer than the policy could know counts as warm as the list's
+		// start time says.
 		var out []decision.Member
-		for _, m := range there {
+		for _, m := range current {
 			m.State = decision.Draining
 			out = append(out, m)
 		}
-		h.step(decision.Event{Type: decision.MembersChanged, Members: out}, decision.Event{Type: decision.MembersReplaced, Members: there})
+		h.step(decision.Event{Type: decision.MembersChanged, Members: out}, decision.Event{Type: decision.MembersReplaced, Members: current})
 		return
 	}
-	h.step(decision.Event{Type: decision.MembersReplaced, Members: there})
+	h.step(decision.Event{Type: decision.MembersReplaced, Members: current})
 }
--- a/internal/testkit/lab/outage/sim.go
+++ b/internal/testkit/lab/outage/sim.go
@@ -1,7 +1,7 @@
-// Package outage simulates the minutes after a power cut in virtual time: many dispatchers
-// with the real decision module and the real book of trust, a fleet that comes up cold, a
-// roster that is away, and clients that call at once. Equal settings and seeds give equal
-// results.
+// Package outage simulates the minutes after a power cut in virtual time: many dispatchers with the
+// real decision module and the real roster policy (package rosterpolicy), a fleet of runners that
+// starts cold, a roster (the discovery service) that is unavailable at first, and clients that
+// submit jobs from the start. Equal settings and seeds give equal results.
 package outage
 
 import (
@@ -14,77 +14,79 @@
 	"frosttide/internal/dispatcher/rosterpolicy"
 )
 
-// Mode is what a dispatcher starts from.
+// Mode says how dispatchers use their stored list of runners when they start.
 type Mode string
 
-// The modes.
+// The modes. Trusted uses the roster policy, which probes runners before it relies on the list.
 const (
 	Nothing Mode = "no stored list"
 	Blind   Mode = "stored list taken blindly"
 	Trusted Mode = "stored list weighed"
 )
 
-// Settings say what is simulated.
+// Settings holds the parameters of a simulation.
 type Settings struct {
 	Mode        Mode
 	Dispatchers int
 	Runners     int
-	Retired     float64       // share of the stored list that is gone
-	Draining    float64       // share that drains, as the stored list knows
-	BootSpread  time.Duration // runners come up within this of the power
-	Rate        float64       // jobs a second, over all dispatchers
-	Run         time.Duration // mean time that a job takes on one core
-	Roster      time.Duration // when the roster answers
-	Length      time.Duration
+	Retired     float64       // fraction of the stored runners that no longer exist
+	Draining    float64       // fraction that drains; the stored list says so
+	BootSpread  time.Duration // runners start within this time after the power returns
+	Rate        float64       // jobs per second over all dispatchers
+	Run         time.Duration // mean run time of a job on one core
+	Roster      time.Duration // time from the power's return until the roster answers
+	Length      time.Duration // virtual time to simulate
 	Seed        uint64
 }
 
-// Result is what came of it.
+// Result holds the measurements of a simulation.
 type Result struct {
-	FirstServed []time.Duration // by dispatcher, from its start; never for none
-	Served      []float64       // share served in each 5 s
-	Fallen      int             // runners pushed over
-	Worst       float64         // the most that a cold runner was sent, against what it bears
-	ToDraining  int             // jobs sent to draining runners
-	Probes      float64         // a runner was asked so often in the mean
-	Calls       []int           // at the roster, in each 5 s
-	Listed      time.Duration   // when the last dispatcher had the roster's list
-	Jobs        int
+	FirstServed []time.Duration // by dispatcher, from its start; 1<<62 if it served no job
+	Served      []float64       // fraction of the jobs submitted in each 5 s that was served
+	Fallen      int             // runners that crashed from overload
+	Worst       float64         // peak work sent to a cold runner, as a fraction of its limit
+	ToDraining  int             // jobs delivered to draining runners
+	Probes      float64         // mean number of probes per runner
+	Calls       []int           // calls of the roster in each 5 s
+	Listed      time.Duration   // last time after power-on that a dispatcher got the list
+	Jobs        int             // submitted to running dispatchers
 }
 
-// bin is the width of what is told over time.
-const bin = 5 * time.Second
+// binWidth is the width of the time bins in Result.
+const binWidth = 5 * time.Second
 
-// The roster does one call after another, and gives up those that waited too long.
+// Fixed delays. The roster handles one call after another, and drops calls that would wait for
+// longer than rosterTimeout.
 const (
-	rosterCall = 20 * time.Millisecond
-	rosterWait = 3 * time.Second
-	network    = time.Millisecond
-	probeWork  = 0.003
-	startWait  = 2 * time.Second // dispatchers come up within this of the power
+	rosterCall    = 20 * time.Millisecond
+	rosterTimeout = 3 * time.Second
+	networkDelay  = time.Millisecond
+	probeWork     = 0.003           // seconds of one core
+	startSpread   = 2 * time.Second // dispatchers start within this time after the power returns
 )
 
 type sim struct {
-	set     Settings
-	rng     *rand.Rand
-	now     time.Duration
-	queue   events
-	order   uint64
-	runners []*runner
-	hosts   []*host
-	busy    time.Duration // until then the roster has calls to do
-	result  Result
-	served  []int
-	asked   []int
+	set             Settings
+	rng             *rand.Rand
+	now             time.Duration
+	queue           events
+	order           uint64 // of the last event, which orders events of equal time
+	runners         []*runner
+	dispatchers     []*dispatcher
+	rosterBusyUntil time.Duration // when the roster has handled the calls in its queue
+	result          Result
+	served          []int // jobs served, by the bin of their arrival
+	submitted       []int // jobs submitted, by bin
 }
 
-// event is something to do at a time.
+// event is a function to call at a virtual time.
 type event struct {
 	at    time.Duration
 	order uint64
 	do    func()
 }
 
+// events is a heap of events by time and order.
 type events []event
 
 func (e events) Len() int { return len(e) }
@@ -100,86 +102,90 @@
 	return last
 }
 
+// at schedules do at t, or now if t has passed.
 func (s *sim) at(t time.Duration, do func()) {
 	s.order++
 	heap.Push(&s.queue, event{max(t, s.now), s.order, do})
 }
 
-// base is the time of the power's return; the module counts a start at 0 as long ago.
-const base = 100 * 24 * time.Hour
+// powerOn is the virtual time at which the power returns. It isn't 0, because the module takes a
+// start time of 0 as long ago.
+const powerOn = 100 * 24 * time.Hour
 
-// Run simulates. It ends at the settings' length.
+// Run runs a simulation of the length that the settings give.
 func Run(set Settings) *Result {
-	bins := int((set.Length + bin - 1) / bin)
-	s := &sim{set: set, rng: rand.New(rand.NewPCG(set.Seed, 7)), now: base, served: make([]int, bins), asked: make([]int, bins)}
+	bins := int((set.Length + binWidth - 1) / binWidth)
+	s := &sim{set: set, rng: rand.New(rand.NewPCG(set.Seed, 7)), now: powerOn, served: make([]int, bins), submitted: make([]int, bins)}
 	s.result.Calls, s.result.Served = make([]int, bins), make([]float64, bins)
 	for i := range set.Runners {
-		r := &runner{uid: fmt.Sprintf("s-%d", i), zone: i % 3, boots: base + time.Duration(s.rng.Float64()*float64(set.BootSpread))}
+		r := &runner{uid: fmt.Sprintf("s-%d", i), zone: i % 3, startsAt: powerOn + time.Duration(s.rng.Float64()*float64(set.BootSpread))}
 		switch p := s.rng.Float64(); {
 		case p < set.Retired:
-			r.boots = never
+			r.startsAt = never
 		case p < set.Retired+set.Draining:
-			r.drains = true
+			r.draining = true
 		}
 		s.runners = append(s.runners, r)
 	}
 	for i := range set.Dispatchers {
-		h := newHost(s, i)
-		s.hosts = append(s.hosts, h)
+		h := newDispatcher(s, i)
+		s.dispatchers = append(s.dispatchers, h)
 		s.result.FirstServed = append(s.result.FirstServed, never)
-		s.at(base+time.Duration(s.rng.Float64()*float64(startWait)), h.start)
+		s.at(powerOn+time.Duration(s.rng.Float64()*float64(startSpread)), h.start)
 	}
 	s.arrive()
 	for len(s.queue) > 0 {
 		e := heap.Pop(&s.queue).(event)
-		if e.at > base+set.Length {
+		if e.at > powerOn+set.Length {
 			break
 		}
 		s.now = e.at
 		e.do()
 	}
 	for i := range s.served {
-		s.result.Served[i] = float64(s.served[i]) / float64(max(s.asked[i], 1))
+		s.result.Served[i] = float64(s.served[i]) / float64(max(s.submitted[i], 1))
 	}
 	probes := 0
 	for _, r := range s.runners {
 		probes += r.probes
 		s.result.Worst = max(s.result.Worst, r.worst)
-		if r.drains {
-			s.result.ToDraining += r.jobsIn
+		if r.draining {
+			s.result.ToDraining += r.jobsReceived
 		}
 	}
 	s.result.Probes = float64(probes) / float64(max(len(s.runners), 1))
 	return &s.result
 }
 
-func (s *sim) bin(at time.Duration) int { return min(int((at-base)/bin), len(s.served)-1) }
+// bin returns the index of the time bin that holds at.
+func (s *sim) bin(at time.Duration) int { return min(int((at-powerOn)/binWidth), len(s.served)-1) }
 
-// arrive has the next client call.
+// arrive schedules the arrival of the next job at a random dispatcher.
 func (s *sim) arrive() {
 	s.at(s.now+time.Duration(s.rng.ExpFloat64()/s.set.Rate*float64(time.Second)), func() {
 		s.arrive()
-		h := s.hosts[s.rng.IntN(len(s.hosts))]
+		h := s.dispatchers[s.rng.IntN(len(s.dispatchers))]
 		if !h.running {
-			return // nobody listens there yet
+			return // the dispatcher has not started yet
 		}
 		s.result.Jobs++
-		s.asked[s.bin(s.now)]++
+		s.submitted[s.bin(s.now)]++
 		h.submit(s.rng.ExpFloat64()*s.set.Run.Seconds(), s.now)
 	})
 }
 
-// plan has the runner's next job end.
-func (s *sim) plan(r *runner) {
+// scheduleEnd reports the start of jobs that have got a slot, and schedules the end of the runner's
+// next job.
+func (s *sim) scheduleEnd(r *runner) {
 	for _, j := range r.running() {
-		if !j.begun {
-			j.begun = true
-			s.at(s.now+network, func() { j.by.started(j) })
+		if !j.started {
+			j.started = true
+			s.at(s.now+networkDelay, func() { j.by.started(j) })
 		}
 	}
 	r.version++
 	version := r.version
-	at := r.next(s.now)
+	at := r.nextEnd(s.now)
 	if at == never {
 		return
 	}
@@ -190,70 +196,71 @@
 		r.advance(s.now)
 		for i := 0; i < len(r.jobs); {
 			j := r.jobs[i]
-			if j.left > 1e-6 || !j.begun {
+			if j.remaining > 1e-6 || !j.started {
 				i++
 				continue
 			}
 			r.jobs = append(r.jobs[:i], r.jobs[i+1:]...)
-			s.at(s.now+network, func() { j.by.ended(j, decision.Served) })
+			s.at(s.now+networkDelay, func() { j.by.ended(j, decision.Served) })
 		}
-		s.plan(r)
+		s.scheduleEnd(r)
 	})
 }
 
-// deliver has a job come to a runner.
-func (s *sim) deliver(r *runner, j *work) {
+// deliver handles the arrival of an attempt at a runner. Work over the limit of rule 4 crashes the
+// runner.
+func (s *sim) deliver(r *runner, j *attempt) {
 	if !r.up(s.now) {
-		s.at(s.now+network, func() { j.by.ended(j, decision.ConnectFailed) })
+		s.at(s.now+networkDelay, func() { j.by.ended(j, decision.ConnectFailed) })
 		return
 	}
 	r.advance(s.now)
-	r.jobsIn++
-	if !r.bears(s.now, j.left) {
-		s.fall(r)
-		s.at(s.now+network, func() { j.by.ended(j, decision.ConnReset) })
+	r.jobsReceived++
+	if !r.withinLimit(s.now, j.remaining) {
+		s.crash(r)
+		s.at(s.now+networkDelay, func() { j.by.ended(j, decision.ConnReset) })
 		return
 	}
 	r.jobs = append(r.jobs, j)
-	s.plan(r)
+	s.scheduleEnd(r)
 }
 
-// fall takes a runner down for good, with all that it has.
-func (s *sim) fall(r *runner) {
-	r.fallen = true
+// crash crashes a runner permanently and fails all its jobs.
+func (s *sim) crash(r *runner) {
+	r.crashed = true
 	r.version++
 	s.result.Fallen++
 	for _, j := range r.jobs {
-		s.at(s.now+network, func() { j.by.ended(j, decision.ConnReset) })
+		s.at(s.now+networkDelay, func() { j.by.ended(j, decision.ConnReset) })
 	}
 	r.jobs = nil
 }
 
-// ask has a runner probed.
-func (s *sim) ask(r *runner, found func(rosterpolicy.Evidence)) {
+// probe probes a runner and calls found with the outcome.
+func (s *sim) probe(r *runner, found func(rosterpolicy.Evidence)) {
 	r.probes++
 	e := rosterpolicy.Refused
-	if r.up(s.now + network) {
+	if r.up(s.now + networkDelay) {
 		e = rosterpolicy.Answered
-		if !r.bears(s.now+network, probeWork) {
-			s.fall(r)
+		if !r.withinLimit(s.now+networkDelay, probeWork) {
+			s.crash(r)
 		}
 	}
-	s.at(s.now+2*network, func() { found(e) })
+	s.at(s.now+2*networkDelay, func() { found(e) })
 }
 
-// call has the roster called; it is told the list or a failure.
-func (s *sim) call(answer func(ok bool)) {
+// callRoster calls the roster; answer gets whether the call succeeded.
+func (s *sim) callRoster(answer func(ok bool)) {
 	s.result.Calls[s.bin(s.now)]++
-	if s.now < base+s.set.Roster {
-		s.at(s.now+network, func() { answer(false) }) // nothing listens there
+	if s.now < powerOn+s.set.Roster {
+		s.at(s.now+networkDelay, func() { answer(false) }) // connection refused
 		return
 	}
-	s.busy = max(s.busy, s.now) + rosterCall
-	if s.busy-s.now > rosterWait {
-		s.busy -= rosterCall // it is given up in the line
-		s.at(s.now+rosterWait, func() { answer(false) })
+	s.rosterBusyUntil = max(s.rosterBusyUntil, s.now) + rosterCall
+	if s.rosterBusyUntil-s.now > rosterTimeout {
+		s.rosterBusyUntil -= rosterCall // the call times out in the queue
+		s.at(s.now+rosterTimeout, func() { answer(false) })
 		return
 	}
-	s.at(s.busy, func() { answer(true) })
+	s.at(s.rosterBusyUntil, func() { answer(true) })
 }
