--- a/internal/testkit/lab/scenarios/days.go
+++ b/internal/testkit/lab/scenarios/days.go
@@ -6,19 +6,19 @@
 	"slices"
 )
 
-// closings are the faults that may end a day.
+// closings lists the faults of all machines that may end a day.
 var closings = []string{"power_off_all", "wipe_after_ack", "kill_all"}
 
-// The part of a day in which faults begin, in seconds.
+// Bounds of the start times of faults, in seconds from the start of a day.
 const (
 	earliest = 3.0
 	latest   = 27.0
-	// maxPairOffset is how far apart the two faults of a pair begin at most.
+	// maxPairOffset is the maximum delay of each fault of a pair after the pair's start time.
 	maxPairOffset = 2.5
 )
 
-// replaceDays replaces the days of the site by drawn ones: one without faults and a number of others. They keep the
-// first day's traffic.
+// replaceDays replaces the days of the site by generated ones: one without faults and count with
+// faults. All keep the first day's traffic.
 func (g *generator) replaceDays(count int) {
 	pattern := tables(g.root["day"])[0]
 	days := []any{g.calmDay(pattern)}
@@ -30,7 +30,8 @@
 	g.root["day"] = days
 }
 
-// drawPairs draws two or three pairs of faults for a day. Planned work is returned apart from faults.
+// drawPairs draws two or three pairs of faults or planned operations for a day, and returns the
+// planned operations separately.
 func (g *generator) drawPairs(names []string) (plan, faults []any) {
 	for range 2 + g.rng.IntN(2) {
 		at := g.between(earliest, latest)
@@ -51,11 +52,12 @@
 	return plan, faults
 }
 
-// newDay returns a day with a seed of its own by the pattern of another.
+// newDay returns a copy of a day with a new name and seed, and without faults and planned
+// operations.
 func (g *generator) newDay(pattern table, name string) table {
 	day := maps.Clone(pattern)
 	for _, key := range []string{"floor_classes", "floor_zones", "goal", "light"} {
-		delete(day, key) // they belong to the original's day
+		delete(day, key) // apply only to the original day
 	}
 	day["name"], day["seed"] = name, int64(g.rng.Uint32())
 	day["plan"], day["faults"] = []any{}, []any{}
@@ -65,8 +67,8 @@
 // calmDay returns a day without faults.
 func (g *generator) calmDay(pattern table) table { return g.newDay(pattern, "calm") }
 
-// faultyDay returns a day with planned work and faults, which closes with a fault of all machines where any fault was
-// drawn.
+// faultyDay returns a day with planned operations and faults. If any fault was drawn, the day ends
+// with a fault of all machines.
 func (g *generator) faultyDay(pattern table, name string, plan, faults []any) table {
 	day := g.newDay(pattern, name)
 	if plan != nil {
--- a/internal/testkit/lab/scenarios/deployment.go
+++ b/internal/testkit/lab/scenarios/deployment.go
@@ -6,7 +6,8 @@
 	"math"
 )
 
-// The bounds of what is drawn.
+// Bounds of the generated values. Names that end in Ms are in milliseconds; scales are factors of
+// the site's own values.
 const (
 	maxZones        = 6
 	minCore         = 3
@@ -28,7 +29,7 @@
 	maxPriorities   = 3
 )
 
-// varyDeployment changes everything but the days.
+// varyDeployment varies everything but the days.
 func (g *generator) varyDeployment() {
 	g.varyZones()
 	g.varyCore()
@@ -37,7 +38,8 @@
 	g.varyTraffic()
 }
 
-// varyZones takes zones away or adds some. The machines of a zone that is removed move to one that stays.
+// varyZones replaces the zones by 1 to maxZones new ones in the region of the first, and assigns
+// each old zone's machines to one of them.
 func (g *generator) varyZones() {
 	count := 1 + g.rng.IntN(maxZones)
 	first := tables(g.root["zones"])[0]
@@ -58,7 +60,7 @@
 	g.spreadOverZones()
 }
 
-// spreadOverZones moves single machines of a class into zones that have none of it.
+// spreadOverZones moves machines into zones that have none of their class.
 func (g *generator) spreadOverZones() {
 	machines := tables(g.root["machines"])
 	for _, class := range []string{"front", "side"} {
@@ -68,7 +70,8 @@
 	}
 }
 
-// fillZone gives a zone one entry of a class where it has none and another zone has two.
+// fillZone moves one entry of a class to a zone that has none, from the first zone with at least
+// two.
 func (g *generator) fillZone(machines []table, class, zone string) {
 	byZone := make(map[string][]table)
 	for _, m := range machines {
@@ -88,7 +91,8 @@
 	}
 }
 
-// varyCore draws the core machines and how many of them may be lost at once.
+// varyCore draws the number of core machines and how many of them may fail at once, which is always
+// less than half. It spreads them evenly over the zones.
 func (g *generator) varyCore() {
 	g.coreMachines = minCore + g.rng.IntN(maxCore-minCore+1)
 	g.tolerated = 1 + g.rng.IntN(min(maxTolerated, (g.coreMachines-1)/2))
@@ -115,8 +119,8 @@
 	tolerate["machines"] = int64(g.tolerated)
 }
 
-// coreEntry returns the entry of some core machines in a zone, by the pattern of another. It draws how long their disks
-// take to sync.
+// coreEntry returns a copy of a core machines' entry for another zone and count, with a new sync
+// latency of their disks.
 func (g *generator) coreEntry(pattern table, zone string, count int) table {
 	m := maps.Clone(pattern)
 	m["zone"], m["count"] = zone, int64(count)
@@ -128,43 +132,44 @@
 	return m
 }
 
-// varyPeriods draws the heartbeat interval, the distance between zones and the longest run lease.
+// varyPeriods draws the heartbeat interval, the network latency between zones and the maximum run
+// lease.
 func (g *generator) varyPeriods() {
 	set(g.root, "discovery", "beat_ms", int64(g.between(minHeartbeatMs, maxHeartbeatMs)))
 	set(g.root, "net", "cross_zone_ms", g.between(minCrossZoneMs, maxCrossZoneMs))
 	set(g.root, "timing", "hold_max_ms", math.Round(g.between(minRunLeaseMs, maxRunLeaseMs)))
 }
 
-// varySizes draws how fast the machines are.
+// varySizes draws the number of CPUs of all machines and scales each machine's CPU share.
 func (g *generator) varySizes() {
-	cores := int64(1 + g.rng.IntN(maxCPUs))
+	cpus := int64(1 + g.rng.IntN(maxCPUs))
 	for _, m := range tables(g.root["machines"]) {
-		m["cores"] = cores
+		m["cores"] = cpus
 		if share, ok := m["cpu_share"].(float64); ok {
 			m["cpu_share"] = round(share * g.between(minCPUScale, maxCPUScale))
 		}
 	}
 }
 
-// varyTraffic draws the rates of requests and the priorities of classes.
+// varyTraffic scales all request rates by one factor, and draws new priorities for some classes.
 func (g *generator) varyTraffic() {
 	for _, class := range tables(g.root["classes"]) {
 		if _, ok := class["priority"]; ok && g.rng.IntN(2) == 0 {
 			class["priority"] = int64(g.rng.IntN(maxPriorities))
 		}
 	}
-	share := g.between(minTrafficScale, maxTrafficScale)
-	scale(tables(g.root["traffic"]), share)
+	factor := g.between(minTrafficScale, maxTrafficScale)
+	scale(tables(g.root["traffic"]), factor)
 	for _, day := range tables(g.root["day"]) {
-		scale(tables(day["traffic"]), share)
+		scale(tables(day["traffic"]), factor)
 	}
 }
 
-// scale multiplies the rates of traffic.
-func scale(traffic []table, share float64) {
+// scale multiplies the request rates of traffic entries by a factor.
+func scale(traffic []table, factor float64) {
 	for _, t := range traffic {
 		if rate, ok := t["per_s"].(float64); ok {
-			t["per_s"] = round(rate * share)
+			t["per_s"] = round(rate * factor)
 		}
 	}
 }
--- a/internal/testkit/lab/scenarios/faults.go
+++ b/internal/testkit/lab/scenarios/faults.go
@@ -2,13 +2,13 @@
 
 import "maps"
 
-// faultKind is how a kind of fault is drawn.
+// faultKind describes how the parameters of a kind of fault are drawn.
 type faultKind struct {
-	planned bool // planned work of the operators, not a fault of its own
+	planned bool // a planned operation of the operators, not a fault
 	draw    func(g *generator) table
 }
 
-// faultKinds are the kinds of faults and of planned work, by their names in a site file.
+// faultKinds holds the kinds of faults and planned operations by their names in a site file.
 var faultKinds = map[string]faultKind{
 	"ack_lost":       {draw: lasting(4, 12, table{"x": 0.6})},
 	"after_ack_kill": {draw: choosing(1, 3, "", "kill", "timed", "taken")},
@@ -44,7 +44,7 @@
 	}},
 }
 
-// lasting draws how long a fault lasts, in seconds, beside values that are fixed.
+// lasting draws a fault's duration in seconds, and adds fixed parameters.
 func lasting(lower, upper float64, more table) func(*generator) table {
 	return func(g *generator) table {
 		out := maps.Clone(more)
@@ -53,28 +53,29 @@
 	}
 }
 
-// sharing draws how long a fault lasts, in seconds, and the share of the machines that it strikes.
+// sharing draws a fault's duration in seconds and the fraction of machines that it affects.
 func sharing(lower, upper, minFraction, maxFraction float64) func(*generator) table {
 	return func(g *generator) table {
 		return table{"for_s": g.between(lower, upper), "share": g.between(minFraction, maxFraction)}
 	}
 }
 
-// choosing draws how long a fault lasts, in seconds, and one of its ways.
+// choosing draws a fault's duration in seconds and one of its modes.
 func choosing(lower, upper float64, how ...string) func(*generator) table {
 	return func(g *generator) table {
 		return table{"for_s": g.between(lower, upper), "how": g.pick(how)}
 	}
 }
 
-// repeated draws how often planned work is done in a row, and one of its ways.
+// repeated draws how often a planned operation is repeated, the gap in seconds, and one of its
+// modes.
 func repeated(how ...string) func(*generator) table {
 	return func(g *generator) table {
 		return table{"count": int64(1 + g.rng.IntN(3)), "gap_s": g.between(0.5, 1.5), "how": g.pick(how)}
 	}
 }
 
-// onDisks draws a fault of core machines' disks. A value of x above 0 is kept.
+// onDisks draws a fault of core machines' disks. It sets the parameter x if it is above 0.
 func onDisks(x float64) func(*generator) table {
 	return func(g *generator) table {
 		out := table{"count": int64(1 + g.rng.IntN(g.tolerated)), "for_s": g.between(2, 6), "how": g.pick([]string{"", "leader"})}
@@ -85,7 +86,8 @@
 	}
 }
 
-// onMachines draws a fault of core machines or, one time in three, of a share of all others.
+// onMachines draws a fault of core machines or, with probability 1/3, of a fraction of all
+// others.
 func onMachines(how ...string) func(*generator) table {
 	return func(g *generator) table {
 		out := table{"for_s": g.between(1.5, 5), "how": g.pick(how)}
@@ -99,14 +101,18 @@
 	}
 }
 
+// clockStep draws a step of the clocks of a fraction of the machines, back or ahead.
 func clockStep(g *generator) table {
 	return table{"share": g.between(0.2, 0.6), "x": g.between(500, 5000), "for_s": g.between(3, 8), "how": g.pick([]string{"back", "ahead"})}
 }
 
+// corePartition draws a network partition of core machines, as many as may fail at once at most.
 func corePartition(g *generator) table {
 	return table{"count": int64(1 + g.rng.IntN(g.tolerated)), "for_s": g.between(2, 7), "how": g.pick([]string{"", "leader", "behind", "leader race"})}
 }
 
+// herdKill draws a kill of at least half of the core machines. The power modes also have a
+// duration.
 func herdKill(g *generator) table {
 	out := table{"on": coreClass, "share": g.between(0.5, 1), "how": g.pick([]string{"", "power", "taken power"})}
 	if out["how"] != "" {
@@ -115,6 +121,8 @@
 	return out
 }
 
+// nodePartition draws a network partition of a fraction of the machines, in half of the cases only
+// of class side.
 func nodePartition(g *generator) table {
 	out := table{"share": g.between(0.1, 0.25), "for_s": g.between(2, 6)}
 	if g.rng.IntN(2) == 0 {
--- a/internal/testkit/lab/scenarios/scenarios.go
+++ b/internal/testkit/lab/scenarios/scenarios.go
@@ -1,9 +1,11 @@
-// Package scenarios draws deployments and days of faults that nobody has planned for. A scenario is a variation of a given
-// site file of the fleet bench: in its number of zones, size of the control plane, tolerance, periods, distances and
-// sizes, with days that combine kinds of faults by pairs.
+// Package scenarios generates random deployments and days of faults, to find failures that no
+// hand-written scenario covers. A scenario is a variation of a given site file of the fleet bench:
+// it varies the number of zones, the size of the control plane and how many of its machines may
+// fail, the intervals, the latencies and the machine sizes, and has days that combine kinds of
+// faults in pairs.
 //
-// The program frosttide-scenarios writes them. The package is pure: what is drawn depends on the site file and the seed
-// alone. Drawing is not safe for concurrent use; Generate is, as each call draws by itself.
+// The program frosttide-scenarios writes scenarios to files. The package does no I/O: the result
+// depends only on the site file and the options. Generate is safe for concurrent use.
 package scenarios
 
 import (
@@ -16,22 +18,23 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// ErrSite marks a site file that can't be varied.
+// ErrSite marks the errors of a site file that is invalid or lacks what a variation needs.
 var ErrSite = errors.New("the site can't be varied")
 
-// Options say what is drawn.
+// Options selects what is generated.
 type Options struct {
 	Seed           uint64
-	Days           int    // days with faults, beside one without
-	Folder         string // of the site file, which other files that it names are relative to
-	KeepDeployment bool   // draw days only
+	Days           int    // number of days with faults, in addition to one without
+	Folder         string // directory of the site file; its relative paths start there
+	KeepDeployment bool   // generate only days
 }
 
-// Generate returns a variation of a site file, or an error that is ErrSite where the file is not one.
+// Generate returns a variation of a site file in TOML. The error is ErrSite if the site file is
+// invalid. Equal sites and options give equal variations.
 func Generate(site []byte, o Options) ([]byte, error) {
 	var root table
 	if err := toml.Unmarshal(site, &root); err != nil {
-		return nil, errors.Mark(errors.Wrap(err, "it is no TOML"), ErrSite)
+		return nil, errors.Mark(errors.Wrap(err, "it is not valid TOML"), ErrSite)
 	}
 	g := &generator{root: root, rng: rand.New(rand.NewPCG(o.Seed, 1))}
 	if err := g.readDeployment(); err != nil {
@@ -49,16 +52,17 @@
 	return out, errors.Wrap(err, "scenarios: encode the variation")
 }
 
-// generator draws one variation.
+// generator generates one variation. It is not safe for concurrent use.
 type generator struct {
 	root         table // the site file, changed in place
 	rng          *rand.Rand
 	zones        []string
 	coreMachines int
-	tolerated    int // core machines that may be lost at once
+	tolerated    int // core machines that may fail at once
 }
 
-// readDeployment reads what the variation rests on.
+// readDeployment reads the parts of the site that the variation depends on, and checks that they
+// exist.
 func (g *generator) readDeployment() error {
 	for _, zone := range tables(g.root["zones"]) {
 		name, _ := zone["name"].(string)
@@ -73,22 +77,22 @@
 	g.tolerated = int(toFloat(tolerate["machines"]))
 	switch {
 	case len(g.zones) == 0:
-		return errors.Mark(errors.New("zones: none are named"), ErrSite)
+		return errors.Mark(errors.New("zones: none is defined"), ErrSite)
 	case g.coreMachines == 0:
-		return errors.Mark(errors.Newf("machines: none is of the class %q", coreClass), ErrSite)
+		return errors.Mark(errors.Newf("machines: none has class %q", coreClass), ErrSite)
 	case len(tables(g.root["day"])) == 0:
-		return errors.Mark(errors.New("day: there is none to take the traffic from"), ErrSite)
+		return errors.Mark(errors.New("day: none is defined to copy the traffic from"), ErrSite)
 	}
 	return nil
 }
 
-// between draws a number with three decimals.
+// between draws a number between the bounds, rounded to three decimals.
 func (g *generator) between(lower, upper float64) float64 {
 	return round(lower + (upper-lower)*g.rng.Float64())
 }
 
-// pick draws one of some texts.
+// pick draws one of the choices.
 func (g *generator) pick(choices []string) string { return choices[g.rng.IntN(len(choices))] }
 
-// round keeps three decimals.
+// round rounds to three decimals.
 func round(x float64) float64 { return math.Round(x*1000) / 1000 }
--- a/internal/testkit/lab/scenarios/scenarios_test.go
+++ b/internal/testkit/lab/scenarios/scenarios_test.go
@@ -36,18 +36,22 @@
 traffic = [{ zone = "west", per_s = 2.0 }]
 `
 
+// generate returns a variation of site, and checks that a second call gives the same.
 func generate(t *testing.T, o Options) table {
 	t.Helper()
 	out, err := Generate([]byte(site), o)
 	require.NoError(t, err)
 	again, err := Generate([]byte(site), o)
 	require.NoError(t, err)
-	require.Equal(t, string(out), string(again), "the seed decides")
+	require.Equal(t, string(out), string(again), "equal options have to give equal variations")
 	var root table
 	require.NoError(t, toml.Unmarshal(out, &root))
 	return root
 }
 
+// TestVariationsAreSound guards against variations that the bench can't run: references to zones
+// that do not exist, lost machines, or a control plane without a majority after the tolerated
+// failures. It also checks that every kind of fault is drawn.
 func TestVariationsAreSound(t *testing.T) {
 	kindsDrawn := make(map[string]bool)
 	for seed := range uint64(300) {
@@ -69,8 +73,8 @@
 			}
 		}
 		tolerated := int(toFloat(root["tolerate"].(table)["machines"]))
-		require.GreaterOrEqual(t, core, 2*tolerated+1, "a majority survives what is to be borne")
-		require.Equal(t, 2, sides, "no machine is lost on the way")
+		require.GreaterOrEqual(t, core, 2*tolerated+1, "a majority of the core machines has to survive the tolerated failures")
+		require.Equal(t, 2, sides, "number of machines of class side")
 		for _, day := range tables(root["day"]) {
 			for _, traffic := range tables(day["traffic"]) {
 				require.Contains(t, zones, traffic["zone"])
@@ -80,9 +84,10 @@
 			}
 		}
 	}
-	require.Len(t, kindsDrawn, len(faultKinds), "every kind comes")
+	require.Len(t, kindsDrawn, len(faultKinds), "kinds of faults drawn")
 }
 
+// TestSameDeployment guards against changes of the deployment with KeepDeployment.
 func TestSameDeployment(t *testing.T) {
 	root := generate(t, Options{Seed: 3, Days: 2, KeepDeployment: true})
 	require.Len(t, tables(root["zones"]), 2)
@@ -90,12 +95,14 @@
 	require.EqualValues(t, 1500, root["discovery"].(table)["beat_ms"])
 }
 
+// TestSiteThatCannotBeVaried guards against invalid sites that are accepted, or rejected without
+// their reason.
 func TestSiteThatCannotBeVaried(t *testing.T) {
 	for text, reason := range map[string]string{
-		"= 3":                      "it is no TOML",
-		"name = 'a'":               "zones: none are named",
-		"zones = [{ name = 'a' }]": `machines: none is of the class "core"`,
-		"zones = [{ name = 'a' }]\nmachines = [{ class = 'core', count = 1 }]": "day: there is none",
+		"= 3":                      "it is not valid TOML",
+		"name = 'a'":               "zones: none is defined",
+		"zones = [{ name = 'a' }]": `machines: none has class "core"`,
+		"zones = [{ name = 'a' }]\nmachines = [{ class = 'core', count = 1 }]": "day: none is defined",
 	} {
 		_, err := Generate([]byte(text), Options{})
 		require.True(t, errors.Is(err, ErrSite))
--- a/internal/testkit/lab/scenarios/site.go
+++ b/internal/testkit/lab/scenarios/site.go
@@ -1,20 +1,21 @@
 package scenarios
 
-// table is a TOML table. The site file's format belongs to the bench, so that only the keys that are varied are known
-// here and all others are kept as they are.
+// table is a TOML table. The fleet bench defines the site file's format; this package knows only
+// the keys that it varies and keeps all others unchanged.
 type table = map[string]any
 
-// coreClass is the class of the control plane's machines.
+// coreClass is the machine class of the control plane in a site file.
 const coreClass = "core"
 
-// set sets a key of a sub-table, where there is that table.
+// set sets a key of a sub-table. It does nothing if the sub-table does not exist.
 func set(root table, name, key string, value any) {
 	if sub, ok := root[name].(table); ok {
 		sub[key] = value
 	}
 }
 
-// renameZones replaces names of zones wherever a value is one.
+// renameZones replaces every string in value that is a key of names, and returns the result. It
+// changes tables and arrays in place.
 func renameZones(value any, names map[string]string) any {
 	switch v := value.(type) {
 	case string:
@@ -33,7 +34,7 @@
 	return value
 }
 
-// tables returns the tables of an array, none for another value.
+// tables returns the tables of an array, nil if value is not an array.
 func tables(value any) (out []table) {
 	items, _ := value.([]any)
 	for _, item := range items {
@@ -44,7 +45,7 @@
 	return out
 }
 
-// toFloat returns a number of either kind, 0 for another value.
+// toFloat converts an integer or float, and returns 0 for any other value.
 func toFloat(value any) float64 {
 	switch v := value.(type) {
 	case int64:
