--- a/internal/testkit/lab/size/address.go
+++ b/internal/testkit/lab/size/address.go
@@ -7,15 +7,16 @@
 	"net"
 )
 
-// dispatcherPort lies below the ports that the kernel gives to whoever asks for any. Guards the dispatcher's address
-// between its choice and the dispatcher's start: a listener at all addresses or a connection of this process or another
-// took it now and then, the dispatcher ended, and the workers' listener answered its health check.
+// dispatcherPort is below the kernel's ephemeral port range, so that nothing else gets it between
+// the choice of the dispatcher's address and the dispatcher's start. With an ephemeral port, a
+// listener on all addresses or a connection of this or another process took it now and then; the
+// dispatcher then exited, and the workers' listener answered its health check.
 const dispatcherPort = 8081
 
-// addressAttempts bounds how many addresses are tried.
+// addressAttempts limits how many random addresses are tried.
 const addressAttempts = 100
 
-// dispatcherAddress returns a loopback address at which nobody listens.
+// dispatcherAddress returns the host and port of a loopback address that is not in use.
 func dispatcherAddress() (string, error) {
 	for range addressAttempts {
 		addr := fmt.Sprintf("127.24.%d.%d:%d", rand.IntN(256), 1+rand.IntN(254), dispatcherPort)
--- a/internal/testkit/lab/size/fleet.go
+++ b/internal/testkit/lab/size/fleet.go
@@ -14,34 +14,37 @@
 	"time"
 )
 
-// fleet is many hollow workers in one process, and their discovery. The workers share one listener and
-// are told apart by the address at which they are called; each takes any job and reports it done.
+// fleet is a set of simulated workers in this process, and their discovery service. The workers
+// share one listener and are distinguished by the local address of a connection. Each accepts any
+// job, unless accept says otherwise, and reports its start and end. accept returns whether the
+// worker accepts a job, and the job's run time.
 type fleet struct {
 	dispatcher string
-	work       time.Duration // that a worker is at a job
+	work       time.Duration // run time of a job
 	listener   net.Listener
 	server     *http.Server
 	call       *http.Client
 	catalog    *catalog
 	discovery  *http.Server
-	at         string // discovery's address
-	connected  atomic.Int64
-	reports    sync.WaitGroup
-	takes      func(worker, job string) (bool, time.Duration) // whether a worker has room, and the job's work; nil for any job
-	ended      func(worker string)                            // a job that was taken has ended; nil for nobody
+	at         string                                         // discovery's address
+	connected  atomic.Int64                                   // connections accepted by the workers
+	reports    sync.WaitGroup                                 // accepted jobs that have not ended
+	accept     func(worker, job string) (bool, time.Duration) // nil accepts all jobs
+	ended      func(worker string)                            // called when a job ends; may be nil
 }
 
-// uid names a worker by its address.
+// uid returns the UID of the worker with an IP address.
 func uid(ip string) string { return "s-" + ip }
 
-// endpoint is the address of a worker by its number from 0.
+// endpoint returns the IP address of worker i, counted from 0.
 func endpoint(i int) string { return fmt.Sprintf("127.21.%d.%d", i/250, i%250+1) }
 
-// openFleet opens a plan's fleet of workers for a dispatcher.
+// openFleet starts the workers of a plan and their discovery. The workers report to the dispatcher
+// at the given address. The caller closes the fleet.
 func openFleet(p Plan, dispatcher string) (*fleet, error) {
 	l, err := net.Listen("tcp4", "0.0.0.0:0")
 	if err != nil {
-		return nil, fmt.Errorf("hollow workers: %w", err)
+		return nil, fmt.Errorf("simulated workers: %w", err)
 	}
 	d, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -62,7 +65,7 @@
 	return f, nil
 }
 
-// close ends the fleet.
+// close stops the servers and waits for accepted jobs to end.
 func (f *fleet) close() {
 	f.server.Close()
 	f.discovery.Close()
@@ -70,7 +73,7 @@
 	f.call.CloseIdleConnections()
 }
 
-// worker takes a job.
+// worker handles a request to a worker: a job by POST, or a health check by any other method.
 func (f *fleet) worker(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.Copy(io.Discard, r.Body)
 	if r.Method != http.MethodPost {
@@ -79,9 +82,9 @@
 	}
 	local := r.Context().Value(http.LocalAddrContextKey).(net.Addr).(*net.TCPAddr)
 	id, from, work := r.Header.Get("X-Trace-Id"), uid(local.IP.String()), f.work
-	if f.takes != nil {
+	if f.accept != nil {
 		room := false
-		if room, work = f.takes(from, id); !room {
+		if room, work = f.accept(from, id); !room {
 			w.Header().Set("X-Never-Ran", "1")
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -91,9 +94,9 @@
 	f.reports.Go(func() { f.run(id, from, work) })
 }
 
-// run reports a job as a worker does that works on it.
+// run reports the start of a job, waits for its run time and reports its end.
 func (f *fleet) run(id, from string, work time.Duration) {
-	if work < 0 { // it stands still
+	if work < 0 { // the worker hangs
 		return
 	}
 	f.report(id, from, "started")
@@ -104,10 +107,11 @@
 	f.report(id, from, "done")
 }
 
+// report sends a job's state to the dispatcher. Errors are ignored.
 func (f *fleet) report(id, from, state string) {
 	text, err := json.Marshal(map[string]string{"id": id, "from": from, "state": state, "result": "x"})
 	if err != nil {
-		return // can't be: strings
+		return // can't happen: all values are strings
 	}
 	resp, err := f.call.Post("http://"+f.dispatcher+"/v1/job-events", "application/json", bytes.NewReader(text))
 	if err == nil {
@@ -115,17 +119,17 @@
 	}
 }
 
-// catalog is discovery: a list that changes all the time, one worker at a time.
+// catalog is the discovery service: a list of workers that drain and come back in turn.
 type catalog struct {
-	mu      sync.Mutex
-	rev     uint64
-	targets []target
-	every   time.Duration // between two changes; 0 for no changes
-	batch   int           // entries of each
-	bytes   atomic.Int64  // written to watches and calls
+	mu       sync.Mutex
+	rev      uint64
+	targets  []target
+	interval time.Duration // interval between changes; 0 for no changes
+	batch    int           // entries per change
+	bytes    atomic.Int64  // sent in all responses
 }
 
-// target is one entry of the list.
+// target is the entry of a worker in the list.
 type target struct {
 	UID      string  `json:"uid"`
 	Endpoint string  `json:"endpoint"`
@@ -139,11 +143,11 @@
 
 func newCatalog(p Plan, port string) *catalog {
 	c := &catalog{rev: 1}
-	switch perBatch := p.Changes * changeEvery.Seconds(); {
+	switch perBatch := p.Changes * changeInterval.Seconds(); {
 	case perBatch >= 1:
-		c.every, c.batch = changeEvery, int(math.Round(perBatch))
+		c.interval, c.batch = changeInterval, int(math.Round(perBatch))
 	case p.Changes > 0:
-		c.every, c.batch = time.Duration(float64(time.Second)/p.Changes), 1
+		c.interval, c.batch = time.Duration(float64(time.Second)/p.Changes), 1
 	}
 	for i := range p.Workers {
 		c.targets = append(c.targets, target{UID: uid(endpoint(i)), Endpoint: endpoint(i) + ":" + port, Zone: "a", Kind: "m",
@@ -152,14 +156,14 @@
 	return c
 }
 
-// whole returns the list.
-func (c *catalog) whole() ([]byte, error) {
+// fullList returns the complete list as JSON.
+func (c *catalog) fullList() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return json.Marshal(map[string]any{"rev": c.rev, "all": true, "targets": c.targets})
 }
 
-// change drains workers or brings them back, and returns what a watch is told of it.
+// change toggles a batch of workers between serving and draining, and returns the update as JSON.
 func (c *catalog) change() ([]byte, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,28 +181,28 @@
 	return json.Marshal(map[string]any{"rev": c.rev, "all": false, "targets": changed})
 }
 
-// next waits for the next change, or for the time in which a watch has to say something, and returns
-// what it is told.
+// next waits for the next change or heartbeat of a watch, and returns the line to send, empty for a
+// heartbeat. changed is the time of the watch's last change.
 func (c *catalog) next(ctx context.Context, changed *time.Time) ([]byte, error) {
-	wait := beatEvery
-	if c.every > 0 {
-		wait = min(wait, time.Until(changed.Add(c.every)))
+	wait := heartbeatInterval
+	if c.interval > 0 {
+		wait = min(wait, time.Until(changed.Add(c.interval)))
 	}
 	select {
 	case <-time.After(wait):
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	if c.every == 0 || time.Since(*changed) < c.every {
-		return nil, nil // an empty line
+	if c.interval == 0 || time.Since(*changed) < c.interval {
+		return nil, nil // heartbeat: an empty line
 	}
 	*changed = time.Now()
 	return c.change()
 }
 
-// ServeHTTP answers a call for the list, and a watch with the changes since it began.
+// ServeHTTP sends the list, and to a watch (watch=1) also the changes from then on, one line each.
 func (c *catalog) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	text, err := c.whole()
+	text, err := c.fullList()
 	changed := time.Now()
 	for watch := r.URL.Query().Get("watch") == "1"; err == nil; text, err = c.next(r.Context(), &changed) {
 		n, _ := w.Write(append(text, '\n'))
--- a/internal/testkit/lab/size/member.go
+++ b/internal/testkit/lab/size/member.go
@@ -12,13 +12,14 @@
 	"frosttide/internal/testkit/lab"
 )
 
-// traffic is what a member has sent since it began.
+// traffic counts the bytes that a member has sent by UDP, and written in all and to disk, since its
+// start.
 type traffic struct{ packets, written, disk int64 }
 
-// consolePort is where a member's console listens, at the address of its cluster's port.
+// consolePort is the port of a member's console, on the IP address of its cluster listener.
 const consolePort = "8090"
 
-// console returns the address of a member's console.
+// console returns the host and port of the member's console.
 func (m *Member) console() (string, error) {
 	host, _, err := net.SplitHostPort(m.Listen)
 	if err != nil {
@@ -27,14 +28,14 @@
 	return net.JoinHostPort(host, consolePort), nil
 }
 
-// Report returns what the member tells people of itself.
+// Report fetches the member's cluster report from its console.
 func (m *Member) Report() (r cluster.Report, err error) {
-	at, err := m.console()
+	addr, err := m.console()
 	if err != nil {
 		return r, err
 	}
 	call := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
-	resp, err := call.Get("http://" + at + "/api/cluster")
+	resp, err := call.Get("http://" + addr + "/api/cluster")
 	if err != nil {
 		return r, fmt.Errorf("member: %w", err)
 	}
@@ -48,8 +49,9 @@
 	return r, nil
 }
 
-// sentBy returns what a plan's member has sent so far; nothing for a dispatcher on its own.
-func sentBy(p Plan, d *lab.Process) (t traffic, err error) {
+// memberTraffic returns the traffic of the plan's member so far; zero for a dispatcher that is no
+// member.
+func memberTraffic(p Plan, d *lab.Process) (t traffic, err error) {
 	if p.Member == nil {
 		return t, nil
 	}
@@ -62,12 +64,12 @@
 	return t, err
 }
 
-// memberConfig is the dispatcher's, in the program's own form, as a member.
+// memberConfig returns the TOML configuration of a dispatcher that is a cluster member.
 func memberConfig(p Plan, listen, discovery, dir string) []byte {
-	console, _ := p.Member.console() // Check has read it
-	folder := ""
+	console, _ := p.Member.console() // Plan.Check has validated it
+	logDir := ""
 	if p.Member.Voter {
-		folder = fmt.Sprintf("dir = %q\n", dir+"/log")
+		logDir = fmt.Sprintf("dir = %q\n", dir+"/log")
 	}
 	return fmt.Appendf(nil, `name = %q
 [listen]
@@ -95,11 +97,11 @@
 name = "render"
 wanted_within = "%dms"
 give_up = "%dms"
-`, Name, listen, console, discovery, p.Dispatchers, p.Member.Listen, quoted(p.Member.Join), quoted(p.Member.Voters), folder,
-		(p.Work + patience/2).Milliseconds(), (p.Work + patience).Milliseconds())
+`, Name, listen, console, discovery, p.Dispatchers, p.Member.Listen, quoted(p.Member.Join), quoted(p.Member.Voters), logDir,
+		(p.Work + clientPatience/2).Milliseconds(), (p.Work + clientPatience).Milliseconds())
 }
 
-// quoted writes a list of texts as the settings do.
+// quoted returns a TOML array of strings.
 func quoted(list []string) string {
 	out := make([]string, len(list))
 	for i, text := range list {
--- a/internal/testkit/lab/size/size.go
+++ b/internal/testkit/lab/size/size.go
@@ -1,5 +1,6 @@
-// Package size measures what one real dispatcher needs as the number of workers grows, its traffic
-// being the same: beside it hollow workers speak the real protocol on loopback, many in one process.
+// Package size measures the resources that one real dispatcher uses as the number of workers grows
+// while its traffic stays the same. Simulated workers, many in one process, use the real protocol
+// on loopback. RunUrgent measures how long urgent jobs wait for their start at such workers.
 package size
 
 import (
@@ -15,51 +16,52 @@
 )
 
 const (
-	// ShortWork is how long a hollow worker is at a job where that does not matter.
+	// ShortWork is the run time of a job for measurements that don't depend on it.
 	ShortWork = 30 * time.Millisecond
-	// changeEvery is how often discovery tells of changes where there are several a second.
-	changeEvery = 500 * time.Millisecond
-	// beatEvery is how often a watch says something while nothing changes.
-	beatEvery = 2 * time.Second
-	// patience is how long clients wait beyond the time that a job takes.
-	patience = 5 * time.Second
-	// mostOpen bounds the jobs that are open at once.
-	mostOpen = 4096
-	// startTime bounds the dispatcher's start.
-	startTime = 30 * time.Second
-	// MostWorkers is what the hollow workers have addresses for.
+	// changeInterval is the interval of discovery's updates if there are several changes per
+	// second.
+	changeInterval = 500 * time.Millisecond
+	// heartbeatInterval is the heartbeat interval of a watch without changes.
+	heartbeatInterval = 2 * time.Second
+	// clientPatience is how long clients wait in addition to a job's run time.
+	clientPatience = 5 * time.Second
+	// maxOpenJobs is the maximum number of jobs in flight.
+	maxOpenJobs = 4096
+	// startTimeout is the timeout of the dispatcher's start.
+	startTimeout = 30 * time.Second
+	// MostWorkers is the number of addresses for simulated workers.
 	MostWorkers = 12_000
 )
 
-// Plan is one measurement.
+// Plan holds the parameters of one measurement.
 type Plan struct {
-	Binary      string
+	Binary      string // path of the program
 	Workers     int
-	Dispatchers int           // that the settings tell of; one is real
-	Rate        float64       // jobs a second
-	Work        time.Duration // that a worker is at a job
-	Changes     float64       // entries of the list a second that change; 0 for none
-	For         time.Duration // counted
-	Seed        uint64
-	Member      *Member // nil for a dispatcher on its own
+	Dispatchers int           // number in the configuration; only one runs
+	Rate        float64       // jobs per second
+	Work        time.Duration // run time of a job
+	Changes     float64       // changed entries of the list per second; 0 for none
+	For         time.Duration // length of the load
+	Seed        uint64        // of the arrival times
+	Member      *Member       // nil for a dispatcher that is not in a cluster
 }
 
-// Member has the dispatcher be a member of a cluster whose other members somebody else plays.
+// Member makes the dispatcher a member of a cluster whose other members the caller runs.
 type Member struct {
-	Listen string
-	Join   []string
-	Voters []string
-	Voter  bool // it keeps the log: its own name, Name, is among the voters
-	// Ready is called once the dispatcher serves and returns when the cluster stands; Beside runs
-	// while the jobs do.
+	Listen string   // host and port of the cluster's listener
+	Join   []string // addresses of other members
+	Voters []string // names of all voters
+	Voter  bool     // whether it is a voter and stores the log; Name is then among Voters
+	// Ready is called once the dispatcher serves, and returns when the cluster is complete. Beside
+	// runs in parallel with the load until its context ends.
 	Ready  func(context.Context) error
 	Beside func(context.Context)
 }
 
-// Name is the dispatcher's.
+// Name is the name of the measured dispatcher in its configuration.
 const Name = "size"
 
-// Check tells what is wrong with a plan.
+// Check returns an error that names the first parameter that is out of range.
 func (p Plan) Check() error {
 	switch {
 	case p.Workers < 1 || p.Workers > MostWorkers:
@@ -70,8 +72,8 @@
 		return fmt.Errorf("rate: %g jobs a second, want over 0 and up to 1000", p.Rate)
 	case p.Work <= 0 || p.Work > time.Minute:
 		return fmt.Errorf("work: %v, want over 0 and up to 1 min", p.Work)
-	case p.Rate*p.Work.Seconds() > mostOpen/2:
-		return fmt.Errorf("rate and work: %.0f jobs would be open at once, want up to %d", p.Rate*p.Work.Seconds(), mostOpen/2)
+	case p.Rate*p.Work.Seconds() > maxOpenJobs/2:
+		return fmt.Errorf("rate and work: %.0f jobs would be open at once, want up to %d", p.Rate*p.Work.Seconds(), maxOpenJobs/2)
 	case !(p.Changes >= 0 && p.Changes <= 1000):
 		return fmt.Errorf("changes: %g a second, want 0 to 1000", p.Changes)
 	case p.For < time.Second || p.For > 10*time.Minute:
@@ -84,24 +86,25 @@
 	return err
 }
 
-// Need is what the dispatcher used.
+// Need holds the resources that the dispatcher used.
 type Need struct {
-	Seconds     float64 `json:"seconds"` // from its first answer to the last job's
+	Seconds     float64 `json:"seconds"` // of the load, until the last job's answer
 	Workers     int     `json:"workers"`
 	CPU         float64 `json:"cpu_seconds"`
-	StartCPU    float64 `json:"start_cpu_seconds"` // up to its first answer
+	StartCPU    float64 `json:"start_cpu_seconds"` // of CPU, up to its first health check
 	PeakKiB     int64   `json:"peak_memory_kib"`
-	Descriptors int     `json:"descriptors"` // the most that were seen
-	Connections int64   `json:"connections"` // made to workers
-	ListBytes   int64   `json:"list_bytes"`
-	StartList   int64   `json:"start_list_bytes"`        // of those, up to its first answer
-	Served      float64 `json:"served"`                  // share of the jobs
-	Packets     int64   `json:"packet_bytes,omitempty"`  // sent to other members by UDP, while jobs ran
-	Written     int64   `json:"written_bytes,omitempty"` // to streams and files, while jobs ran
-	Disk        int64   `json:"disk_bytes,omitempty"`    // of those, that reached the disk's queue
+	Descriptors int     `json:"descriptors"`             // peak of the samples
+	Connections int64   `json:"connections"`             // accepted by the workers
+	ListBytes   int64   `json:"list_bytes"`              // sent by discovery
+	StartList   int64   `json:"start_list_bytes"`        // of ListBytes, up to its first health check
+	Served      float64 `json:"served"`                  // fraction of the jobs
+	Packets     int64   `json:"packet_bytes,omitempty"`  // sent to other members by UDP during the load
+	Written     int64   `json:"written_bytes,omitempty"` // to streams and files during the load
+	Disk        int64   `json:"disk_bytes,omitempty"`    // of Written, sent to storage
 }
 
-// Run measures once.
+// Run runs one measurement. An interrupted run returns an error. Errors after the dispatcher's
+// start include its log.
 func Run(ctx context.Context, p Plan) (n Need, err error) {
 	if err := p.Check(); err != nil {
 		return n, err
@@ -120,12 +123,12 @@
 		return n, err
 	}
 	defer os.RemoveAll(dir)
-	d, err := begin(p, addr, f.at, dir)
+	d, err := startDispatcher(p, addr, f.at, dir)
 	if err != nil {
 		return n, err
 	}
 	defer d.Kill()
-	if err := d.Await("http://"+addr+"/_health", time.Now().Add(startTime)); err != nil {
+	if err := d.Await("http://"+addr+"/_health", time.Now().Add(startTimeout)); err != nil {
 		return n, fmt.Errorf("%w: %s", err, d.Kill())
 	}
 	if p.Member != nil {
@@ -140,8 +143,8 @@
 	return n, nil
 }
 
-// begin starts the dispatcher.
-func begin(p Plan, addr, discovery, dir string) (*lab.Process, error) {
+// startDispatcher writes the dispatcher's configuration to dir and starts the program.
+func startDispatcher(p Plan, addr, discovery, dir string) (*lab.Process, error) {
 	if p.Member != nil {
 		path := filepath.Join(dir, "frosttide.toml")
 		if err := os.WriteFile(path, memberConfig(p, addr, discovery, dir), 0o600); err != nil {
@@ -156,74 +159,75 @@
 	return lab.Start(p.Binary, nil, []string{"BALANCER_CONFIG=" + path, "TMPDIR=" + dir, "FROSTTIDE_LOG_LEVEL=warn"})
 }
 
-// measure puts the load on a dispatcher that serves.
+// measure runs the load on a dispatcher that serves, and reads the resources that it used.
 func measure(ctx context.Context, p Plan, d *lab.Process, f *fleet, addr string) (n Need, err error) {
 	n.Workers = p.Workers
-	begun, err := d.CPU()
+	cpuBefore, err := d.CPU()
 	if err != nil {
 		return n, err
 	}
-	n.StartCPU, n.StartList = begun.Seconds(), f.catalog.bytes.Load()
-	before, err := sentBy(p, d)
+	n.StartCPU, n.StartList = cpuBefore.Seconds(), f.catalog.bytes.Load()
+	before, err := memberTraffic(p, d)
 	if err != nil {
 		return n, err
 	}
-	began, watched := time.Now(), watch(d)
-	beside, over := context.WithCancel(ctx)
-	var ended sync.WaitGroup
+	startedAt, peakDescriptors := time.Now(), sampleDescriptors(d)
+	besideCtx, cancel := context.WithCancel(ctx)
+	var background sync.WaitGroup
 	if p.Member != nil {
-		ended.Go(func() { p.Member.Beside(beside) })
+		background.Go(func() { p.Member.Beside(besideCtx) })
 	}
-	load := lab.Load{Addr: addr, Class: "render", Rate: p.Rate, For: p.For, Patient: p.Work + patience, Seed: p.Seed, Most: mostOpen}
+	load := lab.Load{Addr: addr, Class: "render", Rate: p.Rate, For: p.For, Patient: p.Work + clientPatience, Seed: p.Seed, Most: maxOpenJobs}
 	result := load.Run(ctx)
-	n.Seconds = time.Since(began).Seconds()
-	over()
-	ended.Wait()
-	n.Descriptors = watched()
+	n.Seconds = time.Since(startedAt).Seconds()
+	cancel()
+	background.Wait()
+	n.Descriptors = peakDescriptors()
 	if ctx.Err() != nil {
 		return n, errors.New("interrupted")
 	}
-	used, err := d.CPU()
+	cpuAfter, err := d.CPU()
 	if err != nil {
 		return n, err
 	}
 	if n.PeakKiB, err = d.Peak(); err != nil {
 		return n, err
 	}
-	after, err := sentBy(p, d)
+	after, err := memberTraffic(p, d)
 	if err != nil {
 		return n, err
 	}
 	n.Packets, n.Written, n.Disk = after.packets-before.packets, after.written-before.written, after.disk-before.disk
-	n.CPU, n.Served = used.Seconds(), result.Service()
+	n.CPU, n.Served = cpuAfter.Seconds(), result.Service()
 	n.Connections, n.ListBytes = f.connected.Load(), f.catalog.bytes.Load()
 	return n, nil
 }
 
-// watch looks at the dispatcher's descriptors until it is asked for the most that it saw.
-func watch(d *lab.Process) (most func() int) {
-	over, told := make(chan struct{}), make(chan int)
+// sampleDescriptors samples the dispatcher's open descriptors ten times per second. The function
+// that it returns ends the sampling and returns the peak; it may be called once.
+func sampleDescriptors(d *lab.Process) (peak func() int) {
+	stop, result := make(chan struct{}), make(chan int)
 	go func() {
-		seen := 0
+		highest := 0
 		tick := time.NewTicker(100 * time.Millisecond)
 		defer tick.Stop()
 		for {
-			seen = max(seen, d.Descriptors())
+			highest = max(highest, d.Descriptors())
 			select {
 			case <-tick.C:
-			case <-over:
-				told <- seen
+			case <-stop:
+				result <- highest
 				return
 			}
 		}
 	}()
 	return func() int {
-		close(over)
-		return <-told
+		close(stop)
+		return <-result
 	}
 }
 
-// config is the dispatcher's, in the platform's form.
+// config returns the dispatcher's configuration in the platform's JSON format.
 func config(p Plan, listen, discovery string) []byte {
 	return fmt.Appendf(nil, `{"name":"size","listen":%q,"discovery":%q,"known":{"rev":0,"all":true,"targets":[]},
 "limits":{"cores":1,"memory_mb":512,"sockets":4096},
@@ -232,5 +236,5 @@
 "policy-limits":{"connect-timeout":250000,"keepalive":5000000,"max-retry-after":2000000,"may-cancel":true,"retry-after":true,
 "second-copies":true,"send-cap":4,"probing":true},"report":{"source":"none"},"family-info":{"tells-start":true},
 "rules":{"ask-within":100000,"drain-grace":500000,"cold-from":0.2,"warm-within":20000000,"fall-multiple":2.5,"fall":1000000}}}`,
-		listen, discovery, p.Dispatchers, (p.Work + patience/2).Microseconds(), (p.Work + patience).Microseconds())
+		listen, discovery, p.Dispatchers, (p.Work + clientPatience/2).Microseconds(), (p.Work + clientPatience).Microseconds())
 }
--- a/internal/testkit/lab/size/urgent.go
+++ b/internal/testkit/lab/size/urgent.go
@@ -20,59 +20,63 @@
 )
 
 const (
-	// urgentEvery is how far apart urgent jobs come, urgentWork how long each runs and bulkWork the others.
-	urgentEvery = 250 * time.Millisecond
-	urgentWork  = 200 * time.Millisecond
-	bulkWork    = 2 * time.Second
-	// urgentTime is how long urgent work may wait for its start; its clients come again until then.
-	urgentTime = 8800 * time.Millisecond
-	// bulkTime is for how long clients of other work come again.
-	bulkTime = 10 * time.Second
-	// againAfter is how long a refused client stays away that was not told when to come again.
-	againAfter = 100 * time.Millisecond
-	// never is the work of a job that a worker takes and says no more of.
-	never = time.Duration(-1)
-	// lostPart is one of how many workers hangs.
-	lostPart = 10
+	// urgentInterval is the interval between urgent jobs. urgentWork is the run time of an urgent
+	// job, and bulkWork that of the others.
+	urgentInterval = 250 * time.Millisecond
+	urgentWork     = 200 * time.Millisecond
+	bulkWork       = 2 * time.Second
+	// urgentTimeout is how long an urgent job may wait for its start; its client retries until
+	// then.
+	urgentTimeout = 8800 * time.Millisecond
+	// bulkTimeout is how long clients of other jobs retry.
+	bulkTimeout = 10 * time.Second
+	// defaultRetryDelay is the retry delay after a refusal without a Retry-After header.
+	defaultRetryDelay = 100 * time.Millisecond
+	// neverEnds is the run time of a job that a hanging worker accepts and does not report on.
+	neverEnds = time.Duration(-1)
+	// hangDivisor means that one in so many workers hangs.
+	hangDivisor = 10
 )
 
-// UrgentPlan measures how long urgent work waits for its start at workers that hold one job each.
+// UrgentPlan holds the parameters of a measurement of how long urgent jobs wait for their start, at
+// workers that run one job at a time.
 type UrgentPlan struct {
 	Binary  string
 	Workers int
-	Load    float64 // other work that comes, of all that the workers can do
-	Hang    bool    // a tenth of the workers stand still from the middle on
+	Load    float64 // offered load of other jobs, as a fraction of the workers' capacity
+	Hang    bool    // a tenth of the workers hang from the middle of the run on
 	For     time.Duration
 	Seed    uint64
 }
 
-// Check tells what is wrong with a plan.
+// Check returns an error that names the first parameter that is out of range.
 func (p UrgentPlan) Check() error {
 	switch {
-	case p.Workers < lostPart || p.Workers > MostWorkers:
-		return fmt.Errorf("workers: %d, want %d to %d", p.Workers, lostPart, MostWorkers)
+	case p.Workers < hangDivisor || p.Workers > MostWorkers:
+		return fmt.Errorf("workers: %d, want %d to %d", p.Workers, hangDivisor, MostWorkers)
 	case !(p.Load > 0 && p.Load <= 3):
 		return fmt.Errorf("load: %g, want over 0 and up to 3", p.Load)
-	case p.Load*float64(p.Workers)*bulkTime.Seconds()/bulkWork.Seconds() > mostOpen:
-		return fmt.Errorf("load and workers: more than %d clients would come again at once", mostOpen)
+	case p.Load*float64(p.Workers)*bulkTimeout.Seconds()/bulkWork.Seconds() > maxOpenJobs:
+		return fmt.Errorf("load and workers: more than %d clients would retry at the same time", maxOpenJobs)
 	case p.For < time.Second || p.For > 10*time.Minute:
 		return fmt.Errorf("seconds: %v, want 1 s to 10 min", p.For)
 	}
 	return nil
 }
 
-// Urgent is what became of the urgent work.
+// Urgent holds the results for the urgent jobs of a run. Delays count from the client's first call
+// to the start.
 type Urgent struct {
 	Load    float64 `json:"load"`
 	Hang    bool    `json:"hang"`
-	Asked   int64   `json:"asked"`
-	Started int64   `json:"started"` // in time
+	Asked   int64   `json:"asked"`   // urgent jobs submitted
+	Started int64   `json:"started"` // within urgentTimeout
 	P50     float64 `json:"p50_seconds"`
-	P99     float64 `json:"p99_seconds"` // of all that were asked for; urgentTime for those that never started
+	P99     float64 `json:"p99_seconds"` // of all jobs; urgentTimeout for late ones
 	Most    float64 `json:"most_seconds"`
 }
 
-// RunUrgent measures once.
+// RunUrgent runs one measurement. An interrupted run returns an error.
 func RunUrgent(ctx context.Context, p UrgentPlan) (u Urgent, err error) {
 	if err := p.Check(); err != nil {
 		return u, err
@@ -87,7 +91,7 @@
 	}
 	defer f.close()
 	s := &slots{busy: map[string]bool{}, hung: map[string]bool{}, started: map[string]time.Time{}}
-	f.takes, f.ended = s.takes, s.ended
+	f.accept, f.ended = s.accept, s.ended
 	dir, err := os.MkdirTemp("", "frosttide-urgent-")
 	if err != nil {
 		return u, err
@@ -102,48 +106,48 @@
 		return u, err
 	}
 	defer d.Kill()
-	if err := d.Await("http://"+addr+"/_health", time.Now().Add(startTime)); err != nil {
+	if err := d.Await("http://"+addr+"/_health", time.Now().Add(startTimeout)); err != nil {
 		return u, fmt.Errorf("%w: %s", err, d.Kill())
 	}
-	return p.play(ctx, addr, s)
+	return p.run(ctx, addr, s)
 }
 
-// play sends both kinds of work and waits for the urgent.
-func (p UrgentPlan) play(ctx context.Context, addr string, s *slots) (Urgent, error) {
-	clients := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: mostOpen}}
+// run submits both kinds of jobs until the run's end, and waits for all of them.
+func (p UrgentPlan) run(ctx context.Context, addr string, s *slots) (Urgent, error) {
+	clients := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxOpenJobs}}
 	defer clients.CloseIdleConnections()
 	until, stop := context.WithDeadline(ctx, time.Now().Add(p.For))
 	defer stop()
 	if p.Hang {
-		middle := time.AfterFunc(p.For/2, func() { s.hang(p.Workers / lostPart) })
+		middle := time.AfterFunc(p.For/2, func() { s.hangWorkers(p.Workers / hangDivisor) })
 		defer middle.Stop()
 	}
 	var all sync.WaitGroup
 	all.Go(func() {
 		rng := rand.New(rand.NewPCG(p.Seed, 1))
 		mean := bulkWork.Seconds() / (p.Load * float64(p.Workers))
-		comes(until, func() time.Duration { return time.Duration(rng.ExpFloat64() * mean * float64(time.Second)) }, func(n int) {
-			all.Go(func() { ask(ctx, clients, addr, "bulk", fmt.Sprintf("b-%d", n), bulkTime) })
+		generateArrivals(until, func() time.Duration { return time.Duration(rng.ExpFloat64() * mean * float64(time.Second)) }, func(n int) {
+			all.Go(func() { submitWithRetry(ctx, clients, addr, "bulk", fmt.Sprintf("b-%d", n), bulkTimeout) })
 		})
 	})
 	times := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	u := Urgent{Load: p.Load, Hang: p.Hang}
 	var mu sync.Mutex
 	all.Go(func() {
-		comes(until, func() time.Duration { return urgentEvery }, func(n int) {
+		generateArrivals(until, func() time.Duration { return urgentInterval }, func(n int) {
 			all.Go(func() {
-				id, began := fmt.Sprintf("u-%d", n), time.Now()
-				ask(ctx, clients, addr, "urgent", id, urgentTime)
-				took, ok := s.since(id, began)
+				id, startedAt := fmt.Sprintf("u-%d", n), time.Now()
+				submitWithRetry(ctx, clients, addr, "urgent", id, urgentTimeout)
+				delay, ok := s.startDelay(id, startedAt)
 				mu.Lock()
 				defer mu.Unlock()
 				u.Asked++
-				if ok && took <= urgentTime {
+				if ok && delay <= urgentTimeout {
 					u.Started++
 				} else {
-					took = urgentTime
+					delay = urgentTimeout
 				}
-				_ = times.RecordValue(max(took.Microseconds(), 1)) // within its range
+				_ = times.RecordValue(max(delay.Microseconds(), 1)) // within its range
 			})
 		})
 	})
@@ -155,8 +159,9 @@
 	return u, nil
 }
 
-// comes calls a function for each arrival until the context ends.
-func comes(ctx context.Context, next func() time.Duration, arrived func(n int)) {
+// generateArrivals calls arrived for each arrival until the context ends. next returns the gap
+// before an arrival.
+func generateArrivals(ctx context.Context, next func() time.Duration, arrived func(n int)) {
 	for n := 0; ; n++ {
 		wait := time.NewTimer(next())
 		select {
@@ -169,13 +174,14 @@
 	}
 }
 
-// ask sends a job, again when its refusal says, until it has an answer or its time is over.
-func ask(ctx context.Context, clients *http.Client, addr, class, id string, within time.Duration) {
-	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(within))
+// submitWithRetry submits a job and retries after refusals, until it has another answer, the call
+// fails or the timeout has passed.
+func submitWithRetry(ctx context.Context, clients *http.Client, addr, class, id string, timeout time.Duration) {
+	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(timeout))
 	defer cancel()
 	for {
-		wait, again := try(ctx, clients, addr, class, id)
-		if !again {
+		wait, retry := submitOnce(ctx, clients, addr, class, id)
+		if !retry {
 			return
 		}
 		pause := time.NewTimer(wait)
@@ -188,8 +194,8 @@
 	}
 }
 
-// try sends a job once, and tells whether to come again, and when.
-func try(ctx context.Context, clients *http.Client, addr, class, id string) (wait time.Duration, again bool) {
+// submitOnce submits a job once, and returns whether to retry and after which delay.
+func submitOnce(ctx context.Context, clients *http.Client, addr, class, id string) (wait time.Duration, retry bool) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+class+"/clip", strings.NewReader("frames"))
 	if err != nil {
 		return 0, false
@@ -210,23 +216,24 @@
 	if seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64); err == nil && seconds > 0 {
 		return time.Duration(seconds * float64(time.Second)), true
 	}
-	return againAfter, true
+	return defaultRetryDelay, true
 }
 
-// slots are workers that hold one job each.
+// slots holds the state of workers that run one job at a time.
 type slots struct {
 	mu      sync.Mutex
-	busy    map[string]bool
-	hung    map[string]bool
-	started map[string]time.Time
+	busy    map[string]bool      // by worker
+	hung    map[string]bool      // by worker
+	started map[string]time.Time // by job: its first start
 }
 
-// takes gives a worker a job if it has room. One that stands still takes any and says no more.
-func (s *slots) takes(worker, job string) (bool, time.Duration) {
+// accept gives a job to a worker, and returns whether it accepts the job and the job's run time. A
+// hanging worker accepts every job and never reports on it.
+func (s *slots) accept(worker, job string) (bool, time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.hung[worker] {
-		return true, never
+		return true, neverEnds
 	}
 	if s.busy[worker] {
 		return false, 0
@@ -241,14 +248,15 @@
 	return true, bulkWork
 }
 
+// ended marks a worker as idle.
 func (s *slots) ended(worker string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.busy[worker] = false
 }
 
-// hang has the first workers stand still for good.
-func (s *slots) hang(n int) {
+// hangWorkers makes the first n workers hang permanently.
+func (s *slots) hangWorkers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range n {
@@ -256,21 +264,22 @@
 	}
 }
 
-// since returns how long after a moment a job was taken by a worker.
-func (s *slots) since(job string, from time.Time) (time.Duration, bool) {
+// startDelay returns how long after from a worker accepted the job, and false if none did.
+func (s *slots) startDelay(job string, from time.Time) (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	at, ok := s.started[job]
 	return at.Sub(from), ok
 }
 
-// urgentConfig is the dispatcher's, with a class of urgent work beside another.
+// urgentConfig returns the dispatcher's configuration with a class of urgent jobs and one of
+// others.
 func urgentConfig(listen, discovery string) []byte {
-	class := func(name string, worth int, within time.Duration) string {
-		return fmt.Sprintf(`{"name":%q,"effect":"safe","aim":%d,"give-up":%d,"worth":%d}`, name, within.Microseconds(), within.Microseconds(), worth)
+	class := func(name string, worth int, timeout time.Duration) string {
+		return fmt.Sprintf(`{"name":%q,"effect":"safe","aim":%d,"give-up":%d,"worth":%d}`, name, timeout.Microseconds(), timeout.Microseconds(), worth)
 	}
 	text := strings.Replace(string(config(Plan{Dispatchers: 1, Work: bulkWork}, listen, discovery)), `"me":1`, `"me":0`, 1)
 	before, rest, _ := strings.Cut(text, `"request-classes":[`)
 	_, after, _ := strings.Cut(rest, "],")
-	return []byte(before + `"request-classes":[` + class("bulk", 1, bulkTime) + "," + class("urgent", 20, urgentTime) + "]," + after)
+	return []byte(before + `"request-classes":[` + class("bulk", 1, bulkTimeout) + "," + class("urgent", 20, urgentTimeout) + "]," + after)
 }
