--- a/internal/testkit/lab/scale/descriptors.go
+++ b/internal/testkit/lab/scale/descriptors.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// descriptors returns how many this process may open.
-func descriptors() (uint64, error) {
+// descriptorLimit returns the soft limit of open file descriptors of this process.
+func descriptorLimit() (uint64, error) {
 	var limit unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &limit); err != nil {
 		return 0, fmt.Errorf("descriptors: %w", err)
--- a/internal/testkit/lab/scale/fit.go
+++ b/internal/testkit/lab/scale/fit.go
@@ -8,16 +8,16 @@
 	"frosttide/internal/testkit/lab/size"
 )
 
-// Quantity is one need of a role.
+// Quantity is a resource that a role uses, with its unit.
 type Quantity struct {
 	Name    string
-	Unit    string
-	Budget  float64 // of the operators, for a dispatcher with all that it does; 0 for none
-	members bool    // only members have it
+	Unit    string  // empty for a plain number
+	Budget  float64 // the operators' limit for a dispatcher with all its functions; 0 for none
+	members bool    // measured only for cluster members
 	of      func(size.Need) float64
 }
 
-// quantities are the needs to which lines are fitted.
+// quantities lists the resources to which lines are fitted.
 var quantities = []Quantity{
 	{"processor", "% of a core", 1.4, false, func(n size.Need) float64 { return 100 * (n.CPU - n.StartCPU) / n.Seconds }},
 	{"peak memory", "MB", 32, false, func(n size.Need) float64 { return float64(n.PeakKiB) * 1024 / 1e6 }},
@@ -28,7 +28,7 @@
 	{"disk", "KB/s", 0, true, func(n size.Need) float64 { return float64(n.Disk) / 1000 / n.Seconds }},
 }
 
-// Quantities returns a role's.
+// Quantities returns the resources that are measured for a role.
 func Quantities(r Role) (out []Quantity) {
 	for _, q := range quantities {
 		if r != Dispatcher || !q.members {
@@ -38,7 +38,7 @@
 	return out
 }
 
-// Value returns what a measurement found of a quantity, 0 for one that there is not.
+// Value returns the value of a quantity in a measurement, 0 if there is no such quantity.
 func Value(quantity string, n size.Need) float64 {
 	for _, q := range quantities {
 		if q.Name == quantity {
@@ -48,18 +48,18 @@
 	return 0
 }
 
-// Line is a need along an axis: base plus slope times x.
+// Line is the linear model of a quantity along an axis: base + slope*x.
 type Line struct {
 	Axis     Axis    `json:"axis"`
 	Quantity string  `json:"quantity"`
 	Base     float64 `json:"base"`
 	Slope    float64 `json:"slope"`
-	Spread   float64 `json:"spread"` // the standard deviation of what is left, in the quantity's unit
-	Explains float64 `json:"r2"`     // the share of the variance that the line explains
+	Spread   float64 `json:"spread"` // standard deviation of the residuals, in the quantity's unit
+	Explains float64 `json:"r2"`     // coefficient of determination
 	Points   int     `json:"points"`
 }
 
-// Fit returns a role's lines along all axes that have points.
+// Fit returns the lines of a role's quantities along all axes with at least two points.
 func Fit(r Role, points []Point) (out []Line) {
 	for _, of := range axes {
 		var x []float64
@@ -83,86 +83,91 @@
 	return out
 }
 
+// fit fits one line by least squares.
 func fit(a Axis, quantity string, x, y []float64) Line {
 	base, slope := stat.LinearRegression(x, y, nil, false)
-	var left float64
+	var residuals float64 // sum of squares
 	for i := range x {
 		d := y[i] - base - slope*x[i]
-		left += d * d
+		residuals += d * d
 	}
 	explains := stat.RSquared(x, y, nil, base, slope)
-	if math.IsNaN(explains) { // all values are equal: there is nothing to explain
+	if math.IsNaN(explains) { // all values are equal, so there is no variance
 		explains = 1
 	}
 	return Line{Axis: a, Quantity: quantity, Base: base, Slope: slope,
-		Spread: math.Sqrt(left / float64(max(len(x)-2, 1))), Explains: explains, Points: len(x)}
+		Spread: math.Sqrt(residuals / float64(max(len(x)-2, 1))), Explains: explains, Points: len(x)}
 }
 
-// Size is that of a fleet.
+// Size describes a fleet by the quantities that its dispatchers' needs depend on.
 type Size struct {
 	Dispatchers int
 	Workers     float64
-	Starts      float64 // of tasks, a second, in the fleet
-	Running     float64 // tasks, in the fleet
-	Changes     float64 // of the list, a second
-	Writes      float64 // of the agreed log, a second
+	Starts      float64 // task starts per second in the fleet
+	Running     float64 // tasks that run at a time in the fleet
+	Changes     float64 // changes of the list per second
+	Writes      float64 // writes of the replicated log per second
 }
 
-// Fleet is the capacity page's. The operators name no number of dispatchers: it is that of their fleet
-// test. Of changes an hour's worth comes at once when a zone of five is lost: 190 workers in ten seconds. A
-// write a second is 160 times the mean of 540 a day: operators come in bursts.
+// Fleet is the fleet of the capacity page. The operators specify no number of dispatchers, so it is
+// that of their fleet test. Changes is the rate when one zone of five is lost, which brings an
+// hour's worth of changes at once: 190 workers in ten seconds. One write per second is 160 times
+// the mean of 540 a day, because operators' calls come in bursts.
 var Fleet = Size{Dispatchers: 300, Workers: 950, Starts: 640, Running: 13_000, Changes: 19, Writes: 1}
 
-// at returns where one of its dispatchers stands on an axis.
+// at returns the fleet's value on an axis as one of its dispatchers sees it. Starts and running
+// tasks are divided by the number of dispatchers.
 func (s Size) at(a Axis) float64 {
-	each := float64(s.Dispatchers)
+	dispatchers := float64(s.Dispatchers)
 	switch a {
 	case Workers:
 		return s.Workers
 	case Starts:
-		return s.Starts / each
+		return s.Starts / dispatchers
 	case Running:
-		return s.Running / each
+		return s.Running / dispatchers
 	case Changes:
 		return s.Changes
 	case Members:
-		return each
+		return dispatchers
 	case Writes:
 		return s.Writes
 	}
 	return 0
 }
 
-// usual is where the points of other axes stand on one.
-func usual(a Axis) float64 {
+// defaultAt returns the value of an axis while another axis is varied.
+func defaultAt(a Axis) float64 {
 	switch a {
 	case Workers:
-		return usualWorkers
+		return defaultWorkers
 	case Starts:
-		return usualStarts
+		return defaultStarts
 	case Running:
-		return usualStarts * size.ShortWork.Seconds()
+		return defaultStarts * size.ShortWork.Seconds()
 	case Changes:
-		return usualChanges
+		return defaultChanges
 	case Members:
-		return usualMembers
+		return defaultMembers
 	case Writes:
-		return usualWrites
+		return defaultWrites
 	}
 	return 0
 }
 
-// Needs returns what a dispatcher of a fleet would need of a quantity: what it does where the axes
-// cross, and from there along each line. Slopes below 0 count as none: nothing gets cheaper as it grows.
+// Needs extrapolates how much of a quantity a dispatcher of a fleet uses, and the standard
+// deviation of that: it starts from the mean of all lines at the default values of their axes and
+// adds each line's slope from there. Negative slopes count as 0, because no need falls as the fleet
+// grows.
 func Needs(lines []Line, quantity string, s Size) (at float64, spread float64) {
-	var crossing []float64
+	var atDefaults []float64
 	for _, l := range lines {
 		if l.Quantity != quantity {
 			continue
 		}
-		crossing = append(crossing, l.Base+l.Slope*usual(l.Axis))
-		at += max(l.Slope, 0) * (s.at(l.Axis) - usual(l.Axis))
+		atDefaults = append(atDefaults, l.Base+l.Slope*defaultAt(l.Axis))
+		at += max(l.Slope, 0) * (s.at(l.Axis) - defaultAt(l.Axis))
 		spread = math.Hypot(spread, l.Spread)
 	}
-	return at + stat.Mean(crossing, nil), spread
+	return at + stat.Mean(atDefaults, nil), spread
 }
--- a/internal/testkit/lab/scale/member.go
+++ b/internal/testkit/lab/scale/member.go
@@ -14,32 +14,32 @@
 )
 
 const (
-	// network is the second number of the members' addresses, where nobody listens at them; networks
-	// are how many are tried.
-	network  = 92
-	networks = 16
-	// standTime bounds how long a cluster takes to stand.
-	standTime = time.Minute
-	// followTime is how long the log takes for each member that it takes in at the most.
-	followTime = time.Second
-	// writeTime bounds a write of the log.
-	writeTime = 5 * time.Second
-	// mostWrites bounds the writes under way.
-	mostWrites = 64
-	// leftOut is how many runners are left out at a time by the writes.
-	leftOut = 50
+	// firstNetwork is the first value to try for the second byte of the members' addresses, and
+	// networkCount the number of values that are tried until one is free.
+	firstNetwork = 92
+	networkCount = 16
+	// formTimeout is the timeout for a cluster to form.
+	formTimeout = time.Minute
+	// followTimeout is the maximum time that the log needs to add one member.
+	followTimeout = time.Second
+	// writeTimeout is the timeout of a write of the log.
+	writeTimeout = 5 * time.Second
+	// maxWrites is the maximum number of writes in flight.
+	maxWrites = 64
+	// excludedRunners is the number of runners that the writes exclude at a time.
+	excludedRunners = 50
 )
 
-// besides are the hollow members of a run.
-type besides struct {
-	members int // with the real one
-	writes  float64
-	leads   bool // the real one does
+// peers describes the simulated members of a run and the load on its log.
+type peers struct {
+	members int     // number, including the real one
+	writes  float64 // of the log, per second
+	leading bool    // whether the real member is the leader
 }
 
-// besides returns the hollow members at a point.
-func (p Plan) besides(a Axis, x float64) *besides {
-	b := &besides{members: usualMembers, writes: usualWrites, leads: p.Role == Leader}
+// peersAt returns the simulated members of a point on an axis.
+func (p Plan) peersAt(a Axis, x float64) *peers {
+	b := &peers{members: defaultMembers, writes: defaultWrites, leading: p.Role == Leader}
 	if p.Short {
 		b.members = shortMembers
 	}
@@ -52,31 +52,31 @@
 	return b
 }
 
-// member plays a run with hollow members beside the real one.
-func (r run) member(ctx context.Context) (Point, error) {
+// measureWithPeers measures a run with simulated members in addition to the real one.
+func (r run) measureWithPeers(ctx context.Context) (Point, error) {
 	dir, err := os.MkdirTemp("", "frosttide-members-")
 	if err != nil {
 		return Point{}, err
 	}
 	defer os.RemoveAll(dir)
-	held, err := holdNetwork()
+	reservation, err := reserveNetwork()
 	if err != nil {
 		return Point{}, err
 	}
-	defer held.Close()
-	own := &size.Member{Listen: fmt.Sprintf("127.%d.250.1:7946", held.Number), Voter: r.beside.leads, Voters: []string{simulatedmembers.Name(0)}}
-	if r.beside.leads {
+	defer reservation.Close()
+	own := &size.Member{Listen: fmt.Sprintf("127.%d.250.1:7946", reservation.Number), Voter: r.peers.leading, Voters: []string{simulatedmembers.Name(0)}}
+	if r.peers.leading {
 		own.Voters = []string{size.Name}
 	}
-	cfg := simulatedmembers.Config{Count: r.beside.members - 1, Network: held.Number, Voters: own.Voters, Dir: dir, Join: []string{own.Listen}}
+	cfg := simulatedmembers.Config{Count: r.peers.members - 1, Network: reservation.Number, Voters: own.Voters, Dir: dir, Join: []string{own.Listen}}
 	own.Join = cfg.Addrs(3)
 	fleet, err := simulatedmembers.Open(cfg)
 	if err != nil {
 		return Point{}, err
 	}
 	defer fleet.Close()
-	w := &writer{fleet: fleet, every: time.Duration(float64(time.Second) / r.beside.writes)}
-	own.Ready = func(ctx context.Context) error { return stands(ctx, fleet, own, r.beside.members) }
+	w := &writer{fleet: fleet, interval: time.Duration(float64(time.Second) / r.peers.writes)}
+	own.Ready = func(ctx context.Context) error { return awaitMembers(ctx, fleet, own, r.peers.members) }
 	sent := make(map[string]uint64)
 	own.Beside = func(ctx context.Context) {
 		for _, m := range fleet.Members() {
@@ -95,7 +95,8 @@
 	return Point{Axis: r.axis, X: r.x, Need: need, Hollow: median(sent) / float64(max(need.Packets, 1)), Wrote: w.done.Load(), Failed: w.failed.Load()}, nil
 }
 
-// median returns what the middle one of some members has sent.
+// median returns the median of the bytes that members have sent, by their names. There must be one
+// at least.
 func median(sent map[string]uint64) float64 {
 	var all []uint64
 	for _, n := range sent {
@@ -105,24 +106,24 @@
 	return float64(all[len(all)/2])
 }
 
-// stands waits until all members know each other and all but the leader follow the log, which takes
-// them in one after the other.
-func stands(ctx context.Context, f *simulatedmembers.Fleet, own *size.Member, members int) error {
-	by := time.Now().Add(standTime + time.Duration(members)*followTime)
-	if err := f.UntilAlive(members, by); err != nil {
+// awaitMembers waits until all members see each other alive and the log has added all of them as
+// voters or followers, which it does one at a time. It returns the last error after its timeout.
+func awaitMembers(ctx context.Context, f *simulatedmembers.Fleet, own *size.Member, members int) error {
+	deadline := time.Now().Add(formTimeout + time.Duration(members)*followTimeout)
+	if err := f.UntilAlive(members, deadline); err != nil {
 		return err
 	}
 	for {
-		err := follow(ctx, f, own, members)
-		if err == nil || ctx.Err() != nil || time.Now().After(by) {
+		err := checkLeader(ctx, f, own, members)
+		if err == nil || ctx.Err() != nil || time.Now().After(deadline) {
 			return err
 		}
 		<-time.After(50 * time.Millisecond)
 	}
 }
 
-// follow tells what the log's leader lacks.
-func follow(ctx context.Context, f *simulatedmembers.Fleet, own *size.Member, members int) error {
+// checkLeader returns an error if the expected leader does not lead or its log lacks members.
+func checkLeader(ctx context.Context, f *simulatedmembers.Fleet, own *size.Member, members int) error {
 	r, err := own.Report()
 	if err != nil {
 		return err
@@ -136,20 +137,21 @@
 	return nil
 }
 
-// writer has operators write in the log by turns at all hollow members, at their times whatever becomes
-// of the writes before.
+// writer writes to the log at a fixed interval, at all simulated members in turn. It doesn't wait
+// for earlier writes.
 type writer struct {
 	fleet        *simulatedmembers.Fleet
-	every        time.Duration
-	done, failed atomic.Int64
+	interval     time.Duration
+	done, failed atomic.Int64 // acknowledged writes, and all others
 }
 
+// run writes until ctx ends, and returns once the writes in flight have ended.
 func (w *writer) run(ctx context.Context) {
-	tick := time.NewTicker(w.every)
+	tick := time.NewTicker(w.interval)
 	defer tick.Stop()
 	var all sync.WaitGroup
 	defer all.Wait()
-	open := make(chan struct{}, mostWrites)
+	open := make(chan struct{}, maxWrites)
 	for n := 0; ; n++ {
 		select {
 		case <-ctx.Done():
@@ -159,7 +161,7 @@
 		select {
 		case open <- struct{}{}:
 		default:
-			w.failed.Add(1) // so many are under way that it could not be said
+			w.failed.Add(1) // too many writes in flight
 			continue
 		}
 		all.Go(func() {
@@ -169,11 +171,11 @@
 	}
 }
 
-// write makes one; it goes on past the run's end.
+// write makes write n and counts its outcome. It is not cancelled by ctx, only by its own timeout.
 func (w *writer) write(ctx context.Context, n int) {
-	call, cancel := context.WithDeadline(context.WithoutCancel(ctx), time.Now().Add(writeTime))
+	call, cancel := context.WithDeadline(context.WithoutCancel(ctx), time.Now().Add(writeTimeout))
 	defer cancel()
-	if err := w.fleet.Write(call, n, fmt.Sprintf("x-%d", n%leftOut), n/leftOut%2 == 0); err != nil {
+	if err := w.fleet.Write(call, n, fmt.Sprintf("x-%d", n%excludedRunners), n/excludedRunners%2 == 0); err != nil {
 		w.failed.Add(1)
 		return
 	}
--- a/internal/testkit/lab/scale/network_test.go
+++ b/internal/testkit/lab/scale/network_test.go
@@ -2,29 +2,30 @@
 
 import "testing"
 
-// TestHoldNetwork has runs that begin at the same moment hold networks of their own.
+// TestHoldNetwork guards against two runs that reserve the same network, also after another has
+// been released.
 func TestHoldNetwork(t *testing.T) {
-	first, err := holdNetwork()
+	first, err := reserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := holdNetwork()
+	second, err := reserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer second.Close()
 	if first.Number == second.Number {
-		t.Errorf("two runs hold network 127.%d", first.Number)
+		t.Errorf("two runs reserved network 127.%d", first.Number)
 	}
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
-	third, err := holdNetwork()
+	third, err := reserveNetwork()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer third.Close()
 	if third.Number == second.Number {
-		t.Errorf("a run was given network 127.%d while another held it", third.Number)
+		t.Errorf("got network 127.%d while another run had it reserved", third.Number)
 	}
 }
--- a/internal/testkit/lab/scale/page.go
+++ b/internal/testkit/lab/scale/page.go
@@ -7,55 +7,57 @@
 	"frosttide/internal/testkit/lab"
 )
 
-// pageTo ends the page's part that a run writes.
-const pageTo = "<!-- to here -->"
+// pageEnd is the marker at the end of each generated section of the capacity page.
+const pageEnd = "<!-- to here -->"
 
-// pageFrom begins a role's part of the page.
-func pageFrom(r Role) string {
+// pageStart returns the marker at the start of a role's section of the page.
+func pageStart(r Role) string {
 	return fmt.Sprintf("<!-- written by frosttide-lab scale --role %s -->", r)
 }
 
-// EmptyPage returns a page of a role's figures alone.
-func EmptyPage(r Role) string { return pageFrom(r) + pageTo }
+// EmptyPage returns a page that holds only an empty section for a role.
+func EmptyPage(r Role) string { return pageStart(r) + pageEnd }
 
-// Where names a run.
+// Where says of which commit, on which machine and with which parameters results were measured.
 type Where struct {
 	Role    Role    `json:"role"`
 	Commit  string  `json:"commit"`
 	Machine string  `json:"machine"`
 	Seed    uint64  `json:"seed"`
 	Repeats int     `json:"repeats"`
-	Seconds float64 `json:"seconds"`
+	Seconds float64 `json:"seconds"` // of each point or run
 }
 
-// Put returns a page with its written part as a run found it.
+// Put returns the page with the section of a role replaced by the results of a run. It returns an
+// error if the page has no such section.
 func Put(page string, points []Point, lines []Line, at Where) (string, error) {
-	before, rest, ok := strings.Cut(page, pageFrom(at.Role))
-	_, after, ends := strings.Cut(rest, pageTo)
+	before, rest, ok := strings.Cut(page, pageStart(at.Role))
+	_, after, ends := strings.Cut(rest, pageEnd)
 	if !ok || !ends {
-		return "", fmt.Errorf("the page has no part for the figures of a %s", at.Role)
+		return "", fmt.Errorf("the page has no section for the figures of a %s", at.Role)
 	}
-	return before + pageFrom(at.Role) + "\n" + tables(points, lines, at) + pageTo + after, nil
+	return before + pageStart(at.Role) + "\n" + tables(points, lines, at) + pageEnd + after, nil
 }
 
+// tables returns the text of a role's section in Markdown.
 func tables(points []Point, lines []Line, at Where) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "\nOn %s, commit %s: seed %d, %d runs of %g s a point.\n", at.Machine, at.Commit, at.Seed, at.Repeats, at.Seconds)
-	medians(&b, at.Role, points)
+	writeMedians(&b, at.Role, points)
 	if at.Role != Dispatcher {
-		besidesOf(&b, points)
+		writePeerTraffic(&b, points)
 	}
-	slopes(&b, at.Role, lines)
-	budgets(&b, at.Role, lines)
+	writeLines(&b, at.Role, lines)
+	writeBudgets(&b, at.Role, lines)
 	return b.String()
 }
 
-// medians writes what was measured at each point.
-func medians(b *strings.Builder, r Role, points []Point) {
+// writeMedians writes a table of the medians measured at each point.
+func writeMedians(b *strings.Builder, r Role, points []Point) {
 	of := Quantities(r)
 	b.WriteString("\n| axis | at |")
 	for _, q := range of {
-		fmt.Fprintf(b, " %s |", named(q))
+		fmt.Fprintf(b, " %s |", heading(q))
 	}
 	b.WriteString(" served |\n|" + strings.Repeat(" --- |", len(of)+3) + "\n")
 	for _, along := range axes {
@@ -82,8 +84,9 @@
 	}
 }
 
-// besidesOf writes how hollow members stood beside the real one.
-func besidesOf(b *strings.Builder, points []Point) {
+// writePeerTraffic writes how the simulated members' traffic compares with the real one's, and the
+// log's writes.
+func writePeerTraffic(b *strings.Builder, points []Point) {
 	var hollow []float64
 	wrote, failed := int64(0), int64(0)
 	for _, p := range points {
@@ -94,35 +97,37 @@
 		lab.Median(hollow), wrote, failed)
 }
 
-func named(q Quantity) string {
+// heading returns the heading of a quantity with its unit.
+func heading(q Quantity) string {
 	if q.Unit == "" {
 		return q.Name
 	}
 	return q.Name + ", " + q.Unit
 }
 
-// slopes writes the lines.
-func slopes(b *strings.Builder, r Role, lines []Line) {
+// writeLines writes a table of the fitted lines.
+func writeLines(b *strings.Builder, r Role, lines []Line) {
 	b.WriteString("\n| need | by | base | slope | spread | r² |\n| --- | --- | --- | --- | --- | --- |\n")
 	for _, q := range Quantities(r) {
 		for _, l := range lines {
 			if l.Quantity == q.Name {
-				fmt.Fprintf(b, "| %s | %s | %.3g | %.3g | %.2g | %.2f |\n", named(q), l.Axis, l.Base, l.Slope, l.Spread, l.Explains)
+				fmt.Fprintf(b, "| %s | %s | %.3g | %.3g | %.2g | %.2f |\n", heading(q), l.Axis, l.Base, l.Slope, l.Spread, l.Explains)
 			}
 		}
 	}
 }
 
-// budgets writes what the fleet of the page needs, against what the operators allow.
-func budgets(b *strings.Builder, r Role, lines []Line) {
+// writeBudgets writes a table of the extrapolated needs in Fleet, compared with the operators'
+// budgets.
+func writeBudgets(b *strings.Builder, r Role, lines []Line) {
 	fmt.Fprintf(b, "\nOne %s of %d of the whole fleet, extrapolated:\n\n| need | at this size | spread | allowed | margin |\n| --- | --- | --- | --- | --- |\n",
 		r, Fleet.Dispatchers)
 	for _, q := range Quantities(r) {
 		need, spread := Needs(lines, q.Name, Fleet)
 		if q.Budget == 0 {
-			fmt.Fprintf(b, "| %s | %.3g | %.2g | | |\n", named(q), need, spread)
+			fmt.Fprintf(b, "| %s | %.3g | %.2g | | |\n", heading(q), need, spread)
 			continue
 		}
-		fmt.Fprintf(b, "| %s | %.3g | %.2g | %g | %.0f%% |\n", named(q), need, spread, q.Budget, 100*(1-need/q.Budget))
+		fmt.Fprintf(b, "| %s | %.3g | %.2g | %g | %.0f%% |\n", heading(q), need, spread, q.Budget, 100*(1-need/q.Budget))
 	}
 }
--- a/internal/testkit/lab/scale/scale.go
+++ b/internal/testkit/lab/scale/scale.go
@@ -8,19 +8,20 @@
 	"frosttide/internal/testkit/lab/size"
 )
 
-// Point is what one measurement found.
+// Point is the result of one measurement.
 type Point struct {
 	Axis Axis      `json:"axis"`
 	X    float64   `json:"x"`
 	Need size.Need `json:"need"`
-	// Where there are hollow members: what one of them sent by UDP against the real one, the median,
-	// and the log's writes while jobs ran, acknowledged and not.
+	// Only with simulated members: the median of the bytes that each sent by UDP as a multiple of
+	// the real member's, and the log's writes during the load that were acknowledged and that
+	// failed.
 	Hollow float64 `json:"hollow_packets,omitempty"`
 	Wrote  int64   `json:"writes,omitempty"`
 	Failed int64   `json:"writes_failed,omitempty"`
 }
 
-// Run measures all points of a plan; an interrupted run returns an error and no points.
+// Run measures all points of a plan. If one fails or ctx ends, it returns an error and no points.
 func Run(ctx context.Context, p Plan) ([]Point, error) {
 	if err := p.Check(); err != nil {
 		return nil, err
@@ -30,9 +31,9 @@
 	runs := p.runs()
 	points := make([]Point, len(runs))
 	next := make(chan int)
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range p.AtOnce {
-		all.Go(func() {
+		workers.Go(func() {
 			for i := range next {
 				r := runs[i]
 				point, err := r.measure(ctx)
@@ -53,17 +54,17 @@
 		}
 	}
 	close(next)
-	all.Wait()
+	workers.Wait()
 	if ctx.Err() != nil {
 		return nil, context.Cause(ctx)
 	}
 	return points, nil
 }
 
-// measure plays a run.
+// measure runs one measurement.
 func (r run) measure(ctx context.Context) (Point, error) {
-	if r.beside != nil {
-		return r.member(ctx)
+	if r.peers != nil {
+		return r.measureWithPeers(ctx)
 	}
 	need, err := size.Run(ctx, r.plan)
 	return Point{Axis: r.axis, X: r.x, Need: need}, err
--- a/internal/testkit/lab/scale/scale_test.go
+++ b/internal/testkit/lab/scale/scale_test.go
@@ -9,31 +9,32 @@
 	"frosttide/internal/testkit/lab/size"
 )
 
-// TestPlans has mistakes in a plan told by what is wrong.
+// TestPlans guards against wrong plans that are accepted, or rejected without the name of the
+// parameter.
 func TestPlans(t *testing.T) {
 	good := Plan{Role: Dispatcher, Repeats: 1, For: time.Second, AtOnce: 1}
 	if err := good.Check(); err != nil {
 		t.Fatal(err)
 	}
-	for word, edit := range map[string]func(*Plan){
+	for prefix, edit := range map[string]func(*Plan){
 		"role":      func(p *Plan) { p.Role = "discovery" },
 		"repeats":   func(p *Plan) { p.Repeats = 0 },
 		"seconds":   func(p *Plan) { p.For = time.Hour },
-		"at once":   func(p *Plan) { p.AtOnce = mostAtOnce + 1 },
+		"at once":   func(p *Plan) { p.AtOnce = maxAtOnce + 1 },
 		"axes":      func(p *Plan) { p.Axes = []Axis{"teams"} },
-		"axes: ":    func(p *Plan) { p.Axes = []Axis{Members} }, // of a dispatcher on its own
+		"axes: ":    func(p *Plan) { p.Axes = []Axis{Members} }, // not of a dispatcher alone
 		"at once: ": func(p *Plan) { p.Role, p.AtOnce = Member, 2 },
 	} {
 		p := good
 		edit(&p)
-		if err := p.Check(); err == nil || !strings.HasPrefix(err.Error(), word) {
-			t.Errorf("%s: %v", word, err)
+		if err := p.Check(); err == nil || !strings.HasPrefix(err.Error(), prefix) {
+			t.Errorf("got error %[2]v, want one that starts with %[1]q", prefix, err)
 		}
 	}
 }
 
-// TestFit has a line found through points that lie on it, and what is left where they do not; and what a
-// fleet needs follow from lines that cross.
+// TestFit guards against wrong fits: exact slopes and bases for points on a line, a residual spread
+// for points off it, and the extrapolation from lines along several axes.
 func TestFit(t *testing.T) {
 	var points []Point
 	for _, of := range axes {
@@ -43,7 +44,7 @@
 		for i, x := range of.points {
 			n := size.Need{Seconds: 1, CPU: 0.02, PeakKiB: 20 << 10, Descriptors: 18}
 			if of.axis == Workers {
-				n.PeakKiB += int64(8 * x)                        // 8 KiB a worker
+				n.PeakKiB += int64(8 * x)                        // 8 KiB per worker
 				n.CPU += 0.001 * float64(1-2*(i%2)) * float64(i) // off the line
 			}
 			points = append(points, Point{Axis: of.axis, X: x, Need: n})
@@ -51,26 +52,26 @@
 	}
 	lines := Fit(Dispatcher, points)
 	if want := 4 * len(Quantities(Dispatcher)); len(lines) != want {
-		t.Fatalf("%d lines, want %d", len(lines), want)
+		t.Fatalf("got %d lines, want %d", len(lines), want)
 	}
 	for _, l := range lines {
 		switch {
 		case l.Axis == Workers && l.Quantity == "peak memory":
 			if math.Abs(l.Slope-8.0*1024/1e6) > 1e-9 || math.Abs(l.Base-20*1024*1024/1e6) > 1e-9 || l.Spread > 1e-9 {
-				t.Errorf("memory by workers: %+v", l)
+				t.Errorf("memory by workers: got %+v, want a slope of 8 KiB, a base of 20 MiB and no spread", l)
 			}
 		case l.Axis == Workers && l.Quantity == "processor":
 			if l.Spread < 0.05 || l.Explains > 0.9 {
-				t.Errorf("points that lie off a line are taken for on it: %+v", l)
+				t.Errorf("points off the line: got %+v, want a spread of at least 0.05 and r2 of at most 0.9", l)
 			}
 		case math.Abs(l.Slope) > 1e-9:
-			t.Errorf("what does not grow has a slope: %+v", l)
+			t.Errorf("constant quantity: got %+v, want a slope of 0", l)
 		}
 	}
 	at, _ := Needs(lines, "peak memory", Size{Dispatchers: 1, Workers: 1024})
-	const each = 8.0 * 1024 / 1e6                      // MB a worker
-	crossing := 20*1024*1024/1e6 + each*usualWorkers/4 // the other three axes know nothing of the workers' slope
-	if want := crossing + each*(1024-usualWorkers); math.Abs(at-want) > 1e-6 {
-		t.Errorf("1,024 workers need %.3f MB, want %.3f", at, want)
+	const each = 8.0 * 1024 / 1e6                          // MB per worker
+	atDefaults := 20*1024*1024/1e6 + each*defaultWorkers/4 // one of four axes has the slope
+	if want := atDefaults + each*(1024-defaultWorkers); math.Abs(at-want) > 1e-6 {
+		t.Errorf("needs of 1,024 workers: got %.3f MB, want %.3f", at, want)
 	}
 }
--- a/internal/testkit/lab/scale/urgent.go
+++ b/internal/testkit/lab/scale/urgent.go
@@ -8,22 +8,24 @@
 	"frosttide/internal/testkit/lab/size"
 )
 
-// UrgentRuns are the loads under which the start of urgent work is measured: calm, near capacity, over
-// it, and near it with a tenth of the workers standing still from the middle on.
+// UrgentRuns lists the conditions under which the start of urgent jobs is measured: low load, near
+// capacity, above it, and near it with a tenth of the workers hanging from the middle of the run
+// on.
 var UrgentRuns = []size.Urgent{{Load: 0.6}, {Load: 0.9}, {Load: 1.2}, {Load: 0.9, Hang: true}}
 
-// urgentFrom begins the page's part on urgent work.
-const urgentFrom = "<!-- written by frosttide-lab urgent -->"
+// urgentStart is the marker at the start of the page's section on urgent jobs.
+const urgentStart = "<!-- written by frosttide-lab urgent -->"
 
-// EmptyUrgent is a page with a part on urgent work alone.
-const EmptyUrgent = urgentFrom + pageTo
+// EmptyUrgent is a page that holds only an empty section on urgent jobs.
+const EmptyUrgent = urgentStart + pageEnd
 
-// PutUrgent returns a page with its part on urgent work as a run found it.
+// PutUrgent returns the page with its section on urgent jobs replaced by the results of a run. It
+// returns an error if the page has no such section.
 func PutUrgent(page string, found []size.Urgent, at Where) (string, error) {
-	before, rest, ok := strings.Cut(page, urgentFrom)
-	_, after, ends := strings.Cut(rest, pageTo)
+	before, rest, ok := strings.Cut(page, urgentStart)
+	_, after, ends := strings.Cut(rest, pageEnd)
 	if !ok || !ends {
-		return "", errors.New("the page has no part for urgent work")
+		return "", errors.New("the page has no section for urgent jobs")
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "\nOn %s, commit %s, seed %d, %g s each. Seconds from the client's first call to the start; those that never started count as the bound.\n\n",
@@ -36,5 +38,5 @@
 		}
 		fmt.Fprintf(&b, "| %g of capacity | %s | %d | %.3f | %.3g | %.3g | %.3g |\n", u.Load, fault, u.Asked, float64(u.Started)/float64(max(u.Asked, 1)), u.P50, u.P99, u.Most)
 	}
-	return before + urgentFrom + "\n" + b.String() + pageTo + after, nil
+	return before + urgentStart + "\n" + b.String() + pageEnd + after, nil
 }
