--- a/internal/testkit/lab/gangs/sim_test.go
+++ b/internal/testkit/lab/gangs/sim_test.go
@@ -4,7 +4,7 @@
 
 // TestStragglerDetection guards against a loss of accuracy or benefit of the straggler detection.
 // With runners that are three times slower it has to find most stragglers and few other parts,
-// within a few reports, also beside heavy parts; copies have to shorten the slowest gangs much for
+// within a few reports, also with heavy parts; copies have to shorten the slowest gangs much for
 // little extra work; and without slow runners almost nothing may be copied.
 func TestStragglerDetection(t *testing.T) {
 	base := Setup{Seed: 3, Dispatchers: 5, Runners: 100, Size: 16, Gangs: 200, Way: Board}
