--- a/cmd/frosttide/inject_test.go
+++ b/cmd/frosttide/inject_test.go
@@ -11,21 +11,26 @@
 	"frosttide/internal/dispatcher/egress"
 )
 
-// Faults that no peer can cause are put into the started program here, by files and variables that
-// the test names in its environment. The rest of the program is real.
+// These environment variables inject faults into the started program that no peer can cause. The
+// rest of the program is the real one.
 const (
-	envBlockedDials = "FROSTTIDE_TEST_HELD_DIALS"  // a file: dials to runners wait while it is there
-	envDialErrors   = "FROSTTIDE_TEST_DIAL_ERRORS" // errors of the first dials, by number
-	envAccept       = "FROSTTIDE_TEST_ACCEPT"      // errors of the first accepts, by number
+	// Path of a file. Dials to runners block while it exists.
+	envBlockedDials = "FROSTTIDE_TEST_HELD_DIALS"
+	// Comma-separated errno values that the first dials and the first accepts fail with.
+	envDialErrors = "FROSTTIDE_TEST_DIAL_ERRORS"
+	envAccept     = "FROSTTIDE_TEST_ACCEPT"
 
-	envBackendFault = "FROSTTIDE_TEST_BACKEND_FAULT" // a file: what the next read or write of a connection to a runner meets
-	envClientFault  = "FROSTTIDE_TEST_CLIENT_FAULT"  // a file: the same of a connection that was accepted
+	// Path of a file with a connFault for the next read or write on a connection to a runner.
+	envBackendFault = "FROSTTIDE_TEST_BACKEND_FAULT"
+	// The same for an accepted connection.
+	envClientFault = "FROSTTIDE_TEST_CLIENT_FAULT"
 )
 
-// waitingSuffix ends the name of the file that shows that a dial waits.
+// waitingSuffix is appended to the path in envBlockedDials. The resulting file is created when a
+// dial blocks.
 const waitingSuffix = ".waiting"
 
-// injectFaults puts in the faults that the environment names.
+// injectFaults installs the faults that the environment variables select.
 func injectFaults() {
 	if path := os.Getenv(envBlockedDials); path != "" {
 		dialRunner = blockingDial(path)
@@ -48,12 +53,13 @@
 	if numbers := os.Getenv(envAccept); numbers != "" {
 		openListener = func(network, addr string) (net.Listener, error) {
 			l, err := net.Listen(network, addr)
-			return &failingListener{Listener: l, errs: errnos(numbers)}, err
+			return &failingListener{Listener: l, errs: parseErrnos(numbers)}, err
 		}
 	}
 }
 
-// blockingDial dials once a file is removed, and shows by another that it waits.
+// blockingDial returns a dial function that blocks until the file at path is removed or the
+// deadline passes. While it blocks it creates path+waitingSuffix.
 func blockingDial(path string) egress.Dial {
 	return func(network, addr string, deadline time.Time) (net.Conn, error) {
 		for {
@@ -70,8 +76,8 @@
 	}
 }
 
-// errnos reads errors from their numbers.
-func errnos(numbers string) (errs []error) {
+// parseErrnos returns the errors for a comma-separated list of errno values.
+func parseErrnos(numbers string) (errs []error) {
 	for text := range strings.SplitSeq(numbers, ",") {
 		n, _ := strconv.Atoi(text)
 		errs = append(errs, os.NewSyscallError("injected", syscall.Errno(n)))
@@ -79,15 +85,15 @@
 	return errs
 }
 
-// failingDial fails by each error once, and then dials.
+// failingDial returns a dial function that fails with each error once and then dials.
 func failingDial(numbers string) egress.Dial {
-	left := make(chan error, 64)
-	for _, err := range errnos(numbers) {
-		left <- err
+	remaining := make(chan error, 64)
+	for _, err := range parseErrnos(numbers) {
+		remaining <- err
 	}
 	return func(network, addr string, deadline time.Time) (net.Conn, error) {
 		select {
-		case err := <-left:
+		case err := <-remaining:
 			return nil, &net.OpError{Op: "dial", Net: network, Err: err}
 		default:
 			return (&net.Dialer{Deadline: deadline}).Dial(network, addr)
@@ -95,7 +101,7 @@
 	}
 }
 
-// failingListener fails by each error once, and then accepts.
+// failingListener is a listener whose Accept fails with each error once and then accepts.
 type failingListener struct {
 	net.Listener
 	errs []error
