--- a/cmd/frosttide/list_test.go
+++ b/cmd/frosttide/list_test.go
@@ -16,8 +16,9 @@
 	"frosttide/decision/freshness"
 )
 
-// TestRouteTable guards the list: what it says counts at once, in any layout, what can't be
-// read costs the call and no more, and a watch that ends is opened again where it left off.
+// TestRouteTable checks the target list from discovery. Changes take effect at once, whatever the
+// layout of the JSON; malformed data ends only the call that carried it; and a watch that ends is
+// reopened from the last revision.
 func TestRouteTable(t *testing.T) {
 	t.Parallel()
 	r, moved := newRunner(t, "s-1"), newRunner(t, "s-1")
@@ -25,68 +26,68 @@
 	d := start(t, disc.URL, 1024, r.entry())
 	w := await(t, disc.watches, "watch")
 	if w.query != "watch=1&from=41" {
-		t.Errorf("the watch asks for %q", w.query)
+		t.Errorf("the watch asks for %q, want watch=1&from=41", w.query)
 	}
-	serve := func(id string, r *runner) {
+	expectServed := func(id string, r *runner) {
 		t.Helper()
 		got := submit(d.jobRequest("render", id))
-		await(t, r.requests, "hop").reply(202, "")
+		await(t, r.requests, "attempt").reply(202, "")
 		d.sendReport(jobEvent(id, "s-1", "done"))
-		if a := await(t, got, "answer"); a.Status != 200 {
-			t.Errorf("%s: answer %+v", id, a)
+		if a := await(t, got, "response"); a.Status != 200 {
+			t.Errorf("%s: response %+v, want status 200", id, a)
 		}
 	}
-	refused := func(id string) {
+	expectRefused := func(id string) {
 		t.Helper()
-		if a := await(t, submit(d.jobRequest("render", id)), "answer"); a.Status != 503 {
-			t.Errorf("%s: answer %+v, want a refusal", id, a)
+		if a := await(t, submit(d.jobRequest("render", id)), "response"); a.Status != 503 {
+			t.Errorf("%s: response %+v, want status 503", id, a)
 		}
 	}
 	for _, garbage := range []string{`{"rev":42,"all":true,"targets":[]} nonsense`, `{"rev":"42","all":true}`, `{"all":true}`, `{"rev":42,"all":tr!`} {
 		w.lines <- garbage
-		await(t, w.callEnded, "end of the call whose answer can't be read")
+		await(t, w.callEnded, "end of the call with malformed data")
 		if w = await(t, disc.watches, "another watch"); strings.HasPrefix(garbage, `{"rev":42,"all":true`) {
-			d.awaitLog("egress target gone") // the object before the garbage counts
+			d.awaitLog("egress target gone") // the object before the garbage takes effect
 			w.lines <- targetList(41, true, r.entry())
 			d.awaitLog("egress target listed")
-			serve("after-garbage", r)
+			expectServed("after-garbage", r)
 		} else if w.query != "watch=1&from=41" {
-			t.Errorf("after %s the watch asks for %q", garbage, w.query)
+			t.Errorf("after %s the watch asks for %q, want watch=1&from=41", garbage, w.query)
 		}
 	}
 	w.lines <- targetList(42, true, `{"uid":"s-1","endpoint":"nowhere","az":"a","model":"m","state":"SERVING"}`)
 	d.awaitLog("list entry skipped")
-	serve("after-bad-lines", r)
+	expectServed("after-bad-lines", r)
 	w.lines <- indented(targetList(43, false, targetEntry("s-1", moved.addr, "SERVING")))
 	d.awaitLog("egress target moved")
-	serve("after-a-move", moved)
+	expectServed("after-a-move", moved)
 	w.lines <- targetList(44, false, targetEntry("s-1", moved.addr, "DRAINING"))
 	d.awaitLog("egress target drains")
-	refused("while-draining")
+	expectRefused("while-draining")
 	close(w.lines)
 	w = await(t, disc.watches, "second watch")
 	if w.query != "watch=1&from=44" {
-		t.Errorf("the second watch asks for %q", w.query)
+		t.Errorf("the second watch asks for %q, want watch=1&from=44", w.query)
 	}
 	w.lines <- targetList(45, true, targetEntry("s-1", moved.addr, "SERVING"))
 	w.lines <- targetList(46, true)
 	d.awaitLog("egress target gone")
-	refused("when-gone")
-	// Guards against a watch whose machine has vanished: nobody ends it, and what it misses
-	// binds 6.5 s after its last byte.
+	expectRefused("when-gone")
+	// A watch whose host is lost is never closed by the peer. Changes that it misses must be
+	// obeyed from 6.5 s after its last byte on.
 	disc.noHeartbeats.Store(true)
-	last := time.Now()
+	silentSince := time.Now()
 	d.awaitLog("discovery has fallen silent")
 	await(t, w.callEnded, "end of the silent watch")
 	w = await(t, disc.watches, "third watch")
-	if took := time.Since(last); took < time.Second || took > 5*time.Second {
-		t.Errorf("asked again %v after the last byte", took)
+	if took := time.Since(silentSince); took < time.Second || took > 5*time.Second {
+		t.Errorf("the watch was reopened %v after the last byte, want 1 s to 5 s", took)
 	}
 	w.lines <- targetList(47, true, targetEntry("s-1", moved.addr, "SERVING"))
 	d.awaitLog("egress target listed")
 }
 
-// indented lays a list out over many lines.
+// indented formats a target list over many lines.
 func indented(list string) string {
 	var out bytes.Buffer
 	if err := json.Indent(&out, []byte(list), "  ", "    "); err != nil {
@@ -95,15 +96,16 @@
 	return out.String()
 }
 
-// TestOldListAtStart guards rule 3 at a process that begins with the list of one that died long
-// ago: what has changed since binds, so that discovery is heard before a job is taken, also where a
-// first call has failed in its line; and a discovery that says nothing is not waited for without end.
+// TestOldListAtStart checks rule 3 on a process that starts with the outdated target list of one
+// that died long ago. Changes since then must be obeyed, so the process waits for a response of
+// discovery before it accepts a job, even if its first call waited in discovery's queue and then
+// failed. It does not wait forever for a discovery service that never responds.
 func TestOldListAtStart(t *testing.T) {
 	t.Parallel()
 	for _, tc := range []struct {
-		name             string
-		dispatchers      int
-		crowded, answers bool
+		name                     string
+		dispatchers              int
+		firstCallFails, responds bool
 	}{
 		{"discovery answers", 20, false, true},
 		{"discovery's line is long", 20, true, true},
@@ -111,44 +113,45 @@
 		{"few, discovery answers", freshness.MaxUnspreadCallers, false, true},
 		{"few, discovery is mute", 3, false, false},
 	} {
-		answers := tc.answers
+		responds := tc.responds
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			gone, there := newRunner(t, "s-1"), newRunner(t, "s-2")
+			removed, listed := newRunner(t, "s-1"), newRunner(t, "s-2")
 			disc := newDiscovery(t)
 			disc.noHeartbeats.Store(true)
-			sent := make(chan struct{}) // closed once a job waits at the open address
+			sent := make(chan struct{}) // closed once a job was sent to the clients' listener
 			got := make(chan response, 1)
-			if answers {
+			if responds {
 				go func() {
 					w := <-disc.watches
-					if tc.crowded { // it fails after having waited, which the rest is about
+					if tc.firstCallFails { // the first call waits and then fails
 						time.Sleep(1100 * time.Millisecond)
 						close(w.lines)
 						w = <-disc.watches
 					}
 					<-sent
-					if tc.crowded { // a process that goes by the old list sends the job at once
+					if tc.firstCallFails { // a process that used the old list would send the job at once
 						select {
-						case <-gone.requests:
-							t.Error("the runner that is gone was sent the job")
+						case <-removed.requests:
+							t.Error("the removed runner got the job")
 						case <-time.After(500 * time.Millisecond):
 						}
 					}
-					w.lines <- targetList(42, true, there.entry())
+					w.lines <- targetList(42, true, listed.entry())
 					if tc.dispatchers <= freshness.MaxUnspreadCallers && w.query != "" {
-						t.Errorf("one of few first asks for %q: it is answered only once something changes", w.query)
+						t.Errorf("with few dispatchers the first call asks for %q, want the full list: a watch is answered only once something changes", w.query)
 					}
 				}()
 			}
-			d := startWith(t, disc.URL, 1024, []string{gone.entry()}, func(d *dispatcher) {
-				many := strings.Replace(testSettings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, tc.dispatchers), 1)
-				if tc.dispatchers == freshness.MaxUnspreadCallers { // calls spread over seconds: as long it waits
-					many = strings.Replace(many, `"ask-within":1000000`, `"ask-within":60000000`, 1)
+			d := startWith(t, disc.URL, 1024, []string{removed.entry()}, func(d *dispatcher) {
+				settings := strings.Replace(testSettings, `"balancers":1`, fmt.Sprintf(`"balancers":%d`, tc.dispatchers), 1)
+				if tc.dispatchers == freshness.MaxUnspreadCallers {
+					// Calls are spread over seconds, and the start waits as long.
+					settings = strings.Replace(settings, `"ask-within":1000000`, `"ask-within":60000000`, 1)
 				}
 				text, err := os.ReadFile(d.path)
 				if err == nil {
-					err = os.WriteFile(d.path, []byte(strings.Replace(string(text), testSettings, many, 1)), 0o600)
+					err = os.WriteFile(d.path, []byte(strings.Replace(string(text), testSettings, settings, 1)), 0o600)
 				}
 				if err != nil {
 					t.Fatal(err)
@@ -157,7 +160,7 @@
 				go func() {
 					var c net.Conn
 					var err error
-					for over := time.Now().Add(testTimeout); c == nil && time.Now().Before(over); runtime.Gosched() {
+					for deadline := time.Now().Add(testTimeout); c == nil && time.Now().Before(deadline); runtime.Gosched() {
 						c, err = net.Dial("tcp", d.addr)
 					}
 					if err == nil {
@@ -178,25 +181,26 @@
 					got <- response{Status: resp.StatusCode}
 				}()
 			})
-			from := gone
-			if answers {
-				from = there
+			from := removed
+			if responds {
+				from = listed
 			}
-			h := await(t, from.requests, "job at the runner that is listed")
+			h := await(t, from.requests, "job at the expected runner")
 			h.reply(202, "")
 			d.sendReport(jobEvent(h.id(), from.uid, "done"))
-			if a := await(t, got, "answer"); a.Status != 200 {
-				t.Errorf("answered %+v", a)
+			if a := await(t, got, "response"); a.Status != 200 {
+				t.Errorf("response %+v, want status 200", a)
 			}
-			if answers && len(gone.requests) > 0 {
-				t.Error("the runner that is gone was sent the job")
+			if responds && len(removed.requests) > 0 {
+				t.Error("the removed runner got the job")
 			}
 		})
 	}
 }
 
-// TestOlderDiscovery guards drains against a discovery that a reload names and that lags behind the
-// one before: what that had told counts until the new one has come as far, also over another reload.
+// TestOlderDiscovery checks that drains survive a reload that names a discovery service which lags
+// behind the previous one. What the previous one reported stays in force until the new one has
+// reached the same revision, also over a second reload.
 func TestOlderDiscovery(t *testing.T) {
 	t.Parallel()
 	gone, drained, kept := newRunner(t, "s-gone"), newRunner(t, "s-drained"), newRunner(t, "s-kept")
@@ -216,12 +220,12 @@
 		for n := range 6 {
 			id := fmt.Sprintf("lagging-%d-%d", i, n)
 			got := submit(d.jobRequest("render", id))
-			h := await(t, kept.requests, "attempt at the runner that serves")
+			h := await(t, kept.requests, "attempt at the serving runner")
 			h.reply(202, "")
 			d.sendReport(jobEvent(id, kept.uid, "started"))
 			d.sendReport(jobEvent(id, kept.uid, "done"))
-			if a := await(t, got, "answer"); a.Status != 200 {
-				t.Errorf("%s: answer %+v", id, a)
+			if a := await(t, got, "response"); a.Status != 200 {
+				t.Errorf("%s: response %+v, want status 200", id, a)
 			}
 		}
 	}
@@ -231,13 +235,13 @@
 	select {
 	case h := <-drained.requests:
 		if h.id() != "caught-up" {
-			t.Errorf("the runner got %q", h.id())
+			t.Errorf("the runner got job %q, want caught-up", h.id())
 		}
-	case h := <-gone.requests: // it serves by the new discovery's own word
+	case h := <-gone.requests: // the new discovery service lists it as serving
 		if h.id() != "caught-up" {
-			t.Errorf("the runner got %q", h.id())
+			t.Errorf("the runner got job %q, want caught-up", h.id())
 		}
 	case <-time.After(testTimeout):
-		t.Error("no attempt once the new discovery had come as far")
+		t.Error("no attempt after the new discovery service had caught up")
 	}
 }
--- a/cmd/frosttide/locked_test.go
+++ b/cmd/frosttide/locked_test.go
@@ -9,9 +9,9 @@
 	"testing"
 )
 
-// TestLockedDownHost guards a host that refuses the link between the processes of an
-// upgrade, as one that allows no unix sockets does: the program says so in one line,
-// serves on the inherited socket, and drains as a single process at SIGTERM.
+// TestLockedDownHost checks the program on a host where the processes of an upgrade cannot connect
+// to each other, for example because unix sockets are forbidden. The program logs this in one line,
+// serves on the inherited socket and drains as a single process at SIGTERM.
 func TestLockedDownHost(t *testing.T) {
 	t.Parallel()
 	r := newRunner(t, "s-1")
@@ -20,15 +20,15 @@
 		t.Fatal(err)
 	}
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener, func(d *dispatcher) {
-		d.cmd.Env = append(d.cmd.Env, "TMPDIR="+notADir) // the last of a name counts
+		d.cmd.Env = append(d.cmd.Env, "TMPDIR="+notADir) // the last value of a variable is used
 	})
-	refused := func(line string) bool { return strings.Contains(line, "no newer process will take over the state") }
-	if n := len(slices.DeleteFunc(slices.Clone(d.logLines), func(l string) bool { return !refused(l) })); n != 1 {
-		t.Fatalf("%d lines on the refused link, want 1; log:\n%s", n, strings.Join(d.logLines, "\n"))
+	reportsNoHandover := func(line string) bool { return strings.Contains(line, "no newer process will take over the state") }
+	if n := len(slices.DeleteFunc(slices.Clone(d.logLines), func(l string) bool { return !reportsNoHandover(l) })); n != 1 {
+		t.Fatalf("%d log lines report that no newer process can take over, want 1; log:\n%s", n, strings.Join(d.logLines, "\n"))
 	}
 	for _, id := range []string{"before-the-end", "during-the-end"} {
 		got := submit(d.jobRequest("render", id))
-		h := await(t, r.requests, "hop")
+		h := await(t, r.requests, "attempt")
 		h.reply(202, "")
 		if id == "during-the-end" {
 			if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
@@ -37,14 +37,14 @@
 			d.awaitLog("frosttide drains")
 		}
 		if code := d.sendReport(jobEvent(id, r.uid, "done")); code != 204 {
-			t.Fatalf("call-back of %s got %d", id, code)
+			t.Fatalf("report on %s got status %d, want 204", id, code)
 		}
-		if a := await(t, got, "answer"); a.Status != 200 {
-			t.Fatalf("%s got %d %q, %v", id, a.Status, a.Body, a.Err)
+		if a := await(t, got, "response"); a.Status != 200 {
+			t.Fatalf("%s got response %d %q, %v, want status 200", id, a.Status, a.Body, a.Err)
 		}
 	}
 	d.awaitLog("frosttide has answered everything and ends")
-	if err := await(t, d.exited, "end"); err != nil {
-		t.Errorf("the program ended with %v", err)
+	if err := await(t, d.exited, "exit of the process"); err != nil {
+		t.Errorf("the program exited with %v, want status 0", err)
 	}
 }
--- a/cmd/frosttide/mixed_test.go
+++ b/cmd/frosttide/mixed_test.go
@@ -15,24 +15,27 @@
 	"frosttide/internal/testkit/standin/gearman"
 )
 
-// mixedLoad is a run with clients and workers of one kind or of both, and with faults.
+// mixedLoad is a load test with faults, whose clients and workers use HTTP or both HTTP and
+// Gearman.
 type mixedLoad struct {
 	*gearmanFixture
-	check *rules.Checker
-	over  chan struct{}
-	jobs  sync.WaitGroup
-	work  sync.WaitGroup
+	check   *rules.Checker
+	stop    chan struct{} // closed once all clients have finished
+	clients sync.WaitGroup
+	workers sync.WaitGroup // also reports that are still being sent
 }
 
-const mixedWork = 5 * time.Millisecond
+// mixedJobTime is how long a worker takes for a job.
+const mixedJobTime = 5 * time.Millisecond
 
+// mixedClasses holds the effects of the request classes for the checker.
 var mixedClasses = map[string]rules.Class{"render": {}, "release": {Effect: rules.Keyed, Window: 40 * time.Second}, "once": {Effect: rules.Unsafe}}
 
-// mixedFunctions are the functions of the classes.
+// mixedFunctions maps the request classes to Gearman functions.
 var mixedFunctions = map[string]string{"render": "cut", "release": "out", "once": "post"}
 
-// ends draws how a job ends at a worker: mostly well.
-func ends(rng *rand.Rand) string {
+// drawEnding draws how a job ends at a worker: 37 of 40 succeed.
+func drawEnding(rng *rand.Rand) string {
 	switch n := rng.IntN(40); n {
 	case 0:
 		return "fail"
@@ -45,7 +48,7 @@
 	}
 }
 
-// httpRunner serves as a runner over HTTP until the run is over.
+// httpRunner answers the requests to an HTTP runner until stop is closed.
 func (m *mixedLoad) httpRunner(r *runner, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for {
@@ -54,9 +57,9 @@
 			if h.answerIfNotJob() {
 				continue
 			}
-			m.check.Sent(r.uid, mixedWork, time.Now())
+			m.check.Sent(r.uid, mixedJobTime, time.Now())
 			key := h.Header.Get("Idempotency-Key")
-			switch end := ends(rng); end {
+			switch end := drawEnding(rng); end {
 			case "drop before the end":
 				h.conn.Close()
 			case "drop after the effect":
@@ -65,8 +68,8 @@
 			default:
 				m.check.Ran(h.id(), key, "a", time.Now())
 				h.reply(202, "")
-				m.work.Go(func() {
-					time.Sleep(mixedWork) // it works
+				m.workers.Go(func() {
+					time.Sleep(mixedJobTime) // the job runs
 					state := "done"
 					if end == "fail" {
 						state = "failed"
@@ -74,19 +77,19 @@
 					m.tryReport(jobEvent(h.id(), r.uid, state))
 				})
 			}
-		case <-m.over:
+		case <-m.stop:
 			return
 		}
 	}
 }
 
-// gearmanWorker serves as a worker of Gearman, and connects again when its connection has
-// ended, until the run is over.
+// gearmanWorker runs a Gearman worker until stop is closed. It reconnects when its connection has
+// ended.
 func (m *mixedLoad) gearmanWorker(name string, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	for life := 0; ; life++ {
+	for connection := 0; ; connection++ {
 		select {
-		case <-m.over:
+		case <-m.stop:
 			return
 		default:
 		}
@@ -94,21 +97,21 @@
 		if err != nil {
 			return
 		}
-		stop := make(chan struct{})
-		go func() { // ends the wait for a job with the run
+		served := make(chan struct{})
+		go func() { // interrupts the wait for a job when the test stops
 			select {
-			case <-m.over:
+			case <-m.stop:
 				p.Close()
-			case <-stop:
+			case <-served:
 			}
 		}()
-		m.serve(p, fmt.Sprintf("%s-%d", name, life), rng)
-		close(stop)
+		m.serve(p, fmt.Sprintf("%s-%d", name, connection), rng)
+		close(served)
 		p.Close()
 	}
 }
 
-// serve works on one connection until it ends.
+// serve runs the jobs that arrive on one connection until it ends.
 func (m *mixedLoad) serve(p *gearman.Peer, name string, rng *rand.Rand) {
 	if p.Announce(name, "cut", "out", "post") != nil {
 		return
@@ -118,12 +121,12 @@
 		if err != nil {
 			return
 		}
-		m.check.Sent("g-"+name, mixedWork, time.Now())
+		m.check.Sent("g-"+name, mixedJobTime, time.Now())
 		key := ""
 		if job.Function == "out" {
 			key = job.Unique
 		}
-		end := ends(rng)
+		end := drawEnding(rng)
 		if end == "drop before the end" {
 			return
 		}
@@ -131,7 +134,7 @@
 		if end == "drop after the effect" {
 			return
 		}
-		time.Sleep(mixedWork) // it works
+		time.Sleep(mixedJobTime) // the job runs
 		kind, result := proto.WorkComplete, "clip"
 		if end == "fail" {
 			err = p.Send(proto.WorkFail, job.Handle)
@@ -144,7 +147,7 @@
 	}
 }
 
-// httpClient sends jobs over HTTP, one after the other.
+// httpClient sends jobs over HTTP one after the other.
 func (m *mixedLoad) httpClient(number, jobs int) {
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
@@ -166,14 +169,14 @@
 			m.check.Answered(id, rules.Served, time.Now())
 		case a.Status == 503:
 			m.check.Answered(id, rules.Refused, time.Now())
-			time.Sleep(mixedWork) // as it was told, about
+			time.Sleep(mixedJobTime) // about as long as the refusal asks for
 		default:
 			m.check.Answered(id, rules.Failed, time.Now())
 		}
 	}
 }
 
-// gearmanClient sends jobs over Gearman, one after the other.
+// gearmanClient sends jobs over Gearman one after the other.
 func (m *mixedLoad) gearmanClient(number, jobs int) {
 	p, err := gearman.Dial(m.gearmanFixture.jobs, time.Now().Add(testTimeout), nil)
 	if err != nil {
@@ -189,8 +192,8 @@
 			m.check.Answered(id, rules.Lost, time.Now())
 			return
 		}
-		answer, over := rules.Failed, false
-		for !over {
+		answer, done := rules.Failed, false
+		for !done {
 			g, err := p.Next()
 			if err != nil {
 				m.check.Answered(id, rules.Lost, time.Now())
@@ -202,71 +205,71 @@
 					answer = rules.Refused
 				}
 			case proto.WorkComplete:
-				answer, over = rules.Served, true
+				answer, done = rules.Served, true
 			case proto.WorkFail:
-				over = true
+				done = true
 			}
 		}
 		m.check.Answered(id, answer, time.Now())
 		if answer == rules.Refused {
-			time.Sleep(mixedWork) // as it was told, about
+			time.Sleep(mixedJobTime) // about as long as the refusal asks for
 		}
 	}
 }
 
-// operator leaves a runner out and puts it back, again and again.
+// operator excludes a runner and includes it again, 8 times.
 func (m *mixedLoad) operator(uid string) {
 	for range 8 {
 		code, _ := m.callConsole("PUT", "/api/exclude", fmt.Sprintf(`{"host":%q}`, uid))
 		if code == 200 {
 			m.check.Drains(uid, time.Now())
-			time.Sleep(20 * mixedWork) // it is left out for a while
+			time.Sleep(20 * mixedJobTime) // the runner stays excluded for a while
 			m.check.Back(uid)
 			m.callConsole("PUT", "/api/include", fmt.Sprintf(`{"host":%q}`, uid))
 		}
-		time.Sleep(10 * mixedWork)
+		time.Sleep(10 * mixedJobTime)
 	}
 }
 
-// TestBothKinds holds the same run over HTTP alone and with clients and workers of both
-// kinds against the same rules: no job is lost, none that must not run twice does, what
-// drains gets nothing.
-func TestBothKinds(t *testing.T) {
+// TestMixedProtocols runs the same load over HTTP alone and over HTTP and Gearman together, and
+// checks both against the same rules: no job is lost, no job runs twice that must not, and draining
+// runners get no jobs.
+func TestMixedProtocols(t *testing.T) {
 	t.Parallel()
-	for _, kind := range []string{"HTTP", "both"} {
-		t.Run(kind, func(t *testing.T) {
+	for _, protocols := range []string{"HTTP", "both"} {
+		t.Run(protocols, func(t *testing.T) {
 			t.Parallel()
 			runners := []*runner{newRunner(t, "s-1"), newRunner(t, "s-2"), newRunner(t, "s-3")}
-			m := &mixedLoad{gearmanFixture: newGearman(t, "", runners...), over: make(chan struct{}),
+			m := &mixedLoad{gearmanFixture: newGearman(t, "", runners...), stop: make(chan struct{}),
 				check: rules.New(rules.Config{Classes: mixedClasses, Slack: 250 * time.Millisecond, Grace: 500 * time.Millisecond, Multiple: 2.5, Window: time.Second})}
 			for i, r := range runners {
-				m.work.Go(func() { m.httpRunner(r, uint64(i)) })
+				m.workers.Go(func() { m.httpRunner(r, uint64(i)) })
 			}
-			if kind == "both" {
+			if protocols == "both" {
 				for i := range 6 {
-					m.work.Go(func() { m.gearmanWorker(fmt.Sprint("w", i), uint64(i)) })
+					m.workers.Go(func() { m.gearmanWorker(fmt.Sprint("w", i), uint64(i)) })
 				}
 			}
-			const clients, each = 6, 60
+			const clients, jobsPerClient = 6, 60
 			for i := range clients {
-				m.jobs.Go(func() {
-					if kind == "both" && i%2 == 1 {
-						m.gearmanClient(i, each)
+				m.clients.Go(func() {
+					if protocols == "both" && i%2 == 1 {
+						m.gearmanClient(i, jobsPerClient)
 					} else {
-						m.httpClient(i, each)
+						m.httpClient(i, jobsPerClient)
 					}
 				})
 			}
-			m.jobs.Go(func() { m.operator("s-1") })
-			m.jobs.Wait()
-			close(m.over)
-			m.work.Wait()
+			m.clients.Go(func() { m.operator("s-1") })
+			m.clients.Wait()
+			close(m.stop)
+			m.workers.Wait()
 			r := m.check.Report(time.Now())
 			if len(r.Broken) > 0 {
 				t.Errorf("rules are broken:\n%s", strings.Join(r.Broken, "\n"))
 			}
-			if r.Jobs != clients*each || r.Served+r.Refused+r.Failed != r.Jobs || r.Served < r.Jobs/4 {
-				t.Errorf("of %d jobs %d were served, %d refused, %d failed", r.Jobs, r.Served, r.Refused, r.Failed)
+			if r.Jobs != clients*jobsPerClient || r.Served+r.Refused+r.Failed != r.Jobs || r.Served < r.Jobs/4 {
+				t.Errorf("of %d jobs %d were served, %d refused, %d failed; want a result for every job and at least a quarter served", r.Jobs, r.Served, r.Refused, r.Failed)
 			}
 			t.Logf("%d jobs, %d sends: %d served, %d refused, %d failed", r.Jobs, r.Sends, r.Served, r.Refused, r.Failed)
 		})
--- a/cmd/frosttide/norace_test.go
+++ b/cmd/frosttide/norace_test.go
@@ -2,4 +2,5 @@
 
 package main
 
+// raceEnabled reports whether the race detector is in this build.
 const raceEnabled = false
--- a/cmd/frosttide/peers_test.go
+++ b/cmd/frosttide/peers_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// withCluster has a dispatcher be the only member of a cluster, whose log is in a folder.
+// withCluster makes the dispatcher the only member of a cluster that keeps its log in dir.
 func withCluster(dir string) func(*dispatcher) {
 	return func(d *dispatcher) {
 		path := filepath.Join(d.t.TempDir(), "frosttide.toml")
@@ -23,24 +23,26 @@
 	}
 }
 
-// callUntilApplied sends an operator's order, again under its name while its answers invite to that, until it is done.
+// callUntilApplied sends an operator's command and repeats it with the same order ID while the
+// response is 503 or 504, until it is applied.
 func (d *dispatcher) callUntilApplied(call, uid string) {
 	d.t.Helper()
 	order := fmt.Sprintf("%s-%s-%d", call, uid, time.Now().UnixNano())
-	for by := time.Now().Add(testTimeout); ; {
+	for deadline := time.Now().Add(testTimeout); ; {
 		status, text := d.callConsole("PUT", "/api/"+call, fmt.Sprintf(`{"host":%q,"order":%q}`, uid, order))
 		if status == 200 {
 			return
 		}
-		if status != 503 && status != 504 || time.Now().After(by) {
-			d.t.Fatalf("%s got %d %q", call, status, text)
+		if status != 503 && status != 504 || time.Now().After(deadline) {
+			d.t.Fatalf("%s got response %d %q, want status 200", call, status, text)
 		}
 	}
 }
 
-// TestMemberUpgrade guards what was agreed over an upgrade: the newer process takes over the
-// membership, its log and its address when the older one ends its part, says so meanwhile,
-// and both leave out what was left out.
+// TestMemberUpgrade checks that an upgrade keeps the state of the cluster's log. The newer process
+// takes over the membership, its log and its address once the older one has left them; until then
+// it refuses operators' commands because it is no member. Both processes send nothing to an
+// excluded runner.
 func TestMemberUpgrade(t *testing.T) {
 	t.Parallel()
 	a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
@@ -52,14 +54,14 @@
 	next := old.startSuccessor()
 	next.awaitOnlyWorker(b, a)
 	if status, text := next.callConsole("PUT", "/api/include", `{"host":"s-1"}`); status != 503 || !strings.Contains(text, "no member") {
-		t.Errorf("include at a process that is no member got %d %q", status, text)
+		t.Errorf("include at a process that is no member got response %d %q, want status 503", status, text)
 	}
 	if err := old.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	next.awaitLog("cluster member begins")
-	if err := await(t, old.exited, "end"); err != nil {
-		t.Errorf("the older process ended with %v", err)
+	if err := await(t, old.exited, "exit of the older process"); err != nil {
+		t.Errorf("the older process exited with %v, want status 0", err)
 	}
 	next.awaitLog("the log has a leader")
 	next.awaitOnlyWorker(b, a)
@@ -67,21 +69,21 @@
 	next.callUntilApplied("exclude", "s-2")
 	next.awaitLog("target=s-2")
 	if status, text := next.callConsole("GET", "/api/cluster", ""); status != 200 || !strings.Contains(text, `"s-2"`) {
-		t.Errorf("the console says %d %q", status, text)
+		t.Errorf("the cluster's state at the console is %d %q, want status 200 and s-2 excluded", status, text)
 	}
 }
 
-// TestClusterUnknown guards operators from a typing mistake that would wait in the log, and
-// those of a dispatcher on its own from asking in vain.
+// TestClusterUnknown checks that commands with a mistyped runner are refused instead of waiting in
+// the log, and that a dispatcher without a cluster refuses requests about one.
 func TestClusterUnknown(t *testing.T) {
 	t.Parallel()
 	a := newRunner(t, "s-1")
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{a.entry()}, withCluster(t.TempDir()))
 	if status, text := d.callConsole("PUT", "/api/exclude", `{"host":"s-9"}`); status != 404 {
-		t.Errorf("exclude of nobody got %d %q", status, text)
+		t.Errorf("exclude of an unknown runner got response %d %q, want status 404", status, text)
 	}
-	alone := start(t, newDiscovery(t).URL, 1024, a.entry())
-	if status, _ := alone.callConsole("GET", "/api/cluster", ""); status != 404 {
-		t.Errorf("a dispatcher on its own says %d of its cluster", status)
+	standalone := start(t, newDiscovery(t).URL, 1024, a.entry())
+	if status, _ := standalone.callConsole("GET", "/api/cluster", ""); status != 404 {
+		t.Errorf("a dispatcher without a cluster responds %d, want 404", status)
 	}
 }
--- a/cmd/frosttide/race_test.go
+++ b/cmd/frosttide/race_test.go
@@ -2,6 +2,6 @@
 
 package main
 
-// raceEnabled reports whether the race detector is in this build: its own memory is several times
-// the program's, so bounds on memory hold without it only.
+// raceEnabled reports whether the race detector is in this build. The detector needs several times
+// the memory of the program, so tests check limits on memory only without it.
 const raceEnabled = true
