--- a/cmd/frosttide/restart_test.go
+++ b/cmd/frosttide/restart_test.go
@@ -17,17 +17,18 @@
 	"time"
 )
 
-// serveAll has a runner take every job and report it done after a while, until the test ends.
+// serveAll makes the runner accept every job and report it done up to 40 ms later, until the test
+// ends.
 func (r *runner) serveAll(t *testing.T, addr string) {
-	over := make(chan struct{})
-	t.Cleanup(func() { close(over) })
-	call := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}, Timeout: testTimeout}
+	stop := make(chan struct{})
+	t.Cleanup(func() { close(stop) })
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16}, Timeout: testTimeout}
 	go func() {
 		for {
 			var h *runnerRequest
 			select {
 			case h = <-r.requests:
-			case <-over:
+			case <-stop:
 				return
 			}
 			if h.Method != http.MethodPost {
@@ -38,8 +39,8 @@
 			id := h.id()
 			time.AfterFunc(time.Duration(rand.N(40))*time.Millisecond, func() {
 				for _, state := range []string{"started", "done"} {
-					for range 10 { // as runners do
-						resp, err := call.Post("http://"+addr+"/v1/job-events", "application/json", strings.NewReader(jobEvent(id, r.uid, state)))
+					for range 10 { // runners repeat reports too
+						resp, err := client.Post("http://"+addr+"/v1/job-events", "application/json", strings.NewReader(jobEvent(id, r.uid, state)))
 						if err == nil {
 							resp.Body.Close()
 							if resp.StatusCode/100 == 2 {
@@ -53,11 +54,15 @@
 	}()
 }
 
-// keepAliveClients count what became of the requests of clients that keep their connections.
+// keepAliveClients counts the outcomes of the requests of clients with keep-alive connections.
 type keepAliveClients struct {
+	// answered counts requests with status 200 or 503, closed the connections that the dispatcher
+	// closed after a response or while idle, crossed the requests that were sent while the dispatcher
+	// closed the connection, and unreachable the retries that could not connect.
 	answered, closed, crossed, unreachable atomic.Int64
-	mu                                     sync.Mutex
-	lost                                   []string
+
+	mu   sync.Mutex
+	lost []string // descriptions of the failures
 }
 
 func (e *keepAliveClients) recordLoss(format string, args ...any) {
@@ -66,10 +71,11 @@
 	e.lost = append(e.lost, fmt.Sprintf(format, args...))
 }
 
-// keep is one client: it sends on its connection at random moments for as long as that is
-// open, and once more on a new one where a close has crossed its request. Gone tells that its
-// connection has to be closed when it is over.
-func (e *keepAliveClients) keep(d *dispatcher, rng *rand.Rand, name string, job func(id string) *http.Request, over <-chan struct{}, gone bool) {
+// run runs one client. It sends requests on its connection at random intervals while that is open,
+// and repeats a request once on a new connection if the dispatcher closed the old one while the
+// request was on its way. After stop is closed, mustClose requires that the dispatcher closes the
+// connection.
+func (e *keepAliveClients) run(d *dispatcher, rng *rand.Rand, name string, job func(id string) *http.Request, stop <-chan struct{}, mustClose bool) {
 	c, err := net.Dial("tcp", d.addr)
 	if err != nil {
 		e.recordLoss("%s: %v", name, err)
@@ -80,12 +86,12 @@
 	for n := 0; ; n++ {
 		wait := time.NewTimer(time.Duration(rng.IntN(400)) * time.Millisecond)
 		select {
-		case <-over:
+		case <-stop:
 			wait.Stop()
-			if gone { // nobody owns it any more
+			if mustClose { // its process has exited
 				_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 				if _, err := in.Peek(1); err == nil || errors.Is(err, os.ErrDeadlineExceeded) {
-					e.recordLoss("%s: the connection lives on", name)
+					e.recordLoss("%s: the connection is still open", name)
 				}
 				e.closed.Add(1)
 			}
@@ -103,30 +109,31 @@
 			}
 			continue
 		case err == nil:
-			e.recordLoss("%s: status %d", req.Header.Get("X-Trace-Id"), status)
+			e.recordLoss("%s: status %d, want 200 or 503", req.Header.Get("X-Trace-Id"), status)
 			return
 		case !errors.Is(err, errUnread):
 			e.recordLoss("%s: %v", req.Header.Get("X-Trace-Id"), err)
 			return
 		}
 		e.crossed.Add(1)
-		again, err := net.Dial("tcp", d.addr)
-		if err != nil { // it has ended, and nobody took the request
+		retryConn, err := net.Dial("tcp", d.addr)
+		if err != nil { // the process has exited without reading the request
 			e.unreachable.Add(1)
 			return
 		}
-		defer again.Close()
-		if status, _, err = exchange(again, bufio.NewReader(again), job(fmt.Sprintf("%s-%d-again", name, n))); err != nil && !errors.Is(err, syscall.ECONNRESET) {
-			e.recordLoss("%s: sent once more: status %d, %v", req.Header.Get("X-Trace-Id"), status, err)
+		defer retryConn.Close()
+		if status, _, err = exchange(retryConn, bufio.NewReader(retryConn), job(fmt.Sprintf("%s-%d-again", name, n))); err != nil && !errors.Is(err, syscall.ECONNRESET) {
+			e.recordLoss("%s: retry: status %d, %v", req.Header.Get("X-Trace-Id"), status, err)
 		}
 		return
 	}
 }
 
-// errUnread is the error of a connection that was closed before a byte of the response.
-var errUnread = errors.New("closed without an answer")
+// errUnread means that the connection was closed before any byte of the response arrived.
+var errUnread = errors.New("connection closed without a response")
 
-// exchange sends a request and reads its answer, and reports whether the connection ends with it.
+// exchange sends a request and reads the response. last reports whether the connection closes after
+// it.
 func exchange(c net.Conn, in *bufio.Reader, req *http.Request) (status int, last bool, err error) {
 	if err := req.Write(c); err != nil {
 		return 0, true, errUnread
@@ -145,23 +152,22 @@
 	return resp.StatusCode, resp.Close, nil
 }
 
-// TestBusyRestart guards the planned restart from what clients do: 200 keep their
-// connections and send on each that stays open until the process is gone. Each connection is
-// answered or closed between two requests, none lives on, and nothing that a runner got stays
-// without its answer.
+// TestBusyRestart checks a planned restart under load: 200 clients keep sending on their
+// connections until the process exits. The process answers each request or closes the connection
+// between two requests, no connection outlives it, and every job that a runner got is answered.
 func TestBusyRestart(t *testing.T) {
 	forEachDeployment(t, func(t *testing.T, dep *deployment) {
-		for _, way := range []string{"alone", "succeeded"} {
-			t.Run(way, func(t *testing.T) {
+		for _, mode := range []string{"alone", "succeeded"} {
+			t.Run(mode, func(t *testing.T) {
 				t.Parallel()
 				a, b := newRunner(t, "s-1"), newRunner(t, "s-2")
 				edits := []func(*dispatcher){dep.applySettings}
-				if way == "succeeded" {
+				if mode == "succeeded" {
 					edits = append(edits, withInheritedListener)
 				}
 				disc := newDiscovery(t)
 				go func() {
-					for w := range disc.watches { // it has nothing new to tell
+					for w := range disc.watches { // the list never changes
 						if w.query == "" {
 							w.lines <- targetList(41, true, dep.entry(a, "SERVING"), dep.entry(b, "SERVING"))
 							close(w.lines)
@@ -176,36 +182,36 @@
 				job := func(id string) *http.Request { return d.jobRequest(class, id, dep.withClassHeaders(0)) }
 				var e keepAliveClients
 				var all sync.WaitGroup
-				over := make(chan struct{})
+				stop := make(chan struct{})
 				for i := range 200 {
 					all.Go(func() {
-						e.keep(d, rand.New(rand.NewPCG(uint64(i), 5)), fmt.Sprintf("c%d", i), job, over, way == "alone")
+						e.run(d, rand.New(rand.NewPCG(uint64(i), 5)), fmt.Sprintf("c%d", i), job, stop, mode == "alone")
 					})
 				}
-				if way == "succeeded" {
+				if mode == "succeeded" {
 					d.startSuccessor()
 				}
-				for e.answered.Load() < 400 { // all are at work
+				for e.answered.Load() < 400 { // until the clients are busy
 					<-time.After(5 * time.Millisecond)
 				}
-				told := time.Now()
+				terminatedAt := time.Now()
 				if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 					t.Fatal(err)
 				}
-				if err := await(t, d.exited, "end of the process"); err != nil {
-					t.Errorf("it ended with %v", err)
+				if err := await(t, d.exited, "exit of the process"); err != nil {
+					t.Errorf("the process exited with %v, want status 0", err)
 				}
-				if took := time.Since(told); took > 3700*time.Millisecond {
-					t.Errorf("it ended %v after SIGTERM, and would have been killed before", took)
+				if took := time.Since(terminatedAt); took > 3700*time.Millisecond {
+					t.Errorf("the process exited %v after SIGTERM, want 3.7 s at most, when the platform kills it", took)
 				}
-				close(over)
+				close(stop)
 				all.Wait()
-				t.Logf("%d answered, %d closed with an answer, %d crossed by a close, %d unreachable", e.answered.Load(), e.closed.Load(), e.crossed.Load(), e.unreachable.Load())
+				t.Logf("%d requests answered, %d connections closed after a response or while idle, %d requests crossed by a close, %d retries without a connection", e.answered.Load(), e.closed.Load(), e.crossed.Load(), e.unreachable.Load())
 				if len(e.lost) > 0 {
-					t.Errorf("%d lost: %v", len(e.lost), e.lost[:min(len(e.lost), 5)])
+					t.Errorf("%d failures, want none: %v", len(e.lost), e.lost[:min(len(e.lost), 5)])
 				}
-				if way == "alone" && e.closed.Load()+e.crossed.Load() < 200 {
-					t.Errorf("%d of 200 connections were closed", e.closed.Load()+e.crossed.Load())
+				if mode == "alone" && e.closed.Load()+e.crossed.Load() < 200 {
+					t.Errorf("%d of 200 connections were closed, want all", e.closed.Load()+e.crossed.Load())
 				}
 			})
 		}
--- a/cmd/frosttide/scale_test.go
+++ b/cmd/frosttide/scale_test.go
@@ -11,17 +11,18 @@
 	"frosttide/internal/testkit/lab/size"
 )
 
-// Slopes that the capacity page rests on. A short run fails when one has doubled.
+// Slopes that the capacity page is based on. A short run fails when one has doubled.
 const (
-	kibAWorker  = 7.0   // peak memory
-	bytesChange = 135.0 // of the list, for each change
-	kbWrite     = 24.0  // that the leader writes to streams and its disk for a write of the log, with a few members
-	// A hollow member sends by UDP about what a real one does.
-	leastHollow, mostHollow = 0.5, 2.0
+	kibPerWorker   = 7.0   // peak memory in KiB
+	bytesPerChange = 135.0 // of target lists in bytes
+	// KB that the leader writes to streams and its disk for a write to the log, with a few members.
+	kbPerWrite = 24.0
+	// Bounds of the UDP traffic of a hollow member, relative to that of a real one.
+	minHollowRatio, maxHollowRatio = 0.5, 2.0
 )
 
-// TestShortScale guards the slopes of the capacity page: two points an axis, one run each, of what does
-// not swing with the machine.
+// TestShortScale checks the slopes on the capacity page with two points per axis and one run for
+// each point. It covers only quantities that do not vary with the machine.
 func TestShortScale(t *testing.T) {
 	t.Parallel()
 	points, err := scale.Run(t.Context(), scale.Plan{Binary: binary(t), Role: scale.Dispatcher, Axes: []scale.Axis{scale.Workers, scale.Changes},
@@ -30,28 +31,28 @@
 		t.Fatal(err)
 	}
 	for _, l := range scale.Fit(scale.Dispatcher, points) {
-		most := 0.0
+		limit := 0.0
 		switch {
 		case l.Axis == scale.Workers && l.Quantity == "peak memory" && !raceEnabled:
-			most = 2 * kibAWorker * 1024 / 1e6
+			limit = 2 * kibPerWorker * 1024 / 1e6
 		case l.Axis == scale.Changes && l.Quantity == "lists":
-			most = 2 * bytesChange / 1000
+			limit = 2 * bytesPerChange / 1000
 		default:
 			continue
 		}
-		if l.Slope > most {
-			t.Errorf("%s by %s: a slope of %.4g, over twice what the capacity page rests on (%.4g)", l.Quantity, l.Axis, l.Slope, most/2)
+		if l.Slope > limit {
+			t.Errorf("%s by %s: slope %.4g, more than twice that of the capacity page (%.4g)", l.Quantity, l.Axis, l.Slope, limit/2)
 		}
 	}
 	for _, p := range points {
 		if p.Need.Served < 0.9 {
-			t.Errorf("%s at %g: %.2f of the jobs are served", p.Axis, p.X, p.Need.Served)
+			t.Errorf("%s at %g: %.2f of the jobs are served, want at least 0.9", p.Axis, p.X, p.Need.Served)
 		}
 	}
 }
 
-// TestShortLeader guards what a write of the agreed log costs its leader in bytes, with a few members:
-// it swings with no machine.
+// TestShortLeader checks how many bytes the leader of the replicated log writes for one write to
+// the log, with a few members. The figure does not vary with the machine.
 func TestShortLeader(t *testing.T) {
 	t.Parallel()
 	points, err := scale.Run(t.Context(), scale.Plan{Binary: binary(t), Role: scale.Leader, Axes: []scale.Axis{scale.Writes},
@@ -61,21 +62,21 @@
 	}
 	for _, p := range points {
 		if p.Failed > 0 || p.Wrote == 0 {
-			t.Errorf("at %g writes a second %d were acknowledged and %d not", p.X, p.Wrote, p.Failed)
+			t.Errorf("at %g writes per second %d were acknowledged and %d failed, want some acknowledged and none failed", p.X, p.Wrote, p.Failed)
 		}
-		if p.Hollow < leastHollow || p.Hollow > mostHollow {
-			t.Errorf("at %g writes a second a hollow member sent %.2f times what the real one did", p.X, p.Hollow)
+		if p.Hollow < minHollowRatio || p.Hollow > maxHollowRatio {
+			t.Errorf("at %g writes per second a hollow member sent %.2f times as much as the real one, want 0.5 to 2", p.X, p.Hollow)
 		}
 	}
 	for _, l := range scale.Fit(scale.Leader, points) {
 		t.Logf("%s by %s: %+v", l.Quantity, l.Axis, l)
-		if l.Quantity == "written" && l.Slope > 2*kbWrite {
-			t.Errorf("a write costs its leader %.3g KB, over twice what the capacity page rests on (%g)", l.Slope, kbWrite)
+		if l.Quantity == "written" && l.Slope > 2*kbPerWrite {
+			t.Errorf("the leader writes %.3g KB for a write to the log, more than twice the figure of the capacity page (%g)", l.Slope, kbPerWrite)
 		}
 	}
 }
 
-// binary is this test binary as a program of its own.
+// binary returns the path of a script that runs frosttide from this test binary.
 func binary(t *testing.T) string {
 	t.Helper()
 	script := filepath.Join(t.TempDir(), "frosttide")
@@ -87,7 +88,8 @@
 	return script
 }
 
-// TestShortUrgent has urgent work start at workers that have room, and what was asked for counted.
+// TestShortUrgent checks that urgent jobs start on workers with free capacity and that requests for
+// them are counted.
 func TestShortUrgent(t *testing.T) {
 	t.Parallel()
 	u, err := size.RunUrgent(t.Context(), size.UrgentPlan{Binary: binary(t), Workers: 10, Load: 0.2, For: 2 * time.Second, Seed: 1})
@@ -95,6 +97,6 @@
 		t.Fatal(err)
 	}
 	if u.Asked < 4 || u.Started < u.Asked-1 || u.P50 <= 0 || u.Most < u.P50 {
-		t.Errorf("%+v", u)
+		t.Errorf("got %+v, want at least 4 requests, all but one started, and 0 < P50 <= Most", u)
 	}
 }
