--- a/cmd/frosttide/telemetry_test.go
+++ b/cmd/frosttide/telemetry_test.go
@@ -31,13 +31,14 @@
 	"frosttide/internal/testkit/standin/collector"
 )
 
-// newCollector starts a stand-in collector, and at the end wants it to have seen no rule
-// of the protocol broken.
+// newCollector starts a fake collector, with TLS if cert is not nil. At the end of the test the
+// collector is stopped, and the test fails if the dispatcher has violated the protocol.
 func newCollector(t *testing.T, cert *tls.Certificate) *collector.Collector {
 	t.Helper()
 	return newCollectorAt(t, "127.0.0.1:0", cert)
 }
 
+// newCollectorAt is like newCollector but listens on addr.
 func newCollectorAt(t *testing.T, addr string, cert *tls.Certificate) *collector.Collector {
 	t.Helper()
 	awaitPortsFree(t, addr)
@@ -48,13 +49,14 @@
 	t.Cleanup(func() {
 		c.Kill()
 		if err := c.Broken(); err != nil {
-			t.Errorf("rules of OTLP are broken:\n%v", err)
+			t.Errorf("the dispatcher violated OTLP:\n%v", err)
 		}
 	})
 	return c
 }
 
-// withTelemetry has a dispatcher export to a collector, soon; the edits come after.
+// withTelemetry makes the dispatcher export traces to the collector at addr with short delays. The
+// variables in env override its settings.
 func withTelemetry(addr string, env ...string) func(*dispatcher) {
 	return func(d *dispatcher) {
 		d.cmd.Env = append(d.cmd.Env, "OTEL_EXPORTER_OTLP_ENDPOINT=http://"+addr, "OTEL_BSP_SCHEDULE_DELAY=20",
@@ -63,11 +65,12 @@
 	}
 }
 
-// serveRunner has a runner serve all that it gets until the test ends, or until it is called off.
-func (d *dispatcher) serveRunner(r *runner) (callOff func()) {
+// serveRunner makes the runner complete every job that it gets, until the test ends or stopServing
+// is called.
+func (d *dispatcher) serveRunner(r *runner) (stopServing func()) {
 	stop := make(chan struct{})
-	callOff = sync.OnceFunc(func() { close(stop) })
-	d.t.Cleanup(callOff)
+	stopServing = sync.OnceFunc(func() { close(stop) })
+	d.t.Cleanup(stopServing)
 	go func() {
 		for {
 			select {
@@ -82,10 +85,11 @@
 			}
 		}
 	}()
-	return callOff
+	return stopServing
 }
 
-// answerIfNotJob answers what is no job: probes as a runner that is well, recalls.
+// answerIfNotJob responds to requests other than jobs, as a healthy runner does: 200 to recalls and
+// health probes, 404 to other GET requests. It reports whether it has responded.
 func (h *runnerRequest) answerIfNotJob() bool {
 	switch {
 	case h.Method == http.MethodPost:
@@ -98,7 +102,7 @@
 	return true
 }
 
-// tryReport sends a report, which nobody may be there to take.
+// tryReport sends a report and ignores errors, as the dispatcher may have exited.
 func (d *dispatcher) tryReport(body string) {
 	resp, err := http.Post("http://"+d.addr+"/v1/job-events", "application/json", strings.NewReader(body))
 	if err == nil {
@@ -106,43 +110,43 @@
 	}
 }
 
-// serveJobs wants so many jobs served.
+// serveJobs submits n jobs one after the other and fails the test unless all are served.
 func (d *dispatcher) serveJobs(name string, n int) {
 	d.t.Helper()
 	for i := range n {
 		id := fmt.Sprintf("%s-%d", name, i)
-		if a := await(d.t, submit(d.jobRequest("render", id)), "answer"); a.Status != 200 {
-			d.t.Fatalf("job %s got %d %s %v", id, a.Status, a.Body, a.Err)
+		if a := await(d.t, submit(d.jobRequest("render", id)), "response"); a.Status != 200 {
+			d.t.Fatalf("job %s got response %d %s %v, want status 200", id, a.Status, a.Body, a.Err)
 		}
 	}
 }
 
-// awaitRejoin has jobs served one after the other by a client that comes back when it is told
-// to: a runner that counts as cold bears so much work a second, and on a slow machine a job
-// is more of it.
+// awaitRejoin submits jobs one after the other until n are served. It retries refused jobs after
+// Retry-After: a cold runner is sent limited work per second, and on a slow machine each job is a
+// larger part of that.
 func (d *dispatcher) awaitRejoin(name string, n int) {
 	d.t.Helper()
-	over := time.Now().Add(testTimeout)
+	deadline := time.Now().Add(testTimeout)
 	for i, try := 0, 0; i < n; try++ {
 		id := fmt.Sprintf("%s-%d-%d", name, i, try)
-		a := await(d.t, submit(d.jobRequest("render", id)), "answer")
+		a := await(d.t, submit(d.jobRequest("render", id)), "response")
 		after, err := time.ParseDuration(a.Header.Get("Retry-After") + "s")
 		switch {
 		case a.Status == 200:
 			i++
-		case a.Status != 503 || err != nil || time.Now().After(over):
-			d.t.Fatalf("job %s got %d %s %v", id, a.Status, a.Body, a.Err)
+		case a.Status != 503 || err != nil || time.Now().After(deadline):
+			d.t.Fatalf("job %s got response %d %s %v, want status 200", id, a.Status, a.Body, a.Err)
 		default:
 			<-time.After(after)
 		}
 	}
 }
 
-// awaitSpans waits until a collector has taken the spans of requests with the given ids, and
-// returns all spans that it has taken.
+// awaitSpans waits until a collector has received the spans of the requests with the given IDs, and
+// returns all spans that it has received.
 func awaitSpans(t *testing.T, c *collector.Collector, ids ...string) []ptrace.Span {
 	t.Helper()
-	over := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for {
 		var all []ptrace.Span
 		missing := slices.Clone(ids)
@@ -158,9 +162,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, of := range traces.ResourceSpans().All() {
-				for _, in := range of.ScopeSpans().All() {
-					for _, s := range in.Spans().All() {
+			for _, resource := range traces.ResourceSpans().All() {
+				for _, scope := range resource.ScopeSpans().All() {
+					for _, s := range scope.Spans().All() {
 						all = append(all, s)
 						missing = slices.DeleteFunc(missing, func(id string) bool { return attr(s, "frosttide.request") == id })
 					}
@@ -172,12 +176,13 @@
 		}
 		select {
 		case <-c.Calls():
-		case <-over:
-			t.Fatalf("no spans of %v", missing)
+		case <-timeout:
+			t.Fatalf("no spans of requests %v before the timeout", missing)
 		}
 	}
 }
 
+// attr returns the attribute of a span as a string, or "" if it has none of that key.
 func attr(s ptrace.Span, key string) string {
 	v, ok := s.Attributes().Get(key)
 	if !ok {
@@ -186,8 +191,9 @@
 	return v.AsString()
 }
 
-// tree writes the requests among spans as the tests compare them.
-func tree(all []ptrace.Span) map[string][]string {
+// traceTrees describes the requests among spans, by request ID. The first string describes the
+// server span of the request and each further one an attempt, with its events.
+func traceTrees(all []ptrace.Span) map[string][]string {
 	out := map[string][]string{}
 	for _, s := range all {
 		if s.Kind() != ptrace.SpanKindServer {
@@ -202,7 +208,7 @@
 			}
 			var events []string
 			for _, e := range h.Events().All() {
-				if e.Name() != "taken" { // a report may overtake the 202, which then is not noted
+				if e.Name() != "taken" { // a report may arrive before the 202, which is then not recorded
 					events = append(events, e.Name())
 				}
 			}
@@ -213,8 +219,8 @@
 	return out
 }
 
-// TestTraces guards what a trace shows: one request, however many attempts, with
-// who answered and why.
+// TestTraces checks the content of traces: one span per request with all its attempts, and which
+// part answered the request and why.
 func TestTraces(t *testing.T) {
 	t.Parallel()
 	c := newCollector(t, nil)
@@ -224,74 +230,74 @@
 	w := await(t, disc.watches, "watch")
 
 	got := submit(d.jobRequest("render", "plain"))
-	h := await(t, first.requests, "hop")
+	h := await(t, first.requests, "attempt")
 	if p := h.Header.Get("Traceparent"); len(p) != 55 {
-		t.Errorf("the runner's traceparent is %q", p)
+		t.Errorf("the runner's Traceparent is %q, want 55 characters", p)
 	}
 	h.reply(202, "")
 	for _, state := range []string{"started", "running", "done"} {
 		d.sendReport(jobEvent("plain", "s-1", state))
 	}
-	await(t, got, "answer")
+	await(t, got, "response")
 
 	const parent = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
 	got = submit(d.jobRequest("render", "again", func(r *http.Request) {
 		r.Header.Set("Traceparent", parent)
 		r.Header.Set("Tracestate", "studio=1")
 	}))
-	h = await(t, first.requests, "hop")
+	h = await(t, first.requests, "attempt")
 	w.lines <- targetList(42, false, second.entry())
 	d.awaitLog("target=s-2")
 	h.reply(500, "")
-	h = await(t, second.requests, "second hop")
+	h = await(t, second.requests, "second attempt")
 	if p := h.Header.Get("Traceparent"); !strings.HasPrefix(p, parent[:36]) || p[36:52] == parent[36:52] || h.Header.Get("Tracestate") != "studio=1" {
-		t.Errorf("the runner's trace is %q %q", p, h.Header.Get("Tracestate"))
+		t.Errorf("the runner got Traceparent %q and Tracestate %q, want the client's trace and state and a new span ID", p, h.Header.Get("Tracestate"))
 	}
 	h.reply(202, "")
 	d.sendReport(jobEvent("again", "s-2", "done"))
-	await(t, got, "answer")
+	await(t, got, "response")
 
 	got = submit(d.jobRequest("once", "lost"))
-	h = await(t, merge(first.requests, second.requests), "hop")
+	h = await(t, firstOf(first.requests, second.requests), "attempt")
 	h.conn.Close()
-	await(t, got, "answer")
-	await(t, submit(d.jobRequest("render", "bad", func(r *http.Request) { r.Header.Set("X-Expires-In-Ms", "soon") })), "answer")
-	ctxGone := d.dialAndWrite("POST /render/x HTTP/1.1\r\nHost: x\r\nX-Qos: render\r\nX-Trace-Id: left\r\nX-Expires-In-Ms: 15000\r\nContent-Length: 0\r\n\r\n")
-	h = await(t, merge(first.requests, second.requests), "hop")
+	await(t, got, "response")
+	await(t, submit(d.jobRequest("render", "bad", func(r *http.Request) { r.Header.Set("X-Expires-In-Ms", "soon") })), "response")
+	leavingClient := d.dialAndWrite("POST /render/x HTTP/1.1\r\nHost: x\r\nX-Qos: render\r\nX-Trace-Id: left\r\nX-Expires-In-Ms: 15000\r\nContent-Length: 0\r\n\r\n")
+	h = await(t, firstOf(first.requests, second.requests), "attempt")
 	h.reply(202, "")
-	ctxGone.Close()
+	leavingClient.Close()
 
 	all := awaitSpans(t, c, "plain", "again", "lost", "", "left")
-	lost := tree(all)["lost"]
+	lost := traceTrees(all)["lost"]
 	if len(lost) != 2 || lost[0] != "POST /once failed module may_have_run 502 " || !strings.Contains(lost[1], " reset true ") {
-		t.Errorf("the lost job's tree is %q", lost)
+		t.Errorf("the trace of the lost job is %q", lost)
 	}
-	left := tree(all)["left"]
+	left := traceTrees(all)["left"]
 	if len(left) != 2 || left[0] != "POST /render gone core client_left  " || !strings.HasSuffix(left[1], "given_up true recalled") {
-		t.Errorf("the left job's tree is %q", left)
+		t.Errorf("the trace of the job whose client disconnected is %q", left)
 	}
-	trees := tree(all)
+	trees := traceTrees(all)
 	want := map[string][]string{
 		"plain": {"POST /render served runner done 200 s-1", "1 first s-1 served true started,running,done"},
 		"again": {"POST /render served runner done 200 s-2", "1 first s-1 errored true ", "2 retry s-2 served true done"},
 		"":      {"POST /render unusable ingress malformed 400 "},
 	}
-	for id, tree := range want {
-		if diff := gocmp.Diff(tree, trees[id]); diff != "" {
+	for id, wantTree := range want {
+		if diff := gocmp.Diff(wantTree, trees[id]); diff != "" {
 			t.Errorf("request %q (-want +got):\n%s", id, diff)
 		}
 	}
 	for _, s := range all {
 		if attr(s, "frosttide.request") == "again" {
 			if s.TraceID().String() != parent[3:35] || s.ParentSpanID().String() != parent[36:52] || s.TraceState().AsRaw() != "studio=1" {
-				t.Errorf("the client's trace does not go on in %s, parent %s", s.TraceID(), s.ParentSpanID())
+				t.Errorf("the span has trace %s and parent %s, want the client's", s.TraceID(), s.ParentSpanID())
 			}
 		}
 	}
 }
 
-// merge yields what either runner gets next.
-func merge(a, b <-chan *runnerRequest) <-chan *runnerRequest {
+// firstOf returns a channel that yields the next request from either channel.
+func firstOf(a, b <-chan *runnerRequest) <-chan *runnerRequest {
 	out := make(chan *runnerRequest, 1)
 	go func() {
 		select {
@@ -305,17 +311,18 @@
 	return out
 }
 
-// TestRepeats guards the way from a client's repeat to the try before it, by the key
-// and by the client's word.
+// TestRepeats checks that the span of a client's retry links to the span of the previous try, which
+// is found by the idempotency key or by the X-Second-Try header.
 func TestRepeats(t *testing.T) {
 	t.Parallel()
 	c := newCollector(t, nil)
-	d := startWith(t, newDiscovery(t).URL, 1024, nil, withTelemetry(c.Addr)) // nobody is listed: all is refused
+	// Without runners every job is refused.
+	d := startWith(t, newDiscovery(t).URL, 1024, nil, withTelemetry(c.Addr))
 	key := func(r *http.Request) { r.Header.Set("Idempotency-Key", "one-release") }
 	again := func(r *http.Request) { r.Header.Set("X-Second-Try", "1") }
 	for _, job := range []*http.Request{d.jobRequest("release", "r1", key), d.jobRequest("release", "r2", key),
 		d.jobRequest("render", "p1"), d.jobRequest("render", "p2", again), d.jobRequest("render", "p3")} {
-		await(t, submit(job), "answer")
+		await(t, submit(job), "response")
 	}
 	all := awaitSpans(t, c, "r1", "r2", "p1", "p2", "p3")
 	span, links := map[string]string{}, map[string][]string{}
@@ -332,16 +339,16 @@
 	}
 }
 
-// TestFaultyCollector guards dispatching, and the traces of the time after, against all
-// that a collector may do.
+// TestFaultyCollector checks that faults of the collector neither disturb dispatching nor lose the
+// traces of later requests.
 func TestFaultyCollector(t *testing.T) {
 	t.Parallel()
-	const unavailable, exhausted, invalid = 14, 8, 3 // codes of gRPC
+	const unavailable, exhausted, invalid = 14, 8, 3 // gRPC status codes
 	for _, tc := range []struct {
 		name  string
 		grpc  bool
-		fault []collector.Fault // then all is well
-		comes bool              // what met the fault is sent again
+		fault []collector.Fault // followed by normal operation
+		comes bool              // the batch that met the fault is accepted or sent again
 	}{
 		{"hangs", false, []collector.Fault{{Hang: true}}, true},
 		{"drips", false, []collector.Fault{{Drip: true}}, false},
@@ -376,7 +383,7 @@
 			d.serveJobs("first", 1)
 			call := await(t, c.Calls(), "call")
 			if call.GRPC != tc.grpc {
-				t.Errorf("the call came by %q", call.Path)
+				t.Errorf("the call used path %q, which is of the wrong protocol", call.Path)
 			}
 			d.serveJobs("then", 3)
 			ids := []string{"then-0", "then-1", "then-2"}
@@ -384,26 +391,26 @@
 				ids = append(ids, "first-0")
 			}
 			all := awaitSpans(t, c, ids...)
-			if first := tree(all)["first-0"]; !tc.comes && first != nil {
-				t.Errorf("what may not be sent again came: %q", first)
+			if first := traceTrees(all)["first-0"]; !tc.comes && first != nil {
+				t.Errorf("a batch that must not be sent again was: %q", first)
 			}
-			if taken := len(tc.fault) == 0 || tc.fault[0].Status == 0 && tc.comes && !tc.fault[0].Hang; taken {
-				for len(d.lines) > 0 { // the first batch was long ago
+			if accepted := len(tc.fault) == 0 || tc.fault[0].Status == 0 && tc.comes && !tc.fault[0].Hang; accepted {
+				for len(d.lines) > 0 { // the first batch was exported long before
 					d.logLines = append(d.logLines, <-d.lines)
 				}
 				if log := strings.Join(d.logLines, "\n"); strings.Contains(log, "export fails") {
-					t.Errorf("a batch that was taken counts as failed:\n%s", log)
+					t.Errorf("a batch that the collector accepted was logged as failed:\n%s", log)
 				}
 			}
-			if _, most := c.Connections(); most > 2 {
-				t.Errorf("%d connections at a time", most)
+			if _, peak := c.Connections(); peak > 2 {
+				t.Errorf("%d connections at a time, want 2 at most", peak)
 			}
 		})
 	}
 }
 
-// TestAbsentCollector guards jobs while nobody listens, and the traces of a time when
-// the collector is back.
+// TestAbsentCollector checks that jobs are served while the collector is down, and that traces are
+// delivered once it is back.
 func TestAbsentCollector(t *testing.T) {
 	t.Parallel()
 	c := newCollectorAt(t, uniqueIP()+":0", nil)
@@ -414,17 +421,19 @@
 	d.serveRunner(r)
 	d.serveJobs("without", 20)
 	back := newCollectorAt(t, addr, nil)
-	awaitSpans(t, back, "without-0", "without-19") // they waited
-	back.Kill()                                    // gone halfway
+	awaitSpans(t, back, "without-0", "without-19") // they were queued
+	back.Kill()                                    // down again
 	d.serveJobs("later", 20)
 	awaitSpans(t, newCollectorAt(t, addr, nil), "later-19")
 }
 
-// maxRefusalSlowdown is how many times as long as without a collector refusals may take with one that hangs, where the machine
-// is slow: the two are measured one after the other, and the load beside them changes.
+// maxRefusalSlowdown is how many times as long refusals may take with a collector that hangs as
+// without one on a slow machine. The two are measured one after the other, and the other load on
+// the machine changes.
 const maxRefusalSlowdown = 2
 
-// refuse5000 has 20 clients be refused 250 times each, on a connection each time. It returns how long all and the slowest one took.
+// refuse5000 makes 20 clients submit 250 jobs each, all of which must be refused, each on a new
+// connection. It returns how long all and the slowest one took.
 func (d *dispatcher) refuse5000() (took, slowest time.Duration) {
 	d.t.Helper()
 	var clients sync.WaitGroup
@@ -434,42 +443,45 @@
 		clients.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}}
 			for j := range 250 {
-				sent := time.Now()
+				sentAt := time.Now()
 				if a := do(client, d.jobRequest("render", fmt.Sprintf("r%d-%d", i, j))); a.Status == 503 {
 					refused.Add(1)
 				}
-				for old, this := longest.Load(), int64(time.Since(sent)); this > old && !longest.CompareAndSwap(old, this); old = longest.Load() {
+				for old, took := longest.Load(), int64(time.Since(sentAt)); took > old && !longest.CompareAndSwap(old, took); old = longest.Load() {
 				}
 			}
 		})
 	}
 	clients.Wait()
 	if refused.Load() != 5000 {
-		d.t.Errorf("%d of 5000 were refused", refused.Load())
+		d.t.Errorf("%d of 5000 jobs were refused, want all", refused.Load())
 	}
 	return time.Since(began), time.Duration(longest.Load())
 }
 
-// TestRefusals guards clients, and the memory, while thousands are refused in a second
-// and the collector hangs. A client that waits for the collector waits for a call to it, 10 s. On a machine with 16 disk writers and 26
-// simulators beside it 5000 refusals take 8 to 49 s with a collector that hangs, as each opens a connection:
-// so the slowest one is looked at on any machine, and all together against a dispatcher without a collector.
+// TestRefusals checks that refusals do not wait for a collector that hangs, and that memory stays
+// bounded while thousands of jobs are refused per second. A refusal that waited for the collector
+// would take as long as a call to it, 10 s. On a machine that also runs 16 disk writers and 26
+// simulators, 5000 refusals take 8 to 49 s with a collector that hangs, as each opens a connection.
+// So the slowest refusal is checked on any machine, and the total is compared with that of a
+// dispatcher without a collector.
 func TestRefusals(t *testing.T) {
 	t.Parallel()
 	c := newCollector(t, nil)
 	c.Script(collector.Fault{Hang: true})
 	const maxTime = 8 * time.Second                                          // a call to the collector takes 10 s
-	d := startWith(t, newDiscovery(t).URL, 1024, nil, withTelemetry(c.Addr)) // nobody is listed
+	d := startWith(t, newDiscovery(t).URL, 1024, nil, withTelemetry(c.Addr)) // without runners
 	took, slowest := d.refuse5000()
 	if slowest > maxTime {
-		t.Errorf("a refusal took %s: it has waited for the collector", slowest)
+		t.Errorf("a refusal took %s, want 8 s at most: it waited for the collector", slowest)
 	}
 	if took > maxTime {
-		// The machine may be too slow for 5000 connections in that time. It tells by a dispatcher without a collector.
+		// The machine may be too slow for 5000 connections in that time. A dispatcher without a
+		// collector shows whether it is.
 		without, _ := startWith(t, newDiscovery(t).URL, 1024, nil).refuse5000()
 		t.Logf("5000 refusals took %s, without a collector %s", took, without)
 		if took > maxRefusalSlowdown*without {
-			t.Errorf("5000 refusals took %s, without a collector %s: somebody waits for the collector", took, without)
+			t.Errorf("5000 refusals took %s, without a collector %s: some waited for the collector", took, without)
 		}
 	}
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", d.cmd.Process.Pid))
@@ -478,12 +490,12 @@
 	}
 	_, rest, _ := strings.Cut(string(text), "VmRSS:")
 	if kb, err := strconv.Atoi(strings.Fields(rest)[0]); err != nil || kb > 64<<10 && !raceEnabled {
-		t.Errorf("the process holds %d KiB, %v", kb, err)
+		t.Errorf("the process uses %d KiB of memory, want 64 MiB at most; %v", kb, err)
 	}
 }
 
-// TestFullQueue guards the records that will be asked for, and the memory: where there
-// is no room plain ones go first.
+// TestFullQueue checks that a full export queue stays within its size and drops the traces of plain
+// requests before those of notable ones.
 func TestFullQueue(t *testing.T) {
 	t.Parallel()
 	c := newCollector(t, nil)
@@ -498,25 +510,26 @@
 	d.serveRunner(r)
 	d.serveJobs("hold", 1)
 	await(t, c.Calls(), "call") // from here on the queue fills
-	await(t, submit(d.jobRequest("render", "notable", func(r *http.Request) { r.Header.Set("X-Second-Try", "1") })), "answer")
+	await(t, submit(d.jobRequest("render", "notable", func(r *http.Request) { r.Header.Set("X-Second-Try", "1") })), "response")
 	d.serveJobs("plain", 300)
 	c.Script(collector.Fault{})
-	got := tree(awaitSpans(t, c, "notable", "plain-299"))
+	got := traceTrees(awaitSpans(t, c, "notable", "plain-299"))
 	if got["plain-0"] != nil || len(got) > 200 {
-		t.Errorf("of 300 plain requests %d are there, the oldest: %q", len(got), got["plain-0"])
+		t.Errorf("%d traces were exported after 300 plain requests, want 200 at most without plain-0, which is %q", len(got), got["plain-0"])
 	}
 }
 
-// TestCertificates guards against a collector that is not the one meant.
+// TestCertificates checks that the dispatcher exports only to a collector with a trusted
+// certificate.
 func TestCertificates(t *testing.T) {
 	t.Parallel()
 	good, ca := newCertificate(t, "127.0.0.1")
-	_, stranger := newCertificate(t, "127.0.0.1")
+	_, otherCA := newCertificate(t, "127.0.0.1")
 	for _, tc := range []struct {
 		name, ca string
 		grpc     bool
 		comes    bool
-	}{{"trusted", ca, false, true}, {"trusted by gRPC", ca, true, true}, {"not trusted", stranger, false, false}, {"not trusted by gRPC", stranger, true, false}} {
+	}{{"trusted", ca, false, true}, {"trusted by gRPC", ca, true, true}, {"not trusted", otherCA, false, false}, {"not trusted by gRPC", otherCA, true, false}} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
 			c := newCollector(t, &good)
@@ -534,23 +547,24 @@
 			}
 			d.awaitLog("export fails; dispatching goes on")
 			if calls := c.Taken(); len(calls) > 0 {
-				t.Errorf("%d calls reached a collector that is not trusted", len(calls))
+				t.Errorf("%d calls reached an untrusted collector, want none", len(calls))
 			}
 		})
 	}
 }
 
-// newCertificate makes one for a host that is its own authority, and a file of it.
+// newCertificate returns a self-signed certificate for an IP address, and the path of a PEM file
+// with the certificate.
 func newCertificate(t *testing.T, host string) (tls.Certificate, string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		t.Fatal(err)
 	}
-	what := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "stand-in"}, IsCA: true,
+	template := &x509.Certificate{SerialNumber: big.NewInt(1), Subject: pkix.Name{CommonName: "stand-in"}, IsCA: true,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour), BasicConstraintsValid: true,
 		KeyUsage: x509.KeyUsageDigitalSignature | x509.KeyUsageCertSign, IPAddresses: []net.IP{net.ParseIP(host)}}
-	der, err := x509.CreateCertificate(rand.Reader, what, what, &key.PublicKey, key)
+	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -562,9 +576,9 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}, path
 }
 
-// TestEndWithHangingCollector guards the process's end: it comes no later than without
-// one, as the platform may kill the process.
-func TestEndWithHangingCollector(t *testing.T) {
+// TestShutdownWithHangingCollector checks that a collector that hangs does not delay the exit of
+// the process, which the platform would otherwise kill.
+func TestShutdownWithHangingCollector(t *testing.T) {
 	t.Parallel()
 	took := map[string]time.Duration{}
 	for _, name := range []string{"off", "hangs"} {
@@ -585,18 +599,19 @@
 		if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		if err := await(t, d.exited, "end"); err != nil {
-			t.Errorf("%s: the process ended with %v", name, err)
+		if err := await(t, d.exited, "exit of the process"); err != nil {
+			t.Errorf("%s: the process exited with %v, want status 0", name, err)
 		}
 		took[name] = time.Since(began)
 	}
 	if took["hangs"] > took["off"]+200*time.Millisecond {
-		t.Errorf("the end took %v, without telemetry %v", took["hangs"], took["off"])
+		t.Errorf("the exit took %v, without telemetry %v, want 200 ms more at most", took["hangs"], took["off"])
 	}
 }
 
-// TestLastStories guards the traces of the last jobs before a planned end.
-func TestLastStories(t *testing.T) {
+// TestTracesFlushedAtShutdown checks that the traces of the last jobs are exported before the
+// process exits.
+func TestTracesFlushedAtShutdown(t *testing.T) {
 	t.Parallel()
 	c := newCollector(t, nil)
 	r := newRunner(t, "s-1")
@@ -608,11 +623,12 @@
 	}
 	d.awaitLog("frosttide drains")
 	d.serveJobs("late", 1)
-	await(t, d.exited, "end")
+	await(t, d.exited, "exit of the process")
 	awaitSpans(t, c, "early-0", "late-0")
 }
 
-// TestReloadMovesCollector guards a change of the endpoint while the program runs.
+// TestReloadMovesCollector checks that a reload changes the collector's endpoint, and that an
+// invalid file changes nothing.
 func TestReloadMovesCollector(t *testing.T) {
 	t.Parallel()
 	one, two := newCollector(t, nil), newCollector(t, nil)
@@ -635,10 +651,11 @@
 		t.Fatal(err)
 	}
 	d.awaitLog("configuration reread")
-	for i := 0; len(two.Taken()) == 0; i++ { // the core takes new settings a moment after the line
+	// The core applies new settings shortly after the log line.
+	for i := 0; len(two.Taken()) == 0; i++ {
 		d.serveJobs(fmt.Sprintf("after%d", i), 1)
 		if i > 1000 {
-			t.Fatal("the new collector gets nothing")
+			t.Fatal("the new collector received nothing after 1000 jobs")
 		}
 	}
 	if err := os.WriteFile(path, []byte("[telemetry.otlp]\nendpoint = 5\nhedaers = {}\n"), 0o600); err != nil {
@@ -652,37 +669,37 @@
 	awaitSpans(t, two, "still-0")
 }
 
-// TestUpgradeKeepsTrace guards the record of a job that an older process hands over: it
-// goes on under the same request's span.
+// TestUpgradeKeepsTrace checks that the trace of a job that an older process hands over continues
+// under the same request span.
 func TestUpgradeKeepsTrace(t *testing.T) {
 	t.Parallel()
 	c := newCollector(t, nil)
 	r := newRunner(t, "s-1")
 	d := startWith(t, newDiscovery(t).URL, 1024, []string{r.entry()}, withInheritedListener, withTelemetry(c.Addr))
 	got := submit(d.jobRequest("render", "long"))
-	h := await(t, r.requests, "hop")
+	h := await(t, r.requests, "attempt")
 	h.reply(202, "")
 	d.sendReport(jobEvent("long", "s-1", "started"))
 	s := d.startSuccessor()
 	if err := d.cmd.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	await(t, d.exited, "end of the older process")
+	await(t, d.exited, "exit of the older process")
 	s.sendReport(jobEvent("long", "s-1", "done"))
-	if a := await(t, got, "answer"); a.Status != 200 {
-		t.Fatalf("the job got %d %v", a.Status, a.Err)
+	if a := await(t, got, "response"); a.Status != 200 {
+		t.Fatalf("the job got status %d %v, want 200", a.Status, a.Err)
 	}
 	all := awaitSpans(t, c, "long")
 	want := map[string][]string{"long": {"POST /render served runner done 200 s-1", "1 first s-1 served true started,done"}}
-	if diff := gocmp.Diff(want, tree(all)); diff != "" {
-		t.Errorf("the trees (-want +got):\n%s", diff)
+	if diff := gocmp.Diff(want, traceTrees(all)); diff != "" {
+		t.Errorf("traces (-want +got):\n%s", diff)
 	}
 	if p := h.Header.Get("Traceparent"); len(p) < 35 || all[0].TraceID().String() != p[3:35] {
-		t.Errorf("trace %s goes on as %s", p, all[0].TraceID())
+		t.Errorf("the job was sent with Traceparent %q, but its span has trace %s", p, all[0].TraceID())
 	}
 }
 
-// TestMeasures guards the figures: they count what happened, whoever keeps the traces.
+// TestMeasures checks that the metrics count all requests, whether or not their traces are sampled.
 func TestMeasures(t *testing.T) {
 	t.Parallel()
 	c := newCollector(t, nil)
@@ -691,22 +708,22 @@
 		withTelemetry(c.Addr, "OTEL_METRICS_EXPORTER=otlp", "OTEL_TRACES_SAMPLER=traceidratio", "OTEL_TRACES_SAMPLER_ARG=0"))
 	d.serveRunner(r)
 	d.serveJobs("job", 10)
-	await(t, submit(d.jobRequest("bogus", "b")), "answer")
-	over := time.After(testTimeout)
+	await(t, submit(d.jobRequest("bogus", "b")), "response")
+	timeout := time.After(testTimeout)
 	for {
 		var call collector.Call
 		select {
 		case call = <-c.Calls():
-		case <-over:
-			t.Fatal("the figures never came to what happened")
+		case <-timeout:
+			t.Fatal("the metrics did not reach the expected counts before the timeout")
 		}
 		if call.Measures == nil {
 			continue
 		}
 		got := map[string]int64{}
-		for _, of := range call.Measures.ResourceMetrics().All() {
-			for _, in := range of.ScopeMetrics().All() {
-				for _, m := range in.Metrics().All() {
+		for _, resource := range call.Measures.ResourceMetrics().All() {
+			for _, scope := range resource.ScopeMetrics().All() {
+				for _, m := range scope.Metrics().All() {
 					switch m.Name() {
 					case "frosttide.requests", "frosttide.hops":
 						for _, p := range m.Sum().DataPoints().All() {
@@ -729,12 +746,12 @@
 			break
 		}
 	}
-	if trees := tree(awaitSpans(t, c, "")); trees["job-0"] != nil {
-		t.Errorf("a plain trace was kept: %q", trees)
+	if trees := traceTrees(awaitSpans(t, c, "")); trees["job-0"] != nil {
+		t.Errorf("the trace of a plain request was exported: %q", trees)
 	}
 }
 
-// keyPEM writes a certificate's key.
+// keyPEM returns the private key of a certificate in PEM.
 func keyPEM(t *testing.T, pair tls.Certificate) []byte {
 	t.Helper()
 	der, err := x509.MarshalPKCS8PrivateKey(pair.PrivateKey)
