--- a/cmd/frosttide/lifecycle_test.go
+++ b/cmd/frosttide/lifecycle_test.go
@@ -28,7 +28,8 @@
 	stuck := submit(d.jobRequest("render", "stuck"))
 	await(t, r.requests, "attempt").reply(202, "")
 	d.sendReport(jobEvent("stuck", r.uid, "started")) // a late start would cause load shedding
-	for n := 0; ; n++ {                               // served until clients are told to reconnect
+	// Further jobs are served until clients are told to reconnect.
+	for n := 0; ; n++ {
 		id := fmt.Sprintf("late-%d", n)
 		late := submit(d.jobRequest("render", id))
 		var h *runnerRequest
--- a/cmd/frosttide/telemetry_test.go
+++ b/cmd/frosttide/telemetry_test.go
@@ -447,7 +447,7 @@
 				if a := do(client, d.jobRequest("render", fmt.Sprintf("r%d-%d", i, j))); a.Status == 503 {
 					refused.Add(1)
 				}
-				for old, took := longest.Load(), int64(time.Since(sentAt)); took > old && !longest.CompareAndSwap(old, took); old = longest.Load() {
+				for old, latency := longest.Load(), int64(time.Since(sentAt)); latency > old && !longest.CompareAndSwap(old, latency); old = longest.Load() {
 				}
 			}
 		})
@@ -469,8 +469,9 @@
 	t.Parallel()
 	c := newCollector(t, nil)
 	c.Script(collector.Fault{Hang: true})
-	const maxTime = 8 * time.Second                                          // a call to the collector takes 10 s
-	d := startWith(t, newDiscovery(t).URL, 1024, nil, withTelemetry(c.Addr)) // without runners
+	const maxTime = 8 * time.Second // a call to the collector takes 10 s
+	// Without runners every job is refused.
+	d := startWith(t, newDiscovery(t).URL, 1024, nil, withTelemetry(c.Addr))
 	took, slowest := d.refuse5000()
 	if slowest > maxTime {
 		t.Errorf("a refusal took %s, want 8 s at most: it waited for the collector", slowest)
