--- a/cmd/frosttide-mutate/main.go
+++ b/cmd/frosttide-mutate/main.go
@@ -24,8 +24,8 @@
 	count := flag.Int("count", len(mutate.Mutations), "number of checks to try, from -first on")
 	var bounds mutate.Bounds
 	flag.IntVar(&bounds.Seeds, "seeds", 500, "seeds of the simulated network")
-	flag.IntVar(&bounds.Singles, "singles", 1, "the explorer tries one in this many single departures")
-	flag.IntVar(&bounds.Pairs, "pairs", 100_003, "the explorer tries one in this many pairs of departures")
+	flag.IntVar(&bounds.Singles, "singles", 1, "the explorer runs every n-th single deviation, 1 for all")
+	flag.IntVar(&bounds.Pairs, "pairs", 100_003, "the explorer runs every n-th pair of deviations, 1 for all")
 	flag.Parse()
 	if flag.NArg() > 0 {
 		fmt.Fprintln(os.Stderr, "frosttide-mutate: unexpected arguments; only flags are accepted")
--- a/internal/testkit/lab/mutate/mutate.go
+++ b/internal/testkit/lab/mutate/mutate.go
@@ -50,7 +50,7 @@
 // Bounds limits the search before a mutation counts as undetected.
 type Bounds struct {
 	Seeds   int // number of seeds run in the simulated network
-	Singles int // the explorer tries every Singles-th single deviation from the default schedule
+	Singles int // the explorer tries every Singles-th single deviation from the baseline schedule
 	Pairs   int // and every Pairs-th pair of deviations
 }
 
