--- a/cmd/frosttide-simulate/main.go
+++ b/cmd/frosttide-simulate/main.go
@@ -20,7 +20,7 @@
 	flag.DurationVar(&s.length, "length", 30*time.Second, "virtual time during which faults are injected")
 	flag.BoolVar(&s.fullTrace, "trace", false, "print the whole trace of each run that violates a rule")
 	flag.BoolVar(&s.stopAtFirst, "stop", false, "exit at the first run that violates a rule, without minimizing its faults")
-	flag.IntVar((*int)(&s.missingCheck), "weaken", 0, "safety check to disable: 1 hold wait, 2 sync, 3 fence, 4 identity of a lost disk, 5 order of links")
+	flag.IntVar((*int)(&s.missingCheck), "weaken", 0, "safety check to disable: 1 lease wait, 2 sync, 3 fence, 4 identity of a lost disk, 5 order of links")
 	flag.Parse()
 	if flag.NArg() > 0 {
 		fmt.Fprintln(os.Stderr, "frosttide-simulate: unexpected arguments; only flags are accepted")
