--- a/cmd/frosttide/scale_test.go
+++ b/cmd/frosttide/scale_test.go
@@ -17,8 +17,8 @@
 	bytesPerChange = 135.0 // of target lists in bytes
 	// KB that the leader writes to streams and its disk for a write to the log, with a few members.
 	kbPerWrite = 24.0
-	// Bounds of the UDP traffic of a hollow member, relative to that of a real one.
-	minHollowRatio, maxHollowRatio = 0.5, 2.0
+	// Bounds of the UDP traffic of a simulated member, relative to that of the real one.
+	minSimulatedRatio, maxSimulatedRatio = 0.5, 2.0
 )
 
 // TestShortScale checks the slopes on the capacity page with two points per axis and one run for
@@ -64,8 +64,8 @@
 		if p.Failed > 0 || p.Wrote == 0 {
 			t.Errorf("at %g writes per second %d were acknowledged and %d failed, want some acknowledged and none failed", p.X, p.Wrote, p.Failed)
 		}
-		if p.Hollow < minHollowRatio || p.Hollow > maxHollowRatio {
-			t.Errorf("at %g writes per second a hollow member sent %.2f times as much as the real one, want 0.5 to 2", p.X, p.Hollow)
+		if p.Hollow < minSimulatedRatio || p.Hollow > maxSimulatedRatio {
+			t.Errorf("at %g writes per second a simulated member sent %.2f times as much as the real one, want 0.5 to 2", p.X, p.Hollow)
 		}
 	}
 	for _, l := range scale.Fit(scale.Leader, points) {
