--- a/deploy/sites/link.sh
+++ b/deploy/sites/link.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Links the files that a bench wants beside a site file: link.sh KIT, with the kit's folder. Git
-# ignores the links.
+# Creates symbolic links in this folder to the kit's files that a benchmark needs next to a site
+# file. Git ignores the links. Usage: link.sh KIT, where KIT is the kit's folder.
 set -euo pipefail
 here=$(cd "$(dirname "$0")" && pwd)
 if [ $# -ne 1 ] || [ ! -d "$1" ]; then
--- a/internal/protocol/generate.sh
+++ b/internal/protocol/generate.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Generates the Go code of protocol.proto. Needs protoc; the plug-ins are tools of this module.
+# Generates the Go code for protocol.proto. Requires protoc; the protoc plugins are built from the
+# versions pinned in go.mod.
 set -euo pipefail
 cd "$(dirname "$0")"
 plugins=$(mktemp -d)
