--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,6 +1,7 @@
-// Command adapter hosts dispatchers on the protocol of the bench (lbsim): it reads batches of events from standard input
-// and writes the actions that answer them to standard output. Every decision is that of package decision. It ends with
-// status 0 at the end of its input, and with status 1 and one line on standard error at a malformed batch.
+// Command adapter runs dispatchers under the lbsim benchmark: it reads batches of events in lbsim's
+// wire format from standard input and writes the dispatchers' actions to standard output. All
+// decisions are made by package decision. It exits with status 0 at the end of its input, and with
+// status 1 and one line on standard error after a malformed batch.
 package main
 
 import (
@@ -22,10 +23,11 @@
 	}
 }
 
-// readBufferSize is the size of the buffer for standard input, in bytes.
+// readBufferSize is the size of the read buffer for standard input, in bytes.
 const readBufferSize = 1 << 20
 
-// serve answers batches until the input ends. A malformed batch ends it with an error and without any part of a reply.
+// serve answers batches until the input ends. It fails at a malformed batch, for which no part of a
+// reply is written.
 func serve(in io.Reader, out, log io.Writer) error {
 	input := bufio.NewReaderSize(in, readBufferSize)
 	var buf bytes.Buffer
@@ -51,23 +53,24 @@
 	}
 }
 
-// instance is one hosted dispatcher and what the current batch holds for it.
+// instance is a hosted dispatcher together with its events of the current batch.
 type instance struct {
-	dispatcher *decision.Dispatcher // nil where none is provisioned
+	dispatcher *decision.Dispatcher // nil if not provisioned
 	events     []decision.Event
-	fault      string // why it could not start, to be reported once
-	touched    bool   // the current batch names it
+	fault      string // why provisioning failed; reported once
+	touched    bool   // the current batch has a record for it
 }
 
-// server holds the instances by number, and the order in which a batch names them. It is the wire.Handler of batches.
+// server holds the instances and implements wire.Handler for the records of a batch.
 type server struct {
-	instances []*instance
-	touched   []int
-	actions   []decision.Action // of one instance; the memory is reused
+	instances []*instance       // by number; nil if never named
+	touched   []int             // numbers in the order of their first record in the batch
+	actions   []decision.Action // scratch buffer for the actions of one instance
 	log       io.Writer
 }
 
-// instance returns the instance of a number, a new one where it is unknown, and marks it as named by the batch.
+// instance returns the instance with a number, creating it if necessary, and marks it as touched by
+// the current batch.
 func (s *server) instance(n int) *instance {
 	for len(s.instances) <= n {
 		s.instances = append(s.instances, nil)
@@ -83,7 +86,8 @@
 	return in
 }
 
-// Provision starts an instance anew; earlier events of the batch for it are dropped. Bad settings become its fault.
+// Provision starts or restarts an instance with a seed and JSON settings. Earlier events of the
+// batch for it are dropped. Invalid settings are logged and reported as the instance's fault.
 func (s *server) Provision(n int, seed uint64, settings []byte) {
 	in := s.instance(n)
 	in.dispatcher, in.events, in.fault = nil, in.events[:0], ""
@@ -97,35 +101,37 @@
 	}
 }
 
-// Detach ends an instance and drops all that it knew.
+// Detach stops an instance and discards its state.
 func (s *server) Detach(n int) {
 	in := s.instance(n)
 	in.dispatcher, in.events, in.fault = nil, in.events[:0], ""
 }
 
-// Event queues an event for its instance; one for an instance that is not provisioned is logged and dropped.
+// Event queues an event for an instance. An event for an instance that is not provisioned is logged
+// and dropped.
 func (s *server) Event(n int, ev *decision.Event) {
 	in := s.instance(n)
 	if in.dispatcher == nil {
-		fmt.Fprintf(s.log, "adapter: event for instance %d, which is not provisioned, is passed over\n", n)
+		fmt.Fprintf(s.log, "adapter: dropping an event for instance %d, which is not provisioned\n", n)
 		return
 	}
 	in.events = append(in.events, *ev)
 }
 
-// step has every instance that the batch names handle its events, in the order of their first records.
+// step makes every instance with a record in the batch handle its events, in the order of the
+// instances' first records.
 func (s *server) step(batch wire.Batch, reply *wire.Reply) {
 	for _, n := range s.touched {
 		in := s.instances[n]
 		s.stepInstance(n, in, batch, reply)
-		clear(in.events) // so that lists of workers can be collected
+		clear(in.events) // release the worker lists to the garbage collector
 		in.events, in.touched = in.events[:0], false
 	}
 	s.touched = s.touched[:0]
 }
 
-// stepInstance appends what an instance answers to the reply: its fault, or the actions of its dispatcher. A panic of the
-// dispatcher becomes its fault and ends it.
+// stepInstance appends an instance's fault or the actions of its dispatcher to the reply. A panic of
+// the dispatcher is reported as a fault and stops the instance.
 func (s *server) stepInstance(n int, in *instance, batch wire.Batch, reply *wire.Reply) {
 	if in.fault != "" {
 		reply.Fault(n, in.fault)
--- a/cmd/frosttide-control/main.go
+++ b/cmd/frosttide-control/main.go
@@ -1,5 +1,6 @@
-// Command frosttide-control is the control plane of the cluster scheduler. It runs on the core machines, and shows
-// operators the state of a running system (package cli).
+// Command frosttide-control is the control plane of the cluster scheduler. Without a sub-command it
+// runs a member on a core machine; the sub-commands let operators inspect and change a running
+// system. Package cli implements them.
 package main
 
 import (
--- a/cmd/frosttide-data/main.go
+++ b/cmd/frosttide-data/main.go
@@ -1,6 +1,7 @@
-// Command frosttide-data is the data plane of the cluster scheduler. As "carrier" it takes clients' jobs on edge machines
-// (package gateway); as "companion" it answers the heartbeats of the runner beside it (package agent). The settings file
-// that the environment names says the rest.
+// Command frosttide-data is the data plane of the cluster scheduler. Its argument selects the role:
+// a "carrier" accepts clients' jobs on an edge machine (package gateway), and a "companion" answers
+// the heartbeats of the runner on its machine (package agent). All other settings come from the
+// settings file that the environment variable FROSTTIDE_NODE_FILE names.
 package main
 
 import (
@@ -17,16 +18,16 @@
 	"frosttide/internal/process"
 )
 
-// Exit statuses of the program.
+// Exit statuses.
 const (
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// role runs a process by the settings that were read from the file at path, until the context ends.
+// role runs a process with settings that were read from the file at path, until the context ends.
 type role func(ctx context.Context, path string, settings *nodefile.File) error
 
-// roles are the roles by their names in the arguments.
+// roles maps the command line's role names to their implementations.
 var roles = map[string]role{
 	"carrier":   gateway.Run,
 	"companion": agent.Run,
@@ -51,7 +52,7 @@
 	}
 }
 
-// run reads the settings and runs a role until the context ends.
+// run reads the settings file and runs a role until the context ends.
 func run(ctx context.Context, runRole role) error {
 	path, err := nodefile.Path()
 	if err != nil {
--- a/cmd/frosttide-exporter/main.go
+++ b/cmd/frosttide-exporter/main.go
@@ -1,5 +1,5 @@
-// Command frosttide-exporter shows the state of a control plane to Prometheus: at each scrape it asks the core machines
-// (package metrics).
+// Command frosttide-exporter exports the state of a control plane to Prometheus. Package metrics
+// queries the core machines at each scrape.
 package main
 
 import (
@@ -23,14 +23,14 @@
 	"frosttide/internal/control/metrics"
 )
 
-// Exit statuses of the program.
+// Exit statuses.
 const (
 	exitOK     = 0
 	exitFailed = 1
 	exitUsage  = 2
 )
 
-// readTimeout bounds how long the request of a scrape may take to arrive.
+// readTimeout bounds the time to read a scrape request.
 const readTimeout = 10 * time.Second
 
 func main() {
@@ -39,7 +39,7 @@
 	os.Exit(run(ctx, os.Args[1:], os.Stderr))
 }
 
-// run serves scrapes by the arguments until the context ends, and returns the exit status.
+// run parses the arguments, serves scrapes until the context ends, and returns the exit status.
 func run(ctx context.Context, args []string, errOut io.Writer) int {
 	flags := flag.NewFlagSet("frosttide-exporter", flag.ContinueOnError)
 	flags.SetOutput(errOut)
@@ -62,7 +62,8 @@
 	return exitOK
 }
 
-// serve answers scrapes until the context ends.
+// serve answers scrapes at address until the context ends. members are the API addresses of the
+// core machines.
 func serve(ctx context.Context, address string, members []string) error {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -73,7 +74,7 @@
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	server := &http.Server{Handler: mux, ReadTimeout: readTimeout}
-	context.AfterFunc(ctx, func() { _ = server.Close() }) // ends Serve; the process is about to end
+	context.AfterFunc(ctx, func() { _ = server.Close() }) // makes Serve return; the process exits next
 	klog.InfoS("Serving", "address", listener.Addr(), "members", members)
 	if err := server.Serve(listener); !errors.Is(err, http.ErrServerClosed) {
 		return errors.Wrap(err, "-listen")
--- a/cmd/frosttide-mutate/main.go
+++ b/cmd/frosttide-mutate/main.go
@@ -1,7 +1,8 @@
-// Command frosttide-mutate takes each safety check of the cluster scheduler out of the source, one at a time, and prints
-// who detects that it is missing: the package's tests, the simulated network, the explorer of schedules, or nothing. It needs the repository's
-// source and the Go tools; it changes no file. It exits with status 1 if any check could not be tried, 2 for mistakes in
-// the arguments.
+// Command frosttide-mutate is a mutation test of the cluster scheduler: it removes its safety checks
+// from the source, one at a time, and prints what detects the removal: the package's tests, the
+// simulated network, the schedule explorer, or nothing. It needs the repository's source and the Go
+// tools, and changes no file. It exits with status 1 if any mutation could not be tried, and with
+// status 2 for invalid arguments.
 package main
 
 import (
@@ -18,16 +19,16 @@
 
 func main() {
 	root := flag.String("root", ".", "the repository's root")
-	only := flag.String("only", "", "only the checks whose name holds this")
-	first := flag.Int("first", 0, "the first check, by its place in the list")
-	count := flag.Int("count", len(mutate.Mutations), "how many checks from there on")
+	only := flag.String("only", "", "try only the checks whose name contains this text")
+	first := flag.Int("first", 0, "index of the first check to try")
+	count := flag.Int("count", len(mutate.Mutations), "number of checks to try, from -first on")
 	var bounds mutate.Bounds
 	flag.IntVar(&bounds.Seeds, "seeds", 500, "seeds of the simulated network")
-	flag.IntVar(&bounds.Singles, "singles", 1, "the explorer tries one of so many single departures")
-	flag.IntVar(&bounds.Pairs, "pairs", 100_003, "and one of so many pairs of departures")
+	flag.IntVar(&bounds.Singles, "singles", 1, "the explorer tries one in this many single departures")
+	flag.IntVar(&bounds.Pairs, "pairs", 100_003, "the explorer tries one in this many pairs of departures")
 	flag.Parse()
 	if flag.NArg() > 0 {
-		fmt.Fprintln(os.Stderr, "frosttide-mutate: takes flags only")
+		fmt.Fprintln(os.Stderr, "frosttide-mutate: unexpected arguments; only flags are accepted")
 		os.Exit(2)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
@@ -43,8 +44,8 @@
 	}
 }
 
-// run tries mutations, prints a table row for each, and returns how many could not be tried. It stops early if the context
-// ends.
+// run tries mutations, prints a table row for each, and returns the number of mutations that could
+// not be tried. It stops early if the context ends.
 func run(ctx context.Context, root string, mutations []mutate.Mutation, bounds mutate.Bounds) (failed int) {
 	undetected := 0
 	for _, m := range mutations {
--- a/cmd/frosttide-scenarios/main_test.go
+++ b/cmd/frosttide-scenarios/main_test.go
@@ -11,6 +11,8 @@
 	"frosttide/internal/testkit/lab/scenarios"
 )
 
+// TestWrite checks the path of a written variation, and the errors for a missing and an invalid
+// site file.
 func TestWrite(t *testing.T) {
 	dir := t.TempDir()
 	site := filepath.Join(dir, "site.toml")
--- a/cmd/frosttide-simulate/search.go
+++ b/cmd/frosttide-simulate/search.go
@@ -11,7 +11,7 @@
 	"frosttide/internal/testkit/simnet"
 )
 
-// search runs seeds and looks for rules that are violated.
+// search runs a range of seeds and reports the runs that violate a rule.
 type search struct {
 	first, count uint64 // seeds
 	runners      int
@@ -20,12 +20,12 @@
 	fullTrace    bool
 	stopAtFirst  bool
 
-	mu        sync.Mutex // guards what follows, and the output
-	violating int
+	mu        sync.Mutex // guards violating and standard output
+	violating int        // number of runs that violated a rule
 }
 
-// run runs all seeds, as many at once as there are processors, and returns how many violate a rule. With stopAtFirst it
-// ends the process at the first of them.
+// run runs all seeds, GOMAXPROCS of them in parallel, and returns the number of runs that violate a
+// rule. With stopAtFirst it exits the process at the first one.
 func (s *search) run() int {
 	seeds := make(chan uint64)
 	var workers sync.WaitGroup
@@ -44,7 +44,7 @@
 	return s.violating
 }
 
-// runSeed runs a seed and prints what it violates.
+// runSeed runs a seed and prints the rule that it violates, if any.
 func (s *search) runSeed(seed uint64) {
 	report := simnet.Run(s.options(seed))
 	if len(report.Violations) == 0 {
@@ -61,10 +61,11 @@
 	fmt.Println(text)
 }
 
-// traceLines is how many lines of a trace are printed, the last ones.
+// traceLines is the number of lines that are printed from the end of a trace.
 const traceLines = 60
 
-// describe tells of a run that violates a rule, with as few faults as still have it violate one.
+// describe repeats a run that violates a rule with a minimized set of faults, and formats the
+// violation, those faults and the trace.
 func (s *search) describe(o simnet.Options, report *simnet.Report) string {
 	o.SkipFaults = simnet.MinimizeFaults(o)
 	var lines []string
